--- a/cmd/quilldoor-lab/changes.go
+++ b/cmd/quilldoor-lab/changes.go
@@ -15,33 +15,33 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/record"
-	"quilldoor/internal/script"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/scenario"
 )
 
 // changeWays are what is done to all routers at once, ten seconds into a run.
 var changeWays = []struct {
 	name string
 	kept bool
-	do   func(k *emulate.Kept, i int) error
+	do   func(k *emulator.Kept, i int) error
 }{
-	{"calm", true, func(*emulate.Kept, int) error { return nil }},
-	{"change", true, func(k *emulate.Kept, i int) error {
-		w, err := k.Ask(i, &handover.Word{Kind: handover.Apply})
+	{"calm", true, func(*emulator.Kept, int) error { return nil }},
+	{"change", true, func(k *emulator.Kept, i int) error {
+		w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply})
 		if err == nil && !w.OK {
 			err = fmt.Errorf("router %d: %s", i, w.Note)
 		}
 		return err
 	}},
-	{"crash on trial", true, func(k *emulate.Kept, i int) error {
+	{"crash on trial", true, func(k *emulator.Kept, i int) error {
 		done := make(chan error, 1)
 		go func() {
-			_, err := k.Ask(i, &handover.Word{Kind: handover.Apply})
+			_, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply})
 			done <- err
 		}()
-		s, err := k.Until(i, 10*time.Second, func(s *handover.Standing) bool { return s.State == "on trial" && s.Next != nil })
+		s, err := k.Until(i, 10*time.Second, func(s *handoff.Standing) bool { return s.State == "on trial" && s.Next != nil })
 		if err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 		}
 		return <-done
 	}},
-	{"restart", false, func(k *emulate.Kept, i int) error { return k.Restart(i) }},
+	{"restart", false, func(k *emulator.Kept, i int) error { return k.Restart(i) }},
 }
 
 type changeRun struct {
@@ -133,10 +133,10 @@
 `
 
 // playChange plays one run; what is undecided is played again.
-func playChange(ctx context.Context, program string, seed uint64, txns float64, kept bool, do func(*emulate.Kept, int) error) (*changeRun, error) {
+func playChange(ctx context.Context, program string, seed uint64, txns float64, kept bool, do func(*emulator.Kept, int) error) (*changeRun, error) {
 	const at, long, tries = 10_000_000, 10_000_000, 4
 	for range tries {
-		s, err := script.Parse("changes", fmt.Appendf(nil, changeFleet, kept, txns))
+		s, err := scenario.Parse("changes", fmt.Appendf(nil, changeFleet, kept, txns))
 		if err != nil {
 			return nil, err
 		}
@@ -153,7 +153,7 @@
 		taken := map[string]open{}
 		got, asked := 0.0, 0.0
 		var mu sync.Mutex
-		opt := emulate.Options{Seed: seed, Record: func(e *record.Entry) {
+		opt := emulator.Options{Seed: seed, Record: func(e *eventlog.Entry) {
 			switch e.Kind {
 			case "taken":
 				if e.At >= at && e.At < at+long {
@@ -167,7 +167,7 @@
 				}
 			}
 		}}
-		r, err := emulate.Sockets(ctx, s, opt, emulate.Routers{Program: program, Drive: func(ctx context.Context, k *emulate.Kept) error {
+		r, err := emulator.Sockets(ctx, s, opt, emulator.Routers{Program: program, Drive: func(ctx context.Context, k *emulator.Kept) error {
 			time.Sleep(at * time.Microsecond)
 			began := time.Now()
 			ends := make(chan error, k.Count())
@@ -175,8 +175,8 @@
 				go func() {
 					err := do(k, i)
 					if err == nil && kept {
-						var st *handover.Standing
-						if st, err = k.Until(i, 10*time.Second, func(s *handover.Standing) bool { return s.State == "steady" && s.Others == 0 }); err == nil {
+						var st *handoff.Standing
+						if st, err = k.Until(i, 10*time.Second, func(s *handoff.Standing) bool { return s.State == "steady" && s.Others == 0 }); err == nil {
 							mu.Lock()
 							out.oldGoneMS = append(out.oldGoneMS, float64(time.Since(began).Milliseconds()))
 							out.fallMS = append(out.fallMS, float64(st.LastFallMS))
@@ -194,7 +194,7 @@
 			}
 			return nil
 		}})
-		if r != nil && r.Late > emulate.TooLate {
+		if r != nil && r.Late > emulator.TooLate {
 			continue
 		}
 		if err != nil {
@@ -211,16 +211,16 @@
 
 // inARow changes one router time and again.
 func inARow(ctx context.Context, program string, n int, txns float64) error {
-	s, err := script.Parse("row", fmt.Appendf(nil, "settle_s: 1\nlength_s: %d\nfleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2, keep: true, trial_s: 0.5}\nload: {txns_per_s: %g}\n", n, txns))
+	s, err := scenario.Parse("row", fmt.Appendf(nil, "settle_s: 1\nlength_s: %d\nfleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2, keep: true, trial_s: 0.5}\nload: {txns_per_s: %g}\n", n, txns))
 	if err != nil {
 		return err
 	}
 	took := hdrhistogram.New(1, 60_000_000, 3)
-	var last *handover.Standing
-	r, err := emulate.Sockets(ctx, s, emulate.Options{Seed: 1}, emulate.Routers{Program: program, Drive: func(ctx context.Context, k *emulate.Kept) error {
+	var last *handoff.Standing
+	r, err := emulator.Sockets(ctx, s, emulator.Options{Seed: 1}, emulator.Routers{Program: program, Drive: func(ctx context.Context, k *emulator.Kept) error {
 		for i := range n {
 			began := time.Now()
-			w, err := k.Ask(0, &handover.Word{Kind: handover.Apply})
+			w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
 			if err != nil || !w.OK {
 				return fmt.Errorf("change %d: %v, %+v", i+1, err, w)
 			}
--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/script"
-	"quilldoor/internal/world"
-	"quilldoor/rehearsals"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
+	"quilldoor/scenarios"
 )
 
 func demoCommand() *cobra.Command {
@@ -25,16 +25,16 @@
 	f.StringVar(&router, "router", "", "the router's program; else quilldoor beside this one")
 	f.BoolVar(&logs, "logs", false, "show the router's log")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		s, err := rehearsals.Load(name)
+		s, err := scenarios.Load(name)
 		if err != nil {
 			return err
 		}
-		conf := emulate.Routers{Program: router, Listen: listen, Guests: true, Ready: func(addrs []string) { welcome(os.Stdout, s, addrs) }}
+		conf := emulator.Routers{Program: router, Listen: listen, Guests: true, Ready: func(addrs []string) { welcome(os.Stdout, s, addrs) }}
 		if logs {
 			conf.Log = os.Stderr
 		}
 		shown := 0
-		r, err := emulate.Sockets(c.Context(), s, emulate.Options{Seed: s.Seed, Progress: func(_ float64, seconds []world.Second) {
+		r, err := emulator.Sockets(c.Context(), s, emulator.Options{Seed: s.Seed, Progress: func(_ float64, seconds []simulation.Second) {
 			for ; shown < len(seconds); shown++ {
 				x := seconds[shown]
 				fmt.Printf("%4d s: %4d asked, %4d in time, %3d late, %3d without; %2d caches up, links %3.0f%% full, %3d hops out\n",
@@ -53,8 +53,8 @@
 }
 
 // welcome tells what can be done with the demo.
-func welcome(to io.Writer, s *script.Script, addrs []string) {
-	w := world.New(s, s.Seed, nil)
+func welcome(to io.Writer, s *scenario.Script, addrs []string) {
+	w := simulation.New(s, s.Seed, nil)
 	const object = "o1" // a page: even numbers are videos
 	_, group, _, _ := w.Object(object, 0)
 	fmt.Fprintf(to, "a router serves at %s, before %d caches, their parents and a ledger, all emulated. Ask it yourself:\n\n"+
--- a/cmd/quilldoor-lab/disk.go
+++ b/cmd/quilldoor-lab/disk.go
@@ -8,25 +8,25 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/tier"
-	"quilldoor/internal/trial"
+	"quilldoor/internal/diskbench"
+	"quilldoor/internal/diskcache"
 )
 
 // variants are weighed in docs/disk-tier.md.
 var variants = []struct {
 	name string
-	tier.Choice
+	diskcache.Choice
 }{
-	{"the router's", tier.Choice{}},
-	{"LRU, all admitted", tier.Choice{AdmitAll: true}},
-	{"LRU from the second want on", tier.Choice{NoVictims: true}},
-	{"estimate, also wanted once", tier.Choice{Once: true}},
-	{"victims by wants, not bytes", tier.Choice{CountEach: true}},
-	{"estimate of the whole object", tier.Choice{Whole: true}},
+	{"the router's", diskcache.Choice{}},
+	{"LRU, all admitted", diskcache.Choice{AdmitAll: true}},
+	{"LRU from the second want on", diskcache.Choice{NoVictims: true}},
+	{"estimate, also wanted once", diskcache.Choice{Once: true}},
+	{"victims by wants, not bytes", diskcache.Choice{CountEach: true}},
+	{"estimate of the whole object", diskcache.Choice{Whole: true}},
 }
 
 func diskTrial() *cobra.Command {
-	l := trial.Load{Objects: 20_000, Skew: 0.9, Videos: 0.2}
+	l := diskbench.Load{Objects: 20_000, Skew: 0.9, Videos: 0.2}
 	seeds := 3
 	c := &cobra.Command{Use: "disk-trial", Short: "Weigh variants of the disk tier's decisions on simulated load", Args: cobra.NoArgs}
 	f := c.Flags()
@@ -39,7 +39,7 @@
 			return fmt.Errorf("--seeds, --txns and --disk: too small")
 		}
 		shares := []float64{0.1, 0.3, 0.6}
-		out := make([]trial.Result, len(shares)*len(variants)*seeds)
+		out := make([]diskbench.Result, len(shares)*len(variants)*seeds)
 		var all sync.WaitGroup
 		room := make(chan struct{}, 6)
 		for i := range out {
@@ -48,7 +48,7 @@
 				defer func() { <-room }()
 				load := l
 				load.Seed, load.Once = uint64(i%seeds), shares[i/seeds/len(variants)]
-				out[i] = trial.Run(load, variants[i/seeds%len(variants)].Choice)
+				out[i] = diskbench.Run(load, variants[i/seeds%len(variants)].Choice)
 			})
 		}
 		all.Wait()
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -13,11 +13,11 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/record"
-	"quilldoor/internal/script"
-	"quilldoor/internal/world"
-	"quilldoor/rehearsals"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
+	"quilldoor/scenarios"
 )
 
 func scriptsCommand() *cobra.Command {
@@ -25,8 +25,8 @@
 		RunE: func(*cobra.Command, []string) error {
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			defer w.Flush()
-			for _, name := range rehearsals.Names() {
-				s, err := rehearsals.Load(name)
+			for _, name := range scenarios.Names() {
+				s, err := scenarios.Load(name)
 				if err != nil {
 					return err
 				}
@@ -52,11 +52,11 @@
 	f.StringVar(&router, "router", "", "the router's program for --sockets; else quilldoor beside this one")
 	c.MarkFlagsMutuallyExclusive("virtual", "sockets")
 	c.RunE = func(c *cobra.Command, args []string) error {
-		s, err := rehearsals.Load(args[0])
+		s, err := scenarios.Load(args[0])
 		if err != nil {
 			return err
 		}
-		opt := emulate.Options{Seed: seed, Progress: progress(c.Context())}
+		opt := emulator.Options{Seed: seed, Progress: progress(c.Context())}
 		if seed == 0 {
 			opt.Seed = s.Seed
 		}
@@ -66,11 +66,11 @@
 				return err
 			}
 		}
-		var r *emulate.Result
+		var r *emulator.Result
 		if onSockets {
-			r, err = emulate.Sockets(c.Context(), s, opt, emulate.Routers{Program: router})
+			r, err = emulator.Sockets(c.Context(), s, opt, emulator.Routers{Program: router})
 		} else {
-			r, err = emulate.Virtual(c.Context(), s, opt)
+			r, err = emulator.Virtual(c.Context(), s, opt)
 		}
 		if e := done(); err == nil {
 			err = e
@@ -87,7 +87,7 @@
 		}
 		switch {
 		case err != nil:
-		case r.Late > emulate.TooLate:
+		case r.Late > emulator.TooLate:
 			err = fmt.Errorf("not decided: the machine was too busy, the model was %d ms late, so that breaks may be its own; play it again", r.Late/1000)
 		case len(r.Breaks) > 0:
 			err = errBroken
@@ -98,10 +98,10 @@
 }
 
 // progress tells of runs that last.
-func progress(ctx context.Context) func(float64, []world.Second) {
+func progress(ctx context.Context) func(float64, []simulation.Second) {
 	const first, every = 3 * time.Second, 2 * time.Second
 	next := time.Now().Add(first)
-	return func(done float64, _ []world.Second) {
+	return func(done float64, _ []simulation.Second) {
 		if now := time.Now(); now.After(next) && ctx.Err() == nil {
 			next = now.Add(every)
 			fmt.Fprintf(os.Stderr, "%3.0f%%\n", 100*done)
@@ -109,7 +109,7 @@
 	}
 }
 
-func recorder(path string) (note func(*record.Entry), done func() error, err error) {
+func recorder(path string) (note func(*eventlog.Entry), done func() error, err error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, nil, err
@@ -117,7 +117,7 @@
 	w := bufio.NewWriterSize(f, 1<<20)
 	enc := json.NewEncoder(w)
 	var bad error
-	note = func(e *record.Entry) {
+	note = func(e *eventlog.Entry) {
 		if err := enc.Encode(e); err != nil && bad == nil {
 			bad = err
 		}
@@ -134,7 +134,7 @@
 }
 
 // print writes a result for people.
-func print(to io.Writer, s *script.Script, r *emulate.Result) {
+func print(to io.Writer, s *scenario.Script, r *emulator.Result) {
 	fmt.Fprintf(to, "%s: %s\n", s.Name, s.About)
 	for _, t := range r.Troubles {
 		fmt.Fprintln(to, "  ", t)
@@ -142,7 +142,7 @@
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "rule\tphase\tasked\tin time\tlate\tstale\trefused\tfailed\tworth\tp50 ms\tp99 ms\t")
 	for _, k := range r.Rules {
-		for _, p := range world.Phases {
+		for _, p := range simulation.Phases {
 			if o := k.Phases[p]; o != nil {
 				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t\n", k.Name, p, o.Asked, o.InTime, o.Late, o.Stale,
 					o.Refused, o.Failed, o.Worth/o.WorthMost, k.Quantile(50)/1000, k.Quantile(99)/1000)
@@ -184,7 +184,7 @@
 }
 
 // timeline draws each second: answers in time, late and none of up to sixty.
-func timeline(to io.Writer, r *emulate.Result) {
+func timeline(to io.Writer, r *emulator.Result) {
 	most := 1
 	for _, s := range r.Timeline {
 		most = max(most, s.InTime+s.Late+s.None)
@@ -215,7 +215,7 @@
 		var first int64
 		dec := json.NewDecoder(bufio.NewReaderSize(f, 1<<20))
 		for line := 1; ; line++ {
-			var e record.Entry
+			var e eventlog.Entry
 			if err := dec.Decode(&e); err == io.EOF {
 				break
 			} else if err != nil {
@@ -238,7 +238,7 @@
 }
 
 // life words a line of a txn's record.
-func life(e *record.Entry) string {
+func life(e *eventlog.Entry) string {
 	switch e.Kind {
 	case "taken":
 		return fmt.Sprintf("router %d takes it: %s of %s, group %d, %d ms left", e.Router, e.Rule, e.Object, e.Group, (e.Deadline-e.At)/1000)
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/hunt"
-	"quilldoor/internal/script"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/faultsearch"
+	"quilldoor/internal/scenario"
 )
 
 // huntCommand draws days by chance and plays them on the virtual clock.
@@ -24,7 +24,7 @@
 	var days, jobs, shrink, plays int
 	var seed uint64
 	var out string
-	space := hunt.Default()
+	space := faultsearch.Default()
 	c := &cobra.Command{Use: "hunt", Short: "Look for days on which a rule breaks, drawn by chance and cut down to what matters; simulated", Args: cobra.NoArgs}
 	f := c.Flags()
 	f.IntVar(&days, "days", 500, "to draw")
@@ -40,20 +40,20 @@
 	f.StringSliceVar(&space.Kinds, "kinds", nil, "of trouble; else all")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		for _, k := range space.Kinds {
-			if _, known := script.Kinds[k]; !known {
+			if _, known := scenario.Kinds[k]; !known {
 				return fmt.Errorf("--kinds: %q is no trouble", k)
 			}
 		}
-		list := make([]*hunt.Found, days)
+		list := make([]*faultsearch.Found, days)
 		each(days, jobs, func(i int) {
-			s := hunt.Draw(rand.New(rand.NewPCG(seed, uint64(i))), space)
+			s := faultsearch.Draw(rand.New(rand.NewPCG(seed, uint64(i))), space)
 			what, worth := playDay(c.Context(), s)
-			list[i] = &hunt.Found{N: i + 1, What: what, Worth: worth, Script: s}
+			list[i] = &faultsearch.Found{N: i + 1, What: what, Worth: worth, Script: s}
 		})
 		if err := c.Context().Err(); err != nil {
 			return err
 		}
-		kinds := map[string][]*hunt.Found{}
+		kinds := map[string][]*faultsearch.Found{}
 		for _, d := range list {
 			if d.What != "" {
 				kinds[d.What] = append(kinds[d.What], d)
@@ -65,19 +65,19 @@
 			fmt.Fprintf(w, "%s\t%d\t%s\n", what, len(kinds[what]), dayNumbers(kinds[what]))
 		}
 		w.Flush()
-		slices.SortFunc(list, func(a, b *hunt.Found) int { return int(1e6 * (a.Worth - b.Worth)) })
+		slices.SortFunc(list, func(a, b *faultsearch.Found) int { return int(1e6 * (a.Worth - b.Worth)) })
 		sum := 0.0
 		for _, d := range list {
 			sum += d.Worth
 		}
 		fmt.Printf("worth: mean %.4f, least %.3f (day %d), a twentieth under %.3f, half under %.3f\n", sum/float64(days), list[0].Worth, list[0].N, list[days/20].Worth, list[days/2].Worth)
-		var cut []*hunt.Found
+		var cut []*faultsearch.Found
 		for _, what := range sortedKeys(kinds) {
 			cut = append(cut, kinds[what][:min(shrink, len(kinds[what]))]...)
 		}
 		each(len(cut), jobs, func(i int) {
 			d := cut[i]
-			d.Script, _ = hunt.Shrink(d.Script, func(s *script.Script) bool {
+			d.Script, _ = faultsearch.Shrink(d.Script, func(s *scenario.Script) bool {
 				what, worth := playDay(c.Context(), s)
 				if what == d.What {
 					d.Worth = worth
@@ -86,7 +86,7 @@
 			}, plays)
 		})
 		for _, d := range cut {
-			text, err := hunt.Text(d.Script)
+			text, err := faultsearch.Text(d.Script)
 			if err != nil {
 				return err
 			}
@@ -110,13 +110,13 @@
 }
 
 // playDay plays a day; what is "" where all rules are kept.
-func playDay(ctx context.Context, s *script.Script) (what string, worth float64) {
+func playDay(ctx context.Context, s *scenario.Script) (what string, worth float64) {
 	defer func() {
 		if r := recover(); r != nil {
 			what = fmt.Sprintf("panic: %v", r)
 		}
 	}()
-	r, err := emulate.Virtual(ctx, s, emulate.Options{Seed: s.Seed})
+	r, err := emulator.Virtual(ctx, s, emulator.Options{Seed: s.Seed})
 	if err != nil {
 		return "error: " + err.Error(), 0
 	}
@@ -151,7 +151,7 @@
 	return keys
 }
 
-func dayNumbers(list []*hunt.Found) string {
+func dayNumbers(list []*faultsearch.Found) string {
 	const many = 12
 	var out []string
 	for _, d := range list[:min(many, len(list))] {
--- a/cmd/quilldoor-lab/members.go
+++ b/cmd/quilldoor-lab/members.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/roster"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/simfleet"
 )
 
 // membersCommand plays the routers' knowledge of each other on a virtual clock,
@@ -63,7 +63,7 @@
 	f.Uint64Var(&seed, "seed", 1, "of whom and when")
 	f.StringVar(&router, "router", "", "the router's program; else quilldoor beside this one")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		times, missed, err := emulate.Detection(c.Context(), router, routers, kills, seed)
+		times, missed, err := emulator.Detection(c.Context(), router, routers, kills, seed)
 		if err != nil {
 			return err
 		}
@@ -75,11 +75,11 @@
 }
 
 func row(w *tabwriter.Writer, n int, name string, beats bool, seeds, kills int, hold time.Duration, loss float64) {
-	var times, half, back *roster.Times
-	var heal roster.Heal
-	var held roster.Hour
+	var times, half, back *simfleet.Times
+	var heal simfleet.Heal
+	var held simfleet.Hour
 	for seed := range uint64(seeds) {
-		p := roster.Plan{Routers: n, Seed: seed + 1, Beats: beats}
+		p := simfleet.Plan{Routers: n, Seed: seed + 1, Beats: beats}
 		t := p.Detection(kills)
 		d, b := p.Half()
 		c := p.Cut(60 * time.Second.Microseconds())
@@ -89,7 +89,7 @@
 			times, half, back, heal, held = t, d, b, c, o
 			continue
 		}
-		for _, x := range [][2]*roster.Times{{times, t}, {half, d}, {back, b}} {
+		for _, x := range [][2]*simfleet.Times{{times, t}, {half, d}, {back, b}} {
 			x[0].Merge(x[1].Histogram)
 			x[0].Missed += x[1].Missed
 		}
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -14,9 +14,9 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/script"
-	"quilldoor/rehearsals"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/scenario"
+	"quilldoor/scenarios"
 )
 
 // pairsCommand plays rehearsals with and without routers that know each other, the
@@ -75,14 +75,14 @@
 		all.Go(func() {
 			places <- struct{}{}
 			defer func() { <-places }()
-			s, e := rehearsals.Load(name)
-			var r *emulate.Result
+			s, e := scenarios.Load(name)
+			var r *emulator.Result
 			if e == nil {
 				s.Fleet.Members = members
 				if share >= 0 {
 					kill(s, share)
 				}
-				r, e = emulate.Virtual(ctx, s, emulate.Options{Seed: uint64(i + 1)})
+				r, e = emulator.Virtual(ctx, s, emulator.Options{Seed: uint64(i + 1)})
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -99,7 +99,7 @@
 	return p, err
 }
 
-func kill(s *script.Script, share float64) {
+func kill(s *scenario.Script, share float64) {
 	for i := range s.Troubles {
 		if s.Troubles[i].Kind == "router_dies" {
 			s.Troubles[i].Share = share
--- a/cmd/quilldoor-lab/report.go
+++ b/cmd/quilldoor-lab/report.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/plot/vg"
 	_ "gonum.org/v1/plot/vg/vgsvg"
 
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
+	"quilldoor/internal/handoff"
 	"quilldoor/internal/rollout"
+	"quilldoor/internal/upgradeagent"
 )
 
 // reportCommand draws where a rollout stands as one page that needs nothing else.
@@ -35,7 +35,7 @@
 		case (folder == "") == (from == ""):
 			return fmt.Errorf("either --folder or --json")
 		case folder != "":
-			w, err := handover.Ask(filepath.Join(folder, generation.SocketName), &handover.Word{Kind: handover.Roll}, nil)
+			w, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), &handoff.Word{Kind: handoff.Roll}, nil)
 			if err != nil {
 				return err
 			}
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"quilldoor/internal/emulate"
+	"quilldoor/internal/emulator"
 	"quilldoor/internal/rollout"
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // rolloutDays are what happens meanwhile.
@@ -62,24 +62,24 @@
 	name string
 	day  string // "": calm and troubled
 	how  string
-	set  emulate.Rolling
+	set  emulator.Rolling
 }{
-	{"the same", "", "judged", emulate.Rolling{}},
-	{"refuses 0.02", "", "judged", emulate.Rolling{Refuses: 0.02}},
-	{"refuses 0.05", "", "judged", emulate.Rolling{Refuses: 0.05}},
-	{"refuses 0.1", "", "judged", emulate.Rolling{Refuses: 0.1}},
-	{"refuses 0.3", "", "judged", emulate.Rolling{Refuses: 0.3}},
-	{"refuses 0.5 of acceptances", "", "judged", emulate.Rolling{Refuses: 0.5, Of: "quote-accept"}},
-	{"refuses 0.2 once all have it", "", "judged", emulate.Rolling{Refuses: 0.2, OnlyAll: true}},
-	{"a tenth slower", "", "judged", emulate.Rolling{Slower: 0.1}},
-	{"a fifth slower", "", "judged", emulate.Rolling{Slower: 0.2}},
-	{"half slower", "", "judged", emulate.Rolling{Slower: 0.5}},
-	{"refuses 0.1", "", "no judge", emulate.Rolling{Refuses: 0.1, NoJudge: true}},
-	{"refuses 0.1", "", "all at once", emulate.Rolling{Refuses: 0.1, AtOnce: true}},
-	{"the same", "", "no rollout", emulate.Rolling{StartS: 1e9}},
-	{"the same", "purges and drains", "judged", emulate.Rolling{}},
-	{"deaf to purges", "purges and drains", "judged", emulate.Rolling{DeafPurges: true}},
-	{"deaf to drains", "purges and drains", "judged", emulate.Rolling{DeafDrains: true}},
+	{"the same", "", "judged", emulator.Rolling{}},
+	{"refuses 0.02", "", "judged", emulator.Rolling{Refuses: 0.02}},
+	{"refuses 0.05", "", "judged", emulator.Rolling{Refuses: 0.05}},
+	{"refuses 0.1", "", "judged", emulator.Rolling{Refuses: 0.1}},
+	{"refuses 0.3", "", "judged", emulator.Rolling{Refuses: 0.3}},
+	{"refuses 0.5 of acceptances", "", "judged", emulator.Rolling{Refuses: 0.5, Of: "quote-accept"}},
+	{"refuses 0.2 once all have it", "", "judged", emulator.Rolling{Refuses: 0.2, OnlyAll: true}},
+	{"a tenth slower", "", "judged", emulator.Rolling{Slower: 0.1}},
+	{"a fifth slower", "", "judged", emulator.Rolling{Slower: 0.2}},
+	{"half slower", "", "judged", emulator.Rolling{Slower: 0.5}},
+	{"refuses 0.1", "", "no judge", emulator.Rolling{Refuses: 0.1, NoJudge: true}},
+	{"refuses 0.1", "", "all at once", emulator.Rolling{Refuses: 0.1, AtOnce: true}},
+	{"the same", "", "no rollout", emulator.Rolling{StartS: 1e9}},
+	{"the same", "purges and drains", "judged", emulator.Rolling{}},
+	{"deaf to purges", "purges and drains", "judged", emulator.Rolling{DeafPurges: true}},
+	{"deaf to drains", "purges and drains", "judged", emulator.Rolling{DeafDrains: true}},
 }
 
 func rolloutsCommand() *cobra.Command {
@@ -165,14 +165,14 @@
 	return c
 }
 
-func playRollout(ctx context.Context, program string, seed uint64, txns, length float64, rolls bool) (r *emulate.Result, took time.Duration, err error) {
+func playRollout(ctx context.Context, program string, seed uint64, txns, length float64, rolls bool) (r *emulator.Result, took time.Duration, err error) {
 	const tries = 3
 	for range tries {
-		var s *script.Script
-		if s, err = script.Parse("rollout", fmt.Appendf(nil, costFleet, length, txns)); err != nil {
+		var s *scenario.Script
+		if s, err = scenario.Parse("rollout", fmt.Appendf(nil, costFleet, length, txns)); err != nil {
 			return nil, 0, err
 		}
-		r, err = emulate.Sockets(ctx, s, emulate.Options{Seed: seed}, emulate.Routers{Program: program, Drive: func(ctx context.Context, k *emulate.Kept) error {
+		r, err = emulator.Sockets(ctx, s, emulator.Options{Seed: seed}, emulator.Routers{Program: program, Drive: func(ctx context.Context, k *emulator.Kept) error {
 			if !rolls {
 				return nil
 			}
@@ -180,7 +180,7 @@
 			defer func() { took = time.Since(began) }()
 			return rollThrough(ctx, k, time.Duration(length)*time.Second)
 		}})
-		if r == nil || r.Late <= emulate.TooLate {
+		if r == nil || r.Late <= emulator.TooLate {
 			return r, took, err
 		}
 	}
@@ -188,7 +188,7 @@
 }
 
 // rollThrough takes the program that runs through all routers once more.
-func rollThrough(ctx context.Context, k *emulate.Kept, within time.Duration) error {
+func rollThrough(ctx context.Context, k *emulator.Kept, within time.Duration) error {
 	st, err := k.Standing(0)
 	if err != nil {
 		return err
@@ -230,12 +230,12 @@
 	return fmt.Errorf("not through after %v: %s", within, last)
 }
 
-func rolloutRow(ctx context.Context, w *tabwriter.Writer, day, troubles string, length float64, plan *rollout.Plan, name, how string, set emulate.Rolling, runs int) error {
+func rolloutRow(ctx context.Context, w *tabwriter.Writer, day, troubles string, length float64, plan *rollout.Plan, name, how string, set emulator.Rolling, runs int) error {
 	set.Plan, set.TrialS = plan, 3
 	if set.StartS == 0 {
 		set.StartS = 20
 	}
-	list := make([]*emulate.Rolled, runs)
+	list := make([]*emulator.Rolled, runs)
 	errs := make([]error, runs)
 	var all sync.WaitGroup
 	places := make(chan struct{}, max(runtime.NumCPU(), 1))
@@ -243,9 +243,9 @@
 		all.Go(func() {
 			places <- struct{}{}
 			defer func() { <-places }()
-			s, err := script.Parse(day, fmt.Appendf(nil, "settle_s: 15\nlength_s: %g\nfleet: {offices: 12, routers: 2, trunks: 3, caches: 3, cores: 4, link_share: 0.6}\nload: {txns_per_s: 240, objects: 3000}\n%s", length, troubles))
+			s, err := scenario.Parse(day, fmt.Appendf(nil, "settle_s: 15\nlength_s: %g\nfleet: {offices: 12, routers: 2, trunks: 3, caches: 3, cores: 4, link_share: 0.6}\nload: {txns_per_s: 240, objects: 3000}\n%s", length, troubles))
 			if err == nil {
-				list[i], err = emulate.VirtualRollout(ctx, s, uint64(i+1), set)
+				list[i], err = emulator.VirtualRollout(ctx, s, uint64(i+1), set)
 			}
 			errs[i] = err
 		})
--- a/cmd/quilldoor/change_test.go
+++ b/cmd/quilldoor/change_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/members"
-	"quilldoor/internal/referee"
+	"quilldoor/internal/checker"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/membership"
 )
 
 // Wrong variants of the program, by QUILLDOOR_FAULT; the shipped binary has none.
@@ -32,7 +32,7 @@
 	var served atomic.Bool
 	switch fault {
 	case "deaf to drains":
-		mishears = func(list []core.Server) {
+		mishears = func(list []engine.Server) {
 			for i := range list {
 				list[i].State = "active"
 			}
@@ -40,7 +40,7 @@
 	case "deaf to purges":
 		forgetful = true
 	case "a fifth slower":
-		lags = func(h *core.Hop, ended func()) {
+		lags = func(h *engine.Hop, ended func()) {
 			time.AfterFunc(time.Duration(time.Now().UnixMicro()-h.Decided)*time.Microsecond/5, ended)
 		}
 	}
@@ -116,21 +116,21 @@
 }
 
 // changes plays a script with kept routers while drive has its way with them.
-func changes(t *testing.T, text string, drive func(*emulate.Kept) error) *emulate.Result {
+func changes(t *testing.T, text string, drive func(*emulator.Kept) error) *emulator.Result {
 	t.Helper()
 	return changesBut(t, text, played{}, drive)
 }
 
 // played is how a script is, besides.
 type played struct {
-	may  func(referee.Break) bool // rules that may be broken: a wrong program is tested for it
+	may  func(checker.Break) bool // rules that may be broken: a wrong program is tested for it
 	ends bool                     // clients come no longer than drive takes
 }
 
-func changesBut(t *testing.T, text string, how played, drive func(*emulate.Kept) error) *emulate.Result {
+func changesBut(t *testing.T, text string, how played, drive func(*emulator.Kept) error) *emulator.Result {
 	t.Helper()
-	r, err := play(t, text, emulate.Options{}, emulate.Routers{Program: os.Args[0], EndWithDrive: how.ends,
-		Drive: func(_ context.Context, k *emulate.Kept) error { return drive(k) }})
+	r, err := play(t, text, emulator.Options{}, emulator.Routers{Program: os.Args[0], EndWithDrive: how.ends,
+		Drive: func(_ context.Context, k *emulator.Kept) error { return drive(k) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,14 +157,14 @@
 	t.Parallel()
 	const many = 15
 	r := changes(t, keptFleet+"load: {txns_per_s: 200, objects: 800}\nlength_s: 14\ntroubles:\n  - {kind: deploy, at: 3, for: 1, every: 1, strength: 1}\n  - {kind: purge, at: 5, share: 1}\n  - {kind: cut_board, at: 7, for: 2}\n  - {kind: die, at: 9, for: 1.5, share: 0.25}\n",
-		func(k *emulate.Kept) error {
+		func(k *emulator.Kept) error {
 			for i := range many {
-				w, err := k.Ask(0, &handover.Word{Kind: handover.Apply})
+				w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
 				if err != nil || !w.OK {
 					return fmt.Errorf("change %d: %v, %+v", i, err, w)
 				}
 			}
-			s, err := k.Until(0, 5*time.Second, func(s *handover.Standing) bool { return s.Serving != nil && s.Serving.Part == "serving" })
+			s, err := k.Until(0, 5*time.Second, func(s *handoff.Standing) bool { return s.Serving != nil && s.Serving.Part == "serving" })
 			if err != nil || s.Settled.Generation != many+1 || s.Restarts != 0 {
 				return fmt.Errorf("%v: %+v", err, s)
 			}
@@ -196,25 +196,25 @@
 		t.Run(c.fault, func(t *testing.T) {
 			t.Parallel()
 			var fell int64
-			r := changes(t, strings.Replace(keptFleet, "trial_s: 0.4", "trial_s: 4", 1)+"load: {txns_per_s: 120, objects: 500}\nlength_s: 5\n", func(k *emulate.Kept) error {
+			r := changes(t, strings.Replace(keptFleet, "trial_s: 0.4", "trial_s: 4", 1)+"load: {txns_per_s: 120, objects: 500}\nlength_s: 5\n", func(k *emulator.Kept) error {
 				done := make(chan struct{})
 				go func() { // who is killed on trial: what it holds is not its duty
 					defer close(done)
 					if !c.dies {
 						return
 					}
-					if _, err := k.Until(0, 4*time.Second, func(s *handover.Standing) bool { return s.State == "on trial" || s.State == "handing over" }); err == nil {
-						k.Until(0, 4*time.Second, func(s *handover.Standing) bool { k.Crashed(0); return s.State == "steady" })
+					if _, err := k.Until(0, 4*time.Second, func(s *handoff.Standing) bool { return s.State == "on trial" || s.State == "handing over" }); err == nil {
+						k.Until(0, 4*time.Second, func(s *handoff.Standing) bool { k.Crashed(0); return s.State == "steady" })
 					}
 				}()
-				w, err := k.Ask(0, &handover.Word{Kind: handover.Apply, Program: variant(t, c.fault)})
+				w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply, Program: variant(t, c.fault)})
 				if err != nil {
 					return err
 				}
 				if w.OK || w.FellBack != c.back || !strings.Contains(w.Note, c.says) {
 					return fmt.Errorf("%+v", w)
 				}
-				s, err := k.Until(0, 2*time.Second, func(s *handover.Standing) bool {
+				s, err := k.Until(0, 2*time.Second, func(s *handoff.Standing) bool {
 					return s.Serving != nil && s.Serving.Part == "serving" && s.Next == nil
 				})
 				if err != nil || s.Serving.Generation != 1 || s.Settled.Generation != 1 {
@@ -223,7 +223,7 @@
 				fell = s.LastFallMS
 				<-done
 				// It can be changed again, and by a good one.
-				if w, err = k.Ask(0, &handover.Word{Kind: handover.Back}); err != nil || w.OK {
+				if w, err = k.Ask(0, &handoff.Word{Kind: handoff.Back}); err != nil || w.OK {
 					return fmt.Errorf("back to nothing: %v, %+v", err, w)
 				}
 				return nil
@@ -251,7 +251,7 @@
 			}
 			t.Run(step+", "+who, func(t *testing.T) {
 				t.Parallel()
-				changesBut(t, text, played{ends: true}, func(k *emulate.Kept) error {
+				changesBut(t, text, played{ends: true}, func(k *emulator.Kept) error {
 					least := time.After(3 * time.Second) // of load
 					err := harm(t, k, step, who)
 					<-least
@@ -262,15 +262,15 @@
 	}
 }
 
-func harm(t *testing.T, k *emulate.Kept, step, who string) error {
-	asked := make(chan *handover.Word, 1)
+func harm(t *testing.T, k *emulator.Kept, step, who string) error {
+	asked := make(chan *handoff.Word, 1)
 	if step != "steady" {
 		go func() {
-			w, _ := k.Ask(0, &handover.Word{Kind: handover.Apply})
+			w, _ := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
 			asked <- w
 		}()
 	}
-	s, err := k.Until(0, 4*time.Second, func(s *handover.Standing) bool {
+	s, err := k.Until(0, 4*time.Second, func(s *handoff.Standing) bool {
 		return s.State == step && s.Serving != nil && (step == "steady" || s.Next != nil)
 	})
 	if err != nil {
@@ -319,7 +319,7 @@
 			return err
 		}
 	}
-	s, err = k.Until(0, 5*time.Second, func(s *handover.Standing) bool {
+	s, err = k.Until(0, 5*time.Second, func(s *handoff.Standing) bool {
 		return s.State == "steady" && s.Serving != nil && s.Serving.Part == "serving" && s.Next == nil
 	})
 	if err != nil {
@@ -353,9 +353,9 @@
   - {kind: purge, at: 5, share: 0.6}
   - {kind: site_cut, at: 6, for: 0.7}
   - {kind: cut_board, at: 4, for: 2, share: 0.5}
-`, func(k *emulate.Kept) error {
+`, func(k *emulator.Kept) error {
 		time.Sleep(2 * time.Second) // they know each other
-		before := make([]*members.View, k.Count())
+		before := make([]*membership.View, k.Count())
 		for i := range before {
 			var err error
 			if before[i], err = k.View(i); err != nil {
@@ -366,7 +366,7 @@
 		for i := range k.Count() {
 			go func() {
 				for n := range 3 {
-					w, err := k.Ask(i, &handover.Word{Kind: handover.Apply})
+					w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply})
 					if err != nil || !w.OK {
 						ends <- fmt.Errorf("router %d, change %d: %v, %+v", i, n, err, w)
 						return
@@ -390,7 +390,7 @@
 				t.Errorf("router %d was life %v and is %v, %+v", i, before[i].Self.ID, v.Self.ID, v.Self.Runs)
 			}
 			for _, s := range v.Seen {
-				if s.State != members.Alive || s.Runs == nil || s.Runs.Generation != 4 || s.Runs.Settings != v.Self.Runs.Settings {
+				if s.State != membership.Alive || s.Runs == nil || s.Runs.Generation != 4 || s.Runs.Settings != v.Self.Runs.Settings {
 					t.Errorf("router %d holds %s %v, %+v", i, s.Name, s.State, s.Runs)
 				}
 			}
@@ -432,7 +432,7 @@
 		to := filepath.Join(t.TempDir(), "changed")
 		return to, os.WriteFile(to, []byte(strings.Replace(string(text), old, new, 1)), 0o600)
 	}
-	changes(t, keptFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(k *emulate.Kept) error {
+	changes(t, keptFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(k *emulator.Kept) error {
 		for _, c := range []struct {
 			what     string
 			config   bool
@@ -448,7 +448,7 @@
 			{"flow", true, `"flow_bytes_per_s":`, `"flow_bytes_per_s":1`, true, "is settled", 6},
 			{"new name", true, `"name":"n1"`, `"name":"n9"`, true, "", 7}, // the platform's counts: nothing differs
 		} {
-			w := &handover.Word{Kind: handover.Apply}
+			w := &handoff.Word{Kind: handoff.Apply}
 			from, to := k.Operator(0), &w.Operator
 			if c.config {
 				from, to = k.Config(0), &w.Config
@@ -470,22 +470,22 @@
 			}
 		}
 		// Two at once: one goes on, the other is refused.
-		first := make(chan *handover.Word, 1)
+		first := make(chan *handoff.Word, 1)
 		go func() {
-			w, _ := k.Ask(0, &handover.Word{Kind: handover.Apply})
+			w, _ := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
 			first <- w
 		}()
-		if _, err := k.Until(0, 3*time.Second, func(s *handover.Standing) bool { return s.State != "steady" }); err != nil {
+		if _, err := k.Until(0, 3*time.Second, func(s *handoff.Standing) bool { return s.State != "steady" }); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handover.Word{Kind: handover.Apply}); err != nil || w.OK || !strings.Contains(w.Note, "refused") {
+		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply}); err != nil || w.OK || !strings.Contains(w.Note, "refused") {
 			t.Errorf("the second: %v, %+v", err, w)
 		}
 		// Back while it is on trial.
-		if _, err := k.Until(0, 3*time.Second, func(s *handover.Standing) bool { return s.State == "on trial" }); err != nil {
+		if _, err := k.Until(0, 3*time.Second, func(s *handoff.Standing) bool { return s.State == "on trial" }); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handover.Word{Kind: handover.Back}); err != nil || !w.FellBack {
+		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Back}); err != nil || !w.FellBack {
 			t.Errorf("back: %v, %+v", err, w)
 		}
 		if w := <-first; w == nil || !w.FellBack {
@@ -500,14 +500,14 @@
 		if err := os.WriteFile(filepath.Join(k.Folder(0), "9"), nil, 0o600); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handover.Word{Kind: handover.Apply}); err != nil || w.OK || w.FellBack {
+		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply}); err != nil || w.OK || w.FellBack {
 			t.Errorf("no room for copies: %v, %+v", err, w)
 		}
 		state := filepath.Join(k.Folder(0), "state.json")
 		if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handover.Word{Kind: handover.Apply}); err != nil || !w.OK || !strings.Contains(w.Note, "could not be written") {
+		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply}); err != nil || !w.OK || !strings.Contains(w.Note, "could not be written") {
 			t.Errorf("no state file: %v, %+v", err, w)
 		}
 		s, err := k.Standing(0)
--- a/cmd/quilldoor/check.go
+++ b/cmd/quilldoor/check.go
@@ -10,21 +10,21 @@
 	"github.com/goccy/go-yaml"
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/keeper"
-	"quilldoor/internal/operator"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/supervisor"
+	"quilldoor/internal/upgrade"
+	"quilldoor/internal/upgradeagent"
 )
 
 // checked is a setup as a keeper wants to know it, of this or of another text.
-func checked(f *flags, s *setup) (*keeper.Checked, error) {
+func checked(f *flags, s *setup) (*supervisor.Checked, error) {
 	flat, err := flatten(f)
 	if err != nil {
 		return nil, err
 	}
-	c := &keeper.Checked{Format: handover.Format, Version: version(), Name: s.Name, MemoryMB: s.MemoryMB, Descriptors: s.Limits.Sockets,
-		LongestMS: s.Limits.LongestTxn.Milliseconds(), Sockets: map[string]string{"listen": s.Listen}, Flat: flat, Digest: change.Digest(flat)}
+	c := &supervisor.Checked{Format: handoff.Format, Version: version(), Name: s.Name, MemoryMB: s.MemoryMB, Descriptors: s.Limits.Sockets,
+		LongestMS: s.Limits.LongestTxn.Milliseconds(), Sockets: map[string]string{"listen": s.Listen}, Flat: flat, Digest: upgrade.Digest(flat)}
 	if g := s.operator.Gateway; g != nil {
 		c.Sockets["gateway"] = g.Listen
 	}
@@ -46,16 +46,16 @@
 		return nil, err
 	}
 	delete(config, "known") // a keeper has no use for it
-	if err := change.Flatten("config", config, flat); err != nil {
+	if err := upgrade.Flatten("config", config, flat); err != nil {
 		return nil, err
 	}
-	path := cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operator.DefaultPath)
+	path := cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath)
 	if text, err = os.ReadFile(path); err == nil {
 		var own map[string]any
 		if err := yaml.Unmarshal(text, &own); err != nil {
 			return nil, err
 		}
-		if err := change.Flatten("operator", own, flat); err != nil {
+		if err := upgrade.Flatten("operator", own, flat); err != nil {
 			return nil, err
 		}
 	}
@@ -64,7 +64,7 @@
 
 // programDigest is that of the program, as the keeper has told it.
 func programDigest() uint32 {
-	sum, _ := strconv.ParseUint(os.Getenv(generation.EnvProgram), 16, 64)
+	sum, _ := strconv.ParseUint(os.Getenv(upgradeagent.EnvProgram), 16, 64)
 	return uint32(sum)
 }
 
--- a/cmd/quilldoor/disk.go
+++ b/cmd/quilldoor/disk.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/disk"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 var errUnsound = errors.New("not sound")
@@ -22,7 +22,7 @@
 	c := &cobra.Command{Use: "disk", Short: "Look into the folder of a disk tier; reads only"}
 	look := func(deep bool) func(*cobra.Command, []string) error {
 		return func(_ *cobra.Command, args []string) error {
-			r, err := disk.Look(disk.Dir{Path: args[0], ReadOnly: true}, deep)
+			r, err := diskstore.Look(diskstore.Dir{Path: args[0], ReadOnly: true}, deep)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -40,7 +40,7 @@
 	return c
 }
 
-func report(to io.Writer, r *disk.Report, deep bool) {
+func report(to io.Writer, r *diskstore.Report, deep bool) {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	line := func(name string, v any) { fmt.Fprintf(w, "%s\t%v\n", name, v) }
--- a/cmd/quilldoor/disk_test.go
+++ b/cmd/quilldoor/disk_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/disk"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 // The test's own binary is the router where a test starts one to kill it.
@@ -279,7 +279,7 @@
 		if strings.Contains(log.String(), `"level":"error"`) || strings.Contains(log.String(), "panic") {
 			t.Fatalf("round %d: %s", round, log.String())
 		}
-		report, err := disk.Look(disk.Dir{Path: folder, ReadOnly: true}, true)
+		report, err := diskstore.Look(diskstore.Dir{Path: folder, ReadOnly: true}, true)
 		if err != nil || !report.Sound() {
 			t.Fatalf("round %d: %+v, %v", round, report, err)
 		}
--- a/cmd/quilldoor/earlier_test.go
+++ b/cmd/quilldoor/earlier_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/members"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/membership"
 )
 
 // earlierText is the landing before keepers: its routers know each other, and know
@@ -58,30 +58,30 @@
   - {kind: cut_board, at: 4, for: 3, share: 0.5}
   - {kind: ways_camps, at: 6, for: 1}
 `
-	drive := func(_ context.Context, k *emulate.Kept) error {
+	drive := func(_ context.Context, k *emulator.Kept) error {
 		time.Sleep(2 * time.Second)
 		for _, i := range []int{0, 2} {
 			for range 2 {
-				if w, err := k.Ask(i, &handover.Word{Kind: handover.Apply}); err != nil || !w.OK {
+				if w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply}); err != nil || !w.OK {
 					return fmt.Errorf("router %d: %v, %+v", i, err, w)
 				}
 			}
-			if w, err := k.Ask(i, &handover.Word{Kind: handover.Apply, Program: program}); err != nil || w.OK || !strings.Contains(w.Note, "json") {
+			if w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply, Program: program}); err != nil || w.OK || !strings.Contains(w.Note, "json") {
 				return fmt.Errorf("router %d, to the earlier text: %v, %+v", i, err, w)
 			}
 		}
 		// All agree once the camps are over.
 		for i := range k.Count() {
-			var v *members.View
+			var v *membership.View
 			var err error
 			for end, odd := time.Now().Add(10*time.Second), true; odd && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 				if v, err = k.View(i); err != nil {
 					return err
 				}
-				odd = len(v.Seen) < k.Count()-1 || slices.ContainsFunc(v.Seen, func(x members.Seen) bool { return x.State != members.Alive })
+				odd = len(v.Seen) < k.Count()-1 || slices.ContainsFunc(v.Seen, func(x membership.Seen) bool { return x.State != membership.Alive })
 			}
 			for _, x := range v.Seen {
-				if x.State != members.Alive {
+				if x.State != membership.Alive {
 					t.Errorf("router %d holds %s %v", i, x.Name, x.State)
 				}
 			}
@@ -91,7 +91,7 @@
 		}
 		return nil
 	}
-	r, err := play(t, text, emulate.Options{}, emulate.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
+	r, err := play(t, text, emulator.Options{}, emulator.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/quilldoor/emulated_test.go
+++ b/cmd/quilldoor/emulated_test.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/record"
-	"quilldoor/internal/script"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/scenario"
 	"quilldoor/internal/settings"
 )
 
@@ -47,9 +47,9 @@
 
 // play plays a script on loopback. A run for which the machine was too busy tells
 // nothing, and is played again; one that stays so is no pass.
-func play(t *testing.T, text string, opt emulate.Options, conf emulate.Routers) (*emulate.Result, error) {
+func play(t *testing.T, text string, opt emulator.Options, conf emulator.Routers) (*emulator.Result, error) {
 	t.Helper()
-	s, err := script.Parse(t.Name(), []byte(text))
+	s, err := scenario.Parse(t.Name(), []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,10 +65,10 @@
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithTimeout(context.Background(), within)
-		r, err := emulate.Sockets(ctx, s, opt, conf)
+		r, err := emulator.Sockets(ctx, s, opt, conf)
 		stop()
 		machine.Release(weight)
-		if r == nil || r.Late <= emulate.TooLate {
+		if r == nil || r.Late <= emulator.TooLate {
 			decided.Add(1)
 			return r, err
 		}
@@ -80,9 +80,9 @@
 }
 
 // rehearse plays a script against this very program.
-func rehearse(t *testing.T, text string, opt emulate.Options) (*emulate.Result, error) {
+func rehearse(t *testing.T, text string, opt emulator.Options) (*emulator.Result, error) {
 	t.Helper()
-	return play(t, text, opt, emulate.Routers{Program: os.Args[0]})
+	return play(t, text, opt, emulator.Routers{Program: os.Args[0]})
 }
 
 // Real routers before an emulated fleet with all kinds of trouble keep the rules.
@@ -103,7 +103,7 @@
   - {kind: ledger_resets, at: 3, for: 2, share: 0.1}
   - {kind: router_dies, at: 4, for: 0.7, share: 0.5}
   - {kind: deploy, at: 4.5, for: 1, every: 0.5, strength: 1, office: 2}
-`, emulate.Options{})
+`, emulator.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,11 +127,11 @@
 // A router process that dies is told of, with what it said last.
 func TestDeadRouterEndsTheRun(t *testing.T) {
 	began := time.Now()
-	_, err := rehearse(t, "length_s: 60\nfleet: {offices: 1, trunks: 1}\n", emulate.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }})
+	_, err := rehearse(t, "length_s: 60\nfleet: {offices: 1, trunks: 1}\n", emulator.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }})
 	if err == nil || !strings.Contains(err.Error(), "settings.Classes[0].Effect") || time.Since(began) > 30*time.Second {
 		t.Fatalf("after %v: %v", time.Since(began), err)
 	}
-	if _, err := rehearse(t, "fleet: {offices: 100, routers: 5, caches: 10}\nload: {txns_per_s: 10}\n", emulate.Options{}); err == nil ||
+	if _, err := rehearse(t, "fleet: {offices: 100, routers: 5, caches: 10}\nload: {txns_per_s: 10}\n", emulator.Options{}); err == nil ||
 		!strings.Contains(err.Error(), "listeners") {
 		t.Fatalf("more than the machine has: %v", err)
 	}
@@ -164,7 +164,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			carried := 0
-			r, err := rehearse(t, text, emulate.Options{Record: func(e *record.Entry) {
+			r, err := rehearse(t, text, emulator.Options{Record: func(e *eventlog.Entry) {
 				if e.Kind == "carried" {
 					carried++
 				}
--- a/cmd/quilldoor/join.go
+++ b/cmd/quilldoor/join.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/crossing"
-	"quilldoor/internal/frames"
 	"quilldoor/internal/gateway"
-	"quilldoor/internal/operator"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/operatorconfig"
 )
 
 // host is what the gateway needs of the router.
@@ -61,7 +61,7 @@
 }
 
 // Purges are those that bind a txn, the youngest of its object and of its group.
-func (h *host) Purges(object string, group int64) (out []frames.Purge) {
+func (h *host) Purges(object string, group int64) (out []peerproto.Purge) {
 	h.purges.mu.Lock()
 	defer h.purges.mu.Unlock()
 	var ofObject, ofGroup int64
@@ -74,10 +74,10 @@
 		}
 	}
 	if ofObject > 0 {
-		out = append(out, frames.Purge{At: ofObject})
+		out = append(out, peerproto.Purge{At: ofObject})
 	}
 	if ofGroup > 0 {
-		out = append(out, frames.Purge{Group: true, At: ofGroup})
+		out = append(out, peerproto.Purge{Group: true, At: ofGroup})
 	}
 	return out
 }
@@ -92,7 +92,7 @@
 func (h *host) Purge(object string, group, at int64) { h.purge(object, group, at) }
 
 // openGateway starts the gateway as the operator's file has it.
-func (r *router) openGateway(o *operator.Gateway) error {
+func (r *router) openGateway(o *operatorconfig.Gateway) error {
 	c := r.setup
 	keys := &gateway.Keys{Cert: o.Cert, Key: o.Key, CA: o.CA}
 	if err := keys.Load(); err != nil {
@@ -111,7 +111,7 @@
 	set := &r.set
 	r.host = &host{router: r, purges: purgeBook{done: set.Family.PurgeDone + c.Limits.LongestTxn.Microseconds()}}
 	config := gateway.Config{Keys: keys, Upload: c.Limits.Upload, Answer: c.Limits.Answer, Longest: c.Limits.LongestTxn, Seed: c.Seed,
-		Settings: crossing.Settings{Name: o.Name, Site: o.Site, Most: o.Most, Reserve: o.Reserve, Beat: int64(o.BeatMS) * 1000}}
+		Settings: peerpolicy.Settings{Name: o.Name, Site: o.Site, Most: o.Most, Reserve: o.Reserve, Beat: int64(o.BeatMS) * 1000}}
 	for _, p := range o.Peers {
 		config.Peers = append(config.Peers, gateway.Peer(p))
 	}
@@ -153,7 +153,7 @@
 	status.Flags().StringVar(&file, "file", "", "status file; else gateway.status_file of the operator's file")
 	status.RunE = func(*cobra.Command, []string) error {
 		if file == "" {
-			own, err := operator.Load(f.operator, os.Getenv)
+			own, err := operatorconfig.Load(f.operator, os.Getenv)
 			if err != nil {
 				return err
 			}
--- a/cmd/quilldoor/keep.go
+++ b/cmd/quilldoor/keep.go
@@ -14,13 +14,13 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/board"
-	"quilldoor/internal/change"
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/keeper"
-	"quilldoor/internal/operator"
-	"quilldoor/internal/witness"
+	"quilldoor/internal/discovery"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/supervisor"
+	"quilldoor/internal/upgrade"
+	"quilldoor/internal/upgradeagent"
 )
 
 var errKeep = errors.New("keep: not in the operator's file")
@@ -51,22 +51,22 @@
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
 		logic := s.Settings.Logic()
-		watch := &keeper.Watch{Rules: witness.SettingsOf(&logic), Limits: s.Limits, Board: func() (string, *board.News, error) {
+		watch := &supervisor.Watch{Rules: invariant.SettingsOf(&logic), Limits: s.Limits, Board: func() (string, *discovery.News, error) {
 			fresh, err := f.load()
 			if err != nil {
 				return "", nil, err
 			}
 			return fresh.Board, fresh.known, nil
 		}}
-		return keeper.Run(keeper.Config{Watch: watch, Folder: own.Folder, Program: self, Platform: cmp.Or(f.over.File, os.Getenv("LB_CONFIG")),
-			Operator: cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operator.DefaultPath), Plan: own.Plan, Member: memberName(s.operator), Log: log.WithField("router", s.Name),
-			Times: change.Times{Ready: micros(own.ReadyS), Trial: micros(own.TrialS), Drain: (s.Limits.LongestTxn + s.Limits.IdleClient + drainSlack).Microseconds()}},
+		return supervisor.Run(supervisor.Config{Watch: watch, Folder: own.Folder, Program: self, Platform: cmp.Or(f.over.File, os.Getenv("LB_CONFIG")),
+			Operator: cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath), Plan: own.Plan, Member: memberName(s.operator), Log: log.WithField("router", s.Name),
+			Times: upgrade.Times{Ready: micros(own.ReadyS), Trial: micros(own.TrialS), Drain: (s.Limits.LongestTxn + s.Limits.IdleClient + drainSlack).Microseconds()}},
 			term, hup)
 	}
 	return c
 }
 
-func memberName(o *operator.Config) string {
+func memberName(o *operatorconfig.Config) string {
 	if o.Members == nil {
 		return ""
 	}
@@ -93,7 +93,7 @@
 		if folder != "" {
 			return nil
 		}
-		own, err := operator.Load(f.operator, os.Getenv)
+		own, err := operatorconfig.Load(f.operator, os.Getenv)
 		if err != nil {
 			return err
 		}
@@ -103,11 +103,11 @@
 		folder = own.Keep.Folder
 		return nil
 	}
-	ask := func(w *handover.Word) error {
+	ask := func(w *handoff.Word) error {
 		if err := find(); err != nil {
 			return err
 		}
-		last, err := handover.Ask(filepath.Join(folder, generation.SocketName), w, func(text string) { fmt.Println(text) })
+		last, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), w, func(text string) { fmt.Println(text) })
 		switch {
 		case err != nil:
 			return err
@@ -132,10 +132,10 @@
 		Long: "--program, --config and --operator name what is new; what is not named stays. Exit code 1: refused, or it fell\nback; the last line says why."}
 	apply.Flags().StringVar(&program, "program", "", "another program")
 	apply.RunE = func(*cobra.Command, []string) error {
-		return ask(&handover.Word{Kind: handover.Apply, Program: abs(program), Config: abs(f.over.File), Operator: abs(f.operator)})
+		return ask(&handoff.Word{Kind: handoff.Apply, Program: abs(program), Config: abs(f.over.File), Operator: abs(f.operator)})
 	}
 	back := &cobra.Command{Use: "back", Short: "End a trial, or change to the generation before", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(&handover.Word{Kind: handover.Back}) }}
+		RunE: func(*cobra.Command, []string) error { return ask(&handoff.Word{Kind: handoff.Back}) }}
 	check := &cobra.Command{Use: "check", Short: "Tell the keys in which settings differ and how each changes; changes nothing", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return f.compare(folder) }}
 	var asJSON bool
@@ -145,7 +145,7 @@
 		if err := find(); err != nil {
 			return err
 		}
-		w, err := handover.Ask(filepath.Join(folder, generation.SocketName), &handover.Word{Kind: handover.Status}, nil)
+		w, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), &handoff.Word{Kind: handoff.Status}, nil)
 		if err != nil {
 			return err
 		}
@@ -177,21 +177,21 @@
 		}
 		folder = s.operator.Keep.Folder
 	}
-	was, err := keeper.Settled(folder)
+	was, err := supervisor.Settled(folder)
 	if err != nil {
 		return err
 	}
-	diff := change.Diff(was, now)
+	diff := upgrade.Diff(was, now)
 	for _, d := range diff {
 		fmt.Println(d)
 	}
-	how, ok := change.Verdict(diff)
+	how, ok := upgrade.Verdict(diff)
 	switch {
 	case len(diff) == 0:
 		fmt.Println("no key differs")
 	case !ok:
 		return errors.New("some of it can't change on this router")
-	case how == change.Live:
+	case how == upgrade.Live:
 		fmt.Println("all of it changes while the router runs: put it into the platform's file and send the keeper SIGHUP")
 	default:
 		fmt.Println("it takes a new generation")
@@ -199,14 +199,14 @@
 	return nil
 }
 
-func printStanding(s *handover.Standing) {
+func printStanding(s *handoff.Standing) {
 	fmt.Printf("%s for %.1f s; keeper %d, %d restarts\n", s.State, float64(s.SinceMS)/1000, s.KeeperPID, s.Restarts)
 	var broken []string
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "generation\twhat\tprocess\tdoes\tMB\tdescriptors\tcompleted\trejected\taborted\tleft\tlate\tsaid")
 	for _, p := range []struct {
 		what string
-		*handover.Process
+		*handoff.Process
 	}{{"settled", s.Serving}, {"new", s.Next}} {
 		if p.Process != nil {
 			e := p.Ends
@@ -223,7 +223,7 @@
 	}
 	for _, m := range []struct {
 		what string
-		*handover.Manifest
+		*handoff.Manifest
 	}{{"settled", s.Settled}, {"before", s.Previous}} {
 		if m.Manifest != nil {
 			fmt.Printf("%s: generation %d, %s (%s, %s), settings %016x\n", m.what, m.Generation, m.Program, m.Version, m.ProgramSum, m.Settings)
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -13,11 +13,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/board"
-	"quilldoor/internal/change"
 	"quilldoor/internal/config"
-	"quilldoor/internal/memberlink"
-	"quilldoor/internal/operator"
+	"quilldoor/internal/discovery"
+	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/upgrade"
 )
 
 func main() {
@@ -45,7 +45,7 @@
 		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
 	all := root.PersistentFlags()
 	all.StringVarP(&f.over.File, "config", "c", "", "configuration file (LB_CONFIG)")
-	all.StringVar(&f.operator, "operator", "", "operator's own file (LB_OPERATOR; "+operator.DefaultPath+" where it is there)")
+	all.StringVar(&f.operator, "operator", "", "operator's own file (LB_OPERATOR; "+operatorconfig.DefaultPath+" where it is there)")
 	all.StringVar(&f.over.Name, "name", "", "name of the router (LB_NAME)")
 	all.StringVar(&f.over.Listen, "listen", "", "address and port for clients (LB_LISTEN)")
 	all.StringVar(&f.level, "log-level", "info", "least level that is logged: error, warning, info or debug")
@@ -100,13 +100,13 @@
 	if err != nil {
 		return nil, err
 	}
-	known := &board.News{}
+	known := &discovery.News{}
 	if c.Known != nil {
-		if known, err = board.Parse(c.Known); err != nil {
+		if known, err = discovery.Parse(c.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	own, err := operator.Load(f.operator, os.Getenv)
+	own, err := operatorconfig.Load(f.operator, os.Getenv)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 		if !c.Settings.Limits.PeerMessages {
 			return nil, errPeers
 		}
-		if _, err := memberlink.ReadKey(own.Members.KeyFile); err != nil {
+		if _, err := transport.ReadKey(own.Members.KeyFile); err != nil {
 			return nil, err
 		}
 	}
@@ -124,7 +124,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.digest = change.Digest(flat)
+		s.digest = upgrade.Digest(flat)
 	}
 	return s, nil
 }
--- a/cmd/quilldoor/members.go
+++ b/cmd/quilldoor/members.go
@@ -12,33 +12,33 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/memberlink"
-	"quilldoor/internal/members"
-	"quilldoor/internal/news"
-	"quilldoor/internal/operator"
+	"quilldoor/internal/gossip"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/operatorconfig"
 )
 
 // errPeers keeps members off where the platform does not permit it.
 var errPeers = errors.New("members: the settings forbid talk among routers (settings.Limits.PeerMessages)")
 
 // openMembers starts to look for the other routers as the operator's file has it.
-func (r *router) openMembers(o *operator.Members, b *members.Baton) error {
+func (r *router) openMembers(o *operatorconfig.Members, b *membership.Baton) error {
 	c := r.setup
-	key, err := memberlink.ReadKey(o.KeyFile)
+	key, err := transport.ReadKey(o.KeyFile)
 	if err != nil {
 		return err
 	}
-	set := members.Settings{Name: o.Name, Place: o.Place, Rate: o.Rate, Baton: b}
+	set := membership.Settings{Name: o.Name, Place: o.Place, Rate: o.Rate, Baton: b}
 	if r.kept != nil {
-		set.Runs = &members.Runs{Generation: uint32(r.kept.Number), Program: programDigest(), Settings: uint32(c.digest)}
+		set.Runs = &membership.Runs{Generation: uint32(r.kept.Number), Program: programDigest(), Settings: uint32(c.digest)}
 	}
 	if set.Place == "" {
 		set.Place = c.Settings.Zone
 	}
 	for _, p := range o.Peers {
-		set.Seeds = append(set.Seeds, members.Seed{Name: p.Name, Addr: netip.MustParseAddrPort(p.Addr)})
+		set.Seeds = append(set.Seeds, membership.Seed{Name: p.Name, Addr: netip.MustParseAddrPort(p.Addr)})
 	}
-	r.peers = &peers{router: r, book: news.New(news.Settings{Keep: r.set.Family.PurgeDone + c.Limits.LongestTxn.Microseconds()}),
+	r.peers = &peers{router: r, book: gossip.New(gossip.Settings{Keep: r.set.Family.PurgeDone + c.Limits.LongestTxn.Microseconds()}),
 		start: time.Now()}
 	listen := netip.MustParseAddrPort(o.Listen)
 	if r.kept != nil {
@@ -46,12 +46,12 @@
 		if err != nil {
 			return err
 		}
-		r.members = memberlink.StartOn(conn, set, key, listen, r.peers, r.log)
+		r.members = transport.StartOn(conn, set, key, listen, r.peers, r.log)
 		return nil
 	}
 	// The life before may have spent its share of cold servers' budgets until now.
 	r.core.Peers(clock(), clock()+r.set.Contract.FallFor)
-	r.members, err = memberlink.Start(set, key, listen, r.peers, r.log)
+	r.members, err = transport.Start(set, key, listen, r.peers, r.log)
 	return err
 }
 
@@ -63,24 +63,24 @@
 	c.Flags().BoolVar(&matrix, "matrix", false, "ask all, show who sees whom")
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
-		own, err := operator.Load(f.operator, os.Getenv)
+		own, err := operatorconfig.Load(f.operator, os.Getenv)
 		if err != nil {
 			return err
 		}
 		if own.Members == nil {
 			return errors.New("members: not in the operator's file")
 		}
-		key, err := memberlink.ReadKey(own.Members.KeyFile)
+		key, err := transport.ReadKey(own.Members.KeyFile)
 		if err != nil {
 			return err
 		}
-		v, err := memberlink.Ask(key, own.Members.Name, netip.MustParseAddrPort(own.Members.Listen))
+		v, err := transport.Ask(key, own.Members.Name, netip.MustParseAddrPort(own.Members.Listen))
 		if err != nil {
 			return err
 		}
-		var m *memberlink.Matrix
+		var m *transport.Matrix
 		if matrix {
-			m = memberlink.AskAll(key, v)
+			m = transport.AskAll(key, v)
 		}
 		if asJSON {
 			enc := json.NewEncoder(os.Stdout)
@@ -100,7 +100,7 @@
 	return c
 }
 
-func printView(v *members.View) {
+func printView(v *membership.View) {
 	s := v.Standing
 	part := "the greater part"
 	if !s.Majority {
@@ -130,9 +130,9 @@
 }
 
 // printMatrix draws a row for each router that answered: what it holds of each.
-func printMatrix(m *memberlink.Matrix) {
-	letters := map[members.State]string{members.Unknown: " ", members.Joining: "j", members.Alive: "A", members.Suspected: "s", members.Dead: "D",
-		members.Leaving: "l", members.Left: "L", members.Doubled: "2"}
+func printMatrix(m *transport.Matrix) {
+	letters := map[membership.State]string{membership.Unknown: " ", membership.Joining: "j", membership.Alive: "A", membership.Suspected: "s", membership.Dead: "D",
+		membership.Leaving: "l", membership.Left: "L", membership.Doubled: "2"}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(w, "\t"+strings.Join(m.Names, "\t"))
 	for _, by := range m.Names {
@@ -142,7 +142,7 @@
 			switch mark := letters[s.State]; {
 			case !ok:
 				line += "\t?"
-			case s.State == members.Alive && s.Reach == members.Relayed:
+			case s.State == membership.Alive && s.Reach == membership.Relayed:
 				line += "\ta"
 			default:
 				line += "\t" + mark
--- a/cmd/quilldoor/members_test.go
+++ b/cmd/quilldoor/members_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/script"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/scenario"
 )
 
 // Six real routers that know each other, under load, while some of them fail or are
@@ -95,7 +95,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r, err := rehearse(t, fleet+c.text, emulate.Options{})
+			r, err := rehearse(t, fleet+c.text, emulator.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,7 +134,7 @@
   - {kind: preempt, at: 2.5, for: 11, share: 0.5, office: 1, strength: 10}
   - {kind: preempt, at: 2.5, for: 11, share: 0.5, office: 2, strength: 10}
   - {kind: preempt, at: 2.5, for: 11, share: 0.5, office: 3, strength: 10}
-`, emulate.Options{})
+`, emulator.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	var files []string
 	addr := func(i int) string { return fmt.Sprintf("127.80.1.%d:7711", i+1) }
 	start := func(i int, permit bool) (*exec.Cmd, *strings.Builder) {
-		s := script.Default()
+		s := scenario.Default()
 		s.Fleet.Members = permit
 		text, _ := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": fmt.Sprintf("127.80.1.%d:8811", i+1), "seed": "1", "board": "127.0.0.1:1",
 			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0), "known": json.RawMessage(`{"rev":0,"notices":[]}`)})
--- a/cmd/quilldoor/own.go
+++ b/cmd/quilldoor/own.go
@@ -7,25 +7,25 @@
 	"runtime/debug"
 	"time"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/core"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/gateway"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/members"
-	"quilldoor/logic"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/upgrade"
 )
 
 // What makes a wrong variant of the program; tests of changes and rollouts set it.
 var (
 	wrongly   func(when string, r *router)
-	mishears  func([]core.Server) // changes what is heard of the list of servers
-	forgetful bool                // purges go unheard
-	lags      func(h *core.Hop, ended func())
+	mishears  func([]engine.Server) // changes what is heard of the list of servers
+	forgetful bool                  // purges go unheard
+	lags      func(h *engine.Hop, ended func())
 )
 
 // acquire takes what one process of a router owns at a time: the disk tier's folder,
 // the gateway, its place among the members, the files that it writes.
-func (r *router) acquire(b *members.Baton) error {
+func (r *router) acquire(b *membership.Baton) error {
 	own := r.setup.operator
 	if own.Disk != nil {
 		if err := r.openShelf(own.Disk); err != nil {
@@ -76,7 +76,7 @@
 
 // passOn lets it go for another generation, without a word to anybody. What is
 // across to other sites comes back to this process.
-func (r *router) passOn() (b *members.Baton) {
+func (r *router) passOn() (b *membership.Baton) {
 	r.stop()
 	r.writers.Wait()
 	r.stop = nil
@@ -133,12 +133,12 @@
 }
 
 // Own takes the place of another generation, or begins from nothing.
-func (o *owner) Own(s *handover.State, mine, hold bool) error {
+func (o *owner) Own(s *handoff.State, mine, hold bool) error {
 	r := o.router
 	r.unfollow()
 	defer r.follow(o.ctx)
 	if s == nil {
-		s = &handover.State{}
+		s = &handoff.State{}
 	}
 	if mine && s.Baton != nil {
 		s.Baton.Back()
@@ -151,9 +151,9 @@
 	if err := r.acquire(s.Baton); err != nil {
 		return err
 	}
-	list := make([]core.Server, len(s.Servers))
+	list := make([]engine.Server, len(s.Servers))
 	for i, x := range s.Servers {
-		list[i] = core.Server{Endpoint: x.Endpoint, Entry: logic.Entry{Server: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell,
+		list[i] = engine.Server{Endpoint: x.Endpoint, Entry: policy.Entry{Server: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell,
 			State: x.State, Weight: x.Weight, Born: x.Born}}
 	}
 	r.follower.Resume(s.Rev, list)
@@ -177,7 +177,7 @@
 
 // Disown accepts nothing more, and spends nothing on cold servers: the budget goes
 // with what is known of them.
-func (o *owner) Disown() *handover.State {
+func (o *owner) Disown() *handoff.State {
 	const never = 1 << 62
 	r := o.router
 	r.listener.SetDeadline(time.Now())
@@ -188,25 +188,25 @@
 	r.core.Peers(clock(), never)
 	r.unfollow()
 	defer r.follow(o.ctx)
-	s := &handover.State{Learned: r.core.Learned()}
+	s := &handoff.State{Learned: r.core.Learned()}
 	s.Learned.HoldTill = r.holdTill
 	if r.host != nil {
 		for _, p := range r.host.purges.known() {
-			s.Purges = append(s.Purges, handover.Purge{Object: p.object, Group: p.group, At: p.at})
+			s.Purges = append(s.Purges, handoff.Purge{Object: p.object, Group: p.group, At: p.at})
 		}
 	}
 	s.Baton = r.passOn()
 	rev, list := r.follower.Known()
 	s.Rev = rev
 	for _, x := range list {
-		s.Servers = append(s.Servers, handover.Server{Server: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: x.State,
+		s.Servers = append(s.Servers, handoff.Server{Server: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: x.State,
 			Weight: x.Weight, Born: x.Born, Endpoint: x.Endpoint})
 	}
 	return s
 }
 
 // Bound sets this generation's part of the machine.
-func (o *owner) Bound(u change.Use) {
+func (o *owner) Bound(u upgrade.Use) {
 	l := o.setup.Within(u.MemoryMB, u.Descriptors)
 	debug.SetMemoryLimit(l.Memory)
 	o.bodies.Bound(l.Held)
@@ -233,10 +233,10 @@
 	return o.front.Listed()
 }
 
-func (o *owner) Beat() *handover.Word {
+func (o *owner) Beat() *handoff.Word {
 	if wrongly != nil {
 		wrongly("beat", o.router)
 	}
 	txns, _ := o.core.Count()
-	return &handover.Word{Ends: change.Ends(o.front.Ends()), Outs: o.core.Outs(), Txns: txns, Acts: o.acts.Take()}
+	return &handoff.Word{Ends: upgrade.Ends(o.front.Ends()), Outs: o.core.Outs(), Txns: txns, Acts: o.acts.Take()}
 }
--- a/cmd/quilldoor/peers.go
+++ b/cmd/quilldoor/peers.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/memberlink"
-	"quilldoor/internal/members"
-	"quilldoor/internal/news"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/gossip"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/rollout"
 )
 
@@ -18,7 +18,7 @@
 	start time.Time
 
 	mu     sync.Mutex
-	book   *news.Book
+	book   *gossip.Book
 	ticked int64
 }
 
@@ -40,7 +40,7 @@
 		return nil
 	}
 	p.mu.Lock()
-	t := p.book.Letter(p.now(), clock(), from, tag, body, memberlink.MostBody)
+	t := p.book.Letter(p.now(), clock(), from, tag, body, transport.MostBody)
 	p.mu.Unlock()
 	p.apply(t.Servers)
 	for _, x := range t.Purges {
@@ -49,7 +49,7 @@
 	return t.Back
 }
 
-func (p *peers) apply(list []news.Server) {
+func (p *peers) apply(list []gossip.Server) {
 	if len(list) > 0 {
 		p.log.WithField("changes", len(list)).Info("list changed by what other routers say")
 		p.listed("diff", coreServers(list))
@@ -57,11 +57,11 @@
 }
 
 // Tick ends what nobody has said again.
-func (p *peers) Tick(s members.Standing) {
+func (p *peers) Tick(s membership.Standing) {
 	const every = 250_000 // microseconds
 	p.mu.Lock()
 	now := p.now()
-	var lapsed []news.Server
+	var lapsed []gossip.Server
 	if now-p.ticked >= every {
 		p.ticked = now
 		p.book.Alone(s.Known < 3)
@@ -72,10 +72,10 @@
 }
 
 // board passes what the own board tells, with what others know better.
-func (p *peers) board(scope string, list []core.Server) []core.Server {
-	out := make([]news.Server, len(list))
+func (p *peers) board(scope string, list []engine.Server) []engine.Server {
+	out := make([]gossip.Server, len(list))
 	for i, s := range list {
-		out[i] = news.Server{Entry: s.Entry, Endpoint: s.Endpoint}
+		out[i] = gossip.Server{Entry: s.Entry, Endpoint: s.Endpoint}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,18 +85,18 @@
 func (p *peers) purged(object string, group, at int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.Purged(p.now(), news.Purge{Object: object, Group: group, At: at})
+	p.book.Purged(p.now(), gossip.Purge{Object: object, Group: group, At: at})
 }
 
-func coreServers(list []news.Server) (out []core.Server) {
+func coreServers(list []gossip.Server) (out []engine.Server) {
 	for _, s := range list {
-		out = append(out, core.Server{Entry: s.Entry, Endpoint: s.Endpoint})
+		out = append(out, engine.Server{Entry: s.Entry, Endpoint: s.Endpoint})
 	}
 	return out
 }
 
 // news tells the counts of the book.
-func (p *peers) news() news.Counts {
+func (p *peers) news() gossip.Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.book.Counts
--- a/cmd/quilldoor/publish.go
+++ b/cmd/quilldoor/publish.go
@@ -8,14 +8,14 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"quilldoor/internal/members"
-	"quilldoor/internal/operator"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/operatorconfig"
 )
 
 // publish writes the router's figures to a file every so often, in the text form
 // that Prometheus reads.
-func (r *router) publish(ctx context.Context, m *operator.Metrics) {
+func (r *router) publish(ctx context.Context, m *operatorconfig.Metrics) {
 	set := metrics.NewSet()
 	every := time.NewTicker(time.Duration(m.EveryS) * time.Second)
 	defer every.Stop()
@@ -72,9 +72,9 @@
 		return
 	}
 	s := own.State()
-	for i := range tier.Reasons {
-		count(s.Counts.Looks[i], "disk_looks_total{reason=%q}", tier.Reason(i))
-		count(s.Counts.Offers[i], "disk_offers_total{reason=%q}", tier.Reason(i))
+	for i := range diskcache.Reasons {
+		count(s.Counts.Looks[i], "disk_looks_total{reason=%q}", diskcache.Reason(i))
+		count(s.Counts.Offers[i], "disk_offers_total{reason=%q}", diskcache.Reason(i))
 	}
 	for how, n := range map[string]int64{"fresh": s.Counts.Served - s.Counts.StoodIn, "stood_in": s.Counts.StoodIn,
 		"proven": s.Counts.Proven} {
@@ -86,7 +86,7 @@
 	count(s.Counts.PurgedOut, "disk_gone_total{why=%q}", "purged")
 	count(s.Counts.ReadFaults, "disk_read_faults_total")
 	count(s.Counts.Gaps, "disk_gaps_total")
-	for _, h := range []tier.Health{tier.On, tier.Full, tier.ReadsOnly, tier.Off} {
+	for _, h := range []diskcache.Health{diskcache.On, diskcache.Full, diskcache.ReadsOnly, diskcache.Off} {
 		gauge(map[bool]float64{true: 1}[s.Health == h], "disk_health{state=%q}", h)
 	}
 	gauge(float64(s.Size.Parts), "disk_parts")
@@ -100,11 +100,11 @@
 // collectMembers takes over what is known of the other routers.
 func (r *router) collectMembers(gauge func(float64, string, ...any), count func(int64, string, ...any)) {
 	v, d := r.members.View(), &r.members.Dropped
-	states := map[members.State]int{}
+	states := map[membership.State]int{}
 	for _, s := range v.Seen {
 		states[s.State]++
 	}
-	for _, s := range []members.State{members.Alive, members.Suspected, members.Dead, members.Leaving, members.Left} {
+	for _, s := range []membership.State{membership.Alive, membership.Suspected, membership.Dead, membership.Leaving, membership.Left} {
 		gauge(float64(states[s]), "members{state=%q}", s)
 	}
 	gauge(float64(v.Standing.Known), "members_known")
--- a/cmd/quilldoor/rollout.go
+++ b/cmd/quilldoor/rollout.go
@@ -10,11 +10,11 @@
 
 	"github.com/spf13/cobra"
 
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/operator"
+	"quilldoor/internal/canary"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/operatorconfig"
 	"quilldoor/internal/rollout"
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/upgradeagent"
 )
 
 func rolloutCommand(f *flags) *cobra.Command {
@@ -22,7 +22,7 @@
 	var folder, path string
 	c.PersistentFlags().StringVar(&folder, "folder", "", "the keeper's folder; else keep.folder of the operator's file")
 	find := func() error {
-		own, err := operator.Load(f.operator, os.Getenv)
+		own, err := operatorconfig.Load(f.operator, os.Getenv)
 		if err != nil {
 			return err
 		}
@@ -37,13 +37,13 @@
 		}
 		return nil
 	}
-	ask := func(w rollout.Command) (*handover.Word, error) {
+	ask := func(w rollout.Command) (*handoff.Word, error) {
 		if folder == "" {
 			if err := find(); err != nil {
 				return nil, err
 			}
 		}
-		r, err := handover.Ask(filepath.Join(folder, generation.SocketName), &handover.Word{Kind: handover.Roll, Command: w}, nil)
+		r, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), &handoff.Word{Kind: handoff.Roll, Command: w}, nil)
 		if err == nil && !r.OK {
 			err = errors.New(r.Note)
 		}
@@ -118,7 +118,7 @@
 		var pass int
 		for _, loss := range []float64{0.05, 0.1, 0.2} {
 			var stop int
-			stop, pass = verdict.Needed(p.Verdict(), len(p.Stages), spread, loss, 100_000)
+			stop, pass = canary.Needed(p.Verdict(), len(p.Stages), spread, loss, 100_000)
 			cells = append(cells, told(stop))
 		}
 		compared := told(pass)
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/emulate"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/referee"
+	"quilldoor/internal/checker"
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/handoff"
 	"quilldoor/internal/rollout"
 )
 
@@ -23,7 +23,7 @@
 
 // putPlan writes a plan for the program: one router, one of each office, all. Stages may
 // be given in place of these.
-func putPlan(k *emulate.Kept, program string, stages ...string) error {
+func putPlan(k *emulator.Kept, program string, stages ...string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: trial\nprogram: %s\nsilent_s: 15\nguards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n", program)
 	for i := range k.Count() {
@@ -40,7 +40,7 @@
 }
 
 // ended waits for the end of a rollout, as those who know it newest tell.
-func ended(k *emulate.Kept, within time.Duration, at ...int) (last *rollout.Standing, err error) {
+func ended(k *emulator.Kept, within time.Duration, at ...int) (last *rollout.Standing, err error) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, i := range at {
 			s, e := k.Rollout(i, 0)
@@ -60,7 +60,7 @@
 }
 
 // begin starts the rollout at a router, once all have read the plan.
-func begin(k *emulate.Kept, i int) error {
+func begin(k *emulator.Kept, i int) error {
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
 		for j := range k.Count() {
@@ -80,7 +80,7 @@
 }
 
 // generations of the routers, as their keepers have them settled and serving.
-func generations(k *emulate.Kept) (list []uint64, err error) {
+func generations(k *emulator.Kept) (list []uint64, err error) {
 	for i := range k.Count() {
 		s, err := k.Standing(i)
 		if err != nil || s.Serving == nil {
@@ -96,7 +96,7 @@
 func TestRolloutOfTheSame(t *testing.T) {
 	t.Parallel()
 	r := changesBut(t, rolloutFleet+"length_s: 150\ntroubles:\n  - {kind: office_lost, at: 22, for: 3, office: 2}\n  - {kind: ways_camps, at: 30, for: 4, share: 0.25}\n  - {kind: cut_board, at: 34, for: 3, share: 0.5}\n", played{ends: true},
-		func(k *emulate.Kept) error {
+		func(k *emulator.Kept) error {
 			if err := putPlan(k, os.Args[0]); err != nil {
 				return err
 			}
@@ -182,7 +182,7 @@
 			if c.half {
 				stages = []string{"{share: 0.5, watch_s: 80, least_s: 5}", "{share: 1, watch_s: 2, least_s: 2}"}
 			}
-			changesBut(t, rolloutFleet+"length_s: 130\n", played{ends: true}, func(k *emulate.Kept) error {
+			changesBut(t, rolloutFleet+"length_s: 130\n", played{ends: true}, func(k *emulator.Kept) error {
 				if err := putPlan(k, variant(t, c.fault), stages...); err != nil {
 					return err
 				}
@@ -219,7 +219,7 @@
 						t.Errorf("router %d has had generation %d", i, g)
 					}
 				}
-				s, err := k.Until(0, 20*time.Second, func(s *handover.Standing) bool {
+				s, err := k.Until(0, 20*time.Second, func(s *handoff.Standing) bool {
 					return s.State == "steady" && s.Serving != nil && strings.HasSuffix(s.Settled.Program, "quilldoor.test")
 				})
 				if err != nil {
@@ -250,7 +250,7 @@
 			}
 			t.Parallel()
 			broken := 0
-			may := func(b referee.Break) bool {
+			may := func(b checker.Break) bool {
 				if b.Rule == c.rule && (b.Router == 0 || c.rule == 4) {
 					broken++
 					return true
@@ -261,7 +261,7 @@
 			if c.rule == 4 { // enough comes that a cold server could be pushed over
 				text = strings.Replace(text, "txns_per_s: 240", "txns_per_s: 240, weights: [1.4, 0.8, 0.9, 0.9]", 1)
 			}
-			changesBut(t, text, played{may, true}, func(k *emulate.Kept) error {
+			changesBut(t, text, played{may, true}, func(k *emulator.Kept) error {
 				first, _ := k.Name(0)
 				if err := putPlan(k, variant(t, c.fault), "{routers: ["+first+"], watch_s: 60, least_s: 45}", "{share: 1, watch_s: 2, least_s: 2}"); err != nil {
 					return err
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -18,50 +18,50 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/board"
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/front"
+	"quilldoor/internal/discovery"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskrunner"
+	"quilldoor/internal/diskcache/diskstore"
+	"quilldoor/internal/downstream"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/gateway"
-	"quilldoor/internal/generation"
-	"quilldoor/internal/memberlink"
-	"quilldoor/internal/operator"
-	"quilldoor/internal/shelf"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/upgradeagent"
 	"quilldoor/internal/upstream"
-	"quilldoor/internal/witness"
-	"quilldoor/logic"
 )
 
 // router holds the parts together and tells them of each other's news.
 type router struct {
 	log    *logrus.Entry
 	setup  *setup
-	set    logic.Settings
-	core   *core.Core
+	set    policy.Settings
+	core   *engine.Core
 	up     *upstream.Pool
-	front  *front.Front
-	bodies *buffer.Pool
+	front  *downstream.Front
+	bodies *bufferpool.Pool
 	limit  *config.Limits
 	kick   chan struct{}
 
-	follower *board.Follower
+	follower *discovery.Follower
 	unfollow func()
 	boardAt  string // address of the board that is followed
 	listener *net.TCPListener
-	served   chan error             // of the front; nil: it accepts nobody
-	kept     *generation.Generation // nil: nobody keeps this router
-	holdTill int64                  // cold servers get nothing before
-	acts     *witness.Recorder      // for the keeper; nil: nobody keeps this router
+	served   chan error               // of the front; nil: it accepts nobody
+	kept     *upgradeagent.Generation // nil: nobody keeps this router
+	holdTill int64                    // cold servers get nothing before
+	acts     *invariant.Recorder      // for the keeper; nil: nobody keeps this router
 
 	// What one process owns at a time (own.go). Changed while the board is not followed.
-	shelf   atomic.Pointer[shelf.Shelf] // nil: off
+	shelf   atomic.Pointer[diskrunner.Shelf] // nil: off
 	gate    *gateway.Gateway
 	keys    *gateway.Keys
-	members *memberlink.Link // nil: off
-	peers   *peers           // what is decided by it; nil: off
+	members *transport.Link // nil: off
+	peers   *peers          // what is decided by it; nil: off
 	host    *host
 	stop    context.CancelFunc // of what is written to files
 	writers sync.WaitGroup
@@ -72,8 +72,8 @@
 // setup is all that a router starts with.
 type setup struct {
 	*config.Config
-	known    *board.News
-	operator *operator.Config
+	known    *discovery.News
+	operator *operatorconfig.Config
 	digest   uint64 // of the settings, where a keeper keeps the router
 }
 
@@ -85,28 +85,28 @@
 	r := &router{log: logger.WithField("router", c.Name), setup: c, set: c.Settings.Logic(), limit: c.Limits, kick: make(chan struct{}, 1),
 		boardAt: c.Board}
 	var err error
-	if r.kept, err = generation.Inherit(os.Getenv); err != nil {
+	if r.kept, err = upgradeagent.Inherit(os.Getenv); err != nil {
 		return err
 	}
 	if wrongly != nil {
 		wrongly("start", r)
 	}
-	r.core = core.New(&r.set, c.Seed, func() {
+	r.core = engine.New(&r.set, c.Seed, func() {
 		select {
 		case r.kick <- struct{}{}:
 		default:
 		}
 	})
-	r.bodies = buffer.NewPool(c.Limits.Held)
-	ended := func(h *core.Hop, o core.Outcome) { r.core.Ended(clock(), h, o) }
+	r.bodies = bufferpool.NewPool(c.Limits.Held)
+	ended := func(h *engine.Hop, o engine.Outcome) { r.core.Ended(clock(), h, o) }
 	if lags != nil {
-		ended = func(h *core.Hop, o core.Outcome) { lags(h, func() { r.core.Ended(clock(), h, o) }) }
+		ended = func(h *engine.Hop, o engine.Outcome) { lags(h, func() { r.core.Ended(clock(), h, o) }) }
 	}
 	r.up = upstream.New(c.Limits, r.bodies, ended, r.log)
-	r.front = front.New(r.core, r.up, r.bodies, c.Limits)
+	r.front = downstream.New(r.core, r.up, r.bodies, c.Limits)
 	r.front.Flow(c.Flow)
 	if r.kept != nil {
-		r.acts = witness.NewRecorder()
+		r.acts = invariant.NewRecorder()
 		r.front.Witnessed(r.acts)
 	}
 	r.log.WithFields(logrus.Fields{"listen": c.Listen, "board": c.Board, "zone": r.set.Zone,
@@ -127,7 +127,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 
-	r.follower = board.New(c.Limits, r)
+	r.follower = discovery.New(c.Limits, r)
 	r.follower.Apply(c.known)
 	r.follow(ctx)
 	go r.attend(ctx)
@@ -204,7 +204,7 @@
 		}
 	}
 	r.unfollow()
-	r.follower.Apply(&board.News{Notices: fresh.known.Notices})
+	r.follower.Apply(&discovery.News{Notices: fresh.known.Notices})
 	r.boardAt = fresh.Board
 	r.follow(ctx)
 	r.log.WithField("board", fresh.Board).Info("new configuration in force")
@@ -234,7 +234,7 @@
 
 // follow runs the follower at an address until the function it returns is called,
 // which waits for its end: two never run at once, and no event is applied twice.
-func follow(ctx context.Context, f *board.Follower, addr string) (end func()) {
+func follow(ctx context.Context, f *discovery.Follower, addr string) (end func()) {
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -273,14 +273,14 @@
 		next, errands := r.core.Run(clock())
 		for _, o := range errands {
 			switch o.Kind {
-			case core.Probe:
+			case engine.Probe:
 				probes++
 				r.probe(o.Server, "p"+strconv.Itoa(probes))
-			case core.Disconnect:
+			case engine.Disconnect:
 				r.up.Disconnect(o.Server)
-			case core.Log:
+			case engine.Log:
 				r.log.Info(o.Text)
-			case core.Drop:
+			case engine.Drop:
 				o.Hop.Drop(o.Silent)
 			}
 		}
@@ -318,7 +318,7 @@
 }
 
 // probe sends one, and counts it as timed out if a connection's time passes.
-func (r *router) probe(s *core.Server, tag string) {
+func (r *router) probe(s *engine.Server, tag string) {
 	sent := clock()
 	r.up.Probe(s, tag, func(ok bool) {
 		code := "done"
@@ -335,7 +335,7 @@
 }
 
 // Members takes changes of the list of servers from the board.
-func (r *router) Members(scope string, list []core.Server) {
+func (r *router) Members(scope string, list []engine.Server) {
 	if r.peers != nil {
 		list = r.peers.board(scope, list)
 	}
@@ -343,7 +343,7 @@
 }
 
 // listed applies changes of the list.
-func (r *router) listed(scope string, list []core.Server) {
+func (r *router) listed(scope string, list []engine.Server) {
 	if mishears != nil {
 		mishears(list)
 	}
@@ -412,9 +412,9 @@
 }
 
 // openShelf starts the disk tier as the operator's file has it.
-func (r *router) openShelf(d *operator.Disk) error {
+func (r *router) openShelf(d *operatorconfig.Disk) error {
 	c, set := r.setup, &r.set
-	var rules []tier.Rule
+	var rules []diskcache.Rule
 	named := map[string]bool{}
 	for _, k := range set.Rules {
 		// An effect but a safe one, a write, or copies of no told age are never kept.
@@ -423,7 +423,7 @@
 		if named[k.Name] = true; chosen && !able {
 			return fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", k.Name)
 		}
-		rules = append(rules, tier.Rule{Name: k.Name, Fresh: k.Fresh, Grace: k.Grace, SLA: k.SLA,
+		rules = append(rules, diskcache.Rule{Name: k.Name, Fresh: k.Fresh, Grace: k.Grace, SLA: k.SLA,
 			Keep: able && (chosen || len(d.Rules) == 0)})
 	}
 	for _, name := range d.Rules {
@@ -432,10 +432,10 @@
 		}
 	}
 	const mb, millis = 1 << 20, 1000
-	own := shelf.Start(shelf.Config{
-		FS: disk.Dir{Path: d.Path}, Path: d.Path, Super: disk.Super{Slot: d.SlotKB << 10, Seed: rand.Uint64()},
+	own := diskrunner.Start(diskrunner.Config{
+		FS: diskstore.Dir{Path: d.Path}, Path: d.Path, Super: diskstore.Super{Slot: d.SlotKB << 10, Seed: rand.Uint64()},
 		ReadWait: time.Duration(d.ReadWaitMS) * time.Millisecond,
-		Settings: tier.Settings{Rules: rules, Slot: d.SlotKB << 10, Slots: d.Slots(), Entries: d.Entries(),
+		Settings: diskcache.Settings{Rules: rules, Slot: d.SlotKB << 10, Slots: d.Slots(), Entries: d.Entries(),
 			WritePerS: int64(d.WriteMBPS) * mb,
 			// Bodies that wait for the disk are the same that txns need: a quarter of them at most.
 			Queue:     min(int64(d.QueueMB)*mb, c.Limits.Held/4),
--- a/internal/buffer/buffer.go
+++ b/internal/bufferpool/bufferpool.go
@@ -1,6 +1,6 @@
-// Package buffer hands out buffers of one size from a pool and bounds how many
+// Package bufferpool hands out buffers of one size from a pool and bounds how many
 // bytes of bodies are held at once.
-package buffer
+package bufferpool
 
 import (
 	"errors"
--- a/internal/buffer/buffer_test.go
+++ b/internal/bufferpool/bufferpool_test.go
@@ -1,4 +1,4 @@
-package buffer
+package bufferpool
 
 import (
 	"bytes"
--- a/internal/lines/lines.go
+++ b/internal/cacheproto/cacheproto.go
@@ -1,6 +1,6 @@
-// Package lines is the codec of the cache servers' protocol: lines of words
+// Package cacheproto is the codec of the cache servers' protocol: lines of words
 // that end in CR LF, with bodies of a told length behind them.
-package lines
+package cacheproto
 
 import (
 	"bufio"
--- a/internal/lines/lines_test.go
+++ b/internal/cacheproto/cacheproto_test.go
@@ -1,4 +1,4 @@
-package lines
+package cacheproto
 
 import (
 	"bufio"
--- a/internal/verdict/verdict.go
+++ b/internal/canary/canary.go
@@ -1,4 +1,4 @@
-// Package verdict decides whether routers that run something new do worse than those
+// Package canary decides whether routers that run something new do worse than those
 // beside them that run the old: paired by office and moment, looked at as often as one
 // likes. It does no I/O and has no clock of its own.
 //
@@ -7,7 +7,7 @@
 // central limit theory and asymptotic confidence sequences, 2021, theorem 2.2): bounds
 // that hold at all moments together with a stated chance, so that looking often costs
 // nothing.
-package verdict
+package canary
 
 import (
 	"fmt"
--- a/internal/verdict/verdict_test.go
+++ b/internal/canary/canary_test.go
@@ -1,4 +1,4 @@
-package verdict
+package canary
 
 import (
 	"fmt"
--- a/internal/referee/referee.go
+++ b/internal/checker/checker.go
@@ -1,19 +1,19 @@
-// Package referee judges a record by the five rules. It knows neither the router
+// Package checker judges a record by the five rules. It knows neither the router
 // nor the model: only what was asked, sent, run, told and answered.
-package referee
+package checker
 
 import (
 	"fmt"
 
-	"quilldoor/internal/record"
-	"quilldoor/logic"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/policy"
 )
 
 const ms, second = int64(1000), int64(1_000_000)
 
 // Figures are those of the rules. Times are microseconds.
 type Figures struct {
-	Rules       []logic.RemapRule
+	Rules       []policy.RemapRule
 	AnswerSlack int64
 	DrainGrace  int64
 	PurgeGrace  int64
@@ -45,7 +45,7 @@
 // Referee takes a record's lines in order.
 type Referee struct {
 	figures Figures
-	rules   map[string]logic.RemapRule
+	rules   map[string]policy.RemapRule
 	now     int64
 	txns    map[id]*txn
 	listed  map[string]listing       // by server
@@ -117,7 +117,7 @@
 }
 
 type txn struct {
-	rule     logic.RemapRule
+	rule     policy.RemapRule
 	object   string
 	group    int64
 	deadline int64
@@ -141,7 +141,7 @@
 
 // New makes a referee.
 func New(f Figures) *Referee {
-	r := &Referee{figures: f, rules: map[string]logic.RemapRule{}, txns: map[id]*txn{}, listed: map[string]listing{},
+	r := &Referee{figures: f, rules: map[string]policy.RemapRule{}, txns: map[id]*txn{}, listed: map[string]listing{},
 		told: map[int]map[string]state{}, purges: map[int][]purge{}, lost: map[id]*txn{}, stops: map[int]stop{}}
 	for _, k := range f.Rules {
 		r.rules[k.Name] = k
@@ -149,7 +149,7 @@
 	return r
 }
 
-func (r *Referee) broken(rule int, e *record.Entry, format string, args ...any) {
+func (r *Referee) broken(rule int, e *eventlog.Entry, format string, args ...any) {
 	const most = 100
 	r.Count[rule]++
 	if len(r.Breaks) < most {
@@ -161,13 +161,13 @@
 func (r *Referee) Broken() bool { return len(r.Breaks) > 0 }
 
 // judges say what each kind of line means.
-var judges = map[string]func(*Referee, *record.Entry){
+var judges = map[string]func(*Referee, *eventlog.Entry){
 	"taken": (*Referee).taken, "sent": (*Referee).sent, "ran": (*Referee).ran, "end": (*Referee).end,
 	"final": (*Referee).final, "left": (*Referee).left, "listed": (*Referee).list, "told": (*Referee).tell,
 	"told_purge": (*Referee).tellPurge, "router_down": (*Referee).down, "router_up": (*Referee).up,
 	// A txn that another router took runs here: all that is known of it is one.
 	// Its home may have died while it was on its way.
-	"carried": func(r *Referee, e *record.Entry) {
+	"carried": func(r *Referee, e *eventlog.Entry) {
 		t := r.txns[id{e.Hop, e.Txn}]
 		if t == nil {
 			t = r.lost[id{e.Hop, e.Txn}]
@@ -177,32 +177,32 @@
 			t.carried = append(t.carried, e.Router)
 		}
 	},
-	"router_stopped": func(r *Referee, e *record.Entry) { r.stops[e.Router] = stop{from: e.At} },
-	"router_woken": func(r *Referee, e *record.Entry) {
+	"router_stopped": func(r *Referee, e *eventlog.Entry) { r.stops[e.Router] = stop{from: e.At} },
+	"router_woken": func(r *Referee, e *eventlog.Entry) {
 		if s := r.stops[e.Router]; s.until == 0 {
 			r.stops[e.Router] = stop{s.from, e.At}
 		}
 	},
 	// A process of the router was killed, another one goes on: what the one held is no
 	// longer its duty.
-	"crashed": func(r *Referee, e *record.Entry) {
+	"crashed": func(r *Referee, e *eventlog.Entry) {
 		for key, t := range r.txns {
 			if key.router == e.Router {
 				t.excused = true
 			}
 		}
 	},
-	"refused": func(r *Referee, e *record.Entry) { delete(r.txns, id{e.Router, e.Txn}) },
-	"wrong": func(r *Referee, e *record.Entry) {
+	"refused": func(r *Referee, e *eventlog.Entry) { delete(r.txns, id{e.Router, e.Txn}) },
+	"wrong": func(r *Referee, e *eventlog.Entry) {
 		r.broken(1, e, "served what no server made for it: %s", e.State)
 	},
-	"fell": func(r *Referee, e *record.Entry) {
+	"fell": func(r *Referee, e *eventlog.Entry) {
 		r.broken(4, e, "sent %.2f s of work within the window while it was cold: it fell over", e.Work)
 	},
 }
 
 // Note takes a line.
-func (r *Referee) Note(e *record.Entry) {
+func (r *Referee) Note(e *eventlog.Entry) {
 	r.now = e.At
 	if judge := judges[e.Kind]; judge != nil {
 		judge(r, e)
@@ -225,7 +225,7 @@
 	}
 }
 
-func (r *Referee) taken(e *record.Entry) {
+func (r *Referee) taken(e *eventlog.Entry) {
 	key := id{e.Router, e.Txn}
 	if r.txns[key] != nil {
 		return // a client's mistake, not the router's
@@ -237,7 +237,7 @@
 // proofs are the ends that prove that a hop never ran.
 var proofs = map[string]bool{"busy": true, "enoent": true, "econnrefused": true, "skipped": true}
 
-func (r *Referee) sent(e *record.Entry) {
+func (r *Referee) sent(e *eventlog.Entry) {
 	t := r.txns[id{e.Router, e.Txn}]
 	if t == nil {
 		r.broken(1, e, "a hop for a txn that it has not taken")
@@ -264,7 +264,7 @@
 	t.hops = append(t.hops, hop{router: e.Router, n: e.Hop, sent: e.At, server: e.Server})
 }
 
-func (t *txn) hop(e *record.Entry) *hop {
+func (t *txn) hop(e *eventlog.Entry) *hop {
 	for i := range t.hops {
 		if t.hops[i].router == e.Router && t.hops[i].n == e.Hop {
 			return &t.hops[i]
@@ -273,7 +273,7 @@
 	return nil
 }
 
-func (r *Referee) ran(e *record.Entry) {
+func (r *Referee) ran(e *eventlog.Entry) {
 	t := r.txns[id{e.Router, e.Txn}]
 	if t == nil {
 		return
@@ -292,7 +292,7 @@
 	}
 }
 
-func (r *Referee) end(e *record.Entry) {
+func (r *Referee) end(e *eventlog.Entry) {
 	if t := r.txns[id{e.Router, e.Txn}]; t != nil {
 		if h := t.hop(e); h != nil && h.end == "" {
 			h.end = e.Outcome
@@ -300,7 +300,7 @@
 	}
 }
 
-func (r *Referee) final(e *record.Entry) {
+func (r *Referee) final(e *eventlog.Entry) {
 	key := id{e.Router, e.Txn}
 	t := r.txns[key]
 	switch {
@@ -332,7 +332,7 @@
 }
 
 // stale judges rule 5: what was sent after a purge was known brings no older copy.
-func (r *Referee) stale(e *record.Entry, t *txn) {
+func (r *Referee) stale(e *eventlog.Entry, t *txn) {
 	sent := int64(-1)
 	for _, h := range t.hops {
 		if h.end == "done" {
@@ -349,7 +349,7 @@
 	}
 }
 
-func (r *Referee) left(e *record.Entry) {
+func (r *Referee) left(e *eventlog.Entry) {
 	if t := r.txns[id{e.Router, e.Txn}]; t != nil && t.outcome == "" {
 		t.left = true
 		if t.excused || r.stood(e.Router, t.deadline) {
@@ -361,11 +361,11 @@
 	}
 }
 
-func (r *Referee) list(e *record.Entry) {
+func (r *Referee) list(e *eventlog.Entry) {
 	r.listed[e.Server] = listing{e.State, max(e.Until, e.At) + r.figures.ToldBy}
 }
 
-func (r *Referee) tell(e *record.Entry) {
+func (r *Referee) tell(e *eventlog.Entry) {
 	if r.told[e.Router] == nil {
 		r.told[e.Router] = map[string]state{}
 	}
@@ -376,7 +376,7 @@
 }
 
 // drained judges rule 3.
-func (r *Referee) drained(e *record.Entry, server, what string) {
+func (r *Referee) drained(e *eventlog.Entry, server, what string) {
 	if server == "" {
 		return
 	}
@@ -394,7 +394,7 @@
 	}
 }
 
-func (r *Referee) tellPurge(e *record.Entry) {
+func (r *Referee) tellPurge(e *eventlog.Entry) {
 	const keep = 120 * second // longer than any copy is told to be good
 	list := r.purges[e.Router]
 	for len(list) > 0 && list[0].told < e.At-keep {
@@ -404,7 +404,7 @@
 }
 
 // down frees a router of what it held.
-func (r *Referee) down(e *record.Entry) {
+func (r *Referee) down(e *eventlog.Entry) {
 	for key, t := range r.txns {
 		if key.router != e.Router {
 			continue
@@ -421,7 +421,7 @@
 }
 
 // up tells a router the list as it is.
-func (r *Referee) up(e *record.Entry) {
+func (r *Referee) up(e *eventlog.Entry) {
 	r.told[e.Router] = map[string]state{}
 	for server, l := range r.listed {
 		r.told[e.Router][server] = state{l.state, e.At}
--- a/internal/referee/referee_test.go
+++ b/internal/checker/checker_test.go
@@ -1,21 +1,21 @@
-package referee
+package checker
 
 import (
 	"testing"
 
-	"quilldoor/internal/record"
-	"quilldoor/logic"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/policy"
 )
 
 // entry is a line for txn t at router 1 and a millisecond.
-func entry(at int64, kind string, more record.Entry) *record.Entry {
+func entry(at int64, kind string, more eventlog.Entry) *eventlog.Entry {
 	more.At, more.Kind, more.Router, more.Txn = at*ms, kind, 1, "t"
 	return &more
 }
 
 // Each record breaks just the rule named, or none (0).
 func TestRules(t *testing.T) {
-	type e = record.Entry
+	type e = eventlog.Entry
 	taken := func(rule string) *e {
 		return entry(0, "taken", e{Rule: rule, Object: "o", Group: 3, Deadline: 1000 * ms})
 	}
@@ -88,7 +88,7 @@
 			end(410, 0, "done"), final(410, "completed", 89)}},
 	} {
 		r := New(Figures{AnswerSlack: 8 * ms, DrainGrace: 500 * ms, PurgeGrace: 300 * ms, ToldBy: 7 * second,
-			Rules: []logic.RemapRule{{Name: "read", Effect: "safe"}, {Name: "sign", Effect: "unsafe", Write: true},
+			Rules: []policy.RemapRule{{Name: "read", Effect: "safe"}, {Name: "sign", Effect: "unsafe", Write: true},
 				{Name: "keyed", Effect: "keyed", Window: 100 * ms}}})
 		for _, l := range c.lines {
 			r.Note(l)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"quilldoor/internal/lines"
+	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/settings"
 )
 
@@ -207,7 +207,7 @@
 	for i, k := range s.Classes {
 		key := fmt.Sprintf("settings.Classes[%d].", i)
 		switch {
-		case k.Name == "" || !lines.Plain(k.Name):
+		case k.Name == "" || !cacheproto.Plain(k.Name):
 			return fault{key + "Name", "not a plain word"}
 		case k.Effect != "safe" && k.Effect != "keyed" && k.Effect != "unsafe":
 			return fault{key + "Effect", fmt.Sprintf("%q is none of safe, keyed, unsafe", k.Effect)}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:8080","seed":"8c1f30d27a5be964","board":"127.0.0.1:2379","unknown":1,
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		l, whole := c.Limits, int64(32<<20)
-		held := l.Held + int64(l.News) + int64(l.Clients+l.Upstream)*(buffer.Size+8<<10)
+		held := l.Held + int64(l.News) + int64(l.Clients+l.Upstream)*(bufferpool.Size+8<<10)
 		if held > whole*5/8 || l.Memory > whole*3/4 || l.Clients < l.Sockets/3 {
 			t.Errorf("%s sockets: up to %d bytes held, %d clients", sockets, held, l.Clients)
 		}
--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -12,7 +12,7 @@
 	"slices"
 	"sync"
 
-	"quilldoor/internal/disk"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 // Op is a kind of step in the history.
@@ -138,7 +138,7 @@
 }
 
 // Open opens a file.
-func (f *FS) Open(name string, create bool) (disk.File, error) {
+func (f *FS) Open(name string, create bool) (diskstore.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i, there := f.names[name]
@@ -196,7 +196,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if *f.locked {
-		return nil, disk.ErrInUse
+		return nil, diskstore.ErrInUse
 	}
 	*f.locked = true
 	return lock{f.locked}, nil
--- a/internal/board/board.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package board follows the notice board: changes of the list of servers and
+// Package discovery follows the notice board: changes of the list of servers and
 // purges, as numbered events, by long polls.
-package board
+package discovery
 
 import (
 	"bufio"
@@ -16,18 +16,18 @@
 	"strconv"
 	"time"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/http1"
-	"quilldoor/internal/lines"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/settings"
-	"quilldoor/logic"
 )
 
 // Sink takes the events, in order. At is in whole microseconds of Unix time.
 type Sink interface {
-	Members(scope string, list []core.Server)
+	Members(scope string, list []engine.Server)
 	Purge(object string, group, at int64)
 	BoardLost(err error) // after the first failed poll in a row
 	BoardBack()
@@ -76,7 +76,7 @@
 			continue
 		}
 		for _, t := range e.Pool.Targets {
-			if !lines.Plain(t.UID) || states[t.State] == "" {
+			if !cacheproto.Plain(t.UID) || states[t.State] == "" {
 				return nil, fmt.Errorf("notice %d: target %.40q in state %.20q", e.Rev, t.UID, t.State)
 			}
 		}
@@ -89,16 +89,16 @@
 	limits *config.Limits
 	sink   Sink
 	rev    int64
-	whole  bool                   // a whole list has come
-	list   map[string]core.Server // as the board has it, for another generation of this router
-	odd    int64                  // the last number told that is not that of the last event
+	whole  bool                     // a whole list has come
+	list   map[string]engine.Server // as the board has it, for another generation of this router
+	odd    int64                    // the last number told that is not that of the last event
 	addr   string
 	conn   *conn // nil: none stands
 }
 
 // New makes a follower that knows nothing yet.
 func New(limits *config.Limits, sink Sink) *Follower {
-	return &Follower{limits: limits, sink: sink, list: map[string]core.Server{}}
+	return &Follower{limits: limits, sink: sink, list: map[string]engine.Server{}}
 }
 
 // Apply hands on what is new in n.
@@ -119,12 +119,12 @@
 				scope = "snapshot"
 			}
 			f.whole = true
-			var list []core.Server
+			var list []engine.Server
 			if scope != "diff" {
 				clear(f.list)
 			}
 			for _, t := range e.Pool.Targets {
-				list = append(list, core.Server{Endpoint: t.Endpoint, Entry: logic.Entry{
+				list = append(list, engine.Server{Endpoint: t.Endpoint, Entry: policy.Entry{
 					Server: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: states[t.State],
 					Weight: t.CapacityHint, Born: settings.Micros(t.BootMS)}})
 				s := list[len(list)-1]
@@ -156,7 +156,7 @@
 
 // Known is how far the board was followed and the list as it stands, between two
 // calls of Run.
-func (f *Follower) Known() (rev int64, list []core.Server) {
+func (f *Follower) Known() (rev int64, list []engine.Server) {
 	for _, id := range slices.Sorted(maps.Keys(f.list)) {
 		list = append(list, f.list[id])
 	}
@@ -166,7 +166,7 @@
 // Resume goes on behind an event up to which another generation of this router has
 // followed the board, with the list as it stood then; where this one has come
 // further already, with its own. The sink is told the whole list in any case.
-func (f *Follower) Resume(rev int64, list []core.Server) {
+func (f *Follower) Resume(rev int64, list []engine.Server) {
 	if rev >= f.rev && len(list) > 0 {
 		f.rev, f.whole, f.odd = rev, true, 0
 		clear(f.list)
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: sock, r: bufio.NewReaderSize(sock, buffer.Size),
+	return &conn{Conn: sock, r: bufio.NewReaderSize(sock, bufferpool.Size),
 		unget: context.AfterFunc(ctx, func() { sock.Close() })}, nil
 }
 
--- a/internal/board/board_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"bufio"
@@ -10,13 +10,13 @@
 	"time"
 
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
+	"quilldoor/internal/engine"
 )
 
 // sink passes everything on as lines of text.
 type sink chan string
 
-func (s sink) Members(scope string, list []core.Server) {
+func (s sink) Members(scope string, list []engine.Server) {
 	line := scope
 	for _, m := range list {
 		line += fmt.Sprintf(" %s@%s:%s:%d", m.Server, m.Endpoint, m.State, m.Born)
--- a/internal/trial/trial.go
+++ b/internal/diskbench/diskbench.go
@@ -1,6 +1,6 @@
-// Package trial plays simulated load against the disk tier's decisions, to weigh
+// Package diskbench plays simulated load against the disk tier's decisions, to weigh
 // their variants: no disk, no sockets, no clock. Its figures are simulated.
-package trial
+package diskbench
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
 )
 
 // Load describes requests to a tier.
@@ -68,7 +68,7 @@
 }
 
 // Run plays a load against a variant of the decisions.
-func Run(l Load, choice tier.Choice) Result {
+func Run(l Load, choice diskcache.Choice) Result {
 	r := rand.New(rand.NewPCG(l.Seed, 1))
 	catalogue := make([]object, l.Objects)
 	weights := make([]float64, l.Objects)
@@ -81,7 +81,7 @@
 	popular := distuv.NewCategorical(weights, r)
 	now := int64(1e12)
 	slots := int(float64(total) * l.Disk / slot)
-	t := tier.New(now, tier.Settings{Rules: []tier.Rule{{Name: "page", Fresh: 1 << 60, SLA: 1e6, Keep: true}}, Slot: slot,
+	t := diskcache.New(now, diskcache.Settings{Rules: []diskcache.Rule{{Name: "page", Fresh: 1 << 60, SLA: 1e6, Keep: true}}, Slot: slot,
 		Slots: slots, Entries: slots, WritePerS: 1 << 40, Queue: 1 << 40, SyncEvery: 0, Reads: 1, Cleared: 1, LongestTx: 1,
 		Choice: choice})
 	var out Result
@@ -116,20 +116,20 @@
 		}
 	}
 	out.Written, out.Evicted, out.Parts = t.Counts.BytesIn-written0, t.Counts.Evicted, t.Size().Parts
-	out.Outweighed, out.Second = t.Counts.Offers[tier.Outweighed], t.Counts.Offers[tier.WantedOnce]
+	out.Outweighed, out.Second = t.Counts.Offers[diskcache.Outweighed], t.Counts.Offers[diskcache.WantedOnce]
 	return out
 }
 
 // txn asks for a part, and offers it where it wasn't there.
-func txn(t *tier.Tier, now int64, name string, part, size int) (hit bool) {
-	a := tier.Ask{Object: name, Part: int64(part), Left: 1e6}
+func txn(t *diskcache.Tier, now int64, name string, part, size int) (hit bool) {
+	a := diskcache.Ask{Object: name, Part: int64(part), Left: 1e6}
 	v, found := t.Look(now, &a)
-	if v != tier.Miss {
-		t.Read(now, found.Ref, tier.Sound)
+	if v != diskcache.Miss {
+		t.Read(now, found.Ref, diskcache.Sound)
 		return true
 	}
 	length := size + 60 // the record's head and names
-	if p, reason := t.Offer(now, &tier.Copy{Ask: a, Issued: now / 1000, Length: length}); reason == tier.Good {
+	if p, reason := t.Offer(now, &diskcache.Copy{Ask: a, Issued: now / 1000, Length: length}); reason == diskcache.Good {
 		t.Written(p.Ref, length, true)
 		t.Drops()
 		t.Synced()
--- a/internal/tier/tier.go
+++ b/internal/diskcache/diskcache.go
@@ -1,9 +1,9 @@
-// Package tier decides what a second tier of copies on disk does: what is kept,
+// Package diskcache decides what a second tier of copies on disk does: what is kept,
 // what gives way, where a part lies, what a purge makes unusable, what may be
 // served after a restart, how much is written. It does no I/O, reads no clock
 // and starts no goroutine; its caller hands in the time (Unix microseconds) and
 // holds a lock around it. docs/disk-tier.md tells why it decides so.
-package tier
+package diskcache
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/internal/shelf/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -1,4 +1,4 @@
-package shelf
+package diskrunner
 
 import (
 	"encoding/binary"
@@ -15,9 +15,9 @@
 	"github.com/sirupsen/logrus"
 	"go.etcd.io/bbolt"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 func heap() uint64 {
@@ -30,7 +30,7 @@
 func benchConfig(dir string, parts int) Config {
 	set := settings()
 	set.Slot, set.Slots, set.Entries = 16<<10, parts*3/2, parts
-	return Config{FS: disk.Dir{Path: dir}, Super: disk.Super{Slot: set.Slot, Seed: 7}, Settings: set,
+	return Config{FS: diskstore.Dir{Path: dir}, Super: diskstore.Super{Slot: set.Slot, Seed: 7}, Settings: set,
 		ReadWait: time.Second}
 }
 
@@ -43,11 +43,11 @@
 // bare installs nothing.
 type bare struct{}
 
-func (bare) Put(*disk.Entry) {}
-func (bare) Drop(tier.Drop)  {}
+func (bare) Put(*diskstore.Entry) {}
+func (bare) Drop(diskcache.Drop)  {}
 
-func opened(b *testing.B, c Config) *disk.Store {
-	s, err := disk.Open(c.FS, c.Super, c.Settings.Slots)
+func opened(b *testing.B, c Config) *diskstore.Store {
+	s, err := diskstore.Open(c.FS, c.Super, c.Settings.Slots)
 	if err == nil {
 		_, err = s.Recover(bare{})
 	}
@@ -65,10 +65,10 @@
 	c := benchConfig(dir, parts)
 	s := opened(b, c)
 	r := rand.New(rand.NewPCG(1, 1))
-	s.Compact(func(tell func(*disk.Entry) error) error {
+	s.Compact(func(tell func(*diskstore.Entry) error) error {
 		for i := range uint32(parts) {
-			tell(&disk.Entry{Key: r.Uint64(), Object: r.Uint64(), Issued: 1, Seq: uint64(i), Length: 16000,
-				Rule: disk.RuleHash("page"), Runs: []tier.Run{{Start: i, Count: 1}}})
+			tell(&diskstore.Entry{Key: r.Uint64(), Object: r.Uint64(), Issued: 1, Seq: uint64(i), Length: 16000,
+				Rule: diskstore.RuleHash("page"), Runs: []diskcache.Run{{Start: i, Count: 1}}})
 		}
 		return nil
 	})
@@ -77,7 +77,7 @@
 	for b.Loop() {
 		before := heap()
 		began := time.Now()
-		s := plain(c, buffer.NewPool(1<<20), quiet())
+		s := plain(c, bufferpool.NewPool(1<<20), quiet())
 		if !s.recover() {
 			b.Fatal("not recovered")
 		}
@@ -97,7 +97,7 @@
 func BenchmarkGet(b *testing.B) {
 	const size, parts = 100_000, 400
 	text := strings.Repeat("x", size)
-	bodies := buffer.NewPool(1 << 28)
+	bodies := bufferpool.NewPool(1 << 28)
 	c := benchConfig(b.TempDir(), parts*8)
 	c.Settings.WritePerS, c.Settings.Queue, c.Settings.SyncEvery = 1<<40, 1<<30, 10*ms
 	s := Start(c, bodies, quiet())
@@ -107,7 +107,7 @@
 	}
 	time.Sleep(150 * time.Millisecond)
 	ask := func(i int) *Ask { return &Ask{Rule: "page", Object: fmt.Sprint(i % parts), Left: time.Second} }
-	memory := make([]*buffer.Body, parts)
+	memory := make([]*bufferpool.Body, parts)
 	for i := range parts {
 		s.Get(ask(i))
 		s.Get(ask(i))
@@ -118,7 +118,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	out := make([]byte, size)
-	measure := func(b *testing.B, get func(i int) *buffer.Body) {
+	measure := func(b *testing.B, get func(i int) *bufferpool.Body) {
 		h := hdrhistogram.New(1, 1e9, 3)
 		i := 0
 		for b.Loop() {
@@ -139,7 +139,7 @@
 		b.ReportMetric(float64(h.ValueAtQuantile(99))/1e3, "us-99")
 	}
 	b.Run("disk", func(b *testing.B) {
-		measure(b, func(i int) *buffer.Body {
+		measure(b, func(i int) *bufferpool.Body {
 			if c := s.Get(ask(i)); c != nil {
 				return c.Body
 			}
@@ -148,7 +148,7 @@
 		})
 	})
 	b.Run("memory", func(b *testing.B) {
-		measure(b, func(i int) *buffer.Body { return memory[i%parts].Hold() })
+		measure(b, func(i int) *bufferpool.Body { return memory[i%parts].Hold() })
 	})
 }
 
@@ -158,23 +158,23 @@
 		b.Run(fmt.Sprint(parts), func(b *testing.B) {
 			set := settings()
 			set.Slots, set.Entries, set.WritePerS, set.Queue, set.Reads = parts*2, parts, 1<<50, 1<<50, 1
-			t := tier.New(1e12, set)
+			t := diskcache.New(1e12, set)
 			names := make([]string, parts)
 			for i := range parts {
 				names[i] = fmt.Sprint("object", i)
-				a := tier.Ask{Object: names[i], Left: second}
+				a := diskcache.Ask{Object: names[i], Left: second}
 				t.Look(1e12+second, &a)
 				t.Look(1e12+second, &a)
-				if p, r := t.Offer(1e12+second, &tier.Copy{Ask: a, Issued: 1e9 + 1000, Length: 1000}); r == tier.Good {
+				if p, r := t.Offer(1e12+second, &diskcache.Copy{Ask: a, Issued: 1e9 + 1000, Length: 1000}); r == diskcache.Good {
 					t.Written(p.Ref, 1000, true)
 				}
 			}
 			r := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for b.Loop() {
-				a := tier.Ask{Object: names[r.IntN(parts)], Left: second}
-				if v, f := t.Look(1e12+second, &a); v != tier.Miss {
-					t.Read(1e12+second, f.Ref, tier.Sound)
+				a := diskcache.Ask{Object: names[r.IntN(parts)], Left: second}
+				if v, f := t.Look(1e12+second, &a); v != diskcache.Miss {
+					t.Read(1e12+second, f.Ref, diskcache.Sound)
 				}
 			}
 		})
@@ -189,10 +189,10 @@
 		for b.Loop() {
 			c := benchConfig(b.TempDir(), entries)
 			s := opened(b, c)
-			entry := func(i int) disk.Entry {
-				return disk.Entry{Key: uint64(i) * 0x9e3779b97f4a7c15, Seq: uint64(i), Length: 1, Runs: []tier.Run{{Start: 1, Count: 1}}}
+			entry := func(i int) diskstore.Entry {
+				return diskstore.Entry{Key: uint64(i) * 0x9e3779b97f4a7c15, Seq: uint64(i), Length: 1, Runs: []diskcache.Run{{Start: 1, Count: 1}}}
 			}
-			s.Compact(func(tell func(*disk.Entry) error) error {
+			s.Compact(func(tell func(*diskstore.Entry) error) error {
 				for i := range entries {
 					e := entry(i)
 					tell(&e)
@@ -202,11 +202,11 @@
 			at, _ := s.Size()
 			began := time.Now()
 			for i := 0; i < changes; i += batch {
-				var puts []disk.Entry
-				var drops []tier.Drop
+				var puts []diskstore.Entry
+				var drops []diskcache.Drop
 				for j := range batch {
 					puts = append(puts, entry(entries+i+j))
-					drops = append(drops, tier.Drop{Key: entry(i + j).Key, Seq: uint64(i + j)})
+					drops = append(drops, diskcache.Drop{Key: entry(i + j).Key, Seq: uint64(i + j)})
 				}
 				if err := s.Commit(puts, drops); err != nil {
 					b.Fatal(err)
--- a/internal/shelf/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -1,4 +1,4 @@
-package shelf
+package diskrunner
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"github.com/sirupsen/logrus"
 	"pgregory.net/rapid"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/crashfs"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 // tb is what a test and a check by rapid have in common.
@@ -45,9 +45,9 @@
 	kept  map[uint64]bool // by number
 }
 
-func settings() tier.Settings {
-	return tier.Settings{Rules: []tier.Rule{{Name: "page", Fresh: 60 * second, Grace: 60 * second, SLA: second, Keep: true},
-		{Name: "sign", SLA: second}}, Slot: disk.LeastSlot, Slots: 64, Entries: 64, WritePerS: 16 << 10, Queue: 1 << 20,
+func settings() diskcache.Settings {
+	return diskcache.Settings{Rules: []diskcache.Rule{{Name: "page", Fresh: 60 * second, Grace: 60 * second, SLA: second, Keep: true},
+		{Name: "sign", SLA: second}}, Slot: diskstore.LeastSlot, Slots: 64, Entries: 64, WritePerS: 16 << 10, Queue: 1 << 20,
 		SyncEvery: second, Reads: 8, Cleared: 6 * second, LongestTx: 2 * second, BlindFrom: 2 * second}
 }
 
@@ -56,8 +56,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	b := &bench{fs: fs, now: now, content: map[uint64][]byte{}, version: map[string]int64{}}
-	b.Shelf = plain(Config{FS: fs, Super: disk.Super{Slot: disk.LeastSlot, Seed: 7}, Settings: settings(),
-		Clock: func() (int64, int64) { return b.now, b.now }}, buffer.NewPool(1<<20), log.WithField("t", 1))
+	b.Shelf = plain(Config{FS: fs, Super: diskstore.Super{Slot: diskstore.LeastSlot, Seed: 7}, Settings: settings(),
+		Clock: func() (int64, int64) { return b.now, b.now }}, bufferpool.NewPool(1<<20), log.WithField("t", 1))
 	if !b.recover() {
 		t.Fatal("not recovered")
 	}
@@ -88,7 +88,7 @@
 	b.commit(&b.batch)
 	m := mark{steps: b.fs.Len(), kept: map[uint64]bool{}}
 	for from := 0; from >= 0; {
-		from = b.tier.Each(from, func(k tier.Kept) { m.kept[k.Seq] = true })
+		from = b.tier.Each(from, func(k diskcache.Kept) { m.kept[k.Seq] = true })
 	}
 	b.synced = append(b.synced, m)
 }
@@ -126,25 +126,25 @@
 	*later = *newBench(t, fs, b.now+1000*ms)
 	found := map[uint64]bool{}
 	for from := 0; from >= 0; {
-		from = later.tier.Each(from, func(k tier.Kept) {
+		from = later.tier.Each(from, func(k diskcache.Kept) {
 			found[k.Seq] = true
 			rec, r, err := later.store.Read(k.Runs, k.Length)
 			if err == nil {
 				var body []byte
 				body, err = io.ReadAll(r)
 				if err == nil && (!r.Sound() || rec.Seq != k.Seq || !bytes.Equal(body, b.content[k.Seq])) {
-					err = disk.ErrRecord
+					err = diskstore.ErrRecord
 				}
 			}
 			if err != nil {
 				out.torn++
 			}
 			// Nothing that was found is served before it is proven.
-			ask := tier.Ask{Rule: 0, Object: rec.Object, Part: rec.Part, Group: rec.Group, Left: second}
-			if v, _ := later.tier.Look(later.now, &ask); v == tier.Serve {
+			ask := diskcache.Ask{Rule: 0, Object: rec.Object, Part: rec.Part, Group: rec.Group, Left: second}
+			if v, _ := later.tier.Look(later.now, &ask); v == diskcache.Serve {
 				out.stale++
-			} else if v == tier.Prove {
-				later.tier.Read(later.now, tier.Ref{}, tier.Unused)
+			} else if v == diskcache.Prove {
+				later.tier.Read(later.now, diskcache.Ref{}, diskcache.Unused)
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 	}
 	now := map[uint64]bool{}
 	for from := 0; from >= 0; {
-		from = b.tier.Each(from, func(k tier.Kept) { now[k.Seq] = true })
+		from = b.tier.Each(from, func(k diskcache.Kept) { now[k.Seq] = true })
 	}
 	return now
 }
--- a/internal/shelf/shelf.go
+++ b/internal/diskcache/diskrunner/diskrunner.go
@@ -1,7 +1,7 @@
-// Package shelf runs the disk tier: it carries out on a folder what package tier
+// Package diskrunner runs the disk tier: it carries out on a folder what package tier
 // decides, in goroutines of its own, so that no txn waits for the disk longer
 // than it was told to. What finds no room in a queue is dropped.
-package shelf
+package diskrunner
 
 import (
 	"sync"
@@ -11,18 +11,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 // Config says what a shelf may use.
 type Config struct {
-	FS       disk.FS
+	FS       diskstore.FS
 	Path     string // for the log
-	Super    disk.Super
-	Settings tier.Settings // Seed comes from the folder
-	ReadWait time.Duration // a txn waits so long for the disk
+	Super    diskstore.Super
+	Settings diskcache.Settings // Seed comes from the folder
+	ReadWait time.Duration      // a txn waits so long for the disk
 	// Clock gives the wall's and a steady clock's microseconds; nil: the system's.
 	Clock func() (wall, steady int64)
 }
@@ -30,18 +30,18 @@
 // Shelf is a running tier.
 type Shelf struct {
 	config Config
-	bodies *buffer.Pool
+	bodies *bufferpool.Pool
 	log    *logrus.Entry
 	rules  map[string]int
 
-	mu    sync.Mutex // for what follows; never held over I/O
-	tier  *tier.Tier // nil until the folder is open
-	clock tier.Clock
+	mu    sync.Mutex      // for what follows; never held over I/O
+	tier  *diskcache.Tier // nil until the folder is open
+	clock diskcache.Clock
 	lost  bool // the board is lost
 	took  *hdrhistogram.Histogram
 
 	ready  atomic.Bool // recovery is over
-	store  *disk.Store
+	store  *diskstore.Store
 	reads  chan *read
 	writes chan *write
 	stop   chan struct{}
@@ -50,7 +50,7 @@
 
 // Start begins to open the folder and returns at once. Until recovery is over
 // nothing is found and nothing is kept.
-func Start(config Config, bodies *buffer.Pool, log *logrus.Entry) *Shelf {
+func Start(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Shelf {
 	s := plain(config, bodies, log)
 	s.done.Add(1)
 	go func() {
@@ -61,7 +61,7 @@
 }
 
 // plain makes a shelf that does nothing by itself.
-func plain(config Config, bodies *buffer.Pool, log *logrus.Entry) *Shelf {
+func plain(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Shelf {
 	if config.Clock == nil {
 		start := time.Now()
 		config.Clock = func() (wall, steady int64) {
@@ -111,7 +111,7 @@
 func (s *Shelf) recover() bool {
 	began := time.Now()
 	set := &s.config.Settings
-	store, err := disk.Open(s.config.FS, s.config.Super, set.Slots)
+	store, err := diskstore.Open(s.config.FS, s.config.Super, set.Slots)
 	if err != nil {
 		s.log.WithError(err).Error("disk tier off")
 		return false
@@ -119,18 +119,18 @@
 	set.Seed = store.Seed()
 	s.mu.Lock()
 	now := s.now()
-	s.store, s.tier = store, tier.New(now, *set)
+	s.store, s.tier = store, diskcache.New(now, *set)
 	s.tier.Board(now, s.lost)
 	s.mu.Unlock()
 
 	in := &installer{Shelf: s, rules: map[uint32]int{}}
 	for i, r := range set.Rules {
-		in.rules[disk.RuleHash(r.Name)] = i
+		in.rules[diskstore.RuleHash(r.Name)] = i
 	}
 	found, err := store.Recover(in)
 	if err != nil {
 		store.Close()
-		s.fault(tier.Closed, nil)
+		s.fault(diskcache.Closed, nil)
 		s.log.WithError(err).Error("disk tier off")
 		return false
 	}
@@ -153,21 +153,21 @@
 }
 
 // Put installs a part. What was written last was wanted last, and is the newest.
-func (in *installer) Put(e *disk.Entry) {
+func (in *installer) Put(e *diskstore.Entry) {
 	rule, known := in.rules[e.Rule]
 	if !known {
 		rule = -1
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.tier.Install(&tier.Kept{Key: e.Key, Object: e.Object, Issued: e.Issued, Seq: e.Seq, Length: e.Length,
+	if !in.tier.Install(&diskcache.Kept{Key: e.Key, Object: e.Object, Issued: e.Issued, Seq: e.Seq, Length: e.Length,
 		Rule: rule, Group: e.Group, Runs: e.Runs}) {
 		in.refused++
 	}
 }
 
 // Drop takes one out again.
-func (in *installer) Drop(d tier.Drop) {
+func (in *installer) Drop(d diskcache.Drop) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.tier.Uninstall(d)
@@ -181,18 +181,18 @@
 	Left         time.Duration // until its time limit
 }
 
-func (s *Shelf) ask(a *Ask) (tier.Ask, bool) {
+func (s *Shelf) ask(a *Ask) (diskcache.Ask, bool) {
 	rule, known := s.rules[a.Rule]
-	return tier.Ask{Rule: rule, Object: a.Object, Part: a.Part, Group: a.Group, Left: a.Left.Microseconds()}, known
+	return diskcache.Ask{Rule: rule, Object: a.Object, Part: a.Part, Group: a.Group, Left: a.Left.Microseconds()}, known
 }
 
 // Copy is a kept part, read into memory. Its holder releases it.
 type Copy struct {
-	*buffer.Body
+	*bufferpool.Body
 	Tag     string
 	Sure    bool // it may be served as it is; else after it was proven
 	shelf   *Shelf
-	ref     tier.Ref
+	ref     diskcache.Ref
 	rule    int
 	standIn bool
 }
@@ -210,10 +210,10 @@
 	s.mu.Lock()
 	verdict, found := s.tier.Look(s.now(), &ask)
 	s.mu.Unlock()
-	if verdict == tier.Miss {
+	if verdict == diskcache.Miss {
 		return nil
 	}
-	r := &read{ask: a, found: found, sure: verdict == tier.Serve, rule: ask.Rule, done: make(chan *Copy, 1)}
+	r := &read{ask: a, found: found, sure: verdict == diskcache.Serve, rule: ask.Rule, done: make(chan *Copy, 1)}
 	select {
 	case <-s.stop:
 		return nil
@@ -276,7 +276,7 @@
 
 // Keep offers what a read txn was completed with. The body is held until it is
 // written or found not to be worth it.
-func (s *Shelf) Keep(a *Ask, tag string, issued int64, body *buffer.Body) {
+func (s *Shelf) Keep(a *Ask, tag string, issued int64, body *bufferpool.Body) {
 	if !s.ready.Load() {
 		return
 	}
@@ -284,20 +284,20 @@
 	if !known || tag == "" || issued <= 0 {
 		return
 	}
-	rec := disk.Record{Issued: issued, Part: a.Part, Rule: a.Rule, Object: a.Object, Tag: tag, Group: a.Group,
+	rec := diskstore.Record{Issued: issued, Part: a.Part, Rule: a.Rule, Object: a.Object, Tag: tag, Group: a.Group,
 		Body: body.Len()}
 	length := rec.Length()
 	s.mu.Lock()
-	place, reason := s.tier.Offer(s.now(), &tier.Copy{Ask: ask, Issued: issued, Length: length})
+	place, reason := s.tier.Offer(s.now(), &diskcache.Copy{Ask: ask, Issued: issued, Length: length})
 	s.mu.Unlock()
-	if reason != tier.Good {
+	if reason != diskcache.Good {
 		return
 	}
 	rec.Seq = place.Ref.Seq()
 	select {
 	case <-s.stop:
-	case s.writes <- &write{place: place, rec: rec, body: body.Hold(), entry: disk.Entry{Key: place.Key,
-		Object: place.Object, Issued: issued, Seq: rec.Seq, Length: length, Rule: disk.RuleHash(a.Rule),
+	case s.writes <- &write{place: place, rec: rec, body: body.Hold(), entry: diskstore.Entry{Key: place.Key,
+		Object: place.Object, Issued: issued, Seq: rec.Seq, Length: length, Rule: diskstore.RuleHash(a.Rule),
 		Group: a.Group, Runs: place.Runs}}:
 	}
 }
@@ -332,11 +332,11 @@
 }
 
 // fault tells the tier of one, and logs a change of health once.
-func (s *Shelf) fault(f tier.Fault, err error) tier.Health {
+func (s *Shelf) fault(f diskcache.Fault, err error) diskcache.Health {
 	s.mu.Lock()
 	h, changed := s.tier.Fault(s.now(), f)
 	s.mu.Unlock()
-	if changed && f != tier.Closed {
+	if changed && f != diskcache.Closed {
 		s.log.WithError(err).WithField("health", h.String()).Error("disk tier: fault of the disk")
 	}
 	return h
@@ -360,9 +360,9 @@
 // State is what a shelf tells of itself.
 type State struct {
 	Ready  bool
-	Health tier.Health
-	Counts tier.Counts
-	Size   tier.Size
+	Health diskcache.Health
+	Counts diskcache.Counts
+	Size   diskcache.Size
 	// Reads of the disk, in microseconds.
 	ReadMedian, Read99 int64
 }
@@ -383,13 +383,13 @@
 func (s *Shelf) Status() logrus.Fields {
 	st := s.State()
 	looks, offers := int64(0), int64(0)
-	for i := range tier.Reasons {
+	for i := range diskcache.Reasons {
 		looks += st.Counts.Looks[i]
 		offers += st.Counts.Offers[i]
 	}
 	return logrus.Fields{"ready": st.Ready, "health": st.Health.String(), "parts": st.Size.Parts,
 		"disk_mb": st.Size.Bytes >> 20, "memory_mb": st.Size.Memory >> 20, "looks": looks, "served": st.Counts.Served,
 		"proven": st.Counts.Proven, "stood_in": st.Counts.StoodIn, "offers": offers,
-		"written": st.Counts.Offers[tier.Good], "evicted": st.Counts.Evicted, "purged": st.Counts.PurgedOut,
+		"written": st.Counts.Offers[diskcache.Good], "evicted": st.Counts.Evicted, "purged": st.Counts.PurgedOut,
 		"read_us_median": st.ReadMedian, "read_us_99": st.Read99, "read_faults": st.Counts.ReadFaults}
 }
--- a/internal/shelf/shelf_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -1,4 +1,4 @@
-package shelf
+package diskrunner
 
 import (
 	"bytes"
@@ -14,25 +14,25 @@
 	"github.com/sirupsen/logrus"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/crashfs"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 // running starts a shelf with its goroutines and a clock that the test moves.
-func running(t *testing.T, fs disk.FS, now *atomic.Int64, change func(*Config)) (*Shelf, *logtest.Hook) {
+func running(t *testing.T, fs diskstore.FS, now *atomic.Int64, change func(*Config)) (*Shelf, *logtest.Hook) {
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
 	set := settings()
 	set.SyncEvery = 5 * ms
 	set.WritePerS = 1 << 30
-	c := Config{FS: fs, Super: disk.Super{Slot: set.Slot, Seed: 7}, Settings: set, ReadWait: 2 * time.Second,
+	c := Config{FS: fs, Super: diskstore.Super{Slot: set.Slot, Seed: 7}, Settings: set, ReadWait: 2 * time.Second,
 		Clock: func() (int64, int64) { return now.Load(), now.Load() }}
 	if change != nil {
 		change(&c)
 	}
-	s := Start(c, buffer.NewPool(1<<20), log.WithField("t", 1))
+	s := Start(c, bufferpool.NewPool(1<<20), log.WithField("t", 1))
 	t.Cleanup(func() {
 		select {
 		case <-s.stop:
@@ -152,10 +152,10 @@
 }
 
 func TestWhatFoldersSay(t *testing.T) {
-	super := disk.Super{Slot: disk.LeastSlot, Seed: 1}
+	super := diskstore.Super{Slot: diskstore.LeastSlot, Seed: 1}
 	made := func() *crashfs.FS {
 		fs := crashfs.New()
-		s, err := disk.Open(fs, super, 64)
+		s, err := diskstore.Open(fs, super, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -176,9 +176,9 @@
 		fs   *crashfs.FS
 		want error
 		slot int
-	}{"newer": {newer, disk.ErrNewer, super.Slot}, "flipped": {flipped, disk.ErrBroken, super.Slot},
-		"foreign": {foreign, disk.ErrForeign, super.Slot}, "photos": {photos, disk.ErrForeign, super.Slot},
-		"in use": {used, disk.ErrInUse, super.Slot}, "other slots": {other, disk.ErrBroken, 2 * super.Slot}} {
+	}{"newer": {newer, diskstore.ErrNewer, super.Slot}, "flipped": {flipped, diskstore.ErrBroken, super.Slot},
+		"foreign": {foreign, diskstore.ErrForeign, super.Slot}, "photos": {photos, diskstore.ErrForeign, super.Slot},
+		"in use": {used, diskstore.ErrInUse, super.Slot}, "other slots": {other, diskstore.ErrBroken, 2 * super.Slot}} {
 		s, hook := running(t, c.fs, clockAt(second), func(k *Config) { k.Super.Slot = c.slot })
 		s.done.Wait()
 		if len(hook.AllEntries()) != 1 || hook.LastEntry().Level != logrus.ErrorLevel ||
@@ -202,18 +202,18 @@
 		file   string // "": any
 		part   int
 		err    error
-		health tier.Health
+		health diskcache.Health
 		found  bool // what was written before can still be read
 	}{
-		"no space":               {crashfs.Write, "", 0, syscall.ENOSPC, tier.Full, true},
-		"no space within":        {crashfs.Write, "", 100, syscall.ENOSPC, tier.Full, true},
-		"no space for the index": {crashfs.Write, "index", 0, syscall.ENOSPC, tier.Full, true},
-		"quota":                  {crashfs.Write, "", 0, syscall.EDQUOT, tier.Full, true},
-		"write fails":            {crashfs.Write, "", 0, syscall.EIO, tier.ReadsOnly, true},
-		"short write":            {crashfs.Write, "", 100, nil, tier.ReadsOnly, true},
-		"sync fails":             {crashfs.Sync, "", 0, syscall.EIO, tier.ReadsOnly, true},
-		"reads fail":             {crashfs.Read, "", 0, syscall.EIO, tier.Off, false},
-		"reads and disk is on":   {crashfs.SyncDir, "", 0, syscall.EIO, tier.On, true}, // nothing needs one now
+		"no space":               {crashfs.Write, "", 0, syscall.ENOSPC, diskcache.Full, true},
+		"no space within":        {crashfs.Write, "", 100, syscall.ENOSPC, diskcache.Full, true},
+		"no space for the index": {crashfs.Write, "index", 0, syscall.ENOSPC, diskcache.Full, true},
+		"quota":                  {crashfs.Write, "", 0, syscall.EDQUOT, diskcache.Full, true},
+		"write fails":            {crashfs.Write, "", 0, syscall.EIO, diskcache.ReadsOnly, true},
+		"short write":            {crashfs.Write, "", 100, nil, diskcache.ReadsOnly, true},
+		"sync fails":             {crashfs.Sync, "", 0, syscall.EIO, diskcache.ReadsOnly, true},
+		"reads fail":             {crashfs.Read, "", 0, syscall.EIO, diskcache.Off, false},
+		"reads and disk is on":   {crashfs.SyncDir, "", 0, syscall.EIO, diskcache.On, true}, // nothing needs one now
 	} {
 		now := clockAt(1000 * second)
 		fs := crashfs.New()
@@ -245,7 +245,7 @@
 			keep(t, s, now.Load(), fmt.Sprint("after", i), strings.Repeat("x", 200))
 		}
 		until(t, name+": the state", func() bool { return s.State().Health == c.health })
-		if before := wrote.Load(); c.health != tier.On {
+		if before := wrote.Load(); c.health != diskcache.On {
 			keep(t, s, now.Load(), "more", "more")
 			time.Sleep(20 * time.Millisecond)
 			if n := wrote.Load(); n != before {
@@ -258,7 +258,7 @@
 				errs++
 			}
 		}
-		if want := map[bool]int{true: 1}[c.health != tier.On]; errs != want {
+		if want := map[bool]int{true: 1}[c.health != diskcache.On]; errs != want {
 			t.Errorf("%s: %d error lines, want %d", name, errs, want)
 		}
 		got := s.Get(ask("before9"))
@@ -266,7 +266,7 @@
 			t.Errorf("%s: read %q", name, content(got))
 		}
 		got.Release()
-		if c.health == tier.Full { // and it comes back with the space
+		if c.health == diskcache.Full { // and it comes back with the space
 			failing.Store(false)
 			now.Add(31 * second)
 			keep(t, s, now.Load(), "again", "new")
@@ -278,9 +278,9 @@
 		fs.Break(nil)
 		s, _ = running(t, fs, now, nil) // whatever it was, a restart finds a sound store
 		until(t, "recovery", s.ready.Load)
-		if r, err := disk.Look(fs, true); err != nil || !r.Sound() || r.Parts < 9 {
+		if r, err := diskstore.Look(fs, true); err != nil || !r.Sound() || r.Parts < 9 {
 			t.Errorf("%s: %+v, %v", name, r, err)
-		} else if (c.health == tier.Full || c.health == tier.On) && r.Parts != kept {
+		} else if (c.health == diskcache.Full || c.health == diskcache.On) && r.Parts != kept {
 			t.Errorf("%s: %d parts, %d were kept", name, r.Parts, kept)
 		}
 		s.Close()
@@ -358,7 +358,7 @@
 			a := &Ask{Rule: "page", Object: object, Part: int64(i % 4), Group: uint8(len(object)), Left: time.Second}
 			ask, _ := later.ask(a)
 			v, found := later.tier.Look(later.now, &ask)
-			if v == tier.Miss {
+			if v == diskcache.Miss {
 				continue
 			}
 			c := later.read(&read{ask: a, found: found})
@@ -472,7 +472,7 @@
 	}{"another name": {&Ask{Rule: "page", Object: "y", Group: 1}, false}, "another group": {&Ask{Rule: "page", Object: "x"}, false},
 		"purged": {a, true}} {
 		v, found := b.tier.Look(b.now, &ask)
-		if v == tier.Miss { // the purge came first
+		if v == diskcache.Miss { // the purge came first
 			b.now += second
 			b.keep("x", 0, 100)
 			v, found = b.tier.Look(b.now, &ask)
--- a/internal/shelf/work.go
+++ b/internal/diskcache/diskrunner/work.go
@@ -1,18 +1,18 @@
-package shelf
+package diskrunner
 
 import (
 	"sync/atomic"
 	"time"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
 // read is a part on its way from the disk.
 type read struct {
 	ask   *Ask
-	found tier.Found
+	found diskcache.Found
 	sure  bool
 	rule  int
 	over  atomic.Bool // nobody waits any more, or the copy was handed over
@@ -39,18 +39,18 @@
 func (s *Shelf) read(r *read) *Copy {
 	began := time.Now()
 	rec, from, err := s.store.Read(r.found.Runs, r.found.Length)
-	end := tier.Sound
-	var body *buffer.Body
+	end := diskcache.Sound
+	var body *bufferpool.Body
 	if err == nil && rec.Body > 0 {
 		body, err = s.bodies.Read(from, rec.Body)
 	}
 	switch {
-	case err == buffer.ErrFull:
-		end = tier.Unused
+	case err == bufferpool.ErrFull:
+		end = diskcache.Unused
 	case err != nil || !from.Sound() || rec.Seq != r.found.Ref.Seq():
-		end = tier.Unsound
+		end = diskcache.Unsound
 	case rec.Rule != r.ask.Rule || rec.Object != r.ask.Object || rec.Part != r.ask.Part || rec.Group != r.ask.Group:
-		end = tier.Unused
+		end = diskcache.Unused
 	}
 	s.mu.Lock()
 	usable, changed := s.tier.Read(s.now(), r.found.Ref, end)
@@ -70,16 +70,16 @@
 
 // write is a copy on its way to the disk.
 type write struct {
-	place tier.Place
-	rec   disk.Record
-	body  *buffer.Body
-	entry disk.Entry
+	place diskcache.Place
+	rec   diskstore.Record
+	body  *bufferpool.Body
+	entry diskstore.Entry
 }
 
 // batch is what the index has not been told.
 type batch struct {
-	puts  []disk.Entry
-	drops []tier.Drop
+	puts  []diskstore.Entry
+	drops []diskcache.Drop
 	bytes int
 }
 
@@ -114,13 +114,13 @@
 		break
 	}
 	s.commit(&b)
-	s.fault(tier.Closed, nil)
+	s.fault(diskcache.Closed, nil)
 }
 
 func (s *Shelf) write(w *write, b *batch) {
 	defer w.body.Release()
 	s.mu.Lock()
-	wanted := s.tier.Wanted(w.place.Ref) && s.tier.Health() == tier.On
+	wanted := s.tier.Wanted(w.place.Ref) && s.tier.Health() == diskcache.On
 	s.mu.Unlock()
 	var err error
 	if wanted {
@@ -138,11 +138,11 @@
 	}
 }
 
-func faultOf(err error) tier.Fault {
-	if disk.NoSpace(err) {
-		return tier.NoSpace
+func faultOf(err error) diskcache.Fault {
+	if diskstore.NoSpace(err) {
+		return diskcache.NoSpace
 	}
-	return tier.WriteFault
+	return diskcache.WriteFault
 }
 
 // commit makes a batch last. On a full disk it is kept and tried again; after
@@ -152,12 +152,12 @@
 	now := s.now()
 	s.tier.Housekeep(now)
 	health := s.tier.Health()
-	if health == tier.On {
+	if health == diskcache.On {
 		b.drops = append(b.drops, s.tier.Drops()...)
 	}
 	live := s.tier.Size().Parts
 	s.mu.Unlock()
-	if health != tier.On {
+	if health != diskcache.On {
 		return
 	}
 	err := s.store.Commit(b.puts, b.drops)
@@ -177,15 +177,15 @@
 
 func (s *Shelf) compact() error {
 	began := time.Now()
-	var some []disk.Entry
+	var some []diskstore.Entry
 	parts := 0
-	err := s.store.Compact(func(tell func(*disk.Entry) error) error {
+	err := s.store.Compact(func(tell func(*diskstore.Entry) error) error {
 		for from := 0; from >= 0; {
 			some = some[:0]
 			s.mu.Lock()
-			from = s.tier.Each(from, func(k tier.Kept) {
-				some = append(some, disk.Entry{Key: k.Key, Object: k.Object, Issued: k.Issued, Seq: k.Seq,
-					Length: k.Length, Rule: disk.RuleHash(s.config.Settings.Rules[k.Rule].Name), Group: k.Group, Runs: k.Runs})
+			from = s.tier.Each(from, func(k diskcache.Kept) {
+				some = append(some, diskstore.Entry{Key: k.Key, Object: k.Object, Issued: k.Issued, Seq: k.Seq,
+					Length: k.Length, Rule: diskstore.RuleHash(s.config.Settings.Rules[k.Rule].Name), Group: k.Group, Runs: k.Runs})
 			})
 			s.mu.Unlock()
 			for i := range some {
--- a/internal/disk/check.go
+++ b/internal/diskcache/diskstore/check.go
@@ -1,11 +1,11 @@
-package disk
+package diskstore
 
 import (
 	"fmt"
 	"io"
 	"slices"
 
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
 )
 
 // Report is what a look into a folder found.
@@ -44,7 +44,7 @@
 }
 
 // Drop removes one.
-func (m Entries) Drop(d tier.Drop) {
+func (m Entries) Drop(d diskcache.Drop) {
 	if e := m[d.Key]; e != nil && e.Seq == d.Seq {
 		delete(m, d.Key)
 	}
@@ -112,7 +112,7 @@
 	return r, nil
 }
 
-func (r *Report) take(taken map[uint32]bool, runs []tier.Run) bool {
+func (r *Report) take(taken map[uint32]bool, runs []diskcache.Run) bool {
 	free := true
 	for _, run := range runs {
 		for i := range min(run.Count, MostSlot) { // a flipped count must not run on for minutes
--- a/internal/disk/disk_test.go
+++ b/internal/diskcache/diskstore/diskstore_test.go
@@ -1,4 +1,4 @@
-package disk_test
+package diskstore_test
 
 import (
 	"bytes"
@@ -11,25 +11,25 @@
 	"testing"
 
 	"quilldoor/internal/crashfs"
-	"quilldoor/internal/disk"
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
 )
 
-var super = disk.Super{Slot: disk.LeastSlot, Seed: 5}
+var super = diskstore.Super{Slot: diskstore.LeastSlot, Seed: 5}
 
 // found is what a recovery tells.
 type found struct {
-	disk.Recovery
-	Entries []*disk.Entry
+	diskstore.Recovery
+	Entries []*diskstore.Entry
 }
 
-func open(t testing.TB, fs disk.FS) (*disk.Store, found) {
+func open(t testing.TB, fs diskstore.FS) (*diskstore.Store, found) {
 	t.Helper()
-	s, err := disk.Open(fs, super, 64)
+	s, err := diskstore.Open(fs, super, 64)
 	if err != nil {
 		t.Fatal(err)
 	}
-	entries := disk.Entries{}
+	entries := diskstore.Entries{}
 	r, err := s.Recover(entries)
 	if err != nil {
 		t.Fatal(err)
@@ -38,14 +38,14 @@
 }
 
 // put writes a record of a body over given slots and makes it last.
-func put(t testing.TB, s *disk.Store, seq uint64, body string, runs ...tier.Run) disk.Entry {
+func put(t testing.TB, s *diskstore.Store, seq uint64, body string, runs ...diskcache.Run) diskstore.Entry {
 	t.Helper()
-	r := disk.Record{Seq: seq, Issued: 77, Part: 3, Rule: "page", Object: "ab", Tag: "tag", Group: 9, Body: len(body)}
+	r := diskstore.Record{Seq: seq, Issued: 77, Part: 3, Rule: "page", Object: "ab", Tag: "tag", Group: 9, Body: len(body)}
 	if err := s.Write(runs, &r, [][]byte{[]byte(body)[:len(body)/2], []byte(body)[len(body)/2:]}); err != nil {
 		t.Fatal(err)
 	}
-	e := disk.Entry{Key: seq, Object: 2, Issued: 77, Seq: seq, Length: r.Length(), Rule: disk.RuleHash("page"), Group: 9, Runs: runs}
-	if err := s.Commit([]disk.Entry{e}, nil); err != nil {
+	e := diskstore.Entry{Key: seq, Object: 2, Issued: 77, Seq: seq, Length: r.Length(), Rule: diskstore.RuleHash("page"), Group: 9, Runs: runs}
+	if err := s.Commit([]diskstore.Entry{e}, nil); err != nil {
 		t.Fatal(err)
 	}
 	return e
@@ -55,13 +55,13 @@
 	fs := crashfs.New()
 	s, r := open(t, fs)
 	body := string(bytes.Repeat([]byte("0123456789abcdef"), 1200))
-	var runs []tier.Run
+	var runs []diskcache.Run
 	for i := range uint32(20) { // each slot apart: a put and four frames more
-		runs = append(runs, tier.Run{Start: 2 * i, Count: 1})
+		runs = append(runs, diskcache.Run{Start: 2 * i, Count: 1})
 	}
 	want := put(t, s, 7, body, runs...)
-	put(t, s, 8, "", tier.Run{Start: 1, Count: 1})
-	if err := s.Commit(nil, []tier.Drop{{Key: 8, Seq: 8}, {Key: 7, Seq: 6}}); err != nil {
+	put(t, s, 8, "", diskcache.Run{Start: 1, Count: 1})
+	if err := s.Commit(nil, []diskcache.Drop{{Key: 8, Seq: 8}, {Key: 7, Seq: 6}}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 { // as it was written, and written anew
@@ -78,7 +78,7 @@
 		if err != nil || string(got) != body || !from.Sound() || rec.Part != 3 || rec.Tag != "tag" || rec.Object != "ab" {
 			t.Fatalf("%+v, %d bytes, %v", rec, len(got), err)
 		}
-		if err := s.Compact(func(tell func(*disk.Entry) error) error { return tell(r.Entries[0]) }); err != nil {
+		if err := s.Compact(func(tell func(*diskstore.Entry) error) error { return tell(r.Entries[0]) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -86,10 +86,10 @@
 	if !slices.Equal(names, []string{"data", "index-0000000000000002", "store"}) {
 		t.Fatalf("files %q", names)
 	}
-	if err := s.Write(runs[:2], &disk.Record{Body: len(body)}, [][]byte{[]byte(body)}); !errors.Is(err, disk.ErrRecord) {
+	if err := s.Write(runs[:2], &diskstore.Record{Body: len(body)}, [][]byte{[]byte(body)}); !errors.Is(err, diskstore.ErrRecord) {
 		t.Errorf("longer than its slots: %v", err)
 	}
-	if (&disk.Record{Tag: string(make([]byte, 256))}).Length() != 0 {
+	if (&diskstore.Record{Tag: string(make([]byte, 256))}).Length() != 0 {
 		t.Error("a tag that no byte can tell the length of")
 	}
 }
@@ -97,11 +97,11 @@
 func TestLookFindsWhatIsWrong(t *testing.T) {
 	fs := crashfs.New()
 	s, _ := open(t, fs)
-	put(t, s, 1, "one", tier.Run{Start: 0, Count: 1})
-	put(t, s, 2, "two", tier.Run{Start: 1, Count: 1})
+	put(t, s, 1, "one", diskcache.Run{Start: 0, Count: 1})
+	put(t, s, 2, "two", diskcache.Run{Start: 1, Count: 1})
 	s.Close()
-	look := func() *disk.Report {
-		r, err := disk.Look(fs, true)
+	look := func() *diskstore.Report {
+		r, err := diskstore.Look(fs, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,17 +111,17 @@
 	if r := look(); !r.Sound() || r.Parts != 2 || r.ByRule["page"] != 2 || r.SlotsUsed != 2 || fs.Len() != before {
 		t.Fatalf("%+v", r)
 	}
-	fs.Bytes("data")[disk.LeastSlot+45] ^= 1
+	fs.Bytes("data")[diskstore.LeastSlot+45] ^= 1
 	if r := look(); r.Sound() || r.Broken != 1 {
 		t.Fatalf("a flipped bit: %+v", r)
 	}
-	fs.Bytes("data")[disk.LeastSlot+45] ^= 1
+	fs.Bytes("data")[diskstore.LeastSlot+45] ^= 1
 	s, _ = open(t, fs)
-	put(t, s, 3, "three", tier.Run{Start: 1, Count: 1})
+	put(t, s, 3, "three", diskcache.Run{Start: 1, Count: 1})
 	if r := look(); r.Sound() || r.Overlaps != 1 {
 		t.Fatalf("a slot of two: %+v", r)
 	}
-	if _, err := disk.Look(crashfs.New(), true); !errors.Is(err, disk.ErrForeign) {
+	if _, err := diskstore.Look(crashfs.New(), true); !errors.Is(err, diskstore.ErrForeign) {
 		t.Fatal(err)
 	}
 }
@@ -130,7 +130,7 @@
 // by one that was killed.
 func TestLockOfAnotherProcess(t *testing.T) {
 	if path := os.Getenv("QUILLDOOR_TEST_LOCK"); path != "" {
-		if _, err := disk.Open(disk.Dir{Path: path}, super, 64); err != nil {
+		if _, err := diskstore.Open(diskstore.Dir{Path: path}, super, 64); err != nil {
 			t.Fatal(err)
 		}
 		os.Stdout.WriteString("held\n")
@@ -151,18 +151,18 @@
 	if _, err := io.ReadFull(out, make([]byte, 5)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := disk.Open(disk.Dir{Path: dir}, super, 64); !errors.Is(err, disk.ErrInUse) {
+	if _, err := diskstore.Open(diskstore.Dir{Path: dir}, super, 64); !errors.Is(err, diskstore.ErrInUse) {
 		t.Fatalf("held by another: %v", err)
 	}
-	if _, err := disk.Look(disk.Dir{Path: dir, ReadOnly: true}, true); err != nil {
+	if _, err := diskstore.Look(diskstore.Dir{Path: dir, ReadOnly: true}, true); err != nil {
 		t.Fatalf("looked into while it is held: %v", err)
 	}
 	other.Process.Kill()
 	other.Wait()
-	s, _ := open(t, disk.Dir{Path: dir})
-	put(t, s, 1, "x", tier.Run{Start: 3, Count: 1})
+	s, _ := open(t, diskstore.Dir{Path: dir})
+	put(t, s, 1, "x", diskcache.Run{Start: 3, Count: 1})
 	s.Close()
-	if s, r := open(t, disk.Dir{Path: dir}); len(r.Entries) != 1 {
+	if s, r := open(t, diskstore.Dir{Path: dir}); len(r.Entries) != 1 {
 		t.Fatalf("%+v", r)
 	} else {
 		s.Close()
@@ -174,7 +174,7 @@
 func FuzzRecord(f *testing.F) {
 	fs := crashfs.New()
 	s, _ := open(f, fs)
-	put(f, s, 1, "a body of some length", tier.Run{Start: 0, Count: 1})
+	put(f, s, 1, "a body of some length", diskcache.Run{Start: 0, Count: 1})
 	whole := slices.Clone(fs.Bytes("data"))
 	f.Add(whole, len(whole))
 	f.Add(whole[:30], 30)
@@ -186,7 +186,7 @@
 		if file, err := fs.Open("data", false); err == nil {
 			file.WriteAt(data, 0)
 		}
-		rec, r, err := s.Read([]tier.Run{{Start: 0, Count: 2}}, length)
+		rec, r, err := s.Read([]diskcache.Run{{Start: 0, Count: 2}}, length)
 		if err != nil {
 			return
 		}
@@ -204,9 +204,9 @@
 func FuzzIndex(f *testing.F) {
 	fs := crashfs.New()
 	s, _ := open(f, fs)
-	put(f, s, 1, "x", tier.Run{Start: 0, Count: 1})
-	put(f, s, 2, "y", tier.Run{Start: 2, Count: 1}, tier.Run{Start: 4, Count: 1}, tier.Run{Start: 6, Count: 1})
-	s.Commit(nil, []tier.Drop{{Key: 1, Seq: 1}})
+	put(f, s, 1, "x", diskcache.Run{Start: 0, Count: 1})
+	put(f, s, 2, "y", diskcache.Run{Start: 2, Count: 1}, diskcache.Run{Start: 4, Count: 1}, diskcache.Run{Start: 6, Count: 1})
+	s.Commit(nil, []diskcache.Drop{{Key: 1, Seq: 1}})
 	whole := slices.Clone(fs.Bytes("index-0000000000000000"))
 	f.Add(whole)
 	f.Add(whole[:100])
--- a/internal/disk/format.go
+++ b/internal/diskcache/diskstore/format.go
@@ -1,4 +1,4 @@
-package disk
+package diskstore
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
 )
 
 // The format, version 1. Numbers are little-endian, sums are CRC-32C.
@@ -123,7 +123,7 @@
 	Length      int
 	Rule        uint32 // RuleHash of its name
 	Group       uint8
-	Runs        []tier.Run
+	Runs        []diskcache.Run
 }
 
 // RuleHash names a remap rule in the index, as rules may stand in another order
@@ -159,7 +159,7 @@
 	return b
 }
 
-func appendDrop(b []byte, number uint64, d tier.Drop) []byte {
+func appendDrop(b []byte, number uint64, d diskcache.Drop) []byte {
 	return frame(b, number, kindDrop, func(f []byte) {
 		binary.LittleEndian.PutUint64(f[8:], d.Key)
 		binary.LittleEndian.PutUint64(f[32:], d.Seq)
@@ -170,7 +170,7 @@
 // until Put returns.
 type Sink interface {
 	Put(e *Entry) // it takes the place of one of the same key and a lower number
-	Drop(d tier.Drop)
+	Drop(d diskcache.Drop)
 }
 
 // replay tells a sink what the frames of an index say. A frame that is no good is
@@ -199,7 +199,7 @@
 	case kindPut: // one before it that stayed incomplete is none
 		r.put = Entry{Group: f[5], Key: le.Uint64(f[8:]), Object: le.Uint64(f[16:]), Issued: int64(le.Uint64(f[24:])),
 			Seq: le.Uint64(f[32:]), Length: int(le.Uint32(f[40:])), Rule: le.Uint32(f[44:]),
-			Runs: append(r.put.Runs[:0], tier.Run{Start: le.Uint32(f[52:]), Count: le.Uint32(f[56:])})}
+			Runs: append(r.put.Runs[:0], diskcache.Run{Start: le.Uint32(f[52:]), Count: le.Uint32(f[56:])})}
 		r.top = max(r.top, r.put.Seq)
 		r.wanted = int(le.Uint32(f[48:]))
 	case kindMore:
@@ -207,10 +207,10 @@
 			return
 		}
 		for i := range min(int(f[6]), runsInMore-1) {
-			r.put.Runs = append(r.put.Runs, tier.Run{Start: le.Uint32(f[16+8*i:]), Count: le.Uint32(f[20+8*i:])})
+			r.put.Runs = append(r.put.Runs, diskcache.Run{Start: le.Uint32(f[16+8*i:]), Count: le.Uint32(f[20+8*i:])})
 		}
 	case kindDrop:
-		d := tier.Drop{Key: le.Uint64(f[8:]), Seq: le.Uint64(f[32:])}
+		d := diskcache.Drop{Key: le.Uint64(f[8:]), Seq: le.Uint64(f[32:])}
 		r.top = max(r.top, d.Seq)
 		r.wanted = 0
 		r.sink.Drop(d)
--- a/internal/disk/fs.go
+++ b/internal/diskcache/diskstore/fs.go
@@ -1,8 +1,8 @@
-// Package disk keeps records in the slots of one file and an index of them in
+// Package diskstore keeps records in the slots of one file and an index of them in
 // another, so that what was synced is found again after a crash at any byte. It
 // decides nothing: which slots a record takes, and what gives way, is told by
 // package tier. The format stands in docs/disk-tier.md.
-package disk
+package diskstore
 
 import (
 	"errors"
--- a/internal/disk/store.go
+++ b/internal/diskcache/diskstore/store.go
@@ -1,4 +1,4 @@
-package disk
+package diskstore
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"quilldoor/internal/tier"
+	"quilldoor/internal/diskcache"
 )
 
 // Store is an open folder. One goroutine writes; any may read records.
@@ -198,7 +198,7 @@
 func (s *Store) Seed() uint64 { return s.super.Seed }
 
 // Write puts a record into its slots. It is not on the disk before Sync.
-func (s *Store) Write(runs []tier.Run, r *Record, body [][]byte) error {
+func (s *Store) Write(runs []diskcache.Run, r *Record, body [][]byte) error {
 	// One buffer of the record's size at the most: a write a run.
 	b := appendHead(s.buf[:0], r, body)
 	for _, piece := range body {
@@ -234,7 +234,7 @@
 // that names them. Drops are last once it returns; their slots may be written
 // again from then on, and not before. After an error neither is certain, and
 // nothing more may be written.
-func (s *Store) Commit(puts []Entry, drops []tier.Drop) error {
+func (s *Store) Commit(puts []Entry, drops []diskcache.Drop) error {
 	if len(puts) > 0 {
 		if err := s.data.Sync(); err != nil {
 			return err
@@ -332,7 +332,7 @@
 type Reader struct {
 	data File
 	slot int64
-	runs []tier.Run
+	runs []diskcache.Run
 	at   int64 // in the first run
 	left int   // bytes of the record
 	sum  uint32
@@ -342,11 +342,11 @@
 
 // Read starts reading a record: its head, then the body comes from the Reader.
 // Only once all of the body was read does Sound tell whether it is whole.
-func (s *Store) Read(runs []tier.Run, length int) (Record, *Reader, error) {
+func (s *Store) Read(runs []diskcache.Run, length int) (Record, *Reader, error) {
 	return read(s.data, s.super.Slot, runs, length)
 }
 
-func read(data File, slot int, runs []tier.Run, length int) (Record, *Reader, error) {
+func read(data File, slot int, runs []diskcache.Run, length int) (Record, *Reader, error) {
 	r := &Reader{data: data, slot: int64(slot), runs: runs, left: max(length, 0)}
 	var buf [headSize + 3*MostName]byte
 	h := buf[:headSize]
--- a/internal/tier/health.go
+++ b/internal/diskcache/health.go
@@ -1,4 +1,4 @@
-package tier
+package diskcache
 
 // Health is what the disk can be used for.
 type Health uint8
--- a/internal/tier/link.go
+++ b/internal/diskcache/link.go
@@ -1,4 +1,4 @@
-package tier
+package diskcache
 
 // link is the router's own link, on which copies go to clients: one transfer
 // runs at flow at most, and all of them share the whole in the order of their
--- a/internal/tier/purge.go
+++ b/internal/diskcache/purge.go
@@ -1,4 +1,4 @@
-package tier
+package diskcache
 
 // purges remembers which purges still bind copies that may come. A purge of a
 // group binds for good, one of an object until no cache holds an older copy:
--- a/internal/tier/sketch.go
+++ b/internal/diskcache/sketch.go
@@ -1,4 +1,4 @@
-package tier
+package diskcache
 
 // sketch is the paper's TinyLFU (sections 3.2 to 3.4): a count-min table of four
 // rows of 4-bit counters of which only the minimal ones rise, a doorkeeper Bloom
--- a/internal/tier/slots.go
+++ b/internal/diskcache/slots.go
@@ -1,4 +1,4 @@
-package tier
+package diskcache
 
 import "math/bits"
 
--- a/internal/tier/table.go
+++ b/internal/diskcache/table.go
@@ -1,4 +1,4 @@
-package tier
+package diskcache
 
 // entry is one part that is kept: 64 bytes without a pointer, so that a million
 // of them cost the collector nothing.
--- a/internal/front/across.go
+++ b/internal/downstream/across.go
@@ -1,22 +1,22 @@
-package front
+package downstream
 
 import (
 	"sync"
 	"time"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/crossing"
+	"quilldoor/internal/cacheproto"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/gateway"
-	"quilldoor/internal/lines"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/upstream"
-	"quilldoor/logic"
 )
 
-var effects = map[string]crossing.Effect{"safe": crossing.Safe, "keyed": crossing.Keyed, "unsafe": crossing.Unsafe}
+var effects = map[string]peerpolicy.Effect{"safe": peerpolicy.Safe, "keyed": peerpolicy.Keyed, "unsafe": peerpolicy.Unsafe}
 
 // across hands a txn that the module has refused to another site, and puts what
 // becomes of it in the place of the refusal. False: its client has left.
-func (f *Front) across(c *client, gate *gateway.Gateway, a *ask, final *core.Order, limit time.Time, arrived chan struct{}) bool {
+func (f *Front) across(c *client, gate *gateway.Gateway, a *ask, final *engine.Order, limit time.Time, arrived chan struct{}) bool {
 	rule, _ := f.core.Rule(a.event.Rule)
 	q := &gateway.Request{Event: a.event, Tag: a.tag, Body: a.body, Effect: effects[rule.Effect], Clean: !final.Ran}
 	if q.Event.Remaining = time.Until(limit).Microseconds(); q.Event.Remaining <= 0 {
@@ -69,20 +69,20 @@
 }
 
 // orderOf is a peer's answer as the module would have ordered it.
-func orderOf(r gateway.Reply, stay int64) core.Order {
+func orderOf(r gateway.Reply, stay int64) engine.Order {
 	switch r.End {
-	case crossing.Completed:
-		return core.Order{Kind: core.Completed, Reply: &upstream.Reply{Body: r.Body, Tag: r.Tag, Same: r.Same, Issued: r.Issued}}
-	case crossing.Rejected:
-		return core.Order{Kind: core.Rejected, Stay: max(stay, r.Stay)}
+	case peerpolicy.Completed:
+		return engine.Order{Kind: engine.Completed, Reply: &upstream.Reply{Body: r.Body, Tag: r.Tag, Same: r.Same, Issued: r.Issued}}
+	case peerpolicy.Rejected:
+		return engine.Order{Kind: engine.Rejected, Stay: max(stay, r.Stay)}
 	}
-	return core.Order{Kind: core.Aborted, Ran: true}
+	return engine.Order{Kind: engine.Aborted, Ran: true}
 }
 
 // Carry runs a txn that a peer hands over, from the module's first decision to the
 // last: it is one like any other, but that no client's connection waits for it.
 func (f *Front) Carry(left <-chan struct{}, q *gateway.Request) gateway.Reply {
-	none := gateway.Reply{End: crossing.Rejected, Proof: true}
+	none := gateway.Reply{End: peerpolicy.Rejected, Proof: true}
 	rule, known := f.core.Rule(q.Event.Rule)
 	if !known || q.Event.Write != rule.Write || q.Event.Remaining <= 0 || f.draining.Load() || !fits(&q.Event, q.Tag) {
 		return none
@@ -105,7 +105,7 @@
 				f.leave(o)
 			}
 			if final == nil {
-				return gateway.Reply{End: crossing.Aborted}
+				return gateway.Reply{End: peerpolicy.Aborted}
 			}
 			return replyOf(final)
 		}
@@ -120,18 +120,18 @@
 
 // fits tells whether a peer's words can stand in a cache server's line, as a
 // client's must.
-func fits(e *logic.Event, tag string) bool {
-	return txnID(e.Txn) && lines.Plain(e.Object) && e.Part >= 0 && e.Part <= 1<<31 && e.Group >= 0 && e.Group <= 255 &&
-		(tag == "" || lines.Plain(tag))
+func fits(e *policy.Event, tag string) bool {
+	return txnID(e.Txn) && cacheproto.Plain(e.Object) && e.Part >= 0 && e.Part <= 1<<31 && e.Group >= 0 && e.Group <= 255 &&
+		(tag == "" || cacheproto.Plain(tag))
 }
 
-func replyOf(o *core.Order) gateway.Reply {
+func replyOf(o *engine.Order) gateway.Reply {
 	switch o.Kind {
-	case core.Completed:
+	case engine.Completed:
 		r := o.Reply.(*upstream.Reply)
-		return gateway.Reply{End: crossing.Completed, Same: r.Same, Tag: r.Tag, Issued: r.Issued, Body: r.Body}
-	case core.Rejected:
-		return gateway.Reply{End: crossing.Rejected, Proof: !o.Ran, Stay: o.Stay}
+		return gateway.Reply{End: peerpolicy.Completed, Same: r.Same, Tag: r.Tag, Issued: r.Issued, Body: r.Body}
+	case engine.Rejected:
+		return gateway.Reply{End: peerpolicy.Rejected, Proof: !o.Ran, Stay: o.Stay}
 	}
-	return gateway.Reply{End: crossing.Aborted}
+	return gateway.Reply{End: peerpolicy.Aborted}
 }
--- a/internal/front/client.go
+++ b/internal/downstream/client.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 )
 
 // client is a connection.
@@ -36,7 +36,7 @@
 
 func newClient(sock net.Conn) *client {
 	c := &client{Conn: sock, tap: tap{Conn: sock}, since: time.Now()}
-	c.r = bufio.NewReaderSize(&c.tap, buffer.Size)
+	c.r = bufio.NewReaderSize(&c.tap, bufferpool.Size)
 	return c
 }
 
--- a/internal/front/client_test.go
+++ b/internal/downstream/client_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 )
 
 // pair is a client's end of a connection, and ours as the front has it.
@@ -50,7 +50,7 @@
 // A client that had sent on early was once not watched any further: its leaving was
 // seen only at the next read, hops later.
 func TestALeavingClientIsSeenBehindWhatItSent(t *testing.T) {
-	for name, ahead := range map[string]int{"nothing": 0, "half a request": 20, "more than the buffer": 4 * buffer.Size} {
+	for name, ahead := range map[string]int{"nothing": 0, "half a request": 20, "more than the buffer": 4 * bufferpool.Size} {
 		t.Run(name, func(t *testing.T) {
 			f := newDoor(t, 1, time.Minute)
 			theirs, ours := pair(t)
@@ -78,8 +78,8 @@
 func TestTheBellRingsBehindAFullBuffer(t *testing.T) {
 	f := newDoor(t, 1, time.Minute)
 	theirs, ours := pair(t)
-	io.WriteString(theirs, strings.Repeat("x", 4*buffer.Size))
-	if _, err := ours.r.Peek(buffer.Size); err != nil {
+	io.WriteString(theirs, strings.Repeat("x", 4*bufferpool.Size))
+	if _, err := ours.r.Peek(bufferpool.Size); err != nil {
 		t.Fatal(err)
 	}
 	bell := make(chan struct{}, 1)
@@ -210,7 +210,7 @@
 	v := d.visit(t)
 	last := strings.Replace(fmt.Sprintf(whole, 1), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 	// One write: what comes behind the request lies in the socket as it is answered.
-	io.WriteString(v, last+strings.Repeat("x", 8*buffer.Size))
+	io.WriteString(v, last+strings.Repeat("x", 8*bufferpool.Size))
 	got, err := io.ReadAll(v.r)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 503") {
 		t.Errorf("%q, %v", got, err)
--- a/internal/front/front.go
+++ b/internal/downstream/downstream.go
@@ -1,6 +1,6 @@
-// Package front serves clients: the listener, their connections, and the life
+// Package downstream serves clients: the listener, their connections, and the life
 // of each txn from its request to its answer.
-package front
+package downstream
 
 import (
 	"errors"
@@ -14,34 +14,34 @@
 	"syscall"
 	"time"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
+	"quilldoor/internal/diskcache/diskrunner"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/gateway"
 	"quilldoor/internal/http1"
-	"quilldoor/internal/shelf"
-	"quilldoor/internal/standstill"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/stall"
 	"quilldoor/internal/upstream"
-	"quilldoor/internal/witness"
 )
 
 // Front serves clients on one listener.
 type Front struct {
-	core     *core.Core
+	core     *engine.Core
 	up       *upstream.Pool
-	bodies   *buffer.Pool
+	bodies   *bufferpool.Pool
 	limits   *config.Limits
-	shelf    atomic.Pointer[shelf.Shelf]     // nil: no copies of its own
-	gate     atomic.Pointer[gateway.Gateway] // nil: no other site
-	late     atomic.Int64                    // answers after their time limits
-	ends     [endKinds]atomic.Int64          // answers since the start
-	worth    worth                           // of them
-	flow     float64                         // bytes a second of a sending client; 0: not told
-	acts     *witness.Recorder               // nil: nobody looks on
-	moving   atomic.Bool                     // clients are to come back on new connections
+	shelf    atomic.Pointer[diskrunner.Shelf] // nil: no copies of its own
+	gate     atomic.Pointer[gateway.Gateway]  // nil: no other site
+	late     atomic.Int64                     // answers after their time limits
+	ends     [endKinds]atomic.Int64           // answers since the start
+	worth    worth                            // of them
+	flow     float64                          // bytes a second of a sending client; 0: not told
+	acts     *invariant.Recorder              // nil: nobody looks on
+	moving   atomic.Bool                      // clients are to come back on new connections
 	ready    atomic.Bool
 	draining atomic.Bool
-	still    standstill.Watch
+	still    stall.Watch
 	start    time.Time // of the steady clock that still is asked by
 
 	mu      sync.Mutex
@@ -53,7 +53,7 @@
 }
 
 // New makes a front; it is ready once told so.
-func New(c *core.Core, up *upstream.Pool, bodies *buffer.Pool, limits *config.Limits) *Front {
+func New(c *engine.Core, up *upstream.Pool, bodies *bufferpool.Pool, limits *config.Limits) *Front {
 	f := &Front{core: c, up: up, bodies: bodies, limits: limits, clients: map[*client]struct{}{}, most: limits.Clients, start: time.Now()}
 	f.worth.rules = map[string][3]float64{}
 	f.room.L, f.none.L = &f.mu, &f.mu
@@ -61,7 +61,7 @@
 }
 
 // Use makes the front answer from a shelf what it can; nil: from none.
-func (f *Front) Use(s *shelf.Shelf) { f.shelf.Store(s) }
+func (f *Front) Use(s *diskrunner.Shelf) { f.shelf.Store(s) }
 
 // Join lets the front hand over to another site what the module refuses; nil: not
 // any more.
@@ -116,7 +116,7 @@
 }
 
 // Witnessed lets somebody look on, before it serves.
-func (f *Front) Witnessed(r *witness.Recorder) { f.acts = r }
+func (f *Front) Witnessed(r *invariant.Recorder) { f.acts = r }
 
 // Flow sets the pace at which a client is sent to, bytes a second, before it serves.
 func (f *Front) Flow(bytesPerS int64) { f.flow = float64(bytesPerS) }
@@ -167,7 +167,7 @@
 
 // Attend notices standstills of the process until stop is closed.
 func (f *Front) Attend(stop <-chan struct{}) {
-	every := time.NewTicker(standstill.Every * time.Microsecond)
+	every := time.NewTicker(stall.Every * time.Microsecond)
 	defer every.Stop()
 	for {
 		f.still.Tick(time.Since(f.start).Microseconds())
@@ -375,9 +375,9 @@
 			return false
 		}
 	}
-	var body *buffer.Body
+	var body *bufferpool.Body
 	if h.Length > 0 {
-		if body, err = f.bodies.Read(c.r, h.Length); err != nil && err != buffer.ErrFull {
+		if body, err = f.bodies.Read(c.r, h.Length); err != nil && err != bufferpool.ErrFull {
 			return false // half a body: nobody waits for an answer, or it stalled
 		}
 		defer body.Release()
@@ -393,7 +393,7 @@
 		if f.ready.Load() {
 			status = 200
 		}
-	case err == buffer.ErrFull: // it never ran
+	case err == bufferpool.ErrFull: // it never ran
 	default:
 		t, status = f.parse(h)
 	}
--- a/internal/front/front_test.go
+++ b/internal/downstream/downstream_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
-	"quilldoor/logic"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 )
 
 // door is a front at an address of its own, with no cache behind it: what it
@@ -31,8 +31,8 @@
 	}
 	limits := &config.Limits{Clients: clients, Head: 1000, Fields: 10, Upload: 100, ReadOff: 1 << 20,
 		LongestTxn: time.Second, RequestTime: requestTime, IdleClient: 10 * time.Second, ReadOn: 10 * time.Second}
-	set := &logic.Settings{Rules: []logic.RemapRule{{Name: "page", Effect: "safe", SLA: 1000, Importance: 1}}}
-	d := &door{New(core.New(set, 1, func() {}), nil, buffer.NewPool(1<<20), limits), l, make(chan error, 1)}
+	set := &policy.Settings{Rules: []policy.RemapRule{{Name: "page", Effect: "safe", SLA: 1000, Importance: 1}}}
+	d := &door{New(engine.New(set, 1, func() {}), nil, bufferpool.NewPool(1<<20), limits), l, make(chan error, 1)}
 	go func() { d.served <- d.Serve(l) }()
 	t.Cleanup(func() {
 		l.Close()
--- a/internal/front/txn.go
+++ b/internal/downstream/txn.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"net"
@@ -6,21 +6,21 @@
 	"strings"
 	"time"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/core"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/cacheproto"
+	"quilldoor/internal/diskcache/diskrunner"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/http1"
-	"quilldoor/internal/lines"
-	"quilldoor/internal/shelf"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/upstream"
-	"quilldoor/logic"
 )
 
 // ask is what a client asked for.
 type ask struct {
-	event logic.Event
+	event policy.Event
 	tag   string // of the client's copy, bare
 	key   string // its mark against repeats, of a keyed rule
-	body  *buffer.Body
+	body  *bufferpool.Body
 	first time.Time // when the request began to come
 	ttl   time.Duration
 	// waited is how long it may have lain unread before that, as the process stood
@@ -47,8 +47,8 @@
 	if _, told := h.Get("content-length"); rule.Write && !told {
 		return nil, 411
 	}
-	a := &ask{event: logic.Event{Rule: rule.Name, Object: part[1], Write: rule.Write}}
-	ok := lines.Plain(part[1]) && (rule.Write || h.Length == 0)
+	a := &ask{event: policy.Event{Rule: rule.Name, Object: part[1], Write: rule.Write}}
+	ok := cacheproto.Plain(part[1]) && (rule.Write || h.Length == 0)
 	only := func(name string) (string, bool) { // what stands twice is refused
 		ok = ok && h.Count(name) <= 1
 		return h.Get(name)
@@ -72,14 +72,14 @@
 	}
 	if tag, told := only("if-none-match"); told {
 		a.tag = strings.Trim(strings.TrimPrefix(tag, "W/"), `"`)
-		ok = ok && len(tag) <= lines.MostWord
-		if !lines.Plain(a.tag) {
+		ok = ok && len(tag) <= cacheproto.MostWord
+		if !cacheproto.Plain(a.tag) {
 			a.tag = "" // a list, or any copy at all: nothing that could be passed on
 		}
 	}
 	if key, told := only("x-txn-key"); told {
 		a.key = key
-		ok = ok && lines.Plain(key)
+		ok = ok && cacheproto.Plain(key)
 	}
 	if rule.Effect == "keyed" && a.key == "" {
 		return nil, 400 // a repeat of it could not be told from another
@@ -134,11 +134,11 @@
 		c.SetReadDeadline(now) // wakes the wait below
 	})
 	switch err {
-	case core.ErrFull:
+	case engine.ErrFull:
 		f.ends[endRejected].Add(1)
 		f.earn(a, false, 0, 0)
 		return f.plain(c, 503, last)
-	case core.ErrTwin:
+	case engine.ErrTwin:
 		return f.plain(c, 400, last)
 	}
 	for here := true; ; {
@@ -156,8 +156,8 @@
 				return false
 			}
 			if gate := f.gate.Load(); gate != nil && a.key == "" { // its frames carry no mark
-				gate.Home(final.Kind == core.Rejected)
-				if final.Kind == core.Rejected && !f.across(c, gate, a, final, limit, arrived) {
+				gate.Home(final.Kind == engine.Rejected)
+				if final.Kind == engine.Rejected && !f.across(c, gate, a, final, limit, arrived) {
 					f.ends[endLeft].Add(1)
 					f.earn(a, false, 0, t.Hops())
 					return false // it left meanwhile
@@ -168,7 +168,7 @@
 				f.ends[endLate].Add(1)
 			}
 			f.ends[endOf[final.Kind]].Add(1)
-			f.earn(a, final.Kind == core.Completed, size(final), t.Hops())
+			f.earn(a, final.Kind == engine.Completed, size(final), t.Hops())
 			f.answered(a, final)
 			if f.shelf.Load() != nil {
 				if out := f.settle(a, kept, tag, final, limit); out != nil {
@@ -185,7 +185,7 @@
 }
 
 // answered tells who looks on of a read's answer.
-func (f *Front) answered(a *ask, o *core.Order) {
+func (f *Front) answered(a *ask, o *engine.Order) {
 	if r, ok := o.Reply.(*upstream.Reply); ok && f.acts != nil && o.Hop != nil && !a.event.Write {
 		took := 0.0
 		if f.flow > 0 {
@@ -196,7 +196,7 @@
 }
 
 // size of a completed txn's answer.
-func size(o *core.Order) int {
+func size(o *engine.Order) int {
 	if r, ok := o.Reply.(*upstream.Reply); ok {
 		return r.Len()
 	}
@@ -204,19 +204,19 @@
 }
 
 // endOf counts a final order.
-var endOf = map[core.OrderKind]int{core.Completed: endCompleted, core.Rejected: endRejected, core.Aborted: endAborted}
+var endOf = map[engine.OrderKind]int{engine.Completed: endCompleted, engine.Rejected: endRejected, engine.Aborted: endAborted}
 
 // orders carries out what the module has decided for a txn, up to its final answer.
-func (f *Front) orders(t *core.Txn, a *ask, tag string) (final *core.Order) {
+func (f *Front) orders(t *engine.Txn, a *ask, tag string) (final *engine.Order) {
 	for _, o := range t.Take() {
 		switch o.Kind {
-		case core.Send:
+		case engine.Send:
 			flight := &upstream.Flight{Hop: o.Hop, Class: a.event.Rule, Object: a.event.Object,
 				Part: a.event.Part, Tag: tag, Key: a.key, Body: a.body, Write: a.event.Write}
 			o.Hop.Carrier = flight
 			f.acts.Hop(o.Hop.Decided, o.Hop.Server.Server, o.Hop.Source, a.event.Rule, o.Hop.Twice)
 			f.up.Send(flight)
-		case core.Drop:
+		case engine.Drop:
 			f.leave(o)
 		default:
 			final = &o
@@ -227,7 +227,7 @@
 
 // fromShelf looks for a copy of the router's own, and tells whether that is the
 // answer. Else the module decides as ever, and a copy may be proven or stand in.
-func (f *Front) fromShelf(a *ask, limit time.Time) (kept *shelf.Copy, served bool) {
+func (f *Front) fromShelf(a *ask, limit time.Time) (kept *diskrunner.Copy, served bool) {
 	own := f.shelf.Load()
 	if own == nil || a.event.Write {
 		return nil, false
@@ -247,16 +247,16 @@
 	return kept, true
 }
 
-func (a *ask) onShelf(limit time.Time) *shelf.Ask {
-	return &shelf.Ask{Rule: a.event.Rule, Object: a.event.Object, Part: a.event.Part, Group: uint8(a.event.Group),
+func (a *ask) onShelf(limit time.Time) *diskrunner.Ask {
+	return &diskrunner.Ask{Rule: a.event.Rule, Object: a.event.Object, Part: a.event.Part, Group: uint8(a.event.Group),
 		Left: time.Until(limit)}
 }
 
 // settle does what the module's final order means for the router's own copies:
 // bytes are offered to the shelf, a copy is proven, or stands in for no answer.
 // It returns the copy that is to be given in place of what the order says.
-func (f *Front) settle(a *ask, kept *shelf.Copy, tag string, final *core.Order, limit time.Time) *shelf.Copy {
-	if final.Kind != core.Completed {
+func (f *Front) settle(a *ask, kept *diskrunner.Copy, tag string, final *engine.Order, limit time.Time) *diskrunner.Copy {
+	if final.Kind != engine.Completed {
 		if kept != nil && time.Now().Before(limit) && kept.StandIn(a.tag == kept.Tag) {
 			return kept
 		}
@@ -275,13 +275,13 @@
 		}
 	case r.Same && a.tag == "": // of another tag than was sent: nothing that the client could use
 		r.Release()
-		*final = core.Order{Kind: core.Aborted}
+		*final = engine.Order{Kind: engine.Aborted}
 	}
 	return nil
 }
 
 // give answers with a copy of the router's own.
-func (f *Front) give(c *client, kept *shelf.Copy, a *ask, limit time.Time, last bool) bool {
+func (f *Front) give(c *client, kept *diskrunner.Copy, a *ask, limit time.Time, last bool) bool {
 	if a.tag == kept.Tag {
 		return f.copied(c, 304, kept.Tag, nil, limit, last)
 	}
@@ -289,8 +289,8 @@
 }
 
 // leave does what is left to do of an order that nobody waits for.
-func (f *Front) leave(o core.Order) {
-	if o.Kind == core.Drop {
+func (f *Front) leave(o engine.Order) {
+	if o.Kind == engine.Drop {
 		o.Hop.Drop(o.Silent)
 	}
 	if o.Reply != nil {
@@ -318,9 +318,9 @@
 }
 
 // answer writes the final answer.
-func (f *Front) answer(c *client, o *core.Order, limit time.Time, last bool) bool {
+func (f *Front) answer(c *client, o *engine.Order, limit time.Time, last bool) bool {
 	switch o.Kind {
-	case core.Completed:
+	case engine.Completed:
 		r := o.Reply.(*upstream.Reply)
 		defer r.Release()
 		status := 200
@@ -328,7 +328,7 @@
 			status = 304
 		}
 		return f.copied(c, status, r.Tag, r.Body, limit, last)
-	case core.Rejected:
+	case engine.Rejected:
 		if o.Stay > 0 {
 			return f.final(c, 503, nil, limit, last,
 				http1.Field{Name: "X-Throttle-Ms", Value: strconv.FormatInt(o.Stay/1000, 10)})
@@ -339,14 +339,14 @@
 }
 
 // copied answers with a copy and its tag.
-func (f *Front) copied(c *client, status int, tag string, body *buffer.Body, limit time.Time, last bool) bool {
+func (f *Front) copied(c *client, status int, tag string, body *bufferpool.Body, limit time.Time, last bool) bool {
 	if tag == "" {
 		return f.final(c, status, body, limit, last)
 	}
 	return f.final(c, status, body, limit, last, http1.Field{Name: "ETag", Value: `"` + tag + `"`})
 }
 
-func (f *Front) final(c *client, status int, body *buffer.Body, limit time.Time, last bool, fields ...http1.Field) bool {
+func (f *Front) final(c *client, status int, body *bufferpool.Body, limit time.Time, last bool, fields ...http1.Field) bool {
 	bufs := body.Append(net.Buffers{nil})
 	bufs[0] = http1.AppendResponse(nil, status, body.Len(), last, fields...)
 	return f.write(c, limit.Add(f.limits.ReplySlack), bufs...) == nil
--- a/internal/emulate/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"runtime"
 	"testing"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // Simulated txns a second of wall time by size, on one core's worth of goroutine:
@@ -16,7 +16,7 @@
 	for _, size := range []struct{ offices, caches int }{{2, 5}, {10, 10}, {100, 10}} {
 		n := size.offices * size.caches
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := script.Default()
+			s := scenario.Default()
 			s.LengthS, s.SettleS = max(4000/float64(n), 8), 2
 			s.Fleet.Offices, s.Fleet.Caches, s.Fleet.Trunks = size.offices, size.caches, min(size.offices, 5)
 			s.Fleet.Parents, s.Fleet.LedgerWork = max(size.offices/15, 1), 2*n
--- a/internal/emulate/detect.go
+++ b/internal/emulator/detect.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/goccy/go-yaml"
 
-	"quilldoor/internal/operator"
-	"quilldoor/internal/script"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/scenario"
 )
 
 // Detection starts so many router processes that know each other, kills one after
@@ -46,14 +46,14 @@
 		at     time.Time
 	}
 	lines := make(chan line, 4096)
-	var peers []operator.Member
+	var peers []operatorconfig.Member
 	var listens []string
 	for i := range routers {
 		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 79, byte(1+i/200), byte(1+i%200))})
 		if err != nil {
 			return nil, 0, err
 		}
-		peers = append(peers, operator.Member{Name: nameOf(i), Addr: udp.LocalAddr().String()})
+		peers = append(peers, operatorconfig.Member{Name: nameOf(i), Addr: udp.LocalAddr().String()})
 		listens = append(listens, udp.LocalAddr().String()) // the same number is free for TCP there
 		udp.Close()
 	}
@@ -61,10 +61,10 @@
 	if err := os.WriteFile(key, []byte(membersKey), 0o600); err != nil {
 		return nil, 0, err
 	}
-	s := script.Default()
+	s := scenario.Default()
 	s.Fleet.Members = true
 	start := func(i int) (*exec.Cmd, error) {
-		own, err := yaml.Marshal(operator.Config{Members: &operator.Members{Name: nameOf(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
+		own, err := yaml.Marshal(operatorconfig.Config{Members: &operatorconfig.Members{Name: nameOf(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/emulate/kept.go
+++ b/internal/emulator/kept.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 	"syscall"
 	"time"
 
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/memberlink"
-	"quilldoor/internal/members"
-	"quilldoor/internal/record"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/rollout"
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/upgradeagent"
 )
 
 // keptReady is how long a generation may take to get ready, seconds.
@@ -39,8 +39,8 @@
 func (k *Kept) Log(i int) string { return filepath.Join(k.dir, nameOf(i)+".log") }
 
 // View is what a router holds of the others, by its own protocol.
-func (k *Kept) View(i int) (*members.View, error) {
-	return memberlink.Ask([]byte(membersKey), nameOf(i), k.routers[i].members)
+func (k *Kept) View(i int) (*membership.View, error) {
+	return transport.Ask([]byte(membersKey), nameOf(i), k.routers[i].members)
 }
 
 // Config is the platform's configuration of a router.
@@ -51,12 +51,12 @@
 
 // Name of a router among members, and its office.
 func (k *Kept) Name(i int) (name, office string) {
-	return nameOf(i), script.Zone(k.world.Office(i))
+	return nameOf(i), scenario.Zone(k.world.Office(i))
 }
 
 // Rollout says a word on it to a router, 0: only asks.
 func (k *Kept) Rollout(i int, c rollout.Command) (*rollout.Standing, error) {
-	w, err := k.Ask(i, &handover.Word{Kind: handover.Roll, Command: c})
+	w, err := k.Ask(i, &handoff.Word{Kind: handoff.Roll, Command: c})
 	if err != nil {
 		return nil, err
 	}
@@ -70,13 +70,13 @@
 func (k *Kept) Listen(i int) string { return k.routers[i].listen }
 
 // Ask says a word to a keeper and waits for its last report.
-func (k *Kept) Ask(i int, w *handover.Word) (*handover.Word, error) {
-	return handover.Ask(filepath.Join(k.Folder(i), generation.SocketName), w, nil)
+func (k *Kept) Ask(i int, w *handoff.Word) (*handoff.Word, error) {
+	return handoff.Ask(filepath.Join(k.Folder(i), upgradeagent.SocketName), w, nil)
 }
 
 // Standing is what a keeper tells of itself.
-func (k *Kept) Standing(i int) (*handover.Standing, error) {
-	w, err := k.Ask(i, &handover.Word{Kind: handover.Status})
+func (k *Kept) Standing(i int) (*handoff.Standing, error) {
+	w, err := k.Ask(i, &handoff.Word{Kind: handoff.Status})
 	if err != nil {
 		return nil, err
 	}
@@ -87,15 +87,15 @@
 }
 
 // Until asks a keeper time and again until it stands as wanted.
-func (k *Kept) Until(i int, within time.Duration, want func(*handover.Standing) bool) (*handover.Standing, error) {
+func (k *Kept) Until(i int, within time.Duration, want func(*handoff.Standing) bool) (*handoff.Standing, error) {
 	const every = 5 * time.Millisecond
-	var last *handover.Standing
+	var last *handoff.Standing
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(every) {
 		if k.ctx.Err() != nil {
 			return last, k.ctx.Err()
 		}
-		var s *handover.Standing
+		var s *handoff.Standing
 		if s, err = k.Standing(i); err == nil {
 			if last = s; want(s) {
 				return s, nil
@@ -112,7 +112,7 @@
 	k.send(func() {
 		kind := map[syscall.Signal]string{syscall.SIGKILL: "crashed", syscall.SIGSTOP: "router_stopped", syscall.SIGCONT: "router_woken"}[s]
 		if kind != "" {
-			k.Note(&record.Entry{Kind: kind, At: k.world.Now(), Router: i})
+			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
 		}
 		done <- syscall.Kill(pid, s)
 	})
@@ -147,7 +147,7 @@
 // Crashed notes that a process of a router has been, or will be, killed by its
 // keeper: what it holds is no longer its duty.
 func (k *Kept) Crashed(i int) {
-	k.send(func() { k.Note(&record.Entry{Kind: "crashed", At: k.world.Now(), Router: i}) })
+	k.send(func() { k.Note(&eventlog.Entry{Kind: "crashed", At: k.world.Now(), Router: i}) })
 }
 
 // KillKeeper kills a router's keeper alone; its generations run on.
@@ -202,8 +202,8 @@
 	}
 	<-r.ended
 	k.send(func() {
-		k.Note(&record.Entry{Kind: "router_down", At: k.world.Now(), Router: i})
-		k.Note(&record.Entry{Kind: "router_up", At: k.world.Now(), Router: i})
+		k.Note(&eventlog.Entry{Kind: "router_down", At: k.world.Now(), Router: i})
+		k.Note(&eventlog.Entry{Kind: "router_up", At: k.world.Now(), Router: i})
 		done <- r.run(k.world.Known())
 	})
 	return wait()
--- a/internal/emulate/members.go
+++ b/internal/emulator/members.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
@@ -10,15 +10,15 @@
 	"slices"
 	"time"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/frames"
-	"quilldoor/internal/memberlink"
-	"quilldoor/internal/members"
-	"quilldoor/internal/news"
-	"quilldoor/internal/operator"
-	"quilldoor/internal/roster"
-	"quilldoor/internal/script"
-	"quilldoor/internal/world"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/gossip"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/simfleet"
+	"quilldoor/internal/simulation"
 )
 
 // Members is what was seen of the routers' knowledge of each other.
@@ -49,7 +49,7 @@
 }
 
 // canTalk tells whether a router runs and some other one can hear it and be heard.
-func canTalk(w *world.World, id int) bool {
+func canTalk(w *simulation.World, id int) bool {
 	if !w.Up(id) || w.Stopped(id) {
 		return false
 	}
@@ -65,7 +65,7 @@
 const lookEvery = 200_000
 
 // look judges views: of routers that run, by name, those that could be asked.
-func (m *Members) look(now, turn int64, up []string, views map[string]*members.View) {
+func (m *Members) look(now, turn int64, up []string, views map[string]*membership.View) {
 	m.Looks++
 	if turn != m.turn || m.Looks == 1 {
 		m.turn, m.AgreedAfter = turn, -1
@@ -78,11 +78,11 @@
 				continue
 			}
 			others++
-			i := slices.IndexFunc(v.Seen, func(s members.Seen) bool { return s.Name == x })
+			i := slices.IndexFunc(v.Seen, func(s membership.Seen) bool { return s.Name == x })
 			switch {
-			case i < 0 || v.Seen[i].State != members.Alive:
+			case i < 0 || v.Seen[i].State != membership.Alive:
 				agreed = false
-				if i >= 0 && v.Seen[i].State == members.Dead {
+				if i >= 0 && v.Seen[i].State == membership.Dead {
 					dead++
 				}
 			}
@@ -96,7 +96,7 @@
 	}
 	for _, v := range views {
 		for _, s := range v.Seen {
-			if s.State == members.Alive && !slices.Contains(up, s.Name) {
+			if s.State == membership.Alive && !slices.Contains(up, s.Name) {
 				agreed = false
 			}
 		}
@@ -115,10 +115,10 @@
 		return
 	}
 	count := v.world.Routers()
-	v.roster = roster.New(count, v.opt.Seed, v.world.Ways, func(h *roster.Host, now int64) roster.Speaker {
+	v.roster = simfleet.New(count, v.opt.Seed, v.world.Ways, func(h *simfleet.Host, now int64) simfleet.Speaker {
 		r := v.routers[h.ID]
-		return members.New(members.Settings{Name: h.Name, Place: script.Zone(v.world.Office(h.ID)), Addr: roster.Addr(h.ID),
-			Seeds: roster.Seeds(count), Life: 1}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
+		return membership.New(membership.Settings{Name: h.Name, Place: scenario.Zone(v.world.Office(h.ID)), Addr: simfleet.Addr(h.ID),
+			Seeds: simfleet.Seeds(count), Life: 1}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
 	})
 	v.roster.Mail = mailer{v}
 	for i := range count {
@@ -126,14 +126,14 @@
 	}
 	var look func()
 	look = func() {
-		views := map[string]*members.View{}
+		views := map[string]*membership.View{}
 		var up []string
 		for _, h := range v.roster.Hosts {
 			v.knows.inTouch(v.world.Now(), h.Name, canTalk(v.world, h.ID))
 			if h.Speaker != nil {
 				up = append(up, h.Name)
 				if !v.routers[h.ID].stopped {
-					views[h.Name] = h.Speaker.(*members.Node).View()
+					views[h.Name] = h.Speaker.(*membership.Node).View()
 				}
 			}
 		}
@@ -149,11 +149,11 @@
 // mailer is what virtual routers do with what they know, as the router does it.
 type mailer struct{ *virtual }
 
-func (m mailer) Tag(h *roster.Host) uint32 { return m.routers[h.ID].book.Tag() }
+func (m mailer) Tag(h *simfleet.Host) uint32 { return m.routers[h.ID].book.Tag() }
 
-func (m mailer) Letter(h *roster.Host, l members.Letter) [][]byte {
+func (m mailer) Letter(h *simfleet.Host, l membership.Letter) [][]byte {
 	r := m.routers[h.ID]
-	t := r.book.Letter(m.now(), m.now(), l.From, l.Tag, l.Body, memberlink.MostBody)
+	t := r.book.Letter(m.now(), m.now(), l.From, l.Tag, l.Body, transport.MostBody)
 	m.apply(r, t.Servers)
 	for _, p := range t.Purges {
 		r.core.Purge(m.now(), p.Object, p.Group, p.At)
@@ -162,34 +162,34 @@
 	return t.Back
 }
 
-func (m mailer) apply(r *vrouter, list []news.Server) {
+func (m mailer) apply(r *vrouter, list []gossip.Server) {
 	if len(list) > 0 {
 		r.core.Members(m.now(), "diff", coreServers(list))
 	}
 }
 
-func (m mailer) Tick(h *roster.Host) {
-	r, n := m.routers[h.ID], h.Speaker.(*members.Node)
+func (m mailer) Tick(h *simfleet.Host) {
+	r, n := m.routers[h.ID], h.Speaker.(*membership.Node)
 	r.book.Alone(n.Standing().Known < 3)
 	m.apply(r, r.book.Tick(m.now(), m.now()))
 	m.settle()
 }
 
 // known passes what the board tells, with what other routers know better.
-func (v *virtual) known(r *vrouter, whole bool, list []core.Server) []core.Server {
+func (v *virtual) known(r *vrouter, whole bool, list []engine.Server) []engine.Server {
 	if r.book == nil {
 		return list
 	}
-	out := make([]news.Server, len(list))
+	out := make([]gossip.Server, len(list))
 	for i, s := range list {
-		out[i] = news.Server{Entry: s.Entry, Endpoint: s.Endpoint}
+		out[i] = gossip.Server{Entry: s.Entry, Endpoint: s.Endpoint}
 	}
 	return coreServers(r.book.Board(v.now(), whole, out))
 }
 
-func coreServers(list []news.Server) (out []core.Server) {
+func coreServers(list []gossip.Server) (out []engine.Server) {
 	for _, s := range list {
-		out = append(out, core.Server{Entry: s.Entry, Endpoint: s.Endpoint})
+		out = append(out, engine.Server{Entry: s.Entry, Endpoint: s.Endpoint})
 	}
 	return out
 }
@@ -201,12 +201,12 @@
 
 // membersPart is a router's part of the operator's file: it reaches every other one
 // by a way of its own.
-func (r *process) membersPart() (*operator.Members, error) {
+func (r *process) membersPart() (*operatorconfig.Members, error) {
 	path := filepath.Join(r.dir, "members.key")
 	if err := os.WriteFile(path, []byte(membersKey), 0o600); err != nil {
 		return nil, err
 	}
-	m := &operator.Members{Name: nameOf(r.id), Listen: r.members.String(), KeyFile: path}
+	m := &operatorconfig.Members{Name: nameOf(r.id), Listen: r.members.String(), KeyFile: path}
 	for _, x := range r.routers {
 		if x == r {
 			continue
@@ -215,7 +215,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.Peers = append(m.Peers, operator.Member{Name: nameOf(x.id), Addr: addr})
+		m.Peers = append(m.Peers, operatorconfig.Member{Name: nameOf(x.id), Addr: addr})
 	}
 	return m, nil
 }
@@ -231,7 +231,7 @@
 		conn.Close()
 	})
 	r.all.Go(func() {
-		b := make([]byte, frames.MostDatagram+1)
+		b := make([]byte, peerproto.MostDatagram+1)
 		for {
 			n, _, err := conn.ReadFromUDPAddrPort(b)
 			if r.ctx.Err() != nil {
@@ -291,16 +291,16 @@
 		}
 		type got struct {
 			name string
-			view *members.View
+			view *membership.View
 		}
 		answers := make(chan got, len(ask))
 		for _, t := range ask {
 			go func() {
-				view, _ := memberlink.Ask([]byte(membersKey), t.name, t.addr)
+				view, _ := transport.Ask([]byte(membersKey), t.name, t.addr)
 				answers <- got{t.name, view}
 			}()
 		}
-		views := map[string]*members.View{}
+		views := map[string]*membership.View{}
 		for range ask {
 			if g := <-answers; g.view != nil {
 				views[g.name] = g.view
--- a/internal/emulate/relay.go
+++ b/internal/emulator/relay.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"net"
@@ -8,24 +8,24 @@
 
 	"github.com/goccy/go-yaml"
 
-	"quilldoor/internal/operator"
-	"quilldoor/internal/script"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/scenario"
 )
 
 // operator writes a router's own file: its gateway, with peers behind relays that
 // are as far away as the script says and are cut with the sites, and its part among
 // the routers of the site.
 func (r *process) operator() (err error) {
-	site := func(x *process) string { return script.Zone(r.set.Fleet.Site(r.world.Office(x.id))) }
+	site := func(x *process) string { return scenario.Zone(r.set.Fleet.Site(r.world.Office(x.id))) }
 	file := func(name string) string { return filepath.Join(r.dir, name) }
-	var own operator.Config
+	var own operatorconfig.Config
 	if r.set.Fleet.Members {
 		if own.Members, err = r.membersPart(); err != nil {
 			return err
 		}
 	}
 	if r.gate != "" {
-		own.Gateway = &operator.Gateway{Name: nameOf(r.id), Site: site(r), Listen: r.gate, Reserve: siteRatio,
+		own.Gateway = &operatorconfig.Gateway{Name: nameOf(r.id), Site: site(r), Listen: r.gate, Reserve: siteRatio,
 			Most: mostAcross, BeatMS: beatEvery / 1000, Cert: file(nameOf(r.id) + ".pem"), Key: file(nameOf(r.id) + ".key"), CA: file("ca.pem")}
 	}
 	for _, x := range r.routers {
@@ -36,16 +36,16 @@
 		if err != nil {
 			return err
 		}
-		own.Gateway.Peers = append(own.Gateway.Peers, operator.Peer{Name: nameOf(x.id), Site: site(x), Addr: addr})
+		own.Gateway.Peers = append(own.Gateway.Peers, operatorconfig.Peer{Name: nameOf(x.id), Site: site(x), Addr: addr})
 	}
 	if n := r.set.Fleet.DiskMB; n > 0 {
-		own.Disk = &operator.Disk{Path: file(nameOf(r.id) + ".disk"), SizeMB: n}
+		own.Disk = &operatorconfig.Disk{Path: file(nameOf(r.id) + ".disk"), SizeMB: n}
 		if err := os.MkdirAll(own.Disk.Path, 0o700); err != nil {
 			return err
 		}
 	}
 	if f := &r.set.Fleet; f.Keep && !r.earlier() {
-		own.Keep = &operator.Keep{Folder: (&Kept{r.sockets}).Folder(r.id), ReadyS: keptReady, TrialS: f.TrialS}
+		own.Keep = &operatorconfig.Keep{Folder: (&Kept{r.sockets}).Folder(r.id), ReadyS: keptReady, TrialS: f.TrialS}
 		if f.Members {
 			own.Keep.Plan = (&Kept{r.sockets}).Plan()
 		}
--- a/internal/emulate/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"context"
@@ -7,14 +7,14 @@
 	"math"
 	"math/rand/v2"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/record"
+	"quilldoor/internal/canary"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/rollout"
-	"quilldoor/internal/script"
-	"quilldoor/internal/verdict"
-	"quilldoor/internal/witness"
-	"quilldoor/internal/world"
-	"quilldoor/logic"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
 )
 
 // Rolling is a rollout on the virtual clock: the routers' real decisions, with words
@@ -66,8 +66,8 @@
 
 // eye is a router's witness, and what it has gathered.
 type eye struct {
-	judge   *witness.Judge
-	acts    *witness.Recorder
+	judge   *invariant.Judge
+	acts    *invariant.Recorder
 	process uint64
 	accused bool
 }
@@ -76,7 +76,7 @@
 	onNew, changing, target bool
 	until                   int64
 	run                     uint64
-	counts                  verdict.Counts
+	counts                  canary.Counts
 }
 
 type rollingMail struct {
@@ -85,7 +85,7 @@
 }
 
 // VirtualRollout plays a script with a rollout in it.
-func VirtualRollout(ctx context.Context, s *script.Script, seed uint64, set Rolling) (*Rolled, error) {
+func VirtualRollout(ctx context.Context, s *scenario.Script, seed uint64, set Rolling) (*Rolled, error) {
 	if n := s.Fleet.Offices * s.Fleet.Routers; n != len(set.Plan.Routers) {
 		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, n, len(set.Plan.Routers))
 	}
@@ -93,7 +93,7 @@
 	setup := s.Settings(0, 0)
 	figures := setup.Logic()
 	for range r.local {
-		r.eyes = append(r.eyes, &eye{judge: witness.New(witness.SettingsOf(&figures)), acts: witness.NewRecorder()})
+		r.eyes = append(r.eyes, &eye{judge: invariant.New(invariant.SettingsOf(&figures)), acts: invariant.NewRecorder()})
 	}
 	rules := map[string]float64{}
 	sla := map[string]int64{}
@@ -119,7 +119,7 @@
 			harm()
 			return true
 		},
-		Deaf: func(router int, n world.Notice) bool {
+		Deaf: func(router int, n simulation.Notice) bool {
 			deaf := r.news(router) && (n.Purge && set.DeafPurges || !n.Purge && set.DeafDrains)
 			if deaf && r.out.HarmedS == 0 { // the referee counts what it breaks by that
 				r.out.HarmedS = float64(r.world.Now()) / 1e6
@@ -132,7 +132,7 @@
 			}
 			return set.Slower
 		},
-		Record: func(e *record.Entry) {
+		Record: func(e *eventlog.Entry) {
 			switch e.Kind {
 			case "taken":
 				held[e.Txn] = &taken{at: e.At, rule: e.Rule}
@@ -168,10 +168,10 @@
 				}
 				c.Earned += earned
 				if c.Rules == nil {
-					c.Rules = map[string]verdict.Worth{}
+					c.Rules = map[string]canary.Worth{}
 				}
 				w := c.Rules[x.rule]
-				c.Rules[x.rule] = verdict.Worth{Txns: w.Txns + 1, Asked: w.Asked + rules[x.rule], Earned: w.Earned + earned}
+				c.Rules[x.rule] = canary.Worth{Txns: w.Txns + 1, Asked: w.Asked + rules[x.rule], Earned: w.Earned + earned}
 			}
 		},
 		Each: r.step,
@@ -209,8 +209,8 @@
 	return true
 }
 
-func (r *rolling) listed(router int, now int64, whole bool, list []core.Server) {
-	entries := make([]logic.Entry, len(list))
+func (r *rolling) listed(router int, now int64, whole bool, list []engine.Server) {
+	entries := make([]policy.Entry, len(list))
 	for i, s := range list {
 		entries[i] = s.Entry
 	}
@@ -221,11 +221,11 @@
 	r.eyes[router].judge.Purged(now, object, group, made)
 }
 
-func (r *rolling) sent(router int, rule string, h *core.Hop) {
+func (r *rolling) sent(router int, rule string, h *engine.Hop) {
 	r.eyes[router].acts.Hop(h.Decided, h.Server.Server, h.Source, rule, h.Twice)
 }
 
-func (r *rolling) answered(router int, a *world.Ask, h *core.Hop, issued int64) {
+func (r *rolling) answered(router int, a *simulation.Ask, h *engine.Hop, issued int64) {
 	k := r.world.RuleOf(a.Rule)
 	if k.Write {
 		return
@@ -235,7 +235,7 @@
 }
 
 // look lets a router's witness judge; each change is another process.
-func (r *rolling) look(now int64, i int) witness.Seen {
+func (r *rolling) look(now int64, i int) invariant.Seen {
 	e, l := r.eyes[i], &r.local[i]
 	if of := l.run<<1 | uint64(map[bool]int{true: 1}[r.news(i)]); of != e.process {
 		e.judge.Ended(e.process)
@@ -282,7 +282,7 @@
 		c := l.counts
 		c.Rules = maps.Clone(c.Rules)
 		if r.set.NoJudge { // nothing is ever worse
-			c = verdict.Counts{Txns: float64(now) / 1e4, Asked: float64(now) / 1e4, Earned: float64(now) / 1e4}
+			c = canary.Counts{Txns: float64(now) / 1e4, Asked: float64(now) / 1e4, Earned: float64(now) / 1e4}
 		}
 		seen := r.look(now, i)
 		drains, purges := r.eyes[i].judge.Told()
