--- a/internal/emulate/server.go
+++ b/internal/emulator/server.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bufio"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"quilldoor/internal/lines"
-	"quilldoor/internal/record"
-	"quilldoor/internal/script"
-	"quilldoor/internal/world"
+	"quilldoor/internal/cacheproto"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
 )
 
 // place is where one router finds one server. Its books are the loop's.
@@ -121,7 +121,7 @@
 	}()
 	r := bufio.NewReaderSize(sock, 16<<10)
 	for {
-		cmd, err := lines.ReadCommand(r)
+		cmd, err := cacheproto.ReadCommand(r)
 		if err != nil {
 			return
 		}
@@ -131,7 +131,7 @@
 			if _, err := io.ReadFull(r, body); err != nil {
 				return
 			}
-			if err := lines.ReadEnd(r); err != nil {
+			if err := cacheproto.ReadEnd(r); err != nil {
 				return
 			}
 			p.send(func() { p.hop(c, cmd.Get, body) })
@@ -144,7 +144,7 @@
 }
 
 // hop hands a hop to the world.
-func (p *place) hop(c *lineConn, g *lines.Get, body []byte) {
+func (p *place) hop(c *lineConn, g *cacheproto.Get, body []byte) {
 	x := p.asks[g.ID]
 	if x == nil {
 		x = p.carried(g.ID)
@@ -153,35 +153,35 @@
 		x = p.guest(g)
 	}
 	if x == nil { // its client has just left, or the id is none of ours
-		c.put(lines.AppendAnswer(nil, &lines.Answer{ID: g.ID, Word: lines.Stale}))
+		c.put(cacheproto.AppendAnswer(nil, &cacheproto.Answer{ID: g.ID, Word: cacheproto.Stale}))
 		c.put([]byte("\r\n"))
 		return
 	}
 	h := &lineHop{conn: c, id: g.ID, n: x.hops, body: body}
 	x.hops++
 	c.hops[g.ID] = h
-	p.world.Hop(&world.Hop{Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Rank, Mode: g.Mode,
+	p.world.Hop(&simulation.Hop{Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Rank, Mode: g.Mode,
 		Within: g.Age * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h})
 }
 
 // guest makes a txn of somebody else's request, such as a person's by curl. The
 // record has it as given up when its time is over.
-func (p *place) guest(g *lines.Get) *asked {
+func (p *place) guest(g *cacheproto.Get) *asked {
 	rule, group, kb, known := p.world.Object(g.Object, g.Part)
 	if !known || p.world.RuleOf(rule).Name != g.Class {
 		return nil
 	}
-	a := &world.Ask{Router: p.id, Txn: g.ID, Rule: rule, Object: g.Object, Part: g.Part, Group: group, SizeKB: kb}
+	a := &simulation.Ask{Router: p.id, Txn: g.ID, Rule: rule, Object: g.Object, Part: g.Part, Group: group, SizeKB: kb}
 	x := &asked{Ask: a, cancel: func() {}}
 	p.asks[g.ID] = x
 	now := p.world.Now()
-	p.Note(&record.Entry{Kind: "taken", At: now, Router: p.id, Txn: g.ID, Rule: g.Class, Object: g.Object, Group: group,
+	p.Note(&eventlog.Entry{Kind: "taken", At: now, Router: p.id, Txn: g.ID, Rule: g.Class, Object: g.Object, Group: group,
 		Deadline: now + g.Budget*1000})
 	time.AfterFunc(time.Duration(g.Budget)*time.Millisecond, func() {
 		p.send(func() {
 			if p.asks[g.ID] == x {
 				delete(p.asks, g.ID)
-				p.Note(&record.Entry{Kind: "final", At: p.world.Now(), Router: p.id, Txn: g.ID, Outcome: "aborted"})
+				p.Note(&eventlog.Entry{Kind: "final", At: p.world.Now(), Router: p.id, Txn: g.ID, Outcome: "aborted"})
 			}
 		})
 	})
@@ -204,13 +204,13 @@
 }
 
 var (
-	answerOf  = map[string]lines.Word{"done": lines.Ack, "busy": lines.Again, "enoent": lines.NoEnt, "err": lines.EIO}
+	answerOf  = map[string]cacheproto.Word{"done": cacheproto.Ack, "busy": cacheproto.Again, "enoent": cacheproto.NoEnt, "err": cacheproto.EIO}
 	garbage   = []byte("%% ACK entity\r\n")
 	secondKey = "recorded "
 )
 
 // end writes the world's end of a hop.
-func (h *lineHop) end(w *world.Hop, e world.End) {
+func (h *lineHop) end(w *simulation.Hop, e simulation.End) {
 	c := h.conn
 	if c.hops[h.id] != h {
 		return
@@ -224,10 +224,10 @@
 		c.reset()
 		return
 	}
-	a := lines.Answer{ID: h.id, Word: word, Note: e.Note, Delay: float64(e.Waited) / 1000, Load: e.Load}
+	a := cacheproto.Answer{ID: h.id, Word: word, Note: e.Note, Delay: float64(e.Waited) / 1000, Load: e.Load}
 	var body []byte
-	if word == lines.Ack {
-		if w.Rule == script.Accept {
+	if word == cacheproto.Ack {
+		if w.Rule == scenario.Accept {
 			body = append([]byte(secondKey), h.body...)
 		} else {
 			body = bodyOf(w.Object, w.Part, e.Issued, w.SizeKB)
@@ -236,7 +236,7 @@
 		}
 	}
 	a.Length = len(body)
-	c.put(append(append(lines.AppendAnswer(nil, &a), body...), "\r\n"...))
+	c.put(append(append(cacheproto.AppendAnswer(nil, &a), body...), "\r\n"...))
 }
 
 // put queues bytes. What a connection may have waiting is bounded by its streams.
--- a/internal/emulate/sites.go
+++ b/internal/emulator/sites.go
@@ -1,15 +1,15 @@
-package emulate
+package emulator
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/crossing"
-	"quilldoor/internal/record"
-	"quilldoor/internal/world"
-	"quilldoor/logic"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/simulation"
 )
 
 // Sites joined on the virtual clock: the gates are the router's, the wire between
@@ -39,7 +39,7 @@
 		}
 	}
 	r.from, r.beats = map[string]*vtxn{}, map[*vrouter]int64{}
-	r.gate = crossing.New(crossing.Settings{Name: nameOf(r.id), Site: fmt.Sprint(site), Most: mostAcross, Reserve: siteRatio,
+	r.gate = peerpolicy.New(peerpolicy.Settings{Name: nameOf(r.id), Site: fmt.Sprint(site), Most: mostAcross, Reserve: siteRatio,
 		Beat: beatEvery}, peers)
 	self := r.core
 	var beat func()
@@ -62,7 +62,7 @@
 				if p.gate == nil || p.core == nil || r.core != self {
 					return
 				}
-				if q := p.gate.Peer(nameOf(r.id)); q.Trust == crossing.Away || q.Incarnation < r.starts {
+				if q := p.gate.Peer(nameOf(r.id)); q.Trust == peerpolicy.Away || q.Incarnation < r.starts {
 					p.gate.Up(v.now(), nameOf(r.id), r.starts)
 				}
 				p.gate.Beat(v.now(), nameOf(r.id), offer, false, int64(2*v.set.Fleet.SiteMS*1000))
@@ -79,7 +79,7 @@
 func (v *virtual) silent(r *vrouter, now int64) {
 	var gone []*vtxn
 	for _, x := range r.open {
-		if x.home != nil && now-r.beats[x.home] > crossing.Patience*beatEvery {
+		if x.home != nil && now-r.beats[x.home] > peerpolicy.Patience*beatEvery {
 			gone = append(gone, x)
 		}
 	}
@@ -135,15 +135,15 @@
 	}
 }
 
-var effectOf = map[string]crossing.Effect{"safe": crossing.Safe, "keyed": crossing.Keyed, "unsafe": crossing.Unsafe}
+var effectOf = map[string]peerpolicy.Effect{"safe": peerpolicy.Safe, "keyed": peerpolicy.Keyed, "unsafe": peerpolicy.Unsafe}
 
 // cross hands over a txn that the module has refused; false: it stays.
-func (v *virtual) cross(t *vtxn, o core.Order) bool {
+func (v *virtual) cross(t *vtxn, o engine.Order) bool {
 	r, a, now := t.router, t.ask, v.now()
 	rule := v.world.RuleOf(a.Rule)
 	left := a.Deadline() - v.world.Now()
-	p, reason := r.gate.Cross(now, &crossing.Ask{Txn: a.Txn, Effect: effectOf[rule.Effect], Clean: !o.Ran, Deadline: now + left})
-	if reason != crossing.Good {
+	p, reason := r.gate.Cross(now, &peerpolicy.Ask{Txn: a.Txn, Effect: effectOf[rule.Effect], Clean: !o.Ran, Deadline: now + left})
+	if reason != peerpolicy.Good {
 		return false
 	}
 	r.gate.Written(a.Txn)
@@ -168,15 +168,15 @@
 	if far.gate == nil || far.core == nil {
 		return // no process: the gate hears of it by silence
 	}
-	if far.gate.Arrive(v.now(), nameOf(home.id), a.Txn, []string{nameOf(home.id)}, 0) != crossing.Good || far.open[a.Txn] != nil {
-		v.back(far, home, t, crossing.Far{End: crossing.Rejected, Proof: true}, 0)
+	if far.gate.Arrive(v.now(), nameOf(home.id), a.Txn, []string{nameOf(home.id)}, 0) != peerpolicy.Good || far.open[a.Txn] != nil {
+		v.back(far, home, t, peerpolicy.Far{End: peerpolicy.Rejected, Proof: true}, 0)
 		return
 	}
 	b := *a
 	b.Router = far.id
-	v.Note(&record.Entry{Kind: "carried", At: v.world.Now(), Router: far.id, Txn: a.Txn, Hop: home.id})
+	v.Note(&eventlog.Entry{Kind: "carried", At: v.world.Now(), Router: far.id, Txn: a.Txn, Hop: home.id})
 	x := &vtxn{router: far, core: far.core, ask: &b, home: home}
-	txn, err := far.core.Open(v.now(), logic.Event{Txn: a.Txn, Rule: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
+	txn, err := far.core.Open(v.now(), policy.Event{Txn: a.Txn, Rule: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
 		Part: a.Part, Remaining: left, Repeat: a.Again, Write: a.Write}, func() {
 		if !x.rung && !x.over {
 			x.rung = true
@@ -185,7 +185,7 @@
 	})
 	if err != nil {
 		far.gate.Served(v.now(), nameOf(home.id), a.Txn, false)
-		v.back(far, home, t, crossing.Far{End: crossing.Rejected, Proof: true}, 0)
+		v.back(far, home, t, peerpolicy.Far{End: peerpolicy.Rejected, Proof: true}, 0)
 		return
 	}
 	x.txn = txn
@@ -193,28 +193,28 @@
 }
 
 // carriedBack is the far side's end of a txn.
-func (v *virtual) carriedBack(x *vtxn, outcome string, issued int64, o core.Order) {
+func (v *virtual) carriedBack(x *vtxn, outcome string, issued int64, o engine.Order) {
 	x.over = true
 	v.detach(x)
 	far := x.router
 	far.gate.Served(v.now(), nameOf(x.home.id), x.ask.Txn, outcome == "completed")
-	end := crossing.Far{End: crossing.Aborted}
+	end := peerpolicy.Far{End: peerpolicy.Aborted}
 	kb := 0.0
 	switch outcome {
 	case "completed":
-		end = crossing.Far{End: crossing.Completed, Issued: issued}
+		end = peerpolicy.Far{End: peerpolicy.Completed, Issued: issued}
 		kb = x.ask.SizeKB
 		if x.ask.Write {
 			end.Issued = 0
 		}
 	case "rejected":
-		end = crossing.Far{End: crossing.Rejected, Proof: !o.Ran}
+		end = peerpolicy.Far{End: peerpolicy.Rejected, Proof: !o.Ran}
 	}
 	v.back(far, x.home, &vtxn{ask: x.ask}, end, kb)
 }
 
 // back takes an answer home.
-func (v *virtual) back(far, home *vrouter, t *vtxn, end crossing.Far, kb float64) {
+func (v *virtual) back(far, home *vrouter, t *vtxn, end peerpolicy.Far, kb float64) {
 	pace := int64(kb / (sitePace * v.set.Fleet.FlowKBPerS) * 1e6)
 	v.world.After(pace, func() {
 		v.over(func() {
@@ -238,7 +238,7 @@
 }
 
 // purgedHere is the youngest purge that a router was told of and that binds a txn.
-func (v *virtual) purgedHere(r *vrouter, a *world.Ask) (at int64) {
+func (v *virtual) purgedHere(r *vrouter, a *simulation.Ask) (at int64) {
 	for _, p := range v.purges[r.id] {
 		if p.Object != "" && p.Object == a.Object || p.Object == "" && p.Group == a.Group {
 			at = max(at, p.At)
@@ -251,18 +251,18 @@
 func (v *virtual) crossed(r *vrouter) {
 	for _, a := range r.gate.Actions() {
 		switch a.Kind {
-		case crossing.Answer:
+		case peerpolicy.Answer:
 			t := r.from[a.Txn]
 			if t == nil {
 				continue
 			}
 			delete(r.from, a.Txn)
-			outcome := map[crossing.Outcome]string{crossing.Completed: "completed", crossing.Rejected: "rejected", crossing.Aborted: "aborted"}[a.End]
+			outcome := map[peerpolicy.Outcome]string{peerpolicy.Completed: "completed", peerpolicy.Rejected: "rejected", peerpolicy.Aborted: "aborted"}[a.End]
 			if outcome == "completed" {
 				v.world.Result.CrossedDone++
 			}
 			v.world.Final(r.id, a.Txn, outcome, t.issued, 500_000)
-		case crossing.Withdraw:
+		case peerpolicy.Withdraw:
 			for _, p := range v.peers(r) {
 				if nameOf(p.id) != a.Peer {
 					continue
--- a/internal/emulate/sockets.go
+++ b/internal/emulator/sockets.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bytes"
@@ -21,11 +21,11 @@
 	"syscall"
 	"time"
 
+	"quilldoor/internal/checker"
+	"quilldoor/internal/eventlog"
 	"quilldoor/internal/gateway"
-	"quilldoor/internal/record"
-	"quilldoor/internal/referee"
-	"quilldoor/internal/script"
-	"quilldoor/internal/world"
+	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
 )
 
 // Routers are the processes to play against.
@@ -63,9 +63,9 @@
 // world and what is below it; all others send it what comes in.
 type sockets struct {
 	opt     Options
-	set     *script.Script
-	world   *world.World
-	referee *referee.Referee
+	set     *scenario.Script
+	world   *simulation.World
+	referee *checker.Referee
 	routers []*process
 	client  *http.Client
 	start   time.Time
@@ -110,7 +110,7 @@
 
 // asked is a txn that the router has, with its hops so far.
 type asked struct {
-	*world.Ask
+	*simulation.Ask
 	hops    int
 	cancel  context.CancelFunc
 	carried bool // for a router of another site
@@ -118,7 +118,7 @@
 
 // Sockets plays a script in real time: it listens on loopback for all that routers
 // talk to, and starts a router process for each.
-func Sockets(ctx context.Context, s *script.Script, opt Options, conf Routers) (*Result, error) {
+func Sockets(ctx context.Context, s *scenario.Script, opt Options, conf Routers) (*Result, error) {
 	f := &s.Fleet
 	routers := f.Offices * f.Routers
 	n := routers * (f.Offices*f.Caches + f.Trunks*f.Parents + 1)
@@ -140,7 +140,7 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	v := &sockets{net: fmt.Sprintf("127.%d", firstNet+(os.Getpid()+int(played.Add(1)))%nets), opt: opt, set: s, referee: referee.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
+	v := &sockets{net: fmt.Sprintf("127.%d", firstNet+(os.Getpid()+int(played.Add(1)))%nets), opt: opt, set: s, referee: checker.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
 		fail: make(chan error, 1), ctx: ctx, cancel: cancel, conf: conf,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 4 * time.Second, DisableCompression: true}}}
 	defer func() {
@@ -151,7 +151,7 @@
 		v.client.CloseIdleConnections()
 		v.all.Wait()
 	}()
-	v.world = world.New(s, opt.Seed, v)
+	v.world = simulation.New(s, opt.Seed, v)
 	v.world.Slack = slackOnSockets
 	if f.Sites >= 2 {
 		var names []string
@@ -285,7 +285,7 @@
 // ---- What the world says ----
 
 // Ask sends a client's request.
-func (v *sockets) Ask(a *world.Ask) {
+func (v *sockets) Ask(a *simulation.Ask) {
 	r := v.routers[a.Router]
 	ctx, cancel := context.WithCancel(v.ctx)
 	x := &asked{Ask: a, cancel: cancel}
@@ -296,7 +296,7 @@
 		v.send(func() {
 			cancel()
 			if wrong != "" {
-				v.Note(&record.Entry{Kind: "wrong", At: v.world.Now(), Router: a.Router, Txn: a.Txn, State: wrong})
+				v.Note(&eventlog.Entry{Kind: "wrong", At: v.world.Now(), Router: a.Router, Txn: a.Txn, State: wrong})
 			}
 			v.everywhere(a.Txn)
 			if outcome == "" && r.asks[a.Txn] == x {
@@ -331,7 +331,7 @@
 			b.Router = r.id
 			mine := &asked{Ask: &b, cancel: func() {}, carried: true}
 			r.asks[txn] = mine
-			r.Note(&record.Entry{Kind: "carried", At: r.world.Now(), Router: r.id, Txn: txn, Hop: home.id})
+			r.Note(&eventlog.Entry{Kind: "carried", At: r.world.Now(), Router: r.id, Txn: txn, Hop: home.id})
 			return mine
 		}
 	}
@@ -339,14 +339,14 @@
 }
 
 // request is a try over HTTP. No outcome: there was no answer.
-func (v *sockets) request(ctx context.Context, listen string, a *world.Ask) (outcome string, issued, stay int64, wrong string) {
+func (v *sockets) request(ctx context.Context, listen string, a *simulation.Ask) (outcome string, issued, stay int64, wrong string) {
 	method, body := "GET", []byte(nil)
 	if a.Write {
 		method, body = "PUT", []byte("accepted "+a.Txn)
 	}
 	name := v.world.RuleOf(a.Rule).Name
 	url := "http://" + listen + "/rpc/" + name + "/" + a.Object
-	if a.Rule == script.Video {
+	if a.Rule == scenario.Video {
 		url += "/n-" + strconv.FormatInt(a.Part, 10)
 	}
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -396,7 +396,7 @@
 	return b[:n]
 }
 
-func readBody(got []byte, a *world.Ask) (issued int64, wrong string) {
+func readBody(got []byte, a *simulation.Ask) (issued int64, wrong string) {
 	line, _, _ := bytes.Cut(got, []byte(";"))
 	at := bytes.LastIndexByte(line, '@')
 	if at < 0 {
@@ -419,10 +419,10 @@
 }
 
 // End answers a hop.
-func (v *sockets) End(_ int, h *world.Hop, e world.End) { h.Tag.(*lineHop).end(h, e) }
+func (v *sockets) End(_ int, h *simulation.Hop, e simulation.End) { h.Tag.(*lineHop).end(h, e) }
 
 // Told puts an event on a router's board.
-func (v *sockets) Told(router int, n world.Notice) {
+func (v *sockets) Told(router int, n simulation.Notice) {
 	r := v.routers[router]
 	rev := len(r.events) + 1
 	if n.Purge {
@@ -438,7 +438,7 @@
 
 // Note passes a line of the record on; what becomes of servers moves their
 // listeners.
-func (v *sockets) Note(e *record.Entry) {
+func (v *sockets) Note(e *eventlog.Entry) {
 	v.cut.Store(v.world != nil && v.world.SitesCut())
 	switch e.Kind {
 	case "down", "started":
@@ -465,7 +465,7 @@
 }
 
 // Up starts it again.
-func (v *sockets) Up(router int, known []world.Server) {
+func (v *sockets) Up(router int, known []simulation.Server) {
 	if err := v.routers[router].run(known); err != nil {
 		v.failed(err)
 	}
@@ -576,7 +576,7 @@
 }
 
 // pool is a change of the list as the board words it.
-func (r *process) pool(rev int, list []world.Server, all bool) string {
+func (r *process) pool(rev int, list []simulation.Server, all bool) string {
 	type target struct {
 		UID          string  `json:"uid"`
 		Endpoint     string  `json:"endpoint"`
@@ -650,7 +650,7 @@
 }
 
 // run starts the process with the list as it is.
-func (r *process) run(known []world.Server) error {
+func (r *process) run(known []simulation.Server) error {
 	r.starts++
 	r.events = []string{r.pool(1, known, true)}
 	setup := r.set.Settings(r.world.Office(r.id), r.id)
--- a/internal/emulate/together_test.go
+++ b/internal/emulator/together_test.go
@@ -1,10 +1,10 @@
-package emulate
+package emulator
 
 import (
 	"context"
 	"testing"
 
-	"quilldoor/rehearsals"
+	"quilldoor/scenarios"
 )
 
 // Routers whose board is cut break rules when they know nobody, and none when the
@@ -13,7 +13,7 @@
 	alone := 0
 	for seed := range uint64(4) {
 		for _, know := range []bool{false, true} {
-			s, err := rehearsals.Load("board-cut-third")
+			s, err := scenarios.Load("board-cut-third")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulate/virtual.go
+++ b/internal/emulator/virtual.go
@@ -1,38 +1,38 @@
-// Package emulate drives a world: on a virtual clock, against the router's core
+// Package emulator drives a world: on a virtual clock, against the router's core
 // and module in one process (virtual.go), or on the real one, against router
 // processes on loopback (sockets.go). Neither holds rules of the world.
-package emulate
+package emulator
 
 import (
 	"container/heap"
 	"context"
 	"time"
 
-	"quilldoor/internal/core"
-	"quilldoor/internal/crossing"
-	"quilldoor/internal/news"
-	"quilldoor/internal/record"
-	"quilldoor/internal/referee"
-	"quilldoor/internal/roster"
-	"quilldoor/internal/script"
+	"quilldoor/internal/checker"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/gossip"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/scenario"
 	"quilldoor/internal/settings"
-	"quilldoor/internal/standstill"
-	"quilldoor/internal/world"
-	"quilldoor/logic"
+	"quilldoor/internal/simfleet"
+	"quilldoor/internal/simulation"
+	"quilldoor/internal/stall"
 )
 
 // Options of a run.
 type Options struct {
 	Seed     uint64
-	Record   func(*record.Entry)                        // each line of the record, valid during the call; nil: none
-	Progress func(done float64, seconds []world.Second) // about once a simulated second
+	Record   func(*eventlog.Entry)                           // each line of the record, valid during the call; nil: none
+	Progress func(done float64, seconds []simulation.Second) // about once a simulated second
 
 	// Of wrong routers, for tests of the referee and of the model.
-	Settings func(*settings.Setup)                 // changes what routers are handed
-	Deaf     func(router int, n world.Notice) bool // notices that it doesn't hear
-	Answer   func(txn string, n int) int           // how often they give an answer; nil: once
-	Refuse   func(router int, rule string) bool    // txns that it refuses as they come; nil: none
-	Lag      func(router int) float64              // how much longer its hops take, as a share; nil: no longer
+	Settings func(*settings.Setup)                      // changes what routers are handed
+	Deaf     func(router int, n simulation.Notice) bool // notices that it doesn't hear
+	Answer   func(txn string, n int) int                // how often they give an answer; nil: once
+	Refuse   func(router int, rule string) bool         // txns that it refuses as they come; nil: none
+	Lag      func(router int) float64                   // how much longer its hops take, as a share; nil: no longer
 
 	Each  func(now int64) // ten times a second; on the virtual clock
 	ready func(*virtual)
@@ -41,16 +41,16 @@
 
 // onlooker hears what a keeper would beside a router. Times are the routers'.
 type onlooker interface {
-	listed(router int, now int64, whole bool, list []core.Server)
+	listed(router int, now int64, whole bool, list []engine.Server)
 	purged(router int, now int64, object string, group, made int64)
-	sent(router int, rule string, h *core.Hop)
-	answered(router int, a *world.Ask, h *core.Hop, issued int64)
+	sent(router int, rule string, h *engine.Hop)
+	answered(router int, a *simulation.Ask, h *engine.Hop, issued int64)
 }
 
 // Result is what came of a run.
 type Result struct {
-	*world.Result
-	Breaks []referee.Break
+	*simulation.Result
+	Breaks []checker.Break
 	Count  [6]int // broken, by rule
 	Judged int
 	Late   int64 // on sockets: how late the model was at most, in microseconds
@@ -73,10 +73,10 @@
 const TooLate = 100_000
 
 // Figures of the rules for a script.
-func Figures(s *script.Script, slack int64) referee.Figures {
+func Figures(s *scenario.Script, slack int64) checker.Figures {
 	const toldBy = 7_000_000 // the platform's page: what the board has counts as told 7 s later
 	f := &s.Fleet
-	return referee.Figures{Rules: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
+	return checker.Figures{Rules: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
 		PurgeGrace: int64(f.PurgeMS * 1000), ToldBy: toldBy}
 }
 
@@ -86,32 +86,32 @@
 // virtual is a run on a virtual clock.
 type virtual struct {
 	opt     Options
-	set     *script.Script
-	world   *world.World
-	referee *referee.Referee
+	set     *scenario.Script
+	world   *simulation.World
+	referee *checker.Referee
 	routers []*vrouter
 	due     dueHeap
 	kicked  []*vrouter
 	ready   []*vtxn
-	purges  map[int][]world.Notice // that routers were told of, where sites are joined
-	roster  *roster.Fleet          // what routers know of each other; nil: nothing
+	purges  map[int][]simulation.Notice // that routers were told of, where sites are joined
+	roster  *simfleet.Fleet             // what routers know of each other; nil: nothing
 	knows   Members
 }
 
 // vrouter is a router: its core, and the time of its next timer.
 type vrouter struct {
 	id     int
-	core   *core.Core
+	core   *engine.Core
 	starts uint64
 	next   int64
 	place  int
 	kick   bool
 	open   map[string]*vtxn
-	gate   *crossing.Gate     // nil: its site is alone
+	gate   *peerpolicy.Gate   // nil: its site is alone
 	from   map[string]*vtxn   // txns that it has handed over
 	beats  map[*vrouter]int64 // when peers were heard
 
-	book *news.Book // nil: routers don't know each other
+	book *gossip.Book // nil: routers don't know each other
 
 	stopped   bool
 	held      []func() // what waits for it to go on
@@ -130,9 +130,9 @@
 
 type vtxn struct {
 	router *vrouter
-	core   *core.Core // the router may have been started again since
-	txn    *core.Txn
-	ask    *world.Ask
+	core   *engine.Core // the router may have been started again since
+	txn    *engine.Txn
+	ask    *simulation.Ask
 	rung   bool
 	over   bool
 	issued int64
@@ -145,9 +145,9 @@
 
 // Virtual plays a script on a virtual clock. The same script and seed give the
 // same result, whatever the machine.
-func Virtual(ctx context.Context, s *script.Script, opt Options) (*Result, error) {
-	v := &virtual{opt: opt, set: s, referee: referee.New(Figures(s, 8_000)), purges: map[int][]world.Notice{}}
-	v.world = world.New(s, opt.Seed, v)
+func Virtual(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
+	v := &virtual{opt: opt, set: s, referee: checker.New(Figures(s, 8_000)), purges: map[int][]simulation.Notice{}}
+	v.world = simulation.New(s, opt.Seed, v)
 	for i := range v.world.Routers() {
 		r := &vrouter{id: i, next: 1 << 62, place: -1}
 		v.routers = append(v.routers, r)
@@ -214,7 +214,7 @@
 }
 
 // start makes a router's core from nothing.
-func (v *virtual) start(r *vrouter, known []world.Server) {
+func (v *virtual) start(r *vrouter, known []simulation.Server) {
 	setup := v.set.Settings(v.world.Office(r.id), r.id)
 	if v.opt.Settings != nil {
 		v.opt.Settings(&setup)
@@ -223,9 +223,9 @@
 	r.starts++
 	r.open = map[string]*vtxn{}
 	// A core of before may still call its kick; it must not wake the new one.
-	var self *core.Core
+	var self *engine.Core
 	r.kick = false
-	self = core.New(&set, v.opt.Seed*1000+uint64(r.id)+r.starts<<32, func() {
+	self = engine.New(&set, v.opt.Seed*1000+uint64(r.id)+r.starts<<32, func() {
 		if r.core == self && !r.kick {
 			r.kick = true
 			v.kicked = append(v.kicked, r)
@@ -237,20 +237,20 @@
 		v.opt.looks.listed(r.id, v.now(), true, servers(known))
 	}
 	if v.set.Fleet.Members {
-		r.book = news.New(news.Settings{Keep: int64(v.set.Fleet.ClearedMS*1000) + longest})
+		r.book = gossip.New(gossip.Settings{Keep: int64(v.set.Fleet.ClearedMS*1000) + longest})
 		r.core.Peers(v.now(), v.now()+set.Contract.FallFor)
 	}
 	r.core.Members(v.now(), "disk", v.known(r, true, servers(known)))
 	v.run(r)
 }
 
-func servers(list []world.Server) (out []core.Server) {
+func servers(list []simulation.Server) (out []engine.Server) {
 	for _, s := range list {
 		e := s.Entry
 		if e.Born > 0 {
 			e.Born += epoch
 		}
-		out = append(out, core.Server{Entry: e, Endpoint: e.Server})
+		out = append(out, engine.Server{Entry: e, Endpoint: e.Server})
 	}
 	return out
 }
@@ -266,7 +266,7 @@
 	}
 	next, errands := r.core.Run(v.now())
 	for _, o := range errands {
-		if o.Kind == core.Drop {
+		if o.Kind == engine.Drop {
 			v.world.Cancel(r.id, o.Hop.Txn.ID, o.Hop.N)
 		}
 	}
@@ -298,27 +298,27 @@
 	}
 }
 
-func (v *virtual) orders(t *vtxn, orders []core.Order) {
+func (v *virtual) orders(t *vtxn, orders []engine.Order) {
 	for _, o := range orders {
 		switch o.Kind {
-		case core.Send:
+		case engine.Send:
 			v.send(t, o.Hop)
-		case core.Drop:
+		case engine.Drop:
 			v.world.Cancel(t.router.id, t.ask.Txn, o.Hop.N)
-		case core.Completed:
+		case engine.Completed:
 			if v.opt.looks != nil && o.Hop != nil && !t.over {
 				v.opt.looks.answered(t.router.id, t.ask, o.Hop, o.Reply.(reply).issued)
 			}
 			v.ended(t, "completed", o.Reply.(reply).issued, o)
-		case core.Rejected:
+		case engine.Rejected:
 			v.ended(t, "rejected", 0, o)
-		case core.Aborted:
+		case engine.Aborted:
 			v.ended(t, "aborted", 0, o)
 		}
 	}
 }
 
-func (v *virtual) send(t *vtxn, h *core.Hop) {
+func (v *virtual) send(t *vtxn, h *engine.Hop) {
 	if t.over || !h.Begin() {
 		return
 	}
@@ -326,7 +326,7 @@
 	if v.opt.looks != nil {
 		v.opt.looks.sent(t.router.id, v.world.RuleOf(a.Rule).Name, h)
 	}
-	x := &world.Hop{Router: t.router.id, Txn: a.Txn, N: h.N, Server: h.Server.Server, Source: h.Source, Rank: h.Rank,
+	x := &simulation.Hop{Router: t.router.id, Txn: a.Txn, N: h.N, Server: h.Server.Server, Source: h.Source, Rank: h.Rank,
 		Mode: h.Mode, Within: h.Age, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
 		Write: a.Write, Tag: h}
 	if x.Source == "" && h.Server.Kind == "ledger" {
@@ -337,7 +337,7 @@
 
 // ended takes the module's final order: it is the answer, unless another site has
 // handed the txn over, or takes it.
-func (v *virtual) ended(t *vtxn, outcome string, issued int64, o core.Order) {
+func (v *virtual) ended(t *vtxn, outcome string, issued int64, o engine.Order) {
 	switch {
 	case t.over:
 	case t.home != nil:
@@ -371,7 +371,7 @@
 func (v *virtual) detach(t *vtxn) {
 	delete(t.router.open, t.ask.Txn)
 	for _, o := range t.txn.Detach() {
-		if o.Kind == core.Drop {
+		if o.Kind == engine.Drop {
 			v.world.Cancel(t.router.id, t.ask.Txn, o.Hop.N)
 		}
 	}
@@ -380,23 +380,23 @@
 // ---- What the world says ----
 
 // Ask opens a txn.
-func (v *virtual) Ask(a *world.Ask) {
+func (v *virtual) Ask(a *simulation.Ask) {
 	v.routers[a.Router].act(func() { v.ask(a) })
 }
 
-func (v *virtual) ask(a *world.Ask) {
+func (v *virtual) ask(a *simulation.Ask) {
 	r := v.routers[a.Router]
 	t := &vtxn{router: r, core: r.core, ask: a}
 	// What is read as it wakes may have waited all the time, as front has it.
 	left := a.Limit
-	if r.wokeAt > 0 && v.now()-r.wokeAt < standstill.After {
+	if r.wokeAt > 0 && v.now()-r.wokeAt < stall.After {
 		left -= v.now() - r.stoppedAt
 	}
 	if left <= 0 || v.opt.Refuse != nil && v.opt.Refuse(r.id, v.world.RuleOf(a.Rule).Name) {
 		v.world.Final(r.id, a.Txn, "rejected", 0, 0)
 		return
 	}
-	txn, err := r.core.Open(v.now(), logic.Event{Txn: a.Txn, Rule: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
+	txn, err := r.core.Open(v.now(), policy.Event{Txn: a.Txn, Rule: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
 		Part: a.Part, Remaining: left, Repeat: a.Again, Write: a.Write}, func() {
 		if !t.rung && !t.over {
 			t.rung = true
@@ -432,20 +432,20 @@
 }
 
 // End ends a hop.
-func (v *virtual) End(router int, h *world.Hop, e world.End) {
+func (v *virtual) End(router int, h *simulation.Hop, e simulation.End) {
 	v.routers[router].act(func() { v.end(router, h, e) })
 }
 
-func (v *virtual) end(router int, h *world.Hop, e world.End) {
+func (v *virtual) end(router int, h *simulation.Hop, e simulation.End) {
 	r := v.routers[router]
-	o := core.Outcome{Code: e.Code, Note: e.Note, Waited: e.Waited, Load: e.Load}
+	o := engine.Outcome{Code: e.Code, Note: e.Note, Waited: e.Waited, Load: e.Load}
 	if e.Code == "done" {
 		o.Reply = reply{e.Issued}
 	}
 	if r.core == nil {
 		return
 	}
-	c, hop := r.core, h.Tag.(*core.Hop)
+	c, hop := r.core, h.Tag.(*engine.Hop)
 	if v.opt.Lag != nil {
 		if by := int64(v.opt.Lag(router) * float64(v.now()-hop.Decided)); by > 0 {
 			v.world.After(by, func() {
@@ -460,11 +460,11 @@
 }
 
 // Told tells a router of servers, or of a purge.
-func (v *virtual) Told(router int, n world.Notice) {
+func (v *virtual) Told(router int, n simulation.Notice) {
 	v.routers[router].act(func() { v.told(router, n) })
 }
 
-func (v *virtual) told(router int, n world.Notice) {
+func (v *virtual) told(router int, n simulation.Notice) {
 	r := v.routers[router]
 	if v.opt.looks != nil {
 		if n.Purge {
@@ -481,7 +481,7 @@
 			v.purges[router] = append(v.purges[router], n)
 		}
 		if r.book != nil {
-			r.book.Purged(v.now(), news.Purge{Object: n.Object, Group: n.Group, At: n.At + epoch})
+			r.book.Purged(v.now(), gossip.Purge{Object: n.Object, Group: n.Group, At: n.At + epoch})
 		}
 		r.core.Purge(v.now(), n.Object, n.Group, n.At+epoch)
 		return
@@ -507,7 +507,7 @@
 }
 
 // Up starts it from nothing.
-func (v *virtual) Up(router int, known []world.Server) {
+func (v *virtual) Up(router int, known []simulation.Server) {
 	v.start(v.routers[router], known)
 	if v.roster != nil {
 		v.roster.Start(router)
@@ -548,7 +548,7 @@
 }
 
 // Note passes a line of the record on.
-func (v *virtual) Note(e *record.Entry) {
+func (v *virtual) Note(e *eventlog.Entry) {
 	v.referee.Note(e)
 	if v.opt.Record != nil {
 		v.opt.Record(e)
--- a/internal/emulate/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -1,4 +1,4 @@
-package emulate
+package emulator
 
 import (
 	"bytes"
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"quilldoor/internal/record"
-	"quilldoor/internal/script"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/scenario"
 	"quilldoor/internal/settings"
-	"quilldoor/internal/world"
-	"quilldoor/rehearsals"
+	"quilldoor/internal/simulation"
+	"quilldoor/scenarios"
 )
 
-func play(t *testing.T, s *script.Script, opt Options) *Result {
+func play(t *testing.T, s *scenario.Script, opt Options) *Result {
 	t.Helper()
 	if opt.Seed == 0 {
 		opt.Seed = 1
@@ -26,9 +26,9 @@
 	return r
 }
 
-func load(t *testing.T, name string) *script.Script {
+func load(t *testing.T, name string) *scenario.Script {
 	t.Helper()
-	s, err := rehearsals.Load(name)
+	s, err := scenarios.Load(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // Each rehearsal twice: the same to the byte, record included, and today's router
 // breaks no rule.
 func TestRehearsalsAreRepeatable(t *testing.T) {
-	names := rehearsals.Names()
+	names := scenarios.Names()
 	if len(names) < 12 {
 		t.Fatalf("%d rehearsals", len(names))
 	}
@@ -52,7 +52,7 @@
 			for range 2 {
 				var all bytes.Buffer
 				enc := json.NewEncoder(&all)
-				r := play(t, load(t, name), Options{Record: func(e *record.Entry) { enc.Encode(e) }})
+				r := play(t, load(t, name), Options{Record: func(e *eventlog.Entry) { enc.Encode(e) }})
 				enc.Encode(r)
 				if first == nil {
 					first = all.Bytes()
@@ -91,12 +91,12 @@
 			return 1
 		}}, 1},
 		"repeats acceptances": {"rude-answers", Options{Settings: func(s *settings.Setup) {
-			s.Classes[script.Accept].Effect = "safe"
+			s.Classes[scenario.Accept].Effect = "safe"
 		}}, 2},
-		"deaf to drains": {"deploy-waves", Options{Deaf: func(_ int, n world.Notice) bool {
+		"deaf to drains": {"deploy-waves", Options{Deaf: func(_ int, n simulation.Notice) bool {
 			return !n.Purge && n.Servers[0].State != "active"
 		}}, 3},
-		"deaf to purges": {"blind-purge", Options{Deaf: func(_ int, n world.Notice) bool { return n.Purge }}, 5},
+		"deaf to purges": {"blind-purge", Options{Deaf: func(_ int, n simulation.Notice) bool { return n.Purge }}, 5},
 	} {
 		s := load(t, c.script)
 		r := play(t, s, c.opt)
@@ -113,13 +113,13 @@
 
 // coldStart is a fleet of which all but one cache of an office come back cold
 // under a load that the office can bear when it is warm.
-func coldStart() *script.Script {
-	s := script.Default()
+func coldStart() *scenario.Script {
+	s := scenario.Default()
 	s.LengthS = 40
 	s.Fleet.Offices, s.Fleet.Trunks, s.Fleet.Caches = 1, 1, 6
 	s.Fleet.ColdFrom, s.Fleet.FallMultiple = 0.15, 1.5
 	s.Load.TxnsPerS = 100
-	s.Troubles = []script.Trouble{{Kind: "die", At: 15, For: 4, Share: 0.34}}
+	s.Troubles = []scenario.Trouble{{Kind: "die", At: 15, For: 4, Share: 0.34}}
 	return &s
 }
 
@@ -146,7 +146,7 @@
 		s := load(t, name)
 		up := map[string]bool{}
 		dead := 0
-		r := play(t, s, Options{Record: func(e *record.Entry) {
+		r := play(t, s, Options{Record: func(e *eventlog.Entry) {
 			switch e.Kind {
 			case "down":
 				up[e.Server] = false
--- a/internal/core/core.go
+++ b/internal/engine/engine.go
@@ -1,19 +1,19 @@
-// Package core holds what stands between the decision module and the sockets:
+// Package engine holds what stands between the decision module and the sockets:
 // the open txns, their hops and timers, and the list of servers. It does no I/O
 // and reads no clock. What a txn has to do comes to its mailbox in order; the
 // meaning of events and actions is the simulator's.
-package core
+package engine
 
 import (
 	"errors"
 	"sync"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 // Server is one line of the list with its address.
 type Server struct {
-	logic.Entry
+	policy.Entry
 	Endpoint string
 }
 
@@ -29,26 +29,26 @@
 // Core drives one instance of the module. Its lock is held for decisions only.
 type Core struct {
 	mu      sync.Mutex
-	module  *logic.Router
-	limits  logic.Limits
-	rules   map[string]logic.RemapRule
+	module  *policy.Router
+	limits  policy.Limits
+	rules   map[string]policy.RemapRule
 	slack   int64           // after a txn's time limit, before it is closed here
 	purged  int64           // older purges bind no more
 	txns    map[string]*Txn // until closed and every hop has ended
 	open    int             // of them: not closed
 	servers map[string]*Server
 	timers  timers
-	queue   []logic.Event
-	acts    []logic.Action
+	queue   []policy.Event
+	acts    []policy.Action
 	errands []Order
 	kick    func()
 }
 
 // New starts the module. Kick is called, under the lock, when Run is wanted
 // sooner than it last said, or has errands.
-func New(set *logic.Settings, seed uint64, kick func()) *Core {
+func New(set *policy.Settings, seed uint64, kick func()) *Core {
 	c := &Core{
-		module: logic.New(*set, seed), limits: set.Limits, rules: map[string]logic.RemapRule{},
+		module: policy.New(*set, seed), limits: set.Limits, rules: map[string]policy.RemapRule{},
 		slack: set.Contract.AnswerSlack, purged: set.Family.PurgeDone,
 		txns: map[string]*Txn{}, servers: map[string]*Server{}, kick: kick,
 	}
@@ -59,7 +59,7 @@
 }
 
 // Rule finds a remap rule by its name.
-func (c *Core) Rule(name string) (logic.RemapRule, bool) {
+func (c *Core) Rule(name string) (policy.RemapRule, bool) {
 	k, known := c.rules[name]
 	return k, known
 }
@@ -78,7 +78,7 @@
 
 // Open takes a txn; e holds what the client told, Remaining included. Wake is
 // called, under the lock, when the mailbox has something new.
-func (c *Core) Open(now int64, e logic.Event, wake func()) (*Txn, error) {
+func (c *Core) Open(now int64, e policy.Event, wake func()) (*Txn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.limits.MaxOpen > 0 && c.open >= c.limits.MaxOpen {
@@ -91,16 +91,16 @@
 	c.txns[t.ID] = t
 	c.open++
 	t.limit = c.at(now, &timer{due: t.deadline + c.slack, txn: t})
-	e.Kind = logic.EvTxn
+	e.Kind = policy.EvTxn
 	c.handle(now, e)
 	return t, nil
 }
 
 // Kept counts a txn that a copy of the router's own answers. It never opens.
-func (c *Core) Kept(now int64, e logic.Event) {
+func (c *Core) Kept(now int64, e policy.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e.Kind = logic.EvKept
+	e.Kind = policy.EvKept
 	c.handle(now, e)
 }
 
@@ -110,7 +110,7 @@
 	defer c.mu.Unlock()
 	if !t.closed {
 		c.close(now, t)
-		c.handle(now, logic.Event{Kind: logic.EvAbandoned, Txn: t.ID})
+		c.handle(now, policy.Event{Kind: policy.EvAbandoned, Txn: t.ID})
 	}
 }
 
@@ -156,7 +156,7 @@
 	} else if o.Reply != nil {
 		o.Reply.Release()
 	}
-	c.queue = append(c.queue, logic.Event{Kind: logic.EvAnswer, Txn: t.ID, Server: h.Server.Server, Hop: h.N,
+	c.queue = append(c.queue, policy.Event{Kind: policy.EvAnswer, Txn: t.ID, Server: h.Server.Server, Hop: h.N,
 		Code: o.Code, Note: o.Note, Final: t.closed, RTT: now - h.Decided, Waited: o.Waited, Load: o.Load})
 	c.forget(t)
 }
@@ -167,7 +167,7 @@
 func (c *Core) Members(now int64, scope string, list []Server) (retired []*Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := logic.Event{Kind: logic.EvDiscovery, Scope: scope}
+	e := policy.Event{Kind: policy.EvDiscovery, Scope: scope}
 	named := map[string]bool{}
 	for _, s := range list {
 		named[s.Server] = true
@@ -195,19 +195,19 @@
 func (c *Core) Peers(now, hold int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(now, logic.Event{Kind: logic.EvPeers, Hold: hold})
+	c.handle(now, policy.Event{Kind: policy.EvPeers, Hold: hold})
 }
 
 // Learned is what the module knows, with its list of servers, for another generation
 // of this router.
-func (c *Core) Learned() *logic.Learned {
+func (c *Core) Learned() *policy.Learned {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.module.Learned()
 }
 
 // Learn takes it over, after the list and before the first txn.
-func (c *Core) Learn(l *logic.Learned) error {
+func (c *Core) Learn(l *policy.Learned) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.module.Learn(l)
@@ -224,7 +224,7 @@
 func (c *Core) Beside(now int64, outs map[string][3]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(now, logic.Event{Kind: logic.EvBeside, Outs: outs})
+	c.handle(now, policy.Event{Kind: policy.EvBeside, Outs: outs})
 }
 
 // Purge takes the purge of an object, or of a group where that is "", made at
@@ -233,7 +233,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now-at <= c.purged {
-		c.handle(now, logic.Event{Kind: logic.EvPurge, Object: object, Group: group, Age: max(now-at, 0)})
+		c.handle(now, policy.Event{Kind: policy.EvPurge, Object: object, Group: group, Age: max(now-at, 0)})
 	}
 }
 
@@ -241,7 +241,7 @@
 func (c *Core) Probed(now int64, server, code string, rtt int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(now, logic.Event{Kind: logic.EvHealth, Server: server, Code: code, RTT: rtt})
+	c.handle(now, policy.Event{Kind: policy.EvHealth, Server: server, Code: code, RTT: rtt})
 }
 
 // Run does what has fallen due, and returns when to call again at the latest
@@ -275,13 +275,13 @@
 		// No answer has come from the module by now, and one is owed.
 		d.txn.post(Order{Kind: Aborted, Ran: true})
 		c.close(now, d.txn)
-		c.queue = append(c.queue, logic.Event{Kind: logic.EvAbandoned, Txn: d.txn.ID})
+		c.queue = append(c.queue, policy.Event{Kind: policy.EvAbandoned, Txn: d.txn.ID})
 	default:
-		c.queue = append(c.queue, logic.Event{Kind: logic.EvTimer, Token: d.token})
+		c.queue = append(c.queue, policy.Event{Kind: policy.EvTimer, Token: d.token})
 	}
 }
 
-func (c *Core) handle(now int64, e logic.Event) {
+func (c *Core) handle(now int64, e policy.Event) {
 	c.queue = append(c.queue, e)
 	c.run(now)
 }
@@ -300,23 +300,23 @@
 	c.queue = nil
 }
 
-func (c *Core) act(now int64, a logic.Action) {
+func (c *Core) act(now int64, a policy.Action) {
 	t := c.txns[a.Txn]
 	switch a.Kind {
-	case logic.ActGet, logic.ActPass:
+	case policy.ActGet, policy.ActPass:
 		if t != nil {
 			c.send(now, t, a)
 		}
-	case logic.ActAbort, logic.ActReject:
+	case policy.ActAbort, policy.ActReject:
 		if t != nil && !t.closed {
 			kind := Aborted
-			if a.Kind == logic.ActReject {
+			if a.Kind == policy.ActReject {
 				kind = Rejected
 			}
 			t.post(Order{Kind: kind, Stay: a.Stay, Ran: t.ran || t.out > 0})
 			c.close(now, t)
 		}
-	case logic.ActCancel:
+	case policy.ActCancel:
 		if t != nil && a.Hop >= 0 && a.Hop < len(t.hops) && !t.hops[a.Hop].ended {
 			h := t.hops[a.Hop]
 			code := "ecanceled"
@@ -326,17 +326,17 @@
 			t.post(Order{Kind: Drop, Hop: h})
 			c.ended(now, h, Outcome{Code: code})
 		}
-	case logic.ActTimer:
+	case policy.ActTimer:
 		c.at(now, &timer{due: a.Due, token: a.Token})
-	case logic.ActProbe, logic.ActDisconnect:
+	case policy.ActProbe, policy.ActDisconnect:
 		if s := c.servers[a.Server]; s != nil {
 			kind := Probe
-			if a.Kind == logic.ActDisconnect {
+			if a.Kind == policy.ActDisconnect {
 				kind = Disconnect
 			}
 			c.errand(Order{Kind: kind, Server: s})
 		}
-	case logic.ActLog:
+	case policy.ActLog:
 		c.errand(Order{Kind: Log, Text: a.Text})
 	}
 	// The notice board is followed unasked, so there is nothing to subscribe to
@@ -350,7 +350,7 @@
 }
 
 // send makes a hop. One that can't go out ends at once, proven not to have run.
-func (c *Core) send(now int64, t *Txn, a logic.Action) {
+func (c *Core) send(now int64, t *Txn, a policy.Action) {
 	h := &Hop{Txn: t, N: len(t.hops), Rank: a.Rank, Age: a.Age, Mode: a.Mode, Due: t.deadline, Until: a.Until, Decided: now, Twice: t.unsafe && (t.ran || t.out > 0)}
 	t.hops = append(t.hops, h)
 	t.out++
@@ -361,7 +361,7 @@
 	}
 	h.Server = c.servers[a.Server]
 	if h.Server == nil {
-		h.Server = &Server{Entry: logic.Entry{Server: a.Server}}
+		h.Server = &Server{Entry: policy.Entry{Server: a.Server}}
 	}
 	if a.Source != a.Server {
 		h.Source = a.Source
--- a/internal/core/core_test.go
+++ b/internal/engine/engine_test.go
@@ -1,9 +1,9 @@
-package core
+package engine
 
 import (
 	"testing"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 const ms, start = int64(1000), int64(1_000_000_000)
@@ -14,13 +14,13 @@
 	rings int
 }
 
-func newWorld(change func(*logic.Settings)) *world {
-	set := logic.Settings{
+func newWorld(change func(*policy.Settings)) *world {
+	set := policy.Settings{
 		Siblings: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"box", "origin"},
-		Contract: logic.Contract{AnswerSlack: 8 * ms, ColdFor: 1000 * ms, ColdFrom: 0.5, FallFor: 1000 * ms, FallMultiple: 2},
-		Limits:   logic.Limits{Cancel: true, SecondCopies: true, MaxHops: 6},
-		Family:   logic.Family{Direct: true, ParentKind: -1, OriginKind: 1, PurgeDone: 6000 * ms},
-		Rules: []logic.RemapRule{
+		Contract: policy.Contract{AnswerSlack: 8 * ms, ColdFor: 1000 * ms, ColdFrom: 0.5, FallFor: 1000 * ms, FallMultiple: 2},
+		Limits:   policy.Limits{Cancel: true, SecondCopies: true, MaxHops: 6},
+		Family:   policy.Family{Direct: true, ParentKind: -1, OriginKind: 1, PurgeDone: 6000 * ms},
+		Rules: []policy.RemapRule{
 			{Name: "read", Effect: "safe", SLA: 200 * ms, Importance: 1},
 			{Name: "write", Effect: "unsafe", SLA: 200 * ms, Importance: 1, Write: true},
 		},
@@ -30,16 +30,16 @@
 	}
 	w := &world{Core: New(&set, 1, func() {})}
 	w.Members(start, "disk", []Server{
-		{Entry: logic.Entry{Server: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Endpoint: "a:1"},
-		{Entry: logic.Entry{Server: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Endpoint: "b:1"},
-		{Entry: logic.Entry{Server: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Endpoint: "o:1"},
+		{Entry: policy.Entry{Server: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Endpoint: "a:1"},
+		{Entry: policy.Entry{Server: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Endpoint: "b:1"},
+		{Entry: policy.Entry{Server: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Endpoint: "o:1"},
 	})
 	return w
 }
 
 func (w *world) ask(t *testing.T, rule string) *Txn {
 	t.Helper()
-	txn, err := w.Open(start, logic.Event{Txn: "t", Rule: rule, Object: "x", Remaining: 1000 * ms,
+	txn, err := w.Open(start, policy.Event{Txn: "t", Rule: rule, Object: "x", Remaining: 1000 * ms,
 		Write: rule == "write"}, func() { w.rings++ })
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	w := newWorld(nil)
 	var list []Server
 	for _, id := range []string{"a", "b"} {
-		list = append(list, Server{Entry: logic.Entry{Server: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
+		list = append(list, Server{Entry: policy.Entry{Server: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
 	}
 	if gone := w.Members(start, "diff", list); len(gone) != 2 {
 		t.Fatalf("retired %v", gone)
@@ -169,20 +169,20 @@
 }
 
 func TestOpenIsBounded(t *testing.T) {
-	w := newWorld(func(s *logic.Settings) { s.Limits.MaxOpen = 2 })
+	w := newWorld(func(s *policy.Settings) { s.Limits.MaxOpen = 2 })
 	w.ask(t, "read")
-	if _, err := w.Open(start, logic.Event{Txn: "t", Rule: "read"}, nil); err != ErrTwin {
+	if _, err := w.Open(start, policy.Event{Txn: "t", Rule: "read"}, nil); err != ErrTwin {
 		t.Fatalf("the same id again: %v", err)
 	}
-	w.Open(start, logic.Event{Txn: "u", Rule: "read", Object: "x", Remaining: ms}, func() {})
-	if _, err := w.Open(start, logic.Event{Txn: "v", Rule: "read"}, nil); err != ErrFull {
+	w.Open(start, policy.Event{Txn: "u", Rule: "read", Object: "x", Remaining: ms}, func() {})
+	if _, err := w.Open(start, policy.Event{Txn: "v", Rule: "read"}, nil); err != ErrFull {
 		t.Fatalf("one too many: %v", err)
 	}
 }
 
 // Orders that come once nobody reads the mailbox were once lost.
 func TestOrdersAfterDetachAreErrands(t *testing.T) {
-	w := newWorld(func(s *logic.Settings) { s.Limits.Cancel = false })
+	w := newWorld(func(s *policy.Settings) { s.Limits.Cancel = false })
 	txn := w.ask(t, "read")
 	h := next(t, txn, Send).Hop
 	h.Begin()
@@ -229,7 +229,7 @@
 // Where a site lets nobody cancel, a hop that waits for its connection once went out
 // for a client that had left, or behind its txn's answer.
 func TestNothingBeginsForAClosedTxnWhereNobodyMayCancel(t *testing.T) {
-	w := newWorld(func(s *logic.Settings) { s.Limits.Cancel = false })
+	w := newWorld(func(s *policy.Settings) { s.Limits.Cancel = false })
 	txn := w.ask(t, "read")
 	h := next(t, txn, Send).Hop
 	w.Leave(start+ms, txn)
@@ -252,8 +252,8 @@
 
 // The bound on a keyed repeat comes from the module to where it is written.
 func TestARepeatStandsWithinItsWindowOnly(t *testing.T) {
-	w := newWorld(func(s *logic.Settings) {
-		s.Rules[0] = logic.RemapRule{Name: "read", Effect: "keyed", Window: 300 * ms, SLA: 200 * ms, Importance: 1}
+	w := newWorld(func(s *policy.Settings) {
+		s.Rules[0] = policy.RemapRule{Name: "read", Effect: "keyed", Window: 300 * ms, SLA: 200 * ms, Importance: 1}
 	})
 	txn := w.ask(t, "read")
 	first := next(t, txn, Send).Hop
--- a/internal/core/timers.go
+++ b/internal/engine/timers.go
@@ -1,4 +1,4 @@
-package core
+package engine
 
 import "container/heap"
 
--- a/internal/record/record.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package record holds the lines of a run's record: what was asked, sent, run and
+// Package eventlog holds the lines of a run's record: what was asked, sent, run and
 // answered, by which the referee judges.
-package record
+package eventlog
 
 // Entry is one line of the record. At is in microseconds from the start. Kinds:
 //
--- a/internal/hunt/hunt.go
+++ b/internal/faultsearch/faultsearch.go
@@ -1,8 +1,8 @@
-// Package hunt looks for days on which a rule breaks or little is earned: it draws
+// Package faultsearch looks for days on which a rule breaks or little is earned: it draws
 // scripts by chance, has them played by a function that it is handed, and cuts those
 // that go wrong down to what matters (delta debugging: Zeller and Hildebrandt, 2002). It
 // does no I/O itself; the same seed draws the same days.
-package hunt
+package faultsearch
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // Space says what may be drawn.
@@ -52,8 +52,8 @@
 func one[T any](dice *rand.Rand, list ...T) T { return list[dice.IntN(len(list))] }
 
 // Draw makes a day.
-func Draw(dice *rand.Rand, space Space) *script.Script {
-	s := script.Default()
+func Draw(dice *rand.Rand, space Space) *scenario.Script {
+	s := scenario.Default()
 	f, l := &s.Fleet, &s.Load
 	s.Seed = 1 + dice.Uint64N(1<<32)
 	s.LengthS, s.SettleS = space.LengthS, settles
@@ -76,7 +76,7 @@
 	}
 	kinds := space.Kinds
 	if len(kinds) == 0 {
-		kinds = script.Names()
+		kinds = scenario.Names()
 	}
 	kinds = slices.DeleteFunc(slices.Clone(kinds), func(k string) bool {
 		return strings.HasPrefix(k, "ways_") && !f.Members || k == "site_cut" && f.Sites < 2
@@ -84,14 +84,14 @@
 	for range 1 + dice.IntN(max(space.Most, 1)) {
 		s.Troubles = append(s.Troubles, trouble(dice, &s, one(dice, kinds...)))
 	}
-	slices.SortStableFunc(s.Troubles, func(a, b script.Trouble) int { return int(math.Copysign(1, a.At-b.At)) })
+	slices.SortStableFunc(s.Troubles, func(a, b scenario.Trouble) int { return int(math.Copysign(1, a.At-b.At)) })
 	return &s
 }
 
-func trouble(dice *rand.Rand, s *script.Script, name string) script.Trouble {
+func trouble(dice *rand.Rand, s *scenario.Script, name string) scenario.Trouble {
 	const last = 12.0 // seconds at the end in which none begins
-	k := script.Kinds[name]
-	t := script.Trouble{Kind: name, At: round(settles + dice.Float64()*max(s.LengthS-settles-last, 1)), For: between(dice, 0.2, 9)}
+	k := scenario.Kinds[name]
+	t := scenario.Trouble{Kind: name, At: round(settles + dice.Float64()*max(s.LengthS-settles-last, 1)), For: between(dice, 0.2, 9)}
 	t.Share = one(dice, 1, between(dice, 0.05, 1))
 	switch k.Place {
 	case "":
@@ -119,8 +119,8 @@
 }
 
 // Text of a day: all in which it differs from the default.
-func Text(s *script.Script) ([]byte, error) {
-	d := script.Default()
+func Text(s *scenario.Script) ([]byte, error) {
+	d := scenario.Default()
 	mine, err := asMap(s)
 	if err != nil {
 		return nil, err
@@ -178,9 +178,9 @@
 // Shrink cuts a day down while bad still holds of it, with so many plays at most, and
 // tells how many it took. Troubles go first, several at a time; then what is left of them
 // is made shorter and weaker, and the fleet becomes the default's and smaller.
-func Shrink(s *script.Script, bad func(*script.Script) bool, most int) (*script.Script, int) {
+func Shrink(s *scenario.Script, bad func(*scenario.Script) bool, most int) (*scenario.Script, int) {
 	plays := 0
-	try := func(c *script.Script) bool {
+	try := func(c *scenario.Script) bool {
 		if plays >= most {
 			return false
 		}
@@ -214,7 +214,7 @@
 }
 
 // Copy of a day.
-func Copy(s *script.Script) *script.Script {
+func Copy(s *scenario.Script) *scenario.Script {
 	c := *s
 	c.Troubles = slices.Clone(s.Troubles)
 	c.Load.Weights = slices.Clone(s.Load.Weights)
@@ -222,20 +222,20 @@
 }
 
 // changes that make a day simpler, each by itself.
-func changes(s *script.Script) (list []func(*script.Script)) {
-	add := func(f func(*script.Script)) { list = append(list, f) }
+func changes(s *scenario.Script) (list []func(*scenario.Script)) {
+	add := func(f func(*scenario.Script)) { list = append(list, f) }
 	for i, t := range s.Troubles {
 		if t.Share != 1 {
-			add(func(c *script.Script) { c.Troubles[i].Share = 1 })
+			add(func(c *scenario.Script) { c.Troubles[i].Share = 1 })
 		}
 		if t.Office != 0 {
-			add(func(c *script.Script) { c.Troubles[i].Office = 0 })
+			add(func(c *scenario.Script) { c.Troubles[i].Office = 0 })
 		}
 		if t.For > 0.4 {
-			add(func(c *script.Script) { c.Troubles[i].For = round(t.For / 2) })
+			add(func(c *scenario.Script) { c.Troubles[i].For = round(t.For / 2) })
 		}
 	}
-	fits := func(c *script.Script) bool {
+	fits := func(c *scenario.Script) bool {
 		for _, t := range c.Troubles {
 			if t.Office > c.Fleet.Offices || t.Trunk > c.Fleet.Trunks || t.At > c.LengthS {
 				return false
@@ -243,8 +243,8 @@
 		}
 		return true
 	}
-	less := func(at func(*script.Script) *int, least int) {
-		add(func(c *script.Script) {
+	less := func(at func(*scenario.Script) *int, least int) {
+		add(func(c *scenario.Script) {
 			v := at(c)
 			if was := *v; was > least {
 				if *v = was - 1; !fits(c) {
@@ -253,39 +253,39 @@
 			}
 		})
 	}
-	less(func(c *script.Script) *int { return &c.Fleet.Offices }, 1)
-	less(func(c *script.Script) *int { return &c.Fleet.Routers }, 1)
-	less(func(c *script.Script) *int { return &c.Fleet.Caches }, 1)
-	less(func(c *script.Script) *int { return &c.Fleet.Trunks }, 1)
-	less(func(c *script.Script) *int { return &c.Load.Retries }, 0)
-	add(func(c *script.Script) { c.Fleet.Members = false })
-	add(func(c *script.Script) { c.Fleet.Sites = 0 })
-	add(func(c *script.Script) {
+	less(func(c *scenario.Script) *int { return &c.Fleet.Offices }, 1)
+	less(func(c *scenario.Script) *int { return &c.Fleet.Routers }, 1)
+	less(func(c *scenario.Script) *int { return &c.Fleet.Caches }, 1)
+	less(func(c *scenario.Script) *int { return &c.Fleet.Trunks }, 1)
+	less(func(c *scenario.Script) *int { return &c.Load.Retries }, 0)
+	add(func(c *scenario.Script) { c.Fleet.Members = false })
+	add(func(c *scenario.Script) { c.Fleet.Sites = 0 })
+	add(func(c *scenario.Script) {
 		if end := last(c) + settles; end < c.LengthS {
 			c.LengthS = end
 		}
 	})
-	add(func(c *script.Script) { c.Load.TxnsPerS = round(c.Load.TxnsPerS / 2) })
+	add(func(c *scenario.Script) { c.Load.TxnsPerS = round(c.Load.TxnsPerS / 2) })
 	// All other figures become the default's, one by one.
-	d := script.Default()
+	d := scenario.Default()
 	for _, part := range []struct {
-		of  func(*script.Script) any
+		of  func(*scenario.Script) any
 		was any
-	}{{func(c *script.Script) any { return &c.Fleet }, &d.Fleet}, {func(c *script.Script) any { return &c.Load }, &d.Load}} {
+	}{{func(c *scenario.Script) any { return &c.Fleet }, &d.Fleet}, {func(c *scenario.Script) any { return &c.Load }, &d.Load}} {
 		was := reflect.ValueOf(part.was).Elem()
 		for i := range was.NumField() {
 			switch was.Type().Field(i).Name {
 			case "Offices", "Routers", "Caches", "Trunks", "Members", "Sites", "TxnsPerS", "Retries":
 				continue
 			}
-			add(func(c *script.Script) { reflect.ValueOf(part.of(c)).Elem().Field(i).Set(was.Field(i)) })
+			add(func(c *scenario.Script) { reflect.ValueOf(part.of(c)).Elem().Field(i).Set(was.Field(i)) })
 		}
 	}
 	return list
 }
 
 // last is when a day's last trouble is over.
-func last(s *script.Script) (at float64) {
+func last(s *scenario.Script) (at float64) {
 	for _, t := range s.Troubles {
 		at = max(at, t.At+t.For)
 	}
@@ -297,7 +297,7 @@
 	N      int // of the days, from 1
 	What   string
 	Worth  float64
-	Script *script.Script
+	Script *scenario.Script
 }
 
 func (f *Found) String() string { return fmt.Sprintf("day %d: %s, worth %.3f", f.N, f.What, f.Worth) }
--- a/internal/hunt/hunt_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -1,4 +1,4 @@
-package hunt
+package faultsearch
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // A day that is drawn is a script that can be written down and read again, and the same
@@ -14,7 +14,7 @@
 func TestDraw(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(500) {
-		draw := func() *script.Script { return Draw(rand.New(rand.NewPCG(seed, 1)), Default()) }
+		draw := func() *scenario.Script { return Draw(rand.New(rand.NewPCG(seed, 1)), Default()) }
 		s := draw()
 		if !reflect.DeepEqual(s, draw()) {
 			t.Fatalf("seed %d draws another day", seed)
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := script.Parse("", text)
+		r, err := scenario.Parse("", text)
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, text)
 		}
@@ -34,7 +34,7 @@
 			kinds[x.Kind]++
 		}
 	}
-	for _, k := range script.Names() {
+	for _, k := range scenario.Names() {
 		if kinds[k] == 0 {
 			t.Errorf("%s is never drawn", k)
 		}
@@ -43,9 +43,9 @@
 
 // What matters stays, all else goes; the plays are bounded.
 func TestShrink(t *testing.T) {
-	needs := func(s *script.Script) bool {
+	needs := func(s *scenario.Script) bool {
 		has := func(kind string, long float64) bool {
-			return slices.ContainsFunc(s.Troubles, func(t script.Trouble) bool { return t.Kind == kind && t.For >= long })
+			return slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool { return t.Kind == kind && t.For >= long })
 		}
 		return has("purge", 0) && has("die", 1) && s.Fleet.Caches >= 2 && s.Load.TxnsPerS >= 30
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"quilldoor/internal/crossing"
+	"quilldoor/internal/gateway/peerpolicy"
 )
 
 // A txn handed over and answered with 20 kB, some at once, both sides in this
@@ -33,13 +33,15 @@
 			home := newSide(b, "n", "north", []Peer{{"s", "south", far.addr}}, north)
 			until(b, "trust", func() bool { return home.trusts("s") })
 			text := strings.Repeat("x", 20_000)
-			far.does(func(_ <-chan struct{}, q *Request) Reply { return Reply{End: crossing.Completed, Body: far.body(text)} })
+			far.does(func(_ <-chan struct{}, q *Request) Reply {
+				return Reply{End: peerpolicy.Completed, Body: far.body(text)}
+			})
 			b.SetParallelism(4)
 			b.ResetTimer()
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
 					for {
-						c := home.send(crossing.Safe, "x", nil, 5*time.Second)
+						c := home.send(peerpolicy.Safe, "x", nil, 5*time.Second)
 						if c == nil { // more at once than the limit has grown to
 							time.Sleep(100 * time.Microsecond)
 							continue
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,10 +15,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/crossing"
-	"quilldoor/internal/frames"
-	"quilldoor/logic"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/policy"
 )
 
 // Peer is one as the operator names it.
@@ -26,7 +26,7 @@
 
 // Config of a gateway.
 type Config struct {
-	Settings crossing.Settings
+	Settings peerpolicy.Settings
 	Peers    []Peer
 	Keys     *Keys // nil: connections without TLS, for tests
 	// Upload and Answer bound the bodies of writes and of answers, in bytes.
@@ -37,22 +37,22 @@
 
 // Request is a txn of a client, to be handed over or as a peer hands it over.
 type Request struct {
-	Event  logic.Event // Remaining is what is left of its time
+	Event  policy.Event // Remaining is what is left of its time
 	Tag    string
-	Body   *buffer.Body
-	Effect crossing.Effect
+	Body   *bufferpool.Body
+	Effect peerpolicy.Effect
 	Clean  bool
 }
 
 // Reply is how it ended.
 type Reply struct {
-	End    crossing.Outcome
+	End    peerpolicy.Outcome
 	Proof  bool // of Rejected: it never ran
 	Same   bool
 	Stay   int64
 	Tag    string
 	Issued int64
-	Body   *buffer.Body
+	Body   *bufferpool.Body
 }
 
 // Host is the router that a gateway belongs to.
@@ -60,7 +60,7 @@
 	// Carry runs a txn of a peer to its end; left is closed when the peer gives it up.
 	Carry(left <-chan struct{}, q *Request) Reply
 	// Purges are those that bind a txn and that its caches may not have done yet.
-	Purges(object string, group int64) []frames.Purge
+	Purges(object string, group int64) []peerproto.Purge
 	// Purge takes one that a peer knows.
 	Purge(object string, group, at int64)
 }
@@ -69,12 +69,12 @@
 type Gateway struct {
 	config Config
 	host   Host
-	bodies *buffer.Pool
+	bodies *bufferpool.Pool
 	log    *logrus.Entry
 	start  time.Time
 
 	mu     sync.Mutex // for the gate and what follows; never held over I/O
-	gate   *crossing.Gate
+	gate   *peerpolicy.Gate
 	links  map[string]*link // to peers that we dialled, once greeted
 	calls  map[string]*call // what is across
 	drains bool
@@ -91,8 +91,8 @@
 	number uint32
 	done   func(Reply)
 	least  int64
-	answer *frames.Answer
-	body   *buffer.Body
+	answer *peerproto.Answer
+	body   *bufferpool.Body
 	left   int // bytes of the body to come
 }
 
@@ -101,13 +101,13 @@
 func incarnation() uint64 { return uint64(time.Now().UnixMicro()) }
 
 // Start serves peers on a listener and dials them.
-func Start(config Config, l net.Listener, host Host, bodies *buffer.Pool, log *logrus.Entry) *Gateway {
+func Start(config Config, l net.Listener, host Host, bodies *bufferpool.Pool, log *logrus.Entry) *Gateway {
 	peers := map[string]string{}
 	for _, p := range config.Peers {
 		peers[p.Name] = p.Site
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &Gateway{config: config, host: host, bodies: bodies, log: log, start: time.Now(), gate: crossing.New(config.Settings, peers),
+	g := &Gateway{config: config, host: host, bodies: bodies, log: log, start: time.Now(), gate: peerpolicy.New(config.Settings, peers),
 		links: map[string]*link{}, calls: map[string]*call{}, ctx: ctx, stop: stop, l: l}
 	own := incarnation()
 	g.all.Go(func() { g.serve(own) })
@@ -170,19 +170,19 @@
 	var todo []func()
 	for _, a := range g.gate.Actions() {
 		switch a.Kind {
-		case crossing.GiveUp:
+		case peerpolicy.GiveUp:
 			if k := g.links[a.Peer]; k != nil {
 				delete(g.links, a.Peer)
 				todo = append(todo, k.close)
 			}
-		case crossing.Withdraw:
+		case peerpolicy.Withdraw:
 			if c := g.calls[a.Txn]; c != nil {
 				todo = append(todo, func() { c.link.cancel(c.number) })
 			}
-		case crossing.Answer:
+		case peerpolicy.Answer:
 			if c := g.calls[a.Txn]; c != nil {
 				r := Reply{End: a.End}
-				if a.End == crossing.Completed {
+				if a.End == peerpolicy.Completed {
 					r.Same, r.Tag, r.Issued, r.Body = c.answer.Same, c.answer.Tag, c.answer.Issued, c.body
 					c.body = nil
 				} else if c.answer != nil {
@@ -220,8 +220,8 @@
 		g.mu.Unlock()
 		return false
 	}
-	p, reason := g.gate.Cross(now, &crossing.Ask{Txn: id, Effect: q.Effect, Clean: q.Clean, Deadline: now + q.Event.Remaining})
-	if reason != crossing.Good {
+	p, reason := g.gate.Cross(now, &peerpolicy.Ask{Txn: id, Effect: q.Effect, Clean: q.Clean, Deadline: now + q.Event.Remaining})
+	if reason != peerpolicy.Good {
 		g.mu.Unlock()
 		return false
 	}
@@ -238,14 +238,14 @@
 		c.least = max(c.least, (u.At+999)/1000)
 	}
 	g.calls[id], k.calls[c.number] = c, id
-	ask := frames.Ask{At: now, Budget: g.gate.Budget(now, id), Txn: id, Rule: q.Event.Rule, Object: q.Event.Object, Part: q.Event.Part,
+	ask := peerproto.Ask{At: now, Budget: g.gate.Budget(now, id), Txn: id, Rule: q.Event.Rule, Object: q.Event.Object, Part: q.Event.Part,
 		Group: q.Event.Group, Tag: q.Tag, Repeat: q.Event.Repeat, Write: q.Event.Write, Body: int32(q.Body.Len()),
 		Route: []string{g.config.Settings.Name}, Purges: purges}
-	b, err := frames.Append(nil, frames.KindAsk, c.number, &ask)
+	b, err := peerproto.Append(nil, peerproto.KindAsk, c.number, &ask)
 	for _, chunk := range q.Body.Append(nil) {
 		for len(chunk) > 0 && err == nil {
-			n := min(len(chunk), frames.MostPayload)
-			b, err = frames.AppendRaw(b, frames.KindData, c.number, chunk[:n])
+			n := min(len(chunk), peerproto.MostPayload)
+			b, err = peerproto.AppendRaw(b, peerproto.KindData, c.number, chunk[:n])
 			chunk = chunk[n:]
 		}
 	}
@@ -364,13 +364,13 @@
 		return err
 	}
 	if hello.Name != p.Name || hello.Site != p.Site {
-		return fmt.Errorf("%w: it calls itself %.40q of %.40q", frames.ErrBroken, hello.Name, hello.Site)
+		return fmt.Errorf("%w: it calls itself %.40q of %.40q", peerproto.ErrBroken, hello.Name, hello.Site)
 	}
 	sock.SetDeadline(time.Time{})
 	g.mu.Lock()
 	if !g.gate.Up(g.now(), p.Name, hello.Incarnation) {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: an earlier start of it", frames.ErrBroken)
+		return fmt.Errorf("%w: an earlier start of it", peerproto.ErrBroken)
 	}
 	g.links[p.Name] = k
 	g.act()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,10 +16,10 @@
 	"github.com/sirupsen/logrus"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/crossing"
-	"quilldoor/internal/frames"
-	"quilldoor/logic"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/policy"
 )
 
 // wire is a proxy between two sites that can be delayed and cut, each way alone.
@@ -91,10 +91,10 @@
 type side struct {
 	*Gateway
 	hook   *logtest.Hook
-	pool   *buffer.Pool
+	pool   *bufferpool.Pool
 	addr   string
 	carry  func(left <-chan struct{}, q *Request) Reply
-	known  []frames.Purge
+	known  []peerproto.Purge
 	mu     sync.Mutex
 	purges []string
 	ran    map[string]int
@@ -114,14 +114,14 @@
 	defer s.mu.Unlock()
 	s.carry = carry
 }
-func (s *side) Purges(string, int64) []frames.Purge { return s.known }
+func (s *side) Purges(string, int64) []peerproto.Purge { return s.known }
 func (s *side) Purge(object string, group, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.purges = append(s.purges, fmt.Sprintf("%q %d %d", object, group, at))
 }
 
-func (s *side) body(text string) *buffer.Body {
+func (s *side) body(text string) *bufferpool.Body {
 	b, err := s.pool.Read(strings.NewReader(text), len(text))
 	if err != nil {
 		panic(err)
@@ -129,7 +129,7 @@
 	return b
 }
 
-func text(b *buffer.Body) string { return string(bytes.Join(b.Append(nil), nil)) }
+func text(b *bufferpool.Body) string { return string(bytes.Join(b.Append(nil), nil)) }
 
 func newSide(t testing.TB, name, site string, peers []Peer, keys *Keys) *side {
 	t.Helper()
@@ -139,12 +139,12 @@
 	}
 	log, hook := logtest.NewNullLogger()
 	log.SetLevel(logrus.DebugLevel)
-	s := &side{hook: hook, pool: buffer.NewPool(4 << 20), addr: l.Addr().String(), ran: map[string]int{}}
+	s := &side{hook: hook, pool: bufferpool.NewPool(4 << 20), addr: l.Addr().String(), ran: map[string]int{}}
 	s.carry = func(_ <-chan struct{}, q *Request) Reply {
-		return Reply{End: crossing.Completed, Tag: "tag", Issued: 1000, Body: s.body("answer to " + q.Event.Object)}
+		return Reply{End: peerpolicy.Completed, Tag: "tag", Issued: 1000, Body: s.body("answer to " + q.Event.Object)}
 	}
 	s.Gateway = Start(Config{Peers: peers, Keys: keys, Upload: 48_000, Answer: 240_000, Longest: 5 * time.Second, Seed: 1,
-		Settings: crossing.Settings{Name: name, Site: site, Most: 100, Reserve: 0.2, Beat: 40_000}}, l, s, s.pool, log.WithField("side", name))
+		Settings: peerpolicy.Settings{Name: name, Site: site, Most: 100, Reserve: 0.2, Beat: 40_000}}, l, s, s.pool, log.WithField("side", name))
 	t.Cleanup(s.Close)
 	return s
 }
@@ -164,7 +164,7 @@
 	s.Gateway.mu.Lock()
 	defer s.Gateway.mu.Unlock()
 	p := s.gate.Peer(name)
-	return p.Trust == crossing.Trusted && p.Room > 0
+	return p.Trust == peerpolicy.Trusted && p.Room > 0
 }
 
 // pair is two sites, north hands over to south through a wire.
@@ -180,9 +180,9 @@
 var count atomic.Int64
 
 // send hands a txn over, and returns how it ended, or nil if it wasn't.
-func (s *side) send(effect crossing.Effect, object string, body *buffer.Body, within time.Duration) chan Reply {
+func (s *side) send(effect peerpolicy.Effect, object string, body *bufferpool.Body, within time.Duration) chan Reply {
 	out := make(chan Reply, 9)
-	q := &Request{Event: logic.Event{Txn: fmt.Sprintf("%016x", count.Add(1)), Rule: "r", Object: object, Group: 7,
+	q := &Request{Event: policy.Event{Txn: fmt.Sprintf("%016x", count.Add(1)), Rule: "r", Object: object, Group: 7,
 		Remaining: within.Microseconds(), Write: body != nil}, Effect: effect, Clean: true, Body: body}
 	if !s.Cross(q, func(r Reply) { out <- r }) {
 		return nil
@@ -211,28 +211,28 @@
 
 func TestAcross(t *testing.T) {
 	north, south, _ := pair(t)
-	r := get(t, north.send(crossing.Safe, "film", nil, time.Second))
-	if r.End != crossing.Completed || text(r.Body) != "answer to film" || r.Tag != "tag" || r.Issued != 1000 {
+	r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
+	if r.End != peerpolicy.Completed || text(r.Body) != "answer to film" || r.Tag != "tag" || r.Issued != 1000 {
 		t.Fatalf("%+v %q", r, text(r.Body))
 	}
 	r.Body.Release()
 	// Large bodies both ways, past the first window.
 	long := strings.Repeat("0123456789abcdef", 15_000)
 	south.does(func(_ <-chan struct{}, q *Request) Reply {
-		return Reply{End: crossing.Completed, Body: south.body(text(q.Body) + long[:240_000-q.Body.Len()])}
+		return Reply{End: peerpolicy.Completed, Body: south.body(text(q.Body) + long[:240_000-q.Body.Len()])}
 	})
 	for range 5 {
 		body := north.body(long[:48_000])
-		r = get(t, north.send(crossing.Unsafe, "sign", body, time.Second))
-		if want := long[:48_000] + long[:192_000]; r.End != crossing.Completed || text(r.Body) != want {
+		r = get(t, north.send(peerpolicy.Unsafe, "sign", body, time.Second))
+		if want := long[:48_000] + long[:192_000]; r.End != peerpolicy.Completed || text(r.Body) != want {
 			t.Fatalf("%v, %d bytes", r.End, r.Body.Len())
 		}
 		r.Body.Release()
 		body.Release()
 	}
-	for want, far := range map[crossing.Outcome]Reply{crossing.Rejected: {End: crossing.Rejected, Proof: true, Stay: 7}, crossing.Aborted: {End: crossing.Aborted}} {
+	for want, far := range map[peerpolicy.Outcome]Reply{peerpolicy.Rejected: {End: peerpolicy.Rejected, Proof: true, Stay: 7}, peerpolicy.Aborted: {End: peerpolicy.Aborted}} {
 		south.does(func(<-chan struct{}, *Request) Reply { return far })
-		if r := get(t, north.send(crossing.Unsafe, "x", nil, time.Second)); r.End != want {
+		if r := get(t, north.send(peerpolicy.Unsafe, "x", nil, time.Second)); r.End != want {
 			t.Errorf("%v for %+v", r.End, far)
 		}
 	}
@@ -254,18 +254,18 @@
 	south.does(func(_ <-chan struct{}, q *Request) Reply {
 		running <- true
 		<-wake
-		return Reply{End: crossing.Completed}
+		return Reply{End: peerpolicy.Completed}
 	})
 	for name, c := range map[string]struct {
-		effect crossing.Effect
-		want   crossing.Outcome
+		effect peerpolicy.Effect
+		want   peerpolicy.Outcome
 		fall   func()
 	}{
-		"cut, unsafe":           {crossing.Unsafe, crossing.Aborted, w.cut},
-		"cut, safe":             {crossing.Safe, crossing.Rejected, w.cut},
-		"answers lost, unsafe":  {crossing.Unsafe, crossing.Aborted, func() { w.dead[1].Store(true) }},
-		"requests lost, unsafe": {crossing.Unsafe, crossing.Aborted, func() { w.dead[0].Store(true) }},
-		"both lost, safe":       {crossing.Safe, crossing.Rejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
+		"cut, unsafe":           {peerpolicy.Unsafe, peerpolicy.Aborted, w.cut},
+		"cut, safe":             {peerpolicy.Safe, peerpolicy.Rejected, w.cut},
+		"answers lost, unsafe":  {peerpolicy.Unsafe, peerpolicy.Aborted, func() { w.dead[1].Store(true) }},
+		"requests lost, unsafe": {peerpolicy.Unsafe, peerpolicy.Aborted, func() { w.dead[0].Store(true) }},
+		"both lost, safe":       {peerpolicy.Safe, peerpolicy.Rejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
 	} {
 		until(t, name+": trust", func() bool { return north.trusts("s") })
 		out := north.send(c.effect, name, nil, 3*time.Second)
@@ -305,11 +305,11 @@
 	south.does(func(left <-chan struct{}, q *Request) Reply {
 		<-left
 		gone <- true
-		return Reply{End: crossing.Aborted}
+		return Reply{End: peerpolicy.Aborted}
 	})
-	for _, effect := range []crossing.Effect{crossing.Safe, crossing.Keyed, crossing.Unsafe} {
+	for _, effect := range []peerpolicy.Effect{peerpolicy.Safe, peerpolicy.Keyed, peerpolicy.Unsafe} {
 		began := time.Now()
-		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.End != crossing.Aborted {
+		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.End != peerpolicy.Aborted {
 			t.Errorf("effect %d: %v", effect, r.End)
 		}
 		if took := time.Since(began); took > 320*time.Millisecond {
@@ -336,7 +336,7 @@
 					return
 				default:
 				}
-				effect := crossing.Effect(i % 3)
+				effect := peerpolicy.Effect(i % 3)
 				out := north.send(effect, "x", nil, 300*time.Millisecond)
 				if out == nil {
 					time.Sleep(time.Millisecond)
@@ -379,8 +379,8 @@
 // back.
 func TestPurgesAcross(t *testing.T) {
 	north, south, _ := pair(t)
-	north.known = []frames.Purge{{At: 999_000}, {Group: true, At: 1_000_000}}
-	if r := get(t, north.send(crossing.Safe, "film", nil, time.Second)); r.End != crossing.Rejected {
+	north.known = []peerproto.Purge{{At: 999_000}, {Group: true, At: 1_000_000}}
+	if r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second)); r.End != peerpolicy.Rejected {
 		t.Fatalf("%v with a copy as old as the purge", r.End)
 	}
 	south.mu.Lock()
@@ -388,9 +388,9 @@
 		t.Errorf("the far side heard %s", got)
 	}
 	south.mu.Unlock()
-	north.known = []frames.Purge{{At: 999_000}}
-	r := get(t, north.send(crossing.Safe, "film", nil, time.Second))
-	if r.End != crossing.Completed {
+	north.known = []peerproto.Purge{{At: 999_000}}
+	r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
+	if r.End != peerpolicy.Completed {
 		t.Fatalf("%v with a younger one", r.End)
 	}
 	r.Body.Release()
@@ -403,9 +403,9 @@
 	south.does(func(left <-chan struct{}, q *Request) Reply {
 		<-left
 		gone <- true
-		return Reply{End: crossing.Aborted}
+		return Reply{End: peerpolicy.Aborted}
 	})
-	out := north.send(crossing.Safe, "x", nil, 3*time.Second)
+	out := north.send(peerpolicy.Safe, "x", nil, 3*time.Second)
 	until(t, "the txn", func() bool { return south.Status().In == 1 })
 	north.Leave(fmt.Sprintf("%016x", count.Load()))
 	<-gone
@@ -414,7 +414,7 @@
 	}
 	south.Drain()
 	until(t, "the news of the drain", func() bool { return north.Status().Peers[0].Trust == "leaving" })
-	if north.send(crossing.Safe, "x", nil, time.Second) != nil {
+	if north.send(peerpolicy.Safe, "x", nil, time.Second) != nil {
 		t.Error("handed over to one that drains")
 	}
 }
@@ -423,28 +423,28 @@
 func TestBadPeers(t *testing.T) {
 	north, south, _ := pair(t)
 	hello := func(version uint16, name string) []byte {
-		b, _ := frames.Append(nil, frames.KindHello, 0, &frames.Hello{Version: version, Name: name, Site: "north", Incarnation: 9})
+		b, _ := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{Version: version, Name: name, Site: "north", Incarnation: 9})
 		return b
 	}
-	good := hello(frames.Version, "n")
-	ask := func(number uint32, a frames.Ask) []byte {
-		b, _ := frames.Append(nil, frames.KindAsk, number, &a)
+	good := hello(peerproto.Version, "n")
+	ask := func(number uint32, a peerproto.Ask) []byte {
+		b, _ := peerproto.Append(nil, peerproto.KindAsk, number, &a)
 		return b
 	}
-	one := frames.Ask{Budget: 1e6, Txn: "00000000000000ff", Rule: "r", Object: "o", Route: []string{"n"}, Body: 5}
+	one := peerproto.Ask{Budget: 1e6, Txn: "00000000000000ff", Rule: "r", Object: "o", Route: []string{"n"}, Body: 5}
 	huge, late, many := one, one, one
 	huge.Body, late.Budget = 1<<30, 0
 	for range 17 {
-		many.Purges = append(many.Purges, frames.Purge{At: 1})
+		many.Purges = append(many.Purges, peerproto.Purge{At: 1})
 	}
-	data, _ := frames.AppendRaw(nil, frames.KindData, 4, []byte("longer than five"))
-	answer, _ := frames.Append(nil, frames.KindAnswer, 4, &frames.Answer{Outcome: 1})
+	data, _ := peerproto.AppendRaw(nil, peerproto.KindData, 4, []byte("longer than five"))
+	answer, _ := peerproto.Append(nil, peerproto.KindAnswer, 4, &peerproto.Answer{Outcome: 1})
 	for name, b := range map[string][]byte{
-		"another version": hello(9, "n"), "a stranger": hello(frames.Version, "x"), "nonsense": []byte("GET / HTTP/1.1\r\n\r\n"),
-		"oversized": append(good, 255, 255, 255, byte(frames.KindData), 1, 0, 0, 0), "no greeting": ask(4, one),
+		"another version": hello(9, "n"), "a stranger": hello(peerproto.Version, "x"), "nonsense": []byte("GET / HTTP/1.1\r\n\r\n"),
+		"oversized": append(good, 255, 255, 255, byte(peerproto.KindData), 1, 0, 0, 0), "no greeting": ask(4, one),
 		"huge body": append(good, ask(4, huge)...), "no time": append(good, ask(4, late)...), "many purges": append(good, ask(4, many)...),
 		"number twice": append(append(good, ask(4, one)...), ask(4, one)...), "endless body": append(append(good, ask(4, one)...), data...),
-		"an answer": append(good, answer...), "odd window": append(append(good, ask(4, one)...), frames.AppendWindow(nil, 4, 1<<30)...),
+		"an answer": append(good, answer...), "odd window": append(append(good, ask(4, one)...), peerproto.AppendWindow(nil, 4, 1<<30)...),
 	} {
 		c, err := net.Dial("tcp", south.addr)
 		if err != nil {
@@ -457,8 +457,8 @@
 		}
 		c.Close()
 	}
-	r := get(t, north.send(crossing.Safe, "x", nil, time.Second))
-	if r.End != crossing.Completed {
+	r := get(t, north.send(peerpolicy.Safe, "x", nil, time.Second))
+	if r.End != peerpolicy.Completed {
 		t.Fatalf("%v after all that", r.End)
 	}
 	r.Body.Release()
@@ -472,7 +472,7 @@
 		k := newLink(nil, nil, "s")
 		at := int64(10_000_000_000)
 		for i := range int64(20) {
-			k.heard(at+i*1000+20_000+i%3*5_000, &frames.Beat{At: at + i*1000 + apart})
+			k.heard(at+i*1000+20_000+i%3*5_000, &peerproto.Beat{At: at + i*1000 + apart})
 		}
 		if d := k.delay(at+50_000, at+30_000+apart); d != 0 {
 			t.Errorf("apart by %d: a frame of the quickest is %d us late", apart, d)
@@ -514,8 +514,8 @@
 	join := func(k *Keys) *side { return newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, k) }
 	north := join(keys(dir, "n", dir))
 	until(t, "trust", func() bool { return north.trusts("s") })
-	r := get(t, north.send(crossing.Safe, "film", nil, time.Second))
-	if r.End != crossing.Completed {
+	r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
+	if r.End != peerpolicy.Completed {
 		t.Fatal(r.End)
 	}
 	r.Body.Release()
@@ -542,8 +542,8 @@
 	if err := own.Load(); err != nil {
 		t.Fatal(err)
 	}
-	r = get(t, north.send(crossing.Safe, "film", nil, time.Second))
-	if r.End != crossing.Completed {
+	r = get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
+	if r.End != peerpolicy.Completed {
 		t.Fatal("the connection of before was dropped")
 	}
 	r.Body.Release()
@@ -554,17 +554,17 @@
 func TestPeerThatTakesNothing(t *testing.T) {
 	_, south, _ := pair(t)
 	south.does(func(<-chan struct{}, *Request) Reply {
-		return Reply{End: crossing.Completed, Body: south.body(strings.Repeat("x", 200_000))}
+		return Reply{End: peerpolicy.Completed, Body: south.body(strings.Repeat("x", 200_000))}
 	})
 	c, err := net.Dial("tcp", south.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	b, _ := frames.Append(nil, frames.KindHello, 0, &frames.Hello{Version: frames.Version, Name: "n", Site: "north", Incarnation: 9})
+	b, _ := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{Version: peerproto.Version, Name: "n", Site: "north", Incarnation: 9})
 	c.Write(b)
 	for i := range uint32(40) {
-		b, _ = frames.Append(nil, frames.KindAsk, i+1, &frames.Ask{At: 1, Budget: 1 << 60, Txn: fmt.Sprint("t", i), Rule: "r", Object: "o", Route: []string{"n"}})
+		b, _ = peerproto.Append(nil, peerproto.KindAsk, i+1, &peerproto.Ask{At: 1, Budget: 1 << 60, Txn: fmt.Sprint("t", i), Rule: "r", Object: "o", Route: []string{"n"}})
 		c.Write(b)
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"quilldoor/internal/frames"
+	"quilldoor/internal/gateway/peerproto"
 )
 
 // Keys are what a router proves itself with, and whom it trusts: files in PEM,
@@ -95,7 +95,7 @@
 		return "certificate of another name"
 	case errors.As(err, &alert):
 		return "the peer refused our certificate"
-	case errors.Is(err, frames.ErrBroken):
+	case errors.Is(err, peerproto.ErrBroken):
 		return "protocol"
 	case errors.Is(err, errEnded):
 		return "connection lost"
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -10,10 +10,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/crossing"
-	"quilldoor/internal/frames"
-	"quilldoor/logic"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/policy"
 )
 
 // link is a connection to a peer, dialled or accepted.
@@ -21,7 +21,7 @@
 	g    *Gateway
 	sock net.Conn
 	peer string
-	in   *frames.Reader
+	in   *peerproto.Reader
 
 	// Under the gateway's lock.
 	next   uint32
@@ -40,9 +40,9 @@
 
 // served is a txn that the peer handed over.
 type served struct {
-	ask    frames.Ask
+	ask    peerproto.Ask
 	at     int64
-	body   *buffer.Body
+	body   *bufferpool.Body
 	left   chan struct{}
 	gone   bool
 	begun  bool // it has come whole, and carry ends it
@@ -55,7 +55,7 @@
 const mostQueued = 4 << 20
 
 func newLink(g *Gateway, sock net.Conn, peer string) *link {
-	return &link{g: g, sock: sock, peer: peer, in: frames.NewReader(sock), calls: map[uint32]string{}, served: map[uint32]*served{},
+	return &link{g: g, sock: sock, peer: peer, in: peerproto.NewReader(sock), calls: map[uint32]string{}, served: map[uint32]*served{},
 		more: make(chan struct{}, 1)}
 }
 
@@ -100,13 +100,13 @@
 }
 
 func (k *link) cancel(number uint32) {
-	b, _ := frames.AppendRaw(nil, frames.KindCancel, number, nil)
+	b, _ := peerproto.AppendRaw(nil, peerproto.KindCancel, number, nil)
 	k.put(b)
 }
 
 func (k *link) greet(own uint64) error {
 	s := &k.g.config.Settings
-	b, err := frames.Append(nil, frames.KindHello, 0, &frames.Hello{Version: frames.Version, Name: s.Name, Site: s.Site, Incarnation: own})
+	b, err := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{Version: peerproto.Version, Name: s.Name, Site: s.Site, Incarnation: own})
 	if err != nil {
 		return err
 	}
@@ -114,19 +114,19 @@
 	return err
 }
 
-func (k *link) hello() (h frames.Hello, err error) {
+func (k *link) hello() (h peerproto.Hello, err error) {
 	f, err := k.in.Next()
 	if err != nil {
 		return h, err
 	}
-	if f.Kind != frames.KindHello {
-		return h, fmt.Errorf("%w: kind %d for a greeting", frames.ErrBroken, f.Kind)
+	if f.Kind != peerproto.KindHello {
+		return h, fmt.Errorf("%w: kind %d for a greeting", peerproto.ErrBroken, f.Kind)
 	}
 	if err := f.Decode(&h); err != nil {
 		return h, err
 	}
-	if h.Version != frames.Version {
-		return h, fmt.Errorf("%w: version %d, this is %d", frames.ErrBroken, h.Version, frames.Version)
+	if h.Version != peerproto.Version {
+		return h, fmt.Errorf("%w: version %d, this is %d", peerproto.ErrBroken, h.Version, peerproto.Version)
 	}
 	return h, nil
 }
@@ -136,20 +136,20 @@
 	g := k.g
 	g.mu.Lock()
 	now := g.now()
-	b := frames.Beat{At: now, Room: int32(g.gate.Offer(now)), Drains: g.drains}
+	b := peerproto.Beat{At: now, Room: int32(g.gate.Offer(now)), Drains: g.drains}
 	g.mu.Unlock()
 	k.mu.Lock()
 	if k.theirs > 0 {
 		b.Echo, b.Held = k.theirs, now-k.heardAt
 	}
 	k.mu.Unlock()
-	if text, err := frames.Append(nil, frames.KindBeat, 0, &b); err == nil {
+	if text, err := peerproto.Append(nil, peerproto.KindBeat, 0, &b); err == nil {
 		k.put(text)
 	}
 }
 
 // heard takes a beat; it returns the round trip of ours that it echoes.
-func (k *link) heard(now int64, b *frames.Beat) (trip int64) {
+func (k *link) heard(now int64, b *peerproto.Beat) (trip int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.heardAt, k.theirs = now, b.At
@@ -186,8 +186,8 @@
 			return err
 		}
 		switch f.Kind {
-		case frames.KindBeat:
-			var b frames.Beat
+		case peerproto.KindBeat:
+			var b peerproto.Beat
 			if err := f.Decode(&b); err != nil {
 				return err
 			}
@@ -196,32 +196,32 @@
 			g.mu.Lock()
 			g.gate.Beat(now, k.peer, int(b.Room), b.Drains, trip)
 			g.act()
-		case frames.KindAnswer:
-			var a frames.Answer
+		case peerproto.KindAnswer:
+			var a peerproto.Answer
 			if err := f.Decode(&a); err != nil {
 				return err
 			}
-			if a.Body < 0 || int(a.Body) > g.config.Answer || a.Outcome < uint8(crossing.Completed) || a.Outcome > uint8(crossing.Aborted) {
-				return fmt.Errorf("%w: an answer of %d bytes, outcome %d", frames.ErrBroken, a.Body, a.Outcome)
+			if a.Body < 0 || int(a.Body) > g.config.Answer || a.Outcome < uint8(peerpolicy.Completed) || a.Outcome > uint8(peerpolicy.Aborted) {
+				return fmt.Errorf("%w: an answer of %d bytes, outcome %d", peerproto.ErrBroken, a.Body, a.Outcome)
 			}
 			if err := k.answer(f.Number, &a); err != nil {
 				return err
 			}
-		case frames.KindData:
+		case peerproto.KindData:
 			if err := k.data(f.Number, f.Payload); err != nil {
 				return err
 			}
-		case frames.KindBye:
+		case peerproto.KindBye:
 			return nil
 		default:
-			return fmt.Errorf("%w: kind %d where answers come", frames.ErrBroken, f.Kind)
+			return fmt.Errorf("%w: kind %d where answers come", peerproto.ErrBroken, f.Kind)
 		}
 	}
 }
 
 // answer takes the head of one. A second one ends the connection: an id that is
 // answered twice can't be trusted in anything.
-func (k *link) answer(number uint32, a *frames.Answer) error {
+func (k *link) answer(number uint32, a *peerproto.Answer) error {
 	g := k.g
 	g.mu.Lock()
 	id, known := k.calls[number]
@@ -232,7 +232,7 @@
 	c := g.calls[id]
 	if c.answer != nil {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: txn %d answered twice", frames.ErrBroken, number)
+		return fmt.Errorf("%w: txn %d answered twice", peerproto.ErrBroken, number)
 	}
 	c.answer, c.left = a, int(a.Body)
 	if c.left > 0 {
@@ -248,7 +248,7 @@
 // it gives back.
 func (g *Gateway) whole(c *call, id string) {
 	a := c.answer
-	g.gate.Returned(g.now(), c.link.peer, id, crossing.Far{End: crossing.Outcome(a.Outcome), Proof: a.Proof, Issued: a.Issued, Least: c.least})
+	g.gate.Returned(g.now(), c.link.peer, id, peerpolicy.Far{End: peerpolicy.Outcome(a.Outcome), Proof: a.Proof, Issued: a.Issued, Least: c.least})
 	g.act()
 }
 
@@ -263,10 +263,10 @@
 	c := g.calls[id]
 	if c.answer == nil || len(b) > c.left {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes more than were told", frames.ErrBroken, len(b))
+		return fmt.Errorf("%w: %d bytes more than were told", peerproto.ErrBroken, len(b))
 	}
 	if !c.body.Add(b) { // no room for it: it has run, and is of no use
-		g.gate.Returned(g.now(), k.peer, id, crossing.Far{End: crossing.Aborted})
+		g.gate.Returned(g.now(), k.peer, id, peerpolicy.Far{End: peerpolicy.Aborted})
 		g.act()
 		k.cancel(number)
 		return nil
@@ -276,7 +276,7 @@
 		return nil
 	}
 	g.mu.Unlock()
-	k.put(frames.AppendWindow(nil, number, len(b)))
+	k.put(peerproto.AppendWindow(nil, number, len(b)))
 	return nil
 }
 
@@ -305,7 +305,7 @@
 	p := g.gate.Peer(h.Name)
 	g.mu.Unlock()
 	if p == nil || p.Site != h.Site || name != "" && name != h.Name {
-		return fmt.Errorf("%w: %.40q of %.40q is no peer", frames.ErrBroken, h.Name, h.Site)
+		return fmt.Errorf("%w: %.40q of %.40q is no peer", peerproto.ErrBroken, h.Name, h.Site)
 	}
 	k.peer = h.Name
 	if err := k.greet(own); err != nil {
@@ -341,7 +341,7 @@
 func (k *link) readAsks() error {
 	g := k.g
 	// A peer that says nothing for long is gone, and its txns with it.
-	patience := time.Duration(g.config.Settings.Beat) * time.Microsecond * crossing.Patience
+	patience := time.Duration(g.config.Settings.Beat) * time.Microsecond * peerpolicy.Patience
 	for {
 		k.sock.SetReadDeadline(time.Now().Add(patience))
 		f, err := k.in.Next()
@@ -349,48 +349,48 @@
 			return err
 		}
 		switch f.Kind {
-		case frames.KindBeat:
-			var b frames.Beat
+		case peerproto.KindBeat:
+			var b peerproto.Beat
 			if err := f.Decode(&b); err != nil {
 				return err
 			}
 			k.heard(g.now(), &b)
-		case frames.KindAsk:
+		case peerproto.KindAsk:
 			if err := k.ask(f); err != nil {
 				return err
 			}
-		case frames.KindData:
+		case peerproto.KindData:
 			if err := k.upload(f.Number, f.Payload); err != nil {
 				return err
 			}
-		case frames.KindWindow:
+		case peerproto.KindWindow:
 			if err := k.grow(f.Number, f.Window()); err != nil {
 				return err
 			}
-		case frames.KindCancel:
+		case peerproto.KindCancel:
 			g.mu.Lock()
 			if s := k.served[f.Number]; s != nil {
 				s.leave()
 			}
 			g.mu.Unlock()
-		case frames.KindBye:
+		case peerproto.KindBye:
 			return nil
 		default:
-			return fmt.Errorf("%w: kind %d where txns come", frames.ErrBroken, f.Kind)
+			return fmt.Errorf("%w: kind %d where txns come", peerproto.ErrBroken, f.Kind)
 		}
 	}
 }
 
 // ask takes a txn. One under a number that is in use ends the connection.
-func (k *link) ask(f frames.Frame) error {
+func (k *link) ask(f peerproto.Frame) error {
 	g := k.g
-	s := &served{left: make(chan struct{}), window: frames.FirstWindow, grown: make(chan struct{}, 1)}
+	s := &served{left: make(chan struct{}), window: peerproto.FirstWindow, grown: make(chan struct{}, 1)}
 	if err := f.Decode(&s.ask); err != nil {
 		return err
 	}
 	a := &s.ask
 	if a.Body < 0 || int(a.Body) > g.config.Upload || a.Budget <= 0 || len(a.Purges) > mostPurges {
-		return fmt.Errorf("%w: a body of %d bytes, %d us left, %d purges", frames.ErrBroken, a.Body, a.Budget, len(a.Purges))
+		return fmt.Errorf("%w: a body of %d bytes, %d us left, %d purges", peerproto.ErrBroken, a.Body, a.Budget, len(a.Purges))
 	}
 	a.Budget = min(a.Budget, g.config.Longest.Microseconds())
 	s.at = g.now()
@@ -398,12 +398,12 @@
 	g.mu.Lock()
 	if k.served[f.Number] != nil {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: number %d twice", frames.ErrBroken, f.Number)
+		return fmt.Errorf("%w: number %d twice", peerproto.ErrBroken, f.Number)
 	}
 	reason := g.gate.Arrive(s.at, k.peer, a.Txn, a.Route, delay)
-	if reason != crossing.Good {
+	if reason != peerpolicy.Good {
 		g.mu.Unlock()
-		return k.finish(f.Number, &frames.Answer{Outcome: uint8(crossing.Rejected), Proof: true})
+		return k.finish(f.Number, &peerproto.Answer{Outcome: uint8(peerpolicy.Rejected), Proof: true})
 	}
 	k.served[f.Number] = s
 	if s.begun = a.Body == 0; !s.begun {
@@ -419,8 +419,8 @@
 // mostPurges of one txn: its object's and its group's, some time back.
 const mostPurges = 16
 
-func (k *link) finish(number uint32, a *frames.Answer) error {
-	b, err := frames.Append(nil, frames.KindAnswer, number, a)
+func (k *link) finish(number uint32, a *peerproto.Answer) error {
+	b, err := peerproto.Append(nil, peerproto.KindAnswer, number, a)
 	if err == nil {
 		k.put(b)
 	}
@@ -434,14 +434,14 @@
 	if s == nil || s.begun { // turned away, or no more is wanted
 		if s != nil {
 			g.mu.Unlock()
-			return fmt.Errorf("%w: %d bytes behind a whole body", frames.ErrBroken, len(b))
+			return fmt.Errorf("%w: %d bytes behind a whole body", peerproto.ErrBroken, len(b))
 		}
 		g.mu.Unlock()
 		return nil
 	}
 	if s.body.Len()+len(b) > int(s.ask.Body) {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes more than were told", frames.ErrBroken, len(b))
+		return fmt.Errorf("%w: %d bytes more than were told", peerproto.ErrBroken, len(b))
 	}
 	full := !s.body.Add(b)
 	whole := !full && s.body.Len() == int(s.ask.Body)
@@ -450,7 +450,7 @@
 	switch {
 	case full:
 		k.end(number, s, false)
-		return k.finish(number, &frames.Answer{Outcome: uint8(crossing.Rejected), Proof: true})
+		return k.finish(number, &peerproto.Answer{Outcome: uint8(peerpolicy.Rejected), Proof: true})
 	case whole:
 		g.all.Go(func() { k.carry(number, s) })
 	}
@@ -466,7 +466,7 @@
 		return nil
 	}
 	if n <= 0 || n > g.config.Answer {
-		return fmt.Errorf("%w: a window of %d", frames.ErrBroken, n)
+		return fmt.Errorf("%w: a window of %d", peerproto.ErrBroken, n)
 	}
 	s.window += n
 	select {
@@ -502,9 +502,9 @@
 			g.host.Purge(a.Object, 0, u.At)
 		}
 	}
-	q := &Request{Event: logic.Event{Txn: a.Txn, Rule: a.Rule, Object: a.Object, Group: a.Group, Part: a.Part,
+	q := &Request{Event: policy.Event{Txn: a.Txn, Rule: a.Rule, Object: a.Object, Group: a.Group, Part: a.Part,
 		Remaining: a.Budget - (g.now() - s.at), Repeat: a.Repeat, Write: a.Write}, Tag: a.Tag, Body: s.body}
-	r := Reply{End: crossing.Rejected, Proof: true}
+	r := Reply{End: peerpolicy.Rejected, Proof: true}
 	select {
 	case <-s.left:
 	default:
@@ -513,24 +513,24 @@
 	defer r.Body.Release()
 	// It holds its place until the last byte: a peer that makes no room for answers
 	// is given no more of them.
-	defer k.end(number, s, r.End == crossing.Completed)
-	k.finish(number, &frames.Answer{Outcome: uint8(r.End), Proof: r.Proof, Same: r.Same, Stay: r.Stay, Tag: r.Tag, Issued: r.Issued,
+	defer k.end(number, s, r.End == peerpolicy.Completed)
+	k.finish(number, &peerproto.Answer{Outcome: uint8(r.End), Proof: r.Proof, Same: r.Same, Stay: r.Stay, Tag: r.Tag, Issued: r.Issued,
 		Body: int32(r.Body.Len())})
 	k.send(number, s, r.Body)
 }
 
 // send puts a body on the link, no faster than the peer makes room for it.
-func (k *link) send(number uint32, s *served, body *buffer.Body) {
+func (k *link) send(number uint32, s *served, body *bufferpool.Body) {
 	over := time.NewTimer(time.Duration(s.ask.Budget) * time.Microsecond)
 	defer over.Stop()
 	for _, chunk := range body.Append(nil) {
 		for len(chunk) > 0 {
 			k.g.mu.Lock()
-			n := min(len(chunk), frames.MostPayload, s.window)
+			n := min(len(chunk), peerproto.MostPayload, s.window)
 			s.window -= n
 			k.g.mu.Unlock()
 			if n > 0 {
-				b, _ := frames.AppendRaw(nil, frames.KindData, number, chunk[:n])
+				b, _ := peerproto.AppendRaw(nil, peerproto.KindData, number, chunk[:n])
 				if !k.put(b) {
 					k.close()
 					return
--- a/internal/crossing/crossing.go
+++ b/internal/gateway/peerpolicy/peerpolicy.go
@@ -1,11 +1,11 @@
-// Package crossing decides what a router hands over to routers of another site
+// Package peerpolicy decides what a router hands over to routers of another site
 // and what it takes from them. It does no I/O and reads no clock: its caller hands
 // in the time (microseconds that only go forward) and holds a lock around it.
 //
 // The module chooses servers, retries and refusals on the side where a txn runs.
 // Crossing begins where the module refuses: a refusal says that trying again is
 // harmless, so that trying at the other site is, too. docs/gateway.md tells why.
-package crossing
+package peerpolicy
 
 import (
 	"slices"
--- a/internal/crossing/crossing_test.go
+++ b/internal/gateway/peerpolicy/peerpolicy_test.go
@@ -1,4 +1,4 @@
-package crossing
+package peerpolicy
 
 import (
 	"fmt"
--- a/internal/frames/datagram_test.go
+++ b/internal/gateway/peerproto/datagram_test.go
@@ -1,4 +1,4 @@
-package frames
+package peerproto
 
 import (
 	"bytes"
--- a/internal/frames/frames.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -1,7 +1,7 @@
-// Package frames is the codec of the protocol between sites: frames of a kind, a
+// Package peerproto is the codec of the protocol between sites: frames of a kind, a
 // txn's number and a payload, length-checked. It does no I/O of its own but read
 // and append; docs/gateway.md tells the protocol.
-package frames
+package peerproto
 
 import (
 	"bufio"
--- a/internal/news/export_test.go
+++ b/internal/gossip/export_test.go
@@ -1,4 +1,4 @@
-package news
+package gossip
 
 // Wrong switches a guard off by its name.
 func (s Settings) Wrong(name string) Settings {
--- a/internal/news/news.go
+++ b/internal/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package news decides what a router takes from others of what their notice boards
+// Package gossip decides what a router takes from others of what their notice boards
 // have told, while its own is late or cut off: servers that drain or are gone, new
 // starts, purges. It does no I/O and has no clock of its own.
 //
@@ -9,7 +9,7 @@
 // late then comes to the same (a join of states; Shapiro and others 2011), and
 // never goes backwards. What only the own board may say is that a server which it
 // has told to be drained or gone is not.
-package news
+package gossip
 
 import (
 	"cmp"
@@ -19,12 +19,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 // Server is a line of the list with its address.
 type Server struct {
-	logic.Entry
+	policy.Entry
 	Endpoint string
 }
 
@@ -405,7 +405,7 @@
 }
 
 func (w *wireServer) server() Server {
-	return Server{logic.Entry{Server: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight, Born: w.Born}, w.Endpoint}
+	return Server{policy.Entry{Server: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight, Born: w.Born}, w.Endpoint}
 }
 
 // claims tells whether others know better than the own board, and whether one of
--- a/internal/news/news_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package news_test
+package gossip_test
 
 import (
 	"fmt"
@@ -8,36 +8,36 @@
 
 	"pgregory.net/rapid"
 
-	"quilldoor/internal/news"
-	"quilldoor/logic"
+	"quilldoor/internal/gossip"
+	"quilldoor/internal/policy"
 )
 
 const ms, second = int64(1000), int64(1_000_000)
 
 const wall = 1_700_000_000 * second
 
-func server(id, state string, born int64) news.Server {
-	return news.Server{Entry: logic.Entry{Server: id, Zone: "z", Kind: "box", State: state, Weight: 3, Born: born}, Endpoint: "of-" + id}
+func server(id, state string, born int64) gossip.Server {
+	return gossip.Server{Entry: policy.Entry{Server: id, Zone: "z", Kind: "box", State: state, Weight: 3, Born: born}, Endpoint: "of-" + id}
 }
 
 // site is some books, what is applied at each, and a board that tells some of them.
 type site struct {
 	now   int64
-	books []*news.Book
-	view  []map[string]news.Server
+	books []*gossip.Book
+	view  []map[string]gossip.Server
 	purge []map[string]int64
 }
 
 func newSite(n int, wrong string) *site {
 	s := &site{now: second}
 	for range n {
-		s.books = append(s.books, news.New(news.Settings{Keep: 30 * second}.Wrong(wrong)))
-		s.view, s.purge = append(s.view, map[string]news.Server{}), append(s.purge, map[string]int64{})
+		s.books = append(s.books, gossip.New(gossip.Settings{Keep: 30 * second}.Wrong(wrong)))
+		s.view, s.purge = append(s.view, map[string]gossip.Server{}), append(s.purge, map[string]int64{})
 	}
 	return s
 }
 
-func (s *site) apply(i int, list []news.Server, purges []news.Purge) {
+func (s *site) apply(i int, list []gossip.Server, purges []gossip.Purge) {
 	for _, x := range list {
 		s.view[i][x.Server] = x
 	}
@@ -48,7 +48,7 @@
 }
 
 // board tells some routers, to is a bit for each.
-func (s *site) board(to int, whole bool, list ...news.Server) {
+func (s *site) board(to int, whole bool, list ...gossip.Server) {
 	for i, b := range s.books {
 		if to>>i&1 == 1 {
 			s.apply(i, b.Board(s.now, whole, list), nil)
@@ -56,11 +56,11 @@
 	}
 }
 
-func (s *site) purged(to int, p news.Purge) {
+func (s *site) purged(to int, p gossip.Purge) {
 	for i, b := range s.books {
 		if to>>i&1 == 1 {
 			b.Purged(s.now, p)
-			s.apply(i, nil, []news.Purge{p})
+			s.apply(i, nil, []gossip.Purge{p})
 		}
 	}
 }
@@ -104,8 +104,8 @@
 func TestNewsReachWhoHasNoBoard(t *testing.T) {
 	s := cutSite("")
 	s.board(fresh, false, server("a", "leaving", 0))
-	s.purged(fresh, news.Purge{Object: "o", At: wall + s.now})
-	s.purged(fresh, news.Purge{Group: 7, At: wall + s.now})
+	s.purged(fresh, gossip.Purge{Object: "o", At: wall + s.now})
+	s.purged(fresh, gossip.Purge{Group: 7, At: wall + s.now})
 	s.pass(4 * second)
 	if got := s.view[3]["a"]; got.State != "leaving" || got.Endpoint != "of-a" {
 		t.Fatalf("a drain: %+v", got)
@@ -125,7 +125,7 @@
 	// Its own board is back, late and in order: nothing that is gone is used again
 	// before that board says so.
 	birth := s.view[3]["b"].Born
-	for _, x := range []news.Server{server("a", "leaving", 0), server("a", "left", 0), server("b", "left", 0)} {
+	for _, x := range []gossip.Server{server("a", "leaving", 0), server("a", "left", 0), server("b", "left", 0)} {
 		s.board(0b1000, false, x)
 		if s.view[3]["a"].State != "left" && x.Server == "a" || x.Server == "b" && s.view[3]["b"].State != "left" {
 			t.Errorf("after %s %s of its board: %+v %+v", x.Server, x.State, s.view[3]["a"], s.view[3]["b"])
@@ -169,9 +169,9 @@
 func TestNewLifeAsksAtOnce(t *testing.T) {
 	s := cutSite("")
 	s.board(fresh, false, server("a", "left", 0))
-	s.purged(fresh, news.Purge{Group: 7, At: wall + s.now})
-	s.books[3] = news.New(news.Settings{Keep: 30 * second})
-	s.view[3], s.purge[3] = map[string]news.Server{}, map[string]int64{}
+	s.purged(fresh, gossip.Purge{Group: 7, At: wall + s.now})
+	s.books[3] = gossip.New(gossip.Settings{Keep: 30 * second})
+	s.view[3], s.purge[3] = map[string]gossip.Server{}, map[string]int64{}
 	s.board(0b1000, true, server("a", "active", 0), server("b", "active", 0), server("c", "active", 0))
 	s.pass(300 * ms)
 	if s.view[3]["a"].State != "left" || s.purge[3]["7"] == 0 {
@@ -238,22 +238,22 @@
 // What can't be: purges of the future or long past, births to come, states and
 // lists that are none, letters of any bytes.
 func TestSpoiltNews(t *testing.T) {
-	b := news.New(news.Settings{Keep: 30 * second})
+	b := gossip.New(gossip.Settings{Keep: 30 * second})
 	b.Alone(true)
-	b.Board(second, true, []news.Server{server("a", "active", 0)})
-	tell := func(l news.Letter) news.Taken { return b.Letter(second, wall, "x", 0, l.Pack(), 1000) }
-	peer := news.New(news.Settings{Keep: 1 << 60})
-	for _, p := range []news.Purge{{Object: "late", At: wall - 31*second}, {Object: "soon", At: wall + 3*second}} {
+	b.Board(second, true, []gossip.Server{server("a", "active", 0)})
+	tell := func(l gossip.Letter) gossip.Taken { return b.Letter(second, wall, "x", 0, l.Pack(), 1000) }
+	peer := gossip.New(gossip.Settings{Keep: 1 << 60})
+	for _, p := range []gossip.Purge{{Object: "late", At: wall - 31*second}, {Object: "soon", At: wall + 3*second}} {
 		peer.Purged(second, p)
 	}
-	peer.Board(second, true, []news.Server{server("a", "active", wall+10*second), server("a", "odd", wall), server("new", "leaving", 5)})
+	peer.Board(second, true, []gossip.Server{server("a", "active", wall+10*second), server("a", "odd", wall), server("new", "leaving", 5)})
 	q := b.Question()
 	for _, body := range peer.Answer(&q, 1000) {
-		if got := tell(news.Letter{Tell: &body}); len(got.Servers)+len(got.Purges) > 0 {
+		if got := tell(gossip.Letter{Tell: &body}); len(got.Servers)+len(got.Purges) > 0 {
 			t.Errorf("taken: %+v", got)
 		}
 	}
-	if got := b.Answer(&news.Ask{Digests: []uint32{1}}, 1000); got != nil {
+	if got := b.Answer(&gossip.Ask{Digests: []uint32{1}}, 1000); got != nil {
 		t.Errorf("a short question is answered: %v", got)
 	}
 	if b.Counts.Refused < 4 {
@@ -262,18 +262,18 @@
 }
 
 func FuzzLetter(f *testing.F) {
-	b := news.New(news.Settings{Keep: 30 * second})
+	b := gossip.New(gossip.Settings{Keep: 30 * second})
 	q := b.Question()
-	f.Add((&news.Letter{Ask: &q}).Pack())
-	b.Board(second, true, []news.Server{server("a", "active", 0)})
-	b.Purged(second, news.Purge{Object: "o", At: wall})
+	f.Add((&gossip.Letter{Ask: &q}).Pack())
+	b.Board(second, true, []gossip.Server{server("a", "active", 0)})
+	b.Purged(second, gossip.Purge{Object: "o", At: wall})
 	for _, t := range b.Answer(&q, 1000) {
-		f.Add((&news.Letter{Tell: &t}).Pack())
+		f.Add((&gossip.Letter{Tell: &t}).Pack())
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		b := news.New(news.Settings{Keep: 30 * second})
+		b := gossip.New(gossip.Settings{Keep: 30 * second})
 		b.Alone(true)
-		b.Board(second, true, []news.Server{server("a", "active", 0)})
+		b.Board(second, true, []gossip.Server{server("a", "active", 0)})
 		for i := range 3 {
 			if got := b.Letter(second*int64(i+1), wall, "x", 1, body, 1000); len(got.Back) > 12 {
 				t.Fatalf("%d letters for one", len(got.Back))
@@ -292,9 +292,9 @@
 		s := newSite(n, "")
 		seed := rapid.Uint64().Draw(t, "seed")
 		dice := rand.New(rand.NewPCG(seed, 1))
-		log := [][]news.Server{{server("a", "active", 0), server("b", "active", 0), server("c", "active", 0)}}
+		log := [][]gossip.Server{{server("a", "active", 0), server("b", "active", 0), server("c", "active", 0)}}
 		heard := make([]int, n)
-		now, births := map[string]news.Server{}, int64(0)
+		now, births := map[string]gossip.Server{}, int64(0)
 		for _, x := range log[0] {
 			now[x.Server] = x
 		}
@@ -306,9 +306,9 @@
 		for i := range n {
 			catch(i)
 		}
-		last := make([]map[string]news.Server, n)
+		last := make([]map[string]gossip.Server, n)
 		for i := range last {
-			last[i] = map[string]news.Server{}
+			last[i] = map[string]gossip.Server{}
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "events") {
 			switch dice.IntN(6) {
@@ -324,14 +324,14 @@
 					x.State, x.Born = "active", wall+s.now+births
 				}
 				now[x.Server] = x
-				log = append(log, []news.Server{x})
+				log = append(log, []gossip.Server{x})
 			case 2, 3:
 				catch(dice.IntN(n))
 			case 4: // starts from nothing, with the list as it is
 				i := dice.IntN(n)
-				s.books[i] = news.New(news.Settings{Keep: 30 * second})
-				s.view[i], last[i], heard[i] = map[string]news.Server{}, map[string]news.Server{}, len(log)
-				var list []news.Server
+				s.books[i] = gossip.New(gossip.Settings{Keep: 30 * second})
+				s.view[i], last[i], heard[i] = map[string]gossip.Server{}, map[string]gossip.Server{}, len(log)
+				var list []gossip.Server
 				for _, x := range now {
 					if x.State != "left" {
 						list = append(list, x)
--- a/internal/handover/file.go
+++ b/internal/handoff/file.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 import (
 	"encoding/json"
--- a/internal/handover/handover_test.go
+++ b/internal/handoff/handoff_test.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 import (
 	"bytes"
@@ -12,23 +12,23 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/members"
-	"quilldoor/logic"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/upgrade"
 )
 
 // sample is a word with something in every part.
 func sample() *Word {
-	var l logic.Learned
+	var l policy.Learned
 	for i := range l.Rows {
 		l.Rows[i] = []uint64{1, 2}
 	}
 	l.Door, l.Sample = []uint64{3}, 4
-	l.Servers = []logic.LearnedServer{{ID: "c1", Born: 5, Health: 1, SpentAt: []int64{6}, Spent: []int64{7}, Kept: []uint64{8}}}
-	l.Purges = []logic.LearnedPurge{{Object: "o", Group: 1, At: 2}}
+	l.Servers = []policy.LearnedServer{{ID: "c1", Born: 5, Health: 1, SpentAt: []int64{6}, Spent: []int64{7}, Kept: []uint64{8}}}
+	l.Purges = []policy.LearnedPurge{{Object: "o", Group: 1, At: 2}}
 	return &Word{Kind: Released, Format: Format, Generation: 9, State: &State{Rev: 10, Servers: []Server{{Server: "c1", Endpoint: "127.0.0.1:1", State: "active"}},
-		Learned: &l, Baton: &members.Baton{ID: members.ID{Life: 11, Nonce: 12}, Inc: 13, N: 14, State: members.Alive}, Purges: []Purge{{Object: "o", Group: 1, At: 2}}},
-		Ends: change.Ends{Completed: 15}, Outs: map[string][3]float64{"c1": {1, 2, 3}}}
+		Learned: &l, Baton: &membership.Baton{ID: membership.ID{Life: 11, Nonce: 12}, Inc: 13, N: 14, State: membership.Alive}, Purges: []Purge{{Object: "o", Group: 1, At: 2}}},
+		Ends: upgrade.Ends{Completed: 15}, Outs: map[string][3]float64{"c1": {1, 2, 3}}}
 }
 
 // What the text of format 1 wrote is read by this one; a test of a later text that
@@ -160,10 +160,10 @@
 			return
 		}
 		if w.State != nil && w.State.Learned != nil { // nothing in it harms the module
-			r := logic.New(logic.Settings{Zone: "z", Kinds: []string{"box"}}, 1)
+			r := policy.New(policy.Settings{Zone: "z", Kinds: []string{"box"}}, 1)
 			r.Learn(w.State.Learned)
-			r.Handle(1, logic.Event{Kind: logic.EvBeside, Outs: w.Outs}, nil)
-			r.Handle(2, logic.Event{Kind: logic.EvTimer}, nil)
+			r.Handle(1, policy.Event{Kind: policy.EvBeside, Outs: w.Outs}, nil)
+			r.Handle(2, policy.Event{Kind: policy.EvTimer}, nil)
 		}
 		if again, err := cbor.Marshal(w); err != nil || bytes.Equal(again, nil) {
 			t.Fatal(err)
--- a/internal/handover/word.go
+++ b/internal/handoff/word.go
@@ -1,9 +1,9 @@
-// Package handover has the words between a keeper and the generations of a router
+// Package handoff has the words between a keeper and the generations of a router
 // that it keeps, and the file that outlasts them. Words go over a Unix stream
 // socket: 4 bytes of length, big endian, and a CBOR map (RFC 8949) with small keys.
 // Unknown keys are passed over and missing ones are zero, so that texts of different
 // age can talk; docs/change.md has a page on it.
-package handover
+package handoff
 
 import (
 	"encoding/binary"
@@ -18,11 +18,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/members"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/rollout"
-	"quilldoor/internal/witness"
-	"quilldoor/logic"
+	"quilldoor/internal/upgrade"
 )
 
 // Format is that of the words. A keeper refuses a generation that names none.
@@ -64,10 +64,10 @@
 	Format     int                   `cbor:"2,keyasint,omitempty"`
 	Generation uint64                `cbor:"3,keyasint,omitempty"`
 	State      *State                `cbor:"4,keyasint,omitempty"`
-	Ends       change.Ends           `cbor:"5,keyasint,omitempty"`
+	Ends       upgrade.Ends          `cbor:"5,keyasint,omitempty"`
 	Outs       map[string][3]float64 `cbor:"6,keyasint,omitempty"`
-	Bound      change.Use            `cbor:"7,keyasint,omitempty"`
-	Part       change.PartState      `cbor:"8,keyasint,omitempty"`
+	Bound      upgrade.Use           `cbor:"7,keyasint,omitempty"`
+	Part       upgrade.PartState     `cbor:"8,keyasint,omitempty"`
 	WasSettled bool                  `cbor:"9,keyasint,omitempty"`
 	PID        int                   `cbor:"10,keyasint,omitempty"`
 	Sockets    []string              `cbor:"11,keyasint,omitempty"` // what the descriptors that come along are
@@ -85,17 +85,17 @@
 	Body       []byte                `cbor:"24,keyasint,omitempty"`
 	Command    rollout.Command       `cbor:"25,keyasint,omitempty"`
 	Rollout    *rollout.Standing     `cbor:"26,keyasint,omitempty"`
-	Acts       *witness.Acts         `cbor:"27,keyasint,omitempty"`
+	Acts       *invariant.Acts       `cbor:"27,keyasint,omitempty"`
 	Hold       bool                  `cbor:"21,keyasint,omitempty"` // of Own and Resume: somebody may have spent the router's part of cold budgets
 }
 
 // State is what a generation hands over.
 type State struct {
-	Rev     int64          `cbor:"1,keyasint,omitempty"` // of the notice board
-	Servers []Server       `cbor:"2,keyasint,omitempty"`
-	Learned *logic.Learned `cbor:"3,keyasint,omitempty"`
-	Baton   *members.Baton `cbor:"4,keyasint,omitempty"`
-	Purges  []Purge        `cbor:"5,keyasint,omitempty"` // that peers of other sites are told of
+	Rev     int64             `cbor:"1,keyasint,omitempty"` // of the notice board
+	Servers []Server          `cbor:"2,keyasint,omitempty"`
+	Learned *policy.Learned   `cbor:"3,keyasint,omitempty"`
+	Baton   *membership.Baton `cbor:"4,keyasint,omitempty"`
+	Purges  []Purge           `cbor:"5,keyasint,omitempty"` // that peers of other sites are told of
 }
 
 // Server is a line of the list.
@@ -138,14 +138,14 @@
 
 // Process is a running generation.
 type Process struct {
-	Generation  uint64      `cbor:"1,keyasint" json:"generation"`
-	PID         int         `cbor:"2,keyasint" json:"pid"`
-	Part        string      `cbor:"3,keyasint" json:"part"`
-	MemoryMB    int         `cbor:"4,keyasint,omitempty" json:"memory_mb"`
-	Descriptors int         `cbor:"5,keyasint,omitempty" json:"descriptors"`
-	Ends        change.Ends `cbor:"6,keyasint,omitempty" json:"ends"`
-	BeatMS      int64       `cbor:"7,keyasint,omitempty" json:"beat_ms"`          // since its last word
-	Broken      string      `cbor:"8,keyasint,omitempty" json:"broken,omitempty"` // the rule that its keeper has seen it break
+	Generation  uint64       `cbor:"1,keyasint" json:"generation"`
+	PID         int          `cbor:"2,keyasint" json:"pid"`
+	Part        string       `cbor:"3,keyasint" json:"part"`
+	MemoryMB    int          `cbor:"4,keyasint,omitempty" json:"memory_mb"`
+	Descriptors int          `cbor:"5,keyasint,omitempty" json:"descriptors"`
+	Ends        upgrade.Ends `cbor:"6,keyasint,omitempty" json:"ends"`
+	BeatMS      int64        `cbor:"7,keyasint,omitempty" json:"beat_ms"`          // since its last word
+	Broken      string       `cbor:"8,keyasint,omitempty" json:"broken,omitempty"` // the rule that its keeper has seen it break
 }
 
 // MostWord bounds a word: a state of some thousand servers.
--- a/internal/witness/acts.go
+++ b/internal/invariant/acts.go
@@ -1,4 +1,4 @@
-package witness
+package invariant
 
 import "sync"
 
--- a/internal/witness/witness.go
+++ b/internal/invariant/invariant.go
@@ -1,10 +1,10 @@
-// Package witness decides whether a process of a router was seen to break a rule: by
+// Package invariant decides whether a process of a router was seen to break a rule: by
 // what that process tells of its hops and answers (acts.go), and by what the notice
 // board has told somebody else. A program that is deaf to drains or purges, or greedy
 // with cold servers, loses no worth by that and does not know it; the keeper beside it,
 // which a change leaves as it is, can. No I/O and no clock: times are whole microseconds
 // of the machine's Unix time, which both sides of it share.
-package witness
+package invariant
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 const ms, second = int64(1000), int64(1_000_000)
@@ -32,7 +32,7 @@
 }
 
 // SettingsOf takes them from a router's.
-func SettingsOf(set *logic.Settings) Settings {
+func SettingsOf(set *policy.Settings) Settings {
 	c, f := &set.Contract, &set.Family
 	s := Settings{DrainGrace: c.DrainGrace, PurgeGrace: f.PurgeGrace, Window: c.FallFor, Cold: map[string]Cold{}}
 	near := max(set.Siblings, 1)
@@ -162,7 +162,7 @@
 }
 
 // Listed takes changes of the list of servers, or a whole one.
-func (j *Judge) Listed(now int64, whole bool, list []logic.Entry) {
+func (j *Judge) Listed(now int64, whole bool, list []policy.Entry) {
 	named := map[string]bool{}
 	for _, e := range list {
 		named[e.Server] = true
--- a/internal/witness/witness_test.go
+++ b/internal/invariant/invariant_test.go
@@ -1,4 +1,4 @@
-package witness
+package invariant
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 // figures of a small site: budgets of 4 cores and 2 routers, windows of a second.
@@ -17,8 +17,8 @@
 
 const epoch = 1_000_000 * second
 
-func entry(id, state string, born int64) logic.Entry {
-	return logic.Entry{Server: id, Kind: "box", State: state, Weight: 4, Born: born}
+func entry(id, state string, born int64) policy.Entry {
+	return policy.Entry{Server: id, Kind: "box", State: state, Weight: 4, Born: born}
 }
 
 // play feeds acts ten times a second from one time to another, and judges them.
@@ -47,33 +47,33 @@
 	}{
 		{"calm", 0, func(j *Judge) Seen { return play(j, epoch, epoch+30*second, to("a", 0.05e6)) }},
 		{"drained, on and on", Drained, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "leaving", 0)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
 			return play(j, epoch, epoch+12*second, to("a", 0))
 		}},
 		{"named as source", Drained, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "left", 0)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "left", 0)})
 			return play(j, epoch, epoch+12*second, func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: "a", From: now}}} })
 		}},
 		{"drained, as long as a way to the board may hang", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "leaving", 0)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
 			return play(j, epoch, epoch+7*second, to("a", 0))
 		}},
 		{"drained, and back before that comes here", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "leaving", 0)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
 			return play(j, epoch+10*second, epoch+30*second, func(now int64) *Acts {
 				if now == epoch+10*second+900*ms {
-					j.Listed(now, false, []logic.Entry{entry("a", "active", 0)})
+					j.Listed(now, false, []policy.Entry{entry("a", "active", 0)})
 				}
 				return to("a", 0)(now)
 			})
 		}},
 		{"drained, while the board can't be reached", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "leaving", 0)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
 			j.Blind(epoch+second, true)
 			return play(j, epoch+10*second, epoch+30*second, to("a", 0))
 		}},
 		{"left out of a whole list", Drained, func(j *Judge) Seen {
-			j.Listed(epoch, true, []logic.Entry{entry("b", "active", 0)})
+			j.Listed(epoch, true, []policy.Entry{entry("b", "active", 0)})
 			return play(j, epoch, epoch+12*second, to("a", 0))
 		}},
 		{"old copies, on and on", Stale, func(j *Judge) Seen {
@@ -102,19 +102,19 @@
 			})
 		}},
 		{"a cold server's part, twice", Flooded, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "active", epoch)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
 			return play(j, epoch, epoch+2*second, to("a", 0.3e6)) // 3 s of work a second; at 1 s its part is 2 * (0.25+0.075) * 4 / 2
 		}},
 		{"a cold server's part", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "active", epoch)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
 			return play(j, epoch, epoch+20*second, to("a", 0.09e6))
 		}},
 		{"a warm one", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "active", epoch-11*second)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch-11*second)})
 			return play(j, epoch, epoch+5*second, to("a", 2e6))
 		}},
 		{"words that come late and together", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []logic.Entry{entry("a", "active", epoch)})
+			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
 			for i := range int64(30) {
 				j.Acts(epoch+3*second, 1, to("a", 0.09e6)(epoch+i*second/10))
 			}
@@ -131,7 +131,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := New(figures)
-			j.Listed(epoch-100*second, true, []logic.Entry{entry("a", "active", 0), entry("b", "active", 0)})
+			j.Listed(epoch-100*second, true, []policy.Entry{entry("a", "active", 0), entry("b", "active", 0)})
 			s := c.do(j)
 			want := uint8(0)
 			if c.want != 0 {
@@ -166,7 +166,7 @@
 func world(draw func(what string, low, high int64) int64, r *router) Seen {
 	j := New(figures)
 	ids := []string{"a", "b", "c"}
-	var list []logic.Entry
+	var list []policy.Entry
 	r.state = map[string]string{}
 	for _, id := range ids {
 		list = append(list, entry(id, "active", 0))
@@ -194,7 +194,7 @@
 			id := ids[draw("server", 0, 2)]
 			down[id] = !down[id]
 			state := map[bool]string{true: "leaving", false: "active"}[down[id]]
-			tell(now, &mine, draw("late here", 0, 900*ms), func(now int64) { j.Listed(now, false, []logic.Entry{entry(id, state, 0)}) })
+			tell(now, &mine, draw("late here", 0, 900*ms), func(now int64) { j.Listed(now, false, []policy.Entry{entry(id, state, 0)}) })
 			tell(now, &theirs, draw("late there", 0, 900*ms), func(int64) { r.state[id] = state })
 		case 2, 3:
 			group := draw("group", 0, 2)
@@ -276,9 +276,9 @@
 		return play(j, epoch, epoch+30*second, func(now int64) *Acts {
 			switch at := (now - epoch) % (5 * second); {
 			case at == 0:
-				j.Listed(now, false, []logic.Entry{entry("a", "leaving", 0)})
+				j.Listed(now, false, []policy.Entry{entry("a", "leaving", 0)})
 			case at == 4*second:
-				j.Listed(now, false, []logic.Entry{entry("a", "active", 0)})
+				j.Listed(now, false, []policy.Entry{entry("a", "active", 0)})
 			case at >= 3500*ms:
 				return &Acts{Sent: []Sent{{Server: "a", To: now}}}
 			}
@@ -286,16 +286,16 @@
 		})
 	}
 	hang := func(j *Judge) Seen {
-		j.Listed(epoch, false, []logic.Entry{entry("a", "leaving", 0)})
+		j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
 		return play(j, epoch, epoch+6*second, func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: "a", To: now}}} })
 	}
 	lost := func(j *Judge) Seen { // it came back while the board told nobody here
-		j.Listed(epoch, false, []logic.Entry{entry("a", "leaving", 0)})
+		j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
 		j.Blind(epoch+second, true)
 		return play(j, epoch+5*second, epoch+20*second, func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: "a", To: now}}} })
 	}
 	late := func(j *Judge) Seen {
-		j.Listed(epoch, false, []logic.Entry{entry("a", "active", epoch)})
+		j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
 		for i := range int64(30) {
 			j.Acts(epoch+3*second, 1, &Acts{Sent: []Sent{{Server: "a", To: epoch + i*second/10, Work: 0.09e6}}})
 		}
@@ -313,7 +313,7 @@
 			if off {
 				j.wrong = c.wrong
 			}
-			j.Listed(epoch-100*second, true, []logic.Entry{entry("a", "active", 0)})
+			j.Listed(epoch-100*second, true, []policy.Entry{entry("a", "active", 0)})
 			if s := c.do(j); (s.Rules != 0) != off {
 				t.Errorf("%s, guard off %v: %+v", name, off, s)
 			}
@@ -325,7 +325,7 @@
 func TestJumped(t *testing.T) {
 	for _, by := range []int64{-20 * second, 20 * second} {
 		j := New(figures)
-		j.Listed(epoch, true, []logic.Entry{entry("a", "leaving", 0)})
+		j.Listed(epoch, true, []policy.Entry{entry("a", "leaving", 0)})
 		j.Purged(epoch, "", 7, epoch)
 		j.Jumped(epoch+by+100*ms, by)
 		s := play(j, epoch+by, epoch+by+2*second, func(now int64) *Acts {
@@ -356,7 +356,7 @@
 		j.Purged(epoch, "", int64(i), epoch)
 	}
 	for i := range 2 * mostServers {
-		j.Listed(epoch, false, []logic.Entry{entry(fmt.Sprint("s", i), "left", 0)})
+		j.Listed(epoch, false, []policy.Entry{entry(fmt.Sprint("s", i), "left", 0)})
 	}
 	for p := range uint64(2 * mostProcesses) {
 		for range 2 * mostWaiting {
--- a/internal/members/export_test.go
+++ b/internal/membership/export_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // Wrong switches a guard off by its name.
 func (s Settings) Wrong(name string) Settings {
--- a/internal/members/members.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package members decides who of the routers of a site is there: who is joining,
+// Package membership decides who of the routers of a site is there: who is joining,
 // alive, suspected, dead, leaving or has left, how sure and how old that is, whom
 // to ask next, through whom to ask again, and what to pass on. It does no I/O and
 // has no clock and no chance of its own.
@@ -7,7 +7,7 @@
 // (Dadgar, Phillips, Currey 2018) the local health, the suspicion that shortens
 // with witnesses and the word to the suspect itself. docs/membership.md tells
 // where it departs. Times are whole microseconds of a steady clock.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/members/members_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members_test
+package membership_test
 
 import (
 	"fmt"
@@ -12,24 +12,24 @@
 	"github.com/fxamacker/cbor/v2"
 	"pgregory.net/rapid"
 
-	"quilldoor/internal/members"
-	"quilldoor/internal/roster"
-	"quilldoor/internal/ways"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/netsim"
+	"quilldoor/internal/simfleet"
 )
 
 const ms, second = int64(1000), int64(1_000_000)
 
 // site is a fleet whose clocks are always behind: each life guesses 1.
-func site(n int, seed uint64, wrong string, loss float64) *roster.Fleet {
-	net := ways.New(300, 700, rand.New(rand.NewPCG(seed, 2)))
+func site(n int, seed uint64, wrong string, loss float64) *simfleet.Fleet {
+	net := netsim.New(300, 700, rand.New(rand.NewPCG(seed, 2)))
 	if loss > 0 {
-		net.Add(&ways.Trouble{Loss: loss})
+		net.Add(&netsim.Trouble{Loss: loss})
 	}
 	lives := uint64(0)
-	f := roster.New(n, seed, net, func(h *roster.Host, now int64) roster.Speaker {
+	f := simfleet.New(n, seed, net, func(h *simfleet.Host, now int64) simfleet.Speaker {
 		lives++
-		set := members.Settings{Name: h.Name, Place: "office", Addr: roster.Addr(h.ID), Seeds: roster.Seeds(min(n, 3)), Life: 1}
-		return members.New(set.Wrong(wrong), rand.New(rand.NewPCG(seed, lives)), now)
+		set := membership.Settings{Name: h.Name, Place: "office", Addr: simfleet.Addr(h.ID), Seeds: simfleet.Seeds(min(n, 3)), Life: 1}
+		return membership.New(set.Wrong(wrong), rand.New(rand.NewPCG(seed, lives)), now)
 	})
 	for i := range n {
 		f.Start(i)
@@ -38,7 +38,7 @@
 }
 
 // agree plays until all views are right.
-func agree(f *roster.Fleet, within int64) (took int64, why string) {
+func agree(f *simfleet.Fleet, within int64) (took int64, why string) {
 	from := f.Now
 	for f.Now < from+within {
 		f.Until(f.Now + 20*ms)
@@ -50,7 +50,7 @@
 	return within, why
 }
 
-func must(t *testing.T, f *roster.Fleet, within int64) {
+func must(t *testing.T, f *simfleet.Fleet, within int64) {
 	t.Helper()
 	if _, why := agree(f, within); why != "" {
 		t.Fatalf("no agreement within %d ms: %s", within/ms, why)
@@ -63,14 +63,14 @@
 	trials := map[string]func(wrong string) error{
 		// What was said of one before it died comes late: it stays dead.
 		"no incarnations": func(wrong string) error {
-			n := members.New(members.Settings{Name: "me", Addr: roster.Addr(0), Seeds: roster.Seeds(2)}.Wrong(wrong), rand.New(rand.NewPCG(1, 1)), 1)
-			from := members.Rumour{Name: "n1", ID: members.ID{Life: 9, Nonce: 9}, Inc: 1, State: members.Alive, Addr: roster.Addr(1)}
-			for i, r := range []members.Rumour{{Inc: 5, State: members.Dead}, {Inc: 3, State: members.Alive}, {Inc: 5, State: members.Alive}} {
-				r.Name, r.ID = "x", members.ID{Life: 2, Nonce: 2}
-				n.Heard(second, netip.AddrPort{}, &members.Word{Kind: members.Tell, N: uint64(i + 1), From: from, To: "me", Life: n.Self().ID,
-					Rumours: []members.Rumour{r}})
+			n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}.Wrong(wrong), rand.New(rand.NewPCG(1, 1)), 1)
+			from := membership.Rumour{Name: "n1", ID: membership.ID{Life: 9, Nonce: 9}, Inc: 1, State: membership.Alive, Addr: simfleet.Addr(1)}
+			for i, r := range []membership.Rumour{{Inc: 5, State: membership.Dead}, {Inc: 3, State: membership.Alive}, {Inc: 5, State: membership.Alive}} {
+				r.Name, r.ID = "x", membership.ID{Life: 2, Nonce: 2}
+				n.Heard(second, netip.AddrPort{}, &membership.Word{Kind: membership.Tell, N: uint64(i + 1), From: from, To: "me", Life: n.Self().ID,
+					Rumours: []membership.Rumour{r}})
 			}
-			if s := n.State("x"); s != members.Dead {
+			if s := n.State("x"); s != membership.Dead {
 				return fmt.Errorf("the dead is %v", s)
 			}
 			return nil
@@ -80,8 +80,8 @@
 			f := site(12, 1, wrong, 0.05)
 			agree(f, 30*second)
 			dead := 0
-			f.News = func(_ *roster.Host, c members.Change) {
-				if c.To == members.Dead {
+			f.News = func(_ *simfleet.Host, c membership.Change) {
+				if c.To == membership.Dead {
 					dead++
 				}
 			}
@@ -101,12 +101,12 @@
 			f := site(12, 1, wrong, 0)
 			agree(f, 30*second)
 			dead := 0
-			f.News = func(h *roster.Host, c members.Change) {
-				if c.To == members.Dead && h.ID == 4 {
+			f.News = func(h *simfleet.Host, c membership.Change) {
+				if c.To == membership.Dead && h.ID == 4 {
 					dead++
 				}
 			}
-			f.Net.Add(&ways.Trouble{To: []int{4}, Delay: 1300 * ms})
+			f.Net.Add(&netsim.Trouble{To: []int{4}, Delay: 1300 * ms})
 			f.Until(f.Now + 10*second)
 			if dead > 0 {
 				return fmt.Errorf("live ones were called dead %d times", dead)
@@ -132,15 +132,15 @@
 			f := site(12, 1, wrong, 0)
 			agree(f, 30*second)
 			for range 10 {
-				heal := f.Net.Add(&ways.Trouble{From: []int{11}, Both: true, Cut: true})
+				heal := f.Net.Add(&netsim.Trouble{From: []int{11}, Both: true, Cut: true})
 				f.Until(f.Now + 170*ms)
 				f.Stop(11)
 				f.Until(f.Now + second)
 				heal()
 				f.Until(f.Now + 20*second)
 				suspects := 0
-				f.News = func(h *roster.Host, c members.Change) {
-					if h.ID == 11 && c.To == members.Suspected {
+				f.News = func(h *simfleet.Host, c membership.Change) {
+					if h.ID == 11 && c.To == membership.Suspected {
 						suspects++
 					}
 				}
@@ -150,7 +150,7 @@
 				if suspects > 0 {
 					return fmt.Errorf("a sleeper suspects %d as it wakes", suspects)
 				}
-				if s := f.Hosts[11].Speaker.(*members.Node).Standing(); s.Majority {
+				if s := f.Hosts[11].Speaker.(*membership.Node).Standing(); s.Majority {
 					return fmt.Errorf("a sleeper that woke believes itself: %+v", s)
 				}
 				if _, why := agree(f, 20*second); why != "" {
@@ -162,11 +162,11 @@
 		// What the dead have said comes again and again: it proves nothing.
 		"takes replays": func(wrong string) error {
 			f := site(6, 1, wrong, 0)
-			var said []*members.Word
-			f.Spoil = func(h *roster.Host, w *members.Word) {
-				if h.ID == 5 && w.Kind == members.Ping {
+			var said []*membership.Word
+			f.Spoil = func(h *simfleet.Host, w *membership.Word) {
+				if h.ID == 5 && w.Kind == membership.Ping {
 					b, _ := cbor.Marshal(w)
-					x := new(members.Word)
+					x := new(membership.Word)
 					cbor.Unmarshal(b, x)
 					said = append(said, x)
 				}
@@ -185,7 +185,7 @@
 				}
 			}
 			for _, h := range f.Hosts[:5] {
-				if s := h.Speaker.State(roster.Name(5)); s != members.Dead {
+				if s := h.Speaker.State(simfleet.Name(5)); s != membership.Dead {
 					return fmt.Errorf("%s holds the dead %v", h.Name, s)
 				}
 			}
@@ -211,10 +211,10 @@
 func TestBackFromNothing(t *testing.T) {
 	f := site(6, 3, "", 0)
 	must(t, f, 10*second)
-	last := map[string]members.ID{}
-	f.News = func(h *roster.Host, c members.Change) {
+	last := map[string]membership.ID{}
+	f.News = func(h *simfleet.Host, c membership.Change) {
 		key := h.Name + c.Name
-		if c.To == members.Alive && c.ID.Compare(last[key]) < 0 {
+		if c.To == membership.Alive && c.ID.Compare(last[key]) < 0 {
 			t.Errorf("%s holds %s alive in life %v after %v", h.Name, c.Name, c.ID, last[key])
 		}
 		last[key] = c.ID
@@ -223,7 +223,7 @@
 		at := 1 + i%5
 		f.Kill(at)
 		for key := range last {
-			if strings.HasPrefix(key, roster.Name(at)+"n") {
+			if strings.HasPrefix(key, simfleet.Name(at)+"n") {
 				delete(last, key) // what it knew is gone
 			}
 		}
@@ -232,7 +232,7 @@
 		f.Until(f.Now + second)
 	}
 	must(t, f, 10*second)
-	if id := f.Hosts[1].Speaker.(*members.Node).Self().ID; id.Life < 3 {
+	if id := f.Hosts[1].Speaker.(*membership.Node).Self().ID; id.Life < 3 {
 		t.Errorf("after three restarts its life is %d", id.Life)
 	}
 	// All seeds gone for good: the others go on, and take in who comes back.
@@ -249,16 +249,16 @@
 func TestLeaving(t *testing.T) {
 	f := site(6, 4, "", 0.05)
 	must(t, f, 10*second)
-	f.News = func(h *roster.Host, c members.Change) {
-		if c.To == members.Dead {
+	f.News = func(h *simfleet.Host, c membership.Change) {
+		if c.To == membership.Dead {
 			t.Errorf("%s calls %s dead", h.Name, c.Name)
 		}
 	}
-	n := f.Hosts[2].Speaker.(*members.Node)
+	n := f.Hosts[2].Speaker.(*membership.Node)
 	n.Leave(f.Now)
 	f.Until(f.Now + second)
 	for _, h := range f.Hosts {
-		if s := h.Speaker.State(roster.Name(2)); s != members.Leaving {
+		if s := h.Speaker.State(simfleet.Name(2)); s != membership.Leaving {
 			t.Errorf("%s holds the leaving %v", h.Name, s)
 		}
 	}
@@ -266,8 +266,8 @@
 	f.Kill(2)
 	f.Until(f.Now + 3*second)
 	for _, h := range f.Hosts {
-		if h.ID != 2 && h.Speaker.State(roster.Name(2)) != members.Left {
-			t.Errorf("%s holds who has left %v", h.Name, h.Speaker.State(roster.Name(2)))
+		if h.ID != 2 && h.Speaker.State(simfleet.Name(2)) != membership.Left {
+			t.Errorf("%s holds who has left %v", h.Name, h.Speaker.State(simfleet.Name(2)))
 		}
 	}
 	f.News = nil
@@ -281,7 +281,7 @@
 	f := site(9, 5, "", 0)
 	must(t, f, 10*second)
 	f.Until(f.Now + 3*second)
-	stood := func(i int) members.Standing { return f.Hosts[i].Speaker.(*members.Node).Standing() }
+	stood := func(i int) membership.Standing { return f.Hosts[i].Speaker.(*membership.Node).Standing() }
 	if s := stood(0); !s.Majority || s.Known != 9 || s.Reachable != 9 {
 		t.Fatalf("calm: %+v", s)
 	}
@@ -301,7 +301,7 @@
 		t.Errorf("healed: %+v", s)
 	}
 	// Alone: nobody is heard, and that is known sooner than anybody is buried.
-	end := f.Net.Add(&ways.Trouble{From: []int{0}, Both: true, Cut: true})
+	end := f.Net.Add(&netsim.Trouble{From: []int{0}, Both: true, Cut: true})
 	f.Until(f.Now + 1500*ms)
 	if s := stood(0); s.Majority || s.Silence < second {
 		t.Errorf("alone: %+v", s)
@@ -309,15 +309,15 @@
 	end()
 	// A reaches B, B reaches C, A does not reach C: nobody is called dead.
 	must(t, f, 10*second)
-	f.News = func(h *roster.Host, c members.Change) {
-		if c.To == members.Dead {
+	f.News = func(h *simfleet.Host, c membership.Change) {
+		if c.To == membership.Dead {
 			t.Errorf("%s calls %s dead over a chain", h.Name, c.Name)
 		}
 	}
 	f.Net.Camps([]int{0}, []int{1})
 	f.Until(f.Now + 20*second)
-	for _, s := range f.Hosts[0].Speaker.(*members.Node).View().Seen {
-		if s.Name == roster.Name(1) && s.Reach != members.Relayed {
+	for _, s := range f.Hosts[0].Speaker.(*membership.Node).View().Seen {
+		if s.Name == simfleet.Name(1) && s.Reach != membership.Relayed {
 			t.Errorf("reached through others, told as %v", s.Reach)
 		}
 	}
@@ -325,16 +325,16 @@
 
 // A list does not grow without end: names that come and go are forgotten in order.
 func TestListsAreBounded(t *testing.T) {
-	n := members.New(members.Settings{Name: "me", Addr: roster.Addr(0), Seeds: roster.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
+	n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
 	now := int64(1)
 	for i := range 3000 {
 		now += 50 * ms
 		n.Run(now)
-		from := members.Rumour{Name: "n1", ID: members.ID{Life: 9, Nonce: 9}, Inc: 1, State: members.Alive, Addr: roster.Addr(1)}
-		w := &members.Word{Kind: members.Tell, N: uint64(i + 1), From: from, To: "me", Life: n.Self().ID}
+		from := membership.Rumour{Name: "n1", ID: membership.ID{Life: 9, Nonce: 9}, Inc: 1, State: membership.Alive, Addr: simfleet.Addr(1)}
+		w := &membership.Word{Kind: membership.Tell, N: uint64(i + 1), From: from, To: "me", Life: n.Self().ID}
 		for k := range 20 {
-			state := []members.State{members.Alive, members.Dead, members.Left, members.Suspected}[k%4]
-			w.Rumours = append(w.Rumours, members.Rumour{Name: fmt.Sprint("x", i, "-", k), ID: members.ID{Life: 1, Nonce: 1}, Inc: 1, State: state})
+			state := []membership.State{membership.Alive, membership.Dead, membership.Left, membership.Suspected}[k%4]
+			w.Rumours = append(w.Rumours, membership.Rumour{Name: fmt.Sprint("x", i, "-", k), ID: membership.ID{Life: 1, Nonce: 1}, Inc: 1, State: state})
 		}
 		n.Heard(now, netip.AddrPort{}, w)
 		known, asked, relayed, hot, chunk := n.Sizes()
@@ -351,7 +351,7 @@
 // likes.
 type net struct {
 	now    int64
-	nodes  []*members.Node // nil: dead
+	nodes  []*membership.Node // nil: dead
 	addrs  []netip.AddrPort
 	names  []string
 	asleep []bool
@@ -367,7 +367,7 @@
 func newNet(names ...string) *net {
 	x := &net{now: second}
 	for i, name := range names {
-		x.names, x.addrs = append(x.names, name), append(x.addrs, roster.Addr(i))
+		x.names, x.addrs = append(x.names, name), append(x.addrs, simfleet.Addr(i))
 		x.nodes, x.asleep = append(x.nodes, nil), append(x.asleep, false)
 	}
 	for i := range names {
@@ -378,11 +378,11 @@
 
 func (x *net) start(i int) {
 	x.lives++
-	seeds := []members.Seed{{Name: x.names[0], Addr: x.addrs[0]}, {Name: x.names[1], Addr: x.addrs[1]}}
-	x.nodes[i] = members.New(members.Settings{Name: x.names[i], Addr: x.addrs[i], Seeds: seeds, Life: 1}, rand.New(rand.NewPCG(7, x.lives)), x.now)
+	seeds := []membership.Seed{{Name: x.names[0], Addr: x.addrs[0]}, {Name: x.names[1], Addr: x.addrs[1]}}
+	x.nodes[i] = membership.New(membership.Settings{Name: x.names[i], Addr: x.addrs[i], Seeds: seeds, Life: 1}, rand.New(rand.NewPCG(7, x.lives)), x.now)
 }
 
-func (x *net) put(from int, out []members.Out) {
+func (x *net) put(from int, out []membership.Out) {
 	const most = 40
 	for _, o := range out {
 		if to := slices.Index(x.addrs, o.Addr); to >= 0 && to != from {
@@ -417,7 +417,7 @@
 		if from >= 0 && f.from != from || to >= 0 && f.to != to || x.asleep[f.to] {
 			x.flight = append(x.flight, f)
 		} else if n != nil {
-			var w members.Word
+			var w membership.Word
 			cbor.Unmarshal(f.word, &w)
 			x.put(f.to, n.Heard(x.now, netip.AddrPort{}, &w))
 		}
@@ -442,10 +442,10 @@
 		}
 		for j, o := range x.nodes {
 			s := n.State(x.names[j])
-			if i == j && s == members.Joining && !slices.ContainsFunc(x.nodes, func(o *members.Node) bool { return o != nil && o != n }) {
+			if i == j && s == membership.Joining && !slices.ContainsFunc(x.nodes, func(o *membership.Node) bool { return o != nil && o != n }) {
 				continue // it is alone, and has been since its start
 			}
-			if (s == members.Alive) != (o != nil) {
+			if (s == membership.Alive) != (o != nil) {
 				return fmt.Sprintf("%s holds %s %v", x.names[i], x.names[j], s)
 			}
 			for _, seen := range n.View().Seen {
@@ -515,8 +515,8 @@
 		x := newNet("a", "b", "c")
 		x.calm(2 * second)
 		type pair struct{ by, of int }
-		shown := map[pair]members.ID{}
-		node := [3]*members.Node{}
+		shown := map[pair]membership.ID{}
+		node := [3]*membership.Node{}
 		for _, e := range path {
 			events[e].do(x)
 			for i, n := range x.nodes {
@@ -531,7 +531,7 @@
 				}
 				for _, s := range n.View().Seen {
 					key := pair{i, slices.Index(x.names, s.Name)}
-					if s.State != members.Unknown && s.ID.Compare(shown[key]) < 0 {
+					if s.State != membership.Unknown && s.ID.Compare(shown[key]) < 0 {
 						t.Fatalf("%v: %s shows an older life of %s", path, x.names[i], s.Name)
 					}
 					shown[key] = s.ID
@@ -568,33 +568,33 @@
 func TestTwoOfOneName(t *testing.T) {
 	x := newNet("a", "b", "c")
 	x.calm(2 * second)
-	x.names, x.addrs = append(x.names, "c"), append(x.addrs, roster.Addr(3))
+	x.names, x.addrs = append(x.names, "c"), append(x.addrs, simfleet.Addr(3))
 	x.nodes, x.asleep = append(x.nodes, nil), append(x.asleep, false)
 	x.start(3)
 	x.calm(20 * second)
 	first, second2 := x.nodes[2].Self().State, x.nodes[3].Self().State
-	if (first == members.Doubled) == (second2 == members.Doubled) {
+	if (first == membership.Doubled) == (second2 == membership.Doubled) {
 		t.Fatalf("one has state %v, the other %v", first, second2)
 	}
 	quiet, other := 2, 3
-	if second2 == members.Doubled {
+	if second2 == membership.Doubled {
 		quiet, other = 3, 2
 	}
 	if s := x.nodes[quiet].Standing(); s.Majority {
 		t.Errorf("the doubled one counts on a majority: %+v", s)
 	}
 	for i := range 2 {
-		if s := x.nodes[i].State("c"); s != members.Alive {
+		if s := x.nodes[i].State("c"); s != membership.Alive {
 			t.Errorf("%s holds c %v", x.names[i], s)
 		}
 	}
 	x.nodes[other] = nil
 	x.calm(80 * second)
-	if s := x.nodes[quiet].Self().State; s != members.Alive {
+	if s := x.nodes[quiet].Self().State; s != membership.Alive {
 		t.Errorf("its name is free, and it is %v", s)
 	}
 	for i := range 2 {
-		if s := x.nodes[i].State("c"); s != members.Alive {
+		if s := x.nodes[i].State("c"); s != membership.Alive {
 			t.Errorf("%s holds c %v in the end", x.names[i], s)
 		}
 	}
@@ -628,9 +628,9 @@
 				}
 				stopped[i] = !stopped[i]
 			case "loss":
-				over = append(over, f.Net.Add(&ways.Trouble{Loss: 0.2, Jitter: 50 * ms}))
+				over = append(over, f.Net.Add(&netsim.Trouble{Loss: 0.2, Jitter: 50 * ms}))
 			case "one way":
-				over = append(over, f.Net.Add(&ways.Trouble{From: []int{i}, Cut: true}))
+				over = append(over, f.Net.Add(&netsim.Trouble{From: []int{i}, Cut: true}))
 			case "camps":
 				var a, b []int
 				for x := range 20 {
@@ -688,7 +688,7 @@
 			if calm := (h.Sent - words[h.ID]) / 5; calm > 40 {
 				t.Fatalf("%s says %d words a second when all is calm", h.Name, calm)
 			}
-			if known, asked, relayed, hot, chunk := h.Speaker.(*members.Node).Sizes(); known > 20 || asked > 64 || relayed > 64 || hot > 20 || chunk > 20 {
+			if known, asked, relayed, hot, chunk := h.Speaker.(*membership.Node).Sizes(); known > 20 || asked > 64 || relayed > 64 || hot > 20 || chunk > 20 {
 				t.Fatalf("%s keeps %d members, %d asked, %d relayed, %d hot, %d to tell", h.Name, known, asked, relayed, hot, chunk)
 			}
 		}
@@ -697,17 +697,17 @@
 
 // Anything that can be read as a word is taken without a panic and within bounds.
 func FuzzHeard(f *testing.F) {
-	n := members.New(members.Settings{Name: "me", Addr: roster.Addr(0), Seeds: roster.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
+	n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
 	self := n.Self()
-	for k := members.Hello; k <= members.Viewed; k++ {
-		b, _ := cbor.Marshal(&members.Word{Kind: k, N: 1, Seq: 1, From: members.Rumour{Name: "n1", Addr: roster.Addr(1), ID: members.ID{Life: 1, Nonce: 2}, Inc: 1,
-			State: members.Alive}, To: "me", Life: self.ID, Target: "n2", Buckets: make([]uint32, 16),
-			Rumours: []members.Rumour{{Name: "n2", State: members.Suspected, Witnesses: []uint16{3}}, {Name: "me", State: members.Dead, ID: self.ID, Inc: 5}}})
+	for k := membership.Hello; k <= membership.Viewed; k++ {
+		b, _ := cbor.Marshal(&membership.Word{Kind: k, N: 1, Seq: 1, From: membership.Rumour{Name: "n1", Addr: simfleet.Addr(1), ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1,
+			State: membership.Alive}, To: "me", Life: self.ID, Target: "n2", Buckets: make([]uint32, 16),
+			Rumours: []membership.Rumour{{Name: "n2", State: membership.Suspected, Witnesses: []uint16{3}}, {Name: "me", State: membership.Dead, ID: self.ID, Inc: 5}}})
 		f.Add(b, int64(1000))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, later int64) {
-		n := members.New(members.Settings{Name: "me", Addr: roster.Addr(0), Seeds: roster.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
-		var w members.Word
+		n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
+		var w membership.Word
 		if cbor.Unmarshal(b, &w) != nil {
 			return
 		}
@@ -715,7 +715,7 @@
 		for range 3 {
 			x := w
 			x.Rumours = slices.Clone(w.Rumours)
-			if out := n.Heard(now, roster.Addr(2), &x); len(out) > 300 {
+			if out := n.Heard(now, simfleet.Addr(2), &x); len(out) > 300 {
 				t.Fatalf("%d words for one", len(out))
 			}
 			now += 50 * ms
@@ -729,19 +729,19 @@
 
 // A page of a view fits a datagram, whatever the names.
 func TestPagesFit(t *testing.T) {
-	n := members.New(members.Settings{Name: strings.Repeat("m", 64), Place: strings.Repeat("p", 64), Addr: roster.Addr(0), Seeds: roster.Seeds(2)},
+	n := membership.New(membership.Settings{Name: strings.Repeat("m", 64), Place: strings.Repeat("p", 64), Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)},
 		rand.New(rand.NewPCG(1, 1)), 1)
-	w := &members.Word{Kind: members.Tell, N: 1, From: members.Rumour{Name: "n1", ID: members.ID{Life: 1, Nonce: 2}, Inc: 1, State: members.Alive}, To: n.Self().Name,
+	w := &membership.Word{Kind: membership.Tell, N: 1, From: membership.Rumour{Name: "n1", ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1, State: membership.Alive}, To: n.Self().Name,
 		Life: n.Self().ID}
 	for i := range 150 {
-		w.Rumours = append(w.Rumours, members.Rumour{Name: strings.Repeat("x", 60) + fmt.Sprint(i), Place: strings.Repeat("p", 64), Addr: roster.Addr(1),
-			ID: members.ID{Life: 1 << 31, Nonce: 1 << 31}, Inc: 1 << 30, State: members.Alive})
+		w.Rumours = append(w.Rumours, membership.Rumour{Name: strings.Repeat("x", 60) + fmt.Sprint(i), Place: strings.Repeat("p", 64), Addr: simfleet.Addr(1),
+			ID: membership.ID{Life: 1 << 31, Nonce: 1 << 31}, Inc: 1 << 30, State: membership.Alive})
 	}
 	n.Heard(2, netip.AddrPort{}, w)
 	got := 0
 	for from, now := 0, int64(second); from < 152; now += 100 * ms {
 		_, _, _ = n.Run(now)
-		out := n.Heard(now, roster.Addr(2), &members.Word{Kind: members.Query, Seq: uint32(from), To: n.Self().Name, From: members.Rumour{Name: "?", State: members.Alive}})
+		out := n.Heard(now, simfleet.Addr(2), &membership.Word{Kind: membership.Query, Seq: uint32(from), To: n.Self().Name, From: membership.Rumour{Name: "?", State: membership.Alive}})
 		if len(out) != 1 || len(out[0].Word.View.Seen) == 0 {
 			t.Fatalf("at %d: %d words", from, len(out))
 		}
@@ -763,8 +763,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var w members.Word
-	if err := cbor.Unmarshal(b, &w); err != nil || w.Kind != members.Ping || w.From.Name != "n1" || w.From.State != members.Alive || w.Digest != 0 {
+	var w membership.Word
+	if err := cbor.Unmarshal(b, &w); err != nil || w.Kind != membership.Ping || w.From.Name != "n1" || w.From.State != membership.Alive || w.Digest != 0 {
 		t.Errorf("%+v, %v", w, err)
 	}
 }
@@ -772,11 +772,11 @@
 // Words of 256 bytes, as the simulator carries them among instances, are enough.
 func TestSmallWords(t *testing.T) {
 	const most = 256
-	f := roster.New(24, 1, ways.New(300, 700, rand.New(rand.NewPCG(1, 2))), func(h *roster.Host, now int64) roster.Speaker {
-		return members.New(members.Settings{Name: h.Name, Place: "office", Addr: roster.Addr(h.ID), Seeds: roster.Seeds(3), Life: 1, Most: most},
+	f := simfleet.New(24, 1, netsim.New(300, 700, rand.New(rand.NewPCG(1, 2))), func(h *simfleet.Host, now int64) simfleet.Speaker {
+		return membership.New(membership.Settings{Name: h.Name, Place: "office", Addr: simfleet.Addr(h.ID), Seeds: simfleet.Seeds(3), Life: 1, Most: most},
 			rand.New(rand.NewPCG(1, uint64(h.ID))), now)
 	})
-	f.Spoil = func(h *roster.Host, w *members.Word) {
+	f.Spoil = func(h *simfleet.Host, w *membership.Word) {
 		if b, _ := cbor.Marshal(w); len(b)+17 > most {
 			t.Fatalf("%s: a word %d of %d bytes", h.Name, w.Kind, len(b)+17)
 		}
@@ -794,7 +794,7 @@
 	for _, count := range []int{24, 222} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			var before, after runtime.MemStats
-			kept := make([]*members.Node, 0, 200)
+			kept := make([]*membership.Node, 0, 200)
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for range 200 {
@@ -808,12 +808,12 @@
 	}
 }
 
-func fill(count int) *members.Node {
-	n := members.New(members.Settings{Name: "me", Addr: roster.Addr(0), Seeds: roster.Seeds(1)}, rand.New(rand.NewPCG(1, 1)), 1)
-	w := &members.Word{Kind: members.Tell, N: 1, From: members.Rumour{Name: "n1", ID: members.ID{Life: 1, Nonce: 2}, Inc: 1, State: members.Alive}, To: "me", Life: n.Self().ID}
+func fill(count int) *membership.Node {
+	n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(1)}, rand.New(rand.NewPCG(1, 1)), 1)
+	w := &membership.Word{Kind: membership.Tell, N: 1, From: membership.Rumour{Name: "n1", ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1, State: membership.Alive}, To: "me", Life: n.Self().ID}
 	for i := range count {
-		if w.Rumours = append(w.Rumours, members.Rumour{Name: fmt.Sprint("x", i), Place: "office", Addr: roster.Addr(i), ID: members.ID{Life: 1, Nonce: 1}, Inc: 1,
-			State: members.Alive}); len(w.Rumours) == 100 {
+		if w.Rumours = append(w.Rumours, membership.Rumour{Name: fmt.Sprint("x", i), Place: "office", Addr: simfleet.Addr(i), ID: membership.ID{Life: 1, Nonce: 1}, Inc: 1,
+			State: membership.Alive}); len(w.Rumours) == 100 {
 			n.Heard(2, netip.AddrPort{}, w)
 			w.N, w.Rumours = w.N+1, nil
 		}
@@ -825,8 +825,8 @@
 // BenchmarkWord is a question and its answer at one router, codec left out.
 func BenchmarkWord(b *testing.B) {
 	n := fill(222)
-	from := members.Rumour{Name: "n1", ID: members.ID{Life: 1, Nonce: 2}, Inc: 1, State: members.Alive}
+	from := membership.Rumour{Name: "n1", ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1, State: membership.Alive}
 	for i := range b.N {
-		n.Heard(int64(i)*10, netip.AddrPort{}, &members.Word{Kind: members.Ping, N: uint64(i + 10), Seq: 1, From: from, To: "me", Life: n.Self().ID})
+		n.Heard(int64(i)*10, netip.AddrPort{}, &membership.Word{Kind: membership.Ping, N: uint64(i + 10), Seq: 1, From: from, To: "me", Life: n.Self().ID})
 	}
 }
--- a/internal/members/node.go
+++ b/internal/membership/node.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"math/rand/v2"
--- a/internal/memberlink/ask.go
+++ b/internal/membership/transport/ask.go
@@ -1,4 +1,4 @@
-package memberlink
+package transport
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"quilldoor/internal/frames"
-	"quilldoor/internal/members"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/membership"
 )
 
 // toolName is what a tool calls itself; no router may have it.
@@ -20,25 +20,25 @@
 var ErrSilent = errors.New("no answer")
 
 // Ask gets a router's view, page by page, as a person's tool.
-func Ask(key []byte, name string, addr netip.AddrPort) (*members.View, error) {
+func Ask(key []byte, name string, addr netip.AddrPort) (*membership.View, error) {
 	const tries, patience, pages = 3, 400 * time.Millisecond, 100
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	var whole *members.View
+	var whole *membership.View
 	for range pages {
 		from := 0
 		if whole != nil {
 			from = len(whole.Seen)
 		}
-		q, err := frames.Seal(key, &members.Word{Kind: members.Query, Seq: uint32(from), To: name,
-			From: members.Rumour{Name: toolName, State: members.Alive}})
+		q, err := peerproto.Seal(key, &membership.Word{Kind: membership.Query, Seq: uint32(from), To: name,
+			From: membership.Rumour{Name: toolName, State: membership.Alive}})
 		if err != nil {
 			return nil, err
 		}
-		var page *members.View
+		var page *membership.View
 		for try := 0; try < tries && page == nil; try++ {
 			if _, err := conn.Write(q); err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
@@ -66,16 +66,16 @@
 	return whole, nil
 }
 
-func answer(conn *net.UDPConn, key []byte, seq uint32, until time.Time) *members.View {
+func answer(conn *net.UDPConn, key []byte, seq uint32, until time.Time) *membership.View {
 	conn.SetReadDeadline(until)
-	b := make([]byte, frames.MostDatagram+1)
+	b := make([]byte, peerproto.MostDatagram+1)
 	for {
 		n, err := conn.Read(b)
 		if err != nil {
 			return nil // refused, or its time is over
 		}
-		var w members.Word
-		if frames.Open(key, b[:n], &w) == nil && w.Kind == members.Viewed && w.Seq == seq && w.View != nil {
+		var w membership.Word
+		if peerproto.Open(key, b[:n], &w) == nil && w.Kind == membership.Viewed && w.Seq == seq && w.View != nil {
 			return w.View
 		}
 	}
@@ -85,16 +85,16 @@
 // that the asked router has.
 type Matrix struct {
 	Names []string
-	Views map[string]*members.View // nil: no answer
+	Views map[string]*membership.View // nil: no answer
 }
 
 // AskAll makes the matrix, some at a time.
-func AskAll(key []byte, first *members.View) *Matrix {
+func AskAll(key []byte, first *membership.View) *Matrix {
 	const atOnce = 16
-	m := &Matrix{Names: []string{first.Self.Name}, Views: map[string]*members.View{first.Self.Name: first}}
+	m := &Matrix{Names: []string{first.Self.Name}, Views: map[string]*membership.View{first.Self.Name: first}}
 	type got struct {
 		name string
-		view *members.View
+		view *membership.View
 	}
 	places, answers := make(chan struct{}, atOnce), make(chan got, len(first.Seen))
 	asked := 0
@@ -122,10 +122,10 @@
 }
 
 // State is what one router holds of another.
-func (m *Matrix) State(of, by string) (members.Seen, bool) {
+func (m *Matrix) State(of, by string) (membership.Seen, bool) {
 	v := m.Views[by]
 	if v == nil {
-		return members.Seen{}, false
+		return membership.Seen{}, false
 	}
 	if of == by {
 		return v.Self, true
@@ -135,7 +135,7 @@
 			return s, true
 		}
 	}
-	return members.Seen{}, true
+	return membership.Seen{}, true
 }
 
 // Differ names routers of whom those that answered don't hold the same, apart from
@@ -146,8 +146,8 @@
 		for _, by := range m.Names {
 			if s, ok := m.State(of, by); ok {
 				state := s.State
-				if state == members.Suspected {
-					state = members.Alive
+				if state == membership.Suspected {
+					state = membership.Alive
 				}
 				kinds[fmt.Sprint(state, s.ID)] = true
 			}
--- a/internal/memberlink/link.go
+++ b/internal/membership/transport/link.go
@@ -1,6 +1,6 @@
-// Package memberlink carries the words of package members between processes: one
+// Package transport carries the words of package members between processes: one
 // UDP socket, datagrams with a proof by a shared key, a steady clock.
-package memberlink
+package transport
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/frames"
-	"quilldoor/internal/members"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/membership"
 )
 
 // ReadKey reads the key that all routers of a site share.
@@ -26,8 +26,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("members.key_file: %w", err)
 	}
-	if text = bytes.TrimSpace(text); len(text) < frames.LeastKey {
-		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(text), frames.LeastKey)
+	if text = bytes.TrimSpace(text); len(text) < peerproto.LeastKey {
+		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(text), peerproto.LeastKey)
 	}
 	return text, nil
 }
@@ -48,7 +48,7 @@
 
 	reader   Reader
 	mu       sync.Mutex
-	node     *members.Node
+	node     *membership.Node
 	majority bool
 }
 
@@ -56,14 +56,14 @@
 type Reader interface {
 	Tag() uint32                                                 // of what it knows, for all words
 	Letter(from string, tag uint32, body []byte) (back [][]byte) // body nil: only the tag came
-	Tick(s members.Standing)                                     // at every wake-up
+	Tick(s membership.Standing)                                  // at every wake-up
 }
 
 // MostBody is how long a letter's body may be.
 const MostBody = 1000
 
 // Start opens the socket and begins to look for the others.
-func Start(set members.Settings, key []byte, listen netip.AddrPort, reader Reader, log *logrus.Entry) (*Link, error) {
+func Start(set membership.Settings, key []byte, listen netip.AddrPort, reader Reader, log *logrus.Entry) (*Link, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("members.listen: %w", err)
@@ -72,11 +72,11 @@
 }
 
 // StartOn does the same with a socket that stands already.
-func StartOn(conn *net.UDPConn, set members.Settings, key []byte, listen netip.AddrPort, reader Reader, log *logrus.Entry) *Link {
+func StartOn(conn *net.UDPConn, set membership.Settings, key []byte, listen netip.AddrPort, reader Reader, log *logrus.Entry) *Link {
 	set.Addr, set.Life, set.Most = listen, uint32(time.Now().Unix()), 1200
 	l := &Link{key: key, conn: conn, log: log, start: time.Now(), done: make(chan struct{}), reader: reader}
 	// Two processes of one name must not draw alike: this seed is not the configured one.
-	l.node = members.New(set, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), l.now())
+	l.node = membership.New(set, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), l.now())
 	l.all.Go(l.read)
 	l.all.Go(l.run)
 	return l
@@ -112,7 +112,7 @@
 // the core: the system drops the rest.
 func (l *Link) read() {
 	const atOnce, rest = 64, 2 * time.Millisecond
-	b := make([]byte, frames.MostDatagram+1)
+	b := make([]byte, peerproto.MostDatagram+1)
 	for bad := 0; ; {
 		size, from, err := l.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -122,8 +122,8 @@
 			time.Sleep(rest)
 			continue
 		}
-		w := new(members.Word)
-		if err := frames.Open(l.key, b[:size], w); err != nil {
+		w := new(membership.Word)
+		if err := peerproto.Open(l.key, b[:size], w); err != nil {
 			l.drop(err)
 			if bad++; bad >= atOnce {
 				bad = 0
@@ -152,7 +152,7 @@
 }
 
 // deliver hands letters to the reader and posts what it says back.
-func (l *Link) deliver(letters []members.Letter) {
+func (l *Link) deliver(letters []membership.Letter) {
 	if l.reader == nil {
 		return
 	}
@@ -168,20 +168,20 @@
 
 func (l *Link) drop(err error) {
 	switch {
-	case errors.Is(err, frames.ErrSize):
+	case errors.Is(err, peerproto.ErrSize):
 		l.Dropped.Size.Add(1)
-	case errors.Is(err, frames.ErrVersion):
+	case errors.Is(err, peerproto.ErrVersion):
 		l.Dropped.Version.Add(1)
-	case errors.Is(err, frames.ErrProof):
+	case errors.Is(err, peerproto.ErrProof):
 		l.Dropped.Proof.Add(1)
 	default:
 		l.Dropped.Payload.Add(1)
 	}
 }
 
-func (l *Link) send(out []members.Out) {
+func (l *Link) send(out []membership.Out) {
 	for _, o := range out {
-		b, err := frames.Seal(l.key, o.Word)
+		b, err := peerproto.Seal(l.key, o.Word)
 		if err == nil && o.Addr.IsValid() {
 			_, err = l.conn.WriteToUDPAddrPort(b, o.Addr)
 		}
@@ -192,29 +192,29 @@
 }
 
 // tell logs what has changed.
-func (l *Link) tell(news []members.Change, s members.Standing) {
+func (l *Link) tell(news []membership.Change, s membership.Standing) {
 	for _, c := range news {
 		line := l.log.WithFields(logrus.Fields{"member": c.Name, "was": c.From.String(), "life": c.ID.Life})
 		switch c.To {
-		case members.Suspected:
+		case membership.Suspected:
 			line.Debug("members: suspected")
-		case members.Dead:
+		case membership.Dead:
 			line.Warn("members: dead")
-		case members.Doubled:
+		case membership.Doubled:
 			line.Error("members: another process has this router's name, this one keeps quiet")
-		case members.Alive:
-			if c.From == members.Suspected {
+		case membership.Alive:
+			if c.From == membership.Suspected {
 				line.Debug("members: alive")
 			} else {
 				line.Info("members: alive")
 			}
-		case members.Unknown:
+		case membership.Unknown:
 			line.Debug("members: forgotten")
 		default:
 			line.Info("members: " + c.To.String())
 		}
 	}
-	if s.Majority != l.majority && s.State != members.Joining {
+	if s.Majority != l.majority && s.State != membership.Joining {
 		l.majority = s.Majority
 		line := l.log.WithFields(logrus.Fields{"known": s.Known, "reachable": s.Reachable, "answered": s.Answered, "asked": s.Asked,
 			"silence_ms": s.Silence / 1000, "waking": s.Waking})
@@ -227,7 +227,7 @@
 }
 
 // View is all that is held of the others.
-func (l *Link) View() *members.View {
+func (l *Link) View() *membership.View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.node.View()
@@ -242,7 +242,7 @@
 
 // HandOver ends without a word to anybody, for another generation of this router
 // that goes on with the same life.
-func (l *Link) HandOver() *members.Baton {
+func (l *Link) HandOver() *membership.Baton {
 	close(l.done)
 	l.conn.Close()
 	l.all.Wait()
--- a/internal/memberlink/link_test.go
+++ b/internal/membership/transport/link_test.go
@@ -1,4 +1,4 @@
-package memberlink
+package transport
 
 import (
 	"errors"
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/frames"
-	"quilldoor/internal/members"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/membership"
 )
 
 var key = []byte("the key of these tests")
@@ -40,9 +40,9 @@
 
 func start(t *testing.T, addrs []netip.AddrPort, i int, key []byte) *Link {
 	t.Helper()
-	set := members.Settings{Name: fmt.Sprint("n", i)}
+	set := membership.Settings{Name: fmt.Sprint("n", i)}
 	for k, a := range addrs {
-		set.Seeds = append(set.Seeds, members.Seed{Name: fmt.Sprint("n", k), Addr: a})
+		set.Seeds = append(set.Seeds, membership.Seed{Name: fmt.Sprint("n", k), Addr: a})
 	}
 	l, err := Start(set, key, addrs[i], nil, quiet())
 	if err != nil {
@@ -61,7 +61,7 @@
 	t.Fatal("not within 15 s: " + what)
 }
 
-func count(l *Link, s members.State) (n int) {
+func count(l *Link, s membership.State) (n int) {
 	for _, x := range l.View().Seen {
 		if x.State == s {
 			n++
@@ -84,7 +84,7 @@
 		}
 	}()
 	for _, l := range links {
-		until(t, "all alive", func() bool { return count(l, members.Alive) == 3 })
+		until(t, "all alive", func() bool { return count(l, membership.Alive) == 3 })
 	}
 	v, err := Ask(key, "n0", addrs[0])
 	if err != nil || len(v.Seen) != 3 || v.Self.Name != "n0" {
@@ -99,9 +99,9 @@
 	}
 	links[3].Leave()
 	links[3].Close()
-	until(t, "it has left", func() bool { return count(links[0], members.Left) == 1 && count(links[1], members.Left) == 1 })
+	until(t, "it has left", func() bool { return count(links[0], membership.Left) == 1 && count(links[1], membership.Left) == 1 })
 	links[3] = start(t, addrs, 3, key)
-	until(t, "it is back", func() bool { return count(links[0], members.Alive) == 3 && count(links[3], members.Alive) == 3 })
+	until(t, "it is back", func() bool { return count(links[0], membership.Alive) == 3 && count(links[3], membership.Alive) == 3 })
 }
 
 // What is not a word of ours is dropped, counted, and holds nobody up.
@@ -112,17 +112,17 @@
 	defer b.Close()
 	c := start(t, addrs, 2, []byte("another key than theirs"))
 	defer c.Close()
-	until(t, "two know each other", func() bool { return count(a, members.Alive) == 1 && count(b, members.Alive) == 1 })
+	until(t, "two know each other", func() bool { return count(a, membership.Alive) == 1 && count(b, membership.Alive) == 1 })
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrs[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	good, _ := frames.Seal(key, &members.Word{Kind: members.Ping, From: members.Rumour{Name: "x", State: members.Alive}, To: "n0"})
+	good, _ := peerproto.Seal(key, &membership.Word{Kind: membership.Ping, From: membership.Rumour{Name: "x", State: membership.Alive}, To: "n0"})
 	newer := append([]byte{9}, good[1:]...)
 	forged := append([]byte{}, good...)
 	forged[5] ^= 1
-	odd, _ := frames.Seal(key, []int{1})
+	odd, _ := peerproto.Seal(key, []int{1})
 	for range 500 {
 		conn.Write(good[:10])
 		conn.Write(newer)
@@ -136,8 +136,8 @@
 		return d.Size.Load() > 0 && d.Version.Load() > 0 && d.Proof.Load() > 0 && d.Payload.Load() > 0 && a.View().Counts.Foreign > 0
 	})
 	time.Sleep(2 * time.Second)
-	if count(a, members.Alive) != 1 || count(b, members.Alive) != 1 || count(c, members.Alive) != 0 {
-		t.Errorf("%d, %d and %d alive", count(a, members.Alive), count(b, members.Alive), count(c, members.Alive))
+	if count(a, membership.Alive) != 1 || count(b, membership.Alive) != 1 || count(c, membership.Alive) != 0 {
+		t.Errorf("%d, %d and %d alive", count(a, membership.Alive), count(b, membership.Alive), count(c, membership.Alive))
 	}
 }
 
--- a/internal/ways/ways.go
+++ b/internal/netsim/netsim.go
@@ -1,8 +1,8 @@
-// Package ways models what lies between routers, for tests and rehearsals: between
+// Package netsim models what lies between routers, for tests and rehearsals: between
 // every ordered pair a way of its own that delays, jitters, loses, doubles,
 // reorders, is slow or cut. It does no I/O: drivers ask it when a datagram that
 // is sent now arrives, on a virtual clock or on loopback.
-package ways
+package netsim
 
 import (
 	"math/rand/v2"
--- a/internal/ways/ways_test.go
+++ b/internal/netsim/netsim_test.go
@@ -1,4 +1,4 @@
-package ways
+package netsim
 
 import (
 	"math/rand/v2"
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's own file: YAML that switches on what
+// Package operatorconfig reads the operator's own file: YAML that switches on what
 // goes beyond the platform. An absent or empty file means that all of it is off.
-package operator
+package operatorconfig
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"reflect"
 	"slices"
 
-	"quilldoor/internal/disk"
+	"quilldoor/internal/diskcache/diskstore"
 	"quilldoor/internal/yamlfile"
 )
 
@@ -135,7 +135,7 @@
 		}{
 			{"size_mb", &d.SizeMB, 0, 16, 16 << 20},
 			// 16 kB: a part of 240 kB wastes 3%, and a part costs 60 bytes of memory for its slots at most.
-			{"slot_kb", &d.SlotKB, 16, disk.LeastSlot >> 10, disk.MostSlot >> 10},
+			{"slot_kb", &d.SlotKB, 16, diskstore.LeastSlot >> 10, diskstore.MostSlot >> 10},
 			{"memory_mb", &d.MemoryMB, 16, 1, 64 << 10},
 			{"write_mb_per_s", &d.WriteMBPS, 8, 1, 10_000},
 			{"queue_mb", &d.QueueMB, 4, 1, 1 << 10},
--- a/internal/operator/operator_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"os"
--- a/logic/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import "testing"
 
--- a/logic/logic.go
+++ b/internal/policy/policy.go
@@ -1,8 +1,8 @@
-// Package logic holds every decision of a quilldoor router. New starts an instance from its settings and
+// Package policy holds every decision of a quilldoor router. New starts an instance from its settings and
 // seed; Handle takes one event with the clock (whole microseconds) and appends the actions it decides on, in
 // order. The module does no I/O, reads no clock and starts no goroutine. Its interface stands in types.go;
 // docs/design.md tells what follows the paper.
-package logic
+package policy
 
 import (
 	"cmp"
--- a/logic/types.go
+++ b/internal/policy/types.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // Settings are the figures an instance is handed when it starts. Times are
 // whole microseconds.
--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/canary"
 )
 
 // lead is what the router that leads knows beside the register. A new one learns it
@@ -27,11 +27,11 @@
 
 	reports []heard
 	watch   int64 // since when all of the stage have changed; 0: they have not
-	judge   *verdict.Judge
+	judge   *canary.Judge
 	fleet   []float64 // loss of worth of all routers together, by moments of this watch
 	before  []float64 // of the one before; none: another led then
 	moment  int64
-	say     verdict.Word
+	say     canary.Word
 	why     string
 }
 
@@ -40,7 +40,7 @@
 	at      int64 // 0: never
 	r       Report
 	since   int64 // when OnNew last became what it is
-	counts  verdict.Counts
+	counts  canary.Counts
 	counted int64
 	memory  float64 // of the old generation, when it changed
 	drains  int     // it had been told of when the watch began
@@ -275,8 +275,8 @@
 		return good, ""
 	}
 	if l.watch == 0 {
-		l.watch, l.judge, l.moment = n.now, verdict.New(n.plan.Verdict(), len(n.plan.Stages)), n.now
-		l.say, l.why, l.fleet = verdict.CantTell, "", nil
+		l.watch, l.judge, l.moment = n.now, canary.New(n.plan.Verdict(), len(n.plan.Stages)), n.now
+		l.say, l.why, l.fleet = canary.CantTell, "", nil
 		for i := range l.reports {
 			l.reports[i].drains, l.reports[i].purges = l.reports[i].r.Drains, l.reports[i].r.Purges
 		}
@@ -288,10 +288,10 @@
 	over := n.now-l.watch > int64(stage.WatchS*1e6)
 	untried := l.untried(n, s, stage)
 	switch {
-	case l.say == verdict.Worse:
+	case l.say == canary.Worse:
 		return worse, l.why
 	case n.now-l.watch < int64(stage.LeastS*1e6):
-	case l.say == verdict.Good && untried == "":
+	case l.say == canary.Good && untried == "":
 		return good, l.why
 	case over && last && untried == "" && l.fell(n) != "":
 		return unsure, l.fell(n)
@@ -308,7 +308,7 @@
 // fell tells whether all routers together lose more since all have changed: a defect may
 // show only then. That it began with the change proves nothing, so nobody turns back.
 func (l *lead) fell(n *Node) string {
-	if by, fell := verdict.Fell(n.plan.Verdict(), len(n.plan.Stages), l.before, l.fleet); fell {
+	if by, fell := canary.Fell(n.plan.Verdict(), len(n.plan.Stages), l.before, l.fleet); fell {
 		return fmt.Sprintf("can't tell: all are new, and lose at least %.4f more than while some were old", by)
 	}
 	return ""
@@ -473,7 +473,7 @@
 		return
 	}
 	l.moment = n.now
-	var all verdict.Counts
+	var all canary.Counts
 	for i := range l.reports {
 		h := &l.reports[i]
 		if n.now-h.at > 2*second || h.r.Changing || n.now-h.since < l.judge.Skip() {
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/canary"
 )
 
 // Way is where a rollout goes.
@@ -38,18 +38,18 @@
 
 // Report is what a router says of itself.
 type Report struct {
-	OnNew    bool           `cbor:"1,keyasint,omitempty"` // it serves with the new generation, settled
-	Changing bool           `cbor:"2,keyasint,omitempty"` // on its way, in either direction
-	Failed   string         `cbor:"3,keyasint,omitempty"` // why the change did not come about, in this run
-	Able     bool           `cbor:"4,keyasint,omitempty"` // it has the plan, and what the plan names
-	Counts   verdict.Counts `cbor:"5,keyasint,omitempty"` // since its first generation, going on over changes
-	Restarts int            `cbor:"6,keyasint,omitempty"` // unasked
-	MemoryMB float64        `cbor:"7,keyasint,omitempty"`
-	Run      uint64         `cbor:"8,keyasint,omitempty"`  // that Failed and OnNew are of
-	Broken   uint8          `cbor:"9,keyasint,omitempty"`  // rules that its keeper has seen it break within the last minute, a bit each
-	Broke    string         `cbor:"10,keyasint,omitempty"` // the first of them
-	Drains   int            `cbor:"11,keyasint,omitempty"` // that its keeper was told of; so are
-	Purges   int            `cbor:"12,keyasint,omitempty"`
+	OnNew    bool          `cbor:"1,keyasint,omitempty"` // it serves with the new generation, settled
+	Changing bool          `cbor:"2,keyasint,omitempty"` // on its way, in either direction
+	Failed   string        `cbor:"3,keyasint,omitempty"` // why the change did not come about, in this run
+	Able     bool          `cbor:"4,keyasint,omitempty"` // it has the plan, and what the plan names
+	Counts   canary.Counts `cbor:"5,keyasint,omitempty"` // since its first generation, going on over changes
+	Restarts int           `cbor:"6,keyasint,omitempty"` // unasked
+	MemoryMB float64       `cbor:"7,keyasint,omitempty"`
+	Run      uint64        `cbor:"8,keyasint,omitempty"`  // that Failed and OnNew are of
+	Broken   uint8         `cbor:"9,keyasint,omitempty"`  // rules that its keeper has seen it break within the last minute, a bit each
+	Broke    string        `cbor:"10,keyasint,omitempty"` // the first of them
+	Drains   int           `cbor:"11,keyasint,omitempty"` // that its keeper was told of; so are
+	Purges   int           `cbor:"12,keyasint,omitempty"`
 }
 
 // Kind of a message.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -13,7 +13,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/canary"
 	"quilldoor/internal/yamlfile"
 )
 
@@ -135,10 +135,10 @@
 	p.AtOnce, p.BackOnce = cmp.Or(p.AtOnce, 1), cmp.Or(p.BackOnce, 1)
 	p.OnWorse, p.OnUnsure, p.CutOff = cmp.Or(p.OnWorse, "back"), cmp.Or(p.OnUnsure, "hold"), cmp.Or(p.CutOff, "back")
 	p.SilentS = cmp.Or(p.SilentS, 30)
-	d, g := verdict.Default(), &p.Guards
-	g.MostLoss, g.Loss = cmp.Or(g.MostLoss, d.Most), cmp.Or(g.Loss, d.Bear[verdict.Loss])
-	g.Refusals, g.Failures = cmp.Or(g.Refusals, d.Bear[verdict.Refusals]), cmp.Or(g.Failures, d.Bear[verdict.Failures])
-	g.Slower, g.Hops, g.RuleLoss = cmp.Or(g.Slower, d.Bear[verdict.Slowness]), cmp.Or(g.Hops, d.Bear[verdict.Hops]), cmp.Or(g.RuleLoss, d.Rule)
+	d, g := canary.Default(), &p.Guards
+	g.MostLoss, g.Loss = cmp.Or(g.MostLoss, d.Most), cmp.Or(g.Loss, d.Bear[canary.Loss])
+	g.Refusals, g.Failures = cmp.Or(g.Refusals, d.Bear[canary.Refusals]), cmp.Or(g.Failures, d.Bear[canary.Failures])
+	g.Slower, g.Hops, g.RuleLoss = cmp.Or(g.Slower, d.Bear[canary.Slowness]), cmp.Or(g.Hops, d.Bear[canary.Hops]), cmp.Or(g.RuleLoss, d.Rule)
 	g.Chance, g.Memory = cmp.Or(g.Chance, d.Chance), cmp.Or(g.Memory, 3)
 	for _, n := range []struct {
 		key       string
@@ -201,10 +201,10 @@
 }
 
 // Verdict are the judge's settings.
-func (p *Plan) Verdict() verdict.Settings {
-	d := verdict.Default()
+func (p *Plan) Verdict() canary.Settings {
+	d := canary.Default()
 	d.Chance, d.Most = p.Guards.Chance, p.Guards.MostLoss
-	d.Bear = [verdict.Figures]float64{p.Guards.Loss, p.Guards.Refusals, p.Guards.Failures, p.Guards.Slower, p.Guards.Hops}
+	d.Bear = [canary.Figures]float64{p.Guards.Loss, p.Guards.Refusals, p.Guards.Failures, p.Guards.Slower, p.Guards.Hops}
 	d.Rule = p.Guards.RuleLoss
 	return d
 }
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/canary"
 )
 
 // fleet is a plan's routers on a virtual clock, with ways that lose, delay and are cut.
@@ -36,7 +36,7 @@
 	until                                int64
 	failed                               string
 	run                                  uint64
-	counts                               verdict.Counts
+	counts                               canary.Counts
 	broken                               uint8
 	drains, purges                       int
 	skew                                 float64 // of its clock
--- a/internal/rollout/words.go
+++ b/internal/rollout/words.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/canary"
 )
 
 // Mark is what a rollout's letter among members begins with; those of others never do,
@@ -132,7 +132,7 @@
 	if l := n.leads; l != nil && l.judge != nil {
 		s.Say, s.WatchMS = l.say.String()+": "+l.why, (n.now-l.watch)/1000
 		const most = 600
-		for f := range verdict.Figures {
+		for f := range canary.Figures {
 			b, d := l.judge.Bound(f), l.judge.Moments(f)
 			if b.Moments < 2 {
 				continue
@@ -141,7 +141,7 @@
 		}
 		for _, name := range l.judge.Rules() {
 			if b, d := l.judge.OfRule(name); b.Moments >= 2 {
-				s.Bounds = append(s.Bounds, Bound{verdict.Loss.String() + " of " + name, n.plan.Verdict().Rule, b.Mean, b.Low, b.High, d[max(len(d)-most, 0):]})
+				s.Bounds = append(s.Bounds, Bound{canary.Loss.String() + " of " + name, n.plan.Verdict().Rule, b.Mean, b.Low, b.High, d[max(len(d)-most, 0):]})
 			}
 		}
 	}
--- a/internal/script/script.go
+++ b/internal/scenario/scenario.go
@@ -1,14 +1,14 @@
-// Package script reads rehearsals: a fleet, its load and troubles, as YAML.
-package script
+// Package scenario reads rehearsals: a fleet, its load and troubles, as YAML.
+package scenario
 
 import (
 	"cmp"
 	"slices"
 	"strconv"
 
+	"quilldoor/internal/policy"
 	"quilldoor/internal/settings"
 	"quilldoor/internal/yamlfile"
-	"quilldoor/logic"
 )
 
 // Script is one rehearsal. Fields that are left out get the figures of Default.
@@ -392,7 +392,7 @@
 }
 
 // Rules are the remap rules as decisions have them.
-func (s *Script) Rules() []logic.RemapRule {
+func (s *Script) Rules() []policy.RemapRule {
 	set := s.Settings(0, 0)
 	return set.Logic().Rules
 }
--- a/internal/script/script_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"strings"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -5,7 +5,7 @@
 import (
 	"math"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 // Micros turns milliseconds into whole microseconds.
@@ -71,24 +71,24 @@
 }
 
 // Logic turns the object into what the module is handed.
-func (s *Setup) Logic() logic.Settings {
+func (s *Setup) Logic() policy.Settings {
 	f, c, l := &s.FamilyInfo, &s.Contract, &s.Limits
-	out := logic.Settings{
+	out := policy.Settings{
 		Rank: s.Rank, Siblings: s.Siblings, Zone: s.Zone, Zones: s.Zones, Kinds: s.Kinds,
 		OverShareWorth: s.OverShareWorth, MarksRetry: s.Callers.MarksRetry, Discovery: s.Discovery,
 		WeightKind: s.WeightKind, Round: Micros(s.RoundMs),
-		Contract: logic.Contract{
+		Contract: policy.Contract{
 			AnswerSlack: Micros(c.AnswerSlackMs), AskEvery: Micros(c.AskEveryMs), ColdFor: Micros(c.ColdMs),
 			DrainGrace: Micros(c.DrainGraceMs), FallFor: Micros(c.FallMs),
 			ColdFrom: c.ColdFrom, FallMultiple: c.FallMultiple,
 		},
-		Limits: logic.Limits{
+		Limits: policy.Limits{
 			Cancel: l.Cancel, Peers: l.PeerMessages, Probes: l.Probes, RetryAfter: l.RetryAfter,
 			SecondCopies: l.SecondCopies, MaxHops: l.MostTries, MaxOpen: l.MaxOpen,
 			StreamsPerConn: l.StreamsPerConn, MaxRetryAfter: Micros(l.MaxRetryAfterMs),
 			ConnectTimeout: Micros(l.ConnectTimeoutMs),
 		},
-		Family: logic.Family{
+		Family: policy.Family{
 			Direct: f.BypassAllowed, Joins: f.Collapses, OriginKind: f.MasterKind, ParentKind: -1,
 			FlowKBPerS: f.FlowKbPerS, LinkPrice: f.LinkPrice, ParentColdFrom: f.ParentColdFrom,
 			ParentColdFor: Micros(f.ParentRampMs), ParentFallMultiple: f.UpperFallMultiple,
@@ -97,13 +97,13 @@
 			HubByZone: f.HubByZone, LinkKBPerS: f.FeedKbPerS,
 			OriginFallMultiple: f.OriginFallMultiple, OriginFallFor: Micros(f.OriginFallMs),
 		},
-		Report: logic.Report{How: s.LoadReport.How, Fields: s.LoadReport.Fields},
+		Report: policy.Report{How: s.LoadReport.How, Fields: s.LoadReport.Fields},
 	}
 	if f.SecondTierKind != nil {
 		out.Family.ParentKind = *f.SecondTierKind
 	}
 	for i, k := range s.Classes {
-		out.Rules = append(out.Rules, logic.RemapRule{
+		out.Rules = append(out.Rules, policy.RemapRule{
 			Name: k.Name, Effect: k.Effect, Group: k.Group, Window: Micros(k.DedupWindowMs),
 			SLA: Micros(k.TargetMs), Stretch: k.AimStretch, TimeLimit: Micros(k.GiveUpMs),
 			Importance: k.Value, LateShare: k.LateShare, Streamed: k.Streamed,
@@ -112,7 +112,7 @@
 		})
 	}
 	for _, t := range s.Tenants {
-		out.Tenants = append(out.Tenants, logic.Tenant(t))
+		out.Tenants = append(out.Tenants, policy.Tenant(t))
 	}
 	return out
 }
--- a/internal/roster/roster.go
+++ b/internal/simfleet/simfleet.go
@@ -1,8 +1,8 @@
-// Package roster plays a fleet of routers that know each other on a virtual clock:
+// Package simfleet plays a fleet of routers that know each other on a virtual clock:
 // their knowledge (package members, or a baseline) on ways that lose, delay and
 // are cut, with routers that are killed, started, stopped and starved. It is for
 // tests, experiments and the emulator; figures from it are simulated.
-package roster
+package simfleet
 
 import (
 	"container/heap"
@@ -12,15 +12,15 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"quilldoor/internal/members"
-	"quilldoor/internal/ways"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/netsim"
 )
 
 // Speaker is a router's knowledge of the others.
 type Speaker interface {
-	Run(now int64) (next int64, out []members.Out, news []members.Change)
-	Heard(now int64, via netip.AddrPort, w *members.Word) []members.Out
-	State(name string) members.State
+	Run(now int64) (next int64, out []membership.Out, news []membership.Change)
+	Heard(now int64, via netip.AddrPort, w *membership.Word) []membership.Out
+	State(name string) membership.State
 }
 
 // overhead of a datagram: the form's version and proof; not those of IP and UDP.
@@ -43,17 +43,17 @@
 // Mailer is what routers say to each other beside what they know of each other.
 type Mailer interface {
 	Tag(h *Host) uint32
-	Letter(h *Host, l members.Letter) (back [][]byte)
+	Letter(h *Host, l membership.Letter) (back [][]byte)
 	Tick(h *Host)
 }
 
 // Fleet is the routers and their ways.
 type Fleet struct {
-	Net   *ways.Net
+	Net   *netsim.Net
 	Hosts []*Host
 	Now   int64
-	News  func(h *Host, c members.Change) // of views, as they change
-	Spoil func(h *Host, w *members.Word)  // before it is sent; for tests
+	News  func(h *Host, c membership.Change) // of views, as they change
+	Spoil func(h *Host, w *membership.Word)  // before it is sent; for tests
 	Make  func(h *Host, now int64) Speaker
 	Mail  Mailer // of other subsystems; nil: none
 
@@ -64,7 +64,7 @@
 }
 
 // New makes a fleet of n dead routers. make starts one's knowledge.
-func New(n int, seed uint64, net *ways.Net, make func(h *Host, now int64) Speaker) *Fleet {
+func New(n int, seed uint64, net *netsim.Net, make func(h *Host, now int64) Speaker) *Fleet {
 	f := &Fleet{Net: net, Make: make, byName: map[string]*Host{}, dice: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
 		h := &Host{ID: i, Name: Name(i)}
@@ -83,9 +83,9 @@
 }
 
 // Seeds are the first routers, as a file would name them.
-func Seeds(n int) (list []members.Seed) {
+func Seeds(n int) (list []membership.Seed) {
 	for i := range n {
-		list = append(list, members.Seed{Name: Name(i), Addr: Addr(i)})
+		list = append(list, membership.Seed{Name: Name(i), Addr: Addr(i)})
 	}
 	return list
 }
@@ -228,7 +228,7 @@
 	})
 }
 
-func (f *Fleet) news(h *Host, news []members.Change) {
+func (f *Fleet) news(h *Host, news []membership.Change) {
 	if f.News != nil {
 		for _, c := range news {
 			f.News(h, c)
@@ -237,7 +237,7 @@
 }
 
 // Carry sends words by the ways.
-func (f *Fleet) carry(h *Host, out []members.Out) {
+func (f *Fleet) carry(h *Host, out []membership.Out) {
 	for _, o := range out {
 		if f.Spoil != nil {
 			f.Spoil(h, o.Word)
@@ -260,7 +260,7 @@
 				}
 				to.HeardBytes += int64(size)
 				f.act(to, func() {
-					var w members.Word // each has its own, as on a wire
+					var w membership.Word // each has its own, as on a wire
 					if err := cbor.Unmarshal(b, &w); err != nil {
 						panic(err)
 					}
@@ -272,8 +272,8 @@
 }
 
 // hear takes a word, and the letters that it is or brings.
-func (f *Fleet) hear(h *Host, w *members.Word) {
-	n, mails := h.Speaker.(*members.Node)
+func (f *Fleet) hear(h *Host, w *membership.Word) {
+	n, mails := h.Speaker.(*membership.Node)
 	if mails = mails && f.Mail != nil; mails {
 		n.Tag(f.Mail.Tag(h))
 	}
@@ -290,7 +290,7 @@
 
 // Send hands words to the ways that a router says outside Run, such as when it
 // leaves.
-func (f *Fleet) Send(i int, out []members.Out) { f.carry(f.Hosts[i], out) }
+func (f *Fleet) Send(i int, out []membership.Out) { f.carry(f.Hosts[i], out) }
 
 // Agree tells whether all live routers hold just the live ones alive, and names
 // one who doesn't.
@@ -300,7 +300,7 @@
 			continue
 		}
 		for _, x := range f.Hosts {
-			if s := h.Speaker.State(x.Name); (s == members.Alive) != (x.Speaker != nil) {
+			if s := h.Speaker.State(x.Name); (s == membership.Alive) != (x.Speaker != nil) {
 				return false, fmt.Sprintf("%s holds %s %v", h.Name, x.Name, s)
 			}
 		}
--- a/internal/roster/trial.go
+++ b/internal/simfleet/trial.go
@@ -1,12 +1,12 @@
-package roster
+package simfleet
 
 import (
 	"math/rand/v2"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"quilldoor/internal/members"
-	"quilldoor/internal/ways"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/netsim"
 )
 
 // Plan of a trial. Times are microseconds.
@@ -27,15 +27,15 @@
 
 // Site makes the fleet of a plan, with three seeds, all started at once.
 func (p Plan) Site() *Fleet {
-	net := ways.New(trialDelay, trialJitter, rand.New(rand.NewPCG(p.Seed, 2)))
+	net := netsim.New(trialDelay, trialJitter, rand.New(rand.NewPCG(p.Seed, 2)))
 	if p.Loss > 0 {
-		net.Add(&ways.Trouble{Loss: p.Loss})
+		net.Add(&netsim.Trouble{Loss: p.Loss})
 	}
 	f := New(p.Routers, p.Seed, net, func(h *Host, now int64) Speaker {
 		if p.Beats {
 			return NewBeats(h.Name, Seeds(p.Routers), beatEvery, beatAllowed, now+int64(h.ID)*beatEvery/int64(p.Routers))
 		}
-		return members.New(members.Settings{Name: h.Name, Place: "office", Addr: Addr(h.ID), Seeds: Seeds(min(p.Routers, 3)), Life: 1},
+		return membership.New(membership.Settings{Name: h.Name, Place: "office", Addr: Addr(h.ID), Seeds: Seeds(min(p.Routers, 3)), Life: 1},
 			rand.New(rand.NewPCG(p.Seed, uint64(h.ID)<<16|uint64(h.life))), now)
 	})
 	for i := range p.Routers {
@@ -75,8 +75,8 @@
 		f.Until(f.Now + 2*sec + dice.Int64N(sec))
 		i := dice.IntN(p.Routers)
 		dead, at := 0, int64(0)
-		f.News = func(_ *Host, c members.Change) {
-			if c.Name == Name(i) && c.To == members.Dead {
+		f.News = func(_ *Host, c membership.Change) {
+			if c.Name == Name(i) && c.To == membership.Dead {
 				if dead++; dead == p.Routers-1 {
 					at = f.Now
 				}
@@ -114,11 +114,11 @@
 		f.Starve(p.Routers-1-i, 0.6)
 	}
 	var h Hour
-	f.News = func(_ *Host, c members.Change) {
+	f.News = func(_ *Host, c membership.Change) {
 		switch c.To {
-		case members.Suspected:
+		case membership.Suspected:
 			h.Suspicions++
-		case members.Dead:
+		case membership.Dead:
 			h.Deaths++
 		}
 	}
@@ -195,7 +195,7 @@
 func (f *Fleet) split(left, right []int) bool {
 	for _, i := range left {
 		for _, j := range right {
-			if f.Hosts[i].Speaker.State(Name(j)) != members.Dead || f.Hosts[j].Speaker.State(Name(i)) != members.Dead {
+			if f.Hosts[i].Speaker.State(Name(j)) != membership.Dead || f.Hosts[j].Speaker.State(Name(i)) != membership.Dead {
 				return false
 			}
 		}
@@ -218,7 +218,7 @@
 	gone := func() bool {
 		for i := 1; i < p.Routers; i += 2 {
 			for j := 0; j < p.Routers; j += 2 {
-				if f.Hosts[i].Speaker.State(Name(j)) != members.Dead {
+				if f.Hosts[i].Speaker.State(Name(j)) != membership.Dead {
 					return false
 				}
 			}
--- a/internal/roster/trial_test.go
+++ b/internal/simfleet/trial_test.go
@@ -1,4 +1,4 @@
-package roster
+package simfleet
 
 import "testing"
 
--- a/internal/host/host.go
+++ b/internal/simhost/simhost.go
@@ -1,6 +1,6 @@
-// Package host keeps the instances of the decision module in one process and
+// Package simhost keeps the instances of the decision module in one process and
 // hands each its own events.
-package host
+package simhost
 
 import (
 	"bufio"
@@ -9,21 +9,21 @@
 	"fmt"
 	"io"
 
-	"quilldoor/internal/wire"
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/simwire"
 )
 
 // Host holds the instances and the numbered lists of servers.
 type Host struct {
-	routers map[int]*logic.Router // nil once detached
-	pages   map[int][]logic.Entry
+	routers map[int]*policy.Router // nil once detached
+	pages   map[int][]policy.Entry
 	warn    io.Writer
-	buf     []logic.Action
+	buf     []policy.Action
 }
 
 // New returns an empty host that reports skipped events on warn.
 func New(warn io.Writer) *Host {
-	return &Host{routers: map[int]*logic.Router{}, pages: map[int][]logic.Entry{}, warn: warn}
+	return &Host{routers: map[int]*policy.Router{}, pages: map[int][]policy.Entry{}, warn: warn}
 }
 
 // Run answers batches from in on out until the input ends.
@@ -51,13 +51,13 @@
 
 // Batch answers one line.
 func (h *Host) Batch(line []byte) ([]byte, error) {
-	b, err := wire.ReadBatch(line)
+	b, err := simwire.ReadBatch(line)
 	if err != nil {
 		return nil, fmt.Errorf("malformed batch: %w", err)
 	}
-	reply := wire.NewReply(b.Turn)
+	reply := simwire.NewReply(b.Turn)
 	for i, raw := range b.Input {
-		m, err := wire.ReadMessage(raw)
+		m, err := simwire.ReadMessage(raw)
 		if err == nil {
 			err = h.message(b, i, m, reply)
 		}
@@ -68,17 +68,17 @@
 	return reply.Encode()
 }
 
-func (h *Host) message(b wire.Batch, index int, m wire.Message, reply *wire.Reply) error {
+func (h *Host) message(b simwire.Batch, index int, m simwire.Message, reply *simwire.Reply) error {
 	switch {
-	case !wire.Known(m.Verb):
+	case !simwire.Known(m.Verb):
 		_, err := fmt.Fprintf(h.warn, "batch %d, event %d: unknown verb %q skipped\n", b.Turn, index, m.Verb)
 		return err
-	case m.Verb == wire.Inventory:
+	case m.Verb == simwire.Inventory:
 		h.pages[m.Page] = m.Entries
 		return nil
-	case m.Verb == wire.PowerOn:
-		return h.act(m.Instance, reply, func([]logic.Action) []logic.Action {
-			h.routers[m.Instance] = logic.New(m.Settings, m.Seed)
+	case m.Verb == simwire.PowerOn:
+		return h.act(m.Instance, reply, func([]policy.Action) []policy.Action {
+			h.routers[m.Instance] = policy.New(m.Settings, m.Seed)
 			return nil
 		})
 	}
@@ -86,11 +86,11 @@
 	if !started {
 		return fmt.Errorf("%s for instance %d, which was never started", m.Verb, m.Instance)
 	}
-	if m.Verb == wire.Detach {
+	if m.Verb == simwire.Detach {
 		h.routers[m.Instance] = nil
 		return nil
 	}
-	if m.Verb == wire.Discovery && m.Event.Scope != "error" {
+	if m.Verb == simwire.Discovery && m.Event.Scope != "error" {
 		entries, sent := h.pages[m.Page]
 		if !sent {
 			return fmt.Errorf("Discovery names list %d, which was never sent", m.Page)
@@ -100,16 +100,16 @@
 	if router == nil {
 		return nil // of an earlier life
 	}
-	return h.act(m.Instance, reply, func(buf []logic.Action) []logic.Action {
+	return h.act(m.Instance, reply, func(buf []policy.Action) []policy.Action {
 		return router.Handle(b.Now, m.Event, buf)
 	})
 }
 
 // act runs one call of the module; a panic in it becomes the wire's Panic.
-func (h *Host) act(instance int, reply *wire.Reply, call func([]logic.Action) []logic.Action) error {
+func (h *Host) act(instance int, reply *simwire.Reply, call func([]policy.Action) []policy.Action) error {
 	defer func() {
 		if r := recover(); r != nil {
-			reply.Add(instance, []logic.Action{{Kind: logic.ActPanic, Text: fmt.Sprint(r)}})
+			reply.Add(instance, []policy.Action{{Kind: policy.ActPanic, Text: fmt.Sprint(r)}})
 		}
 	}()
 	h.buf = call(h.buf[:0])
--- a/internal/host/host_test.go
+++ b/internal/simhost/simhost_test.go
@@ -1,4 +1,4 @@
-package host
+package simhost
 
 import (
 	"bytes"
--- a/internal/world/clients.go
+++ b/internal/simulation/clients.go
@@ -1,11 +1,11 @@
-package world
+package simulation
 
 import (
 	"fmt"
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // clients is how requests come about: pages and acceptances one by one, videos
@@ -67,11 +67,11 @@
 	w.after(int64(w.clients.wait.Rand()*1e6/(rate*total))+1, func() { w.arrive(office) })
 	switch x := w.dice.Float64() * total; {
 	case x < l.Writes:
-		w.begin(&client{office: office, rule: script.Accept, object: w.cat.onlyOnce(script.Page)})
+		w.begin(&client{office: office, rule: scenario.Accept, object: w.cat.onlyOnce(scenario.Page)})
 	case x < l.Writes+page:
-		w.begin(&client{office: office, rule: script.Page, object: w.pick(script.Page, office)})
+		w.begin(&client{office: office, rule: scenario.Page, object: w.pick(scenario.Page, office)})
 	default:
-		v := &view{office: office, object: w.pick(script.Video, office)}
+		v := &view{office: office, object: w.pick(scenario.Video, office)}
 		w.watch(v)
 	}
 }
@@ -85,7 +85,7 @@
 
 // watch asks for a video's next part, and for the one after it some time later.
 func (w *World) watch(v *view) {
-	w.begin(&client{office: v.office, rule: script.Video, object: v.object, part: v.part, view: v})
+	w.begin(&client{office: v.office, rule: scenario.Video, object: v.object, part: v.part, view: v})
 	if v.part++; w.now < w.end && v.part < w.cat.parts(v.object) && w.dice.Float64() > stopEach {
 		w.after(int64(4e5+w.dice.Float64()*3.5e5), func() { w.watch(v) })
 	}
@@ -177,7 +177,7 @@
 	w.note(Entry{Kind: "left", Router: r.id, Txn: a.Txn})
 	w.Result.Lost++
 	w.driver.Leave(r.id, a.Txn)
-	w.again(a.client, 0, a.client.rule != script.Accept)
+	w.again(a.client, 0, a.client.rule != scenario.Accept)
 }
 
 // Refused takes that a router's machine refused the connection: it has taken
--- a/internal/world/events.go
+++ b/internal/simulation/events.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // event is one thing that is to happen.
 type event struct {
--- a/internal/world/result.go
+++ b/internal/simulation/result.go
@@ -1,9 +1,9 @@
-package world
+package simulation
 
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // Result is what came of a run. Counts leave out requests that began while the
@@ -57,7 +57,7 @@
 	filled                          float64
 }
 
-func newResult(s *script.Script) *Result {
+func newResult(s *scenario.Script) *Result {
 	r := &Result{Ends: map[string]int{}}
 	for _, k := range s.Rules() {
 		r.Rules = append(r.Rules, &RuleResult{Name: k.Name, Phases: map[string]*Outcomes{},
@@ -81,7 +81,7 @@
 	o := r.of(c)
 	o.Asked++
 	o.WorthMost += w.rules[c.rule].Importance
-	if c.phase != "settle" && c.rule != script.Accept {
+	if c.phase != "settle" && c.rule != scenario.Accept {
 		r.AskedKB += w.cat.size(c.object, c.part)
 	}
 }
--- a/internal/world/servers.go
+++ b/internal/simulation/servers.go
@@ -1,9 +1,9 @@
-package world
+package simulation
 
 import (
 	"slices"
 
-	"quilldoor/logic"
+	"quilldoor/internal/policy"
 )
 
 type kind uint8
@@ -72,7 +72,7 @@
 }
 
 func (s *server) entry() Server {
-	e := Server{logic.Entry{Server: s.uid, Kind: kindNames[s.kind], State: s.listed, Weight: s.weight, Born: s.born}}
+	e := Server{policy.Entry{Server: s.uid, Kind: kindNames[s.kind], State: s.listed, Weight: s.weight, Born: s.born}}
 	if s.office >= 0 {
 		e.Zone = zoneName(s.office)
 	} else {
--- a/internal/world/world.go
+++ b/internal/simulation/simulation.go
@@ -1,4 +1,4 @@
-// Package world is a model of what routers stand before: cache boxes, province
+// Package simulation is a model of what routers stand before: cache boxes, province
 // caches and the ledger, their links, the notice board, clients and troubles. It
 // does no I/O, starts no goroutine and has no clock of its own: a driver tells it
 // the time and what routers do, and carries out what it says through Driver. All
@@ -6,17 +6,17 @@
 //
 // docs/emulator.md tells the model and what it leaves out. Times are whole
 // microseconds from the start of the run; sizes are kilobytes.
-package world
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"slices"
 
-	"quilldoor/internal/record"
-	"quilldoor/internal/script"
-	"quilldoor/internal/ways"
-	"quilldoor/logic"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/netsim"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/scenario"
 )
 
 const ms, second = int64(1000), int64(1_000_000)
@@ -37,7 +37,7 @@
 
 // Server is a line of the list.
 type Server struct {
-	logic.Entry
+	policy.Entry
 }
 
 // Notice is one event of the board: servers, or a purge.
@@ -115,14 +115,14 @@
 }
 
 // Entry is one line of the record.
-type Entry = record.Entry
+type Entry = eventlog.Entry
 
 // World is the state of a run.
 type World struct {
 	end    int64 // clients come until then
-	set    *script.Script
+	set    *scenario.Script
 	driver Driver
-	rules  []logic.RemapRule
+	rules  []policy.RemapRule
 	now    int64
 	seq    int64
 	events events
@@ -157,7 +157,7 @@
 	Result *Result
 
 	// Ways between routers, with dice of their own.
-	Ways     *ways.Net
+	Ways     *netsim.Net
 	wayDice  *rand.Rand
 	lastTurn int64 // when a trouble began or ended last
 }
@@ -198,12 +198,12 @@
 }
 
 // New makes a world at time 0.
-func New(s *script.Script, seed uint64, d Driver) *World {
+func New(s *scenario.Script, seed uint64, d Driver) *World {
 	w := &World{set: s, end: int64(s.LengthS * 1e6), driver: d, rules: s.Rules(), dice: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		servers: map[string]*server{}, hops: map[hopKey]*Hop{}, purged: map[int64]int64{}, warmed: map[warmKey]bool{}, burst: 1, Result: newResult(s)}
 	f := &s.Fleet
 	w.wayDice = rand.New(rand.NewPCG(seed, 0x7761797773))
-	w.Ways = ways.New(int64(f.WayMS*1000), int64(f.WayJitterMS*1000), rand.New(rand.NewPCG(seed, 0x77617973)))
+	w.Ways = netsim.New(int64(f.WayMS*1000), int64(f.WayJitterMS*1000), rand.New(rand.NewPCG(seed, 0x77617973)))
 	w.cat = newCatalogue(s, w.dice)
 	for o := range f.Offices {
 		w.links = append(w.links, w.link(f.OfficeLink()))
@@ -261,7 +261,7 @@
 }
 
 // RuleOf is a remap rule by its place in the settings.
-func (w *World) RuleOf(i int) logic.RemapRule { return w.rules[i] }
+func (w *World) RuleOf(i int) policy.RemapRule { return w.rules[i] }
 
 // Now is the world's time.
 func (w *World) Now() int64 { return w.now }
--- a/internal/world/world_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 	"pgregory.net/rapid"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 // The same cases at every run.
@@ -37,7 +37,7 @@
 func (silent) Note(*Entry)         {}
 
 func bare() *World {
-	s := script.Default()
+	s := scenario.Default()
 	return &World{set: &s, driver: silent{}, dice: rand.New(rand.NewPCG(1, 1))}
 }
 
--- a/internal/world/store.go
+++ b/internal/simulation/store.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 // store is what a cache or a parent keeps: by rank, and within it by recency.
 // What was ranked lowest goes first, then what was used longest ago; nothing goes
