--- a/internal/world/troubles.go
+++ b/internal/simulation/troubles.go
@@ -1,12 +1,12 @@
-package world
+package simulation
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"quilldoor/internal/script"
-	"quilldoor/internal/ways"
+	"quilldoor/internal/netsim"
+	"quilldoor/internal/scenario"
 )
 
 // ---- The notice board ----
@@ -129,7 +129,7 @@
 
 // some draws a share of the servers at a trouble's place, in a stated order: the
 // draw is made when the trouble begins.
-func (w *World) some(t *script.Trouble, of [][]*server) (out []*server) {
+func (w *World) some(t *scenario.Trouble, of [][]*server) (out []*server) {
 	for i, l := range of {
 		if t.Office > 0 && i != t.Office-1 || t.Trunk > 0 && w.set.Fleet.Trunk(i) != t.Trunk-1 {
 			continue
@@ -149,7 +149,7 @@
 }
 
 // plan sets a trouble's beginning and end.
-func (w *World) plan(t *script.Trouble) {
+func (w *World) plan(t *scenario.Trouble) {
 	w.after(int64(t.At*1e6), func() {
 		w.troubled++
 		w.lastTurn = w.now
@@ -168,7 +168,7 @@
 }
 
 // begins starts a trouble and returns what ends it.
-func (w *World) begins(t *script.Trouble) (over func()) {
+func (w *World) begins(t *scenario.Trouble) (over func()) {
 	switch t.Kind {
 	case "die", "silent":
 		return w.lose(w.some(t, w.caches), t.Kind == "silent")
@@ -283,7 +283,7 @@
 	}
 }
 
-func (w *World) pauses(list []*server, t *script.Trouble) (over func()) {
+func (w *World) pauses(list []*server, t *scenario.Trouble) (over func()) {
 	going := true
 	for _, s := range list {
 		var again func()
@@ -309,7 +309,7 @@
 
 // deploy drains servers some at a time; a successor with a name of its own starts
 // cold in the place of each.
-func (w *World) deploy(list []*server, t *script.Trouble) {
+func (w *World) deploy(list []*server, t *scenario.Trouble) {
 	const drained = 3 * second // what a drained one has left to finish
 	for i := 0; i < len(list); i += int(t.Strength) {
 		wave := list[i:min(i+int(t.Strength), len(list))]
@@ -356,7 +356,7 @@
 }
 
 // someRouters draws a share of the routers at a trouble's place.
-func (w *World) someRouters(t *script.Trouble) (list []*router) {
+func (w *World) someRouters(t *scenario.Trouble) (list []*router) {
 	for _, r := range w.routers {
 		if r.up && (t.Office == 0 || r.office == t.Office-1) {
 			list = append(list, r)
@@ -367,7 +367,7 @@
 }
 
 // stopRouters lets routers stand still for a trouble's time.
-func (w *World) stopRouters(t *script.Trouble) (over func()) {
+func (w *World) stopRouters(t *scenario.Trouble) (over func()) {
 	list := w.someRouters(t)
 	lives := map[*router]int{}
 	for _, r := range list {
@@ -391,7 +391,7 @@
 }
 
 // spoilWays puts a trouble on the ways between routers.
-func (w *World) spoilWays(t *script.Trouble) (over func()) {
+func (w *World) spoilWays(t *scenario.Trouble) (over func()) {
 	var all []int
 	for _, r := range w.routers {
 		if t.Office == 0 || r.office == t.Office-1 {
@@ -400,7 +400,7 @@
 	}
 	w.wayDice.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	some := all[:min(len(all), int(math.Ceil(t.Share*float64(len(all)))))]
-	x := &ways.Trouble{From: some, Both: true}
+	x := &netsim.Trouble{From: some, Both: true}
 	switch t.Kind {
 	case "ways_delay":
 		x.Delay = int64(t.Strength * 1000)
@@ -437,7 +437,7 @@
 	return w.Ways.Add(x)
 }
 
-func (w *World) loseRouters(t *script.Trouble) (over func()) {
+func (w *World) loseRouters(t *scenario.Trouble) (over func()) {
 	list := w.someRouters(t)
 	for _, r := range list {
 		w.routerDown(r)
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,14 +1,14 @@
-// Package wire reads and writes the simulator's JSON wire. It turns times into
-// whole microseconds and names into those of package logic, and decides nothing.
-package wire
+// Package simwire reads and writes the simulator's JSON wire. It turns times into
+// whole microseconds and names into those of package policy, and decides nothing.
+package simwire
 
 import (
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
 
+	"quilldoor/internal/policy"
 	"quilldoor/internal/settings"
-	"quilldoor/logic"
 )
 
 // Batch is one line of input.
@@ -22,13 +22,13 @@
 type Message struct {
 	Verb     string
 	Instance int
-	Event    logic.Event
+	Event    policy.Event
 
 	Seed     uint64
-	Settings logic.Settings
+	Settings policy.Settings
 
 	Page    int
-	Entries []logic.Entry
+	Entries []policy.Entry
 }
 
 // Verbs that concern the host rather than an instance's module.
@@ -39,16 +39,16 @@
 	Discovery = "Discovery"
 )
 
-var kinds = map[string]logic.EventKind{
-	Discovery:       logic.EvDiscovery,
-	"NewRequest":    logic.EvTxn,
-	"Health":        logic.EvHealth,
-	"NeighbourSays": logic.EvPeer,
-	"Reminder":      logic.EvTimer,
-	"Started":       logic.EvStarted,
-	"Outdated":      logic.EvPurge,
-	"Answer":        logic.EvAnswer,
-	"Abandoned":     logic.EvAbandoned,
+var kinds = map[string]policy.EventKind{
+	Discovery:       policy.EvDiscovery,
+	"NewRequest":    policy.EvTxn,
+	"Health":        policy.EvHealth,
+	"NeighbourSays": policy.EvPeer,
+	"Reminder":      policy.EvTimer,
+	"Started":       policy.EvStarted,
+	"Outdated":      policy.EvPurge,
+	"Answer":        policy.EvAnswer,
+	"Abandoned":     policy.EvAbandoned,
 }
 
 // Known tells whether a verb stands on the wire's list of events.
@@ -160,7 +160,7 @@
 		}
 		m.Page = *e.Page
 		for _, n := range e.NodesList {
-			m.Entries = append(m.Entries, logic.Entry{
+			m.Entries = append(m.Entries, policy.Entry{
 				Server: n.Server, Zone: n.Site, Kind: n.Kind, Cell: n.Stripe,
 				State: n.Availability, Weight: n.Heft, Born: settings.Micros(n.BornMs),
 			})
@@ -179,7 +179,7 @@
 		return m, fmt.Errorf("%s: Data: %w", m.Verb, err)
 	}
 	tenant, _ := e.Team.(string)
-	m.Event = logic.Event{
+	m.Event = policy.Event{
 		Kind: kinds[m.Verb], Scope: e.Scope, Txn: e.OpId, Rule: e.Grade, Object: e.ContentId,
 		Group: e.BatchId, Part: int64(e.Piece), SizeKB: e.LengthKb, Remaining: settings.Micros(e.RemainingMs),
 		Repeat: e.Attrs&2 != 0, Write: e.Attrs&4 != 0, Tenant: tenant, Server: e.Server, Hop: e.RoundNo,
@@ -219,41 +219,41 @@
 func NewReply(turn int64) *Reply { return &Reply{turn, []decision{}} }
 
 // Add appends an instance's actions.
-func (r *Reply) Add(instance int, actions []logic.Action) {
+func (r *Reply) Add(instance int, actions []policy.Action) {
 	for _, a := range actions {
 		d := decision{I: instance, OpId: a.Txn, Server: a.Server}
 		switch a.Kind {
-		case logic.ActGet:
+		case policy.ActGet:
 			d.Verb, d.FillFrom, d.Rank, d.Mode = "Get", a.Source, &a.Rank, a.Mode
 			d.AgeMs, d.CapMs = millis(a.Age), millis(a.Cap)
-		case logic.ActPass:
+		case policy.ActPass:
 			d.Verb, d.CapMs = "PassOn", millis(a.Cap)
-		case logic.ActAbort:
+		case policy.ActAbort:
 			d.Verb = "RespondError"
-		case logic.ActReject:
+		case policy.ActReject:
 			d.Verb, d.StayAwayMs = "OverloadReply", millis(a.Stay)
-		case logic.ActCancel:
+		case policy.ActCancel:
 			d.Verb, d.RoundNo = "StopAttempt", &a.Hop
-		case logic.ActTimer:
+		case policy.ActTimer:
 			due := millis(a.Due)
 			d.Verb, d.DueAtMs, d.Ctx = "Defer", &due, &a.Token
-		case logic.ActProbe:
+		case policy.ActProbe:
 			d.Verb = "Ping"
-		case logic.ActSubscribe:
+		case policy.ActSubscribe:
 			on := true
 			d.Verb, d.Active = "Subscribe", &on
-		case logic.ActFetch:
+		case policy.ActFetch:
 			d.Verb = "Fetch"
-		case logic.ActLog:
+		case policy.ActLog:
 			d.Verb, d.Message = "JournalLine", a.Text
-		case logic.ActTell:
+		case policy.ActTell:
 			d.Verb, d.Data = "Say", hex.EncodeToString(a.Data)
 			if a.Peer >= 0 {
 				d.Addressee = &a.Peer
 			}
-		case logic.ActDisconnect:
+		case policy.ActDisconnect:
 			d.Verb = "Disconnect"
-		case logic.ActPanic:
+		case policy.ActPanic:
 			d.Verb, d.Message = "Panic", a.Text
 		}
 		r.Decisions = append(r.Decisions, d)
--- a/internal/standstill/standstill.go
+++ b/internal/stall/stall.go
@@ -1,8 +1,8 @@
-// Package standstill tells what was read from a socket just after the process stood
+// Package stall tells what was read from a socket just after the process stood
 // still: a stopped process, a machine that was paused, a core that others had. Its
 // clients counted their time meanwhile, and nobody can tell which of the bytes
 // that wait came first. It decides only; ticks and times come from outside.
-package standstill
+package stall
 
 import "sync"
 
--- a/internal/standstill/standstill_test.go
+++ b/internal/stall/stall_test.go
@@ -1,4 +1,4 @@
-package standstill
+package stall
 
 import "testing"
 
--- a/internal/keeper/plan.go
+++ b/internal/supervisor/plan.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"strings"
 	"time"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/handover"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
 )
 
 // Checked is what a program says of settings: `check --json`. Unknown keys of a later
@@ -40,7 +40,7 @@
 var platformKeys = []string{"name", "listen", "seed", "board", "known", "limits"}
 
 // merge writes the configuration that a generation is started with.
-func (k *Keeper) merge(m *handover.Manifest, seed string, bound change.Use) (string, error) {
+func (k *Keeper) merge(m *handoff.Manifest, seed string, bound upgrade.Use) (string, error) {
 	var own, platform map[string]json.RawMessage
 	if err := readJSON(m.Config, &own); err != nil {
 		return "", err
@@ -55,7 +55,7 @@
 	}
 	limits := map[string]any{}
 	json.Unmarshal(own["limits"], &limits)
-	if bound != (change.Use{}) {
+	if bound != (upgrade.Use{}) {
 		limits["memory_mb"], limits["sockets"] = bound.MemoryMB, bound.Descriptors
 	}
 	own["limits"], _ = json.Marshal(limits)
@@ -65,7 +65,7 @@
 		return "", err
 	}
 	path := k.path(strconv.FormatUint(m.Generation, 10), "run.json")
-	return path, handover.Put(path, text)
+	return path, handoff.Put(path, text)
 }
 
 func readJSON(path string, into any) error {
@@ -86,7 +86,7 @@
 }
 
 // prepare makes a generation's folder: copies of its settings, and what it is.
-func (k *Keeper) prepare(n uint64, program, config, own string) (*handover.Manifest, *Checked, error) {
+func (k *Keeper) prepare(n uint64, program, config, own string) (*handoff.Manifest, *Checked, error) {
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return nil, nil, err
@@ -95,7 +95,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, err
 	}
-	m := &handover.Manifest{Generation: n, Program: program, Config: filepath.Join(folder, configName), Operator: filepath.Join(folder, ownName)}
+	m := &handoff.Manifest{Generation: n, Program: program, Config: filepath.Join(folder, configName), Operator: filepath.Join(folder, ownName)}
 	for _, f := range []struct{ from, to string }{{config, m.Config}, {own, m.Operator}} {
 		text, err := os.ReadFile(f.from)
 		if err != nil && !(f.from == "" || f.from == own && errors.Is(err, fs.ErrNotExist)) {
@@ -105,11 +105,11 @@
 		if len(text) > most {
 			return nil, nil, fmt.Errorf("%s: longer than %d MB", f.from, most>>20)
 		}
-		if err := handover.Put(f.to, text); err != nil {
+		if err := handoff.Put(f.to, text); err != nil {
 			return nil, nil, err
 		}
 	}
-	if m.ProgramSum, err = handover.Sum(program); err != nil {
+	if m.ProgramSum, err = handoff.Sum(program); err != nil {
 		return nil, nil, fmt.Errorf("program: %w", err)
 	}
 	c, err := k.check(m)
@@ -118,18 +118,18 @@
 	}
 	m.Settings, m.Version = c.Digest, c.Version
 	if text, err := json.Marshal(c.Flat); err == nil {
-		err = handover.Put(filepath.Join(folder, flatName), text)
+		err = handoff.Put(filepath.Join(folder, flatName), text)
 	}
 	text, err := json.Marshal(m)
 	if err == nil {
-		err = handover.Put(filepath.Join(folder, manifestName), text)
+		err = handoff.Put(filepath.Join(folder, manifestName), text)
 	}
 	return m, c, err
 }
 
 // manifest reads what a generation is.
-func (k *Keeper) manifest(n uint64) (*handover.Manifest, error) {
-	m := new(handover.Manifest)
+func (k *Keeper) manifest(n uint64) (*handoff.Manifest, error) {
+	m := new(handoff.Manifest)
 	if err := readJSON(k.path(strconv.FormatUint(n, 10), manifestName), m); err != nil {
 		return nil, err
 	}
@@ -140,9 +140,9 @@
 }
 
 // check lets a generation's program read its settings.
-func (k *Keeper) check(m *handover.Manifest) (*Checked, error) {
+func (k *Keeper) check(m *handoff.Manifest) (*Checked, error) {
 	const within, most = 9 * time.Second, 16 << 20 // sooner than the machine gives up
-	path, err := k.merge(m, "1", change.Use{})
+	path, err := k.merge(m, "1", upgrade.Use{})
 	if err != nil {
 		return nil, err
 	}
@@ -184,7 +184,7 @@
 	k.file.Next++
 	settled := k.file.Settled
 	p.manifest = nil
-	var old change.Use
+	var old upgrade.Use
 	for _, x := range k.procs() { // those that still drain, too
 		old.MemoryMB += x.use.MemoryMB
 		old.Descriptors += x.use.Descriptors
@@ -192,12 +192,12 @@
 	go func() {
 		program := cmp.Or(ask.Program, settled.Program)
 		m, c, err := k.prepare(n, program, cmp.Or(ask.Config, settled.Config), cmp.Or(ask.Operator, settled.Operator))
-		var diff []change.Change
+		var diff []upgrade.Change
 		if err == nil {
 			diff, err = k.differ(settled, c)
 		}
-		_, ok := change.Verdict(diff)
-		bound, room := change.Beside(k.all, old)
+		_, ok := upgrade.Verdict(diff)
+		bound, room := upgrade.Beside(k.all, old)
 		k.events <- func() {
 			if k.plan != p {
 				return // it took too long, and was refused
@@ -206,35 +206,35 @@
 			case err != nil:
 				p.note = err.Error()
 			case !ok:
-				p.note = "keys that can't change on this router: " + words(diff, change.Never)
+				p.note = "keys that can't change on this router: " + words(diff, upgrade.Never)
 			case room != nil:
 				p.note = room.Error()
 			default:
 				p.manifest, p.bound = m, bound
-				k.say("checked: %s; %d MB and %d descriptors beside the present generation; %s", m.Version, bound.MemoryMB, bound.Descriptors, cmp.Or(words(diff, change.HandOver), "no key differs"))
-				k.feed(change.Checked)
+				k.say("checked: %s; %d MB and %d descriptors beside the present generation; %s", m.Version, bound.MemoryMB, bound.Descriptors, cmp.Or(words(diff, upgrade.HandOver), "no key differs"))
+				k.feed(upgrade.Checked)
 				return
 			}
-			k.feed(change.Refused)
+			k.feed(upgrade.Refused)
 		}
 	}()
 }
 
 // differ names the keys in which settings differ from those that are settled.
-func (k *Keeper) differ(settled *handover.Manifest, c *Checked) ([]change.Change, error) {
+func (k *Keeper) differ(settled *handoff.Manifest, c *Checked) ([]upgrade.Change, error) {
 	was := map[string]string{}
 	if err := readJSON(k.path(strconv.FormatUint(settled.Generation, 10), flatName), &was); err != nil {
 		return nil, err
 	}
-	return change.Diff(was, c.Flat), nil
+	return upgrade.Diff(was, c.Flat), nil
 }
 
 // words tells the changes of a kind, or of lesser ones.
-func words(diff []change.Change, most change.How) string {
+func words(diff []upgrade.Change, most upgrade.How) string {
 	const many = 12
 	var out []string
 	for _, d := range diff {
-		if d.How == most || most == change.HandOver && d.How == change.Live {
+		if d.How == most || most == upgrade.HandOver && d.How == upgrade.Live {
 			out = append(out, d.String())
 		}
 	}
@@ -253,7 +253,7 @@
 		k.Log.WithError(err).Error("keeper: new configuration refused, the old one stays")
 		return
 	}
-	k.old.say(&handover.Word{Kind: handover.Reload})
+	k.old.say(&handoff.Word{Kind: handoff.Reload})
 	if k.eyes != nil {
 		k.eyes.follow()
 	}
@@ -264,33 +264,33 @@
 	text := fmt.Sprintf(format, args...)
 	k.Log.Info("keeper: " + text)
 	for _, c := range k.tools {
-		c.Say(&handover.Word{Kind: handover.Report, Note: text})
+		c.Say(&handoff.Word{Kind: handoff.Report, Note: text})
 	}
 }
 
 // tool does what a tool asks for.
 func (k *Keeper) tool(c *call) {
 	over := func(ok bool, format string, args ...any) {
-		c.conn.Say(&handover.Word{Kind: handover.Report, Note: fmt.Sprintf(format, args...), OK: ok, Over: true, Standing: k.standing()})
+		c.conn.Say(&handoff.Word{Kind: handoff.Report, Note: fmt.Sprintf(format, args...), OK: ok, Over: true, Standing: k.standing()})
 		c.conn.Close()
 	}
 	switch w := c.word; w.Kind {
-	case handover.Status:
+	case handoff.Status:
 		over(true, "")
-	case handover.Roll:
+	case handoff.Roll:
 		k.command(c, w.Command)
-	case handover.Apply:
-		k.apply(c, &handover.Manifest{Program: w.Program, Config: w.Config, Operator: w.Operator}, over)
-	case handover.Back:
+	case handoff.Apply:
+		k.apply(c, &handoff.Manifest{Program: w.Program, Config: w.Config, Operator: w.Operator}, over)
+	case handoff.Back:
 		switch p := k.file.Previous; {
-		case k.machine.State == change.Steady && p == nil:
+		case k.machine.State == upgrade.Steady && p == nil:
 			over(false, "there is no generation before the settled one")
-		case k.machine.State == change.Steady:
-			k.apply(c, &handover.Manifest{Program: p.Program, Config: p.Config, Operator: p.Operator}, over)
+		case k.machine.State == upgrade.Steady:
+			k.apply(c, &handoff.Manifest{Program: p.Program, Config: p.Config, Operator: p.Operator}, over)
 		case k.plan != nil && len(k.tools) < mostTools:
 			k.tools = append(k.tools, c.conn)
 			k.note("the operator wants the present generation back")
-			k.feed(change.Cancel)
+			k.feed(upgrade.Cancel)
 		default:
 			over(false, "nobody serves: %v", k.machine.State)
 		}
@@ -299,25 +299,25 @@
 	}
 }
 
-func (k *Keeper) apply(c *call, m *handover.Manifest, over func(bool, string, ...any)) {
+func (k *Keeper) apply(c *call, m *handoff.Manifest, over func(bool, string, ...any)) {
 	if k.machine.Busy() {
 		over(false, "refused: %v", k.machine.State)
 		return
 	}
 	k.tools = append(k.tools, c.conn)
 	k.plan = &plan{manifest: m}
-	k.feed(change.Apply)
+	k.feed(upgrade.Apply)
 }
 
 // standing is what the keeper tells of itself.
-func (k *Keeper) standing() *handover.Standing {
-	s := &handover.Standing{State: k.machine.State.String(), SinceMS: (k.now() - k.machine.Since()) / 1000, Settled: k.file.Settled, Previous: k.file.Previous,
+func (k *Keeper) standing() *handoff.Standing {
+	s := &handoff.Standing{State: k.machine.State.String(), SinceMS: (k.now() - k.machine.Since()) / 1000, Settled: k.file.Settled, Previous: k.file.Previous,
 		Last: k.last, Lasting: k.lasting, KeeperPID: os.Getpid(), Restarts: max(k.restarts-1, 0), LastFallMS: k.fallMS, Others: len(k.leaving), MostMB: k.most.MemoryMB, MostFDs: k.most.Descriptors}
-	of := func(p *proc) *handover.Process {
+	of := func(p *proc) *handoff.Process {
 		if p == nil {
 			return nil
 		}
-		return &handover.Process{Generation: p.manifest.Generation, PID: p.pid, Part: p.part.String(), MemoryMB: p.use.MemoryMB, Descriptors: p.use.Descriptors,
+		return &handoff.Process{Generation: p.manifest.Generation, PID: p.pid, Part: p.part.String(), MemoryMB: p.use.MemoryMB, Descriptors: p.use.Descriptors,
 			Ends: p.ends, BeatMS: time.Since(p.beatAt).Milliseconds(), Broken: k.seen(p, nil).Text}
 	}
 	s.Serving, s.Next = of(k.old), of(k.new)
@@ -326,7 +326,7 @@
 
 // Settled are the flat settings of what a keeper's folder has as settled.
 func Settled(folder string) (map[string]string, error) {
-	f, err := handover.ReadFile(filepath.Join(folder, fileName))
+	f, err := handoff.ReadFile(filepath.Join(folder, fileName))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/keeper/proc.go
+++ b/internal/supervisor/proc.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"fmt"
@@ -15,33 +15,33 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
+	"quilldoor/internal/upgradeagent"
 )
 
 // proc is a generation's process.
 type proc struct {
-	manifest   *handover.Manifest
+	manifest   *handoff.Manifest
 	pid        int
 	started    uint64
 	cmd        *exec.Cmd // nil: a keeper before has started it
-	conn       *handover.Conn
+	conn       *handoff.Conn
 	seed       string
-	bound      change.Use
-	use        change.Use
+	bound      upgrade.Use
+	use        upgrade.Use
 	hello      bool
 	gone       bool
 	wasSettled bool
-	part       change.PartState
-	ends       change.Ends
+	part       upgrade.PartState
+	ends       upgrade.Ends
 	outs       map[string][3]float64
 	beatAt     time.Time
 	killAt     time.Time // while it leaves
 }
 
 // say tells the process. One that does not take it in is found by its silence.
-func (p *proc) say(w *handover.Word) {
+func (p *proc) say(w *handoff.Word) {
 	if p.conn != nil {
 		p.conn.Say(w)
 	}
@@ -55,7 +55,7 @@
 }
 
 // launch starts a generation and hands the sockets down.
-func (k *Keeper) launch(m *handover.Manifest, bound change.Use) (*proc, error) {
+func (k *Keeper) launch(m *handoff.Manifest, bound upgrade.Use) (*proc, error) {
 	p := &proc{manifest: m, bound: bound, beatAt: time.Now(), seed: seed()}
 	config, err := k.merge(m, p.seed, bound)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	theirs := os.NewFile(uintptr(pair[1]), "keeper")
 	defer theirs.Close()
-	if p.conn, err = handover.FromFile(os.NewFile(uintptr(pair[0]), "generation")); err != nil {
+	if p.conn, err = handoff.FromFile(os.NewFile(uintptr(pair[0]), "generation")); err != nil {
 		return nil, err
 	}
 	cmd := exec.Command(m.Program, "serve", "--config", config, "--operator", k.path(strconv.FormatUint(m.Generation, 10), ownName),
@@ -77,8 +77,8 @@
 		cmd.ExtraFiles = append(cmd.ExtraFiles, k.sockets[name])
 	}
 	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
-	cmd.Env = append(environment(), generation.EnvFolder+"="+k.Folder, generation.EnvGeneration+"="+strconv.FormatUint(m.Generation, 10),
-		generation.EnvSockets+"="+strings.Join(k.names, ","), generation.EnvProgram+"="+m.ProgramSum)
+	cmd.Env = append(environment(), upgradeagent.EnvFolder+"="+k.Folder, upgradeagent.EnvGeneration+"="+strconv.FormatUint(m.Generation, 10),
+		upgradeagent.EnvSockets+"="+strings.Join(k.names, ","), upgradeagent.EnvProgram+"="+m.ProgramSum)
 	if err := cmd.Start(); err != nil {
 		p.conn.Close()
 		return nil, err
@@ -109,7 +109,7 @@
 }
 
 // hear passes a process's words to the loop, until the connection ends.
-func (k *Keeper) hear(p *proc, c *handover.Conn) {
+func (k *Keeper) hear(p *proc, c *handoff.Conn) {
 	for {
 		w, err := c.Hear()
 		if err != nil {
@@ -138,12 +138,12 @@
 		k.old = nil
 		k.fell = time.Now()
 		k.note("the settled generation has ended")
-		k.feed(change.OldGone)
+		k.feed(upgrade.OldGone)
 	case k.new:
 		k.new = nil
 		k.fell = time.Now()
 		k.note("the new generation has ended")
-		k.feed(change.NewGone)
+		k.feed(upgrade.NewGone)
 	}
 	for _, q := range k.procs() {
 		k.beside(q)
@@ -151,10 +151,10 @@
 }
 
 // heard takes a process's word.
-func (k *Keeper) heard(p *proc, w *handover.Word) {
+func (k *Keeper) heard(p *proc, w *handoff.Word) {
 	p.beatAt = time.Now()
 	isOld, isNew := p == k.old, p == k.new
-	pick := func(old, new change.Input) {
+	pick := func(old, new upgrade.Input) {
 		switch {
 		case isOld:
 			k.feed(old)
@@ -163,37 +163,37 @@
 		}
 	}
 	switch w.Kind {
-	case handover.Letter:
+	case handoff.Letter:
 		k.letter(w)
-	case handover.Hello:
+	case handoff.Hello:
 		p.hello = true
 		if w.Format < 1 {
 			k.note("the generation names no format")
 			p.kill()
 		}
-	case handover.Ready:
-		pick(change.OldReady, change.NewReady)
-	case handover.Released:
+	case handoff.Ready:
+		pick(upgrade.OldReady, upgrade.NewReady)
+	case handoff.Released:
 		if isOld {
 			k.state = w.State
-			k.feed(change.Released)
+			k.feed(upgrade.Released)
 		}
-	case handover.Accepting:
+	case handoff.Accepting:
 		if isOld && !k.fell.IsZero() {
 			k.fallMS = time.Since(k.fell).Milliseconds()
 			k.fell = time.Time{}
 		}
-		pick(change.OldServes, change.NewServes)
-	case handover.Denied:
+		pick(upgrade.OldServes, upgrade.NewServes)
+	case handoff.Denied:
 		if isNew {
 			k.note("the new generation did not get the place")
-			k.feed(change.Denied)
+			k.feed(upgrade.Denied)
 		}
-	case handover.Settled:
+	case handoff.Settled:
 		if isNew {
-			k.feed(change.Settled)
+			k.feed(upgrade.Settled)
 		}
-	case handover.Beat:
+	case handoff.Beat:
 		p.ends, p.outs, p.part = w.Ends, w.Outs, w.Part
 		k.acted(p, w)
 		if len(k.procs()) > 1 {
@@ -206,10 +206,10 @@
 		if isOld && k.new == nil {
 			k.judge.Old(k.now(), p.ends)
 		}
-		if isNew && k.machine.State == change.OnTrial {
+		if isNew && k.machine.State == upgrade.OnTrial {
 			if err := k.judge.New(p.ends); err != nil {
 				k.note("the new generation does worse: %v", err)
-				k.feed(change.Worse)
+				k.feed(upgrade.Worse)
 			}
 		}
 	}
@@ -230,15 +230,15 @@
 			sum[id] = s
 		}
 	}
-	if p.part.Accepts() || p.part == change.Standby || p.part == change.Quiet {
-		p.say(&handover.Word{Kind: handover.Beside, Outs: sum})
+	if p.part.Accepts() || p.part == upgrade.Standby || p.part == upgrade.Quiet {
+		p.say(&handoff.Word{Kind: handoff.Beside, Outs: sum})
 	}
 }
 
 // call is the first word of somebody who has called.
 type call struct {
-	conn    *handover.Conn
-	word    *handover.Word
+	conn    *handoff.Conn
+	word    *handoff.Word
 	sockets map[string]*os.File
 }
 
@@ -263,7 +263,7 @@
 		go func() {
 			defer func() { <-room }()
 			sock.SetReadDeadline(time.Now().Add(time.Second))
-			c := handover.NewConn(sock)
+			c := handoff.NewConn(sock)
 			w, err := c.Hear()
 			if err != nil {
 				c.Close()
@@ -280,7 +280,7 @@
 	for _, f := range c.sockets {
 		f.Close() // the keeper has them
 	}
-	if c.word.Kind != handover.Hello {
+	if c.word.Kind != handoff.Hello {
 		k.tool(c)
 		return
 	}
@@ -292,7 +292,7 @@
 			return
 		}
 	}
-	c.conn.Say(&handover.Word{Kind: handover.End}) // it was given up
+	c.conn.Say(&handoff.Word{Kind: handoff.End}) // it was given up
 	c.conn.Close()
 }
 
@@ -303,7 +303,7 @@
 	m, mErr := k.manifest(c.word.Generation)
 	if err != nil || mErr != nil || pid != c.word.PID {
 		k.Log.WithFields(logrus.Fields{"generation": c.word.Generation, "pid": c.word.PID}).WithError(mErr).Warn("keeper: a generation that is not known, it is told to end")
-		c.conn.Say(&handover.Word{Kind: handover.End})
+		c.conn.Say(&handoff.Word{Kind: handoff.End})
 		c.conn.Close()
 		return nil
 	}
@@ -334,7 +334,7 @@
 }
 
 // usage is what a process has now.
-func usage(pid int) (u change.Use) {
+func usage(pid int) (u upgrade.Use) {
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
 		if f := strings.Fields(string(text)); len(f) > 1 {
 			pages, _ := strconv.ParseInt(f[1], 10, 64)
--- a/internal/keeper/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/handover"
+	"quilldoor/internal/canary"
+	"quilldoor/internal/handoff"
 	"quilldoor/internal/rollout"
-	"quilldoor/internal/verdict"
+	"quilldoor/internal/upgrade"
 )
 
 // rolling is this router's part in rollouts.
@@ -28,10 +28,10 @@
 	node   *rollout.Node // nil: no plan
 	looked time.Time
 	wrote  rollout.Durable
-	bad    string      // the plan's last fault that was told
-	base   change.Ends // of generations before the settled one
-	last   change.Ends // of that
-	of     uint64      // its number
+	bad    string       // the plan's last fault that was told
+	base   upgrade.Ends // of generations before the settled one
+	last   upgrade.Ends // of that
+	of     uint64       // its number
 	way    string
 	mute   bool // the register could not be written
 }
@@ -111,7 +111,7 @@
 	if d := r.node.Durable; !reflect.DeepEqual(d, r.wrote) && !r.node.Standing().Lost {
 		text, err := json.Marshal(kept{1, r.plan.Digest, d})
 		if err == nil {
-			err = handover.Put(k.path(rollFile), text)
+			err = handoff.Put(k.path(rollFile), text)
 		}
 		if err != nil {
 			if !r.mute {
@@ -126,7 +126,7 @@
 	for _, o := range out {
 		body, err := rollout.Seal(o.Msg)
 		if err == nil && p != nil {
-			p.say(&handover.Word{Kind: handover.Letter, To: r.plan.Routers[o.To].Name, Body: body})
+			p.say(&handoff.Word{Kind: handoff.Letter, To: r.plan.Routers[o.To].Name, Body: body})
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	return k.old
 }
 
-func (k *Keeper) letter(w *handover.Word) {
+func (k *Keeper) letter(w *handoff.Word) {
 	if k.roll.node == nil {
 		return
 	}
@@ -174,28 +174,28 @@
 }
 
 // countsOf are what the judge compares.
-func countsOf(e change.Ends) verdict.Counts {
-	c := verdict.Counts{Txns: float64(e.Completed + e.Rejected + e.Aborted + e.Left), Asked: e.Asked, Earned: e.Earned, Refused: float64(e.Rejected),
+func countsOf(e upgrade.Ends) canary.Counts {
+	c := canary.Counts{Txns: float64(e.Completed + e.Rejected + e.Aborted + e.Left), Asked: e.Asked, Earned: e.Earned, Refused: float64(e.Rejected),
 		Failed: float64(e.Aborted + e.Left), Answered: float64(e.Completed), Time: e.Time, Hops: float64(e.Hops)}
 	if e.Hops == 0 {
 		c.Answered = 0 // a program of before that tells neither
 	}
 	for i, name := range slices.Sorted(maps.Keys(e.Rules)) {
 		if c.Rules == nil {
-			c.Rules = map[string]verdict.Worth{}
+			c.Rules = map[string]canary.Worth{}
 		}
-		if w := e.Rules[name]; i < verdict.MostRules {
-			c.Rules[name] = verdict.Worth{Txns: w[0], Asked: w[1], Earned: w[2]}
+		if w := e.Rules[name]; i < canary.MostRules {
+			c.Rules[name] = canary.Worth{Txns: w[0], Asked: w[1], Earned: w[2]}
 		}
 	}
 	return c
 }
 
 // files are what the plan names for this router.
-func (k *Keeper) files() *handover.Manifest {
+func (k *Keeper) files() *handoff.Manifest {
 	p := k.roll.plan
 	own := func(path string) string { return strings.ReplaceAll(path, "{name}", k.Member) }
-	return &handover.Manifest{Program: own(p.Program), Config: own(p.Config), Operator: own(p.Operator)}
+	return &handoff.Manifest{Program: own(p.Program), Config: own(p.Config), Operator: own(p.Operator)}
 }
 
 func (k *Keeper) able() bool {
@@ -216,21 +216,21 @@
 	b := k.file.Rollout
 	switch onNew := b != nil && b.New != 0 && b.New == k.file.Settled.Generation; {
 	case !w.Go:
-	case k.plan != nil && k.plan.run != 0 && !k.plan.back && !w.New && k.machine.State > change.Steady:
+	case k.plan != nil && k.plan.run != 0 && !k.plan.back && !w.New && k.machine.State > upgrade.Steady:
 		k.note("the rollout goes back")
-		k.feed(change.Cancel)
+		k.feed(upgrade.Cancel)
 	case k.machine.Busy() || w.New == onNew:
 	case w.New && (b == nil || b.Run != v.Run || b.Failed == ""):
 		before := k.file.Settled
-		k.file.Rollout = &handover.Begun{Run: v.Run, Before: before}
+		k.file.Rollout = &handoff.Begun{Run: v.Run, Before: before}
 		k.Log.WithField("run", v.Run).Info("rollout: this router changes")
 		k.plan = &plan{manifest: k.files(), run: v.Run}
-		k.feed(change.Apply)
+		k.feed(upgrade.Apply)
 	case !w.New && b.Before != nil:
 		k.Log.WithField("run", v.Run).Info("rollout: this router goes back")
-		k.plan = &plan{manifest: &handover.Manifest{Program: b.Before.Program, Config: b.Before.Config, Operator: b.Before.Operator}, run: b.Run, back: true,
+		k.plan = &plan{manifest: &handoff.Manifest{Program: b.Before.Program, Config: b.Before.Config, Operator: b.Before.Operator}, run: b.Run, back: true,
 			alone: v.Way == rollout.Forward || v.Way == rollout.Holding}
-		k.feed(change.Apply)
+		k.feed(upgrade.Apply)
 	}
 }
 
@@ -262,7 +262,7 @@
 // command takes an operator's word on the rollout.
 func (k *Keeper) command(c *call, w rollout.Command) {
 	say := func(ok bool, format string, args ...any) {
-		r := &handover.Word{Kind: handover.Report, OK: ok, Over: true, Note: fmt.Sprintf(format, args...)}
+		r := &handoff.Word{Kind: handoff.Report, OK: ok, Over: true, Note: fmt.Sprintf(format, args...)}
 		if k.roll.node != nil {
 			r.Rollout = k.roll.node.Standing()
 		}
--- a/internal/keeper/keeper.go
+++ b/internal/supervisor/supervisor.go
@@ -1,7 +1,7 @@
-// Package keeper carries out what package change decides for a machine: it holds the
+// Package supervisor carries out what package change decides for a machine: it holds the
 // listening sockets, starts generations of the router as processes, hands the sockets
 // down and words to and fro, and watches. It routes nothing.
-package keeper
+package supervisor
 
 import (
 	"errors"
@@ -17,15 +17,15 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/generation"
-	"quilldoor/internal/handover"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
+	"quilldoor/internal/upgradeagent"
 )
 
 // Config of a keeper.
 type Config struct {
 	Folder   string
-	Times    change.Times
+	Times    upgrade.Times
 	Program  string // of the first generation
 	Platform string // the platform's configuration: what is new at each start is always taken from there
 	Operator string // the operator's file of the first generation; "": none
@@ -57,25 +57,25 @@
 	Config
 	start   time.Time
 	events  chan func()
-	machine *change.Machine
-	judge   change.Judge
-	file    *handover.File
-	alone   change.Use // a generation's part while it is the only one
-	all     change.Use // the whole machine's
+	machine *upgrade.Machine
+	judge   upgrade.Judge
+	file    *handoff.File
+	alone   upgrade.Use // a generation's part while it is the only one
+	all     upgrade.Use // the whole machine's
 	sockets map[string]*os.File
 	names   []string // in the order in which they are handed down
 
 	old, new *proc
 	leaving  []*proc
-	state    *handover.State // handed over and not yet passed on
+	state    *handoff.State // handed over and not yet passed on
 	plan     *plan
-	tools    []*handover.Conn
+	tools    []*handoff.Conn
 	last     string
 	lasting  bool
 	restarts int
 	fell     time.Time
 	fallMS   int64
-	most     change.Use
+	most     upgrade.Use
 	roll     rolling
 	eyes     *watching // nil: nobody looks on
 	lock     *os.File
@@ -87,8 +87,8 @@
 
 // plan is the change that is under way.
 type plan struct {
-	manifest *handover.Manifest
-	bound    change.Use
+	manifest *handoff.Manifest
+	bound    upgrade.Use
 	note     string // why it was refused, or fell back
 	run      uint64 // of the rollout that wants it; 0: the operator does
 	back     bool   // that is on its way back
@@ -117,7 +117,7 @@
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	k.ticked, k.sampled = time.Now(), time.Now()
-	for k.machine.State != change.Stopped {
+	for k.machine.State != upgrade.Stopped {
 		select {
 		case do := <-k.events:
 			do()
@@ -125,7 +125,7 @@
 			k.tick()
 		case s := <-term:
 			k.Log.WithField("signal", s.String()).Info("keeper: ending")
-			k.feed(change.Shutdown)
+			k.feed(upgrade.Shutdown)
 		case <-hup:
 			k.reload()
 		}
@@ -150,7 +150,7 @@
 	}
 	k.lock.Truncate(0)
 	k.lock.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
-	if k.file, err = handover.ReadFile(k.path(fileName)); err != nil {
+	if k.file, err = handoff.ReadFile(k.path(fileName)); err != nil {
 		return fmt.Errorf("keep.folder: %w", err)
 	}
 	return nil
@@ -174,15 +174,15 @@
 		if err != nil {
 			return err
 		}
-		k.file = &handover.File{Next: 2, Settled: m}
+		k.file = &handoff.File{Next: 2, Settled: m}
 	}
 	k.sound()
 	got, err := k.check(k.file.Settled)
 	if err != nil {
 		return fmt.Errorf("generation %d: %w", k.file.Settled.Generation, err)
 	}
-	k.all = change.Use{MemoryMB: got.MemoryMB, Descriptors: got.Descriptors}
-	if k.alone, err = change.Alone(k.all); err != nil {
+	k.all = upgrade.Use{MemoryMB: got.MemoryMB, Descriptors: got.Descriptors}
+	if k.alone, err = upgrade.Alone(k.all); err != nil {
 		return err
 	}
 	orphans, err := k.listen()
@@ -194,7 +194,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if k.machine == nil {
-		k.machine = change.NewMachine(k.Times, k.now())
+		k.machine = upgrade.NewMachine(k.Times, k.now())
 	}
 	k.write()
 	k.watch()
@@ -207,13 +207,13 @@
 // not, the one before is settled, if it is sound; else what is there is run.
 func (k *Keeper) sound() {
 	s := k.file.Settled
-	sum, err := handover.Sum(s.Program)
+	sum, err := handoff.Sum(s.Program)
 	if err == nil && sum == s.ProgramSum {
 		return
 	}
 	line := k.Log.WithFields(logrus.Fields{"generation": s.Generation, "program": s.Program, "was": s.ProgramSum, "is": sum})
 	if p := k.file.Previous; p != nil {
-		if got, err := handover.Sum(p.Program); err == nil && got == p.ProgramSum {
+		if got, err := handoff.Sum(p.Program); err == nil && got == p.ProgramSum {
 			line.Error("keeper: the settled program is not what it was, the one before is started")
 			k.file.Settled, k.file.Previous = p, nil
 			return
@@ -222,7 +222,7 @@
 	if err != nil {
 		line.WithError(err).Error("keeper: the settled program can't be read, the keeper's own is started")
 		s.Program = k.Program
-		sum, _ = handover.Sum(s.Program)
+		sum, _ = handoff.Sum(s.Program)
 	} else {
 		line.Error("keeper: the settled program is not what it was, and is started as it is")
 	}
@@ -232,19 +232,19 @@
 // listen opens the socket for generations and tools, and waits for orphans that the
 // file has as running, if any of them is.
 func (k *Keeper) listen() (orphans []*proc, err error) {
-	os.Remove(k.path(generation.SocketName)) // the lock says that nobody listens there
-	if k.control, err = net.ListenUnix("unix", &net.UnixAddr{Name: k.path(generation.SocketName), Net: "unix"}); err != nil {
+	os.Remove(k.path(upgradeagent.SocketName)) // the lock says that nobody listens there
+	if k.control, err = net.ListenUnix("unix", &net.UnixAddr{Name: k.path(upgradeagent.SocketName), Net: "unix"}); err != nil {
 		return nil, fmt.Errorf("keep.folder: %w", err)
 	}
-	os.Chmod(k.path(generation.SocketName), 0o600)
+	os.Chmod(k.path(upgradeagent.SocketName), 0o600)
 	calls := make(chan *call, 16)
 	go k.accept(calls)
-	alive := slices.DeleteFunc(slices.Clone(k.file.Running), func(r handover.Running) bool { return startOf(r.PID) != r.Started || r.Started == 0 })
+	alive := slices.DeleteFunc(slices.Clone(k.file.Running), func(r handoff.Running) bool { return startOf(r.PID) != r.Started || r.Started == 0 })
 	until := time.After(adoptWithin)
 	for len(orphans) < len(alive) {
 		select {
 		case c := <-calls:
-			if c.word.Kind != handover.Hello {
+			if c.word.Kind != handoff.Hello {
 				c.conn.Close() // a tool: it tries again
 				continue
 			}
@@ -278,31 +278,31 @@
 
 // adopt takes over generations that have outlived a keeper.
 func (k *Keeper) adopt(list []*proc) {
-	said := make([]change.Orphan, len(list))
+	said := make([]upgrade.Orphan, len(list))
 	for i, p := range list {
-		said[i] = change.Orphan{Generation: p.manifest.Generation, State: p.part, Settled: p.wasSettled}
+		said[i] = upgrade.Orphan{Generation: p.manifest.Generation, State: p.part, Settled: p.wasSettled}
 	}
-	for i, fate := range change.Adopt(k.file.Settled.Generation, said) {
+	for i, fate := range upgrade.Adopt(k.file.Settled.Generation, said) {
 		p := list[i]
 		k.Log.WithFields(logrus.Fields{"generation": p.manifest.Generation, "pid": p.pid, "part": p.part.String(), "settled": p.wasSettled, "fate": fate.String()}).
 			Warn("keeper: found a generation")
 		switch fate {
-		case change.End:
-			k.leave(p, &handover.Word{Kind: handover.End})
+		case upgrade.End:
+			k.leave(p, &handoff.Word{Kind: handoff.End})
 			continue
-		case change.TryAgain:
-			k.new, k.machine = p, change.Adopted(k.Times, k.now(), true)
+		case upgrade.TryAgain:
+			k.new, k.machine = p, upgrade.Adopted(k.Times, k.now(), true)
 			k.plan = &plan{manifest: p.manifest}
-		case change.Resume:
-			p.say(&handover.Word{Kind: handover.Resume, Hold: true})
+		case upgrade.Resume:
+			p.say(&handoff.Word{Kind: handoff.Resume, Hold: true})
 			fallthrough
 		default:
-			k.old, k.machine = p, change.Adopted(k.Times, k.now(), false)
+			k.old, k.machine = p, upgrade.Adopted(k.Times, k.now(), false)
 			if p.manifest.Generation != k.file.Settled.Generation {
 				k.file.Previous, k.file.Settled = k.file.Settled, p.manifest
 			}
 			if !p.wasSettled {
-				p.say(&handover.Word{Kind: handover.Settle})
+				p.say(&handoff.Word{Kind: handoff.Settle})
 			}
 		}
 		p.bound = k.alone
@@ -387,15 +387,15 @@
 		}
 		k.rollOn(now)
 	}
-	if k.machine.State == change.Stopping && len(k.procs()) == 0 {
-		k.feed(change.AllGone)
+	if k.machine.State == upgrade.Stopping && len(k.procs()) == 0 {
+		k.feed(upgrade.AllGone)
 	}
 }
 
 // sample looks at what processes use and when they were heard, and kills who was
 // told to end and does not.
 func (k *Keeper) sample(now time.Time) {
-	sum := change.Use{MemoryMB: usage(os.Getpid()).MemoryMB, Descriptors: usage(os.Getpid()).Descriptors}
+	sum := upgrade.Use{MemoryMB: usage(os.Getpid()).MemoryMB, Descriptors: usage(os.Getpid()).Descriptors}
 	for _, p := range k.procs() {
 		if p.cmd == nil && startOf(p.pid) != p.started { // not a child: nobody else says that it has ended
 			k.ended(p)
@@ -413,27 +413,27 @@
 			p.killAt = now.Add(time.Second)
 		}
 	}
-	if p := k.old; p != nil && p.hello && now.Sub(p.beatAt).Microseconds() > change.HangAfter {
+	if p := k.old; p != nil && p.hello && now.Sub(p.beatAt).Microseconds() > upgrade.HangAfter {
 		k.note("the settled generation has said nothing for %d ms", now.Sub(p.beatAt).Milliseconds())
 		p.beatAt = now
-		k.feed(change.OldHung)
+		k.feed(upgrade.OldHung)
 	}
 	if p := k.new; p != nil {
-		if err := change.Over(p.bound, p.use); err != nil {
+		if err := upgrade.Over(p.bound, p.use); err != nil {
 			k.note("the new generation uses more than its part: %v", err)
-			k.feed(change.NewHung)
-		} else if p.hello && now.Sub(p.beatAt).Microseconds() > change.TrialHang {
+			k.feed(upgrade.NewHung)
+		} else if p.hello && now.Sub(p.beatAt).Microseconds() > upgrade.TrialHang {
 			k.note("the new generation has said nothing for %d ms", now.Sub(p.beatAt).Milliseconds())
-			k.feed(change.NewHung)
-		} else if s := k.seen(p, k.old); s.Rules != 0 && k.machine.State == change.OnTrial {
+			k.feed(upgrade.NewHung)
+		} else if s := k.seen(p, k.old); s.Rules != 0 && k.machine.State == upgrade.OnTrial {
 			k.note("the new generation breaks %s", s.Text)
-			k.feed(change.Worse)
+			k.feed(upgrade.Worse)
 		}
 	}
-	if p := k.old; p != nil && k.new == nil && len(k.leaving) == 0 && p.bound != k.alone && k.machine.State == change.Steady {
+	if p := k.old; p != nil && k.new == nil && len(k.leaving) == 0 && p.bound != k.alone && k.machine.State == upgrade.Steady {
 		p.bound = k.alone
-		p.say(&handover.Word{Kind: handover.Bound, Bound: k.alone})
-		p.say(&handover.Word{Kind: handover.Beside})
+		p.say(&handoff.Word{Kind: handoff.Bound, Bound: k.alone})
+		p.say(&handoff.Word{Kind: handoff.Beside})
 	}
 }
 
@@ -447,7 +447,7 @@
 }
 
 // feed gives the machine an input and does what it decides.
-func (k *Keeper) feed(in change.Input) {
+func (k *Keeper) feed(in upgrade.Input) {
 	was := k.machine.State
 	effects := k.machine.Handle(k.now(), in)
 	if k.machine.State != was {
@@ -466,107 +466,107 @@
 }
 
 // do carries out effects.
-func (k *Keeper) do(effects []change.Effect) {
+func (k *Keeper) do(effects []upgrade.Effect) {
 	for _, e := range effects {
 		switch e {
-		case change.Check:
+		case upgrade.Check:
 			k.checkPlan()
-		case change.StartOld:
+		case upgrade.StartOld:
 			if k.restarts++; k.fell.IsZero() {
 				k.fell = time.Now()
 			}
 			var err error
 			if k.old, err = k.launch(k.file.Settled, k.alone); err != nil {
 				k.Log.WithError(err).Error("keeper: the settled generation can't be started")
-				k.feed(change.OldGone)
+				k.feed(upgrade.OldGone)
 				return
 			}
 			k.write()
-		case change.StartNew:
+		case upgrade.StartNew:
 			var err error
 			if k.new, err = k.launch(k.plan.manifest, k.plan.bound); err != nil {
 				k.note("it can't be started: %v", err)
-				k.feed(change.NewGone)
+				k.feed(upgrade.NewGone)
 				return
 			}
 			k.write()
-		case change.OwnOld:
-			k.old.say(&handover.Word{Kind: handover.Own, Hold: true})
-		case change.OwnNew:
-			k.new.say(&handover.Word{Kind: handover.Own, State: k.state})
+		case upgrade.OwnOld:
+			k.old.say(&handoff.Word{Kind: handoff.Own, Hold: true})
+		case upgrade.OwnNew:
+			k.new.say(&handoff.Word{Kind: handoff.Own, State: k.state})
 			k.state = nil
-		case change.QuietOld:
-			k.old.say(&handover.Word{Kind: handover.Quiet})
-		case change.TakenOld:
-			k.old.say(&handover.Word{Kind: handover.Taken})
-		case change.ResumeOld:
+		case upgrade.QuietOld:
+			k.old.say(&handoff.Word{Kind: handoff.Quiet})
+		case upgrade.TakenOld:
+			k.old.say(&handoff.Word{Kind: handoff.Taken})
+		case upgrade.ResumeOld:
 			k.state = nil
 			if k.old != nil {
-				k.old.say(&handover.Word{Kind: handover.Resume, Hold: true})
+				k.old.say(&handoff.Word{Kind: handoff.Resume, Hold: true})
 			}
-		case change.SettleNew:
-			k.new.say(&handover.Word{Kind: handover.Settle})
-		case change.SettleOld:
-			k.old.say(&handover.Word{Kind: handover.Settle})
-		case change.EndNew:
+		case upgrade.SettleNew:
+			k.new.say(&handoff.Word{Kind: handoff.Settle})
+		case upgrade.SettleOld:
+			k.old.say(&handoff.Word{Kind: handoff.Settle})
+		case upgrade.EndNew:
 			if k.new != nil {
-				k.leave(k.new, &handover.Word{Kind: handover.End})
+				k.leave(k.new, &handoff.Word{Kind: handoff.End})
 				k.new = nil
 			}
-		case change.KillNew:
+		case upgrade.KillNew:
 			if k.new != nil {
 				k.new.kill()
 				k.leave(k.new, nil)
 				k.new = nil
 			}
-		case change.KillOld:
+		case upgrade.KillOld:
 			if k.old != nil {
 				k.old.kill()
 				k.leave(k.old, nil)
 				k.old = nil
 			}
-		case change.Write:
+		case upgrade.Write:
 			k.file.Previous, k.file.Settled = k.file.Settled, k.new.manifest
 			if k.write() {
-				k.feed(change.Written)
+				k.feed(upgrade.Written)
 			} else {
-				k.feed(change.Unwritten)
+				k.feed(upgrade.Unwritten)
 			}
-		case change.Promote:
+		case upgrade.Promote:
 			if k.old != nil {
-				k.leave(k.old, &handover.Word{Kind: handover.End})
+				k.leave(k.old, &handoff.Word{Kind: handoff.End})
 			}
 			k.old, k.new = k.new, nil
 			k.judge.Follows()
 			k.tidy()
-		case change.EndAll:
+		case upgrade.EndAll:
 			for _, f := range k.sockets {
 				f.Close()
 			}
 			for _, p := range []*proc{k.old, k.new} {
 				if p != nil {
-					k.leave(p, &handover.Word{Kind: handover.End})
+					k.leave(p, &handoff.Word{Kind: handoff.End})
 				}
 			}
 			k.old, k.new = nil, nil
-		case change.TellRefused:
+		case upgrade.TellRefused:
 			k.tell(false, false, "refused, nothing has changed: %s", k.plan.note)
-		case change.TellBack:
+		case upgrade.TellBack:
 			if k.new == nil && k.old != nil && !k.fell.IsZero() {
 				k.fallMS = time.Since(k.fell).Milliseconds()
 			}
 			k.fell = time.Time{}
 			k.tell(false, true, "fell back: %s", k.plan.note)
-		case change.TellDone:
+		case upgrade.TellDone:
 			k.tell(true, false, "generation %d is settled", k.file.Settled.Generation)
-		case change.TellBrief:
+		case upgrade.TellBrief:
 			k.tell(true, false, "generation %d is settled, but the file could not be written: a cold start begins with the one before", k.file.Settled.Generation)
 		}
 	}
 }
 
 // leave lets a process end, told so or killed, and sees to it that it does.
-func (k *Keeper) leave(p *proc, w *handover.Word) {
+func (k *Keeper) leave(p *proc, w *handoff.Word) {
 	if w != nil {
 		p.say(w)
 	}
@@ -580,7 +580,7 @@
 func (k *Keeper) write() bool {
 	k.file.Running = nil
 	for _, p := range k.procs() {
-		k.file.Running = append(k.file.Running, handover.Running{Generation: p.manifest.Generation, PID: p.pid, Started: p.started})
+		k.file.Running = append(k.file.Running, handoff.Running{Generation: p.manifest.Generation, PID: p.pid, Started: p.started})
 	}
 	err := k.file.Write(k.path(fileName))
 	if err != nil && k.lasting {
@@ -596,7 +596,7 @@
 	defer k.rolled(k.plan, ok, k.last)
 	k.Log.WithField("ok", ok).Info("keeper: " + k.last)
 	for _, c := range k.tools {
-		c.Say(&handover.Word{Kind: handover.Report, Note: k.last, OK: ok, FellBack: back, Over: true})
+		c.Say(&handoff.Word{Kind: handoff.Report, Note: k.last, OK: ok, FellBack: back, Over: true})
 		c.Close()
 	}
 	k.tools = nil
@@ -607,7 +607,7 @@
 // tidy removes folders of generations that nobody needs any more.
 func (k *Keeper) tidy() {
 	need := map[string]bool{}
-	keep := []*handover.Manifest{k.file.Settled, k.file.Previous}
+	keep := []*handoff.Manifest{k.file.Settled, k.file.Previous}
 	if k.file.Rollout != nil {
 		keep = append(keep, k.file.Rollout.Before)
 	}
--- a/internal/keeper/watch.go
+++ b/internal/supervisor/watch.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"context"
@@ -6,28 +6,28 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/board"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
-	"quilldoor/internal/handover"
-	"quilldoor/internal/witness"
-	"quilldoor/logic"
+	"quilldoor/internal/discovery"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/policy"
 )
 
 // Watch lets the keeper look on at what its generations do.
 type Watch struct {
-	Rules  witness.Settings
+	Rules  invariant.Settings
 	Limits *config.Limits
 	// Board reads the platform's file: where the notice board is, and what is known.
-	Board func() (addr string, known *board.News, err error)
+	Board func() (addr string, known *discovery.News, err error)
 }
 
 // watching follows the notice board beside the generations, and judges their acts by
 // it. A change leaves the keeper as it is: what it runs was good before.
 type watching struct {
 	*Keeper
-	judge    *witness.Judge
-	follower *board.Follower
+	judge    *invariant.Judge
+	follower *discovery.Follower
 	stop     context.CancelFunc
 	done     chan struct{}
 	offset   int64 // of the system's clock from the steady one
@@ -38,8 +38,8 @@
 	if k.Watch == nil {
 		return
 	}
-	w := &watching{Keeper: k, judge: witness.New(k.Watch.Rules), told: map[int]uint8{}}
-	w.follower = board.New(k.Watch.Limits, w)
+	w := &watching{Keeper: k, judge: invariant.New(k.Watch.Rules), told: map[int]uint8{}}
+	w.follower = discovery.New(k.Watch.Limits, w)
 	w.offset = time.Now().UnixMicro() - k.now()
 	k.eyes = w
 	w.follow()
@@ -63,7 +63,7 @@
 			old()
 			<-was
 		}
-		w.follower.Apply(&board.News{Notices: known.Notices})
+		w.follower.Apply(&discovery.News{Notices: known.Notices})
 		w.follower.Run(ctx, addr)
 	}()
 }
@@ -75,8 +75,8 @@
 }
 
 // Members takes changes of the list of servers.
-func (w *watching) Members(scope string, list []core.Server) {
-	entries := make([]logic.Entry, len(list))
+func (w *watching) Members(scope string, list []engine.Server) {
+	entries := make([]policy.Entry, len(list))
 	for i, s := range list {
 		entries[i] = s.Entry
 	}
@@ -125,7 +125,7 @@
 func (p *proc) pid64() uint64 { return uint64(p.pid) }
 
 // seen is what a process was seen to break that the one beside it was not.
-func (k *Keeper) seen(p, beside *proc) (s witness.Seen) {
+func (k *Keeper) seen(p, beside *proc) (s invariant.Seen) {
 	if k.eyes == nil || p == nil {
 		return s
 	}
@@ -138,7 +138,7 @@
 }
 
 // acted takes what a process says of itself.
-func (k *Keeper) acted(p *proc, w *handover.Word) {
+func (k *Keeper) acted(p *proc, w *handoff.Word) {
 	if k.eyes != nil && w.Acts != nil {
 		k.eyes.judge.Acts(time.Now().UnixMicro(), p.pid64(), w.Acts)
 	}
--- a/internal/change/adopt.go
+++ b/internal/upgrade/adopt.go
@@ -1,4 +1,4 @@
-package change
+package upgrade
 
 // Orphan is a generation that has outlived its keeper, as it says of itself.
 type Orphan struct {
--- a/internal/change/diff.go
+++ b/internal/upgrade/diff.go
@@ -1,4 +1,4 @@
-package change
+package upgrade
 
 import (
 	"cmp"
--- a/internal/change/keeper.go
+++ b/internal/upgrade/keeper.go
@@ -1,4 +1,4 @@
-package change
+package upgrade
 
 // State is where a change stands. In most of them the old generation serves.
 type State uint8
--- a/internal/change/part.go
+++ b/internal/upgrade/part.go
@@ -1,4 +1,4 @@
-// Package change decides how one generation of a router's program and settings
+// Package upgrade decides how one generation of a router's program and settings
 // takes the place of another on one machine: what the keeper does (keeper.go), what
 // a generation does (part.go), whether a new one does worse (judge.go), whether there
 // is room for two (room.go), and which settings change how (diff.go). It does no I/O
@@ -7,7 +7,7 @@
 // Whoever accepts clients holds the place, a lock that the system gives to one
 // process at a time and takes back when that process ends. So two never accept,
 // whatever either believes. docs/change.md tells the rest.
-package change
+package upgrade
 
 import "fmt"
 
--- a/internal/change/change_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -1,4 +1,4 @@
-package change
+package upgrade
 
 import (
 	"math/rand/v2"
--- a/internal/generation/generation.go
+++ b/internal/upgradeagent/upgradeagent.go
@@ -1,7 +1,7 @@
-// Package generation is a router's side of a change: the connection to its keeper,
+// Package upgradeagent is a router's side of a change: the connection to its keeper,
 // the place that only one process has, and the carrying out of what package change
 // decides. It finds a new keeper when the old one dies.
-package generation
+package upgradeagent
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"quilldoor/internal/change"
-	"quilldoor/internal/handover"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
 )
 
 // Host is the router that is a generation.
@@ -28,13 +28,13 @@
 	// predecessor knew, nil at a start from nothing; mine: it is what Disown told, and
 	// another generation has served since. Hold: somebody may have spent this router's
 	// part of cold servers' budgets meanwhile.
-	Own(state *handover.State, mine, hold bool) error
+	Own(state *handoff.State, mine, hold bool) error
 	// Disown accepts nothing more, lets all of that go, and tells what is known.
-	Disown() *handover.State
-	Bound(change.Use)
+	Disown() *handoff.State
+	Bound(upgrade.Use)
 	Beside(outs map[string][3]float64)
 	Reload()
-	Beat() *handover.Word // Ends, Outs, Txns and Acts
+	Beat() *handoff.Word // Ends, Outs, Txns and Acts
 	Ready() bool
 	Post(to string, body []byte) // to another router of the site
 }
@@ -62,17 +62,17 @@
 
 	folder string
 	names  []string
-	conn   *handover.Conn
+	conn   *handoff.Conn
 	place  *os.File
 	held   bool
 	log    *logrus.Entry
 	start  time.Time
-	part   *change.Part
-	state  *handover.State // of the predecessor, or one's own from before
-	mine   bool            // it is one's own
+	part   *upgrade.Part
+	state  *handoff.State // of the predecessor, or one's own from before
+	mine   bool           // it is one's own
 	hold   bool
-	told   bool                // that it is ready
-	came   chan *handover.Word // letters of other routers
+	told   bool               // that it is ready
+	came   chan *handoff.Word // letters of other routers
 	lastIn string
 }
 
@@ -86,9 +86,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvGeneration, err)
 	}
-	g := &Generation{Number: n, Sockets: map[string]*os.File{}, folder: folder, names: strings.Split(env(EnvSockets), ","), start: time.Now(), part: change.NewPart(),
-		came: make(chan *handover.Word, 64)}
-	if g.conn, err = handover.FromFile(os.NewFile(firstFD, "keeper")); err != nil {
+	g := &Generation{Number: n, Sockets: map[string]*os.File{}, folder: folder, names: strings.Split(env(EnvSockets), ","), start: time.Now(), part: upgrade.NewPart(),
+		came: make(chan *handoff.Word, 64)}
+	if g.conn, err = handoff.FromFile(os.NewFile(firstFD, "keeper")); err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
 	for i, name := range g.names {
@@ -138,8 +138,8 @@
 // that. An error: it could not take what it was told to own.
 func (g *Generation) Run(ctx context.Context, host Host, term <-chan os.Signal, log *logrus.Entry) error {
 	g.log = log.WithField("generation", g.Number)
-	words := make(chan *handover.Word, 16) // nil: the connection has ended
-	listen := func(c *handover.Conn) {
+	words := make(chan *handoff.Word, 16) // nil: the connection has ended
+	listen := func(c *handoff.Conn) {
 		for {
 			w, err := c.Hear()
 			if err != nil {
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	g.say(&handover.Word{Kind: handover.Hello, Format: handover.Format, Generation: g.Number, PID: os.Getpid()})
+	g.say(&handoff.Word{Kind: handoff.Hello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid()})
 	go listen(g.conn)
 	beat := time.NewTicker(beatEvery)
 	defer beat.Stop()
@@ -163,13 +163,13 @@
 	defer wake.Stop()
 	called := time.Now()
 	for {
-		var do []change.PartEffect
+		var do []upgrade.PartEffect
 		select {
 		case <-ctx.Done():
 			return nil
 		case s := <-term:
 			g.log.WithField("signal", s.String()).Info("shutting down")
-			do = g.part.Handle(g.now(), change.ToEnd)
+			do = g.part.Handle(g.now(), upgrade.ToEnd)
 		case w := <-words:
 			do = g.heard(host, w)
 		case w := <-g.came:
@@ -180,11 +180,11 @@
 			continue
 		case <-wake.C:
 			if do = g.part.Tick(g.now()); do == nil && g.part.State.Wants() && g.take() {
-				do = g.part.Handle(g.now(), change.Free)
+				do = g.part.Handle(g.now(), upgrade.Free)
 			}
 			if !g.told && host.Ready() {
 				g.told = true
-				g.say(&handover.Word{Kind: handover.Ready, Generation: g.Number})
+				g.say(&handoff.Word{Kind: handoff.Ready, Generation: g.Number})
 			}
 			if g.conn == nil && time.Since(called) >= callEvery {
 				called = time.Now()
@@ -211,7 +211,7 @@
 
 func (g *Generation) beat(host Host) {
 	w := host.Beat()
-	w.Kind, w.Part = handover.Beat, g.part.State
+	w.Kind, w.Part = handoff.Beat, g.part.State
 	g.say(w)
 }
 
@@ -231,28 +231,28 @@
 }
 
 // inputs of words that only tell the part.
-var inputs = map[handover.Kind]change.PartInput{handover.Own: change.ToOwn, handover.Quiet: change.ToQuiet, handover.Taken: change.ToTaken,
-	handover.Settle: change.ToSettle, handover.Resume: change.ToResume, handover.End: change.ToEnd}
+var inputs = map[handoff.Kind]upgrade.PartInput{handoff.Own: upgrade.ToOwn, handoff.Quiet: upgrade.ToQuiet, handoff.Taken: upgrade.ToTaken,
+	handoff.Settle: upgrade.ToSettle, handoff.Resume: upgrade.ToResume, handoff.End: upgrade.ToEnd}
 
-func (g *Generation) heard(host Host, w *handover.Word) []change.PartEffect {
+func (g *Generation) heard(host Host, w *handoff.Word) []upgrade.PartEffect {
 	if w == nil {
 		if g.conn != nil {
 			g.conn.Close()
 			g.conn = nil
 			g.log.WithField("part", g.part.State.String()).Warn("keeper lost")
 		}
-		return g.part.Handle(g.now(), change.Lost)
+		return g.part.Handle(g.now(), upgrade.Lost)
 	}
 	switch w.Kind {
-	case handover.Reload:
+	case handoff.Reload:
 		host.Reload()
-	case handover.Bound:
+	case handoff.Bound:
 		host.Bound(w.Bound)
-	case handover.Beside:
+	case handoff.Beside:
 		host.Beside(w.Outs)
-	case handover.Letter:
+	case handoff.Letter:
 		host.Post(w.To, w.Body)
-	case handover.Own, handover.Resume:
+	case handoff.Own, handoff.Resume:
 		if w.State != nil {
 			g.state, g.mine = w.State, false
 		}
@@ -265,32 +265,32 @@
 	return g.part.Handle(g.now(), in)
 }
 
-func (g *Generation) carryOut(host Host, do []change.PartEffect) (over bool, err error) {
+func (g *Generation) carryOut(host Host, do []upgrade.PartEffect) (over bool, err error) {
 	for _, e := range do {
 		g.log.WithFields(logrus.Fields{"part": g.part.State.String(), "effect": e.String()}).Debug("change")
 		switch e {
-		case change.Accept:
+		case upgrade.Accept:
 			if err := host.Own(g.state, g.mine, g.hold); err != nil {
 				g.log.WithError(err).Error("change: what this generation is to own could not be had")
 				return false, err
 			}
 			g.log.WithField("part", g.part.State.String()).Info("change: this generation serves")
-		case change.Stop:
+		case upgrade.Stop:
 			g.state, g.mine, g.hold = host.Disown(), true, true
 			g.letGo()
 			g.log.WithField("part", g.part.State.String()).Info("change: this generation takes nothing new")
-		case change.LetGo:
+		case upgrade.LetGo:
 			g.letGo()
-		case change.Drain:
+		case upgrade.Drain:
 			return true, nil
-		case change.TellReleased:
-			g.say(&handover.Word{Kind: handover.Released, Generation: g.Number, State: g.state})
-		case change.TellAccepting:
-			g.say(&handover.Word{Kind: handover.Accepting, Generation: g.Number})
-		case change.TellDenied:
-			g.say(&handover.Word{Kind: handover.Denied, Generation: g.Number})
-		case change.TellSettled:
-			g.say(&handover.Word{Kind: handover.Settled, Generation: g.Number})
+		case upgrade.TellReleased:
+			g.say(&handoff.Word{Kind: handoff.Released, Generation: g.Number, State: g.state})
+		case upgrade.TellAccepting:
+			g.say(&handoff.Word{Kind: handoff.Accepting, Generation: g.Number})
+		case upgrade.TellDenied:
+			g.say(&handoff.Word{Kind: handoff.Denied, Generation: g.Number})
+		case upgrade.TellSettled:
+			g.say(&handoff.Word{Kind: handoff.Settled, Generation: g.Number})
 		}
 	}
 	return false, nil
@@ -299,13 +299,13 @@
 // Letter passes a letter of another router on to the keeper. It may be lost.
 func (g *Generation) Letter(from string, body []byte) {
 	select {
-	case g.came <- &handover.Word{Kind: handover.Letter, From: from, Body: body}:
+	case g.came <- &handoff.Word{Kind: handoff.Letter, From: from, Body: body}:
 	default:
 	}
 }
 
 // say tells the keeper. Without one nothing is lost: a new one asks.
-func (g *Generation) say(w *handover.Word) {
+func (g *Generation) say(w *handoff.Word) {
 	if g.conn != nil && g.conn.Say(w) != nil {
 		g.conn.Close() // the reader notices
 	}
@@ -336,13 +336,13 @@
 		}
 		return false
 	}
-	c := handover.NewConn(sock)
+	c := handoff.NewConn(sock)
 	var files []*os.File
 	names := slices.Clone(g.names)
 	for _, name := range names {
 		files = append(files, g.Sockets[name])
 	}
-	if err := c.Say(&handover.Word{Kind: handover.Hello, Format: handover.Format, Generation: g.Number, PID: os.Getpid(), Part: g.part.State,
+	if err := c.Say(&handoff.Word{Kind: handoff.Hello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid(), Part: g.part.State,
 		WasSettled: g.part.Settled(), Sockets: names}, files...); err != nil {
 		c.Close()
 		return false
@@ -350,7 +350,7 @@
 	g.conn = c
 	g.log.Info("keeper found again")
 	if g.told {
-		g.say(&handover.Word{Kind: handover.Ready, Generation: g.Number})
+		g.say(&handoff.Word{Kind: handoff.Ready, Generation: g.Number})
 	}
 	return true
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -11,9 +11,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/buffer"
-	"quilldoor/internal/core"
-	"quilldoor/internal/lines"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/cacheproto"
+	"quilldoor/internal/engine"
 	"quilldoor/internal/settings"
 )
 
@@ -163,11 +163,11 @@
 		}
 		switch {
 		case it.flight == nil && it.drop != "":
-			add(lines.AppendDrop(nil, it.drop))
+			add(cacheproto.AppendDrop(nil, it.drop))
 		case it.flight == nil:
-			add(lines.AppendPing(nil, it.ping))
+			add(cacheproto.AppendPing(nil, it.ping))
 		case it.flight.Hop.Begin():
-			add(lines.AppendGet(make([]byte, 0, 256), it.flight.command(now.UnixMicro())))
+			add(cacheproto.AppendGet(make([]byte, 0, 256), it.flight.command(now.UnixMicro())))
 			for _, b := range it.flight.Body.Append(nil) {
 				add(b)
 			}
@@ -187,7 +187,7 @@
 		}
 		it.flight.Body.Release()
 		if err != nil && ends[i] > n {
-			c.pool.ended(it.flight.Hop, core.Outcome{Code: "econnrefused"})
+			c.pool.ended(it.flight.Hop, engine.Outcome{Code: "econnrefused"})
 		}
 	}
 	for _, f := range unsent {
@@ -197,7 +197,7 @@
 			c.rest()
 		}
 		c.pool.mu.Unlock()
-		c.pool.ended(f.Hop, core.Outcome{Code: "skipped"})
+		c.pool.ended(f.Hop, engine.Outcome{Code: "skipped"})
 	}
 	return err == nil
 }
@@ -224,14 +224,14 @@
 // read takes answers until the connection ends or the peer breaks the protocol.
 func (c *conn) read() error {
 	from := &pieces{Conn: c.sock, stall: c.pool.limits.Stall}
-	r := bufio.NewReaderSize(from, buffer.Size)
+	r := bufio.NewReaderSize(from, bufferpool.Size)
 	for {
 		from.end = time.Time{}
 		if _, err := r.Peek(1); err != nil {
 			return err
 		}
 		from.end = time.Now().Add(c.pool.limits.Frame)
-		a, err := lines.ReadAnswer(r, c.pool.limits.Answer)
+		a, err := cacheproto.ReadAnswer(r, c.pool.limits.Answer)
 		if err != nil {
 			return err
 		}
@@ -241,33 +241,33 @@
 	}
 }
 
-var codes = map[lines.Word]string{lines.Ack: "done", lines.NoMod: "done", lines.NoEnt: "enoent",
-	lines.Again: "busy", lines.EIO: "err", lines.Stale: "skipped"}
+var codes = map[cacheproto.Word]string{cacheproto.Ack: "done", cacheproto.NoMod: "done", cacheproto.NoEnt: "enoent",
+	cacheproto.Again: "busy", cacheproto.EIO: "err", cacheproto.Stale: "skipped"}
 
 // answer reads an answer's body and ends its hop. One that nobody waits for, a
 // second copy or one under an unknown id, is whole and costs the others nothing.
-func (c *conn) answer(r *bufio.Reader, a *lines.Answer) error {
+func (c *conn) answer(r *bufio.Reader, a *cacheproto.Answer) error {
 	p := c.pool
 	p.mu.Lock()
 	c.heard = time.Now()
 	f, probe := c.open[a.ID], c.probes[a.ID]
 	p.mu.Unlock()
-	if probe != nil && a.Word != lines.Ready || f != nil && !f.fits(a) {
-		return fmt.Errorf("%w: it doesn't answer what was asked", lines.ErrBroken)
+	if probe != nil && a.Word != cacheproto.Ready || f != nil && !f.fits(a) {
+		return fmt.Errorf("%w: it doesn't answer what was asked", cacheproto.ErrBroken)
 	}
-	var body *buffer.Body
+	var body *bufferpool.Body
 	var full error
 	if a.Length >= 0 {
-		if body, full = p.bodies.Read(r, a.Length); full != nil && full != buffer.ErrFull {
+		if body, full = p.bodies.Read(r, a.Length); full != nil && full != bufferpool.ErrFull {
 			return full
 		}
-		if err := lines.ReadEnd(r); err != nil {
+		if err := cacheproto.ReadEnd(r); err != nil {
 			body.Release()
 			return err
 		}
 	}
 	code := codes[a.Word]
-	if full != nil || f != nil && a.Word == lines.NoMod && a.Tag != f.Tag { // it names a copy that nobody has
+	if full != nil || f != nil && a.Word == cacheproto.NoMod && a.Tag != f.Tag { // it names a copy that nobody has
 		code = "err"
 	}
 	p.mu.Lock()
@@ -289,9 +289,9 @@
 		body.Release()
 		return nil
 	}
-	o := core.Outcome{Code: code, Note: a.Note, Waited: settings.Micros(a.Delay), Load: a.Load}
+	o := engine.Outcome{Code: code, Note: a.Note, Waited: settings.Micros(a.Delay), Load: a.Load}
 	if code == "done" {
-		o.Reply = &Reply{body, a.Tag, a.Word == lines.NoMod, a.Issued}
+		o.Reply = &Reply{body, a.Tag, a.Word == cacheproto.NoMod, a.Issued}
 	} else {
 		body.Release()
 	}
@@ -300,9 +300,9 @@
 }
 
 // fits tells whether an answer can be one to the hop. Copies name their tag and age.
-func (f *Flight) fits(a *lines.Answer) bool {
-	copied := a.Word == lines.Ack && !f.Write || a.Word == lines.NoMod
-	return a.Word != lines.Ready && (a.Word != lines.NoMod || f.Tag != "") && (!copied || a.Tag != "" && a.Issued > 0)
+func (f *Flight) fits(a *cacheproto.Answer) bool {
+	copied := a.Word == cacheproto.Ack && !f.Write || a.Word == cacheproto.NoMod
+	return a.Word != cacheproto.Ready && (a.Word != cacheproto.NoMod || f.Tag != "") && (!copied || a.Tag != "" && a.Issued > 0)
 }
 
 // fail ends what is left on the connection.
@@ -315,7 +315,7 @@
 	p.mu.Unlock()
 	entry := p.log.WithFields(logrus.Fields{"server": c.peer.id, "hops": len(open)})
 	switch {
-	case errors.Is(err, lines.ErrBroken):
+	case errors.Is(err, cacheproto.ErrBroken):
 		entry.WithError(err).Warn("server broke the protocol, connection closed")
 	case len(open) > 0 && !c.up:
 		entry.WithError(err).Debug("no connection to server")
@@ -328,7 +328,7 @@
 		}
 	}
 	for _, f := range open {
-		o := core.Outcome{Code: "econnreset"}
+		o := engine.Outcome{Code: "econnreset"}
 		if f.Hop.Withdraw() {
 			o.Code = "econnrefused"
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -9,40 +9,40 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
-	"quilldoor/internal/lines"
+	"quilldoor/internal/engine"
 )
 
 // Flight is one hop on its way, with what the client sent.
 type Flight struct {
-	Hop           *core.Hop
+	Hop           *engine.Hop
 	Class, Object string
 	Part          int64
 	Tag           string
-	Key           string       // the client's mark against repeats
-	Body          *buffer.Body // nil: none
-	Write         bool         // its answer is no copy of an object
+	Key           string           // the client's mark against repeats
+	Body          *bufferpool.Body // nil: none
+	Write         bool             // its answer is no copy of an object
 	conn          *conn
 	written       time.Time // under the pool's lock, as conn
 }
 
 // Reply is an answer's body and tag; it is what a txn is completed with.
 type Reply struct {
-	*buffer.Body
+	*bufferpool.Body
 	Tag    string
 	Same   bool  // the copy whose tag was sent is the one
 	Issued int64 // Unix milliseconds at which the origin gave the copy out; 0: no copy
 }
 
 // Ended is told how hops end.
-type Ended func(h *core.Hop, o core.Outcome)
+type Ended func(h *engine.Hop, o engine.Outcome)
 
 // Pool holds the connections of all servers.
 type Pool struct {
 	limits *config.Limits
-	bodies *buffer.Pool
+	bodies *bufferpool.Pool
 	ended  Ended
 	log    *logrus.Entry
 
@@ -57,7 +57,7 @@
 // else, whichever of the two changes.
 type place struct{ id, endpoint string }
 
-func placeOf(s *core.Server) place { return place{s.Server, s.Endpoint} }
+func placeOf(s *engine.Server) place { return place{s.Server, s.Endpoint} }
 
 // peer is one server at one address.
 type peer struct {
@@ -66,7 +66,7 @@
 }
 
 // New makes an empty pool.
-func New(limits *config.Limits, bodies *buffer.Pool, ended Ended, log *logrus.Entry) *Pool {
+func New(limits *config.Limits, bodies *bufferpool.Pool, ended Ended, log *logrus.Entry) *Pool {
 	return &Pool{limits: limits, bodies: bodies, ended: ended, log: log, peers: map[place]*peer{}, most: limits.Upstream}
 }
 
@@ -77,7 +77,7 @@
 	p.most = most
 }
 
-func (p *Pool) peer(s *core.Server) *peer {
+func (p *Pool) peer(s *engine.Server) *peer {
 	at := placeOf(s)
 	if p.peers[at] == nil {
 		p.peers[at] = &peer{place: at}
@@ -97,7 +97,7 @@
 	if c == nil {
 		p.mu.Unlock()
 		f.Hop.Withdraw()
-		p.ended(f.Hop, core.Outcome{Code: "econnrefused"})
+		p.ended(f.Hop, engine.Outcome{Code: "econnrefused"})
 		return
 	}
 	f.conn = c
@@ -177,7 +177,7 @@
 }
 
 // Probe asks a server whether it is there; the answer goes to done.
-func (p *Pool) Probe(s *core.Server, tag string, done func(ok bool)) {
+func (p *Pool) Probe(s *engine.Server, tag string, done func(ok bool)) {
 	p.mu.Lock()
 	c := p.choose(p.peer(s), tag)
 	if c == nil {
@@ -190,7 +190,7 @@
 }
 
 // Unprobe forgets a probe that has not been answered; true: it was still out.
-func (p *Pool) Unprobe(s *core.Server, tag string) bool {
+func (p *Pool) Unprobe(s *engine.Server, tag string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.peers[placeOf(s)]
@@ -210,7 +210,7 @@
 
 // Retire lets connections to servers that take nothing new end with their hops.
 // A hop that is not on a connection yet is proven not to have run.
-func (p *Pool) Retire(servers []*core.Server) {
+func (p *Pool) Retire(servers []*engine.Server) {
 	var unsent []*Flight
 	p.mu.Lock()
 	for _, s := range servers {
@@ -232,12 +232,12 @@
 	}
 	p.mu.Unlock()
 	for _, f := range unsent {
-		p.ended(f.Hop, core.Outcome{Code: "skipped"})
+		p.ended(f.Hop, engine.Outcome{Code: "skipped"})
 	}
 }
 
 // Disconnect closes idle connections to a server.
-func (p *Pool) Disconnect(s *core.Server) {
+func (p *Pool) Disconnect(s *engine.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.peers[placeOf(s)]; r != nil {
@@ -290,9 +290,9 @@
 // Command for a hop at the time of writing. Times are whole milliseconds: an
 // age is cut down, since older copies are barred, but stays above 0, which
 // would mean the default.
-func (f *Flight) command(now int64) *lines.Get {
+func (f *Flight) command(now int64) *cacheproto.Get {
 	h := f.Hop
-	g := &lines.Get{ID: h.Txn.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Rank: h.Rank,
+	g := &cacheproto.Get{ID: h.Txn.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Rank: h.Rank,
 		Mode: h.Mode, Tag: f.Tag, Key: f.Key, Length: f.Body.Len(), Budget: max((h.Due-now)/1000, 1)}
 	if h.Age > 0 {
 		g.Age = max(h.Age/1000, 1)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/buffer"
+	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/config"
-	"quilldoor/internal/core"
-	"quilldoor/logic"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 )
 
 // stand is a pool beside a server that writes nothing by itself.
@@ -35,7 +35,7 @@
 	s := &stand{Listener: l, ends: make(chan string, 100)}
 	log := logrus.NewEntry(logrus.New())
 	log.Logger.SetLevel(logrus.ErrorLevel)
-	s.Pool = New(limits, buffer.NewPool(1<<20), func(_ *core.Hop, o core.Outcome) { s.ends <- o.Code }, log)
+	s.Pool = New(limits, bufferpool.NewPool(1<<20), func(_ *engine.Hop, o engine.Outcome) { s.ends <- o.Code }, log)
 	t.Cleanup(func() {
 		l.Close()
 		s.Close()
@@ -46,8 +46,8 @@
 func (s *stand) Close() { s.Pool.Close() }
 
 func (s *stand) flight(id string) *Flight {
-	server := &core.Server{Entry: logic.Entry{Server: "c"}, Endpoint: s.Addr().String()}
-	return &Flight{Class: "page", Object: "x", Hop: &core.Hop{Txn: &core.Txn{ID: id}, Server: server,
+	server := &engine.Server{Entry: policy.Entry{Server: "c"}, Endpoint: s.Addr().String()}
+	return &Flight{Class: "page", Object: "x", Hop: &engine.Hop{Txn: &engine.Txn{ID: id}, Server: server,
 		Decided: time.Now().UnixMicro(), Due: time.Now().Add(time.Second).UnixMicro()}}
 }
 
@@ -131,7 +131,7 @@
 	r.conn = &conn{pool: s.Pool, open: map[string]*Flight{"a": r}, cancel: func() {}}
 	p := &peer{place: placeOf(r.Hop.Server), conns: []*conn{r.conn}}
 	r.conn.peer, s.peers[p.place], s.total = p, p, 1 // a connection that doesn't stand yet
-	s.Retire([]*core.Server{r.Hop.Server})
+	s.Retire([]*engine.Server{r.Hop.Server})
 	if code := <-s.ends; code != "skipped" || r.Hop.Begin() || s.Count() != 0 {
 		t.Fatalf("%s, %d connections", code, s.Count())
 	}
@@ -209,7 +209,7 @@
 	f := s.flight("a")
 	s.Send(f)
 	s.got(t)
-	s.Retire([]*core.Server{f.Hop.Server})
+	s.Retire([]*engine.Server{f.Hop.Server})
 	g := s.flight("b")
 	s.Send(g)
 	c, _ := s.got(t)
@@ -226,10 +226,10 @@
 // a keyed repeat, and the time after which what was told meanwhile binds.
 func TestWhatStandsNoMoreIsNotWritten(t *testing.T) {
 	s := newStand(t, func(l *config.Limits) { l.Decided = time.Second })
-	for name, change := range map[string]func(h *core.Hop, now int64){
-		"its time is over":        func(h *core.Hop, now int64) { h.Due = now },
-		"the window has closed":   func(h *core.Hop, now int64) { h.Until = now },
-		"it was decided long ago": func(h *core.Hop, now int64) { h.Decided = now - 2e6 },
+	for name, change := range map[string]func(h *engine.Hop, now int64){
+		"its time is over":        func(h *engine.Hop, now int64) { h.Due = now },
+		"the window has closed":   func(h *engine.Hop, now int64) { h.Until = now },
+		"it was decided long ago": func(h *engine.Hop, now int64) { h.Decided = now - 2e6 },
 	} {
 		f := s.flight("late")
 		change(f.Hop, time.Now().UnixMicro())
--- a/rehearsals/rehearsals.go
+++ b/scenarios/scenarios.go
@@ -1,5 +1,5 @@
-// Package rehearsals holds the library of scripted incidents.
-package rehearsals
+// Package scenarios holds the library of scripted incidents.
+package scenarios
 
 import (
 	"embed"
@@ -8,7 +8,7 @@
 	"os"
 	"strings"
 
-	"quilldoor/internal/script"
+	"quilldoor/internal/scenario"
 )
 
 //go:embed *.yaml
@@ -24,14 +24,14 @@
 }
 
 // Load reads a rehearsal of the library by its name, or a file.
-func Load(name string) (*script.Script, error) {
+func Load(name string) (*scenario.Script, error) {
 	text, err := files.ReadFile(name + ".yaml")
 	if err == nil {
-		return script.Parse(name, text)
+		return scenario.Parse(name, text)
 	}
 	text, err = os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("%s is no rehearsal of the library, and: %w", name, err)
 	}
-	return script.Parse(name, text)
+	return scenario.Parse(name, text)
 }
