--- a/cmd/quilldoor-lab/changes.go
+++ b/cmd/quilldoor-lab/changes.go
@@ -29,7 +29,7 @@
 }{
 	{"calm", true, func(*emulator.Kept, int) error { return nil }},
 	{"change", true, func(k *emulator.Kept, i int) error {
-		w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply})
+		w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply})
 		if err == nil && !w.OK {
 			err = fmt.Errorf("router %d: %s", i, w.Note)
 		}
@@ -38,10 +38,10 @@
 	{"crash on trial", true, func(k *emulator.Kept, i int) error {
 		done := make(chan error, 1)
 		go func() {
-			_, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply})
+			_, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply})
 			done <- err
 		}()
-		s, err := k.Until(i, 10*time.Second, func(s *handoff.Standing) bool { return s.State == "on trial" && s.Next != nil })
+		s, err := k.Until(i, 10*time.Second, func(s *handoff.Status) bool { return s.State == "on trial" && s.Next != nil })
 		if err != nil {
 			return err
 		}
@@ -144,7 +144,7 @@
 		rules := map[string]float64{}
 		sla := map[string]int64{}
 		for _, k := range s.Rules() {
-			rules[k.Name], sla[k.Name] = k.Importance, k.SLA
+			rules[k.Name], sla[k.Name] = k.PriorityWeight, k.LatencyObjective
 		}
 		type open struct {
 			at   int64
@@ -175,12 +175,12 @@
 				go func() {
 					err := do(k, i)
 					if err == nil && kept {
-						var st *handoff.Standing
-						if st, err = k.Until(i, 10*time.Second, func(s *handoff.Standing) bool { return s.State == "steady" && s.Others == 0 }); err == nil {
+						var st *handoff.Status
+						if st, err = k.Until(i, 10*time.Second, func(s *handoff.Status) bool { return s.State == "steady" && s.DrainingProcesses == 0 }); err == nil {
 							mu.Lock()
 							out.oldGoneMS = append(out.oldGoneMS, float64(time.Since(began).Milliseconds()))
-							out.fallMS = append(out.fallMS, float64(st.LastFallMS))
-							out.mostMB = max(out.mostMB, float64(st.MostMB))
+							out.fallMS = append(out.fallMS, float64(st.LastCrashMS))
+							out.mostMB = max(out.mostMB, float64(st.PeakMB))
 							mu.Unlock()
 						}
 					}
@@ -216,11 +216,11 @@
 		return err
 	}
 	took := hdrhistogram.New(1, 60_000_000, 3)
-	var last *handoff.Standing
+	var last *handoff.Status
 	r, err := emulator.Sockets(ctx, s, emulator.Options{Seed: 1}, emulator.Routers{Program: program, Drive: func(ctx context.Context, k *emulator.Kept) error {
 		for i := range n {
 			began := time.Now()
-			w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
+			w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 			if err != nil || !w.OK {
 				return fmt.Errorf("change %d: %v, %+v", i+1, err, w)
 			}
@@ -234,6 +234,6 @@
 	}
 	fmt.Printf("%d changes, each with a trial of 0.5 s, took p50 %d, most %d ms; %d txns judged, %d connections refused, %d broken off, rules broken: %v; worth %.4f; "+
 		"%d MB and %d descriptors of all processes at the most; the model was %d ms late\n", n, took.ValueAtQuantile(50)/1000, took.Max()/1000, r.Judged, r.Refused,
-		r.Broke, r.Breaks, r.Worth(), last.MostMB, last.MostFDs, r.Late/1000)
+		r.Broke, r.Breaks, r.Worth(), last.PeakMB, last.PeakDescriptors, r.Late/1000)
 	return nil
 }
--- a/cmd/quilldoor-lab/members.go
+++ b/cmd/quilldoor-lab/members.go
@@ -75,30 +75,30 @@
 }
 
 func row(w *tabwriter.Writer, n int, name string, beats bool, seeds, kills int, hold time.Duration, loss float64) {
-	var times, half, back *simfleet.Times
-	var heal simfleet.Heal
-	var held simfleet.Hour
+	var times, half, back *simfleet.Durations
+	var heal simfleet.PartitionResult
+	var held simfleet.StabilityResult
 	for seed := range uint64(seeds) {
-		p := simfleet.Plan{Routers: n, Seed: seed + 1, Beats: beats}
+		p := simfleet.Experiment{Routers: n, Seed: seed + 1, Heartbeats: beats}
 		t := p.Detection(kills)
-		d, b := p.Half()
-		c := p.Cut(60 * time.Second.Microseconds())
+		d, b := p.KillHalf()
+		c := p.Partition(60 * time.Second.Microseconds())
 		p.Loss = loss
-		o := p.Hold(hold.Microseconds())
+		o := p.Stability(hold.Microseconds())
 		if seed == 0 {
 			times, half, back, heal, held = t, d, b, c, o
 			continue
 		}
-		for _, x := range [][2]*simfleet.Times{{times, t}, {half, d}, {back, b}} {
+		for _, x := range [][2]*simfleet.Durations{{times, t}, {half, d}, {back, b}} {
 			x[0].Merge(x[1].Histogram)
 			x[0].Missed += x[1].Missed
 		}
-		heal.Known, heal.Agreed = max(heal.Known, c.Known), max(heal.Agreed, c.Agreed)
-		heal.Calm, heal.During = max(heal.Calm, c.Calm), max(heal.During, c.During)
+		heal.DetectedAfter, heal.ConvergedAfter = max(heal.DetectedAfter, c.DetectedAfter), max(heal.ConvergedAfter, c.ConvergedAfter)
+		heal.BaselineBytesPerSecond, heal.RecoveryBytesPerSecond = max(heal.BaselineBytesPerSecond, c.BaselineBytesPerSecond), max(heal.RecoveryBytesPerSecond, c.RecoveryBytesPerSecond)
 		held.Suspicions += o.Suspicions
 		held.Deaths += o.Deaths
 	}
 	fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%d\t%.0f\t%.0f\t\n", n, name, times.ValueAtQuantile(50)/1000,
-		times.ValueAtQuantile(99)/1000, times.Missed, half.Max()/1000, back.Max()/1000, heal.Known/1000, heal.Agreed/1000, heal.Calm,
-		heal.During, held.Suspicions, held.Deaths, held.SentPerS, held.HeardPerS)
+		times.ValueAtQuantile(99)/1000, times.Missed, half.Max()/1000, back.Max()/1000, heal.DetectedAfter/1000, heal.ConvergedAfter/1000, heal.BaselineBytesPerSecond,
+		heal.RecoveryBytesPerSecond, held.Suspicions, held.Deaths, held.SentBytesPerSecond, held.ReceivedBytesPerSecond)
 }
--- a/cmd/quilldoor-lab/report.go
+++ b/cmd/quilldoor-lab/report.go
@@ -30,12 +30,12 @@
 	c.Flags().StringVar(&from, "json", "", "a status in JSON")
 	c.Flags().StringVar(&out, "out", "rollout.html", "the page")
 	c.RunE = func(*cobra.Command, []string) error {
-		s := new(rollout.Standing)
+		s := new(rollout.Status)
 		switch {
 		case (folder == "") == (from == ""):
 			return fmt.Errorf("either --folder or --json")
 		case folder != "":
-			w, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), &handoff.Word{Kind: handoff.Roll}, nil)
+			w, err := handoff.Request(filepath.Join(folder, upgradeagent.SocketName), &handoff.Message{Kind: handoff.KindRollout}, nil)
 			if err != nil {
 				return err
 			}
@@ -77,9 +77,9 @@
 </body></html>
 `))
 
-func drawRollout(s *rollout.Standing, at time.Time) ([]byte, error) {
+func drawRollout(s *rollout.Status, at time.Time) ([]byte, error) {
 	type line struct {
-		rollout.Line
+		rollout.RouterStatus
 		Earned string
 	}
 	type drawn struct {
@@ -89,8 +89,8 @@
 	var lines []line
 	for _, l := range s.Routers {
 		earned := "-"
-		if c := l.Report.Counts; c.Asked > 0 {
-			earned = fmt.Sprintf("%.4f", c.Earned/c.Asked)
+		if c := l.Report.Counts; c.WeightOffered > 0 {
+			earned = fmt.Sprintf("%.4f", c.WeightEarned/c.WeightOffered)
 		}
 		lines = append(lines, line{l, earned})
 	}
@@ -100,7 +100,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plots = append(plots, drawn{fmt.Sprintf("%s, new less old: %+.4f, from %+.4f to %+.4f; %g is borne", b.Figure, b.Mean, b.Low, b.High, b.Bears), svg})
+		plots = append(plots, drawn{fmt.Sprintf("%s, new less old: %+.4f, from %+.4f to %+.4f; %g is borne", b.Metric, b.Mean, b.Low, b.High, b.Tolerance), svg})
 	}
 	var out bytes.Buffer
 	err := rolloutPage.Execute(&out, map[string]any{"S": s, "Lines": lines, "Plots": plots, "At": at.UTC().Format("2006-01-02 15:04:05 UTC"), "Watched": s.WatchMS / 1000})
@@ -109,12 +109,12 @@
 
 // drawBound plots a figure's moments, their running mean, the bounds now and what is
 // borne.
-func drawBound(b *rollout.Bound) (template.HTML, error) {
+func drawBound(b *rollout.MetricInterval) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "moment", "new less old"
-	points, means := make(plotter.XYs, len(b.Moments)), make(plotter.XYs, len(b.Moments))
+	points, means := make(plotter.XYs, len(b.Samples)), make(plotter.XYs, len(b.Samples))
 	sum := 0.0
-	for i, v := range b.Moments {
+	for i, v := range b.Samples {
 		sum += v
 		points[i], means[i] = plotter.XY{X: float64(i + 1), Y: v}, plotter.XY{X: float64(i + 1), Y: sum / float64(i+1)}
 	}
@@ -135,8 +135,8 @@
 		name string
 		y    float64
 		c    color.Color
-	}{{"bounds now", b.Low, color.RGBA{30, 80, 160, 120}}, {"", b.High, color.RGBA{30, 80, 160, 120}}, {"borne", b.Bears, color.RGBA{180, 40, 40, 255}}} {
-		l, err := plotter.NewLine(plotter.XYs{{X: 1, Y: x.y}, {X: float64(max(len(b.Moments), 2)), Y: x.y}})
+	}{{"bounds now", b.Low, color.RGBA{30, 80, 160, 120}}, {"", b.High, color.RGBA{30, 80, 160, 120}}, {"borne", b.Tolerance, color.RGBA{180, 40, 40, 255}}} {
+		l, err := plotter.NewLine(plotter.XYs{{X: 1, Y: x.y}, {X: float64(max(len(b.Samples), 2)), Y: x.y}})
 		if err != nil {
 			return "", err
 		}
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -213,15 +213,15 @@
 			if err != nil {
 				continue
 			}
-			if last = s.Way + ": " + s.Why; started && s.Way == "done" {
+			if last = s.Phase + ": " + s.Reason; started && s.Phase == "done" {
 				return nil
 			}
-			if !s.Lost {
+			if !s.Recovering {
 				ready++
 			}
 		}
 		if !started && ready == k.Count() {
-			if _, err := k.Rollout(1, rollout.Start); err != nil {
+			if _, err := k.Rollout(1, rollout.CommandStart); err != nil {
 				return err
 			}
 			started = true
@@ -266,16 +266,16 @@
 			breaks[rule] += n
 		}
 		switch r.Way {
-		case rollout.Done:
+		case rollout.PhaseDone:
 			done++
 			ended = append(ended, r.EndedS)
-		case rollout.Undone, rollout.Backward:
+		case rollout.PhaseRolledBack, rollout.PhaseRollingBack:
 			undone++
 			stages[r.Stage]++
 			if r.HarmedS > 0 {
 				turned, back = append(turned, r.TurnedS-r.HarmedS), append(back, r.EndedS-r.HarmedS)
 			}
-		case rollout.Holding, rollout.Forward:
+		case rollout.PhasePaused, rollout.PhaseForward:
 			held++
 		}
 	}
--- a/cmd/quilldoor/change_test.go
+++ b/cmd/quilldoor/change_test.go
@@ -32,7 +32,7 @@
 	var served atomic.Bool
 	switch fault {
 	case "deaf to drains":
-		mishears = func(list []engine.Server) {
+		mishears = func(list []engine.Endpoint) {
 			for i := range list {
 				list[i].State = "active"
 			}
@@ -40,8 +40,8 @@
 	case "deaf to purges":
 		forgetful = true
 	case "a fifth slower":
-		lags = func(h *engine.Hop, ended func()) {
-			time.AfterFunc(time.Duration(time.Now().UnixMicro()-h.Decided)*time.Microsecond/5, ended)
+		lags = func(h *engine.Attempt, ended func()) {
+			time.AfterFunc(time.Duration(time.Now().UnixMicro()-h.DecidedAt)*time.Microsecond/5, ended)
 		}
 	}
 	wrongly = func(when string, r *router) {
@@ -74,13 +74,13 @@
 				}
 			}
 		case when == "start" && fault == "narrow": // refuses what it could do
-			r.set.Limits.MaxOpen = 1
+			r.set.Limits.MaxOpenRequests = 1
 		case when == "beat" && fault == "dies at work":
-			if e := r.front.Ends(); e.Completed > 60 {
+			if e := r.front.RequestCounts(); e.Completed > 60 {
 				os.Exit(3)
 			}
 		case when == "beat" && fault == "hangs at work":
-			if e := r.front.Ends(); e.Completed > 60 {
+			if e := r.front.RequestCounts(); e.Completed > 60 {
 				time.Sleep(time.Hour)
 			}
 		case when == "beat" && fault == "leaks":
@@ -95,9 +95,9 @@
 				r.members = nil
 			}
 		case when == "start" && fault == "greedy": // takes cold servers for warm
-			r.set.Contract.ColdFor, r.set.Family.ParentColdFor = 1, 1
+			r.set.Contract.SlowStartFor, r.set.Hierarchy.ParentSlowStartFor = 1, 1
 		case when == "start" && fault == "refuses":
-			r.set.Zone, r.set.Family.Direct = "nowhere", false
+			r.set.Zone, r.set.Hierarchy.CacheBypass = "nowhere", false
 		}
 	}
 	_ = hoard
@@ -159,16 +159,16 @@
 	r := changes(t, keptFleet+"load: {txns_per_s: 200, objects: 800}\nlength_s: 14\ntroubles:\n  - {kind: deploy, at: 3, for: 1, every: 1, strength: 1}\n  - {kind: purge, at: 5, share: 1}\n  - {kind: cut_board, at: 7, for: 2}\n  - {kind: die, at: 9, for: 1.5, share: 0.25}\n",
 		func(k *emulator.Kept) error {
 			for i := range many {
-				w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
+				w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 				if err != nil || !w.OK {
 					return fmt.Errorf("change %d: %v, %+v", i, err, w)
 				}
 			}
-			s, err := k.Until(0, 5*time.Second, func(s *handoff.Standing) bool { return s.Serving != nil && s.Serving.Part == "serving" })
+			s, err := k.Until(0, 5*time.Second, func(s *handoff.Status) bool { return s.Serving != nil && s.Serving.AgentState == "serving" })
 			if err != nil || s.Settled.Generation != many+1 || s.Restarts != 0 {
 				return fmt.Errorf("%v: %+v", err, s)
 			}
-			t.Logf("%d MB and %d descriptors of all processes at the most", s.MostMB, s.MostFDs)
+			t.Logf("%d MB and %d descriptors of all processes at the most", s.PeakMB, s.PeakDescriptors)
 			return nil
 		})
 	if r.Refused > 0 || r.Broke > 0 {
@@ -203,27 +203,27 @@
 					if !c.dies {
 						return
 					}
-					if _, err := k.Until(0, 4*time.Second, func(s *handoff.Standing) bool { return s.State == "on trial" || s.State == "handing over" }); err == nil {
-						k.Until(0, 4*time.Second, func(s *handoff.Standing) bool { k.Crashed(0); return s.State == "steady" })
+					if _, err := k.Until(0, 4*time.Second, func(s *handoff.Status) bool { return s.State == "on trial" || s.State == "handing over" }); err == nil {
+						k.Until(0, 4*time.Second, func(s *handoff.Status) bool { k.Crashed(0); return s.State == "steady" })
 					}
 				}()
-				w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply, Program: variant(t, c.fault)})
+				w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply, Program: variant(t, c.fault)})
 				if err != nil {
 					return err
 				}
 				if w.OK || w.FellBack != c.back || !strings.Contains(w.Note, c.says) {
 					return fmt.Errorf("%+v", w)
 				}
-				s, err := k.Until(0, 2*time.Second, func(s *handoff.Standing) bool {
-					return s.Serving != nil && s.Serving.Part == "serving" && s.Next == nil
+				s, err := k.Until(0, 2*time.Second, func(s *handoff.Status) bool {
+					return s.Serving != nil && s.Serving.AgentState == "serving" && s.Next == nil
 				})
 				if err != nil || s.Serving.Generation != 1 || s.Settled.Generation != 1 {
 					return fmt.Errorf("%v: %+v", err, s)
 				}
-				fell = s.LastFallMS
+				fell = s.LastCrashMS
 				<-done
 				// It can be changed again, and by a good one.
-				if w, err = k.Ask(0, &handoff.Word{Kind: handoff.Back}); err != nil || w.OK {
+				if w, err = k.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || w.OK {
 					return fmt.Errorf("back to nothing: %v, %+v", err, w)
 				}
 				return nil
@@ -263,14 +263,14 @@
 }
 
 func harm(t *testing.T, k *emulator.Kept, step, who string) error {
-	asked := make(chan *handoff.Word, 1)
+	asked := make(chan *handoff.Message, 1)
 	if step != "steady" {
 		go func() {
-			w, _ := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
+			w, _ := k.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 			asked <- w
 		}()
 	}
-	s, err := k.Until(0, 4*time.Second, func(s *handoff.Standing) bool {
+	s, err := k.Until(0, 4*time.Second, func(s *handoff.Status) bool {
 		return s.State == step && s.Serving != nil && (step == "steady" || s.Next != nil)
 	})
 	if err != nil {
@@ -297,9 +297,9 @@
 			err = errors.Join(err, kill(next))
 		}
 	case "stop keeper":
-		if err = syscall.Kill(s.KeeperPID, syscall.SIGSTOP); err == nil {
+		if err = syscall.Kill(s.SupervisorPID, syscall.SIGSTOP); err == nil {
 			time.Sleep(2 * time.Second)
-			err = syscall.Kill(s.KeeperPID, syscall.SIGCONT)
+			err = syscall.Kill(s.SupervisorPID, syscall.SIGCONT)
 		}
 	case "stop new":
 		k.Crashed(0) // it may hold some, and is killed for its silence
@@ -319,8 +319,8 @@
 			return err
 		}
 	}
-	s, err = k.Until(0, 5*time.Second, func(s *handoff.Standing) bool {
-		return s.State == "steady" && s.Serving != nil && s.Serving.Part == "serving" && s.Next == nil
+	s, err = k.Until(0, 5*time.Second, func(s *handoff.Status) bool {
+		return s.State == "steady" && s.Serving != nil && s.Serving.AgentState == "serving" && s.Next == nil
 	})
 	if err != nil {
 		return err
@@ -333,7 +333,7 @@
 		want = 2 // it goes on when it wakes
 	}
 	if s.Serving.Generation != want || s.Settled.Generation != want {
-		return fmt.Errorf("generation %d serves and %d is settled, %d was to: last %q", s.Serving.Generation, s.Settled.Generation, want, s.Last)
+		return fmt.Errorf("generation %d serves and %d is settled, %d was to: last %q", s.Serving.Generation, s.Settled.Generation, want, s.LastOutcome)
 	}
 	return serves(k.Listen(0))
 }
@@ -366,7 +366,7 @@
 		for i := range k.Count() {
 			go func() {
 				for n := range 3 {
-					w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply})
+					w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply})
 					if err != nil || !w.OK {
 						ends <- fmt.Errorf("router %d, change %d: %v, %+v", i, n, err, w)
 						return
@@ -386,12 +386,12 @@
 			if err != nil {
 				return err
 			}
-			if v.Self.ID != before[i].Self.ID || v.Self.Runs == nil || v.Self.Runs.Generation != 4 {
-				t.Errorf("router %d was life %v and is %v, %+v", i, before[i].Self.ID, v.Self.ID, v.Self.Runs)
+			if v.Self.ID != before[i].Self.ID || v.Self.Process == nil || v.Self.Process.Generation != 4 {
+				t.Errorf("router %d was life %v and is %v, %+v", i, before[i].Self.ID, v.Self.ID, v.Self.Process)
 			}
-			for _, s := range v.Seen {
-				if s.State != membership.Alive || s.Runs == nil || s.Runs.Generation != 4 || s.Runs.Settings != v.Self.Runs.Settings {
-					t.Errorf("router %d holds %s %v, %+v", i, s.Name, s.State, s.Runs)
+			for _, s := range v.Members {
+				if s.State != membership.StateAlive || s.Process == nil || s.Process.Generation != 4 || s.Process.Settings != v.Self.Process.Settings {
+					t.Errorf("router %d holds %s %v, %+v", i, s.Name, s.State, s.Process)
 				}
 			}
 			text, err := os.ReadFile(k.Log(i))
@@ -448,7 +448,7 @@
 			{"flow", true, `"flow_bytes_per_s":`, `"flow_bytes_per_s":1`, true, "is settled", 6},
 			{"new name", true, `"name":"n1"`, `"name":"n9"`, true, "", 7}, // the platform's counts: nothing differs
 		} {
-			w := &handoff.Word{Kind: handoff.Apply}
+			w := &handoff.Message{Kind: handoff.KindApply}
 			from, to := k.Operator(0), &w.Operator
 			if c.config {
 				from, to = k.Config(0), &w.Config
@@ -470,22 +470,22 @@
 			}
 		}
 		// Two at once: one goes on, the other is refused.
-		first := make(chan *handoff.Word, 1)
+		first := make(chan *handoff.Message, 1)
 		go func() {
-			w, _ := k.Ask(0, &handoff.Word{Kind: handoff.Apply})
+			w, _ := k.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 			first <- w
 		}()
-		if _, err := k.Until(0, 3*time.Second, func(s *handoff.Standing) bool { return s.State != "steady" }); err != nil {
+		if _, err := k.Until(0, 3*time.Second, func(s *handoff.Status) bool { return s.State != "steady" }); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply}); err != nil || w.OK || !strings.Contains(w.Note, "refused") {
+		if w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || w.OK || !strings.Contains(w.Note, "refused") {
 			t.Errorf("the second: %v, %+v", err, w)
 		}
 		// Back while it is on trial.
-		if _, err := k.Until(0, 3*time.Second, func(s *handoff.Standing) bool { return s.State == "on trial" }); err != nil {
+		if _, err := k.Until(0, 3*time.Second, func(s *handoff.Status) bool { return s.State == "on trial" }); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Back}); err != nil || !w.FellBack {
+		if w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !w.FellBack {
 			t.Errorf("back: %v, %+v", err, w)
 		}
 		if w := <-first; w == nil || !w.FellBack {
@@ -500,22 +500,22 @@
 		if err := os.WriteFile(filepath.Join(k.Folder(0), "9"), nil, 0o600); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply}); err != nil || w.OK || w.FellBack {
+		if w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || w.OK || w.FellBack {
 			t.Errorf("no room for copies: %v, %+v", err, w)
 		}
 		state := filepath.Join(k.Folder(0), "state.json")
 		if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
 			return err
 		}
-		if w, err := k.Ask(0, &handoff.Word{Kind: handoff.Apply}); err != nil || !w.OK || !strings.Contains(w.Note, "could not be written") {
+		if w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || !w.OK || !strings.Contains(w.Note, "could not be written") {
 			t.Errorf("no state file: %v, %+v", err, w)
 		}
 		s, err := k.Standing(0)
-		if err != nil || s.Lasting || s.Settled.Generation != 10 {
+		if err != nil || s.Persistent || s.Settled.Generation != 10 {
 			t.Errorf("%v, %+v", err, s)
 		}
 		// SIGHUP to the keeper reaches the generation.
-		if err := syscall.Kill(s.KeeperPID, syscall.SIGHUP); err != nil {
+		if err := syscall.Kill(s.SupervisorPID, syscall.SIGHUP); err != nil {
 			return err
 		}
 		for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
--- a/cmd/quilldoor/check.go
+++ b/cmd/quilldoor/check.go
@@ -18,17 +18,17 @@
 )
 
 // checked is a setup as a keeper wants to know it, of this or of another text.
-func checked(f *flags, s *setup) (*supervisor.Checked, error) {
+func checked(f *flags, s *setup) (*supervisor.CheckResult, error) {
 	flat, err := flatten(f)
 	if err != nil {
 		return nil, err
 	}
-	c := &supervisor.Checked{Format: handoff.Format, Version: version(), Name: s.Name, MemoryMB: s.MemoryMB, Descriptors: s.Limits.Sockets,
-		LongestMS: s.Limits.LongestTxn.Milliseconds(), Sockets: map[string]string{"listen": s.Listen}, Flat: flat, Digest: upgrade.Digest(flat)}
+	c := &supervisor.CheckResult{Format: handoff.Format, Version: version(), Name: s.Name, MemoryMB: s.MemoryMB, Descriptors: s.Limits.MaxDescriptors,
+		LongestMS: s.Limits.MaxRequestTimeout.Milliseconds(), Sockets: map[string]string{"listen": s.Listen}, Flat: flat, Digest: upgrade.Digest(flat)}
 	if g := s.operator.Gateway; g != nil {
 		c.Sockets["gateway"] = g.Listen
 	}
-	if m := s.operator.Members; m != nil {
+	if m := s.operator.Membership; m != nil {
 		c.Sockets["members"] = m.Listen
 	}
 	return c, nil
--- a/cmd/quilldoor/disk.go
+++ b/cmd/quilldoor/disk.go
@@ -22,13 +22,13 @@
 	c := &cobra.Command{Use: "disk", Short: "Look into the folder of a disk tier; reads only"}
 	look := func(deep bool) func(*cobra.Command, []string) error {
 		return func(_ *cobra.Command, args []string) error {
-			r, err := diskstore.Look(diskstore.Dir{Path: args[0], ReadOnly: true}, deep)
+			r, err := diskstore.Inspect(diskstore.Dir{Path: args[0], ReadOnly: true}, deep)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			report(os.Stdout, r, deep)
-			if !r.Sound() {
-				return fmt.Errorf("%s: %w: %d records broken, %d with slots of others", args[0], errUnsound, r.Broken, r.Overlaps)
+			if !r.Intact() {
+				return fmt.Errorf("%s: %w: %d records broken, %d with slots of others", args[0], errUnsound, r.CorruptRecords, r.OverlappingRecords)
 			}
 			return nil
 		}
@@ -45,20 +45,20 @@
 	defer w.Flush()
 	line := func(name string, v any) { fmt.Fprintf(w, "%s\t%v\n", name, v) }
 	line("parts", r.Parts)
-	line("bytes of records", r.Bytes)
-	line("slots used", fmt.Sprintf("%d of %d bytes", r.SlotsUsed, r.Slot))
-	line("pieces", r.Runs)
+	line("bytes of records", r.RecordBytes)
+	line("slots used", fmt.Sprintf("%d of %d bytes", r.SlotsUsed, r.SlotBytes))
+	line("pieces", r.Extents)
 	line("data file", r.DataBytes)
-	line("index", fmt.Sprintf("%d, %d bytes, %d frames, %d bad", r.Index, r.IndexBytes, r.Frames, r.BadFrames))
+	line("index", fmt.Sprintf("%d, %d bytes, %d frames, %d bad", r.IndexNumber, r.IndexBytes, r.Frames, r.BadFrames))
 	if r.Parts > 0 {
-		line("given out", time.UnixMilli(r.Oldest).UTC().Format(time.DateTime)+" to "+
-			time.UnixMilli(r.Newest).UTC().Format(time.DateTime))
+		line("given out", time.UnixMilli(r.OldestIssuedMillis).UTC().Format(time.DateTime)+" to "+
+			time.UnixMilli(r.NewestIssuedMillis).UTC().Format(time.DateTime))
 	}
-	line("slots of two", r.Overlaps)
+	line("slots of two", r.OverlappingRecords)
 	if deep {
-		line("broken", r.Broken)
-		for _, rule := range slices.Sorted(maps.Keys(r.ByRule)) {
-			line("parts of "+rule, r.ByRule[rule])
+		line("broken", r.CorruptRecords)
+		for _, rule := range slices.Sorted(maps.Keys(r.PartsByClass)) {
+			line("parts of "+rule, r.PartsByClass[rule])
 		}
 	}
 }
--- a/cmd/quilldoor/disk_test.go
+++ b/cmd/quilldoor/disk_test.go
@@ -279,8 +279,8 @@
 		if strings.Contains(log.String(), `"level":"error"`) || strings.Contains(log.String(), "panic") {
 			t.Fatalf("round %d: %s", round, log.String())
 		}
-		report, err := diskstore.Look(diskstore.Dir{Path: folder, ReadOnly: true}, true)
-		if err != nil || !report.Sound() {
+		report, err := diskstore.Inspect(diskstore.Dir{Path: folder, ReadOnly: true}, true)
+		if err != nil || !report.Intact() {
 			t.Fatalf("round %d: %+v, %v", round, report, err)
 		}
 		parts = report.Parts
--- a/cmd/quilldoor/earlier_test.go
+++ b/cmd/quilldoor/earlier_test.go
@@ -62,11 +62,11 @@
 		time.Sleep(2 * time.Second)
 		for _, i := range []int{0, 2} {
 			for range 2 {
-				if w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply}); err != nil || !w.OK {
+				if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply}); err != nil || !w.OK {
 					return fmt.Errorf("router %d: %v, %+v", i, err, w)
 				}
 			}
-			if w, err := k.Ask(i, &handoff.Word{Kind: handoff.Apply, Program: program}); err != nil || w.OK || !strings.Contains(w.Note, "json") {
+			if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply, Program: program}); err != nil || w.OK || !strings.Contains(w.Note, "json") {
 				return fmt.Errorf("router %d, to the earlier text: %v, %+v", i, err, w)
 			}
 		}
@@ -78,15 +78,15 @@
 				if v, err = k.View(i); err != nil {
 					return err
 				}
-				odd = len(v.Seen) < k.Count()-1 || slices.ContainsFunc(v.Seen, func(x membership.Seen) bool { return x.State != membership.Alive })
+				odd = len(v.Members) < k.Count()-1 || slices.ContainsFunc(v.Members, func(x membership.MemberStatus) bool { return x.State != membership.StateAlive })
 			}
-			for _, x := range v.Seen {
-				if x.State != membership.Alive {
+			for _, x := range v.Members {
+				if x.State != membership.StateAlive {
 					t.Errorf("router %d holds %s %v", i, x.Name, x.State)
 				}
 			}
-			if kept := i%2 == 0; kept != (v.Self.Runs != nil && v.Self.Runs.Generation == 3) {
-				t.Errorf("router %d says it runs %+v", i, v.Self.Runs)
+			if kept := i%2 == 0; kept != (v.Self.Process != nil && v.Self.Process.Generation == 3) {
+				t.Errorf("router %d says it runs %+v", i, v.Self.Process)
 			}
 		}
 		return nil
--- a/cmd/quilldoor/join.go
+++ b/cmd/quilldoor/join.go
@@ -82,9 +82,9 @@
 	return out
 }
 
-// Carry runs a peer's txn.
-func (h *host) Carry(left <-chan struct{}, q *gateway.Request) gateway.Reply {
-	return h.front.Carry(left, q)
+// Execute runs a peer's txn.
+func (h *host) Execute(left <-chan struct{}, q *gateway.Request) gateway.Reply {
+	return h.front.ServeForwarded(left, q)
 }
 
 // Purge takes one that a peer knows. It does not go on to others: each carries
@@ -94,7 +94,7 @@
 // openGateway starts the gateway as the operator's file has it.
 func (r *router) openGateway(o *operatorconfig.Gateway) error {
 	c := r.setup
-	keys := &gateway.Keys{Cert: o.Cert, Key: o.Key, CA: o.CA}
+	keys := &gateway.Keys{Cert: o.CertFile, Key: o.KeyFile, CA: o.CAFile}
 	if err := keys.Load(); err != nil {
 		return err
 	}
@@ -109,14 +109,14 @@
 		return fmt.Errorf("gateway.listen: %w", err)
 	}
 	set := &r.set
-	r.host = &host{router: r, purges: purgeBook{done: set.Family.PurgeDone + c.Limits.LongestTxn.Microseconds()}}
-	config := gateway.Config{Keys: keys, Upload: c.Limits.Upload, Answer: c.Limits.Answer, Longest: c.Limits.LongestTxn, Seed: c.Seed,
-		Settings: peerpolicy.Settings{Name: o.Name, Site: o.Site, Most: o.Most, Reserve: o.Reserve, Beat: int64(o.BeatMS) * 1000}}
+	r.host = &host{router: r, purges: purgeBook{done: set.Hierarchy.PurgeSettleTime + c.Limits.MaxRequestTimeout.Microseconds()}}
+	config := gateway.Config{Keys: keys, MaxUploadBytes: c.Limits.MaxRequestBody, MaxAnswerBytes: c.Limits.MaxResponseBody, MaxRequestTime: c.Limits.MaxRequestTimeout, Seed: c.Seed,
+		Settings: peerpolicy.Settings{Name: o.Name, Site: o.Site, MaxRequests: o.MaxRequests, LocalReserve: o.LocalReserve, HeartbeatInterval: int64(o.HeartbeatMS) * 1000}}
 	for _, p := range o.Peers {
 		config.Peers = append(config.Peers, gateway.Peer(p))
 	}
 	r.keys, r.gate = keys, gateway.Start(config, l, r.host, r.bodies, r.log)
-	r.front.Join(r.gate)
+	r.front.SetGateway(r.gate)
 	return nil
 }
 
@@ -157,10 +157,10 @@
 			if err != nil {
 				return err
 			}
-			if own.Gateway == nil || own.Gateway.Status == "" {
+			if own.Gateway == nil || own.Gateway.StatusFile == "" {
 				return fmt.Errorf("gateway.status_file: not set; name the file by --file")
 			}
-			file = own.Gateway.Status
+			file = own.Gateway.StatusFile
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -173,11 +173,11 @@
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		defer w.Flush()
 		fmt.Fprintf(w, "%s of %s, %.1f s ago: %d txns across, %d of peers here, room for %d more; taken %d, turned away %d\n", s.Name, s.Site,
-			time.Since(time.UnixMilli(s.WrittenAtMS)).Seconds(), s.Out, s.In, s.Offers, s.Taken, s.TurnedAway)
+			time.Since(time.UnixMilli(s.WrittenAtMS)).Seconds(), s.ForwardedInFlight, s.InboundInFlight, s.OfferedCapacity, s.Taken, s.Rejected)
 		fmt.Fprintln(w, "peer\tsite\tstate\troom\tout\tlimit\thanded over\tcompleted\trefused\taborted\tcut\tstale\tin due")
 		for _, p := range s.Peers {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Site, p.Trust, p.Room, p.Out, p.Limit,
-				p.HandedOver, p.Completed, p.Refused, p.Aborted, p.Cut, p.Stale, p.InDue)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Site, p.State, p.Capacity, p.InFlight, p.Limit,
+				p.Forwarded, p.Completed, p.Rejected, p.Aborted, p.ConnectionLost, p.Stale, p.Late)
 		}
 		return nil
 	}
--- a/cmd/quilldoor/keep.go
+++ b/cmd/quilldoor/keep.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		own := s.operator.Keep
+		own := s.operator.Supervisor
 		if own == nil {
 			return errKeep
 		}
@@ -50,27 +50,27 @@
 		signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
-		logic := s.Settings.Logic()
-		watch := &supervisor.Watch{Rules: invariant.SettingsOf(&logic), Limits: s.Limits, Board: func() (string, *discovery.News, error) {
+		logic := s.Settings.PolicySettings()
+		watch := &supervisor.Observer{Invariants: invariant.SettingsFrom(&logic), Limits: s.Limits, Discovery: func() (string, *discovery.Update, error) {
 			fresh, err := f.load()
 			if err != nil {
 				return "", nil, err
 			}
-			return fresh.Board, fresh.known, nil
+			return fresh.DiscoveryAddr, fresh.known, nil
 		}}
-		return supervisor.Run(supervisor.Config{Watch: watch, Folder: own.Folder, Program: self, Platform: cmp.Or(f.over.File, os.Getenv("LB_CONFIG")),
-			Operator: cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath), Plan: own.Plan, Member: memberName(s.operator), Log: log.WithField("router", s.Name),
-			Times: upgrade.Times{Ready: micros(own.ReadyS), Trial: micros(own.TrialS), Drain: (s.Limits.LongestTxn + s.Limits.IdleClient + drainSlack).Microseconds()}},
+		return supervisor.Run(supervisor.Config{Observer: watch, Folder: own.Dir, Program: self, Platform: cmp.Or(f.over.File, os.Getenv("LB_CONFIG")),
+			Operator: cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath), Plan: own.RolloutPlan, MemberName: memberName(s.operator), Log: log.WithField("router", s.Name),
+			Times: upgrade.Timeouts{ReadyMicros: micros(own.ReadyTimeoutS), TrialMicros: micros(own.TrialS), DrainMicros: (s.Limits.MaxRequestTimeout + s.Limits.ClientIdleTimeout + drainSlack).Microseconds()}},
 			term, hup)
 	}
 	return c
 }
 
 func memberName(o *operatorconfig.Config) string {
-	if o.Members == nil {
+	if o.Membership == nil {
 		return ""
 	}
-	return o.Members.Name
+	return o.Membership.Name
 }
 
 // drainSlack is for what stands round the drain itself: half a second of accepting,
@@ -97,17 +97,17 @@
 		if err != nil {
 			return err
 		}
-		if own.Keep == nil {
+		if own.Supervisor == nil {
 			return errKeep
 		}
-		folder = own.Keep.Folder
+		folder = own.Supervisor.Dir
 		return nil
 	}
-	ask := func(w *handoff.Word) error {
+	ask := func(w *handoff.Message) error {
 		if err := find(); err != nil {
 			return err
 		}
-		last, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), w, func(text string) { fmt.Println(text) })
+		last, err := handoff.Request(filepath.Join(folder, upgradeagent.SocketName), w, func(text string) { fmt.Println(text) })
 		switch {
 		case err != nil:
 			return err
@@ -132,10 +132,10 @@
 		Long: "--program, --config and --operator name what is new; what is not named stays. Exit code 1: refused, or it fell\nback; the last line says why."}
 	apply.Flags().StringVar(&program, "program", "", "another program")
 	apply.RunE = func(*cobra.Command, []string) error {
-		return ask(&handoff.Word{Kind: handoff.Apply, Program: abs(program), Config: abs(f.over.File), Operator: abs(f.operator)})
+		return ask(&handoff.Message{Kind: handoff.KindApply, Program: abs(program), Config: abs(f.over.File), Operator: abs(f.operator)})
 	}
 	back := &cobra.Command{Use: "back", Short: "End a trial, or change to the generation before", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(&handoff.Word{Kind: handoff.Back}) }}
+		RunE: func(*cobra.Command, []string) error { return ask(&handoff.Message{Kind: handoff.KindRollBack}) }}
 	check := &cobra.Command{Use: "check", Short: "Tell the keys in which settings differ and how each changes; changes nothing", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return f.compare(folder) }}
 	var asJSON bool
@@ -145,16 +145,16 @@
 		if err := find(); err != nil {
 			return err
 		}
-		w, err := handoff.Ask(filepath.Join(folder, upgradeagent.SocketName), &handoff.Word{Kind: handoff.Status}, nil)
+		w, err := handoff.Request(filepath.Join(folder, upgradeagent.SocketName), &handoff.Message{Kind: handoff.KindStatus}, nil)
 		if err != nil {
 			return err
 		}
 		if asJSON {
 			enc := json.NewEncoder(os.Stdout)
 			enc.SetIndent("", " ")
-			return enc.Encode(w.Standing)
+			return enc.Encode(w.Status)
 		}
-		printStanding(w.Standing)
+		printStanding(w.Status)
 		return nil
 	}
 	c.AddCommand(apply, back, check, status)
@@ -172,12 +172,12 @@
 		return err
 	}
 	if folder == "" {
-		if s.operator.Keep == nil {
+		if s.operator.Supervisor == nil {
 			return errKeep
 		}
-		folder = s.operator.Keep.Folder
+		folder = s.operator.Supervisor.Dir
 	}
-	was, err := supervisor.Settled(folder)
+	was, err := supervisor.SettledSettings(folder)
 	if err != nil {
 		return err
 	}
@@ -185,13 +185,13 @@
 	for _, d := range diff {
 		fmt.Println(d)
 	}
-	how, ok := upgrade.Verdict(diff)
+	how, ok := upgrade.HardestMode(diff)
 	switch {
 	case len(diff) == 0:
 		fmt.Println("no key differs")
 	case !ok:
 		return errors.New("some of it can't change on this router")
-	case how == upgrade.Live:
+	case how == upgrade.ModeLive:
 		fmt.Println("all of it changes while the router runs: put it into the platform's file and send the keeper SIGHUP")
 	default:
 		fmt.Println("it takes a new generation")
@@ -199,8 +199,8 @@
 	return nil
 }
 
-func printStanding(s *handoff.Standing) {
-	fmt.Printf("%s for %.1f s; keeper %d, %d restarts\n", s.State, float64(s.SinceMS)/1000, s.KeeperPID, s.Restarts)
+func printStanding(s *handoff.Status) {
+	fmt.Printf("%s for %.1f s; keeper %d, %d restarts\n", s.State, float64(s.SinceMS)/1000, s.SupervisorPID, s.Restarts)
 	var broken []string
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "generation\twhat\tprocess\tdoes\tMB\tdescriptors\tcompleted\trejected\taborted\tleft\tlate\tsaid")
@@ -209,10 +209,10 @@
 		*handoff.Process
 	}{{"settled", s.Serving}, {"new", s.Next}} {
 		if p.Process != nil {
-			e := p.Ends
-			fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms ago\n", p.Generation, p.what, p.PID, p.Part, p.MemoryMB, p.Descriptors,
-				e.Completed, e.Rejected, e.Aborted, e.Left, e.Late, p.BeatMS)
-			broken = append(broken, p.Broken)
+			e := p.Requests
+			fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms ago\n", p.Generation, p.what, p.PID, p.AgentState, p.MemoryMB, p.Descriptors,
+				e.Completed, e.Rejected, e.Aborted, e.ClientGone, e.Late, p.HeartbeatAgeMS)
+			broken = append(broken, p.ViolatedRule)
 		}
 	}
 	w.Flush()
@@ -229,10 +229,10 @@
 			fmt.Printf("%s: generation %d, %s (%s, %s), settings %016x\n", m.what, m.Generation, m.Program, m.Version, m.ProgramSum, m.Settings)
 		}
 	}
-	if s.Last != "" {
-		fmt.Println("last change:", s.Last)
+	if s.LastOutcome != "" {
+		fmt.Println("last change:", s.LastOutcome)
 	}
-	if !s.Lasting {
+	if !s.Persistent {
 		fmt.Println("THE STATE FILE CAN'T BE WRITTEN: a cold start begins with what it has")
 	}
 }
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -100,9 +100,9 @@
 	if err != nil {
 		return nil, err
 	}
-	known := &discovery.News{}
-	if c.Known != nil {
-		if known, err = discovery.Parse(c.Known); err != nil {
+	known := &discovery.Update{}
+	if c.InitialUpdate != nil {
+		if known, err = discovery.Parse(c.InitialUpdate); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -110,16 +110,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if own.Members != nil {
+	if own.Membership != nil {
 		if !c.Settings.Limits.PeerMessages {
 			return nil, errPeers
 		}
-		if _, err := transport.ReadKey(own.Members.KeyFile); err != nil {
+		if _, err := transport.ReadKey(own.Membership.KeyFile); err != nil {
 			return nil, err
 		}
 	}
 	s := &setup{Config: c, known: known, operator: own}
-	if own.Keep != nil {
+	if own.Supervisor != nil {
 		flat, err := flatten(f)
 		if err != nil {
 			return nil, err
--- a/cmd/quilldoor/own.go
+++ b/cmd/quilldoor/own.go
@@ -18,17 +18,17 @@
 // What makes a wrong variant of the program; tests of changes and rollouts set it.
 var (
 	wrongly   func(when string, r *router)
-	mishears  func([]engine.Server) // changes what is heard of the list of servers
-	forgetful bool                  // purges go unheard
-	lags      func(h *engine.Hop, ended func())
+	mishears  func([]engine.Endpoint) // changes what is heard of the list of servers
+	forgetful bool                    // purges go unheard
+	lags      func(h *engine.Attempt, ended func())
 )
 
 // acquire takes what one process of a router owns at a time: the disk tier's folder,
 // the gateway, its place among the members, the files that it writes.
-func (r *router) acquire(b *membership.Baton) error {
+func (r *router) acquire(b *membership.HandoffState) error {
 	own := r.setup.operator
-	if own.Disk != nil {
-		if err := r.openShelf(own.Disk); err != nil {
+	if own.DiskCache != nil {
+		if err := r.openShelf(own.DiskCache); err != nil {
 			return err
 		}
 	}
@@ -37,8 +37,8 @@
 			return err
 		}
 	}
-	if own.Members != nil {
-		if err := r.openMembers(own.Members, b); err != nil {
+	if own.Membership != nil {
+		if err := r.openMembers(own.Membership, b); err != nil {
 			return err
 		}
 	}
@@ -47,8 +47,8 @@
 	if own.Metrics != nil {
 		r.writers.Go(func() { r.publish(ctx, own.Metrics) })
 	}
-	if g := r.gate; g != nil && own.Gateway.Status != "" {
-		r.writers.Go(func() { r.tellStatus(ctx, g, own.Gateway.Status) })
+	if g := r.gate; g != nil && own.Gateway.StatusFile != "" {
+		r.writers.Go(func() { r.tellStatus(ctx, g, own.Gateway.StatusFile) })
 	}
 	return nil
 }
@@ -69,30 +69,30 @@
 		r.gate = nil
 	}
 	if own := r.shelf.Swap(nil); own != nil {
-		r.front.Use(nil)
+		r.front.SetDiskCache(nil)
 		own.Close()
 	}
 }
 
 // passOn lets it go for another generation, without a word to anybody. What is
 // across to other sites comes back to this process.
-func (r *router) passOn() (b *membership.Baton) {
+func (r *router) passOn() (b *membership.HandoffState) {
 	r.stop()
 	r.writers.Wait()
 	r.stop = nil
 	if r.members != nil {
-		b = r.members.HandOver()
+		b = r.members.Handoff()
 		r.members, r.peers = nil, nil
 	}
 	if g := r.gate; g != nil {
-		r.front.Join(nil)
+		r.front.SetGateway(nil)
 		g.Drain()
-		g.Deafen()
+		g.StopAccepting()
 		r.gate, r.keys, r.host = nil, nil, nil
-		go closeIdle(g, r.limit.LongestTxn)
+		go closeIdle(g, r.limit.MaxRequestTimeout)
 	}
 	if own := r.shelf.Swap(nil); own != nil {
-		r.front.Use(nil)
+		r.front.SetDiskCache(nil)
 		own.Close()
 	}
 	return b
@@ -132,42 +132,42 @@
 	load func() (*setup, error)
 }
 
-// Own takes the place of another generation, or begins from nothing.
-func (o *owner) Own(s *handoff.State, mine, hold bool) error {
+// Acquire takes the place of another generation, or begins from nothing.
+func (o *owner) Acquire(s *handoff.State, mine, hold bool) error {
 	r := o.router
 	r.unfollow()
 	defer r.follow(o.ctx)
 	if s == nil {
 		s = &handoff.State{}
 	}
-	if mine && s.Baton != nil {
-		s.Baton.Back()
+	if mine && s.Membership != nil {
+		s.Membership.Reclaim()
 	}
 	if hold {
-		r.holdTill = clock() + r.set.Contract.FallFor
+		r.holdTill = clock() + r.set.Contract.OverloadWindow
 	} else {
 		r.holdTill = 0
 	}
-	if err := r.acquire(s.Baton); err != nil {
+	if err := r.acquire(s.Membership); err != nil {
 		return err
 	}
-	list := make([]engine.Server, len(s.Servers))
+	list := make([]engine.Endpoint, len(s.Servers))
 	for i, x := range s.Servers {
-		list[i] = engine.Server{Endpoint: x.Endpoint, Entry: policy.Entry{Server: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell,
-			State: x.State, Weight: x.Weight, Born: x.Born}}
+		list[i] = engine.Endpoint{Address: x.Endpoint, Endpoint: policy.Endpoint{ID: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell,
+			State: x.State, Weight: x.Weight, StartedAt: x.Born}}
 	}
-	r.follower.Resume(s.Rev, list)
+	r.follower.Resume(s.Revision, list)
 	if r.host != nil {
 		for _, p := range s.Purges {
 			r.host.purges.add(p.Object, p.Group, p.At)
 		}
 	}
 	if s.Learned != nil && !mine {
-		if err := r.core.Learn(s.Learned); err != nil { // it serves without, as after a start from nothing
+		if err := r.core.Restore(s.Learned); err != nil { // it serves without, as after a start from nothing
 			r.log.WithError(err).Warn("change: what was learned is of another text, it begins anew")
 		}
 	}
-	r.core.Peers(clock(), r.holdTill)
+	r.core.HoldSlowStart(clock(), r.holdTill)
 	r.accept()
 	if wrongly != nil {
 		wrongly("own", r)
@@ -175,52 +175,54 @@
 	return nil
 }
 
-// Disown accepts nothing more, and spends nothing on cold servers: the budget goes
+// Release accepts nothing more, and spends nothing on cold servers: the budget goes
 // with what is known of them.
-func (o *owner) Disown() *handoff.State {
+func (o *owner) Release() *handoff.State {
 	const never = 1 << 62
 	r := o.router
 	r.listener.SetDeadline(time.Now())
-	r.front.Crowd(true)
+	r.front.SuspendClientLimit(true)
 	<-r.served
 	r.served = nil
-	r.front.Move(true)
-	r.core.Peers(clock(), never)
+	r.front.SetMigrating(true)
+	r.core.HoldSlowStart(clock(), never)
 	r.unfollow()
 	defer r.follow(o.ctx)
-	s := &handoff.State{Learned: r.core.Learned()}
-	s.Learned.HoldTill = r.holdTill
+	s := &handoff.State{Learned: r.core.Snapshot()}
+	s.Learned.SlowStartHoldUntil = r.holdTill
 	if r.host != nil {
 		for _, p := range r.host.purges.known() {
 			s.Purges = append(s.Purges, handoff.Purge{Object: p.object, Group: p.group, At: p.at})
 		}
 	}
-	s.Baton = r.passOn()
-	rev, list := r.follower.Known()
-	s.Rev = rev
+	s.Membership = r.passOn()
+	rev, list := r.follower.Snapshot()
+	s.Revision = rev
 	for _, x := range list {
-		s.Servers = append(s.Servers, handoff.Server{Server: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: x.State,
-			Weight: x.Weight, Born: x.Born, Endpoint: x.Endpoint})
+		s.Servers = append(s.Servers, handoff.Server{Server: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: x.State,
+			Weight: x.Weight, Born: x.StartedAt, Endpoint: x.Address})
 	}
 	return s
 }
 
-// Bound sets this generation's part of the machine.
-func (o *owner) Bound(u upgrade.Use) {
-	l := o.setup.Within(u.MemoryMB, u.Descriptors)
-	debug.SetMemoryLimit(l.Memory)
-	o.bodies.Bound(l.Held)
-	o.front.Bound(l.Clients)
-	o.up.Bound(l.Upstream)
+// SetLimits sets this generation's part of the machine.
+func (o *owner) SetLimits(u upgrade.Resources) {
+	l := o.setup.LimitsFor(u.MemoryMB, u.Descriptors)
+	debug.SetMemoryLimit(l.MemoryBytes)
+	o.bodies.SetLimit(l.MaxBufferedBytes)
+	o.front.SetMaxClients(l.MaxClients)
+	o.up.SetMaxConns(l.MaxUpstreamConns)
 	o.log.WithField("memory_mb", u.MemoryMB).WithField("sockets", u.Descriptors).Info("change: part of the machine")
 }
 
-func (o *owner) Beside(outs map[string][3]float64) { o.core.Beside(clock(), outs) }
+func (o *owner) SetOtherAttempts(outs map[string][3]float64) {
+	o.core.SetOtherGeneration(clock(), outs)
+}
 
-// Post sends a keeper's letter, if this generation is the one among the members.
-func (o *owner) Post(to string, body []byte) {
+// SendToPeer sends a keeper's letter, if this generation is the one among the members.
+func (o *owner) SendToPeer(to string, body []byte) {
 	if o.members != nil {
-		o.members.Post(to, body)
+		o.members.SendPayload(to, body)
 	}
 }
 
@@ -230,13 +232,13 @@
 	if wrongly != nil {
 		wrongly("ready", o.router)
 	}
-	return o.front.Listed()
+	return o.front.IsReady()
 }
 
-func (o *owner) Beat() *handoff.Word {
+func (o *owner) Heartbeat() *handoff.Message {
 	if wrongly != nil {
 		wrongly("beat", o.router)
 	}
 	txns, _ := o.core.Count()
-	return &handoff.Word{Ends: upgrade.Ends(o.front.Ends()), Outs: o.core.Outs(), Txns: txns, Acts: o.acts.Take()}
+	return &handoff.Message{Requests: upgrade.RequestCounts(o.front.RequestCounts()), OutstandingAttempts: o.core.InFlight(), OpenRequests: txns, Activity: o.acts.Take()}
 }
--- a/cmd/quilldoor/peers.go
+++ b/cmd/quilldoor/peers.go
@@ -18,38 +18,38 @@
 	start time.Time
 
 	mu     sync.Mutex
-	book   *gossip.Book
+	book   *gossip.Replica
 	ticked int64
 }
 
 func (p *peers) now() int64 { return time.Since(p.start).Microseconds() }
 
-// Tag of the news.
-func (p *peers) Tag() uint32 {
+// Digest of the news.
+func (p *peers) Digest() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.book.Tag()
+	return p.book.Digest()
 }
 
-// Letter takes what another router says.
-func (p *peers) Letter(from string, tag uint32, body []byte) [][]byte {
-	if bytes.HasPrefix(body, rollout.Mark) {
+// HandlePayload takes what another router says.
+func (p *peers) HandlePayload(from string, tag uint32, body []byte) [][]byte {
+	if bytes.HasPrefix(body, rollout.MessagePrefix) {
 		if p.kept != nil {
-			p.kept.Letter(from, body)
+			p.kept.ForwardMessage(from, body)
 		}
 		return nil
 	}
 	p.mu.Lock()
-	t := p.book.Letter(p.now(), clock(), from, tag, body, transport.MostBody)
+	t := p.book.HandlePayload(p.now(), clock(), from, tag, body, transport.MaxPayloadBytes)
 	p.mu.Unlock()
 	p.apply(t.Servers)
 	for _, x := range t.Purges {
 		p.router.taken(x.Object, x.Group, x.At)
 	}
-	return t.Back
+	return t.Replies
 }
 
-func (p *peers) apply(list []gossip.Server) {
+func (p *peers) apply(list []gossip.Endpoint) {
 	if len(list) > 0 {
 		p.log.WithField("changes", len(list)).Info("list changed by what other routers say")
 		p.listed("diff", coreServers(list))
@@ -57,14 +57,14 @@
 }
 
 // Tick ends what nobody has said again.
-func (p *peers) Tick(s membership.Standing) {
+func (p *peers) Tick(s membership.Connectivity) {
 	const every = 250_000 // microseconds
 	p.mu.Lock()
 	now := p.now()
-	var lapsed []gossip.Server
+	var lapsed []gossip.Endpoint
 	if now-p.ticked >= every {
 		p.ticked = now
-		p.book.Alone(s.Known < 3)
+		p.book.SetSingleConfirmation(s.Known < 3)
 		lapsed = p.book.Tick(now, clock())
 	}
 	p.mu.Unlock()
@@ -72,25 +72,25 @@
 }
 
 // board passes what the own board tells, with what others know better.
-func (p *peers) board(scope string, list []engine.Server) []engine.Server {
-	out := make([]gossip.Server, len(list))
+func (p *peers) board(scope string, list []engine.Endpoint) []engine.Endpoint {
+	out := make([]gossip.Endpoint, len(list))
 	for i, s := range list {
-		out[i] = gossip.Server{Entry: s.Entry, Endpoint: s.Endpoint}
+		out[i] = gossip.Endpoint{Endpoint: s.Endpoint, Address: s.Address}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return coreServers(p.book.Board(p.now(), scope != "diff", out))
+	return coreServers(p.book.ApplyLocal(p.now(), scope != "diff", out))
 }
 
 func (p *peers) purged(object string, group, at int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.Purged(p.now(), gossip.Purge{Object: object, Group: group, At: at})
+	p.book.ApplyLocalPurge(p.now(), gossip.Purge{Object: object, Group: group, At: at})
 }
 
-func coreServers(list []gossip.Server) (out []engine.Server) {
+func coreServers(list []gossip.Endpoint) (out []engine.Endpoint) {
 	for _, s := range list {
-		out = append(out, engine.Server{Entry: s.Entry, Endpoint: s.Endpoint})
+		out = append(out, engine.Endpoint{Endpoint: s.Endpoint, Address: s.Address})
 	}
 	return out
 }
--- a/cmd/quilldoor/publish.go
+++ b/cmd/quilldoor/publish.go
@@ -17,7 +17,7 @@
 // that Prometheus reads.
 func (r *router) publish(ctx context.Context, m *operatorconfig.Metrics) {
 	set := metrics.NewSet()
-	every := time.NewTicker(time.Duration(m.EveryS) * time.Second)
+	every := time.NewTicker(time.Duration(m.IntervalS) * time.Second)
 	defer every.Stop()
 	for failed := false; ; {
 		r.collect(set)
@@ -60,7 +60,7 @@
 	gauge(float64(txns), "txns_open")
 	gauge(float64(servers), "servers_listed")
 	gauge(float64(r.front.Clients()), "clients")
-	gauge(float64(r.up.Count()), "upstream_connections")
+	gauge(float64(r.up.ConnCount()), "upstream_connections")
 	if r.members != nil {
 		r.collectMembers(gauge, count)
 	}
@@ -72,59 +72,59 @@
 		return
 	}
 	s := own.State()
-	for i := range diskcache.Reasons {
-		count(s.Counts.Looks[i], "disk_looks_total{reason=%q}", diskcache.Reason(i))
+	for i := range diskcache.ReasonCount {
+		count(s.Counts.Lookups[i], "disk_looks_total{reason=%q}", diskcache.Reason(i))
 		count(s.Counts.Offers[i], "disk_offers_total{reason=%q}", diskcache.Reason(i))
 	}
-	for how, n := range map[string]int64{"fresh": s.Counts.Served - s.Counts.StoodIn, "stood_in": s.Counts.StoodIn,
-		"proven": s.Counts.Proven} {
+	for how, n := range map[string]int64{"fresh": s.Counts.Served - s.Counts.ServedStale, "stood_in": s.Counts.ServedStale,
+		"proven": s.Counts.Revalidated} {
 		count(n, "disk_served_total{how=%q}", how)
 	}
-	count(s.Counts.BytesOut, "disk_bytes_total{way=%q}", "out")
-	count(s.Counts.BytesIn, "disk_bytes_total{way=%q}", "in")
+	count(s.Counts.BytesServed, "disk_bytes_total{way=%q}", "out")
+	count(s.Counts.BytesWritten, "disk_bytes_total{way=%q}", "in")
 	count(s.Counts.Evicted, "disk_gone_total{why=%q}", "evicted")
-	count(s.Counts.PurgedOut, "disk_gone_total{why=%q}", "purged")
+	count(s.Counts.Purged, "disk_gone_total{why=%q}", "purged")
 	count(s.Counts.ReadFaults, "disk_read_faults_total")
-	count(s.Counts.Gaps, "disk_gaps_total")
-	for _, h := range []diskcache.Health{diskcache.On, diskcache.Full, diskcache.ReadsOnly, diskcache.Off} {
+	count(s.Counts.HistoryGaps, "disk_gaps_total")
+	for _, h := range []diskcache.Health{diskcache.HealthOn, diskcache.HealthFull, diskcache.HealthReadOnly, diskcache.HealthOff} {
 		gauge(map[bool]float64{true: 1}[s.Health == h], "disk_health{state=%q}", h)
 	}
 	gauge(float64(s.Size.Parts), "disk_parts")
 	gauge(float64(s.Size.Bytes), "disk_slot_bytes")
-	gauge(float64(s.Size.Memory), "disk_memory_bytes")
-	gauge(float64(s.Size.Queued), "disk_queued_bytes")
-	gauge(float64(s.ReadMedian)/1e6, "disk_read_seconds{quantile=%q}", "0.5")
-	gauge(float64(s.Read99)/1e6, "disk_read_seconds{quantile=%q}", "0.99")
+	gauge(float64(s.Size.MemoryBytes), "disk_memory_bytes")
+	gauge(float64(s.Size.QueuedBytes), "disk_queued_bytes")
+	gauge(float64(s.ReadMedianMicros)/1e6, "disk_read_seconds{quantile=%q}", "0.5")
+	gauge(float64(s.ReadP99Micros)/1e6, "disk_read_seconds{quantile=%q}", "0.99")
 }
 
 // collectMembers takes over what is known of the other routers.
 func (r *router) collectMembers(gauge func(float64, string, ...any), count func(int64, string, ...any)) {
 	v, d := r.members.View(), &r.members.Dropped
 	states := map[membership.State]int{}
-	for _, s := range v.Seen {
+	for _, s := range v.Members {
 		states[s.State]++
 	}
-	for _, s := range []membership.State{membership.Alive, membership.Suspected, membership.Dead, membership.Leaving, membership.Left} {
+	for _, s := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateDead, membership.StateLeaving, membership.StateLeft} {
 		gauge(float64(states[s]), "members{state=%q}", s)
 	}
-	gauge(float64(v.Standing.Known), "members_known")
-	gauge(float64(v.Standing.Reachable), "members_reachable")
-	gauge(map[bool]float64{true: 1}[v.Standing.Majority], "members_majority")
-	gauge(float64(v.Standing.Health), "members_self_doubt")
+	gauge(float64(v.Connectivity.Known), "members_known")
+	gauge(float64(v.Connectivity.Reachable), "members_reachable")
+	gauge(map[bool]float64{true: 1}[v.Connectivity.Majority], "members_majority")
+	gauge(float64(v.Connectivity.LocalHealth), "members_self_doubt")
 	c := v.Counts
 	count(c.Sent, "members_words_total{way=%q}", "sent")
-	count(c.Taken, "members_words_total{way=%q}", "taken")
-	for why, n := range map[string]int64{"foreign": c.Foreign, "replayed": c.Replayed, "bad": c.Bad, "size": d.Size.Load(),
-		"version": d.Version.Load(), "proof": d.Proof.Load(), "payload": d.Payload.Load()} {
+	count(c.Received, "members_words_total{way=%q}", "taken")
+	for why, n := range map[string]int64{"foreign": c.Misaddressed, "replayed": c.Replayed, "bad": c.Malformed, "size": d.Size.Load(),
+		"version": d.Version.Load(), "proof": d.Authentication.Load(), "payload": d.Payload.Load()} {
 		count(n, "members_dropped_total{reason=%q}", why)
 	}
 	count(d.Unsent.Load(), "members_unsent_total")
 	count(c.Suspicions, "members_suspicions_total")
-	count(c.Refuted, "members_refuted_total")
+	count(c.Refutations, "members_refuted_total")
 	count(c.Deaths, "members_deaths_total")
-	count(c.Wakings, "members_wakings_total")
+	count(c.Resumes, "members_wakings_total")
 	n := r.peers.news()
-	for what, v := range map[string]int64{"asked": n.Asked, "answered": n.Answered, "bound": n.Bound, "lapsed": n.Lapsed, "purges": n.Purges, "refused": n.Refused} {
+	for what, v := range map[string]int64{"asked": n.Requests, "answered": n.Responses, "bound": n.ClaimsAccepted, "lapsed": n.ClaimsExpired, "purges": n.Purges, "refused": n.Rejected} {
 		count(v, "news_total{what=%q}", what)
 	}
 }
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -40,7 +40,7 @@
 }
 
 // ended waits for the end of a rollout, as those who know it newest tell.
-func ended(k *emulator.Kept, within time.Duration, at ...int) (last *rollout.Standing, err error) {
+func ended(k *emulator.Kept, within time.Duration, at ...int) (last *rollout.Status, err error) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, i := range at {
 			s, e := k.Rollout(i, 0)
@@ -52,7 +52,7 @@
 				last = s
 			}
 		}
-		if last != nil && (last.Way == "done" || last.Way == "undone") {
+		if last != nil && (last.Phase == "done" || last.Phase == "undone") {
 			return last, nil
 		}
 	}
@@ -64,7 +64,7 @@
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
 		for j := range k.Count() {
-			if s, err := k.Rollout(j, 0); err == nil && !s.Lost {
+			if s, err := k.Rollout(j, 0); err == nil && !s.Recovering {
 				ready++
 			}
 		}
@@ -75,7 +75,7 @@
 			return fmt.Errorf("%d of %d routers have the plan", ready, k.Count())
 		}
 	}
-	_, err := k.Rollout(i, rollout.Start)
+	_, err := k.Rollout(i, rollout.CommandStart)
 	return err
 }
 
@@ -107,7 +107,7 @@
 			leader := func() (int, error) {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 					for _, i := range all {
-						if s, err := k.Rollout(i, 0); err == nil && s.Leads && s.Way == "forward" {
+						if s, err := k.Rollout(i, 0); err == nil && s.IsLeader && s.Phase == "forward" {
 							return i, nil
 						}
 					}
@@ -135,9 +135,9 @@
 			if err != nil {
 				return err
 			}
-			syscall.Kill(s.KeeperPID, syscall.SIGSTOP)
+			syscall.Kill(s.SupervisorPID, syscall.SIGSTOP)
 			time.Sleep(7 * time.Second)
-			syscall.Kill(s.KeeperPID, syscall.SIGCONT)
+			syscall.Kill(s.SupervisorPID, syscall.SIGCONT)
 			got, err := ended(k, 80*time.Second, all...)
 			if err != nil {
 				return err
@@ -146,8 +146,8 @@
 			if err != nil {
 				return err
 			}
-			t.Logf("%s at seq %d: %v (%s)", got.Way, got.Seq, list, got.Why)
-			if got.Way != "done" {
+			t.Logf("%s at seq %d: %v (%s)", got.Phase, got.Seq, list, got.Reason)
+			if got.Phase != "done" {
 				t.Errorf("%+v", got)
 			}
 			for i, g := range list {
@@ -206,8 +206,8 @@
 				if err != nil {
 					return err
 				}
-				t.Logf("%s after %v: %s", got.Way, time.Since(began).Round(100*time.Millisecond), got.Why)
-				if got.Way != "undone" || !strings.Contains(got.Why, c.says) {
+				t.Logf("%s after %v: %s", got.Phase, time.Since(began).Round(100*time.Millisecond), got.Reason)
+				if got.Phase != "undone" || !strings.Contains(got.Reason, c.says) {
 					t.Errorf("%+v", got)
 				}
 				list, err := generations(k)
@@ -219,7 +219,7 @@
 						t.Errorf("router %d has had generation %d", i, g)
 					}
 				}
-				s, err := k.Until(0, 20*time.Second, func(s *handoff.Standing) bool {
+				s, err := k.Until(0, 20*time.Second, func(s *handoff.Status) bool {
 					return s.State == "steady" && s.Serving != nil && strings.HasSuffix(s.Settled.Program, "quilldoor.test")
 				})
 				if err != nil {
@@ -274,8 +274,8 @@
 				if err != nil {
 					return err
 				}
-				t.Logf("%s after %v: %s", got.Way, time.Since(began).Round(100*time.Millisecond), got.Why)
-				if got.Way != "undone" || !strings.Contains(got.Why, fmt.Sprintf("breaks rule %d", c.rule)) {
+				t.Logf("%s after %v: %s", got.Phase, time.Since(began).Round(100*time.Millisecond), got.Reason)
+				if got.Phase != "undone" || !strings.Contains(got.Reason, fmt.Sprintf("breaks rule %d", c.rule)) {
 					t.Errorf("%+v", got)
 				}
 				list, err := generations(k)
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -40,28 +40,28 @@
 	log    *logrus.Entry
 	setup  *setup
 	set    policy.Settings
-	core   *engine.Core
+	core   *engine.Engine
 	up     *upstream.Pool
-	front  *downstream.Front
+	front  *downstream.Server
 	bodies *bufferpool.Pool
 	limit  *config.Limits
 	kick   chan struct{}
 
-	follower *discovery.Follower
+	follower *discovery.Watcher
 	unfollow func()
 	boardAt  string // address of the board that is followed
 	listener *net.TCPListener
-	served   chan error               // of the front; nil: it accepts nobody
-	kept     *upgradeagent.Generation // nil: nobody keeps this router
-	holdTill int64                    // cold servers get nothing before
-	acts     *invariant.Recorder      // for the keeper; nil: nobody keeps this router
+	served   chan error          // of the front; nil: it accepts nobody
+	kept     *upgradeagent.Agent // nil: nobody keeps this router
+	holdTill int64               // cold servers get nothing before
+	acts     *invariant.Recorder // for the keeper; nil: nobody keeps this router
 
 	// What one process owns at a time (own.go). Changed while the board is not followed.
-	shelf   atomic.Pointer[diskrunner.Shelf] // nil: off
+	shelf   atomic.Pointer[diskrunner.Cache] // nil: off
 	gate    *gateway.Gateway
 	keys    *gateway.Keys
-	members *transport.Link // nil: off
-	peers   *peers          // what is decided by it; nil: off
+	members *transport.Agent // nil: off
+	peers   *peers           // what is decided by it; nil: off
 	host    *host
 	stop    context.CancelFunc // of what is written to files
 	writers sync.WaitGroup
@@ -72,7 +72,7 @@
 // setup is all that a router starts with.
 type setup struct {
 	*config.Config
-	known    *discovery.News
+	known    *discovery.Update
 	operator *operatorconfig.Config
 	digest   uint64 // of the settings, where a keeper keeps the router
 }
@@ -81,9 +81,9 @@
 // the configuration again.
 func serve(c *setup, logger *logrus.Logger, term, hup <-chan os.Signal, load func() (*setup, error)) error {
 	runtime.GOMAXPROCS(max(int(c.Cores), 1))
-	debug.SetMemoryLimit(c.Limits.Memory)
-	r := &router{log: logger.WithField("router", c.Name), setup: c, set: c.Settings.Logic(), limit: c.Limits, kick: make(chan struct{}, 1),
-		boardAt: c.Board}
+	debug.SetMemoryLimit(c.Limits.MemoryBytes)
+	r := &router{log: logger.WithField("router", c.Name), setup: c, set: c.Settings.PolicySettings(), limit: c.Limits, kick: make(chan struct{}, 1),
+		boardAt: c.DiscoveryAddr}
 	var err error
 	if r.kept, err = upgradeagent.Inherit(os.Getenv); err != nil {
 		return err
@@ -97,28 +97,28 @@
 		default:
 		}
 	})
-	r.bodies = bufferpool.NewPool(c.Limits.Held)
-	ended := func(h *engine.Hop, o engine.Outcome) { r.core.Ended(clock(), h, o) }
+	r.bodies = bufferpool.NewPool(c.Limits.MaxBufferedBytes)
+	ended := func(h *engine.Attempt, o engine.Outcome) { r.core.AttemptEnded(clock(), h, o) }
 	if lags != nil {
-		ended = func(h *engine.Hop, o engine.Outcome) { lags(h, func() { r.core.Ended(clock(), h, o) }) }
+		ended = func(h *engine.Attempt, o engine.Outcome) { lags(h, func() { r.core.AttemptEnded(clock(), h, o) }) }
 	}
 	r.up = upstream.New(c.Limits, r.bodies, ended, r.log)
 	r.front = downstream.New(r.core, r.up, r.bodies, c.Limits)
-	r.front.Flow(c.Flow)
+	r.front.SetClientRate(c.ClientBytesPerSecond)
 	if r.kept != nil {
 		r.acts = invariant.NewRecorder()
-		r.front.Witnessed(r.acts)
+		r.front.SetRecorder(r.acts)
 	}
-	r.log.WithFields(logrus.Fields{"listen": c.Listen, "board": c.Board, "zone": r.set.Zone,
-		"rules": len(r.set.Rules), "cores": c.Cores, "memory_mb": c.MemoryMB, "clients_most": c.Limits.Clients,
-		"upstream_most": c.Limits.Upstream, "version": version()}).Info("starting")
+	r.log.WithFields(logrus.Fields{"listen": c.Listen, "board": c.DiscoveryAddr, "zone": r.set.Zone,
+		"rules": len(r.set.Classes), "cores": c.Cores, "memory_mb": c.MemoryMB, "clients_most": c.Limits.MaxClients,
+		"upstream_most": c.Limits.MaxUpstreamConns, "version": version()}).Info("starting")
 	if r.kept == nil {
 		defer r.release()
 		if err := r.acquire(nil); err != nil {
 			return err
 		}
 	}
-	if err := reserve(c.Limits.Sockets); err != nil {
+	if err := reserve(c.Limits.MaxDescriptors); err != nil {
 		r.log.WithError(err).Warn("descriptor table not grown")
 	}
 	if r.listener, err = r.listen(); err != nil {
@@ -131,14 +131,14 @@
 	r.follower.Apply(c.known)
 	r.follow(ctx)
 	go r.attend(ctx)
-	go r.front.Attend(ctx.Done())
+	go r.front.MonitorStalls(ctx.Done())
 	if r.kept != nil {
 		defer r.release()
 		o := &owner{r, ctx, load}
 		if err := r.kept.Run(ctx, o, term, r.log); err != nil {
 			return err
 		}
-		go r.kept.Beats(ctx, o)
+		go r.kept.SendHeartbeats(ctx, o)
 	} else {
 		r.accept()
 		if err := r.wait(ctx, term, hup, load); err != nil {
@@ -153,18 +153,18 @@
 	}
 	if r.served != nil {
 		// What is under way towards the listener when the signal comes is still taken.
-		r.listener.SetDeadline(time.Now().Add(c.Limits.AcceptOn))
-		time.AfterFunc(c.Limits.AcceptOn, func() { r.front.Crowd(true) })
+		r.listener.SetDeadline(time.Now().Add(c.Limits.ShutdownAcceptTime))
+		time.AfterFunc(c.Limits.ShutdownAcceptTime, func() { r.front.SuspendClientLimit(true) })
 		<-r.served
 		r.takeBacklog()
 		r.listener.Close()
-		r.front.Move(true) // requests still come on open connections: each is the last on its own
-		time.Sleep(c.Limits.ServeOn)
+		r.front.SetMigrating(true) // requests still come on open connections: each is the last on its own
+		time.Sleep(c.Limits.ShutdownServeTime)
 	} else {
 		r.listener.Close()
-		r.front.Linger(c.Limits.IdleClient)
+		r.front.AwaitMigration(c.Limits.ClientIdleTimeout)
 	}
-	left := r.front.Drain(c.Limits.DrainFor)
+	left := r.front.Drain(c.Limits.DrainTimeout)
 	r.up.Close()
 	txns, _ := r.core.Count()
 	r.log.WithFields(logrus.Fields{"clients_left": left, "txns_left": txns}).Info("stopped")
@@ -193,7 +193,7 @@
 		r.log.WithError(err).Error("new configuration refused, the old one stays")
 		return
 	}
-	for _, key := range append(r.setup.Fixed(fresh.Config), r.setup.operator.Fixed(fresh.operator)...) {
+	for _, key := range append(r.setup.ImmutableChanges(fresh.Config), r.setup.operator.ImmutableChanges(fresh.operator)...) {
 		r.log.WithField("key", key).Warn("new configuration: takes a restart, the old value stays")
 	}
 	if r.keys != nil {
@@ -204,17 +204,17 @@
 		}
 	}
 	r.unfollow()
-	r.follower.Apply(&discovery.News{Notices: fresh.known.Notices})
-	r.boardAt = fresh.Board
+	r.follower.Apply(&discovery.Update{Events: fresh.known.Events})
+	r.boardAt = fresh.DiscoveryAddr
 	r.follow(ctx)
-	r.log.WithField("board", fresh.Board).Info("new configuration in force")
+	r.log.WithField("board", fresh.DiscoveryAddr).Info("new configuration in force")
 }
 
 // accept lets clients in.
 func (r *router) accept() {
 	r.listener.SetDeadline(time.Time{})
-	r.front.Crowd(false)
-	r.front.Move(false)
+	r.front.SuspendClientLimit(false)
+	r.front.SetMigrating(false)
 	r.served = make(chan error, 1)
 	go func(done chan<- error) { done <- r.front.Serve(r.listener) }(r.served)
 }
@@ -234,7 +234,7 @@
 
 // follow runs the follower at an address until the function it returns is called,
 // which waits for its end: two never run at once, and no event is applied twice.
-func follow(ctx context.Context, f *discovery.Follower, addr string) (end func()) {
+func follow(ctx context.Context, f *discovery.Watcher, addr string) (end func()) {
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -273,15 +273,15 @@
 		next, errands := r.core.Run(clock())
 		for _, o := range errands {
 			switch o.Kind {
-			case engine.Probe:
+			case engine.CommandHealthCheck:
 				probes++
-				r.probe(o.Server, "p"+strconv.Itoa(probes))
-			case engine.Disconnect:
-				r.up.Disconnect(o.Server)
-			case engine.Log:
+				r.probe(o.Endpoint, "p"+strconv.Itoa(probes))
+			case engine.CommandDisconnect:
+				r.up.CloseIdle(o.Endpoint)
+			case engine.CommandLog:
 				r.log.Info(o.Text)
-			case engine.Drop:
-				o.Hop.Drop(o.Silent)
+			case engine.CommandDrop:
+				o.Attempt.Drop(o.Silent)
 			}
 		}
 		if now := time.Now(); now.Sub(swept) >= sweepEvery {
@@ -308,9 +308,9 @@
 	m := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/gc/cycles/total:gc-cycles"}}
 	metrics.Read(m)
 	txns, servers := r.core.Count()
-	clients, late := r.front.Count()
+	clients, late := r.front.CollectStats()
 	r.log.WithFields(logrus.Fields{"txns": txns, "servers": servers, "clients": clients, "late_answers": late,
-		"upstream": r.up.Count(), "goroutines": runtime.NumGoroutine(), "memory_mb": m[0].Value.Uint64() >> 20,
+		"upstream": r.up.ConnCount(), "goroutines": runtime.NumGoroutine(), "memory_mb": m[0].Value.Uint64() >> 20,
 		"collections": m[1].Value.Uint64(), "timer_late_ms_most": lag.Milliseconds()}).Info("status")
 	if own := r.shelf.Load(); own != nil {
 		r.log.WithFields(own.Status()).Info("disk tier status")
@@ -318,24 +318,24 @@
 }
 
 // probe sends one, and counts it as timed out if a connection's time passes.
-func (r *router) probe(s *engine.Server, tag string) {
+func (r *router) probe(s *engine.Endpoint, tag string) {
 	sent := clock()
-	r.up.Probe(s, tag, func(ok bool) {
+	r.up.CheckHealth(s, tag, func(ok bool) {
 		code := "done"
 		if !ok {
 			code = "econnrefused"
 		}
-		r.core.Probed(clock(), s.Server, code, clock()-sent)
+		r.core.HealthChecked(clock(), s.ID, code, clock()-sent)
 	})
-	time.AfterFunc(r.limit.Connect, func() {
-		if r.up.Unprobe(s, tag) {
-			r.core.Probed(clock(), s.Server, "etimedout", clock()-sent)
+	time.AfterFunc(r.limit.ConnectTimeout, func() {
+		if r.up.CancelHealthCheck(s, tag) {
+			r.core.HealthChecked(clock(), s.ID, "etimedout", clock()-sent)
 		}
 	})
 }
 
-// Members takes changes of the list of servers from the board.
-func (r *router) Members(scope string, list []engine.Server) {
+// EndpointsChanged takes changes of the list of servers from the board.
+func (r *router) EndpointsChanged(scope string, list []engine.Endpoint) {
 	if r.peers != nil {
 		list = r.peers.board(scope, list)
 	}
@@ -343,18 +343,18 @@
 }
 
 // listed applies changes of the list.
-func (r *router) listed(scope string, list []engine.Server) {
+func (r *router) listed(scope string, list []engine.Endpoint) {
 	if mishears != nil {
 		mishears(list)
 	}
-	r.up.Retire(r.core.Members(clock(), scope, list))
+	r.up.Drain(r.core.UpdateEndpoints(clock(), scope, list))
 	for _, s := range list {
-		r.log.WithFields(logrus.Fields{"server": s.Server, "endpoint": s.Endpoint, "zone": s.Zone, "kind": s.Kind,
-			"state": s.State, "born_ms": s.Born / 1000}).Debug("listed")
+		r.log.WithFields(logrus.Fields{"server": s.ID, "endpoint": s.Address, "zone": s.Zone, "kind": s.Kind,
+			"state": s.State, "born_ms": s.StartedAt / 1000}).Debug("listed")
 	}
 	_, servers := r.core.Count()
 	r.log.WithFields(logrus.Fields{"scope": scope, "changes": len(list), "servers": servers}).Info("list changed")
-	if r.front.Ready() {
+	if r.front.MarkReady() {
 		r.log.Info("ready")
 	}
 }
@@ -387,64 +387,64 @@
 	r.log.WithFields(logrus.Fields{"object": object, "group": group, "age_ms": (clock() - at) / 1000}).Debug("purge")
 }
 
-// BoardLost tells of the first failed poll in a row.
-func (r *router) BoardLost(err error) {
+// DiscoveryLost tells of the first failed poll in a row.
+func (r *router) DiscoveryLost(err error) {
 	r.log.WithError(err).Warn("notice board lost, the last list stays")
 	if own := r.shelf.Load(); own != nil {
-		own.Board(true)
+		own.SetDiscoveryLost(true)
 	}
 }
 
-// BoardBack tells that polls go through again.
-func (r *router) BoardBack() {
+// DiscoveryRestored tells that polls go through again.
+func (r *router) DiscoveryRestored() {
 	r.log.Info("notice board back")
 	if own := r.shelf.Load(); own != nil {
-		own.Board(false)
+		own.SetDiscoveryLost(false)
 	}
 }
 
-// BoardGap tells that purges may have been missed.
-func (r *router) BoardGap() {
+// DiscoveryGap tells that purges may have been missed.
+func (r *router) DiscoveryGap() {
 	if own := r.shelf.Load(); own != nil {
 		r.log.Warn("notice board: events are missing, copies on disk are proven again")
-		own.Gap()
+		own.HistoryGap()
 	}
 }
 
 // openShelf starts the disk tier as the operator's file has it.
-func (r *router) openShelf(d *operatorconfig.Disk) error {
+func (r *router) openShelf(d *operatorconfig.DiskCache) error {
 	c, set := r.setup, &r.set
-	var rules []diskcache.Rule
+	var rules []diskcache.TrafficClass
 	named := map[string]bool{}
-	for _, k := range set.Rules {
+	for _, k := range set.Classes {
 		// An effect but a safe one, a write, or copies of no told age are never kept.
-		able := k.Effect == "safe" && !k.Write && k.Fresh > 0
-		chosen := slices.Contains(d.Rules, k.Name)
+		able := k.Effect == "safe" && !k.Write && k.FreshFor > 0
+		chosen := slices.Contains(d.TrafficClasses, k.Name)
 		if named[k.Name] = true; chosen && !able {
 			return fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", k.Name)
 		}
-		rules = append(rules, diskcache.Rule{Name: k.Name, Fresh: k.Fresh, Grace: k.Grace, SLA: k.SLA,
-			Keep: able && (chosen || len(d.Rules) == 0)})
+		rules = append(rules, diskcache.TrafficClass{Name: k.Name, FreshTime: k.FreshFor, GraceTime: k.StaleGrace, SLA: k.LatencyObjective,
+			Cacheable: able && (chosen || len(d.TrafficClasses) == 0)})
 	}
-	for _, name := range d.Rules {
+	for _, name := range d.TrafficClasses {
 		if !named[name] {
 			return fmt.Errorf("disk.rules: %s is no remap rule", name)
 		}
 	}
 	const mb, millis = 1 << 20, 1000
 	own := diskrunner.Start(diskrunner.Config{
-		FS: diskstore.Dir{Path: d.Path}, Path: d.Path, Super: diskstore.Super{Slot: d.SlotKB << 10, Seed: rand.Uint64()},
-		ReadWait: time.Duration(d.ReadWaitMS) * time.Millisecond,
-		Settings: diskcache.Settings{Rules: rules, Slot: d.SlotKB << 10, Slots: d.Slots(), Entries: d.Entries(),
-			WritePerS: int64(d.WriteMBPS) * mb,
+		FS: diskstore.Dir{Path: d.Path}, Path: d.Path, Superblock: diskstore.Superblock{SlotBytes: d.SlotKB << 10, Seed: rand.Uint64()},
+		ReadTimeout: time.Duration(d.ReadWaitMS) * time.Millisecond,
+		Settings: diskcache.Settings{Classes: rules, SlotBytes: d.SlotKB << 10, Slots: d.Slots(), MaxEntries: d.MaxEntries(),
+			WriteBytesPerSecond: int64(d.WriteMBPerSecond) * mb,
 			// Bodies that wait for the disk are the same that txns need: a quarter of them at most.
-			Queue:     min(int64(d.QueueMB)*mb, c.Limits.Held/4),
-			SyncEvery: int64(d.SyncMS) * millis, Reads: d.Reads, Flow: c.Flow, Link: c.Link,
-			Cleared: set.Family.PurgeDone, LongestTx: c.Limits.LongestTxn.Microseconds(),
-			BlindFrom: blindFrom.Microseconds()},
+			QueueBytes:   min(int64(d.QueueMB)*mb, c.Limits.MaxBufferedBytes/4),
+			SyncInterval: int64(d.SyncIntervalMS) * millis, MaxReads: d.MaxConcurrentReads, FlowBytesPerSecond: c.ClientBytesPerSecond, LinkBytesPerSecond: c.LinkBytesPerSecond,
+			PurgeTime: set.Hierarchy.PurgeSettleTime, MaxRequestTime: c.Limits.MaxRequestTimeout.Microseconds(),
+			DiscoveryLossLimit: blindFrom.Microseconds()},
 	}, r.bodies, r.log)
 	r.shelf.Store(own)
-	r.front.Use(own)
+	r.front.SetDiskCache(own)
 	return nil
 }
 
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Limits.AcceptOn, c.Limits.ServeOn = 300*time.Millisecond, serveOn
+	c.Limits.ShutdownAcceptTime, c.Limits.ShutdownServeTime = 300*time.Millisecond, serveOn
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.AddHook(r)
--- a/internal/bufferpool/bufferpool.go
+++ b/internal/bufferpool/bufferpool.go
@@ -31,8 +31,8 @@
 	return p
 }
 
-// Bound sets another bound on the bytes held. Bodies that are there stay.
-func (p *Pool) Bound(bytes int64) { p.left.Add(bytes - p.most.Swap(bytes)) }
+// SetLimit sets another bound on the bytes held. Bodies that are there stay.
+func (p *Pool) SetLimit(bytes int64) { p.left.Add(bytes - p.most.Swap(bytes)) }
 
 func (p *Pool) get() *[Size]byte {
 	if p.left.Add(-Size) < 0 {
@@ -50,8 +50,8 @@
 	holders atomic.Int32
 }
 
-// Read takes n bytes from r. A slow sender holds only the buffers it has filled.
-func (p *Pool) Read(r io.Reader, n int) (*Body, error) {
+// ReadBody takes n bytes from r. A slow sender holds only the buffers it has filled.
+func (p *Pool) ReadBody(r io.Reader, n int) (*Body, error) {
 	b := &Body{pool: p}
 	b.holders.Store(1)
 	for b.length < n {
@@ -83,8 +83,8 @@
 	return b.length
 }
 
-// Append adds the body's buffers to a list for one write.
-func (b *Body) Append(list [][]byte) [][]byte {
+// AppendBuffers adds the body's buffers to a list for one write.
+func (b *Body) AppendBuffers(list [][]byte) [][]byte {
 	if b == nil {
 		return list
 	}
@@ -97,8 +97,8 @@
 	return list
 }
 
-// Hold adds a holder.
-func (b *Body) Hold() *Body {
+// Retain adds a holder.
+func (b *Body) Retain() *Body {
 	if b != nil {
 		b.holders.Add(1)
 	}
@@ -117,16 +117,16 @@
 	b.chunks = nil
 }
 
-// Empty makes a body that Add fills.
-func (p *Pool) Empty() *Body {
+// NewBody makes a body that Add fills.
+func (p *Pool) NewBody() *Body {
 	b := &Body{pool: p}
 	b.holders.Store(1)
 	return b
 }
 
-// Add copies bytes to the body's end, before it has a second holder. False: there
+// AppendBytes copies bytes to the body's end, before it has a second holder. False: there
 // is no room, and the body is to be released.
-func (b *Body) Add(data []byte) bool {
+func (b *Body) AppendBytes(data []byte) bool {
 	for len(data) > 0 {
 		at := b.length % Size
 		if at == 0 {
--- a/internal/cacheproto/cacheproto.go
+++ b/internal/cacheproto/cacheproto.go
@@ -12,26 +12,26 @@
 	"strings"
 )
 
-// Get is one hop's command. Times are milliseconds.
-type Get struct {
+// GetCommand is one hop's command. Times are milliseconds.
+type GetCommand struct {
 	ID, Class, Object string
 	Part              int64
-	Budget            int64
+	BudgetMillis      int64
 	Source            string // "": a miss is not filled
-	Rank              int
-	Age               int64 // 0: the fresh time of the class
+	Priority          int
+	MaxAgeMillis      int64 // 0: the fresh time of the class
 	Mode              int   // bits, as the module has them
 	Tag               string
-	Key               string // the client's mark against repeats
+	IdempotencyKey    string // the client's mark against repeats
 	Length            int
 }
 
-// MostWord bounds what stands as a value among the fields.
-const MostWord = 128
+// MaxValueLen bounds what stands as a value among the fields.
+const MaxValueLen = 128
 
-// Plain tells whether text can stand as a value among the fields.
-func Plain(text string) bool {
-	if len(text) > MostWord {
+// IsPlain tells whether text can stand as a value among the fields.
+func IsPlain(text string) bool {
+	if len(text) > MaxValueLen {
 		return false
 	}
 	for _, c := range []byte(text) {
@@ -47,7 +47,7 @@
 var modeWords = []string{"wait-for", "no-fetch", "no-keep", "background"}
 
 // AppendGet writes the command up to where the body follows.
-func AppendGet(b []byte, g *Get) []byte {
+func AppendGet(b []byte, g *GetCommand) []byte {
 	b = append(b, "GET "...)
 	b = append(b, g.ID...)
 	b = append(b, " queue="...)
@@ -57,15 +57,15 @@
 	b = append(b, ",blk="...)
 	b = strconv.AppendInt(b, g.Part, 10)
 	b = append(b, ",budget="...)
-	b = strconv.AppendInt(b, g.Budget, 10)
+	b = strconv.AppendInt(b, g.BudgetMillis, 10)
 	if g.Source != "" {
 		b = append(append(b, ",miss="...), g.Source...)
 	}
-	if g.Rank > 0 {
-		b = strconv.AppendInt(append(b, ",prio="...), int64(g.Rank), 10)
+	if g.Priority > 0 {
+		b = strconv.AppendInt(append(b, ",prio="...), int64(g.Priority), 10)
 	}
-	if g.Age > 0 {
-		b = strconv.AppendInt(append(b, ",within="...), g.Age, 10)
+	if g.MaxAgeMillis > 0 {
+		b = strconv.AppendInt(append(b, ",within="...), g.MaxAgeMillis, 10)
 	}
 	sep := ",f="
 	for i, word := range modeWords {
@@ -77,8 +77,8 @@
 	if g.Tag != "" {
 		b = append(append(b, ",mine="...), g.Tag...)
 	}
-	if g.Key != "" {
-		b = append(append(b, ",uniq="...), g.Key...)
+	if g.IdempotencyKey != "" {
+		b = append(append(b, ",uniq="...), g.IdempotencyKey...)
 	}
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(g.Length), 10)
@@ -95,48 +95,48 @@
 	return append(append(append(b, "PING "...), tag...), "\r\n"...)
 }
 
-// Word is what an answer says.
-type Word uint8
+// Status is what an answer says.
+type Status uint8
 
 // The words of answers.
 const (
-	Ack   Word = iota + 1 // ok, with the bytes
-	NoMod                 // ok, the client's copy is the one
-	NoEnt                 // miss
-	Again                 // full
-	EIO                   // error
-	Stale                 // was over already
-	Ready                 // to a probe
+	StatusOK          Status = iota + 1 // ok, with the bytes
+	StatusNotModified                   // ok, the client's copy is the one
+	StatusMiss                          // miss
+	StatusBusy                          // full
+	StatusError                         // error
+	StatusSkipped                       // was over already
+	StatusReady                         // to a probe
 )
 
-var words = map[string]Word{"ACK": Ack, "NOMOD": NoMod, "NOENT": NoEnt, "AGAIN": Again, "EIO": EIO,
-	"STALE": Stale, "READY": Ready}
+var words = map[string]Status{"ACK": StatusOK, "NOMOD": StatusNotModified, "NOENT": StatusMiss, "AGAIN": StatusBusy, "EIO": StatusError,
+	"STALE": StatusSkipped, "READY": StatusReady}
 
 // notes stand in the order of the simulator's numbers, from 1.
 var notes = map[string]int{"HIT": 1, "MISS": 2, "MISS_ORIGIN": 3, "COLLAPSED": 4, "STALE": 5, "UP_BUSY": 6,
 	"UP_DOWN": 7, "UP_MISS": 8, "NO_FILL": 9, "ORIGIN_ERR": 10}
 
-// Answer is one answer's line; Length bytes and CR LF follow it.
-type Answer struct {
-	ID     string
-	Word   Word
-	Tag    string
-	Issued int64 // Unix milliseconds at which the origin gave the copy out
-	Note   int
-	Delay  float64 // milliseconds
-	Load   map[string]float64
-	Length int
+// Response is one answer's line; Length bytes and CR LF follow it.
+type Response struct {
+	ID           string
+	Status       Status
+	Tag          string
+	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out
+	Reason       int
+	DelayMillis  float64 // milliseconds
+	Load         map[string]float64
+	Length       int
 }
 
-// ErrBroken is behind every error about what a peer wrote.
-var ErrBroken = errors.New("broken answer")
+// ErrProtocol is behind every error about what a peer wrote.
+var ErrProtocol = errors.New("broken answer")
 
 func broken(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrBroken, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, args...))
 }
 
-// ReadAnswer reads one line. A line must fit into r's buffer, a body within most.
-func ReadAnswer(r *bufio.Reader, most int) (a Answer, err error) {
+// ReadResponse reads one line. A line must fit into r's buffer, a body within most.
+func ReadResponse(r *bufio.Reader, most int) (a Response, err error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		return a, broken("line too long")
@@ -150,13 +150,13 @@
 	}
 	part := strings.Split(string(line), " ")
 	if len(part) == 2 && part[1] == "READY" {
-		return Answer{ID: part[0], Word: Ready, Length: -1}, nil
+		return Response{ID: part[0], Status: StatusReady, Length: -1}, nil
 	}
 	if len(part) != 4 || part[0] == "" {
 		return a, broken("%d words", len(part))
 	}
-	a.ID, a.Word = part[0], words[part[1]]
-	if a.Word == 0 {
+	a.ID, a.Status = part[0], words[part[1]]
+	if a.Status == 0 {
 		return a, broken("unknown word %.20q", part[1])
 	}
 	n, err := strconv.ParseUint(part[3], 10, 31)
@@ -167,13 +167,13 @@
 	if err := a.fields(part[2]); err != nil {
 		return a, err
 	}
-	if a.Word == NoMod && a.Length > 0 {
+	if a.Status == StatusNotModified && a.Length > 0 {
 		return a, broken("NOMOD with %d bytes", a.Length)
 	}
 	return a, nil
 }
 
-func (a *Answer) fields(text string) (err error) {
+func (a *Response) fields(text string) (err error) {
 	if text == "-" {
 		return nil
 	}
@@ -186,11 +186,11 @@
 		case "entity":
 			a.Tag = value
 		case "issued":
-			a.Issued, err = strconv.ParseInt(value, 10, 64)
+			a.IssuedMillis, err = strconv.ParseInt(value, 10, 64)
 		case "detail":
-			a.Note = notes[value] // an unknown note tells nothing
+			a.Reason = notes[value] // an unknown note tells nothing
 		case "delay":
-			a.Delay, err = figure(value)
+			a.DelayMillis, err = figure(value)
 		case "use":
 			a.Load, err = load(value)
 		}
@@ -223,8 +223,8 @@
 	return v, err
 }
 
-// ReadEnd reads the CR LF behind a body.
-func ReadEnd(r *bufio.Reader) error {
+// ReadBodyEnd reads the CR LF behind a body.
+func ReadBodyEnd(r *bufio.Reader) error {
 	end, err := r.Peek(2)
 	if err != nil {
 		return err
--- a/internal/cacheproto/cacheproto_test.go
+++ b/internal/cacheproto/cacheproto_test.go
@@ -8,12 +8,12 @@
 )
 
 func TestCommands(t *testing.T) {
-	g := &Get{ID: "9b", Class: "page", Object: "x", Part: 3, Budget: 150, Length: 0}
+	g := &GetCommand{ID: "9b", Class: "page", Object: "x", Part: 3, BudgetMillis: 150, Length: 0}
 	want := "GET 9b queue=page,path=x,blk=3,budget=150 0\r\n"
 	if got := string(AppendGet(nil, g)); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	g.Source, g.Rank, g.Age, g.Mode, g.Tag, g.Length = "o-1", 2, 40, 1|2|8, "tag", 7
+	g.Source, g.Priority, g.MaxAgeMillis, g.Mode, g.Tag, g.Length = "o-1", 2, 40, 1|2|8, "tag", 7
 	want = "GET 9b queue=page,path=x,blk=3,budget=150,miss=o-1,prio=2,within=40,f=wait-for+no-fetch+background,mine=tag 7\r\n"
 	if got := string(AppendGet(nil, g)); got != want {
 		t.Errorf("%q, want %q", got, want)
@@ -23,17 +23,17 @@
 	}
 }
 
-func read(text string) (Answer, error) {
-	return ReadAnswer(bufio.NewReaderSize(strings.NewReader(text), 256), 1000)
+func read(text string) (Response, error) {
+	return ReadResponse(bufio.NewReaderSize(strings.NewReader(text), 256), 1000)
 }
 
 func TestAnswer(t *testing.T) {
 	a, err := read("9b ACK entity=4be0,issued=1764576000123,detail=MISS_ORIGIN,delay=12.5,use=util:0.61;x1:2,new=1 9\r\n")
-	if err != nil || a.ID != "9b" || a.Word != Ack || a.Tag != "4be0" || a.Issued != 1764576000123 || a.Note != 3 ||
-		a.Delay != 12.5 || a.Load["util"] != 0.61 || a.Load["x1"] != 2 || a.Length != 9 {
+	if err != nil || a.ID != "9b" || a.Status != StatusOK || a.Tag != "4be0" || a.IssuedMillis != 1764576000123 || a.Reason != 3 ||
+		a.DelayMillis != 12.5 || a.Load["util"] != 0.61 || a.Load["x1"] != 2 || a.Length != 9 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	if a, err := read("p1 READY\r\n"); err != nil || a.Word != Ready || a.Length >= 0 {
+	if a, err := read("p1 READY\r\n"); err != nil || a.Status != StatusReady || a.Length >= 0 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 }
@@ -46,14 +46,14 @@
 		// Not numbers once reached the module.
 		"9b EIO delay=NaN 0\r\n", "9b EIO delay=-1 0\r\n", "9b EIO use=util:Inf 0\r\n", "9b NOMOD entity=e,issued=7 1\r\n", "9b ACK entity=" + strings.Repeat("x", 300) + " 0\r\n",
 	} {
-		if _, err := read(text); !errors.Is(err, ErrBroken) {
+		if _, err := read(text); !errors.Is(err, ErrProtocol) {
 			t.Errorf("%.50q: %v", text, err)
 		}
 	}
-	if _, err := read("9b ACK - 0"); err == nil || errors.Is(err, ErrBroken) {
+	if _, err := read("9b ACK - 0"); err == nil || errors.Is(err, ErrProtocol) {
 		t.Errorf("half a line: %v", err)
 	}
-	if err := ReadEnd(bufio.NewReader(strings.NewReader("xx"))); !errors.Is(err, ErrBroken) {
+	if err := ReadBodyEnd(bufio.NewReader(strings.NewReader("xx"))); !errors.Is(err, ErrProtocol) {
 		t.Errorf("no line's end behind a body: %v", err)
 	}
 }
@@ -64,7 +64,7 @@
 	f.Add("p READY\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		a, err := read(text)
-		if err == nil && (a.Length > 1000 || a.Length < 0 && a.Word != Ready || a.Word == 0) {
+		if err == nil && (a.Length > 1000 || a.Length < 0 && a.Status != StatusReady || a.Status == 0) {
 			t.Fatalf("%+v", a)
 		}
 	})
@@ -72,13 +72,13 @@
 
 // What one side writes the other reads.
 func TestBothSidesAgree(t *testing.T) {
-	g := Get{ID: "ab", Class: "page", Object: "o1", Part: 3, Budget: 70, Source: "s", Rank: 2, Age: 500, Mode: 11, Tag: "t", Length: 4}
+	g := GetCommand{ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2, MaxAgeMillis: 500, Mode: 11, Tag: "t", Length: 4}
 	c, err := ReadCommand(bufio.NewReader(strings.NewReader(string(AppendGet(nil, &g)))))
 	if err != nil || c.Get == nil || *c.Get != g {
 		t.Fatalf("%+v, %v", c.Get, err)
 	}
 	for _, word := range []string{"DROP ab", "PING ab"} {
-		if c, err := ReadCommand(bufio.NewReader(strings.NewReader(word + "\r\n"))); err != nil || c.Drop+c.Ping != "ab" {
+		if c, err := ReadCommand(bufio.NewReader(strings.NewReader(word + "\r\n"))); err != nil || c.DropID+c.PingID != "ab" {
 			t.Errorf("%s: %+v, %v", word, c, err)
 		}
 	}
@@ -87,13 +87,13 @@
 			t.Errorf("%q was read", bad)
 		}
 	}
-	a := Answer{ID: "ab", Word: Ack, Tag: "t", Issued: 9, Note: 4, Delay: 1.5, Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10}
-	got, err := ReadAnswer(bufio.NewReader(strings.NewReader(string(AppendAnswer(nil, &a)))), 100)
-	if err != nil || got.Tag != a.Tag || got.Note != 4 || got.Delay != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
+	a := Response{ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: 4, DelayMillis: 1.5, Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10}
+	got, err := ReadResponse(bufio.NewReader(strings.NewReader(string(AppendResponse(nil, &a)))), 100)
+	if err != nil || got.Tag != a.Tag || got.Reason != 4 || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	none := Answer{ID: "ab", Word: NoEnt}
-	if got, err := ReadAnswer(bufio.NewReader(strings.NewReader(string(AppendAnswer(nil, &none)))), 100); err != nil || got.Word != NoEnt {
+	none := Response{ID: "ab", Status: StatusMiss}
+	if got, err := ReadResponse(bufio.NewReader(strings.NewReader(string(AppendResponse(nil, &none)))), 100); err != nil || got.Status != StatusMiss {
 		t.Fatalf("%+v, %v", got, err)
 	}
 }
--- a/internal/cacheproto/server.go
+++ b/internal/cacheproto/server.go
@@ -13,8 +13,8 @@
 
 // Command is what a router writes: a Get, or else a Drop or a Ping by id.
 type Command struct {
-	Get        *Get
-	Drop, Ping string
+	Get            *GetCommand
+	DropID, PingID string
 }
 
 // ReadCommand reads one line; a Get's body of Length bytes and CR LF follow it.
@@ -34,11 +34,11 @@
 	part := strings.Split(string(line), " ")
 	switch {
 	case len(part) == 2 && part[0] == "DROP":
-		c.Drop = part[1]
+		c.DropID = part[1]
 	case len(part) == 2 && part[0] == "PING":
-		c.Ping = part[1]
+		c.PingID = part[1]
 	case len(part) == 4 && part[0] == "GET":
-		g := &Get{ID: part[1]}
+		g := &GetCommand{ID: part[1]}
 		n, err := strconv.ParseUint(part[3], 10, 31)
 		if err != nil {
 			return c, broken("length %.20q", part[3])
@@ -54,7 +54,7 @@
 	return c, nil
 }
 
-func (g *Get) parse(text string) (err error) {
+func (g *GetCommand) parse(text string) (err error) {
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
@@ -68,13 +68,13 @@
 		case "blk":
 			g.Part, err = strconv.ParseInt(value, 10, 64)
 		case "budget":
-			g.Budget, err = strconv.ParseInt(value, 10, 64)
+			g.BudgetMillis, err = strconv.ParseInt(value, 10, 64)
 		case "miss":
 			g.Source = value
 		case "prio":
-			g.Rank, err = strconv.Atoi(value)
+			g.Priority, err = strconv.Atoi(value)
 		case "within":
-			g.Age, err = strconv.ParseInt(value, 10, 64)
+			g.MaxAgeMillis, err = strconv.ParseInt(value, 10, 64)
 		case "f":
 			for word := range strings.SplitSeq(value, "+") {
 				i := slices.Index(modeWords, word)
@@ -86,7 +86,7 @@
 		case "mine":
 			g.Tag = value
 		case "uniq":
-			g.Key = value
+			g.IdempotencyKey = value
 		default:
 			return broken("field %.20q", name)
 		}
@@ -97,11 +97,11 @@
 	return nil
 }
 
-var answerWords = [...]string{Ack: "ACK", NoMod: "NOMOD", NoEnt: "NOENT", Again: "AGAIN", EIO: "EIO", Stale: "STALE"}
+var answerWords = [...]string{StatusOK: "ACK", StatusNotModified: "NOMOD", StatusMiss: "NOENT", StatusBusy: "AGAIN", StatusError: "EIO", StatusSkipped: "STALE"}
 
-// AppendAnswer writes an answer's line; Length bytes of body and CR LF follow it.
-func AppendAnswer(b []byte, a *Answer) []byte {
-	b = append(append(append(b, a.ID...), ' '), answerWords[a.Word]...)
+// AppendResponse writes an answer's line; Length bytes of body and CR LF follow it.
+func AppendResponse(b []byte, a *Response) []byte {
+	b = append(append(append(b, a.ID...), ' '), answerWords[a.Status]...)
 	sep := byte(' ')
 	field := func(name string) {
 		b = append(append(append(b, sep), name...), '=')
@@ -111,19 +111,19 @@
 		field("entity")
 		b = append(b, a.Tag...)
 	}
-	if a.Issued > 0 {
+	if a.IssuedMillis > 0 {
 		field("issued")
-		b = strconv.AppendInt(b, a.Issued, 10)
+		b = strconv.AppendInt(b, a.IssuedMillis, 10)
 	}
 	for name, n := range notes {
-		if n == a.Note {
+		if n == a.Reason {
 			field("detail")
 			b = append(b, name...)
 		}
 	}
-	if a.Delay > 0 {
+	if a.DelayMillis > 0 {
 		field("delay")
-		b = strconv.AppendFloat(b, a.Delay, 'f', 3, 64)
+		b = strconv.AppendFloat(b, a.DelayMillis, 'f', 3, 64)
 	}
 	if len(a.Load) > 0 {
 		field("use")
--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -20,25 +20,27 @@
 // Counts of one router since its start, or over a moment. Worth is in units of
 // importance. What an earlier text does not tell is zero, and not compared.
 type Counts struct {
-	Txns     float64          `cbor:"1,keyasint,omitempty"`
-	Asked    float64          `cbor:"2,keyasint,omitempty"` // importance asked for
-	Earned   float64          `cbor:"3,keyasint,omitempty"`
-	Refused  float64          `cbor:"4,keyasint,omitempty"`
-	Failed   float64          `cbor:"5,keyasint,omitempty"` // aborted, or the client left without an answer
-	Answered float64          `cbor:"6,keyasint,omitempty"` // completed
-	Time     float64          `cbor:"7,keyasint,omitempty"` // sum of ln(time / SLA time) of those
-	Hops     float64          `cbor:"8,keyasint,omitempty"`
-	Rules    map[string]Worth `cbor:"9,keyasint,omitempty"` // by remap rule
+	Requests      float64                `cbor:"1,keyasint,omitempty" json:"Txns"`
+	WeightOffered float64                `cbor:"2,keyasint,omitempty" json:"Asked"` // importance asked for
+	WeightEarned  float64                `cbor:"3,keyasint,omitempty" json:"Earned"`
+	Rejected      float64                `cbor:"4,keyasint,omitempty" json:"Refused"`
+	Failed        float64                `cbor:"5,keyasint,omitempty"`                 // aborted, or the client left without an answer
+	Completed     float64                `cbor:"6,keyasint,omitempty" json:"Answered"` // completed
+	LogLatencySum float64                `cbor:"7,keyasint,omitempty" json:"Time"`     // sum of ln(time / SLA time) of those
+	Attempts      float64                `cbor:"8,keyasint,omitempty" json:"Hops"`
+	Classes       map[string]ClassCounts `cbor:"9,keyasint,omitempty" json:"Rules"` // by remap rule
 }
 
-// Worth of a remap rule's txns.
-type Worth struct {
-	_                   struct{} `cbor:",toarray"`
-	Txns, Asked, Earned float64
+// ClassCounts of a remap rule's txns.
+type ClassCounts struct {
+	_             struct{} `cbor:",toarray"`
+	Requests      float64  `json:"Txns"`
+	WeightOffered float64  `json:"Asked"`
+	WeightEarned  float64  `json:"Earned"`
 }
 
-// MostRules are told apart; more come in under what all rules earn together.
-const MostRules = 8
+// MaxClasses are told apart; more come in under what all rules earn together.
+const MaxClasses = 8
 
 // Minus is what came since.
 func (c Counts) Minus(o Counts) Counts { return c.add(o, -1) }
@@ -47,96 +49,96 @@
 func (c Counts) Plus(o Counts) Counts { return c.add(o, 1) }
 
 func (c Counts) add(o Counts, sign float64) Counts {
-	d := Counts{Txns: c.Txns + sign*o.Txns, Asked: c.Asked + sign*o.Asked, Earned: c.Earned + sign*o.Earned, Refused: c.Refused + sign*o.Refused,
-		Failed: c.Failed + sign*o.Failed, Answered: c.Answered + sign*o.Answered, Time: c.Time + sign*o.Time, Hops: c.Hops + sign*o.Hops}
-	for _, rules := range []map[string]Worth{c.Rules, o.Rules} {
+	d := Counts{Requests: c.Requests + sign*o.Requests, WeightOffered: c.WeightOffered + sign*o.WeightOffered, WeightEarned: c.WeightEarned + sign*o.WeightEarned, Rejected: c.Rejected + sign*o.Rejected,
+		Failed: c.Failed + sign*o.Failed, Completed: c.Completed + sign*o.Completed, LogLatencySum: c.LogLatencySum + sign*o.LogLatencySum, Attempts: c.Attempts + sign*o.Attempts}
+	for _, rules := range []map[string]ClassCounts{c.Classes, o.Classes} {
 		for name := range rules {
-			if d.Rules == nil {
-				d.Rules = map[string]Worth{}
+			if d.Classes == nil {
+				d.Classes = map[string]ClassCounts{}
 			}
-			if a, b := c.Rules[name], o.Rules[name]; len(d.Rules) < MostRules || d.Rules[name] != (Worth{}) {
-				d.Rules[name] = Worth{Txns: a.Txns + sign*b.Txns, Asked: a.Asked + sign*b.Asked, Earned: a.Earned + sign*b.Earned}
+			if a, b := c.Classes[name], o.Classes[name]; len(d.Classes) < MaxClasses || d.Classes[name] != (ClassCounts{}) {
+				d.Classes[name] = ClassCounts{Requests: a.Requests + sign*b.Requests, WeightOffered: a.WeightOffered + sign*b.WeightOffered, WeightEarned: a.WeightEarned + sign*b.WeightEarned}
 			}
 		}
 	}
 	return d
 }
 
-// Figure is one that is compared; more is worse.
-type Figure uint8
+// Metric is one that is compared; more is worse.
+type Metric uint8
 
 // Figures.
 const (
-	Loss     Figure = iota // of worth, as a share of what was asked for
-	Refusals               // share of txns
-	Failures               // the same
-	Slowness               // mean ln(time / SLA time) of completed txns: 0.18 is a fifth slower
-	Hops                   // a txn
-	Figures
+	MetricLoss       Metric = iota // of worth, as a share of what was asked for
+	MetricRejections               // share of txns
+	MetricFailures                 // the same
+	MetricSlowness                 // mean ln(time / SLA time) of completed txns: 0.18 is a fifth slower
+	MetricAttempts                 // a txn
+	MetricCount
 )
 
-var figureNames = [Figures]string{"loss of worth", "refusals", "failures", "slowness", "hops a txn"}
+var figureNames = [MetricCount]string{"loss of worth", "refusals", "failures", "slowness", "hops a txn"}
 
-func (f Figure) String() string { return figureNames[f] }
+func (f Metric) String() string { return figureNames[f] }
 
 // of tells a figure; false: nothing was told of it.
-func (f Figure) of(c Counts) (float64, bool) {
+func (f Metric) of(c Counts) (float64, bool) {
 	switch f {
-	case Loss:
-		return 1 - c.Earned/max(c.Asked, 1e-9), true
-	case Refusals:
-		return c.Refused / max(c.Txns, 1), true
-	case Failures:
-		return c.Failed / max(c.Txns, 1), true
-	case Slowness:
-		return c.Time / max(c.Answered, 1), c.Answered > 0
+	case MetricLoss:
+		return 1 - c.WeightEarned/max(c.WeightOffered, 1e-9), true
+	case MetricRejections:
+		return c.Rejected / max(c.Requests, 1), true
+	case MetricFailures:
+		return c.Failed / max(c.Requests, 1), true
+	case MetricSlowness:
+		return c.LogLatencySum / max(c.Completed, 1), c.Completed > 0
 	}
-	return c.Hops / max(c.Txns, 1), c.Hops > 0
+	return c.Attempts / max(c.Requests, 1), c.Attempts > 0
 }
 
 // Settings of a judgement.
 type Settings struct {
-	Chance float64          // of stopping one that is the same, over all figures and looks
-	Bear   [Figures]float64 // differences that are borne: no stop for less
-	Rule   float64          // loss of worth of a single remap rule that is borne
-	Most   float64          // the loss of worth that must be ruled out for a pass
-	Least  float64          // txns of each arm that make a moment
-	Skip   int64            // microseconds from a router's change on that are left out
+	FalseStopProbability float64              // of stopping one that is the same, over all figures and looks
+	Tolerance            [MetricCount]float64 // differences that are borne: no stop for less
+	ClassTolerance       float64              // loss of worth of a single remap rule that is borne
+	MaxLoss              float64              // the loss of worth that must be ruled out for a pass
+	MinRequests          float64              // txns of each arm that make a moment
+	SkipMicros           int64                // microseconds from a router's change on that are left out
 }
 
-// Default settings: a loss of 0.05 must be ruled out; half a hundredth of refusals and
+// DefaultSettings settings: a loss of 0.05 must be ruled out; half a hundredth of refusals and
 // failures, and a hundredth of worth, are borne, since two routers of an office never
 // see quite the same; so are a twentieth of the time and of a hop, and 0.03 of what a
 // single remap rule earns.
-func Default() Settings {
-	return Settings{Chance: 0.05, Bear: [Figures]float64{0.01, 0.005, 0.005, 0.05, 0.05}, Rule: 0.03, Most: 0.05, Least: 25, Skip: 2_000_000}
+func DefaultSettings() Settings {
+	return Settings{FalseStopProbability: 0.05, Tolerance: [MetricCount]float64{0.01, 0.005, 0.005, 0.05, 0.05}, ClassTolerance: 0.03, MaxLoss: 0.05, MinRequests: 25, SkipMicros: 2_000_000}
 }
 
-// Word is what is said of a stage.
-type Word uint8
+// Verdict is what is said of a stage.
+type Verdict uint8
 
 // Words.
 const (
-	CantTell Word = iota // too little was seen; it is no pass
-	Good                 // no figure is worse, and the loss that matters is ruled out
-	Worse
+	VerdictInconclusive Verdict = iota // too little was seen; it is no pass
+	VerdictPass                        // no figure is worse, and the loss that matters is ruled out
+	VerdictWorse
 )
 
-func (w Word) String() string { return [...]string{"can't tell", "good", "worse"}[w] }
+func (w Verdict) String() string { return [...]string{"can't tell", "good", "worse"}[w] }
 
-// Bound is a figure's difference, new less old, with the sequence's bounds.
-type Bound struct {
+// Interval is a figure's difference, new less old, with the sequence's bounds.
+type Interval struct {
 	Mean, Low, High float64
-	Moments         int
+	Samples         int
 }
 
-// Judge of one stage.
-type Judge struct {
+// Analyzer of one stage.
+type Analyzer struct {
 	set     Settings
 	offices map[string]*pair
-	diffs   [Figures][]float64
+	diffs   [MetricCount][]float64
 	rules   map[string]*ruled
-	chance  [Figures]float64
+	chance  [MetricCount]float64
 	rule    float64 // chance of each rule
 }
 
@@ -146,7 +148,7 @@
 // ruled is a remap rule's worth, judged for itself: its txns may be few, and its
 // moments long.
 type ruled struct {
-	offices map[string]*[2]Worth
+	offices map[string]*[2]ClassCounts
 	diffs   []float64
 }
 
@@ -158,12 +160,12 @@
 const mainShare = 0.8
 
 // New judge. Stages share the chance of a false stop, and so do figures.
-func New(set Settings, stages int) *Judge {
-	j := &Judge{set: set, offices: map[string]*pair{}, rules: map[string]*ruled{}}
-	each := set.Chance / float64(max(stages, 1))
-	const main, rest = 3, float64(Figures - 3 + MostRules)
-	for f := range Figures {
-		if j.chance[f] = each * mainShare / main; f > Failures {
+func New(set Settings, stages int) *Analyzer {
+	j := &Analyzer{set: set, offices: map[string]*pair{}, rules: map[string]*ruled{}}
+	each := set.FalseStopProbability / float64(max(stages, 1))
+	const main, rest = 3, float64(MetricCount - 3 + MaxClasses)
+	for f := range MetricCount {
+		if j.chance[f] = each * mainShare / main; f > MetricFailures {
 			j.chance[f] = each * (1 - mainShare) / rest
 		}
 	}
@@ -171,11 +173,11 @@
 	return j
 }
 
-// Skip is how long after its change a router is left out, microseconds.
-func (j *Judge) Skip() int64 { return j.set.Skip }
+// SkipMicros is how long after its change a router is left out, microseconds.
+func (j *Analyzer) SkipMicros() int64 { return j.set.SkipMicros }
 
-// Add notes what a router of an office did over a moment.
-func (j *Judge) Add(office string, isNew bool, c Counts) {
+// Observe notes what a router of an office did over a moment.
+func (j *Analyzer) Observe(office string, isNew bool, c Counts) {
 	p := j.offices[office]
 	if p == nil {
 		p = &pair{}
@@ -187,34 +189,34 @@
 	} else {
 		p.old = p.old.Plus(c)
 	}
-	for name, w := range c.Rules {
+	for name, w := range c.Classes {
 		r := j.rules[name]
-		if r == nil && len(j.rules) < MostRules {
-			r = &ruled{offices: map[string]*[2]Worth{}}
+		if r == nil && len(j.rules) < MaxClasses {
+			r = &ruled{offices: map[string]*[2]ClassCounts{}}
 			j.rules[name] = r
 		}
 		if r == nil {
 			continue
 		}
 		if r.offices[office] == nil {
-			r.offices[office] = &[2]Worth{}
+			r.offices[office] = &[2]ClassCounts{}
 		}
 		x := &r.offices[office][arm]
-		x.Txns, x.Asked, x.Earned = x.Txns+w.Txns, x.Asked+w.Asked, x.Earned+w.Earned
+		x.Requests, x.WeightOffered, x.WeightEarned = x.Requests+w.Requests, x.WeightOffered+w.WeightOffered, x.WeightEarned+w.WeightEarned
 	}
 }
 
-// Moment ends one: all offices whose two arms have seen enough make one difference
+// EndSample ends one: all offices whose two arms have seen enough make one difference
 // together, weighed by the smaller arm. What strikes an office strikes both its arms;
 // what strikes one moment is one sample, however many offices it struck.
-func (j *Judge) Moment() {
-	var weight, sum [Figures]float64
+func (j *Analyzer) EndSample() {
+	var weight, sum [MetricCount]float64
 	for _, p := range j.offices {
-		w := min(p.old.Txns, p.new.Txns)
-		if w < j.set.Least {
+		w := min(p.old.Requests, p.new.Requests)
+		if w < j.set.MinRequests {
 			continue
 		}
-		for f := range Figures {
+		for f := range MetricCount {
 			a, known := f.of(p.new)
 			b, both := f.of(p.old)
 			if known && both {
@@ -224,7 +226,7 @@
 		}
 		*p = pair{}
 	}
-	for f := range Figures {
+	for f := range MetricCount {
 		if weight[f] > 0 && len(j.diffs[f]) < mostMoments {
 			j.diffs[f] = append(j.diffs[f], sum[f]/weight[f])
 		}
@@ -232,13 +234,13 @@
 	for _, r := range j.rules {
 		weight, sum := 0.0, 0.0
 		for _, x := range r.offices {
-			w := min(x[0].Txns, x[1].Txns)
-			if w < j.set.Least {
+			w := min(x[0].Requests, x[1].Requests)
+			if w < j.set.MinRequests {
 				continue
 			}
 			weight += w
-			sum += w * (x[0].Earned/max(x[0].Asked, 1e-9) - x[1].Earned/max(x[1].Asked, 1e-9))
-			*x = [2]Worth{}
+			sum += w * (x[0].WeightEarned/max(x[0].WeightOffered, 1e-9) - x[1].WeightEarned/max(x[1].WeightOffered, 1e-9))
+			*x = [2]ClassCounts{}
 		}
 		if weight > 0 && len(r.diffs) < mostMoments {
 			r.diffs = append(r.diffs, sum/weight)
@@ -268,25 +270,25 @@
 	return max(one, many*math.Sqrt(batch))
 }
 
-// Bound tells a figure's.
-func (j *Judge) Bound(f Figure) Bound { return j.bound(j.diffs[f], j.chance[f]) }
+// Interval tells a figure's.
+func (j *Analyzer) Interval(f Metric) Interval { return j.bound(j.diffs[f], j.chance[f]) }
 
-func (j *Judge) bound(d []float64, chance float64) Bound {
+func (j *Analyzer) bound(d []float64, chance float64) Interval {
 	n := float64(len(d))
 	if len(d) < 2 {
-		return Bound{Low: math.Inf(-1), High: math.Inf(1), Moments: len(d)}
+		return Interval{Low: math.Inf(-1), High: math.Inf(1), Samples: len(d)}
 	}
 	// floor keeps a figure that has not moved yet from being certain: a single txn of
 	// the least moment, once in all of them.
-	floor := 1 / (j.set.Least * math.Sqrt(n))
+	floor := 1 / (j.set.MinRequests * math.Sqrt(n))
 	sd := max(spread(d), floor)
-	half := sd * Width(len(d), chance)
+	half := sd * HalfWidth(len(d), chance)
 	m := stat.Mean(d, nil)
-	return Bound{m, m - half, m + half, len(d)}
+	return Interval{m, m - half, m + half, len(d)}
 }
 
-// Rules are the remap rules that were seen in both arms, by name.
-func (j *Judge) Rules() (names []string) {
+// Classes are the remap rules that were seen in both arms, by name.
+func (j *Analyzer) Classes() (names []string) {
 	for name, r := range j.rules {
 		if len(r.diffs) > 0 {
 			names = append(names, name)
@@ -296,8 +298,8 @@
 	return names
 }
 
-// OfRule tells the loss of worth of a remap rule's txns, and its moments.
-func (j *Judge) OfRule(name string) (Bound, []float64) {
+// ClassInterval tells the loss of worth of a remap rule's txns, and its moments.
+func (j *Analyzer) ClassInterval(name string) (Interval, []float64) {
 	d := j.rules[name].diffs
 	return j.bound(d, j.rule), d
 }
@@ -305,72 +307,74 @@
 // tightAt is the number of moments at which the bounds are tightest for their chance.
 const tightAt = 60
 
-// Width is half of the sequence's, in standard deviations of a moment, after n moments.
-func Width(n int, chance float64) float64 {
+// HalfWidth is half of the sequence's, in standard deviations of a moment, after n moments.
+func HalfWidth(n int, chance float64) float64 {
 	v := -math.Log(chance*chance) + math.Log(-math.Log(chance*chance)) + 1
 	rho2 := v / tightAt
 	x := float64(n)*rho2 + 1
 	return math.Sqrt(2 * x / (float64(n) * float64(n) * rho2) * math.Log(math.Sqrt(x)/(chance/2)))
 }
 
-// Moments are a figure's differences so far.
-func (j *Judge) Moments(f Figure) []float64 { return j.diffs[f] }
+// Samples are a figure's differences so far.
+func (j *Analyzer) Samples(f Metric) []float64 { return j.diffs[f] }
 
-// Say judges what was seen. Why names the figure.
-func (j *Judge) Say() (w Word, why string) {
+// Verdict judges what was seen. Why names the figure.
+func (j *Analyzer) Verdict() (w Verdict, why string) {
 	if len(j.diffs[0]) < leastMoments {
-		return CantTell, fmt.Sprintf("%d moments, %d are wanted", len(j.diffs[0]), leastMoments)
+		return VerdictInconclusive, fmt.Sprintf("%d moments, %d are wanted", len(j.diffs[0]), leastMoments)
 	}
-	for f := range Figures {
-		if b := j.Bound(f); b.Moments >= leastMoments && b.Low > j.set.Bear[f] {
-			return Worse, fmt.Sprintf("%v: %+.4f, at least %+.4f, %.4f is borne (%d moments)", f, b.Mean, b.Low, j.set.Bear[f], b.Moments)
+	for f := range MetricCount {
+		if b := j.Interval(f); b.Samples >= leastMoments && b.Low > j.set.Tolerance[f] {
+			return VerdictWorse, fmt.Sprintf("%v: %+.4f, at least %+.4f, %.4f is borne (%d moments)", f, b.Mean, b.Low, j.set.Tolerance[f], b.Samples)
 		}
 	}
-	for _, name := range j.Rules() {
-		if b, _ := j.OfRule(name); b.Moments >= leastMoments && b.Low > j.set.Rule {
-			return Worse, fmt.Sprintf("%v of %s: %+.4f, at least %+.4f, %.4f is borne (%d moments)", Loss, name, b.Mean, b.Low, j.set.Rule, b.Moments)
+	for _, name := range j.Classes() {
+		if b, _ := j.ClassInterval(name); b.Samples >= leastMoments && b.Low > j.set.ClassTolerance {
+			return VerdictWorse, fmt.Sprintf("%v of %s: %+.4f, at least %+.4f, %.4f is borne (%d moments)", MetricLoss, name, b.Mean, b.Low, j.set.ClassTolerance, b.Samples)
 		}
 	}
-	b := j.Bound(Loss)
-	if b.High < j.set.Most {
-		return Good, fmt.Sprintf("%v: %+.4f, at most %+.4f (%d moments)", Loss, b.Mean, b.High, b.Moments)
+	b := j.Interval(MetricLoss)
+	if b.High < j.set.MaxLoss {
+		return VerdictPass, fmt.Sprintf("%v: %+.4f, at most %+.4f (%d moments)", MetricLoss, b.Mean, b.High, b.Samples)
 	}
-	return CantTell, fmt.Sprintf("%v: %+.4f, from %+.4f to %+.4f (%d moments)", Loss, b.Mean, b.Low, b.High, b.Moments)
+	return VerdictInconclusive, fmt.Sprintf("%v: %+.4f, from %+.4f to %+.4f (%d moments)", MetricLoss, b.Mean, b.Low, b.High, b.Samples)
 }
 
-// Fell tells whether a whole fleet loses more worth than it did before: where nobody is
+// FleetRegressed tells whether a whole fleet loses more worth than it did before: where nobody is
 // left to compare with, this is all that can be asked. By how much at the least, by the
 // bounds of both means. It can't tell a change from trouble that began with it.
-func Fell(set Settings, stages int, before, after []float64) (by float64, fell bool) {
+func FleetRegressed(set Settings, stages int, before, after []float64) (by float64, fell bool) {
 	if len(before) < leastMoments || len(after) < leastMoments {
 		return 0, false
 	}
-	chance := New(set, stages).chance[Loss]
-	low := func(d []float64) (mean, half float64) { return stat.Mean(d, nil), spread(d) * Width(len(d), chance/2) }
+	chance := New(set, stages).chance[MetricLoss]
+	low := func(d []float64) (mean, half float64) {
+		return stat.Mean(d, nil), spread(d) * HalfWidth(len(d), chance/2)
+	}
 	b, bh := low(before)
 	a, ah := low(after)
 	by = a - ah - b - bh
-	return by, by > set.Most
+	return by, by > set.MaxLoss
 }
 
 // LossOf is the share of importance that was not earned; false: too few txns.
 func (s *Settings) LossOf(c Counts) (float64, bool) {
-	loss, _ := Loss.of(c)
-	return loss, c.Txns >= s.Least
+	loss, _ := MetricLoss.of(c)
+	return loss, c.Requests >= s.MinRequests
 }
 
-// Needed is how many moments tell a loss apart, for a spread of moments: it is found
+// SamplesNeeded is how many moments tell a loss apart, for a spread of moments: it is found
 // where it is there (stop), and the loss that matters is ruled out where there is none
 // (pass). 0: not within most of them.
-func Needed(set Settings, stages int, sd, loss float64, most int) (stop, pass int) {
-	chance := New(set, stages).chance[Loss]
+func SamplesNeeded(set Settings, stages int, sd, loss float64, most int) (stop, pass int) {
+	chance := New(set, stages).chance[MetricLoss]
 	at := func(gap float64) int {
 		for n := leastMoments; n <= most; n += max(n/50, 1) {
-			if sd*Width(n, chance) < gap {
+			if sd*HalfWidth(n, chance) < gap {
 				return n
 			}
 		}
 		return 0
 	}
-	return at(loss - set.Bear[Loss]), at(set.Most)
+	return at(loss - set.Tolerance[MetricLoss]), at(set.MaxLoss)
 }
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -10,9 +10,9 @@
 
 // arms plays two arms that fail by chance, with an office's trouble that both share and
 // with shares that wander for each arm alone, and returns what was said and when.
-func arms(seed uint64, worse, refuse, wander float64, moments int) (Word, int) {
+func arms(seed uint64, worse, refuse, wander float64, moments int) (Verdict, int) {
 	dice := rand.New(rand.NewPCG(seed, 7))
-	j := New(Default(), 3)
+	j := New(DefaultSettings(), 3)
 	w := [2]float64{}
 	for at := 1; at <= moments; at++ {
 		trouble := 0.03
@@ -24,25 +24,25 @@
 			p := min(max(trouble+w[arm], 0), 1)
 			var c Counts
 			for range 40 {
-				c.Txns++
-				c.Asked++
+				c.Requests++
+				c.WeightOffered++
 				switch {
 				case arm == 1 && dice.Float64() < refuse:
-					c.Refused++
+					c.Rejected++
 				case dice.Float64() < p+float64(arm)*worse:
 				default:
-					c.Earned++
+					c.WeightEarned++
 				}
 			}
-			j.Add("o", arm == 1, c)
+			j.Observe("o", arm == 1, c)
 		}
-		if j.Moment(); at%3 == 0 {
-			if word, _ := j.Say(); word != CantTell {
+		if j.EndSample(); at%3 == 0 {
+			if word, _ := j.Verdict(); word != VerdictInconclusive {
 				return word, at
 			}
 		}
 	}
-	return CantTell, moments
+	return VerdictInconclusive, moments
 }
 
 // The same program is stopped seldom, looked at all the time, in calm, in trouble and
@@ -57,26 +57,26 @@
 		return n
 	}
 	for _, wander := range []float64{0, 0.02} {
-		if n := play(0, 0, wander); n[Worse] > runs/20 || n[Good] < runs*8/10 {
+		if n := play(0, 0, wander); n[VerdictWorse] > runs/20 || n[VerdictPass] < runs*8/10 {
 			t.Errorf("the same, wander %g: %v", wander, n)
 		}
-		if n := play(0.06, 0, wander); n[Good] > runs/20 || n[Worse] < runs/2 {
+		if n := play(0.06, 0, wander); n[VerdictPass] > runs/20 || n[VerdictWorse] < runs/2 {
 			t.Errorf("0.06 worse, wander %g: %v", wander, n)
 		}
-		if n := play(0, 0.04, wander); n[Good] > runs/20 || n[Worse] < runs/2 {
+		if n := play(0, 0.04, wander); n[VerdictPass] > runs/20 || n[VerdictWorse] < runs/2 {
 			t.Errorf("4%% refused, wander %g: %v", wander, n)
 		}
 	}
 	// Too little seen is no pass.
-	if w, at := arms(1, 0, 0, 0, 5); w != CantTell || at != 5 {
+	if w, at := arms(1, 0, 0, 0, 5); w != VerdictInconclusive || at != 5 {
 		t.Error(w, at)
 	}
-	j := New(Default(), 1)
+	j := New(DefaultSettings(), 1)
 	for range 100 {
-		j.Add("o", true, Counts{Txns: 100, Asked: 100, Earned: 100}) // nothing beside it
-		j.Moment()
+		j.Observe("o", true, Counts{Requests: 100, WeightOffered: 100, WeightEarned: 100}) // nothing beside it
+		j.EndSample()
 	}
-	if w, _ := j.Say(); w != CantTell {
+	if w, _ := j.Verdict(); w != VerdictInconclusive {
 		t.Error(w)
 	}
 }
@@ -90,7 +90,7 @@
 		sum := 0.0
 		for n := 1; n <= moments; n++ {
 			sum += dice.NormFloat64()
-			if n >= leastMoments && math.Abs(sum/float64(n)) > Width(n, chance) {
+			if n >= leastMoments && math.Abs(sum/float64(n)) > HalfWidth(n, chance) {
 				left++
 				break
 			}
@@ -99,7 +99,7 @@
 	if t.Logf("%d of %d left the bounds", left, runs); left > runs*chance*1.3 {
 		t.Error("more than their chance")
 	}
-	if stop, pass := Needed(Default(), 3, 0.05, 0.05, 5000); stop == 0 || pass == 0 || stop < pass {
+	if stop, pass := SamplesNeeded(DefaultSettings(), 3, 0.05, 0.05, 5000); stop == 0 || pass == 0 || stop < pass {
 		t.Error(stop, pass)
 	}
 }
@@ -113,28 +113,28 @@
 		says   string
 	}{
 		{"the same", func(*Counts) {}, ""},
-		{"a fifth slower", func(c *Counts) { c.Time += 0.18 * c.Answered }, "slowness"},
-		{"a hop more for one in five", func(c *Counts) { c.Hops += 0.2 * c.Txns }, "hops a txn"},
-		{"a rule that fails", func(c *Counts) { c.Rules["accept"] = Worth{Txns: 30, Asked: 30, Earned: 24} }, "loss of worth of accept"},
-		{"an earlier text", func(c *Counts) { c.Answered, c.Time, c.Hops, c.Rules = 0, 0, 0, nil }, ""},
+		{"a fifth slower", func(c *Counts) { c.LogLatencySum += 0.18 * c.Completed }, "slowness"},
+		{"a hop more for one in five", func(c *Counts) { c.Attempts += 0.2 * c.Requests }, "hops a txn"},
+		{"a rule that fails", func(c *Counts) { c.Classes["accept"] = ClassCounts{Requests: 30, WeightOffered: 30, WeightEarned: 24} }, "loss of worth of accept"},
+		{"an earlier text", func(c *Counts) { c.Completed, c.LogLatencySum, c.Attempts, c.Classes = 0, 0, 0, nil }, ""},
 	} {
 		dice := rand.New(rand.NewPCG(3, 3))
-		j := New(Default(), 3)
+		j := New(DefaultSettings(), 3)
 		for range 120 {
 			for arm := range 2 {
-				k := Counts{Txns: 60, Asked: 60, Earned: 59, Answered: 60, Hops: 66, Rules: map[string]Worth{"accept": {Txns: 30, Asked: 30, Earned: 29}}}
+				k := Counts{Requests: 60, WeightOffered: 60, WeightEarned: 59, Completed: 60, Attempts: 66, Classes: map[string]ClassCounts{"accept": {Requests: 30, WeightOffered: 30, WeightEarned: 29}}}
 				for range 60 {
-					k.Time += dice.NormFloat64() * 0.5
+					k.LogLatencySum += dice.NormFloat64() * 0.5
 				}
 				if arm == 1 {
 					c.change(&k)
 				}
-				j.Add("o", arm == 1, k)
+				j.Observe("o", arm == 1, k)
 			}
-			j.Moment()
+			j.EndSample()
 		}
-		w, why := j.Say()
-		if (w == Worse) != (c.says != "") || !strings.HasPrefix(why, c.says) {
+		w, why := j.Verdict()
+		if (w == VerdictWorse) != (c.says != "") || !strings.HasPrefix(why, c.says) {
 			t.Errorf("%s: %v, %s", c.name, w, why)
 		}
 	}
@@ -142,23 +142,23 @@
 	for i := range before {
 		before[i], after[i] = 0.01*float64(i%3), 0.01*float64(i%3)
 	}
-	if by, fell := Fell(Default(), 3, before, after); fell {
+	if by, fell := FleetRegressed(DefaultSettings(), 3, before, after); fell {
 		t.Error(by)
 	}
 	for i := range after {
 		after[i] += 0.2
 	}
-	if by, fell := Fell(Default(), 3, before, after); !fell || by < 0.1 || by > 0.2 {
+	if by, fell := FleetRegressed(DefaultSettings(), 3, before, after); !fell || by < 0.1 || by > 0.2 {
 		t.Error(by, fell)
 	}
-	if _, fell := Fell(Default(), 3, nil, after); fell {
+	if _, fell := FleetRegressed(DefaultSettings(), 3, nil, after); fell {
 		t.Error("it fell from nothing")
 	}
-	c := Counts{Rules: map[string]Worth{}}
-	for i := range 3 * MostRules {
-		c = c.Plus(Counts{Rules: map[string]Worth{fmt.Sprint("r", i): {Txns: 1}}})
+	c := Counts{Classes: map[string]ClassCounts{}}
+	for i := range 3 * MaxClasses {
+		c = c.Plus(Counts{Classes: map[string]ClassCounts{fmt.Sprint("r", i): {Requests: 1}}})
 	}
-	if len(c.Rules) > MostRules {
-		t.Error(len(c.Rules))
+	if len(c.Classes) > MaxClasses {
+		t.Error(len(c.Classes))
 	}
 }
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -13,7 +13,7 @@
 
 // Figures are those of the rules. Times are microseconds.
 type Figures struct {
-	Rules       []policy.RemapRule
+	Rules       []policy.TrafficClass
 	AnswerSlack int64
 	DrainGrace  int64
 	PurgeGrace  int64
@@ -45,7 +45,7 @@
 // Referee takes a record's lines in order.
 type Referee struct {
 	figures Figures
-	rules   map[string]policy.RemapRule
+	rules   map[string]policy.TrafficClass
 	now     int64
 	txns    map[id]*txn
 	listed  map[string]listing       // by server
@@ -117,7 +117,7 @@
 }
 
 type txn struct {
-	rule     policy.RemapRule
+	rule     policy.TrafficClass
 	object   string
 	group    int64
 	deadline int64
@@ -141,7 +141,7 @@
 
 // New makes a referee.
 func New(f Figures) *Referee {
-	r := &Referee{figures: f, rules: map[string]policy.RemapRule{}, txns: map[id]*txn{}, listed: map[string]listing{},
+	r := &Referee{figures: f, rules: map[string]policy.TrafficClass{}, txns: map[id]*txn{}, listed: map[string]listing{},
 		told: map[int]map[string]state{}, purges: map[int][]purge{}, lost: map[id]*txn{}, stops: map[int]stop{}}
 	for _, k := range f.Rules {
 		r.rules[k.Name] = k
@@ -257,7 +257,7 @@
 		switch {
 		case t.rule.Effect == "unsafe":
 			r.broken(2, e, "sent again while hop %d (%q) may have run", h.n, h.end)
-		case t.rule.Window > 0 && e.At-h.sent >= t.rule.Window:
+		case t.rule.DedupWindow > 0 && e.At-h.sent >= t.rule.DedupWindow:
 			r.broken(2, e, "a keyed txn sent again %d ms after hop %d, past the window", (e.At-h.sent)/ms, h.n)
 		}
 	}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -88,8 +88,8 @@
 			end(410, 0, "done"), final(410, "completed", 89)}},
 	} {
 		r := New(Figures{AnswerSlack: 8 * ms, DrainGrace: 500 * ms, PurgeGrace: 300 * ms, ToldBy: 7 * second,
-			Rules: []policy.RemapRule{{Name: "read", Effect: "safe"}, {Name: "sign", Effect: "unsafe", Write: true},
-				{Name: "keyed", Effect: "keyed", Window: 100 * ms}}})
+			Rules: []policy.TrafficClass{{Name: "read", Effect: "safe"}, {Name: "sign", Effect: "unsafe", Write: true},
+				{Name: "keyed", Effect: "keyed", DedupWindow: 100 * ms}}})
 		for _, l := range c.lines {
 			r.Note(l)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,14 +25,14 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name, Listen, Board string
-	Seed                uint64
-	Cores               float64
-	MemoryMB            int
-	Known               json.RawMessage // nil: nothing known yet
-	Settings            settings.Setup
-	Limits              *Limits
-	Flow, Link          int64 // of the router's own link, bytes a second: one transfer, all; 0: not told
+	Name, Listen, DiscoveryAddr              string
+	Seed                                     uint64
+	Cores                                    float64
+	MemoryMB                                 int
+	InitialUpdate                            json.RawMessage // nil: nothing known yet
+	Settings                                 settings.Setup
+	Limits                                   *Limits
+	ClientBytesPerSecond, LinkBytesPerSecond int64 // of the router's own link, bytes a second: one transfer, all; 0: not told
 }
 
 type file struct {
@@ -98,7 +98,7 @@
 func (f fault) Error() string { return f.key + ": " + f.text }
 
 func (f *file) check() (*Config, error) {
-	c := &Config{Cores: 1, MemoryMB: 192, Known: f.Known, Settings: settings.Setup{}}
+	c := &Config{Cores: 1, MemoryMB: 192, InitialUpdate: f.Known, Settings: settings.Setup{}}
 	switch {
 	case f.Name == nil || *f.Name == "":
 		return nil, fault{"name", "missing"}
@@ -109,8 +109,8 @@
 	case f.Settings == nil:
 		return nil, fault{"settings", "missing"}
 	}
-	c.Name, c.Listen, c.Board, c.Settings = *f.Name, *f.Listen, *f.Board, *f.Settings
-	for key, addr := range map[string]string{"listen": c.Listen, "board": c.Board} {
+	c.Name, c.Listen, c.DiscoveryAddr, c.Settings = *f.Name, *f.Listen, *f.Board, *f.Settings
+	for key, addr := range map[string]string{"listen": c.Listen, "board": c.DiscoveryAddr} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			return nil, fault{key, "not an address with a port"}
 		}
@@ -146,7 +146,7 @@
 			return nil, fault{key, fmt.Sprintf("%g is not within 0 and 1e15", v)}
 		}
 	}
-	c.Flow, c.Link = int64(f.Flow), int64(f.Link)
+	c.ClientBytesPerSecond, c.LinkBytesPerSecond = int64(f.Flow), int64(f.Link)
 	if err := checkSettings(&c.Settings); err != nil {
 		return nil, err
 	}
@@ -154,15 +154,15 @@
 	return c, nil
 }
 
-// Fixed names the keys in which another configuration differs and which can't
+// ImmutableChanges names the keys in which another configuration differs and which can't
 // change while the router runs: all but the board's address and what is known.
-func (c *Config) Fixed(other *Config) (keys []string) {
+func (c *Config) ImmutableChanges(other *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		same bool
 	}{
 		{"name", c.Name == other.Name}, {"listen", c.Listen == other.Listen}, {"seed", c.Seed == other.Seed},
-		{"limits", c.Cores == other.Cores && c.MemoryMB == other.MemoryMB && c.Limits.Sockets == other.Limits.Sockets},
+		{"limits", c.Cores == other.Cores && c.MemoryMB == other.MemoryMB && c.Limits.MaxDescriptors == other.Limits.MaxDescriptors},
 		{"settings", reflect.DeepEqual(c.Settings, other.Settings)},
 	} {
 		if !k.same {
@@ -207,7 +207,7 @@
 	for i, k := range s.Classes {
 		key := fmt.Sprintf("settings.Classes[%d].", i)
 		switch {
-		case k.Name == "" || !cacheproto.Plain(k.Name):
+		case k.Name == "" || !cacheproto.IsPlain(k.Name):
 			return fault{key + "Name", "not a plain word"}
 		case k.Effect != "safe" && k.Effect != "keyed" && k.Effect != "unsafe":
 			return fault{key + "Effect", fmt.Sprintf("%q is none of safe, keyed, unsafe", k.Effect)}
@@ -224,46 +224,46 @@
 
 // Limits are the sizes, counts and times that the sockets' side keeps to.
 type Limits struct {
-	Memory int64 // bytes that the collector aims to stay under
+	MemoryBytes int64 // bytes that the collector aims to stay under
 
-	Sockets   int // descriptors of the process
-	Clients   int // connections
-	Upstream  int
-	PerServer int // before hops share a connection
-	Streams   int // hops on a connection
+	MaxDescriptors      int // descriptors of the process
+	MaxClients          int // connections
+	MaxUpstreamConns    int
+	MaxConnsPerEndpoint int // before hops share a connection
+	MaxStreamsPerConn   int // hops on a connection
 
-	Head    int   // bytes of a message's head
-	Fields  int   // headers
-	Upload  int   // bytes of a client's body
-	ReadOff int   // bytes read behind a refusal
-	Answer  int   // bytes of a cache server's body
-	News    int   // bytes of the notice board's answer
-	Held    int64 // bytes of bodies at once
+	MaxHeadBytes     int   // bytes of a message's head
+	MaxHeaderFields  int   // headers
+	MaxRequestBody   int   // bytes of a client's body
+	MaxDiscardBytes  int   // bytes read behind a refusal
+	MaxResponseBody  int   // bytes of a cache server's body
+	MaxDiscoveryBody int   // bytes of the notice board's answer
+	MaxBufferedBytes int64 // bytes of bodies at once
 
-	LongestTxn   time.Duration // time limits told are cut to this
-	RequestTime  time.Duration // for a request to come whole: from its first byte, the first one from the start
-	IdleClient   time.Duration
-	ReadOn       time.Duration // behind a refusal, and for one to be taken in
-	ReplySlack   time.Duration // past a txn's time limit, for a slow reader
-	Connect      time.Duration
-	Decided      time.Duration // how old the decision on a hop may be when it is written
-	IdleUpstream time.Duration
-	Write        time.Duration // for a server to take a write in
-	Frame        time.Duration // for a server to finish an answer that it began
-	Stall        time.Duration // within an answer, between two pieces of it
-	Remember     time.Duration // hops that are over, of which an answer may still come
-	Linger       time.Duration // of a poll
-	PollSlack    time.Duration
-	RetryFirst   time.Duration // after a failed poll, doubling
-	RetryMost    time.Duration
+	MaxRequestTimeout     time.Duration // time limits told are cut to this
+	RequestReadTimeout    time.Duration // for a request to come whole: from its first byte, the first one from the start
+	ClientIdleTimeout     time.Duration
+	LingeringCloseTimeout time.Duration // behind a refusal, and for one to be taken in
+	ResponseGrace         time.Duration // past a txn's time limit, for a slow reader
+	ConnectTimeout        time.Duration
+	MaxDecisionAge        time.Duration // how old the decision on a hop may be when it is written
+	UpstreamIdleTimeout   time.Duration
+	WriteTimeout          time.Duration // for a server to take a write in
+	ResponseReadTimeout   time.Duration // for a server to finish an answer that it began
+	ReadStallTimeout      time.Duration // within an answer, between two pieces of it
+	LateResponseWindow    time.Duration // hops that are over, of which an answer may still come
+	PollWait              time.Duration // of a poll
+	PollGrace             time.Duration
+	PollBackoffMin        time.Duration // after a failed poll, doubling
+	PollBackoffMax        time.Duration
 
-	AcceptOn time.Duration // after SIGTERM
-	ServeOn  time.Duration // after that, on open connections
-	DrainFor time.Duration // after that, for what was taken
+	ShutdownAcceptTime time.Duration // after SIGTERM
+	ShutdownServeTime  time.Duration // after that, on open connections
+	DrainTimeout       time.Duration // after that, for what was taken
 }
 
-// Within are the limits that the same settings give with other memory and descriptors.
-func (c *Config) Within(memoryMB, sockets int) *Limits {
+// LimitsFor are the limits that the same settings give with other memory and descriptors.
+func (c *Config) LimitsFor(memoryMB, sockets int) *Limits {
 	return newLimits(&c.Settings, memoryMB, sockets)
 }
 
@@ -274,38 +274,38 @@
 	memory := int64(memoryMB) << 20
 	l := &Limits{
 		// The rest is for stacks, sockets' structures and the collector's overshoot.
-		Memory: memory * 5 / 8,
+		MemoryBytes: memory * 5 / 8,
 		// The usual clients hold a third at most; the rest covers the listener, the
 		// notice board and connections that are being closed. A connection takes 16 kB
 		// to 20 kB: all of them fill three eighths of the memory at most, bodies half of that.
-		Sockets: sockets, Clients: min(sockets*2/5, int(memory>>16)), Upstream: min(sockets*2/5, int(memory>>17)),
-		PerServer: 64, Streams: max(s.Limits.StreamsPerConn, 1),
-		Head: 16 << 10, Fields: 64, Upload: 48_000, ReadOff: 256 << 10, Answer: 240_000, News: int(min(4<<20, memory/16)),
-		Held: memory * 3 / 16,
+		MaxDescriptors: sockets, MaxClients: min(sockets*2/5, int(memory>>16)), MaxUpstreamConns: min(sockets*2/5, int(memory>>17)),
+		MaxConnsPerEndpoint: 64, MaxStreamsPerConn: max(s.Limits.StreamsPerConn, 1),
+		MaxHeadBytes: 16 << 10, MaxHeaderFields: 64, MaxRequestBody: 48_000, MaxDiscardBytes: 256 << 10, MaxResponseBody: 240_000, MaxDiscoveryBody: int(min(4<<20, memory/16)),
+		MaxBufferedBytes: memory * 3 / 16,
 		// A client that never gets to a request is owed an end within 3 s; usual ones
 		// close their idle connections after 4 s.
-		RequestTime: 2500 * ms, IdleClient: 5 * time.Second, ReadOn: 400 * ms, ReplySlack: 50 * ms,
-		Connect: cmp.Or(millis(s.Limits.ConnectTimeoutMs), 400*ms),
+		RequestReadTimeout: 2500 * ms, ClientIdleTimeout: 5 * time.Second, LingeringCloseTimeout: 400 * ms, ResponseGrace: 50 * ms,
+		ConnectTimeout: cmp.Or(millis(s.Limits.ConnectTimeoutMs), 400*ms),
 		// Servers close theirs at the full time; a hop must not cross that.
-		IdleUpstream: cmp.Or(millis(s.Limits.ConnIdleMs), 15*time.Second) * 4 / 5,
-		Write:        100 * ms, Stall: 400 * ms, Linger: time.Second, PollSlack: 500 * ms,
-		RetryFirst: 20 * ms, RetryMost: 250 * ms,
-		AcceptOn: 450 * ms, ServeOn: 250 * ms,
+		UpstreamIdleTimeout: cmp.Or(millis(s.Limits.ConnIdleMs), 15*time.Second) * 4 / 5,
+		WriteTimeout:        100 * ms, ReadStallTimeout: 400 * ms, PollWait: time.Second, PollGrace: 500 * ms,
+		PollBackoffMin: 20 * ms, PollBackoffMax: 250 * ms,
+		ShutdownAcceptTime: 450 * ms, ShutdownServeTime: 250 * ms,
 	}
 	for _, k := range s.Classes {
-		l.LongestTxn = max(l.LongestTxn, millis(k.GiveUpMs))
+		l.MaxRequestTimeout = max(l.MaxRequestTimeout, millis(k.GiveUpMs))
 	}
 	// SIGKILL comes no sooner than 0.7 s and the longest time limit after SIGTERM, which
 	// AcceptOn, ServeOn and this must stay within. What came in time ends sooner.
-	l.DrainFor = max(l.LongestTxn-l.ReplySlack, l.ReplySlack)
-	l.Frame, l.Remember = l.LongestTxn+time.Second, 2*l.LongestTxn
+	l.DrainTimeout = max(l.MaxRequestTimeout-l.ResponseGrace, l.ResponseGrace)
+	l.ResponseReadTimeout, l.LateResponseWindow = l.MaxRequestTimeout+time.Second, 2*l.MaxRequestTimeout
 	// A hop may wait this long for its connection, and what was told meanwhile of
 	// drains and purges must still be kept when it is written.
-	l.Decided = l.LongestTxn
+	l.MaxDecisionAge = l.MaxRequestTimeout
 	for _, grace := range []float64{s.Contract.DrainGraceMs, s.FamilyInfo.PurgeGraceMs} {
 		if grace > 0 {
-			l.Connect = min(l.Connect, millis(grace)*3/4)
-			l.Decided = min(l.Decided, millis(grace)*9/10)
+			l.ConnectTimeout = min(l.ConnectTimeout, millis(grace)*3/4)
+			l.MaxDecisionAge = min(l.MaxDecisionAge, millis(grace)*9/10)
 		}
 	}
 	return l
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,15 +32,15 @@
 		t.Fatal(err)
 	}
 	l := c.Limits
-	if c.Name != "other" || c.Seed != 0x8c1f30d27a5be964 || l.Streams != 32 || l.IdleUpstream != 12*time.Second {
+	if c.Name != "other" || c.Seed != 0x8c1f30d27a5be964 || l.MaxStreamsPerConn != 32 || l.UpstreamIdleTimeout != 12*time.Second {
 		t.Fatalf("%+v %+v", c, l)
 	}
-	if l.Clients < 1024/3 || l.Clients+l.Upstream > 900 || l.Memory+0 >= 192<<20 {
-		t.Fatalf("%d clients, %d upstream, %d bytes", l.Clients, l.Upstream, l.Memory)
+	if l.MaxClients < 1024/3 || l.MaxClients+l.MaxUpstreamConns > 900 || l.MemoryBytes+0 >= 192<<20 {
+		t.Fatalf("%d clients, %d upstream, %d bytes", l.MaxClients, l.MaxUpstreamConns, l.MemoryBytes)
 	}
 	// A hop that waits longer for its connection could be written past the graces.
-	if l.Connect != 150*time.Millisecond {
-		t.Fatalf("connect %v with a grace of 200 ms", l.Connect)
+	if l.ConnectTimeout != 150*time.Millisecond {
+		t.Fatalf("connect %v with a grace of 200 ms", l.ConnectTimeout)
 	}
 }
 
@@ -53,9 +53,9 @@
 			t.Fatal(err)
 		}
 		l, whole := c.Limits, int64(32<<20)
-		held := l.Held + int64(l.News) + int64(l.Clients+l.Upstream)*(bufferpool.Size+8<<10)
-		if held > whole*5/8 || l.Memory > whole*3/4 || l.Clients < l.Sockets/3 {
-			t.Errorf("%s sockets: up to %d bytes held, %d clients", sockets, held, l.Clients)
+		held := l.MaxBufferedBytes + int64(l.MaxDiscoveryBody) + int64(l.MaxClients+l.MaxUpstreamConns)*(bufferpool.Size+8<<10)
+		if held > whole*5/8 || l.MemoryBytes > whole*3/4 || l.MaxClients < l.MaxDescriptors/3 {
+			t.Errorf("%s sockets: up to %d bytes held, %d clients", sockets, held, l.MaxClients)
 		}
 	}
 }
--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -20,14 +20,14 @@
 
 // The steps. Reads are no part of the history, but can be made to fail.
 const (
-	Create Op = iota
-	Write
-	Truncate
-	Sync
-	Rename
-	Remove
-	SyncDir
-	Read
+	OpCreate Op = iota
+	OpWrite
+	OpTruncate
+	OpSync
+	OpRename
+	OpRemove
+	OpSyncDir
+	OpRead
 )
 
 func (o Op) String() string {
@@ -71,28 +71,28 @@
 // do applies a step to the present state.
 func (f *FS) do(s step) {
 	switch s.op {
-	case Create:
+	case OpCreate:
 		f.names[s.name], f.files[s.inode] = s.inode, nil
 		f.next = max(f.next, s.inode+1)
-	case Write:
+	case OpWrite:
 		b := f.files[s.inode]
 		if grow := int(s.at) + len(s.data) - len(b); grow > 0 {
 			b = append(b, make([]byte, grow)...)
 		}
 		copy(b[s.at:], s.data)
 		f.files[s.inode] = b
-	case Truncate:
+	case OpTruncate:
 		b := f.files[s.inode]
 		for int64(len(b)) < s.at {
 			b = append(b, 0)
 		}
 		f.files[s.inode] = b[:s.at]
-	case Rename:
+	case OpRename:
 		if i, there := f.names[s.name]; there {
 			delete(f.names, s.name)
 			f.names[s.to] = i
 		}
-	case Remove:
+	case OpRemove:
 		delete(f.names, s.name)
 	}
 }
@@ -123,8 +123,8 @@
 	return f
 }
 
-// Len is how many steps the history has.
-func (f *FS) Len() int {
+// Steps is how many steps the history has.
+func (f *FS) Steps() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.steps)
@@ -146,28 +146,28 @@
 		return nil, fmt.Errorf("open %s: %w", name, fs.ErrNotExist)
 	}
 	if !there {
-		if _, err := f.fail(Create, name, 0); err != nil {
+		if _, err := f.fail(OpCreate, name, 0); err != nil {
 			return nil, err
 		}
 		i = f.next
-		f.step(step{op: Create, inode: i, name: name})
+		f.step(step{op: OpCreate, inode: i, name: name})
 	}
 	return &file{f, name, i}, nil
 }
 
 // Rename renames a file.
-func (f *FS) Rename(from, to string) error { return f.dir(step{op: Rename, name: from, to: to}) }
+func (f *FS) Rename(from, to string) error { return f.dir(step{op: OpRename, name: from, to: to}) }
 
 // Remove removes a file.
-func (f *FS) Remove(name string) error { return f.dir(step{op: Remove, name: name}) }
+func (f *FS) Remove(name string) error { return f.dir(step{op: OpRemove, name: name}) }
 
 // SyncDir makes the names last.
-func (f *FS) SyncDir() error { return f.dir(step{op: SyncDir}) }
+func (f *FS) SyncDir() error { return f.dir(step{op: OpSyncDir}) }
 
 func (f *FS) dir(s step) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, there := f.names[s.name]; !there && s.op != SyncDir {
+	if _, there := f.names[s.name]; !there && s.op != OpSyncDir {
 		return fmt.Errorf("%s %s: %w", s.op, s.name, fs.ErrNotExist)
 	}
 	if _, err := f.fail(s.op, s.name, 0); err != nil {
@@ -207,7 +207,7 @@
 	fail := h.fs.Fail
 	h.fs.mu.Unlock()
 	if fail != nil {
-		if _, err := fail(Read, h.name, len(b)); err != nil {
+		if _, err := fail(OpRead, h.name, len(b)); err != nil {
 			return 0, err
 		}
 	}
@@ -227,34 +227,34 @@
 func (h *file) WriteAt(b []byte, at int64) (int, error) {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	part, err := h.fs.fail(Write, h.name, len(b))
+	part, err := h.fs.fail(OpWrite, h.name, len(b))
 	n := len(b)
 	if part != nil {
 		n = min(*part, n)
 	} else if err != nil {
 		return 0, err
 	}
-	h.fs.step(step{op: Write, inode: h.inode, name: h.name, at: at, data: slices.Clone(b[:n])})
+	h.fs.step(step{op: OpWrite, inode: h.inode, name: h.name, at: at, data: slices.Clone(b[:n])})
 	return n, err
 }
 
 func (h *file) Truncate(size int64) error {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	if _, err := h.fs.fail(Truncate, h.name, 0); err != nil {
+	if _, err := h.fs.fail(OpTruncate, h.name, 0); err != nil {
 		return err
 	}
-	h.fs.step(step{op: Truncate, inode: h.inode, at: size})
+	h.fs.step(step{op: OpTruncate, inode: h.inode, at: size})
 	return nil
 }
 
 func (h *file) Sync() error {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	if _, err := h.fs.fail(Sync, h.name, 0); err != nil {
+	if _, err := h.fs.fail(OpSync, h.name, 0); err != nil {
 		return err
 	}
-	h.fs.step(step{op: Sync, inode: h.inode})
+	h.fs.step(step{op: OpSync, inode: h.inode})
 	return nil
 }
 
@@ -266,15 +266,15 @@
 
 func (h *file) Close() error { return nil }
 
-// Bytes is a file's present content, to look into or to spoil.
-func (f *FS) Bytes(name string) []byte {
+// Content is a file's present content, to look into or to spoil.
+func (f *FS) Content(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.files[f.names[name]]
 }
 
-// Put makes a file of the given content, as if it had always been there.
-func (f *FS) Put(name string, content []byte) {
+// AddFile makes a file of the given content, as if it had always been there.
+func (f *FS) AddFile(name string, content []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.names[name], f.files[f.next] = f.next, content
@@ -282,16 +282,16 @@
 	f.settle()
 }
 
-// Killed is the state after the process was killed once the first n steps were
+// AfterKill is the state after the process was killed once the first n steps were
 // taken and, if the next is a write, cut bytes of it.
-func (f *FS) Killed(n, cut int) *FS {
+func (f *FS) AfterKill(n, cut int) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.from()
 	for _, s := range f.steps[:n] {
 		out.do(s)
 	}
-	if n < len(f.steps) && f.steps[n].op == Write && cut > 0 {
+	if n < len(f.steps) && f.steps[n].op == OpWrite && cut > 0 {
 		s := f.steps[n]
 		s.data = s.data[:min(cut, len(s.data))]
 		out.do(s)
@@ -309,19 +309,19 @@
 	dir := -1
 	for i, s := range f.steps[:n] {
 		switch s.op {
-		case Sync:
+		case OpSync:
 			synced[s.inode] = i
-		case SyncDir:
+		case OpSyncDir:
 			dir = i
 		}
 	}
 	for i, s := range f.steps[:n] {
 		switch s.op {
-		case Write, Truncate:
+		case OpWrite, OpTruncate:
 			if at, ever := synced[s.inode]; !ever || i > at {
 				open = append(open, i)
 			}
-		case Create, Rename, Remove:
+		case OpCreate, OpRename, OpRemove:
 			if i > dir {
 				open = append(open, i)
 			}
@@ -330,11 +330,11 @@
 	return open
 }
 
-// Lost is the state after a loss of power behind the first n steps, of which
+// AfterPowerLoss is the state after a loss of power behind the first n steps, of which
 // those in lost never came to the disk. Names are changed in order, so that with
 // one change of a name all later ones are lost; sectors of a write come singly:
 // torn, if not nil, draws which of those that are not lost come.
-func (f *FS) Lost(n int, lost []int, torn *rand.Rand) *FS {
+func (f *FS) AfterPowerLoss(n int, lost []int, torn *rand.Rand) *FS {
 	const sector = 512
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -349,14 +349,14 @@
 	for i, s := range f.steps[:n] {
 		gone := slices.Contains(lost, i)
 		switch s.op {
-		case Create, Rename, Remove:
+		case OpCreate, OpRename, OpRemove:
 			if names = names && !gone; names {
 				out.do(s)
-			} else if s.op == Create { // the file is there, without a name
+			} else if s.op == OpCreate { // the file is there, without a name
 				out.files[s.inode] = nil
 				out.next = max(out.next, s.inode+1)
 			}
-		case Write:
+		case OpWrite:
 			switch {
 			case gone:
 			case torn != nil && slices.Contains(open, i):
@@ -380,9 +380,9 @@
 	return out.settle()
 }
 
-// Break sets Fail while the file system is in use. Reads that Fail holds up hold
+// SetFail sets Fail while the file system is in use. Reads that Fail holds up hold
 // up nothing else.
-func (f *FS) Break(fail func(op Op, name string, size int) (part *int, err error)) {
+func (f *FS) SetFail(fail func(op Op, name string, size int) (part *int, err error)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Fail = fail
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -25,19 +25,19 @@
 	"quilldoor/internal/settings"
 )
 
-// Sink takes the events, in order. At is in whole microseconds of Unix time.
-type Sink interface {
-	Members(scope string, list []engine.Server)
+// Handler takes the events, in order. At is in whole microseconds of Unix time.
+type Handler interface {
+	EndpointsChanged(scope string, list []engine.Endpoint)
 	Purge(object string, group, at int64)
-	BoardLost(err error) // after the first failed poll in a row
-	BoardBack()
-	BoardGap() // events were never told, or are numbered anew
+	DiscoveryLost(err error) // after the first failed poll in a row
+	DiscoveryRestored()
+	DiscoveryGap() // events were never told, or are numbered anew
 }
 
-// News is the form of the board's answers, and of what is known at the start.
-type News struct {
-	Rev     int64
-	Notices []notice
+// Update is the form of the board's answers, and of what is known at the start.
+type Update struct {
+	Revision int64    `json:"Rev"`
+	Events   []notice `json:"Notices"`
 }
 
 type notice struct {
@@ -63,12 +63,12 @@
 var states = map[string]string{"ready": "active", "draining": "leaving", "gone": "left"}
 
 // Parse reads news and checks that all of it can be used.
-func Parse(text []byte) (*News, error) {
-	var n News
+func Parse(text []byte) (*Update, error) {
+	var n Update
 	if err := json.Unmarshal(text, &n); err != nil {
 		return nil, err
 	}
-	for _, e := range n.Notices {
+	for _, e := range n.Events {
 		if e.Flush != nil && e.Flush.Asset == nil && e.Flush.Collection == nil {
 			return nil, fmt.Errorf("notice %d: flush without asset or collection", e.Rev)
 		}
@@ -76,7 +76,7 @@
 			continue
 		}
 		for _, t := range e.Pool.Targets {
-			if !cacheproto.Plain(t.UID) || states[t.State] == "" {
+			if !cacheproto.IsPlain(t.UID) || states[t.State] == "" {
 				return nil, fmt.Errorf("notice %d: target %.40q in state %.20q", e.Rev, t.UID, t.State)
 			}
 		}
@@ -84,27 +84,27 @@
 	return &n, nil
 }
 
-// Follower knows how far the board was followed.
-type Follower struct {
+// Watcher knows how far the board was followed.
+type Watcher struct {
 	limits *config.Limits
-	sink   Sink
+	sink   Handler
 	rev    int64
-	whole  bool                     // a whole list has come
-	list   map[string]engine.Server // as the board has it, for another generation of this router
-	odd    int64                    // the last number told that is not that of the last event
+	whole  bool                       // a whole list has come
+	list   map[string]engine.Endpoint // as the board has it, for another generation of this router
+	odd    int64                      // the last number told that is not that of the last event
 	addr   string
 	conn   *conn // nil: none stands
 }
 
 // New makes a follower that knows nothing yet.
-func New(limits *config.Limits, sink Sink) *Follower {
-	return &Follower{limits: limits, sink: sink, list: map[string]engine.Server{}}
+func New(limits *config.Limits, sink Handler) *Watcher {
+	return &Watcher{limits: limits, sink: sink, list: map[string]engine.Endpoint{}}
 }
 
 // Apply hands on what is new in n.
-func (f *Follower) Apply(n *News) {
+func (f *Watcher) Apply(n *Update) {
 	gap := false
-	for _, e := range n.Notices {
+	for _, e := range n.Events {
 		if e.Rev <= f.rev {
 			continue
 		}
@@ -119,20 +119,20 @@
 				scope = "snapshot"
 			}
 			f.whole = true
-			var list []engine.Server
+			var list []engine.Endpoint
 			if scope != "diff" {
 				clear(f.list)
 			}
 			for _, t := range e.Pool.Targets {
-				list = append(list, engine.Server{Endpoint: t.Endpoint, Entry: policy.Entry{
-					Server: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: states[t.State],
-					Weight: t.CapacityHint, Born: settings.Micros(t.BootMS)}})
+				list = append(list, engine.Endpoint{Address: t.Endpoint, Endpoint: policy.Endpoint{
+					ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: states[t.State],
+					Weight: t.CapacityHint, StartedAt: settings.Micros(t.BootMS)}})
 				s := list[len(list)-1]
-				if f.list[s.Server] = s; s.State == "left" {
-					delete(f.list, s.Server)
+				if f.list[s.ID] = s; s.State == "left" {
+					delete(f.list, s.ID)
 				}
 			}
-			f.sink.Members(scope, list)
+			f.sink.EndpointsChanged(scope, list)
 		}
 		if p := e.Flush; p != nil {
 			var object string
@@ -145,18 +145,18 @@
 			f.sink.Purge(object, group, p.MS*1000)
 		}
 	}
-	if n.Rev > 0 && n.Rev != f.rev && f.whole && n.Rev != f.odd { // told once for each number
-		f.odd, gap = n.Rev, true
+	if n.Revision > 0 && n.Revision != f.rev && f.whole && n.Revision != f.odd { // told once for each number
+		f.odd, gap = n.Revision, true
 	}
-	f.rev = max(f.rev, n.Rev)
+	f.rev = max(f.rev, n.Revision)
 	if gap {
-		f.sink.BoardGap()
+		f.sink.DiscoveryGap()
 	}
 }
 
-// Known is how far the board was followed and the list as it stands, between two
+// Snapshot is how far the board was followed and the list as it stands, between two
 // calls of Run.
-func (f *Follower) Known() (rev int64, list []engine.Server) {
+func (f *Watcher) Snapshot() (rev int64, list []engine.Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(f.list)) {
 		list = append(list, f.list[id])
 	}
@@ -166,29 +166,29 @@
 // Resume goes on behind an event up to which another generation of this router has
 // followed the board, with the list as it stood then; where this one has come
 // further already, with its own. The sink is told the whole list in any case.
-func (f *Follower) Resume(rev int64, list []engine.Server) {
+func (f *Watcher) Resume(rev int64, list []engine.Endpoint) {
 	if rev >= f.rev && len(list) > 0 {
 		f.rev, f.whole, f.odd = rev, true, 0
 		clear(f.list)
 		for _, s := range list {
-			f.list[s.Server] = s
+			f.list[s.ID] = s
 		}
 	}
-	if _, list = f.Known(); len(list) > 0 {
-		f.sink.Members("snapshot", list)
+	if _, list = f.Snapshot(); len(list) > 0 {
+		f.sink.EndpointsChanged("snapshot", list)
 	}
 }
 
 // Run polls the board at an address until the context ends; run again at another,
 // it goes on behind the last event. After a failure the last list stays.
-func (f *Follower) Run(ctx context.Context, addr string) {
+func (f *Watcher) Run(ctx context.Context, addr string) {
 	f.addr, f.conn = addr, nil // a connection of before was closed by its context
 	wait, lost := time.Duration(0), false
 	for ctx.Err() == nil {
 		news, err := f.fetch(ctx)
 		if err == nil {
 			if lost {
-				f.sink.BoardBack()
+				f.sink.DiscoveryRestored()
 			}
 			f.Apply(news)
 			wait, lost = 0, false
@@ -198,10 +198,10 @@
 			return
 		}
 		if !lost {
-			f.sink.BoardLost(err)
+			f.sink.DiscoveryLost(err)
 		}
 		lost = true
-		wait = min(max(2*wait, f.limits.RetryFirst), f.limits.RetryMost)
+		wait = min(max(2*wait, f.limits.PollBackoffMin), f.limits.PollBackoffMax)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -211,7 +211,7 @@
 
 // fetch brings the next news over the connection that stands, or a new one. One
 // that failed, or that the board ends, is not kept.
-func (f *Follower) fetch(ctx context.Context) (news *News, err error) {
+func (f *Watcher) fetch(ctx context.Context) (news *Update, err error) {
 	c := f.conn
 	if c == nil {
 		if c, err = f.dial(ctx); err != nil {
@@ -234,8 +234,8 @@
 	last  bool        // the board ends it behind its answer
 }
 
-func (f *Follower) dial(ctx context.Context) (*conn, error) {
-	d := net.Dialer{Timeout: f.limits.PollSlack}
+func (f *Watcher) dial(ctx context.Context) (*conn, error) {
+	d := net.Dialer{Timeout: f.limits.PollGrace}
 	sock, err := d.DialContext(ctx, "tcp", f.addr)
 	if err != nil {
 		return nil, err
@@ -245,14 +245,14 @@
 }
 
 // poll asks for what comes behind the last event.
-func (f *Follower) poll(c *conn) (*News, error) {
+func (f *Watcher) poll(c *conn) (*Update, error) {
 	target := "/board/poll?watch=" + strconv.FormatInt(f.rev, 10) +
-		"&linger=" + strconv.FormatInt(f.limits.Linger.Milliseconds(), 10)
-	c.SetDeadline(time.Now().Add(f.limits.Linger + f.limits.PollSlack))
+		"&linger=" + strconv.FormatInt(f.limits.PollWait.Milliseconds(), 10)
+	c.SetDeadline(time.Now().Add(f.limits.PollWait + f.limits.PollGrace))
 	if _, err := c.Write(http1.AppendRequest(nil, "GET", target, http1.Field{Name: "Host", Value: f.addr})); err != nil {
 		return nil, err
 	}
-	h, err := http1.ReadResponse(c.r, http1.Bounds{Bytes: f.limits.Head, Fields: f.limits.Fields, Body: f.limits.News})
+	h, err := http1.ReadResponse(c.r, http1.Limits{MaxBytes: f.limits.MaxHeadBytes, MaxFields: f.limits.MaxHeaderFields, MaxBody: f.limits.MaxDiscoveryBody})
 	if err != nil {
 		return nil, err
 	}
@@ -264,18 +264,18 @@
 	if h.Chunked {
 		from = httputil.NewChunkedReader(c.r)
 	}
-	if h.Length >= 0 {
-		body = make([]byte, h.Length)
+	if h.ContentLength >= 0 {
+		body = make([]byte, h.ContentLength)
 		_, err = io.ReadFull(c.r, body)
 	} else {
-		body, err = io.ReadAll(io.LimitReader(from, int64(f.limits.News)+1))
-		if len(body) > f.limits.News {
+		body, err = io.ReadAll(io.LimitReader(from, int64(f.limits.MaxDiscoveryBody)+1))
+		if len(body) > f.limits.MaxDiscoveryBody {
 			err = errors.New("answer too long")
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	c.last = h.Close || h.Length < 0 // trailers behind chunks are not worth reading
+	c.last = h.Close || h.ContentLength < 0 // trailers behind chunks are not worth reading
 	return Parse(body)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,19 +16,19 @@
 // sink passes everything on as lines of text.
 type sink chan string
 
-func (s sink) Members(scope string, list []engine.Server) {
+func (s sink) EndpointsChanged(scope string, list []engine.Endpoint) {
 	line := scope
 	for _, m := range list {
-		line += fmt.Sprintf(" %s@%s:%s:%d", m.Server, m.Endpoint, m.State, m.Born)
+		line += fmt.Sprintf(" %s@%s:%s:%d", m.ID, m.Address, m.State, m.StartedAt)
 	}
 	s <- line
 }
 func (s sink) Purge(object string, group, at int64) {
 	s <- fmt.Sprintf("purge %q %d %d", object, group, at)
 }
-func (s sink) BoardLost(error) { s <- "lost" }
-func (s sink) BoardBack()      { s <- "back" }
-func (s sink) BoardGap()       { s <- "gap" }
+func (s sink) DiscoveryLost(error) { s <- "lost" }
+func (s sink) DiscoveryRestored()  { s <- "back" }
+func (s sink) DiscoveryGap()       { s <- "gap" }
 
 func TestApply(t *testing.T) {
 	s := make(sink, 10)
@@ -97,8 +97,8 @@
 			c.Close()
 		}
 	}()
-	limits := &config.Limits{Linger: time.Second, PollSlack: time.Second, RetryFirst: time.Millisecond,
-		RetryMost: 2 * time.Millisecond, Head: 1000, Fields: 10, News: 1000}
+	limits := &config.Limits{PollWait: time.Second, PollGrace: time.Second, PollBackoffMin: time.Millisecond,
+		PollBackoffMax: 2 * time.Millisecond, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxDiscoveryBody: 1000}
 	s := make(sink, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -144,8 +144,8 @@
 	s := make(sink, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	f := New(&config.Limits{Linger: time.Second, PollSlack: time.Second, RetryFirst: time.Millisecond,
-		RetryMost: 2 * time.Millisecond, Head: 1000, Fields: 10, News: 1000}, s)
+	f := New(&config.Limits{PollWait: time.Second, PollGrace: time.Second, PollBackoffMin: time.Millisecond,
+		PollBackoffMax: 2 * time.Millisecond, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxDiscoveryBody: 1000}, s)
 	go f.Run(ctx, l.Addr().String())
 	for _, want := range []string{"lost", "back", `purge "x" 0 5000`} {
 		if got := <-s; got != want {
--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -20,38 +20,40 @@
 }
 
 func small(change func(*Settings)) *Tier {
-	set := Settings{Rules: []Rule{{Name: "page", Fresh: 60 * second, Grace: 30 * second, SLA: second / 2, Keep: true},
-		{Name: "video", Fresh: 60 * second, SLA: second / 2, Keep: true}, {Name: "sign", SLA: second}},
-		Slot: 1000, Slots: 200, Entries: 200, WritePerS: 1 << 30, Queue: 1 << 20, SyncEvery: second, Reads: 4,
-		Cleared: 6 * second, LongestTx: 2 * second, BlindFrom: 2 * second}
+	set := Settings{Classes: []TrafficClass{{Name: "page", FreshTime: 60 * second, GraceTime: 30 * second, SLA: second / 2, Cacheable: true},
+		{Name: "video", FreshTime: 60 * second, SLA: second / 2, Cacheable: true}, {Name: "sign", SLA: second}},
+		SlotBytes: 1000, Slots: 200, MaxEntries: 200, WriteBytesPerSecond: 1 << 30, QueueBytes: 1 << 20, SyncInterval: second, MaxReads: 4,
+		PurgeTime: 6 * second, MaxRequestTime: 2 * second, DiscoveryLossLimit: 2 * second}
 	if change != nil {
 		change(&set)
 	}
 	return New(start, set)
 }
 
-func page(object string, part int64) Ask { return Ask{Object: object, Part: part, Left: second} }
+func page(object string, part int64) Request {
+	return Request{Object: object, Part: part, Remaining: second}
+}
 
 // put writes a copy as if it was wanted so often, and tells why not.
-func (t *Tier) put(now int64, a Ask, slots int, wants int) Reason {
+func (t *Tier) put(now int64, a Request, slots int, wants int) Reason {
 	for range wants {
-		if v, _ := t.Look(now, &a); v != Miss {
+		if v, _ := t.Lookup(now, &a); v != VerdictMiss {
 			t.reading--
 		}
 	}
-	p, reason := t.Offer(now, &Copy{Ask: a, Issued: now / ms, Length: slots * t.set.Slot})
-	if reason == Good {
-		t.Written(p.Ref, slots*t.set.Slot, true)
-		t.Drops()
+	p, reason := t.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: slots * t.set.SlotBytes})
+	if reason == ReasonOK {
+		t.FinishWrite(p.Ref, slots*t.set.SlotBytes, true)
+		t.TakeDrops()
 		t.Synced()
 	}
 	return reason
 }
 
 // look gives a verdict and ends the read at once.
-func (t *Tier) peek(now int64, a Ask) (Verdict, Reason) {
-	v, f := t.Look(now, &a)
-	if v != Miss {
+func (t *Tier) peek(now int64, a Request) (Verdict, Reason) {
+	v, f := t.Lookup(now, &a)
+	if v != VerdictMiss {
 		t.reading--
 	}
 	return v, f.Reason
@@ -65,23 +67,23 @@
 	for i := range 5 {
 		x.put(start+second, page(fmt.Sprint("last", i), 0), 5, 3)
 	}
-	if r := x.put(start+second, page("once", 0), 5, 1); r != WantedOnce {
+	if r := x.put(start+second, page("once", 0), 5, 1); r != ReasonRequestedOnce {
 		t.Fatalf("wanted once: %v", r)
 	}
-	if r := x.put(start+second, page("equal", 0), 5, 3); r != Outweighed {
+	if r := x.put(start+second, page("equal", 0), 5, 3); r != ReasonOutweighed {
 		t.Fatalf("as dear as its victim: %v", r)
 	}
 	// Twelve slots push out three of five that are wanted three times each.
-	if r := x.put(start+second, page("large", 0), 12, 3); r != Outweighed {
+	if r := x.put(start+second, page("large", 0), 12, 3); r != ReasonOutweighed {
 		t.Fatalf("large and as dear: %v", r)
 	}
-	if r := x.put(start+second, page("large", 0), 12, 1); r != Good || x.Counts.Evicted != 3 {
+	if r := x.put(start+second, page("large", 0), 12, 1); r != ReasonOK || x.Counts.Evicted != 3 {
 		t.Fatalf("large and dearer: %v, %d gave way", r, x.Counts.Evicted)
 	}
-	if v, r := x.peek(start+second, page("old0", 0)); v != Miss || r != NotHeld {
+	if v, r := x.peek(start+second, page("old0", 0)); v != VerdictMiss || r != ReasonNotCached {
 		t.Fatalf("the oldest stayed: %v", r)
 	}
-	if v, _ := x.peek(start+second, page("last0", 0)); v != Serve {
+	if v, _ := x.peek(start+second, page("last0", 0)); v != VerdictServe {
 		t.Fatal("a newer one gave way")
 	}
 }
@@ -92,15 +94,15 @@
 	for i := range 30 {
 		x.put(start+second, page(fmt.Sprint("video", i), 0), 5, 3)
 	}
-	written := x.Counts.BytesIn
+	written := x.Counts.BytesWritten
 	for i := range 1500 { // under the sample's size: no reset within
 		x.put(start+second+int64(i)*ms, page(fmt.Sprint("scan", i), 0), 5, 1)
 	}
-	if grown := x.Counts.BytesIn - written; grown > written/10 { // some fall together in the sketch
+	if grown := x.Counts.BytesWritten - written; grown > written/10 { // some fall together in the sketch
 		t.Fatalf("%d bytes written for objects wanted once, %d before", grown, written)
 	}
 	for i := range 30 {
-		if v, r := x.peek(start+3*second, page(fmt.Sprint("video", i), 0)); v != Serve {
+		if v, r := x.peek(start+3*second, page(fmt.Sprint("video", i), 0)); v != VerdictServe {
 			t.Fatalf("video %d: %v", i, r)
 		}
 	}
@@ -114,26 +116,26 @@
 		verdict Verdict
 		reason  Reason
 	}{
-		"fresh":            {nil, 10 * second, Serve, Good},
-		"past fresh":       {nil, 61 * second, Prove, TooOld},
-		"gap in the board": {func(x *Tier) { x.Gap(start + second) }, 2 * second, Prove, Unvouched},
-		"board just lost":  {func(x *Tier) { x.Board(start+second, true) }, 2 * second, Serve, Good},
-		"board lost":       {func(x *Tier) { x.Board(start+second, true) }, 4 * second, Prove, Blind},
-		"board back": {func(x *Tier) { x.Board(start+second, true); x.Board(start+9*second, false) },
-			10 * second, Serve, Good},
-		"object purged":       {func(x *Tier) { x.Purge(start+second, "x", 0, start+second) }, 2 * second, Miss, NotHeld},
-		"other object purged": {func(x *Tier) { x.Purge(start+second, "y", 0, start+second) }, 2 * second, Serve, Good},
-		"group purged":        {func(x *Tier) { x.Purge(start+second, "", 0, start+second) }, 2 * second, Miss, Purged},
-		"other group":         {func(x *Tier) { x.Purge(start+second, "", 1, start+second) }, 2 * second, Serve, Good},
-		"purged before":       {func(x *Tier) { x.Purge(start+second, "x", 0, start-second) }, 2 * second, Serve, Good},
-		"from ahead":          {nil, -5 * second, Prove, FromAhead},
-		"link full":           {func(x *Tier) { x.link = link{whole: 1000, busy: start + 2*second} }, second, Miss, LinkBusy},
-		"reads in hand":       {func(x *Tier) { x.reading = 4 }, second, Miss, DiskBusy},
-		"off":                 {func(x *Tier) { x.Fault(start, ManyReadFaults) }, second, Miss, DiskOff},
-		"writes fail":         {func(x *Tier) { x.Fault(start, WriteFault) }, second, Serve, Good},
+		"fresh":            {nil, 10 * second, VerdictServe, ReasonOK},
+		"past fresh":       {nil, 61 * second, VerdictRevalidate, ReasonTooOld},
+		"gap in the board": {func(x *Tier) { x.HistoryGap(start + second) }, 2 * second, VerdictRevalidate, ReasonUnvalidated},
+		"board just lost":  {func(x *Tier) { x.SetDiscoveryLost(start+second, true) }, 2 * second, VerdictServe, ReasonOK},
+		"board lost":       {func(x *Tier) { x.SetDiscoveryLost(start+second, true) }, 4 * second, VerdictRevalidate, ReasonPurgesUnknown},
+		"board back": {func(x *Tier) { x.SetDiscoveryLost(start+second, true); x.SetDiscoveryLost(start+9*second, false) },
+			10 * second, VerdictServe, ReasonOK},
+		"object purged":       {func(x *Tier) { x.Purge(start+second, "x", 0, start+second) }, 2 * second, VerdictMiss, ReasonNotCached},
+		"other object purged": {func(x *Tier) { x.Purge(start+second, "y", 0, start+second) }, 2 * second, VerdictServe, ReasonOK},
+		"group purged":        {func(x *Tier) { x.Purge(start+second, "", 0, start+second) }, 2 * second, VerdictMiss, ReasonPurged},
+		"other group":         {func(x *Tier) { x.Purge(start+second, "", 1, start+second) }, 2 * second, VerdictServe, ReasonOK},
+		"purged before":       {func(x *Tier) { x.Purge(start+second, "x", 0, start-second) }, 2 * second, VerdictServe, ReasonOK},
+		"from ahead":          {nil, -5 * second, VerdictRevalidate, ReasonFromFuture},
+		"link full":           {func(x *Tier) { x.link = link{whole: 1000, busy: start + 2*second} }, second, VerdictMiss, ReasonLinkBusy},
+		"reads in hand":       {func(x *Tier) { x.reading = 4 }, second, VerdictMiss, ReasonDiskBusy},
+		"off":                 {func(x *Tier) { x.HandleEvent(start, EventManyReadFailures) }, second, VerdictMiss, ReasonDiskOff},
+		"writes fail":         {func(x *Tier) { x.HandleEvent(start, EventWriteFailed) }, second, VerdictServe, ReasonOK},
 	} {
 		x := small(nil)
-		if r := x.put(start+ms*500, a, 2, 2); r != Good {
+		if r := x.put(start+ms*500, a, 2, 2); r != ReasonOK {
 			t.Fatal(r)
 		}
 		if c.change != nil {
@@ -143,10 +145,10 @@
 			t.Errorf("%s: verdict %v, %v; want %v, %v", name, v, r, c.verdict, c.reason)
 		}
 	}
-	if v, r := small(nil).peek(start, Ask{Rule: 2, Object: "x"}); v != Miss || r != NotKeepable {
+	if v, r := small(nil).peek(start, Request{ClassIndex: 2, Object: "x"}); v != VerdictMiss || r != ReasonNotCacheable {
 		t.Errorf("a writing rule: %v", r)
 	}
-	if _, r := small(nil).Offer(start, &Copy{Ask: Ask{Rule: 2, Object: "x"}, Issued: start / ms, Length: 9}); r != NotKeepable {
+	if _, r := small(nil).Offer(start, &Candidate{Request: Request{ClassIndex: 2, Object: "x"}, Issued: start / ms, Length: 9}); r != ReasonNotCacheable {
 		t.Errorf("a writing rule's answer: %v", r)
 	}
 }
@@ -157,31 +159,31 @@
 	a := page("x", 0)
 	x := small(nil)
 	x.Purge(start+second, "x", 0, start+second)
-	x.Look(start, &a)
-	x.Look(start, &a)
-	offer := func(issued int64) (Place, Reason) {
-		return x.Offer(start+2*second, &Copy{Ask: a, Issued: issued / ms, Length: 100})
+	x.Lookup(start, &a)
+	x.Lookup(start, &a)
+	offer := func(issued int64) (Placement, Reason) {
+		return x.Offer(start+2*second, &Candidate{Request: a, Issued: issued / ms, Length: 100})
 	}
-	if _, r := offer(start + 1*second); r != Purged {
+	if _, r := offer(start + 1*second); r != ReasonPurged {
 		t.Fatalf("older than the purge: %v", r)
 	}
 	p, r := offer(start + 1500*ms)
-	if r != Good {
+	if r != ReasonOK {
 		t.Fatal(r)
 	}
 	x.Purge(start+2*second, "x", 0, start+2*second)
-	if x.Wanted(p.Ref) || x.Written(p.Ref, 100, true) {
+	if x.WriteNeeded(p.Ref) || x.FinishWrite(p.Ref, 100, true) {
 		t.Fatal("purged while it was written, and named to the index")
 	}
-	x.Drops()
+	x.TakeDrops()
 	x.Synced()
 	x.put(start+3*second, a, 1, 0)
-	v, f := x.Look(start+3*second, &a)
-	if v != Serve {
+	v, f := x.Lookup(start+3*second, &a)
+	if v != VerdictServe {
 		t.Fatal(f.Reason)
 	}
 	x.Purge(start+4*second, "", 0, start+4*second)
-	if usable, _ := x.Read(start+4*second, f.Ref, Sound); usable || x.StillServe(start+4*second, f.Ref, 0, 1, false, false) {
+	if usable, _ := x.FinishRead(start+4*second, f.Ref, ReadIntact); usable || x.ReserveServe(start+4*second, f.Ref, 0, 1, false, false) {
 		t.Fatal("purged while it was read, and served")
 	}
 }
@@ -190,19 +192,19 @@
 func TestCopiesOfBeforeTheStartAreNotVouchedFor(t *testing.T) {
 	x := small(nil)
 	a := page("x", 0)
-	x.Look(start, &a)
-	x.Look(start, &a)
-	p, _ := x.Offer(start+second, &Copy{Ask: a, Issued: (start - second) / ms, Length: 100})
-	x.Written(p.Ref, 100, true)
-	if v, r := x.peek(start+second, a); v != Prove || r != Unvouched {
+	x.Lookup(start, &a)
+	x.Lookup(start, &a)
+	p, _ := x.Offer(start+second, &Candidate{Request: a, Issued: (start - second) / ms, Length: 100})
+	x.FinishWrite(p.Ref, 100, true)
+	if v, r := x.peek(start+second, a); v != VerdictRevalidate || r != ReasonUnvalidated {
 		t.Fatalf("given out before the start: %v, %v", v, r)
 	}
-	x.Proven(start+2*second, p.Ref, (start-second)/ms, 100)
-	if v, _ := x.peek(start+2*second, a); v != Prove {
+	x.Revalidated(start+2*second, p.Ref, (start-second)/ms, 100)
+	if v, _ := x.peek(start+2*second, a); v != VerdictRevalidate {
 		t.Fatal("a cache that may not have dropped it yet has proven it for good")
 	}
-	x.Proven(start+9*second, p.Ref, (start-second)/ms, 100)
-	if v, r := x.peek(start+9*second, a); v != Serve {
+	x.Revalidated(start+9*second, p.Ref, (start-second)/ms, 100)
+	if v, r := x.peek(start+9*second, a); v != VerdictServe {
 		t.Fatalf("proven by a cache that has dropped what was purged: %v", r)
 	}
 }
@@ -210,52 +212,54 @@
 func TestRecoveredPartsAreProvenFirst(t *testing.T) {
 	x := small(nil)
 	a := page("x", 0)
-	k := Kept{Key: x.key(&a), Object: x.object("x"), Issued: start / ms, Seq: 9, Length: 1500, Runs: []Run{{7, 2}}}
-	bad := []Kept{{Length: 1500, Runs: []Run{{7, 1}}}, {Length: 500, Runs: []Run{{200, 1}}}, {Length: -1},
-		{Length: 500, Runs: []Run{{1, 1}}, Rule: -1}, {Length: 500, Runs: []Run{{1, 1}}, Rule: 2},
-		{Length: 500, Runs: []Run{{^uint32(0), 1}}}}
+	k := CachedPart{Key: x.key(&a), Object: x.object("x"), Issued: start / ms, Seq: 9, Length: 1500, Extents: []Extent{{7, 2}}}
+	bad := []CachedPart{{Length: 1500, Extents: []Extent{{7, 1}}}, {Length: 500, Extents: []Extent{{200, 1}}}, {Length: -1},
+		{Length: 500, Extents: []Extent{{1, 1}}, ClassIndex: -1}, {Length: 500, Extents: []Extent{{1, 1}}, ClassIndex: 2},
+		{Length: 500, Extents: []Extent{{^uint32(0), 1}}}}
 	for i := range bad {
-		if x.Install(&bad[i]) {
+		if x.Restore(&bad[i]) {
 			t.Errorf("%+v installed", bad[i])
 		}
 	}
-	if !x.Install(&k) {
+	if !x.Restore(&k) {
 		t.Fatal("not installed")
 	}
-	twice := Kept{Key: 1, Length: 2500, Seq: 10, Runs: []Run{{2, 2}, {8, 1}}}
-	if x.Install(&twice) || x.slots.free != 198 {
+	twice := CachedPart{Key: 1, Length: 2500, Seq: 10, Extents: []Extent{{2, 2}, {8, 1}}}
+	if x.Restore(&twice) || x.slots.free != 198 {
 		t.Errorf("slots of another, %d free", x.slots.free)
 	}
 	x.Purge(start, "late", 0, start) // told while recovery is going on
-	if x.Install(&Kept{Key: 2, Object: x.object("late"), Issued: start / ms, Length: 500, Seq: 11, Runs: []Run{{20, 1}}}) {
+	if x.Restore(&CachedPart{Key: 2, Object: x.object("late"), Issued: start / ms, Length: 500, Seq: 11, Extents: []Extent{{20, 1}}}) {
 		t.Error("purged, yet installed")
 	}
-	if v, r := x.peek(start+ms, a); v != Prove || r != Unvouched {
+	if v, r := x.peek(start+ms, a); v != VerdictRevalidate || r != ReasonUnvalidated {
 		t.Fatalf("verdict %v, %v", v, r)
 	}
 	x.Purge(start+second, "x", 0, start+second)
-	if v, _ := x.peek(start+second, a); v != Miss {
+	if v, _ := x.peek(start+second, a); v != VerdictMiss {
 		t.Fatal("purged, yet proven")
 	}
-	if d := x.Drops(); len(d) != len(bad)+3 || d[len(d)-1] != (Drop{k.Key, 9}) {
+	if d := x.TakeDrops(); len(d) != len(bad)+3 || d[len(d)-1] != (Drop{k.Key, 9}) {
 		t.Fatalf("drops %+v", d)
 	}
 }
 
 func TestWritesKeepToTheirBudgetAndQueue(t *testing.T) {
-	x := small(func(s *Settings) { s.WritePerS, s.Slots, s.Entries, s.Queue = 10_000, 4000, 4000, 1<<30 })
+	x := small(func(s *Settings) {
+		s.WriteBytesPerSecond, s.Slots, s.MaxEntries, s.QueueBytes = 10_000, 4000, 4000, 1<<30
+	})
 	r := rand.New(rand.NewPCG(1, 1))
 	var at []int64
 	for i := range 4000 {
 		now := start + int64(i)*5*ms
 		a := page(fmt.Sprint(i), 0)
-		x.Look(now, &a)
-		x.Look(now, &a)
-		if p, reason := x.Offer(now, &Copy{Ask: a, Issued: now / ms, Length: 1 + r.IntN(3000)}); reason == Good {
-			for range len(p.Runs) {
+		x.Lookup(now, &a)
+		x.Lookup(now, &a)
+		if p, reason := x.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: 1 + r.IntN(3000)}); reason == ReasonOK {
+			for range len(p.Extents) {
 				at = append(at, now)
 			}
-			x.Written(p.Ref, 1, true)
+			x.FinishWrite(p.Ref, 1, true)
 		}
 	}
 	window := func(lasts int64) (most int) {
@@ -273,12 +277,12 @@
 	if n := window(10 * second); n > 110 || n < 20 {
 		t.Errorf("%d records within ten seconds", n)
 	}
-	x = small(func(s *Settings) { s.Queue = 3000 })
+	x = small(func(s *Settings) { s.QueueBytes = 3000 })
 	for i := range 4 {
 		a := page(fmt.Sprint(i), 0)
-		x.Look(start, &a)
-		x.Look(start, &a)
-		if _, reason := x.Offer(start, &Copy{Ask: a, Issued: start / ms, Length: 10}); (reason == QueueFull) != (i == 3) {
+		x.Lookup(start, &a)
+		x.Lookup(start, &a)
+		if _, reason := x.Offer(start, &Candidate{Request: a, Issued: start / ms, Length: 10}); (reason == ReasonQueueFull) != (i == 3) {
 			t.Errorf("copy %d: %v", i, reason)
 		}
 	}
@@ -286,31 +290,31 @@
 
 func TestHealth(t *testing.T) {
 	x := small(nil)
-	if h, changed := x.Fault(start, NoSpace); h != Full || !changed {
+	if h, changed := x.HandleEvent(start, EventNoSpace); h != HealthFull || !changed {
 		t.Fatal(h)
 	}
-	if r := x.put(start+second, page("x", 0), 1, 2); r != DiskOff {
+	if r := x.put(start+second, page("x", 0), 1, 2); r != ReasonDiskOff {
 		t.Fatalf("written to a full disk: %v", r)
 	}
-	if r := x.put(start+tryAgain, page("x", 0), 1, 2); r != Good {
+	if r := x.put(start+tryAgain, page("x", 0), 1, 2); r != ReasonOK {
 		t.Fatalf("not tried again: %v", r)
 	}
-	x.Fault(start, WriteFault)
-	if h, _ := x.Fault(start, Due); h != ReadsOnly {
+	x.HandleEvent(start, EventWriteFailed)
+	if h, _ := x.HandleEvent(start, EventRetryDue); h != HealthReadOnly {
 		t.Fatalf("%v: written again after a failed sync", h)
 	}
 	for i := range readFaultsMost {
-		if h, _ := x.Fault(start+int64(i)*faultWindow/4, ReadFault); h != ReadsOnly {
+		if h, _ := x.HandleEvent(start+int64(i)*faultWindow/4, EventReadFailed); h != HealthReadOnly {
 			t.Fatal("off by faults far apart")
 		}
 	}
 	changes := 0
 	for range 2 * readFaultsMost {
-		if _, changed := x.Fault(start+10*faultWindow, ReadFault); changed {
+		if _, changed := x.HandleEvent(start+10*faultWindow, EventReadFailed); changed {
 			changes++
 		}
 	}
-	if x.Health() != Off || changes != 1 {
+	if x.Health() != HealthOff || changes != 1 {
 		t.Fatalf("%v after %d changes", x.Health(), changes)
 	}
 }
@@ -320,31 +324,31 @@
 func TestBooksAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		x := small(func(s *Settings) { s.Slots, s.Entries = 70, 10+draw(30) })
+		x := small(func(s *Settings) { s.Slots, s.MaxEntries = 70, 10+draw(30) })
 		now := start
-		var out []Place
+		var out []Placement
 		for range 60 {
 			now += int64(draw(1000)) * ms
-			a := Ask{Object: fmt.Sprint(draw(20)), Part: int64(draw(2)), Group: uint8(draw(2)), Left: second}
+			a := Request{Object: fmt.Sprint(draw(20)), Part: int64(draw(2)), Group: uint8(draw(2)), Remaining: second}
 			switch draw(8) {
 			case 0:
 				x.Purge(now, a.Object, 0, now)
 			case 1:
 				x.Purge(now, "", a.Group, now)
 			case 2:
-				x.Drops()
+				x.TakeDrops()
 				x.Synced()
 			case 3:
-				x.Gap(now)
+				x.HistoryGap(now)
 			default:
 				x.peek(now, a)
 				x.peek(now, a)
-				if p, r := x.Offer(now, &Copy{Ask: a, Issued: now / ms, Length: 1 + draw(4000)}); r == Good {
+				if p, r := x.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: 1 + draw(4000)}); r == ReasonOK {
 					out = append(out, p)
 				}
 			}
 			if len(out) > draw(4) {
-				x.Written(out[0].Ref, 1, draw(5) > 0)
+				x.FinishWrite(out[0].Ref, 1, draw(5) > 0)
 				out = out[1:]
 			}
 			check(t, x)
@@ -378,7 +382,7 @@
 		t.Fatalf("%d of %d entries, %d of %d slots, %d owned and %d free of %d", live, x.table.live, slots,
 			x.table.liveSlot, len(owner), x.slots.free, x.set.Slots)
 	}
-	if live > x.set.Entries || x.table.liveSlot > x.set.Slots-x.reserve() {
+	if live > x.set.MaxEntries || x.table.liveSlot > x.set.Slots-x.reserve() {
 		t.Fatalf("over a bound: %d entries, %d slots", live, x.table.liveSlot)
 	}
 }
@@ -393,17 +397,17 @@
 	if n := len(x.purges.objects); n > purgesMost {
 		t.Fatalf("%d purges remembered", n)
 	}
-	if v, _ := x.peek(start+second, a); v != Miss {
+	if v, _ := x.peek(start+second, a); v != VerdictMiss {
 		t.Fatal("served though its purge may be among those forgotten")
 	}
 	x.put(start+3*second, a, 1, 0)
-	if v, r := x.peek(start+3*second, a); v != Serve {
+	if v, r := x.peek(start+3*second, a); v != VerdictServe {
 		t.Fatalf("given out since: %v", r)
 	}
 }
 
 func TestClockJumpsAreSeen(t *testing.T) {
-	var c Clock
+	var c StepDetector
 	wall, steady := start, int64(0)
 	for range 100 { // slewed by 500 ppm, as time servers do
 		wall, steady = wall+second+500, steady+second
--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -29,9 +29,9 @@
 
 func benchConfig(dir string, parts int) Config {
 	set := settings()
-	set.Slot, set.Slots, set.Entries = 16<<10, parts*3/2, parts
-	return Config{FS: diskstore.Dir{Path: dir}, Super: diskstore.Super{Slot: set.Slot, Seed: 7}, Settings: set,
-		ReadWait: time.Second}
+	set.SlotBytes, set.Slots, set.MaxEntries = 16<<10, parts*3/2, parts
+	return Config{FS: diskstore.Dir{Path: dir}, Superblock: diskstore.Superblock{SlotBytes: set.SlotBytes, Seed: 7}, Settings: set,
+		ReadTimeout: time.Second}
 }
 
 func quiet() *logrus.Entry {
@@ -47,7 +47,7 @@
 func (bare) Drop(diskcache.Drop)  {}
 
 func opened(b *testing.B, c Config) *diskstore.Store {
-	s, err := diskstore.Open(c.FS, c.Super, c.Settings.Slots)
+	s, err := diskstore.Open(c.FS, c.Superblock, c.Settings.Slots)
 	if err == nil {
 		_, err = s.Recover(bare{})
 	}
@@ -68,7 +68,7 @@
 	s.Compact(func(tell func(*diskstore.Entry) error) error {
 		for i := range uint32(parts) {
 			tell(&diskstore.Entry{Key: r.Uint64(), Object: r.Uint64(), Issued: 1, Seq: uint64(i), Length: 16000,
-				Rule: diskstore.RuleHash("page"), Runs: []diskcache.Run{{Start: i, Count: 1}}})
+				ClassHash: diskstore.ClassHash("page"), Extents: []diskcache.Extent{{Start: i, Count: 1}}})
 		}
 		return nil
 	})
@@ -83,7 +83,7 @@
 		}
 		b.ReportMetric(time.Since(began).Seconds(), "s/restart")
 		b.ReportMetric(float64(heap()-before)/parts, "bytes/part")
-		b.ReportMetric(float64(s.State().Size.Memory)/parts, "told-bytes/part")
+		b.ReportMetric(float64(s.State().Size.MemoryBytes)/parts, "told-bytes/part")
 		b.ReportMetric(float64(index)/parts, "index-bytes/part")
 		if n := s.State().Size.Parts; n != parts {
 			b.Fatal(n)
@@ -99,22 +99,24 @@
 	text := strings.Repeat("x", size)
 	bodies := bufferpool.NewPool(1 << 28)
 	c := benchConfig(b.TempDir(), parts*8)
-	c.Settings.WritePerS, c.Settings.Queue, c.Settings.SyncEvery = 1<<40, 1<<30, 10*ms
+	c.Settings.WriteBytesPerSecond, c.Settings.QueueBytes, c.Settings.SyncInterval = 1<<40, 1<<30, 10*ms
 	s := Start(c, bodies, quiet())
 	defer s.Close()
 	for !s.ready.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(150 * time.Millisecond)
-	ask := func(i int) *Ask { return &Ask{Rule: "page", Object: fmt.Sprint(i % parts), Left: time.Second} }
+	ask := func(i int) *Request {
+		return &Request{Class: "page", Object: fmt.Sprint(i % parts), Remaining: time.Second}
+	}
 	memory := make([]*bufferpool.Body, parts)
 	for i := range parts {
 		s.Get(ask(i))
 		s.Get(ask(i))
-		memory[i], _ = bodies.Read(strings.NewReader(text), size)
-		s.Keep(ask(i), "t", time.Now().UnixMilli(), memory[i])
+		memory[i], _ = bodies.ReadBody(strings.NewReader(text), size)
+		s.Offer(ask(i), "t", time.Now().UnixMilli(), memory[i])
 	}
-	for s.State().Size.Queued > 0 {
+	for s.State().Size.QueuedBytes > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	out := make([]byte, size)
@@ -126,7 +128,7 @@
 			began := time.Now()
 			body := get(i)
 			n := 0
-			for _, p := range body.Append(nil) { // as a socket would take it
+			for _, p := range body.AppendBuffers(nil) { // as a socket would take it
 				n += copy(out[n:], p)
 			}
 			body.Release()
@@ -148,7 +150,7 @@
 		})
 	})
 	b.Run("memory", func(b *testing.B) {
-		measure(b, func(i int) *bufferpool.Body { return memory[i%parts].Hold() })
+		measure(b, func(i int) *bufferpool.Body { return memory[i%parts].Retain() })
 	})
 }
 
@@ -157,24 +159,24 @@
 	for _, parts := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(parts), func(b *testing.B) {
 			set := settings()
-			set.Slots, set.Entries, set.WritePerS, set.Queue, set.Reads = parts*2, parts, 1<<50, 1<<50, 1
+			set.Slots, set.MaxEntries, set.WriteBytesPerSecond, set.QueueBytes, set.MaxReads = parts*2, parts, 1<<50, 1<<50, 1
 			t := diskcache.New(1e12, set)
 			names := make([]string, parts)
 			for i := range parts {
 				names[i] = fmt.Sprint("object", i)
-				a := diskcache.Ask{Object: names[i], Left: second}
-				t.Look(1e12+second, &a)
-				t.Look(1e12+second, &a)
-				if p, r := t.Offer(1e12+second, &diskcache.Copy{Ask: a, Issued: 1e9 + 1000, Length: 1000}); r == diskcache.Good {
-					t.Written(p.Ref, 1000, true)
+				a := diskcache.Request{Object: names[i], Remaining: second}
+				t.Lookup(1e12+second, &a)
+				t.Lookup(1e12+second, &a)
+				if p, r := t.Offer(1e12+second, &diskcache.Candidate{Request: a, Issued: 1e9 + 1000, Length: 1000}); r == diskcache.ReasonOK {
+					t.FinishWrite(p.Ref, 1000, true)
 				}
 			}
 			r := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for b.Loop() {
-				a := diskcache.Ask{Object: names[r.IntN(parts)], Left: second}
-				if v, f := t.Look(1e12+second, &a); v != diskcache.Miss {
-					t.Read(1e12+second, f.Ref, diskcache.Sound)
+				a := diskcache.Request{Object: names[r.IntN(parts)], Remaining: second}
+				if v, f := t.Lookup(1e12+second, &a); v != diskcache.VerdictMiss {
+					t.FinishRead(1e12+second, f.Ref, diskcache.ReadIntact)
 				}
 			}
 		})
@@ -190,7 +192,7 @@
 			c := benchConfig(b.TempDir(), entries)
 			s := opened(b, c)
 			entry := func(i int) diskstore.Entry {
-				return diskstore.Entry{Key: uint64(i) * 0x9e3779b97f4a7c15, Seq: uint64(i), Length: 1, Runs: []diskcache.Run{{Start: 1, Count: 1}}}
+				return diskstore.Entry{Key: uint64(i) * 0x9e3779b97f4a7c15, Seq: uint64(i), Length: 1, Extents: []diskcache.Extent{{Start: 1, Count: 1}}}
 			}
 			s.Compact(func(tell func(*diskstore.Entry) error) error {
 				for i := range entries {
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -29,7 +29,7 @@
 // bench is a shelf whose goroutines the test stands in for, step by step, and
 // the independent book of what it did.
 type bench struct {
-	*Shelf
+	*Cache
 	fs    *crashfs.FS
 	now   int64
 	batch batch
@@ -46,9 +46,9 @@
 }
 
 func settings() diskcache.Settings {
-	return diskcache.Settings{Rules: []diskcache.Rule{{Name: "page", Fresh: 60 * second, Grace: 60 * second, SLA: second, Keep: true},
-		{Name: "sign", SLA: second}}, Slot: diskstore.LeastSlot, Slots: 64, Entries: 64, WritePerS: 16 << 10, Queue: 1 << 20,
-		SyncEvery: second, Reads: 8, Cleared: 6 * second, LongestTx: 2 * second, BlindFrom: 2 * second}
+	return diskcache.Settings{Classes: []diskcache.TrafficClass{{Name: "page", FreshTime: 60 * second, GraceTime: 60 * second, SLA: second, Cacheable: true},
+		{Name: "sign", SLA: second}}, SlotBytes: diskstore.MinSlotBytes, Slots: 64, MaxEntries: 64, WriteBytesPerSecond: 16 << 10, QueueBytes: 1 << 20,
+		SyncInterval: second, MaxReads: 8, PurgeTime: 6 * second, MaxRequestTime: 2 * second, DiscoveryLossLimit: 2 * second}
 }
 
 func newBench(t tb, fs *crashfs.FS, now int64) *bench {
@@ -56,7 +56,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	b := &bench{fs: fs, now: now, content: map[uint64][]byte{}, version: map[string]int64{}}
-	b.Shelf = plain(Config{FS: fs, Super: diskstore.Super{Slot: diskstore.LeastSlot, Seed: 7}, Settings: settings(),
+	b.Cache = plain(Config{FS: fs, Superblock: diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 7}, Settings: settings(),
 		Clock: func() (int64, int64) { return b.now, b.now }}, bufferpool.NewPool(1<<20), log.WithField("t", 1))
 	if !b.recover() {
 		t.Fatal("not recovered")
@@ -66,14 +66,14 @@
 
 // keep offers a copy; it is as good as any other of the object at that issue.
 func (b *bench) keep(object string, part int64, size int) {
-	a := &Ask{Rule: "page", Object: object, Part: part, Group: uint8(len(object)), Left: 1e9}
+	a := &Request{Class: "page", Object: object, Part: part, Group: uint8(len(object)), Remaining: 1e9}
 	issued := b.now / ms
 	content := bytes.Repeat(fmt.Appendf(nil, "%s/%d@%d ", object, part, issued), size/10+1)[:size]
-	body, _ := b.bodies.Read(bytes.NewReader(content), size)
+	body, _ := b.bodies.ReadBody(bytes.NewReader(content), size)
 	ask, _ := b.ask(a)
-	b.tier.Look(b.now, &ask) // wanted twice, so that it is worth a write
-	b.tier.Look(b.now, &ask)
-	b.Keep(a, fmt.Sprintf("tag%d", issued), issued, body)
+	b.tier.Lookup(b.now, &ask) // wanted twice, so that it is worth a write
+	b.tier.Lookup(b.now, &ask)
+	b.Offer(a, fmt.Sprintf("tag%d", issued), issued, body)
 	body.Release()
 	b.version[object] = issued
 	for len(b.writes) > 0 {
@@ -86,9 +86,9 @@
 // sync commits, and notes what lasts from here on.
 func (b *bench) sync() {
 	b.commit(&b.batch)
-	m := mark{steps: b.fs.Len(), kept: map[uint64]bool{}}
+	m := mark{steps: b.fs.Steps(), kept: map[uint64]bool{}}
 	for from := 0; from >= 0; {
-		from = b.tier.Each(from, func(k diskcache.Kept) { m.kept[k.Seq] = true })
+		from = b.tier.Scan(from, func(k diskcache.CachedPart) { m.kept[k.Seq] = true })
 	}
 	b.synced = append(b.synced, m)
 }
@@ -107,7 +107,7 @@
 			b.sync()
 		case 4: // an index is written anew long before it would be
 			b.sync()
-			if b.Shelf.compact() == nil {
+			if b.Cache.compact() == nil {
 				b.sync()
 			}
 		default:
@@ -126,25 +126,25 @@
 	*later = *newBench(t, fs, b.now+1000*ms)
 	found := map[uint64]bool{}
 	for from := 0; from >= 0; {
-		from = later.tier.Each(from, func(k diskcache.Kept) {
+		from = later.tier.Scan(from, func(k diskcache.CachedPart) {
 			found[k.Seq] = true
-			rec, r, err := later.store.Read(k.Runs, k.Length)
+			rec, r, err := later.store.Read(k.Extents, k.Length)
 			if err == nil {
 				var body []byte
 				body, err = io.ReadAll(r)
-				if err == nil && (!r.Sound() || rec.Seq != k.Seq || !bytes.Equal(body, b.content[k.Seq])) {
-					err = diskstore.ErrRecord
+				if err == nil && (!r.Intact() || rec.Seq != k.Seq || !bytes.Equal(body, b.content[k.Seq])) {
+					err = diskstore.ErrCorruptRecord
 				}
 			}
 			if err != nil {
 				out.torn++
 			}
 			// Nothing that was found is served before it is proven.
-			ask := diskcache.Ask{Rule: 0, Object: rec.Object, Part: rec.Part, Group: rec.Group, Left: second}
-			if v, _ := later.tier.Look(later.now, &ask); v == diskcache.Serve {
+			ask := diskcache.Request{ClassIndex: 0, Object: rec.Object, Part: rec.Part, Group: rec.Group, Remaining: second}
+			if v, _ := later.tier.Lookup(later.now, &ask); v == diskcache.VerdictServe {
 				out.stale++
-			} else if v == diskcache.Prove {
-				later.tier.Read(later.now, diskcache.Ref{}, diskcache.Unused)
+			} else if v == diskcache.VerdictRevalidate {
+				later.tier.FinishRead(later.now, diskcache.Ref{}, diskcache.ReadUnused)
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 	}
 	now := map[uint64]bool{}
 	for from := 0; from >= 0; {
-		from = b.tier.Each(from, func(k diskcache.Kept) { now[k.Seq] = true })
+		from = b.tier.Scan(from, func(k diskcache.CachedPart) { now[k.Seq] = true })
 	}
 	return now
 }
@@ -190,9 +190,9 @@
 		x := b.judge(t, fs, steps, &later)
 		out.torn, out.stale, out.lost = out.torn+x.torn, out.stale+x.stale, out.lost+x.lost
 	}
-	for n := from; n <= b.fs.Len(); n++ {
+	for n := from; n <= b.fs.Steps(); n++ {
 		for _, cut := range []int{0, 1, 63, 64, 100, 700} {
-			count(b.fs.Killed(n, cut), n)
+			count(b.fs.AfterKill(n, cut), n)
 		}
 		open := b.fs.Unsynced(n)
 		if len(open) <= 4 {
@@ -203,7 +203,7 @@
 						lost = append(lost, at)
 					}
 				}
-				count(b.fs.Lost(n, lost, nil), n)
+				count(b.fs.AfterPowerLoss(n, lost, nil), n)
 			}
 			continue
 		}
@@ -214,8 +214,8 @@
 					lost = append(lost, at)
 				}
 			}
-			count(b.fs.Lost(n, lost, nil), n)
-			count(b.fs.Lost(n, nil, r), n)
+			count(b.fs.AfterPowerLoss(n, lost, nil), n)
+			count(b.fs.AfterPowerLoss(n, nil, r), n)
 		}
 	}
 	return states, out
@@ -246,10 +246,10 @@
 		b := newBench(t, crashfs.New(), 1_000_000*second)
 		b.drive(15, draw)
 		for range 3 {
-			n := draw(b.fs.Len() + 1)
-			fs := b.fs.Killed(n, draw(800))
+			n := draw(b.fs.Steps() + 1)
+			fs := b.fs.AfterKill(n, draw(800))
 			if draw(2) == 0 {
-				fs = b.fs.Lost(n, nil, r)
+				fs = b.fs.AfterPowerLoss(n, nil, r)
 			}
 			var later bench
 			if x := b.judge(rt, fs, n, &later); x != (broken{}) {
