--- a/internal/diskcache/diskrunner/diskrunner.go
+++ b/internal/diskcache/diskrunner/diskrunner.go
@@ -18,17 +18,17 @@
 
 // Config says what a shelf may use.
 type Config struct {
-	FS       diskstore.FS
-	Path     string // for the log
-	Super    diskstore.Super
-	Settings diskcache.Settings // Seed comes from the folder
-	ReadWait time.Duration      // a txn waits so long for the disk
+	FS          diskstore.FS
+	Path        string // for the log
+	Superblock  diskstore.Superblock
+	Settings    diskcache.Settings // Seed comes from the folder
+	ReadTimeout time.Duration      // a txn waits so long for the disk
 	// Clock gives the wall's and a steady clock's microseconds; nil: the system's.
 	Clock func() (wall, steady int64)
 }
 
-// Shelf is a running tier.
-type Shelf struct {
+// Cache is a running tier.
+type Cache struct {
 	config Config
 	bodies *bufferpool.Pool
 	log    *logrus.Entry
@@ -36,7 +36,7 @@
 
 	mu    sync.Mutex      // for what follows; never held over I/O
 	tier  *diskcache.Tier // nil until the folder is open
-	clock diskcache.Clock
+	clock diskcache.StepDetector
 	lost  bool // the board is lost
 	took  *hdrhistogram.Histogram
 
@@ -50,7 +50,7 @@
 
 // Start begins to open the folder and returns at once. Until recovery is over
 // nothing is found and nothing is kept.
-func Start(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Shelf {
+func Start(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Cache {
 	s := plain(config, bodies, log)
 	s.done.Add(1)
 	go func() {
@@ -61,7 +61,7 @@
 }
 
 // plain makes a shelf that does nothing by itself.
-func plain(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Shelf {
+func plain(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Cache {
 	if config.Clock == nil {
 		start := time.Now()
 		config.Clock = func() (wall, steady int64) {
@@ -69,13 +69,13 @@
 			return now.UnixMicro(), now.Sub(start).Microseconds()
 		}
 	}
-	s := &Shelf{config: config, bodies: bodies, log: log.WithField("disk", config.Path), rules: map[string]int{},
+	s := &Cache{config: config, bodies: bodies, log: log.WithField("disk", config.Path), rules: map[string]int{},
 		// Microseconds up to a minute in two figures: some kilobytes.
 		took:  hdrhistogram.New(1, 60_000_000, 2),
-		reads: make(chan *read, config.Settings.Reads), stop: make(chan struct{}),
+		reads: make(chan *read, config.Settings.MaxReads), stop: make(chan struct{}),
 		// Each waiting copy takes a slot of the queue at the least.
-		writes: make(chan *write, int(config.Settings.Queue)/config.Settings.Slot+1)}
-	for i, r := range config.Settings.Rules {
+		writes: make(chan *write, int(config.Settings.QueueBytes)/config.Settings.SlotBytes+1)}
+	for i, r := range config.Settings.Classes {
 		s.rules[r.Name] = i
 	}
 	return s
@@ -83,17 +83,17 @@
 
 // now gives the time to decide by. A jump of the system's clock is a gap in the
 // history of all copies.
-func (s *Shelf) now() int64 {
+func (s *Cache) now() int64 {
 	wall, steady := s.config.Clock()
 	if s.clock.Stepped(wall, steady) && s.tier != nil {
-		s.tier.Gap(wall)
+		s.tier.HistoryGap(wall)
 		s.log.Warn("disk tier: the clock has jumped, copies are proven again")
 	}
 	return wall
 }
 
 // run opens the folder, then writes until the shelf is closed.
-func (s *Shelf) run() {
+func (s *Cache) run() {
 	if !s.recover() {
 		return
 	}
@@ -108,10 +108,10 @@
 }
 
 // recover opens the folder and installs what it holds.
-func (s *Shelf) recover() bool {
+func (s *Cache) recover() bool {
 	began := time.Now()
 	set := &s.config.Settings
-	store, err := diskstore.Open(s.config.FS, s.config.Super, set.Slots)
+	store, err := diskstore.Open(s.config.FS, s.config.Superblock, set.Slots)
 	if err != nil {
 		s.log.WithError(err).Error("disk tier off")
 		return false
@@ -120,22 +120,22 @@
 	s.mu.Lock()
 	now := s.now()
 	s.store, s.tier = store, diskcache.New(now, *set)
-	s.tier.Board(now, s.lost)
+	s.tier.SetDiscoveryLost(now, s.lost)
 	s.mu.Unlock()
 
-	in := &installer{Shelf: s, rules: map[uint32]int{}}
-	for i, r := range set.Rules {
-		in.rules[diskstore.RuleHash(r.Name)] = i
+	in := &installer{Cache: s, rules: map[uint32]int{}}
+	for i, r := range set.Classes {
+		in.rules[diskstore.ClassHash(r.Name)] = i
 	}
 	found, err := store.Recover(in)
 	if err != nil {
 		store.Close()
-		s.fault(diskcache.Closed, nil)
+		s.fault(diskcache.EventClosed, nil)
 		s.log.WithError(err).Error("disk tier off")
 		return false
 	}
 	s.mu.Lock()
-	s.tier.Skip(found.Top)
+	s.tier.AdvanceSeq(found.MaxSeq)
 	size := s.tier.Size()
 	s.mu.Unlock()
 	s.ready.Store(true)
@@ -147,21 +147,21 @@
 
 // installer takes what the index says into the tier. Purges get in between.
 type installer struct {
-	*Shelf
+	*Cache
 	rules   map[uint32]int // by hash of the name
 	refused int
 }
 
 // Put installs a part. What was written last was wanted last, and is the newest.
 func (in *installer) Put(e *diskstore.Entry) {
-	rule, known := in.rules[e.Rule]
+	rule, known := in.rules[e.ClassHash]
 	if !known {
 		rule = -1
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.tier.Install(&diskcache.Kept{Key: e.Key, Object: e.Object, Issued: e.Issued, Seq: e.Seq, Length: e.Length,
-		Rule: rule, Group: e.Group, Runs: e.Runs}) {
+	if !in.tier.Restore(&diskcache.CachedPart{Key: e.Key, Object: e.Object, Issued: e.Issued, Seq: e.Seq, Length: e.Length,
+		ClassIndex: rule, Group: e.Group, Extents: e.Extents}) {
 		in.refused++
 	}
 }
@@ -170,28 +170,28 @@
 func (in *installer) Drop(d diskcache.Drop) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.tier.Uninstall(d)
+	in.tier.RemoveRestored(d)
 }
 
-// Ask is a read txn that copies may answer.
-type Ask struct {
-	Rule, Object string
-	Part         int64
-	Group        uint8
-	Left         time.Duration // until its time limit
+// Request is a read txn that copies may answer.
+type Request struct {
+	Class, Object string
+	Part          int64
+	Group         uint8
+	Remaining     time.Duration // until its time limit
 }
 
-func (s *Shelf) ask(a *Ask) (diskcache.Ask, bool) {
-	rule, known := s.rules[a.Rule]
-	return diskcache.Ask{Rule: rule, Object: a.Object, Part: a.Part, Group: a.Group, Left: a.Left.Microseconds()}, known
+func (s *Cache) ask(a *Request) (diskcache.Request, bool) {
+	rule, known := s.rules[a.Class]
+	return diskcache.Request{ClassIndex: rule, Object: a.Object, Part: a.Part, Group: a.Group, Remaining: a.Remaining.Microseconds()}, known
 }
 
 // Copy is a kept part, read into memory. Its holder releases it.
 type Copy struct {
 	*bufferpool.Body
 	Tag     string
-	Sure    bool // it may be served as it is; else after it was proven
-	shelf   *Shelf
+	Fresh   bool // it may be served as it is; else after it was proven
+	shelf   *Cache
 	ref     diskcache.Ref
 	rule    int
 	standIn bool
@@ -199,7 +199,7 @@
 
 // Get looks for a copy and reads it. It returns within the time that a txn may
 // wait for the disk; nil: the module decides as ever.
-func (s *Shelf) Get(a *Ask) *Copy {
+func (s *Cache) Get(a *Request) *Copy {
 	if !s.ready.Load() {
 		return nil
 	}
@@ -208,18 +208,18 @@
 		return nil
 	}
 	s.mu.Lock()
-	verdict, found := s.tier.Look(s.now(), &ask)
+	verdict, found := s.tier.Lookup(s.now(), &ask)
 	s.mu.Unlock()
-	if verdict == diskcache.Miss {
+	if verdict == diskcache.VerdictMiss {
 		return nil
 	}
-	r := &read{ask: a, found: found, sure: verdict == diskcache.Serve, rule: ask.Rule, done: make(chan *Copy, 1)}
+	r := &read{ask: a, found: found, sure: verdict == diskcache.VerdictServe, rule: ask.ClassIndex, done: make(chan *Copy, 1)}
 	select {
 	case <-s.stop:
 		return nil
 	case s.reads <- r: // Look bounds them to the channel's room
 	}
-	wait := time.NewTimer(min(s.config.ReadWait, a.Left/2))
+	wait := time.NewTimer(min(s.config.ReadTimeout, a.Remaining/2))
 	defer wait.Stop()
 	select {
 	case c := <-r.done:
@@ -247,36 +247,36 @@
 	}
 	c.shelf.mu.Lock()
 	defer c.shelf.mu.Unlock()
-	return c.shelf.tier.StillServe(c.shelf.now(), c.ref, c.rule, int64(c.Len()), same, false)
+	return c.shelf.tier.ReserveServe(c.shelf.now(), c.ref, c.rule, int64(c.Len()), same, false)
 }
 
-// StandIn tells whether the copy, past its fresh time, may be served where the
+// ServeStale tells whether the copy, past its fresh time, may be served where the
 // module has no answer.
-func (c *Copy) StandIn(same bool) bool {
+func (c *Copy) ServeStale(same bool) bool {
 	if !c.standIn || c.shelf.closed() {
 		return false
 	}
 	c.shelf.mu.Lock()
 	defer c.shelf.mu.Unlock()
-	return c.shelf.tier.StillServe(c.shelf.now(), c.ref, c.rule, int64(c.Len()), same, true)
+	return c.shelf.tier.ReserveServe(c.shelf.now(), c.ref, c.rule, int64(c.Len()), same, true)
 }
 
-// Proven says that a cache server has named the copy's tag as that of the copy
+// Revalidated says that a cache server has named the copy's tag as that of the copy
 // it would serve, given out by the origin at issued (Unix milliseconds), and
 // whether the client gets the bytes from here.
-func (c *Copy) Proven(issued int64, served bool) {
+func (c *Copy) Revalidated(issued int64, served bool) {
 	bytes := int64(0)
 	if served {
 		bytes = int64(c.Len())
 	}
 	c.shelf.mu.Lock()
 	defer c.shelf.mu.Unlock()
-	c.shelf.tier.Proven(c.shelf.now(), c.ref, issued, bytes)
+	c.shelf.tier.Revalidated(c.shelf.now(), c.ref, issued, bytes)
 }
 
-// Keep offers what a read txn was completed with. The body is held until it is
+// Offer offers what a read txn was completed with. The body is held until it is
 // written or found not to be worth it.
-func (s *Shelf) Keep(a *Ask, tag string, issued int64, body *bufferpool.Body) {
+func (s *Cache) Offer(a *Request, tag string, issued int64, body *bufferpool.Body) {
 	if !s.ready.Load() {
 		return
 	}
@@ -284,28 +284,28 @@
 	if !known || tag == "" || issued <= 0 {
 		return
 	}
-	rec := diskstore.Record{Issued: issued, Part: a.Part, Rule: a.Rule, Object: a.Object, Tag: tag, Group: a.Group,
-		Body: body.Len()}
+	rec := diskstore.Record{Issued: issued, Part: a.Part, Class: a.Class, Object: a.Object, Tag: tag, Group: a.Group,
+		BodyBytes: body.Len()}
 	length := rec.Length()
 	s.mu.Lock()
-	place, reason := s.tier.Offer(s.now(), &diskcache.Copy{Ask: ask, Issued: issued, Length: length})
+	place, reason := s.tier.Offer(s.now(), &diskcache.Candidate{Request: ask, Issued: issued, Length: length})
 	s.mu.Unlock()
-	if reason != diskcache.Good {
+	if reason != diskcache.ReasonOK {
 		return
 	}
 	rec.Seq = place.Ref.Seq()
 	select {
 	case <-s.stop:
-	case s.writes <- &write{place: place, rec: rec, body: body.Hold(), entry: diskstore.Entry{Key: place.Key,
-		Object: place.Object, Issued: issued, Seq: rec.Seq, Length: length, Rule: diskstore.RuleHash(a.Rule),
-		Group: a.Group, Runs: place.Runs}}:
+	case s.writes <- &write{place: place, rec: rec, body: body.Retain(), entry: diskstore.Entry{Key: place.Key,
+		Object: place.Object, Issued: issued, Seq: rec.Seq, Length: length, ClassHash: diskstore.ClassHash(a.Class),
+		Group: a.Group, Extents: place.Extents}}:
 	}
 }
 
 // Purge takes the purge of an object, or of a group where that is "", made at
 // the given time. Before the folder is open there is nothing that it could bind:
 // what is found there is proven first in any case.
-func (s *Shelf) Purge(object string, group, at int64) {
+func (s *Cache) Purge(object string, group, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.tier != nil {
@@ -313,42 +313,42 @@
 	}
 }
 
-// Gap says that events of the notice board may have been missed.
-func (s *Shelf) Gap() {
+// HistoryGap says that events of the notice board may have been missed.
+func (s *Cache) HistoryGap() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.tier != nil {
-		s.tier.Gap(s.now())
+		s.tier.HistoryGap(s.now())
 	}
 }
 
-// Board tells whether the notice board can be reached.
-func (s *Shelf) Board(lost bool) {
+// SetDiscoveryLost tells whether the notice board can be reached.
+func (s *Cache) SetDiscoveryLost(lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost = lost; s.tier != nil {
-		s.tier.Board(s.now(), lost)
+		s.tier.SetDiscoveryLost(s.now(), lost)
 	}
 }
 
 // fault tells the tier of one, and logs a change of health once.
-func (s *Shelf) fault(f diskcache.Fault, err error) diskcache.Health {
+func (s *Cache) fault(f diskcache.Event, err error) diskcache.Health {
 	s.mu.Lock()
-	h, changed := s.tier.Fault(s.now(), f)
+	h, changed := s.tier.HandleEvent(s.now(), f)
 	s.mu.Unlock()
-	if changed && f != diskcache.Closed {
+	if changed && f != diskcache.EventClosed {
 		s.log.WithError(err).WithField("health", h.String()).Error("disk tier: fault of the disk")
 	}
 	return h
 }
 
 // Close writes what waits and ends the use of the folder.
-func (s *Shelf) Close() {
+func (s *Cache) Close() {
 	close(s.stop)
 	s.done.Wait()
 }
 
-func (s *Shelf) closed() bool {
+func (s *Cache) closed() bool {
 	select {
 	case <-s.stop:
 		return true
@@ -364,32 +364,32 @@
 	Counts diskcache.Counts
 	Size   diskcache.Size
 	// Reads of the disk, in microseconds.
-	ReadMedian, Read99 int64
+	ReadMedianMicros, ReadP99Micros int64
 }
 
 // State tells how the shelf stands.
-func (s *Shelf) State() (st State) {
+func (s *Cache) State() (st State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st.Ready = s.ready.Load()
 	if s.tier != nil {
 		st.Health, st.Counts, st.Size = s.tier.Health(), s.tier.Counts, s.tier.Size()
 	}
-	st.ReadMedian, st.Read99 = s.took.ValueAtQuantile(50), s.took.ValueAtQuantile(99)
+	st.ReadMedianMicros, st.ReadP99Micros = s.took.ValueAtQuantile(50), s.took.ValueAtQuantile(99)
 	return st
 }
 
 // Status are the fields of the status line.
-func (s *Shelf) Status() logrus.Fields {
+func (s *Cache) Status() logrus.Fields {
 	st := s.State()
 	looks, offers := int64(0), int64(0)
-	for i := range diskcache.Reasons {
-		looks += st.Counts.Looks[i]
+	for i := range diskcache.ReasonCount {
+		looks += st.Counts.Lookups[i]
 		offers += st.Counts.Offers[i]
 	}
 	return logrus.Fields{"ready": st.Ready, "health": st.Health.String(), "parts": st.Size.Parts,
-		"disk_mb": st.Size.Bytes >> 20, "memory_mb": st.Size.Memory >> 20, "looks": looks, "served": st.Counts.Served,
-		"proven": st.Counts.Proven, "stood_in": st.Counts.StoodIn, "offers": offers,
-		"written": st.Counts.Offers[diskcache.Good], "evicted": st.Counts.Evicted, "purged": st.Counts.PurgedOut,
-		"read_us_median": st.ReadMedian, "read_us_99": st.Read99, "read_faults": st.Counts.ReadFaults}
+		"disk_mb": st.Size.Bytes >> 20, "memory_mb": st.Size.MemoryBytes >> 20, "looks": looks, "served": st.Counts.Served,
+		"proven": st.Counts.Revalidated, "stood_in": st.Counts.ServedStale, "offers": offers,
+		"written": st.Counts.Offers[diskcache.ReasonOK], "evicted": st.Counts.Evicted, "purged": st.Counts.Purged,
+		"read_us_median": st.ReadMedianMicros, "read_us_99": st.ReadP99Micros, "read_faults": st.Counts.ReadFaults}
 }
--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -21,13 +21,13 @@
 )
 
 // running starts a shelf with its goroutines and a clock that the test moves.
-func running(t *testing.T, fs diskstore.FS, now *atomic.Int64, change func(*Config)) (*Shelf, *logtest.Hook) {
+func running(t *testing.T, fs diskstore.FS, now *atomic.Int64, change func(*Config)) (*Cache, *logtest.Hook) {
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
 	set := settings()
-	set.SyncEvery = 5 * ms
-	set.WritePerS = 1 << 30
-	c := Config{FS: fs, Super: diskstore.Super{Slot: set.Slot, Seed: 7}, Settings: set, ReadWait: 2 * time.Second,
+	set.SyncInterval = 5 * ms
+	set.WriteBytesPerSecond = 1 << 30
+	c := Config{FS: fs, Superblock: diskstore.Superblock{SlotBytes: set.SlotBytes, Seed: 7}, Settings: set, ReadTimeout: 2 * time.Second,
 		Clock: func() (int64, int64) { return now.Load(), now.Load() }}
 	if change != nil {
 		change(&c)
@@ -54,27 +54,27 @@
 	t.Fatal(what, "has not come")
 }
 
-func ask(object string) *Ask {
-	return &Ask{Rule: "page", Object: object, Part: 1, Left: 4 * time.Second}
+func ask(object string) *Request {
+	return &Request{Class: "page", Object: object, Part: 1, Remaining: 4 * time.Second}
 }
 
 // keep offers a copy until it is kept.
-func keep(t *testing.T, s *Shelf, now int64, object, content string) {
+func keep(t *testing.T, s *Cache, now int64, object, content string) {
 	t.Helper()
 	until(t, "recovery", s.ready.Load)
 	s.Get(ask(object))
 	s.Get(ask(object))
-	body, _ := s.bodies.Read(strings.NewReader(content), len(content))
+	body, _ := s.bodies.ReadBody(strings.NewReader(content), len(content))
 	defer body.Release()
-	s.Keep(ask(object), "tag-"+object, now/ms, body)
-	until(t, "the write of "+object, func() bool { return s.State().Size.Queued == 0 })
+	s.Offer(ask(object), "tag-"+object, now/ms, body)
+	until(t, "the write of "+object, func() bool { return s.State().Size.QueuedBytes == 0 })
 }
 
 func content(c *Copy) string {
 	if c == nil {
 		return "none"
 	}
-	return string(bytes.Join(c.Append(nil), nil))
+	return string(bytes.Join(c.AppendBuffers(nil), nil))
 }
 
 func clockAt(at int64) *atomic.Int64 {
@@ -92,7 +92,7 @@
 	long := strings.Repeat("0123456789", 300)
 	keep(t, s, now.Load(), "x", long)
 	c := s.Get(ask("x"))
-	if content(c) != long || c.Tag != "tag-x" || !c.Sure || !c.Serve(false) {
+	if content(c) != long || c.Tag != "tag-x" || !c.Fresh || !c.Serve(false) {
 		t.Fatalf("%.20q", content(c))
 	}
 	s.Purge("x", 0, now.Load())
@@ -100,7 +100,7 @@
 		t.Fatal("purged since it was read, and served")
 	}
 	c.Release()
-	if s.Get(ask("x")) != nil || s.Get(ask("y")) != nil || s.Get(&Ask{Rule: "none"}) != nil {
+	if s.Get(ask("x")) != nil || s.Get(ask("y")) != nil || s.Get(&Request{Class: "none"}) != nil {
 		t.Fatal("what isn't there was found")
 	}
 	keep(t, s, now.Add(second), "x", "second")
@@ -109,22 +109,22 @@
 	s, _ = running(t, fs, now, nil)
 	until(t, "recovery", s.ready.Load)
 	c = s.Get(ask("x"))
-	if content(c) != "second" || c.Sure || c.Serve(false) || c.StandIn(false) {
-		t.Fatalf("%q, sure %v", content(c), c != nil && c.Sure)
+	if content(c) != "second" || c.Fresh || c.Serve(false) || c.ServeStale(false) {
+		t.Fatalf("%q, sure %v", content(c), c != nil && c.Fresh)
 	}
-	c.Proven(now.Add(second)/ms, true)
+	c.Revalidated(now.Add(second)/ms, true)
 	c.Release()
-	if c = s.Get(ask("x")); content(c) != "second" || !c.Sure {
+	if c = s.Get(ask("x")); content(c) != "second" || !c.Fresh {
 		t.Fatal("proven, and not sure")
 	}
 	c.Release()
 	// Past its fresh time it may stand in, until its grace is over.
 	now.Add(70 * second)
-	if c = s.Get(ask("x")); c == nil || c.Sure || !c.StandIn(false) {
+	if c = s.Get(ask("x")); c == nil || c.Fresh || !c.ServeStale(false) {
 		t.Fatal("doesn't stand in within its grace")
 	}
 	now.Add(60 * second)
-	if c.StandIn(false) {
+	if c.ServeStale(false) {
 		t.Fatal("stands in past its grace")
 	}
 	c.Release()
@@ -142,7 +142,7 @@
 	keep(t, s, now.Load(), "x", "old")
 	now.Add(-30 * second)
 	c := s.Get(ask("x"))
-	if c == nil || c.Sure {
+	if c == nil || c.Fresh {
 		t.Fatal("a copy of an age that nobody knows is sure")
 	}
 	c.Release()
@@ -152,7 +152,7 @@
 }
 
 func TestWhatFoldersSay(t *testing.T) {
-	super := diskstore.Super{Slot: diskstore.LeastSlot, Seed: 1}
+	super := diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 1}
 	made := func() *crashfs.FS {
 		fs := crashfs.New()
 		s, err := diskstore.Open(fs, super, 64)
@@ -163,12 +163,12 @@
 		return fs
 	}
 	newer := made()
-	newer.Bytes("store")[16] = 9
+	newer.Content("store")[16] = 9
 	flipped := made()
-	flipped.Bytes("store")[24] ^= 1
+	flipped.Content("store")[24] ^= 1
 	foreign, photos := crashfs.New(), crashfs.New()
-	foreign.Put("store", []byte("something else of other people's"))
-	photos.Put("cat.jpg", nil)
+	foreign.AddFile("store", []byte("something else of other people's"))
+	photos.AddFile("cat.jpg", nil)
 	used := made()
 	used.Lock("lock")
 	other := made()
@@ -176,17 +176,17 @@
 		fs   *crashfs.FS
 		want error
 		slot int
-	}{"newer": {newer, diskstore.ErrNewer, super.Slot}, "flipped": {flipped, diskstore.ErrBroken, super.Slot},
-		"foreign": {foreign, diskstore.ErrForeign, super.Slot}, "photos": {photos, diskstore.ErrForeign, super.Slot},
-		"in use": {used, diskstore.ErrInUse, super.Slot}, "other slots": {other, diskstore.ErrBroken, 2 * super.Slot}} {
-		s, hook := running(t, c.fs, clockAt(second), func(k *Config) { k.Super.Slot = c.slot })
+	}{"newer": {newer, diskstore.ErrNewerVersion, super.SlotBytes}, "flipped": {flipped, diskstore.ErrCorruptStore, super.SlotBytes},
+		"foreign": {foreign, diskstore.ErrNotStore, super.SlotBytes}, "photos": {photos, diskstore.ErrNotStore, super.SlotBytes},
+		"in use": {used, diskstore.ErrInUse, super.SlotBytes}, "other slots": {other, diskstore.ErrCorruptStore, 2 * super.SlotBytes}} {
+		s, hook := running(t, c.fs, clockAt(second), func(k *Config) { k.Superblock.SlotBytes = c.slot })
 		s.done.Wait()
 		if len(hook.AllEntries()) != 1 || hook.LastEntry().Level != logrus.ErrorLevel ||
 			!errors.Is(hook.LastEntry().Data["error"].(error), c.want) {
 			t.Errorf("%s: %v, want one line with %v", name, hook.AllEntries(), c.want)
 		}
-		body, _ := s.bodies.Read(strings.NewReader("x"), 1)
-		s.Keep(ask("x"), "t", 1, body)
+		body, _ := s.bodies.ReadBody(strings.NewReader("x"), 1)
+		s.Offer(ask("x"), "t", 1, body)
 		s.Purge("x", 0, 1)
 		if s.Get(ask("x")) != nil {
 			t.Errorf("%s: something was found", name)
@@ -205,15 +205,15 @@
 		health diskcache.Health
 		found  bool // what was written before can still be read
 	}{
-		"no space":               {crashfs.Write, "", 0, syscall.ENOSPC, diskcache.Full, true},
-		"no space within":        {crashfs.Write, "", 100, syscall.ENOSPC, diskcache.Full, true},
-		"no space for the index": {crashfs.Write, "index", 0, syscall.ENOSPC, diskcache.Full, true},
-		"quota":                  {crashfs.Write, "", 0, syscall.EDQUOT, diskcache.Full, true},
-		"write fails":            {crashfs.Write, "", 0, syscall.EIO, diskcache.ReadsOnly, true},
-		"short write":            {crashfs.Write, "", 100, nil, diskcache.ReadsOnly, true},
-		"sync fails":             {crashfs.Sync, "", 0, syscall.EIO, diskcache.ReadsOnly, true},
-		"reads fail":             {crashfs.Read, "", 0, syscall.EIO, diskcache.Off, false},
-		"reads and disk is on":   {crashfs.SyncDir, "", 0, syscall.EIO, diskcache.On, true}, // nothing needs one now
+		"no space":               {crashfs.OpWrite, "", 0, syscall.ENOSPC, diskcache.HealthFull, true},
+		"no space within":        {crashfs.OpWrite, "", 100, syscall.ENOSPC, diskcache.HealthFull, true},
+		"no space for the index": {crashfs.OpWrite, "index", 0, syscall.ENOSPC, diskcache.HealthFull, true},
+		"quota":                  {crashfs.OpWrite, "", 0, syscall.EDQUOT, diskcache.HealthFull, true},
+		"write fails":            {crashfs.OpWrite, "", 0, syscall.EIO, diskcache.HealthReadOnly, true},
+		"short write":            {crashfs.OpWrite, "", 100, nil, diskcache.HealthReadOnly, true},
+		"sync fails":             {crashfs.OpSync, "", 0, syscall.EIO, diskcache.HealthReadOnly, true},
+		"reads fail":             {crashfs.OpRead, "", 0, syscall.EIO, diskcache.HealthOff, false},
+		"reads and disk is on":   {crashfs.OpSyncDir, "", 0, syscall.EIO, diskcache.HealthOn, true}, // nothing needs one now
 	} {
 		now := clockAt(1000 * second)
 		fs := crashfs.New()
@@ -228,8 +228,8 @@
 		var failing atomic.Bool
 		failing.Store(true)
 		var wrote atomic.Int64
-		fs.Break(func(op crashfs.Op, file string, _ int) (*int, error) {
-			if op == crashfs.Write {
+		fs.SetFail(func(op crashfs.Op, file string, _ int) (*int, error) {
+			if op == crashfs.OpWrite {
 				wrote.Add(1)
 			}
 			if op != c.op || !failing.Load() || !strings.HasPrefix(file, c.file) {
@@ -245,7 +245,7 @@
 			keep(t, s, now.Load(), fmt.Sprint("after", i), strings.Repeat("x", 200))
 		}
 		until(t, name+": the state", func() bool { return s.State().Health == c.health })
-		if before := wrote.Load(); c.health != diskcache.On {
+		if before := wrote.Load(); c.health != diskcache.HealthOn {
 			keep(t, s, now.Load(), "more", "more")
 			time.Sleep(20 * time.Millisecond)
 			if n := wrote.Load(); n != before {
@@ -258,7 +258,7 @@
 				errs++
 			}
 		}
-		if want := map[bool]int{true: 1}[c.health != diskcache.On]; errs != want {
+		if want := map[bool]int{true: 1}[c.health != diskcache.HealthOn]; errs != want {
 			t.Errorf("%s: %d error lines, want %d", name, errs, want)
 		}
 		got := s.Get(ask("before9"))
@@ -266,7 +266,7 @@
 			t.Errorf("%s: read %q", name, content(got))
 		}
 		got.Release()
-		if c.health == diskcache.Full { // and it comes back with the space
+		if c.health == diskcache.HealthFull { // and it comes back with the space
 			failing.Store(false)
 			now.Add(31 * second)
 			keep(t, s, now.Load(), "again", "new")
@@ -275,12 +275,12 @@
 		}
 		kept := s.State().Size.Parts
 		s.Close()
-		fs.Break(nil)
+		fs.SetFail(nil)
 		s, _ = running(t, fs, now, nil) // whatever it was, a restart finds a sound store
 		until(t, "recovery", s.ready.Load)
-		if r, err := diskstore.Look(fs, true); err != nil || !r.Sound() || r.Parts < 9 {
+		if r, err := diskstore.Inspect(fs, true); err != nil || !r.Intact() || r.Parts < 9 {
 			t.Errorf("%s: %+v, %v", name, r, err)
-		} else if (c.health == diskcache.Full || c.health == diskcache.On) && r.Parts != kept {
+		} else if (c.health == diskcache.HealthFull || c.health == diskcache.HealthOn) && r.Parts != kept {
 			t.Errorf("%s: %d parts, %d were kept", name, r.Parts, kept)
 		}
 		s.Close()
@@ -292,13 +292,13 @@
 func TestHangingDisk(t *testing.T) {
 	now := clockAt(1000 * second)
 	fs := crashfs.New()
-	s, _ := running(t, fs, now, func(c *Config) { c.ReadWait = 10 * time.Millisecond })
+	s, _ := running(t, fs, now, func(c *Config) { c.ReadTimeout = 10 * time.Millisecond })
 	until(t, "recovery", s.ready.Load)
 	now.Add(second)
 	keep(t, s, now.Load(), "x", "whole")
 	hang := make(chan struct{})
-	fs.Break(func(op crashfs.Op, _ string, _ int) (*int, error) {
-		if op == crashfs.Read {
+	fs.SetFail(func(op crashfs.Op, _ string, _ int) (*int, error) {
+		if op == crashfs.OpRead {
 			<-hang
 		}
 		return nil, nil
@@ -312,12 +312,12 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Fatalf("held up for %v", took)
 	}
-	if n := s.State().Size.Reading; n != s.config.Settings.Reads {
-		t.Fatalf("%d reads out, %d at most", n, s.config.Settings.Reads)
+	if n := s.State().Size.ActiveReads; n != s.config.Settings.MaxReads {
+		t.Fatalf("%d reads out, %d at most", n, s.config.Settings.MaxReads)
 	}
-	fs.Break(nil)
+	fs.SetFail(nil)
 	close(hang)
-	until(t, "the end of the reads", func() bool { return s.State().Size.Reading == 0 })
+	until(t, "the end of the reads", func() bool { return s.State().Size.ActiveReads == 0 })
 	c := s.Get(ask("x"))
 	if content(c) != "whole" {
 		t.Fatal(content(c))
@@ -336,11 +336,11 @@
 		b := newBench(t, crashfs.New(), 1000*second)
 		b.drive(20, r.IntN)
 		b.sync()
-		fs := b.fs.Killed(b.fs.Len(), 0)
+		fs := b.fs.AfterKill(b.fs.Steps(), 0)
 		names, _ := fs.List()
 		for range 1 + r.IntN(4) {
 			name := names[r.IntN(len(names))]
-			if bytes := fs.Bytes(name); name != "store" && len(bytes) > 0 {
+			if bytes := fs.Content(name); name != "store" && len(bytes) > 0 {
 				switch at := r.IntN(len(bytes)); r.IntN(3) {
 				case 0:
 					bytes[at] ^= 1 << r.IntN(8)
@@ -355,10 +355,10 @@
 		later := newBench(t, fs, b.now+second)
 		for i := range 3 * 6 * 4 { // all that drive may have kept
 			object := fmt.Sprintf("%*d", 1+i/24, i/4%6)
-			a := &Ask{Rule: "page", Object: object, Part: int64(i % 4), Group: uint8(len(object)), Left: time.Second}
+			a := &Request{Class: "page", Object: object, Part: int64(i % 4), Group: uint8(len(object)), Remaining: time.Second}
 			ask, _ := later.ask(a)
-			v, found := later.tier.Look(later.now, &ask)
-			if v == diskcache.Miss {
+			v, found := later.tier.Lookup(later.now, &ask)
+			if v == diskcache.VerdictMiss {
 				continue
 			}
 			c := later.read(&read{ask: a, found: found})
@@ -383,19 +383,19 @@
 	fs := crashfs.New()
 	b := newBench(t, fs, 1000*second)
 	for range 5 {
-		a := &Ask{Rule: "sign", Object: "contract", Left: time.Second}
+		a := &Request{Class: "sign", Object: "contract", Remaining: time.Second}
 		if b.Get(a) != nil {
 			t.Fatal("found")
 		}
-		body, _ := b.bodies.Read(strings.NewReader("SECRET-ACCEPTANCE"), 17)
-		b.Keep(a, "tag", b.now/ms, body)
+		body, _ := b.bodies.ReadBody(strings.NewReader("SECRET-ACCEPTANCE"), 17)
+		b.Offer(a, "tag", b.now/ms, body)
 		b.keep("page", 0, 500)
 		b.sync()
 	}
 	names, _ := fs.List()
 	all := []byte{}
 	for _, n := range names {
-		all = append(all, fs.Bytes(n)...)
+		all = append(all, fs.Content(n)...)
 	}
 	if !bytes.Contains(all, []byte("page/0@")) {
 		t.Fatal("the page is not there either: the test looks in the wrong place")
@@ -410,7 +410,7 @@
 // The buffers of a write are given back, whatever becomes of it.
 func TestNoBufferIsLost(t *testing.T) {
 	now := clockAt(1000 * second)
-	s, _ := running(t, crashfs.New(), now, func(c *Config) { c.Settings.Queue = 3 << 10 })
+	s, _ := running(t, crashfs.New(), now, func(c *Config) { c.Settings.QueueBytes = 3 << 10 })
 	until(t, "recovery", s.ready.Load)
 	for i := range 300 {
 		a := ask(fmt.Sprint(i % 7))
@@ -418,8 +418,8 @@
 			c.Serve(false)
 			c.Release()
 		}
-		if body, err := s.bodies.Read(strings.NewReader(strings.Repeat("x", 3000)), 3000); err == nil {
-			s.Keep(a, "t", now.Add(200*ms)/ms, body)
+		if body, err := s.bodies.ReadBody(strings.NewReader(strings.Repeat("x", 3000)), 3000); err == nil {
+			s.Offer(a, "t", now.Add(200*ms)/ms, body)
 			body.Release()
 		}
 		if i%50 == 0 {
@@ -431,11 +431,11 @@
 }
 
 // allBuffers tells whether the pool has all that it began with, and empties it.
-func allBuffers(t *testing.T, s *Shelf) {
+func allBuffers(t *testing.T, s *Cache) {
 	t.Helper()
 	held := 0
 	for { // a pool of 1 MB has 128 buffers
-		if _, err := s.bodies.Read(strings.NewReader("x"), 1); err != nil {
+		if _, err := s.bodies.ReadBody(strings.NewReader("x"), 1); err != nil {
 			break
 		}
 		held++
@@ -451,31 +451,31 @@
 	fs := crashfs.New()
 	b := newBench(t, fs, 1000*second)
 	b.now += second
-	a := &Ask{Rule: "page", Object: "x", Group: 1, Left: time.Second}
+	a := &Request{Class: "page", Object: "x", Group: 1, Remaining: time.Second}
 	ask, _ := b.ask(a)
-	b.tier.Look(b.now, &ask)
-	b.tier.Look(b.now, &ask)
-	body, _ := b.bodies.Read(strings.NewReader("purged in the queue"), 19)
-	b.Keep(a, "tag", b.now/ms, body)
+	b.tier.Lookup(b.now, &ask)
+	b.tier.Lookup(b.now, &ask)
+	body, _ := b.bodies.ReadBody(strings.NewReader("purged in the queue"), 19)
+	b.Offer(a, "tag", b.now/ms, body)
 	body.Release()
 	b.Purge("x", 0, b.now)
-	steps := fs.Len()
+	steps := fs.Steps()
 	b.write(<-b.writes, &b.batch)
-	if fs.Len() != steps || len(b.batch.puts) != 0 {
+	if fs.Steps() != steps || len(b.batch.puts) != 0 {
 		t.Fatal("purged in the queue, yet written")
 	}
 	b.now += second
 	b.keep("x", 0, 100)
 	for name, c := range map[string]struct {
-		ask   *Ask
+		ask   *Request
 		purge bool
-	}{"another name": {&Ask{Rule: "page", Object: "y", Group: 1}, false}, "another group": {&Ask{Rule: "page", Object: "x"}, false},
+	}{"another name": {&Request{Class: "page", Object: "y", Group: 1}, false}, "another group": {&Request{Class: "page", Object: "x"}, false},
 		"purged": {a, true}} {
-		v, found := b.tier.Look(b.now, &ask)
-		if v == diskcache.Miss { // the purge came first
+		v, found := b.tier.Lookup(b.now, &ask)
+		if v == diskcache.VerdictMiss { // the purge came first
 			b.now += second
 			b.keep("x", 0, 100)
-			v, found = b.tier.Look(b.now, &ask)
+			v, found = b.tier.Lookup(b.now, &ask)
 		}
 		if c.purge {
 			b.Purge("x", 0, b.now)
@@ -484,5 +484,5 @@
 			t.Errorf("%s: read", name)
 		}
 	}
-	allBuffers(t, b.Shelf)
+	allBuffers(t, b.Cache)
 }
--- a/internal/diskcache/diskrunner/work.go
+++ b/internal/diskcache/diskrunner/work.go
@@ -11,15 +11,15 @@
 
 // read is a part on its way from the disk.
 type read struct {
-	ask   *Ask
-	found diskcache.Found
+	ask   *Request
+	found diskcache.LookupResult
 	sure  bool
 	rule  int
 	over  atomic.Bool // nobody waits any more, or the copy was handed over
 	done  chan *Copy
 }
 
-func (s *Shelf) readAll() {
+func (s *Cache) readAll() {
 	for {
 		select {
 		case <-s.stop: // whoever waits yet goes on after its wait
@@ -36,24 +36,24 @@
 }
 
 // read reads one part; nil: it is not to be had.
-func (s *Shelf) read(r *read) *Copy {
+func (s *Cache) read(r *read) *Copy {
 	began := time.Now()
-	rec, from, err := s.store.Read(r.found.Runs, r.found.Length)
-	end := diskcache.Sound
+	rec, from, err := s.store.Read(r.found.Extents, r.found.Length)
+	end := diskcache.ReadIntact
 	var body *bufferpool.Body
-	if err == nil && rec.Body > 0 {
-		body, err = s.bodies.Read(from, rec.Body)
+	if err == nil && rec.BodyBytes > 0 {
+		body, err = s.bodies.ReadBody(from, rec.BodyBytes)
 	}
 	switch {
 	case err == bufferpool.ErrFull:
-		end = diskcache.Unused
-	case err != nil || !from.Sound() || rec.Seq != r.found.Ref.Seq():
-		end = diskcache.Unsound
-	case rec.Rule != r.ask.Rule || rec.Object != r.ask.Object || rec.Part != r.ask.Part || rec.Group != r.ask.Group:
-		end = diskcache.Unused
+		end = diskcache.ReadUnused
+	case err != nil || !from.Intact() || rec.Seq != r.found.Ref.Seq():
+		end = diskcache.ReadCorrupt
+	case rec.Class != r.ask.Class || rec.Object != r.ask.Object || rec.Part != r.ask.Part || rec.Group != r.ask.Group:
+		end = diskcache.ReadUnused
 	}
 	s.mu.Lock()
-	usable, changed := s.tier.Read(s.now(), r.found.Ref, end)
+	usable, changed := s.tier.FinishRead(s.now(), r.found.Ref, end)
 	s.took.RecordValue(max(time.Since(began).Microseconds(), 1))
 	health := s.tier.Health()
 	s.mu.Unlock()
@@ -64,13 +64,13 @@
 		body.Release()
 		return nil
 	}
-	return &Copy{Body: body, Tag: rec.Tag, Sure: r.sure, shelf: s, ref: r.found.Ref, rule: r.rule,
-		standIn: r.found.StandIn}
+	return &Copy{Body: body, Tag: rec.Tag, Fresh: r.sure, shelf: s, ref: r.found.Ref, rule: r.rule,
+		standIn: r.found.StaleIfError}
 }
 
 // write is a copy on its way to the disk.
 type write struct {
-	place diskcache.Place
+	place diskcache.Placement
 	rec   diskstore.Record
 	body  *bufferpool.Body
 	entry diskstore.Entry
@@ -87,8 +87,8 @@
 const commitAt = 8 << 20
 
 // writeAll is the life of the one goroutine that writes.
-func (s *Shelf) writeAll() {
-	every := time.NewTicker(time.Duration(s.config.Settings.SyncEvery) * time.Microsecond)
+func (s *Cache) writeAll() {
+	every := time.NewTicker(time.Duration(s.config.Settings.SyncInterval) * time.Microsecond)
 	defer every.Stop()
 	var b batch
 	for open := true; open; {
@@ -114,20 +114,20 @@
 		break
 	}
 	s.commit(&b)
-	s.fault(diskcache.Closed, nil)
+	s.fault(diskcache.EventClosed, nil)
 }
 
-func (s *Shelf) write(w *write, b *batch) {
+func (s *Cache) write(w *write, b *batch) {
 	defer w.body.Release()
 	s.mu.Lock()
-	wanted := s.tier.Wanted(w.place.Ref) && s.tier.Health() == diskcache.On
+	wanted := s.tier.WriteNeeded(w.place.Ref) && s.tier.Health() == diskcache.HealthOn
 	s.mu.Unlock()
 	var err error
 	if wanted {
-		err = s.store.Write(w.place.Runs, &w.rec, w.body.Append(nil))
+		err = s.store.Write(w.place.Extents, &w.rec, w.body.AppendBuffers(nil))
 	}
 	s.mu.Lock()
-	written := s.tier.Written(w.place.Ref, w.entry.Length, wanted && err == nil)
+	written := s.tier.FinishWrite(w.place.Ref, w.entry.Length, wanted && err == nil)
 	s.mu.Unlock()
 	if err != nil {
 		s.fault(faultOf(err), err)
@@ -138,26 +138,26 @@
 	}
 }
 
-func faultOf(err error) diskcache.Fault {
-	if diskstore.NoSpace(err) {
-		return diskcache.NoSpace
+func faultOf(err error) diskcache.Event {
+	if diskstore.IsNoSpace(err) {
+		return diskcache.EventNoSpace
 	}
-	return diskcache.WriteFault
+	return diskcache.EventWriteFailed
 }
 
 // commit makes a batch last. On a full disk it is kept and tried again; after
 // any other fault nothing more is written.
-func (s *Shelf) commit(b *batch) {
+func (s *Cache) commit(b *batch) {
 	s.mu.Lock()
 	now := s.now()
-	s.tier.Housekeep(now)
+	s.tier.Sweep(now)
 	health := s.tier.Health()
-	if health == diskcache.On {
-		b.drops = append(b.drops, s.tier.Drops()...)
+	if health == diskcache.HealthOn {
+		b.drops = append(b.drops, s.tier.TakeDrops()...)
 	}
 	live := s.tier.Size().Parts
 	s.mu.Unlock()
-	if health != diskcache.On {
+	if health != diskcache.HealthOn {
 		return
 	}
 	err := s.store.Commit(b.puts, b.drops)
@@ -166,7 +166,7 @@
 		s.mu.Lock()
 		s.tier.Synced()
 		s.mu.Unlock()
-		if s.store.Stale(live) {
+		if s.store.NeedsCompaction(live) {
 			err = s.compact()
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (s *Shelf) compact() error {
+func (s *Cache) compact() error {
 	began := time.Now()
 	var some []diskstore.Entry
 	parts := 0
@@ -183,9 +183,9 @@
 		for from := 0; from >= 0; {
 			some = some[:0]
 			s.mu.Lock()
-			from = s.tier.Each(from, func(k diskcache.Kept) {
+			from = s.tier.Scan(from, func(k diskcache.CachedPart) {
 				some = append(some, diskstore.Entry{Key: k.Key, Object: k.Object, Issued: k.Issued, Seq: k.Seq,
-					Length: k.Length, Rule: diskstore.RuleHash(s.config.Settings.Rules[k.Rule].Name), Group: k.Group, Runs: k.Runs})
+					Length: k.Length, ClassHash: diskstore.ClassHash(s.config.Settings.Classes[k.ClassIndex].Name), Group: k.Group, Extents: k.Extents})
 			})
 			s.mu.Unlock()
 			for i := range some {
--- a/internal/diskcache/diskstore/check.go
+++ b/internal/diskcache/diskstore/check.go
@@ -10,25 +10,25 @@
 
 // Report is what a look into a folder found.
 type Report struct {
-	Slot       int    // bytes
-	Index      uint64 // number of the index
-	IndexBytes int64
-	DataBytes  int64
-	Frames     int
-	BadFrames  int
-	Parts      int
-	Bytes      int64 // of records
-	SlotsUsed  int
-	Runs       int            // rows of slots; Parts, if each lies in one piece
-	Overlaps   int            // records of which a slot belongs to another, too
-	Broken     int            // records that are torn, flipped or cut; told by Check only
-	ByRule     map[string]int // parts; told by Check only
-	Oldest     int64          // issued, Unix milliseconds
-	Newest     int64
+	SlotBytes          int    // bytes
+	IndexNumber        uint64 // number of the index
+	IndexBytes         int64
+	DataBytes          int64
+	Frames             int
+	BadFrames          int
+	Parts              int
+	RecordBytes        int64 // of records
+	SlotsUsed          int
+	Extents            int            // rows of slots; Parts, if each lies in one piece
+	OverlappingRecords int            // records of which a slot belongs to another, too
+	CorruptRecords     int            // records that are torn, flipped or cut; told by Check only
+	PartsByClass       map[string]int // parts; told by Check only
+	OldestIssuedMillis int64          // issued, Unix milliseconds
+	NewestIssuedMillis int64
 }
 
-// Sound tells whether all that the index names can be served.
-func (r *Report) Sound() bool { return r.Overlaps == 0 && r.Broken == 0 }
+// Intact tells whether all that the index names can be served.
+func (r *Report) Intact() bool { return r.OverlappingRecords == 0 && r.CorruptRecords == 0 }
 
 // Entries gathers what an index says, by key. It takes some 200 bytes an entry;
 // the tier installs what it is told without.
@@ -38,7 +38,7 @@
 func (m Entries) Put(e *Entry) {
 	if old := m[e.Key]; old == nil || old.Seq < e.Seq {
 		own := *e
-		own.Runs = slices.Clone(e.Runs)
+		own.Extents = slices.Clone(e.Extents)
 		m[e.Key] = &own
 	}
 }
@@ -50,9 +50,9 @@
 	}
 }
 
-// Look reads a folder's index, and with deep all of its records. It writes
+// Inspect reads a folder's index, and with deep all of its records. It writes
 // nothing; a folder in use may change under it.
-func Look(fsys FS, deep bool) (*Report, error) {
+func Inspect(fsys FS, deep bool) (*Report, error) {
 	super, err := readSuper(fsys)
 	if err != nil {
 		return nil, err
@@ -61,13 +61,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Slot: super.Slot, ByRule: map[string]int{}}
+	r := &Report{SlotBytes: super.SlotBytes, PartsByClass: map[string]int{}}
 	numbers := indexes(names)
 	if len(numbers) == 0 {
 		return r, nil
 	}
-	r.Index = numbers[len(numbers)-1]
-	index, err := fsys.Open(fmt.Sprintf(indexName, r.Index), false)
+	r.IndexNumber = numbers[len(numbers)-1]
+	index, err := fsys.Open(fmt.Sprintf(indexName, r.IndexNumber), false)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	entries := Entries{}
-	found, err := readIndex(index, r.Index, entries)
+	found, err := readIndex(index, r.IndexNumber, entries)
 	if err != nil {
 		return nil, err
 	}
@@ -91,31 +91,31 @@
 	r.Frames, r.BadFrames, r.Parts = found.Frames, found.BadFrames, len(entries)
 	taken := map[uint32]bool{}
 	for _, e := range entries {
-		r.Bytes += int64(e.Length)
-		r.Runs += len(e.Runs)
-		if r.Oldest == 0 || e.Issued < r.Oldest {
-			r.Oldest = e.Issued
+		r.RecordBytes += int64(e.Length)
+		r.Extents += len(e.Extents)
+		if r.OldestIssuedMillis == 0 || e.Issued < r.OldestIssuedMillis {
+			r.OldestIssuedMillis = e.Issued
 		}
-		r.Newest = max(r.Newest, e.Issued)
-		if !r.take(taken, e.Runs) {
-			r.Overlaps++
+		r.NewestIssuedMillis = max(r.NewestIssuedMillis, e.Issued)
+		if !r.take(taken, e.Extents) {
+			r.OverlappingRecords++
 		}
 		if deep {
-			rule, err := verify(data, super.Slot, e)
+			rule, err := verify(data, super.SlotBytes, e)
 			if err != nil {
-				r.Broken++
+				r.CorruptRecords++
 			} else {
-				r.ByRule[rule]++
+				r.PartsByClass[rule]++
 			}
 		}
 	}
 	return r, nil
 }
 
-func (r *Report) take(taken map[uint32]bool, runs []diskcache.Run) bool {
+func (r *Report) take(taken map[uint32]bool, runs []diskcache.Extent) bool {
 	free := true
 	for _, run := range runs {
-		for i := range min(run.Count, MostSlot) { // a flipped count must not run on for minutes
+		for i := range min(run.Count, MaxSlotBytes) { // a flipped count must not run on for minutes
 			free = free && !taken[run.Start+i]
 			taken[run.Start+i] = true
 			r.SlotsUsed++
@@ -126,15 +126,15 @@
 
 // verify reads a record whole and compares it with what the index says.
 func verify(data File, slot int, e *Entry) (rule string, err error) {
-	rec, from, err := read(data, slot, e.Runs, e.Length)
+	rec, from, err := read(data, slot, e.Extents, e.Length)
 	if err != nil {
 		return "", err
 	}
 	if _, err := io.Copy(io.Discard, from); err != nil {
 		return "", err
 	}
-	if !from.Sound() || rec.Seq != e.Seq || RuleHash(rec.Rule) != e.Rule || rec.Group != e.Group {
-		return "", ErrRecord
+	if !from.Intact() || rec.Seq != e.Seq || ClassHash(rec.Class) != e.ClassHash || rec.Group != e.Group {
+		return "", ErrCorruptRecord
 	}
-	return rec.Rule, nil
+	return rec.Class, nil
 }
--- a/internal/diskcache/diskstore/format.go
+++ b/internal/diskcache/diskstore/format.go
@@ -26,31 +26,31 @@
 
 	frameSize = 64
 	headSize  = 40 // of a record, before its names
-	// MostName bounds each of a record's names: one byte tells its length.
-	MostName = 255
+	// MaxNameLength bounds each of a record's names: one byte tells its length.
+	MaxNameLength = 255
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // Errors that tell what a folder or a record is.
 var (
-	ErrForeign = errors.New("not a store of quilldoor")
-	ErrNewer   = errors.New("a store of a newer version")
-	ErrBroken  = errors.New("broken store")
-	ErrRecord  = errors.New("broken record")
+	ErrNotStore      = errors.New("not a store of quilldoor")
+	ErrNewerVersion  = errors.New("a store of a newer version")
+	ErrCorruptStore  = errors.New("broken store")
+	ErrCorruptRecord = errors.New("broken record")
 )
 
-// Super is the folder's head.
-type Super struct {
-	Slot int    // bytes
-	Seed uint64 // of the hashes of names
+// Superblock is the folder's head.
+type Superblock struct {
+	SlotBytes int    // bytes
+	Seed      uint64 // of the hashes of names
 }
 
-func (s Super) encode() []byte {
+func (s Superblock) encode() []byte {
 	b := make([]byte, frameSize)
 	copy(b, magic)
 	binary.LittleEndian.PutUint32(b[16:], version)
-	binary.LittleEndian.PutUint32(b[20:], uint32(s.Slot))
+	binary.LittleEndian.PutUint32(b[20:], uint32(s.SlotBytes))
 	binary.LittleEndian.PutUint64(b[24:], s.Seed)
 	binary.LittleEndian.PutUint32(b[60:], crc32.Checksum(b[:60], table))
 	return b
@@ -59,24 +59,24 @@
 // The bounds of a slot: under them the index outweighs the data, above them
 // short parts waste the disk.
 const (
-	LeastSlot = 1 << 10
-	MostSlot  = 1 << 20
+	MinSlotBytes = 1 << 10
+	MaxSlotBytes = 1 << 20
 )
 
-func decodeSuper(b []byte) (s Super, err error) {
+func decodeSuper(b []byte) (s Superblock, err error) {
 	if len(b) < 20 || !bytes.HasPrefix(b, []byte(magic)) {
-		return s, ErrForeign
+		return s, ErrNotStore
 	}
 	// The version comes first: a newer one may look otherwise behind it.
 	if v := binary.LittleEndian.Uint32(b[16:]); v > version {
-		return s, fmt.Errorf("%w: %d, this is %d", ErrNewer, v, version)
+		return s, fmt.Errorf("%w: %d, this is %d", ErrNewerVersion, v, version)
 	}
 	if len(b) < frameSize || crc32.Checksum(b[:60], table) != binary.LittleEndian.Uint32(b[60:]) {
-		return s, fmt.Errorf("%w: head", ErrBroken)
+		return s, fmt.Errorf("%w: head", ErrCorruptStore)
 	}
-	s.Slot, s.Seed = int(binary.LittleEndian.Uint32(b[20:])), binary.LittleEndian.Uint64(b[24:])
-	if s.Slot < LeastSlot || s.Slot > MostSlot {
-		return s, fmt.Errorf("%w: slots of %d bytes", ErrBroken, s.Slot)
+	s.SlotBytes, s.Seed = int(binary.LittleEndian.Uint32(b[20:])), binary.LittleEndian.Uint64(b[24:])
+	if s.SlotBytes < MinSlotBytes || s.SlotBytes > MaxSlotBytes {
+		return s, fmt.Errorf("%w: slots of %d bytes", ErrCorruptStore, s.SlotBytes)
 	}
 	return s, nil
 }
@@ -121,14 +121,14 @@
 	Issued      int64
 	Seq         uint64
 	Length      int
-	Rule        uint32 // RuleHash of its name
+	ClassHash   uint32 // RuleHash of its name
 	Group       uint8
-	Runs        []diskcache.Run
+	Extents     []diskcache.Extent
 }
 
-// RuleHash names a remap rule in the index, as rules may stand in another order
+// ClassHash names a remap rule in the index, as rules may stand in another order
 // at the next start. The record itself holds the name.
-func RuleHash(name string) uint32 { return crc32.Checksum([]byte(name), table) }
+func ClassHash(name string) uint32 { return crc32.Checksum([]byte(name), table) }
 
 func appendPut(b []byte, number uint64, e *Entry) []byte {
 	le := binary.LittleEndian
@@ -139,12 +139,12 @@
 		le.PutUint64(f[24:], uint64(e.Issued))
 		le.PutUint64(f[32:], e.Seq)
 		le.PutUint32(f[40:], uint32(e.Length))
-		le.PutUint32(f[44:], e.Rule)
-		le.PutUint32(f[48:], uint32(len(e.Runs)))
-		le.PutUint32(f[52:], e.Runs[0].Start)
-		le.PutUint32(f[56:], e.Runs[0].Count)
+		le.PutUint32(f[44:], e.ClassHash)
+		le.PutUint32(f[48:], uint32(len(e.Extents)))
+		le.PutUint32(f[52:], e.Extents[0].Start)
+		le.PutUint32(f[56:], e.Extents[0].Count)
 	})
-	for rest := e.Runs[1:]; len(rest) > 0; {
+	for rest := e.Extents[1:]; len(rest) > 0; {
 		n := min(len(rest), runsInMore-1)
 		b = frame(b, number, kindMore, func(f []byte) {
 			f[6] = byte(n)
@@ -198,8 +198,8 @@
 	switch kind(f[4]) {
 	case kindPut: // one before it that stayed incomplete is none
 		r.put = Entry{Group: f[5], Key: le.Uint64(f[8:]), Object: le.Uint64(f[16:]), Issued: int64(le.Uint64(f[24:])),
-			Seq: le.Uint64(f[32:]), Length: int(le.Uint32(f[40:])), Rule: le.Uint32(f[44:]),
-			Runs: append(r.put.Runs[:0], diskcache.Run{Start: le.Uint32(f[52:]), Count: le.Uint32(f[56:])})}
+			Seq: le.Uint64(f[32:]), Length: int(le.Uint32(f[40:])), ClassHash: le.Uint32(f[44:]),
+			Extents: append(r.put.Extents[:0], diskcache.Extent{Start: le.Uint32(f[52:]), Count: le.Uint32(f[56:])})}
 		r.top = max(r.top, r.put.Seq)
 		r.wanted = int(le.Uint32(f[48:]))
 	case kindMore:
@@ -207,7 +207,7 @@
 			return
 		}
 		for i := range min(int(f[6]), runsInMore-1) {
-			r.put.Runs = append(r.put.Runs, diskcache.Run{Start: le.Uint32(f[16+8*i:]), Count: le.Uint32(f[20+8*i:])})
+			r.put.Extents = append(r.put.Extents, diskcache.Extent{Start: le.Uint32(f[16+8*i:]), Count: le.Uint32(f[20+8*i:])})
 		}
 	case kindDrop:
 		d := diskcache.Drop{Key: le.Uint64(f[8:]), Seq: le.Uint64(f[32:])}
@@ -215,7 +215,7 @@
 		r.wanted = 0
 		r.sink.Drop(d)
 	}
-	if r.wanted > 0 && len(r.put.Runs) >= r.wanted {
+	if r.wanted > 0 && len(r.put.Extents) >= r.wanted {
 		r.wanted = 0
 		r.sink.Put(&r.put)
 	}
@@ -223,20 +223,20 @@
 
 // Record is a copy with all that names it.
 type Record struct {
-	Seq               uint64
-	Issued            int64 // Unix milliseconds
-	Part              int64
-	Rule, Object, Tag string
-	Group             uint8
-	Body              int // bytes
+	Seq                uint64
+	Issued             int64 // Unix milliseconds
+	Part               int64
+	Class, Object, Tag string
+	Group              uint8
+	BodyBytes          int // bytes
 }
 
 // Length is the record's on disk, or 0 if a name is too long for it.
 func (r *Record) Length() int {
-	if len(r.Rule) > MostName || len(r.Object) > MostName || len(r.Tag) > MostName {
+	if len(r.Class) > MaxNameLength || len(r.Object) > MaxNameLength || len(r.Tag) > MaxNameLength {
 		return 0
 	}
-	return headSize + len(r.Rule) + len(r.Object) + len(r.Tag) + r.Body
+	return headSize + len(r.Class) + len(r.Object) + len(r.Tag) + r.BodyBytes
 }
 
 // appendHead writes the head for a body in pieces:
@@ -251,10 +251,10 @@
 	le.PutUint64(h[4:], r.Seq)
 	le.PutUint64(h[12:], uint64(r.Issued))
 	le.PutUint64(h[20:], uint64(r.Part))
-	le.PutUint32(h[28:], uint32(r.Body))
-	h[32], h[33], h[34], h[35] = byte(len(r.Rule)), byte(len(r.Object)), byte(len(r.Tag)), r.Group
+	le.PutUint32(h[28:], uint32(r.BodyBytes))
+	h[32], h[33], h[34], h[35] = byte(len(r.Class)), byte(len(r.Object)), byte(len(r.Tag)), r.Group
 	copy(h[36:], "QDR\x01")
-	b = append(append(append(b, r.Rule...), r.Object...), r.Tag...)
+	b = append(append(append(b, r.Class...), r.Object...), r.Tag...)
 	sum := crc32.Checksum(b[at+4:], table)
 	for _, piece := range body {
 		sum = crc32.Update(sum, table, piece)
@@ -267,9 +267,9 @@
 func decodeHead(h []byte) (r Record, names int, err error) {
 	le := binary.LittleEndian
 	if len(h) < headSize || string(h[36:40]) != "QDR\x01" {
-		return r, 0, fmt.Errorf("%w: no head", ErrRecord)
+		return r, 0, fmt.Errorf("%w: no head", ErrCorruptRecord)
 	}
 	r = Record{Seq: le.Uint64(h[4:]), Issued: int64(le.Uint64(h[12:])), Part: int64(le.Uint64(h[20:])),
-		Body: int(le.Uint32(h[28:])), Group: h[35]}
+		BodyBytes: int(le.Uint32(h[28:])), Group: h[35]}
 	return r, int(h[32]) + int(h[33]) + int(h[34]), nil
 }
--- a/internal/diskcache/diskstore/fs.go
+++ b/internal/diskcache/diskstore/fs.go
@@ -126,5 +126,5 @@
 	return f, nil
 }
 
-// NoSpace tells whether an error says that the disk is full.
-func NoSpace(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
+// IsNoSpace tells whether an error says that the disk is full.
+func IsNoSpace(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
--- a/internal/diskcache/diskstore/store.go
+++ b/internal/diskcache/diskstore/store.go
@@ -18,7 +18,7 @@
 type Store struct {
 	fs     FS
 	lock   io.Closer
-	super  Super
+	super  Superblock
 	slots  int
 	data   File
 	index  File
@@ -31,13 +31,13 @@
 type Recovery struct {
 	Frames    int    // of the index
 	BadFrames int    // cut, flipped or of another index
-	Top       uint64 // highest record number seen
+	MaxSeq    uint64 // highest record number seen
 }
 
 // Open takes a folder for a disk of so many slots, or makes the store in an
 // empty one with super. What stands in the folder counts: slots of another size
 // are an error that says so. Recover must follow.
-func Open(fsys FS, super Super, slots int) (*Store, error) {
+func Open(fsys FS, super Superblock, slots int) (*Store, error) {
 	lock, err := fsys.Lock(lockName)
 	if err != nil {
 		return nil, err
@@ -60,13 +60,13 @@
 			return err
 		}
 	}
-	told := s.super.Slot
+	told := s.super.SlotBytes
 	if s.super, err = readSuper(s.fs); err != nil {
 		return err
 	}
-	if s.super.Slot != told {
+	if s.super.SlotBytes != told {
 		return fmt.Errorf("%w: its slots have %d bytes, the configuration says %d; empty the folder or set that back",
-			ErrBroken, s.super.Slot, told)
+			ErrCorruptStore, s.super.SlotBytes, told)
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 func (s *Store) create(names []string) error {
 	for _, n := range names {
 		if n != lockName && !strings.HasSuffix(n, newSuffix) && n != dataName {
-			return fmt.Errorf("%w: the folder holds %.60q", ErrForeign, n)
+			return fmt.Errorf("%w: the folder holds %.60q", ErrNotStore, n)
 		}
 	}
 	f, err := s.fs.Open(storeName+newSuffix, true)
@@ -132,19 +132,19 @@
 	return s.fs.SyncDir()
 }
 
-func readSuper(fsys FS) (Super, error) {
+func readSuper(fsys FS) (Superblock, error) {
 	f, err := fsys.Open(storeName, false)
 	if errors.Is(err, fs.ErrNotExist) {
-		return Super{}, fmt.Errorf("%w: no file %s", ErrForeign, storeName)
+		return Superblock{}, fmt.Errorf("%w: no file %s", ErrNotStore, storeName)
 	}
 	if err != nil {
-		return Super{}, err
+		return Superblock{}, err
 	}
 	defer f.Close()
 	b := make([]byte, frameSize)
 	n, err := f.ReadAt(b, 0)
 	if err != nil && err != io.EOF {
-		return Super{}, err
+		return Superblock{}, err
 	}
 	return decodeSuper(b[:n])
 }
@@ -191,21 +191,21 @@
 		}
 		at += int64(n)
 	}
-	return Recovery{Frames: r.frames, BadFrames: r.bad, Top: r.top}, nil
+	return Recovery{Frames: r.frames, BadFrames: r.bad, MaxSeq: r.top}, nil
 }
 
 // Seed is that of the names' hashes, as the folder has it.
 func (s *Store) Seed() uint64 { return s.super.Seed }
 
 // Write puts a record into its slots. It is not on the disk before Sync.
-func (s *Store) Write(runs []diskcache.Run, r *Record, body [][]byte) error {
+func (s *Store) Write(runs []diskcache.Extent, r *Record, body [][]byte) error {
 	// One buffer of the record's size at the most: a write a run.
 	b := appendHead(s.buf[:0], r, body)
 	for _, piece := range body {
 		b = append(b, piece...)
 	}
 	s.buf = b
-	slot := s.super.Slot
+	slot := s.super.SlotBytes
 	for _, run := range runs {
 		n := min(len(b), int(run.Count)*slot)
 		if n == 0 {
@@ -217,7 +217,7 @@
 		b = b[n:]
 	}
 	if len(b) > 0 {
-		return fmt.Errorf("%w: %d bytes too long for its slots", ErrRecord, len(b))
+		return fmt.Errorf("%w: %d bytes too long for its slots", ErrCorruptRecord, len(b))
 	}
 	return nil
 }
@@ -267,9 +267,9 @@
 	}
 }
 
-// Stale tells whether the index is due to be written anew for so many entries
+// NeedsCompaction tells whether the index is due to be written anew for so many entries
 // and is worth it.
-func (s *Store) Stale(entries int) bool {
+func (s *Store) NeedsCompaction(entries int) bool {
 	const least = 1 << 12 // frames; fewer are read at once at any start
 	return s.end/frameSize > max(least, 3*int64(entries))
 }
@@ -294,7 +294,7 @@
 	err = f.Truncate(0)
 	if err == nil {
 		err = each(func(e *Entry) error {
-			if b = appendPut(b, number, e); len(b)+(len(e.Runs)+1)*frameSize > cap(b) {
+			if b = appendPut(b, number, e); len(b)+(len(e.Extents)+1)*frameSize > cap(b) {
 				return flush()
 			}
 			return nil
@@ -332,7 +332,7 @@
 type Reader struct {
 	data File
 	slot int64
-	runs []diskcache.Run
+	runs []diskcache.Extent
 	at   int64 // in the first run
 	left int   // bytes of the record
 	sum  uint32
@@ -342,13 +342,13 @@
 
 // Read starts reading a record: its head, then the body comes from the Reader.
 // Only once all of the body was read does Sound tell whether it is whole.
-func (s *Store) Read(runs []diskcache.Run, length int) (Record, *Reader, error) {
-	return read(s.data, s.super.Slot, runs, length)
+func (s *Store) Read(runs []diskcache.Extent, length int) (Record, *Reader, error) {
+	return read(s.data, s.super.SlotBytes, runs, length)
 }
 
-func read(data File, slot int, runs []diskcache.Run, length int) (Record, *Reader, error) {
+func read(data File, slot int, runs []diskcache.Extent, length int) (Record, *Reader, error) {
 	r := &Reader{data: data, slot: int64(slot), runs: runs, left: max(length, 0)}
-	var buf [headSize + 3*MostName]byte
+	var buf [headSize + 3*MaxNameLength]byte
 	h := buf[:headSize]
 	if _, err := io.ReadFull(r, h); err != nil {
 		return Record{}, r, err
@@ -357,15 +357,15 @@
 	if err != nil {
 		return rec, r, err
 	}
-	if headSize+n+rec.Body != length {
-		return rec, r, fmt.Errorf("%w: %d bytes where %d are told", ErrRecord, headSize+n+rec.Body, length)
+	if headSize+n+rec.BodyBytes != length {
+		return rec, r, fmt.Errorf("%w: %d bytes where %d are told", ErrCorruptRecord, headSize+n+rec.BodyBytes, length)
 	}
 	names := buf[headSize : headSize+n]
 	if _, err := io.ReadFull(r, names); err != nil {
 		return rec, r, err
 	}
 	o, t := int(h[32]), int(h[32])+int(h[33])
-	rec.Rule, rec.Object, rec.Tag = string(names[:o]), string(names[o:t]), string(names[t:])
+	rec.Class, rec.Object, rec.Tag = string(names[:o]), string(names[o:t]), string(names[t:])
 	r.want = binary.LittleEndian.Uint32(h)
 	r.sum = crc32.Update(crc32.Checksum(h[4:], table), table, names)
 	return rec, r, nil
@@ -395,8 +395,8 @@
 	return int(n), nil
 }
 
-// Sound tells whether the record was read to its end and is what was written.
-func (r *Reader) Sound() bool { return r.left == 0 && r.sum == r.want }
+// Intact tells whether the record was read to its end and is what was written.
+func (r *Reader) Intact() bool { return r.left == 0 && r.sum == r.want }
 
 // Close ends the use of the folder.
 func (s *Store) Close() {
--- a/internal/diskcache/health.go
+++ b/internal/diskcache/health.go
@@ -5,27 +5,27 @@
 
 // The tier's states of health.
 const (
-	On        Health = 1 << iota
-	Full             // no space: reads go on, writes are tried again after a while
-	ReadsOnly        // a write or sync failed: what is there may still be read
-	Off              // nothing is asked of the disk any more
+	HealthOn       Health = 1 << iota
+	HealthFull            // no space: reads go on, writes are tried again after a while
+	HealthReadOnly        // a write or sync failed: what is there may still be read
+	HealthOff             // nothing is asked of the disk any more
 )
 
-// Fault is what the disk's side has to tell.
-type Fault uint8
+// Event is what the disk's side has to tell.
+type Event uint8
 
 // Faults, and what ends them.
 const (
-	WriteFault Fault = iota // a write or sync failed: what the kernel still holds is not known
-	NoSpace
-	ReadFault // a record could not be read, or was not what was written
-	ManyReadFaults
-	Due // the time to try again has come
-	Closed
+	EventWriteFailed Event = iota // a write or sync failed: what the kernel still holds is not known
+	EventNoSpace
+	EventReadFailed // a record could not be read, or was not what was written
+	EventManyReadFailures
+	EventRetryDue // the time to try again has come
+	EventClosed
 )
 
 func (h Health) String() string {
-	return map[Health]string{On: "on", Full: "full", ReadsOnly: "reads only", Off: "off"}[h]
+	return map[Health]string{HealthOn: "on", HealthFull: "full", HealthReadOnly: "reads only", HealthOff: "off"}[h]
 }
 
 // healthTable says what a fault makes of the tier. After a failed sync the same
@@ -34,15 +34,15 @@
 // writing isn't tried again before a restart; a full disk does recover.
 var healthTable = []struct {
 	in   Health
-	what Fault
+	what Event
 	next Health
 }{
-	{On, NoSpace, Full},
-	{Full, Due, On},
-	{Full, NoSpace, Full},
-	{On | Full, WriteFault, ReadsOnly},
-	{On | Full | ReadsOnly, ManyReadFaults, Off},
-	{On | Full | ReadsOnly, Closed, Off},
+	{HealthOn, EventNoSpace, HealthFull},
+	{HealthFull, EventRetryDue, HealthOn},
+	{HealthFull, EventNoSpace, HealthFull},
+	{HealthOn | HealthFull, EventWriteFailed, HealthReadOnly},
+	{HealthOn | HealthFull | HealthReadOnly, EventManyReadFailures, HealthOff},
+	{HealthOn | HealthFull | HealthReadOnly, EventClosed, HealthOff},
 }
 
 const (
@@ -51,9 +51,9 @@
 	tryAgain       = 30 * second // on a full disk
 )
 
-// Fault takes one and tells the state of health and whether it has changed.
-func (t *Tier) Fault(now int64, what Fault) (Health, bool) {
-	if what == ReadFault {
+// HandleEvent takes one and tells the state of health and whether it has changed.
+func (t *Tier) HandleEvent(now int64, what Event) (Health, bool) {
+	if what == EventReadFailed {
 		t.Counts.ReadFaults++
 		if now-t.faultsFrom > faultWindow || now < t.faultsFrom {
 			t.faults, t.faultsFrom = 0, now
@@ -61,12 +61,12 @@
 		if t.faults++; t.faults < readFaultsMost {
 			return t.health, false
 		}
-		what = ManyReadFaults
+		what = EventManyReadFailures
 	}
 	for _, row := range healthTable {
 		if row.in&t.health != 0 && row.what == what {
 			changed := t.health != row.next
-			if t.health = row.next; t.health == Full {
+			if t.health = row.next; t.health == HealthFull {
 				t.dueAt = now + tryAgain
 			}
 			return t.health, changed
--- a/internal/diskcache/link.go
+++ b/internal/diskcache/link.go
@@ -43,15 +43,15 @@
 	return b.left >= bytes
 }
 
-// Clock watches the system's clock against one that only goes forward.
-type Clock struct{ ahead, seen int64 }
+// StepDetector watches the system's clock against one that only goes forward.
+type StepDetector struct{ ahead, seen int64 }
 
 // stepTolerance is above what slewing and reading two clocks apart bring about.
 const stepTolerance = 50_000
 
 // Stepped tells whether the wall clock has jumped since it was last asked, by
 // both clocks' microseconds. The first call sets the start.
-func (c *Clock) Stepped(wall, steady int64) bool {
+func (c *StepDetector) Stepped(wall, steady int64) bool {
 	ahead := wall - steady
 	jumped := c.seen > 0 && (ahead-c.ahead > stepTolerance || c.ahead-ahead > stepTolerance)
 	if jumped || c.seen == 0 || steady-c.seen > second {
--- a/internal/diskcache/purge.go
+++ b/internal/diskcache/purge.go
@@ -44,7 +44,7 @@
 		next := e.objNext
 		if e.object == h && t.purges.binds(e) {
 			t.drop(i)
-			t.Counts.PurgedOut++
+			t.Counts.Purged++
 		}
 		i = next
 	}
@@ -56,7 +56,7 @@
 // forget drops purges that can bind nothing that still comes; if that is not
 // enough, the rest becomes the floor.
 func (t *Tier) forget(now int64) {
-	over := (now - t.set.Cleared - 2*t.set.LongestTx - purgeSkew) / 1000
+	over := (now - t.set.PurgeTime - 2*t.set.MaxRequestTime - purgeSkew) / 1000
 	for h, ms := range t.purges.objects {
 		if ms < over {
 			delete(t.purges.objects, h)
@@ -73,10 +73,10 @@
 	clear(t.purges.objects)
 }
 
-// Gap says that the history of copies has one: purges may have been missed, or
+// HistoryGap says that the history of copies has one: purges may have been missed, or
 // the clock has jumped. Nothing kept so far is served before it was proven.
-func (t *Tier) Gap(now int64) {
-	t.Counts.Gaps++
+func (t *Tier) HistoryGap(now int64) {
+	t.Counts.HistoryGaps++
 	t.since = now
 	t.link.busy = min(t.link.busy, now)
 	t.budget.at = now
@@ -88,9 +88,9 @@
 	}
 }
 
-// Board tells whether the notice board can be reached. Lost for long, purges
+// SetDiscoveryLost tells whether the notice board can be reached. Lost for long, purges
 // count as told that never arrived; back, they arrive numbered and none is missed.
-func (t *Tier) Board(now int64, lost bool) {
+func (t *Tier) SetDiscoveryLost(now int64, lost bool) {
 	switch {
 	case !lost:
 		t.lostAt = 0
@@ -99,12 +99,12 @@
 	}
 }
 
-// Housekeep forgets what binds no more; it is called every few seconds.
-func (t *Tier) Housekeep(now int64) {
+// Sweep forgets what binds no more; it is called every few seconds.
+func (t *Tier) Sweep(now int64) {
 	if len(t.purges.objects) > sweepPurges/2 {
 		t.forget(now)
 	}
-	if t.health == Full && now >= t.dueAt {
-		t.Fault(now, Due)
+	if t.health == HealthFull && now >= t.dueAt {
+		t.HandleEvent(now, EventRetryDue)
 	}
 }
--- a/internal/diskcache/slots.go
+++ b/internal/diskcache/slots.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// Run is a row of slots that lie side by side.
-type Run struct{ Start, Count uint32 }
+// Extent is a row of slots that lie side by side.
+type Extent struct{ Start, Count uint32 }
 
 // slots says which slot of the disk belongs to what, as a file allocation table
 // does: a record is a chain of slots. Four bytes and a bit a slot. Nothing is
@@ -55,7 +55,7 @@
 
 // claim takes the slots of runs that a recovered record lies in; false: one of
 // them is taken or is not there, and nothing was claimed.
-func (s *slots) claim(runs []Run) (first uint32, ok bool) {
+func (s *slots) claim(runs []Extent) (first uint32, ok bool) {
 	if len(runs) == 0 {
 		return none, false
 	}
@@ -66,7 +66,7 @@
 		}
 		for at := r.Start; at < r.Start+r.Count; at++ {
 			if s.used[at/64]>>(at%64)&1 == 1 {
-				s.unclaim(append(runs[:i:i], Run{r.Start, at - r.Start}))
+				s.unclaim(append(runs[:i:i], Extent{r.Start, at - r.Start}))
 				return none, false
 			}
 			s.used[at/64] |= 1 << (at % 64)
@@ -85,7 +85,7 @@
 	return runs[0].Start, true
 }
 
-func (s *slots) unclaim(runs []Run) {
+func (s *slots) unclaim(runs []Extent) {
 	for _, r := range runs {
 		for at := r.Start; at < r.Start+r.Count; at++ {
 			s.used[at/64] &^= 1 << (at % 64)
@@ -103,12 +103,12 @@
 }
 
 // runs walks a chain.
-func (s *slots) runs(first uint32) (out []Run) {
+func (s *slots) runs(first uint32) (out []Extent) {
 	for at := first; at != none; at = s.next[at] {
 		if n := len(out) - 1; n >= 0 && out[n].Start+out[n].Count == at {
 			out[n].Count++
 		} else {
-			out = append(out, Run{at, 1})
+			out = append(out, Extent{at, 1})
 		}
 	}
 	return out
--- a/internal/downstream/across.go
+++ b/internal/downstream/across.go
@@ -12,20 +12,20 @@
 	"quilldoor/internal/upstream"
 )
 
-var effects = map[string]peerpolicy.Effect{"safe": peerpolicy.Safe, "keyed": peerpolicy.Keyed, "unsafe": peerpolicy.Unsafe}
+var effects = map[string]peerpolicy.Effect{"safe": peerpolicy.EffectIdempotent, "keyed": peerpolicy.EffectIdempotencyKey, "unsafe": peerpolicy.EffectUnsafe}
 
 // across hands a txn that the module has refused to another site, and puts what
 // becomes of it in the place of the refusal. False: its client has left.
-func (f *Front) across(c *client, gate *gateway.Gateway, a *ask, final *engine.Order, limit time.Time, arrived chan struct{}) bool {
-	rule, _ := f.core.Rule(a.event.Rule)
-	q := &gateway.Request{Event: a.event, Tag: a.tag, Body: a.body, Effect: effects[rule.Effect], Clean: !final.Ran}
+func (f *Server) across(c *client, gate *gateway.Gateway, a *ask, final *engine.Command, limit time.Time, arrived chan struct{}) bool {
+	rule, _ := f.core.Class(a.event.Class)
+	q := &gateway.Request{Event: a.event, Tag: a.tag, Body: a.body, Effect: effects[rule.Effect], NeverRan: !final.MaybeExecuted}
 	if q.Event.Remaining = time.Until(limit).Microseconds(); q.Event.Remaining <= 0 {
 		return true
 	}
 	far := make(chan gateway.Reply, 1)
 	var mu sync.Mutex
 	gone := false // nobody waits for the answer any more
-	if !gate.Cross(q, func(r gateway.Reply) {
+	if !gate.Forward(q, func(r gateway.Reply) {
 		mu.Lock()
 		defer mu.Unlock()
 		if gone {
@@ -46,7 +46,7 @@
 		select {
 		case r := <-far:
 			if here {
-				*final = orderOf(r, final.Stay)
+				*final = orderOf(r, final.RetryAfter)
 			} else {
 				r.Body.Release()
 			}
@@ -57,7 +57,7 @@
 			mu.Lock()
 			gone = true
 			mu.Unlock()
-			gate.Leave(a.event.Txn)
+			gate.Cancel(a.event.Request)
 			select {
 			case r := <-far: // it came as the client left
 				r.Body.Release()
@@ -69,21 +69,21 @@
 }
 
 // orderOf is a peer's answer as the module would have ordered it.
-func orderOf(r gateway.Reply, stay int64) engine.Order {
-	switch r.End {
-	case peerpolicy.Completed:
-		return engine.Order{Kind: engine.Completed, Reply: &upstream.Reply{Body: r.Body, Tag: r.Tag, Same: r.Same, Issued: r.Issued}}
-	case peerpolicy.Rejected:
-		return engine.Order{Kind: engine.Rejected, Stay: max(stay, r.Stay)}
+func orderOf(r gateway.Reply, stay int64) engine.Command {
+	switch r.Outcome {
+	case peerpolicy.OutcomeCompleted:
+		return engine.Command{Kind: engine.CommandRespond, Response: &upstream.Response{Body: r.Body, Tag: r.Tag, NotModified: r.NotModified, IssuedMillis: r.IssuedMillis}}
+	case peerpolicy.OutcomeRejected:
+		return engine.Command{Kind: engine.CommandReject, RetryAfter: max(stay, r.RetryAfter)}
 	}
-	return engine.Order{Kind: engine.Aborted, Ran: true}
+	return engine.Command{Kind: engine.CommandFail, MaybeExecuted: true}
 }
 
-// Carry runs a txn that a peer hands over, from the module's first decision to the
+// ServeForwarded runs a txn that a peer hands over, from the module's first decision to the
 // last: it is one like any other, but that no client's connection waits for it.
-func (f *Front) Carry(left <-chan struct{}, q *gateway.Request) gateway.Reply {
-	none := gateway.Reply{End: peerpolicy.Rejected, Proof: true}
-	rule, known := f.core.Rule(q.Event.Rule)
+func (f *Server) ServeForwarded(left <-chan struct{}, q *gateway.Request) gateway.Reply {
+	none := gateway.Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
+	rule, known := f.core.Class(q.Event.Class)
 	if !known || q.Event.Write != rule.Write || q.Event.Remaining <= 0 || f.draining.Load() || !fits(&q.Event, q.Tag) {
 		return none
 	}
@@ -105,7 +105,7 @@
 				f.leave(o)
 			}
 			if final == nil {
-				return gateway.Reply{End: peerpolicy.Aborted}
+				return gateway.Reply{Outcome: peerpolicy.OutcomeAborted}
 			}
 			return replyOf(final)
 		}
@@ -113,7 +113,7 @@
 		case <-arrived:
 		case <-left:
 			here = false
-			f.core.Leave(time.Now().UnixMicro(), t)
+			f.core.ClientGone(time.Now().UnixMicro(), t)
 		}
 	}
 }
@@ -121,17 +121,17 @@
 // fits tells whether a peer's words can stand in a cache server's line, as a
 // client's must.
 func fits(e *policy.Event, tag string) bool {
-	return txnID(e.Txn) && cacheproto.Plain(e.Object) && e.Part >= 0 && e.Part <= 1<<31 && e.Group >= 0 && e.Group <= 255 &&
-		(tag == "" || cacheproto.Plain(tag))
+	return txnID(e.Request) && cacheproto.IsPlain(e.Object) && e.Part >= 0 && e.Part <= 1<<31 && e.Group >= 0 && e.Group <= 255 &&
+		(tag == "" || cacheproto.IsPlain(tag))
 }
 
-func replyOf(o *engine.Order) gateway.Reply {
+func replyOf(o *engine.Command) gateway.Reply {
 	switch o.Kind {
-	case engine.Completed:
-		r := o.Reply.(*upstream.Reply)
-		return gateway.Reply{End: peerpolicy.Completed, Same: r.Same, Tag: r.Tag, Issued: r.Issued, Body: r.Body}
-	case engine.Rejected:
-		return gateway.Reply{End: peerpolicy.Rejected, Proof: !o.Ran, Stay: o.Stay}
+	case engine.CommandRespond:
+		r := o.Response.(*upstream.Response)
+		return gateway.Reply{Outcome: peerpolicy.OutcomeCompleted, NotModified: r.NotModified, Tag: r.Tag, IssuedMillis: r.IssuedMillis, Body: r.Body}
+	case engine.CommandReject:
+		return gateway.Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: !o.MaybeExecuted, RetryAfter: o.RetryAfter}
 	}
-	return gateway.Reply{End: peerpolicy.Aborted}
+	return gateway.Reply{Outcome: peerpolicy.OutcomeAborted}
 }
--- a/internal/downstream/client_test.go
+++ b/internal/downstream/client_test.go
@@ -110,7 +110,7 @@
 	if d.next(ours) && d.request(ours) {
 		t.Error("the connection goes on")
 	}
-	if n := d.Ends().Rejected; n != 0 {
+	if n := d.RequestCounts().Rejected; n != 0 {
 		t.Errorf("the module was asked for it: %d", n)
 	}
 }
@@ -152,7 +152,7 @@
 		if on {
 			t.Error("the connection goes on")
 		}
-	case <-time.After(d.limits.IdleClient / 2):
+	case <-time.After(d.limits.ClientIdleTimeout / 2):
 		t.Error("it rests on")
 	}
 }
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -25,13 +25,13 @@
 	"quilldoor/internal/upstream"
 )
 
-// Front serves clients on one listener.
-type Front struct {
-	core     *engine.Core
+// Server serves clients on one listener.
+type Server struct {
+	core     *engine.Engine
 	up       *upstream.Pool
 	bodies   *bufferpool.Pool
 	limits   *config.Limits
-	shelf    atomic.Pointer[diskrunner.Shelf] // nil: no copies of its own
+	shelf    atomic.Pointer[diskrunner.Cache] // nil: no copies of its own
 	gate     atomic.Pointer[gateway.Gateway]  // nil: no other site
 	late     atomic.Int64                     // answers after their time limits
 	ends     [endKinds]atomic.Int64           // answers since the start
@@ -41,7 +41,7 @@
 	moving   atomic.Bool                      // clients are to come back on new connections
 	ready    atomic.Bool
 	draining atomic.Bool
-	still    stall.Watch
+	still    stall.Detector
 	start    time.Time // of the steady clock that still is asked by
 
 	mu      sync.Mutex
@@ -53,29 +53,29 @@
 }
 
 // New makes a front; it is ready once told so.
-func New(c *engine.Core, up *upstream.Pool, bodies *bufferpool.Pool, limits *config.Limits) *Front {
-	f := &Front{core: c, up: up, bodies: bodies, limits: limits, clients: map[*client]struct{}{}, most: limits.Clients, start: time.Now()}
+func New(c *engine.Engine, up *upstream.Pool, bodies *bufferpool.Pool, limits *config.Limits) *Server {
+	f := &Server{core: c, up: up, bodies: bodies, limits: limits, clients: map[*client]struct{}{}, most: limits.MaxClients, start: time.Now()}
 	f.worth.rules = map[string][3]float64{}
 	f.room.L, f.none.L = &f.mu, &f.mu
 	return f
 }
 
-// Use makes the front answer from a shelf what it can; nil: from none.
-func (f *Front) Use(s *diskrunner.Shelf) { f.shelf.Store(s) }
+// SetDiskCache makes the front answer from a shelf what it can; nil: from none.
+func (f *Server) SetDiskCache(s *diskrunner.Cache) { f.shelf.Store(s) }
 
-// Join lets the front hand over to another site what the module refuses; nil: not
+// SetGateway lets the front hand over to another site what the module refuses; nil: not
 // any more.
-func (f *Front) Join(g *gateway.Gateway) { f.gate.Store(g) }
+func (f *Server) SetGateway(g *gateway.Gateway) { f.gate.Store(g) }
 
-// Ends are how many txns ended how since the start. Left: the client went without
+// RequestCounts are how many txns ended how since the start. Left: the client went without
 // an answer. Late are of all answers.
-type Ends struct {
-	Completed, Rejected, Aborted, Left, Late int64
+type RequestCounts struct {
+	Completed, Rejected, Aborted, ClientGone, Late int64
 
-	Asked, Earned float64               // importance, by the remap rules
-	Time          float64               // sum of ln(time / SLA time) of the completed
-	Hops          int64                 // of all txns
-	Rules         map[string][3]float64 // by remap rule: txns, importance asked for and earned
+	WeightOffered, WeightEarned float64               // importance, by the remap rules
+	LogLatencySum               float64               // sum of ln(time / SLA time) of the completed
+	Attempts                    int64                 // of all txns
+	Classes                     map[string][3]float64 // by remap rule: txns, importance asked for and earned
 }
 
 // worth sums importance, times and hops. It is kept since the start.
@@ -89,37 +89,37 @@
 
 // earn counts a txn's importance, and what its answer earns of it: all within the
 // rule's SLA time and its own sending time, a share after it.
-func (f *Front) earn(a *ask, completed bool, bytes, hops int) {
+func (f *Server) earn(a *ask, completed bool, bytes, hops int) {
 	const leastTime = 1000.0 // microseconds: what is sooner is as good
-	rule, _ := f.core.Rule(a.event.Rule)
+	rule, _ := f.core.Class(a.event.Class)
 	got, took := 0.0, 0.0
 	if completed {
-		sla := float64(rule.SLA)
+		sla := float64(rule.LatencyObjective)
 		if f.flow > 0 {
-			sla += rule.Stretch * float64(bytes) / f.flow * 1e6
+			sla += rule.ObjectiveStretch * float64(bytes) / f.flow * 1e6
 		}
 		t := float64((time.Since(a.first) + a.waited).Microseconds())
-		if got = rule.Importance; t > sla {
-			got *= rule.LateShare
+		if got = rule.PriorityWeight; t > sla {
+			got *= rule.LateValueShare
 		}
 		took = math.Log(max(t, leastTime) / max(sla, leastTime))
 	}
 	w := &f.worth
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked += rule.Importance
+	w.asked += rule.PriorityWeight
 	w.earned += got
 	w.time += took
 	w.hops += int64(hops)
 	sum := w.rules[rule.Name] // the settings bound their names
-	w.rules[rule.Name] = [3]float64{sum[0] + 1, sum[1] + rule.Importance, sum[2] + got}
+	w.rules[rule.Name] = [3]float64{sum[0] + 1, sum[1] + rule.PriorityWeight, sum[2] + got}
 }
 
-// Witnessed lets somebody look on, before it serves.
-func (f *Front) Witnessed(r *invariant.Recorder) { f.acts = r }
+// SetRecorder lets somebody look on, before it serves.
+func (f *Server) SetRecorder(r *invariant.Recorder) { f.acts = r }
 
-// Flow sets the pace at which a client is sent to, bytes a second, before it serves.
-func (f *Front) Flow(bytesPerS int64) { f.flow = float64(bytesPerS) }
+// SetClientRate sets the pace at which a client is sent to, bytes a second, before it serves.
+func (f *Server) SetClientRate(bytesPerS int64) { f.flow = float64(bytesPerS) }
 
 const (
 	endCompleted = iota
@@ -130,44 +130,44 @@
 	endKinds
 )
 
-// Ends tells them.
-func (f *Front) Ends() Ends {
+// RequestCounts tells them.
+func (f *Server) RequestCounts() RequestCounts {
 	f.worth.mu.Lock()
 	defer f.worth.mu.Unlock()
-	return Ends{f.ends[endCompleted].Load(), f.ends[endRejected].Load(), f.ends[endAborted].Load(), f.ends[endLeft].Load(), f.ends[endLate].Load(),
+	return RequestCounts{f.ends[endCompleted].Load(), f.ends[endRejected].Load(), f.ends[endAborted].Load(), f.ends[endLeft].Load(), f.ends[endLate].Load(),
 		f.worth.asked, f.worth.earned, f.worth.time, f.worth.hops, maps.Clone(f.worth.rules)}
 }
 
-// Move makes every further answer the last on its connection, so that clients come
+// SetMigrating makes every further answer the last on its connection, so that clients come
 // back on new ones; idle ones stay until their next request. False ends that.
-func (f *Front) Move(on bool) { f.moving.Store(on) }
+func (f *Server) SetMigrating(on bool) { f.moving.Store(on) }
 
-// Bound sets how many clients there may be; those that there are stay.
-func (f *Front) Bound(clients int) {
+// SetMaxClients sets how many clients there may be; those that there are stay.
+func (f *Server) SetMaxClients(clients int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.most = clients
 	f.room.Signal()
 }
 
-// Ready lets the health check pass; true: it did not before.
-func (f *Front) Ready() bool { return f.ready.CompareAndSwap(false, true) }
+// MarkReady lets the health check pass; true: it did not before.
+func (f *Server) MarkReady() bool { return f.ready.CompareAndSwap(false, true) }
 
-// Listed tells whether the health check passes.
-func (f *Front) Listed() bool { return f.ready.Load() }
+// IsReady tells whether the health check passes.
+func (f *Server) IsReady() bool { return f.ready.Load() }
 
-// Linger waits until clients that are to come back on new connections have gone: the
+// AwaitMigration waits until clients that are to come back on new connections have gone: the
 // idle ones close theirs, or ask once more. No longer than the time.
-func (f *Front) Linger(within time.Duration) {
+func (f *Server) AwaitMigration(within time.Duration) {
 	const every = 50 * time.Millisecond
 	for until := time.Now().Add(within); f.Clients() > 0 && time.Now().Before(until); {
 		time.Sleep(every)
 	}
 }
 
-// Attend notices standstills of the process until stop is closed.
-func (f *Front) Attend(stop <-chan struct{}) {
-	every := time.NewTicker(stall.Every * time.Microsecond)
+// MonitorStalls notices standstills of the process until stop is closed.
+func (f *Server) MonitorStalls(stop <-chan struct{}) {
+	every := time.NewTicker(stall.TickIntervalMicros * time.Microsecond)
 	defer every.Stop()
 	for {
 		f.still.Tick(time.Since(f.start).Microseconds())
@@ -181,7 +181,7 @@
 
 // Serve accepts clients until the listener is closed or its deadline passes.
 // Above the bound on clients it makes one give way and waits until it has left.
-func (f *Front) Serve(l net.Listener) error {
+func (f *Server) Serve(l net.Listener) error {
 	var pause time.Duration
 	for {
 		sock, err := l.Accept()
@@ -192,7 +192,7 @@
 			if !passes(err) {
 				return err
 			}
-			pause = min(max(2*pause, f.limits.RetryFirst), f.limits.RetryMost)
+			pause = min(max(2*pause, f.limits.PollBackoffMin), f.limits.PollBackoffMax)
 			time.Sleep(pause)
 			continue
 		}
@@ -225,7 +225,7 @@
 // giveWay closes a connection on which no txn is open: the oldest of those that
 // never had an answer, else the one idle longest. Silent clients come by the
 // hundreds and go first; a usual one asks again on a new connection.
-func (f *Front) giveWay() {
+func (f *Server) giveWay() {
 	var first *client
 	for c := range f.clients {
 		if c.state == busy || c.state == over {
@@ -241,9 +241,9 @@
 	}
 }
 
-// Crowd lifts the bound on clients: at the end whoever waits for room is served,
+// SuspendClientLimit lifts the bound on clients: at the end whoever waits for room is served,
 // since the listener's deadline would not wake Serve. False sets it again.
-func (f *Front) Crowd(on bool) {
+func (f *Server) SuspendClientLimit(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crowd = on
@@ -253,7 +253,7 @@
 // Drain makes every further answer the last on its connection, shuts idle
 // connections, and waits until the others have ended, or the time is over.
 // Nothing is begun on a connection that was shut.
-func (f *Front) Drain(within time.Duration) (left int) {
+func (f *Server) Drain(within time.Duration) (left int) {
 	f.draining.Store(true)
 	end := time.AfterFunc(within, func() {
 		f.mu.Lock()
@@ -279,16 +279,16 @@
 	return len(f.clients)
 }
 
-// Count tells how many clients there are, and how many answers came late since
+// CollectStats tells how many clients there are, and how many answers came late since
 // it was last asked.
-func (f *Front) Count() (clients int, late int64) {
+func (f *Server) CollectStats() (clients int, late int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.clients), f.late.Swap(0)
 }
 
 // Clients tells how many clients there are.
-func (f *Front) Clients() int {
+func (f *Server) Clients() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.clients)
@@ -296,7 +296,7 @@
 
 // turn notes a connection's state; who has become idle may give way. False: it
 // has been closed to that end, and nothing must be begun for it.
-func (f *Front) turn(c *client, to state) bool {
+func (f *Server) turn(c *client, to state) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.state == over {
@@ -310,9 +310,9 @@
 }
 
 // serve is the life of a client's connection.
-func (f *Front) serve(c *client) {
+func (f *Server) serve(c *client) {
 	defer func() {
-		c.shut(f.limits.ReadOn, f.limits.ReadOff)
+		c.shut(f.limits.LingeringCloseTimeout, f.limits.MaxDiscardBytes)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(f.clients, c)
@@ -333,15 +333,15 @@
 
 // next waits for the first byte of a request. A client that never had an answer
 // has one time for that and for its whole request: it is owed an end.
-func (f *Front) next(c *client) bool {
+func (f *Server) next(c *client) bool {
 	f.mu.Lock()
 	if c.state == over { // Drain's wake came before this deadline
 		f.mu.Unlock()
 		return false
 	}
-	c.until = c.since.Add(f.limits.RequestTime)
+	c.until = c.since.Add(f.limits.RequestReadTimeout)
 	if c.asked {
-		c.SetReadDeadline(time.Now().Add(f.limits.IdleClient))
+		c.SetReadDeadline(time.Now().Add(f.limits.ClientIdleTimeout))
 	} else {
 		c.SetReadDeadline(c.until)
 	}
@@ -351,16 +351,16 @@
 	}
 	if c.asked {
 		// From now: of what was sent early the time before was another txn's.
-		c.until = time.Now().Add(f.limits.RequestTime)
+		c.until = time.Now().Add(f.limits.RequestReadTimeout)
 		c.SetReadDeadline(c.until)
 	}
 	return f.turn(c, sending)
 }
 
 // request serves one request; false: the connection is to be closed.
-func (f *Front) request(c *client) bool {
+func (f *Server) request(c *client) bool {
 	first := c.tap.came(c.r.Buffered())
-	h, err := http1.ReadRequest(c.r, http1.Bounds{Bytes: f.limits.Head, Fields: f.limits.Fields, Body: f.limits.Upload})
+	h, err := http1.ReadRequest(c.r, http1.Limits{MaxBytes: f.limits.MaxHeadBytes, MaxFields: f.limits.MaxHeaderFields, MaxBody: f.limits.MaxRequestBody})
 	if err != nil {
 		var fault *http1.Error
 		if errors.As(err, &fault) {
@@ -370,14 +370,14 @@
 		}
 		return false
 	}
-	if h.Continue && h.Length > 0 {
+	if h.ExpectContinue && h.ContentLength > 0 {
 		if f.write(c, c.until, []byte("HTTP/1.1 100 Continue\r\n\r\n")) != nil {
 			return false
 		}
 	}
 	var body *bufferpool.Body
-	if h.Length > 0 {
-		if body, err = f.bodies.Read(c.r, h.Length); err != nil && err != bufferpool.ErrFull {
+	if h.ContentLength > 0 {
+		if body, err = f.bodies.ReadBody(c.r, h.ContentLength); err != nil && err != bufferpool.ErrFull {
 			return false // half a body: nobody waits for an answer, or it stalled
 		}
 		defer body.Release()
@@ -401,16 +401,16 @@
 		return f.plain(c, status, last) && !last
 	}
 	t.body, t.first = body, first
-	t.waited = time.Duration(f.still.Waited(first.Sub(f.start).Microseconds())) * time.Microsecond
+	t.waited = time.Duration(f.still.MaxWaitMicros(first.Sub(f.start).Microseconds())) * time.Microsecond
 	return f.txn(c, t, last) && !last
 }
 
 // plain answers without a body. What fits no socket's buffer isn't worth a wait.
-func (f *Front) plain(c *client, status int, last bool) bool {
-	return f.write(c, time.Now().Add(f.limits.ReadOn), http1.AppendResponse(nil, status, 0, last)) == nil
+func (f *Server) plain(c *client, status int, last bool) bool {
+	return f.write(c, time.Now().Add(f.limits.LingeringCloseTimeout), http1.AppendResponse(nil, status, 0, last)) == nil
 }
 
-func (f *Front) write(c *client, until time.Time, bufs ...[]byte) error {
+func (f *Server) write(c *client, until time.Time, bufs ...[]byte) error {
 	c.SetWriteDeadline(until)
 	list := net.Buffers(bufs)
 	_, err := list.WriteTo(c.Conn)
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -19,7 +19,7 @@
 // door is a front at an address of its own, with no cache behind it: what it
 // takes is rejected at once.
 type door struct {
-	*Front
+	*Server
 	net.Listener
 	served chan error
 }
@@ -29,14 +29,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := &config.Limits{Clients: clients, Head: 1000, Fields: 10, Upload: 100, ReadOff: 1 << 20,
-		LongestTxn: time.Second, RequestTime: requestTime, IdleClient: 10 * time.Second, ReadOn: 10 * time.Second}
-	set := &policy.Settings{Rules: []policy.RemapRule{{Name: "page", Effect: "safe", SLA: 1000, Importance: 1}}}
+	limits := &config.Limits{MaxClients: clients, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxRequestBody: 100, MaxDiscardBytes: 1 << 20,
+		MaxRequestTimeout: time.Second, RequestReadTimeout: requestTime, ClientIdleTimeout: 10 * time.Second, LingeringCloseTimeout: 10 * time.Second}
+	set := &policy.Settings{Classes: []policy.TrafficClass{{Name: "page", Effect: "safe", LatencyObjective: 1000, PriorityWeight: 1}}}
 	d := &door{New(engine.New(set, 1, func() {}), nil, bufferpool.NewPool(1<<20), limits), l, make(chan error, 1)}
 	go func() { d.served <- d.Serve(l) }()
 	t.Cleanup(func() {
 		l.Close()
-		d.Crowd(true)
+		d.SuspendClientLimit(true)
 	})
 	return d
 }
@@ -98,7 +98,7 @@
 	// One that has asked may stay.
 	v := d.visit(t)
 	v.status(fmt.Sprintf(whole, 1))
-	v.SetReadDeadline(time.Now().Add(2 * d.limits.RequestTime))
+	v.SetReadDeadline(time.Now().Add(2 * d.limits.RequestReadTimeout))
 	if _, err := v.r.ReadByte(); !os.IsTimeout(err) {
 		t.Fatalf("a usual client's connection: %v", err)
 	}
@@ -165,7 +165,7 @@
 	v.SetDeadline(time.Now().Add(5 * time.Second))
 	served := make(chan error, 1)
 	go func() { served <- d.Serve(&last{client: theirs}) }()
-	d.Crowd(true)
+	d.SuspendClientLimit(true)
 	if got := v.status(fmt.Sprintf(whole, 1)); got != "503" {
 		t.Fatalf("%q", got)
 	}
--- a/internal/emulator/detect.go
+++ b/internal/emulator/detect.go
@@ -46,14 +46,14 @@
 		at     time.Time
 	}
 	lines := make(chan line, 4096)
-	var peers []operatorconfig.Member
+	var peers []operatorconfig.MembershipPeer
 	var listens []string
 	for i := range routers {
 		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 79, byte(1+i/200), byte(1+i%200))})
 		if err != nil {
 			return nil, 0, err
 		}
-		peers = append(peers, operatorconfig.Member{Name: nameOf(i), Addr: udp.LocalAddr().String()})
+		peers = append(peers, operatorconfig.MembershipPeer{Name: nameOf(i), Addr: udp.LocalAddr().String()})
 		listens = append(listens, udp.LocalAddr().String()) // the same number is free for TCP there
 		udp.Close()
 	}
@@ -64,7 +64,7 @@
 	s := scenario.Default()
 	s.Fleet.Members = true
 	start := func(i int) (*exec.Cmd, error) {
-		own, err := yaml.Marshal(operatorconfig.Config{Members: &operatorconfig.Members{Name: nameOf(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
+		own, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{Name: nameOf(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -40,7 +40,7 @@
 
 // View is what a router holds of the others, by its own protocol.
 func (k *Kept) View(i int) (*membership.View, error) {
-	return transport.Ask([]byte(membersKey), nameOf(i), k.routers[i].members)
+	return transport.Query([]byte(membersKey), nameOf(i), k.routers[i].members)
 }
 
 // Config is the platform's configuration of a router.
@@ -55,8 +55,8 @@
 }
 
 // Rollout says a word on it to a router, 0: only asks.
-func (k *Kept) Rollout(i int, c rollout.Command) (*rollout.Standing, error) {
-	w, err := k.Ask(i, &handoff.Word{Kind: handoff.Roll, Command: c})
+func (k *Kept) Rollout(i int, c rollout.Command) (*rollout.Status, error) {
+	w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: c})
 	if err != nil {
 		return nil, err
 	}
@@ -70,32 +70,32 @@
 func (k *Kept) Listen(i int) string { return k.routers[i].listen }
 
 // Ask says a word to a keeper and waits for its last report.
-func (k *Kept) Ask(i int, w *handoff.Word) (*handoff.Word, error) {
-	return handoff.Ask(filepath.Join(k.Folder(i), upgradeagent.SocketName), w, nil)
+func (k *Kept) Ask(i int, w *handoff.Message) (*handoff.Message, error) {
+	return handoff.Request(filepath.Join(k.Folder(i), upgradeagent.SocketName), w, nil)
 }
 
 // Standing is what a keeper tells of itself.
-func (k *Kept) Standing(i int) (*handoff.Standing, error) {
-	w, err := k.Ask(i, &handoff.Word{Kind: handoff.Status})
+func (k *Kept) Standing(i int) (*handoff.Status, error) {
+	w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
 		return nil, err
 	}
-	if w.Standing == nil {
+	if w.Status == nil {
 		return nil, errors.New("a report without a standing")
 	}
-	return w.Standing, nil
+	return w.Status, nil
 }
 
 // Until asks a keeper time and again until it stands as wanted.
-func (k *Kept) Until(i int, within time.Duration, want func(*handoff.Standing) bool) (*handoff.Standing, error) {
+func (k *Kept) Until(i int, within time.Duration, want func(*handoff.Status) bool) (*handoff.Status, error) {
 	const every = 5 * time.Millisecond
-	var last *handoff.Standing
+	var last *handoff.Status
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(every) {
 		if k.ctx.Err() != nil {
 			return last, k.ctx.Err()
 		}
-		var s *handoff.Standing
+		var s *handoff.Status
 		if s, err = k.Standing(i); err == nil {
 			if last = s; want(s) {
 				return s, nil
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	for x := range w.Routers() {
-		if x != id && w.Up(x) && !w.Stopped(x) && w.Ways.Open(id, x) && w.Ways.Open(x, id) {
+		if x != id && w.Up(x) && !w.Stopped(x) && w.Ways.Reachable(id, x) && w.Ways.Reachable(x, id) {
 			return true
 		}
 	}
@@ -78,11 +78,11 @@
 				continue
 			}
 			others++
-			i := slices.IndexFunc(v.Seen, func(s membership.Seen) bool { return s.Name == x })
+			i := slices.IndexFunc(v.Members, func(s membership.MemberStatus) bool { return s.Name == x })
 			switch {
-			case i < 0 || v.Seen[i].State != membership.Alive:
+			case i < 0 || v.Members[i].State != membership.StateAlive:
 				agreed = false
-				if i >= 0 && v.Seen[i].State == membership.Dead {
+				if i >= 0 && v.Members[i].State == membership.StateDead {
 					dead++
 				}
 			}
@@ -95,8 +95,8 @@
 		}
 	}
 	for _, v := range views {
-		for _, s := range v.Seen {
-			if s.State == membership.Alive && !slices.Contains(up, s.Name) {
+		for _, s := range v.Members {
+			if s.State == membership.StateAlive && !slices.Contains(up, s.Name) {
 				agreed = false
 			}
 		}
@@ -115,12 +115,12 @@
 		return
 	}
 	count := v.world.Routers()
-	v.roster = simfleet.New(count, v.opt.Seed, v.world.Ways, func(h *simfleet.Host, now int64) simfleet.Speaker {
+	v.roster = simfleet.New(count, v.opt.Seed, v.world.Ways, func(h *simfleet.Host, now int64) simfleet.Detector {
 		r := v.routers[h.ID]
-		return membership.New(membership.Settings{Name: h.Name, Place: scenario.Zone(v.world.Office(h.ID)), Addr: simfleet.Addr(h.ID),
-			Seeds: simfleet.Seeds(count), Life: 1}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
+		return membership.New(membership.Settings{Name: h.Name, Zone: scenario.Zone(v.world.Office(h.ID)), Addr: simfleet.Addr(h.ID),
+			Seeds: simfleet.Seeds(count), Epoch: 1}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
 	})
-	v.roster.Mail = mailer{v}
+	v.roster.Payloads = mailer{v}
 	for i := range count {
 		v.roster.Start(i)
 	}
@@ -130,10 +130,10 @@
 		var up []string
 		for _, h := range v.roster.Hosts {
 			v.knows.inTouch(v.world.Now(), h.Name, canTalk(v.world, h.ID))
-			if h.Speaker != nil {
+			if h.Detector != nil {
 				up = append(up, h.Name)
 				if !v.routers[h.ID].stopped {
-					views[h.Name] = h.Speaker.(*membership.Node).View()
+					views[h.Name] = h.Detector.(*membership.Node).View()
 				}
 			}
 		}
@@ -149,47 +149,47 @@
 // mailer is what virtual routers do with what they know, as the router does it.
 type mailer struct{ *virtual }
 
-func (m mailer) Tag(h *simfleet.Host) uint32 { return m.routers[h.ID].book.Tag() }
+func (m mailer) Digest(h *simfleet.Host) uint32 { return m.routers[h.ID].book.Digest() }
 
-func (m mailer) Letter(h *simfleet.Host, l membership.Letter) [][]byte {
+func (m mailer) HandlePayload(h *simfleet.Host, l membership.Payload) [][]byte {
 	r := m.routers[h.ID]
-	t := r.book.Letter(m.now(), m.now(), l.From, l.Tag, l.Body, transport.MostBody)
+	t := r.book.HandlePayload(m.now(), m.now(), l.From, l.Digest, l.Body, transport.MaxPayloadBytes)
 	m.apply(r, t.Servers)
 	for _, p := range t.Purges {
 		r.core.Purge(m.now(), p.Object, p.Group, p.At)
 	}
 	m.settle()
-	return t.Back
+	return t.Replies
 }
 
-func (m mailer) apply(r *vrouter, list []gossip.Server) {
+func (m mailer) apply(r *vrouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.core.Members(m.now(), "diff", coreServers(list))
+		r.core.UpdateEndpoints(m.now(), "diff", coreServers(list))
 	}
 }
 
 func (m mailer) Tick(h *simfleet.Host) {
-	r, n := m.routers[h.ID], h.Speaker.(*membership.Node)
-	r.book.Alone(n.Standing().Known < 3)
+	r, n := m.routers[h.ID], h.Detector.(*membership.Node)
+	r.book.SetSingleConfirmation(n.Connectivity().Known < 3)
 	m.apply(r, r.book.Tick(m.now(), m.now()))
 	m.settle()
 }
 
 // known passes what the board tells, with what other routers know better.
-func (v *virtual) known(r *vrouter, whole bool, list []engine.Server) []engine.Server {
+func (v *virtual) known(r *vrouter, whole bool, list []engine.Endpoint) []engine.Endpoint {
 	if r.book == nil {
 		return list
 	}
-	out := make([]gossip.Server, len(list))
+	out := make([]gossip.Endpoint, len(list))
 	for i, s := range list {
-		out[i] = gossip.Server{Entry: s.Entry, Endpoint: s.Endpoint}
+		out[i] = gossip.Endpoint{Endpoint: s.Endpoint, Address: s.Address}
 	}
-	return coreServers(r.book.Board(v.now(), whole, out))
+	return coreServers(r.book.ApplyLocal(v.now(), whole, out))
 }
 
-func coreServers(list []gossip.Server) (out []engine.Server) {
+func coreServers(list []gossip.Endpoint) (out []engine.Endpoint) {
 	for _, s := range list {
-		out = append(out, engine.Server{Entry: s.Entry, Endpoint: s.Endpoint})
+		out = append(out, engine.Endpoint{Endpoint: s.Endpoint, Address: s.Address})
 	}
 	return out
 }
@@ -201,12 +201,12 @@
 
 // membersPart is a router's part of the operator's file: it reaches every other one
 // by a way of its own.
-func (r *process) membersPart() (*operatorconfig.Members, error) {
+func (r *process) membersPart() (*operatorconfig.Membership, error) {
 	path := filepath.Join(r.dir, "members.key")
 	if err := os.WriteFile(path, []byte(membersKey), 0o600); err != nil {
 		return nil, err
 	}
-	m := &operatorconfig.Members{Name: nameOf(r.id), Listen: r.members.String(), KeyFile: path}
+	m := &operatorconfig.Membership{Name: nameOf(r.id), Listen: r.members.String(), KeyFile: path}
 	for _, x := range r.routers {
 		if x == r {
 			continue
@@ -215,7 +215,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.Peers = append(m.Peers, operatorconfig.Member{Name: nameOf(x.id), Addr: addr})
+		m.Peers = append(m.Peers, operatorconfig.MembershipPeer{Name: nameOf(x.id), Addr: addr})
 	}
 	return m, nil
 }
@@ -231,7 +231,7 @@
 		conn.Close()
 	})
 	r.all.Go(func() {
-		b := make([]byte, peerproto.MostDatagram+1)
+		b := make([]byte, peerproto.MaxDatagram+1)
 		for {
 			n, _, err := conn.ReadFromUDPAddrPort(b)
 			if r.ctx.Err() != nil {
@@ -241,7 +241,7 @@
 				continue
 			}
 			now := r.now()
-			for _, at := range r.world.Ways.Carry(now, r.id, to.id, n) {
+			for _, at := range r.world.Ways.Transmit(now, r.id, to.id, n) {
 				word := slices.Clone(b[:n])
 				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { conn.WriteToUDPAddrPort(word, to.members) })
 			}
@@ -296,7 +296,7 @@
 		answers := make(chan got, len(ask))
 		for _, t := range ask {
 			go func() {
-				view, _ := transport.Ask([]byte(membersKey), t.name, t.addr)
+				view, _ := transport.Query([]byte(membersKey), t.name, t.addr)
 				answers <- got{t.name, view}
 			}()
 		}
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -20,13 +20,13 @@
 	file := func(name string) string { return filepath.Join(r.dir, name) }
 	var own operatorconfig.Config
 	if r.set.Fleet.Members {
-		if own.Members, err = r.membersPart(); err != nil {
+		if own.Membership, err = r.membersPart(); err != nil {
 			return err
 		}
 	}
 	if r.gate != "" {
-		own.Gateway = &operatorconfig.Gateway{Name: nameOf(r.id), Site: site(r), Listen: r.gate, Reserve: siteRatio,
-			Most: mostAcross, BeatMS: beatEvery / 1000, Cert: file(nameOf(r.id) + ".pem"), Key: file(nameOf(r.id) + ".key"), CA: file("ca.pem")}
+		own.Gateway = &operatorconfig.Gateway{Name: nameOf(r.id), Site: site(r), Listen: r.gate, LocalReserve: siteRatio,
+			MaxRequests: mostAcross, HeartbeatMS: beatEvery / 1000, CertFile: file(nameOf(r.id) + ".pem"), KeyFile: file(nameOf(r.id) + ".key"), CAFile: file("ca.pem")}
 	}
 	for _, x := range r.routers {
 		if r.gate == "" || site(x) == site(r) {
@@ -36,18 +36,18 @@
 		if err != nil {
 			return err
 		}
-		own.Gateway.Peers = append(own.Gateway.Peers, operatorconfig.Peer{Name: nameOf(x.id), Site: site(x), Addr: addr})
+		own.Gateway.Peers = append(own.Gateway.Peers, operatorconfig.GatewayPeer{Name: nameOf(x.id), Site: site(x), Addr: addr})
 	}
 	if n := r.set.Fleet.DiskMB; n > 0 {
-		own.Disk = &operatorconfig.Disk{Path: file(nameOf(r.id) + ".disk"), SizeMB: n}
-		if err := os.MkdirAll(own.Disk.Path, 0o700); err != nil {
+		own.DiskCache = &operatorconfig.DiskCache{Path: file(nameOf(r.id) + ".disk"), SizeMB: n}
+		if err := os.MkdirAll(own.DiskCache.Path, 0o700); err != nil {
 			return err
 		}
 	}
 	if f := &r.set.Fleet; f.Keep && !r.earlier() {
-		own.Keep = &operatorconfig.Keep{Folder: (&Kept{r.sockets}).Folder(r.id), ReadyS: keptReady, TrialS: f.TrialS}
+		own.Supervisor = &operatorconfig.Supervisor{Dir: (&Kept{r.sockets}).Folder(r.id), ReadyTimeoutS: keptReady, TrialS: f.TrialS}
 		if f.Members {
-			own.Keep.Plan = (&Kept{r.sockets}).Plan()
+			own.Supervisor.RolloutPlan = (&Kept{r.sockets}).Plan()
 		}
 	}
 	text, err := yaml.Marshal(own)
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -40,7 +40,7 @@
 // Rolled is what came of it.
 type Rolled struct {
 	*Result
-	Way     rollout.Way
+	Way     rollout.Phase
 	Stage   int
 	Why     string
 	EndedS  float64 // when all had ended in one generation; 0: they had not
@@ -66,7 +66,7 @@
 
 // eye is a router's witness, and what it has gathered.
 type eye struct {
-	judge   *invariant.Judge
+	judge   *invariant.Monitor
 	acts    *invariant.Recorder
 	process uint64
 	accused bool
@@ -81,7 +81,7 @@
 
 type rollingMail struct {
 	from, to int
-	m        *rollout.Msg
+	m        *rollout.Message
 }
 
 // VirtualRollout plays a script with a rollout in it.
@@ -91,14 +91,14 @@
 	}
 	r := &rolling{set: &set, dice: rand.New(rand.NewPCG(seed, 41)), seed: seed, local: make([]rollingRouter, len(set.Plan.Routers))}
 	setup := s.Settings(0, 0)
-	figures := setup.Logic()
+	figures := setup.PolicySettings()
 	for range r.local {
-		r.eyes = append(r.eyes, &eye{judge: invariant.New(invariant.SettingsOf(&figures)), acts: invariant.NewRecorder()})
+		r.eyes = append(r.eyes, &eye{judge: invariant.New(invariant.SettingsFrom(&figures)), acts: invariant.NewRecorder()})
 	}
 	rules := map[string]float64{}
 	sla := map[string]int64{}
 	for _, k := range s.Rules() {
-		rules[k.Name], sla[k.Name] = k.Importance, k.SLA+int64(k.Stretch*250_000)
+		rules[k.Name], sla[k.Name] = k.PriorityWeight, k.LatencyObjective+int64(k.ObjectiveStretch*250_000)
 	}
 	type taken struct {
 		at   int64
@@ -147,13 +147,13 @@
 				}
 				delete(held, e.Txn)
 				c := &r.local[e.Router].counts
-				c.Txns++
-				c.Asked += rules[x.rule]
-				c.Hops += float64(x.hops)
+				c.Requests++
+				c.WeightOffered += rules[x.rule]
+				c.Attempts += float64(x.hops)
 				earned := 0.0
 				if e.Outcome == "completed" {
-					c.Answered++
-					c.Time += math.Log(float64(max(e.At-x.at, 1000)) / float64(sla[x.rule]))
+					c.Completed++
+					c.LogLatencySum += math.Log(float64(max(e.At-x.at, 1000)) / float64(sla[x.rule]))
 					if set.Slower > 0 && r.news(e.Router) {
 						harm()
 					}
@@ -162,16 +162,16 @@
 				case e.Outcome == "completed" && e.At-x.at <= sla[x.rule]:
 					earned = rules[x.rule]
 				case e.Outcome == "rejected":
-					c.Refused++
+					c.Rejected++
 				case e.Outcome != "completed":
 					c.Failed++
 				}
-				c.Earned += earned
-				if c.Rules == nil {
-					c.Rules = map[string]canary.Worth{}
+				c.WeightEarned += earned
+				if c.Classes == nil {
+					c.Classes = map[string]canary.ClassCounts{}
 				}
-				w := c.Rules[x.rule]
-				c.Rules[x.rule] = canary.Worth{Txns: w.Txns + 1, Asked: w.Asked + rules[x.rule], Earned: w.Earned + earned}
+				w := c.Classes[x.rule]
+				c.Classes[x.rule] = canary.ClassCounts{Requests: w.Requests + 1, WeightOffered: w.WeightOffered + rules[x.rule], WeightEarned: w.WeightEarned + earned}
 			}
 		},
 		Each: r.step,
@@ -209,42 +209,42 @@
 	return true
 }
 
-func (r *rolling) listed(router int, now int64, whole bool, list []engine.Server) {
-	entries := make([]policy.Entry, len(list))
+func (r *rolling) listed(router int, now int64, whole bool, list []engine.Endpoint) {
+	entries := make([]policy.Endpoint, len(list))
 	for i, s := range list {
-		entries[i] = s.Entry
+		entries[i] = s.Endpoint
 	}
-	r.eyes[router].judge.Listed(now, whole, entries)
+	r.eyes[router].judge.EndpointsChanged(now, whole, entries)
 }
 
 func (r *rolling) purged(router int, now int64, object string, group, made int64) {
 	r.eyes[router].judge.Purged(now, object, group, made)
 }
 
-func (r *rolling) sent(router int, rule string, h *engine.Hop) {
-	r.eyes[router].acts.Hop(h.Decided, h.Server.Server, h.Source, rule, h.Twice)
+func (r *rolling) sent(router int, rule string, h *engine.Attempt) {
+	r.eyes[router].acts.RecordAttempt(h.DecidedAt, h.Endpoint.ID, h.Source, rule, h.Unsafe)
 }
 
-func (r *rolling) answered(router int, a *simulation.Ask, h *engine.Hop, issued int64) {
+func (r *rolling) answered(router int, a *simulation.Ask, h *engine.Attempt, issued int64) {
 	k := r.world.RuleOf(a.Rule)
 	if k.Write {
 		return
 	}
 	flow := r.virtual.set.Fleet.FlowKBPerS / 1e6
-	r.eyes[router].acts.Answered(k.Name, a.Object, a.Group, h.Decided, issued+epoch, a.SizeKB/flow)
+	r.eyes[router].acts.RecordResponse(k.Name, a.Object, a.Group, h.DecidedAt, issued+epoch, a.SizeKB/flow)
 }
 
 // look lets a router's witness judge; each change is another process.
-func (r *rolling) look(now int64, i int) invariant.Seen {
+func (r *rolling) look(now int64, i int) invariant.Violations {
 	e, l := r.eyes[i], &r.local[i]
 	if of := l.run<<1 | uint64(map[bool]int{true: 1}[r.news(i)]); of != e.process {
-		e.judge.Ended(e.process)
+		e.judge.ProcessEnded(e.process)
 		e.process = of
 		e.acts.Take()
 	}
-	e.judge.Acts(now+epoch, e.process, e.acts.Take())
+	e.judge.Observe(now+epoch, e.process, e.acts.Take())
 	e.judge.Tick(now + epoch)
-	s := e.judge.Seen(e.process)
+	s := e.judge.Violations(e.process)
 	e.accused = e.accused || s.Rules != 0
 	return s
 }
@@ -268,11 +268,11 @@
 	mail := r.mail
 	r.mail = nil
 	for _, m := range mail {
-		r.post(m.to, r.nodes[m.to].Heard(now+1, r.set.Plan.Routers[m.from].Name, m.m))
+		r.post(m.to, r.nodes[m.to].Receive(now+1, r.set.Plan.Routers[m.from].Name, m.m))
 	}
 	if !r.begun && now >= int64(r.set.StartS*1e6) {
 		r.begun = true
-		r.nodes[0].Command(now+1, rollout.Start)
+		r.nodes[0].Command(now+1, rollout.CommandStart)
 	}
 	for i, n := range r.nodes {
 		l := &r.local[i]
@@ -280,33 +280,33 @@
 			l.changing = false
 		}
 		c := l.counts
-		c.Rules = maps.Clone(c.Rules)
+		c.Classes = maps.Clone(c.Classes)
 		if r.set.NoJudge { // nothing is ever worse
-			c = canary.Counts{Txns: float64(now) / 1e4, Asked: float64(now) / 1e4, Earned: float64(now) / 1e4}
+			c = canary.Counts{Requests: float64(now) / 1e4, WeightOffered: float64(now) / 1e4, WeightEarned: float64(now) / 1e4}
 		}
 		seen := r.look(now, i)
-		drains, purges := r.eyes[i].judge.Told()
-		n.Local(rollout.Report{OnNew: l.onNew && !l.changing, Changing: l.changing, Able: true, Counts: c, Run: l.run, MemoryMB: 20, Broken: seen.Rules, Broke: seen.Text,
-			Drains: drains, Purges: purges})
+		drains, purges := r.eyes[i].judge.EventCounts()
+		n.SetReport(rollout.Report{Upgraded: l.onNew && !l.changing, Changing: l.changing, Capable: true, Counts: c, RunID: l.run, MemoryMB: 20, ViolatedRules: seen.Rules, FirstViolation: seen.Text,
+			DrainsSeen: drains, PurgesSeen: purges})
 		r.post(i, n.Tick(now+1))
-		if w := n.Want(now + 1); w.Go && !l.changing && w.New != l.onNew {
+		if w := n.Target(now + 1); w.MayStart && !l.changing && w.New != l.onNew {
 			v, _ := n.View()
-			l.changing, l.target, l.onNew, l.run = true, w.New, w.New, v.Run
+			l.changing, l.target, l.onNew, l.run = true, w.New, w.New, v.RunID
 			l.until = now + int64(r.set.TrialS*1e6)
 		}
-		if v, age := n.View(); n.Leads() && age >= 0 {
-			if r.out.Way, r.out.Stage, r.out.Why = v.Way, v.Stage, v.Why; v.Way == rollout.Backward && r.out.TurnedS == 0 {
+		if v, age := n.View(); n.IsLeader() && age >= 0 {
+			if r.out.Way, r.out.Stage, r.out.Why = v.Phase, v.Stage, v.Reason; v.Phase == rollout.PhaseRollingBack && r.out.TurnedS == 0 {
 				r.out.TurnedS = float64(now) / 1e6
 			}
-			if (v.Way == rollout.Done || v.Way == rollout.Undone) && r.out.EndedS == 0 {
+			if (v.Phase == rollout.PhaseDone || v.Phase == rollout.PhaseRolledBack) && r.out.EndedS == 0 {
 				r.out.EndedS = float64(now) / 1e6
 			}
 		}
 	}
 }
 
-func (r *rolling) post(from int, out []rollout.Out) {
+func (r *rolling) post(from int, out []rollout.Outgoing) {
 	for _, o := range out {
-		r.mail = append(r.mail, rollingMail{from, o.To, o.Msg})
+		r.mail = append(r.mail, rollingMail{from, o.To, o.Message})
 	}
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -131,20 +131,20 @@
 			if _, err := io.ReadFull(r, body); err != nil {
 				return
 			}
-			if err := cacheproto.ReadEnd(r); err != nil {
+			if err := cacheproto.ReadBodyEnd(r); err != nil {
 				return
 			}
 			p.send(func() { p.hop(c, cmd.Get, body) })
-		case cmd.Drop != "":
-			p.send(func() { p.drop(c, cmd.Drop) })
+		case cmd.DropID != "":
+			p.send(func() { p.drop(c, cmd.DropID) })
 		default:
-			c.put([]byte(cmd.Ping + " READY\r\n"))
+			c.put([]byte(cmd.PingID + " READY\r\n"))
 		}
 	}
 }
 
 // hop hands a hop to the world.
-func (p *place) hop(c *lineConn, g *cacheproto.Get, body []byte) {
+func (p *place) hop(c *lineConn, g *cacheproto.GetCommand, body []byte) {
 	x := p.asks[g.ID]
 	if x == nil {
 		x = p.carried(g.ID)
@@ -153,20 +153,20 @@
 		x = p.guest(g)
 	}
 	if x == nil { // its client has just left, or the id is none of ours
-		c.put(cacheproto.AppendAnswer(nil, &cacheproto.Answer{ID: g.ID, Word: cacheproto.Stale}))
+		c.put(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: g.ID, Status: cacheproto.StatusSkipped}))
 		c.put([]byte("\r\n"))
 		return
 	}
 	h := &lineHop{conn: c, id: g.ID, n: x.hops, body: body}
 	x.hops++
 	c.hops[g.ID] = h
-	p.world.Hop(&simulation.Hop{Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Rank, Mode: g.Mode,
-		Within: g.Age * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h})
+	p.world.Hop(&simulation.Hop{Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, Mode: g.Mode,
+		Within: g.MaxAgeMillis * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h})
 }
 
 // guest makes a txn of somebody else's request, such as a person's by curl. The
 // record has it as given up when its time is over.
-func (p *place) guest(g *cacheproto.Get) *asked {
+func (p *place) guest(g *cacheproto.GetCommand) *asked {
 	rule, group, kb, known := p.world.Object(g.Object, g.Part)
 	if !known || p.world.RuleOf(rule).Name != g.Class {
 		return nil
@@ -176,8 +176,8 @@
 	p.asks[g.ID] = x
 	now := p.world.Now()
 	p.Note(&eventlog.Entry{Kind: "taken", At: now, Router: p.id, Txn: g.ID, Rule: g.Class, Object: g.Object, Group: group,
-		Deadline: now + g.Budget*1000})
-	time.AfterFunc(time.Duration(g.Budget)*time.Millisecond, func() {
+		Deadline: now + g.BudgetMillis*1000})
+	time.AfterFunc(time.Duration(g.BudgetMillis)*time.Millisecond, func() {
 		p.send(func() {
 			if p.asks[g.ID] == x {
 				delete(p.asks, g.ID)
@@ -204,7 +204,7 @@
 }
 
 var (
-	answerOf  = map[string]cacheproto.Word{"done": cacheproto.Ack, "busy": cacheproto.Again, "enoent": cacheproto.NoEnt, "err": cacheproto.EIO}
+	answerOf  = map[string]cacheproto.Status{"done": cacheproto.StatusOK, "busy": cacheproto.StatusBusy, "enoent": cacheproto.StatusMiss, "err": cacheproto.StatusError}
 	garbage   = []byte("%% ACK entity\r\n")
 	secondKey = "recorded "
 )
@@ -224,19 +224,19 @@
 		c.reset()
 		return
 	}
-	a := cacheproto.Answer{ID: h.id, Word: word, Note: e.Note, Delay: float64(e.Waited) / 1000, Load: e.Load}
+	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Note, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
 	var body []byte
-	if word == cacheproto.Ack {
+	if word == cacheproto.StatusOK {
 		if w.Rule == scenario.Accept {
 			body = append([]byte(secondKey), h.body...)
 		} else {
 			body = bodyOf(w.Object, w.Part, e.Issued, w.SizeKB)
-			a.Issued = max(c.place.unixMS(e.Issued), 1)
+			a.IssuedMillis = max(c.place.unixMS(e.Issued), 1)
 			a.Tag = fmt.Sprintf("%s.%d.%d", w.Object, w.Part, e.Issued)
 		}
 	}
 	a.Length = len(body)
-	c.put(append(append(cacheproto.AppendAnswer(nil, &a), body...), "\r\n"...))
+	c.put(append(append(cacheproto.AppendResponse(nil, &a), body...), "\r\n"...))
 }
 
 // put queues bytes. What a connection may have waiting is bounded by its streams.
--- a/internal/emulator/sites.go
+++ b/internal/emulator/sites.go
@@ -39,8 +39,8 @@
 		}
 	}
 	r.from, r.beats = map[string]*vtxn{}, map[*vrouter]int64{}
-	r.gate = peerpolicy.New(peerpolicy.Settings{Name: nameOf(r.id), Site: fmt.Sprint(site), Most: mostAcross, Reserve: siteRatio,
-		Beat: beatEvery}, peers)
+	r.gate = peerpolicy.New(peerpolicy.Settings{Name: nameOf(r.id), Site: fmt.Sprint(site), MaxRequests: mostAcross, LocalReserve: siteRatio,
+		HeartbeatInterval: beatEvery}, peers)
 	self := r.core
 	var beat func()
 	n := 0
@@ -56,16 +56,16 @@
 		if n++; n%4 != 0 {
 			return
 		}
-		offer := r.gate.Offer(now)
+		offer := r.gate.OfferedCapacity(now)
 		for _, p := range v.peers(r) {
 			v.over(func() {
 				if p.gate == nil || p.core == nil || r.core != self {
 					return
 				}
-				if q := p.gate.Peer(nameOf(r.id)); q.Trust == peerpolicy.Away || q.Incarnation < r.starts {
-					p.gate.Up(v.now(), nameOf(r.id), r.starts)
+				if q := p.gate.Peer(nameOf(r.id)); q.State == peerpolicy.StateDisconnected || q.Incarnation < r.starts {
+					p.gate.Connected(v.now(), nameOf(r.id), r.starts)
 				}
-				p.gate.Beat(v.now(), nameOf(r.id), offer, false, int64(2*v.set.Fleet.SiteMS*1000))
+				p.gate.Heartbeat(v.now(), nameOf(r.id), offer, false, int64(2*v.set.Fleet.SiteMS*1000))
 				p.beats[r] = v.now()
 				v.crossed(p)
 			})
@@ -79,7 +79,7 @@
 func (v *virtual) silent(r *vrouter, now int64) {
 	var gone []*vtxn
 	for _, x := range r.open {
-		if x.home != nil && now-r.beats[x.home] > peerpolicy.Patience*beatEvery {
+		if x.home != nil && now-r.beats[x.home] > peerpolicy.MaxSilentHeartbeats*beatEvery {
 			gone = append(gone, x)
 		}
 	}
@@ -92,9 +92,9 @@
 // giveUp ends a txn that another site's router has given up.
 func (v *virtual) giveUp(r *vrouter, x *vtxn) {
 	x.over = true
-	x.core.Leave(v.now(), x.txn)
+	x.core.ClientGone(v.now(), x.txn)
 	v.detach(x)
-	r.gate.Served(v.now(), nameOf(x.home.id), x.ask.Txn, false)
+	r.gate.FinishInbound(v.now(), nameOf(x.home.id), x.ask.Txn, false)
 }
 
 // over takes something to the other site, unless the way is cut when it begins or
@@ -128,25 +128,25 @@
 	for _, p := range v.peers(r) {
 		v.over(func() {
 			if p.gate != nil {
-				p.gate.Lost(nameOf(r.id))
+				p.gate.Disconnected(nameOf(r.id))
 				v.crossed(p)
 			}
 		})
 	}
 }
 
-var effectOf = map[string]peerpolicy.Effect{"safe": peerpolicy.Safe, "keyed": peerpolicy.Keyed, "unsafe": peerpolicy.Unsafe}
+var effectOf = map[string]peerpolicy.Effect{"safe": peerpolicy.EffectIdempotent, "keyed": peerpolicy.EffectIdempotencyKey, "unsafe": peerpolicy.EffectUnsafe}
 
 // cross hands over a txn that the module has refused; false: it stays.
-func (v *virtual) cross(t *vtxn, o engine.Order) bool {
+func (v *virtual) cross(t *vtxn, o engine.Command) bool {
 	r, a, now := t.router, t.ask, v.now()
 	rule := v.world.RuleOf(a.Rule)
 	left := a.Deadline() - v.world.Now()
-	p, reason := r.gate.Cross(now, &peerpolicy.Ask{Txn: a.Txn, Effect: effectOf[rule.Effect], Clean: !o.Ran, Deadline: now + left})
-	if reason != peerpolicy.Good {
+	p, reason := r.gate.Forward(now, &peerpolicy.Request{RequestID: a.Txn, Effect: effectOf[rule.Effect], NeverRan: !o.MaybeExecuted, Deadline: now + left})
+	if reason != peerpolicy.ReasonOK {
 		return false
 	}
-	r.gate.Written(a.Txn)
+	r.gate.MarkSent(a.Txn)
 	v.detach(t)
 	r.from[a.Txn] = t
 	t.over = true
@@ -168,24 +168,24 @@
 	if far.gate == nil || far.core == nil {
 		return // no process: the gate hears of it by silence
 	}
-	if far.gate.Arrive(v.now(), nameOf(home.id), a.Txn, []string{nameOf(home.id)}, 0) != peerpolicy.Good || far.open[a.Txn] != nil {
-		v.back(far, home, t, peerpolicy.Far{End: peerpolicy.Rejected, Proof: true}, 0)
+	if far.gate.Admit(v.now(), nameOf(home.id), a.Txn, []string{nameOf(home.id)}, 0) != peerpolicy.ReasonOK || far.open[a.Txn] != nil {
+		v.back(far, home, t, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
 		return
 	}
 	b := *a
 	b.Router = far.id
 	v.Note(&eventlog.Entry{Kind: "carried", At: v.world.Now(), Router: far.id, Txn: a.Txn, Hop: home.id})
 	x := &vtxn{router: far, core: far.core, ask: &b, home: home}
-	txn, err := far.core.Open(v.now(), policy.Event{Txn: a.Txn, Rule: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
-		Part: a.Part, Remaining: left, Repeat: a.Again, Write: a.Write}, func() {
+	txn, err := far.core.Open(v.now(), policy.Event{Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
+		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write}, func() {
 		if !x.rung && !x.over {
 			x.rung = true
 			v.ready = append(v.ready, x)
 		}
 	})
 	if err != nil {
-		far.gate.Served(v.now(), nameOf(home.id), a.Txn, false)
-		v.back(far, home, t, peerpolicy.Far{End: peerpolicy.Rejected, Proof: true}, 0)
+		far.gate.FinishInbound(v.now(), nameOf(home.id), a.Txn, false)
+		v.back(far, home, t, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
 		return
 	}
 	x.txn = txn
@@ -193,38 +193,38 @@
 }
 
 // carriedBack is the far side's end of a txn.
-func (v *virtual) carriedBack(x *vtxn, outcome string, issued int64, o engine.Order) {
+func (v *virtual) carriedBack(x *vtxn, outcome string, issued int64, o engine.Command) {
 	x.over = true
 	v.detach(x)
 	far := x.router
-	far.gate.Served(v.now(), nameOf(x.home.id), x.ask.Txn, outcome == "completed")
-	end := peerpolicy.Far{End: peerpolicy.Aborted}
+	far.gate.FinishInbound(v.now(), nameOf(x.home.id), x.ask.Txn, outcome == "completed")
+	end := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
 	kb := 0.0
 	switch outcome {
 	case "completed":
-		end = peerpolicy.Far{End: peerpolicy.Completed, Issued: issued}
+		end = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: issued}
 		kb = x.ask.SizeKB
 		if x.ask.Write {
-			end.Issued = 0
+			end.IssuedMillis = 0
 		}
 	case "rejected":
-		end = peerpolicy.Far{End: peerpolicy.Rejected, Proof: !o.Ran}
+		end = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !o.MaybeExecuted}
 	}
 	v.back(far, x.home, &vtxn{ask: x.ask}, end, kb)
 }
 
 // back takes an answer home.
-func (v *virtual) back(far, home *vrouter, t *vtxn, end peerpolicy.Far, kb float64) {
+func (v *virtual) back(far, home *vrouter, t *vtxn, end peerpolicy.PeerAnswer, kb float64) {
 	pace := int64(kb / (sitePace * v.set.Fleet.FlowKBPerS) * 1e6)
 	v.world.After(pace, func() {
 		v.over(func() {
 			if home.gate == nil {
 				return
 			}
-			home.back(t.ask.Txn, end.Issued)
+			home.back(t.ask.Txn, end.IssuedMillis)
 			// Issues are the world's microseconds here; so are purges.
-			end.Least = v.purgedHere(home, t.ask)
-			home.gate.Returned(v.now(), nameOf(far.id), t.ask.Txn, end)
+			end.LatestPurgeMillis = v.purgedHere(home, t.ask)
+			home.gate.HandleAnswer(v.now(), nameOf(far.id), t.ask.Txn, end)
 			v.crossed(home)
 		})
 	})
@@ -251,24 +251,24 @@
 func (v *virtual) crossed(r *vrouter) {
 	for _, a := range r.gate.Actions() {
 		switch a.Kind {
-		case peerpolicy.Answer:
-			t := r.from[a.Txn]
+		case peerpolicy.ActionAnswer:
+			t := r.from[a.RequestID]
 			if t == nil {
 				continue
 			}
-			delete(r.from, a.Txn)
-			outcome := map[peerpolicy.Outcome]string{peerpolicy.Completed: "completed", peerpolicy.Rejected: "rejected", peerpolicy.Aborted: "aborted"}[a.End]
+			delete(r.from, a.RequestID)
+			outcome := map[peerpolicy.Outcome]string{peerpolicy.OutcomeCompleted: "completed", peerpolicy.OutcomeRejected: "rejected", peerpolicy.OutcomeAborted: "aborted"}[a.Outcome]
 			if outcome == "completed" {
 				v.world.Result.CrossedDone++
 			}
-			v.world.Final(r.id, a.Txn, outcome, t.issued, 500_000)
-		case peerpolicy.Withdraw:
+			v.world.Final(r.id, a.RequestID, outcome, t.issued, 500_000)
+		case peerpolicy.ActionWithdraw:
 			for _, p := range v.peers(r) {
 				if nameOf(p.id) != a.Peer {
 					continue
 				}
 				v.over(func() {
-					if x := p.open[a.Txn]; x != nil && x.home == r && p.gate != nil {
+					if x := p.open[a.RequestID]; x != nil && x.home == r && p.gate != nil {
 						v.giveUp(p, x)
 					}
 				})
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -568,7 +568,7 @@
 		server.Close()
 	})
 	for _, s := range r.world.Known() {
-		if _, err := r.place(s.Server); err != nil {
+		if _, err := r.place(s.ID); err != nil {
 			return err
 		}
 	}
@@ -589,14 +589,14 @@
 	states := map[string]string{"active": "ready", "leaving": "draining", "left": "gone"}
 	out := []target{}
 	for _, s := range list {
-		p, err := r.place(s.Server)
+		p, err := r.place(s.ID)
 		if err != nil {
 			r.failed(err)
 			continue
 		}
-		t := target{s.Server, p.addr, s.Zone, s.Kind, states[s.State], s.Weight, 0}
-		if s.Born > 0 {
-			t.BootMS = r.unixMS(s.Born)
+		t := target{s.ID, p.addr, s.Zone, s.Kind, states[s.State], s.Weight, 0}
+		if s.StartedAt > 0 {
+			t.BootMS = r.unixMS(s.StartedAt)
 		}
 		out = append(out, t)
 	}
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -41,10 +41,10 @@
 
 // onlooker hears what a keeper would beside a router. Times are the routers'.
 type onlooker interface {
-	listed(router int, now int64, whole bool, list []engine.Server)
+	listed(router int, now int64, whole bool, list []engine.Endpoint)
 	purged(router int, now int64, object string, group, made int64)
-	sent(router int, rule string, h *engine.Hop)
-	answered(router int, a *simulation.Ask, h *engine.Hop, issued int64)
+	sent(router int, rule string, h *engine.Attempt)
+	answered(router int, a *simulation.Ask, h *engine.Attempt, issued int64)
 }
 
 // Result is what came of a run.
@@ -101,17 +101,17 @@
 // vrouter is a router: its core, and the time of its next timer.
 type vrouter struct {
 	id     int
-	core   *engine.Core
+	core   *engine.Engine
 	starts uint64
 	next   int64
 	place  int
 	kick   bool
 	open   map[string]*vtxn
-	gate   *peerpolicy.Gate   // nil: its site is alone
-	from   map[string]*vtxn   // txns that it has handed over
-	beats  map[*vrouter]int64 // when peers were heard
+	gate   *peerpolicy.Controller // nil: its site is alone
+	from   map[string]*vtxn       // txns that it has handed over
+	beats  map[*vrouter]int64     // when peers were heard
 
-	book *gossip.Book // nil: routers don't know each other
+	book *gossip.Replica // nil: routers don't know each other
 
 	stopped   bool
 	held      []func() // what waits for it to go on
@@ -130,8 +130,8 @@
 
 type vtxn struct {
 	router *vrouter
-	core   *engine.Core // the router may have been started again since
-	txn    *engine.Txn
+	core   *engine.Engine // the router may have been started again since
+	txn    *engine.Request
 	ask    *simulation.Ask
 	rung   bool
 	over   bool
@@ -170,12 +170,12 @@
 	for steps := 0; !v.world.Over(); steps++ {
 		now := v.world.Next()
 		if v.roster != nil {
-			if at := v.roster.Next(); at <= now && (len(v.due) == 0 || at <= v.due[0].next) {
+			if at := v.roster.NextEvent(); at <= now && (len(v.due) == 0 || at <= v.due[0].next) {
 				if at > end {
 					break
 				}
 				v.world.At(at)
-				v.roster.Until(at)
+				v.roster.RunUntil(at)
 				continue
 			}
 		}
@@ -219,11 +219,11 @@
 	if v.opt.Settings != nil {
 		v.opt.Settings(&setup)
 	}
-	set := setup.Logic()
+	set := setup.PolicySettings()
 	r.starts++
 	r.open = map[string]*vtxn{}
 	// A core of before may still call its kick; it must not wake the new one.
-	var self *engine.Core
+	var self *engine.Engine
 	r.kick = false
 	self = engine.New(&set, v.opt.Seed*1000+uint64(r.id)+r.starts<<32, func() {
 		if r.core == self && !r.kick {
@@ -237,20 +237,20 @@
 		v.opt.looks.listed(r.id, v.now(), true, servers(known))
 	}
 	if v.set.Fleet.Members {
-		r.book = gossip.New(gossip.Settings{Keep: int64(v.set.Fleet.ClearedMS*1000) + longest})
-		r.core.Peers(v.now(), v.now()+set.Contract.FallFor)
+		r.book = gossip.New(gossip.Settings{PurgeRetention: int64(v.set.Fleet.ClearedMS*1000) + longest})
+		r.core.HoldSlowStart(v.now(), v.now()+set.Contract.OverloadWindow)
 	}
-	r.core.Members(v.now(), "disk", v.known(r, true, servers(known)))
+	r.core.UpdateEndpoints(v.now(), "disk", v.known(r, true, servers(known)))
 	v.run(r)
 }
 
-func servers(list []simulation.Server) (out []engine.Server) {
+func servers(list []simulation.Server) (out []engine.Endpoint) {
 	for _, s := range list {
-		e := s.Entry
-		if e.Born > 0 {
-			e.Born += epoch
+		e := s.Endpoint
+		if e.StartedAt > 0 {
+			e.StartedAt += epoch
 		}
-		out = append(out, engine.Server{Entry: e, Endpoint: e.Server})
+		out = append(out, engine.Endpoint{Endpoint: e, Address: e.ID})
 	}
 	return out
 }
@@ -266,8 +266,8 @@
 	}
 	next, errands := r.core.Run(v.now())
 	for _, o := range errands {
-		if o.Kind == engine.Drop {
-			v.world.Cancel(r.id, o.Hop.Txn.ID, o.Hop.N)
+		if o.Kind == engine.CommandDrop {
+			v.world.Cancel(r.id, o.Attempt.Request.ID, o.Attempt.Number)
 		}
 	}
 	r.next = next - epoch
@@ -284,7 +284,7 @@
 		for i := 0; i < len(v.ready); i++ {
 			t := v.ready[i]
 			t.rung = false
-			v.orders(t, t.txn.Take())
+			v.orders(t, t.txn.TakeCommands())
 		}
 		v.ready = v.ready[:0]
 		for i := 0; i < len(v.kicked); i++ {
@@ -298,27 +298,27 @@
 	}
 }
 
-func (v *virtual) orders(t *vtxn, orders []engine.Order) {
+func (v *virtual) orders(t *vtxn, orders []engine.Command) {
 	for _, o := range orders {
 		switch o.Kind {
-		case engine.Send:
-			v.send(t, o.Hop)
-		case engine.Drop:
-			v.world.Cancel(t.router.id, t.ask.Txn, o.Hop.N)
-		case engine.Completed:
-			if v.opt.looks != nil && o.Hop != nil && !t.over {
-				v.opt.looks.answered(t.router.id, t.ask, o.Hop, o.Reply.(reply).issued)
+		case engine.CommandSend:
+			v.send(t, o.Attempt)
+		case engine.CommandDrop:
+			v.world.Cancel(t.router.id, t.ask.Txn, o.Attempt.Number)
+		case engine.CommandRespond:
+			if v.opt.looks != nil && o.Attempt != nil && !t.over {
+				v.opt.looks.answered(t.router.id, t.ask, o.Attempt, o.Response.(reply).issued)
 			}
-			v.ended(t, "completed", o.Reply.(reply).issued, o)
-		case engine.Rejected:
+			v.ended(t, "completed", o.Response.(reply).issued, o)
+		case engine.CommandReject:
 			v.ended(t, "rejected", 0, o)
-		case engine.Aborted:
+		case engine.CommandFail:
 			v.ended(t, "aborted", 0, o)
 		}
 	}
 }
 
-func (v *virtual) send(t *vtxn, h *engine.Hop) {
+func (v *virtual) send(t *vtxn, h *engine.Attempt) {
 	if t.over || !h.Begin() {
 		return
 	}
@@ -326,29 +326,29 @@
 	if v.opt.looks != nil {
 		v.opt.looks.sent(t.router.id, v.world.RuleOf(a.Rule).Name, h)
 	}
-	x := &simulation.Hop{Router: t.router.id, Txn: a.Txn, N: h.N, Server: h.Server.Server, Source: h.Source, Rank: h.Rank,
-		Mode: h.Mode, Within: h.Age, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
+	x := &simulation.Hop{Router: t.router.id, Txn: a.Txn, N: h.Number, Server: h.Endpoint.ID, Source: h.Source, Rank: h.CachePriority,
+		Mode: h.Mode, Within: h.MaxAge, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
 		Write: a.Write, Tag: h}
-	if x.Source == "" && h.Server.Kind == "ledger" {
-		x.Source = h.Server.Server
+	if x.Source == "" && h.Endpoint.Kind == "ledger" {
+		x.Source = h.Endpoint.ID
 	}
 	v.world.Hop(x)
 }
 
 // ended takes the module's final order: it is the answer, unless another site has
 // handed the txn over, or takes it.
-func (v *virtual) ended(t *vtxn, outcome string, issued int64, o engine.Order) {
+func (v *virtual) ended(t *vtxn, outcome string, issued int64, o engine.Command) {
 	switch {
 	case t.over:
 	case t.home != nil:
 		v.carriedBack(t, outcome, issued, o)
 	case t.router.gate != nil:
-		t.router.gate.Home(v.now(), outcome == "rejected")
+		t.router.gate.ObserveLocal(v.now(), outcome == "rejected")
 		if outcome != "rejected" || !v.cross(t, o) {
-			v.final(t, outcome, issued, o.Stay)
+			v.final(t, outcome, issued, o.RetryAfter)
 		}
 	default:
-		v.final(t, outcome, issued, o.Stay)
+		v.final(t, outcome, issued, o.RetryAfter)
 	}
 }
 
@@ -371,8 +371,8 @@
 func (v *virtual) detach(t *vtxn) {
 	delete(t.router.open, t.ask.Txn)
 	for _, o := range t.txn.Detach() {
-		if o.Kind == engine.Drop {
-			v.world.Cancel(t.router.id, t.ask.Txn, o.Hop.N)
+		if o.Kind == engine.CommandDrop {
+			v.world.Cancel(t.router.id, t.ask.Txn, o.Attempt.Number)
 		}
 	}
 }
@@ -389,15 +389,15 @@
 	t := &vtxn{router: r, core: r.core, ask: a}
 	// What is read as it wakes may have waited all the time, as front has it.
 	left := a.Limit
-	if r.wokeAt > 0 && v.now()-r.wokeAt < stall.After {
+	if r.wokeAt > 0 && v.now()-r.wokeAt < stall.BufferDrainMicros {
 		left -= v.now() - r.stoppedAt
 	}
 	if left <= 0 || v.opt.Refuse != nil && v.opt.Refuse(r.id, v.world.RuleOf(a.Rule).Name) {
 		v.world.Final(r.id, a.Txn, "rejected", 0, 0)
 		return
 	}
-	txn, err := r.core.Open(v.now(), policy.Event{Txn: a.Txn, Rule: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
-		Part: a.Part, Remaining: left, Repeat: a.Again, Write: a.Write}, func() {
+	txn, err := r.core.Open(v.now(), policy.Event{Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
+		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write}, func() {
 		if !t.rung && !t.over {
 			t.rung = true
 			v.ready = append(v.ready, t)
@@ -420,13 +420,13 @@
 func (v *virtual) leave(router int, txn string) {
 	if r := v.routers[router]; r.from[txn] != nil {
 		delete(r.from, txn)
-		r.gate.Left(txn)
+		r.gate.ClientGone(txn)
 		v.crossed(r)
 		return
 	}
 	if t := v.routers[router].open[txn]; t != nil {
 		t.over = true
-		t.core.Leave(v.now(), t.txn)
+		t.core.ClientGone(v.now(), t.txn)
 		v.detach(t)
 	}
 }
@@ -438,25 +438,25 @@
 
 func (v *virtual) end(router int, h *simulation.Hop, e simulation.End) {
 	r := v.routers[router]
-	o := engine.Outcome{Code: e.Code, Note: e.Note, Waited: e.Waited, Load: e.Load}
+	o := engine.Outcome{Code: e.Code, Reason: e.Note, OriginWait: e.Waited, Load: e.Load}
 	if e.Code == "done" {
-		o.Reply = reply{e.Issued}
+		o.Response = reply{e.Issued}
 	}
 	if r.core == nil {
 		return
 	}
-	c, hop := r.core, h.Tag.(*engine.Hop)
+	c, hop := r.core, h.Tag.(*engine.Attempt)
 	if v.opt.Lag != nil {
-		if by := int64(v.opt.Lag(router) * float64(v.now()-hop.Decided)); by > 0 {
+		if by := int64(v.opt.Lag(router) * float64(v.now()-hop.DecidedAt)); by > 0 {
 			v.world.After(by, func() {
 				if r.core == c {
-					c.Ended(v.now(), hop, o)
+					c.AttemptEnded(v.now(), hop, o)
 				}
 			})
 			return
 		}
 	}
-	c.Ended(v.now(), hop, o)
+	c.AttemptEnded(v.now(), hop, o)
 }
 
 // Told tells a router of servers, or of a purge.
@@ -481,12 +481,12 @@
 			v.purges[router] = append(v.purges[router], n)
 		}
 		if r.book != nil {
-			r.book.Purged(v.now(), gossip.Purge{Object: n.Object, Group: n.Group, At: n.At + epoch})
+			r.book.ApplyLocalPurge(v.now(), gossip.Purge{Object: n.Object, Group: n.Group, At: n.At + epoch})
 		}
 		r.core.Purge(v.now(), n.Object, n.Group, n.At+epoch)
 		return
 	}
-	r.core.Members(v.now(), "diff", v.known(r, false, servers(n.Servers)))
+	r.core.UpdateEndpoints(v.now(), "diff", v.known(r, false, servers(n.Servers)))
 }
 
 // Down kills a router.
@@ -519,7 +519,7 @@
 	r := v.routers[router]
 	r.stopped, r.stoppedAt = true, v.now()
 	if v.roster != nil {
-		v.roster.Stop(router)
+		v.roster.Pause(router)
 	}
 }
 
@@ -536,14 +536,14 @@
 		v.run(r)
 	}
 	if v.roster != nil {
-		v.roster.Wake(router)
+		v.roster.Resume(router)
 	}
 }
 
 // Starve takes CPU from what the router knows of the others; txns cost none here.
 func (v *virtual) Starve(router int, share float64) {
 	if v.roster != nil {
-		v.roster.Starve(router, share)
+		v.roster.Throttle(router, share)
 	}
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,36 +10,36 @@
 
 // world is a core that knows two caches and an origin, with its mailbox's bell.
 type world struct {
-	*Core
+	*Engine
 	rings int
 }
 
 func newWorld(change func(*policy.Settings)) *world {
 	set := policy.Settings{
-		Siblings: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"box", "origin"},
-		Contract: policy.Contract{AnswerSlack: 8 * ms, ColdFor: 1000 * ms, ColdFrom: 0.5, FallFor: 1000 * ms, FallMultiple: 2},
-		Limits:   policy.Limits{Cancel: true, SecondCopies: true, MaxHops: 6},
-		Family:   policy.Family{Direct: true, ParentKind: -1, OriginKind: 1, PurgeDone: 6000 * ms},
-		Rules: []policy.RemapRule{
-			{Name: "read", Effect: "safe", SLA: 200 * ms, Importance: 1},
-			{Name: "write", Effect: "unsafe", SLA: 200 * ms, Importance: 1, Write: true},
+		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
+		Contract:  policy.Contract{AnswerSlack: 8 * ms, SlowStartFor: 1000 * ms, SlowStartFrom: 0.5, OverloadWindow: 1000 * ms, OverloadMultiple: 2},
+		Limits:    policy.Limits{Cancel: true, Hedging: true, MaxAttempts: 6},
+		Hierarchy: policy.Hierarchy{CacheBypass: true, ParentKind: -1, OriginKind: 1, PurgeSettleTime: 6000 * ms},
+		Classes: []policy.TrafficClass{
+			{Name: "read", Effect: "safe", LatencyObjective: 200 * ms, PriorityWeight: 1},
+			{Name: "write", Effect: "unsafe", LatencyObjective: 200 * ms, PriorityWeight: 1, Write: true},
 		},
 	}
 	if change != nil {
 		change(&set)
 	}
-	w := &world{Core: New(&set, 1, func() {})}
-	w.Members(start, "disk", []Server{
-		{Entry: policy.Entry{Server: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Endpoint: "a:1"},
-		{Entry: policy.Entry{Server: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Endpoint: "b:1"},
-		{Entry: policy.Entry{Server: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Endpoint: "o:1"},
+	w := &world{Engine: New(&set, 1, func() {})}
+	w.UpdateEndpoints(start, "disk", []Endpoint{
+		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "a:1"},
+		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "b:1"},
+		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Address: "o:1"},
 	})
 	return w
 }
 
-func (w *world) ask(t *testing.T, rule string) *Txn {
+func (w *world) ask(t *testing.T, rule string) *Request {
 	t.Helper()
-	txn, err := w.Open(start, policy.Event{Txn: "t", Rule: rule, Object: "x", Remaining: 1000 * ms,
+	txn, err := w.Open(start, policy.Event{Request: "t", Class: rule, Object: "x", Remaining: 1000 * ms,
 		Write: rule == "write"}, func() { w.rings++ })
 	if err != nil {
 		t.Fatal(err)
@@ -49,9 +49,9 @@
 
 // next gives the one order in the mailbox, and fails the test if it is of
 // another kind.
-func next(t *testing.T, txn *Txn, kind OrderKind) Order {
+func next(t *testing.T, txn *Request, kind CommandKind) Command {
 	t.Helper()
-	box := txn.Take()
+	box := txn.TakeCommands()
 	if len(box) != 1 || box[0].Kind != kind {
 		t.Fatalf("orders %+v, want one of kind %d", box, kind)
 	}
@@ -65,14 +65,14 @@
 func TestFirstDoneIsTheAnswerAndALaterOneIsReleased(t *testing.T) {
 	w := newWorld(nil)
 	txn := w.ask(t, "read")
-	h := next(t, txn, Send).Hop
-	if w.rings == 0 || h.Source != "o" || h.Due != start+400*ms && h.Due != start+1000*ms {
+	h := next(t, txn, CommandSend).Attempt
+	if w.rings == 0 || h.Source != "o" || h.Deadline != start+400*ms && h.Deadline != start+1000*ms {
 		t.Fatalf("hop %+v after %d rings", h, w.rings)
 	}
 	first, second := &reply{}, &reply{}
-	w.Ended(start+ms, h, Outcome{Code: "done", Reply: first})
-	w.Ended(start+2*ms, h, Outcome{Code: "done", Reply: second})
-	if o := next(t, txn, Completed); o.Reply != Reply(first) || first.released != 0 || second.released != 1 {
+	w.AttemptEnded(start+ms, h, Outcome{Code: "done", Response: first})
+	w.AttemptEnded(start+2*ms, h, Outcome{Code: "done", Response: second})
+	if o := next(t, txn, CommandRespond); o.Response != Response(first) || first.released != 0 || second.released != 1 {
 		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
 	}
 	// Timers once held ended txns for seconds; one, the module's, stays.
@@ -85,15 +85,15 @@
 func TestLeaveGivesTheHopUpAndOwesNothing(t *testing.T) {
 	w := newWorld(nil)
 	txn := w.ask(t, "read")
-	h := next(t, txn, Send).Hop
+	h := next(t, txn, CommandSend).Attempt
 	h.Begin()
-	w.Leave(start+ms, txn)
-	if o := next(t, txn, Drop); o.Hop != h {
-		t.Fatalf("dropped %+v", o.Hop)
+	w.ClientGone(start+ms, txn)
+	if o := next(t, txn, CommandDrop); o.Attempt != h {
+		t.Fatalf("dropped %+v", o.Attempt)
 	}
 	late := &reply{}
-	w.Ended(start+2*ms, h, Outcome{Code: "done", Reply: late})
-	if box := txn.Take(); len(box) != 0 || late.released != 1 {
+	w.AttemptEnded(start+2*ms, h, Outcome{Code: "done", Response: late})
+	if box := txn.TakeCommands(); len(box) != 0 || late.released != 1 {
 		t.Fatalf("orders %+v, released %d", box, late.released)
 	}
 }
@@ -101,17 +101,17 @@
 func TestTimeLimitBringsOneAnswer(t *testing.T) {
 	w := newWorld(nil)
 	txn := w.ask(t, "write")
-	h := next(t, txn, Send).Hop
+	h := next(t, txn, CommandSend).Attempt
 	h.Begin()
-	if w.Run(start + 1000*ms - 1); len(txn.Take()) != 0 {
+	if w.Run(start + 1000*ms - 1); len(txn.TakeCommands()) != 0 {
 		t.Fatal("something happened before the time limit")
 	}
 	w.Run(start + 1000*ms)
-	box := txn.Take()
-	if len(box) != 2 || box[0].Kind != Drop || !box[0].Silent || box[1].Kind != Aborted {
+	box := txn.TakeCommands()
+	if len(box) != 2 || box[0].Kind != CommandDrop || !box[0].Silent || box[1].Kind != CommandFail {
 		t.Fatalf("orders %+v, want a silent drop and an abort", box)
 	}
-	if w.Run(start + 1100*ms); len(txn.Take()) != 0 {
+	if w.Run(start + 1100*ms); len(txn.TakeCommands()) != 0 {
 		t.Fatal("answered again")
 	}
 }
@@ -119,10 +119,10 @@
 // An unrepeatable txn whose hop never reached a connection may be tried again;
 // one that may have come whole is aborted.
 func TestProofThatNothingRan(t *testing.T) {
-	for begun, want := range map[bool]OrderKind{false: Rejected, true: Aborted} {
+	for begun, want := range map[bool]CommandKind{false: CommandReject, true: CommandFail} {
 		w := newWorld(nil)
 		txn := w.ask(t, "write")
-		h := next(t, txn, Send).Hop
+		h := next(t, txn, CommandSend).Attempt
 		if begun && !h.Begin() {
 			t.Fatal("not begun")
 		}
@@ -133,24 +133,24 @@
 		if h.Begin() {
 			t.Fatal("written after it was withdrawn or begun")
 		}
-		w.Ended(start+950*ms, h, Outcome{Code: code})
+		w.AttemptEnded(start+950*ms, h, Outcome{Code: code})
 		next(t, txn, want)
 	}
 }
 
 func TestDrainedServerIsNotSentTo(t *testing.T) {
 	w := newWorld(nil)
-	var list []Server
+	var list []Endpoint
 	for _, id := range []string{"a", "b"} {
-		list = append(list, Server{Entry: policy.Entry{Server: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
+		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
 	}
-	if gone := w.Members(start, "diff", list); len(gone) != 2 {
+	if gone := w.UpdateEndpoints(start, "diff", list); len(gone) != 2 {
 		t.Fatalf("retired %v", gone)
 	}
-	if h := next(t, w.ask(t, "read"), Send).Hop; h.Server.Server != "o" || h.Source != "" {
-		t.Fatalf("sent to %s with source %q", h.Server.Server, h.Source)
+	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.Endpoint.ID != "o" || h.Source != "" {
+		t.Fatalf("sent to %s with source %q", h.Endpoint.ID, h.Source)
 	}
-	if gone := w.Members(start, "snapshot", nil); len(gone) != 3 {
+	if gone := w.UpdateEndpoints(start, "snapshot", nil); len(gone) != 3 {
 		t.Fatalf("a whole list without them retired %v", gone)
 	}
 }
@@ -159,23 +159,23 @@
 // outcome until their time was over.
 func TestChangedAddressRetiresTheOldOne(t *testing.T) {
 	w := newWorld(nil)
-	moved := Server{Entry: w.servers["a"].Entry, Endpoint: "a:2"}
-	if gone := w.Members(start, "diff", []Server{moved}); len(gone) != 1 || gone[0].Endpoint != "a:1" {
+	moved := Endpoint{Endpoint: w.servers["a"].Endpoint, Address: "a:2"}
+	if gone := w.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(gone) != 1 || gone[0].Address != "a:1" {
 		t.Fatalf("retired %v", gone)
 	}
-	if gone := w.Members(start, "diff", []Server{moved}); len(gone) != 0 {
+	if gone := w.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(gone) != 0 {
 		t.Fatalf("retired %v though nothing changed", gone)
 	}
 }
 
 func TestOpenIsBounded(t *testing.T) {
-	w := newWorld(func(s *policy.Settings) { s.Limits.MaxOpen = 2 })
+	w := newWorld(func(s *policy.Settings) { s.Limits.MaxOpenRequests = 2 })
 	w.ask(t, "read")
-	if _, err := w.Open(start, policy.Event{Txn: "t", Rule: "read"}, nil); err != ErrTwin {
+	if _, err := w.Open(start, policy.Event{Request: "t", Class: "read"}, nil); err != ErrDuplicate {
 		t.Fatalf("the same id again: %v", err)
 	}
-	w.Open(start, policy.Event{Txn: "u", Rule: "read", Object: "x", Remaining: ms}, func() {})
-	if _, err := w.Open(start, policy.Event{Txn: "v", Rule: "read"}, nil); err != ErrFull {
+	w.Open(start, policy.Event{Request: "u", Class: "read", Object: "x", Remaining: ms}, func() {})
+	if _, err := w.Open(start, policy.Event{Request: "v", Class: "read"}, nil); err != ErrFull {
 		t.Fatalf("one too many: %v", err)
 	}
 }
@@ -184,11 +184,11 @@
 func TestOrdersAfterDetachAreErrands(t *testing.T) {
 	w := newWorld(func(s *policy.Settings) { s.Limits.Cancel = false })
 	txn := w.ask(t, "read")
-	h := next(t, txn, Send).Hop
+	h := next(t, txn, CommandSend).Attempt
 	h.Begin()
-	w.Leave(start+ms, txn)
+	w.ClientGone(start+ms, txn)
 	txn.Detach()
-	if _, errands := w.Run(start + 1000*ms); len(errands) != 1 || errands[0].Kind != Drop || errands[0].Hop != h {
+	if _, errands := w.Run(start + 1000*ms); len(errands) != 1 || errands[0].Kind != CommandDrop || errands[0].Attempt != h {
 		t.Fatalf("errands %+v", errands)
 	}
 }
@@ -196,13 +196,13 @@
 func TestOldPurgesAreNotTold(t *testing.T) {
 	w := newWorld(nil)
 	w.Purge(start, "x", 0, start-7000*ms)
-	if h := next(t, w.ask(t, "read"), Send).Hop; h.Age != 0 {
-		t.Fatalf("age %d by a purge that binds no more", h.Age)
+	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.MaxAge != 0 {
+		t.Fatalf("age %d by a purge that binds no more", h.MaxAge)
 	}
 	w = newWorld(nil)
 	w.Purge(start, "", 0, start-500*ms)
-	if h := next(t, w.ask(t, "read"), Send).Hop; h.Age <= 0 || h.Age >= 500*ms {
-		t.Fatalf("age %d by a purge 500 ms ago", h.Age)
+	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.MaxAge <= 0 || h.MaxAge >= 500*ms {
+		t.Fatalf("age %d by a purge 500 ms ago", h.MaxAge)
 	}
 }
 
@@ -211,17 +211,17 @@
 func TestTimersOfEndedHopsAreIgnored(t *testing.T) {
 	w := newWorld(nil)
 	txn := w.ask(t, "read")
-	h := next(t, txn, Send).Hop
+	h := next(t, txn, CommandSend).Attempt
 	h.Begin()
-	w.Ended(start+ms, h, Outcome{Code: "enoent"})
-	again := next(t, txn, Send).Hop
-	if again.N != 1 || again == h {
+	w.AttemptEnded(start+ms, h, Outcome{Code: "enoent"})
+	again := next(t, txn, CommandSend).Attempt
+	if again.Number != 1 || again == h {
 		t.Fatalf("second hop %+v", again)
 	}
 	again.Begin()
-	w.Ended(start+2*ms, again, Outcome{Code: "done", Reply: &reply{}})
-	next(t, txn, Completed)
-	if w.Run(start + 2000*ms); len(txn.Take()) != 0 {
+	w.AttemptEnded(start+2*ms, again, Outcome{Code: "done", Response: &reply{}})
+	next(t, txn, CommandRespond)
+	if w.Run(start + 2000*ms); len(txn.TakeCommands()) != 0 {
 		t.Fatal("an ended txn has orders")
 	}
 }
@@ -231,21 +231,21 @@
 func TestNothingBeginsForAClosedTxnWhereNobodyMayCancel(t *testing.T) {
 	w := newWorld(func(s *policy.Settings) { s.Limits.Cancel = false })
 	txn := w.ask(t, "read")
-	h := next(t, txn, Send).Hop
-	w.Leave(start+ms, txn)
+	h := next(t, txn, CommandSend).Attempt
+	w.ClientGone(start+ms, txn)
 	if h.Begin() {
 		t.Error("the hop begins")
 	}
-	next(t, txn, Drop)
+	next(t, txn, CommandDrop)
 	if open, _ := w.Count(); open != 0 || len(w.txns) != 0 {
 		t.Errorf("%d open, %d kept", open, len(w.txns))
 	}
 	// One that may be on the wire stays out until its end.
 	txn = w.ask(t, "read")
-	h = next(t, txn, Send).Hop
+	h = next(t, txn, CommandSend).Attempt
 	h.Begin()
-	w.Leave(start+ms, txn)
-	if len(txn.Take()) != 0 || len(w.txns) != 1 {
+	w.ClientGone(start+ms, txn)
+	if len(txn.TakeCommands()) != 0 || len(w.txns) != 1 {
 		t.Error("it was given up")
 	}
 }
@@ -253,20 +253,20 @@
 // The bound on a keyed repeat comes from the module to where it is written.
 func TestARepeatStandsWithinItsWindowOnly(t *testing.T) {
 	w := newWorld(func(s *policy.Settings) {
-		s.Rules[0] = policy.RemapRule{Name: "read", Effect: "keyed", Window: 300 * ms, SLA: 200 * ms, Importance: 1}
+		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: "keyed", DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
 	})
 	txn := w.ask(t, "read")
-	first := next(t, txn, Send).Hop
+	first := next(t, txn, CommandSend).Attempt
 	first.Begin()
-	if !first.Stands(start+399*ms, 1e6) {
+	if !first.MayBeSent(start+399*ms, 1e6) {
 		t.Error("the first hop has no window")
 	}
-	w.Ended(start+100*ms, first, Outcome{Code: "econnreset"})
-	again := next(t, txn, Send).Hop
-	if !again.Stands(start+299*ms, 1e6) || again.Stands(start+300*ms, 1e6) {
-		t.Errorf("repeat until %d", again.Until-start)
+	w.AttemptEnded(start+100*ms, first, Outcome{Code: "econnreset"})
+	again := next(t, txn, CommandSend).Attempt
+	if !again.MayBeSent(start+299*ms, 1e6) || again.MayBeSent(start+300*ms, 1e6) {
+		t.Errorf("repeat until %d", again.SendBefore-start)
 	}
-	if again.Stands(start+290*ms, 100*ms) {
+	if again.MayBeSent(start+290*ms, 100*ms) {
 		t.Error("an old decision stands")
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,8 +6,8 @@
 // hops and txns that end before are taken out, since they hold all of a txn.
 type timer struct {
 	due   int64
-	hop   *Hop
-	txn   *Txn
+	hop   *Attempt
+	txn   *Request
 	token int64
 	place int // in the heap; -1: out of it
 }
@@ -34,7 +34,7 @@
 }
 
 // at sets a timer; one that comes before all others moves the next call of Run.
-func (c *Core) at(now int64, t *timer) *timer {
+func (c *Engine) at(now int64, t *timer) *timer {
 	t.due = max(t.due, now)
 	if len(c.timers) == 0 || t.due < c.timers[0].due {
 		c.kick()
@@ -44,10 +44,10 @@
 }
 
 // over takes a timer out, if it was set and has not fallen due.
-func (c *Core) over(t *timer) {
+func (c *Engine) over(t *timer) {
 	if t != nil && t.place >= 0 {
 		heap.Remove(&c.timers, t.place)
 	}
 }
 
-func (c *Core) pop() *timer { return heap.Pop(&c.timers).(*timer) }
+func (c *Engine) pop() *timer { return heap.Pop(&c.timers).(*timer) }
--- a/internal/engine/txn.go
+++ b/internal/engine/txn.go
@@ -2,49 +2,49 @@
 
 import "sync/atomic"
 
-// OrderKind tells what an Order asks for.
-type OrderKind uint8
+// CommandKind tells what an Order asks for.
+type CommandKind uint8
 
 // The orders of a txn, then those of no txn in particular.
 const (
-	Send       OrderKind = iota // put the hop on a connection
-	Drop                        // give the hop up
-	Completed                   // answer with Reply
-	Rejected                    // answer that trying again is harmless, Stay from now
-	Aborted                     // answer that it failed
-	Probe                       // ask the server whether it is there
-	Disconnect                  // close idle connections to the server
-	Log                         // write Text to the log
+	CommandSend        CommandKind = iota // put the hop on a connection
+	CommandDrop                           // give the hop up
+	CommandRespond                        // answer with Reply
+	CommandReject                         // answer that trying again is harmless, Stay from now
+	CommandFail                           // answer that it failed
+	CommandHealthCheck                    // ask the server whether it is there
+	CommandDisconnect                     // close idle connections to the server
+	CommandLog                            // write Text to the log
 )
 
-// Order is one thing to do on the sockets.
-type Order struct {
-	Kind   OrderKind
-	Hop    *Hop // of Completed: that brought the answer
-	Silent bool // of Drop: its time ran out without an answer
-	Reply  Reply
-	Stay   int64
-	Ran    bool // of Rejected and Aborted: a hop may have run, or is out
-	Server *Server
-	Text   string
+// Command is one thing to do on the sockets.
+type Command struct {
+	Kind          CommandKind
+	Attempt       *Attempt // of Completed: that brought the answer
+	Silent        bool     // of Drop: its time ran out without an answer
+	Response      Response
+	RetryAfter    int64
+	MaybeExecuted bool // of Rejected and Aborted: a hop may have run, or is out
+	Endpoint      *Endpoint
+	Text          string
 }
 
-// Txn is one open txn.
-type Txn struct {
+// Request is one open txn.
+type Request struct {
 	ID       string
-	core     *Core
+	core     *Engine
 	deadline int64
 	limit    *timer
 	closed   bool
 	unsafe   bool // unrepeatable
-	hops     []*Hop
+	hops     []*Attempt
 	out      int  // hops that have not ended
 	ran      bool // one that ended may have run
-	box      []Order
+	box      []Command
 	wake     func() // nil once nobody reads the mailbox
 }
 
-func (t *Txn) post(o Order) {
+func (t *Request) post(o Command) {
 	if t.wake != nil {
 		t.box = append(t.box, o)
 		t.wake()
@@ -53,8 +53,8 @@
 	t.core.errand(o)
 }
 
-// Take empties the mailbox.
-func (t *Txn) Take() []Order {
+// TakeCommands empties the mailbox.
+func (t *Request) TakeCommands() []Command {
 	t.core.mu.Lock()
 	defer t.core.mu.Unlock()
 	box := t.box
@@ -64,7 +64,7 @@
 
 // Detach says that the mailbox is read no more: wake is not called again, and
 // what still comes becomes an errand. It returns what is left.
-func (t *Txn) Detach() []Order {
+func (t *Request) Detach() []Command {
 	t.core.mu.Lock()
 	defer t.core.mu.Unlock()
 	box := t.box
@@ -72,28 +72,28 @@
 	return box
 }
 
-// Hops are how many it has had so far.
-func (t *Txn) Hops() int {
+// Attempts are how many it has had so far.
+func (t *Request) Attempts() int {
 	t.core.mu.Lock()
 	defer t.core.mu.Unlock()
 	return len(t.hops)
 }
 
-// Hop is one attempt of a txn at a server.
-type Hop struct {
-	Txn     *Txn
-	N       int
-	Server  *Server
-	Source  string // "": a miss is not filled
-	Rank    int
-	Age     int64 // whole microseconds; 0: the fresh time of the class
-	Mode    int
-	Decided int64 // when the module decided on it
-	Due     int64 // when the router stops waiting
-	Until   int64 // when it may no more be written; 0: as Due
-	Twice   bool  // its txn is unrepeatable, and another hop of it may have run
-	// Carrier has the hop on the sockets, once it was sent.
-	Carrier interface{ Drop(silent bool) }
+// Attempt is one attempt of a txn at a server.
+type Attempt struct {
+	Request       *Request
+	Number        int
+	Endpoint      *Endpoint
+	Source        string // "": a miss is not filled
+	CachePriority int
+	MaxAge        int64 // whole microseconds; 0: the fresh time of the class
+	Mode          int
+	DecidedAt     int64 // when the module decided on it
+	Deadline      int64 // when the router stops waiting
+	SendBefore    int64 // when it may no more be written; 0: as Due
+	Unsafe        bool  // its txn is unrepeatable, and another hop of it may have run
+	// Transport has the hop on the sockets, once it was sent.
+	Transport interface{ Drop(silent bool) }
 
 	limit *timer
 	ended bool
@@ -107,27 +107,27 @@
 )
 
 // Drop gives the hop up on the sockets, if it came there.
-func (h *Hop) Drop(silent bool) {
-	if h.Carrier != nil {
-		h.Carrier.Drop(silent)
+func (h *Attempt) Drop(silent bool) {
+	if h.Transport != nil {
+		h.Transport.Drop(silent)
 	}
 }
 
 // Begin claims the hop for being written; false: it was withdrawn.
-func (h *Hop) Begin() bool { return h.state.CompareAndSwap(waiting, begun) }
+func (h *Attempt) Begin() bool { return h.state.CompareAndSwap(waiting, begun) }
 
 // Withdrawn tells whether it was withdrawn before it began.
-func (h *Hop) Withdrawn() bool { return h.state.Load() == withdrawn }
+func (h *Attempt) Withdrawn() bool { return h.state.Load() == withdrawn }
 
-// Stands tells whether what was decided may still be written, at the moment of
+// MayBeSent tells whether what was decided may still be written, at the moment of
 // writing: its time is not over, a repeat is within its window, and nothing that was
 // told since the decision binds yet, which it does later than the given time.
-func (h *Hop) Stands(now, fresh int64) bool {
-	return now < h.Due && (h.Until == 0 || now < h.Until) && now-h.Decided <= fresh
+func (h *Attempt) MayBeSent(now, fresh int64) bool {
+	return now < h.Deadline && (h.SendBefore == 0 || now < h.SendBefore) && now-h.DecidedAt <= fresh
 }
 
 // Withdraw tells whether it is proven that the hop was not written and will
 // not be.
-func (h *Hop) Withdraw() bool {
+func (h *Attempt) Withdraw() bool {
 	return h.state.CompareAndSwap(waiting, withdrawn) || h.state.Load() == withdrawn
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -34,14 +34,14 @@
 			until(b, "trust", func() bool { return home.trusts("s") })
 			text := strings.Repeat("x", 20_000)
 			far.does(func(_ <-chan struct{}, q *Request) Reply {
-				return Reply{End: peerpolicy.Completed, Body: far.body(text)}
+				return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: far.body(text)}
 			})
 			b.SetParallelism(4)
 			b.ResetTimer()
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
 					for {
-						c := home.send(peerpolicy.Safe, "x", nil, 5*time.Second)
+						c := home.send(peerpolicy.EffectIdempotent, "x", nil, 5*time.Second)
 						if c == nil { // more at once than the limit has grown to
 							time.Sleep(100 * time.Microsecond)
 							continue
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,36 +29,36 @@
 	Settings peerpolicy.Settings
 	Peers    []Peer
 	Keys     *Keys // nil: connections without TLS, for tests
-	// Upload and Answer bound the bodies of writes and of answers, in bytes.
-	Upload, Answer int
-	Longest        time.Duration // a peer's txn has at the most
-	Seed           uint64
+	// MaxUploadBytes and Answer bound the bodies of writes and of answers, in bytes.
+	MaxUploadBytes, MaxAnswerBytes int
+	MaxRequestTime                 time.Duration // a peer's txn has at the most
+	Seed                           uint64
 }
 
 // Request is a txn of a client, to be handed over or as a peer hands it over.
 type Request struct {
-	Event  policy.Event // Remaining is what is left of its time
-	Tag    string
-	Body   *bufferpool.Body
-	Effect peerpolicy.Effect
-	Clean  bool
+	Event    policy.Event // Remaining is what is left of its time
+	Tag      string
+	Body     *bufferpool.Body
+	Effect   peerpolicy.Effect
+	NeverRan bool
 }
 
 // Reply is how it ended.
 type Reply struct {
-	End    peerpolicy.Outcome
-	Proof  bool // of Rejected: it never ran
-	Same   bool
-	Stay   int64
-	Tag    string
-	Issued int64
-	Body   *bufferpool.Body
+	Outcome      peerpolicy.Outcome
+	NeverRan     bool // of Rejected: it never ran
+	NotModified  bool
+	RetryAfter   int64
+	Tag          string
+	IssuedMillis int64
+	Body         *bufferpool.Body
 }
 
 // Host is the router that a gateway belongs to.
 type Host interface {
-	// Carry runs a txn of a peer to its end; left is closed when the peer gives it up.
-	Carry(left <-chan struct{}, q *Request) Reply
+	// Execute runs a txn of a peer to its end; left is closed when the peer gives it up.
+	Execute(left <-chan struct{}, q *Request) Reply
 	// Purges are those that bind a txn and that its caches may not have done yet.
 	Purges(object string, group int64) []peerproto.Purge
 	// Purge takes one that a peer knows.
@@ -74,7 +74,7 @@
 	start  time.Time
 
 	mu     sync.Mutex // for the gate and what follows; never held over I/O
-	gate   *peerpolicy.Gate
+	gate   *peerpolicy.Controller
 	links  map[string]*link // to peers that we dialled, once greeted
 	calls  map[string]*call // what is across
 	drains bool
@@ -133,14 +133,14 @@
 	}
 }
 
-// Deafen takes no further connections of peers: another generation of this router
+// StopAccepting takes no further connections of peers: another generation of this router
 // does, on the same socket.
-func (g *Gateway) Deafen() { g.l.Close() }
+func (g *Gateway) StopAccepting() { g.l.Close() }
 
 // Idle tells whether nothing is across, either way.
 func (g *Gateway) Idle() bool {
 	s := g.Status()
-	return s.Out == 0 && s.In == 0
+	return s.ForwardedInFlight == 0 && s.InboundInFlight == 0
 }
 
 // Close ends all connections. What is across ends as with a cut link.
@@ -170,25 +170,25 @@
 	var todo []func()
 	for _, a := range g.gate.Actions() {
 		switch a.Kind {
-		case peerpolicy.GiveUp:
+		case peerpolicy.ActionDisconnect:
 			if k := g.links[a.Peer]; k != nil {
 				delete(g.links, a.Peer)
 				todo = append(todo, k.close)
 			}
-		case peerpolicy.Withdraw:
-			if c := g.calls[a.Txn]; c != nil {
+		case peerpolicy.ActionWithdraw:
+			if c := g.calls[a.RequestID]; c != nil {
 				todo = append(todo, func() { c.link.cancel(c.number) })
 			}
-		case peerpolicy.Answer:
-			if c := g.calls[a.Txn]; c != nil {
-				r := Reply{End: a.End}
-				if a.End == peerpolicy.Completed {
-					r.Same, r.Tag, r.Issued, r.Body = c.answer.Same, c.answer.Tag, c.answer.Issued, c.body
+		case peerpolicy.ActionAnswer:
+			if c := g.calls[a.RequestID]; c != nil {
+				r := Reply{Outcome: a.Outcome}
+				if a.Outcome == peerpolicy.OutcomeCompleted {
+					r.NotModified, r.Tag, r.IssuedMillis, r.Body = c.answer.NotModified, c.answer.Tag, c.answer.IssuedMillis, c.body
 					c.body = nil
 				} else if c.answer != nil {
-					r.Stay = c.answer.Stay
+					r.RetryAfter = c.answer.RetryAfter
 				}
-				g.forget(a.Txn)
+				g.forget(a.RequestID)
 				todo = append(todo, func() { c.done(r) })
 			}
 		}
@@ -209,10 +209,10 @@
 	}
 }
 
-// Cross hands a txn over that the module has refused. Done is called once, from
+// Forward hands a txn over that the module has refused. Done is called once, from
 // another goroutine, unless Leave comes first; false: it was not handed over.
-func (g *Gateway) Cross(q *Request, done func(Reply)) bool {
-	id := q.Event.Txn
+func (g *Gateway) Forward(q *Request, done func(Reply)) bool {
+	id := q.Event.Request
 	purges := g.host.Purges(q.Event.Object, q.Event.Group)
 	g.mu.Lock()
 	now := g.now()
@@ -220,8 +220,8 @@
 		g.mu.Unlock()
 		return false
 	}
-	p, reason := g.gate.Cross(now, &peerpolicy.Ask{Txn: id, Effect: q.Effect, Clean: q.Clean, Deadline: now + q.Event.Remaining})
-	if reason != peerpolicy.Good {
+	p, reason := g.gate.Forward(now, &peerpolicy.Request{RequestID: id, Effect: q.Effect, NeverRan: q.NeverRan, Deadline: now + q.Event.Remaining})
+	if reason != peerpolicy.ReasonOK {
 		g.mu.Unlock()
 		return false
 	}
@@ -238,13 +238,13 @@
 		c.least = max(c.least, (u.At+999)/1000)
 	}
 	g.calls[id], k.calls[c.number] = c, id
-	ask := peerproto.Ask{At: now, Budget: g.gate.Budget(now, id), Txn: id, Rule: q.Event.Rule, Object: q.Event.Object, Part: q.Event.Part,
-		Group: q.Event.Group, Tag: q.Tag, Repeat: q.Event.Repeat, Write: q.Event.Write, Body: int32(q.Body.Len()),
+	ask := peerproto.Request{SentAt: now, Budget: g.gate.Budget(now, id), RequestID: id, Class: q.Event.Class, Object: q.Event.Object, Part: q.Event.Part,
+		Group: q.Event.Group, Tag: q.Tag, Repeat: q.Event.ClientRetry, Write: q.Event.Write, BodyBytes: int32(q.Body.Len()),
 		Route: []string{g.config.Settings.Name}, Purges: purges}
-	b, err := peerproto.Append(nil, peerproto.KindAsk, c.number, &ask)
-	for _, chunk := range q.Body.Append(nil) {
+	b, err := peerproto.Append(nil, peerproto.KindRequest, c.number, &ask)
+	for _, chunk := range q.Body.AppendBuffers(nil) {
 		for len(chunk) > 0 && err == nil {
-			n := min(len(chunk), peerproto.MostPayload)
+			n := min(len(chunk), peerproto.MaxPayload)
 			b, err = peerproto.AppendRaw(b, peerproto.KindData, c.number, chunk[:n])
 			chunk = chunk[n:]
 		}
@@ -257,7 +257,7 @@
 		return false
 	}
 	// From here on it may come whole. A queue that has no room is proof that it doesn't.
-	if !g.gate.Written(id) || !k.put(b) {
+	if !g.gate.MarkSent(id) || !k.put(b) {
 		g.gate.Withdrawn(id)
 		g.gate.Actions()
 		g.forget(id)
@@ -268,10 +268,10 @@
 	return true
 }
 
-// Leave says that the client of a txn that is across has gone.
-func (g *Gateway) Leave(txn string) {
+// Cancel says that the client of a txn that is across has gone.
+func (g *Gateway) Cancel(txn string) {
 	g.mu.Lock()
-	g.gate.Left(txn)
+	g.gate.ClientGone(txn)
 	c := g.calls[txn]
 	g.forget(txn)
 	g.act()
@@ -280,16 +280,16 @@
 	}
 }
 
-// Home tells how the module ended a txn of this site.
-func (g *Gateway) Home(refused bool) {
+// ObserveLocal tells how the module ended a txn of this site.
+func (g *Gateway) ObserveLocal(refused bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.gate.Home(g.now(), refused)
+	g.gate.ObserveLocal(g.now(), refused)
 }
 
 // tick sends beats and does what time brings.
 func (g *Gateway) tick() {
-	every := time.NewTicker(time.Duration(g.config.Settings.Beat) * time.Microsecond / 4)
+	every := time.NewTicker(time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond / 4)
 	defer every.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -364,13 +364,13 @@
 		return err
 	}
 	if hello.Name != p.Name || hello.Site != p.Site {
-		return fmt.Errorf("%w: it calls itself %.40q of %.40q", peerproto.ErrBroken, hello.Name, hello.Site)
+		return fmt.Errorf("%w: it calls itself %.40q of %.40q", peerproto.ErrMalformed, hello.Name, hello.Site)
 	}
 	sock.SetDeadline(time.Time{})
 	g.mu.Lock()
-	if !g.gate.Up(g.now(), p.Name, hello.Incarnation) {
+	if !g.gate.Connected(g.now(), p.Name, hello.Incarnation) {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: an earlier start of it", peerproto.ErrBroken)
+		return fmt.Errorf("%w: an earlier start of it", peerproto.ErrMalformed)
 	}
 	g.links[p.Name] = k
 	g.act()
@@ -382,7 +382,7 @@
 	g.mu.Lock()
 	if g.links[p.Name] == k {
 		delete(g.links, p.Name)
-		g.gate.Lost(p.Name)
+		g.gate.Disconnected(p.Name)
 	}
 	g.act()
 	g.log.WithField("peer", p.Name).WithError(err).Info("gateway: connection lost")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -100,9 +100,9 @@
 	ran    map[string]int
 }
 
-func (s *side) Carry(left <-chan struct{}, q *Request) Reply {
+func (s *side) Execute(left <-chan struct{}, q *Request) Reply {
 	s.mu.Lock()
-	s.ran[q.Event.Txn]++
+	s.ran[q.Event.Request]++
 	carry := s.carry
 	s.mu.Unlock()
 	return carry(left, q)
@@ -122,14 +122,14 @@
 }
 
 func (s *side) body(text string) *bufferpool.Body {
-	b, err := s.pool.Read(strings.NewReader(text), len(text))
+	b, err := s.pool.ReadBody(strings.NewReader(text), len(text))
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-func text(b *bufferpool.Body) string { return string(bytes.Join(b.Append(nil), nil)) }
+func text(b *bufferpool.Body) string { return string(bytes.Join(b.AppendBuffers(nil), nil)) }
 
 func newSide(t testing.TB, name, site string, peers []Peer, keys *Keys) *side {
 	t.Helper()
@@ -141,10 +141,10 @@
 	log.SetLevel(logrus.DebugLevel)
 	s := &side{hook: hook, pool: bufferpool.NewPool(4 << 20), addr: l.Addr().String(), ran: map[string]int{}}
 	s.carry = func(_ <-chan struct{}, q *Request) Reply {
-		return Reply{End: peerpolicy.Completed, Tag: "tag", Issued: 1000, Body: s.body("answer to " + q.Event.Object)}
+		return Reply{Outcome: peerpolicy.OutcomeCompleted, Tag: "tag", IssuedMillis: 1000, Body: s.body("answer to " + q.Event.Object)}
 	}
-	s.Gateway = Start(Config{Peers: peers, Keys: keys, Upload: 48_000, Answer: 240_000, Longest: 5 * time.Second, Seed: 1,
-		Settings: peerpolicy.Settings{Name: name, Site: site, Most: 100, Reserve: 0.2, Beat: 40_000}}, l, s, s.pool, log.WithField("side", name))
+	s.Gateway = Start(Config{Peers: peers, Keys: keys, MaxUploadBytes: 48_000, MaxAnswerBytes: 240_000, MaxRequestTime: 5 * time.Second, Seed: 1,
+		Settings: peerpolicy.Settings{Name: name, Site: site, MaxRequests: 100, LocalReserve: 0.2, HeartbeatInterval: 40_000}}, l, s, s.pool, log.WithField("side", name))
 	t.Cleanup(s.Close)
 	return s
 }
@@ -164,7 +164,7 @@
 	s.Gateway.mu.Lock()
 	defer s.Gateway.mu.Unlock()
 	p := s.gate.Peer(name)
-	return p.Trust == peerpolicy.Trusted && p.Room > 0
+	return p.State == peerpolicy.StateHealthy && p.Capacity > 0
 }
 
 // pair is two sites, north hands over to south through a wire.
@@ -182,9 +182,9 @@
 // send hands a txn over, and returns how it ended, or nil if it wasn't.
 func (s *side) send(effect peerpolicy.Effect, object string, body *bufferpool.Body, within time.Duration) chan Reply {
 	out := make(chan Reply, 9)
-	q := &Request{Event: policy.Event{Txn: fmt.Sprintf("%016x", count.Add(1)), Rule: "r", Object: object, Group: 7,
-		Remaining: within.Microseconds(), Write: body != nil}, Effect: effect, Clean: true, Body: body}
-	if !s.Cross(q, func(r Reply) { out <- r }) {
+	q := &Request{Event: policy.Event{Request: fmt.Sprintf("%016x", count.Add(1)), Class: "r", Object: object, Group: 7,
+		Remaining: within.Microseconds(), Write: body != nil}, Effect: effect, NeverRan: true, Body: body}
+	if !s.Forward(q, func(r Reply) { out <- r }) {
 		return nil
 	}
 	return out
@@ -211,35 +211,35 @@
 
 func TestAcross(t *testing.T) {
 	north, south, _ := pair(t)
-	r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
-	if r.End != peerpolicy.Completed || text(r.Body) != "answer to film" || r.Tag != "tag" || r.Issued != 1000 {
+	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
+	if r.Outcome != peerpolicy.OutcomeCompleted || text(r.Body) != "answer to film" || r.Tag != "tag" || r.IssuedMillis != 1000 {
 		t.Fatalf("%+v %q", r, text(r.Body))
 	}
 	r.Body.Release()
 	// Large bodies both ways, past the first window.
 	long := strings.Repeat("0123456789abcdef", 15_000)
 	south.does(func(_ <-chan struct{}, q *Request) Reply {
-		return Reply{End: peerpolicy.Completed, Body: south.body(text(q.Body) + long[:240_000-q.Body.Len()])}
+		return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: south.body(text(q.Body) + long[:240_000-q.Body.Len()])}
 	})
 	for range 5 {
 		body := north.body(long[:48_000])
-		r = get(t, north.send(peerpolicy.Unsafe, "sign", body, time.Second))
-		if want := long[:48_000] + long[:192_000]; r.End != peerpolicy.Completed || text(r.Body) != want {
-			t.Fatalf("%v, %d bytes", r.End, r.Body.Len())
+		r = get(t, north.send(peerpolicy.EffectUnsafe, "sign", body, time.Second))
+		if want := long[:48_000] + long[:192_000]; r.Outcome != peerpolicy.OutcomeCompleted || text(r.Body) != want {
+			t.Fatalf("%v, %d bytes", r.Outcome, r.Body.Len())
 		}
 		r.Body.Release()
 		body.Release()
 	}
-	for want, far := range map[peerpolicy.Outcome]Reply{peerpolicy.Rejected: {End: peerpolicy.Rejected, Proof: true, Stay: 7}, peerpolicy.Aborted: {End: peerpolicy.Aborted}} {
+	for want, far := range map[peerpolicy.Outcome]Reply{peerpolicy.OutcomeRejected: {Outcome: peerpolicy.OutcomeRejected, NeverRan: true, RetryAfter: 7}, peerpolicy.OutcomeAborted: {Outcome: peerpolicy.OutcomeAborted}} {
 		south.does(func(<-chan struct{}, *Request) Reply { return far })
-		if r := get(t, north.send(peerpolicy.Unsafe, "x", nil, time.Second)); r.End != want {
-			t.Errorf("%v for %+v", r.End, far)
+		if r := get(t, north.send(peerpolicy.EffectUnsafe, "x", nil, time.Second)); r.Outcome != want {
+			t.Errorf("%v for %+v", r.Outcome, far)
 		}
 	}
-	until(t, "the end of all", func() bool { return north.Status().Out == 0 && south.Status().In == 0 })
+	until(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
 	for _, s := range []*side{north, south} { // all buffers are back
 		for n := 0; n < 512; n++ {
-			if _, err := s.pool.Read(strings.NewReader("x"), 1); err != nil {
+			if _, err := s.pool.ReadBody(strings.NewReader("x"), 1); err != nil {
 				t.Fatalf("%d buffers left of 512", n)
 			}
 		}
@@ -254,18 +254,18 @@
 	south.does(func(_ <-chan struct{}, q *Request) Reply {
 		running <- true
 		<-wake
-		return Reply{End: peerpolicy.Completed}
+		return Reply{Outcome: peerpolicy.OutcomeCompleted}
 	})
 	for name, c := range map[string]struct {
 		effect peerpolicy.Effect
 		want   peerpolicy.Outcome
 		fall   func()
 	}{
-		"cut, unsafe":           {peerpolicy.Unsafe, peerpolicy.Aborted, w.cut},
-		"cut, safe":             {peerpolicy.Safe, peerpolicy.Rejected, w.cut},
-		"answers lost, unsafe":  {peerpolicy.Unsafe, peerpolicy.Aborted, func() { w.dead[1].Store(true) }},
-		"requests lost, unsafe": {peerpolicy.Unsafe, peerpolicy.Aborted, func() { w.dead[0].Store(true) }},
-		"both lost, safe":       {peerpolicy.Safe, peerpolicy.Rejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
+		"cut, unsafe":           {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, w.cut},
+		"cut, safe":             {peerpolicy.EffectIdempotent, peerpolicy.OutcomeRejected, w.cut},
+		"answers lost, unsafe":  {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, func() { w.dead[1].Store(true) }},
+		"requests lost, unsafe": {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, func() { w.dead[0].Store(true) }},
+		"both lost, safe":       {peerpolicy.EffectIdempotent, peerpolicy.OutcomeRejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
 	} {
 		until(t, name+": trust", func() bool { return north.trusts("s") })
 		out := north.send(c.effect, name, nil, 3*time.Second)
@@ -273,8 +273,8 @@
 		began := time.Now()
 		c.fall()
 		r := get(t, out)
-		if r.End != c.want {
-			t.Errorf("%s: %v, want %v", name, r.End, c.want)
+		if r.Outcome != c.want {
+			t.Errorf("%s: %v, want %v", name, r.Outcome, c.want)
 		}
 		// Known by the cut or by five beats, not by the txn's time.
 		if took := time.Since(began); took > time.Second {
@@ -305,12 +305,12 @@
 	south.does(func(left <-chan struct{}, q *Request) Reply {
 		<-left
 		gone <- true
-		return Reply{End: peerpolicy.Aborted}
+		return Reply{Outcome: peerpolicy.OutcomeAborted}
 	})
-	for _, effect := range []peerpolicy.Effect{peerpolicy.Safe, peerpolicy.Keyed, peerpolicy.Unsafe} {
+	for _, effect := range []peerpolicy.Effect{peerpolicy.EffectIdempotent, peerpolicy.EffectIdempotencyKey, peerpolicy.EffectUnsafe} {
 		began := time.Now()
-		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.End != peerpolicy.Aborted {
-			t.Errorf("effect %d: %v", effect, r.End)
+		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.Outcome != peerpolicy.OutcomeAborted {
+			t.Errorf("effect %d: %v", effect, r.Outcome)
 		}
 		if took := time.Since(began); took > 320*time.Millisecond {
 			t.Errorf("effect %d: told after %v", effect, took)
@@ -347,7 +347,7 @@
 				case r := <-out:
 					ended.Add(1)
 					r.Body.Release()
-					n, _ := ends.LoadOrStore(r.End, new(atomic.Int64))
+					n, _ := ends.LoadOrStore(r.Outcome, new(atomic.Int64))
 					n.(*atomic.Int64).Add(1)
 				case <-time.After(2 * time.Second):
 					t.Error("a txn without an end")
@@ -380,8 +380,8 @@
 func TestPurgesAcross(t *testing.T) {
 	north, south, _ := pair(t)
 	north.known = []peerproto.Purge{{At: 999_000}, {Group: true, At: 1_000_000}}
-	if r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second)); r.End != peerpolicy.Rejected {
-		t.Fatalf("%v with a copy as old as the purge", r.End)
+	if r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second)); r.Outcome != peerpolicy.OutcomeRejected {
+		t.Fatalf("%v with a copy as old as the purge", r.Outcome)
 	}
 	south.mu.Lock()
 	if got := strings.Join(south.purges, "; "); got != `"film" 0 999000; "" 7 1000000` {
@@ -389,9 +389,9 @@
 	}
 	south.mu.Unlock()
 	north.known = []peerproto.Purge{{At: 999_000}}
-	r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
-	if r.End != peerpolicy.Completed {
-		t.Fatalf("%v with a younger one", r.End)
+	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
+	if r.Outcome != peerpolicy.OutcomeCompleted {
+		t.Fatalf("%v with a younger one", r.Outcome)
 	}
 	r.Body.Release()
 }
@@ -403,18 +403,18 @@
 	south.does(func(left <-chan struct{}, q *Request) Reply {
 		<-left
 		gone <- true
-		return Reply{End: peerpolicy.Aborted}
+		return Reply{Outcome: peerpolicy.OutcomeAborted}
 	})
-	out := north.send(peerpolicy.Safe, "x", nil, 3*time.Second)
-	until(t, "the txn", func() bool { return south.Status().In == 1 })
-	north.Leave(fmt.Sprintf("%016x", count.Load()))
+	out := north.send(peerpolicy.EffectIdempotent, "x", nil, 3*time.Second)
+	until(t, "the txn", func() bool { return south.Status().InboundInFlight == 1 })
+	north.Cancel(fmt.Sprintf("%016x", count.Load()))
 	<-gone
 	if len(out) > 0 {
 		t.Error("an end for a client that had left")
 	}
 	south.Drain()
-	until(t, "the news of the drain", func() bool { return north.Status().Peers[0].Trust == "leaving" })
-	if north.send(peerpolicy.Safe, "x", nil, time.Second) != nil {
+	until(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
+	if north.send(peerpolicy.EffectIdempotent, "x", nil, time.Second) != nil {
 		t.Error("handed over to one that drains")
 	}
 }
@@ -427,13 +427,13 @@
 		return b
 	}
 	good := hello(peerproto.Version, "n")
-	ask := func(number uint32, a peerproto.Ask) []byte {
-		b, _ := peerproto.Append(nil, peerproto.KindAsk, number, &a)
+	ask := func(number uint32, a peerproto.Request) []byte {
+		b, _ := peerproto.Append(nil, peerproto.KindRequest, number, &a)
 		return b
 	}
-	one := peerproto.Ask{Budget: 1e6, Txn: "00000000000000ff", Rule: "r", Object: "o", Route: []string{"n"}, Body: 5}
+	one := peerproto.Request{Budget: 1e6, RequestID: "00000000000000ff", Class: "r", Object: "o", Route: []string{"n"}, BodyBytes: 5}
 	huge, late, many := one, one, one
-	huge.Body, late.Budget = 1<<30, 0
+	huge.BodyBytes, late.Budget = 1<<30, 0
 	for range 17 {
 		many.Purges = append(many.Purges, peerproto.Purge{At: 1})
 	}
@@ -457,12 +457,12 @@
 		}
 		c.Close()
 	}
-	r := get(t, north.send(peerpolicy.Safe, "x", nil, time.Second))
-	if r.End != peerpolicy.Completed {
-		t.Fatalf("%v after all that", r.End)
+	r := get(t, north.send(peerpolicy.EffectIdempotent, "x", nil, time.Second))
+	if r.Outcome != peerpolicy.OutcomeCompleted {
+		t.Fatalf("%v after all that", r.Outcome)
 	}
 	r.Body.Release()
-	until(t, "the end of what they left", func() bool { return south.Status().In == 0 })
+	until(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
 }
 
 // Clocks of two sides may be hours apart: what is told of a frame is only how much
@@ -472,7 +472,7 @@
 		k := newLink(nil, nil, "s")
 		at := int64(10_000_000_000)
 		for i := range int64(20) {
-			k.heard(at+i*1000+20_000+i%3*5_000, &peerproto.Beat{At: at + i*1000 + apart})
+			k.heard(at+i*1000+20_000+i%3*5_000, &peerproto.Heartbeat{SentAt: at + i*1000 + apart})
 		}
 		if d := k.delay(at+50_000, at+30_000+apart); d != 0 {
 			t.Errorf("apart by %d: a frame of the quickest is %d us late", apart, d)
@@ -514,9 +514,9 @@
 	join := func(k *Keys) *side { return newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, k) }
 	north := join(keys(dir, "n", dir))
 	until(t, "trust", func() bool { return north.trusts("s") })
-	r := get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
-	if r.End != peerpolicy.Completed {
-		t.Fatal(r.End)
+	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
+	if r.Outcome != peerpolicy.OutcomeCompleted {
+		t.Fatal(r.Outcome)
 	}
 	r.Body.Release()
 	logged(join(keys(dir, "n", other)), "certificate of an unknown issuer")
@@ -542,8 +542,8 @@
 	if err := own.Load(); err != nil {
 		t.Fatal(err)
 	}
-	r = get(t, north.send(peerpolicy.Safe, "film", nil, time.Second))
-	if r.End != peerpolicy.Completed {
+	r = get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
+	if r.Outcome != peerpolicy.OutcomeCompleted {
 		t.Fatal("the connection of before was dropped")
 	}
 	r.Body.Release()
@@ -554,7 +554,7 @@
 func TestPeerThatTakesNothing(t *testing.T) {
 	_, south, _ := pair(t)
 	south.does(func(<-chan struct{}, *Request) Reply {
-		return Reply{End: peerpolicy.Completed, Body: south.body(strings.Repeat("x", 200_000))}
+		return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: south.body(strings.Repeat("x", 200_000))}
 	})
 	c, err := net.Dial("tcp", south.addr)
 	if err != nil {
@@ -564,16 +564,16 @@
 	b, _ := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{Version: peerproto.Version, Name: "n", Site: "north", Incarnation: 9})
 	c.Write(b)
 	for i := range uint32(40) {
-		b, _ = peerproto.Append(nil, peerproto.KindAsk, i+1, &peerproto.Ask{At: 1, Budget: 1 << 60, Txn: fmt.Sprint("t", i), Rule: "r", Object: "o", Route: []string{"n"}})
+		b, _ = peerproto.Append(nil, peerproto.KindRequest, i+1, &peerproto.Request{SentAt: 1, Budget: 1 << 60, RequestID: fmt.Sprint("t", i), Class: "r", Object: "o", Route: []string{"n"}})
 		c.Write(b)
 		time.Sleep(2 * time.Millisecond)
 	}
 	south.mu.Lock()
 	n := len(south.ran)
 	south.mu.Unlock()
-	if n < 1 || n > 10 || south.Status().In != n {
-		t.Fatalf("%d txns run for it, %d hold a place", n, south.Status().In)
+	if n < 1 || n > 10 || south.Status().InboundInFlight != n {
+		t.Fatalf("%d txns run for it, %d hold a place", n, south.Status().InboundInFlight)
 	}
 	c.Close()
-	until(t, "the end of them", func() bool { return south.Status().In == 0 })
+	until(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -95,7 +95,7 @@
 		return "certificate of another name"
 	case errors.As(err, &alert):
 		return "the peer refused our certificate"
-	case errors.Is(err, peerproto.ErrBroken):
+	case errors.Is(err, peerproto.ErrMalformed):
 		return "protocol"
 	case errors.Is(err, errEnded):
 		return "connection lost"
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -40,7 +40,7 @@
 
 // served is a txn that the peer handed over.
 type served struct {
-	ask    peerproto.Ask
+	ask    peerproto.Request
 	at     int64
 	body   *bufferpool.Body
 	left   chan struct{}
@@ -120,13 +120,13 @@
 		return h, err
 	}
 	if f.Kind != peerproto.KindHello {
-		return h, fmt.Errorf("%w: kind %d for a greeting", peerproto.ErrBroken, f.Kind)
+		return h, fmt.Errorf("%w: kind %d for a greeting", peerproto.ErrMalformed, f.Kind)
 	}
 	if err := f.Decode(&h); err != nil {
 		return h, err
 	}
 	if h.Version != peerproto.Version {
-		return h, fmt.Errorf("%w: version %d, this is %d", peerproto.ErrBroken, h.Version, peerproto.Version)
+		return h, fmt.Errorf("%w: version %d, this is %d", peerproto.ErrMalformed, h.Version, peerproto.Version)
 	}
 	return h, nil
 }
@@ -136,26 +136,26 @@
 	g := k.g
 	g.mu.Lock()
 	now := g.now()
-	b := peerproto.Beat{At: now, Room: int32(g.gate.Offer(now)), Drains: g.drains}
+	b := peerproto.Heartbeat{SentAt: now, Capacity: int32(g.gate.OfferedCapacity(now)), Draining: g.drains}
 	g.mu.Unlock()
 	k.mu.Lock()
 	if k.theirs > 0 {
-		b.Echo, b.Held = k.theirs, now-k.heardAt
+		b.EchoedAt, b.HeldTime = k.theirs, now-k.heardAt
 	}
 	k.mu.Unlock()
-	if text, err := peerproto.Append(nil, peerproto.KindBeat, 0, &b); err == nil {
+	if text, err := peerproto.Append(nil, peerproto.KindHeartbeat, 0, &b); err == nil {
 		k.put(text)
 	}
 }
 
 // heard takes a beat; it returns the round trip of ours that it echoes.
-func (k *link) heard(now int64, b *peerproto.Beat) (trip int64) {
+func (k *link) heard(now int64, b *peerproto.Heartbeat) (trip int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.heardAt, k.theirs = now, b.At
-	k.sync(now, b.At)
-	if b.Echo > 0 {
-		trip = max(now-b.Echo-b.Held, 1)
+	k.heardAt, k.theirs = now, b.SentAt
+	k.sync(now, b.SentAt)
+	if b.EchoedAt > 0 {
+		trip = max(now-b.EchoedAt-b.HeldTime, 1)
 	}
 	return trip
 }
@@ -186,23 +186,23 @@
 			return err
 		}
 		switch f.Kind {
-		case peerproto.KindBeat:
-			var b peerproto.Beat
+		case peerproto.KindHeartbeat:
+			var b peerproto.Heartbeat
 			if err := f.Decode(&b); err != nil {
 				return err
 			}
 			now := g.now()
 			trip := k.heard(now, &b)
 			g.mu.Lock()
-			g.gate.Beat(now, k.peer, int(b.Room), b.Drains, trip)
+			g.gate.Heartbeat(now, k.peer, int(b.Capacity), b.Draining, trip)
 			g.act()
 		case peerproto.KindAnswer:
 			var a peerproto.Answer
 			if err := f.Decode(&a); err != nil {
 				return err
 			}
-			if a.Body < 0 || int(a.Body) > g.config.Answer || a.Outcome < uint8(peerpolicy.Completed) || a.Outcome > uint8(peerpolicy.Aborted) {
-				return fmt.Errorf("%w: an answer of %d bytes, outcome %d", peerproto.ErrBroken, a.Body, a.Outcome)
+			if a.BodyBytes < 0 || int(a.BodyBytes) > g.config.MaxAnswerBytes || a.Outcome < uint8(peerpolicy.OutcomeCompleted) || a.Outcome > uint8(peerpolicy.OutcomeAborted) {
+				return fmt.Errorf("%w: an answer of %d bytes, outcome %d", peerproto.ErrMalformed, a.BodyBytes, a.Outcome)
 			}
 			if err := k.answer(f.Number, &a); err != nil {
 				return err
@@ -211,10 +211,10 @@
 			if err := k.data(f.Number, f.Payload); err != nil {
 				return err
 			}
-		case peerproto.KindBye:
+		case peerproto.KindGoodbye:
 			return nil
 		default:
-			return fmt.Errorf("%w: kind %d where answers come", peerproto.ErrBroken, f.Kind)
+			return fmt.Errorf("%w: kind %d where answers come", peerproto.ErrMalformed, f.Kind)
 		}
 	}
 }
@@ -232,11 +232,11 @@
 	c := g.calls[id]
 	if c.answer != nil {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: txn %d answered twice", peerproto.ErrBroken, number)
+		return fmt.Errorf("%w: txn %d answered twice", peerproto.ErrMalformed, number)
 	}
-	c.answer, c.left = a, int(a.Body)
+	c.answer, c.left = a, int(a.BodyBytes)
 	if c.left > 0 {
-		c.body = g.bodies.Empty()
+		c.body = g.bodies.NewBody()
 		g.mu.Unlock()
 		return nil
 	}
@@ -248,7 +248,7 @@
 // it gives back.
 func (g *Gateway) whole(c *call, id string) {
 	a := c.answer
-	g.gate.Returned(g.now(), c.link.peer, id, peerpolicy.Far{End: peerpolicy.Outcome(a.Outcome), Proof: a.Proof, Issued: a.Issued, Least: c.least})
+	g.gate.HandleAnswer(g.now(), c.link.peer, id, peerpolicy.PeerAnswer{Outcome: peerpolicy.Outcome(a.Outcome), NeverRan: a.NeverRan, IssuedMillis: a.IssuedMillis, LatestPurgeMillis: c.least})
 	g.act()
 }
 
@@ -263,10 +263,10 @@
 	c := g.calls[id]
 	if c.answer == nil || len(b) > c.left {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes more than were told", peerproto.ErrBroken, len(b))
+		return fmt.Errorf("%w: %d bytes more than were told", peerproto.ErrMalformed, len(b))
 	}
-	if !c.body.Add(b) { // no room for it: it has run, and is of no use
-		g.gate.Returned(g.now(), k.peer, id, peerpolicy.Far{End: peerpolicy.Aborted})
+	if !c.body.AppendBytes(b) { // no room for it: it has run, and is of no use
+		g.gate.HandleAnswer(g.now(), k.peer, id, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted})
 		g.act()
 		k.cancel(number)
 		return nil
@@ -305,7 +305,7 @@
 	p := g.gate.Peer(h.Name)
 	g.mu.Unlock()
 	if p == nil || p.Site != h.Site || name != "" && name != h.Name {
-		return fmt.Errorf("%w: %.40q of %.40q is no peer", peerproto.ErrBroken, h.Name, h.Site)
+		return fmt.Errorf("%w: %.40q of %.40q is no peer", peerproto.ErrMalformed, h.Name, h.Site)
 	}
 	k.peer = h.Name
 	if err := k.greet(own); err != nil {
@@ -341,7 +341,7 @@
 func (k *link) readAsks() error {
 	g := k.g
 	// A peer that says nothing for long is gone, and its txns with it.
-	patience := time.Duration(g.config.Settings.Beat) * time.Microsecond * peerpolicy.Patience
+	patience := time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond * peerpolicy.MaxSilentHeartbeats
 	for {
 		k.sock.SetReadDeadline(time.Now().Add(patience))
 		f, err := k.in.Next()
@@ -349,13 +349,13 @@
 			return err
 		}
 		switch f.Kind {
-		case peerproto.KindBeat:
-			var b peerproto.Beat
+		case peerproto.KindHeartbeat:
+			var b peerproto.Heartbeat
 			if err := f.Decode(&b); err != nil {
 				return err
 			}
 			k.heard(g.now(), &b)
-		case peerproto.KindAsk:
+		case peerproto.KindRequest:
 			if err := k.ask(f); err != nil {
 				return err
 			}
@@ -373,10 +373,10 @@
 				s.leave()
 			}
 			g.mu.Unlock()
-		case peerproto.KindBye:
+		case peerproto.KindGoodbye:
 			return nil
 		default:
-			return fmt.Errorf("%w: kind %d where txns come", peerproto.ErrBroken, f.Kind)
+			return fmt.Errorf("%w: kind %d where txns come", peerproto.ErrMalformed, f.Kind)
 		}
 	}
 }
@@ -384,33 +384,33 @@
 // ask takes a txn. One under a number that is in use ends the connection.
 func (k *link) ask(f peerproto.Frame) error {
 	g := k.g
-	s := &served{left: make(chan struct{}), window: peerproto.FirstWindow, grown: make(chan struct{}, 1)}
+	s := &served{left: make(chan struct{}), window: peerproto.InitialWindow, grown: make(chan struct{}, 1)}
 	if err := f.Decode(&s.ask); err != nil {
 		return err
 	}
 	a := &s.ask
-	if a.Body < 0 || int(a.Body) > g.config.Upload || a.Budget <= 0 || len(a.Purges) > mostPurges {
-		return fmt.Errorf("%w: a body of %d bytes, %d us left, %d purges", peerproto.ErrBroken, a.Body, a.Budget, len(a.Purges))
+	if a.BodyBytes < 0 || int(a.BodyBytes) > g.config.MaxUploadBytes || a.Budget <= 0 || len(a.Purges) > mostPurges {
+		return fmt.Errorf("%w: a body of %d bytes, %d us left, %d purges", peerproto.ErrMalformed, a.BodyBytes, a.Budget, len(a.Purges))
 	}
-	a.Budget = min(a.Budget, g.config.Longest.Microseconds())
+	a.Budget = min(a.Budget, g.config.MaxRequestTime.Microseconds())
 	s.at = g.now()
-	delay := k.delay(s.at, a.At)
+	delay := k.delay(s.at, a.SentAt)
 	g.mu.Lock()
 	if k.served[f.Number] != nil {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: number %d twice", peerproto.ErrBroken, f.Number)
+		return fmt.Errorf("%w: number %d twice", peerproto.ErrMalformed, f.Number)
 	}
-	reason := g.gate.Arrive(s.at, k.peer, a.Txn, a.Route, delay)
-	if reason != peerpolicy.Good {
+	reason := g.gate.Admit(s.at, k.peer, a.RequestID, a.Route, delay)
+	if reason != peerpolicy.ReasonOK {
 		g.mu.Unlock()
-		return k.finish(f.Number, &peerproto.Answer{Outcome: uint8(peerpolicy.Rejected), Proof: true})
+		return k.finish(f.Number, &peerproto.Answer{Outcome: uint8(peerpolicy.OutcomeRejected), NeverRan: true})
 	}
 	k.served[f.Number] = s
-	if s.begun = a.Body == 0; !s.begun {
-		s.body = g.bodies.Empty()
+	if s.begun = a.BodyBytes == 0; !s.begun {
+		s.body = g.bodies.NewBody()
 	}
 	g.mu.Unlock()
-	if a.Body == 0 {
+	if a.BodyBytes == 0 {
 		g.all.Go(func() { k.carry(f.Number, s) })
 	}
 	return nil
@@ -434,23 +434,23 @@
 	if s == nil || s.begun { // turned away, or no more is wanted
 		if s != nil {
 			g.mu.Unlock()
-			return fmt.Errorf("%w: %d bytes behind a whole body", peerproto.ErrBroken, len(b))
+			return fmt.Errorf("%w: %d bytes behind a whole body", peerproto.ErrMalformed, len(b))
 		}
 		g.mu.Unlock()
 		return nil
 	}
-	if s.body.Len()+len(b) > int(s.ask.Body) {
+	if s.body.Len()+len(b) > int(s.ask.BodyBytes) {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes more than were told", peerproto.ErrBroken, len(b))
+		return fmt.Errorf("%w: %d bytes more than were told", peerproto.ErrMalformed, len(b))
 	}
-	full := !s.body.Add(b)
-	whole := !full && s.body.Len() == int(s.ask.Body)
+	full := !s.body.AppendBytes(b)
+	whole := !full && s.body.Len() == int(s.ask.BodyBytes)
 	s.begun = s.begun || whole
 	g.mu.Unlock()
 	switch {
 	case full:
 		k.end(number, s, false)
-		return k.finish(number, &peerproto.Answer{Outcome: uint8(peerpolicy.Rejected), Proof: true})
+		return k.finish(number, &peerproto.Answer{Outcome: uint8(peerpolicy.OutcomeRejected), NeverRan: true})
 	case whole:
 		g.all.Go(func() { k.carry(number, s) })
 	}
@@ -465,8 +465,8 @@
 	if s == nil {
 		return nil
 	}
-	if n <= 0 || n > g.config.Answer {
-		return fmt.Errorf("%w: a window of %d", peerproto.ErrBroken, n)
+	if n <= 0 || n > g.config.MaxAnswerBytes {
+		return fmt.Errorf("%w: a window of %d", peerproto.ErrMalformed, n)
 	}
 	s.window += n
 	select {
@@ -486,7 +486,7 @@
 // drop is end with the lock held.
 func (k *link) drop(number uint32, s *served, completed bool) {
 	delete(k.served, number)
-	k.g.gate.Served(k.g.now(), k.peer, s.ask.Txn, completed)
+	k.g.gate.FinishInbound(k.g.now(), k.peer, s.ask.RequestID, completed)
 	s.body.Release()
 	s.body = nil
 }
@@ -502,20 +502,20 @@
 			g.host.Purge(a.Object, 0, u.At)
 		}
 	}
-	q := &Request{Event: policy.Event{Txn: a.Txn, Rule: a.Rule, Object: a.Object, Group: a.Group, Part: a.Part,
-		Remaining: a.Budget - (g.now() - s.at), Repeat: a.Repeat, Write: a.Write}, Tag: a.Tag, Body: s.body}
-	r := Reply{End: peerpolicy.Rejected, Proof: true}
+	q := &Request{Event: policy.Event{Request: a.RequestID, Class: a.Class, Object: a.Object, Group: a.Group, Part: a.Part,
+		Remaining: a.Budget - (g.now() - s.at), ClientRetry: a.Repeat, Write: a.Write}, Tag: a.Tag, Body: s.body}
+	r := Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	select {
 	case <-s.left:
 	default:
-		r = g.host.Carry(s.left, q)
+		r = g.host.Execute(s.left, q)
 	}
 	defer r.Body.Release()
 	// It holds its place until the last byte: a peer that makes no room for answers
 	// is given no more of them.
-	defer k.end(number, s, r.End == peerpolicy.Completed)
-	k.finish(number, &peerproto.Answer{Outcome: uint8(r.End), Proof: r.Proof, Same: r.Same, Stay: r.Stay, Tag: r.Tag, Issued: r.Issued,
-		Body: int32(r.Body.Len())})
+	defer k.end(number, s, r.Outcome == peerpolicy.OutcomeCompleted)
+	k.finish(number, &peerproto.Answer{Outcome: uint8(r.Outcome), NeverRan: r.NeverRan, NotModified: r.NotModified, RetryAfter: r.RetryAfter, Tag: r.Tag, IssuedMillis: r.IssuedMillis,
+		BodyBytes: int32(r.Body.Len())})
 	k.send(number, s, r.Body)
 }
 
@@ -523,10 +523,10 @@
 func (k *link) send(number uint32, s *served, body *bufferpool.Body) {
 	over := time.NewTimer(time.Duration(s.ask.Budget) * time.Microsecond)
 	defer over.Stop()
-	for _, chunk := range body.Append(nil) {
+	for _, chunk := range body.AppendBuffers(nil) {
 		for len(chunk) > 0 {
 			k.g.mu.Lock()
-			n := min(len(chunk), peerproto.MostPayload, s.window)
+			n := min(len(chunk), peerproto.MaxPayload, s.window)
 			s.window -= n
 			k.g.mu.Unlock()
 			if n > 0 {
