--- a/internal/gateway/peerpolicy/peerpolicy.go
+++ b/internal/gateway/peerpolicy/peerpolicy.go
@@ -15,27 +15,27 @@
 
 // Settings are the gate's figures. Times are microseconds.
 type Settings struct {
-	Name, Site string
-	Most       int     // txns across at once, to all peers, and from all peers
-	Reserve    float64 // share of Most that what comes from peers never takes
-	Beat       int64   // a beat goes out as often
+	Name, Site        string
+	MaxRequests       int     // txns across at once, to all peers, and from all peers
+	LocalReserve      float64 // share of Most that what comes from peers never takes
+	HeartbeatInterval int64   // a beat goes out as often
 }
 
-// Trust is how far a peer is relied on.
-type Trust uint8
+// PeerState is how far a peer is relied on.
+type PeerState uint8
 
 // The states of a peer.
 const (
-	Away     Trust = 1 << iota // no connection
-	Trial                      // connected, not heard of yet
-	Trusted                    // beats come in time: the only state in which anything is handed over
-	Doubted                    // a beat is late
-	Leaving                    // it drains
-	anyTrust = Away | Trial | Trusted | Doubted | Leaving
+	StateDisconnected PeerState = 1 << iota // no connection
+	StateProbation                          // connected, not heard of yet
+	StateHealthy                            // beats come in time: the only state in which anything is handed over
+	StateSuspect                            // a beat is late
+	StateDraining                           // it drains
+	anyTrust          = StateDisconnected | StateProbation | StateHealthy | StateSuspect | StateDraining
 )
 
-func (t Trust) String() string {
-	return map[Trust]string{Away: "away", Trial: "trial", Trusted: "trusted", Doubted: "doubted", Leaving: "leaving"}[t]
+func (t PeerState) String() string {
+	return map[PeerState]string{StateDisconnected: "away", StateProbation: "trial", StateHealthy: "trusted", StateSuspect: "doubted", StateDraining: "leaving"}[t]
 }
 
 type sign uint8
@@ -52,32 +52,32 @@
 // trustTable: two late beats may be chance, five are a cut link or a machine that
 // stands still. It harms where a link stalls for long and holds all the same.
 var trustTable = []struct {
-	in   Trust
+	in   PeerState
 	sign sign
-	next Trust
-	do   func(*Gate, *Peer)
+	next PeerState
+	do   func(*Controller, *Peer)
 }{
-	{Away, signUp, Trial, (*Gate).fresh},
-	{Trial | Doubted, signBeat, Trusted, nil},
-	{Trusted, signLate, Doubted, nil},
-	{Trial | Trusted | Doubted | Leaving, signSilent, Away, (*Gate).cut},
-	{Trial | Trusted | Doubted, signDrain, Leaving, nil},
-	{Trial | Trusted | Doubted | Leaving, signLost, Away, (*Gate).cut},
+	{StateDisconnected, signUp, StateProbation, (*Controller).fresh},
+	{StateProbation | StateSuspect, signBeat, StateHealthy, nil},
+	{StateHealthy, signLate, StateSuspect, nil},
+	{StateProbation | StateHealthy | StateSuspect | StateDraining, signSilent, StateDisconnected, (*Controller).cut},
+	{StateProbation | StateHealthy | StateSuspect, signDrain, StateDraining, nil},
+	{StateProbation | StateHealthy | StateSuspect | StateDraining, signLost, StateDisconnected, (*Controller).cut},
 }
 
 const lateBeats, silentBeats = 2, 5
 
-// Patience is how many beats of silence a peer's txns are worked on for: one less than
+// MaxSilentHeartbeats is how many beats of silence a peer's txns are worked on for: one less than
 // it takes the peer itself, cut off at the same moment, to answer them at home.
-const Patience = silentBeats - 1
+const MaxSilentHeartbeats = silentBeats - 1
 
 // Peer is a router of another site as this one sees it.
 type Peer struct {
 	Name, Site  string
-	Trust       Trust
+	State       PeerState
 	Incarnation uint64 // of its process; a higher one is a restart
-	Room        int    // txns that it offers to take
-	Out         int    // txns that are there
+	Capacity    int    // txns that it offers to take
+	InFlight    int    // txns that are there
 	Limit       float64
 	cutAt       int64
 	heard       int64
@@ -89,7 +89,7 @@
 
 // PeerCounts are totals since the start.
 type PeerCounts struct {
-	Over, Completed, Refused, Aborted, Cut, Stale, Late int64
+	Forwarded, Completed, Rejected, Aborted, ConnectionLost, Stale, Late int64
 }
 
 type end struct {
@@ -97,28 +97,28 @@
 	bad bool
 }
 
-// Gate is the state: peers, what is across, and what came from there.
-type Gate struct {
-	set   Settings
-	peers []*Peer // in the order of their names
-	out   map[string]*crossing
-	in    map[string]*Peer
-	home  []end   // how the module ended the last home txns
-	inCap float64 // learned: txns from peers at once
-	inAt  int64   // it was cut
-	acts  []Action
-	Moved Counts
+// Controller is the state: peers, what is across, and what came from there.
+type Controller struct {
+	set           Settings
+	peers         []*Peer // in the order of their names
+	out           map[string]*crossing
+	in            map[string]*Peer
+	home          []end   // how the module ended the last home txns
+	inCap         float64 // learned: txns from peers at once
+	inAt          int64   // it was cut
+	acts          []Action
+	InboundCounts InboundCounts
 }
 
-// Counts are totals of what came from peers.
-type Counts struct{ Taken, Turned int64 }
+// InboundCounts are totals of what came from peers.
+type InboundCounts struct{ Taken, Rejected int64 }
 
 // Action is something to do on the sockets.
 type Action struct {
-	Kind ActionKind
-	Peer string
-	Txn  string
-	End  Outcome // of Answer
+	Kind      ActionKind
+	Peer      string
+	RequestID string
+	Outcome   Outcome // of Answer
 }
 
 // ActionKind tells what an Action asks for.
@@ -126,16 +126,16 @@
 
 // The actions.
 const (
-	Answer   ActionKind = iota // the txn that was handed over ends so
-	Withdraw                   // tell the peer that the txn is given up
-	GiveUp                     // end the connection to the peer
+	ActionAnswer     ActionKind = iota // the txn that was handed over ends so
+	ActionWithdraw                     // tell the peer that the txn is given up
+	ActionDisconnect                   // end the connection to the peer
 )
 
 // New makes a gate. Peers are the only ones it ever deals with.
-func New(set Settings, peers map[string]string) *Gate {
-	g := &Gate{set: set, out: map[string]*crossing{}, in: map[string]*Peer{}, inCap: inFirst}
+func New(set Settings, peers map[string]string) *Controller {
+	g := &Controller{set: set, out: map[string]*crossing{}, in: map[string]*Peer{}, inCap: inFirst}
 	for name, site := range peers {
-		g.peers = append(g.peers, &Peer{Name: name, Site: site, Trust: Away})
+		g.peers = append(g.peers, &Peer{Name: name, Site: site, State: StateDisconnected})
 	}
 	slices.SortFunc(g.peers, func(a, b *Peer) int {
 		if a.Name < b.Name {
@@ -147,7 +147,7 @@
 }
 
 // Peer finds one by its name; nil: it is none of ours.
-func (g *Gate) Peer(name string) *Peer {
+func (g *Controller) Peer(name string) *Peer {
 	for _, p := range g.peers {
 		if p.Name == name {
 			return p
@@ -157,21 +157,21 @@
 }
 
 // Peers are all of them, by name.
-func (g *Gate) Peers() []*Peer { return g.peers }
+func (g *Controller) Peers() []*Peer { return g.peers }
 
-func (g *Gate) do(a Action) { g.acts = append(g.acts, a) }
+func (g *Controller) do(a Action) { g.acts = append(g.acts, a) }
 
 // Actions takes what is to be done.
-func (g *Gate) Actions() []Action {
+func (g *Controller) Actions() []Action {
 	a := g.acts
 	g.acts = nil
 	return a
 }
 
-func (g *Gate) judge(p *Peer, s sign) {
+func (g *Controller) judge(p *Peer, s sign) {
 	for _, row := range trustTable {
-		if row.in&p.Trust != 0 && row.sign == s {
-			p.Trust = row.next
+		if row.in&p.State != 0 && row.sign == s {
+			p.State = row.next
 			if row.do != nil {
 				row.do(g, p)
 			}
@@ -185,14 +185,14 @@
 const first = 2
 
 // fresh forgets what a peer was before.
-func (g *Gate) fresh(p *Peer) {
-	p.Limit, p.Room, p.trips, p.took, p.asked = first, 0, nil, nil, nil
+func (g *Controller) fresh(p *Peer) {
+	p.Limit, p.Capacity, p.trips, p.took, p.asked = first, 0, nil, nil, nil
 }
 
 // cut ends what is out at a peer that is gone.
-func (g *Gate) cut(p *Peer) {
-	p.Room = 0
-	g.do(Action{Kind: GiveUp, Peer: p.Name})
+func (g *Controller) cut(p *Peer) {
+	p.Capacity = 0
+	g.do(Action{Kind: ActionDisconnect, Peer: p.Name})
 	var ids []string
 	for id, c := range g.out {
 		if c.peer == p {
@@ -201,19 +201,19 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		p.Counts.Cut++
+		p.Counts.ConnectionLost++
 		g.step(id, inCut, 0)
 	}
 }
 
-// Up takes that a connection to a peer stands. False: this is the greeting of a
+// Connected takes that a connection to a peer stands. False: this is the greeting of a
 // process that was there before a later one.
-func (g *Gate) Up(now int64, name string, incarnation uint64) bool {
+func (g *Controller) Connected(now int64, name string, incarnation uint64) bool {
 	p := g.Peer(name)
 	if p == nil || incarnation < p.Incarnation {
 		return false
 	}
-	if p.Trust != Away { // a new connection takes the old one's place
+	if p.State != StateDisconnected { // a new connection takes the old one's place
 		g.judge(p, signLost)
 	}
 	p.Incarnation, p.heard = incarnation, now
@@ -221,21 +221,21 @@
 	return true
 }
 
-// Lost takes that the connection to a peer has ended.
-func (g *Gate) Lost(name string) {
+// Disconnected takes that the connection to a peer has ended.
+func (g *Controller) Disconnected(name string) {
 	if p := g.Peer(name); p != nil {
 		g.judge(p, signLost)
 	}
 }
 
-// Beat takes a peer's beat: what it offers, whether it drains, and the round trip
+// Heartbeat takes a peer's beat: what it offers, whether it drains, and the round trip
 // of our own beat that it echoes (0: none yet).
-func (g *Gate) Beat(now int64, name string, room int, drains bool, trip int64) {
+func (g *Controller) Heartbeat(now int64, name string, room int, drains bool, trip int64) {
 	p := g.Peer(name)
-	if p == nil || p.Trust == Away {
+	if p == nil || p.State == StateDisconnected {
 		return
 	}
-	p.heard, p.Room = now, max(room, 0)
+	p.heard, p.Capacity = now, max(room, 0)
 	if trip > 0 {
 		p.trips = sample(p.trips, trip)
 	}
@@ -248,13 +248,13 @@
 
 // Tick does what time brings: silent peers, txns whose time is over. It is to be
 // called four times a beat.
-func (g *Gate) Tick(now int64) {
+func (g *Controller) Tick(now int64) {
 	for _, p := range g.peers {
 		switch silence := now - p.heard; {
-		case p.Trust == Away:
-		case silence > silentBeats*g.set.Beat:
+		case p.State == StateDisconnected:
+		case silence > silentBeats*g.set.HeartbeatInterval:
 			g.judge(p, signSilent)
-		case silence > lateBeats*g.set.Beat:
+		case silence > lateBeats*g.set.HeartbeatInterval:
 			g.judge(p, signLate)
 		}
 	}
@@ -269,7 +269,7 @@
 		c := g.out[id]
 		c.peer.Counts.Late++
 		g.learn(now, c.peer, false)
-		g.do(Action{Kind: Withdraw, Peer: c.peer.Name, Txn: id})
+		g.do(Action{Kind: ActionWithdraw, Peer: c.peer.Name, RequestID: id})
 		g.step(id, inDue, 0)
 	}
 }
@@ -301,7 +301,7 @@
 // learn moves a peer's limit: up by one for each round of good answers while half
 // of it is used, down by 30% when a quarter of the last eight ended badly, then
 // not again for a round.
-func (g *Gate) learn(now int64, p *Peer, good bool) {
+func (g *Controller) learn(now int64, p *Peer, good bool) {
 	const look, round = 8, 200 * ms
 	p.asked = note(p.asked, now, !good)
 	bad := 0
@@ -311,8 +311,8 @@
 		}
 	}
 	switch {
-	case good && float64(p.Out)+1 >= p.Limit/2:
-		p.Limit = min(p.Limit+1/p.Limit, float64(g.set.Most))
+	case good && float64(p.InFlight)+1 >= p.Limit/2:
+		p.Limit = min(p.Limit+1/p.Limit, float64(g.set.MaxRequests))
 	case !good && 4*bad >= look && now-p.cutAt > round:
 		p.cutAt = now
 		p.Limit = max(p.Limit*0.7, 1)
@@ -326,9 +326,9 @@
 
 // Effects.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	EffectIdempotent Effect = iota
+	EffectIdempotencyKey
+	EffectUnsafe
 )
 
 // Outcome is how a txn that was handed over ends for its client.
@@ -336,19 +336,19 @@
 
 // Outcomes.
 const (
-	None Outcome = iota
-	Completed
-	Rejected
-	Aborted
+	OutcomeNone Outcome = iota
+	OutcomeCompleted
+	OutcomeRejected
+	OutcomeAborted
 )
 
-// Ask is a txn that the module has refused.
-type Ask struct {
-	Txn      string
-	Effect   Effect
-	Clean    bool // no hop of it can have run
-	Deadline int64
-	Route    []string // routers that it has come through, the first one first
+// Request is a txn that the module has refused.
+type Request struct {
+	RequestID string
+	Effect    Effect
+	NeverRan  bool // no hop of it can have run
+	Deadline  int64
+	Route     []string // routers that it has come through, the first one first
 }
 
 // Reason says why a txn was not handed over, or was turned away.
@@ -356,15 +356,15 @@
 
 // Reasons.
 const (
-	Good Reason = iota
-	MayHaveRun
-	NoTime
-	NoPeer
-	NoRoom
-	Circles
-	TooMany
-	HomeFirst
-	Twin
+	ReasonOK Reason = iota
+	ReasonMaybeExecuted
+	ReasonNoTime
+	ReasonNoPeer
+	ReasonNoCapacity
+	ReasonRoutingLoop
+	ReasonTooMany
+	ReasonLocalPriority
+	ReasonDuplicate
 	reasons
 )
 
@@ -412,20 +412,20 @@
 	repeatable Outcome
 	other      Outcome
 }{
-	{chosen, inWritten, out, None, None},
-	{chosen, inUnsent, over, Rejected, Rejected},
-	{chosen, inCut, over, Rejected, Rejected},
-	{chosen, inDue, over, Rejected, Rejected},
-	{chosen | out, inRefused, over, Rejected, Rejected},
-	{out, inCompleted, over, Completed, Completed},
-	{out, inStale, over, Rejected, Aborted},
-	{out, inFailed, over, Aborted, Aborted},
-	{out, inCut, over, Rejected, Aborted},
-	{out, inDue, over, Aborted, Aborted},
-	{chosen | out, inLeft, over, None, None},
-}
-
-func (g *Gate) step(id string, what input, now int64) {
+	{chosen, inWritten, out, OutcomeNone, OutcomeNone},
+	{chosen, inUnsent, over, OutcomeRejected, OutcomeRejected},
+	{chosen, inCut, over, OutcomeRejected, OutcomeRejected},
+	{chosen, inDue, over, OutcomeRejected, OutcomeRejected},
+	{chosen | out, inRefused, over, OutcomeRejected, OutcomeRejected},
+	{out, inCompleted, over, OutcomeCompleted, OutcomeCompleted},
+	{out, inStale, over, OutcomeRejected, OutcomeAborted},
+	{out, inFailed, over, OutcomeAborted, OutcomeAborted},
+	{out, inCut, over, OutcomeRejected, OutcomeAborted},
+	{out, inDue, over, OutcomeAborted, OutcomeAborted},
+	{chosen | out, inLeft, over, OutcomeNone, OutcomeNone},
+}
+
+func (g *Controller) step(id string, what input, now int64) {
 	c := g.out[id]
 	if c == nil {
 		return
@@ -438,69 +438,69 @@
 			return
 		}
 		delete(g.out, id)
-		c.peer.Out--
+		c.peer.InFlight--
 		end := row.other
-		if c.effect == Safe {
+		if c.effect == EffectIdempotent {
 			end = row.repeatable
 		}
-		if end != None {
-			g.do(Action{Kind: Answer, Peer: c.peer.Name, Txn: id, End: end})
+		if end != OutcomeNone {
+			g.do(Action{Kind: ActionAnswer, Peer: c.peer.Name, RequestID: id, Outcome: end})
 		}
 		return
 	}
 }
 
-// Cross chooses the peer to which a refused txn is handed over. It is the one
+// Forward chooses the peer to which a refused txn is handed over. It is the one
 // whose share of its room in use is least, and where an answer can be back in
 // time. A txn that came from another site goes no further: it would circle.
-func (g *Gate) Cross(now int64, a *Ask) (*Peer, Reason) {
+func (g *Controller) Forward(now int64, a *Request) (*Peer, Reason) {
 	switch {
-	case !a.Clean && a.Effect != Safe:
-		return nil, MayHaveRun
+	case !a.NeverRan && a.Effect != EffectIdempotent:
+		return nil, ReasonMaybeExecuted
 	case len(a.Route) > 0:
-		return nil, Circles
-	case g.out[a.Txn] != nil:
-		return nil, Twin
-	case len(g.out) >= g.set.Most:
-		return nil, TooMany
+		return nil, ReasonRoutingLoop
+	case g.out[a.RequestID] != nil:
+		return nil, ReasonDuplicate
+	case len(g.out) >= g.set.MaxRequests:
+		return nil, ReasonTooMany
 	}
 	var best *Peer
-	reason := NoPeer
+	reason := ReasonNoPeer
 	least := 0.0
 	for _, p := range g.peers {
-		if p.Trust != Trusted || p.Site == g.set.Site {
+		if p.State != StateHealthy || p.Site == g.set.Site {
 			continue
 		}
 		// Three quarters of the answers came within that; none yet: one trip and a half.
 		need := quantile(p.took, 0.75, quantile(p.trips, 0.5, 50*ms)*3/2)
-		most := min(p.Limit, float64(p.Room))
+		most := min(p.Limit, float64(p.Capacity))
 		switch {
 		case now+need >= a.Deadline-g.margin():
-			if reason == NoPeer {
-				reason = NoTime
+			if reason == ReasonNoPeer {
+				reason = ReasonNoTime
 			}
-		case float64(p.Out) >= most:
-			reason = NoRoom
-		case best == nil || float64(p.Out)/most < least:
-			best, least = p, float64(p.Out)/most
+		case float64(p.InFlight) >= most:
+			reason = ReasonNoCapacity
+		case best == nil || float64(p.InFlight)/most < least:
+			best, least = p, float64(p.InFlight)/most
 		}
 	}
 	if best == nil {
 		return nil, reason
 	}
-	g.out[a.Txn] = &crossing{peer: best, effect: a.Effect, deadline: a.Deadline - g.margin(), sent: now, state: chosen}
-	best.Out++
-	best.Counts.Over++
-	return best, Good
+	g.out[a.RequestID] = &crossing{peer: best, effect: a.Effect, deadline: a.Deadline - g.margin(), sent: now, state: chosen}
+	best.InFlight++
+	best.Counts.Forwarded++
+	return best, ReasonOK
 }
 
 // margin is what Tick, called four times a beat, may come late, and an answer's
 // way to its client: a txn is given up so long before its time is over.
-func (g *Gate) margin() int64 { return g.set.Beat/4 + 10*ms }
+func (g *Controller) margin() int64 { return g.set.HeartbeatInterval/4 + 10*ms }
 
 // Budget is what a txn that is handed over now has over there: here it is given up when
 // its deadline comes, and an answer takes half a round trip.
-func (g *Gate) Budget(now int64, id string) int64 {
+func (g *Controller) Budget(now int64, id string) int64 {
 	c := g.out[id]
 	if c == nil {
 		return 0
@@ -508,10 +508,10 @@
 	return max(c.deadline-now-quantile(c.peer.trips, 0.5, 0)/2, 0)
 }
 
-// Written takes that the txn's request goes onto the connection: from now on it
+// MarkSent takes that the txn's request goes onto the connection: from now on it
 // may have come whole. False: it has ended, or was written already, and must not
 // be written.
-func (g *Gate) Written(id string) bool {
+func (g *Controller) MarkSent(id string) bool {
 	c := g.out[id]
 	if c == nil || c.state != chosen {
 		return false
@@ -521,27 +521,27 @@
 }
 
 // Unsent takes that it was not written and will not be.
-func (g *Gate) Unsent(id string) { g.step(id, inUnsent, 0) }
+func (g *Controller) Unsent(id string) { g.step(id, inUnsent, 0) }
 
-// Left takes that its client has gone.
-func (g *Gate) Left(id string) {
+// ClientGone takes that its client has gone.
+func (g *Controller) ClientGone(id string) {
 	if c := g.out[id]; c != nil {
-		g.do(Action{Kind: Withdraw, Peer: c.peer.Name, Txn: id})
+		g.do(Action{Kind: ActionWithdraw, Peer: c.peer.Name, RequestID: id})
 		g.step(id, inLeft, 0)
 	}
 }
 
-// Far is what a peer answers.
-type Far struct {
-	End    Outcome
-	Proof  bool  // of Rejected: it never ran there
-	Issued int64 // of Completed: Unix ms at which the origin gave the copy out; 0: no copy
-	Least  int64 // the youngest purge that binds it here, Unix ms; 0: none
+// PeerAnswer is what a peer answers.
+type PeerAnswer struct {
+	Outcome           Outcome
+	NeverRan          bool  // of Rejected: it never ran there
+	IssuedMillis      int64 // of Completed: Unix ms at which the origin gave the copy out; 0: no copy
+	LatestPurgeMillis int64 // the youngest purge that binds it here, Unix ms; 0: none
 }
 
-// Returned takes a peer's answer to a txn. A second one, or one for a txn that has
+// HandleAnswer takes a peer's answer to a txn. A second one, or one for a txn that has
 // ended, changes nothing.
-func (g *Gate) Returned(now int64, name, id string, f Far) {
+func (g *Controller) HandleAnswer(now int64, name, id string, f PeerAnswer) {
 	c := g.out[id]
 	if c == nil || c.peer.Name != name || c.state != out {
 		return
@@ -549,19 +549,19 @@
 	p := c.peer
 	what := inFailed
 	switch {
-	case f.End == Completed && f.Issued > 0 && f.Issued <= f.Least:
+	case f.Outcome == OutcomeCompleted && f.IssuedMillis > 0 && f.IssuedMillis <= f.LatestPurgeMillis:
 		what = inStale
 		p.Counts.Stale++
-	case f.End == Completed:
+	case f.Outcome == OutcomeCompleted:
 		what = inCompleted
 		p.took = sample(p.took, now-c.sent)
 		p.Counts.Completed++
-	case f.End == Rejected && f.Proof:
+	case f.Outcome == OutcomeRejected && f.NeverRan:
 		what = inRefused
-		p.Counts.Refused++
-	case f.End == Rejected && c.effect == Safe:
+		p.Counts.Rejected++
+	case f.Outcome == OutcomeRejected && c.effect == EffectIdempotent:
 		what = inRefused // it may have run, and may run again
-		p.Counts.Refused++
+		p.Counts.Rejected++
 	default:
 		p.Counts.Aborted++
 	}
@@ -574,31 +574,31 @@
 // inFirst is what is taken from peers at once before anything is known.
 const inFirst = 4
 
-// Arrive decides whether a txn of a peer is taken. A turned away one never ran.
-func (g *Gate) Arrive(now int64, name, id string, route []string, delay int64) Reason {
+// Admit decides whether a txn of a peer is taken. A turned away one never ran.
+func (g *Controller) Admit(now int64, name, id string, route []string, delay int64) Reason {
 	p := g.Peer(name)
-	reason := Good
+	reason := ReasonOK
 	switch {
-	case p == nil || p.Trust == Leaving:
-		reason = NoPeer
+	case p == nil || p.State == StateDraining:
+		reason = ReasonNoPeer
 	case len(route) != 1 || route[0] != name || slices.Contains(route, g.set.Name):
-		reason = Circles // one hop between sites, by who says it
+		reason = ReasonRoutingLoop // one hop between sites, by who says it
 	case g.in[key(name, id)] != nil:
-		reason = Twin
+		reason = ReasonDuplicate
 	case delay > staleAfter:
-		reason = NoTime // it lay in a buffer, of ours or theirs: it may be over there
-	case float64(len(g.in)) >= min(g.inCap, (1-g.set.Reserve)*float64(g.set.Most)):
-		reason = NoRoom
+		reason = ReasonNoTime // it lay in a buffer, of ours or theirs: it may be over there
+	case float64(len(g.in)) >= min(g.inCap, (1-g.set.LocalReserve)*float64(g.set.MaxRequests)):
+		reason = ReasonNoCapacity
 	case g.pressed(now):
-		reason = HomeFirst
+		reason = ReasonLocalPriority
 	}
-	if reason != Good {
-		g.Moved.Turned++
+	if reason != ReasonOK {
+		g.InboundCounts.Rejected++
 		return reason
 	}
 	g.in[key(name, id)] = p
-	g.Moved.Taken++
-	return Good
+	g.InboundCounts.Taken++
+	return ReasonOK
 }
 
 // staleAfter is how much longer than the quickest a request may have been under
@@ -607,20 +607,20 @@
 
 func key(peer, id string) string { return peer + "/" + id }
 
-// Served takes how the module ended a txn of a peer.
-func (g *Gate) Served(now int64, name, id string, completed bool) {
+// FinishInbound takes how the module ended a txn of a peer.
+func (g *Controller) FinishInbound(now int64, name, id string, completed bool) {
 	delete(g.in, key(name, id))
 	switch {
 	case completed && float64(len(g.in))+1 >= g.inCap/2:
-		g.inCap = min(g.inCap+1/g.inCap, float64(g.set.Most))
+		g.inCap = min(g.inCap+1/g.inCap, float64(g.set.MaxRequests))
 	case !completed && now-g.inAt > 200*ms:
 		g.inAt = now
 		g.inCap = max(g.inCap*0.7, 1)
 	}
 }
 
-// Home takes how the module ended a txn of this site.
-func (g *Gate) Home(now int64, refused bool) {
+// ObserveLocal takes how the module ended a txn of this site.
+func (g *Controller) ObserveLocal(now int64, refused bool) {
 	g.home = note(g.home, now, refused)
 	if refused && now-g.inAt > 200*ms { // what came from elsewhere takes home's room
 		g.inAt = now
@@ -630,7 +630,7 @@
 
 // pressed tells whether home txns are refused here: an eighth of the last within
 // a second.
-func (g *Gate) pressed(now int64) bool {
+func (g *Controller) pressed(now int64) bool {
 	bad, all := 0, 0
 	for _, e := range g.home {
 		if e.at > now-second {
@@ -643,26 +643,26 @@
 	return all >= 8 && 8*bad >= all
 }
 
-// Offer is the room that a beat tells peers of.
-func (g *Gate) Offer(now int64) int {
+// OfferedCapacity is the room that a beat tells peers of.
+func (g *Controller) OfferedCapacity(now int64) int {
 	if g.pressed(now) {
 		return 0
 	}
-	return max(int(min(g.inCap, (1-g.set.Reserve)*float64(g.set.Most)))-len(g.in), 0)
+	return max(int(min(g.inCap, (1-g.set.LocalReserve)*float64(g.set.MaxRequests)))-len(g.in), 0)
 }
 
-// In tells how many txns of peers are here, Out how many are across.
-func (g *Gate) In() int  { return len(g.in) }
-func (g *Gate) Out() int { return len(g.out) }
+// InboundInFlight tells how many txns of peers are here, Out how many are across.
+func (g *Controller) InboundInFlight() int   { return len(g.in) }
+func (g *Controller) ForwardedInFlight() int { return len(g.out) }
 
-// Has tells whether a txn is across.
-func (g *Gate) Has(id string) bool { return g.out[id] != nil }
+// IsForwarded tells whether a txn is across.
+func (g *Controller) IsForwarded(id string) bool { return g.out[id] != nil }
 
 // Withdrawn takes back a txn of which it is proven after all that no byte went
 // out: the connection had no room for it. It ends without an answer from here.
-func (g *Gate) Withdrawn(id string) {
+func (g *Controller) Withdrawn(id string) {
 	if c := g.out[id]; c != nil {
 		delete(g.out, id)
-		c.peer.Out--
+		c.peer.InFlight--
 	}
 }
--- a/internal/gateway/peerpolicy/peerpolicy_test.go
+++ b/internal/gateway/peerpolicy/peerpolicy_test.go
@@ -10,18 +10,18 @@
 
 const start = 100 * second
 
-func gate(peers ...string) *Gate {
+func gate(peers ...string) *Controller {
 	sites := map[string]string{}
 	for _, p := range peers {
 		sites[p] = "south"
 	}
-	return New(Settings{Name: "n", Site: "north", Most: 40, Reserve: 0.5, Beat: 250 * ms}, sites)
+	return New(Settings{Name: "n", Site: "north", MaxRequests: 40, LocalReserve: 0.5, HeartbeatInterval: 250 * ms}, sites)
 }
 
 // trusted makes a peer one that anything may be handed to.
-func trusted(g *Gate, now int64, name string, room int) *Peer {
-	g.Up(now, name, 1)
-	g.Beat(now, name, room, false, 20*ms)
+func trusted(g *Controller, now int64, name string, room int) *Peer {
+	g.Connected(now, name, 1)
+	g.Heartbeat(now, name, room, false, 20*ms)
 	p := g.Peer(name)
 	p.Limit = 10
 	g.Actions()
@@ -31,42 +31,42 @@
 func TestTrust(t *testing.T) {
 	g := gate("a")
 	p := g.Peer("a")
-	step := func(what string, want Trust) {
+	step := func(what string, want PeerState) {
 		t.Helper()
-		if p.Trust != want {
-			t.Fatalf("%s: %v, want %v", what, p.Trust, want)
+		if p.State != want {
+			t.Fatalf("%s: %v, want %v", what, p.State, want)
 		}
 	}
-	if g.Beat(start, "a", 5, false, 0); p.Trust != Away {
+	if g.Heartbeat(start, "a", 5, false, 0); p.State != StateDisconnected {
 		t.Fatal("a beat without a connection")
 	}
-	g.Up(start, "a", 7)
-	step("up", Trial)
-	if _, r := g.Cross(start, &Ask{Txn: "t", Deadline: start + second}); r != NoPeer {
+	g.Connected(start, "a", 7)
+	step("up", StateProbation)
+	if _, r := g.Forward(start, &Request{RequestID: "t", Deadline: start + second}); r != ReasonNoPeer {
 		t.Fatalf("handed over on trial: %v", r)
 	}
-	g.Beat(start, "a", 5, false, 0)
-	step("beat", Trusted)
+	g.Heartbeat(start, "a", 5, false, 0)
+	step("beat", StateHealthy)
 	g.Tick(start + 500*ms)
-	step("two beats", Trusted)
+	step("two beats", StateHealthy)
 	g.Tick(start + 501*ms)
-	step("later", Doubted)
-	if _, r := g.Cross(start, &Ask{Txn: "t", Deadline: start + second}); r != NoPeer {
+	step("later", StateSuspect)
+	if _, r := g.Forward(start, &Request{RequestID: "t", Deadline: start + second}); r != ReasonNoPeer {
 		t.Fatalf("handed over in doubt: %v", r)
 	}
-	g.Beat(start+600*ms, "a", 5, false, 0)
-	step("heard", Trusted)
-	g.Beat(start+700*ms, "a", 5, true, 0)
-	step("drains", Leaving)
+	g.Heartbeat(start+600*ms, "a", 5, false, 0)
+	step("heard", StateHealthy)
+	g.Heartbeat(start+700*ms, "a", 5, true, 0)
+	step("drains", StateDraining)
 	g.Tick(start + 700*ms + 5*250*ms + 1)
-	step("silent", Away)
-	if a := g.Actions(); len(a) != 1 || a[0].Kind != GiveUp {
+	step("silent", StateDisconnected)
+	if a := g.Actions(); len(a) != 1 || a[0].Kind != ActionDisconnect {
 		t.Fatalf("%+v", a)
 	}
-	if g.Up(start, "a", 6) || !g.Up(start, "a", 7) || !g.Up(start, "a", 8) || p.Trust != Trial {
+	if g.Connected(start, "a", 6) || !g.Connected(start, "a", 7) || !g.Connected(start, "a", 8) || p.State != StateProbation {
 		t.Fatal("a ghost was greeted, or its successor was not")
 	}
-	if g.Up(start, "stranger", 1) {
+	if g.Connected(start, "stranger", 1) {
 		t.Fatal("a stranger was greeted")
 	}
 }
@@ -74,10 +74,10 @@
 func TestWhoIsChosen(t *testing.T) {
 	g := gate("a", "b")
 	a, b := trusted(g, start, "a", 4), trusted(g, start, "b", 2)
-	ask := func(n int) *Ask { return &Ask{Txn: fmt.Sprint(n), Deadline: start + second} }
+	ask := func(n int) *Request { return &Request{RequestID: fmt.Sprint(n), Deadline: start + second} }
 	got := ""
 	for n := range 7 {
-		p, r := g.Cross(start, ask(n))
+		p, r := g.Forward(start, ask(n))
 		if p == nil {
 			got += " " + r.String()
 			continue
@@ -87,27 +87,27 @@
 	if got != " a b a a b a no_room" {
 		t.Fatalf("order%s", got)
 	}
-	if a.Out != 4 || b.Out != 2 {
-		t.Fatalf("%d and %d out", a.Out, b.Out)
+	if a.InFlight != 4 || b.InFlight != 2 {
+		t.Fatalf("%d and %d out", a.InFlight, b.InFlight)
 	}
 	for name, c := range map[string]struct {
-		ask  Ask
+		ask  Request
 		want Reason
 	}{
-		"may have run": {Ask{Txn: "x", Effect: Unsafe, Deadline: start + second}, MayHaveRun},
-		"keyed":        {Ask{Txn: "x", Effect: Keyed, Deadline: start + second}, MayHaveRun},
-		"from afar":    {Ask{Txn: "x", Route: []string{"m"}, Deadline: start + second}, Circles},
-		"across":       {Ask{Txn: "1", Deadline: start + second}, Twin},
-		"no time":      {Ask{Txn: "x", Deadline: start + 100*ms}, NoTime},
+		"may have run": {Request{RequestID: "x", Effect: EffectUnsafe, Deadline: start + second}, ReasonMaybeExecuted},
+		"keyed":        {Request{RequestID: "x", Effect: EffectIdempotencyKey, Deadline: start + second}, ReasonMaybeExecuted},
+		"from afar":    {Request{RequestID: "x", Route: []string{"m"}, Deadline: start + second}, ReasonRoutingLoop},
+		"across":       {Request{RequestID: "1", Deadline: start + second}, ReasonDuplicate},
+		"no time":      {Request{RequestID: "x", Deadline: start + 100*ms}, ReasonNoTime},
 	} {
-		if _, r := g.Cross(start, &c.ask); r != c.want {
+		if _, r := g.Forward(start, &c.ask); r != c.want {
 			t.Errorf("%s: %v, want %v", name, r, c.want)
 		}
 	}
 	one := gate("a")
 	trusted(one, start, "a", 1000).Limit = 1000
 	for n := range 41 {
-		if _, r := one.Cross(start, ask(n)); (r == TooMany) != (n == 40) {
+		if _, r := one.Forward(start, ask(n)); (r == ReasonTooMany) != (n == 40) {
 			t.Fatalf("%d: %v", n, r)
 		}
 	}
@@ -117,8 +117,8 @@
 func TestReturnWithoutStorm(t *testing.T) {
 	g := gate("a")
 	now := int64(start)
-	g.Up(now, "a", 1)
-	g.Beat(now, "a", 1000, false, ms)
+	g.Connected(now, "a", 1)
+	g.Heartbeat(now, "a", 1000, false, ms)
 	most, n := 0, 0
 	for round := range 200 {
 		out := 0
@@ -126,10 +126,10 @@
 		for {
 			id := fmt.Sprint(n)
 			n++
-			if _, r := g.Cross(now, &Ask{Txn: id, Deadline: now + second}); r != Good {
+			if _, r := g.Forward(now, &Request{RequestID: id, Deadline: now + second}); r != ReasonOK {
 				break
 			}
-			g.Written(id)
+			g.MarkSent(id)
 			ids, out = append(ids, id), out+1
 		}
 		if most = max(most, out); round == 0 && out != 2 {
@@ -137,7 +137,7 @@
 		}
 		now += 20 * ms
 		for _, id := range ids {
-			g.Returned(now, "a", id, Far{End: Completed})
+			g.HandleAnswer(now, "a", id, PeerAnswer{Outcome: OutcomeCompleted})
 		}
 	}
 	if most < 20 {
@@ -145,12 +145,12 @@
 	}
 	for range 30 { // and less where answers are bad
 		now += 300 * ms
-		g.Beat(now, "a", 1000, false, ms)
+		g.Heartbeat(now, "a", 1000, false, ms)
 		id := fmt.Sprint(n)
 		n++
-		g.Cross(now, &Ask{Txn: id, Deadline: now + second})
-		g.Written(id)
-		g.Returned(now, "a", id, Far{End: Rejected, Proof: true})
+		g.Forward(now, &Request{RequestID: id, Deadline: now + second})
+		g.MarkSent(id)
+		g.HandleAnswer(now, "a", id, PeerAnswer{Outcome: OutcomeRejected, NeverRan: true})
 	}
 	if l := g.Peer("a").Limit; l > 2 {
 		t.Fatalf("limit %.1f after thirty refusals", l)
@@ -166,64 +166,64 @@
 		delay int64
 		want  Reason
 	}{
-		"good":          {"a", []string{"a"}, 0, Good},
-		"stranger":      {"x", []string{"x"}, 0, NoPeer},
-		"no route":      {"a", nil, 0, Circles},
-		"another's":     {"a", []string{"b"}, 0, Circles},
-		"two hops":      {"a", []string{"a", "b"}, 0, Circles},
-		"our own":       {"a", []string{"n"}, 0, Circles},
-		"lay in wait":   {"a", []string{"a"}, 501 * ms, NoTime},
-		"a little late": {"a", []string{"a"}, 500 * ms, Good},
+		"good":          {"a", []string{"a"}, 0, ReasonOK},
+		"stranger":      {"x", []string{"x"}, 0, ReasonNoPeer},
+		"no route":      {"a", nil, 0, ReasonRoutingLoop},
+		"another's":     {"a", []string{"b"}, 0, ReasonRoutingLoop},
+		"two hops":      {"a", []string{"a", "b"}, 0, ReasonRoutingLoop},
+		"our own":       {"a", []string{"n"}, 0, ReasonRoutingLoop},
+		"lay in wait":   {"a", []string{"a"}, 501 * ms, ReasonNoTime},
+		"a little late": {"a", []string{"a"}, 500 * ms, ReasonOK},
 	} {
-		if r := g.Arrive(start, c.peer, name, c.route, c.delay); r != c.want {
+		if r := g.Admit(start, c.peer, name, c.route, c.delay); r != c.want {
 			t.Errorf("%s: %v, want %v", name, r, c.want)
 		}
 	}
-	if r := g.Arrive(start, "a", "good", []string{"a"}, 0); r != Twin {
+	if r := g.Admit(start, "a", "good", []string{"a"}, 0); r != ReasonDuplicate {
 		t.Errorf("the same again: %v", r)
 	}
 	n := 0
-	for g.Arrive(start, "a", fmt.Sprint(n), []string{"a"}, 0) == Good {
+	for g.Admit(start, "a", fmt.Sprint(n), []string{"a"}, 0) == ReasonOK {
 		n++
 	}
-	if n+2 != inFirst || g.Offer(start) != 0 {
-		t.Fatalf("%d at first, %d offered", n+2, g.Offer(start))
+	if n+2 != inFirst || g.OfferedCapacity(start) != 0 {
+		t.Fatalf("%d at first, %d offered", n+2, g.OfferedCapacity(start))
 	}
 	for id := range n {
-		g.Served(start, "a", fmt.Sprint(id), true)
+		g.FinishInbound(start, "a", fmt.Sprint(id), true)
 	}
 	// However well it goes, the reserve stays home's.
 	for range 10_000 {
-		g.Arrive(start, "a", "x", []string{"a"}, 0)
-		g.Served(start, "a", "x", true)
+		g.Admit(start, "a", "x", []string{"a"}, 0)
+		g.FinishInbound(start, "a", "x", true)
 		g.inCap = 1000
 	}
-	for n = g.In(); g.Arrive(start, "a", fmt.Sprint("y", n), []string{"a"}, 0) == Good; n++ {
+	for n = g.InboundInFlight(); g.Admit(start, "a", fmt.Sprint("y", n), []string{"a"}, 0) == ReasonOK; n++ {
 	}
 	if n != 20 {
 		t.Fatalf("%d taken of 40 with half in reserve", n)
 	}
 	h := gate("a")
 	for range 7 {
-		h.Home(start, false)
+		h.ObserveLocal(start, false)
 	}
-	h.Home(start, true)
-	if r := h.Arrive(start, "a", "z", []string{"a"}, 0); r != HomeFirst || h.Offer(start) != 0 {
+	h.ObserveLocal(start, true)
+	if r := h.Admit(start, "a", "z", []string{"a"}, 0); r != ReasonLocalPriority || h.OfferedCapacity(start) != 0 {
 		t.Fatalf("taken while home is refused: %v", r)
 	}
-	if r := h.Arrive(start+2*second, "a", "z", []string{"a"}, 0); r != Good {
+	if r := h.Admit(start+2*second, "a", "z", []string{"a"}, 0); r != ReasonOK {
 		t.Fatalf("long after: %v", r)
 	}
 }
 
 func TestOlderThanAPurgeIsNotPassedOn(t *testing.T) {
-	for issued, want := range map[int64]Outcome{999: Rejected, 1000: Rejected, 1001: Completed} {
+	for issued, want := range map[int64]Outcome{999: OutcomeRejected, 1000: OutcomeRejected, 1001: OutcomeCompleted} {
 		g := gate("a")
 		trusted(g, start, "a", 9)
-		g.Cross(start, &Ask{Txn: "t", Deadline: start + second})
-		g.Written("t")
-		g.Returned(start, "a", "t", Far{End: Completed, Issued: issued, Least: 1000})
-		if a := g.Actions(); len(a) != 1 || a[0].End != want {
+		g.Forward(start, &Request{RequestID: "t", Deadline: start + second})
+		g.MarkSent("t")
+		g.HandleAnswer(start, "a", "t", PeerAnswer{Outcome: OutcomeCompleted, IssuedMillis: issued, LatestPurgeMillis: 1000})
+		if a := g.Actions(); len(a) != 1 || a[0].Outcome != want {
 			t.Errorf("issued %d: %+v", issued, a)
 		}
 	}
@@ -232,10 +232,10 @@
 // duo is one txn and all that can happen to it between the two ends: the home end
 // is the gate, the far end and the wire are written out here.
 type duo struct {
-	g        *Gate
+	g        *Controller
 	effect   Effect
-	onWire   bool // the request
-	coming   *Far // an answer on the wire
+	onWire   bool        // the request
+	coming   *PeerAnswer // an answer on the wire
 	up       bool
 	far      string // "", "has" it, "ran" it
 	runs     int
@@ -256,21 +256,21 @@
 			return false
 		}
 		d.crossed = true
-		_, r := d.g.Cross(d.now, &Ask{Txn: "t", Effect: d.effect, Clean: true, Deadline: d.now + second})
-		return r == Good
+		_, r := d.g.Forward(d.now, &Request{RequestID: "t", Effect: d.effect, NeverRan: true, Deadline: d.now + second})
+		return r == ReasonOK
 	}},
 	{"write", func(d *duo) bool {
-		if !d.up || d.onWire || d.far != "" || !d.g.Written("t") {
+		if !d.up || d.onWire || d.far != "" || !d.g.MarkSent("t") {
 			return false
 		}
 		d.onWire = true
 		return true
 	}},
 	{"write again", func(d *duo) bool { // as a careless writer would
-		if !d.up || d.onWire || !d.g.Has("t") || d.far == "" {
+		if !d.up || d.onWire || !d.g.IsForwarded("t") || d.far == "" {
 			return false
 		}
-		if _, r := d.g.Cross(d.now, &Ask{Txn: "t", Effect: d.effect, Clean: true, Deadline: d.now + second}); r == Good {
+		if _, r := d.g.Forward(d.now, &Request{RequestID: "t", Effect: d.effect, NeverRan: true, Deadline: d.now + second}); r == ReasonOK {
 			d.onWire = true
 			return true
 		}
@@ -295,35 +295,35 @@
 		if d.far != "has" || !d.up || d.coming != nil {
 			return false
 		}
-		d.far, d.coming = "", &Far{End: Rejected, Proof: true}
+		d.far, d.coming = "", &PeerAnswer{Outcome: OutcomeRejected, NeverRan: true}
 		return true
 	}},
 	{"answer", func(d *duo) bool {
 		if d.far != "ran" || !d.up || d.coming != nil {
 			return false
 		}
-		d.coming = &Far{End: Completed}
+		d.coming = &PeerAnswer{Outcome: OutcomeCompleted}
 		return true
 	}},
 	{"fail", func(d *duo) bool {
 		if d.far != "ran" || !d.up || d.coming != nil {
 			return false
 		}
-		d.coming = &Far{End: Aborted}
+		d.coming = &PeerAnswer{Outcome: OutcomeAborted}
 		return true
 	}},
 	{"refuse after it ran", func(d *duo) bool { // a repeatable one may be refused though it ran
 		if d.far != "ran" || !d.up || d.coming != nil {
 			return false
 		}
-		d.coming = &Far{End: Rejected}
+		d.coming = &PeerAnswer{Outcome: OutcomeRejected}
 		return true
 	}},
 	{"deliver", func(d *duo) bool {
 		if d.coming == nil {
 			return false
 		}
-		d.g.Returned(d.now, "a", "t", *d.coming)
+		d.g.HandleAnswer(d.now, "a", "t", *d.coming)
 		d.coming = nil
 		return true
 	}},
@@ -331,7 +331,7 @@
 		if d.coming == nil {
 			return false
 		}
-		d.g.Returned(d.now, "a", "t", *d.coming)
+		d.g.HandleAnswer(d.now, "a", "t", *d.coming)
 		return true
 	}},
 	{"cut", func(d *duo) bool { // bytes on the wire may still come, or not
@@ -339,7 +339,7 @@
 			return false
 		}
 		d.up, d.coming = false, nil
-		d.g.Lost("a")
+		d.g.Disconnected("a")
 		return true
 	}},
 	{"lose the wire", func(d *duo) bool {
@@ -355,8 +355,8 @@
 		}
 		d.restarts++
 		d.up = true
-		d.g.Up(d.now, "a", uint64(1+d.restarts))
-		d.g.Beat(d.now, "a", 9, false, ms)
+		d.g.Connected(d.now, "a", uint64(1+d.restarts))
+		d.g.Heartbeat(d.now, "a", 9, false, ms)
 		return true
 	}},
 	{"time is over", func(d *duo) bool {
@@ -364,16 +364,16 @@
 			return false
 		}
 		d.now += 2 * second
-		d.g.Beat(d.now, "a", 9, false, ms)
+		d.g.Heartbeat(d.now, "a", 9, false, ms)
 		d.g.Tick(d.now)
 		return true
 	}},
 	{"client leaves", func(d *duo) bool {
-		if d.left || !d.g.Has("t") {
+		if d.left || !d.g.IsForwarded("t") {
 			return false
 		}
 		d.left = true
-		d.g.Left("t")
+		d.g.ClientGone("t")
 		return true
 	}},
 }
@@ -388,8 +388,8 @@
 func (d *duo) step(i int) (could bool, broken string) {
 	could = moves[i].do(d)
 	for _, a := range d.g.Actions() {
-		if a.Kind == Answer {
-			d.answers = append(d.answers, a.End)
+		if a.Kind == ActionAnswer {
+			d.answers = append(d.answers, a.Outcome)
 		}
 	}
 	switch {
@@ -397,9 +397,9 @@
 		broken = "two answers"
 	case d.left && len(d.answers) > 0:
 		broken = "an answer to a client that had left"
-	case d.effect != Safe && d.runs > 1:
+	case d.effect != EffectIdempotent && d.runs > 1:
 		broken = "run twice"
-	case d.effect != Safe && d.runs > 0 && len(d.answers) > 0 && d.answers[0] == Rejected:
+	case d.effect != EffectIdempotent && d.runs > 0 && len(d.answers) > 0 && d.answers[0] == OutcomeRejected:
 		broken = "rejected, and it ran"
 	}
 	return could, broken
@@ -410,13 +410,13 @@
 	if c := d.g.out["t"]; c != nil {
 		state = c.state
 	}
-	return fmt.Sprint(d.effect, d.onWire, d.coming, d.up, d.far, d.runs, d.answers, d.now, d.crossed, d.left, d.restarts, state, d.g.Peer("a").Trust)
+	return fmt.Sprint(d.effect, d.onWire, d.coming, d.up, d.far, d.runs, d.answers, d.now, d.crossed, d.left, d.restarts, state, d.g.Peer("a").State)
 }
 
 // Every order of what can happen to one txn, from the first move to the last: no
 // state that can be reached breaks a rule, and each ends with one outcome.
 func TestEveryOrderOfEvents(t *testing.T) {
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for _, effect := range []Effect{EffectIdempotent, EffectIdempotencyKey, EffectUnsafe} {
 		seen := map[string]bool{}
 		edges := 0
 		type path []int
@@ -442,14 +442,14 @@
 					seen[k] = true
 					queue = append(queue, append(p[:len(p):len(p)], i))
 					// Whatever the state, time brings an end.
-					if d.now += 10 * second; d.g.Has("t") {
+					if d.now += 10 * second; d.g.IsForwarded("t") {
 						d.g.Tick(d.now)
 						for _, a := range d.g.Actions() {
-							if a.Kind == Answer {
-								d.answers = append(d.answers, a.End)
+							if a.Kind == ActionAnswer {
+								d.answers = append(d.answers, a.Outcome)
 							}
 						}
-						if d.g.Has("t") || len(d.answers) != 1 {
+						if d.g.IsForwarded("t") || len(d.answers) != 1 {
 							t.Fatalf("effect %d: %d answers at the end of time", effect, len(d.answers))
 						}
 					}
@@ -480,42 +480,42 @@
 			}
 			switch r.IntN(9) {
 			case 0:
-				g.Up(now, name, uint64(r.IntN(5)))
+				g.Connected(now, name, uint64(r.IntN(5)))
 			case 1:
-				g.Lost(name)
+				g.Disconnected(name)
 			case 2, 3:
-				g.Beat(now, name, r.IntN(20), r.IntN(40) == 0, int64(r.IntN(1000)))
+				g.Heartbeat(now, name, r.IntN(20), r.IntN(40) == 0, int64(r.IntN(1000)))
 			case 4:
 				g.Tick(now)
 			case 5:
-				g.Returned(now, name, id, Far{End: Outcome(1 + r.IntN(3)), Proof: r.IntN(2) == 0})
+				g.HandleAnswer(now, name, id, PeerAnswer{Outcome: Outcome(1 + r.IntN(3)), NeverRan: r.IntN(2) == 0})
 			case 6:
-				g.Written(id)
+				g.MarkSent(id)
 			default:
 				n++
 				id := fmt.Sprint(n)
-				if _, why := g.Cross(now, &Ask{Txn: id, Effect: Effect(r.IntN(3)), Clean: true, Deadline: now + r.Int64N(second)}); why == Good {
+				if _, why := g.Forward(now, &Request{RequestID: id, Effect: Effect(r.IntN(3)), NeverRan: true, Deadline: now + r.Int64N(second)}); why == ReasonOK {
 					open[id] = true
 				}
 			}
 			for _, a := range g.Actions() {
-				if a.Kind == Answer {
-					answers[a.Txn]++
-					if !open[a.Txn] || answers[a.Txn] > 1 {
-						t.Fatalf("txn %s answered %d times", a.Txn, answers[a.Txn])
+				if a.Kind == ActionAnswer {
+					answers[a.RequestID]++
+					if !open[a.RequestID] || answers[a.RequestID] > 1 {
+						t.Fatalf("txn %s answered %d times", a.RequestID, answers[a.RequestID])
 					}
-					delete(open, a.Txn)
+					delete(open, a.RequestID)
 				}
 			}
 			out := 0
 			for _, p := range g.Peers() {
-				if p.Out < 0 || p.Trust == Away && p.Out > 0 {
-					t.Fatalf("%d out at %v peer", p.Out, p.Trust)
+				if p.InFlight < 0 || p.State == StateDisconnected && p.InFlight > 0 {
+					t.Fatalf("%d out at %v peer", p.InFlight, p.State)
 				}
-				out += p.Out
+				out += p.InFlight
 			}
-			if out != g.Out() || len(open) != out {
-				t.Fatalf("%d out by peers, %d by the gate, %d open", out, g.Out(), len(open))
+			if out != g.ForwardedInFlight() || len(open) != out {
+				t.Fatalf("%d out by peers, %d by the gate, %d open", out, g.ForwardedInFlight(), len(open))
 			}
 		}
 	}
--- a/internal/gateway/peerproto/datagram.go
+++ b/internal/gateway/peerproto/datagram.go
@@ -19,20 +19,20 @@
 
 // Bounds of datagrams.
 const (
-	MostDatagram = 1400 // no path of ours cuts it into pieces
-	proofSize    = 16
+	MaxDatagram = 1400 // no path of ours cuts it into pieces
+	proofSize   = 16
 )
 
 // Errors of datagrams, cheapest first; all are ErrBroken.
 var (
-	ErrSize    = fmt.Errorf("%w: size", ErrBroken)
-	ErrVersion = fmt.Errorf("%w: version", ErrBroken)
-	ErrProof   = fmt.Errorf("%w: proof", ErrBroken)
-	ErrPayload = fmt.Errorf("%w: payload", ErrBroken)
+	ErrSize    = fmt.Errorf("%w: size", ErrMalformed)
+	ErrVersion = fmt.Errorf("%w: version", ErrMalformed)
+	ErrProof   = fmt.Errorf("%w: proof", ErrMalformed)
+	ErrPayload = fmt.Errorf("%w: payload", ErrMalformed)
 )
 
-// LeastKey is the least length of a shared key.
-const LeastKey = 16
+// MinKeyLength is the least length of a shared key.
+const MinKeyLength = 16
 
 var datagramDecoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(p)+1+proofSize > MostDatagram {
+	if len(p)+1+proofSize > MaxDatagram {
 		return nil, ErrSize
 	}
 	b := append(make([]byte, 0, len(p)+1+sha256.Size), DatagramVersion)
@@ -61,7 +61,7 @@
 // wrong size or version nothing.
 func Open(key, b []byte, into any) error {
 	switch {
-	case len(b) <= 1+proofSize || len(b) > MostDatagram:
+	case len(b) <= 1+proofSize || len(b) > MaxDatagram:
 		return ErrSize
 	case b[0] != DatagramVersion:
 		return ErrVersion
--- a/internal/gateway/peerproto/datagram_test.go
+++ b/internal/gateway/peerproto/datagram_test.go
@@ -22,7 +22,7 @@
 	if err := Open(shared, good, &got); err != nil || got != (said{"a", 3}) {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if _, err := Seal(shared, &said{string(make([]byte, MostDatagram)), 0}); !errors.Is(err, ErrSize) {
+	if _, err := Seal(shared, &said{string(make([]byte, MaxDatagram)), 0}); !errors.Is(err, ErrSize) {
 		t.Errorf("too large: %v", err)
 	}
 	other, _ := Seal([]byte("another key of theirs"), &said{"a", 3})
@@ -32,12 +32,12 @@
 	}{
 		"empty":       {nil, ErrSize},
 		"short":       {good[:17], ErrSize},
-		"long":        {append(bytes.Clone(good), make([]byte, MostDatagram)...), ErrSize},
+		"long":        {append(bytes.Clone(good), make([]byte, MaxDatagram)...), ErrSize},
 		"version":     {append([]byte{DatagramVersion + 1}, good[1:]...), ErrVersion},
 		"foreign key": {other, ErrProof},
 		"cut":         {good[:len(good)-1], ErrProof},
 	} {
-		if err := Open(shared, c.b, &got); !errors.Is(err, c.want) || !errors.Is(err, ErrBroken) {
+		if err := Open(shared, c.b, &got); !errors.Is(err, c.want) || !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	wrong, _ := Seal(shared, []string{"no", "map"})
-	if err := Open(shared, wrong, &got); !errors.Is(err, ErrPayload) || !errors.Is(err, ErrBroken) {
+	if err := Open(shared, wrong, &got); !errors.Is(err, ErrPayload) || !errors.Is(err, ErrMalformed) {
 		t.Errorf("another payload: %v", err)
 	}
 }
@@ -60,10 +60,10 @@
 	f.Add(append([]byte{1}, proof(shared, []byte{1})...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var got said
-		if Open(shared, b, &got) == nil && len(b) > MostDatagram {
+		if Open(shared, b, &got) == nil && len(b) > MaxDatagram {
 			t.Fatal("too large, and taken")
 		}
-		if len(b) < MostDatagram-proofSize { // the payload alone, past the proof
+		if len(b) < MaxDatagram-proofSize { // the payload alone, past the proof
 			signed := append([]byte{DatagramVersion}, b...)
 			Open(shared, append(signed, proof(shared, signed)...), &got)
 		}
--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -21,27 +21,27 @@
 
 // Kinds. Payloads but those of Data and Window are CBOR arrays (RFC 8949).
 const (
-	KindHello  Kind = 1 + iota // Hello, the first frame each way
-	KindBeat                   // Beat
-	KindAsk                    // Ask; its body follows as Data
-	KindAnswer                 // Answer; its body follows as Data
-	KindData                   // bytes of a body
-	KindWindow                 // 4 bytes: so many more bytes of this body may be sent
-	KindCancel                 // none: the txn is given up
-	KindBye                    // none: nothing new is taken; the connection ends with what is out
-	lastKind   = KindBye
+	KindHello     Kind = 1 + iota // Hello, the first frame each way
+	KindHeartbeat                 // Beat
+	KindRequest                   // Ask; its body follows as Data
+	KindAnswer                    // Answer; its body follows as Data
+	KindData                      // bytes of a body
+	KindWindow                    // 4 bytes: so many more bytes of this body may be sent
+	KindCancel                    // none: the txn is given up
+	KindGoodbye                   // none: nothing new is taken; the connection ends with what is out
+	lastKind      = KindGoodbye
 )
 
 // Bounds of the protocol: a frame's payload, and what of a body may be under way
 // before the other side has room for it.
 const (
-	MostPayload = 16 << 10
-	FirstWindow = 64 << 10
-	headSize    = 8 // length of the payload 3, kind 1, txn's number 4
+	MaxPayload    = 16 << 10
+	InitialWindow = 64 << 10
+	headSize      = 8 // length of the payload 3, kind 1, txn's number 4
 )
 
-// ErrBroken is behind every error about what a peer wrote.
-var ErrBroken = errors.New("broken frame")
+// ErrMalformed is behind every error about what a peer wrote.
+var ErrMalformed = errors.New("broken frame")
 
 // Hello names a side.
 type Hello struct {
@@ -51,14 +51,14 @@
 	Incarnation uint64
 }
 
-// Beat tells what a side offers. Times are its own microseconds; Echo is the
+// Heartbeat tells what a side offers. Times are its own microseconds; Echo is the
 // other's At of the last beat that came, Held how long ago that was.
-type Beat struct {
-	_          struct{} `cbor:",toarray"`
-	At         int64
-	Echo, Held int64
-	Room       int32
-	Drains     bool
+type Heartbeat struct {
+	_                  struct{} `cbor:",toarray"`
+	SentAt             int64
+	EchoedAt, HeldTime int64
+	Capacity           int32
+	Draining           bool
 }
 
 // Purge is one that binds a txn at the asking side.
@@ -68,34 +68,34 @@
 	At    int64    // Unix microseconds
 }
 
-// Ask is a txn. Times are microseconds, At is the sender's clock.
-type Ask struct {
-	_      struct{} `cbor:",toarray"`
-	At     int64
-	Budget int64 // left of its time
-	Txn    string
-	Rule   string
-	Object string
-	Part   int64
-	Group  int64
-	Tag    string
-	Repeat bool
-	Write  bool
-	Body   int32
-	Route  []string
-	Purges []Purge
+// Request is a txn. Times are microseconds, At is the sender's clock.
+type Request struct {
+	_         struct{} `cbor:",toarray"`
+	SentAt    int64
+	Budget    int64 // left of its time
+	RequestID string
+	Class     string
+	Object    string
+	Part      int64
+	Group     int64
+	Tag       string
+	Repeat    bool
+	Write     bool
+	BodyBytes int32
+	Route     []string
+	Purges    []Purge
 }
 
 // Answer ends a txn.
 type Answer struct {
-	_       struct{} `cbor:",toarray"`
-	Outcome uint8    // as package crossing has them
-	Proof   bool     // it never ran here
-	Same    bool     // the copy whose tag was sent is the one
-	Stay    int64
-	Tag     string
-	Issued  int64 // Unix milliseconds
-	Body    int32
+	_            struct{} `cbor:",toarray"`
+	Outcome      uint8    // as package crossing has them
+	NeverRan     bool     // it never ran here
+	NotModified  bool     // the copy whose tag was sent is the one
+	RetryAfter   int64
+	Tag          string
+	IssuedMillis int64 // Unix milliseconds
+	BodyBytes    int32
 }
 
 // decoding refuses what no side of ours sends, before it costs memory.
@@ -126,8 +126,8 @@
 
 // AppendRaw writes a frame with a payload of bytes.
 func AppendRaw(b []byte, k Kind, number uint32, p []byte) ([]byte, error) {
-	if len(p) > MostPayload {
-		return b, fmt.Errorf("%w: %d bytes, %d at most", ErrBroken, len(p), MostPayload)
+	if len(p) > MaxPayload {
+		return b, fmt.Errorf("%w: %d bytes, %d at most", ErrMalformed, len(p), MaxPayload)
 	}
 	b = append(b, byte(len(p)), byte(len(p)>>8), byte(len(p)>>16), byte(k))
 	b = binary.LittleEndian.AppendUint32(b, number)
@@ -143,7 +143,7 @@
 // Reader reads frames.
 type Reader struct {
 	r   *bufio.Reader
-	buf [MostPayload]byte
+	buf [MaxPayload]byte
 }
 
 // NewReader reads from r.
@@ -158,14 +158,14 @@
 	n := int(h[0]) | int(h[1])<<8 | int(h[2])<<16
 	f.Kind, f.Number = Kind(h[3]), binary.LittleEndian.Uint32(h[4:])
 	switch {
-	case n > MostPayload:
-		return f, fmt.Errorf("%w: %d bytes, %d at most", ErrBroken, n, MostPayload)
+	case n > MaxPayload:
+		return f, fmt.Errorf("%w: %d bytes, %d at most", ErrMalformed, n, MaxPayload)
 	case f.Kind == 0 || f.Kind > lastKind:
-		return f, fmt.Errorf("%w: kind %d", ErrBroken, f.Kind)
-	case f.Kind == KindWindow && n != 4, (f.Kind == KindCancel || f.Kind == KindBye) && n != 0:
-		return f, fmt.Errorf("%w: %d bytes in a frame of kind %d", ErrBroken, n, f.Kind)
-	case (f.Kind == KindHello || f.Kind == KindBeat || f.Kind == KindBye) != (f.Number == 0):
-		return f, fmt.Errorf("%w: kind %d of txn %d", ErrBroken, f.Kind, f.Number)
+		return f, fmt.Errorf("%w: kind %d", ErrMalformed, f.Kind)
+	case f.Kind == KindWindow && n != 4, (f.Kind == KindCancel || f.Kind == KindGoodbye) && n != 0:
+		return f, fmt.Errorf("%w: %d bytes in a frame of kind %d", ErrMalformed, n, f.Kind)
+	case (f.Kind == KindHello || f.Kind == KindHeartbeat || f.Kind == KindGoodbye) != (f.Number == 0):
+		return f, fmt.Errorf("%w: kind %d of txn %d", ErrMalformed, f.Kind, f.Number)
 	}
 	if _, err := io.ReadFull(r.r, r.buf[:n]); err != nil {
 		if err == io.EOF {
@@ -183,7 +183,7 @@
 // Decode reads a CBOR payload.
 func (f Frame) Decode(into any) error {
 	if err := decoding.Unmarshal(f.Payload, into); err != nil {
-		return fmt.Errorf("%w: %v", ErrBroken, err)
+		return fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	return nil
 }
--- a/internal/gateway/peerproto/peerproto_test.go
+++ b/internal/gateway/peerproto/peerproto_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-var ask = Ask{At: 5, Budget: 1_500_000, Txn: "00000000000000aa", Rule: "demo-video", Object: "o1", Part: 3, Group: 17, Tag: "t", Body: 9,
+var ask = Request{SentAt: 5, Budget: 1_500_000, RequestID: "00000000000000aa", Class: "demo-video", Object: "o1", Part: 3, Group: 17, Tag: "t", BodyBytes: 9,
 	Route: []string{"n1"}, Purges: []Purge{{At: 7}, {Group: true, At: 8}}}
 
 func TestFrames(t *testing.T) {
@@ -16,14 +16,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ = Append(b, KindAsk, 7, &ask)
+	b, _ = Append(b, KindRequest, 7, &ask)
 	b, _ = AppendRaw(b, KindData, 7, []byte("123456789"))
 	b = AppendWindow(b, 7, 4096)
 	b, _ = AppendRaw(b, KindCancel, 7, nil)
-	b, _ = Append(b, KindAnswer, 7, &Answer{Outcome: 1, Issued: 99, Tag: "x", Body: 3})
+	b, _ = Append(b, KindAnswer, 7, &Answer{Outcome: 1, IssuedMillis: 99, Tag: "x", BodyBytes: 3})
 	r := NewReader(bytes.NewReader(b))
 	var h Hello
-	var a Ask
+	var a Request
 	var z Answer
 	for i, into := range []any{&h, &a, nil, nil, nil, &z} {
 		f, err := r.Next()
@@ -39,13 +39,13 @@
 			t.Fatalf("%+v", f)
 		}
 	}
-	if !reflect.DeepEqual(a, ask) || h.Incarnation != 1<<60 || z.Issued != 99 {
+	if !reflect.DeepEqual(a, ask) || h.Incarnation != 1<<60 || z.IssuedMillis != 99 {
 		t.Fatalf("%+v %+v %+v", a, h, z)
 	}
 	if _, err := r.Next(); err != io.EOF {
 		t.Fatal(err)
 	}
-	if _, err := AppendRaw(nil, KindData, 1, make([]byte, MostPayload+1)); !errors.Is(err, ErrBroken) {
+	if _, err := AppendRaw(nil, KindData, 1, make([]byte, MaxPayload+1)); !errors.Is(err, ErrMalformed) {
 		t.Fatal(err)
 	}
 }
@@ -58,9 +58,9 @@
 		"short window":      {1, 0, 0, byte(KindWindow), 1, 0, 0, 0, 5},
 		"cancel with more":  {1, 0, 0, byte(KindCancel), 1, 0, 0, 0, 5},
 		"greeting of a txn": {0, 0, 0, byte(KindHello), 1, 0, 0, 0},
-		"txn without one":   {0, 0, 0, byte(KindAsk), 0, 0, 0, 0},
+		"txn without one":   {0, 0, 0, byte(KindRequest), 0, 0, 0, 0},
 	} {
-		if _, err := NewReader(bytes.NewReader(b)).Next(); !errors.Is(err, ErrBroken) {
+		if _, err := NewReader(bytes.NewReader(b)).Next(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -68,7 +68,7 @@
 		t.Errorf("cut: %v", err)
 	}
 	for _, p := range []string{"", "\xff", "\x9f\x01\xff", "\x9a\xff\xff\xff\xff", "\xc0\x60", "\x81\x81\x81\x81\x81\x81\x01"} {
-		if err := (Frame{Payload: []byte(p)}).Decode(new(Ask)); !errors.Is(err, ErrBroken) {
+		if err := (Frame{Payload: []byte(p)}).Decode(new(Request)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%q: %v", p, err)
 		}
 	}
@@ -76,8 +76,8 @@
 
 // Whatever comes is read without a panic, in frames of bounded size.
 func FuzzFrames(f *testing.F) {
-	b, _ := Append(nil, KindAsk, 7, &ask)
-	b, _ = Append(b, KindBeat, 0, &Beat{At: 1, Room: 3})
+	b, _ := Append(nil, KindRequest, 7, &ask)
+	b, _ = Append(b, KindHeartbeat, 0, &Heartbeat{SentAt: 1, Capacity: 3})
 	f.Add(b)
 	f.Add(AppendWindow(nil, 3, 9))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -87,12 +87,12 @@
 			if err != nil {
 				return
 			}
-			if len(x.Payload) > MostPayload {
+			if len(x.Payload) > MaxPayload {
 				t.Fatal(len(x.Payload))
 			}
 			x.Decode(new(Hello))
-			x.Decode(new(Beat))
-			x.Decode(new(Ask))
+			x.Decode(new(Heartbeat))
+			x.Decode(new(Request))
 			x.Decode(new(Answer))
 		}
 	})
@@ -100,13 +100,13 @@
 
 // A txn's request and answer, written and read.
 func BenchmarkAskAndAnswer(b *testing.B) {
-	answer := Answer{Outcome: 1, Issued: 1 << 40, Tag: "0123456789abcdef", Body: 100_000}
+	answer := Answer{Outcome: 1, IssuedMillis: 1 << 40, Tag: "0123456789abcdef", BodyBytes: 100_000}
 	var buf []byte
-	var a Ask
+	var a Request
 	var z Answer
 	b.ReportAllocs()
 	for b.Loop() {
-		buf, _ = Append(buf[:0], KindAsk, 7, &ask)
+		buf, _ = Append(buf[:0], KindRequest, 7, &ask)
 		n := len(buf)
 		buf, _ = Append(buf, KindAnswer, 7, &answer)
 		(Frame{Payload: buf[headSize:n]}).Decode(&a)
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -7,4 +7,4 @@
 }
 
 // Sizes are those of all that a book keeps.
-func (b *Book) Sizes() (servers, purges int) { return len(b.servers), len(b.purges) }
+func (b *Replica) Sizes() (servers, purges int) { return len(b.servers), len(b.purges) }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -22,10 +22,10 @@
 	"quilldoor/internal/policy"
 )
 
-// Server is a line of the list with its address.
-type Server struct {
-	policy.Entry
-	Endpoint string
+// Endpoint is a line of the list with its address.
+type Endpoint struct {
+	policy.Endpoint
+	Address string
 }
 
 // Purge is of an object, or of a group where that is "". At is Unix microseconds.
@@ -37,7 +37,7 @@
 
 // Settings of a router's book. Times are microseconds.
 type Settings struct {
-	Keep int64 // how long a purge binds: servers have dropped what is older by then
+	PurgeRetention int64 // how long a purge binds: servers have dropped what is older by then
 
 	wrong wrong
 }
@@ -81,21 +81,21 @@
 
 // line is what is held of a server.
 type line struct {
-	own    Server // as the own board has it
-	goneAt int64  // when the own board told of its end
-	claim  claim  // that binds: others have it further on than the own board
-	next   claim  // further on still, and short of witnesses
+	own    Endpoint // as the own board has it
+	goneAt int64    // when the own board told of its end
+	claim  claim    // that binds: others have it further on than the own board
+	next   claim    // further on still, and short of witnesses
 }
 
 // claim is what others say. No server: there is none.
 type claim struct {
-	Server
+	Endpoint
 	by    [witnesses]string
 	until int64
 }
 
-// Book is a router's.
-type Book struct {
+// Replica is a router's.
+type Replica struct {
 	set     Settings
 	servers map[string]*line
 	purges  map[purgeKey]int64
@@ -112,29 +112,29 @@
 }
 
 // Counts are totals.
-type Counts struct{ Asked, Answered, Bound, Lapsed, Purges, Refused int64 }
+type Counts struct{ Requests, Responses, ClaimsAccepted, ClaimsExpired, Purges, Rejected int64 }
 
 // New opens a book.
-func New(s Settings) *Book {
-	return &Book{set: s, servers: map[string]*line{}, purges: map[purgeKey]int64{}}
+func New(s Settings) *Replica {
+	return &Replica{set: s, servers: map[string]*line{}, purges: map[purgeKey]int64{}}
 }
 
-// Alone says whether there are not two others to be witnesses.
-func (b *Book) Alone(is bool) { b.alone = is }
+// SetSingleConfirmation says whether there are not two others to be witnesses.
+func (b *Replica) SetSingleConfirmation(is bool) { b.alone = is }
 
 // further tells whether a is later news of a server than o.
-func further(a, o Server) bool {
-	return cmp.Or(cmp.Compare(a.Born, o.Born), cmp.Compare(rank(a.State), rank(o.State))) > 0
+func further(a, o Endpoint) bool {
+	return cmp.Or(cmp.Compare(a.StartedAt, o.StartedAt), cmp.Compare(rank(a.State), rank(o.State))) > 0
 }
 
-// Board takes what the own board tells, whole: it names all there are. What others
+// ApplyLocal takes what the own board tells, whole: it names all there are. What others
 // claim of a server goes on binding over it. It returns the list to be applied.
-func (b *Book) Board(now int64, whole bool, list []Server) []Server {
+func (b *Replica) ApplyLocal(now int64, whole bool, list []Endpoint) []Endpoint {
 	b.changed = now
 	if whole {
 		named := map[string]bool{}
 		for _, s := range list {
-			named[s.Server] = true
+			named[s.ID] = true
 		}
 		for id, l := range b.servers {
 			if !named[id] && l.own.State != "left" {
@@ -142,24 +142,24 @@
 			}
 		}
 	}
-	out := make([]Server, 0, len(list))
+	out := make([]Endpoint, 0, len(list))
 	for _, s := range list {
-		l := b.servers[s.Server]
+		l := b.servers[s.ID]
 		if l == nil {
 			if len(b.servers) >= mostList {
 				out = append(out, s)
 				continue
 			}
 			l = &line{own: s}
-			b.servers[s.Server] = l
+			b.servers[s.ID] = l
 		}
-		undrains := s.Born == l.own.Born && rank(s.State) < rank(l.own.State)
+		undrains := s.StartedAt == l.own.StartedAt && rank(s.State) < rank(l.own.State)
 		if l.own = s; s.State == "left" {
 			l.goneAt = now
 		}
 		for _, c := range []*claim{&l.claim, &l.next} {
 			// The own board has caught up, knows better, or says that it is not to be used.
-			if undrains || c.Server.Server != "" && (!further(c.Server, s) || c.State == "active" && s.State != "active") {
+			if undrains || c.Endpoint.ID != "" && (!further(c.Endpoint, s) || c.State == "active" && s.State != "active") {
 				*c = claim{}
 			}
 		}
@@ -170,21 +170,21 @@
 }
 
 // effective is what is applied of a server.
-func (l *line) effective() Server {
-	if l.claim.Server.Server != "" {
-		return l.claim.Server
+func (l *line) effective() Endpoint {
+	if l.claim.Endpoint.ID != "" {
+		return l.claim.Endpoint
 	}
 	return l.own
 }
 
-// Purged takes a purge of the own board's.
-func (b *Book) Purged(now int64, p Purge) {
+// ApplyLocalPurge takes a purge of the own board's.
+func (b *Replica) ApplyLocalPurge(now int64, p Purge) {
 	b.changed = now
 	b.purge(p)
 	b.digest(now)
 }
 
-func (b *Book) purge(p Purge) (fresh bool) {
+func (b *Replica) purge(p Purge) (fresh bool) {
 	key := purgeKey{p.Object, p.Group}
 	if p.At <= b.purges[key] {
 		return false
@@ -202,13 +202,13 @@
 	return true
 }
 
-// Told takes another router's news and returns what is to be applied. Births and
+// Merge takes another router's news and returns what is to be applied. Births and
 // purges are by the wall's clock, all else by a steady one.
-func (b *Book) Told(now, wall int64, from string, t *Tell) (servers []Server, purges []Purge) {
+func (b *Replica) Merge(now, wall int64, from string, t *StateExchange) (servers []Endpoint, purges []Purge) {
 	for _, x := range t.Purges {
 		p := Purge{x.Object, x.Group, x.At}
-		if p.At > wall+ahead || p.At < wall-b.set.Keep {
-			b.Counts.Refused++
+		if p.At > wall+ahead || p.At < wall-b.set.PurgeRetention {
+			b.Counts.Rejected++
 			continue
 		}
 		if b.purge(p) {
@@ -218,7 +218,7 @@
 	}
 	for i := range t.Servers {
 		if s := t.Servers[i].server(); b.claimed(now, wall, from, s) {
-			servers = append(servers, b.servers[s.Server].claim.Server)
+			servers = append(servers, b.servers[s.ID].claim.Endpoint)
 		}
 	}
 	if len(servers)+len(purges) > 0 {
@@ -229,14 +229,14 @@
 }
 
 // claimed takes what another says of a server; true: from now on it binds.
-func (b *Book) claimed(now, wall int64, from string, s Server) bool {
-	if s.Server == "" || s.State != "active" && s.State != "leaving" && s.State != "left" || s.Born > wall+ahead {
-		b.Counts.Refused++
+func (b *Replica) claimed(now, wall int64, from string, s Endpoint) bool {
+	if s.ID == "" || s.State != "active" && s.State != "leaving" && s.State != "left" || s.StartedAt > wall+ahead {
+		b.Counts.Rejected++
 		return false
 	}
 	// Who is new is only taken from the own board: without it nothing is sent there,
 	// and its address may be another for each router.
-	l := b.servers[s.Server]
+	l := b.servers[s.ID]
 	if l == nil || !further(s, l.own) && !b.set.wrong.backwards {
 		return false
 	}
@@ -244,18 +244,18 @@
 	if s.State == "active" && l.own.State != "active" && !b.set.wrong.backwards {
 		return false
 	}
-	s.Endpoint = l.own.Endpoint
-	if c := &l.claim; c.Server.Server != "" && !further(s, c.Server) && !b.set.wrong.backwards {
-		if !further(c.Server, s) {
+	s.Address = l.own.Address
+	if c := &l.claim; c.Endpoint.ID != "" && !further(s, c.Endpoint) && !b.set.wrong.backwards {
+		if !further(c.Endpoint, s) {
 			c.until = now + claimFor // said again
 		}
 		return false
 	}
 	c := &l.next
 	switch {
-	case c.Server.Server == "" || further(s, c.Server) || b.set.wrong.backwards && s.print() != c.Server.print():
-		*c = claim{Server: s, by: [witnesses]string{from}}
-	case further(c.Server, s): // older than what others say
+	case c.Endpoint.ID == "" || further(s, c.Endpoint) || b.set.wrong.backwards && s.print() != c.Endpoint.print():
+		*c = claim{Endpoint: s, by: [witnesses]string{from}}
+	case further(c.Endpoint, s): // older than what others say
 		return false
 	case !slices.Contains(c.by[:], from):
 		c.by[slices.Index(c.by[:], "")] = from
@@ -265,13 +265,13 @@
 		return false
 	}
 	l.claim, l.next = *c, claim{}
-	b.Counts.Bound++
+	b.Counts.ClaimsAccepted++
 	return true
 }
 
 // Tick ends claims that nobody has said again, and purges that bind no more. It
 // returns what is to be applied in their place.
-func (b *Book) Tick(now, wall int64) (servers []Server) {
+func (b *Replica) Tick(now, wall int64) (servers []Endpoint) {
 	for _, id := range b.ids() {
 		l := b.servers[id]
 		if l.own.State == "left" && now-l.goneAt > goneFor {
@@ -284,14 +284,14 @@
 		if l.next.until <= now {
 			l.next = claim{}
 		}
-		if l.claim.until <= now && l.claim.Server.Server != "" {
+		if l.claim.until <= now && l.claim.Endpoint.ID != "" {
 			l.claim = claim{}
-			b.Counts.Lapsed++
+			b.Counts.ClaimsExpired++
 			servers = append(servers, l.own)
 		}
 	}
 	for k, at := range b.purges {
-		if wall-at > b.set.Keep {
+		if wall-at > b.set.PurgeRetention {
 			delete(b.purges, k)
 		}
 	}
@@ -299,7 +299,7 @@
 	return servers
 }
 
-func (b *Book) ids() (list []string) {
+func (b *Replica) ids() (list []string) {
 	for id := range b.servers {
 		list = append(list, id)
 	}
@@ -309,10 +309,10 @@
 
 // ---- Comparing ----
 
-func (s *Server) print() uint32 {
+func (s *Endpoint) print() uint32 {
 	h := fnv.New32a()
-	h.Write([]byte(s.Server))
-	h.Write([]byte{rank(s.State), byte(s.Born), byte(s.Born >> 8), byte(s.Born >> 16), byte(s.Born >> 24), byte(s.Born >> 32), byte(s.Born >> 40)})
+	h.Write([]byte(s.ID))
+	h.Write([]byte{rank(s.State), byte(s.StartedAt), byte(s.StartedAt >> 8), byte(s.StartedAt >> 16), byte(s.StartedAt >> 24), byte(s.StartedAt >> 32), byte(s.StartedAt >> 40)})
 	return h.Sum32()
 }
 
@@ -333,7 +333,7 @@
 
 // digest makes the digests anew: what is gone is in none, since some have
 // forgotten it.
-func (b *Book) digest(int64) {
+func (b *Replica) digest(int64) {
 	b.digests = [buckets]uint32{}
 	for id, l := range b.servers {
 		if s := l.effective(); s.State == "active" || s.State == "leaving" {
@@ -345,21 +345,21 @@
 	}
 }
 
-// Tag is the digest of all, which words to the others carry.
-func (b *Book) Tag() (tag uint32) {
+// Digest is the digest of all, which words to the others carry.
+func (b *Replica) Digest() (tag uint32) {
 	for i, d := range b.digests {
 		tag ^= d * uint32(2*i+1)
 	}
 	return tag
 }
 
-// Differs tells whether to ask a router that has this tag: where it is another than
+// ShouldRequest tells whether to ask a router that has this tag: where it is another than
 // the own, but not while boards may still be on their way; where what others have
 // said is to be said again; and not often.
-func (b *Book) Differs(now int64, tag uint32) bool {
+func (b *Replica) ShouldRequest(now int64, tag uint32) bool {
 	// A new life asks at once, twice: its list may be as old as its start.
-	if b.Counts.Asked < witnesses && tag != b.Tag() {
-		b.Counts.Asked++
+	if b.Counts.Requests < witnesses && tag != b.Digest() {
+		b.Counts.Requests++
 		return true
 	}
 	claims, due := b.claims(now)
@@ -368,21 +368,21 @@
 		wait /= 5
 	}
 	// Once others know better than the own board, nothing is waited for.
-	if now-b.asked < wait || !due && (tag == b.Tag() || !claims && now-b.changed < settled) {
+	if now-b.asked < wait || !due && (tag == b.Digest() || !claims && now-b.changed < settled) {
 		return false
 	}
 	b.asked = now
-	b.Counts.Asked++
+	b.Counts.Requests++
 	return true
 }
 
-// Ask is a question: tell where our digests differ.
-type Ask struct {
+// DigestRequest is a question: tell where our digests differ.
+type DigestRequest struct {
 	Digests []uint32 `cbor:"1,keyasint"`
 }
 
-// Tell is an answer, a piece of it.
-type Tell struct {
+// StateExchange is an answer, a piece of it.
+type StateExchange struct {
 	Servers []wireServer `cbor:"1,keyasint,omitempty"`
 	Purges  []wirePurge  `cbor:"2,keyasint,omitempty"`
 }
@@ -404,48 +404,48 @@
 	At     int64  `cbor:"3,keyasint"`
 }
 
-func (w *wireServer) server() Server {
-	return Server{policy.Entry{Server: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight, Born: w.Born}, w.Endpoint}
+func (w *wireServer) server() Endpoint {
+	return Endpoint{policy.Endpoint{ID: w.ID, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State, Weight: w.Weight, StartedAt: w.Born}, w.Endpoint}
 }
 
 // claims tells whether others know better than the own board, and whether one of
 // them is to be asked for that: a claim wants a witness, or has lived for a third of
 // its time.
-func (b *Book) claims(now int64) (any, due bool) {
+func (b *Replica) claims(now int64) (any, due bool) {
 	for _, l := range b.servers {
-		next, held := l.next.Server.Server != "", l.claim.Server.Server != ""
+		next, held := l.next.Endpoint.ID != "", l.claim.Endpoint.ID != ""
 		any = any || next || held
 		due = due || next || held && l.claim.until-now < claimFor*2/3
 	}
 	return any, due
 }
 
-// Question is what to ask another: what differs, and what others have claimed.
-func (b *Book) Question() Ask {
-	a := Ask{slices.Clone(b.digests[:])}
+// NewRequest is what to ask another: what differs, and what others have claimed.
+func (b *Replica) NewRequest() DigestRequest {
+	a := DigestRequest{slices.Clone(b.digests[:])}
 	for id, l := range b.servers {
-		if i := bucket(id); l.next.Server.Server != "" || l.claim.Server.Server != "" {
+		if i := bucket(id); l.next.Endpoint.ID != "" || l.claim.Endpoint.ID != "" {
 			a.Digests[i] = ^b.digests[i]
 		}
 	}
 	return a
 }
 
-// Answer tells, in pieces of so many bytes, what the own board has told where
+// Respond tells, in pieces of so many bytes, what the own board has told where
 // digests differ. What others have claimed is not told on: else those who have no
 // board would be each other's witnesses. Purges are, whoever told them.
-func (b *Book) Answer(a *Ask, most int) (pieces []Tell) {
+func (b *Replica) Respond(a *DigestRequest, most int) (pieces []StateExchange) {
 	if len(a.Digests) != buckets {
-		b.Counts.Refused++
+		b.Counts.Rejected++
 		return nil
 	}
-	b.Counts.Answered++
+	b.Counts.Responses++
 	const mostPieces = 12
-	var t Tell
+	var t StateExchange
 	size := 0
 	cut := func(n int) {
 		if size+n > most {
-			pieces, t, size = append(pieces, t), Tell{}, 0
+			pieces, t, size = append(pieces, t), StateExchange{}, 0
 		}
 		size += n
 	}
@@ -455,8 +455,8 @@
 			continue
 		}
 		s := l.own
-		cut(40 + len(id) + len(s.Endpoint) + len(s.Zone) + len(s.Kind))
-		t.Servers = append(t.Servers, wireServer{id, s.Endpoint, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.Born})
+		cut(40 + len(id) + len(s.Address) + len(s.Zone) + len(s.Kind))
+		t.Servers = append(t.Servers, wireServer{id, s.Address, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedAt})
 	}
 	var keys []purgeKey
 	for k := range b.purges {
@@ -477,10 +477,10 @@
 	return pieces
 }
 
-// Letter is what goes from one router to another: a question or an answer.
-type Letter struct {
-	Ask  *Ask  `cbor:"1,keyasint,omitempty"`
-	Tell *Tell `cbor:"2,keyasint,omitempty"`
+// Payload is what goes from one router to another: a question or an answer.
+type Payload struct {
+	Request       *DigestRequest `cbor:"1,keyasint,omitempty"`
+	StateExchange *StateExchange `cbor:"2,keyasint,omitempty"`
 }
 
 var decoding = func() cbor.DecMode {
@@ -492,8 +492,8 @@
 	return m
 }()
 
-// Pack writes a letter.
-func (l *Letter) Pack() []byte {
+// Encode writes a letter.
+func (l *Payload) Encode() []byte {
 	b, err := cbor.Marshal(l)
 	if err != nil {
 		panic(err) // letters are made of what can be written
@@ -501,42 +501,42 @@
 	return b
 }
 
-// Read reads one; nil: it can't be used.
-func Read(b []byte) *Letter {
-	var l Letter
-	if decoding.Unmarshal(b, &l) != nil || l.Ask == nil && l.Tell == nil {
+// Decode reads one; nil: it can't be used.
+func Decode(b []byte) *Payload {
+	var l Payload
+	if decoding.Unmarshal(b, &l) != nil || l.Request == nil && l.StateExchange == nil {
 		return nil
 	}
 	return &l
 }
 
-// Taken is what a letter brings: letters for its sender, and what is to be applied.
-type Taken struct {
-	Back    [][]byte
-	Servers []Server
+// Result is what a letter brings: letters for its sender, and what is to be applied.
+type Result struct {
+	Replies [][]byte
+	Servers []Endpoint
 	Purges  []Purge
 }
 
-// Letter takes what another router says: its tag alone, a question or an answer.
+// HandlePayload takes what another router says: its tag alone, a question or an answer.
 // Letters back are of so many bytes at most.
-func (b *Book) Letter(now, wall int64, from string, tag uint32, body []byte, most int) (t Taken) {
+func (b *Replica) HandlePayload(now, wall int64, from string, tag uint32, body []byte, most int) (t Result) {
 	if body == nil {
-		if b.Differs(now, tag) {
-			q := b.Question()
-			t.Back = append(t.Back, (&Letter{Ask: &q}).Pack())
+		if b.ShouldRequest(now, tag) {
+			q := b.NewRequest()
+			t.Replies = append(t.Replies, (&Payload{Request: &q}).Encode())
 		}
 		return t
 	}
-	l := Read(body)
+	l := Decode(body)
 	switch {
 	case l == nil:
-		b.Counts.Refused++
-	case l.Ask != nil:
-		for _, piece := range b.Answer(l.Ask, most) {
-			t.Back = append(t.Back, (&Letter{Tell: &piece}).Pack())
+		b.Counts.Rejected++
+	case l.Request != nil:
+		for _, piece := range b.Respond(l.Request, most) {
+			t.Replies = append(t.Replies, (&Payload{StateExchange: &piece}).Encode())
 		}
 	default:
-		t.Servers, t.Purges = b.Told(now, wall, from, l.Tell)
+		t.Servers, t.Purges = b.Merge(now, wall, from, l.StateExchange)
 	}
 	return t
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -16,30 +16,30 @@
 
 const wall = 1_700_000_000 * second
 
-func server(id, state string, born int64) gossip.Server {
-	return gossip.Server{Entry: policy.Entry{Server: id, Zone: "z", Kind: "box", State: state, Weight: 3, Born: born}, Endpoint: "of-" + id}
+func server(id, state string, born int64) gossip.Endpoint {
+	return gossip.Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: state, Weight: 3, StartedAt: born}, Address: "of-" + id}
 }
 
 // site is some books, what is applied at each, and a board that tells some of them.
 type site struct {
 	now   int64
-	books []*gossip.Book
-	view  []map[string]gossip.Server
+	books []*gossip.Replica
+	view  []map[string]gossip.Endpoint
 	purge []map[string]int64
 }
 
 func newSite(n int, wrong string) *site {
 	s := &site{now: second}
 	for range n {
-		s.books = append(s.books, gossip.New(gossip.Settings{Keep: 30 * second}.Wrong(wrong)))
-		s.view, s.purge = append(s.view, map[string]gossip.Server{}), append(s.purge, map[string]int64{})
+		s.books = append(s.books, gossip.New(gossip.Settings{PurgeRetention: 30 * second}.Wrong(wrong)))
+		s.view, s.purge = append(s.view, map[string]gossip.Endpoint{}), append(s.purge, map[string]int64{})
 	}
 	return s
 }
 
-func (s *site) apply(i int, list []gossip.Server, purges []gossip.Purge) {
+func (s *site) apply(i int, list []gossip.Endpoint, purges []gossip.Purge) {
 	for _, x := range list {
-		s.view[i][x.Server] = x
+		s.view[i][x.ID] = x
 	}
 	for _, p := range purges {
 		key := fmt.Sprint(p.Object, p.Group)
@@ -48,10 +48,10 @@
 }
 
 // board tells some routers, to is a bit for each.
-func (s *site) board(to int, whole bool, list ...gossip.Server) {
+func (s *site) board(to int, whole bool, list ...gossip.Endpoint) {
 	for i, b := range s.books {
 		if to>>i&1 == 1 {
-			s.apply(i, b.Board(s.now, whole, list), nil)
+			s.apply(i, b.ApplyLocal(s.now, whole, list), nil)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 func (s *site) purged(to int, p gossip.Purge) {
 	for i, b := range s.books {
 		if to>>i&1 == 1 {
-			b.Purged(s.now, p)
+			b.ApplyLocalPurge(s.now, p)
 			s.apply(i, nil, []gossip.Purge{p})
 		}
 	}
@@ -67,13 +67,13 @@
 
 // talk lets one hear another's tag, and what follows from it.
 func (s *site) talk(i, from int) {
-	t := s.books[i].Letter(s.now, wall+s.now, fmt.Sprint(from), s.books[from].Tag(), nil, 1000)
-	for _, ask := range t.Back {
-		for _, tell := range s.books[from].Letter(s.now, wall+s.now, fmt.Sprint(i), s.books[i].Tag(), ask, 1000).Back {
+	t := s.books[i].HandlePayload(s.now, wall+s.now, fmt.Sprint(from), s.books[from].Digest(), nil, 1000)
+	for _, ask := range t.Replies {
+		for _, tell := range s.books[from].HandlePayload(s.now, wall+s.now, fmt.Sprint(i), s.books[i].Digest(), ask, 1000).Replies {
 			if len(tell) > 1090 {
 				panic("a letter is too long")
 			}
-			got := s.books[i].Letter(s.now, wall+s.now, fmt.Sprint(from), s.books[from].Tag(), tell, 1000)
+			got := s.books[i].HandlePayload(s.now, wall+s.now, fmt.Sprint(from), s.books[from].Digest(), tell, 1000)
 			s.apply(i, got.Servers, got.Purges)
 		}
 	}
@@ -107,7 +107,7 @@
 	s.purged(fresh, gossip.Purge{Object: "o", At: wall + s.now})
 	s.purged(fresh, gossip.Purge{Group: 7, At: wall + s.now})
 	s.pass(4 * second)
-	if got := s.view[3]["a"]; got.State != "leaving" || got.Endpoint != "of-a" {
+	if got := s.view[3]["a"]; got.State != "leaving" || got.Address != "of-a" {
 		t.Fatalf("a drain: %+v", got)
 	}
 	if s.purge[3]["o0"] == 0 || s.purge[3]["7"] == 0 {
@@ -118,17 +118,17 @@
 	s.board(fresh, false, server("b", "active", wall+s.now))
 	for range 40 { // for much longer than a claim lasts
 		s.pass(second)
-		if a, b := s.view[3]["a"], s.view[3]["b"]; a.State != "left" || s.now > 16*second && (b.State != "active" || b.Born == 0) {
+		if a, b := s.view[3]["a"], s.view[3]["b"]; a.State != "left" || s.now > 16*second && (b.State != "active" || b.StartedAt == 0) {
 			t.Fatalf("at %d s: %+v %+v", s.now/second, a, b)
 		}
 	}
 	// Its own board is back, late and in order: nothing that is gone is used again
 	// before that board says so.
-	birth := s.view[3]["b"].Born
-	for _, x := range []gossip.Server{server("a", "leaving", 0), server("a", "left", 0), server("b", "left", 0)} {
+	birth := s.view[3]["b"].StartedAt
+	for _, x := range []gossip.Endpoint{server("a", "leaving", 0), server("a", "left", 0), server("b", "left", 0)} {
 		s.board(0b1000, false, x)
-		if s.view[3]["a"].State != "left" && x.Server == "a" || x.Server == "b" && s.view[3]["b"].State != "left" {
-			t.Errorf("after %s %s of its board: %+v %+v", x.Server, x.State, s.view[3]["a"], s.view[3]["b"])
+		if s.view[3]["a"].State != "left" && x.ID == "a" || x.ID == "b" && s.view[3]["b"].State != "left" {
+			t.Errorf("after %s %s of its board: %+v %+v", x.ID, x.State, s.view[3]["a"], s.view[3]["b"])
 		}
 	}
 	s.board(0b1000, false, server("b", "active", birth))
@@ -170,8 +170,8 @@
 	s := cutSite("")
 	s.board(fresh, false, server("a", "left", 0))
 	s.purged(fresh, gossip.Purge{Group: 7, At: wall + s.now})
-	s.books[3] = gossip.New(gossip.Settings{Keep: 30 * second})
-	s.view[3], s.purge[3] = map[string]gossip.Server{}, map[string]int64{}
+	s.books[3] = gossip.New(gossip.Settings{PurgeRetention: 30 * second})
+	s.view[3], s.purge[3] = map[string]gossip.Endpoint{}, map[string]int64{}
 	s.board(0b1000, true, server("a", "active", 0), server("b", "active", 0), server("c", "active", 0))
 	s.pass(300 * ms)
 	if s.view[3]["a"].State != "left" || s.purge[3]["7"] == 0 {
@@ -200,7 +200,7 @@
 			s.board(0b0011, false, server("a", "left", 0), server("a", "active", wall+s.now))
 			s.pass(20 * second)
 			for i := range 2 {
-				if s.view[i]["a"].Born == 0 {
+				if s.view[i]["a"].StartedAt == 0 {
 					return fmt.Errorf("%d went back: %+v", i, s.view[i]["a"])
 				}
 			}
@@ -238,45 +238,45 @@
 // What can't be: purges of the future or long past, births to come, states and
 // lists that are none, letters of any bytes.
 func TestSpoiltNews(t *testing.T) {
-	b := gossip.New(gossip.Settings{Keep: 30 * second})
-	b.Alone(true)
-	b.Board(second, true, []gossip.Server{server("a", "active", 0)})
-	tell := func(l gossip.Letter) gossip.Taken { return b.Letter(second, wall, "x", 0, l.Pack(), 1000) }
-	peer := gossip.New(gossip.Settings{Keep: 1 << 60})
+	b := gossip.New(gossip.Settings{PurgeRetention: 30 * second})
+	b.SetSingleConfirmation(true)
+	b.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", 0)})
+	tell := func(l gossip.Payload) gossip.Result { return b.HandlePayload(second, wall, "x", 0, l.Encode(), 1000) }
+	peer := gossip.New(gossip.Settings{PurgeRetention: 1 << 60})
 	for _, p := range []gossip.Purge{{Object: "late", At: wall - 31*second}, {Object: "soon", At: wall + 3*second}} {
-		peer.Purged(second, p)
+		peer.ApplyLocalPurge(second, p)
 	}
-	peer.Board(second, true, []gossip.Server{server("a", "active", wall+10*second), server("a", "odd", wall), server("new", "leaving", 5)})
-	q := b.Question()
-	for _, body := range peer.Answer(&q, 1000) {
-		if got := tell(gossip.Letter{Tell: &body}); len(got.Servers)+len(got.Purges) > 0 {
+	peer.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", wall+10*second), server("a", "odd", wall), server("new", "leaving", 5)})
+	q := b.NewRequest()
+	for _, body := range peer.Respond(&q, 1000) {
+		if got := tell(gossip.Payload{StateExchange: &body}); len(got.Servers)+len(got.Purges) > 0 {
 			t.Errorf("taken: %+v", got)
 		}
 	}
-	if got := b.Answer(&gossip.Ask{Digests: []uint32{1}}, 1000); got != nil {
+	if got := b.Respond(&gossip.DigestRequest{Digests: []uint32{1}}, 1000); got != nil {
 		t.Errorf("a short question is answered: %v", got)
 	}
-	if b.Counts.Refused < 4 {
+	if b.Counts.Rejected < 4 {
 		t.Errorf("%+v", b.Counts)
 	}
 }
 
 func FuzzLetter(f *testing.F) {
-	b := gossip.New(gossip.Settings{Keep: 30 * second})
-	q := b.Question()
-	f.Add((&gossip.Letter{Ask: &q}).Pack())
-	b.Board(second, true, []gossip.Server{server("a", "active", 0)})
-	b.Purged(second, gossip.Purge{Object: "o", At: wall})
-	for _, t := range b.Answer(&q, 1000) {
-		f.Add((&gossip.Letter{Tell: &t}).Pack())
+	b := gossip.New(gossip.Settings{PurgeRetention: 30 * second})
+	q := b.NewRequest()
+	f.Add((&gossip.Payload{Request: &q}).Encode())
+	b.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", 0)})
+	b.ApplyLocalPurge(second, gossip.Purge{Object: "o", At: wall})
+	for _, t := range b.Respond(&q, 1000) {
+		f.Add((&gossip.Payload{StateExchange: &t}).Encode())
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		b := gossip.New(gossip.Settings{Keep: 30 * second})
-		b.Alone(true)
-		b.Board(second, true, []gossip.Server{server("a", "active", 0)})
+		b := gossip.New(gossip.Settings{PurgeRetention: 30 * second})
+		b.SetSingleConfirmation(true)
+		b.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", 0)})
 		for i := range 3 {
-			if got := b.Letter(second*int64(i+1), wall, "x", 1, body, 1000); len(got.Back) > 12 {
-				t.Fatalf("%d letters for one", len(got.Back))
+			if got := b.HandlePayload(second*int64(i+1), wall, "x", 1, body, 1000); len(got.Replies) > 12 {
+				t.Fatalf("%d letters for one", len(got.Replies))
 			}
 		}
 		b.Tick(10*second, wall)
@@ -292,11 +292,11 @@
 		s := newSite(n, "")
 		seed := rapid.Uint64().Draw(t, "seed")
 		dice := rand.New(rand.NewPCG(seed, 1))
-		log := [][]gossip.Server{{server("a", "active", 0), server("b", "active", 0), server("c", "active", 0)}}
+		log := [][]gossip.Endpoint{{server("a", "active", 0), server("b", "active", 0), server("c", "active", 0)}}
 		heard := make([]int, n)
-		now, births := map[string]gossip.Server{}, int64(0)
+		now, births := map[string]gossip.Endpoint{}, int64(0)
 		for _, x := range log[0] {
-			now[x.Server] = x
+			now[x.ID] = x
 		}
 		catch := func(i int) {
 			for ; heard[i] < len(log); heard[i]++ {
@@ -306,9 +306,9 @@
 		for i := range n {
 			catch(i)
 		}
-		last := make([]map[string]gossip.Server, n)
+		last := make([]map[string]gossip.Endpoint, n)
 		for i := range last {
-			last[i] = map[string]gossip.Server{}
+			last[i] = map[string]gossip.Endpoint{}
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "events") {
 			switch dice.IntN(6) {
@@ -321,17 +321,17 @@
 					x.State = "left"
 				default:
 					births++ // no two at one instant
-					x.State, x.Born = "active", wall+s.now+births
+					x.State, x.StartedAt = "active", wall+s.now+births
 				}
-				now[x.Server] = x
-				log = append(log, []gossip.Server{x})
+				now[x.ID] = x
+				log = append(log, []gossip.Endpoint{x})
 			case 2, 3:
 				catch(dice.IntN(n))
 			case 4: // starts from nothing, with the list as it is
 				i := dice.IntN(n)
-				s.books[i] = gossip.New(gossip.Settings{Keep: 30 * second})
-				s.view[i], last[i], heard[i] = map[string]gossip.Server{}, map[string]gossip.Server{}, len(log)
-				var list []gossip.Server
+				s.books[i] = gossip.New(gossip.Settings{PurgeRetention: 30 * second})
+				s.view[i], last[i], heard[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}, len(log)
+				var list []gossip.Endpoint
 				for _, x := range now {
 					if x.State != "left" {
 						list = append(list, x)
@@ -344,7 +344,7 @@
 			for i := range n {
 				for id, x := range s.view[i] {
 					was, is := last[i][id]
-					if is && (x.Born < was.Born || x.Born == was.Born && was.State == "left" && x.State != "left" && heard[i] == len(log)) {
+					if is && (x.StartedAt < was.StartedAt || x.StartedAt == was.StartedAt && was.State == "left" && x.State != "left" && heard[i] == len(log)) {
 						t.Fatalf("%d goes from %+v to %+v", i, was, x)
 					}
 					last[i][id] = x
@@ -357,7 +357,7 @@
 		s.pass(10 * second)
 		for i := range n {
 			for id, x := range now {
-				if got, is := s.view[i][id]; (x.State != "left" || is) && (got.State != x.State || got.Born != x.Born) {
+				if got, is := s.view[i][id]; (x.State != "left" || is) && (got.State != x.State || got.StartedAt != x.StartedAt) {
 					t.Fatalf("%d holds %+v, it is %+v", i, got, x)
 				}
 			}
--- a/internal/handoff/file.go
+++ b/internal/handoff/file.go
@@ -27,22 +27,22 @@
 
 // File is what outlasts the keeper, its generations and the machine's power.
 type File struct {
-	Format   int       `json:"format"`
-	Next     uint64    `json:"next"` // number of the next generation
-	Settled  *Manifest `json:"settled"`
-	Previous *Manifest `json:"previous,omitempty"`
-	Rollout  *Begun    `json:"rollout,omitempty"`
+	Format   int            `json:"format"`
+	Next     uint64         `json:"next"` // number of the next generation
+	Settled  *Manifest      `json:"settled"`
+	Previous *Manifest      `json:"previous,omitempty"`
+	Rollout  *RolloutRecord `json:"rollout,omitempty"`
 	// Running are processes that a keeper to come may find, with their start as the
 	// system tells it: a number alone may be another one's by then.
 	Running []Running `json:"running,omitempty"`
 }
 
-// Begun is what a rollout has made of this router.
-type Begun struct {
-	Run    uint64    `json:"run,string"`
-	New    uint64    `json:"new,omitempty"` // generation; 0: it is not on the new one
-	Before *Manifest `json:"before,omitempty"`
-	Failed string    `json:"failed,omitempty"`
+// RolloutRecord is what a rollout has made of this router.
+type RolloutRecord struct {
+	RunID         uint64    `json:"run,string"`
+	NewGeneration uint64    `json:"new,omitempty"` // generation; 0: it is not on the new one
+	Previous      *Manifest `json:"before,omitempty"`
+	FailureReason string    `json:"failed,omitempty"`
 }
 
 // Running is a process of a generation.
@@ -55,8 +55,8 @@
 // FileFormat is that of the file.
 const FileFormat = 1
 
-// ErrNewer says that a later text has written the file.
-var ErrNewer = errors.New("written by a later text")
+// ErrNewerFormat says that a later text has written the file.
+var ErrNewerFormat = errors.New("written by a later text")
 
 // ReadFile reads the state file; nil without one. A broken one is an error: it was
 // put in its place whole, so that somebody else has written it.
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if f.Format > FileFormat {
-		return nil, fmt.Errorf("%s: format %d: %w", path, f.Format, ErrNewer)
+		return nil, fmt.Errorf("%s: format %d: %w", path, f.Format, ErrNewerFormat)
 	}
 	if f.Settled == nil || f.Settled.Program == "" || f.Settled.Config == "" {
 		return nil, fmt.Errorf("%s: settled: missing, or without program or config", path)
@@ -93,11 +93,11 @@
 	if err != nil {
 		return err
 	}
-	return Put(path, append(text, '\n'))
+	return WriteFileAtomic(path, append(text, '\n'))
 }
 
-// Put writes a file whole or not at all, and syncs it and its folder.
-func Put(path string, text []byte) error {
+// WriteFileAtomic writes a file whole or not at all, and syncs it and its folder.
+func WriteFileAtomic(path string, text []byte) error {
 	if err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path))); err != nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 	return d.Sync()
 }
 
-// Sum is the xxHash64 of a program's bytes, in hex.
-func Sum(path string) (string, error) {
+// FileDigest is the xxHash64 of a program's bytes, in hex.
+func FileDigest(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", err
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -18,17 +18,17 @@
 )
 
 // sample is a word with something in every part.
-func sample() *Word {
-	var l policy.Learned
-	for i := range l.Rows {
-		l.Rows[i] = []uint64{1, 2}
-	}
-	l.Door, l.Sample = []uint64{3}, 4
-	l.Servers = []policy.LearnedServer{{ID: "c1", Born: 5, Health: 1, SpentAt: []int64{6}, Spent: []int64{7}, Kept: []uint64{8}}}
-	l.Purges = []policy.LearnedPurge{{Object: "o", Group: 1, At: 2}}
-	return &Word{Kind: Released, Format: Format, Generation: 9, State: &State{Rev: 10, Servers: []Server{{Server: "c1", Endpoint: "127.0.0.1:1", State: "active"}},
-		Learned: &l, Baton: &membership.Baton{ID: membership.ID{Life: 11, Nonce: 12}, Inc: 13, N: 14, State: membership.Alive}, Purges: []Purge{{Object: "o", Group: 1, At: 2}}},
-		Ends: upgrade.Ends{Completed: 15}, Outs: map[string][3]float64{"c1": {1, 2, 3}}}
+func sample() *Message {
+	var l policy.Snapshot
+	for i := range l.SketchRows {
+		l.SketchRows[i] = []uint64{1, 2}
+	}
+	l.SketchDoorkeeper, l.SketchSample = []uint64{3}, 4
+	l.Endpoints = []policy.EndpointSnapshot{{ID: "c1", StartedAt: 5, Health: 1, ReservedAt: []int64{6}, ReservedWork: []int64{7}, CachedObjects: []uint64{8}}}
+	l.Purges = []policy.PurgeSnapshot{{Object: "o", Group: 1, At: 2}}
+	return &Message{Kind: KindReleased, Format: Format, Generation: 9, State: &State{Revision: 10, Servers: []Server{{Server: "c1", Endpoint: "127.0.0.1:1", State: "active"}},
+		Learned: &l, Membership: &membership.HandoffState{ID: membership.InstanceID{Epoch: 11, Nonce: 12}, Incarnation: 13, Sequence: 14, State: membership.StateAlive}, Purges: []Purge{{Object: "o", Group: 1, At: 2}}},
+		Requests: upgrade.RequestCounts{Completed: 15}, OutstandingAttempts: map[string][3]float64{"c1": {1, 2, 3}}}
 }
 
 // What the text of format 1 wrote is read by this one; a test of a later text that
@@ -39,10 +39,10 @@
 		t.Fatal(err)
 	}
 	w, err := Decode(b)
-	if err != nil || w.State == nil || w.State.Learned == nil || w.State.Baton == nil {
+	if err != nil || w.State == nil || w.State.Learned == nil || w.State.Membership == nil {
 		t.Fatalf("%v, %+v", err, w)
 	}
-	if s := sample(); w.Generation != s.Generation || w.State.Learned.Servers[0].Kept[0] != 8 || w.State.Baton.N != 14 || w.Outs["c1"] != s.Outs["c1"] ||
+	if s := sample(); w.Generation != s.Generation || w.State.Learned.Endpoints[0].CachedObjects[0] != 8 || w.State.Membership.Sequence != 14 || w.OutstandingAttempts["c1"] != s.OutstandingAttempts["c1"] ||
 		w.State.Purges[0] != s.State.Purges[0] || w.State.Servers[0] != s.State.Servers[0] {
 		t.Errorf("%+v", w)
 	}
@@ -56,7 +56,7 @@
 	if b, err = cbor.Marshal(any); err != nil {
 		t.Fatal(err)
 	}
-	if w, err = Decode(b); err != nil || w.Generation != 9 || w.Ends.Completed != 0 {
+	if w, err = Decode(b); err != nil || w.Generation != 9 || w.Requests.Completed != 0 {
 		t.Errorf("%v, %+v", err, w)
 	}
 	f, err := ReadFile("testdata/state-format-1.json")
@@ -94,8 +94,8 @@
 		t.Fatal(err)
 	}
 	f.WriteString("handed down")
-	go a.Say(sample(), f)
-	w, err := b.Hear()
+	go a.Send(sample(), f)
+	w, err := b.Receive()
 	if err != nil || w.Generation != 9 {
 		t.Fatalf("%v, %+v", err, w)
 	}
@@ -108,18 +108,18 @@
 		a, b, sock := pair()
 		sock.Write(raw)
 		a.Close()
-		if w, err := b.Hear(); err == nil {
+		if w, err := b.Receive(); err == nil {
 			t.Errorf("%s: %+v", name, w)
 		}
 	}
 	// Who does not read does not hold the speaker up for ever, and is cut off.
 	a, b, _ = pair()
 	defer b.Close()
-	big := &Word{Kind: Own, Note: strings.Repeat("x", MostWord/2)}
-	if err := a.Say(big); !errors.Is(err, os.ErrDeadlineExceeded) {
+	big := &Message{Kind: KindServe, Note: strings.Repeat("x", MaxMessageBytes/2)}
+	if err := a.Send(big); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a word that nobody reads: %v", err)
 	}
-	if err := a.Say(&Word{Kind: Own}); err == nil {
+	if err := a.Send(&Message{Kind: KindServe}); err == nil {
 		t.Error("a word after half a word")
 	}
 }
@@ -128,14 +128,14 @@
 func TestPut(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "f")
-	if err := Put(path, []byte("one")); err != nil {
+	if err := WriteFileAtomic(path, []byte("one")); err != nil {
 		t.Fatal(err)
 	}
-	if err := Put(filepath.Join(dir, "no", "f"), nil); err == nil {
+	if err := WriteFileAtomic(filepath.Join(dir, "no", "f"), nil); err == nil {
 		t.Error("put where there is no folder")
 	}
 	os.MkdirAll(filepath.Join(dir, "d", "x"), 0o700)
-	if err := Put(filepath.Join(dir, "d"), []byte("two")); err == nil {
+	if err := WriteFileAtomic(filepath.Join(dir, "d"), []byte("two")); err == nil {
 		t.Error("put in the place of a folder")
 	}
 	if text, _ := os.ReadFile(path); string(text) != "one" {
@@ -160,10 +160,10 @@
 			return
 		}
 		if w.State != nil && w.State.Learned != nil { // nothing in it harms the module
-			r := policy.New(policy.Settings{Zone: "z", Kinds: []string{"box"}}, 1)
-			r.Learn(w.State.Learned)
-			r.Handle(1, policy.Event{Kind: policy.EvBeside, Outs: w.Outs}, nil)
-			r.Handle(2, policy.Event{Kind: policy.EvTimer}, nil)
+			r := policy.New(policy.Settings{Zone: "z", EndpointKinds: []string{"box"}}, 1)
+			r.Restore(w.State.Learned)
+			r.Handle(1, policy.Event{Kind: policy.EventOtherGeneration, InFlight: w.OutstandingAttempts}, nil)
+			r.Handle(2, policy.Event{Kind: policy.EventTimer}, nil)
 		}
 		if again, err := cbor.Marshal(w); err != nil || bytes.Equal(again, nil) {
 			t.Fatal(err)
--- a/internal/handoff/word.go
+++ b/internal/handoff/word.go
@@ -34,68 +34,68 @@
 // Kinds of words. Of the keeper: Own to Bound; of a generation: Hello to Beat; of a
 // tool: Apply to Status, answered by Report.
 const (
-	Own       Kind = 1 + iota // serve; with State: in the place of who had it
-	Quiet                     // take nothing new, hand over
-	Taken                     // the successor serves
-	Settle                    // the trial is over
-	Resume                    // serve again
-	End                       // answer what there is, then end
-	Reload                    // read the settings again, as by SIGHUP
-	Bound                     // Memory and Descriptors are the generation's part from now on
-	Beside                    // Outs of the other generation
-	Hello                     // the first word: Generation, Format; an orphan's with State of its part, and its sockets
-	Ready                     // it could serve
-	Released                  // it takes nothing new and holds nothing that one generation holds; with State
-	Accepting                 // it serves
-	Denied                    // it did not get the place
-	Settled                   //
-	Beat                      // Ends, Outs, Txns, Acts
-	Apply                     // Program, Config, Operator
-	Back                      //
-	Status                    //
-	Report                    // Note; Over: the last one
-	Letter                    // to the router To, or from From: Body, among members
-	Roll                      // of a tool: Command of a rollout; 0: only Report, with Rollout
+	KindServe           Kind = 1 + iota // serve; with State: in the place of who had it
+	KindQuiesce                         // take nothing new, hand over
+	KindSuccessorServes                 // the successor serves
+	KindSettle                          // the trial is over
+	KindResume                          // serve again
+	KindEnd                             // answer what there is, then end
+	KindReload                          // read the settings again, as by SIGHUP
+	KindLimits                          // Memory and Descriptors are the generation's part from now on
+	KindOtherAttempts                   // Outs of the other generation
+	KindHello                           // the first word: Generation, Format; an orphan's with State of its part, and its sockets
+	KindReady                           // it could serve
+	KindReleased                        // it takes nothing new and holds nothing that one generation holds; with State
+	KindAccepting                       // it serves
+	KindDenied                          // it did not get the place
+	KindSettled                         //
+	KindHeartbeat                       // Ends, Outs, Txns, Acts
+	KindApply                           // Program, Config, Operator
+	KindRollBack                        //
+	KindStatus                          //
+	KindReport                          // Note; Over: the last one
+	KindPeerMessage                     // to the router To, or from From: Body, among members
+	KindRollout                         // of a tool: Command of a rollout; 0: only Report, with Rollout
 )
 
-// Word is what is said.
-type Word struct {
-	Kind       Kind                  `cbor:"1,keyasint"`
-	Format     int                   `cbor:"2,keyasint,omitempty"`
-	Generation uint64                `cbor:"3,keyasint,omitempty"`
-	State      *State                `cbor:"4,keyasint,omitempty"`
-	Ends       upgrade.Ends          `cbor:"5,keyasint,omitempty"`
-	Outs       map[string][3]float64 `cbor:"6,keyasint,omitempty"`
-	Bound      upgrade.Use           `cbor:"7,keyasint,omitempty"`
-	Part       upgrade.PartState     `cbor:"8,keyasint,omitempty"`
-	WasSettled bool                  `cbor:"9,keyasint,omitempty"`
-	PID        int                   `cbor:"10,keyasint,omitempty"`
-	Sockets    []string              `cbor:"11,keyasint,omitempty"` // what the descriptors that come along are
-	Program    string                `cbor:"12,keyasint,omitempty"`
-	Config     string                `cbor:"13,keyasint,omitempty"`
-	Operator   string                `cbor:"14,keyasint,omitempty"`
-	Note       string                `cbor:"15,keyasint,omitempty"`
-	Over       bool                  `cbor:"16,keyasint,omitempty"`
-	OK         bool                  `cbor:"17,keyasint,omitempty"`
-	FellBack   bool                  `cbor:"18,keyasint,omitempty"`
-	Standing   *Standing             `cbor:"19,keyasint,omitempty"`
-	Txns       int                   `cbor:"20,keyasint,omitempty"`
-	To         string                `cbor:"22,keyasint,omitempty"`
-	From       string                `cbor:"23,keyasint,omitempty"`
-	Body       []byte                `cbor:"24,keyasint,omitempty"`
-	Command    rollout.Command       `cbor:"25,keyasint,omitempty"`
-	Rollout    *rollout.Standing     `cbor:"26,keyasint,omitempty"`
-	Acts       *invariant.Acts       `cbor:"27,keyasint,omitempty"`
-	Hold       bool                  `cbor:"21,keyasint,omitempty"` // of Own and Resume: somebody may have spent the router's part of cold budgets
+// Message is what is said.
+type Message struct {
+	Kind                Kind                  `cbor:"1,keyasint"`
+	Format              int                   `cbor:"2,keyasint,omitempty"`
+	Generation          uint64                `cbor:"3,keyasint,omitempty"`
+	State               *State                `cbor:"4,keyasint,omitempty"`
+	Requests            upgrade.RequestCounts `cbor:"5,keyasint,omitempty"`
+	OutstandingAttempts map[string][3]float64 `cbor:"6,keyasint,omitempty"`
+	Limits              upgrade.Resources     `cbor:"7,keyasint,omitempty"`
+	AgentState          upgrade.AgentState    `cbor:"8,keyasint,omitempty"`
+	WasSettled          bool                  `cbor:"9,keyasint,omitempty"`
+	PID                 int                   `cbor:"10,keyasint,omitempty"`
+	Sockets             []string              `cbor:"11,keyasint,omitempty"` // what the descriptors that come along are
+	Program             string                `cbor:"12,keyasint,omitempty"`
+	Config              string                `cbor:"13,keyasint,omitempty"`
+	Operator            string                `cbor:"14,keyasint,omitempty"`
+	Note                string                `cbor:"15,keyasint,omitempty"`
+	Final               bool                  `cbor:"16,keyasint,omitempty"`
+	OK                  bool                  `cbor:"17,keyasint,omitempty"`
+	FellBack            bool                  `cbor:"18,keyasint,omitempty"`
+	Status              *Status               `cbor:"19,keyasint,omitempty"`
+	OpenRequests        int                   `cbor:"20,keyasint,omitempty"`
+	To                  string                `cbor:"22,keyasint,omitempty"`
+	From                string                `cbor:"23,keyasint,omitempty"`
+	Body                []byte                `cbor:"24,keyasint,omitempty"`
+	Command             rollout.Command       `cbor:"25,keyasint,omitempty"`
+	Rollout             *rollout.Status       `cbor:"26,keyasint,omitempty"`
+	Activity            *invariant.Activity   `cbor:"27,keyasint,omitempty"`
+	BudgetsMaybeSpent   bool                  `cbor:"21,keyasint,omitempty"` // of Own and Resume: somebody may have spent the router's part of cold budgets
 }
 
 // State is what a generation hands over.
 type State struct {
-	Rev     int64             `cbor:"1,keyasint,omitempty"` // of the notice board
-	Servers []Server          `cbor:"2,keyasint,omitempty"`
-	Learned *policy.Learned   `cbor:"3,keyasint,omitempty"`
-	Baton   *membership.Baton `cbor:"4,keyasint,omitempty"`
-	Purges  []Purge           `cbor:"5,keyasint,omitempty"` // that peers of other sites are told of
+	Revision   int64                    `cbor:"1,keyasint,omitempty"` // of the notice board
+	Servers    []Server                 `cbor:"2,keyasint,omitempty"`
+	Learned    *policy.Snapshot         `cbor:"3,keyasint,omitempty"`
+	Membership *membership.HandoffState `cbor:"4,keyasint,omitempty"`
+	Purges     []Purge                  `cbor:"5,keyasint,omitempty"` // that peers of other sites are told of
 }
 
 // Server is a line of the list.
@@ -118,43 +118,43 @@
 	At     int64
 }
 
-// Standing is what a keeper tells of itself.
-type Standing struct {
-	State      string    `cbor:"1,keyasint" json:"state"`
-	SinceMS    int64     `cbor:"2,keyasint" json:"since_ms"`
-	Serving    *Process  `cbor:"3,keyasint,omitempty" json:"serving,omitempty"`
-	Next       *Process  `cbor:"4,keyasint,omitempty" json:"next,omitempty"`
-	Settled    *Manifest `cbor:"5,keyasint,omitempty" json:"settled,omitempty"`
-	Previous   *Manifest `cbor:"6,keyasint,omitempty" json:"previous,omitempty"`
-	Last       string    `cbor:"7,keyasint,omitempty" json:"last,omitempty"` // what became of the last change
-	Lasting    bool      `cbor:"8,keyasint,omitempty" json:"lasting"`        // the file could be written
-	KeeperPID  int       `cbor:"9,keyasint,omitempty" json:"keeper_pid"`
-	Restarts   int       `cbor:"10,keyasint,omitempty" json:"restarts"` // of the settled generation, unasked
-	LastFallMS int64     `cbor:"11,keyasint,omitempty" json:"last_fall_ms"`
-	Others     int       `cbor:"14,keyasint,omitempty" json:"others"`  // processes that still end
-	MostMB     int       `cbor:"12,keyasint,omitempty" json:"most_mb"` // of all processes together, since the keeper began
-	MostFDs    int       `cbor:"13,keyasint,omitempty" json:"most_descriptors"`
+// Status is what a keeper tells of itself.
+type Status struct {
+	State             string    `cbor:"1,keyasint" json:"state"`
+	SinceMS           int64     `cbor:"2,keyasint" json:"since_ms"`
+	Serving           *Process  `cbor:"3,keyasint,omitempty" json:"serving,omitempty"`
+	Next              *Process  `cbor:"4,keyasint,omitempty" json:"next,omitempty"`
+	Settled           *Manifest `cbor:"5,keyasint,omitempty" json:"settled,omitempty"`
+	Previous          *Manifest `cbor:"6,keyasint,omitempty" json:"previous,omitempty"`
+	LastOutcome       string    `cbor:"7,keyasint,omitempty" json:"last,omitempty"` // what became of the last change
+	Persistent        bool      `cbor:"8,keyasint,omitempty" json:"lasting"`        // the file could be written
+	SupervisorPID     int       `cbor:"9,keyasint,omitempty" json:"keeper_pid"`
+	Restarts          int       `cbor:"10,keyasint,omitempty" json:"restarts"` // of the settled generation, unasked
+	LastCrashMS       int64     `cbor:"11,keyasint,omitempty" json:"last_fall_ms"`
+	DrainingProcesses int       `cbor:"14,keyasint,omitempty" json:"others"`  // processes that still end
+	PeakMB            int       `cbor:"12,keyasint,omitempty" json:"most_mb"` // of all processes together, since the keeper began
+	PeakDescriptors   int       `cbor:"13,keyasint,omitempty" json:"most_descriptors"`
 }
 
 // Process is a running generation.
 type Process struct {
-	Generation  uint64       `cbor:"1,keyasint" json:"generation"`
-	PID         int          `cbor:"2,keyasint" json:"pid"`
-	Part        string       `cbor:"3,keyasint" json:"part"`
-	MemoryMB    int          `cbor:"4,keyasint,omitempty" json:"memory_mb"`
-	Descriptors int          `cbor:"5,keyasint,omitempty" json:"descriptors"`
-	Ends        upgrade.Ends `cbor:"6,keyasint,omitempty" json:"ends"`
-	BeatMS      int64        `cbor:"7,keyasint,omitempty" json:"beat_ms"`          // since its last word
-	Broken      string       `cbor:"8,keyasint,omitempty" json:"broken,omitempty"` // the rule that its keeper has seen it break
+	Generation     uint64                `cbor:"1,keyasint" json:"generation"`
+	PID            int                   `cbor:"2,keyasint" json:"pid"`
+	AgentState     string                `cbor:"3,keyasint" json:"part"`
+	MemoryMB       int                   `cbor:"4,keyasint,omitempty" json:"memory_mb"`
+	Descriptors    int                   `cbor:"5,keyasint,omitempty" json:"descriptors"`
+	Requests       upgrade.RequestCounts `cbor:"6,keyasint,omitempty" json:"ends"`
+	HeartbeatAgeMS int64                 `cbor:"7,keyasint,omitempty" json:"beat_ms"`          // since its last word
+	ViolatedRule   string                `cbor:"8,keyasint,omitempty" json:"broken,omitempty"` // the rule that its keeper has seen it break
 }
 
-// MostWord bounds a word: a state of some thousand servers.
-const MostWord = 8 << 20
+// MaxMessageBytes bounds a word: a state of some thousand servers.
+const MaxMessageBytes = 8 << 20
 
 // Errors of connections.
 var (
-	ErrLong   = errors.New("handover: a word longer than 8 MB")
-	ErrBroken = errors.New("handover: not a word")
+	ErrTooLong          = errors.New("handover: a word longer than 8 MB")
+	ErrMalformedMessage = errors.New("handover: not a word")
 )
 
 var decoding = func() cbor.DecMode {
@@ -167,13 +167,13 @@
 }()
 
 // Decode reads a word's payload.
-func Decode(b []byte) (*Word, error) {
-	w := new(Word)
+func Decode(b []byte) (*Message, error) {
+	w := new(Message)
 	if err := decoding.Unmarshal(b, w); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	if w.Kind == 0 {
-		return nil, ErrBroken
+		return nil, ErrMalformedMessage
 	}
 	return w, nil
 }
@@ -207,15 +207,15 @@
 // stopped, and nobody waits for it.
 const sayWithin = 500 * time.Millisecond
 
-// Say sends a word; sockets go along. A word that is not taken in whole ends the
+// Send sends a word; sockets go along. A word that is not taken in whole ends the
 // connection, since what follows could not be read.
-func (c *Conn) Say(w *Word, sockets ...*os.File) error {
+func (c *Conn) Send(w *Message, sockets ...*os.File) error {
 	p, err := cbor.Marshal(w)
 	if err != nil {
 		return err
 	}
-	if len(p) > MostWord {
-		return ErrLong
+	if len(p) > MaxMessageBytes {
+		return ErrTooLong
 	}
 	b := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(p)), uint32(len(p)))
 	b = append(b, p...)
@@ -241,15 +241,15 @@
 	return nil
 }
 
-// Hear waits for the next word. Descriptors that came along stay for Sockets.
-func (c *Conn) Hear() (*Word, error) {
+// Receive waits for the next word. Descriptors that came along stay for Sockets.
+func (c *Conn) Receive() (*Message, error) {
 	var head [4]byte
 	if err := c.full(head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > MostWord {
-		return nil, ErrLong
+	if n > MaxMessageBytes {
+		return nil, ErrTooLong
 	}
 	b := make([]byte, n)
 	if err := c.full(b); err != nil {
@@ -305,34 +305,34 @@
 // Close ends the connection.
 func (c *Conn) Close() error { return c.sock.Close() }
 
-// Ask says a word to the keeper of a folder, and waits for its last report; those on
+// Request says a word to the keeper of a folder, and waits for its last report; those on
 // the way go to tell.
-func Ask(socket string, w *Word, tell func(string)) (*Word, error) {
+func Request(socket string, w *Message, tell func(string)) (*Message, error) {
 	sock, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: socket, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("no keeper answers: %w", err)
 	}
 	c := NewConn(sock)
 	defer c.Close()
-	if err := c.Say(w); err != nil {
+	if err := c.Send(w); err != nil {
 		return nil, err
 	}
 	for {
-		r, err := c.Hear()
+		r, err := c.Receive()
 		if err != nil {
 			return nil, fmt.Errorf("the keeper has gone: %w", err)
 		}
 		if r.Note != "" && tell != nil {
 			tell(r.Note)
 		}
-		if r.Over {
+		if r.Final {
 			return r, nil
 		}
 	}
 }
 
-// Peer is the process at the other end.
-func (c *Conn) Peer() (pid int, err error) {
+// PeerPID is the process at the other end.
+func (c *Conn) PeerPID() (pid int, err error) {
 	raw, err := c.sock.SyscallConn()
 	if err != nil {
 		return 0, err
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -27,10 +27,10 @@
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of a response
-	Length         int    // of the body; -1 in a response: until the connection ends
+	ContentLength  int    // of the body; -1 in a response: until the connection ends
 	Chunked        bool   // the body of a response comes in chunks (RFC 9112, section 7.1)
 	Close          bool   // the sender ends the connection behind this message
-	Continue       bool   // the client waits for 100 before it sends the body
+	ExpectContinue bool   // the client waits for 100 before it sends the body
 	Fields         []Field
 }
 
@@ -57,8 +57,8 @@
 	return n
 }
 
-// Bounds on a head: all lines together, and their number.
-type Bounds struct{ Bytes, Fields, Body int }
+// Limits on a head: all lines together, and their number.
+type Limits struct{ MaxBytes, MaxFields, MaxBody int }
 
 // line reads one line without its end. It must fit into r's buffer.
 func line(r *bufio.Reader, left *int) ([]byte, error) {
@@ -74,8 +74,8 @@
 }
 
 // ReadRequest reads a request up to its body.
-func ReadRequest(r *bufio.Reader, b Bounds) (*Head, error) {
-	left := b.Bytes
+func ReadRequest(r *bufio.Reader, b Limits) (*Head, error) {
+	left := b.MaxBytes
 	l, err := line(r, &left)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	if err := h.fields(r, b, &left); err != nil {
 		return nil, err
 	}
-	h.Length = max(h.Length, 0)
+	h.ContentLength = max(h.ContentLength, 0)
 	if _, told := h.Get("host"); !told && part[2] == "HTTP/1.1" {
 		return nil, bad(400, "no Host")
 	}
@@ -108,8 +108,8 @@
 }
 
 // ReadResponse reads a response up to its body.
-func ReadResponse(r *bufio.Reader, b Bounds) (*Head, error) {
-	left := b.Bytes
+func ReadResponse(r *bufio.Reader, b Limits) (*Head, error) {
+	left := b.MaxBytes
 	l, err := line(r, &left)
 	if err != nil {
 		return nil, err
@@ -124,15 +124,15 @@
 	return h, h.fields(r, b, &left)
 }
 
-func (h *Head) fields(r *bufio.Reader, b Bounds, left *int) error {
-	h.Length = -1
+func (h *Head) fields(r *bufio.Reader, b Limits, left *int) error {
+	h.ContentLength = -1
 	for {
 		l, err := line(r, left)
 		if err != nil {
 			return err
 		}
 		if len(l) == 0 {
-			if h.Chunked && h.Length >= 0 {
+			if h.Chunked && h.ContentLength >= 0 {
 				return bad(502, "chunks and a length")
 			}
 			return nil
@@ -141,7 +141,7 @@
 		if !ok || !token(name) {
 			return bad(400, "malformed header")
 		}
-		if len(h.Fields) >= b.Fields {
+		if len(h.Fields) >= b.MaxFields {
 			return bad(431, "too many headers")
 		}
 		f := Field{strings.ToLower(name), strings.Trim(value, " \t")}
@@ -149,7 +149,7 @@
 			return bad(400, "malformed header")
 		}
 		h.Fields = append(h.Fields, f)
-		if err := h.framing(f, b.Body); err != nil {
+		if err := h.framing(f, b.MaxBody); err != nil {
 			return err
 		}
 	}
@@ -166,10 +166,10 @@
 		if err != nil || int(n) > most {
 			return bad(413, "body too long")
 		}
-		if h.Length >= 0 && h.Length != int(n) {
+		if h.ContentLength >= 0 && h.ContentLength != int(n) {
 			return bad(400, "two lengths")
 		}
-		h.Length = int(n)
+		h.ContentLength = int(n)
 	case "transfer-encoding":
 		// Clients of the protocol tell lengths; a server may answer in chunks.
 		if h.Status == 0 || h.Chunked || !strings.EqualFold(f.Value, "chunked") {
@@ -177,7 +177,7 @@
 		}
 		h.Chunked = true
 	case "expect":
-		h.Continue = strings.EqualFold(f.Value, "100-continue")
+		h.ExpectContinue = strings.EqualFold(f.Value, "100-continue")
 	case "connection":
 		for option := range strings.SplitSeq(strings.ToLower(f.Value), ",") {
 			h.Close = h.Close || strings.Trim(option, " \t") == "close"
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var bounds = Bounds{Bytes: 1000, Fields: 5, Body: 100}
+var bounds = Limits{MaxBytes: 1000, MaxFields: 5, MaxBody: 100}
 
 func read(text string) (*Head, error) {
 	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 512), bounds)
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := h.Get("x-txn"); v != "7" || h.Method != "PUT" || h.Target != "/rpc/a/b" || h.Length != 3 || !h.Close {
+	if v, _ := h.Get("x-txn"); v != "7" || h.Method != "PUT" || h.Target != "/rpc/a/b" || h.ContentLength != 3 || !h.Close {
 		t.Fatalf("%+v", h)
 	}
 }
@@ -64,7 +64,7 @@
 
 func TestResponse(t *testing.T) {
 	h, err := ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")), bounds)
-	if err != nil || h.Status != 200 || h.Length != 2 {
+	if err != nil || h.Status != 200 || h.ContentLength != 2 {
 		t.Fatalf("%+v, %v", h, err)
 	}
 	for _, text := range []string{"HTTP/1.1 abc\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "\r\n\r\n"} {
@@ -90,7 +90,7 @@
 	f.Add("PUT / HTTP/1.0\r\nContent-Length: 100\r\nExpect: 100-continue\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		h, err := read(text)
-		if err == nil && (h.Length < 0 || h.Length > bounds.Body || len(h.Fields) > bounds.Fields || h.Target == "") {
+		if err == nil && (h.ContentLength < 0 || h.ContentLength > bounds.MaxBody || len(h.Fields) > bounds.MaxFields || h.Target == "") {
 			t.Fatalf("%+v", h)
 		}
 	})
--- a/internal/invariant/acts.go
+++ b/internal/invariant/acts.go
@@ -2,30 +2,30 @@
 
 import "sync"
 
-// Acts are what a process did since its last word.
-type Acts struct {
-	Sent    []Sent   `cbor:"1,keyasint,omitempty"`
-	Answers []Answer `cbor:"2,keyasint,omitempty"`
-	Twice   int      `cbor:"3,keyasint,omitempty"` // hops of unrepeatable txns beside one that may have run
-	More    int      `cbor:"4,keyasint,omitempty"` // acts that found no room
+// Activity are what a process did since its last word.
+type Activity struct {
+	Endpoints         []EndpointUse `cbor:"1,keyasint,omitempty"`
+	Responses         []Response    `cbor:"2,keyasint,omitempty"`
+	DuplicateAttempts int           `cbor:"3,keyasint,omitempty"` // hops of unrepeatable txns beside one that may have run
+	Dropped           int           `cbor:"4,keyasint,omitempty"` // acts that found no room
 }
 
-// Sent are a server's hops.
-type Sent struct {
-	_      struct{} `cbor:",toarray"`
-	Server string
-	To     int64   // when the last one went there, Unix microseconds; 0: none
-	From   int64   // when it was named as source last
-	Work   float64 // of all of them, microseconds of sending time
+// EndpointUse are a server's hops.
+type EndpointUse struct {
+	_                 struct{} `cbor:",toarray"`
+	Endpoint          string
+	LastSentMicros    int64   // when the last one went there, Unix microseconds; 0: none
+	LastSourcedMicros int64   // when it was named as source last
+	WorkMicros        float64 // of all of them, microseconds of sending time
 }
 
-// Answer is a read's.
-type Answer struct {
-	_      struct{} `cbor:",toarray"`
-	Object uint64   // its name's xxHash64
-	Group  int64
-	Sent   int64 // when its hop went out
-	Issued int64 // when the origin gave the copy out
+// Response is a read's.
+type Response struct {
+	_            struct{} `cbor:",toarray"`
+	Object       uint64   // its name's xxHash64
+	Group        int64
+	SentMicros   int64 // when its hop went out
+	IssuedMicros int64 // when the origin gave the copy out
 }
 
 // Bounds of a word.
@@ -39,57 +39,57 @@
 // Recorder gathers acts, for any goroutine. Nil gathers nothing.
 type Recorder struct {
 	mu    sync.Mutex
-	sent  map[string]*Sent
-	acts  Acts
+	sent  map[string]*EndpointUse
+	acts  Activity
 	works map[string][]float64 // by remap rule
 }
 
 // NewRecorder gathers from now on.
 func NewRecorder() *Recorder {
-	return &Recorder{sent: map[string]*Sent{}, works: map[string][]float64{}}
+	return &Recorder{sent: map[string]*EndpointUse{}, works: map[string][]float64{}}
 }
 
-// Hop notes one that goes out. Source "": nothing is filled. Its work is the mean of
+// RecordAttempt notes one that goes out. Source "": nothing is filled. Its work is the mean of
 // what the rule's answers took to send lately.
-func (r *Recorder) Hop(now int64, to, source, rule string, twice bool) {
+func (r *Recorder) RecordAttempt(now int64, to, source, rule string, twice bool) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if twice {
-		r.acts.Twice++
+		r.acts.DuplicateAttempts++
 	}
 	work, list := 0.0, r.works[rule]
 	for _, w := range list {
 		work += w / float64(len(list))
 	}
 	if s := r.of(to); s != nil {
-		s.To, s.Work = now, s.Work+work
+		s.LastSentMicros, s.WorkMicros = now, s.WorkMicros+work
 	}
 	if source == "" || source == to {
 		return
 	}
 	if s := r.of(source); s != nil {
-		s.From, s.Work = now, s.Work+work
+		s.LastSourcedMicros, s.WorkMicros = now, s.WorkMicros+work
 	}
 }
 
-func (r *Recorder) of(server string) *Sent {
+func (r *Recorder) of(server string) *EndpointUse {
 	s := r.sent[server]
 	if s == nil {
 		if len(r.sent) >= mostSent {
-			r.acts.More++
+			r.acts.Dropped++
 			return nil
 		}
-		s = &Sent{Server: server}
+		s = &EndpointUse{Endpoint: server}
 		r.sent[server] = s
 	}
 	return s
 }
 
-// Answered notes a read's answer; took is its sending time, 0: not known.
-func (r *Recorder) Answered(rule, object string, group, sent, issued int64, took float64) {
+// RecordResponse notes a read's answer; took is its sending time, 0: not known.
+func (r *Recorder) RecordResponse(rule, object string, group, sent, issued int64, took float64) {
 	if r == nil {
 		return
 	}
@@ -102,15 +102,15 @@
 	if issued <= 0 {
 		return
 	}
-	if len(r.acts.Answers) >= mostAnswers {
-		r.acts.More++
+	if len(r.acts.Responses) >= mostAnswers {
+		r.acts.Dropped++
 		return
 	}
-	r.acts.Answers = append(r.acts.Answers, Answer{Object: hash(object), Group: group, Sent: sent, Issued: issued})
+	r.acts.Responses = append(r.acts.Responses, Response{Object: hash(object), Group: group, SentMicros: sent, IssuedMicros: issued})
 }
 
 // Take empties it.
-func (r *Recorder) Take() *Acts {
+func (r *Recorder) Take() *Activity {
 	if r == nil {
 		return nil
 	}
@@ -118,8 +118,8 @@
 	defer r.mu.Unlock()
 	a := r.acts
 	for _, s := range r.sent {
-		a.Sent = append(a.Sent, *s)
+		a.Endpoints = append(a.Endpoints, *s)
 	}
-	r.acts, r.sent = Acts{}, map[string]*Sent{}
+	r.acts, r.sent = Activity{}, map[string]*EndpointUse{}
 	return &a
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -19,33 +19,33 @@
 
 // Settings are the figures of the rules.
 type Settings struct {
-	DrainGrace, PurgeGrace int64
-	Window                 int64 // of cold servers' budgets
-	Cold                   map[string]Cold
+	DrainGraceMicros, PurgeGraceMicros int64
+	WindowMicros                       int64 // of cold servers' budgets
+	SlowStart                          map[string]SlowStartBudget
 }
 
-// Cold is the budget of servers of a kind.
-type Cold struct {
+// SlowStartBudget is the budget of servers of a kind.
+type SlowStartBudget struct {
 	From, Multiple float64
-	Lasts          int64
+	DurationMicros int64
 	Routers        float64 // that share it
 }
 
-// SettingsOf takes them from a router's.
-func SettingsOf(set *policy.Settings) Settings {
-	c, f := &set.Contract, &set.Family
-	s := Settings{DrainGrace: c.DrainGrace, PurgeGrace: f.PurgeGrace, Window: c.FallFor, Cold: map[string]Cold{}}
-	near := max(set.Siblings, 1)
-	if i := slices.Index(set.Zones, set.Zone); i >= 0 && i < len(f.ZoneBalancers) && f.ZoneBalancers[i] > 0 {
-		near = f.ZoneBalancers[i]
+// SettingsFrom takes them from a router's.
+func SettingsFrom(set *policy.Settings) Settings {
+	c, f := &set.Contract, &set.Hierarchy
+	s := Settings{DrainGraceMicros: c.DrainGrace, PurgeGraceMicros: f.PurgeGrace, WindowMicros: c.OverloadWindow, SlowStart: map[string]SlowStartBudget{}}
+	near := max(set.Routers, 1)
+	if i := slices.Index(set.Zones, set.Zone); i >= 0 && i < len(f.RoutersByZone) && f.RoutersByZone[i] > 0 {
+		near = f.RoutersByZone[i]
 	}
-	for i, kind := range set.Kinds {
+	for i, kind := range set.EndpointKinds {
 		switch i {
 		case f.OriginKind:
 		case f.ParentKind:
-			s.Cold[kind] = Cold{f.ParentColdFrom, f.ParentFallMultiple, f.ParentColdFor, float64(max(set.Siblings, 1))}
+			s.SlowStart[kind] = SlowStartBudget{f.ParentSlowStartFrom, f.ParentOverloadMultiple, f.ParentSlowStartFor, float64(max(set.Routers, 1))}
 		default:
-			s.Cold[kind] = Cold{c.ColdFrom, c.FallMultiple, c.ColdFor, float64(near)}
+			s.SlowStart[kind] = SlowStartBudget{c.SlowStartFrom, c.OverloadMultiple, c.SlowStartFor, float64(near)}
 		}
 	}
 	return s
@@ -56,11 +56,11 @@
 
 // Rules that can be seen from beside a router.
 const (
-	Twice   Rule = 2 // a hop of an unrepeatable txn beside one that may have run
-	Drained Rule = 3 // a hop to, or from, a server that was told to be out
-	Flooded Rule = 4 // more to a cold server than this router's part of its budget
-	Stale   Rule = 5 // an answer older than a purge
-	rules   Rule = 6
+	RuleDuplicate  Rule = 2 // a hop of an unrepeatable txn beside one that may have run
+	RuleDrained    Rule = 3 // a hop to, or from, a server that was told to be out
+	RuleOverBudget Rule = 4 // more to a cold server than this router's part of its budget
+	RuleStale      Rule = 5 // an answer older than a purge
+	rules          Rule = 6
 )
 
 var ruleNames = [rules]string{2: "an unrepeatable txn sent twice", 3: "sent to servers that drain or have gone", 4: "cold servers' budgets overspent", 5: "answers older than a purge"}
@@ -115,7 +115,7 @@
 	made, told int64
 }
 
-func (u *purge) covers(x *Answer) bool {
+func (u *purge) covers(x *Response) bool {
 	if u.object != 0 {
 		return u.object == x.Object
 	}
@@ -131,11 +131,11 @@
 
 type held struct {
 	at int64
-	a  *Acts
+	a  *Activity
 }
 
-// Judge is the witness.
-type Judge struct {
+// Monitor is the witness.
+type Monitor struct {
 	set       Settings
 	servers   map[string]*server
 	purges    []purge
@@ -145,7 +145,7 @@
 	wrong     wrong
 
 	drains, purged int // told of, ever
-	Lost           int // acts that found no room, here or there
+	Dropped        int // acts that found no room, here or there
 }
 
 // wrong switches guards off. Only tests set it.
@@ -157,26 +157,26 @@
 }
 
 // New witness, before the first news.
-func New(set Settings) *Judge {
-	return &Judge{set: set, servers: map[string]*server{}, processes: map[uint64]*process{}}
+func New(set Settings) *Monitor {
+	return &Monitor{set: set, servers: map[string]*server{}, processes: map[uint64]*process{}}
 }
 
-// Listed takes changes of the list of servers, or a whole one.
-func (j *Judge) Listed(now int64, whole bool, list []policy.Entry) {
+// EndpointsChanged takes changes of the list of servers, or a whole one.
+func (j *Monitor) EndpointsChanged(now int64, whole bool, list []policy.Endpoint) {
 	named := map[string]bool{}
 	for _, e := range list {
-		named[e.Server] = true
-		s := j.servers[e.Server]
+		named[e.ID] = true
+		s := j.servers[e.ID]
 		if s == nil {
 			if len(j.servers) >= mostServers {
-				j.Lost++
+				j.Dropped++
 				continue
 			}
 			s = &server{}
-			j.servers[e.Server] = s
+			j.servers[e.ID] = s
 		}
-		if s.kind, s.weight = e.Kind, e.Weight; e.Born != s.born {
-			s.born, s.spent = e.Born, nil
+		if s.kind, s.weight = e.Kind, e.Weight; e.StartedAt != s.born {
+			s.born, s.spent = e.StartedAt, nil
 		}
 		if e.State != "active" && s.out == 0 {
 			j.drains++
@@ -202,7 +202,7 @@
 }
 
 // Purged takes a purge of an object, or of a group where that is "".
-func (j *Judge) Purged(now int64, object string, group, made int64) {
+func (j *Monitor) Purged(now int64, object string, group, made int64) {
 	p := purge{group: group, made: made, told: now}
 	if object != "" {
 		p.object = hash(object)
@@ -214,24 +214,24 @@
 	j.purged++
 }
 
-// Told is how many servers were told to drain or to be gone, and how many purges there
+// EventCounts is how many servers were told to drain or to be gone, and how many purges there
 // were.
-func (j *Judge) Told() (drains, purges int) { return j.drains, j.purged }
+func (j *Monitor) EventCounts() (drains, purges int) { return j.drains, j.purged }
 
 func hash(object string) uint64 { return max(xxhash.Sum64String(object), 1) }
 
-// Blind says that the board can't be reached, or is followed again. A server that came
+// SetBlind says that the board can't be reached, or is followed again. A server that came
 // back meanwhile is not known to have: nothing is said of drains until some time after.
-func (j *Judge) Blind(now int64, on bool) {
+func (j *Monitor) SetBlind(now int64, on bool) {
 	if j.blind && !on {
 		j.sees = now + lateBy
 	}
 	j.blind = on
 }
 
-// Jumped says that the system's clock was moved by so much: times of before are moved
+// ClockJumped says that the system's clock was moved by so much: times of before are moved
 // along, and what acts say across the jump is not judged.
-func (j *Judge) Jumped(now, by int64) {
+func (j *Monitor) ClockJumped(now, by int64) {
 	for _, s := range j.servers {
 		if s.out != 0 {
 			s.out += by
@@ -252,30 +252,30 @@
 	j.sees = now + lateBy
 }
 
-// Acts takes a word of a process.
-func (j *Judge) Acts(now int64, of uint64, a *Acts) {
+// Observe takes a word of a process.
+func (j *Monitor) Observe(now int64, of uint64, a *Activity) {
 	p := j.processes[of]
 	if p == nil {
 		if len(j.processes) >= mostProcesses {
-			j.Lost++
+			j.Dropped++
 			return
 		}
 		p = &process{}
 		j.processes[of] = p
 	}
-	if j.Lost += a.More; len(p.waiting) >= mostWaiting {
+	if j.Dropped += a.Dropped; len(p.waiting) >= mostWaiting {
 		p.waiting = p.waiting[1:]
-		j.Lost++
+		j.Dropped++
 	}
 	p.waiting = append(p.waiting, held{now, a})
 	j.spend(now, p, a)
 }
 
-// Ended forgets a process.
-func (j *Judge) Ended(of uint64) { delete(j.processes, of) }
+// ProcessEnded forgets a process.
+func (j *Monitor) ProcessEnded(of uint64) { delete(j.processes, of) }
 
 // Tick judges what has waited long enough. It wants to be called some ten times a second.
-func (j *Judge) Tick(now int64) {
+func (j *Monitor) Tick(now int64) {
 	for _, p := range j.processes {
 		for len(p.waiting) > 0 && (now-p.waiting[0].at >= waits || j.wrong.atOnce) {
 			a := p.waiting[0].a
@@ -290,30 +290,30 @@
 	}
 }
 
-func (j *Judge) judge(now int64, p *process, a *Acts) {
-	for range a.Twice {
-		p.broke(Twice, now, "a hop beside one that may have run")
+func (j *Monitor) judge(now int64, p *process, a *Activity) {
+	for range a.DuplicateAttempts {
+		p.broke(RuleDuplicate, now, "a hop beside one that may have run")
 	}
-	for i := range a.Sent {
-		x := &a.Sent[i]
-		s := j.servers[x.Server]
+	for i := range a.Endpoints {
+		x := &a.Endpoints[i]
+		s := j.servers[x.Endpoint]
 		if s == nil || s.out == 0 || (j.blind || now < j.sees) && !j.wrong.seesAll {
 			continue
 		}
 		what := "sent to"
-		at := x.To
-		if x.From > at {
-			what, at = "filled from", x.From
+		at := x.LastSentMicros
+		if x.LastSourcedMicros > at {
+			what, at = "filled from", x.LastSourcedMicros
 		}
-		if past := at - s.out; past > j.set.DrainGrace+lateBy {
-			p.broke(Drained, at, fmt.Sprintf("%s %s %d ms after it was told to be out", what, x.Server, past/ms))
+		if past := at - s.out; past > j.set.DrainGraceMicros+lateBy {
+			p.broke(RuleDrained, at, fmt.Sprintf("%s %s %d ms after it was told to be out", what, x.Endpoint, past/ms))
 		}
 	}
-	for i := range a.Answers {
-		x := &a.Answers[i]
+	for i := range a.Responses {
+		x := &a.Responses[i]
 		for _, u := range j.purges {
-			if past := x.Sent - u.told; u.covers(x) && x.Issued < u.made && past > j.set.PurgeGrace+lateBy {
-				p.broke(Stale, x.Sent, fmt.Sprintf("a copy %d ms older than a purge, asked for %d ms after that was told", (u.made-x.Issued)/ms, past/ms))
+			if past := x.SentMicros - u.told; u.covers(x) && x.IssuedMicros < u.made && past > j.set.PurgeGraceMicros+lateBy {
+				p.broke(RuleStale, x.SentMicros, fmt.Sprintf("a copy %d ms older than a purge, asked for %d ms after that was told", (u.made-x.IssuedMicros)/ms, past/ms))
 				break
 			}
 		}
@@ -322,25 +322,25 @@
 
 // spend adds what was sent to cold servers by all processes of this router. The time is
 // that of the hops: words may come late, and together.
-func (j *Judge) spend(now int64, p *process, a *Acts) {
-	for i := range a.Sent {
-		x := &a.Sent[i]
-		s := j.servers[x.Server]
-		if s == nil || s.born == 0 || x.Work == 0 {
+func (j *Monitor) spend(now int64, p *process, a *Activity) {
+	for i := range a.Endpoints {
+		x := &a.Endpoints[i]
+		s := j.servers[x.Endpoint]
+		if s == nil || s.born == 0 || x.WorkMicros == 0 {
 			continue
 		}
-		c, known := j.set.Cold[s.kind]
-		at := max(x.To, x.From)
+		c, known := j.set.SlowStart[s.kind]
+		at := max(x.LastSentMicros, x.LastSourcedMicros)
 		if j.wrong.byTheWay {
 			at = now
 		}
 		age := at - s.born
-		if !known || age >= c.Lasts || age < 0 {
+		if !known || age >= c.DurationMicros || age < 0 {
 			s.spent = nil
 			continue
 		}
-		s.spent = slices.DeleteFunc(s.spent, func(y spend) bool { return y.at <= at-j.set.Window })
-		if s.spent = append(s.spent, spend{at, x.Work}); len(s.spent) > 4*mostWaiting {
+		s.spent = slices.DeleteFunc(s.spent, func(y spend) bool { return y.at <= at-j.set.WindowMicros })
+		if s.spent = append(s.spent, spend{at, x.WorkMicros}); len(s.spent) > 4*mostWaiting {
 			s.spent = s.spent[1:]
 		}
 		sum := 0.0
@@ -349,9 +349,9 @@
 				sum += y.work
 			}
 		}
-		able := c.From + (1-c.From)*float64(age)/float64(max(c.Lasts, 1))
-		if most := c.Multiple * able * s.weight * float64(j.set.Window) / max(c.Routers, 1); sum > most && sum > x.Work {
-			p.broke(Flooded, at, fmt.Sprintf("%s was sent %.2f s of work within the window, %.2f is this router's part", x.Server, sum/1e6, most/1e6))
+		able := c.From + (1-c.From)*float64(age)/float64(max(c.DurationMicros, 1))
+		if most := c.Multiple * able * s.weight * float64(j.set.WindowMicros) / max(c.Routers, 1); sum > most && sum > x.WorkMicros {
+			p.broke(RuleOverBudget, at, fmt.Sprintf("%s was sent %.2f s of work within the window, %.2f is this router's part", x.Endpoint, sum/1e6, most/1e6))
 		}
 	}
 }
@@ -363,25 +363,25 @@
 	p.last[r] = text
 }
 
-// Seen is what a process was seen to break.
-type Seen struct {
+// Violations is what a process was seen to break.
+type Violations struct {
 	Rules uint8  // a bit each, from the lowest: 1<<Rule
 	Text  string // of the first
 }
 
-// Seen tells what is proven of a process within the last minute.
-func (j *Judge) Seen(of uint64) (s Seen) {
+// Violations tells what is proven of a process within the last minute.
+func (j *Monitor) Violations(of uint64) (s Violations) {
 	p := j.processes[of]
 	if p == nil {
 		return s
 	}
-	for r := Twice; r < rules; r++ {
+	for r := RuleDuplicate; r < rules; r++ {
 		b := p.breaks[r]
 		proven := false
 		switch r {
-		case Twice:
+		case RuleDuplicate:
 			proven = len(b) > 0
-		case Flooded:
+		case RuleOverBudget:
 			proven = len(b) >= leastBreaks
 		default:
 			proven = len(b) >= leastBreaks && (b[len(b)-1]-b[0] >= hangs || j.wrong.noHang)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -12,118 +12,122 @@
 )
 
 // figures of a small site: budgets of 4 cores and 2 routers, windows of a second.
-var figures = Settings{DrainGrace: 500 * ms, PurgeGrace: 300 * ms, Window: second,
-	Cold: map[string]Cold{"box": {From: 0.25, Multiple: 2, Lasts: 10 * second, Routers: 2}}}
+var figures = Settings{DrainGraceMicros: 500 * ms, PurgeGraceMicros: 300 * ms, WindowMicros: second,
+	SlowStart: map[string]SlowStartBudget{"box": {From: 0.25, Multiple: 2, DurationMicros: 10 * second, Routers: 2}}}
 
 const epoch = 1_000_000 * second
 
-func entry(id, state string, born int64) policy.Entry {
-	return policy.Entry{Server: id, Kind: "box", State: state, Weight: 4, Born: born}
+func entry(id, state string, born int64) policy.Endpoint {
+	return policy.Endpoint{ID: id, Kind: "box", State: state, Weight: 4, StartedAt: born}
 }
 
 // play feeds acts ten times a second from one time to another, and judges them.
-func play(j *Judge, from, to int64, do func(now int64) *Acts) Seen {
+func play(j *Monitor, from, to int64, do func(now int64) *Activity) Violations {
 	for now := from; now < to; now += second / 10 {
 		if a := do(now); a != nil {
-			j.Acts(now, 1, a)
+			j.Observe(now, 1, a)
 		}
 		j.Tick(now)
 	}
 	for range 15 { // what waits
 		j.Tick(to + 2*second)
 	}
-	return j.Seen(1)
+	return j.Violations(1)
 }
 
 // What each rule takes to be proven, and what is borne.
 func TestRules(t *testing.T) {
-	to := func(id string, work float64) func(int64) *Acts {
-		return func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: id, To: now, Work: work}}} }
+	to := func(id string, work float64) func(int64) *Activity {
+		return func(now int64) *Activity {
+			return &Activity{Endpoints: []EndpointUse{{Endpoint: id, LastSentMicros: now, WorkMicros: work}}}
+		}
 	}
 	for _, c := range []struct {
 		name string
 		want Rule // 0: nothing is proven
-		do   func(j *Judge) Seen
+		do   func(j *Monitor) Violations
 	}{
-		{"calm", 0, func(j *Judge) Seen { return play(j, epoch, epoch+30*second, to("a", 0.05e6)) }},
-		{"drained, on and on", Drained, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
+		{"calm", 0, func(j *Monitor) Violations { return play(j, epoch, epoch+30*second, to("a", 0.05e6)) }},
+		{"drained, on and on", RuleDrained, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
 			return play(j, epoch, epoch+12*second, to("a", 0))
 		}},
-		{"named as source", Drained, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "left", 0)})
-			return play(j, epoch, epoch+12*second, func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: "a", From: now}}} })
+		{"named as source", RuleDrained, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "left", 0)})
+			return play(j, epoch, epoch+12*second, func(now int64) *Activity {
+				return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSourcedMicros: now}}}
+			})
 		}},
-		{"drained, as long as a way to the board may hang", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
+		{"drained, as long as a way to the board may hang", 0, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
 			return play(j, epoch, epoch+7*second, to("a", 0))
 		}},
-		{"drained, and back before that comes here", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
-			return play(j, epoch+10*second, epoch+30*second, func(now int64) *Acts {
+		{"drained, and back before that comes here", 0, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+			return play(j, epoch+10*second, epoch+30*second, func(now int64) *Activity {
 				if now == epoch+10*second+900*ms {
-					j.Listed(now, false, []policy.Entry{entry("a", "active", 0)})
+					j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", "active", 0)})
 				}
 				return to("a", 0)(now)
 			})
 		}},
-		{"drained, while the board can't be reached", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
-			j.Blind(epoch+second, true)
+		{"drained, while the board can't be reached", 0, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+			j.SetBlind(epoch+second, true)
 			return play(j, epoch+10*second, epoch+30*second, to("a", 0))
 		}},
-		{"left out of a whole list", Drained, func(j *Judge) Seen {
-			j.Listed(epoch, true, []policy.Entry{entry("b", "active", 0)})
+		{"left out of a whole list", RuleDrained, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, true, []policy.Endpoint{entry("b", "active", 0)})
 			return play(j, epoch, epoch+12*second, to("a", 0))
 		}},
-		{"old copies, on and on", Stale, func(j *Judge) Seen {
+		{"old copies, on and on", RuleStale, func(j *Monitor) Violations {
 			j.Purged(epoch, "", 7, epoch-second)
-			return play(j, epoch, epoch+12*second, func(now int64) *Acts {
-				return &Acts{Answers: []Answer{{Object: hash("x"), Group: 7, Sent: now, Issued: epoch - 2*second}}}
+			return play(j, epoch, epoch+12*second, func(now int64) *Activity {
+				return &Activity{Responses: []Response{{Object: hash("x"), Group: 7, SentMicros: now, IssuedMicros: epoch - 2*second}}}
 			})
 		}},
-		{"of an object by name", Stale, func(j *Judge) Seen {
+		{"of an object by name", RuleStale, func(j *Monitor) Violations {
 			j.Purged(epoch, "x", 0, epoch-second)
-			return play(j, epoch, epoch+12*second, func(now int64) *Acts {
-				return &Acts{Answers: []Answer{{Object: hash("x"), Group: 9, Sent: now, Issued: epoch - 2*second}}}
+			return play(j, epoch, epoch+12*second, func(now int64) *Activity {
+				return &Activity{Responses: []Response{{Object: hash("x"), Group: 9, SentMicros: now, IssuedMicros: epoch - 2*second}}}
 			})
 		}},
-		{"of another object, and newer ones", 0, func(j *Judge) Seen {
+		{"of another object, and newer ones", 0, func(j *Monitor) Violations {
 			j.Purged(epoch, "x", 0, epoch-second)
 			j.Purged(epoch, "", 7, epoch-second)
-			return play(j, epoch, epoch+12*second, func(now int64) *Acts {
-				return &Acts{Answers: []Answer{{Object: hash("y"), Group: 9, Sent: now, Issued: epoch - 2*second}, {Object: hash("x"), Group: 7, Sent: now, Issued: epoch - second}}}
+			return play(j, epoch, epoch+12*second, func(now int64) *Activity {
+				return &Activity{Responses: []Response{{Object: hash("y"), Group: 9, SentMicros: now, IssuedMicros: epoch - 2*second}, {Object: hash("x"), Group: 7, SentMicros: now, IssuedMicros: epoch - second}}}
 			})
 		}},
-		{"asked for before the purge was told", 0, func(j *Judge) Seen {
+		{"asked for before the purge was told", 0, func(j *Monitor) Violations {
 			j.Purged(epoch, "", 7, epoch-second)
-			return play(j, epoch, epoch+12*second, func(int64) *Acts {
-				return &Acts{Answers: []Answer{{Group: 7, Sent: epoch - ms, Issued: epoch - 2*second}}}
+			return play(j, epoch, epoch+12*second, func(int64) *Activity {
+				return &Activity{Responses: []Response{{Group: 7, SentMicros: epoch - ms, IssuedMicros: epoch - 2*second}}}
 			})
 		}},
-		{"a cold server's part, twice", Flooded, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
+		{"a cold server's part, twice", RuleOverBudget, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
 			return play(j, epoch, epoch+2*second, to("a", 0.3e6)) // 3 s of work a second; at 1 s its part is 2 * (0.25+0.075) * 4 / 2
 		}},
-		{"a cold server's part", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
+		{"a cold server's part", 0, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
 			return play(j, epoch, epoch+20*second, to("a", 0.09e6))
 		}},
-		{"a warm one", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch-11*second)})
+		{"a warm one", 0, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch-11*second)})
 			return play(j, epoch, epoch+5*second, to("a", 2e6))
 		}},
-		{"words that come late and together", 0, func(j *Judge) Seen {
-			j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
+		{"words that come late and together", 0, func(j *Monitor) Violations {
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
 			for i := range int64(30) {
-				j.Acts(epoch+3*second, 1, to("a", 0.09e6)(epoch+i*second/10))
+				j.Observe(epoch+3*second, 1, to("a", 0.09e6)(epoch+i*second/10))
 			}
-			return j.Seen(1)
+			return j.Violations(1)
 		}},
-		{"an effect twice", Twice, func(j *Judge) Seen {
-			return play(j, epoch, epoch+second, func(now int64) *Acts {
+		{"an effect twice", RuleDuplicate, func(j *Monitor) Violations {
+			return play(j, epoch, epoch+second, func(now int64) *Activity {
 				if now == epoch {
-					return &Acts{Twice: 1}
+					return &Activity{DuplicateAttempts: 1}
 				}
 				return nil
 			})
@@ -131,7 +135,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := New(figures)
-			j.Listed(epoch-100*second, true, []policy.Entry{entry("a", "active", 0), entry("b", "active", 0)})
+			j.EndpointsChanged(epoch-100*second, true, []policy.Endpoint{entry("a", "active", 0), entry("b", "active", 0)})
 			s := c.do(j)
 			want := uint8(0)
 			if c.want != 0 {
@@ -146,7 +150,7 @@
 			for range 100 { // what is old does not count for ever
 				j.Tick(epoch + 200*second)
 			}
-			if s := j.Seen(1); s.Rules != 0 {
+			if s := j.Violations(1); s.Rules != 0 {
 				t.Errorf("after minutes: %+v", s)
 			}
 		})
@@ -163,16 +167,16 @@
 
 // world draws a board's news and a router that hears them up to two seconds later than
 // the witness or sooner, with both cut off at times, and returns what was seen.
-func world(draw func(what string, low, high int64) int64, r *router) Seen {
+func world(draw func(what string, low, high int64) int64, r *router) Violations {
 	j := New(figures)
 	ids := []string{"a", "b", "c"}
-	var list []policy.Entry
+	var list []policy.Endpoint
 	r.state = map[string]string{}
 	for _, id := range ids {
 		list = append(list, entry(id, "active", 0))
 		r.state[id] = "active"
 	}
-	j.Listed(epoch, true, list)
+	j.EndpointsChanged(epoch, true, list)
 	type news struct {
 		at int64
 		do func(now int64)
@@ -194,7 +198,7 @@
 			id := ids[draw("server", 0, 2)]
 			down[id] = !down[id]
 			state := map[bool]string{true: "leaving", false: "active"}[down[id]]
-			tell(now, &mine, draw("late here", 0, 900*ms), func(now int64) { j.Listed(now, false, []policy.Entry{entry(id, state, 0)}) })
+			tell(now, &mine, draw("late here", 0, 900*ms), func(now int64) { j.EndpointsChanged(now, false, []policy.Endpoint{entry(id, state, 0)}) })
 			tell(now, &theirs, draw("late there", 0, 900*ms), func(int64) { r.state[id] = state })
 		case 2, 3:
 			group := draw("group", 0, 2)
@@ -213,28 +217,28 @@
 		}
 		if cutNow := now < cut; cutNow != blind {
 			blind = cutNow
-			j.Blind(now, blind)
+			j.SetBlind(now, blind)
 		}
-		a := &Acts{}
+		a := &Activity{}
 		for _, id := range ids {
 			if r.state[id] == "active" || r.deafDrains {
-				a.Sent = append(a.Sent, Sent{Server: id, To: now})
+				a.Endpoints = append(a.Endpoints, EndpointUse{Endpoint: id, LastSentMicros: now})
 			}
 		}
 		for g := range int64(3) {
-			x := Answer{Group: g, Sent: now, Issued: now - 10*second}
+			x := Response{Group: g, SentMicros: now, IssuedMicros: now - 10*second}
 			for _, p := range r.purged {
 				if p.group == g && !r.deafPurges {
-					x.Issued = max(x.Issued, p.made)
+					x.IssuedMicros = max(x.IssuedMicros, p.made)
 				}
 			}
-			a.Answers = append(a.Answers, x)
+			a.Responses = append(a.Responses, x)
 		}
-		j.Acts(now, 1, a)
+		j.Observe(now, 1, a)
 		j.Tick(now)
 	}
 	j.Tick(epoch + 42*second)
-	return j.Seen(1)
+	return j.Violations(1)
 }
 
 // One that keeps the rules by its own news is never said to break one, whatever is told
@@ -251,7 +255,7 @@
 		want  Rule
 		deaf  router
 		least int // servers come back and boards are cut: then nothing goes on for long enough
-	}{{0, router{}, 0}, {Drained, router{deafDrains: true}, runs / 3}, {Stale, router{deafPurges: true}, runs * 9 / 10}} {
+	}{{0, router{}, 0}, {RuleDrained, router{deafDrains: true}, runs / 3}, {RuleStale, router{deafPurges: true}, runs * 9 / 10}} {
 		found := 0
 		for seed := range uint64(runs) {
 			dice := rand.New(rand.NewPCG(seed, 5))
@@ -272,38 +276,42 @@
 
 // Each guard is needed: without it a good router is accused.
 func TestWrongWitnesses(t *testing.T) {
-	back := func(j *Judge) Seen { // told of a return a little sooner than the witness, time and again
-		return play(j, epoch, epoch+30*second, func(now int64) *Acts {
+	back := func(j *Monitor) Violations { // told of a return a little sooner than the witness, time and again
+		return play(j, epoch, epoch+30*second, func(now int64) *Activity {
 			switch at := (now - epoch) % (5 * second); {
 			case at == 0:
-				j.Listed(now, false, []policy.Entry{entry("a", "leaving", 0)})
+				j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", "leaving", 0)})
 			case at == 4*second:
-				j.Listed(now, false, []policy.Entry{entry("a", "active", 0)})
+				j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", "active", 0)})
 			case at >= 3500*ms:
-				return &Acts{Sent: []Sent{{Server: "a", To: now}}}
+				return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}}
 			}
 			return nil
 		})
 	}
-	hang := func(j *Judge) Seen {
-		j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
-		return play(j, epoch, epoch+6*second, func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: "a", To: now}}} })
+	hang := func(j *Monitor) Violations {
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+		return play(j, epoch, epoch+6*second, func(now int64) *Activity {
+			return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}}
+		})
 	}
-	lost := func(j *Judge) Seen { // it came back while the board told nobody here
-		j.Listed(epoch, false, []policy.Entry{entry("a", "leaving", 0)})
-		j.Blind(epoch+second, true)
-		return play(j, epoch+5*second, epoch+20*second, func(now int64) *Acts { return &Acts{Sent: []Sent{{Server: "a", To: now}}} })
+	lost := func(j *Monitor) Violations { // it came back while the board told nobody here
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+		j.SetBlind(epoch+second, true)
+		return play(j, epoch+5*second, epoch+20*second, func(now int64) *Activity {
+			return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}}
+		})
 	}
-	late := func(j *Judge) Seen {
-		j.Listed(epoch, false, []policy.Entry{entry("a", "active", epoch)})
+	late := func(j *Monitor) Violations {
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
 		for i := range int64(30) {
-			j.Acts(epoch+3*second, 1, &Acts{Sent: []Sent{{Server: "a", To: epoch + i*second/10, Work: 0.09e6}}})
+			j.Observe(epoch+3*second, 1, &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: epoch + i*second/10, WorkMicros: 0.09e6}}})
 		}
-		return j.Seen(1)
+		return j.Violations(1)
 	}
 	for name, c := range map[string]struct {
 		wrong wrong
-		do    func(*Judge) Seen
+		do    func(*Monitor) Violations
 	}{
 		"judged at once": {wrong{atOnce: true}, back}, "a way that hangs is deafness": {wrong{noHang: true}, hang},
 		"what is not told does not happen": {wrong{seesAll: true}, lost}, "work counts when its word comes": {wrong{byTheWay: true}, late},
@@ -313,7 +321,7 @@
 			if off {
 				j.wrong = c.wrong
 			}
-			j.Listed(epoch-100*second, true, []policy.Entry{entry("a", "active", 0)})
+			j.EndpointsChanged(epoch-100*second, true, []policy.Endpoint{entry("a", "active", 0)})
 			if s := c.do(j); (s.Rules != 0) != off {
 				t.Errorf("%s, guard off %v: %+v", name, off, s)
 			}
@@ -325,11 +333,11 @@
 func TestJumped(t *testing.T) {
 	for _, by := range []int64{-20 * second, 20 * second} {
 		j := New(figures)
-		j.Listed(epoch, true, []policy.Entry{entry("a", "leaving", 0)})
+		j.EndpointsChanged(epoch, true, []policy.Endpoint{entry("a", "leaving", 0)})
 		j.Purged(epoch, "", 7, epoch)
-		j.Jumped(epoch+by+100*ms, by)
-		s := play(j, epoch+by, epoch+by+2*second, func(now int64) *Acts {
-			return &Acts{Sent: []Sent{{Server: "a", To: now}}, Answers: []Answer{{Group: 7, Sent: now, Issued: epoch - second}}}
+		j.ClockJumped(epoch+by+100*ms, by)
+		s := play(j, epoch+by, epoch+by+2*second, func(now int64) *Activity {
+			return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}, Responses: []Response{{Group: 7, SentMicros: now, IssuedMicros: epoch - second}}}
 		})
 		if s.Rules != 0 {
 			t.Errorf("%+d s: %+v", by/second, s)
@@ -341,14 +349,14 @@
 func TestBounds(t *testing.T) {
 	r := NewRecorder()
 	for i := range 3 * mostSent {
-		r.Hop(epoch, fmt.Sprint("s", i), fmt.Sprint("p", i), "page", false)
-		r.Answered("page", "x", 1, epoch, epoch-second, 1000)
+		r.RecordAttempt(epoch, fmt.Sprint("s", i), fmt.Sprint("p", i), "page", false)
+		r.RecordResponse("page", "x", 1, epoch, epoch-second, 1000)
 	}
 	a := r.Take()
-	if len(a.Sent) > mostSent || len(a.Answers) > mostAnswers || a.More == 0 {
-		t.Error(len(a.Sent), len(a.Answers), a.More)
+	if len(a.Endpoints) > mostSent || len(a.Responses) > mostAnswers || a.Dropped == 0 {
+		t.Error(len(a.Endpoints), len(a.Responses), a.Dropped)
 	}
-	if b := r.Take(); len(b.Sent)+len(b.Answers)+b.More != 0 {
+	if b := r.Take(); len(b.Endpoints)+len(b.Responses)+b.Dropped != 0 {
 		t.Errorf("%+v", b)
 	}
 	j := New(figures)
@@ -356,29 +364,29 @@
 		j.Purged(epoch, "", int64(i), epoch)
 	}
 	for i := range 2 * mostServers {
-		j.Listed(epoch, false, []policy.Entry{entry(fmt.Sprint("s", i), "left", 0)})
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry(fmt.Sprint("s", i), "left", 0)})
 	}
 	for p := range uint64(2 * mostProcesses) {
 		for range 2 * mostWaiting {
-			j.Acts(epoch, p, a)
+			j.Observe(epoch, p, a)
 		}
 	}
-	if len(j.purges) > mostPurges || len(j.servers) > mostServers || len(j.processes) > mostProcesses || len(j.processes[0].waiting) > mostWaiting || j.Lost == 0 {
-		t.Error(len(j.purges), len(j.servers), len(j.processes), j.Lost)
+	if len(j.purges) > mostPurges || len(j.servers) > mostServers || len(j.processes) > mostProcesses || len(j.processes[0].waiting) > mostWaiting || j.Dropped == 0 {
+		t.Error(len(j.purges), len(j.servers), len(j.processes), j.Dropped)
 	}
-	j.Listed(epoch+keepGone+second, false, nil)
+	j.EndpointsChanged(epoch+keepGone+second, false, nil)
 	if len(j.servers) != 0 {
 		t.Errorf("%d servers that went long ago", len(j.servers))
 	}
 	var none *Recorder
-	none.Hop(1, "a", "b", "page", true)
-	none.Answered("page", "x", 1, 1, 1, 1)
+	none.RecordAttempt(1, "a", "b", "page", true)
+	none.RecordResponse("page", "x", 1, 1, 1, 1)
 	if none.Take() != nil {
 		t.Error("nobody looks on")
 	}
 	// Its own work is the mean of what answers took.
-	r.Hop(epoch, "a", "a", "page", true)
-	if a := r.Take(); a.Twice != 1 || len(a.Sent) != 1 || a.Sent[0].Work < 999 || a.Sent[0].Work > 1001 {
+	r.RecordAttempt(epoch, "a", "a", "page", true)
+	if a := r.Take(); a.DuplicateAttempts != 1 || len(a.Endpoints) != 1 || a.Endpoints[0].WorkMicros < 999 || a.Endpoints[0].WorkMicros > 1001 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/membership/baton.go
+++ b/internal/membership/baton.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Baton is what a generation of a router hands to the one that takes its place: to
+// HandoffState is what a generation of a router hands to the one that takes its place: to
 // all others they are one member, with one life. Whoever has handed it over says
 // nothing more.
-type Baton struct {
-	ID      ID       `cbor:"1,keyasint"`
-	Inc     uint32   `cbor:"2,keyasint"`
-	N       uint64   `cbor:"3,keyasint"` // of its last word
-	State   State    `cbor:"4,keyasint"`
-	Rumours []Rumour `cbor:"5,keyasint,omitempty"`
-	Highs   []uint64 `cbor:"6,keyasint,omitempty"` // of their words, in the same order
+type HandoffState struct {
+	ID               InstanceID `cbor:"1,keyasint"`
+	Incarnation      uint32     `cbor:"2,keyasint"`
+	Sequence         uint64     `cbor:"3,keyasint"` // of its last word
+	State            State      `cbor:"4,keyasint"`
+	Updates          []Update   `cbor:"5,keyasint,omitempty"`
+	HighestSequences []uint64   `cbor:"6,keyasint,omitempty"` // of their words, in the same order
 }
 
 // What is left out between two generations: a predecessor that comes back, since
@@ -21,13 +21,13 @@
 	skipIncs  = 1 << 12
 )
 
-// Baton hands the life over, at the node's last moment.
-func (n *Node) Baton() *Baton {
-	b := &Baton{ID: n.self.ID, Inc: n.self.Inc, N: n.n, State: n.self.State}
+// Handoff hands the life over, at the node's last moment.
+func (n *Node) Handoff() *HandoffState {
+	b := &HandoffState{ID: n.self.ID, Incarnation: n.self.Incarnation, Sequence: n.n, State: n.self.State}
 	for _, m := range n.members {
-		if !m.state.gone() && len(b.Rumours) < mostMembers {
-			b.Rumours = append(b.Rumours, m.whole())
-			b.Highs = append(b.Highs, m.high)
+		if !m.state.gone() && len(b.Updates) < mostMembers {
+			b.Updates = append(b.Updates, m.whole())
+			b.HighestSequences = append(b.HighestSequences, m.high)
 		}
 	}
 	return b
@@ -35,21 +35,21 @@
 
 // takeOver goes on with a life. One that is doubled, or has left, is not gone on
 // with: the successor starts its own and outbids, as after any restart.
-func (n *Node) takeOver(b *Baton) {
-	if b.State != Alive && b.State != Joining || b.Inc > math.MaxUint32-4*skipIncs || b.N > math.MaxUint64-4*skipWords {
+func (n *Node) takeOver(b *HandoffState) {
+	if b.State != StateAlive && b.State != StateJoining || b.Incarnation > math.MaxUint32-4*skipIncs || b.Sequence > math.MaxUint64-4*skipWords {
 		return
 	}
-	n.self.ID, n.self.Inc, n.n, n.self.State = b.ID, b.Inc+skipIncs, b.N+skipWords, b.State
-	if n.since = n.now; b.State == Joining {
+	n.self.ID, n.self.Incarnation, n.n, n.self.State = b.ID, b.Incarnation+skipIncs, b.Sequence+skipWords, b.State
+	if n.since = n.now; b.State == StateJoining {
 		n.since = 0
 	}
-	for i := range b.Rumours[:min(len(b.Rumours), mostMembers)] {
-		r := &b.Rumours[i]
+	for i := range b.Updates[:min(len(b.Updates), mostMembers)] {
+		r := &b.Updates[i]
 		if !r.good() || r.Name == n.self.Name {
 			continue
 		}
-		if m := n.rumour(r, false); m != nil && i < len(b.Highs) {
-			m.high, m.window = b.Highs[i], math.MaxUint64 // what came before is not heard again
+		if m := n.rumour(r, false); m != nil && i < len(b.HighestSequences) {
+			m.high, m.window = b.HighestSequences[i], math.MaxUint64 // what came before is not heard again
 		}
 	}
 	for _, m := range n.members {
@@ -58,9 +58,9 @@
 	n.hot = n.hot[:0]
 }
 
-// Back readies a baton for the one who has handed it over, where the successor has
+// Reclaim readies a baton for the one who has handed it over, where the successor has
 // used it and failed.
-func (b *Baton) Back() {
-	b.Inc += 2 * skipIncs
-	b.N += 2 * skipWords
+func (b *HandoffState) Reclaim() {
+	b.Incarnation += 2 * skipIncs
+	b.Sequence += 2 * skipWords
 }
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -8,95 +8,95 @@
 
 func compareNames(a, b *member) int { return cmp.Compare(a.name, b.name) }
 
-// Heard takes a word whose key was good and tells what is to be sent for it. via
+// Receive takes a word whose key was good and tells what is to be sent for it. via
 // is where it came from: only a tool's Query is answered there.
-func (n *Node) Heard(now int64, via netip.AddrPort, w *Word) []Out {
+func (n *Node) Receive(now int64, via netip.AddrPort, w *Message) []Outbound {
 	n.clock(now)
 	if !w.good() {
-		n.Counts.Bad++
+		n.Counts.Malformed++
 		return n.take()
 	}
 	if w.To != n.self.Name {
-		n.Counts.Foreign++
+		n.Counts.Misaddressed++
 		return n.take()
 	}
-	if w.Kind == Query {
+	if w.Kind == KindQuery {
 		n.query(via, w)
 		return n.take()
 	}
-	if w.From.Name == n.self.Name {
+	if w.Sender.Name == n.self.Name {
 		n.double(w)
 		return n.take()
 	}
-	if n.self.State == Doubled && w.Kind != Welcome || n.self.State == Left {
+	if n.self.State == StateNameConflict && w.Kind != KindWelcome || n.self.State == StateLeft {
 		return n.take()
 	}
-	m := n.members[w.From.Name]
-	if w.Kind == Hello {
-		n.Counts.Taken++
+	m := n.members[w.Sender.Name]
+	if w.Kind == KindHello {
+		n.Counts.Received++
 		n.greet(m, w)
 		return n.take()
 	}
-	if w.Life != n.self.ID { // to an earlier life of this name, or old altogether
-		n.Counts.Foreign++
+	if w.ToInstance != n.self.ID { // to an earlier life of this name, or old altogether
+		n.Counts.Misaddressed++
 		// It does not know this life yet: say so where it listens.
 		if m == nil {
-			m = &member{name: w.From.Name, addr: w.From.Addr}
+			m = &member{name: w.Sender.Name, addr: w.Sender.Addr}
 		}
-		if w.Kind == Ping && m.addr.IsValid() {
-			n.send(m, Hello, Word{})
+		if w.Kind == KindPing && m.addr.IsValid() {
+			n.send(m, KindHello, Message{})
 		}
 		return n.take()
 	}
 	if m = n.sender(m, w); m == nil {
 		return n.take()
 	}
-	n.Counts.Taken++
+	n.Counts.Received++
 	n.heard = n.now
 	m.heard = n.now
-	if m.reach == Told {
-		m.reach = Direct
+	if m.reach == ReachReported {
+		m.reach = ReachDirect
 	}
-	if n.self.State == Joining {
-		n.self.State, n.since = Alive, n.now
+	if n.self.State == StateJoining {
+		n.self.State, n.since = StateAlive, n.now
 	}
 	n.input(m, inProof, 0)
-	for i := range w.Rumours {
-		n.rumour(&w.Rumours[i], w.Kind == Tell)
+	for i := range w.Updates {
+		n.rumour(&w.Updates[i], w.Kind == KindStateExchange)
 	}
 	n.kinds(m, w)
 	const mostLetters = 64
-	if len(n.letters) < mostLetters && (w.Kind == Ack || w.Kind == Ping || w.Kind == Mail) {
-		n.letters = append(n.letters, Letter{m.name, w.Tag, w.Body})
+	if len(n.letters) < mostLetters && (w.Kind == KindAck || w.Kind == KindPing || w.Kind == KindPayload) {
+		n.letters = append(n.letters, Payload{m.name, w.GossipDigest, w.Body})
 	}
 	return n.take()
 }
 
 // sender finds the member that a word comes from and believes what it says of
 // itself; nil: the word is one that has come before, or of a life that is over.
-func (n *Node) sender(m *member, w *Word) *member {
-	f := &w.From
-	if m != nil && m.state != Unknown {
+func (n *Node) sender(m *member, w *Message) *member {
+	f := &w.Sender
+	if m != nil && m.state != StateUnknown {
 		switch c := f.ID.Compare(m.id); {
 		case c < 0:
-			n.Counts.Foreign++
+			n.Counts.Misaddressed++
 			n.outdated(m, w)
 			return nil
-		case c == 0 && !n.set.wrong.takesReplays && !m.fresh(w.N):
+		case c == 0 && !n.set.wrong.takesReplays && !m.fresh(w.Sequence):
 			n.Counts.Replayed++
 			return nil
 		}
 	}
-	if f.State == Joining {
-		f.State = Alive
+	if f.State == StateJoining {
+		f.State = StateAlive
 	}
 	if m = n.rumour(f, false); m == nil {
 		return nil
 	}
 	if m.high == 0 {
-		m.fresh(w.N)
+		m.fresh(w.Sequence)
 	}
-	m.view = fold(w.Digest)
+	m.view = fold(w.ViewDigest)
 	return m
 }
 
@@ -120,48 +120,48 @@
 }
 
 // kinds carries out what a word asks.
-func (n *Node) kinds(m *member, w *Word) {
+func (n *Node) kinds(m *member, w *Message) {
 	switch w.Kind {
-	case Ping:
-		n.send(m, Ack, Word{Seq: w.Seq})
-	case Ack, Welcome:
+	case KindPing:
+		n.send(m, KindAck, Message{RequestID: w.RequestID})
+	case KindAck, KindWelcome:
 		for i := range n.relayed {
-			if r := n.relayed[i]; r.seq == w.Seq && w.Kind == Ack {
+			if r := n.relayed[i]; r.seq == w.RequestID && w.Kind == KindAck {
 				if back := n.members[r.from]; back != nil && !back.state.gone() {
-					n.send(back, Ack, Word{Seq: r.back, Target: m.name})
+					n.send(back, KindAck, Message{RequestID: r.back, Target: m.name})
 				}
 				n.relayed = slices.Delete(n.relayed, i, i+1)
 				return
 			}
 		}
-		if w.Kind == Ack {
-			n.answered(w.Seq, w.Target != "")
+		if w.Kind == KindAck {
+			n.answered(w.RequestID, w.Target != "")
 		}
 		n.differ(m, w)
-	case Nack:
+	case KindNack:
 		for i := range n.asked {
-			if n.asked[i].seq == w.Seq {
+			if n.asked[i].seq == w.RequestID {
 				n.asked[i].nacks++
 			}
 		}
-	case Through:
+	case KindIndirectPing:
 		t := n.members[w.Target]
 		if t == nil || t.state.gone() || len(n.relayed) >= mostRelayed {
 			return
 		}
 		n.seq++
-		n.relayed = append(n.relayed, relay{n.seq, w.Seq, m.name, n.now + n.wait(t)})
+		n.relayed = append(n.relayed, relay{n.seq, w.RequestID, m.name, n.now + n.wait(t)})
 		n.Counts.Relayed++
-		n.send(t, Ping, Word{Seq: n.seq})
-	case Compare:
-		if n.waking > 0 || len(w.Buckets) != buckets || len(n.chunk) > 0 {
+		n.send(t, KindPing, Message{RequestID: n.seq})
+	case KindDigestExchange:
+		if n.waking > 0 || len(w.BucketDigests) != buckets || len(n.chunk) > 0 {
 			return // what a sleeper holds is old; one at a time: the other asks somebody else
 		}
 		n.chunk = n.chunk[:0]
 		parts := n.parts
-		parts[bucketOf(n.self.Name)] ^= fold(digest(n.self.Name, n.self.ID, n.self.Inc, n.self.State))
+		parts[bucketOf(n.self.Name)] ^= fold(digest(n.self.Name, n.self.ID, n.self.Incarnation, n.self.State))
 		for _, x := range n.members {
-			if b := bucketOf(x.name); x.state != Unknown && (w.Seq == 1 || w.Buckets[b] != parts[b]) {
+			if b := bucketOf(x.name); x.state != StateUnknown && (w.RequestID == 1 || w.BucketDigests[b] != parts[b]) {
 				n.chunk = append(n.chunk, x)
 			}
 		}
@@ -173,9 +173,9 @@
 
 // differ has views compared with one whose digest is another, once the own view
 // has been quiet: most differences are rumours on their way.
-func (n *Node) differ(m *member, w *Word) {
+func (n *Node) differ(m *member, w *Message) {
 	const settled = 600 * ms
-	if w.Digest != n.whole() && n.now-n.compare >= askEvery && (w.Kind == Welcome || n.now-n.quiet >= settled) {
+	if w.ViewDigest != n.whole() && n.now-n.compare >= askEvery && (w.Kind == KindWelcome || n.now-n.quiet >= settled) {
 		n.compare = n.now - int64(n.dice.IntN(int(askEvery/4)))
 		n.ask(m)
 	}
@@ -183,31 +183,31 @@
 
 // greet answers a Hello. Its sender is believed only once it speaks to this very
 // life, which it learns of by the answer: the Hello may be an old one.
-func (n *Node) greet(m *member, w *Word) {
-	if n.self.State == Joining && n.now-n.started < second/4 && w.Seq == 0 {
+func (n *Node) greet(m *member, w *Message) {
+	if n.self.State == StateJoining && n.now-n.started < second/4 && w.RequestID == 0 {
 		return
 	}
-	stranger := &member{name: w.From.Name, addr: w.From.Addr, id: w.From.ID}
+	stranger := &member{name: w.Sender.Name, addr: w.Sender.Addr, id: w.Sender.ID}
 	if m != nil {
-		stranger.addr = m.address(w.From.Addr)
-		if c := m.id.Compare(w.From.ID); m.state != Unknown && (c > 0 || c == 0 && m.state.gone()) {
+		stranger.addr = m.address(w.Sender.Addr)
+		if c := m.id.Compare(w.Sender.ID); m.state != StateUnknown && (c > 0 || c == 0 && m.state.gone()) {
 			n.outdated(m, w)
 			return
 		}
 	}
 	if stranger.addr.IsValid() {
-		n.send(stranger, Welcome, Word{Seq: w.Seq})
+		n.send(stranger, KindWelcome, Message{RequestID: w.RequestID})
 	}
 }
 
 // outdated answers a life that is held over, or lower than one that was heard of:
 // it must know what is held of its name, to say otherwise. Nothing is answered to
 // that but once, by a comparing.
-func (n *Node) outdated(m *member, w *Word) {
+func (n *Node) outdated(m *member, w *Message) {
 	r := m.rumour()
-	n.send(&member{name: m.name, addr: m.address(w.From.Addr), id: w.From.ID}, Welcome, Word{Seq: w.Seq})
-	out := n.out[len(n.out)-1].Word
-	out.Rumours = append([]Rumour{r}, out.Rumours...)
+	n.send(&member{name: m.name, addr: m.address(w.Sender.Addr), id: w.Sender.ID}, KindWelcome, Message{RequestID: w.RequestID})
+	out := n.out[len(n.out)-1].Message
+	out.Updates = append([]Update{r}, out.Updates...)
 }
 
 // address of a member: the operator's file goes before what is told.
@@ -221,35 +221,35 @@
 // rumour takes what is said of a router. Nothing of an earlier life counts, and
 // within a life only what is not older than what is held. whole: it is from a
 // comparing of views, so that what is newer here is passed on.
-func (n *Node) rumour(r *Rumour, whole bool) *member {
+func (n *Node) rumour(r *Update, whole bool) *member {
 	if r.Name == n.self.Name {
 		n.ofSelf(r)
 		return nil
 	}
 	m := n.members[r.Name]
-	if r.State == Joining {
+	if r.State == StateJoining {
 		return nil // nobody says that of another
 	}
 	if m == nil {
 		if len(n.members) >= mostMembers {
-			n.Counts.TooMany++
+			n.Counts.RejectedFull++
 			return nil
 		}
 		m = &member{name: r.Name}
 		n.members[r.Name] = m
 	}
 	if r.ID == m.id { // brief rumours came before
-		m.place = cmp.Or(m.place, r.Place)
+		m.place = cmp.Or(m.place, r.Zone)
 		if !m.addr.IsValid() {
 			m.addr = r.Addr
 		}
 	}
-	bare := r.State == Alive || r.State == Leaving || r.State == Left
+	bare := r.State == StateAlive || r.State == StateLeaving || r.State == StateLeft
 	switch c := r.ID.Compare(m.id); {
-	case m.state == Unknown || c > 0: // a life not heard of before
+	case m.state == StateUnknown || c > 0: // a life not heard of before
 		n.mark(m)
-		n.place(m, Unknown)
-		*m = member{name: m.name, addr: m.address(r.Addr), seed: m.seed, place: r.Place, id: r.ID, inc: r.Inc, since: n.now, spread: m.spread, runs: r.Runs}
+		n.place(m, StateUnknown)
+		*m = member{name: m.name, addr: m.address(r.Addr), seed: m.seed, place: r.Zone, id: r.ID, inc: r.Incarnation, since: n.now, spread: m.spread, runs: r.Process}
 		n.mark(m)
 	case c < 0:
 		if whole {
@@ -257,21 +257,21 @@
 		}
 		return m
 	case n.set.wrong.noIncarnations:
-		m.inc = r.Inc
-	case r.Inc < m.inc || bare && r.Inc == m.inc:
-		if whole && (r.Inc < m.inc || m.state != r.State) && (m.state == Dead || r.Inc < m.inc) {
+		m.inc = r.Incarnation
+	case r.Incarnation < m.inc || bare && r.Incarnation == m.inc:
+		if whole && (r.Incarnation < m.inc || m.state != r.State) && (m.state == StateDead || r.Incarnation < m.inc) {
 			n.pass(m, 1)
 		}
 		return m
 	default:
 		n.mark(m)
-		m.inc = r.Inc
+		m.inc = r.Incarnation
 		m.addr = m.address(r.Addr)
-		if r.Place != "" {
-			m.place = r.Place
+		if r.Zone != "" {
+			m.place = r.Zone
 		}
-		if r.Runs != nil {
-			m.runs = r.Runs
+		if r.Process != nil {
+			m.runs = r.Process
 		}
 		n.mark(m)
 	}
@@ -279,37 +279,37 @@
 		defer func() { m.spread = min(m.spread, uint8(log2(n.alive+1))) }()
 	}
 	switch r.State {
-	case Alive:
+	case StateAlive:
 		n.input(m, inAlive, 0)
-	case Leaving:
+	case StateLeaving:
 		n.input(m, inLeaving, 0)
-	case Left:
+	case StateLeft:
 		n.input(m, inLeft, 0)
-	case Suspected:
-		for _, w := range r.Witnesses {
+	case StateSuspect:
+		for _, w := range r.SuspectedBy {
 			n.input(m, inSuspect, w)
 		}
-		if len(r.Witnesses) == 0 {
+		if len(r.SuspectedBy) == 0 {
 			n.input(m, inSuspect, nameless)
 		}
-	case Dead:
+	case StateDead:
 		n.input(m, inDead, nameless)
 	}
 	return m
 }
 
 // ofSelf answers what is said of the own name.
-func (n *Node) ofSelf(r *Rumour) {
-	bad := r.State == Suspected || r.State == Dead || r.State == Left || r.State == Leaving && n.self.State != Leaving
+func (n *Node) ofSelf(r *Update) {
+	bad := r.State == StateSuspect || r.State == StateDead || r.State == StateLeft || r.State == StateLeaving && n.self.State != StateLeaving
 	switch c := r.ID.Compare(n.self.ID); {
-	case c < 0 || c == 0 && !bad || c == 0 && r.Inc < n.self.Inc:
-	case n.set.wrong.noRefuting || n.self.State == Doubled && !r.State.gone():
+	case c < 0 || c == 0 && !bad || c == 0 && r.Incarnation < n.self.Incarnation:
+	case n.set.wrong.noRefuting || n.self.State == StateNameConflict && !r.State.gone():
 	case c == 0:
-		n.Counts.Refuted++
-		if r.State == Suspected {
+		n.Counts.Refutations++
+		if r.State == StateSuspect {
 			n.health = min(n.health+1, mostHealth)
 		}
-		n.refute(r.Inc)
+		n.refute(r.Incarnation)
 	default:
 		n.outbid(r)
 	}
@@ -317,52 +317,52 @@
 
 // refute says that it lives, above an incarnation.
 func (n *Node) refute(inc uint32) {
-	n.self.Inc = max(inc, n.self.Inc) + 1
+	n.self.Incarnation = max(inc, n.self.Incarnation) + 1
 	n.quiet = n.now
 }
 
 // outbid takes the own name back from a life that is not this one: mostly one's
 // own earlier life, while the clock of the start was behind. Who lives as well
 // outbids in turn; then both ask each other, or this one gives in.
-func (n *Node) outbid(r *Rumour) {
+func (n *Node) outbid(r *Update) {
 	n.outbids = slices.DeleteFunc(n.outbids, func(at int64) bool { return n.now-at > 60*second })
 	if len(n.outbids) >= mostOutbids {
 		n.yield()
 		return
 	}
 	n.outbids = append(n.outbids, n.now)
-	n.Counts.Outbidden++
-	n.self.ID.Life = r.ID.Life + 1
+	n.Counts.NameReclaims++
+	n.self.ID.Epoch = r.ID.Epoch + 1
 	n.refute(0)
-	if n.self.State == Doubled {
-		n.self.State = Joining
+	if n.self.State == StateNameConflict {
+		n.self.State = StateJoining
 	}
 	if !r.State.gone() && r.Addr.IsValid() && r.Addr != n.self.Addr {
-		n.send(&member{name: n.self.Name, addr: r.Addr, id: r.ID}, Hello, Word{})
+		n.send(&member{name: n.self.Name, addr: r.Addr, id: r.ID}, KindHello, Message{})
 	}
 }
 
 // double meets another process of the own name. A Hello may be an old one, of an
 // earlier life: it is only answered. By a word to this very life both know, and
 // the later one keeps the name, on both sides by the same order.
-func (n *Node) double(w *Word) {
-	f := &w.From
+func (n *Node) double(w *Message) {
+	f := &w.Sender
 	switch {
 	case f.ID.Nonce == n.self.ID.Nonce: // one's own word came back
-	case w.Kind != Hello && w.Life != n.self.ID:
-		n.Counts.Foreign++
-	case w.Kind != Hello && f.ID.Compare(n.self.ID) > 0:
+	case w.Kind != KindHello && w.ToInstance != n.self.ID:
+		n.Counts.Misaddressed++
+	case w.Kind != KindHello && f.ID.Compare(n.self.ID) > 0:
 		n.yield()
-	case f.Addr.IsValid() && n.self.State != Doubled:
-		n.send(&member{name: n.self.Name, addr: f.Addr, id: f.ID}, Welcome, Word{})
+	case f.Addr.IsValid() && n.self.State != StateNameConflict:
+		n.send(&member{name: n.self.Name, addr: f.Addr, id: f.ID}, KindWelcome, Message{})
 	}
 }
 
 func (n *Node) yield() {
-	if n.self.State != Doubled {
-		n.news = append(n.news, Change{n.now, n.self.Name, n.self.State, Doubled, n.self.ID})
+	if n.self.State != StateNameConflict {
+		n.news = append(n.news, Change{n.now, n.self.Name, n.self.State, StateNameConflict, n.self.ID})
 	}
-	n.self.State, n.doubled = Doubled, n.now
+	n.self.State, n.doubled = StateNameConflict, n.now
 }
 
 // mark takes a member out of the digests, or into them.
@@ -384,7 +384,7 @@
 		m.state, m.since = r.next, n.now
 		n.mark(m)
 		switch r.next {
-		case Suspected:
+		case StateSuspect:
 			n.Counts.Suspicions++
 			if m.checked, m.checkAt = false, 0; in != inSilent {
 				m.silent = 0 // of earlier questions
@@ -392,10 +392,10 @@
 					m.checkAt = n.now + suspicionLeast(n.alive+1)/4
 				}
 			}
-		case Dead:
+		case StateDead:
 			n.Counts.Deaths++
 		}
-		if r.next != Suspected {
+		if r.next != StateSuspect {
 			m.witnesses = [enough]uint16{}
 		}
 	}
@@ -426,7 +426,7 @@
 		}
 	case tell:
 		if n.pay() {
-			n.send(m, Ping, Word{}) // with what is held of it
+			n.send(m, KindPing, Message{}) // with what is held of it
 		}
 	case drop:
 		n.forget(m)
@@ -502,23 +502,23 @@
 // Leave says that the router will go: nobody takes its silence for a failure.
 func (n *Node) Leave(now int64) {
 	n.clock(now)
-	if n.self.State == Alive || n.self.State == Joining {
-		n.self.State = Leaving
-		n.refute(n.self.Inc)
+	if n.self.State == StateAlive || n.self.State == StateJoining {
+		n.self.State = StateLeaving
+		n.refute(n.self.Incarnation)
 	}
 }
 
-// Gone says that the router goes now, to some of the others; they pass it on.
-func (n *Node) Gone(now int64) []Out {
+// Depart says that the router goes now, to some of the others; they pass it on.
+func (n *Node) Depart(now int64) []Outbound {
 	n.clock(now)
-	if n.self.State == Doubled {
+	if n.self.State == StateNameConflict {
 		return nil
 	}
-	n.self.State = Left
-	n.refute(n.self.Inc)
+	n.self.State = StateLeft
+	n.refute(n.self.Incarnation)
 	for range 2 * relays {
-		if m := n.any(func(m *member) bool { return m.state == Alive }); m != nil {
-			n.send(m, Ping, Word{})
+		if m := n.any(func(m *member) bool { return m.state == StateAlive }); m != nil {
+			n.send(m, KindPing, Message{})
 		}
 	}
 	return n.take()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -21,14 +21,14 @@
 // States of a member, as another holds them; Joining and Doubled are only held of
 // oneself. The order goes over the wire.
 const (
-	Unknown   State = iota
-	Joining         // it has not heard from anybody yet
-	Alive           //
-	Suspected       // some asked it in vain; it may say that it lives
-	Dead            // nobody has had an answer for the suspicion's whole time
-	Leaving         // it has said that it will go
-	Left            // it has gone as it said
-	Doubled         // another process has its name: it keeps quiet
+	StateUnknown      State = iota
+	StateJoining            // it has not heard from anybody yet
+	StateAlive              //
+	StateSuspect            // some asked it in vain; it may say that it lives
+	StateDead               // nobody has had an answer for the suspicion's whole time
+	StateLeaving            // it has said that it will go
+	StateLeft               // it has gone as it said
+	StateNameConflict       // another process has its name: it keeps quiet
 )
 
 var stateNames = [...]string{"unknown", "joining", "alive", "suspected", "dead", "leaving", "left", "doubled"}
@@ -36,19 +36,20 @@
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
 // gone tells states that nothing is asked of.
-func (s State) gone() bool { return s == Unknown || s == Dead || s == Left }
+func (s State) gone() bool { return s == StateUnknown || s == StateDead || s == StateLeft }
 
-// ID tells the lives of one name apart. Life is higher than that of any earlier
+// InstanceID tells the lives of one name apart. Life is higher than that of any earlier
 // life that the router has heard of; Nonce is drawn at the start, and puts two of
 // the same Life in an order that all agree on.
-type ID struct {
-	_           struct{} `cbor:",toarray"`
-	Life, Nonce uint32
+type InstanceID struct {
+	_     struct{} `cbor:",toarray"`
+	Epoch uint32   `json:"Life"`
+	Nonce uint32
 }
 
 // Compare orders lives.
-func (a ID) Compare(b ID) int {
-	return cmp.Or(cmp.Compare(a.Life, b.Life), cmp.Compare(a.Nonce, b.Nonce))
+func (a InstanceID) Compare(b InstanceID) int {
+	return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Nonce, b.Nonce))
 }
 
 // Seed is a router that the operator's file names. Its address goes before what
@@ -60,16 +61,16 @@
 
 // Settings of a router.
 type Settings struct {
-	Name   string
-	Place  string // its office
-	Addr   netip.AddrPort
-	Seeds  []Seed
-	Life   uint32 // a guess, such as the Unix second; it may be behind
-	Period int64  // between two questions; 0: 100 ms
-	Most   int    // bytes of a word; 0: 1,200, which fits every datagram
-	Rate   int    // bytes a second of what is passed on; 0: 1,500
-	Runs   *Runs  // what it says it is; nil: nothing
-	Baton  *Baton // of the generation whose place it takes; nil: it starts a life of its own
+	Name                 string
+	Zone                 string // its office
+	Addr                 netip.AddrPort
+	Seeds                []Seed
+	Epoch                uint32        // a guess, such as the Unix second; it may be behind
+	ProbeInterval        int64         // between two questions; 0: 100 ms
+	MaxMessageBytes      int           // bytes of a word; 0: 1,200, which fits every datagram
+	GossipBytesPerSecond int           // bytes a second of what is passed on; 0: 1,500
+	Process              *ProcessInfo  // what it says it is; nil: nothing
+	Handoff              *HandoffState // of the generation whose place it takes; nil: it starts a life of its own
 
 	wrong wrong // of wrong variants, for tests
 }
@@ -129,7 +130,7 @@
 	seed        bool
 	checked     bool  // asked in this suspicion, before it ends
 	checkAt     int64 // when; 0: shortly before the end
-	id          ID
+	id          InstanceID
 	inc         uint32
 	state       State
 	spread      uint8 // words that its rumour still rides on
@@ -142,7 +143,7 @@
 	view        uint32         // digest of its view, folded, by its last word
 	passed      int64          // when its rumour last began
 	due         int64          // suspicion: when it counts as dead
-	runs        *Runs          // as it says
+	runs        *ProcessInfo   // as it says
 	high        uint64         // highest number of its words
 	window      uint64         // which of the 64 below have come
 }
@@ -152,10 +153,10 @@
 
 // Ways of proof.
 const (
-	Told     Reach = iota // others say so
-	Direct                //
-	Relayed               // through another
-	NoAnswer              // asked in vain
+	ReachReported Reach = iota // others say so
+	ReachDirect                //
+	ReachRelayed               // through another
+	ReachNone                  // asked in vain
 )
 
 var reachNames = [...]string{"told", "direct", "relayed", "none"}
@@ -202,24 +203,24 @@
 // incarnation than what is held, come to no row: Node.word stops them. Death is
 // never taken from others: their word is one witness, the own clock decides.
 var table = [...][inputs]row{
-	Unknown: {
-		inAlive: {Alive, spread}, inLeaving: {Leaving, spread}, inLeft: {Left, quiet}, inSuspect: {Suspected, suspect},
-		inDead: {Dead, quiet}, inSilent: {Unknown, quiet}, inProof: {Unknown, quiet}, inDue: {Unknown, quiet}, inForget: {Unknown, drop}},
-	Alive: {
-		inAlive: {Alive, spread}, inLeaving: {Leaving, spread}, inLeft: {Left, spread}, inSuspect: {Suspected, suspect},
-		inDead: {Suspected, doubt}, inSilent: {Suspected, suspect}, inProof: {Alive, quiet}, inDue: {Alive, quiet}, inForget: {Alive, quiet}},
-	Suspected: {
-		inAlive: {Alive, spread}, inLeaving: {Leaving, spread}, inLeft: {Left, spread}, inSuspect: {Suspected, witness},
-		inDead: {Suspected, doubt}, inSilent: {Suspected, witness}, inProof: {Suspected, hold}, inDue: {Dead, echo}, inForget: {Suspected, quiet}},
-	Dead: {
-		inAlive: {Alive, spread}, inLeaving: {Leaving, spread}, inLeft: {Left, quiet}, inSuspect: {Dead, quiet},
-		inDead: {Dead, quiet}, inSilent: {Dead, quiet}, inProof: {Dead, tell}, inDue: {Dead, quiet}, inForget: {Unknown, drop}},
-	Leaving: {
-		inAlive: {Alive, spread}, inLeaving: {Leaving, spread}, inLeft: {Left, spread}, inSuspect: {Leaving, quiet},
-		inDead: {Leaving, quiet}, inSilent: {Left, spread}, inProof: {Leaving, quiet}, inDue: {Leaving, quiet}, inForget: {Leaving, quiet}},
-	Left: {
-		inAlive: {Alive, spread}, inLeaving: {Leaving, spread}, inLeft: {Left, quiet}, inSuspect: {Left, quiet},
-		inDead: {Left, quiet}, inSilent: {Left, quiet}, inProof: {Left, tell}, inDue: {Left, quiet}, inForget: {Unknown, drop}},
+	StateUnknown: {
+		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, quiet}, inSuspect: {StateSuspect, suspect},
+		inDead: {StateDead, quiet}, inSilent: {StateUnknown, quiet}, inProof: {StateUnknown, quiet}, inDue: {StateUnknown, quiet}, inForget: {StateUnknown, drop}},
+	StateAlive: {
+		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, spread}, inSuspect: {StateSuspect, suspect},
+		inDead: {StateSuspect, doubt}, inSilent: {StateSuspect, suspect}, inProof: {StateAlive, quiet}, inDue: {StateAlive, quiet}, inForget: {StateAlive, quiet}},
+	StateSuspect: {
+		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, spread}, inSuspect: {StateSuspect, witness},
+		inDead: {StateSuspect, doubt}, inSilent: {StateSuspect, witness}, inProof: {StateSuspect, hold}, inDue: {StateDead, echo}, inForget: {StateSuspect, quiet}},
+	StateDead: {
+		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, quiet}, inSuspect: {StateDead, quiet},
+		inDead: {StateDead, quiet}, inSilent: {StateDead, quiet}, inProof: {StateDead, tell}, inDue: {StateDead, quiet}, inForget: {StateUnknown, drop}},
+	StateLeaving: {
+		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, spread}, inSuspect: {StateLeaving, quiet},
+		inDead: {StateLeaving, quiet}, inSilent: {StateLeft, spread}, inProof: {StateLeaving, quiet}, inDue: {StateLeaving, quiet}, inForget: {StateLeaving, quiet}},
+	StateLeft: {
+		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, quiet}, inSuspect: {StateLeft, quiet},
+		inDead: {StateLeft, quiet}, inSilent: {StateLeft, quiet}, inProof: {StateLeft, tell}, inDue: {StateLeft, quiet}, inForget: {StateUnknown, drop}},
 }
 
 // suspicion is how long it lasts: from four times the least, while one alone says
