--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -23,12 +23,12 @@
 func site(n int, seed uint64, wrong string, loss float64) *simfleet.Fleet {
 	net := netsim.New(300, 700, rand.New(rand.NewPCG(seed, 2)))
 	if loss > 0 {
-		net.Add(&netsim.Trouble{Loss: loss})
+		net.AddFault(&netsim.Fault{Loss: loss})
 	}
 	lives := uint64(0)
-	f := simfleet.New(n, seed, net, func(h *simfleet.Host, now int64) simfleet.Speaker {
+	f := simfleet.New(n, seed, net, func(h *simfleet.Host, now int64) simfleet.Detector {
 		lives++
-		set := membership.Settings{Name: h.Name, Place: "office", Addr: simfleet.Addr(h.ID), Seeds: simfleet.Seeds(min(n, 3)), Life: 1}
+		set := membership.Settings{Name: h.Name, Zone: "office", Addr: simfleet.Addr(h.ID), Seeds: simfleet.Seeds(min(n, 3)), Epoch: 1}
 		return membership.New(set.Wrong(wrong), rand.New(rand.NewPCG(seed, lives)), now)
 	})
 	for i := range n {
@@ -41,9 +41,9 @@
 func agree(f *simfleet.Fleet, within int64) (took int64, why string) {
 	from := f.Now
 	for f.Now < from+within {
-		f.Until(f.Now + 20*ms)
+		f.RunUntil(f.Now + 20*ms)
 		ok := false
-		if ok, why = f.Agree(); ok {
+		if ok, why = f.Converged(); ok {
 			return f.Now - from, ""
 		}
 	}
@@ -64,13 +64,13 @@
 		// What was said of one before it died comes late: it stays dead.
 		"no incarnations": func(wrong string) error {
 			n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}.Wrong(wrong), rand.New(rand.NewPCG(1, 1)), 1)
-			from := membership.Rumour{Name: "n1", ID: membership.ID{Life: 9, Nonce: 9}, Inc: 1, State: membership.Alive, Addr: simfleet.Addr(1)}
-			for i, r := range []membership.Rumour{{Inc: 5, State: membership.Dead}, {Inc: 3, State: membership.Alive}, {Inc: 5, State: membership.Alive}} {
-				r.Name, r.ID = "x", membership.ID{Life: 2, Nonce: 2}
-				n.Heard(second, netip.AddrPort{}, &membership.Word{Kind: membership.Tell, N: uint64(i + 1), From: from, To: "me", Life: n.Self().ID,
-					Rumours: []membership.Rumour{r}})
+			from := membership.Update{Name: "n1", ID: membership.InstanceID{Epoch: 9, Nonce: 9}, Incarnation: 1, State: membership.StateAlive, Addr: simfleet.Addr(1)}
+			for i, r := range []membership.Update{{Incarnation: 5, State: membership.StateDead}, {Incarnation: 3, State: membership.StateAlive}, {Incarnation: 5, State: membership.StateAlive}} {
+				r.Name, r.ID = "x", membership.InstanceID{Epoch: 2, Nonce: 2}
+				n.Receive(second, netip.AddrPort{}, &membership.Message{Kind: membership.KindStateExchange, Sequence: uint64(i + 1), Sender: from, To: "me", ToInstance: n.Self().ID,
+					Updates: []membership.Update{r}})
 			}
-			if s := n.State("x"); s != membership.Dead {
+			if s := n.State("x"); s != membership.StateDead {
 				return fmt.Errorf("the dead is %v", s)
 			}
 			return nil
@@ -80,16 +80,16 @@
 			f := site(12, 1, wrong, 0.05)
 			agree(f, 30*second)
 			dead := 0
-			f.News = func(_ *simfleet.Host, c membership.Change) {
-				if c.To == membership.Dead {
+			f.OnChange = func(_ *simfleet.Host, c membership.Change) {
+				if c.To == membership.StateDead {
 					dead++
 				}
 			}
 			for range 5 {
-				f.Stop(3)
-				f.Until(f.Now + second/2)
-				f.Wake(3)
-				f.Until(f.Now + 5*second)
+				f.Pause(3)
+				f.RunUntil(f.Now + second/2)
+				f.Resume(3)
+				f.RunUntil(f.Now + 5*second)
 			}
 			if dead > 0 {
 				return fmt.Errorf("a live one was called dead %d times", dead)
@@ -101,13 +101,13 @@
 			f := site(12, 1, wrong, 0)
 			agree(f, 30*second)
 			dead := 0
-			f.News = func(h *simfleet.Host, c membership.Change) {
-				if c.To == membership.Dead && h.ID == 4 {
+			f.OnChange = func(h *simfleet.Host, c membership.Change) {
+				if c.To == membership.StateDead && h.ID == 4 {
 					dead++
 				}
 			}
-			f.Net.Add(&netsim.Trouble{To: []int{4}, Delay: 1300 * ms})
-			f.Until(f.Now + 10*second)
+			f.Network.AddFault(&netsim.Fault{To: []int{4}, Delay: 1300 * ms})
+			f.RunUntil(f.Now + 10*second)
 			if dead > 0 {
 				return fmt.Errorf("live ones were called dead %d times", dead)
 			}
@@ -118,9 +118,9 @@
 			f := site(12, 1, wrong, 0)
 			agree(f, 30*second)
 			f.Kill(11)
-			f.Until(f.Now + 10*second)
+			f.RunUntil(f.Now + 10*second)
 			from := f.Hosts[0].SentBytes
-			f.Until(f.Now + 5*second)
+			f.RunUntil(f.Now + 5*second)
 			if rate := (f.Hosts[0].SentBytes - from) / 5; rate > 2000 {
 				return fmt.Errorf("%d bytes a second with nothing to tell", rate)
 			}
@@ -132,25 +132,25 @@
 			f := site(12, 1, wrong, 0)
 			agree(f, 30*second)
 			for range 10 {
-				heal := f.Net.Add(&netsim.Trouble{From: []int{11}, Both: true, Cut: true})
-				f.Until(f.Now + 170*ms)
-				f.Stop(11)
-				f.Until(f.Now + second)
+				heal := f.Network.AddFault(&netsim.Fault{From: []int{11}, Bidirectional: true, Partitioned: true})
+				f.RunUntil(f.Now + 170*ms)
+				f.Pause(11)
+				f.RunUntil(f.Now + second)
 				heal()
-				f.Until(f.Now + 20*second)
+				f.RunUntil(f.Now + 20*second)
 				suspects := 0
-				f.News = func(h *simfleet.Host, c membership.Change) {
-					if h.ID == 11 && c.To == membership.Suspected {
+				f.OnChange = func(h *simfleet.Host, c membership.Change) {
+					if h.ID == 11 && c.To == membership.StateSuspect {
 						suspects++
 					}
 				}
-				f.Wake(11)
-				f.Until(f.Now + 10*ms)
-				f.News = nil
+				f.Resume(11)
+				f.RunUntil(f.Now + 10*ms)
+				f.OnChange = nil
 				if suspects > 0 {
 					return fmt.Errorf("a sleeper suspects %d as it wakes", suspects)
 				}
-				if s := f.Hosts[11].Speaker.(*membership.Node).Standing(); s.Majority {
+				if s := f.Hosts[11].Detector.(*membership.Node).Connectivity(); s.Majority {
 					return fmt.Errorf("a sleeper that woke believes itself: %+v", s)
 				}
 				if _, why := agree(f, 20*second); why != "" {
@@ -162,30 +162,30 @@
 		// What the dead have said comes again and again: it proves nothing.
 		"takes replays": func(wrong string) error {
 			f := site(6, 1, wrong, 0)
-			var said []*membership.Word
-			f.Spoil = func(h *simfleet.Host, w *membership.Word) {
-				if h.ID == 5 && w.Kind == membership.Ping {
+			var said []*membership.Message
+			f.BeforeSend = func(h *simfleet.Host, w *membership.Message) {
+				if h.ID == 5 && w.Kind == membership.KindPing {
 					b, _ := cbor.Marshal(w)
-					x := new(membership.Word)
+					x := new(membership.Message)
 					cbor.Unmarshal(b, x)
 					said = append(said, x)
 				}
 			}
 			agree(f, 30*second)
-			f.Until(f.Now + 20*second)
+			f.RunUntil(f.Now + 20*second)
 			f.Kill(5)
-			for until := f.Now + 10*second; f.Now < until; f.Until(f.Now + 100*ms) {
+			for until := f.Now + 10*second; f.Now < until; f.RunUntil(f.Now + 100*ms) {
 				for _, w := range said[len(said)-60:] {
 					for _, h := range f.Hosts[:5] {
 						x := *w
 						if h.Name == w.To {
-							h.Speaker.Heard(f.Now, netip.AddrPort{}, &x)
+							h.Detector.Receive(f.Now, netip.AddrPort{}, &x)
 						}
 					}
 				}
 			}
 			for _, h := range f.Hosts[:5] {
-				if s := h.Speaker.State(simfleet.Name(5)); s != membership.Dead {
+				if s := h.Detector.State(simfleet.Name(5)); s != membership.StateDead {
 					return fmt.Errorf("%s holds the dead %v", h.Name, s)
 				}
 			}
@@ -211,10 +211,10 @@
 func TestBackFromNothing(t *testing.T) {
 	f := site(6, 3, "", 0)
 	must(t, f, 10*second)
-	last := map[string]membership.ID{}
-	f.News = func(h *simfleet.Host, c membership.Change) {
+	last := map[string]membership.InstanceID{}
+	f.OnChange = func(h *simfleet.Host, c membership.Change) {
 		key := h.Name + c.Name
-		if c.To == membership.Alive && c.ID.Compare(last[key]) < 0 {
+		if c.To == membership.StateAlive && c.ID.Compare(last[key]) < 0 {
 			t.Errorf("%s holds %s alive in life %v after %v", h.Name, c.Name, c.ID, last[key])
 		}
 		last[key] = c.ID
@@ -227,20 +227,20 @@
 				delete(last, key) // what it knew is gone
 			}
 		}
-		f.Until(f.Now + int64(i%3)*1500*ms)
+		f.RunUntil(f.Now + int64(i%3)*1500*ms)
 		f.Start(at)
-		f.Until(f.Now + second)
+		f.RunUntil(f.Now + second)
 	}
 	must(t, f, 10*second)
-	if id := f.Hosts[1].Speaker.(*membership.Node).Self().ID; id.Life < 3 {
-		t.Errorf("after three restarts its life is %d", id.Life)
+	if id := f.Hosts[1].Detector.(*membership.Node).Self().ID; id.Epoch < 3 {
+		t.Errorf("after three restarts its life is %d", id.Epoch)
 	}
 	// All seeds gone for good: the others go on, and take in who comes back.
 	for i := range 3 {
 		f.Kill(i)
 	}
 	f.Kill(4)
-	f.Until(f.Now + 5*second)
+	f.RunUntil(f.Now + 5*second)
 	f.Start(4)
 	must(t, f, 10*second)
 }
@@ -249,28 +249,28 @@
 func TestLeaving(t *testing.T) {
 	f := site(6, 4, "", 0.05)
 	must(t, f, 10*second)
-	f.News = func(h *simfleet.Host, c membership.Change) {
-		if c.To == membership.Dead {
+	f.OnChange = func(h *simfleet.Host, c membership.Change) {
+		if c.To == membership.StateDead {
 			t.Errorf("%s calls %s dead", h.Name, c.Name)
 		}
 	}
-	n := f.Hosts[2].Speaker.(*membership.Node)
+	n := f.Hosts[2].Detector.(*membership.Node)
 	n.Leave(f.Now)
-	f.Until(f.Now + second)
+	f.RunUntil(f.Now + second)
 	for _, h := range f.Hosts {
-		if s := h.Speaker.State(simfleet.Name(2)); s != membership.Leaving {
+		if s := h.Detector.State(simfleet.Name(2)); s != membership.StateLeaving {
 			t.Errorf("%s holds the leaving %v", h.Name, s)
 		}
 	}
-	f.Send(2, n.Gone(f.Now))
+	f.Send(2, n.Depart(f.Now))
 	f.Kill(2)
-	f.Until(f.Now + 3*second)
+	f.RunUntil(f.Now + 3*second)
 	for _, h := range f.Hosts {
-		if h.ID != 2 && h.Speaker.State(simfleet.Name(2)) != membership.Left {
-			t.Errorf("%s holds who has left %v", h.Name, h.Speaker.State(simfleet.Name(2)))
+		if h.ID != 2 && h.Detector.State(simfleet.Name(2)) != membership.StateLeft {
+			t.Errorf("%s holds who has left %v", h.Name, h.Detector.State(simfleet.Name(2)))
 		}
 	}
-	f.News = nil
+	f.OnChange = nil
 	f.Start(2)
 	must(t, f, 10*second)
 }
@@ -280,15 +280,15 @@
 func TestStanding(t *testing.T) {
 	f := site(9, 5, "", 0)
 	must(t, f, 10*second)
-	f.Until(f.Now + 3*second)
-	stood := func(i int) membership.Standing { return f.Hosts[i].Speaker.(*membership.Node).Standing() }
+	f.RunUntil(f.Now + 3*second)
+	stood := func(i int) membership.Connectivity { return f.Hosts[i].Detector.(*membership.Node).Connectivity() }
 	if s := stood(0); !s.Majority || s.Known != 9 || s.Reachable != 9 {
 		t.Fatalf("calm: %+v", s)
 	}
-	heal := f.Net.Camps([]int{0, 1, 2}, []int{3, 4, 5, 6, 7, 8})
+	heal := f.Network.Partition([]int{0, 1, 2}, []int{3, 4, 5, 6, 7, 8})
 	cut := f.Now
-	f.Until(f.Now + 8*second)
-	if s := stood(0); s.Majority || s.Known != 9 || s.Reachable != 3 || s.Since < cut || s.Since > cut+6*second {
+	f.RunUntil(f.Now + 8*second)
+	if s := stood(0); s.Majority || s.Known != 9 || s.Reachable != 3 || s.MajoritySince < cut || s.MajoritySince > cut+6*second {
 		t.Errorf("the smaller part: %+v, cut at %d", s, cut)
 	}
 	if s := stood(5); !s.Majority || s.Known != 9 || s.Reachable != 6 {
@@ -296,28 +296,28 @@
 	}
 	heal()
 	must(t, f, 5*second)
-	f.Until(f.Now + 3*second)
+	f.RunUntil(f.Now + 3*second)
 	if s := stood(0); !s.Majority {
 		t.Errorf("healed: %+v", s)
 	}
 	// Alone: nobody is heard, and that is known sooner than anybody is buried.
-	end := f.Net.Add(&netsim.Trouble{From: []int{0}, Both: true, Cut: true})
-	f.Until(f.Now + 1500*ms)
+	end := f.Network.AddFault(&netsim.Fault{From: []int{0}, Bidirectional: true, Partitioned: true})
+	f.RunUntil(f.Now + 1500*ms)
 	if s := stood(0); s.Majority || s.Silence < second {
 		t.Errorf("alone: %+v", s)
 	}
 	end()
 	// A reaches B, B reaches C, A does not reach C: nobody is called dead.
 	must(t, f, 10*second)
-	f.News = func(h *simfleet.Host, c membership.Change) {
-		if c.To == membership.Dead {
+	f.OnChange = func(h *simfleet.Host, c membership.Change) {
+		if c.To == membership.StateDead {
 			t.Errorf("%s calls %s dead over a chain", h.Name, c.Name)
 		}
 	}
-	f.Net.Camps([]int{0}, []int{1})
-	f.Until(f.Now + 20*second)
-	for _, s := range f.Hosts[0].Speaker.(*membership.Node).View().Seen {
-		if s.Name == simfleet.Name(1) && s.Reach != membership.Relayed {
+	f.Network.Partition([]int{0}, []int{1})
+	f.RunUntil(f.Now + 20*second)
+	for _, s := range f.Hosts[0].Detector.(*membership.Node).View().Members {
+		if s.Name == simfleet.Name(1) && s.Reach != membership.ReachRelayed {
 			t.Errorf("reached through others, told as %v", s.Reach)
 		}
 	}
@@ -329,20 +329,20 @@
 	now := int64(1)
 	for i := range 3000 {
 		now += 50 * ms
-		n.Run(now)
-		from := membership.Rumour{Name: "n1", ID: membership.ID{Life: 9, Nonce: 9}, Inc: 1, State: membership.Alive, Addr: simfleet.Addr(1)}
-		w := &membership.Word{Kind: membership.Tell, N: uint64(i + 1), From: from, To: "me", Life: n.Self().ID}
+		n.Tick(now)
+		from := membership.Update{Name: "n1", ID: membership.InstanceID{Epoch: 9, Nonce: 9}, Incarnation: 1, State: membership.StateAlive, Addr: simfleet.Addr(1)}
+		w := &membership.Message{Kind: membership.KindStateExchange, Sequence: uint64(i + 1), Sender: from, To: "me", ToInstance: n.Self().ID}
 		for k := range 20 {
-			state := []membership.State{membership.Alive, membership.Dead, membership.Left, membership.Suspected}[k%4]
-			w.Rumours = append(w.Rumours, membership.Rumour{Name: fmt.Sprint("x", i, "-", k), ID: membership.ID{Life: 1, Nonce: 1}, Inc: 1, State: state})
+			state := []membership.State{membership.StateAlive, membership.StateDead, membership.StateLeft, membership.StateSuspect}[k%4]
+			w.Updates = append(w.Updates, membership.Update{Name: fmt.Sprint("x", i, "-", k), ID: membership.InstanceID{Epoch: 1, Nonce: 1}, Incarnation: 1, State: state})
 		}
-		n.Heard(now, netip.AddrPort{}, w)
+		n.Receive(now, netip.AddrPort{}, w)
 		known, asked, relayed, hot, chunk := n.Sizes()
 		if known > 512 || asked > 64 || relayed > 64 || hot > 512 || chunk > 512 {
 			t.Fatalf("%d members, %d asked, %d relayed, %d hot, %d to tell", known, asked, relayed, hot, chunk)
 		}
 	}
-	if n.Counts.TooMany == 0 {
+	if n.Counts.RejectedFull == 0 {
 		t.Error("the bound was not met")
 	}
 }
@@ -379,14 +379,14 @@
 func (x *net) start(i int) {
 	x.lives++
 	seeds := []membership.Seed{{Name: x.names[0], Addr: x.addrs[0]}, {Name: x.names[1], Addr: x.addrs[1]}}
-	x.nodes[i] = membership.New(membership.Settings{Name: x.names[i], Addr: x.addrs[i], Seeds: seeds, Life: 1}, rand.New(rand.NewPCG(7, x.lives)), x.now)
+	x.nodes[i] = membership.New(membership.Settings{Name: x.names[i], Addr: x.addrs[i], Seeds: seeds, Epoch: 1}, rand.New(rand.NewPCG(7, x.lives)), x.now)
 }
 
-func (x *net) put(from int, out []membership.Out) {
+func (x *net) put(from int, out []membership.Outbound) {
 	const most = 40
 	for _, o := range out {
 		if to := slices.Index(x.addrs, o.Addr); to >= 0 && to != from {
-			b, _ := cbor.Marshal(o.Word)
+			b, _ := cbor.Marshal(o.Message)
 			x.flight = append(x.flight, flying{from, to, b})
 		}
 	}
@@ -401,7 +401,7 @@
 		x.now += 50 * ms
 		for i, n := range x.nodes {
 			if n != nil && !x.asleep[i] {
-				_, out, _ := n.Run(x.now)
+				_, out, _ := n.Tick(x.now)
 				x.put(i, out)
 			}
 		}
@@ -417,9 +417,9 @@
 		if from >= 0 && f.from != from || to >= 0 && f.to != to || x.asleep[f.to] {
 			x.flight = append(x.flight, f)
 		} else if n != nil {
-			var w membership.Word
+			var w membership.Message
 			cbor.Unmarshal(f.word, &w)
-			x.put(f.to, n.Heard(x.now, netip.AddrPort{}, &w))
+			x.put(f.to, n.Receive(x.now, netip.AddrPort{}, &w))
 		}
 	}
 }
@@ -442,13 +442,13 @@
 		}
 		for j, o := range x.nodes {
 			s := n.State(x.names[j])
-			if i == j && s == membership.Joining && !slices.ContainsFunc(x.nodes, func(o *membership.Node) bool { return o != nil && o != n }) {
+			if i == j && s == membership.StateJoining && !slices.ContainsFunc(x.nodes, func(o *membership.Node) bool { return o != nil && o != n }) {
 				continue // it is alone, and has been since its start
 			}
-			if (s == membership.Alive) != (o != nil) {
+			if (s == membership.StateAlive) != (o != nil) {
 				return fmt.Sprintf("%s holds %s %v", x.names[i], x.names[j], s)
 			}
-			for _, seen := range n.View().Seen {
+			for _, seen := range n.View().Members {
 				if o != nil && seen.Name == x.names[j] && seen.ID != o.Self().ID {
 					return fmt.Sprintf("%s holds a life of %s that is over", x.names[i], x.names[j])
 				}
@@ -465,9 +465,9 @@
 			b.WriteString("-;")
 			continue
 		}
-		fmt.Fprint(&b, x.asleep[i], n.Self().ID.Life, n.Self().Inc, n.Self().State)
-		for _, s := range n.View().Seen {
-			fmt.Fprint(&b, s.Name, s.State, s.ID, s.Inc, s.Witnesses, s.Reach, ",")
+		fmt.Fprint(&b, x.asleep[i], n.Self().ID.Epoch, n.Self().Incarnation, n.Self().State)
+		for _, s := range n.View().Members {
+			fmt.Fprint(&b, s.Name, s.State, s.ID, s.Incarnation, s.Confirmations, s.Reach, ",")
 		}
 		b.WriteByte(';')
 	}
@@ -515,7 +515,7 @@
 		x := newNet("a", "b", "c")
 		x.calm(2 * second)
 		type pair struct{ by, of int }
-		shown := map[pair]membership.ID{}
+		shown := map[pair]membership.InstanceID{}
 		node := [3]*membership.Node{}
 		for _, e := range path {
 			events[e].do(x)
@@ -529,9 +529,9 @@
 				if n == nil {
 					continue
 				}
-				for _, s := range n.View().Seen {
+				for _, s := range n.View().Members {
 					key := pair{i, slices.Index(x.names, s.Name)}
-					if s.State != membership.Unknown && s.ID.Compare(shown[key]) < 0 {
+					if s.State != membership.StateUnknown && s.ID.Compare(shown[key]) < 0 {
 						t.Fatalf("%v: %s shows an older life of %s", path, x.names[i], s.Name)
 					}
 					shown[key] = s.ID
@@ -573,28 +573,28 @@
 	x.start(3)
 	x.calm(20 * second)
 	first, second2 := x.nodes[2].Self().State, x.nodes[3].Self().State
-	if (first == membership.Doubled) == (second2 == membership.Doubled) {
+	if (first == membership.StateNameConflict) == (second2 == membership.StateNameConflict) {
 		t.Fatalf("one has state %v, the other %v", first, second2)
 	}
 	quiet, other := 2, 3
-	if second2 == membership.Doubled {
+	if second2 == membership.StateNameConflict {
 		quiet, other = 3, 2
 	}
-	if s := x.nodes[quiet].Standing(); s.Majority {
+	if s := x.nodes[quiet].Connectivity(); s.Majority {
 		t.Errorf("the doubled one counts on a majority: %+v", s)
 	}
 	for i := range 2 {
-		if s := x.nodes[i].State("c"); s != membership.Alive {
+		if s := x.nodes[i].State("c"); s != membership.StateAlive {
 			t.Errorf("%s holds c %v", x.names[i], s)
 		}
 	}
 	x.nodes[other] = nil
 	x.calm(80 * second)
-	if s := x.nodes[quiet].Self().State; s != membership.Alive {
+	if s := x.nodes[quiet].Self().State; s != membership.StateAlive {
 		t.Errorf("its name is free, and it is %v", s)
 	}
 	for i := range 2 {
-		if s := x.nodes[i].State("c"); s != membership.Alive {
+		if s := x.nodes[i].State("c"); s != membership.StateAlive {
 			t.Errorf("%s holds c %v in the end", x.names[i], s)
 		}
 	}
@@ -614,7 +614,7 @@
 			i := rapid.IntRange(0, 19).Draw(t, "router")
 			switch rapid.SampledFrom([]string{"life", "life", "stop", "loss", "one way", "camps", "heal", "flap", "mass"}).Draw(t, "event") {
 			case "life":
-				if f.Hosts[i].Speaker != nil {
+				if f.Hosts[i].Detector != nil {
 					f.Kill(i)
 					delete(stopped, i)
 				} else {
@@ -622,15 +622,15 @@
 				}
 			case "stop":
 				if stopped[i] {
-					f.Wake(i)
+					f.Resume(i)
 				} else {
-					f.Stop(i)
+					f.Pause(i)
 				}
 				stopped[i] = !stopped[i]
 			case "loss":
-				over = append(over, f.Net.Add(&netsim.Trouble{Loss: 0.2, Jitter: 50 * ms}))
+				over = append(over, f.Network.AddFault(&netsim.Fault{Loss: 0.2, Jitter: 50 * ms}))
 			case "one way":
-				over = append(over, f.Net.Add(&netsim.Trouble{From: []int{i}, Cut: true}))
+				over = append(over, f.Network.AddFault(&netsim.Fault{From: []int{i}, Partitioned: true}))
 			case "camps":
 				var a, b []int
 				for x := range 20 {
@@ -640,7 +640,7 @@
 						b = append(b, x)
 					}
 				}
-				over = append(over, f.Net.Camps(a, b))
+				over = append(over, f.Network.Partition(a, b))
 			case "heal":
 				for _, end := range over {
 					end()
@@ -649,9 +649,9 @@
 			case "flap":
 				for range 4 {
 					f.Kill(i)
-					f.Until(f.Now + 300*ms)
+					f.RunUntil(f.Now + 300*ms)
 					f.Start(i)
-					f.Until(f.Now + 300*ms)
+					f.RunUntil(f.Now + 300*ms)
 				}
 				delete(stopped, i)
 			case "mass":
@@ -660,13 +660,13 @@
 					delete(stopped, x)
 				}
 			}
-			f.Until(f.Now + int64(rapid.IntRange(0, 6000).Draw(t, "ms"))*ms)
+			f.RunUntil(f.Now + int64(rapid.IntRange(0, 6000).Draw(t, "ms"))*ms)
 		}
 		for _, end := range over {
 			end()
 		}
 		for i := range stopped {
-			f.Wake(i)
+			f.Resume(i)
 		}
 		for i := range 3 { // where all who knew the others have died, seeds bring them together
 			f.Start(i)
@@ -675,20 +675,20 @@
 		if why != "" {
 			t.Fatalf("no agreement after %d s: %s", took/second, why)
 		}
-		f.Until(f.Now + 5*second)
+		f.RunUntil(f.Now + 5*second)
 		words := make([]int64, 20)
 		for i, h := range f.Hosts {
-			words[i] = h.Sent
+			words[i] = h.SentMessages
 		}
-		f.Until(f.Now + 5*second)
+		f.RunUntil(f.Now + 5*second)
 		for _, h := range f.Hosts {
-			if h.Speaker == nil {
+			if h.Detector == nil {
 				continue
 			}
-			if calm := (h.Sent - words[h.ID]) / 5; calm > 40 {
+			if calm := (h.SentMessages - words[h.ID]) / 5; calm > 40 {
 				t.Fatalf("%s says %d words a second when all is calm", h.Name, calm)
 			}
-			if known, asked, relayed, hot, chunk := h.Speaker.(*membership.Node).Sizes(); known > 20 || asked > 64 || relayed > 64 || hot > 20 || chunk > 20 {
+			if known, asked, relayed, hot, chunk := h.Detector.(*membership.Node).Sizes(); known > 20 || asked > 64 || relayed > 64 || hot > 20 || chunk > 20 {
 				t.Fatalf("%s keeps %d members, %d asked, %d relayed, %d hot, %d to tell", h.Name, known, asked, relayed, hot, chunk)
 			}
 		}
@@ -699,58 +699,58 @@
 func FuzzHeard(f *testing.F) {
 	n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
 	self := n.Self()
-	for k := membership.Hello; k <= membership.Viewed; k++ {
-		b, _ := cbor.Marshal(&membership.Word{Kind: k, N: 1, Seq: 1, From: membership.Rumour{Name: "n1", Addr: simfleet.Addr(1), ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1,
-			State: membership.Alive}, To: "me", Life: self.ID, Target: "n2", Buckets: make([]uint32, 16),
-			Rumours: []membership.Rumour{{Name: "n2", State: membership.Suspected, Witnesses: []uint16{3}}, {Name: "me", State: membership.Dead, ID: self.ID, Inc: 5}}})
+	for k := membership.KindHello; k <= membership.KindQueryResponse; k++ {
+		b, _ := cbor.Marshal(&membership.Message{Kind: k, Sequence: 1, RequestID: 1, Sender: membership.Update{Name: "n1", Addr: simfleet.Addr(1), ID: membership.InstanceID{Epoch: 1, Nonce: 2}, Incarnation: 1,
+			State: membership.StateAlive}, To: "me", ToInstance: self.ID, Target: "n2", BucketDigests: make([]uint32, 16),
+			Updates: []membership.Update{{Name: "n2", State: membership.StateSuspect, SuspectedBy: []uint16{3}}, {Name: "me", State: membership.StateDead, ID: self.ID, Incarnation: 5}}})
 		f.Add(b, int64(1000))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, later int64) {
 		n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}, rand.New(rand.NewPCG(1, 1)), 1)
-		var w membership.Word
+		var w membership.Message
 		if cbor.Unmarshal(b, &w) != nil {
 			return
 		}
 		now := max(later%(100*second), 1)
 		for range 3 {
 			x := w
-			x.Rumours = slices.Clone(w.Rumours)
-			if out := n.Heard(now, simfleet.Addr(2), &x); len(out) > 300 {
+			x.Updates = slices.Clone(w.Updates)
+			if out := n.Receive(now, simfleet.Addr(2), &x); len(out) > 300 {
 				t.Fatalf("%d words for one", len(out))
 			}
 			now += 50 * ms
-			n.Run(now)
+			n.Tick(now)
 		}
 		n.View()
 		n.Leave(now)
-		n.Gone(now)
+		n.Depart(now)
 	})
 }
 
 // A page of a view fits a datagram, whatever the names.
 func TestPagesFit(t *testing.T) {
-	n := membership.New(membership.Settings{Name: strings.Repeat("m", 64), Place: strings.Repeat("p", 64), Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)},
+	n := membership.New(membership.Settings{Name: strings.Repeat("m", 64), Zone: strings.Repeat("p", 64), Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)},
 		rand.New(rand.NewPCG(1, 1)), 1)
-	w := &membership.Word{Kind: membership.Tell, N: 1, From: membership.Rumour{Name: "n1", ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1, State: membership.Alive}, To: n.Self().Name,
-		Life: n.Self().ID}
+	w := &membership.Message{Kind: membership.KindStateExchange, Sequence: 1, Sender: membership.Update{Name: "n1", ID: membership.InstanceID{Epoch: 1, Nonce: 2}, Incarnation: 1, State: membership.StateAlive}, To: n.Self().Name,
+		ToInstance: n.Self().ID}
 	for i := range 150 {
-		w.Rumours = append(w.Rumours, membership.Rumour{Name: strings.Repeat("x", 60) + fmt.Sprint(i), Place: strings.Repeat("p", 64), Addr: simfleet.Addr(1),
-			ID: membership.ID{Life: 1 << 31, Nonce: 1 << 31}, Inc: 1 << 30, State: membership.Alive})
+		w.Updates = append(w.Updates, membership.Update{Name: strings.Repeat("x", 60) + fmt.Sprint(i), Zone: strings.Repeat("p", 64), Addr: simfleet.Addr(1),
+			ID: membership.InstanceID{Epoch: 1 << 31, Nonce: 1 << 31}, Incarnation: 1 << 30, State: membership.StateAlive})
 	}
-	n.Heard(2, netip.AddrPort{}, w)
+	n.Receive(2, netip.AddrPort{}, w)
 	got := 0
 	for from, now := 0, int64(second); from < 152; now += 100 * ms {
-		_, _, _ = n.Run(now)
-		out := n.Heard(now, simfleet.Addr(2), &membership.Word{Kind: membership.Query, Seq: uint32(from), To: n.Self().Name, From: membership.Rumour{Name: "?", State: membership.Alive}})
-		if len(out) != 1 || len(out[0].Word.View.Seen) == 0 {
+		_, _, _ = n.Tick(now)
+		out := n.Receive(now, simfleet.Addr(2), &membership.Message{Kind: membership.KindQuery, RequestID: uint32(from), To: n.Self().Name, Sender: membership.Update{Name: "?", State: membership.StateAlive}})
+		if len(out) != 1 || len(out[0].Message.View.Members) == 0 {
 			t.Fatalf("at %d: %d words", from, len(out))
 		}
-		b, _ := cbor.Marshal(out[0].Word)
+		b, _ := cbor.Marshal(out[0].Message)
 		if len(b) > 1200 {
 			t.Fatalf("a page of %d bytes", len(b))
 		}
-		got += len(out[0].Word.View.Seen)
-		from += len(out[0].Word.View.Seen)
+		got += len(out[0].Message.View.Members)
+		from += len(out[0].Message.View.Members)
 	}
 	if got != 152 {
 		t.Errorf("%d of 152", got)
@@ -763,8 +763,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var w membership.Word
-	if err := cbor.Unmarshal(b, &w); err != nil || w.Kind != membership.Ping || w.From.Name != "n1" || w.From.State != membership.Alive || w.Digest != 0 {
+	var w membership.Message
+	if err := cbor.Unmarshal(b, &w); err != nil || w.Kind != membership.KindPing || w.Sender.Name != "n1" || w.Sender.State != membership.StateAlive || w.ViewDigest != 0 {
 		t.Errorf("%+v, %v", w, err)
 	}
 }
@@ -772,11 +772,11 @@
 // Words of 256 bytes, as the simulator carries them among instances, are enough.
 func TestSmallWords(t *testing.T) {
 	const most = 256
-	f := simfleet.New(24, 1, netsim.New(300, 700, rand.New(rand.NewPCG(1, 2))), func(h *simfleet.Host, now int64) simfleet.Speaker {
-		return membership.New(membership.Settings{Name: h.Name, Place: "office", Addr: simfleet.Addr(h.ID), Seeds: simfleet.Seeds(3), Life: 1, Most: most},
+	f := simfleet.New(24, 1, netsim.New(300, 700, rand.New(rand.NewPCG(1, 2))), func(h *simfleet.Host, now int64) simfleet.Detector {
+		return membership.New(membership.Settings{Name: h.Name, Zone: "office", Addr: simfleet.Addr(h.ID), Seeds: simfleet.Seeds(3), Epoch: 1, MaxMessageBytes: most},
 			rand.New(rand.NewPCG(1, uint64(h.ID))), now)
 	})
-	f.Spoil = func(h *simfleet.Host, w *membership.Word) {
+	f.BeforeSend = func(h *simfleet.Host, w *membership.Message) {
 		if b, _ := cbor.Marshal(w); len(b)+17 > most {
 			t.Fatalf("%s: a word %d of %d bytes", h.Name, w.Kind, len(b)+17)
 		}
@@ -810,23 +810,23 @@
 
 func fill(count int) *membership.Node {
 	n := membership.New(membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(1)}, rand.New(rand.NewPCG(1, 1)), 1)
-	w := &membership.Word{Kind: membership.Tell, N: 1, From: membership.Rumour{Name: "n1", ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1, State: membership.Alive}, To: "me", Life: n.Self().ID}
+	w := &membership.Message{Kind: membership.KindStateExchange, Sequence: 1, Sender: membership.Update{Name: "n1", ID: membership.InstanceID{Epoch: 1, Nonce: 2}, Incarnation: 1, State: membership.StateAlive}, To: "me", ToInstance: n.Self().ID}
 	for i := range count {
-		if w.Rumours = append(w.Rumours, membership.Rumour{Name: fmt.Sprint("x", i), Place: "office", Addr: simfleet.Addr(i), ID: membership.ID{Life: 1, Nonce: 1}, Inc: 1,
-			State: membership.Alive}); len(w.Rumours) == 100 {
-			n.Heard(2, netip.AddrPort{}, w)
-			w.N, w.Rumours = w.N+1, nil
+		if w.Updates = append(w.Updates, membership.Update{Name: fmt.Sprint("x", i), Zone: "office", Addr: simfleet.Addr(i), ID: membership.InstanceID{Epoch: 1, Nonce: 1}, Incarnation: 1,
+			State: membership.StateAlive}); len(w.Updates) == 100 {
+			n.Receive(2, netip.AddrPort{}, w)
+			w.Sequence, w.Updates = w.Sequence+1, nil
 		}
 	}
-	n.Heard(2, netip.AddrPort{}, w)
+	n.Receive(2, netip.AddrPort{}, w)
 	return n
 }
 
 // BenchmarkWord is a question and its answer at one router, codec left out.
 func BenchmarkWord(b *testing.B) {
 	n := fill(222)
-	from := membership.Rumour{Name: "n1", ID: membership.ID{Life: 1, Nonce: 2}, Inc: 1, State: membership.Alive}
+	from := membership.Update{Name: "n1", ID: membership.InstanceID{Epoch: 1, Nonce: 2}, Incarnation: 1, State: membership.StateAlive}
 	for i := range b.N {
-		n.Heard(int64(i)*10, netip.AddrPort{}, &membership.Word{Kind: membership.Ping, N: uint64(i + 10), Seq: 1, From: from, To: "me", Life: n.Self().ID})
+		n.Receive(int64(i)*10, netip.AddrPort{}, &membership.Message{Kind: membership.KindPing, Sequence: uint64(i + 10), RequestID: 1, Sender: from, To: "me", ToInstance: n.Self().ID})
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Out is a word to be sent.
-type Out struct {
-	To   string
-	Addr netip.AddrPort
-	Word *Word
+// Outbound is a word to be sent.
+type Outbound struct {
+	To      string
+	Addr    netip.AddrPort
+	Message *Message
 }
 
 // Change is news for the log: a member's state, or why a word was dropped.
@@ -19,24 +19,24 @@
 	Name string
 	From State
 	To   State
-	ID   ID
+	ID   InstanceID
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Sent       int64 `cbor:"1,keyasint,omitempty"` // words
-	Taken      int64 `cbor:"2,keyasint,omitempty"`
-	Foreign    int64 `cbor:"3,keyasint,omitempty"` // dropped: to another life or name
-	Replayed   int64 `cbor:"4,keyasint,omitempty"` // dropped: seen already, or too old
-	Bad        int64 `cbor:"5,keyasint,omitempty"` // dropped: unusable
-	Suspicions int64 `cbor:"6,keyasint,omitempty"`
-	Refuted    int64 `cbor:"7,keyasint,omitempty"` // what was said of oneself
-	Deaths     int64 `cbor:"8,keyasint,omitempty"`
-	Wakings    int64 `cbor:"9,keyasint,omitempty"`
-	Relayed    int64 `cbor:"10,keyasint,omitempty"`
-	Compared   int64 `cbor:"11,keyasint,omitempty"`
-	TooMany    int64 `cbor:"12,keyasint,omitempty"` // not taken: the list is full
-	Outbidden  int64 `cbor:"13,keyasint,omitempty"` // the own name taken back
+	Sent           int64 `cbor:"1,keyasint,omitempty"` // words
+	Received       int64 `cbor:"2,keyasint,omitempty" json:"Taken"`
+	Misaddressed   int64 `cbor:"3,keyasint,omitempty" json:"Foreign"` // dropped: to another life or name
+	Replayed       int64 `cbor:"4,keyasint,omitempty"`                // dropped: seen already, or too old
+	Malformed      int64 `cbor:"5,keyasint,omitempty" json:"Bad"`     // dropped: unusable
+	Suspicions     int64 `cbor:"6,keyasint,omitempty"`
+	Refutations    int64 `cbor:"7,keyasint,omitempty" json:"Refuted"` // what was said of oneself
+	Deaths         int64 `cbor:"8,keyasint,omitempty"`
+	Resumes        int64 `cbor:"9,keyasint,omitempty" json:"Wakings"`
+	Relayed        int64 `cbor:"10,keyasint,omitempty"`
+	StateExchanges int64 `cbor:"11,keyasint,omitempty" json:"Compared"`
+	RejectedFull   int64 `cbor:"12,keyasint,omitempty" json:"TooMany"`   // not taken: the list is full
+	NameReclaims   int64 `cbor:"13,keyasint,omitempty" json:"Outbidden"` // the own name taken back
 }
 
 // Node is a router's knowledge. One goroutine at a time.
@@ -45,7 +45,7 @@
 	dice    *rand.Rand
 	now     int64
 	planned int64 // when Run was to be called; 0: not yet
-	self    Rumour
+	self    Update
 	members map[string]*member
 	round   []*member // in the order of asking
 	at      int
@@ -78,10 +78,10 @@
 	outbids []int64
 	doubled int64 // since when
 	queried int64 // tools' queries that were answered, as time
-	stood   Standing
-	out     []Out
+	stood   Connectivity
+	out     []Outbound
 	news    []Change
-	letters []Letter
+	letters []Payload
 	tag     uint32
 	Counts  Counts
 }
@@ -89,7 +89,7 @@
 type question struct {
 	seq     uint32
 	to      *member
-	id      ID
+	id      InstanceID
 	sent    int64
 	due     int64
 	through bool // others have been asked
@@ -106,31 +106,31 @@
 
 // New makes a router's knowledge at its start. The dice are its own.
 func New(set Settings, dice *rand.Rand, now int64) *Node {
-	if set.Period == 0 {
-		set.Period = defaultPeriod
+	if set.ProbeInterval == 0 {
+		set.ProbeInterval = defaultPeriod
 	}
-	if set.Most == 0 {
-		set.Most = defaultMost
+	if set.MaxMessageBytes == 0 {
+		set.MaxMessageBytes = defaultMost
 	}
-	if set.Rate == 0 {
-		set.Rate = defaultRate
+	if set.GossipBytesPerSecond == 0 {
+		set.GossipBytesPerSecond = defaultRate
 	}
 	n := &Node{set: set, dice: dice, now: now, started: now, heard: now, filled: now, tokens: burst, telling: 2 * burst, toldAt: now, quiet: now, members: map[string]*member{},
-		self: Rumour{Name: set.Name, Place: set.Place, Addr: set.Addr, ID: ID{Life: max(set.Life, 1), Nonce: dice.Uint32()}, Inc: 1, State: Joining, Runs: set.Runs}}
+		self: Update{Name: set.Name, Zone: set.Zone, Addr: set.Addr, ID: InstanceID{Epoch: max(set.Epoch, 1), Nonce: dice.Uint32()}, Incarnation: 1, State: StateJoining, Process: set.Process}}
 	for _, s := range set.Seeds {
 		if s.Name != set.Name {
 			n.members[s.Name] = &member{name: s.Name, addr: s.Addr, seed: true}
 		}
 	}
-	n.stood = Standing{Since: now}
-	if set.Baton != nil {
-		n.takeOver(set.Baton)
+	n.stood = Connectivity{MajoritySince: now}
+	if set.Handoff != nil {
+		n.takeOver(set.Handoff)
 	}
 	return n
 }
 
 // Self is what the router says of itself.
-func (n *Node) Self() Rumour { return n.self }
+func (n *Node) Self() Update { return n.self }
 
 // clock takes the time; a jump means that the process was stopped, or starved.
 // What it knew is that old, and nobody has failed because it asked nobody.
@@ -149,18 +149,18 @@
 	if late <= sleepAfter || n.set.wrong.wakesTalking {
 		return
 	}
-	n.Counts.Wakings++
+	n.Counts.Resumes++
 	n.waking = n.now
 	// Answers that waited meanwhile would tell the stop's time for the way's.
 	n.asked, n.relayed, n.chunk = nil, nil, nil
 	for _, m := range n.members {
-		if m.state == Suspected {
+		if m.state == StateSuspect {
 			m.due += late
 		}
 		m.spread = 0
 	}
 	n.hot = n.hot[:0]
-	n.refute(n.self.Inc)
+	n.refute(n.self.Incarnation)
 	// First it hears what has become of the others.
 	n.compare = n.now - askEvery
 	for range relays {
@@ -170,16 +170,16 @@
 	}
 }
 
-// Run does what has fallen due and tells when to come again.
-func (n *Node) Run(now int64) (next int64, out []Out, news []Change) {
+// Tick does what has fallen due and tells when to come again.
+func (n *Node) Tick(now int64) (next int64, out []Outbound, news []Change) {
 	n.clock(now)
-	if n.self.State != Doubled && n.self.State != Left {
+	if n.self.State != StateNameConflict && n.self.State != StateLeft {
 		n.retry()
 		n.probe()
 		n.overdue()
 		n.dues()
 		n.told()
-	} else if n.self.State == Doubled && n.now-n.doubled >= doubledRest {
+	} else if n.self.State == StateNameConflict && n.now-n.doubled >= doubledRest {
 		n.doubled = n.now
 		n.hello()
 	}
@@ -188,14 +188,14 @@
 		n.waking = 0 // there is nobody to hear from
 	}
 	n.stand()
-	n.planned = n.now + min(n.set.Period/2, 50*ms)
+	n.planned = n.now + min(n.set.ProbeInterval/2, 50*ms)
 	if n.failing() {
-		n.planned = n.now + n.set.Period/3
+		n.planned = n.now + n.set.ProbeInterval/3
 	}
 	return n.planned, n.take(), n.newsTaken()
 }
 
-func (n *Node) take() (out []Out) {
+func (n *Node) take() (out []Outbound) {
 	out, n.out = n.out, nil
 	return out
 }
@@ -206,44 +206,44 @@
 }
 
 // send makes a word and lets rumours ride on it.
-func (n *Node) send(m *member, k Kind, w Word) {
-	w.Kind, w.To, w.From = k, m.name, n.self
+func (n *Node) send(m *member, k Kind, w Message) {
+	w.Kind, w.To, w.Sender = k, m.name, n.self
 	n.n++
-	w.N = n.n
-	w.Digest = n.whole()
-	if k == Ping || k == Ack || k == Through || k == Nack {
-		w.From.Place = "" // known from the words before
-	}
-	if w.From.State == Doubled {
-		w.From.State = Joining // it asks to be taken in again
-	}
-	if k != Hello {
-		w.Life = m.id
-		if k != Tell && k != Compare && k != Mail {
-			w.Rumours = n.ride(m)
+	w.Sequence = n.n
+	w.ViewDigest = n.whole()
+	if k == KindPing || k == KindAck || k == KindIndirectPing || k == KindNack {
+		w.Sender.Zone = "" // known from the words before
+	}
+	if w.Sender.State == StateNameConflict {
+		w.Sender.State = StateJoining // it asks to be taken in again
+	}
+	if k != KindHello {
+		w.ToInstance = m.id
+		if k != KindStateExchange && k != KindDigestExchange && k != KindPayload {
+			w.Updates = n.ride(m)
 		}
 	}
-	w.Tag = n.tag
+	w.GossipDigest = n.tag
 	n.Counts.Sent++
-	n.out = append(n.out, Out{m.name, m.addr, &w})
+	n.out = append(n.out, Outbound{m.name, m.addr, &w})
 }
 
-// Tag sets what words say of the router's news.
-func (n *Node) Tag(tag uint32) { n.tag = tag }
+// SetGossipDigest sets what words say of the router's news.
+func (n *Node) SetGossipDigest(tag uint32) { n.tag = tag }
 
-// Post sends a body to a router that is there.
-func (n *Node) Post(to string, body []byte) []Out {
+// SendPayload sends a body to a router that is there.
+func (n *Node) SendPayload(to string, body []byte) []Outbound {
 	m := n.members[to]
-	if m == nil || m.state.gone() || n.self.State == Doubled || n.self.State == Left || len(body) > n.set.Most-headBytes {
+	if m == nil || m.state.gone() || n.self.State == StateNameConflict || n.self.State == StateLeft || len(body) > n.set.MaxMessageBytes-headBytes {
 		return nil
 	}
-	n.send(m, Mail, Word{Body: body})
+	n.send(m, KindPayload, Message{Body: body})
 	return n.take()
 }
 
-// Letters are those that have come since it was called last, all of them fresh and
+// Payloads are those that have come since it was called last, all of them fresh and
 // to this very life.
-func (n *Node) Letters() (list []Letter) {
+func (n *Node) Payloads() (list []Payload) {
 	list, n.letters = n.letters, nil
 	return list
 }
@@ -251,14 +251,14 @@
 // ride picks rumours for a word: first what is held of the one who is spoken to, if
 // that is bad, then those that have ridden least. Bytes are bounded for each word
 // and over time.
-func (n *Node) ride(to *member) (list []Rumour) {
+func (n *Node) ride(to *member) (list []Update) {
 	const most = 400 // of a word's bytes: a ping stays small
 	n.fill()
-	room := min(float64(min(most, n.set.Most-headBytes)), n.tokens)
+	room := min(float64(min(most, n.set.MaxMessageBytes-headBytes)), n.tokens)
 	if n.set.wrong.noBound {
 		room = most
 	}
-	add := func(r Rumour) bool {
+	add := func(r Update) bool {
 		size := float64(r.size())
 		if size > room {
 			return false
@@ -267,7 +267,7 @@
 		list = append(list, r)
 		return true
 	}
-	if to.state == Suspected || to.state == Dead || to.state == Left {
+	if to.state == StateSuspect || to.state == StateDead || to.state == StateLeft {
 		room += float64(to.size())
 		add(to.rumour())
 	}
@@ -277,7 +277,7 @@
 	slices.SortStableFunc(n.hot, func(a, b *member) int { return int(b.spread) - int(a.spread) })
 	same := to.view == fold(n.whole()) && !n.set.wrong.noBound // it knows all but suspicions
 	for _, m := range n.hot {
-		if same && m.state != Suspected {
+		if same && m.state != StateSuspect {
 			continue
 		}
 		if m != to && m.spread > 0 && add(m.rumour()) && !n.set.wrong.noBound {
@@ -295,26 +295,26 @@
 
 // fill adds what time allows to be passed on.
 func (n *Node) fill() {
-	n.tokens = min(n.tokens+float64(n.now-n.filled)*float64(n.set.Rate)/second, burst)
+	n.tokens = min(n.tokens+float64(n.now-n.filled)*float64(n.set.GossipBytesPerSecond)/second, burst)
 	n.filled = n.now
 }
 
 func (m *member) size() int { r := m.rumour(); return r.size() }
 
 // rumour is what is passed on; brief where the others know who it is.
-func (m *member) rumour() Rumour {
+func (m *member) rumour() Update {
 	r := m.whole()
-	if m.state == Suspected || m.state == Dead {
-		r.Place, r.Addr = "", netip.AddrPort{}
+	if m.state == StateSuspect || m.state == StateDead {
+		r.Zone, r.Addr = "", netip.AddrPort{}
 	}
 	return r
 }
 
-func (m *member) whole() Rumour {
-	r := Rumour{Name: m.name, Place: m.place, Addr: m.addr, ID: m.id, Inc: m.inc, State: m.state, Runs: m.runs}
+func (m *member) whole() Update {
+	r := Update{Name: m.name, Zone: m.place, Addr: m.addr, ID: m.id, Incarnation: m.inc, State: m.state, Process: m.runs}
 	for _, w := range m.witnesses {
-		if w != 0 && m.state == Suspected {
-			r.Witnesses = append(r.Witnesses, w)
+		if w != 0 && m.state == StateSuspect {
+			r.SuspectedBy = append(r.SuspectedBy, w)
 		}
 	}
 	return r
@@ -352,9 +352,9 @@
 // When many fail at once there is more to ask: three times as often, while a quarter
 // of the last questions had no answer.
 func (n *Node) probe() {
-	every := n.set.Period * int64(1+n.health)
+	every := n.set.ProbeInterval * int64(1+n.health)
 	if n.failing() {
-		every = n.set.Period / 3
+		every = n.set.ProbeInterval / 3
 	}
 	if n.now-n.pinged < every {
 		return
@@ -403,7 +403,7 @@
 	}
 	n.seq++
 	n.asked = append(n.asked, question{seq: n.seq, to: m, id: m.id, sent: n.now, due: n.now + n.wait(m)})
-	n.send(m, Ping, Word{Seq: n.seq})
+	n.send(m, KindPing, Message{RequestID: n.seq})
 }
 
 // wait is how long an answer may take: three times what nine in ten of the last
@@ -411,7 +411,7 @@
 func (n *Node) wait(m *member) int64 {
 	sorted := n.rtts
 	slices.Sort(sorted[:])
-	w := max(n.set.Period/2, 3*int64(sorted[calmSamples-2]), 2*int64(m.rtt))
+	w := max(n.set.ProbeInterval/2, 3*int64(sorted[calmSamples-2]), 2*int64(m.rtt))
 	return min(w*int64(1+n.health), mostDelay)
 }
 
@@ -430,18 +430,18 @@
 		case !q.through:
 			q.through, q.due = true, n.now+2*n.wait(q.to)
 			for range relays {
-				r := n.any(func(m *member) bool { return m != q.to && m.state == Alive })
+				r := n.any(func(m *member) bool { return m != q.to && m.state == StateAlive })
 				if r != nil {
-					n.send(r, Through, Word{Seq: q.seq, Target: q.to.name})
+					n.send(r, KindIndirectPing, Message{RequestID: q.seq, Target: q.to.name})
 				}
 			}
 		default:
 			q.over = true
 			n.sample(false)
 			q.to.silent = min(q.to.silent+1, 200)
-			q.to.reach = NoAnswer
+			q.to.reach = ReachNone
 			// Nobody has said even that it can't say: the fault is nearer here.
-			if q.nacks == 0 && n.alive > 1 && n.now-n.heard > n.set.Period {
+			if q.nacks == 0 && n.alive > 1 && n.now-n.heard > n.set.ProbeInterval {
 				n.health = min(n.health+1, mostHealth)
 			}
 			n.input(q.to, inSilent, witnessOf(n.self.Name))
@@ -454,7 +454,7 @@
 			return false
 		}
 		if m := n.members[r.from]; m != nil && !m.state.gone() {
-			n.send(m, Nack, Word{Seq: r.back})
+			n.send(m, KindNack, Message{RequestID: r.back})
 		}
 		return true
 	})
@@ -475,9 +475,9 @@
 		took := n.now - q.sent
 		q.to.heard, q.to.silent = n.now, 0
 		if relayed {
-			q.to.reach = Relayed
+			q.to.reach = ReachRelayed
 		} else {
-			q.to.reach, q.to.rtt = Direct, int32(min(took, mostDelay))
+			q.to.reach, q.to.rtt = ReachDirect, int32(min(took, mostDelay))
 			n.rtts[n.dice.IntN(calmSamples)] = int32(min(took, mostDelay))
 			n.health = max(n.health-1, 0)
 		}
@@ -496,7 +496,7 @@
 // retry says hello to one of the dead, or to a seed that was never heard: so a cut
 // that heals is found, and a router that comes back is taken in.
 func (n *Node) retry() {
-	if n.now-n.retried < retryEvery && !(n.self.State == Joining && n.now-n.retried >= retryEvery/5) {
+	if n.now-n.retried < retryEvery && !(n.self.State == StateJoining && n.now-n.retried >= retryEvery/5) {
 		return
 	}
 	n.retried = n.now - int64(n.dice.IntN(int(retryEvery/10)))
@@ -506,45 +506,45 @@
 func (n *Node) hello() {
 	var list []*member
 	for _, m := range n.members {
-		if (m.state == Dead || m.state == Unknown && m.seed) && m.addr.IsValid() {
+		if (m.state == StateDead || m.state == StateUnknown && m.seed) && m.addr.IsValid() {
 			list = append(list, m)
 		}
 	}
 	slices.SortFunc(list, func(a, b *member) int { return compareNames(a, b) })
-	if n.self.State == Doubled && len(list) == 0 {
+	if n.self.State == StateNameConflict && len(list) == 0 {
 		list = append(list, n.round...)
 	}
 	if len(list) == 0 {
 		return
 	}
 	count := 1
-	if n.self.State == Joining {
+	if n.self.State == StateJoining {
 		count = relays
 	}
 	for range min(count, len(list)) {
 		i := n.dice.IntN(len(list))
 		n.seq++
-		n.send(list[i], Hello, Word{Seq: n.seq})
+		n.send(list[i], KindHello, Message{RequestID: n.seq})
 		list = slices.Delete(list, i, i+1)
 	}
 }
 
 // ask has views compared.
 func (n *Node) ask(m *member) {
-	n.Counts.Compared++
+	n.Counts.StateExchanges++
 	parts := n.parts
-	own := digest(n.self.Name, n.self.ID, n.self.Inc, n.self.State)
+	own := digest(n.self.Name, n.self.ID, n.self.Incarnation, n.self.State)
 	parts[bucketOf(n.self.Name)] ^= fold(own)
 	all := uint32(0)
 	if n.now-n.since < 2*second { // it knows nothing of the dead either
 		all = 1
 	}
-	n.send(m, Compare, Word{Seq: all, Buckets: parts[:]})
+	n.send(m, KindDigestExchange, Message{RequestID: all, BucketDigests: parts[:]})
 }
 
 // whole is the digest of all who are there, oneself among them.
 func (n *Node) whole() uint64 {
-	return n.digest ^ digest(n.self.Name, n.self.ID, n.self.Inc, n.self.State)
+	return n.digest ^ digest(n.self.Name, n.self.ID, n.self.Incarnation, n.self.State)
 }
 
 // told sends a next piece of the members that somebody asked for.
@@ -553,10 +553,10 @@
 		n.chunk = nil
 		return
 	}
-	n.telling = min(n.telling+float64(n.now-n.toldAt)*float64(2*n.set.Rate)/second, 2*burst)
+	n.telling = min(n.telling+float64(n.now-n.toldAt)*float64(2*n.set.GossipBytesPerSecond)/second, 2*burst)
 	n.toldAt = n.now
-	var list []Rumour
-	room := min(float64(n.set.Most-headBytes), n.telling)
+	var list []Update
+	room := min(float64(n.set.MaxMessageBytes-headBytes), n.telling)
 	for len(n.chunk) > 0 && len(list) < mostRumours {
 		r := n.chunk[0].whole()
 		if size := float64(r.size()); size <= room {
@@ -568,7 +568,7 @@
 		n.chunk = n.chunk[1:]
 	}
 	if len(list) > 0 {
-		n.send(n.chunkTo, Tell, Word{Rumours: list})
+		n.send(n.chunkTo, KindStateExchange, Message{Updates: list})
 	}
 }
 
@@ -576,27 +576,27 @@
 func (n *Node) dues() {
 	gone := 0
 	for _, m := range n.members {
-		if m.state == Dead || m.state == Left {
+		if m.state == StateDead || m.state == StateLeft {
 			gone++
 		}
 	}
 	var all []*member
 	for _, m := range n.members {
-		if m.state == Suspected && (n.now >= m.due-checkBefore || m.checkAt > 0 && n.now >= m.checkAt && !m.checked) || m.state == Dead && n.now-m.since > keepDead && !m.seed ||
-			m.state == Left && n.now-m.since > keepLeft && !m.seed {
+		if m.state == StateSuspect && (n.now >= m.due-checkBefore || m.checkAt > 0 && n.now >= m.checkAt && !m.checked) || m.state == StateDead && n.now-m.since > keepDead && !m.seed ||
+			m.state == StateLeft && n.now-m.since > keepLeft && !m.seed {
 			all = append(all, m)
 		}
 	}
 	slices.SortFunc(all, compareNames)
 	for _, m := range all {
 		switch {
-		case m.state == Suspected && m.silent == 0:
+		case m.state == StateSuspect && m.silent == 0:
 			if !m.checked {
 				m.checked = true
 				n.ping(m)
 			}
-		case m.state == Suspected && n.now < m.due:
-		case m.state == Suspected:
+		case m.state == StateSuspect && n.now < m.due:
+		case m.state == StateSuspect:
 			n.input(m, inDue, 0)
 		default:
 			n.input(m, inForget, 0)
--- a/internal/membership/transport/ask.go
+++ b/internal/membership/transport/ask.go
@@ -16,11 +16,11 @@
 // toolName is what a tool calls itself; no router may have it.
 const toolName = "?"
 
-// ErrSilent is that of a router that does not answer a tool.
-var ErrSilent = errors.New("no answer")
+// ErrNoAnswer is that of a router that does not answer a tool.
+var ErrNoAnswer = errors.New("no answer")
 
-// Ask gets a router's view, page by page, as a person's tool.
-func Ask(key []byte, name string, addr netip.AddrPort) (*membership.View, error) {
+// Query gets a router's view, page by page, as a person's tool.
+func Query(key []byte, name string, addr netip.AddrPort) (*membership.View, error) {
 	const tries, patience, pages = 3, 400 * time.Millisecond, 100
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -31,10 +31,10 @@
 	for range pages {
 		from := 0
 		if whole != nil {
-			from = len(whole.Seen)
+			from = len(whole.Members)
 		}
-		q, err := peerproto.Seal(key, &membership.Word{Kind: membership.Query, Seq: uint32(from), To: name,
-			From: membership.Rumour{Name: toolName, State: membership.Alive}})
+		q, err := peerproto.Seal(key, &membership.Message{Kind: membership.KindQuery, RequestID: uint32(from), To: name,
+			Sender: membership.Update{Name: toolName, State: membership.StateAlive}})
 		if err != nil {
 			return nil, err
 		}
@@ -46,20 +46,20 @@
 			page = answer(conn, key, uint32(from), time.Now().Add(patience))
 		}
 		if page == nil {
-			return nil, fmt.Errorf("%s at %v: %w", name, addr, ErrSilent)
+			return nil, fmt.Errorf("%s at %v: %w", name, addr, ErrNoAnswer)
 		}
 		if whole == nil {
 			whole = page
 		} else if page.Digest != whole.Digest || page.Total != whole.Total {
 			whole = page // it has changed meanwhile: a page of another view
-			if page.From != 0 {
-				whole.Seen = nil
+			if page.Offset != 0 {
+				whole.Members = nil
 			}
 			continue
 		} else {
-			whole.Seen = append(whole.Seen, page.Seen...)
+			whole.Members = append(whole.Members, page.Members...)
 		}
-		if len(whole.Seen) >= whole.Total || len(page.Seen) == 0 {
+		if len(whole.Members) >= whole.Total || len(page.Members) == 0 {
 			return whole, nil
 		}
 	}
@@ -68,14 +68,14 @@
 
 func answer(conn *net.UDPConn, key []byte, seq uint32, until time.Time) *membership.View {
 	conn.SetReadDeadline(until)
-	b := make([]byte, peerproto.MostDatagram+1)
+	b := make([]byte, peerproto.MaxDatagram+1)
 	for {
 		n, err := conn.Read(b)
 		if err != nil {
 			return nil // refused, or its time is over
 		}
-		var w membership.Word
-		if peerproto.Open(key, b[:n], &w) == nil && w.Kind == membership.Viewed && w.Seq == seq && w.View != nil {
+		var w membership.Message
+		if peerproto.Open(key, b[:n], &w) == nil && w.Kind == membership.KindQueryResponse && w.RequestID == seq && w.View != nil {
 			return w.View
 		}
 	}
@@ -88,17 +88,17 @@
 	Views map[string]*membership.View // nil: no answer
 }
 
-// AskAll makes the matrix, some at a time.
-func AskAll(key []byte, first *membership.View) *Matrix {
+// QueryAll makes the matrix, some at a time.
+func QueryAll(key []byte, first *membership.View) *Matrix {
 	const atOnce = 16
 	m := &Matrix{Names: []string{first.Self.Name}, Views: map[string]*membership.View{first.Self.Name: first}}
 	type got struct {
 		name string
 		view *membership.View
 	}
-	places, answers := make(chan struct{}, atOnce), make(chan got, len(first.Seen))
+	places, answers := make(chan struct{}, atOnce), make(chan got, len(first.Members))
 	asked := 0
-	for _, s := range first.Seen {
+	for _, s := range first.Members {
 		if !slices.Contains(m.Names, s.Name) {
 			m.Names = append(m.Names, s.Name)
 		}
@@ -109,7 +109,7 @@
 		go func() {
 			places <- struct{}{}
 			defer func() { <-places }()
-			v, _ := Ask(key, s.Name, s.Addr)
+			v, _ := Query(key, s.Name, s.Addr)
 			answers <- got{s.Name, v}
 		}()
 	}
@@ -121,33 +121,33 @@
 	return m
 }
 
-// State is what one router holds of another.
-func (m *Matrix) State(of, by string) (membership.Seen, bool) {
+// Status is what one router holds of another.
+func (m *Matrix) Status(of, by string) (membership.MemberStatus, bool) {
 	v := m.Views[by]
 	if v == nil {
-		return membership.Seen{}, false
+		return membership.MemberStatus{}, false
 	}
 	if of == by {
 		return v.Self, true
 	}
-	for _, s := range v.Seen {
+	for _, s := range v.Members {
 		if s.Name == of {
 			return s, true
 		}
 	}
-	return membership.Seen{}, true
+	return membership.MemberStatus{}, true
 }
 
-// Differ names routers of whom those that answered don't hold the same, apart from
+// Disagreements names routers of whom those that answered don't hold the same, apart from
 // suspicions.
-func (m *Matrix) Differ() (names []string) {
+func (m *Matrix) Disagreements() (names []string) {
 	for _, of := range m.Names {
 		kinds := map[string]bool{}
 		for _, by := range m.Names {
-			if s, ok := m.State(of, by); ok {
+			if s, ok := m.Status(of, by); ok {
 				state := s.State
-				if state == membership.Suspected {
-					state = membership.Alive
+				if state == membership.StateSuspect {
+					state = membership.StateAlive
 				}
 				kinds[fmt.Sprint(state, s.ID)] = true
 			}
--- a/internal/membership/transport/link.go
+++ b/internal/membership/transport/link.go
@@ -26,18 +26,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("members.key_file: %w", err)
 	}
-	if text = bytes.TrimSpace(text); len(text) < peerproto.LeastKey {
-		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(text), peerproto.LeastKey)
+	if text = bytes.TrimSpace(text); len(text) < peerproto.MinKeyLength {
+		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(text), peerproto.MinKeyLength)
 	}
 	return text, nil
 }
 
-// Dropped counts datagrams that were not words.
-type Dropped struct{ Size, Version, Proof, Payload, Unsent atomic.Int64 }
+// DropCounts counts datagrams that were not words.
+type DropCounts struct{ Size, Version, Authentication, Payload, Unsent atomic.Int64 }
 
-// Link is a running member.
-type Link struct {
-	Dropped Dropped
+// Agent is a running member.
+type Agent struct {
+	Dropped DropCounts
 
 	key   []byte
 	conn  *net.UDPConn
@@ -46,24 +46,24 @@
 	done  chan struct{}
 	all   sync.WaitGroup
 
-	reader   Reader
+	reader   PayloadHandler
 	mu       sync.Mutex
 	node     *membership.Node
 	majority bool
 }
 
-// Reader is a subsystem that speaks to its like at other routers.
-type Reader interface {
-	Tag() uint32                                                 // of what it knows, for all words
-	Letter(from string, tag uint32, body []byte) (back [][]byte) // body nil: only the tag came
-	Tick(s membership.Standing)                                  // at every wake-up
+// PayloadHandler is a subsystem that speaks to its like at other routers.
+type PayloadHandler interface {
+	Digest() uint32                                                     // of what it knows, for all words
+	HandlePayload(from string, tag uint32, body []byte) (back [][]byte) // body nil: only the tag came
+	Tick(s membership.Connectivity)                                     // at every wake-up
 }
 
-// MostBody is how long a letter's body may be.
-const MostBody = 1000
+// MaxPayloadBytes is how long a letter's body may be.
+const MaxPayloadBytes = 1000
 
 // Start opens the socket and begins to look for the others.
-func Start(set membership.Settings, key []byte, listen netip.AddrPort, reader Reader, log *logrus.Entry) (*Link, error) {
+func Start(set membership.Settings, key []byte, listen netip.AddrPort, reader PayloadHandler, log *logrus.Entry) (*Agent, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("members.listen: %w", err)
@@ -72,9 +72,9 @@
 }
 
 // StartOn does the same with a socket that stands already.
-func StartOn(conn *net.UDPConn, set membership.Settings, key []byte, listen netip.AddrPort, reader Reader, log *logrus.Entry) *Link {
-	set.Addr, set.Life, set.Most = listen, uint32(time.Now().Unix()), 1200
-	l := &Link{key: key, conn: conn, log: log, start: time.Now(), done: make(chan struct{}), reader: reader}
+func StartOn(conn *net.UDPConn, set membership.Settings, key []byte, listen netip.AddrPort, reader PayloadHandler, log *logrus.Entry) *Agent {
+	set.Addr, set.Epoch, set.MaxMessageBytes = listen, uint32(time.Now().Unix()), 1200
+	l := &Agent{key: key, conn: conn, log: log, start: time.Now(), done: make(chan struct{}), reader: reader}
 	// Two processes of one name must not draw alike: this seed is not the configured one.
 	l.node = membership.New(set, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), l.now())
 	l.all.Go(l.read)
@@ -82,10 +82,10 @@
 	return l
 }
 
-func (l *Link) now() int64 { return time.Since(l.start).Microseconds() }
+func (l *Agent) now() int64 { return time.Since(l.start).Microseconds() }
 
 // run calls the node when it wants to be called.
-func (l *Link) run() {
+func (l *Agent) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -96,8 +96,8 @@
 		}
 		l.mu.Lock()
 		now := l.now()
-		next, out, news := l.node.Run(now)
-		stood := l.node.Standing()
+		next, out, news := l.node.Tick(now)
+		stood := l.node.Connectivity()
 		l.mu.Unlock()
 		if l.reader != nil {
 			l.reader.Tick(stood)
@@ -110,9 +110,9 @@
 
 // read takes datagrams. Who floods it with what is not ours gets a bounded part of
 // the core: the system drops the rest.
-func (l *Link) read() {
+func (l *Agent) read() {
 	const atOnce, rest = 64, 2 * time.Millisecond
-	b := make([]byte, peerproto.MostDatagram+1)
+	b := make([]byte, peerproto.MaxDatagram+1)
 	for bad := 0; ; {
 		size, from, err := l.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -122,7 +122,7 @@
 			time.Sleep(rest)
 			continue
 		}
-		w := new(membership.Word)
+		w := new(membership.Message)
 		if err := peerproto.Open(l.key, b[:size], w); err != nil {
 			l.drop(err)
 			if bad++; bad >= atOnce {
@@ -133,55 +133,55 @@
 		}
 		l.mu.Lock()
 		if l.reader != nil {
-			l.node.Tag(l.reader.Tag())
+			l.node.SetGossipDigest(l.reader.Digest())
 		}
-		out := l.node.Heard(l.now(), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), w)
-		letters := l.node.Letters()
+		out := l.node.Receive(l.now(), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), w)
+		letters := l.node.Payloads()
 		l.mu.Unlock()
 		l.send(out)
 		l.deliver(letters)
 	}
 }
 
-// Post sends a letter to a router, if it is there.
-func (l *Link) Post(to string, body []byte) {
+// SendPayload sends a letter to a router, if it is there.
+func (l *Agent) SendPayload(to string, body []byte) {
 	l.mu.Lock()
-	out := l.node.Post(to, body)
+	out := l.node.SendPayload(to, body)
 	l.mu.Unlock()
 	l.send(out)
 }
 
 // deliver hands letters to the reader and posts what it says back.
-func (l *Link) deliver(letters []membership.Letter) {
+func (l *Agent) deliver(letters []membership.Payload) {
 	if l.reader == nil {
 		return
 	}
 	for _, x := range letters {
-		for _, body := range l.reader.Letter(x.From, x.Tag, x.Body) {
+		for _, body := range l.reader.HandlePayload(x.From, x.Digest, x.Body) {
 			l.mu.Lock()
-			out := l.node.Post(x.From, body)
+			out := l.node.SendPayload(x.From, body)
 			l.mu.Unlock()
 			l.send(out)
 		}
 	}
 }
 
-func (l *Link) drop(err error) {
+func (l *Agent) drop(err error) {
 	switch {
 	case errors.Is(err, peerproto.ErrSize):
 		l.Dropped.Size.Add(1)
 	case errors.Is(err, peerproto.ErrVersion):
 		l.Dropped.Version.Add(1)
 	case errors.Is(err, peerproto.ErrProof):
-		l.Dropped.Proof.Add(1)
+		l.Dropped.Authentication.Add(1)
 	default:
 		l.Dropped.Payload.Add(1)
 	}
 }
 
-func (l *Link) send(out []membership.Out) {
+func (l *Agent) send(out []membership.Outbound) {
 	for _, o := range out {
-		b, err := peerproto.Seal(l.key, o.Word)
+		b, err := peerproto.Seal(l.key, o.Message)
 		if err == nil && o.Addr.IsValid() {
 			_, err = l.conn.WriteToUDPAddrPort(b, o.Addr)
 		}
@@ -192,32 +192,32 @@
 }
 
 // tell logs what has changed.
-func (l *Link) tell(news []membership.Change, s membership.Standing) {
+func (l *Agent) tell(news []membership.Change, s membership.Connectivity) {
 	for _, c := range news {
-		line := l.log.WithFields(logrus.Fields{"member": c.Name, "was": c.From.String(), "life": c.ID.Life})
+		line := l.log.WithFields(logrus.Fields{"member": c.Name, "was": c.From.String(), "life": c.ID.Epoch})
 		switch c.To {
-		case membership.Suspected:
+		case membership.StateSuspect:
 			line.Debug("members: suspected")
-		case membership.Dead:
+		case membership.StateDead:
 			line.Warn("members: dead")
-		case membership.Doubled:
+		case membership.StateNameConflict:
 			line.Error("members: another process has this router's name, this one keeps quiet")
-		case membership.Alive:
-			if c.From == membership.Suspected {
+		case membership.StateAlive:
+			if c.From == membership.StateSuspect {
 				line.Debug("members: alive")
 			} else {
 				line.Info("members: alive")
 			}
-		case membership.Unknown:
+		case membership.StateUnknown:
 			line.Debug("members: forgotten")
 		default:
 			line.Info("members: " + c.To.String())
 		}
 	}
-	if s.Majority != l.majority && s.State != membership.Joining {
+	if s.Majority != l.majority && s.State != membership.StateJoining {
 		l.majority = s.Majority
-		line := l.log.WithFields(logrus.Fields{"known": s.Known, "reachable": s.Reachable, "answered": s.Answered, "asked": s.Asked,
-			"silence_ms": s.Silence / 1000, "waking": s.Waking})
+		line := l.log.WithFields(logrus.Fields{"known": s.Known, "reachable": s.Reachable, "answered": s.ProbesAnswered, "asked": s.ProbesSent,
+			"silence_ms": s.Silence / 1000, "waking": s.Resuming})
 		if s.Majority {
 			line.Info("members: the greater part is reachable")
 		} else {
@@ -227,34 +227,34 @@
 }
 
 // View is all that is held of the others.
-func (l *Link) View() *membership.View {
+func (l *Agent) View() *membership.View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.node.View()
 }
 
 // Leave says that the router will go; it still answers.
-func (l *Link) Leave() {
+func (l *Agent) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.Leave(l.now())
 }
 
-// HandOver ends without a word to anybody, for another generation of this router
+// Handoff ends without a word to anybody, for another generation of this router
 // that goes on with the same life.
-func (l *Link) HandOver() *membership.Baton {
+func (l *Agent) Handoff() *membership.HandoffState {
 	close(l.done)
 	l.conn.Close()
 	l.all.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.node.Baton()
+	return l.node.Handoff()
 }
 
 // Close says that it goes, and ends.
-func (l *Link) Close() {
+func (l *Agent) Close() {
 	l.mu.Lock()
-	out := l.node.Gone(l.now())
+	out := l.node.Depart(l.now())
 	l.mu.Unlock()
 	l.send(out)
 	close(l.done)
--- a/internal/membership/transport/link_test.go
+++ b/internal/membership/transport/link_test.go
@@ -38,7 +38,7 @@
 	return list
 }
 
-func start(t *testing.T, addrs []netip.AddrPort, i int, key []byte) *Link {
+func start(t *testing.T, addrs []netip.AddrPort, i int, key []byte) *Agent {
 	t.Helper()
 	set := membership.Settings{Name: fmt.Sprint("n", i)}
 	for k, a := range addrs {
@@ -61,8 +61,8 @@
 	t.Fatal("not within 15 s: " + what)
 }
 
-func count(l *Link, s membership.State) (n int) {
-	for _, x := range l.View().Seen {
+func count(l *Agent, s membership.State) (n int) {
+	for _, x := range l.View().Members {
 		if x.State == s {
 			n++
 		}
@@ -74,7 +74,7 @@
 // death, and take a new life in.
 func TestFourOnSockets(t *testing.T) {
 	addrs := free(t, 4)
-	var links []*Link
+	var links []*Agent
 	for i := range addrs {
 		links = append(links, start(t, addrs, i, key))
 	}
@@ -84,24 +84,28 @@
 		}
 	}()
 	for _, l := range links {
-		until(t, "all alive", func() bool { return count(l, membership.Alive) == 3 })
+		until(t, "all alive", func() bool { return count(l, membership.StateAlive) == 3 })
 	}
-	v, err := Ask(key, "n0", addrs[0])
-	if err != nil || len(v.Seen) != 3 || v.Self.Name != "n0" {
+	v, err := Query(key, "n0", addrs[0])
+	if err != nil || len(v.Members) != 3 || v.Self.Name != "n0" {
 		t.Fatalf("asked: %+v, %v", v, err)
 	}
 	until(t, "a matrix without difference", func() bool {
-		m := AskAll(key, links[0].View())
-		return len(m.Names) == 4 && len(m.Views) == 4 && m.Views["n3"] != nil && len(m.Differ()) == 0
+		m := QueryAll(key, links[0].View())
+		return len(m.Names) == 4 && len(m.Views) == 4 && m.Views["n3"] != nil && len(m.Disagreements()) == 0
 	})
-	if _, err := Ask([]byte("not the key of these"), "n0", addrs[0]); !errors.Is(err, ErrSilent) {
+	if _, err := Query([]byte("not the key of these"), "n0", addrs[0]); !errors.Is(err, ErrNoAnswer) {
 		t.Errorf("a stranger's question: %v", err)
 	}
 	links[3].Leave()
 	links[3].Close()
-	until(t, "it has left", func() bool { return count(links[0], membership.Left) == 1 && count(links[1], membership.Left) == 1 })
+	until(t, "it has left", func() bool {
+		return count(links[0], membership.StateLeft) == 1 && count(links[1], membership.StateLeft) == 1
+	})
 	links[3] = start(t, addrs, 3, key)
-	until(t, "it is back", func() bool { return count(links[0], membership.Alive) == 3 && count(links[3], membership.Alive) == 3 })
+	until(t, "it is back", func() bool {
+		return count(links[0], membership.StateAlive) == 3 && count(links[3], membership.StateAlive) == 3
+	})
 }
 
 // What is not a word of ours is dropped, counted, and holds nobody up.
@@ -112,13 +116,13 @@
 	defer b.Close()
 	c := start(t, addrs, 2, []byte("another key than theirs"))
 	defer c.Close()
-	until(t, "two know each other", func() bool { return count(a, membership.Alive) == 1 && count(b, membership.Alive) == 1 })
+	until(t, "two know each other", func() bool { return count(a, membership.StateAlive) == 1 && count(b, membership.StateAlive) == 1 })
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrs[0]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	good, _ := peerproto.Seal(key, &membership.Word{Kind: membership.Ping, From: membership.Rumour{Name: "x", State: membership.Alive}, To: "n0"})
+	good, _ := peerproto.Seal(key, &membership.Message{Kind: membership.KindPing, Sender: membership.Update{Name: "x", State: membership.StateAlive}, To: "n0"})
 	newer := append([]byte{9}, good[1:]...)
 	forged := append([]byte{}, good...)
 	forged[5] ^= 1
@@ -133,11 +137,11 @@
 	}
 	d := &a.Dropped
 	until(t, "all are counted", func() bool {
-		return d.Size.Load() > 0 && d.Version.Load() > 0 && d.Proof.Load() > 0 && d.Payload.Load() > 0 && a.View().Counts.Foreign > 0
+		return d.Size.Load() > 0 && d.Version.Load() > 0 && d.Authentication.Load() > 0 && d.Payload.Load() > 0 && a.View().Counts.Misaddressed > 0
 	})
 	time.Sleep(2 * time.Second)
-	if count(a, membership.Alive) != 1 || count(b, membership.Alive) != 1 || count(c, membership.Alive) != 0 {
-		t.Errorf("%d, %d and %d alive", count(a, membership.Alive), count(b, membership.Alive), count(c, membership.Alive))
+	if count(a, membership.StateAlive) != 1 || count(b, membership.StateAlive) != 1 || count(c, membership.StateAlive) != 0 {
+		t.Errorf("%d, %d and %d alive", count(a, membership.StateAlive), count(b, membership.StateAlive), count(c, membership.StateAlive))
 	}
 }
 
--- a/internal/membership/word.go
+++ b/internal/membership/word.go
@@ -12,61 +12,61 @@
 // Kinds of words. Those to nobody's life in particular (Hello, and Query of a
 // person's tool) bring no rumours and prove nothing: they could be old ones.
 const (
-	Hello   Kind = 1 + iota // to a name, whoever has it now; answered by Welcome
-	Welcome                 // Seq of the Hello
-	Ping                    // answered by Ack
-	Ack                     // Seq of the Ping
-	Through                 // asks to ping Target for the sender
-	Nack                    // Seq of the Through: Target did not answer, but the sender is there
-	Compare                 // Buckets of the sender's view; answered by Tell where they differ
-	Tell                    // members as the sender holds them
-	Query                   // of a tool: answered by View, to where it came from
-	Viewed
-	Mail     // Body, of other subsystems
-	lastKind = Mail
+	KindHello          Kind = 1 + iota // to a name, whoever has it now; answered by Welcome
+	KindWelcome                        // Seq of the Hello
+	KindPing                           // answered by Ack
+	KindAck                            // Seq of the Ping
+	KindIndirectPing                   // asks to ping Target for the sender
+	KindNack                           // Seq of the Through: Target did not answer, but the sender is there
+	KindDigestExchange                 // Buckets of the sender's view; answered by Tell where they differ
+	KindStateExchange                  // members as the sender holds them
+	KindQuery                          // of a tool: answered by View, to where it came from
+	KindQueryResponse
+	KindPayload // Body, of other subsystems
+	lastKind    = KindPayload
 )
 
-// Word is what routers say. Fields that a newer version adds are passed over,
+// Message is what routers say. Fields that a newer version adds are passed over,
 // those that an older one lacks are zero.
-type Word struct {
-	Kind    Kind     `cbor:"1,keyasint"`
-	N       uint64   `cbor:"2,keyasint,omitempty"` // counts the sender's words to anybody, from 1
-	Seq     uint32   `cbor:"3,keyasint,omitempty"` // of a question and its answer
-	From    Rumour   `cbor:"4,keyasint"`           // the sender of itself
-	To      string   `cbor:"5,keyasint"`
-	Life    ID       `cbor:"6,keyasint,omitempty"` // of To; none: whoever has the name
-	Target  string   `cbor:"7,keyasint,omitempty"`
-	Digest  uint64   `cbor:"8,keyasint,omitempty"` // of the sender's view
-	Buckets []uint32 `cbor:"9,keyasint,omitempty"`
-	Rumours []Rumour `cbor:"10,keyasint,omitempty"`
-	View    *View    `cbor:"11,keyasint,omitempty"`
-	Tag     uint32   `cbor:"12,keyasint,omitempty"` // of the sender's news
-	Body    []byte   `cbor:"13,keyasint,omitempty"`
+type Message struct {
+	Kind          Kind       `cbor:"1,keyasint"`
+	Sequence      uint64     `cbor:"2,keyasint,omitempty"` // counts the sender's words to anybody, from 1
+	RequestID     uint32     `cbor:"3,keyasint,omitempty"` // of a question and its answer
+	Sender        Update     `cbor:"4,keyasint"`           // the sender of itself
+	To            string     `cbor:"5,keyasint"`
+	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"` // of To; none: whoever has the name
+	Target        string     `cbor:"7,keyasint,omitempty"`
+	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"` // of the sender's view
+	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`
+	Updates       []Update   `cbor:"10,keyasint,omitempty"`
+	View          *View      `cbor:"11,keyasint,omitempty"`
+	GossipDigest  uint32     `cbor:"12,keyasint,omitempty"` // of the sender's news
+	Body          []byte     `cbor:"13,keyasint,omitempty"`
 }
 
-// Letter is what another router has said to other subsystems than this one: its
+// Payload is what another router has said to other subsystems than this one: its
 // tag, and a body or none.
-type Letter struct {
-	From string
-	Tag  uint32
-	Body []byte
+type Payload struct {
+	From   string
+	Digest uint32
+	Body   []byte
 }
 
-// Rumour is what is said of a router.
-type Rumour struct {
-	Name      string         `cbor:"1,keyasint"`
-	Place     string         `cbor:"2,keyasint,omitempty"`
-	Addr      netip.AddrPort `cbor:"3,keyasint,omitempty"`
-	ID        ID             `cbor:"4,keyasint,omitempty"`
-	Inc       uint32         `cbor:"5,keyasint,omitempty"`
-	State     State          `cbor:"6,keyasint"`
-	Witnesses []uint16       `cbor:"7,keyasint,omitempty"` // of suspicion
-	Runs      *Runs          `cbor:"8,keyasint,omitempty"` // nil: an earlier text, or nobody keeps it
+// Update is what is said of a router.
+type Update struct {
+	Name        string         `cbor:"1,keyasint"`
+	Zone        string         `cbor:"2,keyasint,omitempty"`
+	Addr        netip.AddrPort `cbor:"3,keyasint,omitempty"`
+	ID          InstanceID     `cbor:"4,keyasint,omitempty"`
+	Incarnation uint32         `cbor:"5,keyasint,omitempty"`
+	State       State          `cbor:"6,keyasint"`
+	SuspectedBy []uint16       `cbor:"7,keyasint,omitempty"` // of suspicion
+	Process     *ProcessInfo   `cbor:"8,keyasint,omitempty"` // nil: an earlier text, or nobody keeps it
 }
 
-// Runs is what a router's process is. Program and Settings are digests; routers of
+// ProcessInfo is what a router's process is. Program and Settings are digests; routers of
 // one text with the same settings, but for their names and addresses, have the same.
-type Runs struct {
+type ProcessInfo struct {
 	_                 struct{} `cbor:",toarray"`
 	Generation        uint32
 	Program, Settings uint32
@@ -80,34 +80,34 @@
 )
 
 // good tells whether a word can be used at all.
-func (w *Word) good() bool {
-	if w.Kind == 0 || w.Kind > lastKind || !w.From.good() || len(w.To) > mostName || len(w.Target) > mostName ||
-		len(w.Rumours) > mostRumours || len(w.Buckets) > buckets {
+func (w *Message) good() bool {
+	if w.Kind == 0 || w.Kind > lastKind || !w.Sender.good() || len(w.To) > mostName || len(w.Target) > mostName ||
+		len(w.Updates) > mostRumours || len(w.BucketDigests) > buckets {
 		return false
 	}
-	for i := range w.Rumours {
-		if !w.Rumours[i].good() {
+	for i := range w.Updates {
+		if !w.Updates[i].good() {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Rumour) good() bool {
-	return r.Name != "" && len(r.Name) <= mostName && len(r.Place) <= mostName && r.State > Unknown && r.State < Doubled &&
-		len(r.Witnesses) <= len(member{}.witnesses)
+func (r *Update) good() bool {
+	return r.Name != "" && len(r.Name) <= mostName && len(r.Zone) <= mostName && r.State > StateUnknown && r.State < StateNameConflict &&
+		len(r.SuspectedBy) <= len(member{}.witnesses)
 }
 
 // size is about what a rumour takes in a word.
-func (r *Rumour) size() int {
-	n := 28 + len(r.Name) + 3*len(r.Witnesses)
-	if r.Place != "" {
-		n += 2 + len(r.Place)
+func (r *Update) size() int {
+	n := 28 + len(r.Name) + 3*len(r.SuspectedBy)
+	if r.Zone != "" {
+		n += 2 + len(r.Zone)
 	}
 	if r.Addr.IsValid() {
 		n += 9
 	}
-	if r.Runs != nil {
+	if r.Process != nil {
 		n += 18
 	}
 	return n
@@ -123,16 +123,16 @@
 
 // digest is a member's part of the digests: who it is and which of its own words
 // is the last. Suspicion is left out: it comes and goes by each router's clock.
-func digest(name string, id ID, inc uint32, s State) uint64 {
-	if s.gone() || s == Joining || s == Doubled {
+func digest(name string, id InstanceID, inc uint32, s State) uint64 {
+	if s.gone() || s == StateJoining || s == StateNameConflict {
 		return 0
 	}
 	b := make([]byte, 0, mostName+16)
 	b = append(b, name...)
-	for _, v := range [3]uint32{id.Life, id.Nonce, inc} {
+	for _, v := range [3]uint32{id.Epoch, id.Nonce, inc} {
 		b = append(b, byte(v), byte(v>>8), byte(v>>16), byte(v>>24))
 	}
-	if s == Leaving {
+	if s == StateLeaving {
 		b = append(b, 'l')
 	}
 	return xxhash.Sum64(b)
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -10,29 +10,29 @@
 	"sync"
 )
 
-// Trouble is on the ways from some routers to some, until it is taken away.
-type Trouble struct {
-	From, To []int // nil: all
-	Both     bool  // the other direction as well
-	Cut      bool  // silently
-	Delay    int64 // microseconds, one way
-	Jitter   int64 // up to so much more, by chance
-	Loss     float64
-	Double   float64
-	Reorder  float64 // share that is held back by some of the others
-	PerS     float64 // bytes a second; what waits for more than queueMost is lost
+// Fault is on the ways from some routers to some, until it is taken away.
+type Fault struct {
+	From, To       []int // nil: all
+	Bidirectional  bool  // the other direction as well
+	Partitioned    bool  // silently
+	Delay          int64 // microseconds, one way
+	Jitter         int64 // up to so much more, by chance
+	Loss           float64
+	Duplicate      float64
+	Reorder        float64 // share that is held back by some of the others
+	BytesPerSecond float64 // bytes a second; what waits for more than queueMost is lost
 }
 
 // reorderBy is how long a datagram that is overtaken is held back, queueMost how
 // long a slow way's queue is.
 const reorderBy, queueMost = 30_000, 2_000_000
 
-// Net is the ways of a fleet. It may be used by several goroutines.
-type Net struct {
+// Network is the ways of a fleet. It may be used by several goroutines.
+type Network struct {
 	mu       sync.Mutex
 	Delay    int64 // of every way
 	Jitter   int64
-	troubles []*Trouble
+	troubles []*Fault
 	free     map[[2]int]int64 // when a slow way is free again
 	dice     *rand.Rand
 
@@ -40,34 +40,34 @@
 }
 
 // New makes ways without trouble.
-func New(delay, jitter int64, dice *rand.Rand) *Net {
-	return &Net{Delay: delay, Jitter: jitter, free: map[[2]int]int64{}, dice: dice}
+func New(delay, jitter int64, dice *rand.Rand) *Network {
+	return &Network{Delay: delay, Jitter: jitter, free: map[[2]int]int64{}, dice: dice}
 }
 
-// Add puts a trouble on; what it returns takes it away.
-func (n *Net) Add(t *Trouble) (over func()) {
+// AddFault puts a trouble on; what it returns takes it away.
+func (n *Network) AddFault(t *Fault) (over func()) {
 	n.troubles = append(n.troubles, t)
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.troubles = slices.DeleteFunc(n.troubles, func(o *Trouble) bool { return o == t })
+		n.troubles = slices.DeleteFunc(n.troubles, func(o *Fault) bool { return o == t })
 	}
 }
 
-func (t *Trouble) on(from, to int) bool {
+func (t *Fault) on(from, to int) bool {
 	in := func(l []int, i int) bool { return l == nil || slices.Contains(l, i) }
-	return in(t.From, from) && in(t.To, to) || t.Both && in(t.From, to) && in(t.To, from)
+	return in(t.From, from) && in(t.To, to) || t.Bidirectional && in(t.From, to) && in(t.To, from)
 }
 
-// Open tells whether anything sent now could arrive.
-func (n *Net) Open(from, to int) bool {
+// Reachable tells whether anything sent now could arrive.
+func (n *Network) Reachable(from, to int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !slices.ContainsFunc(n.troubles, func(t *Trouble) bool { return t.Cut && t.on(from, to) })
+	return !slices.ContainsFunc(n.troubles, func(t *Fault) bool { return t.Partitioned && t.on(from, to) })
 }
 
-// Carry tells when what is sent now arrives: not at all, once or twice.
-func (n *Net) Carry(now int64, from, to, size int) (at []int64) {
+// Transmit tells when what is sent now arrives: not at all, once or twice.
+func (n *Network) Transmit(now int64, from, to, size int) (at []int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.Sent++
@@ -79,7 +79,7 @@
 		if !t.on(from, to) {
 			continue
 		}
-		if t.Cut || t.Loss > 0 && n.dice.Float64() < t.Loss {
+		if t.Partitioned || t.Loss > 0 && n.dice.Float64() < t.Loss {
 			n.Lost++
 			return nil
 		}
@@ -90,12 +90,12 @@
 		if t.Reorder > 0 && n.dice.Float64() < t.Reorder {
 			delay += reorderBy
 		}
-		if t.Double > 0 && n.dice.Float64() < t.Double {
+		if t.Duplicate > 0 && n.dice.Float64() < t.Duplicate {
 			copies = 2
 		}
-		if t.PerS > 0 {
+		if t.BytesPerSecond > 0 {
 			key := [2]int{from, to}
-			n.free[key] = max(n.free[key], now) + int64(float64(size)/t.PerS*1e6)
+			n.free[key] = max(n.free[key], now) + int64(float64(size)/t.BytesPerSecond*1e6)
 			if n.free[key]-now > queueMost {
 				n.free[key] = now + queueMost
 				n.Lost++
@@ -110,12 +110,12 @@
 	return at
 }
 
-// Camps cuts routers into parts that don't hear each other.
-func (n *Net) Camps(camps ...[]int) (over func()) {
+// Partition cuts routers into parts that don't hear each other.
+func (n *Network) Partition(camps ...[]int) (over func()) {
 	var ends []func()
 	for i, a := range camps {
 		for _, b := range camps[i+1:] {
-			ends = append(ends, n.Add(&Trouble{From: a, To: b, Both: true, Cut: true}))
+			ends = append(ends, n.AddFault(&Fault{From: a, To: b, Bidirectional: true, Partitioned: true}))
 		}
 	}
 	return func() {
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -7,33 +7,33 @@
 
 func TestWays(t *testing.T) {
 	n := New(1000, 0, rand.New(rand.NewPCG(1, 1)))
-	if at := n.Carry(5, 0, 1, 100); len(at) != 1 || at[0] != 1005 {
+	if at := n.Transmit(5, 0, 1, 100); len(at) != 1 || at[0] != 1005 {
 		t.Fatalf("plain: %v", at)
 	}
-	end := n.Add(&Trouble{From: []int{0}, Cut: true})
-	if n.Carry(5, 0, 1, 100) != nil || n.Open(0, 1) {
+	end := n.AddFault(&Fault{From: []int{0}, Partitioned: true})
+	if n.Transmit(5, 0, 1, 100) != nil || n.Reachable(0, 1) {
 		t.Error("cut, and it arrives")
 	}
-	if n.Carry(5, 1, 0, 100) == nil || !n.Open(1, 0) {
+	if n.Transmit(5, 1, 0, 100) == nil || !n.Reachable(1, 0) {
 		t.Error("cut one way, and the other does not arrive")
 	}
 	end()
-	end = n.Camps([]int{0}, []int{1, 2}, []int{3})
+	end = n.Partition([]int{0}, []int{1, 2}, []int{3})
 	for _, c := range [][3]int{{0, 1, 0}, {1, 2, 1}, {2, 1, 1}, {2, 3, 0}, {3, 0, 0}, {0, 4, 1}, {4, 3, 1}} {
-		if got := len(n.Carry(0, c[0], c[1], 1)); got != c[2] {
+		if got := len(n.Transmit(0, c[0], c[1], 1)); got != c[2] {
 			t.Errorf("camps: %d to %d: %d", c[0], c[1], got)
 		}
 	}
 	end()
-	end = n.Add(&Trouble{From: []int{2}, Both: true, Double: 1, Delay: 50})
-	if at := n.Carry(0, 1, 2, 1); len(at) != 2 || at[0] != 1050 || at[1] <= at[0] {
+	end = n.AddFault(&Fault{From: []int{2}, Bidirectional: true, Duplicate: 1, Delay: 50})
+	if at := n.Transmit(0, 1, 2, 1); len(at) != 2 || at[0] != 1050 || at[1] <= at[0] {
 		t.Errorf("doubled: %v", at)
 	}
 	end()
-	end = n.Add(&Trouble{Reorder: 0.5})
+	end = n.AddFault(&Fault{Reorder: 0.5})
 	late := 0
 	for i := range int64(1000) {
-		if n.Carry(i, 0, 1, 1)[0] > i+1000 {
+		if n.Transmit(i, 0, 1, 1)[0] > i+1000 {
 			late++
 		}
 	}
@@ -41,25 +41,25 @@
 		t.Errorf("reordered: %d of 1000", late)
 	}
 	end()
-	end = n.Add(&Trouble{PerS: 1000})
-	first, second := n.Carry(0, 0, 1, 100), n.Carry(0, 0, 1, 100)
+	end = n.AddFault(&Fault{BytesPerSecond: 1000})
+	first, second := n.Transmit(0, 0, 1, 100), n.Transmit(0, 0, 1, 100)
 	if first[0] != 101_000 || second[0] != 201_000 {
 		t.Errorf("slow: %v %v", first, second)
 	}
 	for range 30 {
-		n.Carry(0, 0, 1, 100)
+		n.Transmit(0, 0, 1, 100)
 	}
-	if at := n.Carry(0, 0, 1, 100); at != nil {
+	if at := n.Transmit(0, 0, 1, 100); at != nil {
 		t.Errorf("a slow way's queue has no end: %v", at)
 	}
-	if at := n.Carry(0, 1, 0, 100); len(at) != 1 || at[0] != 101_000 {
+	if at := n.Transmit(0, 1, 0, 100); len(at) != 1 || at[0] != 101_000 {
 		t.Errorf("the other direction waits, too: %v", at)
 	}
 	end()
-	end = n.Add(&Trouble{Loss: 0.1})
+	end = n.AddFault(&Fault{Loss: 0.1})
 	lost := 0
 	for range 10_000 {
-		if n.Carry(0, 0, 1, 1) == nil {
+		if n.Transmit(0, 0, 1, 1) == nil {
 			lost++
 		}
 	}
@@ -67,7 +67,7 @@
 		t.Errorf("lost: %d of 10,000", lost)
 	}
 	end()
-	if at := n.Carry(5, 0, 1, 100); len(at) != 1 || at[0] != 1005 {
+	if at := n.Transmit(5, 0, 1, 100); len(at) != 1 || at[0] != 1005 {
 		t.Errorf("all over: %v", at)
 	}
 }
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -59,11 +59,11 @@
 	none := func(string) string { return "" }
 	for _, text := range []string{"", "# nothing\n", "---\n", "{}\n"} {
 		c, err := Parse("f", []byte(text))
-		if err != nil || c.Disk != nil || c.Metrics != nil || c.Members != nil {
+		if err != nil || c.DiskCache != nil || c.Metrics != nil || c.Membership != nil {
 			t.Errorf("%q: %+v, %v", text, c, err)
 		}
 	}
-	if c, err := Load("", none); err != nil || c.Disk != nil {
+	if c, err := Load("", none); err != nil || c.DiskCache != nil {
 		t.Errorf("absent: %+v, %v", c, err)
 	}
 	if _, err := Load("there.yaml", none); err == nil {
@@ -71,7 +71,7 @@
 	}
 	os.WriteFile("here.yaml", []byte("disk: {path: /x, size_mb: 64}\n"), 0o600)
 	c, err := Load("", func(string) string { return filepath.Join(".", "here.yaml") })
-	if err != nil || c.Disk == nil || c.Disk.SlotKB != 16 || c.Disk.Slots() != 4096 || c.Disk.Entries() != 4096 {
-		t.Errorf("by variable: %+v, %v", c.Disk, err)
+	if err != nil || c.DiskCache == nil || c.DiskCache.SlotKB != 16 || c.DiskCache.Slots() != 4096 || c.DiskCache.MaxEntries() != 4096 {
+		t.Errorf("by variable: %+v, %v", c.DiskCache, err)
 	}
 }
--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -22,10 +22,10 @@
 const budgetWork = 200 * ms // of a txn, by the rule's SLA time: sizes are not told
 
 func (c *coldSite) settings() Settings {
-	return Settings{Siblings: 3, Zone: "z", Zones: []string{"z"}, Kinds: []string{"box", "hub", "ledger"},
-		Rules:    []RemapRule{{Name: "read", Effect: "safe", SLA: budgetWork, TimeLimit: 5 * sec, Importance: 1, Fresh: sec}},
-		Contract: Contract{ColdFor: 60 * sec, ColdFrom: 0.2, FallFor: sec, FallMultiple: 2},
-		Limits:   Limits{MaxHops: 1, Cancel: true}, Family: Family{ParentKind: 1, OriginKind: 2, ZoneBalancers: []int{3}}}
+	return Settings{Routers: 3, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "hub", "ledger"},
+		Classes:  []TrafficClass{{Name: "read", Effect: "safe", LatencyObjective: budgetWork, Timeout: 5 * sec, PriorityWeight: 1, FreshFor: sec}},
+		Contract: Contract{SlowStartFor: 60 * sec, SlowStartFrom: 0.2, OverloadWindow: sec, OverloadMultiple: 2},
+		Limits:   Limits{MaxAttempts: 1, Cancel: true}, Hierarchy: Hierarchy{ParentKind: 1, OriginKind: 2, RoutersByZone: []int{3}}}
 }
 
 // budget is what the cache takes within a window at its start.
@@ -35,9 +35,9 @@
 	c.lives++
 	r := New(c.settings(), c.lives)
 	c.routers[i], c.asleep[i] = r, false
-	r.Handle(c.now, Event{Kind: EvDiscovery, Scope: "disk", Entries: []Entry{
-		{Server: "cold", Zone: "z", Kind: "box", State: "active", Weight: 30, Born: 10 * sec},
-		{Server: "o", Zone: "z", Kind: "ledger", State: "active", Weight: 1}}}, nil)
+	r.Handle(c.now, Event{Kind: EventEndpoints, Scope: "disk", Endpoints: []Endpoint{
+		{ID: "cold", Zone: "z", Kind: "box", State: "active", Weight: 30, StartedAt: 10 * sec},
+		{ID: "o", Zone: "z", Kind: "ledger", State: "active", Weight: 1}}}, nil)
 	if !c.careful {
 		r.holdTill = 0
 	}
@@ -70,14 +70,14 @@
 	for range 60 {
 		c.txns++
 		sent := false
-		for _, a := range r.Handle(c.now, Event{Kind: EvTxn, Txn: fmt.Sprint(c.txns), Rule: "read", Object: fmt.Sprint(c.txns), Remaining: 5 * sec}, nil) {
-			if a.Kind == ActGet && a.Server == "cold" {
+		for _, a := range r.Handle(c.now, Event{Kind: EventRequest, Request: fmt.Sprint(c.txns), Class: "read", Object: fmt.Sprint(c.txns), Remaining: 5 * sec}, nil) {
+			if a.Kind == ActionSend && a.Endpoint == "cold" {
 				c.spent = append(c.spent, spend{at: c.now, work: budgetWork})
 				sent = true
 			}
 		}
 		// It ends at once and well, so that only the budget holds the next one back.
-		r.Handle(c.now, Event{Kind: EvAnswer, Txn: fmt.Sprint(c.txns), Server: "cold", Code: "done", Final: true, RTT: budgetWork}, nil)
+		r.Handle(c.now, Event{Kind: EventAttemptEnded, Request: fmt.Sprint(c.txns), Endpoint: "cold", Outcome: "done", Final: true, RTT: budgetWork}, nil)
 		if !sent {
 			return
 		}
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -10,28 +10,28 @@
 // settings of a small site with one rule of each effect.
 func settings() Settings {
 	return Settings{
-		Siblings: 2, Zone: "z", Zones: []string{"hub", "z"}, Kinds: []string{"box", "parent", "origin"},
-		Contract: Contract{ColdFor: 10 * sec, ColdFrom: 0.2, FallFor: sec, FallMultiple: 2, DrainGrace: sec},
-		Limits:   Limits{Cancel: true, RetryAfter: true, SecondCopies: true, MaxHops: 6, MaxRetryAfter: sec / 2},
-		Family: Family{
-			Direct: true, ParentKind: 1, OriginKind: 2, FlowKBPerS: 1000, ParentColdFrom: 0.1, ParentColdFor: 10 * sec,
-			ParentFallMultiple: 2, PurgeDone: 6 * sec, ZoneBalancers: []int{0, 1}, Siblings: "location",
+		Routers: 2, Zone: "z", Zones: []string{"hub", "z"}, EndpointKinds: []string{"box", "parent", "origin"},
+		Contract: Contract{SlowStartFor: 10 * sec, SlowStartFrom: 0.2, OverloadWindow: sec, OverloadMultiple: 2, DrainGrace: sec},
+		Limits:   Limits{Cancel: true, RetryAfter: true, Hedging: true, MaxAttempts: 6, MaxRetryAfter: sec / 2},
+		Hierarchy: Hierarchy{
+			CacheBypass: true, ParentKind: 1, OriginKind: 2, StreamKBPerS: 1000, ParentSlowStartFrom: 0.1, ParentSlowStartFor: 10 * sec,
+			ParentOverloadMultiple: 2, PurgeSettleTime: 6 * sec, RoutersByZone: []int{0, 1}, PeerFills: "location",
 		},
-		Rules: []RemapRule{
-			{Name: "read", Effect: "safe", SLA: 500 * ms, Importance: 1, Fresh: 8 * sec},
-			{Name: "keyed", Effect: "keyed", Group: "all", Window: 2 * sec, SLA: 500 * ms, Importance: 1, Write: true},
-			{Name: "zoned", Effect: "keyed", Group: "zone", Window: 2 * sec, SLA: 500 * ms, Importance: 1},
-			{Name: "once", Effect: "unsafe", SLA: 500 * ms, Importance: 1, Write: true},
+		Classes: []TrafficClass{
+			{Name: "read", Effect: "safe", LatencyObjective: 500 * ms, PriorityWeight: 1, FreshFor: 8 * sec},
+			{Name: "keyed", Effect: "keyed", Group: "all", DedupWindow: 2 * sec, LatencyObjective: 500 * ms, PriorityWeight: 1, Write: true},
+			{Name: "zoned", Effect: "keyed", Group: "zone", DedupWindow: 2 * sec, LatencyObjective: 500 * ms, PriorityWeight: 1},
+			{Name: "once", Effect: "unsafe", LatencyObjective: 500 * ms, PriorityWeight: 1, Write: true},
 		},
 	}
 }
 
-func entries() []Entry {
-	return []Entry{
-		{Server: cacheA, Zone: "z", Kind: "box", State: "active", Weight: 10},
-		{Server: cacheB, Zone: "z", Kind: "box", State: "active", Weight: 10},
-		{Server: par, Zone: "hub", Kind: "parent", State: "active", Weight: 40},
-		{Server: root, Zone: "hub", Kind: "origin", State: "active", Weight: 1},
+func entries() []Endpoint {
+	return []Endpoint{
+		{ID: cacheA, Zone: "z", Kind: "box", State: "active", Weight: 10},
+		{ID: cacheB, Zone: "z", Kind: "box", State: "active", Weight: 10},
+		{ID: par, Zone: "hub", Kind: "parent", State: "active", Weight: 40},
+		{ID: root, Zone: "hub", Kind: "origin", State: "active", Weight: 1},
 	}
 }
 
@@ -42,12 +42,12 @@
 		change(&set)
 	}
 	r := New(set, 1)
-	r.Handle(begin, Event{Kind: EvDiscovery, Scope: "snapshot", Entries: entries()}, nil)
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "snapshot", Endpoints: entries()}, nil)
 	return r
 }
 
 func request(rule string) Event {
-	return Event{Kind: EvTxn, Txn: "t", Rule: rule, Object: "x", Group: 7, SizeKB: 100, Remaining: 3 * sec}
+	return Event{Kind: EventRequest, Request: "t", Class: rule, Object: "x", Group: 7, SizeKB: 100, Remaining: 3 * sec}
 }
 
 // only gives the one action of a kind, or fails the test.
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -225,20 +225,20 @@
 	s.late = nil
 	s.due = r.now + min(restFirst<<s.rests, restMost)
 	s.rests = min(s.rests+1, 8)
-	r.do(Action{Kind: ActLog, Text: "server rests: " + s.id})
+	r.do(Action{Kind: ActionLog, Text: "server rests: " + s.id})
 }
 
 // ask probes where that is allowed; else the next hop tells.
 func (r *Router) ask(s *server) {
 	if r.canProbe {
-		r.do(Action{Kind: ActProbe, Server: s.id})
+		r.do(Action{Kind: ActionHealthCheck, Endpoint: s.id})
 	}
 }
 
 // back forgets what a server did before; its list stays.
 func (r *Router) back(s *server) {
 	s.rests, s.late, s.returned = 0, nil, r.now
-	r.do(Action{Kind: ActLog, Text: "server is back: " + s.id})
+	r.do(Action{Kind: ActionLog, Text: "server is back: " + s.id})
 }
 
 const keepSamples = 32 // of a list: enough for a tail, few enough to forget in seconds
@@ -602,36 +602,36 @@
 
 // New starts an instance: the settings become the figures that decisions use.
 func New(set Settings, seed uint64) *Router {
-	c, f, l := &set.Contract, &set.Family, &set.Limits
+	c, f, l := &set.Contract, &set.Hierarchy, &set.Limits
 	r := &Router{
 		servers: map[string]*server{}, rules: map[string]*rule{}, txns: map[string]*txn{},
-		dice: seed, zone: set.Zone, kinds: map[string]role{}, fallFor: c.FallFor, flow: f.FlowKBPerS / float64(sec),
-		purgeDone: f.PurgeDone, maxHops: max(l.MaxHops, 1), direct: f.Direct, joins: f.Joins,
-		canProbe: l.Probes, cancel: l.Cancel, pair: l.SecondCopies, pull: set.Discovery == "ask",
-		live: set.WeightKind == "live", told: f.Tells == "all",
+		dice: seed, zone: set.Zone, kinds: map[string]role{}, fallFor: c.OverloadWindow, flow: f.StreamKBPerS / float64(sec),
+		purgeDone: f.PurgeSettleTime, maxHops: max(l.MaxAttempts, 1), direct: f.CacheBypass, joins: f.CoalescesFills,
+		canProbe: l.HealthChecks, cancel: l.Cancel, pair: l.Hedging, pull: set.Discovery == "ask",
+		live: set.WeightKind == "live", told: f.ReasonsGiven == "all",
 	}
 	r.stay = map[bool]int64{true: l.MaxRetryAfter}[l.RetryAfter]
-	for i, name := range set.Kinds {
+	for i, name := range set.EndpointKinds {
 		r.kinds[name] = map[int]role{f.ParentKind: parent, f.OriginKind: origin}[i]
 	}
-	near := max(set.Siblings, 1)
-	if i := slices.Index(set.Zones, set.Zone); i >= 0 && i < len(f.ZoneBalancers) && f.ZoneBalancers[i] > 0 {
-		near = f.ZoneBalancers[i]
+	near := max(set.Routers, 1)
+	if i := slices.Index(set.Zones, set.Zone); i >= 0 && i < len(f.RoutersByZone) && f.RoutersByZone[i] > 0 {
+		near = f.RoutersByZone[i]
 	}
 	r.part = 1 / float64(near)
 	r.listCap = int(listCap * math.Sqrt(r.part))
-	r.cold[edge] = cold{c.ColdFrom, c.FallMultiple, float64(near), c.ColdFor}
-	r.cold[parent] = cold{f.ParentColdFrom, f.ParentFallMultiple, float64(max(set.Siblings, 1)), f.ParentColdFor}
+	r.cold[edge] = cold{c.SlowStartFrom, c.OverloadMultiple, float64(near), c.SlowStartFor}
+	r.cold[parent] = cold{f.ParentSlowStartFrom, f.ParentOverloadMultiple, float64(max(set.Routers, 1)), f.ParentSlowStartFor}
 	effects := map[string]effect{"keyed": keyedAll, "keyedzone": keyedZone, "keyedcell": keyedCell,
 		"unsafe": unrepeatable}
-	for _, k := range set.Rules {
+	for _, k := range set.Classes {
 		e, known := effects[k.Effect+k.Group]
 		if !known {
 			e = effects[k.Effect] // the group is all, or tells nothing
 		}
-		r.quiet = max(r.quiet, 3*k.SLA/2) // a rule's whole SLA time and half of it again
-		r.rules[k.Name] = &rule{effect: e, window: k.Window, sla: k.SLA, stretch: k.Stretch,
-			fresh: k.Fresh, grace: k.Grace, write: k.Write, importance: k.Importance}
+		r.quiet = max(r.quiet, 3*k.LatencyObjective/2) // a rule's whole SLA time and half of it again
+		r.rules[k.Name] = &rule{effect: e, window: k.DedupWindow, sla: k.LatencyObjective, stretch: k.ObjectiveStretch,
+			fresh: k.FreshFor, grace: k.StaleGrace, write: k.Write, importance: k.PriorityWeight}
 	}
 	return r
 }
@@ -639,30 +639,30 @@
 // Handle takes one event at the given time and appends the actions to out.
 func (r *Router) Handle(now int64, e Event, out []Action) []Action {
 	r.now, r.out = now, out
-	s, t := r.servers[e.Server], r.txns[e.Txn] // nil where unknown or closed
+	s, t := r.servers[e.Endpoint], r.txns[e.Request] // nil where unknown or closed
 	switch e.Kind {
-	case EvDiscovery:
+	case EventEndpoints:
 		r.discover(e)
-	case EvTxn:
+	case EventRequest:
 		r.arrive(e)
-	case EvKept: // answered from copies of the router's own
+	case EventLocalHit: // answered from copies of the router's own
 		r.count(hash(e.Object, uint64(e.Part)))
-	case EvAnswer:
+	case EventAttemptEnded:
 		r.answer(e, s, t)
-	case EvStarted:
+	case EventResponseStarted:
 		r.judge(s, signGood)
 		r.step(t, inStarted)
-	case EvAbandoned:
+	case EventClientGone:
 		r.step(t, inFinal)
-	case EvHealth:
-		r.judge(s, map[bool]sign{true: signGood, false: signBad}[e.Code == "done"])
-	case EvPurge:
+	case EventHealthCheck:
+		r.judge(s, map[bool]sign{true: signGood, false: signBad}[e.Outcome == "done"])
+	case EventPurge:
 		r.purges = append(r.purges, purge{e.Object, e.Group, now - e.Age})
-	case EvPeers:
-		r.holdTill = e.Hold
-	case EvBeside:
-		r.beside(e.Outs)
-	case EvTimer:
+	case EventSlowStartHold:
+		r.holdTill = e.HoldUntil
+	case EventOtherGeneration:
+		r.beside(e.InFlight)
+	case EventTimer:
 		r.ticking = false
 		r.sweep()
 	}
@@ -678,7 +678,7 @@
 func (r *Router) tick() {
 	if !r.ticking {
 		r.ticking = true
-		r.do(Action{Kind: ActTimer, Due: r.now + tickEvery, Token: 1})
+		r.do(Action{Kind: ActionSetTimer, Due: r.now + tickEvery, Token: 1})
 	}
 }
 
@@ -693,7 +693,7 @@
 		r.holdTill = max(r.holdTill, r.now+r.fallFor)
 	}
 	if r.pull && e.Scope == "disk" {
-		r.do(Action{Kind: ActSubscribe})
+		r.do(Action{Kind: ActionSubscribe})
 	}
 	if e.Scope != "diff" {
 		for _, s := range r.order {
@@ -701,14 +701,14 @@
 		}
 	}
 	const start = 3 // above any use in calm: answers bring it down; twice and half of it cost (simulated)
-	for _, n := range e.Entries {
+	for _, n := range e.Endpoints {
 		if n.Zone != r.zone && r.kinds[n.Kind] == edge {
 			continue // never asked: what a txn or a timer touches must not grow with the fleet
 		}
-		s := r.servers[n.Server]
+		s := r.servers[n.ID]
 		if s == nil {
-			s = &server{id: n.Server, hash: hash(n.Server), born: n.Born, health: up}
-			r.servers[n.Server] = s
+			s = &server{id: n.ID, hash: hash(n.ID), born: n.StartedAt, health: up}
+			r.servers[n.ID] = s
 			at, _ := slices.BinarySearchFunc(r.order, s, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 			r.order = slices.Insert(r.order, at, s)
 		}
@@ -722,8 +722,8 @@
 			}
 		}
 		s.listed, s.gone = n.State == "active", n.State == "left"
-		if n.Born > s.born {
-			s.born = n.Born
+		if n.StartedAt > s.born {
+			s.born = n.StartedAt
 			r.judge(s, signBorn)
 			s.returned = 0
 		}
@@ -746,12 +746,12 @@
 }
 
 func (r *Router) arrive(e Event) {
-	k := r.rules[e.Rule]
+	k := r.rules[e.Class]
 	if k == nil { // never listed: the most careful reading
 		k = &rule{effect: unrepeatable, sla: e.Remaining, write: e.Write}
-		r.rules[e.Rule] = k
+		r.rules[e.Class] = k
 	}
-	t := &txn{id: e.Txn, state: clean, rule: k, key: hash(e.Object, uint64(e.Part)), object: e.Object,
+	t := &txn{id: e.Request, state: clean, rule: k, key: hash(e.Object, uint64(e.Part)), object: e.Object,
 		group: e.Group, deadline: r.now + e.Remaining}
 	work := k.sla // where sizes are not told
 	if e.SizeKB > 0 && r.flow > 0 {
@@ -903,8 +903,8 @@
 	if to.role == edge { // at twice its SLA time it earns little, holds a place, and may never be answered
 		cap = min(left, 2*t.sla())
 	}
-	r.do(Action{Kind: ActGet, Txn: t.id, Server: to.id, Source: from.id, Rank: rank,
-		Age: r.age(t, grace), Cap: cap, Until: until, Mode: mode})
+	r.do(Action{Kind: ActionSend, Request: t.id, Endpoint: to.id, Source: from.id, CachePriority: rank,
+		MaxAge: r.age(t, grace), Timeout: cap, SendBefore: until, Mode: mode})
 }
 
 // waits is how long the origin lets fills wait, of late against what it used to. One router sees few fills,
@@ -990,7 +990,7 @@
 	switch {
 	case t.rule.effect != repeatable:
 	case !r.pair && r.cancel:
-		r.do(Action{Kind: ActCancel, Txn: t.id, Hop: len(t.hops) - 1})
+		r.do(Action{Kind: ActionCancel, Request: t.id, Attempt: len(t.hops) - 1})
 	case r.pair && len(t.hops) < r.maxHops && r.pick(t, edge, nil) != nil:
 		r.hop(t)
 	}
@@ -999,9 +999,9 @@
 // giveUp answers at once: rejected where rule 2 allows, else aborted.
 func (r *Router) giveUp(t *txn) {
 	if r.now < t.deadline && (!t.taint() || mayTable[t.rule.effect].reject) {
-		r.do(Action{Kind: ActReject, Txn: t.id, Stay: r.stay})
+		r.do(Action{Kind: ActionReject, Request: t.id, RetryAfter: r.stay})
 	} else {
-		r.do(Action{Kind: ActAbort, Txn: t.id})
+		r.do(Action{Kind: ActionFail, Request: t.id})
 	}
 	r.step(t, inFinal)
 }
@@ -1013,7 +1013,7 @@
 			h.server.out--
 			h.server.room[h.kind].out--
 			if r.cancel {
-				r.do(Action{Kind: ActCancel, Txn: t.id, Hop: i})
+				r.do(Action{Kind: ActionCancel, Request: t.id, Attempt: i})
 			}
 		}
 	}
@@ -1031,7 +1031,7 @@
 }
 
 func (r *Router) answer(e Event, s *server, t *txn) {
-	o, known := outcomes[e.Code]
+	o, known := outcomes[e.Outcome]
 	if !known || s == nil {
 		return
 	}
@@ -1039,30 +1039,30 @@
 		s.link = x
 	}
 	r.judge(s, o.sign)
-	if t == nil || e.Hop < 0 || e.Hop >= len(t.hops) || !t.hops[e.Hop].out {
+	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.hops) || !t.hops[e.Attempt].out {
 		return
 	}
-	h := &t.hops[e.Hop]
+	h := &t.hops[e.Attempt]
 	h.out = false
 	s.room[h.kind].out--
 	s.out--
-	if e.Code == "done" && t.work == 0 && !t.rule.write {
+	if e.Outcome == "done" && t.work == 0 && !t.rule.write {
 		t.rule.works = sample(t.rule.works, e.RTT)
 	}
 	// A reset tells nothing of a cache's room; nor, where reasons are told, an error without one: it is the
 	// txn's own or chance. Spells of them cut every limit. It harms where one cache errs alone: a hop more each.
-	mute := e.Code == "ecanceled" || e.Code == "econnreset" || e.Code == "err" && e.Note == 0 && r.told
-	if !mute && e.Code != "enoent" {
-		r.ended(t, h, e.Code == "done" && !r.overdue(t, h))
+	mute := e.Outcome == "ecanceled" || e.Outcome == "econnreset" || e.Outcome == "err" && e.Reason == 0 && r.told
+	if !mute && e.Outcome != "enoent" {
+		r.ended(t, h, e.Outcome == "done" && !r.overdue(t, h))
 	}
-	if h.kind == fills && !t.rule.write && e.Code == "done" && e.Note == 3 {
-		r.waits.note(r.now, float64(max(e.Waited, ms)), true)
-	} else if h.kind == fills && !t.rule.write && e.Note == 10 {
+	if h.kind == fills && !t.rule.write && e.Outcome == "done" && e.Reason == 3 {
+		r.waits.note(r.now, float64(max(e.OriginWait, ms)), true)
+	} else if h.kind == fills && !t.rule.write && e.Reason == 10 {
 		r.waits.fail()
 		t.luck = 1 // one call is enough of an origin that fails
 	}
 	if h.kind == fills && !t.rule.write && !mute {
-		r.failed = r.note(r.failed, e.Code != "done")
+		r.failed = r.note(r.failed, e.Outcome != "done")
 	}
 	if e.Final {
 		r.step(t, inFinal)
@@ -1072,7 +1072,7 @@
 		t.tried = append(t.tried, s)
 	}
 	// Untold, or after a time-out, the source may be what failed.
-	if h.source != s && (e.Note >= 6 && e.Note != 9 || e.Code == "etimedout") {
+	if h.source != s && (e.Reason >= 6 && e.Reason != 9 || e.Outcome == "etimedout") {
 		t.tried = append(t.tried, h.source)
 	}
 	r.step(t, o.txn)
@@ -1107,7 +1107,7 @@
 	}
 	if r.askAt > 0 && r.now >= r.askAt {
 		r.askAt = 0
-		r.do(Action{Kind: ActSubscribe})
+		r.do(Action{Kind: ActionSubscribe})
 	}
 	const backIn = 3 * sec // a stopped origin is back after some seconds; they are not told
 	r.waits.ease(tickEvery, backIn)
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -47,7 +47,7 @@
 
 // Lists of full length hardly filled where many routers share a cache.
 func TestListsShrinkWithTheLocationsRouters(t *testing.T) {
-	r := router(func(s *Settings) { s.Family.ZoneBalancers = []int{0, 16} })
+	r := router(func(s *Settings) { s.Hierarchy.RoutersByZone = []int{0, 16} })
 	if r.listCap != listCap/4 || r.sampleN != 2*10*listCap/4 {
 		t.Fatalf("lists of %d, halved after %d", r.listCap, r.sampleN)
 	}
@@ -64,15 +64,15 @@
 
 func TestWritePassesUncounted(t *testing.T) {
 	r := router(nil)
-	a := only(t, r.Handle(begin, request("once"), nil), ActGet)
-	if a.Server != root || a.Rank != 0 || r.sketch.sample != 0 {
+	a := only(t, r.Handle(begin, request("once"), nil), ActionSend)
+	if a.Endpoint != root || a.CachePriority != 0 || r.sketch.sample != 0 {
 		t.Fatalf("write sent as %+v, sample %d", a, r.sketch.sample)
 	}
 }
 
 // One row for each way a hop may end, for each effect: what follows at once.
 func TestHopEnds(t *testing.T) {
-	const hopAgain, abort, reject, held = ActGet, ActAbort, ActReject, ActTimer
+	const hopAgain, abort, reject, held = ActionSend, ActionFail, ActionReject, ActionSetTimer
 	for _, c := range []struct {
 		rule, code string
 		want       ActionKind
@@ -88,8 +88,8 @@
 	} {
 		t.Run(c.rule+" "+c.code, func(t *testing.T) {
 			r := router(nil)
-			sent := only(t, r.Handle(begin, request(c.rule), nil), ActGet)
-			acts := r.Handle(begin+100*ms, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: c.code}, nil)
+			sent := only(t, r.Handle(begin, request(c.rule), nil), ActionSend)
+			acts := r.Handle(begin+100*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: c.code}, nil)
 			if c.want == held {
 				none(t, acts, hopAgain, abort, reject)
 				if r.txns["t"].due == 0 {
@@ -104,48 +104,48 @@
 
 func TestKeyedOnlyInsideItsWindow(t *testing.T) {
 	r := router(nil)
-	sent := only(t, r.Handle(begin, request("keyed"), nil), ActGet)
-	r.Handle(begin+1990*ms, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: "etimedout"}, nil)
-	acts := r.Handle(begin+2060*ms, Event{Kind: EvTimer, Token: 1}, nil)
-	none(t, acts, ActGet)
-	only(t, acts, ActReject)
+	sent := only(t, r.Handle(begin, request("keyed"), nil), ActionSend)
+	r.Handle(begin+1990*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "etimedout"}, nil)
+	acts := r.Handle(begin+2060*ms, Event{Kind: EventTimer, Token: 1}, nil)
+	none(t, acts, ActionSend)
+	only(t, acts, ActionReject)
 }
 
 func TestKeyedZoneIsNeverRejectedOnceItMayHaveRun(t *testing.T) {
 	r := router(nil)
 	r.servers[cacheA].listed = false
-	sent := only(t, r.Handle(begin, request("zoned"), nil), ActGet)
+	sent := only(t, r.Handle(begin, request("zoned"), nil), ActionSend)
 	r.servers[cacheB].listed = false
-	only(t, r.Handle(begin+sec, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: "err"}, nil), ActAbort)
+	only(t, r.Handle(begin+sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "err"}, nil), ActionFail)
 }
 
 func TestAnswerAtTheTimeLimitIsFinal(t *testing.T) {
 	r := router(nil)
-	sent := only(t, r.Handle(begin, request("read"), nil), ActGet)
-	acts := r.Handle(begin+3*sec, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: "etimedout"}, nil)
-	only(t, acts, ActAbort)
-	none(t, r.Handle(begin+3*sec, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: "etimedout"}, nil),
-		ActAbort, ActReject, ActGet)
+	sent := only(t, r.Handle(begin, request("read"), nil), ActionSend)
+	acts := r.Handle(begin+3*sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "etimedout"}, nil)
+	only(t, acts, ActionFail)
+	none(t, r.Handle(begin+3*sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "etimedout"}, nil),
+		ActionFail, ActionReject, ActionSend)
 }
 
 // A held write once ended after its time limit: its pause outlasted the txn.
 func TestHeldWriteEndsBeforeItsTimeLimit(t *testing.T) {
 	r := router(nil)
-	sent := only(t, r.Handle(begin, request("once"), nil), ActGet)
-	acts := r.Handle(begin+3*sec-100*ms, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: "busy"}, nil)
-	only(t, acts, ActReject)
+	sent := only(t, r.Handle(begin, request("once"), nil), ActionSend)
+	acts := r.Handle(begin+3*sec-100*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "busy"}, nil)
+	only(t, acts, ActionReject)
 }
 
 func TestDrainedServersGetNothing(t *testing.T) {
 	r := router(nil)
-	gone := []Entry{entries()[0], entries()[2]}
+	gone := []Endpoint{entries()[0], entries()[2]}
 	gone[0].State, gone[1].State = "leaving", "left"
-	r.Handle(begin, Event{Kind: EvDiscovery, Scope: "diff", Entries: gone}, nil)
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: gone}, nil)
 	for i := range 20 {
 		e := request("read")
-		e.Txn, e.Object = fmt.Sprint(i), fmt.Sprint(i)
-		if a := only(t, r.Handle(begin, e, nil), ActGet); a.Server != cacheB || a.Source != root {
-			t.Fatalf("sent to %s from %s", a.Server, a.Source)
+		e.Request, e.Object = fmt.Sprint(i), fmt.Sprint(i)
+		if a := only(t, r.Handle(begin, e, nil), ActionSend); a.Endpoint != cacheB || a.Source != root {
+			t.Fatalf("sent to %s from %s", a.Endpoint, a.Source)
 		}
 	}
 }
@@ -174,12 +174,12 @@
 
 func TestPurgesBoundTheAge(t *testing.T) {
 	r := router(nil)
-	r.Handle(begin, Event{Kind: EvPurge, Group: 7, Age: 40 * ms}, nil)
-	a := only(t, r.Handle(begin+60*ms, request("read"), nil), ActGet)
-	if a.Age <= 0 || a.Age >= 100*ms {
-		t.Fatalf("age %d after a purge 100 ms ago", a.Age)
+	r.Handle(begin, Event{Kind: EventPurge, Group: 7, Age: 40 * ms}, nil)
+	a := only(t, r.Handle(begin+60*ms, request("read"), nil), ActionSend)
+	if a.MaxAge <= 0 || a.MaxAge >= 100*ms {
+		t.Fatalf("age %d after a purge 100 ms ago", a.MaxAge)
 	}
-	r.Handle(begin, Event{Kind: EvPurge, Object: "x", Group: 7}, nil)
+	r.Handle(begin, Event{Kind: EventPurge, Object: "x", Group: 7}, nil)
 	if a := r.age(&txn{object: "x", rule: &rule{}}, 0); a != 1 {
 		t.Fatalf("age %d after a purge of the object", a)
 	}
@@ -294,26 +294,26 @@
 func TestLookAtAJammedCache(t *testing.T) {
 	r := router(nil)
 	jam(r)
-	a := only(t, r.Handle(begin, request("read"), nil), ActGet)
-	if a.Source != a.Server || a.Rank != 0 {
+	a := only(t, r.Handle(begin, request("read"), nil), ActionSend)
+	if a.Source != a.Endpoint || a.CachePriority != 0 {
 		t.Fatalf("not a look: %+v", a)
 	}
-	r.servers[a.Server].link = 1
-	acts := r.Handle(begin+ms, Event{Kind: EvAnswer, Txn: "t", Server: a.Server, Code: "enoent"}, nil)
-	if only(t, acts, ActReject).Stay == 0 {
+	r.servers[a.Endpoint].link = 1
+	acts := r.Handle(begin+ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: a.Endpoint, Outcome: "enoent"}, nil)
+	if only(t, acts, ActionReject).RetryAfter == 0 {
 		t.Fatal("no time to come back")
 	}
 }
 
 func TestLateEventsAreIgnored(t *testing.T) {
 	r := router(nil)
-	only(t, r.Handle(begin, request("read"), nil), ActGet)
-	r.Handle(begin+ms, Event{Kind: EvAbandoned, Txn: "t"}, nil)
+	only(t, r.Handle(begin, request("read"), nil), ActionSend)
+	r.Handle(begin+ms, Event{Kind: EventClientGone, Request: "t"}, nil)
 	for _, e := range []Event{
-		{Kind: EvAnswer, Txn: "t", Server: cacheA, Code: "err"}, {Kind: EvStarted, Txn: "t", Server: cacheA},
-		{Kind: EvAbandoned, Txn: "t"}, {Kind: EvAnswer, Txn: "t", Server: "nobody:1", Code: "done"},
+		{Kind: EventAttemptEnded, Request: "t", Endpoint: cacheA, Outcome: "err"}, {Kind: EventResponseStarted, Request: "t", Endpoint: cacheA},
+		{Kind: EventClientGone, Request: "t"}, {Kind: EventAttemptEnded, Request: "t", Endpoint: "nobody:1", Outcome: "done"},
 	} {
-		none(t, r.Handle(begin+2*ms, e, nil), ActGet, ActAbort, ActReject)
+		none(t, r.Handle(begin+2*ms, e, nil), ActionSend, ActionFail, ActionReject)
 	}
 }
 
@@ -321,8 +321,8 @@
 func TestParentWithLateFillsIsRested(t *testing.T) {
 	r := router(nil)
 	more := entries()[2]
-	more.Server = "q:1"
-	r.Handle(begin, Event{Kind: EvDiscovery, Scope: "diff", Entries: []Entry{more}}, nil)
+	more.ID = "q:1"
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: []Endpoint{more}}, nil)
 	bad, good := r.servers[par], r.servers["q:1"]
 	for range window {
 		r.supplied(good, true)
@@ -345,11 +345,11 @@
 // One cache short of room beside idle ones once shed what they could answer.
 func TestJammedCacheGivesWayToAnIdleOne(t *testing.T) {
 	r := router(nil)
-	first := only(t, r.Handle(begin, request("read"), nil), ActGet).Server
+	first := only(t, r.Handle(begin, request("read"), nil), ActionSend).Endpoint
 	r.servers[first].room[fills] = room{out: 5, limit: 2}
 	e := request("read")
-	e.Txn = "u"
-	if a := only(t, r.Handle(begin, e, nil), ActGet); a.Server == first || a.Source == a.Server {
+	e.Request = "u"
+	if a := only(t, r.Handle(begin, e, nil), ActionSend); a.Endpoint == first || a.Source == a.Endpoint {
 		t.Fatalf("the idle cache was not asked to fill: %+v", a)
 	}
 }
@@ -369,10 +369,10 @@
 }
 
 func TestLookTakesACopyWithinItsGrace(t *testing.T) {
-	r := router(func(s *Settings) { s.Rules[0].Grace = 10 * sec })
+	r := router(func(s *Settings) { s.Classes[0].StaleGrace = 10 * sec })
 	jam(r)
-	if a := only(t, r.Handle(begin, request("read"), nil), ActGet); a.Age != 18*sec {
-		t.Fatalf("a look with age %d, want fresh and grace", a.Age)
+	if a := only(t, r.Handle(begin, request("read"), nil), ActionSend); a.MaxAge != 18*sec {
+		t.Fatalf("a look with age %d, want fresh and grace", a.MaxAge)
 	}
 }
 
@@ -380,17 +380,17 @@
 func TestHopEndsAtTwiceItsSLATime(t *testing.T) {
 	r := router(nil)
 	e := request("read")
-	if a := only(t, r.Handle(begin, e, nil), ActGet); a.Cap != sec {
-		t.Fatalf("time-out %d, want twice the SLA time", a.Cap)
+	if a := only(t, r.Handle(begin, e, nil), ActionSend); a.Timeout != sec {
+		t.Fatalf("time-out %d, want twice the SLA time", a.Timeout)
 	}
-	e.Txn, e.SizeKB = "u", 0
-	if a := only(t, r.Handle(begin, e, nil), ActGet); a.Cap != sec {
-		t.Fatalf("time-out %d of a hop of unknown size", a.Cap)
+	e.Request, e.SizeKB = "u", 0
+	if a := only(t, r.Handle(begin, e, nil), ActionSend); a.Timeout != sec {
+		t.Fatalf("time-out %d of a hop of unknown size", a.Timeout)
 	}
 	// Past the caches there is no place to hold.
-	e.Txn, e.Rule = "v", "once"
-	if a := only(t, r.Handle(begin, e, nil), ActGet); a.Cap != e.Remaining {
-		t.Fatalf("time-out %d of a write", a.Cap)
+	e.Request, e.Class = "v", "once"
+	if a := only(t, r.Handle(begin, e, nil), ActionSend); a.Timeout != e.Remaining {
+		t.Fatalf("time-out %d of a write", a.Timeout)
 	}
 }
 
@@ -398,35 +398,35 @@
 func TestHopsStraightToAParentAreLimited(t *testing.T) {
 	r := router(nil)
 	r.servers[cacheA].listed, r.servers[cacheB].listed = false, false
-	if a := only(t, r.Handle(begin, request("read"), nil), ActGet); a.Server != par || a.Source != root {
+	if a := only(t, r.Handle(begin, request("read"), nil), ActionSend); a.Endpoint != par || a.Source != root {
 		t.Fatalf("not straight to the parent: %+v", a)
 	}
 	r.beyond = [3]room{{out: 5, limit: 2}, {out: 5, limit: 2}, {out: 5, limit: 2}} // whichever parent they went to
 	e := request("read")
-	e.Txn = "u"
-	only(t, r.Handle(begin, e, nil), ActReject)
+	e.Request = "u"
+	only(t, r.Handle(begin, e, nil), ActionReject)
 }
 
 // A router that started while its location was away had no limit to go by, and rejected all.
 func TestRouterWithoutCachesGoesStraightToAParent(t *testing.T) {
 	r := New(settings(), 1)
-	r.Handle(begin, Event{Kind: EvDiscovery, Scope: "snapshot", Entries: entries()[2:]}, nil)
-	if a := only(t, r.Handle(begin, request("read"), nil), ActGet); a.Server != par {
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "snapshot", Endpoints: entries()[2:]}, nil)
+	if a := only(t, r.Handle(begin, request("read"), nil), ActionSend); a.Endpoint != par {
 		t.Fatalf("not straight to the parent: %+v", a)
 	}
 }
 
 // A lost parent once went unseen by routers that name it once in seconds.
 func TestLateFillProbesItsParent(t *testing.T) {
-	r := router(func(s *Settings) { s.Limits.Probes = true })
+	r := router(func(s *Settings) { s.Limits.HealthChecks = true })
 	s := r.servers[par]
 	r.supplied(s, true)
-	none(t, r.out, ActProbe)
+	none(t, r.out, ActionHealthCheck)
 	r.supplied(s, false)
-	if a := only(t, r.out, ActProbe); a.Server != par || s.health != doubt {
+	if a := only(t, r.out, ActionHealthCheck); a.Endpoint != par || s.health != doubt {
 		t.Fatalf("health %d after a late fill, action %+v", s.health, a)
 	}
-	if r.Handle(begin, Event{Kind: EvHealth, Server: par, Code: "etimedout"}, nil); s.health != down {
+	if r.Handle(begin, Event{Kind: EventHealthCheck, Endpoint: par, Outcome: "etimedout"}, nil); s.health != down {
 		t.Fatal("not rested after a failed probe")
 	}
 }
@@ -435,10 +435,10 @@
 func TestHopCountsAsLateBeforeItsSLATime(t *testing.T) {
 	for share, want := range map[int64]bool{79: false, 81: true} {
 		r := router(nil)
-		get := only(t, r.Handle(begin, request("read"), nil), ActGet)
+		get := only(t, r.Handle(begin, request("read"), nil), ActionSend)
 		sla := r.txns["t"].sla()
-		r.Handle(begin+sla*share/100, Event{Kind: EvAnswer, Txn: "t", Server: get.Server, Code: "done", Final: true}, nil)
-		if got := r.servers[get.Server].room[fills].late[0].bad; got != want {
+		r.Handle(begin+sla*share/100, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: "done", Final: true}, nil)
+		if got := r.servers[get.Endpoint].room[fills].late[0].bad; got != want {
 			t.Fatalf("late %v after %d%% of the SLA time", got, share)
 		}
 	}
@@ -447,12 +447,12 @@
 // Each txn once looked through the caches of every location.
 func TestCachesOfOtherLocationsAreLeftOut(t *testing.T) {
 	r := router(nil)
-	more := []Entry{{Server: "far:1", Zone: "y", Kind: "box", State: "active", Weight: 10}}
-	r.Handle(begin, Event{Kind: EvDiscovery, Scope: "diff", Entries: more}, nil)
+	more := []Endpoint{{ID: "far:1", Zone: "y", Kind: "box", State: "active", Weight: 10}}
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: more}, nil)
 	if r.servers["far:1"] != nil || len(r.order) != len(entries()) {
 		t.Fatalf("%d servers kept of a list of %d of use", len(r.order), len(entries()))
 	}
-	r.Handle(begin, Event{Kind: EvAnswer, Txn: "t", Server: "far:1", Code: "done"}, nil)
+	r.Handle(begin, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: "far:1", Outcome: "done"}, nil)
 }
 
 // A limit at its floor once stayed there: no hop was out when the last ended.
@@ -493,9 +493,9 @@
 func TestLoanAfterALook(t *testing.T) {
 	r := router(nil)
 	jam(r)
-	look := only(t, r.Handle(begin, request("read"), nil), ActGet)
-	miss := Event{Kind: EvAnswer, Txn: "t", Server: look.Server, Code: "enoent"}
-	if a := only(t, r.Handle(begin+ms, miss, nil), ActGet); a.Source != par || a.Mode&modeHeld == 0 {
+	look := only(t, r.Handle(begin, request("read"), nil), ActionSend)
+	miss := Event{Kind: EventAttemptEnded, Request: "t", Endpoint: look.Endpoint, Outcome: "enoent"}
+	if a := only(t, r.Handle(begin+ms, miss, nil), ActionSend); a.Source != par || a.Mode&modeHeld == 0 {
 		t.Fatalf("not a loan: %+v", a)
 	}
 	r = router(nil)
@@ -504,17 +504,17 @@
 		r.servers[id].link = 1
 	}
 	r.Handle(begin, request("read"), nil)
-	only(t, r.Handle(begin+ms, miss, nil), ActReject)
+	only(t, r.Handle(begin+ms, miss, nil), ActionReject)
 }
 
 func TestFailedReadGoesAgainWhileFewFail(t *testing.T) {
-	for failed, want := range map[int]ActionKind{window/4 - 2: ActGet, window/4 - 1: ActReject} {
+	for failed, want := range map[int]ActionKind{window/4 - 2: ActionSend, window/4 - 1: ActionReject} {
 		r := router(nil)
 		for i := range window - 1 {
 			r.failed = append(r.failed, end{begin, i < failed})
 		}
-		get := only(t, r.Handle(begin, request("read"), nil), ActGet)
-		out := Event{Kind: EvAnswer, Txn: "t", Server: get.Server, Code: "busy"}
+		get := only(t, r.Handle(begin, request("read"), nil), ActionSend)
+		out := Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: "busy"}
 		only(t, r.Handle(begin+ms, out, nil), want)
 	}
 }
@@ -523,17 +523,17 @@
 // A fill that failed for a reason still counts.
 func TestErrorsWithoutAReasonCutNothing(t *testing.T) {
 	for note, code := range map[int]string{0: "err", 7: "err", -1: "econnreset"} {
-		r := router(func(s *Settings) { s.Family.Tells = "all" })
+		r := router(func(s *Settings) { s.Hierarchy.ReasonsGiven = "all" })
 		start := r.servers[cacheA].room[fills].limit
 		for i := range 40 {
 			e, now := request("read"), begin+int64(i)*ms
-			e.Txn = fmt.Sprint(i)
-			get := only(t, r.Handle(now, e, nil), ActGet)
-			acts := r.Handle(now, Event{Kind: EvAnswer, Txn: e.Txn, Server: get.Server, Code: code, Note: max(note, 0)}, nil)
+			e.Request = fmt.Sprint(i)
+			get := only(t, r.Handle(now, e, nil), ActionSend)
+			acts := r.Handle(now, Event{Kind: EventAttemptEnded, Request: e.Request, Endpoint: get.Endpoint, Outcome: code, Reason: max(note, 0)}, nil)
 			if note == 0 {
-				only(t, acts, ActGet)
+				only(t, acts, ActionSend)
 			}
-			r.Handle(now, Event{Kind: EvAbandoned, Txn: e.Txn}, nil)
+			r.Handle(now, Event{Kind: EventClientGone, Request: e.Request}, nil)
 		}
 		if got := min(r.servers[cacheA].room[fills].limit, r.servers[cacheB].room[fills].limit); (got < start) != (note > 0) {
 			t.Errorf("note %d: limit %g, %g at the start", note, got, start)
@@ -544,15 +544,15 @@
 // On a day that replaces its servers all the time, those gone were once remembered for good.
 func TestGoneServersAreForgotten(t *testing.T) {
 	r := router(nil)
-	get := only(t, r.Handle(begin, request("read"), nil), ActGet)
-	gone := []Entry{{Server: cacheA, Zone: "z", Kind: "box", State: "left"}, {Server: cacheB, Zone: "z", Kind: "box", State: "left"}}
-	r.Handle(begin+ms, Event{Kind: EvDiscovery, Scope: "diff", Entries: gone}, nil)
-	r.Handle(begin+50*ms, Event{Kind: EvTimer}, nil)
-	if len(r.servers) != 3 || r.servers[get.Server] == nil {
+	get := only(t, r.Handle(begin, request("read"), nil), ActionSend)
+	gone := []Endpoint{{ID: cacheA, Zone: "z", Kind: "box", State: "left"}, {ID: cacheB, Zone: "z", Kind: "box", State: "left"}}
+	r.Handle(begin+ms, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: gone}, nil)
+	r.Handle(begin+50*ms, Event{Kind: EventTimer}, nil)
+	if len(r.servers) != 3 || r.servers[get.Endpoint] == nil {
 		t.Fatalf("%d servers, want two and the one with a hop out", len(r.servers))
 	}
-	r.Handle(begin+60*ms, Event{Kind: EvAnswer, Txn: "t", Server: get.Server, Code: "done", Final: true}, nil)
-	r.Handle(begin+90*ms, Event{Kind: EvTimer}, nil)
+	r.Handle(begin+60*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: "done", Final: true}, nil)
+	r.Handle(begin+90*ms, Event{Kind: EventTimer}, nil)
 	if len(r.servers) != 2 || len(r.order) != 2 {
 		t.Fatalf("%d servers, %d in order", len(r.servers), len(r.order))
 	}
@@ -560,11 +560,11 @@
 
 // A txn that the router's own copies answer weighs as any other, and opens nothing.
 func TestKeptTxnsAreCountedOnly(t *testing.T) {
-	r := New(Settings{Siblings: 1, Zone: "z", Zones: []string{"z"}, Kinds: []string{"box", "origin"},
-		Family: Family{OriginKind: 1, ParentKind: -1}}, 1)
+	r := New(Settings{Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
+		Hierarchy: Hierarchy{OriginKind: 1, ParentKind: -1}}, 1)
 	for range 3 {
-		for _, a := range r.Handle(1, Event{Kind: EvKept, Txn: "t", Object: "x", Part: 2}, nil) {
-			if a.Kind != ActTimer {
+		for _, a := range r.Handle(1, Event{Kind: EventLocalHit, Request: "t", Object: "x", Part: 2}, nil) {
+			if a.Kind != ActionSetTimer {
 				t.Fatalf("action %+v", a)
 			}
 		}
@@ -577,16 +577,16 @@
 // fill asks for an object and ends its hop; it tells whether a fill was asked for.
 func fill(r *Router, n int, end Event) bool {
 	e := request("read")
-	e.Txn, e.Object = "f"+string(rune('a'+n%26))+string(rune('0'+n/26%10)), string(rune('a'+n%26))
+	e.Request, e.Object = "f"+string(rune('a'+n%26))+string(rune('0'+n/26%10)), string(rune('a'+n%26))
 	for _, a := range r.Handle(r.now, e, nil) {
-		if a.Kind == ActGet && a.Source != a.Server && a.Mode&modeHeld == 0 {
-			end.Kind, end.Txn, end.Server, end.Final = EvAnswer, e.Txn, a.Server, end.Code == "done"
+		if a.Kind == ActionSend && a.Source != a.Endpoint && a.Mode&modeHeld == 0 {
+			end.Kind, end.Request, end.Endpoint, end.Final = EventAttemptEnded, e.Request, a.Endpoint, end.Outcome == "done"
 			r.Handle(r.now, end, nil)
-			r.Handle(r.now, Event{Kind: EvAbandoned, Txn: e.Txn}, nil)
+			r.Handle(r.now, Event{Kind: EventClientGone, Request: e.Request}, nil)
 			return true
 		}
 	}
-	r.Handle(r.now, Event{Kind: EvAbandoned, Txn: e.Txn}, nil)
+	r.Handle(r.now, Event{Kind: EventClientGone, Request: e.Request}, nil)
 	return false
 }
 
@@ -602,8 +602,8 @@
 		}
 		return fills
 	}
-	calm := Event{Code: "done", Note: 3, Waited: 100 * ms, RTT: 150 * ms}
-	slow := Event{Code: "done", Note: 3, Waited: 1600 * ms, RTT: 150 * ms}
+	calm := Event{Outcome: "done", Reason: 3, OriginWait: 100 * ms, RTT: 150 * ms}
+	slow := Event{Outcome: "done", Reason: 3, OriginWait: 1600 * ms, RTT: 150 * ms}
 	r := router(nil)
 	if got := asked(r, 40, calm); got != 40 {
 		t.Fatalf("in calm %d of 40 fills", got)
@@ -615,7 +615,7 @@
 		t.Error("overdue fills alone count as the origin's")
 	}
 	// Up to twice as long is bearable.
-	if got := asked(r, 40, Event{Code: "done", Note: 3, Waited: 180 * ms, RTT: 150 * ms}); got != 40 {
+	if got := asked(r, 40, Event{Outcome: "done", Reason: 3, OriginWait: 180 * ms, RTT: 150 * ms}); got != 40 {
 		t.Errorf("at 1.8 times calm %d of 40 fills", got)
 	}
 	r = router(nil)
@@ -632,8 +632,8 @@
 	}
 	// Where reasons are not told, nothing is left out.
 	r = router(nil)
-	asked(r, 10, Event{Code: "done", RTT: 150 * ms})
-	if got := asked(r, 40, Event{Code: "done", RTT: 150 * ms}); got != 40 {
+	asked(r, 10, Event{Outcome: "done", RTT: 150 * ms})
+	if got := asked(r, 40, Event{Outcome: "done", RTT: 150 * ms}); got != 40 {
 		t.Errorf("untold: %d of 40 fills", got)
 	}
 }
@@ -662,10 +662,10 @@
 		t.Errorf("late %g after 20 s", w.late)
 	}
 	r := router(nil)
-	fill(r, 1, Event{Code: "done", Note: 3, Waited: 100 * ms})
-	sent := only(t, r.Handle(r.now, request("read"), nil), ActGet)
-	for _, a := range r.Handle(r.now+ms, Event{Kind: EvAnswer, Txn: "t", Server: sent.Server, Code: "busy", Note: 10}, nil) {
-		if a.Kind == ActGet && a.Source != a.Server && a.Mode&modeHeld == 0 {
+	fill(r, 1, Event{Outcome: "done", Reason: 3, OriginWait: 100 * ms})
+	sent := only(t, r.Handle(r.now, request("read"), nil), ActionSend)
+	for _, a := range r.Handle(r.now+ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "busy", Reason: 10}, nil) {
+		if a.Kind == ActionSend && a.Source != a.Endpoint && a.Mode&modeHeld == 0 {
 			t.Errorf("asks the origin again: %+v", a)
 		}
 	}
@@ -674,17 +674,17 @@
 // A new life once had a fresh share of cold budgets.
 func TestANewLifeHoldsBackForAWindow(t *testing.T) {
 	set := settings()
-	set.Siblings, set.Family.ZoneBalancers = 1, []int{0, 1}
+	set.Routers, set.Hierarchy.RoutersByZone = 1, []int{0, 1}
 	r := New(set, 1)
 	list := entries()
-	list[0].Born, list[1].State = begin-sec, "left"
-	r.Handle(begin, Event{Kind: EvDiscovery, Scope: "disk", Entries: list}, nil)
-	if a := only(t, r.Handle(begin+sec/2, request("read"), nil), ActGet); a.Server == cacheA {
+	list[0].StartedAt, list[1].State = begin-sec, "left"
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "disk", Endpoints: list}, nil)
+	if a := only(t, r.Handle(begin+sec/2, request("read"), nil), ActionSend); a.Endpoint == cacheA {
 		t.Error("a cold cache is sent to within the window")
 	}
 	e := request("read")
-	e.Txn = "later"
-	if a := only(t, r.Handle(begin+sec, e, nil), ActGet); a.Server != cacheA {
-		t.Errorf("after the window it goes to %s", a.Server)
+	e.Request = "later"
+	if a := only(t, r.Handle(begin+sec, e, nil), ActionSend); a.Endpoint != cacheA {
+		t.Errorf("after the window it goes to %s", a.Endpoint)
 	}
 }
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -3,81 +3,81 @@
 // Settings are the figures an instance is handed when it starts. Times are
 // whole microseconds.
 type Settings struct {
-	Rank           int // of this router among Siblings
-	Siblings       int
-	Zone           string
-	Zones          []string
-	Kinds          []string
-	Rules          []RemapRule
-	Tenants        []Tenant
-	OverShareWorth float64
-	MarksRetry     bool
-	Discovery      string // "push" or "ask"
-	Contract       Contract
-	Limits         Limits
-	Family         Family
-	Report         Report
-	WeightKind     string
-	Round          int64 // least time between two batches
+	Rank               int // of this router among Siblings
+	Routers            int
+	Zone               string
+	Zones              []string
+	EndpointKinds      []string
+	Classes            []TrafficClass
+	Tenants            []Tenant
+	OverQuotaWeight    float64
+	ClientsMarkRetries bool
+	Discovery          string // "push" or "ask"
+	Contract           Contract
+	Limits             Limits
+	Hierarchy          Hierarchy
+	LoadReport         LoadReport
+	WeightKind         string
+	BatchInterval      int64 // least time between two batches
 }
 
-// RemapRule describes one class of txns.
-type RemapRule struct {
-	Name       string
-	Effect     string // "safe", "keyed" or "unsafe", as the wire gives it
-	Group      string // "all", "zone" or "cell"
-	Window     int64  // how long a group drops repeats
-	SLA        int64
-	Stretch    float64 // the SLA time grows by this multiple of the sending time
-	TimeLimit  int64
-	Importance float64
-	LateShare  float64
-	Streamed   bool
-	Fresh      int64
-	Grace      int64
-	StaleShare float64
-	Write      bool
-	Parts      bool
+// TrafficClass describes one class of txns.
+type TrafficClass struct {
+	Name             string
+	Effect           string // "safe", "keyed" or "unsafe", as the wire gives it
+	Group            string // "all", "zone" or "cell"
+	DedupWindow      int64  // how long a group drops repeats
+	LatencyObjective int64
+	ObjectiveStretch float64 // the SLA time grows by this multiple of the sending time
+	Timeout          int64
+	PriorityWeight   float64
+	LateValueShare   float64
+	Streamed         bool
+	FreshFor         int64
+	StaleGrace       int64
+	StaleValueShare  float64
+	Write            bool
+	Parts            bool
 }
 
 // Tenant is a customer with a quota over all routers.
 type Tenant struct {
 	Name      string
 	QuotaPerS float64
-	Portion   float64
+	Share     float64
 }
 
 // Contract holds the figures of the rules.
 type Contract struct {
-	AnswerSlack, AskEvery, ColdFor, DrainGrace, FallFor int64
-	ColdFrom, FallMultiple                              float64
+	AnswerSlack, PollInterval, SlowStartFor, DrainGrace, OverloadWindow int64
+	SlowStartFrom, OverloadMultiple                                     float64
 }
 
 // Limits says what the site permits.
 type Limits struct {
-	Cancel, Peers, Probes, RetryAfter, SecondCopies bool
-	MaxHops, MaxOpen, StreamsPerConn                int
-	MaxRetryAfter, ConnectTimeout                   int64
+	Cancel, PeerMessages, HealthChecks, RetryAfter, Hedging bool
+	MaxAttempts, MaxOpenRequests, StreamsPerConn            int
+	MaxRetryAfter, ConnectTimeout                           int64
 }
 
-// Family describes the tiers behind the caches.
-type Family struct {
-	Direct, Joins            bool
-	OriginKind, ParentKind   int
-	FlowKBPerS, LinkPrice    float64
-	ParentColdFrom           float64
-	ParentColdFor            int64
-	ParentFallMultiple       float64
-	PurgeDone, PurgeGrace    int64
-	Siblings, Tells          string
-	ZoneBalancers, HubByZone []int
-	LinkKBPerS               []float64
-	OriginFallMultiple       float64
-	OriginFallFor            int64
+// Hierarchy describes the tiers behind the caches.
+type Hierarchy struct {
+	CacheBypass, CoalescesFills bool
+	OriginKind, ParentKind      int
+	StreamKBPerS, LinkPrice     float64
+	ParentSlowStartFrom         float64
+	ParentSlowStartFor          int64
+	ParentOverloadMultiple      float64
+	PurgeSettleTime, PurgeGrace int64
+	PeerFills, ReasonsGiven     string
+	RoutersByZone, HubByZone    []int
+	LinkKBPerS                  []float64
+	OriginOverloadMultiple      float64
+	OriginOverloadWindow        int64
 }
 
-// Report describes load reports.
-type Report struct {
+// LoadReport describes load reports.
+type LoadReport struct {
 	How    string // "inline", "on_probe" or "off"
 	Fields []string
 }
@@ -87,65 +87,65 @@
 
 // The events of an instance.
 const (
-	EvDiscovery EventKind = iota
-	EvTxn
-	EvHealth
-	EvPeer
-	EvTimer
-	EvStarted
-	EvPurge
-	EvAnswer
-	EvAbandoned
-	EvPeers  // the routers know each other: Hold
-	EvKept   // a txn that copies of the router's own answer: counted, nothing else
-	EvBeside // the router has two generations: Outs
+	EventEndpoints EventKind = iota
+	EventRequest
+	EventHealthCheck
+	EventPeerMessage
+	EventTimer
+	EventResponseStarted
+	EventPurge
+	EventAttemptEnded
+	EventClientGone
+	EventSlowStartHold   // the routers know each other: Hold
+	EventLocalHit        // a txn that copies of the router's own answer: counted, nothing else
+	EventOtherGeneration // the router has two generations: Outs
 )
 
 // Event is one thing that an instance is told.
 type Event struct {
 	Kind EventKind
 
-	Scope   string // discovery: "diff", "snapshot", "disk" or "error"
-	Entries []Entry
-
-	Txn       string
-	Rule      string
-	Object    string
-	Group     int64
-	Part      int64
-	SizeKB    float64
-	Remaining int64
-	Repeat    bool // a client's marked repeat
-	Write     bool
-	Tenant    string
-
-	Server string
-	Hop    int
-	Code   string // outcome, as the wire words it
-	Note   int
-	Final  bool
-	RTT    int64
-	Waited int64
-	Load   map[string]float64
+	Scope     string // discovery: "diff", "snapshot", "disk" or "error"
+	Endpoints []Endpoint
+
+	Request     string
+	Class       string
+	Object      string
+	Group       int64
+	Part        int64
+	SizeKB      float64
+	Remaining   int64
+	ClientRetry bool // a client's marked repeat
+	Write       bool
+	Tenant      string
+
+	Endpoint   string
+	Attempt    int
+	Outcome    string // outcome, as the wire words it
+	Reason     int
+	Final      bool
+	RTT        int64
+	OriginWait int64
+	Load       map[string]float64
 
 	Token int64
 	Age   int64 // purge: how long ago
 	Peer  int
 	Data  []byte
 
-	Outs map[string][3]float64 // beside: hops that the other generation has out, by server and kind
-	Hold int64                 // peers: cold servers get nothing before: an earlier life may have spent this one's share
+	InFlight  map[string][3]float64 // beside: hops that the other generation has out, by server and kind
+	HoldUntil int64                 // peers: cold servers get nothing before: an earlier life may have spent this one's share
 }
 
-// Entry is one line of the list of servers.
-type Entry struct {
-	Server string
-	Zone   string
-	Kind   string
-	Cell   int
-	State  string // "active", "leaving" or "left"
-	Weight float64
-	Born   int64 // 0: long past
+// Endpoint is one line of the list of servers.
+type Endpoint struct {
+	ID        string
+	Zone      string
+	Kind      string
+	Cell      int
+	State     string // "active", "leaving" or "left"
+	Weight    float64
+	StartedAt int64 // 0: long past
 }
 
 // ActionKind tells which fields of an Action are set.
@@ -153,37 +153,37 @@
 
 // The actions of an instance.
 const (
-	ActGet ActionKind = iota
-	ActPass
-	ActAbort
-	ActReject
-	ActCancel
-	ActTimer
-	ActProbe
-	ActSubscribe
-	ActFetch
-	ActLog
-	ActTell
-	ActDisconnect
-	ActPanic
+	ActionSend ActionKind = iota
+	ActionForward
+	ActionFail
+	ActionReject
+	ActionCancel
+	ActionSetTimer
+	ActionHealthCheck
+	ActionSubscribe
+	ActionFetch
+	ActionLog
+	ActionTellPeer
+	ActionDisconnect
+	ActionPanic
 )
 
 // Action is one thing that an instance does.
 type Action struct {
-	Kind   ActionKind
-	Txn    string
-	Server string
-	Source string
-	Rank   int
-	Age    int64
-	Cap    int64
-	Until  int64 // get: a keyed repeat must be written before; 0: no such bound
-	Mode   int
-	Hop    int
-	Stay   int64
-	Due    int64
-	Token  int64
-	Peer   int // -1: every peer
-	Data   []byte
-	Text   string
+	Kind          ActionKind
+	Request       string
+	Endpoint      string
+	Source        string
+	CachePriority int
+	MaxAge        int64
+	Timeout       int64
+	SendBefore    int64 // get: a keyed repeat must be written before; 0: no such bound
+	Mode          int
+	Attempt       int
+	RetryAfter    int64
+	Due           int64
+	Token         int64
+	Peer          int // -1: every peer
+	Data          []byte
+	Text          string
 }
--- a/internal/rollout/lead.go
+++ b/internal/rollout/lead.go
@@ -27,11 +27,11 @@
 
 	reports []heard
 	watch   int64 // since when all of the stage have changed; 0: they have not
-	judge   *canary.Judge
+	judge   *canary.Analyzer
 	fleet   []float64 // loss of worth of all routers together, by moments of this watch
 	before  []float64 // of the one before; none: another led then
 	moment  int64
-	say     canary.Word
+	say     canary.Verdict
 	why     string
 }
 
@@ -65,14 +65,14 @@
 // closed tells whether nobody is told to go forward any more: all are to go back, and
 // that is not decided yet.
 func (l *lead) closed() bool {
-	return l.turning || l.state.Way == Backward && l.decided.Way != Backward
+	return l.turning || l.state.Phase == PhaseRollingBack && l.decided.Phase != PhaseRollingBack
 }
 
 func (l *lead) report(now int64, at int, r *Report) {
 	h := &l.reports[at]
-	if r.OnNew != h.r.OnNew {
+	if r.Upgraded != h.r.Upgraded {
 		h.since = now
-		if r.OnNew {
+		if r.Upgraded {
 			h.memory, h.starts = h.r.MemoryMB, r.Restarts
 		}
 		h.counted = 0
@@ -89,7 +89,7 @@
 			l.state, l.beat = next, 0
 		}
 	}
-	if n.now-l.beat < beatEvery || l.term < n.Promised && !n.wrong.leadsOn {
+	if n.now-l.beat < beatEvery || l.term < n.PromisedTerm && !n.wrong.leadsOn {
 		return // what was promised to another is kept
 	}
 	l.beat = n.now
@@ -99,14 +99,14 @@
 	delete(l.sentAt, l.round-keep)
 	delete(l.seqAt, l.round-keep)
 	delete(l.acks, l.round-keep)
-	n.Durable.Held, n.State = l.term, l.state
+	n.Durable.AcceptedTerm, n.State = l.term, l.state
 	n.stuck = n.now + stickFor
 	s := l.state
-	n.toAll(Msg{Kind: Accept, Term: l.term, Round: l.round, State: &s})
+	n.toAll(Message{Kind: KindAccept, Term: l.term, Round: l.round, State: &s})
 	l.settle(n, l.round)
 }
 
-func (l *lead) accepted(n *Node, at int, m *Msg) {
+func (l *lead) accepted(n *Node, at int, m *Message) {
 	if _, open := l.sentAt[m.Round]; !open || l.seqAt[m.Round] != m.Nonce {
 		return
 	}
@@ -125,7 +125,7 @@
 		l.watch, l.judge = 0, nil
 	}
 	if l.known && !l.closed() { // who leads hears itself
-		if l.decided.Batch.Has(n.me) && l.decided.Way != Backward {
+		if l.decided.Batch.Has(n.me) && l.decided.Phase != PhaseRollingBack {
 			l.told = n.now
 		}
 		n.view, n.viewAt = l.decided, max(n.viewAt, l.sentAt[round])
@@ -136,9 +136,9 @@
 
 // row of the table: in a way, what is found, and where that leads.
 type row struct {
-	way   Way
+	way   Phase
 	found finding
-	next  Way
+	next  Phase
 	do    func(*lead, *Node, *State)
 }
 
@@ -161,27 +161,27 @@
 )
 
 var stepTable = []row{
-	{None, toldStart, Forward, (*lead).begin},
-	{Undone, toldStart, Forward, (*lead).begin},
-	{Done, toldStart, Forward, (*lead).begin},
-	{Forward, toldBack, Backward, (*lead).turn},
-	{Holding, toldBack, Backward, (*lead).turn},
-	{Done, toldBack, Backward, (*lead).turn},
-	{Forward, toldHold, Holding, nil},
-	{Holding, toldGo, Forward, nil},
-	{Forward, harmed, Backward, (*lead).turn},
-	{Holding, harmed, Backward, (*lead).turn},
-	{Forward, arrived, Forward, (*lead).arrive},
-	{Done, arrived, Done, (*lead).arrive},
-	{Backward, arrived, Backward, (*lead).arrive},
-	{Holding, arrived, Holding, (*lead).arrive},
-	{Forward, left, Forward, (*lead).batch},
-	{Done, left, Done, (*lead).batch},
-	{Backward, left, Backward, (*lead).batch},
-	{Forward, worse, Backward, (*lead).turn},
-	{Forward, unsure, Holding, nil},
-	{Forward, good, Forward, (*lead).pass},
-	{Backward, good, Undone, nil},
+	{PhaseNone, toldStart, PhaseForward, (*lead).begin},
+	{PhaseRolledBack, toldStart, PhaseForward, (*lead).begin},
+	{PhaseDone, toldStart, PhaseForward, (*lead).begin},
+	{PhaseForward, toldBack, PhaseRollingBack, (*lead).turn},
+	{PhasePaused, toldBack, PhaseRollingBack, (*lead).turn},
+	{PhaseDone, toldBack, PhaseRollingBack, (*lead).turn},
+	{PhaseForward, toldHold, PhasePaused, nil},
+	{PhasePaused, toldGo, PhaseForward, nil},
+	{PhaseForward, harmed, PhaseRollingBack, (*lead).turn},
+	{PhasePaused, harmed, PhaseRollingBack, (*lead).turn},
+	{PhaseForward, arrived, PhaseForward, (*lead).arrive},
+	{PhaseDone, arrived, PhaseDone, (*lead).arrive},
+	{PhaseRollingBack, arrived, PhaseRollingBack, (*lead).arrive},
+	{PhasePaused, arrived, PhasePaused, (*lead).arrive},
+	{PhaseForward, left, PhaseForward, (*lead).batch},
+	{PhaseDone, left, PhaseDone, (*lead).batch},
+	{PhaseRollingBack, left, PhaseRollingBack, (*lead).batch},
+	{PhaseForward, worse, PhaseRollingBack, (*lead).turn},
+	{PhaseForward, unsure, PhasePaused, nil},
+	{PhaseForward, good, PhaseForward, (*lead).pass},
+	{PhaseRollingBack, good, PhaseRolledBack, nil},
 }
 
 // step works out the state that follows the decided one; the same Seq: nothing does.
@@ -192,24 +192,24 @@
 		found, why = l.find(n)
 	}
 	for _, r := range stepTable {
-		if r.way != s.Way || r.found != found {
+		if r.way != s.Phase || r.found != found {
 			continue
 		}
 		next := s
-		next.Way = r.next
+		next.Phase = r.next
 		if why != "" {
-			next.Why = why
+			next.Reason = why
 		}
 		if found == worse && n.plan.OnWorse == "hold" {
-			next.Way = Holding
-		} else if found == unsure && n.plan.OnUnsure == "back" {
-			next.Way = Backward
+			next.Phase = PhasePaused
+		} else if found == unsure && n.plan.OnInconclusive == "back" {
+			next.Phase = PhaseRollingBack
 			l.turn(n, &next)
 		} else if r.do != nil {
 			r.do(l, n, &next)
 		}
 		// Who was told forward a moment ago may still begin: that time is waited out.
-		if next.Way == Backward && s.Way != Backward && n.now-l.told < actWithin*6/5 && !n.wrong.turnsAtOnce {
+		if next.Phase == PhaseRollingBack && s.Phase != PhaseRollingBack && n.now-l.told < actWithin*6/5 && !n.wrong.turnsAtOnce {
 			l.turning, l.after, l.turnWhy = true, found, why
 			return s
 		}
@@ -226,30 +226,30 @@
 	if len(n.orders) > 0 {
 		c := n.orders[0]
 		n.orders = n.orders[1:]
-		if f, known := map[Command]finding{Start: toldStart, Hold: toldHold, Go: toldGo, Back: toldBack}[c]; known {
+		if f, known := map[Command]finding{CommandStart: toldStart, CommandPause: toldHold, CommandResume: toldGo, CommandRollBack: toldBack}[c]; known {
 			return f, map[finding]string{toldHold: "held by the operator", toldBack: "turned back by the operator", toldGo: "gone on by the operator"}[f]
 		}
 	}
-	if s.Way == None || s.Way == Undone {
+	if s.Phase == PhaseNone || s.Phase == PhaseRolledBack {
 		return nothing, ""
 	}
-	silent := int64(n.plan.SilentS * 1e6)
+	silent := int64(n.plan.SilentSeconds * 1e6)
 	both := l.brokenByOld(s)
 	for i := range l.reports {
 		h := &l.reports[i]
 		name := n.plan.Routers[i].Name
 		gone := n.now-h.at > silent
-		fails := h.r.Run == s.Run && h.r.Failed != ""
+		fails := h.r.RunID == s.RunID && h.r.FailureReason != ""
 		switch {
-		case s.Way == Backward || s.Way == Done:
+		case s.Phase == PhaseRollingBack || s.Phase == PhaseDone:
 		case fails:
-			return harmed, fmt.Sprintf("%s did not change, or went back by itself: %s", name, h.r.Failed)
-		case s.Changed.Has(i) && h.r.OnNew && h.r.Restarts > h.starts:
+			return harmed, fmt.Sprintf("%s did not change, or went back by itself: %s", name, h.r.FailureReason)
+		case s.Changed.Has(i) && h.r.Upgraded && h.r.Restarts > h.starts:
 			return harmed, fmt.Sprintf("%s has died and was started again", name)
-		case s.Changed.Has(i) && h.r.OnNew && h.memory > 0 && h.r.MemoryMB > n.plan.Guards.Memory*h.memory+16:
+		case s.Changed.Has(i) && h.r.Upgraded && h.memory > 0 && h.r.MemoryMB > n.plan.Guardrails.MemoryRatio*h.memory+16:
 			return harmed, fmt.Sprintf("%s takes %.0f MB, %.0f before", name, h.r.MemoryMB, h.memory)
-		case s.Changed.Has(i) && h.r.OnNew && h.r.Broken&^both != 0 && !n.wrong.trusts:
-			return harmed, fmt.Sprintf("%s breaks %s", name, h.r.Broke)
+		case s.Changed.Has(i) && h.r.Upgraded && h.r.ViolatedRules&^both != 0 && !n.wrong.trusts:
+			return harmed, fmt.Sprintf("%s breaks %s", name, h.r.FirstViolation)
 		case s.Batch.Has(i) && gone, s.Changed.Has(i) && gone && !s.Skipped.Has(i):
 			return arrived, ""
 		}
@@ -262,7 +262,7 @@
 	if s.Batch.Count() > 0 {
 		return moving, ""
 	}
-	if s.Way == Holding {
+	if s.Phase == PhasePaused {
 		return nothing, ""
 	}
 	if l.next(n, s).Count() > 0 {
@@ -271,27 +271,27 @@
 	if l.open(n, s) {
 		return nothing, "" // some can't be asked to change yet
 	}
-	if s.Way != Forward {
+	if s.Phase != PhaseForward {
 		return good, ""
 	}
 	if l.watch == 0 {
-		l.watch, l.judge, l.moment = n.now, canary.New(n.plan.Verdict(), len(n.plan.Stages)), n.now
-		l.say, l.why, l.fleet = canary.CantTell, "", nil
+		l.watch, l.judge, l.moment = n.now, canary.New(n.plan.CanarySettings(), len(n.plan.Stages)), n.now
+		l.say, l.why, l.fleet = canary.VerdictInconclusive, "", nil
 		for i := range l.reports {
-			l.reports[i].drains, l.reports[i].purges = l.reports[i].r.Drains, l.reports[i].r.Purges
+			l.reports[i].drains, l.reports[i].purges = l.reports[i].r.DrainsSeen, l.reports[i].r.PurgesSeen
 		}
 		return nothing, ""
 	}
 	stage := &n.plan.Stages[s.Stage]
 	// The last stage leaves nobody to compare with: guards are all there is.
 	last := l.old(n, s) == 0
-	over := n.now-l.watch > int64(stage.WatchS*1e6)
+	over := n.now-l.watch > int64(stage.MaxWatchSeconds*1e6)
 	untried := l.untried(n, s, stage)
 	switch {
-	case l.say == canary.Worse:
+	case l.say == canary.VerdictWorse:
 		return worse, l.why
-	case n.now-l.watch < int64(stage.LeastS*1e6):
-	case l.say == canary.Good && untried == "":
+	case n.now-l.watch < int64(stage.MinWatchSeconds*1e6):
+	case l.say == canary.VerdictPass && untried == "":
 		return good, l.why
 	case over && last && untried == "" && l.fell(n) != "":
 		return unsure, l.fell(n)
@@ -308,7 +308,7 @@
 // fell tells whether all routers together lose more since all have changed: a defect may
 // show only then. That it began with the change proves nothing, so nobody turns back.
 func (l *lead) fell(n *Node) string {
-	if by, fell := canary.Fell(n.plan.Verdict(), len(n.plan.Stages), l.before, l.fleet); fell {
+	if by, fell := canary.FleetRegressed(n.plan.CanarySettings(), len(n.plan.Stages), l.before, l.fleet); fell {
 		return fmt.Sprintf("can't tell: all are new, and lose at least %.4f more than while some were old", by)
 	}
 	return ""
@@ -321,8 +321,8 @@
 		if !s.Changed.Has(i) || s.Skipped.Has(i) {
 			continue
 		}
-		if d, p := h.r.Drains-h.drains, h.r.Purges-h.purges; d < stage.Drains || p < stage.Purges {
-			return fmt.Sprintf("%s was told of %d drains and %d purges, %d and %d are wanted", n.plan.Routers[i].Name, max(d, 0), max(p, 0), stage.Drains, stage.Purges)
+		if d, p := h.r.DrainsSeen-h.drains, h.r.PurgesSeen-h.purges; d < stage.MinDrains || p < stage.MinPurges {
+			return fmt.Sprintf("%s was told of %d drains and %d purges, %d and %d are wanted", n.plan.Routers[i].Name, max(d, 0), max(p, 0), stage.MinDrains, stage.MinPurges)
 		}
 	}
 	return ""
@@ -332,8 +332,8 @@
 // are not the change's fault.
 func (l *lead) brokenByOld(s *State) (rules uint8) {
 	for i := range l.reports {
-		if r := &l.reports[i].r; !s.Changed.Has(i) && !s.Batch.Has(i) && !r.OnNew && !r.Changing {
-			rules |= r.Broken
+		if r := &l.reports[i].r; !s.Changed.Has(i) && !s.Batch.Has(i) && !r.Upgraded && !r.Changing {
+			rules |= r.ViolatedRules
 		}
 	}
 	return rules
@@ -343,13 +343,13 @@
 // start from nothing: it changes once more.
 func (l *lead) lost(n *Node, s *State, i int) bool {
 	h := &l.reports[i]
-	return s.Way != Backward && s.Changed.Has(i) && n.now-h.at < second && !h.r.OnNew && !h.r.Changing
+	return s.Phase != PhaseRollingBack && s.Changed.Has(i) && n.now-h.at < second && !h.r.Upgraded && !h.r.Changing
 }
 
 // there tells whether one of the batch is what it shall be.
 func (l *lead) there(s *State, i int) bool {
 	r := &l.reports[i].r
-	return !r.Changing && r.OnNew == (s.Way != Backward) && (r.Run == s.Run || s.Way == Backward)
+	return !r.Changing && r.Upgraded == (s.Phase != PhaseRollingBack) && (r.RunID == s.RunID || s.Phase == PhaseRollingBack)
 }
 
 // old counts routers that still have the old generation, and are there.
@@ -364,21 +364,21 @@
 
 // due are who must change for the stage, or go back.
 func (l *lead) due(n *Node, s *State) Set {
-	if s.Way == Backward {
+	if s.Phase == PhaseRollingBack {
 		return s.Changed
 	}
 	stage := s.Stage
-	if s.Way == Done {
+	if s.Phase == PhaseDone {
 		stage = len(n.plan.Stages) - 1
 	}
-	return n.plan.Through(stage)
+	return n.plan.ChangedThrough(stage)
 }
 
 // open tells whether somebody is still to change.
 func (l *lead) open(n *Node, s *State) bool {
 	due := l.due(n, s)
 	for i := range l.reports {
-		if due.Has(i) && !s.Skipped.Has(i) && s.Changed.Has(i) == (s.Way == Backward) {
+		if due.Has(i) && !s.Skipped.Has(i) && s.Changed.Has(i) == (s.Phase == PhaseRollingBack) {
 			return true
 		}
 	}
@@ -388,9 +388,9 @@
 // next is the batch to come: so many of an office as the plan says, of those that are
 // there, able and not on some way already.
 func (l *lead) next(n *Node, s *State) (b Set) {
-	most := n.plan.AtOnce
-	if s.Way == Backward {
-		most = n.plan.BackOnce
+	most := n.plan.MaxConcurrent
+	if s.Phase == PhaseRollingBack {
+		most = n.plan.MaxConcurrentRollback
 	}
 	due := l.due(n, s)
 	busy := map[string]int{}
@@ -401,8 +401,8 @@
 	}
 	for i := range l.reports {
 		h, office := &l.reports[i], n.plan.Routers[i].Office
-		fit := due.Has(i) && !s.Skipped.Has(i) && s.Changed.Has(i) == (s.Way == Backward) && n.now-h.at < 2*second && !h.r.Changing &&
-			(h.r.Able || s.Way == Backward)
+		fit := due.Has(i) && !s.Skipped.Has(i) && s.Changed.Has(i) == (s.Phase == PhaseRollingBack) && n.now-h.at < 2*second && !h.r.Changing &&
+			(h.r.Capable || s.Phase == PhaseRollingBack)
 		if fit && busy[office] < most {
 			b = b.With(i)
 			busy[office]++
@@ -412,7 +412,7 @@
 }
 
 func (l *lead) begin(n *Node, s *State) {
-	*s = State{Seq: s.Seq, Plan: n.plan.Digest, Way: Forward, Run: n.dice.Uint64() | 1}
+	*s = State{Seq: s.Seq, Plan: n.plan.Digest, Phase: PhaseForward, RunID: n.dice.Uint64() | 1}
 	l.watch = 0
 }
 
@@ -432,7 +432,7 @@
 func (l *lead) pass(n *Node, s *State) {
 	l.before = l.fleet
 	if s.Stage+1 >= len(n.plan.Stages) {
-		s.Way = Done
+		s.Phase = PhaseDone
 		return
 	}
 	s.Stage++
@@ -440,13 +440,13 @@
 
 // arrive takes who has changed out of the batch, and passes over who is silent.
 func (l *lead) arrive(n *Node, s *State) {
-	silent := int64(n.plan.SilentS * 1e6)
+	silent := int64(n.plan.SilentSeconds * 1e6)
 	for i := range l.reports {
 		gone := n.now-l.reports[i].at > silent
 		switch {
 		case s.Skipped.Has(i) && n.now-l.reports[i].at < second: // it is back
 			s.Skipped = s.Skipped.Without(i)
-			if l.reports[i].r.OnNew && l.reports[i].r.Run == s.Run {
+			if l.reports[i].r.Upgraded && l.reports[i].r.RunID == s.RunID {
 				s.Changed = s.Changed.With(i)
 			} else {
 				s.Changed = s.Changed.Without(i)
@@ -457,7 +457,7 @@
 			s.Changed = s.Changed.Without(i)
 		case s.Batch.Has(i) && l.there(&l.decided, i):
 			s.Batch = s.Batch.Without(i)
-			if s.Way == Backward {
+			if s.Phase == PhaseRollingBack {
 				s.Changed = s.Changed.Without(i)
 			} else {
 				s.Changed = s.Changed.With(i)
@@ -476,22 +476,22 @@
 	var all canary.Counts
 	for i := range l.reports {
 		h := &l.reports[i]
-		if n.now-h.at > 2*second || h.r.Changing || n.now-h.since < l.judge.Skip() {
+		if n.now-h.at > 2*second || h.r.Changing || n.now-h.since < l.judge.SkipMicros() {
 			h.counted = 0
 			continue
 		}
 		c := h.r.Counts.Minus(h.counts)
-		if h.counted > 0 && c.Txns >= 0 {
-			l.judge.Add(n.plan.Routers[i].Office, h.r.OnNew, c)
-			all.Txns, all.Asked, all.Earned = all.Txns+c.Txns, all.Asked+c.Asked, all.Earned+c.Earned
+		if h.counted > 0 && c.Requests >= 0 {
+			l.judge.Observe(n.plan.Routers[i].Office, h.r.Upgraded, c)
+			all.Requests, all.WeightOffered, all.WeightEarned = all.Requests+c.Requests, all.WeightOffered+c.WeightOffered, all.WeightEarned+c.WeightEarned
 		}
 		h.counts, h.counted = h.r.Counts, n.now
 	}
-	set := n.plan.Verdict()
+	set := n.plan.CanarySettings()
 	const mostFleet = 20_000
 	if loss, enough := set.LossOf(all); enough && len(l.fleet) < mostFleet {
 		l.fleet = append(l.fleet, loss)
 	}
-	l.judge.Moment()
-	l.say, l.why = l.judge.Say()
+	l.judge.EndSample()
+	l.say, l.why = l.judge.Verdict()
 }
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -6,50 +6,50 @@
 	"quilldoor/internal/canary"
 )
 
-// Way is where a rollout goes.
-type Way uint8
+// Phase is where a rollout goes.
+type Phase uint8
 
 // Ways.
 const (
-	None     Way = iota // there is none
-	Forward             //
-	Holding             // nothing moves until the operator says so
-	Backward            // all go back
-	Done                // the fleet has the new generation; who comes late changes, too
-	Undone              // the fleet has the old one
+	PhaseNone        Phase = iota // there is none
+	PhaseForward                  //
+	PhasePaused                   // nothing moves until the operator says so
+	PhaseRollingBack              // all go back
+	PhaseDone                     // the fleet has the new generation; who comes late changes, too
+	PhaseRolledBack               // the fleet has the old one
 )
 
 var wayNames = [...]string{"none", "forward", "holding", "back", "done", "undone"}
 
-func (w Way) String() string { return wayNames[min(int(w), len(wayNames)-1)] }
+func (w Phase) String() string { return wayNames[min(int(w), len(wayNames)-1)] }
 
 // State is what a majority has decided. A later one has a higher Seq.
 type State struct {
 	Seq     uint64 `cbor:"1,keyasint"`
 	Plan    uint64 `cbor:"2,keyasint,omitempty"` // digest
-	Way     Way    `cbor:"3,keyasint,omitempty"`
+	Phase   Phase  `cbor:"3,keyasint,omitempty" json:"Way"`
 	Stage   int    `cbor:"4,keyasint,omitempty"`
 	Batch   Set    `cbor:"5,keyasint,omitempty"` // who changes now, in the way's direction
 	Changed Set    `cbor:"6,keyasint,omitempty"` // who has the new generation
 	Skipped Set    `cbor:"7,keyasint,omitempty"` // who was silent for long
-	Why     string `cbor:"8,keyasint,omitempty"`
-	Run     uint64 `cbor:"9,keyasint,omitempty"` // tells two rollouts of one plan apart
+	Reason  string `cbor:"8,keyasint,omitempty" json:"Why"`
+	RunID   uint64 `cbor:"9,keyasint,omitempty" json:"Run"` // tells two rollouts of one plan apart
 }
 
 // Report is what a router says of itself.
 type Report struct {
-	OnNew    bool          `cbor:"1,keyasint,omitempty"` // it serves with the new generation, settled
-	Changing bool          `cbor:"2,keyasint,omitempty"` // on its way, in either direction
-	Failed   string        `cbor:"3,keyasint,omitempty"` // why the change did not come about, in this run
-	Able     bool          `cbor:"4,keyasint,omitempty"` // it has the plan, and what the plan names
-	Counts   canary.Counts `cbor:"5,keyasint,omitempty"` // since its first generation, going on over changes
-	Restarts int           `cbor:"6,keyasint,omitempty"` // unasked
-	MemoryMB float64       `cbor:"7,keyasint,omitempty"`
-	Run      uint64        `cbor:"8,keyasint,omitempty"`  // that Failed and OnNew are of
-	Broken   uint8         `cbor:"9,keyasint,omitempty"`  // rules that its keeper has seen it break within the last minute, a bit each
-	Broke    string        `cbor:"10,keyasint,omitempty"` // the first of them
-	Drains   int           `cbor:"11,keyasint,omitempty"` // that its keeper was told of; so are
-	Purges   int           `cbor:"12,keyasint,omitempty"`
+	Upgraded       bool          `cbor:"1,keyasint,omitempty" json:"OnNew"`  // it serves with the new generation, settled
+	Changing       bool          `cbor:"2,keyasint,omitempty"`               // on its way, in either direction
+	FailureReason  string        `cbor:"3,keyasint,omitempty" json:"Failed"` // why the change did not come about, in this run
+	Capable        bool          `cbor:"4,keyasint,omitempty" json:"Able"`   // it has the plan, and what the plan names
+	Counts         canary.Counts `cbor:"5,keyasint,omitempty"`               // since its first generation, going on over changes
+	Restarts       int           `cbor:"6,keyasint,omitempty"`               // unasked
+	MemoryMB       float64       `cbor:"7,keyasint,omitempty"`
+	RunID          uint64        `cbor:"8,keyasint,omitempty" json:"Run"`     // that Failed and OnNew are of
+	ViolatedRules  uint8         `cbor:"9,keyasint,omitempty" json:"Broken"`  // rules that its keeper has seen it break within the last minute, a bit each
+	FirstViolation string        `cbor:"10,keyasint,omitempty" json:"Broke"`  // the first of them
+	DrainsSeen     int           `cbor:"11,keyasint,omitempty" json:"Drains"` // that its keeper was told of; so are
+	PurgesSeen     int           `cbor:"12,keyasint,omitempty" json:"Purges"`
 }
 
 // Kind of a message.
@@ -57,35 +57,35 @@
 
 // Kinds of messages.
 const (
-	Prepare   Kind = 1 + iota // may I lead, in Term?
-	Promise                   // yes, and this is the latest that I hold
-	Refuse                    // no: Term is that of another, or one leads
-	Accept                    // hold State; Round counts, for the lease
-	Accepted                  // I do
-	Ask                       // what is decided? Nonce; with the asker's Report
-	Tell                      // State, as decided, under a lease that holds
-	Recover                   // I have forgotten all: what do you hold? Nonce
-	Recovered                 //
-	Order                     // of an operator, passed on to who leads: Word
+	KindPrepare   Kind = 1 + iota // may I lead, in Term?
+	KindPromise                   // yes, and this is the latest that I hold
+	KindReject                    // no: Term is that of another, or one leads
+	KindAccept                    // hold State; Round counts, for the lease
+	KindAccepted                  // I do
+	KindPoll                      // what is decided? Nonce; with the asker's Report
+	KindDecided                   // State, as decided, under a lease that holds
+	KindRecover                   // I have forgotten all: what do you hold? Nonce
+	KindRecovered                 //
+	KindCommand                   // of an operator, passed on to who leads: Word
 )
 
-// Msg is what routers say to each other.
-type Msg struct {
-	Kind   Kind    `cbor:"1,keyasint"`
-	Plan   uint64  `cbor:"2,keyasint"` // digest; of another plan nothing is heard
-	Term   uint64  `cbor:"3,keyasint,omitempty"`
-	Held   uint64  `cbor:"4,keyasint,omitempty"` // term in which State was taken
-	State  *State  `cbor:"5,keyasint,omitempty"`
-	Round  uint64  `cbor:"6,keyasint,omitempty"`
-	Nonce  uint64  `cbor:"7,keyasint,omitempty"`
-	Report *Report `cbor:"8,keyasint,omitempty"`
-	Word   Command `cbor:"9,keyasint,omitempty"`
+// Message is what routers say to each other.
+type Message struct {
+	Kind         Kind    `cbor:"1,keyasint"`
+	Plan         uint64  `cbor:"2,keyasint"` // digest; of another plan nothing is heard
+	Term         uint64  `cbor:"3,keyasint,omitempty"`
+	AcceptedTerm uint64  `cbor:"4,keyasint,omitempty"` // term in which State was taken
+	State        *State  `cbor:"5,keyasint,omitempty"`
+	Round        uint64  `cbor:"6,keyasint,omitempty"`
+	Nonce        uint64  `cbor:"7,keyasint,omitempty"`
+	Report       *Report `cbor:"8,keyasint,omitempty"`
+	Command      Command `cbor:"9,keyasint,omitempty"`
 }
 
-// Out is a message to be sent, to a place of the plan.
-type Out struct {
-	To  int
-	Msg *Msg
+// Outgoing is a message to be sent, to a place of the plan.
+type Outgoing struct {
+	To      int
+	Message *Message
 }
 
 // Command is an operator's.
@@ -93,10 +93,10 @@
 
 // Commands.
 const (
-	Start Command = 1 + iota
-	Hold
-	Go
-	Back
+	CommandStart Command = 1 + iota
+	CommandPause
+	CommandResume
+	CommandRollBack
 )
 
 // Times of the register, microseconds.
@@ -122,9 +122,9 @@
 // Durable is what must outlast a process, where a disk lasts. A router that has lost it
 // takes no part until a majority of the others has told it what they hold.
 type Durable struct {
-	Promised uint64 `json:"promised"`
-	Held     uint64 `json:"held"` // term in which State was taken
-	State    State  `json:"state"`
+	PromisedTerm uint64 `json:"promised"`
+	AcceptedTerm uint64 `json:"held"` // term in which State was taken
+	State        State  `json:"state"`
 }
 
 // Node is a router's part in the rollout. One goroutine at a time.
@@ -136,7 +136,7 @@
 
 	Durable
 	recovering uint64 // nonce of the question; 0: it takes part
-	recovered  map[int]*Msg
+	recovered  map[int]*Message
 	askedAll   int64
 
 	leads   *lead  // nil: another one leads, or nobody
@@ -146,14 +146,14 @@
 	stood   int64  // when it stood last
 	term    uint64 // in which it stood last
 	above   uint64 // the highest that another has told
-	votes   map[int]*Msg
+	votes   map[int]*Message
 	nonce   uint64
 	askedAt int64
 	view    State // as told last
 	viewAt  int64 // when it was asked for; 0: never told
 	report  Report
 	orders  []Command
-	out     []Out
+	out     []Outgoing
 	wrong   wrong
 }
 
@@ -178,7 +178,7 @@
 		n.Durable = *d
 		n.stuck = now + stickFor // the life before may have answered a round just now
 	} else {
-		n.recovering, n.recovered = dice.Uint64()|1, map[int]*Msg{}
+		n.recovering, n.recovered = dice.Uint64()|1, map[int]*Message{}
 	}
 	return n
 }
@@ -190,12 +190,12 @@
 	return len(n.plan.Routers)/2 + 1
 }
 
-func (n *Node) send(to int, m Msg) {
+func (n *Node) send(to int, m Message) {
 	m.Plan = n.plan.Digest
-	n.out = append(n.out, Out{to, &m})
+	n.out = append(n.out, Outgoing{to, &m})
 }
 
-func (n *Node) toAll(m Msg) {
+func (n *Node) toAll(m Message) {
 	for i := range n.plan.Routers {
 		if i != n.me {
 			n.send(i, m)
@@ -203,8 +203,8 @@
 	}
 }
 
-// Leads tells whether this router leads now, under a lease that holds.
-func (n *Node) Leads() bool { return n.leads != nil && n.leads.holds(n.now) }
+// IsLeader tells whether this router leads now, under a lease that holds.
+func (n *Node) IsLeader() bool { return n.leads != nil && n.leads.holds(n.now) }
 
 // View is what is known of the rollout, and how old that is; -1: never told.
 func (n *Node) View() (State, int64) {
@@ -214,41 +214,41 @@
 	return n.view, n.now - n.viewAt
 }
 
-// Want is what this router is to be.
-type Want struct {
-	New bool
-	Go  bool // it may begin to change into that now
+// Target is what this router is to be.
+type Target struct {
+	New      bool
+	MayStart bool // it may begin to change into that now
 }
 
-// Want tells it. Forward only on what was asked for just now. Back as well, but for a
+// Target tells it. Forward only on what was asked for just now. Back as well, but for a
 // router that hears of nobody any more: where the plan says so it goes back alone, if
 // nothing has shown that the new generation is good.
-func (n *Node) Want(now int64) Want {
+func (n *Node) Target(now int64) Target {
 	n.now = max(now, n.now)
 	v := n.view
 	fresh := n.viewAt > 0 && (n.now-n.viewAt <= actWithin || n.wrong.staleView)
-	cut := n.viewAt > 0 && n.now-n.viewAt > int64(n.plan.SilentS*1e6)
-	if n.report.OnNew && cut && v.Way != Done && (v.Way == Backward || n.plan.CutOff == "back" && !n.passed()) {
-		return Want{false, true}
+	cut := n.viewAt > 0 && n.now-n.viewAt > int64(n.plan.SilentSeconds*1e6)
+	if n.report.Upgraded && cut && v.Phase != PhaseDone && (v.Phase == PhaseRollingBack || n.plan.OnIsolated == "back" && !n.passed()) {
+		return Target{false, true}
 	}
 	switch {
-	case v.Way == Undone:
-		return Want{false, true}
-	case v.Way == Backward && v.Batch.Has(n.me):
-		return Want{false, fresh}
-	case (v.Way == Forward || v.Way == Done) && v.Batch.Has(n.me):
-		return Want{true, fresh}
+	case v.Phase == PhaseRolledBack:
+		return Target{false, true}
+	case v.Phase == PhaseRollingBack && v.Batch.Has(n.me):
+		return Target{false, fresh}
+	case (v.Phase == PhaseForward || v.Phase == PhaseDone) && v.Batch.Has(n.me):
+		return Target{true, fresh}
 	}
-	return Want{n.report.OnNew, false}
+	return Target{n.report.Upgraded, false}
 }
 
 // passed tells whether the stage that this router changed in was found good.
 func (n *Node) passed() bool {
-	return n.view.Stage > 0 && n.plan.Through(n.view.Stage-1).Has(n.me)
+	return n.view.Stage > 0 && n.plan.ChangedThrough(n.view.Stage-1).Has(n.me)
 }
 
-// Local tells what the router is and has done.
-func (n *Node) Local(r Report) {
+// SetReport tells what the router is and has done.
+func (n *Node) SetReport(r Report) {
 	if n.report = r; n.leads != nil {
 		n.leads.report(n.now, n.me, &n.report)
 	}
@@ -257,7 +257,7 @@
 // Command takes an operator's, at any router of the plan.
 func (n *Node) Command(now int64, c Command) {
 	n.now = max(now, n.now)
-	if c == Start {
+	if c == CommandStart {
 		n.stood, n.heard = n.now-second, n.now-standAfter-int64(len(n.plan.Routers))*standStep // it stands at once
 	}
 	n.order(c)
@@ -273,7 +273,7 @@
 }
 
 // Tick does what time brings. It wants to be called some ten times a second.
-func (n *Node) Tick(now int64) []Out {
+func (n *Node) Tick(now int64) []Outgoing {
 	n.now = max(now, n.now)
 	if n.me < 0 {
 		return nil
@@ -284,7 +284,7 @@
 	case n.recovering != 0:
 		if n.now-n.askedAll >= beatEvery {
 			n.askedAll = n.now
-			n.toAll(Msg{Kind: Recover, Nonce: n.recovering})
+			n.toAll(Message{Kind: KindRecover, Nonce: n.recovering})
 		}
 		return n.take()
 	}
@@ -296,9 +296,9 @@
 	if n.leads == nil && n.leader >= 0 && n.now-n.askedAt >= beatEvery {
 		n.askedAt, n.nonce = n.now, n.dice.Uint64()|1
 		r := n.report
-		n.send(n.leader, Msg{Kind: Ask, Nonce: n.nonce, Report: &r})
+		n.send(n.leader, Message{Kind: KindPoll, Nonce: n.nonce, Report: &r})
 		for _, c := range n.orders {
-			n.send(n.leader, Msg{Kind: Order, Word: c})
+			n.send(n.leader, Message{Kind: KindCommand, Command: c})
 		}
 		n.orders = nil
 	}
@@ -306,9 +306,9 @@
 }
 
 // wanted tells whether there is anything to lead.
-func (n *Node) wanted() bool { return n.State.Way != None || len(n.orders) > 0 }
+func (n *Node) wanted() bool { return n.State.Phase != PhaseNone || len(n.orders) > 0 }
 
-func (n *Node) take() (out []Out) {
+func (n *Node) take() (out []Outgoing) {
 	out, n.out = n.out, nil
 	return out
 }
@@ -319,24 +319,24 @@
 func (n *Node) stand() {
 	const places = 1024
 	n.stood = n.now
-	n.term = (max(n.Promised, n.term, n.above)/places+1)*places + uint64(n.me)
+	n.term = (max(n.PromisedTerm, n.term, n.above)/places+1)*places + uint64(n.me)
 	if n.wrong.promisesFirst {
-		n.Promised = n.term
+		n.PromisedTerm = n.term
 	}
-	n.votes = map[int]*Msg{n.me: {Held: n.Durable.Held, State: &n.Durable.State}}
-	n.toAll(Msg{Kind: Prepare, Term: n.term})
+	n.votes = map[int]*Message{n.me: {AcceptedTerm: n.Durable.AcceptedTerm, State: &n.Durable.State}}
+	n.toAll(Message{Kind: KindPrepare, Term: n.term})
 	n.count()
 }
 
 // count makes this router lead, once a majority has promised.
 func (n *Node) count() {
-	if n.votes == nil || len(n.votes) < n.majority() || n.term < n.Promised {
+	if n.votes == nil || len(n.votes) < n.majority() || n.term < n.PromisedTerm {
 		return
 	}
-	n.Promised = n.term
+	n.PromisedTerm = n.term
 	best := n.votes[n.me]
 	for _, v := range n.votes {
-		if v.Held > best.Held || v.Held == best.Held && v.State.Seq > best.State.Seq && !n.wrong.anyOfTerm {
+		if v.AcceptedTerm > best.AcceptedTerm || v.AcceptedTerm == best.AcceptedTerm && v.State.Seq > best.State.Seq && !n.wrong.anyOfTerm {
 			best = v
 		}
 	}
@@ -354,8 +354,8 @@
 	}
 }
 
-// Heard takes a message from a router of the plan.
-func (n *Node) Heard(now int64, from string, m *Msg) []Out {
+// Receive takes a message from a router of the plan.
+func (n *Node) Receive(now int64, from string, m *Message) []Outgoing {
 	n.now = max(now, n.now)
 	at := n.plan.Index(from)
 	if at < 0 || at == n.me || n.me < 0 || m.Plan != n.plan.Digest {
@@ -363,69 +363,69 @@
 	}
 	if n.recovering != 0 {
 		switch {
-		case m.Kind == Recovered && m.Nonce == n.recovering:
+		case m.Kind == KindRecovered && m.Nonce == n.recovering:
 			n.relearn(at, m)
-		case m.Kind == Recover: // it has lost all, too
-			n.send(at, Msg{Kind: Recovered, Nonce: m.Nonce})
+		case m.Kind == KindRecover: // it has lost all, too
+			n.send(at, Message{Kind: KindRecovered, Nonce: m.Nonce})
 		}
 		return n.take()
 	}
 	switch m.Kind {
-	case Prepare:
-		if m.Term <= n.Promised || n.now < n.stuck {
-			n.send(at, Msg{Kind: Refuse, Term: n.Promised})
+	case KindPrepare:
+		if m.Term <= n.PromisedTerm || n.now < n.stuck {
+			n.send(at, Message{Kind: KindReject, Term: n.PromisedTerm})
 			break
 		}
-		n.Promised, n.votes, n.leads = m.Term, nil, nil
+		n.PromisedTerm, n.votes, n.leads = m.Term, nil, nil
 		s := n.State
-		n.send(at, Msg{Kind: Promise, Term: m.Term, Held: n.Durable.Held, State: &s})
-	case Promise:
+		n.send(at, Message{Kind: KindPromise, Term: m.Term, AcceptedTerm: n.Durable.AcceptedTerm, State: &s})
+	case KindPromise:
 		if n.votes != nil && m.Term == n.term && m.State != nil {
 			n.votes[at] = m
 			n.count()
 		}
-	case Refuse:
+	case KindReject:
 		if n.above = max(n.above, m.Term); n.leads != nil && m.Term > n.leads.term && !n.wrong.leadsOn {
 			n.leads, n.leader = nil, -1 // its time is over
 		}
-	case Accept:
-		if m.State == nil || m.Term < n.Promised || m.Term == n.Durable.Held && m.State.Seq < n.State.Seq {
-			n.send(at, Msg{Kind: Refuse, Term: n.Promised})
+	case KindAccept:
+		if m.State == nil || m.Term < n.PromisedTerm || m.Term == n.Durable.AcceptedTerm && m.State.Seq < n.State.Seq {
+			n.send(at, Message{Kind: KindReject, Term: n.PromisedTerm})
 			break
 		}
-		n.Promised, n.Durable.Held, n.State, n.votes = m.Term, m.Term, *m.State, nil
+		n.PromisedTerm, n.Durable.AcceptedTerm, n.State, n.votes = m.Term, m.Term, *m.State, nil
 		n.stuck = n.now + stickFor
 		n.follow(at)
-		n.send(at, Msg{Kind: Accepted, Term: m.Term, Round: m.Round, Nonce: m.State.Seq})
-	case Accepted:
+		n.send(at, Message{Kind: KindAccepted, Term: m.Term, Round: m.Round, Nonce: m.State.Seq})
+	case KindAccepted:
 		if n.leads != nil && m.Term == n.leads.term {
 			n.leads.accepted(n, at, m)
 		}
-	case Ask:
+	case KindPoll:
 		if n.leads == nil || m.Report == nil {
 			break
 		}
 		n.leads.report(n.now, at, m.Report)
 		if n.leads.holds(n.now) || n.wrong.noLease {
 			s := n.leads.decided
-			if s.Batch.Has(at) && s.Way != Backward {
+			if s.Batch.Has(at) && s.Phase != PhaseRollingBack {
 				if n.leads.closed() {
 					break
 				}
 				n.leads.told = n.now
 			}
-			n.send(at, Msg{Kind: Tell, Nonce: m.Nonce, State: &s})
+			n.send(at, Message{Kind: KindDecided, Nonce: m.Nonce, State: &s})
 		}
-	case Tell:
-		if m.Nonce == n.nonce && m.State != nil && (m.State.Seq >= n.view.Seq || m.State.Run != n.view.Run) {
+	case KindDecided:
+		if m.Nonce == n.nonce && m.State != nil && (m.State.Seq >= n.view.Seq || m.State.RunID != n.view.RunID) {
 			n.view, n.viewAt, n.nonce = *m.State, n.askedAt, 0
 		}
-	case Recover:
+	case KindRecover:
 		s := n.State
-		n.send(at, Msg{Kind: Recovered, Nonce: m.Nonce, Term: n.Promised, Held: n.Durable.Held, State: &s})
-	case Order:
+		n.send(at, Message{Kind: KindRecovered, Nonce: m.Nonce, Term: n.PromisedTerm, AcceptedTerm: n.Durable.AcceptedTerm, State: &s})
+	case KindCommand:
 		if n.leads != nil {
-			n.order(m.Word)
+			n.order(m.Command)
 		}
 	}
 	return n.take()
@@ -435,7 +435,7 @@
 // majority that promised or took something before has one of them in it. Where all
 // others have answered, some of them that they have lost everything, too, nobody is
 // left who could hold more.
-func (n *Node) relearn(at int, m *Msg) {
+func (n *Node) relearn(at int, m *Message) {
 	n.recovered[at] = m
 	told := 0
 	for _, r := range n.recovered {
@@ -450,9 +450,9 @@
 		if r.State == nil {
 			continue
 		}
-		n.Promised = max(n.Promised, r.Term)
-		if r.Held > n.Durable.Held || r.Held == n.Durable.Held && r.State.Seq > n.State.Seq {
-			n.Durable.Held, n.State = r.Held, *r.State
+		n.PromisedTerm = max(n.PromisedTerm, r.Term)
+		if r.AcceptedTerm > n.Durable.AcceptedTerm || r.AcceptedTerm == n.Durable.AcceptedTerm && r.State.Seq > n.State.Seq {
+			n.Durable.AcceptedTerm, n.State = r.AcceptedTerm, *r.State
 		}
 	}
 	n.recovering, n.recovered = 0, nil
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -19,19 +19,19 @@
 
 // Plan is what an operator writes, the same on all routers of it.
 type Plan struct {
-	Name     string   `yaml:"name"`
-	Program  string   `yaml:"program"`  // where it lies on each machine; "": stays
-	Config   string   `yaml:"config"`   // the same
-	Operator string   `yaml:"operator"` // the same; {name} stands for the router's
-	Routers  []Router `yaml:"routers"`
-	Stages   []Stage  `yaml:"stages"`
-	AtOnce   int      `yaml:"at_once"`      // of one office
-	BackOnce int      `yaml:"back_at_once"` // of one office, on the way back
-	OnWorse  string   `yaml:"on_worse"`     // back or hold
-	OnUnsure string   `yaml:"on_unsure"`    // hold or back
-	CutOff   string   `yaml:"cut_off"`      // keep or back: a changed router that hears of nobody
-	SilentS  float64  `yaml:"silent_s"`     // after that a router is passed over
-	Guards   Guards   `yaml:"guards"`
+	Name                  string     `yaml:"name"`
+	Program               string     `yaml:"program"`  // where it lies on each machine; "": stays
+	Config                string     `yaml:"config"`   // the same
+	Operator              string     `yaml:"operator"` // the same; {name} stands for the router's
+	Routers               []Router   `yaml:"routers"`
+	Stages                []Stage    `yaml:"stages"`
+	MaxConcurrent         int        `yaml:"at_once"`      // of one office
+	MaxConcurrentRollback int        `yaml:"back_at_once"` // of one office, on the way back
+	OnWorse               string     `yaml:"on_worse"`     // back or hold
+	OnInconclusive        string     `yaml:"on_unsure"`    // hold or back
+	OnIsolated            string     `yaml:"cut_off"`      // keep or back: a changed router that hears of nobody
+	SilentSeconds         float64    `yaml:"silent_s"`     // after that a router is passed over
+	Guardrails            Guardrails `yaml:"guards"`
 
 	Digest uint64 `yaml:"-"` // of the text
 }
@@ -44,40 +44,40 @@
 
 // Stage is the routers that have changed by its end, and how long they are watched.
 type Stage struct {
-	Routers []string `yaml:"routers"` // or
-	Share   float64  `yaml:"share"`   // of each office's; 1: all
-	WatchS  float64  `yaml:"watch_s"` // at the most
-	LeastS  float64  `yaml:"least_s"` // at the least
-	// Drains and purges that changed routers must have been told of meanwhile: one that
+	Routers         []string `yaml:"routers"` // or
+	Share           float64  `yaml:"share"`   // of each office's; 1: all
+	MaxWatchSeconds float64  `yaml:"watch_s"` // at the most
+	MinWatchSeconds float64  `yaml:"least_s"` // at the least
+	// MinDrains and purges that changed routers must have been told of meanwhile: one that
 	// is deaf to them shows it only then.
-	Drains int `yaml:"drains"`
-	Purges int `yaml:"purges"`
+	MinDrains int `yaml:"drains"`
+	MinPurges int `yaml:"purges"`
 }
 
-// Guards are what a stage may not exceed.
-type Guards struct {
-	MostLoss float64 `yaml:"most_loss"` // of worth, that must be ruled out
-	Loss     float64 `yaml:"loss"`      // that is borne; so are
-	Refusals float64 `yaml:"refusals"`
-	Failures float64 `yaml:"failures"`
-	Slower   float64 `yaml:"slower"`    // mean ln of completed txns' times
-	Hops     float64 `yaml:"hops"`      // a txn
-	RuleLoss float64 `yaml:"rule_loss"` // of a single remap rule's worth
-	Chance   float64 `yaml:"chance"`    // of stopping one that is the same
-	Memory   float64 `yaml:"memory"`    // of the new one's, in the old one's
+// Guardrails are what a stage may not exceed.
+type Guardrails struct {
+	MaxLoss              float64 `yaml:"most_loss"` // of worth, that must be ruled out
+	Loss                 float64 `yaml:"loss"`      // that is borne; so are
+	Rejections           float64 `yaml:"refusals"`
+	Failures             float64 `yaml:"failures"`
+	Slowdown             float64 `yaml:"slower"`    // mean ln of completed txns' times
+	Attempts             float64 `yaml:"hops"`      // a txn
+	ClassLoss            float64 `yaml:"rule_loss"` // of a single remap rule's worth
+	FalseStopProbability float64 `yaml:"chance"`    // of stopping one that is the same
+	MemoryRatio          float64 `yaml:"memory"`    // of the new one's, in the old one's
 }
 
 // leastSilent is longer than it takes until another router leads, when the one that did
 // has died: four seconds in which nobody is followed, and places that stand in turn.
 const leastSilent = 15
 
-// MostRouters of a plan.
-const MostRouters = 512
+// MaxRouters of a plan.
+const MaxRouters = 512
 
 // ParsePlan reads and checks a plan's text.
 func ParsePlan(name string, text []byte) (*Plan, error) {
 	p := &Plan{}
-	if err := yamlfile.Read(name, text, p, p.check); err != nil {
+	if err := yamlfile.Decode(name, text, p, p.check); err != nil {
 		return nil, err
 	}
 	p.Digest = max(xxhash.Sum64(text), 1)
@@ -87,74 +87,74 @@
 func (p *Plan) check() error {
 	const mostStages, mostName = 32, 64
 	if p.Name == "" || len(p.Name) > mostName {
-		return yamlfile.Wrong("name", "missing, or longer than %d bytes", mostName)
+		return yamlfile.Errorf("name", "missing, or longer than %d bytes", mostName)
 	}
 	if p.Program == "" && p.Config == "" && p.Operator == "" {
-		return yamlfile.Wrong("program", "nothing changes: name program, config or operator")
+		return yamlfile.Errorf("program", "nothing changes: name program, config or operator")
 	}
 	for key, path := range map[string]string{"program": p.Program, "config": p.Config, "operator": p.Operator} {
 		if path != "" && !filepath.IsAbs(path) {
-			return yamlfile.Wrong(key, "not an absolute path")
+			return yamlfile.Errorf(key, "not an absolute path")
 		}
 	}
-	if len(p.Routers) < 2 || len(p.Routers) > MostRouters {
-		return yamlfile.Wrong("routers", "%d of them, 2 to %d wanted", len(p.Routers), MostRouters)
+	if len(p.Routers) < 2 || len(p.Routers) > MaxRouters {
+		return yamlfile.Errorf("routers", "%d of them, 2 to %d wanted", len(p.Routers), MaxRouters)
 	}
 	seen := map[string]bool{}
 	for i, r := range p.Routers {
 		if r.Name == "" || len(r.Name) > mostName || r.Office == "" || seen[r.Name] {
-			return yamlfile.Wrong(fmt.Sprintf("routers[%d]", i), "without name or office, or %q stands twice", r.Name)
+			return yamlfile.Errorf(fmt.Sprintf("routers[%d]", i), "without name or office, or %q stands twice", r.Name)
 		}
 		seen[r.Name] = true
 	}
 	if len(p.Stages) == 0 || len(p.Stages) > mostStages {
-		return yamlfile.Wrong("stages", "%d of them, 1 to %d wanted", len(p.Stages), mostStages)
+		return yamlfile.Errorf("stages", "%d of them, 1 to %d wanted", len(p.Stages), mostStages)
 	}
 	for i := range p.Stages {
 		s, key := &p.Stages[i], fmt.Sprintf("stages[%d]", i)
 		for _, n := range s.Routers {
 			if !seen[n] {
-				return yamlfile.Wrong(key+".routers", "%q is none of the plan's", n)
+				return yamlfile.Errorf(key+".routers", "%q is none of the plan's", n)
 			}
 		}
 		if (len(s.Routers) == 0) == (s.Share == 0) || !(s.Share >= 0 && s.Share <= 1) {
-			return yamlfile.Wrong(key, "either routers, or a share of up to 1")
+			return yamlfile.Errorf(key, "either routers, or a share of up to 1")
 		}
-		if most := 10_000; s.Drains < 0 || s.Drains > most || s.Purges < 0 || s.Purges > most {
-			return yamlfile.Wrong(key+".drains", "%d, and purges %d, are not within 0 and %d", s.Drains, s.Purges, most)
+		if most := 10_000; s.MinDrains < 0 || s.MinDrains > most || s.MinPurges < 0 || s.MinPurges > most {
+			return yamlfile.Errorf(key+".drains", "%d, and purges %d, are not within 0 and %d", s.MinDrains, s.MinPurges, most)
 		}
-		s.WatchS = cmp.Or(s.WatchS, 300)
-		s.LeastS = cmp.Or(s.LeastS, min(30, s.WatchS))
-		if !(s.WatchS > 0 && s.WatchS <= 24*3600 && s.LeastS > 0 && s.LeastS <= s.WatchS) {
-			return yamlfile.Wrong(key+".watch_s", "%g, and least_s %g, are not within 0 and a day in this order", s.WatchS, s.LeastS)
+		s.MaxWatchSeconds = cmp.Or(s.MaxWatchSeconds, 300)
+		s.MinWatchSeconds = cmp.Or(s.MinWatchSeconds, min(30, s.MaxWatchSeconds))
+		if !(s.MaxWatchSeconds > 0 && s.MaxWatchSeconds <= 24*3600 && s.MinWatchSeconds > 0 && s.MinWatchSeconds <= s.MaxWatchSeconds) {
+			return yamlfile.Errorf(key+".watch_s", "%g, and least_s %g, are not within 0 and a day in this order", s.MaxWatchSeconds, s.MinWatchSeconds)
 		}
 	}
 	if p.Stages[len(p.Stages)-1].Share != 1 {
-		return yamlfile.Wrong(fmt.Sprintf("stages[%d]", len(p.Stages)-1), "the last one has share 1: a fleet ends in one generation")
+		return yamlfile.Errorf(fmt.Sprintf("stages[%d]", len(p.Stages)-1), "the last one has share 1: a fleet ends in one generation")
 	}
-	p.AtOnce, p.BackOnce = cmp.Or(p.AtOnce, 1), cmp.Or(p.BackOnce, 1)
-	p.OnWorse, p.OnUnsure, p.CutOff = cmp.Or(p.OnWorse, "back"), cmp.Or(p.OnUnsure, "hold"), cmp.Or(p.CutOff, "back")
-	p.SilentS = cmp.Or(p.SilentS, 30)
-	d, g := canary.Default(), &p.Guards
-	g.MostLoss, g.Loss = cmp.Or(g.MostLoss, d.Most), cmp.Or(g.Loss, d.Bear[canary.Loss])
-	g.Refusals, g.Failures = cmp.Or(g.Refusals, d.Bear[canary.Refusals]), cmp.Or(g.Failures, d.Bear[canary.Failures])
-	g.Slower, g.Hops, g.RuleLoss = cmp.Or(g.Slower, d.Bear[canary.Slowness]), cmp.Or(g.Hops, d.Bear[canary.Hops]), cmp.Or(g.RuleLoss, d.Rule)
-	g.Chance, g.Memory = cmp.Or(g.Chance, d.Chance), cmp.Or(g.Memory, 3)
+	p.MaxConcurrent, p.MaxConcurrentRollback = cmp.Or(p.MaxConcurrent, 1), cmp.Or(p.MaxConcurrentRollback, 1)
+	p.OnWorse, p.OnInconclusive, p.OnIsolated = cmp.Or(p.OnWorse, "back"), cmp.Or(p.OnInconclusive, "hold"), cmp.Or(p.OnIsolated, "back")
+	p.SilentSeconds = cmp.Or(p.SilentSeconds, 30)
+	d, g := canary.DefaultSettings(), &p.Guardrails
+	g.MaxLoss, g.Loss = cmp.Or(g.MaxLoss, d.MaxLoss), cmp.Or(g.Loss, d.Tolerance[canary.MetricLoss])
+	g.Rejections, g.Failures = cmp.Or(g.Rejections, d.Tolerance[canary.MetricRejections]), cmp.Or(g.Failures, d.Tolerance[canary.MetricFailures])
+	g.Slowdown, g.Attempts, g.ClassLoss = cmp.Or(g.Slowdown, d.Tolerance[canary.MetricSlowness]), cmp.Or(g.Attempts, d.Tolerance[canary.MetricAttempts]), cmp.Or(g.ClassLoss, d.ClassTolerance)
+	g.FalseStopProbability, g.MemoryRatio = cmp.Or(g.FalseStopProbability, d.FalseStopProbability), cmp.Or(g.MemoryRatio, 3)
 	for _, n := range []struct {
 		key       string
 		v         float64
 		low, high float64
-	}{{"at_once", float64(p.AtOnce), 1, MostRouters}, {"back_at_once", float64(p.BackOnce), 1, MostRouters}, {"silent_s", p.SilentS, leastSilent, 3600},
-		{"guards.most_loss", g.MostLoss, g.Loss, 1}, {"guards.loss", g.Loss, 0.0001, 1}, {"guards.refusals", g.Refusals, 0.0001, 1},
-		{"guards.failures", g.Failures, 0.0001, 1}, {"guards.slower", g.Slower, 0.001, 10}, {"guards.hops", g.Hops, 0.001, 10},
-		{"guards.rule_loss", g.RuleLoss, 0.0001, 1}, {"guards.chance", g.Chance, 0.0001, 0.5}, {"guards.memory", g.Memory, 1, 100}} {
+	}{{"at_once", float64(p.MaxConcurrent), 1, MaxRouters}, {"back_at_once", float64(p.MaxConcurrentRollback), 1, MaxRouters}, {"silent_s", p.SilentSeconds, leastSilent, 3600},
+		{"guards.most_loss", g.MaxLoss, g.Loss, 1}, {"guards.loss", g.Loss, 0.0001, 1}, {"guards.refusals", g.Rejections, 0.0001, 1},
+		{"guards.failures", g.Failures, 0.0001, 1}, {"guards.slower", g.Slowdown, 0.001, 10}, {"guards.hops", g.Attempts, 0.001, 10},
+		{"guards.rule_loss", g.ClassLoss, 0.0001, 1}, {"guards.chance", g.FalseStopProbability, 0.0001, 0.5}, {"guards.memory", g.MemoryRatio, 1, 100}} {
 		if !(n.v >= n.low && n.v <= n.high) {
-			return yamlfile.Wrong(n.key, "%g is not within %g and %g", n.v, n.low, n.high)
+			return yamlfile.Errorf(n.key, "%g is not within %g and %g", n.v, n.low, n.high)
 		}
 	}
-	for key, v := range map[string][3]string{"on_worse": {p.OnWorse, "back", "hold"}, "on_unsure": {p.OnUnsure, "hold", "back"}, "cut_off": {p.CutOff, "back", "keep"}} {
+	for key, v := range map[string][3]string{"on_worse": {p.OnWorse, "back", "hold"}, "on_unsure": {p.OnInconclusive, "hold", "back"}, "cut_off": {p.OnIsolated, "back", "keep"}} {
 		if v[0] != v[1] && v[0] != v[2] {
-			return yamlfile.Wrong(key, "%q is neither %s nor %s", v[0], v[1], v[2])
+			return yamlfile.Errorf(key, "%q is neither %s nor %s", v[0], v[1], v[2])
 		}
 	}
 	return nil
@@ -170,9 +170,9 @@
 	return -1
 }
 
-// Through tells which routers have changed by the end of a stage. A share is rounded
+// ChangedThrough tells which routers have changed by the end of a stage. A share is rounded
 // up in each office, in the plan's order.
-func (p *Plan) Through(stage int) Set {
+func (p *Plan) ChangedThrough(stage int) Set {
 	var s Set
 	for _, g := range p.Stages[:min(stage+1, len(p.Stages))] {
 		for _, n := range g.Routers {
@@ -200,12 +200,12 @@
 	return s
 }
 
-// Verdict are the judge's settings.
-func (p *Plan) Verdict() canary.Settings {
-	d := canary.Default()
-	d.Chance, d.Most = p.Guards.Chance, p.Guards.MostLoss
-	d.Bear = [canary.Figures]float64{p.Guards.Loss, p.Guards.Refusals, p.Guards.Failures, p.Guards.Slower, p.Guards.Hops}
-	d.Rule = p.Guards.RuleLoss
+// CanarySettings are the judge's settings.
+func (p *Plan) CanarySettings() canary.Settings {
+	d := canary.DefaultSettings()
+	d.FalseStopProbability, d.MaxLoss = p.Guardrails.FalseStopProbability, p.Guardrails.MaxLoss
+	d.Tolerance = [canary.MetricCount]float64{p.Guardrails.Loss, p.Guardrails.Rejections, p.Guardrails.Failures, p.Guardrails.Slowdown, p.Guardrails.Attempts}
+	d.ClassTolerance = p.Guardrails.ClassLoss
 	return d
 }
 
--- a/internal/rollout/search_test.go
+++ b/internal/rollout/search_test.go
@@ -41,7 +41,7 @@
 			trouble{fmt.Sprint("stops or wakes ", i), func(f *fleet) { f.local[i].stopped = f.local[i].up && !f.local[i].stopped }},
 			trouble{fmt.Sprint("back ", i), func(f *fleet) {
 				if n := f.nodes[i]; n != nil && !f.local[i].stopped {
-					n.Command(f.clock(i), Back)
+					n.Command(f.clock(i), CommandRollBack)
 				}
 			}})
 	}
@@ -50,7 +50,7 @@
 
 // everyOrder plays one in every so many orders of four troubles, and stops at the first
 // that goes wrong on each core.
-func everyOrder(t *testing.T, every int, wrong wrong) (bad []string, orders, states int, ways map[Way]int) {
+func everyOrder(t *testing.T, every int, wrong wrong) (bad []string, orders, states int, ways map[Phase]int) {
 	const depth = 4
 	list := troubles()
 	total := 1
@@ -60,7 +60,7 @@
 	type end struct {
 		bad  []string
 		seen map[string]bool
-		ways map[Way]int
+		ways map[Phase]int
 	}
 	workers := runtime.NumCPU()
 	ends := make([]end, workers)
@@ -68,7 +68,7 @@
 	for w := range workers {
 		all.Go(func() {
 			e := &ends[w]
-			e.seen, e.ways = map[string]bool{}, map[Way]int{}
+			e.seen, e.ways = map[string]bool{}, map[Phase]int{}
 			for code := w * every; code < total && len(e.bad) < 1; code += workers * every {
 				f := newFleet(t, smallPlan, uint64(code%7))
 				f.lasts = code%2 == 0
@@ -76,7 +76,7 @@
 				for i := range f.nodes {
 					f.nodes[i].wrong = wrong
 				}
-				f.nodes[2].Command(f.clock(2), Start)
+				f.nodes[2].Command(f.clock(2), CommandStart)
 				f.play(6)
 				path := ""
 				for c, n := code, 0; n < depth; n++ {
@@ -104,7 +104,7 @@
 					}
 				}
 				if f.beyond {
-					e.ways[None]++
+					e.ways[PhaseNone]++
 				}
 				switch {
 				case f.beyond && lost == 0:
@@ -112,7 +112,7 @@
 					e.bad = append(e.bad, path+f.bad[0])
 				case lost > 0:
 					e.bad = append(e.bad, fmt.Sprintf("%s%d ask for ever", path, lost))
-				case way == Forward || way == Backward || way == Done && news != 3 || (way == Undone || way == None) && news != 0:
+				case way == PhaseForward || way == PhaseRollingBack || way == PhaseDone && news != 3 || (way == PhaseRolledBack || way == PhaseNone) && news != 0:
 					l, _ := f.ways()
 					e.bad = append(e.bad, fmt.Sprintf("%s%v with %d: %v", path, way, news, l))
 				}
@@ -121,7 +121,7 @@
 	}
 	all.Wait()
 	seen := map[string]bool{}
-	ways = map[Way]int{}
+	ways = map[Phase]int{}
 	for _, e := range ends {
 		bad = append(bad, e.bad...)
 		for s := range e.seen {
@@ -169,8 +169,8 @@
 		l := &f.local[i]
 		s += fmt.Sprint(l.up, l.stopped, l.onNew, l.changing, ";")
 		if n != nil {
-			s += fmt.Sprint(n.Promised, n.Durable.Held, n.State.Seq, n.State.Way, n.State.Stage, n.State.Batch, n.State.Changed, n.State.Skipped, n.leads != nil, n.leader, n.recovering != 0,
-				n.view.Seq, n.view.Way, ";")
+			s += fmt.Sprint(n.PromisedTerm, n.Durable.AcceptedTerm, n.State.Seq, n.State.Phase, n.State.Stage, n.State.Batch, n.State.Changed, n.State.Skipped, n.leads != nil, n.leader, n.recovering != 0,
+				n.view.Seq, n.view.Phase, ";")
 		}
 	}
 	return s
--- a/internal/rollout/sim_test.go
+++ b/internal/rollout/sim_test.go
@@ -46,7 +46,7 @@
 type mail struct {
 	at       int64
 	from, to int
-	m        *Msg
+	m        *Message
 }
 
 // acted is a change that a router has begun.
@@ -121,12 +121,12 @@
 	f.beyond = f.beyond || 2*lost > len(f.nodes)
 }
 
-func (f *fleet) post(from int, out []Out) {
+func (f *fleet) post(from int, out []Outgoing) {
 	for _, o := range out {
 		if f.cut != nil && f.cut(from, o.To) || f.dice.Float64() < f.loss {
 			continue
 		}
-		f.mail = append(f.mail, mail{f.now + 5*ms + f.dice.Int64N(f.late+1), from, o.To, o.Msg})
+		f.mail = append(f.mail, mail{f.now + 5*ms + f.dice.Int64N(f.late+1), from, o.To, o.Message})
 	}
 }
 
@@ -142,7 +142,7 @@
 			continue
 		}
 		if f.local[m.to].up {
-			f.post(m.to, f.nodes[m.to].Heard(f.clock(m.to), f.plan.Routers[m.from].Name, m.m))
+			f.post(m.to, f.nodes[m.to].Receive(f.clock(m.to), f.plan.Routers[m.from].Name, m.m))
 		}
 	}
 	f.mail = append(f.mail, later...)
@@ -156,17 +156,17 @@
 		}
 		c := &l.counts
 		for range 3 {
-			c.Txns++
-			c.Asked++
+			c.Requests++
+			c.WeightOffered++
 			if !(l.onNew && f.dice.Float64() < f.worse) {
-				c.Earned++
+				c.WeightEarned++
 			}
 		}
 		n := f.nodes[i]
-		n.Local(Report{OnNew: l.onNew && !l.changing, Changing: l.changing, Failed: l.failed, Able: true, Counts: *c, Run: l.run, Broken: l.broken, Drains: l.drains, Purges: l.purges})
+		n.SetReport(Report{Upgraded: l.onNew && !l.changing, Changing: l.changing, FailureReason: l.failed, Capable: true, Counts: *c, RunID: l.run, ViolatedRules: l.broken, DrainsSeen: l.drains, PurgesSeen: l.purges})
 		f.post(i, n.Tick(f.clock(i)))
-		if w := n.Want(f.clock(i)); w.Go && !l.changing && w.New != l.onNew && !(w.New && l.failed != "") {
-			if v, _ := n.View(); !w.New && v.Way == Forward {
+		if w := n.Target(f.clock(i)); w.MayStart && !l.changing && w.New != l.onNew && !(w.New && l.failed != "") {
+			if v, _ := n.View(); !w.New && v.Phase == PhaseForward {
 				l.failed = "cut off"
 			}
 			f.begin(i, w.New)
@@ -179,7 +179,7 @@
 func (f *fleet) begin(i int, toNew bool) {
 	l := &f.local[i]
 	v, _ := f.nodes[i].View()
-	l.changing, l.target, l.until, l.run = true, toNew, f.now+second, v.Run
+	l.changing, l.target, l.until, l.run = true, toNew, f.now+second, v.RunID
 	f.acting = append(f.acting, acted{f.now, i, toNew, v.Seq})
 	if !toNew {
 		return
@@ -189,7 +189,7 @@
 		if n == nil || n.leads == nil || !n.leads.known {
 			continue
 		}
-		if d := n.leads.decided; (d.Way == Backward || d.Way == Undone) && d.Seq > v.Seq && d.Run == v.Run {
+		if d := n.leads.decided; (d.Phase == PhaseRollingBack || d.Phase == PhaseRolledBack) && d.Seq > v.Seq && d.RunID == v.RunID {
 			f.fault("%s goes forward by %d while %s has decided to go back by %d", f.plan.Routers[i].Name, v.Seq, f.plan.Routers[j].Name, d.Seq)
 		}
 	}
@@ -215,7 +215,7 @@
 		}
 	}
 	for o, n := range at {
-		if n > f.plan.AtOnce {
+		if n > f.plan.MaxConcurrent {
 			f.fault("%d of office %s change at once", n, o)
 		}
 	}
@@ -235,17 +235,17 @@
 		}
 		if n != nil {
 			v, _ := n.View()
-			list = append(list, fmt.Sprintf("%s %v %d/%d", f.plan.Routers[i].Name, v.Way, v.Stage, v.Seq))
+			list = append(list, fmt.Sprintf("%s %v %d/%d", f.plan.Routers[i].Name, v.Phase, v.Stage, v.Seq))
 		}
 	}
 	return list, news
 }
 
-func (f *fleet) way() Way {
-	w := None
+func (f *fleet) way() Phase {
+	w := PhaseNone
 	for _, n := range f.nodes {
-		if n != nil && n.Leads() {
-			w = n.leads.decided.Way
+		if n != nil && n.IsLeader() {
+			w = n.leads.decided.Phase
 		}
 	}
 	return w
@@ -255,13 +255,13 @@
 // at the first, and all have the old one in the end.
 func TestStages(t *testing.T) {
 	f := newFleet(t, planText, 1)
-	f.nodes[4].Command(f.clock(4), Start)
+	f.nodes[4].Command(f.clock(4), CommandStart)
 	f.play(15)
 	if _, news := f.ways(); news != 1 || !f.local[0].onNew {
 		t.Errorf("after 15 s %d have changed", news)
 	}
 	f.play(200)
-	if l, news := f.ways(); news != 7 || f.way() != Done {
+	if l, news := f.ways(); news != 7 || f.way() != PhaseDone {
 		t.Errorf("%v: %v, %d have changed", f.way(), l, news)
 	}
 	if f.most != 1 || len(f.bad) > 0 {
@@ -269,20 +269,20 @@
 	}
 	f = newFleet(t, planText, 2)
 	f.worse = 0.25
-	f.nodes[0].Command(f.clock(0), Start)
-	for f.now < 200*second && f.way() != Undone {
+	f.nodes[0].Command(f.clock(0), CommandStart)
+	for f.now < 200*second && f.way() != PhaseRolledBack {
 		f.step()
 	}
 	_, news := f.ways()
-	if news != 0 || f.way() != Undone {
+	if news != 0 || f.way() != PhaseRolledBack {
 		t.Errorf("%v, %d have changed", f.way(), news)
 	}
 	if len(f.acting) != 2 || len(f.bad) > 0 {
 		t.Errorf("%+v, %v", f.acting, f.bad)
 	}
 	v, _ := f.nodes[3].View()
-	if !strings.Contains(v.Why, "loss of worth") {
-		t.Error(v.Why)
+	if !strings.Contains(v.Reason, "loss of worth") {
+		t.Error(v.Reason)
 	}
 }
 
@@ -290,7 +290,7 @@
 // again, with words lost and late and clocks that drift: never two directions, never
 // two of an office at once, and an end.
 func TestRolloutsInTrouble(t *testing.T) {
-	ends := map[Way]int{}
+	ends := map[Phase]int{}
 	for seed := range uint64(60) {
 		f := newFleet(t, planText, seed)
 		f.lasts = seed%3 != 0
@@ -299,7 +299,7 @@
 			f.worse = 0.25
 		}
 		f.play(6)
-		f.nodes[seed%7].Command(f.clock(int(seed%7)), Start)
+		f.nodes[seed%7].Command(f.clock(int(seed%7)), CommandStart)
 		leader := func() int {
 			for i, n := range f.nodes {
 				if n != nil && n.leads != nil {
@@ -357,10 +357,10 @@
 		switch {
 		case len(f.bad) > 0:
 			t.Errorf("seed %d: %v", seed, f.bad)
-		case w == Done && news != 7, (w == Undone || w == None) && news != 0, w == Forward || w == Backward: // none: whoever was told to start died before it was decided
+		case w == PhaseDone && news != 7, (w == PhaseRolledBack || w == PhaseNone) && news != 0, w == PhaseForward || w == PhaseRollingBack: // none: whoever was told to start died before it was decided
 			l, _ := f.ways()
 			t.Errorf("seed %d: %v, %d have changed: %v", seed, w, news, l)
-		case w == Done && f.worse > 0:
+		case w == PhaseDone && f.worse > 0:
 			t.Errorf("seed %d: a worse one has passed", seed)
 		}
 	}
@@ -391,14 +391,14 @@
 			t.Errorf("%d asks for ever", i)
 		}
 	}
-	f.nodes[0].Command(f.clock(0), Start)
+	f.nodes[0].Command(f.clock(0), CommandStart)
 	f.play(20)
 	held := f.nodes[3].Durable
 	f.down(3)
 	f.up(3)
 	f.down(5)
 	f.play(3)
-	if d := f.nodes[3].Durable; d.Promised < held.Promised || d.State.Seq < held.State.Seq || held.State.Seq == 0 {
+	if d := f.nodes[3].Durable; d.PromisedTerm < held.PromisedTerm || d.State.Seq < held.State.Seq || held.State.Seq == 0 {
 		t.Errorf("it held %+v and holds %+v", held, d)
 	}
 }
@@ -410,8 +410,8 @@
 		f := newFleet(t, planText, seed)
 		f.play(6)
 		f.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
-		f.nodes[1].Command(f.clock(1), Start)
-		f.nodes[5].Command(f.clock(5), Start)
+		f.nodes[1].Command(f.clock(1), CommandStart)
+		f.nodes[5].Command(f.clock(5), CommandStart)
 		f.play(25)
 		for i := range 3 {
 			if f.local[i].onNew || f.local[i].changing {
@@ -420,7 +420,7 @@
 		}
 		f.cut = nil
 		f.play(300)
-		if _, news := f.ways(); len(f.bad) > 0 || news != 0 && news != 7 || f.way() != Done && f.way() != Undone {
+		if _, news := f.ways(); len(f.bad) > 0 || news != 0 && news != 7 || f.way() != PhaseDone && f.way() != PhaseRolledBack {
 			t.Errorf("seed %d: %v with %d, %v", seed, f.way(), news, f.bad)
 		}
 	}
@@ -433,11 +433,11 @@
 		f := newFleet(t, planText, 1)
 		n := f.nodes[0]
 		n.wrong.staleView = stale
-		n.view, n.viewAt = State{Seq: 3, Way: Forward, Batch: Set(nil).With(0)}, n.now
-		if w := n.Want(n.now + actWithin/2); !w.New || !w.Go {
+		n.view, n.viewAt = State{Seq: 3, Phase: PhaseForward, Batch: Set(nil).With(0)}, n.now
+		if w := n.Target(n.now + actWithin/2); !w.New || !w.MayStart {
 			t.Error(w)
 		}
-		if w := n.Want(n.now + 10*actWithin); w.Go != stale {
+		if w := n.Target(n.now + 10*actWithin); w.MayStart != stale {
 			t.Error(stale, w)
 		}
 	}
@@ -453,7 +453,7 @@
 			for i := range f.nodes {
 				f.nodes[i].wrong = w
 			}
-			f.nodes[0].Command(f.clock(0), Start)
+			f.nodes[0].Command(f.clock(0), CommandStart)
 			f.play(8 + 4*f.dice.Float64())
 			side := map[int]bool{}
 			for len(side) < 3 {
@@ -465,7 +465,7 @@
 			f.play(14)
 			for i := range f.nodes {
 				if f.dice.IntN(2) == 0 && !f.local[i].stopped {
-					f.nodes[i].Command(f.clock(i), Back)
+					f.nodes[i].Command(f.clock(i), CommandRollBack)
 				}
 			}
 			f.play(14)
