--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -181,7 +181,7 @@
 func Parse(name string, text []byte) (*Script, error) {
 	s := Default()
 	s.Name = name
-	if err := yamlfile.Read(name, text, &s, s.check); err != nil {
+	if err := yamlfile.Decode(name, text, &s, s.check); err != nil {
 		return nil, err
 	}
 	return &s, nil
@@ -220,23 +220,23 @@
 		{"load.honour", l.Honour, 0, 1}, {"load.patience", l.Patience, 0.05, 1}, {"load.page_fresh_s", l.FreshS, 0, 1e6},
 	} {
 		if !(n.v >= n.least && n.v <= n.most) {
-			return yamlfile.Wrong(n.key, "%g is not within %g and %g", n.v, n.least, n.most)
+			return yamlfile.Errorf(n.key, "%g is not within %g and %g", n.v, n.least, n.most)
 		}
 	}
 	for i, v := range l.Weights {
 		if !(v >= 0.01 && v <= 100) {
-			return yamlfile.Wrong("load.weights["+strconv.Itoa(i)+"]", "%g is not within 0.01 and 100", v)
+			return yamlfile.Errorf("load.weights["+strconv.Itoa(i)+"]", "%g is not within 0.01 and 100", v)
 		}
 	}
 	// Each txn takes some kilobytes while it is open, each object some hundred bytes.
 	if txns := l.TxnsPerS * s.LengthS; txns > 2e8 {
-		return yamlfile.Wrong("load.txns_per_s", "%.0f txns in all are more than a run should take (200,000,000)", txns)
+		return yamlfile.Errorf("load.txns_per_s", "%.0f txns in all are more than a run should take (200,000,000)", txns)
 	}
 	if n := f.Offices * f.Caches; n > 5000 {
-		return yamlfile.Wrong("fleet.caches", "%d caches in all are more than 5000", n)
+		return yamlfile.Errorf("fleet.caches", "%d caches in all are more than 5000", n)
 	}
 	if n := f.Offices * f.Routers; n > 500 {
-		return yamlfile.Wrong("fleet.routers", "%d routers in all are more than 500", n)
+		return yamlfile.Errorf("fleet.routers", "%d routers in all are more than 500", n)
 	}
 	for i := range s.Troubles {
 		if err := s.Troubles[i].check(s, "troubles["+strconv.Itoa(i)+"]."); err != nil {
@@ -249,30 +249,30 @@
 func (t *Trouble) check(s *Script, key string) error {
 	k, known := Kinds[t.Kind]
 	if !known {
-		return yamlfile.Wrong(key+"kind", "%.40q is no trouble", t.Kind)
+		return yamlfile.Errorf(key+"kind", "%.40q is no trouble", t.Kind)
 	}
 	if t.Strength == 0 {
 		t.Strength = k.Strength
 	}
 	switch {
 	case !(t.At >= 0 && t.At <= s.LengthS):
-		return yamlfile.Wrong(key+"at", "%g is not within the script's %g s", t.At, s.LengthS)
+		return yamlfile.Errorf(key+"at", "%g is not within the script's %g s", t.At, s.LengthS)
 	case !(t.For >= 0 && t.For <= 24*3600):
-		return yamlfile.Wrong(key+"for", "%g is not within 0 and a day", t.For)
+		return yamlfile.Errorf(key+"for", "%g is not within 0 and a day", t.For)
 	case !(t.Share >= 0 && t.Share <= 1):
-		return yamlfile.Wrong(key+"share", "%g is not within 0 and 1", t.Share)
+		return yamlfile.Errorf(key+"share", "%g is not within 0 and 1", t.Share)
 	case t.Office < 0 || t.Office > s.Fleet.Offices:
-		return yamlfile.Wrong(key+"office", "there is no office %d, only %d", t.Office, s.Fleet.Offices)
+		return yamlfile.Errorf(key+"office", "there is no office %d, only %d", t.Office, s.Fleet.Offices)
 	case t.Trunk < 0 || t.Trunk > s.Fleet.Trunks:
-		return yamlfile.Wrong(key+"trunk", "there is no trunk %d, only %d", t.Trunk, s.Fleet.Trunks)
+		return yamlfile.Errorf(key+"trunk", "there is no trunk %d, only %d", t.Trunk, s.Fleet.Trunks)
 	case t.Strength != 0 && k.Strength == 0:
-		return yamlfile.Wrong(key+"strength", "%s has none", t.Kind)
+		return yamlfile.Errorf(key+"strength", "%s has none", t.Kind)
 	case k.Strength != 0 && !(t.Strength >= k.Least && t.Strength <= k.Most):
-		return yamlfile.Wrong(key+"strength", "%g is not within %g and %g", t.Strength, k.Least, k.Most)
+		return yamlfile.Errorf(key+"strength", "%g is not within %g and %g", t.Strength, k.Least, k.Most)
 	case t.Every < 0 || t.Every > 0 && !k.Waves:
-		return yamlfile.Wrong(key+"every", "%s does not come again", t.Kind)
+		return yamlfile.Errorf(key+"every", "%s does not come again", t.Kind)
 	case t.Every > 0 && t.Every < 0.01:
-		return yamlfile.Wrong(key+"every", "%g is not 0.01 or more", t.Every)
+		return yamlfile.Errorf(key+"every", "%g is not 0.01 or more", t.Every)
 	}
 	if t.Share == 0 && t.Kind != "ways_camps" {
 		t.Share = 1
@@ -392,7 +392,7 @@
 }
 
 // Rules are the remap rules as decisions have them.
-func (s *Script) Rules() []policy.RemapRule {
+func (s *Script) Rules() []policy.TrafficClass {
 	set := s.Settings(0, 0)
-	return set.Logic().Rules
+	return set.PolicySettings().Classes
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -42,14 +42,14 @@
 	s := Default()
 	s.Load.FreshS = 12
 	set := s.Settings(2, 2)
-	l := set.Logic()
-	if l.Zone != "office-3" || len(l.Zones) != 3 || l.Siblings != 3 || l.Family.OriginKind != 2 || l.Family.ParentKind != 1 {
+	l := set.PolicySettings()
+	if l.Zone != "office-3" || len(l.Zones) != 3 || l.Routers != 3 || l.Hierarchy.OriginKind != 2 || l.Hierarchy.ParentKind != 1 {
 		t.Fatalf("%+v", l)
 	}
-	if r := l.Rules[Page]; r.Fresh != 12_000_000 || r.Grace != 12_000_000 || l.Rules[Accept].Effect != "unsafe" || !l.Rules[Accept].Write {
-		t.Fatalf("%+v", l.Rules)
+	if r := l.Classes[Page]; r.FreshFor != 12_000_000 || r.StaleGrace != 12_000_000 || l.Classes[Accept].Effect != "unsafe" || !l.Classes[Accept].Write {
+		t.Fatalf("%+v", l.Classes)
 	}
-	if l.Contract.ColdFrom != s.Fleet.ColdFrom || l.Contract.FallMultiple != s.Fleet.FallMultiple || l.Family.ParentColdFrom != s.Fleet.ParentColdFrom {
+	if l.Contract.SlowStartFrom != s.Fleet.ColdFrom || l.Contract.OverloadMultiple != s.Fleet.FallMultiple || l.Hierarchy.ParentSlowStartFrom != s.Fleet.ParentColdFrom {
 		t.Fatalf("%+v", l.Contract)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,49 +70,49 @@
 	return v
 }
 
-// Logic turns the object into what the module is handed.
-func (s *Setup) Logic() policy.Settings {
+// PolicySettings turns the object into what the module is handed.
+func (s *Setup) PolicySettings() policy.Settings {
 	f, c, l := &s.FamilyInfo, &s.Contract, &s.Limits
 	out := policy.Settings{
-		Rank: s.Rank, Siblings: s.Siblings, Zone: s.Zone, Zones: s.Zones, Kinds: s.Kinds,
-		OverShareWorth: s.OverShareWorth, MarksRetry: s.Callers.MarksRetry, Discovery: s.Discovery,
-		WeightKind: s.WeightKind, Round: Micros(s.RoundMs),
+		Rank: s.Rank, Routers: s.Siblings, Zone: s.Zone, Zones: s.Zones, EndpointKinds: s.Kinds,
+		OverQuotaWeight: s.OverShareWorth, ClientsMarkRetries: s.Callers.MarksRetry, Discovery: s.Discovery,
+		WeightKind: s.WeightKind, BatchInterval: Micros(s.RoundMs),
 		Contract: policy.Contract{
-			AnswerSlack: Micros(c.AnswerSlackMs), AskEvery: Micros(c.AskEveryMs), ColdFor: Micros(c.ColdMs),
-			DrainGrace: Micros(c.DrainGraceMs), FallFor: Micros(c.FallMs),
-			ColdFrom: c.ColdFrom, FallMultiple: c.FallMultiple,
+			AnswerSlack: Micros(c.AnswerSlackMs), PollInterval: Micros(c.AskEveryMs), SlowStartFor: Micros(c.ColdMs),
+			DrainGrace: Micros(c.DrainGraceMs), OverloadWindow: Micros(c.FallMs),
+			SlowStartFrom: c.ColdFrom, OverloadMultiple: c.FallMultiple,
 		},
 		Limits: policy.Limits{
-			Cancel: l.Cancel, Peers: l.PeerMessages, Probes: l.Probes, RetryAfter: l.RetryAfter,
-			SecondCopies: l.SecondCopies, MaxHops: l.MostTries, MaxOpen: l.MaxOpen,
+			Cancel: l.Cancel, PeerMessages: l.PeerMessages, HealthChecks: l.Probes, RetryAfter: l.RetryAfter,
+			Hedging: l.SecondCopies, MaxAttempts: l.MostTries, MaxOpenRequests: l.MaxOpen,
 			StreamsPerConn: l.StreamsPerConn, MaxRetryAfter: Micros(l.MaxRetryAfterMs),
 			ConnectTimeout: Micros(l.ConnectTimeoutMs),
 		},
-		Family: policy.Family{
-			Direct: f.BypassAllowed, Joins: f.Collapses, OriginKind: f.MasterKind, ParentKind: -1,
-			FlowKBPerS: f.FlowKbPerS, LinkPrice: f.LinkPrice, ParentColdFrom: f.ParentColdFrom,
-			ParentColdFor: Micros(f.ParentRampMs), ParentFallMultiple: f.UpperFallMultiple,
-			PurgeDone: Micros(f.ClearedWithinMs), PurgeGrace: Micros(f.PurgeGraceMs),
-			Siblings: f.Sideways, Tells: f.NotesGiven, ZoneBalancers: f.ZoneBalancers,
+		Hierarchy: policy.Hierarchy{
+			CacheBypass: f.BypassAllowed, CoalescesFills: f.Collapses, OriginKind: f.MasterKind, ParentKind: -1,
+			StreamKBPerS: f.FlowKbPerS, LinkPrice: f.LinkPrice, ParentSlowStartFrom: f.ParentColdFrom,
+			ParentSlowStartFor: Micros(f.ParentRampMs), ParentOverloadMultiple: f.UpperFallMultiple,
+			PurgeSettleTime: Micros(f.ClearedWithinMs), PurgeGrace: Micros(f.PurgeGraceMs),
+			PeerFills: f.Sideways, ReasonsGiven: f.NotesGiven, RoutersByZone: f.ZoneBalancers,
 			HubByZone: f.HubByZone, LinkKBPerS: f.FeedKbPerS,
-			OriginFallMultiple: f.OriginFallMultiple, OriginFallFor: Micros(f.OriginFallMs),
+			OriginOverloadMultiple: f.OriginFallMultiple, OriginOverloadWindow: Micros(f.OriginFallMs),
 		},
-		Report: policy.Report{How: s.LoadReport.How, Fields: s.LoadReport.Fields},
+		LoadReport: policy.LoadReport{How: s.LoadReport.How, Fields: s.LoadReport.Fields},
 	}
 	if f.SecondTierKind != nil {
-		out.Family.ParentKind = *f.SecondTierKind
+		out.Hierarchy.ParentKind = *f.SecondTierKind
 	}
 	for i, k := range s.Classes {
-		out.Rules = append(out.Rules, policy.RemapRule{
-			Name: k.Name, Effect: k.Effect, Group: k.Group, Window: Micros(k.DedupWindowMs),
-			SLA: Micros(k.TargetMs), Stretch: k.AimStretch, TimeLimit: Micros(k.GiveUpMs),
-			Importance: k.Value, LateShare: k.LateShare, Streamed: k.Streamed,
-			Fresh: Micros(at(f.GoodForMs, i)), Grace: Micros(at(f.ClassGraceMs, i)),
-			StaleShare: at(f.WorthWhenOld, i), Write: at(f.GoesThrough, i), Parts: at(f.MultiPart, i),
+		out.Classes = append(out.Classes, policy.TrafficClass{
+			Name: k.Name, Effect: k.Effect, Group: k.Group, DedupWindow: Micros(k.DedupWindowMs),
+			LatencyObjective: Micros(k.TargetMs), ObjectiveStretch: k.AimStretch, Timeout: Micros(k.GiveUpMs),
+			PriorityWeight: k.Value, LateValueShare: k.LateShare, Streamed: k.Streamed,
+			FreshFor: Micros(at(f.GoodForMs, i)), StaleGrace: Micros(at(f.ClassGraceMs, i)),
+			StaleValueShare: at(f.WorthWhenOld, i), Write: at(f.GoesThrough, i), Parts: at(f.MultiPart, i),
 		})
 	}
 	for _, t := range s.Tenants {
-		out.Tenants = append(out.Tenants, policy.Tenant(t))
+		out.Tenants = append(out.Tenants, policy.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS, Share: t.Portion})
 	}
 	return out
 }
--- a/internal/simfleet/simfleet.go
+++ b/internal/simfleet/simfleet.go
@@ -16,10 +16,10 @@
 	"quilldoor/internal/netsim"
 )
 
-// Speaker is a router's knowledge of the others.
-type Speaker interface {
-	Run(now int64) (next int64, out []membership.Out, news []membership.Change)
-	Heard(now int64, via netip.AddrPort, w *membership.Word) []membership.Out
+// Detector is a router's knowledge of the others.
+type Detector interface {
+	Tick(now int64) (next int64, out []membership.Outbound, news []membership.Change)
+	Receive(now int64, via netip.AddrPort, w *membership.Message) []membership.Outbound
 	State(name string) membership.State
 }
 
@@ -28,34 +28,34 @@
 
 // Host is one router's process, or its machine while it is dead.
 type Host struct {
-	ID      int
-	Name    string
-	Speaker Speaker // nil: dead
-	stopped bool
-	starved float64 // share of its time that others take
-	held    []func()
-	life    int
-	next    int64
-
-	SentBytes, HeardBytes, Sent int64
+	ID       int
+	Name     string
+	Detector Detector // nil: dead
+	stopped  bool
+	starved  float64 // share of its time that others take
+	held     []func()
+	life     int
+	next     int64
+
+	SentBytes, ReceivedBytes, SentMessages int64
 }
 
-// Mailer is what routers say to each other beside what they know of each other.
-type Mailer interface {
-	Tag(h *Host) uint32
-	Letter(h *Host, l membership.Letter) (back [][]byte)
+// PayloadHandler is what routers say to each other beside what they know of each other.
+type PayloadHandler interface {
+	Digest(h *Host) uint32
+	HandlePayload(h *Host, l membership.Payload) (back [][]byte)
 	Tick(h *Host)
 }
 
 // Fleet is the routers and their ways.
 type Fleet struct {
-	Net   *netsim.Net
-	Hosts []*Host
-	Now   int64
-	News  func(h *Host, c membership.Change) // of views, as they change
-	Spoil func(h *Host, w *membership.Word)  // before it is sent; for tests
-	Make  func(h *Host, now int64) Speaker
-	Mail  Mailer // of other subsystems; nil: none
+	Network     *netsim.Network
+	Hosts       []*Host
+	Now         int64
+	OnChange    func(h *Host, c membership.Change)   // of views, as they change
+	BeforeSend  func(h *Host, w *membership.Message) // before it is sent; for tests
+	NewDetector func(h *Host, now int64) Detector
+	Payloads    PayloadHandler // of other subsystems; nil: none
 
 	byName map[string]*Host
 	events eventHeap
@@ -64,8 +64,8 @@
 }
 
 // New makes a fleet of n dead routers. make starts one's knowledge.
-func New(n int, seed uint64, net *netsim.Net, make func(h *Host, now int64) Speaker) *Fleet {
-	f := &Fleet{Net: net, Make: make, byName: map[string]*Host{}, dice: rand.New(rand.NewPCG(seed, 1))}
+func New(n int, seed uint64, net *netsim.Network, make func(h *Host, now int64) Detector) *Fleet {
+	f := &Fleet{Network: net, NewDetector: make, byName: map[string]*Host{}, dice: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
 		h := &Host{ID: i, Name: Name(i)}
 		f.Hosts = append(f.Hosts, h)
@@ -111,22 +111,22 @@
 	return x
 }
 
-// At sets something for a time.
-func (f *Fleet) At(at int64, do func()) {
+// Schedule sets something for a time.
+func (f *Fleet) Schedule(at int64, do func()) {
 	f.seq++
 	heap.Push(&f.events, event{max(at, f.Now), f.seq, do})
 }
 
-// Next is when something happens next.
-func (f *Fleet) Next() int64 {
+// NextEvent is when something happens next.
+func (f *Fleet) NextEvent() int64 {
 	if len(f.events) == 0 {
 		return 1 << 62
 	}
 	return f.events[0].at
 }
 
-// Until plays up to a time.
-func (f *Fleet) Until(at int64) {
+// RunUntil plays up to a time.
+func (f *Fleet) RunUntil(at int64) {
 	for len(f.events) > 0 && f.events[0].at <= at {
 		e := heap.Pop(&f.events).(event)
 		f.Now = max(f.Now, e.at)
@@ -138,27 +138,27 @@
 // Start starts a dead router from nothing.
 func (f *Fleet) Start(i int) {
 	h := f.Hosts[i]
-	if h.Speaker != nil {
+	if h.Detector != nil {
 		return
 	}
 	h.life++
 	h.stopped, h.held = false, nil
-	h.Speaker = f.Make(h, f.Now)
+	h.Detector = f.NewDetector(h, f.Now)
 	f.run(h, h.life)
 }
 
 // Kill ends a router outright.
 func (f *Fleet) Kill(i int) {
 	h := f.Hosts[i]
-	h.Speaker, h.held, h.stopped = nil, nil, false
+	h.Detector, h.held, h.stopped = nil, nil, false
 	h.life++
 }
 
-// Stop lets a router stand still; what comes waits for it.
-func (f *Fleet) Stop(i int) { f.Hosts[i].stopped = true }
+// Pause lets a router stand still; what comes waits for it.
+func (f *Fleet) Pause(i int) { f.Hosts[i].stopped = true }
 
-// Wake lets it go on.
-func (f *Fleet) Wake(i int) {
+// Resume lets it go on.
+func (f *Fleet) Resume(i int) {
 	h := f.Hosts[i]
 	if !h.stopped {
 		return
@@ -171,8 +171,8 @@
 	}
 }
 
-// Starve takes a share of a router's time away; 0: it has all again.
-func (f *Fleet) Starve(i int, share float64) { f.Hosts[i].starved = share }
+// Throttle takes a share of a router's time away; 0: it has all again.
+func (f *Fleet) Throttle(i int, share float64) { f.Hosts[i].starved = share }
 
 // when a router that others crowd out gets round to what came now.
 func (f *Fleet) late(h *Host) int64 {
@@ -188,7 +188,7 @@
 	const mostHeld = 4096 // a socket's buffer
 	life := h.life
 	guarded := func() {
-		if h.life == life && h.Speaker != nil {
+		if h.life == life && h.Detector != nil {
 			do()
 		}
 	}
@@ -199,7 +199,7 @@
 		return
 	}
 	if late := f.late(h); late > 0 {
-		f.At(f.Now+late, func() { f.hold(h, guarded) })
+		f.Schedule(f.Now+late, func() { f.hold(h, guarded) })
 		return
 	}
 	guarded()
@@ -214,53 +214,53 @@
 }
 
 func (f *Fleet) run(h *Host, life int) {
-	if h.life != life || h.Speaker == nil {
+	if h.life != life || h.Detector == nil {
 		return
 	}
 	f.act(h, func() {
-		next, out, news := h.Speaker.Run(f.Now)
+		next, out, news := h.Detector.Tick(f.Now)
 		f.news(h, news)
 		f.carry(h, out)
-		if f.Mail != nil {
-			f.Mail.Tick(h)
+		if f.Payloads != nil {
+			f.Payloads.Tick(h)
 		}
-		f.At(next, func() { f.run(h, life) })
+		f.Schedule(next, func() { f.run(h, life) })
 	})
 }
 
 func (f *Fleet) news(h *Host, news []membership.Change) {
-	if f.News != nil {
+	if f.OnChange != nil {
 		for _, c := range news {
-			f.News(h, c)
+			f.OnChange(h, c)
 		}
 	}
 }
 
 // Carry sends words by the ways.
-func (f *Fleet) carry(h *Host, out []membership.Out) {
+func (f *Fleet) carry(h *Host, out []membership.Outbound) {
 	for _, o := range out {
-		if f.Spoil != nil {
-			f.Spoil(h, o.Word)
+		if f.BeforeSend != nil {
+			f.BeforeSend(h, o.Message)
 		}
-		b, err := cbor.Marshal(o.Word)
+		b, err := cbor.Marshal(o.Message)
 		if err != nil {
 			panic(err) // words are made of what can be written
 		}
 		size := len(b) + overhead
 		h.SentBytes += int64(size)
-		h.Sent++
+		h.SentMessages++
 		to := f.byName[o.To]
 		if to == nil {
 			continue
 		}
-		for _, at := range f.Net.Carry(f.Now, h.ID, to.ID, size) {
-			f.At(at, func() {
-				if to.Speaker == nil {
+		for _, at := range f.Network.Transmit(f.Now, h.ID, to.ID, size) {
+			f.Schedule(at, func() {
+				if to.Detector == nil {
 					return
 				}
-				to.HeardBytes += int64(size)
+				to.ReceivedBytes += int64(size)
 				f.act(to, func() {
-					var w membership.Word // each has its own, as on a wire
+					var w membership.Message // each has its own, as on a wire
 					if err := cbor.Unmarshal(b, &w); err != nil {
 						panic(err)
 					}
@@ -272,35 +272,35 @@
 }
 
 // hear takes a word, and the letters that it is or brings.
-func (f *Fleet) hear(h *Host, w *membership.Word) {
-	n, mails := h.Speaker.(*membership.Node)
-	if mails = mails && f.Mail != nil; mails {
-		n.Tag(f.Mail.Tag(h))
+func (f *Fleet) hear(h *Host, w *membership.Message) {
+	n, mails := h.Detector.(*membership.Node)
+	if mails = mails && f.Payloads != nil; mails {
+		n.SetGossipDigest(f.Payloads.Digest(h))
 	}
-	f.carry(h, h.Speaker.Heard(f.Now, netip.AddrPort{}, w))
+	f.carry(h, h.Detector.Receive(f.Now, netip.AddrPort{}, w))
 	if !mails {
 		return
 	}
-	for _, l := range n.Letters() {
-		for _, body := range f.Mail.Letter(h, l) {
-			f.carry(h, n.Post(l.From, body))
+	for _, l := range n.Payloads() {
+		for _, body := range f.Payloads.HandlePayload(h, l) {
+			f.carry(h, n.SendPayload(l.From, body))
 		}
 	}
 }
 
 // Send hands words to the ways that a router says outside Run, such as when it
 // leaves.
-func (f *Fleet) Send(i int, out []membership.Out) { f.carry(f.Hosts[i], out) }
+func (f *Fleet) Send(i int, out []membership.Outbound) { f.carry(f.Hosts[i], out) }
 
-// Agree tells whether all live routers hold just the live ones alive, and names
+// Converged tells whether all live routers hold just the live ones alive, and names
 // one who doesn't.
-func (f *Fleet) Agree() (bool, string) {
+func (f *Fleet) Converged() (bool, string) {
 	for _, h := range f.Hosts {
-		if h.Speaker == nil {
+		if h.Detector == nil {
 			continue
 		}
 		for _, x := range f.Hosts {
-			if s := h.Speaker.State(x.Name); (s == membership.Alive) != (x.Speaker != nil) {
+			if s := h.Detector.State(x.Name); (s == membership.StateAlive) != (x.Detector != nil) {
 				return false, fmt.Sprintf("%s holds %s %v", h.Name, x.Name, s)
 			}
 		}
--- a/internal/simfleet/trial.go
+++ b/internal/simfleet/trial.go
@@ -9,12 +9,12 @@
 	"quilldoor/internal/netsim"
 )
 
-// Plan of a trial. Times are microseconds.
-type Plan struct {
-	Routers int
-	Seed    uint64
-	Loss    float64 // on every way
-	Beats   bool    // the baseline in place of the router's knowledge
+// Experiment of a trial. Times are microseconds.
+type Experiment struct {
+	Routers    int
+	Seed       uint64
+	Loss       float64 // on every way
+	Heartbeats bool    // the baseline in place of the router's knowledge
 }
 
 // Of the trials: ways as in one data centre, beats as often as a question and its
@@ -25,17 +25,17 @@
 	sec                     = 1_000_000
 )
 
-// Site makes the fleet of a plan, with three seeds, all started at once.
-func (p Plan) Site() *Fleet {
+// NewFleet makes the fleet of a plan, with three seeds, all started at once.
+func (p Experiment) NewFleet() *Fleet {
 	net := netsim.New(trialDelay, trialJitter, rand.New(rand.NewPCG(p.Seed, 2)))
 	if p.Loss > 0 {
-		net.Add(&netsim.Trouble{Loss: p.Loss})
+		net.AddFault(&netsim.Fault{Loss: p.Loss})
 	}
-	f := New(p.Routers, p.Seed, net, func(h *Host, now int64) Speaker {
-		if p.Beats {
-			return NewBeats(h.Name, Seeds(p.Routers), beatEvery, beatAllowed, now+int64(h.ID)*beatEvery/int64(p.Routers))
+	f := New(p.Routers, p.Seed, net, func(h *Host, now int64) Detector {
+		if p.Heartbeats {
+			return NewHeartbeatDetector(h.Name, Seeds(p.Routers), beatEvery, beatAllowed, now+int64(h.ID)*beatEvery/int64(p.Routers))
 		}
-		return membership.New(membership.Settings{Name: h.Name, Place: "office", Addr: Addr(h.ID), Seeds: Seeds(min(p.Routers, 3)), Life: 1},
+		return membership.New(membership.Settings{Name: h.Name, Zone: "office", Addr: Addr(h.ID), Seeds: Seeds(min(p.Routers, 3)), Epoch: 1},
 			rand.New(rand.NewPCG(p.Seed, uint64(h.ID)<<16|uint64(h.life))), now)
 	})
 	for i := range p.Routers {
@@ -48,35 +48,35 @@
 func (f *Fleet) settle(within int64) (took int64, agreed bool) {
 	from := f.Now
 	for f.Now < from+within {
-		f.Until(f.Now + 20_000)
-		if ok, _ := f.Agree(); ok {
+		f.RunUntil(f.Now + 20_000)
+		if ok, _ := f.Converged(); ok {
 			return f.Now - from, true
 		}
 	}
 	return within, false
 }
 
-// Times are how long something took, over many tries, in microseconds.
-type Times struct {
+// Durations are how long something took, over many tries, in microseconds.
+type Durations struct {
 	*hdrhistogram.Histogram
 	Missed int // tries in which it did not come about
 }
 
-func newTimes() *Times { return &Times{Histogram: hdrhistogram.New(1000, 600*sec, 3)} }
+func newTimes() *Durations { return &Durations{Histogram: hdrhistogram.New(1000, 600*sec, 3)} }
 
 // Detection kills one router after another and takes the time until all the
 // others hold it dead.
-func (p Plan) Detection(kills int) *Times {
-	f := p.Site()
+func (p Experiment) Detection(kills int) *Durations {
+	f := p.NewFleet()
 	f.settle(120 * sec)
 	dice := rand.New(rand.NewPCG(p.Seed, 3))
 	out := newTimes()
 	for range kills {
-		f.Until(f.Now + 2*sec + dice.Int64N(sec))
+		f.RunUntil(f.Now + 2*sec + dice.Int64N(sec))
 		i := dice.IntN(p.Routers)
 		dead, at := 0, int64(0)
-		f.News = func(_ *Host, c membership.Change) {
-			if c.Name == Name(i) && c.To == membership.Dead {
+		f.OnChange = func(_ *Host, c membership.Change) {
+			if c.Name == Name(i) && c.To == membership.StateDead {
 				if dead++; dead == p.Routers-1 {
 					at = f.Now
 				}
@@ -84,8 +84,8 @@
 		}
 		f.Kill(i)
 		from := f.Now
-		f.Until(from + 20*sec)
-		if f.News = nil; at == 0 {
+		f.RunUntil(from + 20*sec)
+		if f.OnChange = nil; at == 0 {
 			out.Missed++
 		} else {
 			out.RecordValue(at - from)
@@ -96,29 +96,29 @@
 	return out
 }
 
-// Hour is what live routers were wrongly called in a long time with loss, stops
+// StabilityResult is what live routers were wrongly called in a long time with loss, stops
 // and starved ones.
-type Hour struct {
-	Stops               int
-	Suspicions          int64
-	Deaths              int     // live routers called dead, by anyone
-	SentPerS, HeardPerS float64 // bytes, mean of a router
+type StabilityResult struct {
+	Pauses                                     int
+	Suspicions                                 int64
+	Deaths                                     int     // live routers called dead, by anyone
+	SentBytesPerSecond, ReceivedBytesPerSecond float64 // bytes, mean of a router
 }
 
-// Hold plays for so long: a router is stopped for half a second every five, three
+// Stability plays for so long: a router is stopped for half a second every five, three
 // are starved of most of their time.
-func (p Plan) Hold(length int64) Hour {
-	f := p.Site()
+func (p Experiment) Stability(length int64) StabilityResult {
+	f := p.NewFleet()
 	f.settle(120 * sec)
 	for i := range 3 {
-		f.Starve(p.Routers-1-i, 0.6)
+		f.Throttle(p.Routers-1-i, 0.6)
 	}
-	var h Hour
-	f.News = func(_ *Host, c membership.Change) {
+	var h StabilityResult
+	f.OnChange = func(_ *Host, c membership.Change) {
 		switch c.To {
-		case membership.Suspected:
+		case membership.StateSuspect:
 			h.Suspicions++
-		case membership.Dead:
+		case membership.StateDead:
 			h.Deaths++
 		}
 	}
@@ -126,36 +126,36 @@
 	from := f.Now
 	var sent, heard int64
 	for _, x := range f.Hosts {
-		sent, heard = sent-x.SentBytes, heard-x.HeardBytes
+		sent, heard = sent-x.SentBytes, heard-x.ReceivedBytes
 	}
 	for at := from + sec; at < from+length; at += 5 * sec {
 		i := dice.IntN(p.Routers)
-		f.At(at, func() { f.Stop(i) })
-		f.At(at+sec/2, func() { f.Wake(i) })
-		h.Stops++
+		f.Schedule(at, func() { f.Pause(i) })
+		f.Schedule(at+sec/2, func() { f.Resume(i) })
+		h.Pauses++
 	}
-	f.Until(from + length)
+	f.RunUntil(from + length)
 	for _, x := range f.Hosts {
-		sent, heard = sent+x.SentBytes, heard+x.HeardBytes
+		sent, heard = sent+x.SentBytes, heard+x.ReceivedBytes
 	}
 	per := float64(length) / sec * float64(p.Routers)
-	h.SentPerS, h.HeardPerS = float64(sent)/per, float64(heard)/per
+	h.SentBytesPerSecond, h.ReceivedBytesPerSecond = float64(sent)/per, float64(heard)/per
 	return h
 }
 
-// Heal is a cut into halves and its end.
-type Heal struct {
-	Agreed       int64 // after the heal; 0: never
-	Known        int64 // after the cut, until each side holds all of the other dead; 0: never
-	Calm, During float64
+// PartitionResult is a cut into halves and its end.
+type PartitionResult struct {
+	ConvergedAfter                                 int64 // after the heal; 0: never
+	DetectedAfter                                  int64 // after the cut, until each side holds all of the other dead; 0: never
+	BaselineBytesPerSecond, RecoveryBytesPerSecond float64
 }
 
-// Cut cuts the routers into halves for so long and heals them. During is the
+// Partition cuts the routers into halves for so long and heals them. During is the
 // bytes a second of a router in the three seconds after, Calm those before.
-func (p Plan) Cut(length int64) (h Heal) {
-	f := p.Site()
+func (p Experiment) Partition(length int64) (h PartitionResult) {
+	f := p.NewFleet()
 	f.settle(120 * sec)
-	f.Until(f.Now + 10*sec)
+	f.RunUntil(f.Now + 10*sec)
 	sent := func() (sum int64) {
 		for _, x := range f.Hosts {
 			sum += x.SentBytes
@@ -164,8 +164,8 @@
 	}
 	per := func(from int64, s int64) float64 { return float64(sent()-from) * sec / float64(s) / float64(p.Routers) }
 	a := sent()
-	f.Until(f.Now + 5*sec)
-	h.Calm = per(a, 5*sec)
+	f.RunUntil(f.Now + 5*sec)
+	h.BaselineBytesPerSecond = per(a, 5*sec)
 	var left, right []int
 	for i := range p.Routers {
 		if i%2 == 0 {
@@ -175,27 +175,27 @@
 		}
 	}
 	from := f.Now
-	heal := f.Net.Camps(left, right)
+	heal := f.Network.Partition(left, right)
 	for f.Now < from+length {
-		f.Until(f.Now + 20_000)
-		if h.Known == 0 && f.split(left, right) {
-			h.Known = f.Now - from
+		f.RunUntil(f.Now + 20_000)
+		if h.DetectedAfter == 0 && f.split(left, right) {
+			h.DetectedAfter = f.Now - from
 		}
 	}
 	heal()
 	a, from = sent(), f.Now
 	if took, ok := f.settle(60 * sec); ok {
-		h.Agreed = took
+		h.ConvergedAfter = took
 	}
-	f.Until(max(from+3*sec, f.Now))
-	h.During = per(a, f.Now-from)
+	f.RunUntil(max(from+3*sec, f.Now))
+	h.RecoveryBytesPerSecond = per(a, f.Now-from)
 	return h
 }
 
 func (f *Fleet) split(left, right []int) bool {
 	for _, i := range left {
 		for _, j := range right {
-			if f.Hosts[i].Speaker.State(Name(j)) != membership.Dead || f.Hosts[j].Speaker.State(Name(i)) != membership.Dead {
+			if f.Hosts[i].Detector.State(Name(j)) != membership.StateDead || f.Hosts[j].Detector.State(Name(i)) != membership.StateDead {
 				return false
 			}
 		}
@@ -203,14 +203,14 @@
 	return true
 }
 
-// Half kills half of the routers in one instant and takes the time until all that
+// KillHalf kills half of the routers in one instant and takes the time until all that
 // are left hold all of them dead, then starts them together and takes the time
 // until all agree.
-func (p Plan) Half() (dead, back *Times) {
-	f := p.Site()
+func (p Experiment) KillHalf() (dead, back *Durations) {
+	f := p.NewFleet()
 	f.settle(120 * sec)
 	dead, back = newTimes(), newTimes()
-	f.Until(f.Now + 10*sec)
+	f.RunUntil(f.Now + 10*sec)
 	from := f.Now
 	for i := 0; i < p.Routers; i += 2 {
 		f.Kill(i)
@@ -218,7 +218,7 @@
 	gone := func() bool {
 		for i := 1; i < p.Routers; i += 2 {
 			for j := 0; j < p.Routers; j += 2 {
-				if f.Hosts[i].Speaker.State(Name(j)) != membership.Dead {
+				if f.Hosts[i].Detector.State(Name(j)) != membership.StateDead {
 					return false
 				}
 			}
@@ -226,7 +226,7 @@
 		return true
 	}
 	for !gone() && f.Now < from+60*sec {
-		f.Until(f.Now + 20_000)
+		f.RunUntil(f.Now + 20_000)
 	}
 	if gone() {
 		dead.RecordValue(f.Now - from)
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -94,7 +94,7 @@
 func (w *World) begin(c *client) {
 	l := &w.set.Load
 	c.first, c.honours = w.now, w.dice.Float64() < l.Honour
-	c.patience = int64(float64(w.rules[c.rule].TimeLimit) * l.Patience)
+	c.patience = int64(float64(w.rules[c.rule].Timeout) * l.Patience)
 	c.phase = w.phase()
 	w.Result.asked(w, c)
 	w.live++
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -80,7 +80,7 @@
 	r.now.Asked++
 	o := r.of(c)
 	o.Asked++
-	o.WorthMost += w.rules[c.rule].Importance
+	o.WorthMost += w.rules[c.rule].PriorityWeight
 	if c.phase != "settle" && c.rule != scenario.Accept {
 		r.AskedKB += w.cat.size(c.object, c.part)
 	}
@@ -106,18 +106,18 @@
 	if k.Write {
 		work = 0
 	}
-	o, worth := r.of(c), k.Importance
-	if took <= k.SLA+int64(k.Stretch*work) {
+	o, worth := r.of(c), k.PriorityWeight
+	if took <= k.LatencyObjective+int64(k.ObjectiveStretch*work) {
 		o.InTime++
 		r.now.InTime++
 	} else {
 		o.Late++
 		r.now.Late++
-		worth *= k.LateShare
+		worth *= k.LateValueShare
 	}
-	if !k.Write && k.Fresh > 0 && w.now-issued > k.Fresh {
+	if !k.Write && k.FreshFor > 0 && w.now-issued > k.FreshFor {
 		o.Stale++
-		worth *= k.StaleShare
+		worth *= k.StaleValueShare
 	}
 	o.Worth += worth
 }
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -72,7 +72,7 @@
 }
 
 func (s *server) entry() Server {
-	e := Server{policy.Entry{Server: s.uid, Kind: kindNames[s.kind], State: s.listed, Weight: s.weight, Born: s.born}}
+	e := Server{policy.Endpoint{ID: s.uid, Kind: kindNames[s.kind], State: s.listed, Weight: s.weight, StartedAt: s.born}}
 	if s.office >= 0 {
 		e.Zone = zoneName(s.office)
 	} else {
@@ -411,13 +411,13 @@
 	key := keyOf(h.obj, h.Part)
 	within := h.Within
 	if within == 0 {
-		within = w.rules[h.Rule].Fresh
+		within = w.rules[h.Rule].FreshFor
 	}
 	s.served++
 	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
 		s.hits++
 		note := noteHit
-		if w.now-c.issued > w.rules[h.Rule].Fresh {
+		if w.now-c.issued > w.rules[h.Rule].FreshFor {
 			note = noteStale
 		}
 		s.send(h, note, c.issued, 0)
@@ -618,7 +618,7 @@
 	key, life := keyOf(h.obj, h.Part), s.life
 	within := h.Within
 	if within == 0 {
-		within = w.rules[h.Rule].Fresh
+		within = w.rules[h.Rule].FreshFor
 	}
 	s.served++
 	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -37,7 +37,7 @@
 
 // Server is a line of the list.
 type Server struct {
-	policy.Entry
+	policy.Endpoint
 }
 
 // Notice is one event of the board: servers, or a purge.
@@ -122,7 +122,7 @@
 	end    int64 // clients come until then
 	set    *scenario.Script
 	driver Driver
-	rules  []policy.RemapRule
+	rules  []policy.TrafficClass
 	now    int64
 	seq    int64
 	events events
@@ -157,7 +157,7 @@
 	Result *Result
 
 	// Ways between routers, with dice of their own.
-	Ways     *netsim.Net
+	Ways     *netsim.Network
 	wayDice  *rand.Rand
 	lastTurn int64 // when a trouble began or ended last
 }
@@ -261,7 +261,7 @@
 }
 
 // RuleOf is a remap rule by its place in the settings.
-func (w *World) RuleOf(i int) policy.RemapRule { return w.rules[i] }
+func (w *World) RuleOf(i int) policy.TrafficClass { return w.rules[i] }
 
 // Now is the world's time.
 func (w *World) Now() int64 { return w.now }
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, s := range n.Servers {
-		w.note(Entry{Kind: "told", Router: r.id, Server: s.Server, State: s.State})
+		w.note(Entry{Kind: "told", Router: r.id, Server: s.ID, State: s.State})
 	}
 	if n.Purge {
 		w.note(Entry{Kind: "told_purge", Router: r.id, Object: n.Object, Group: n.Group, Until: n.At})
@@ -400,7 +400,7 @@
 	}
 	w.wayDice.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	some := all[:min(len(all), int(math.Ceil(t.Share*float64(len(all)))))]
-	x := &netsim.Trouble{From: some, Both: true}
+	x := &netsim.Fault{From: some, Bidirectional: true}
 	switch t.Kind {
 	case "ways_delay":
 		x.Delay = int64(t.Strength * 1000)
@@ -409,18 +409,18 @@
 	case "ways_loss":
 		x.Loss = t.Strength
 	case "ways_double":
-		x.Double = t.Strength
+		x.Duplicate = t.Strength
 	case "ways_reorder":
 		x.Reorder = t.Strength
 	case "ways_slow":
-		x.PerS = t.Strength * 1000
+		x.BytesPerSecond = t.Strength * 1000
 	case "ways_cut":
-		x.Cut = true
+		x.Partitioned = true
 	case "ways_one_way":
-		x.Cut, x.Both = true, false
+		x.Partitioned, x.Bidirectional = true, false
 	case "ways_chain":
 		third := len(all) / 3
-		return w.Ways.Camps(all[:third], all[third:2*third])
+		return w.Ways.Partition(all[:third], all[third:2*third])
 	default: // ways_camps
 		parts := int(t.Strength)
 		first := int(math.Ceil(t.Share * float64(len(all))))
@@ -432,9 +432,9 @@
 			n := len(rest) / (parts - i)
 			camps, rest = append(camps, rest[:n]), rest[n:]
 		}
-		return w.Ways.Camps(camps...)
+		return w.Ways.Partition(camps...)
 	}
-	return w.Ways.Add(x)
+	return w.Ways.AddFault(x)
 }
 
 func (w *World) loseRouters(t *scenario.Trouble) (over func()) {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -13,9 +13,9 @@
 
 // Batch is one line of input.
 type Batch struct {
-	Turn  int64
-	Now   int64
-	Input []json.RawMessage
+	Turn      int64
+	NowMicros int64
+	Events    []json.RawMessage
 }
 
 // Message is one event of a batch.
@@ -27,34 +27,34 @@
 	Seed     uint64
 	Settings policy.Settings
 
-	Page    int
-	Entries []policy.Entry
+	Page      int
+	Endpoints []policy.Endpoint
 }
 
 // Verbs that concern the host rather than an instance's module.
 const (
-	PowerOn   = "PowerOn"
-	Detach    = "Detach"
-	Inventory = "Inventory"
-	Discovery = "Discovery"
+	VerbPowerOn   = "PowerOn"
+	VerbDetach    = "Detach"
+	VerbInventory = "Inventory"
+	VerbDiscovery = "Discovery"
 )
 
 var kinds = map[string]policy.EventKind{
-	Discovery:       policy.EvDiscovery,
-	"NewRequest":    policy.EvTxn,
-	"Health":        policy.EvHealth,
-	"NeighbourSays": policy.EvPeer,
-	"Reminder":      policy.EvTimer,
-	"Started":       policy.EvStarted,
-	"Outdated":      policy.EvPurge,
-	"Answer":        policy.EvAnswer,
-	"Abandoned":     policy.EvAbandoned,
+	VerbDiscovery:   policy.EventEndpoints,
+	"NewRequest":    policy.EventRequest,
+	"Health":        policy.EventHealthCheck,
+	"NeighbourSays": policy.EventPeerMessage,
+	"Reminder":      policy.EventTimer,
+	"Started":       policy.EventResponseStarted,
+	"Outdated":      policy.EventPurge,
+	"Answer":        policy.EventAttemptEnded,
+	"Abandoned":     policy.EventClientGone,
 }
 
-// Known tells whether a verb stands on the wire's list of events.
-func Known(verb string) bool {
+// KnownVerb tells whether a verb stands on the wire's list of events.
+func KnownVerb(verb string) bool {
 	_, ok := kinds[verb]
-	return ok || verb == PowerOn || verb == Detach || verb == Inventory
+	return ok || verb == VerbPowerOn || verb == VerbDetach || verb == VerbInventory
 }
 
 func millis(us int64) float64 { return float64(us) / 1000 }
@@ -134,39 +134,39 @@
 		return Message{}, fmt.Errorf("no verb")
 	}
 	m := Message{Verb: *head.Verb}
-	if !Known(m.Verb) {
+	if !KnownVerb(m.Verb) {
 		return m, nil
 	}
 	var e event
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return m, fmt.Errorf("%s: %w", m.Verb, err)
 	}
-	if m.Verb != Inventory {
+	if m.Verb != VerbInventory {
 		if e.I == nil {
 			return m, fmt.Errorf("%s: no I", m.Verb)
 		}
 		m.Instance = *e.I
 	}
 	switch m.Verb {
-	case PowerOn:
+	case VerbPowerOn:
 		if e.Setup == nil {
 			return m, fmt.Errorf("PowerOn: no Setup")
 		}
-		m.Seed, m.Settings = e.Seed, e.Setup.Logic()
+		m.Seed, m.Settings = e.Seed, e.Setup.PolicySettings()
 		return m, nil
-	case Inventory:
+	case VerbInventory:
 		if e.Page == nil {
 			return m, fmt.Errorf("Inventory: no Page")
 		}
 		m.Page = *e.Page
 		for _, n := range e.NodesList {
-			m.Entries = append(m.Entries, policy.Entry{
-				Server: n.Server, Zone: n.Site, Kind: n.Kind, Cell: n.Stripe,
-				State: n.Availability, Weight: n.Heft, Born: settings.Micros(n.BornMs),
+			m.Endpoints = append(m.Endpoints, policy.Endpoint{
+				ID: n.Server, Zone: n.Site, Kind: n.Kind, Cell: n.Stripe,
+				State: n.Availability, Weight: n.Heft, StartedAt: settings.Micros(n.BornMs),
 			})
 		}
 		return m, nil
-	case Discovery:
+	case VerbDiscovery:
 		if e.Page == nil && e.Scope != "error" {
 			return m, fmt.Errorf("Discovery: no Page")
 		}
@@ -180,10 +180,10 @@
 	}
 	tenant, _ := e.Team.(string)
 	m.Event = policy.Event{
-		Kind: kinds[m.Verb], Scope: e.Scope, Txn: e.OpId, Rule: e.Grade, Object: e.ContentId,
+		Kind: kinds[m.Verb], Scope: e.Scope, Request: e.OpId, Class: e.Grade, Object: e.ContentId,
 		Group: e.BatchId, Part: int64(e.Piece), SizeKB: e.LengthKb, Remaining: settings.Micros(e.RemainingMs),
-		Repeat: e.Attrs&2 != 0, Write: e.Attrs&4 != 0, Tenant: tenant, Server: e.Server, Hop: e.RoundNo,
-		Code: e.Rc, Note: e.Remark, Final: e.Final, RTT: settings.Micros(e.RttMs), Waited: settings.Micros(e.WaitedMs),
+		ClientRetry: e.Attrs&2 != 0, Write: e.Attrs&4 != 0, Tenant: tenant, Endpoint: e.Server, Attempt: e.RoundNo,
+		Outcome: e.Rc, Reason: e.Remark, Final: e.Final, RTT: settings.Micros(e.RttMs), OriginWait: settings.Micros(e.WaitedMs),
 		Load: e.Stats, Token: e.Ctx, Age: settings.Micros(e.AgeMs), Peer: e.By, Data: data,
 	}
 	return m, nil
@@ -209,51 +209,51 @@
 	Message    string   `json:",omitempty"`
 }
 
-// Reply collects the decisions of one batch.
-type Reply struct {
+// Response collects the decisions of one batch.
+type Response struct {
 	Turn      int64      `json:"turn"`
 	Decisions []decision `json:"decisions"`
 }
 
-// NewReply starts the reply to a batch.
-func NewReply(turn int64) *Reply { return &Reply{turn, []decision{}} }
+// NewResponse starts the reply to a batch.
+func NewResponse(turn int64) *Response { return &Response{turn, []decision{}} }
 
 // Add appends an instance's actions.
-func (r *Reply) Add(instance int, actions []policy.Action) {
+func (r *Response) Add(instance int, actions []policy.Action) {
 	for _, a := range actions {
-		d := decision{I: instance, OpId: a.Txn, Server: a.Server}
+		d := decision{I: instance, OpId: a.Request, Server: a.Endpoint}
 		switch a.Kind {
-		case policy.ActGet:
-			d.Verb, d.FillFrom, d.Rank, d.Mode = "Get", a.Source, &a.Rank, a.Mode
-			d.AgeMs, d.CapMs = millis(a.Age), millis(a.Cap)
-		case policy.ActPass:
-			d.Verb, d.CapMs = "PassOn", millis(a.Cap)
-		case policy.ActAbort:
+		case policy.ActionSend:
+			d.Verb, d.FillFrom, d.Rank, d.Mode = "Get", a.Source, &a.CachePriority, a.Mode
+			d.AgeMs, d.CapMs = millis(a.MaxAge), millis(a.Timeout)
+		case policy.ActionForward:
+			d.Verb, d.CapMs = "PassOn", millis(a.Timeout)
+		case policy.ActionFail:
 			d.Verb = "RespondError"
-		case policy.ActReject:
-			d.Verb, d.StayAwayMs = "OverloadReply", millis(a.Stay)
-		case policy.ActCancel:
-			d.Verb, d.RoundNo = "StopAttempt", &a.Hop
-		case policy.ActTimer:
+		case policy.ActionReject:
+			d.Verb, d.StayAwayMs = "OverloadReply", millis(a.RetryAfter)
+		case policy.ActionCancel:
+			d.Verb, d.RoundNo = "StopAttempt", &a.Attempt
+		case policy.ActionSetTimer:
 			due := millis(a.Due)
 			d.Verb, d.DueAtMs, d.Ctx = "Defer", &due, &a.Token
-		case policy.ActProbe:
+		case policy.ActionHealthCheck:
 			d.Verb = "Ping"
-		case policy.ActSubscribe:
+		case policy.ActionSubscribe:
 			on := true
 			d.Verb, d.Active = "Subscribe", &on
-		case policy.ActFetch:
+		case policy.ActionFetch:
 			d.Verb = "Fetch"
-		case policy.ActLog:
+		case policy.ActionLog:
 			d.Verb, d.Message = "JournalLine", a.Text
-		case policy.ActTell:
+		case policy.ActionTellPeer:
 			d.Verb, d.Data = "Say", hex.EncodeToString(a.Data)
 			if a.Peer >= 0 {
 				d.Addressee = &a.Peer
 			}
-		case policy.ActDisconnect:
+		case policy.ActionDisconnect:
 			d.Verb = "Disconnect"
-		case policy.ActPanic:
+		case policy.ActionPanic:
 			d.Verb, d.Message = "Panic", a.Text
 		}
 		r.Decisions = append(r.Decisions, d)
@@ -261,7 +261,7 @@
 }
 
 // Encode writes the reply as one line.
-func (r *Reply) Encode() ([]byte, error) {
+func (r *Response) Encode() ([]byte, error) {
 	line, err := json.Marshal(r)
 	return append(line, '\n'), err
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -7,19 +7,19 @@
 import "sync"
 
 const (
-	// Every is how often Tick wants to be called, microseconds.
-	Every = 20_000
+	// TickIntervalMicros is how often Tick wants to be called, microseconds.
+	TickIntervalMicros = 20_000
 	// least is what counts as standing still: five ticks, more than a busy core
 	// keeps a goroutine waiting.
 	least = 100_000
-	// After is how long after it what is read may have waited meanwhile: all that
+	// BufferDrainMicros is how long after it what is read may have waited meanwhile: all that
 	// is in the sockets' buffers is read by then.
-	After = 100_000
+	BufferDrainMicros = 100_000
 )
 
-// Watch remembers when the process stood still last. Its zero is not ready: call
+// Detector remembers when the process stood still last. Its zero is not ready: call
 // Tick first.
-type Watch struct {
+type Detector struct {
 	mu   sync.Mutex
 	last int64 // tick
 	gap  int64 // of the last standstill
@@ -27,7 +27,7 @@
 }
 
 // Tick tells that the process runs.
-func (w *Watch) Tick(now int64) {
+func (w *Detector) Tick(now int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.last > 0 && now-w.last > least {
@@ -36,9 +36,9 @@
 	w.last = now
 }
 
-// Waited is how long what is read now may have waited for the process at most;
+// MaxWaitMicros is how long what is read now may have waited for the process at most;
 // 0: it did not stand still lately. All are microseconds of a steady clock.
-func (w *Watch) Waited(now int64) int64 {
+func (w *Detector) MaxWaitMicros(now int64) int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -46,7 +46,7 @@
 		return 0
 	case now-w.last > least: // reading is ahead of the first tick
 		return now - w.last
-	case w.gap > 0 && now-w.woke < After:
+	case w.gap > 0 && now-w.woke < BufferDrainMicros:
 		return max(w.gap+now-w.woke, 0) // 0: it was read before the process stood still
 	}
 	return 0
--- a/internal/supervisor/plan.go
+++ b/internal/supervisor/plan.go
@@ -21,9 +21,9 @@
 	"quilldoor/internal/upgrade"
 )
 
-// Checked is what a program says of settings: `check --json`. Unknown keys of a later
+// CheckResult is what a program says of settings: `check --json`. Unknown keys of a later
 // text are passed over.
-type Checked struct {
+type CheckResult struct {
 	Format      int
 	Version     string
 	Name        string
@@ -40,7 +40,7 @@
 var platformKeys = []string{"name", "listen", "seed", "board", "known", "limits"}
 
 // merge writes the configuration that a generation is started with.
-func (k *Keeper) merge(m *handoff.Manifest, seed string, bound upgrade.Use) (string, error) {
+func (k *Supervisor) merge(m *handoff.Manifest, seed string, bound upgrade.Resources) (string, error) {
 	var own, platform map[string]json.RawMessage
 	if err := readJSON(m.Config, &own); err != nil {
 		return "", err
@@ -55,7 +55,7 @@
 	}
 	limits := map[string]any{}
 	json.Unmarshal(own["limits"], &limits)
-	if bound != (upgrade.Use{}) {
+	if bound != (upgrade.Resources{}) {
 		limits["memory_mb"], limits["sockets"] = bound.MemoryMB, bound.Descriptors
 	}
 	own["limits"], _ = json.Marshal(limits)
@@ -65,7 +65,7 @@
 		return "", err
 	}
 	path := k.path(strconv.FormatUint(m.Generation, 10), "run.json")
-	return path, handoff.Put(path, text)
+	return path, handoff.WriteFileAtomic(path, text)
 }
 
 func readJSON(path string, into any) error {
@@ -86,7 +86,7 @@
 }
 
 // prepare makes a generation's folder: copies of its settings, and what it is.
-func (k *Keeper) prepare(n uint64, program, config, own string) (*handoff.Manifest, *Checked, error) {
+func (k *Supervisor) prepare(n uint64, program, config, own string) (*handoff.Manifest, *CheckResult, error) {
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return nil, nil, err
@@ -105,11 +105,11 @@
 		if len(text) > most {
 			return nil, nil, fmt.Errorf("%s: longer than %d MB", f.from, most>>20)
 		}
-		if err := handoff.Put(f.to, text); err != nil {
+		if err := handoff.WriteFileAtomic(f.to, text); err != nil {
 			return nil, nil, err
 		}
 	}
-	if m.ProgramSum, err = handoff.Sum(program); err != nil {
+	if m.ProgramSum, err = handoff.FileDigest(program); err != nil {
 		return nil, nil, fmt.Errorf("program: %w", err)
 	}
 	c, err := k.check(m)
@@ -118,17 +118,17 @@
 	}
 	m.Settings, m.Version = c.Digest, c.Version
 	if text, err := json.Marshal(c.Flat); err == nil {
-		err = handoff.Put(filepath.Join(folder, flatName), text)
+		err = handoff.WriteFileAtomic(filepath.Join(folder, flatName), text)
 	}
 	text, err := json.Marshal(m)
 	if err == nil {
-		err = handoff.Put(filepath.Join(folder, manifestName), text)
+		err = handoff.WriteFileAtomic(filepath.Join(folder, manifestName), text)
 	}
 	return m, c, err
 }
 
 // manifest reads what a generation is.
-func (k *Keeper) manifest(n uint64) (*handoff.Manifest, error) {
+func (k *Supervisor) manifest(n uint64) (*handoff.Manifest, error) {
 	m := new(handoff.Manifest)
 	if err := readJSON(k.path(strconv.FormatUint(n, 10), manifestName), m); err != nil {
 		return nil, err
@@ -140,9 +140,9 @@
 }
 
 // check lets a generation's program read its settings.
-func (k *Keeper) check(m *handoff.Manifest) (*Checked, error) {
+func (k *Supervisor) check(m *handoff.Manifest) (*CheckResult, error) {
 	const within, most = 9 * time.Second, 16 << 20 // sooner than the machine gives up
-	path, err := k.merge(m, "1", upgrade.Use{})
+	path, err := k.merge(m, "1", upgrade.Resources{})
 	if err != nil {
 		return nil, err
 	}
@@ -158,7 +158,7 @@
 		text := strings.TrimSpace(said.String())
 		return nil, errors.New(cmp.Or(text, "check: "+err.Error()))
 	}
-	c := new(Checked)
+	c := new(CheckResult)
 	if err := json.Unmarshal(out.Bytes(), c); err != nil || c.Format < 1 || c.Sockets["listen"] == "" {
 		return nil, fmt.Errorf("check: the program says nothing that a keeper can read (%v)", err)
 	}
@@ -177,14 +177,14 @@
 }
 
 // checkPlan prepares the change that is asked for, beside the loop.
-func (k *Keeper) checkPlan() {
+func (k *Supervisor) checkPlan() {
 	p := k.plan
 	ask := p.manifest
 	n := k.file.Next
 	k.file.Next++
 	settled := k.file.Settled
 	p.manifest = nil
-	var old upgrade.Use
+	var old upgrade.Resources
 	for _, x := range k.procs() { // those that still drain, too
 		old.MemoryMB += x.use.MemoryMB
 		old.Descriptors += x.use.Descriptors
@@ -196,8 +196,8 @@
 		if err == nil {
 			diff, err = k.differ(settled, c)
 		}
-		_, ok := upgrade.Verdict(diff)
-		bound, room := upgrade.Beside(k.all, old)
+		_, ok := upgrade.HardestMode(diff)
+		bound, room := upgrade.ShareBudget(k.all, old)
 		k.events <- func() {
 			if k.plan != p {
 				return // it took too long, and was refused
@@ -206,22 +206,22 @@
 			case err != nil:
 				p.note = err.Error()
 			case !ok:
-				p.note = "keys that can't change on this router: " + words(diff, upgrade.Never)
+				p.note = "keys that can't change on this router: " + words(diff, upgrade.ModeNever)
 			case room != nil:
 				p.note = room.Error()
 			default:
 				p.manifest, p.bound = m, bound
-				k.say("checked: %s; %d MB and %d descriptors beside the present generation; %s", m.Version, bound.MemoryMB, bound.Descriptors, cmp.Or(words(diff, upgrade.HandOver), "no key differs"))
-				k.feed(upgrade.Checked)
+				k.say("checked: %s; %d MB and %d descriptors beside the present generation; %s", m.Version, bound.MemoryMB, bound.Descriptors, cmp.Or(words(diff, upgrade.ModeHandoff), "no key differs"))
+				k.feed(upgrade.InputChecked)
 				return
 			}
-			k.feed(upgrade.Refused)
+			k.feed(upgrade.InputRejected)
 		}
 	}()
 }
 
 // differ names the keys in which settings differ from those that are settled.
-func (k *Keeper) differ(settled *handoff.Manifest, c *Checked) ([]upgrade.Change, error) {
+func (k *Supervisor) differ(settled *handoff.Manifest, c *CheckResult) ([]upgrade.Change, error) {
 	was := map[string]string{}
 	if err := readJSON(k.path(strconv.FormatUint(settled.Generation, 10), flatName), &was); err != nil {
 		return nil, err
@@ -230,11 +230,11 @@
 }
 
 // words tells the changes of a kind, or of lesser ones.
-func words(diff []upgrade.Change, most upgrade.How) string {
+func words(diff []upgrade.Change, most upgrade.ChangeMode) string {
 	const many = 12
 	var out []string
 	for _, d := range diff {
-		if d.How == most || most == upgrade.HandOver && d.How == upgrade.Live {
+		if d.Mode == most || most == upgrade.ModeHandoff && d.Mode == upgrade.ModeLive {
 			out = append(out, d.String())
 		}
 	}
@@ -245,7 +245,7 @@
 }
 
 // reload lets the settled generation read again what can change while it runs.
-func (k *Keeper) reload() {
+func (k *Supervisor) reload() {
 	if k.old == nil {
 		return
 	}
@@ -253,44 +253,44 @@
 		k.Log.WithError(err).Error("keeper: new configuration refused, the old one stays")
 		return
 	}
-	k.old.say(&handoff.Word{Kind: handoff.Reload})
+	k.old.say(&handoff.Message{Kind: handoff.KindReload})
 	if k.eyes != nil {
 		k.eyes.follow()
 	}
 }
 
 // say tells who waits how a change goes on.
-func (k *Keeper) say(format string, args ...any) {
+func (k *Supervisor) say(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	k.Log.Info("keeper: " + text)
 	for _, c := range k.tools {
-		c.Say(&handoff.Word{Kind: handoff.Report, Note: text})
+		c.Send(&handoff.Message{Kind: handoff.KindReport, Note: text})
 	}
 }
 
 // tool does what a tool asks for.
-func (k *Keeper) tool(c *call) {
+func (k *Supervisor) tool(c *call) {
 	over := func(ok bool, format string, args ...any) {
-		c.conn.Say(&handoff.Word{Kind: handoff.Report, Note: fmt.Sprintf(format, args...), OK: ok, Over: true, Standing: k.standing()})
+		c.conn.Send(&handoff.Message{Kind: handoff.KindReport, Note: fmt.Sprintf(format, args...), OK: ok, Final: true, Status: k.standing()})
 		c.conn.Close()
 	}
 	switch w := c.word; w.Kind {
-	case handoff.Status:
+	case handoff.KindStatus:
 		over(true, "")
-	case handoff.Roll:
+	case handoff.KindRollout:
 		k.command(c, w.Command)
-	case handoff.Apply:
+	case handoff.KindApply:
 		k.apply(c, &handoff.Manifest{Program: w.Program, Config: w.Config, Operator: w.Operator}, over)
-	case handoff.Back:
+	case handoff.KindRollBack:
 		switch p := k.file.Previous; {
-		case k.machine.State == upgrade.Steady && p == nil:
+		case k.machine.State == upgrade.StateSteady && p == nil:
 			over(false, "there is no generation before the settled one")
-		case k.machine.State == upgrade.Steady:
+		case k.machine.State == upgrade.StateSteady:
 			k.apply(c, &handoff.Manifest{Program: p.Program, Config: p.Config, Operator: p.Operator}, over)
 		case k.plan != nil && len(k.tools) < mostTools:
 			k.tools = append(k.tools, c.conn)
 			k.note("the operator wants the present generation back")
-			k.feed(upgrade.Cancel)
+			k.feed(upgrade.InputCancel)
 		default:
 			over(false, "nobody serves: %v", k.machine.State)
 		}
@@ -299,33 +299,33 @@
 	}
 }
 
-func (k *Keeper) apply(c *call, m *handoff.Manifest, over func(bool, string, ...any)) {
+func (k *Supervisor) apply(c *call, m *handoff.Manifest, over func(bool, string, ...any)) {
 	if k.machine.Busy() {
 		over(false, "refused: %v", k.machine.State)
 		return
 	}
 	k.tools = append(k.tools, c.conn)
 	k.plan = &plan{manifest: m}
-	k.feed(upgrade.Apply)
+	k.feed(upgrade.InputApply)
 }
 
 // standing is what the keeper tells of itself.
-func (k *Keeper) standing() *handoff.Standing {
-	s := &handoff.Standing{State: k.machine.State.String(), SinceMS: (k.now() - k.machine.Since()) / 1000, Settled: k.file.Settled, Previous: k.file.Previous,
-		Last: k.last, Lasting: k.lasting, KeeperPID: os.Getpid(), Restarts: max(k.restarts-1, 0), LastFallMS: k.fallMS, Others: len(k.leaving), MostMB: k.most.MemoryMB, MostFDs: k.most.Descriptors}
+func (k *Supervisor) standing() *handoff.Status {
+	s := &handoff.Status{State: k.machine.State.String(), SinceMS: (k.now() - k.machine.SinceMicros()) / 1000, Settled: k.file.Settled, Previous: k.file.Previous,
+		LastOutcome: k.last, Persistent: k.lasting, SupervisorPID: os.Getpid(), Restarts: max(k.restarts-1, 0), LastCrashMS: k.fallMS, DrainingProcesses: len(k.leaving), PeakMB: k.most.MemoryMB, PeakDescriptors: k.most.Descriptors}
 	of := func(p *proc) *handoff.Process {
 		if p == nil {
 			return nil
 		}
-		return &handoff.Process{Generation: p.manifest.Generation, PID: p.pid, Part: p.part.String(), MemoryMB: p.use.MemoryMB, Descriptors: p.use.Descriptors,
-			Ends: p.ends, BeatMS: time.Since(p.beatAt).Milliseconds(), Broken: k.seen(p, nil).Text}
+		return &handoff.Process{Generation: p.manifest.Generation, PID: p.pid, AgentState: p.part.String(), MemoryMB: p.use.MemoryMB, Descriptors: p.use.Descriptors,
+			Requests: p.ends, HeartbeatAgeMS: time.Since(p.beatAt).Milliseconds(), ViolatedRule: k.seen(p, nil).Text}
 	}
 	s.Serving, s.Next = of(k.old), of(k.new)
 	return s
 }
 
-// Settled are the flat settings of what a keeper's folder has as settled.
-func Settled(folder string) (map[string]string, error) {
+// SettledSettings are the flat settings of what a keeper's folder has as settled.
+func SettledSettings(folder string) (map[string]string, error) {
 	f, err := handoff.ReadFile(filepath.Join(folder, fileName))
 	if err != nil {
 		return nil, err
--- a/internal/supervisor/proc.go
+++ b/internal/supervisor/proc.go
@@ -28,22 +28,22 @@
 	cmd        *exec.Cmd // nil: a keeper before has started it
 	conn       *handoff.Conn
 	seed       string
-	bound      upgrade.Use
-	use        upgrade.Use
+	bound      upgrade.Resources
+	use        upgrade.Resources
 	hello      bool
 	gone       bool
 	wasSettled bool
-	part       upgrade.PartState
-	ends       upgrade.Ends
+	part       upgrade.AgentState
+	ends       upgrade.RequestCounts
 	outs       map[string][3]float64
 	beatAt     time.Time
 	killAt     time.Time // while it leaves
 }
 
 // say tells the process. One that does not take it in is found by its silence.
-func (p *proc) say(w *handoff.Word) {
+func (p *proc) say(w *handoff.Message) {
 	if p.conn != nil {
-		p.conn.Say(w)
+		p.conn.Send(w)
 	}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // launch starts a generation and hands the sockets down.
-func (k *Keeper) launch(m *handoff.Manifest, bound upgrade.Use) (*proc, error) {
+func (k *Supervisor) launch(m *handoff.Manifest, bound upgrade.Resources) (*proc, error) {
 	p := &proc{manifest: m, bound: bound, beatAt: time.Now(), seed: seed()}
 	config, err := k.merge(m, p.seed, bound)
 	if err != nil {
@@ -109,9 +109,9 @@
 }
 
 // hear passes a process's words to the loop, until the connection ends.
-func (k *Keeper) hear(p *proc, c *handoff.Conn) {
+func (k *Supervisor) hear(p *proc, c *handoff.Conn) {
 	for {
-		w, err := c.Hear()
+		w, err := c.Receive()
 		if err != nil {
 			return // its end, or its silence, is found otherwise; it may call again
 		}
@@ -120,7 +120,7 @@
 }
 
 // ended takes a process's end.
-func (k *Keeper) ended(p *proc) {
+func (k *Supervisor) ended(p *proc) {
 	if p.gone {
 		return
 	}
@@ -130,7 +130,7 @@
 	}
 	k.leaving = slices.DeleteFunc(k.leaving, func(x *proc) bool { return x == p })
 	if k.eyes != nil {
-		k.eyes.judge.Ended(p.pid64())
+		k.eyes.judge.ProcessEnded(p.pid64())
 		delete(k.eyes.told, p.pid)
 	}
 	switch p {
@@ -138,12 +138,12 @@
 		k.old = nil
 		k.fell = time.Now()
 		k.note("the settled generation has ended")
-		k.feed(upgrade.OldGone)
+		k.feed(upgrade.InputOldGone)
 	case k.new:
 		k.new = nil
 		k.fell = time.Now()
 		k.note("the new generation has ended")
-		k.feed(upgrade.NewGone)
+		k.feed(upgrade.InputNewGone)
 	}
 	for _, q := range k.procs() {
 		k.beside(q)
@@ -151,7 +151,7 @@
 }
 
 // heard takes a process's word.
-func (k *Keeper) heard(p *proc, w *handoff.Word) {
+func (k *Supervisor) heard(p *proc, w *handoff.Message) {
 	p.beatAt = time.Now()
 	isOld, isNew := p == k.old, p == k.new
 	pick := func(old, new upgrade.Input) {
@@ -163,38 +163,38 @@
 		}
 	}
 	switch w.Kind {
-	case handoff.Letter:
+	case handoff.KindPeerMessage:
 		k.letter(w)
-	case handoff.Hello:
+	case handoff.KindHello:
 		p.hello = true
 		if w.Format < 1 {
 			k.note("the generation names no format")
 			p.kill()
 		}
-	case handoff.Ready:
-		pick(upgrade.OldReady, upgrade.NewReady)
-	case handoff.Released:
+	case handoff.KindReady:
+		pick(upgrade.InputOldReady, upgrade.InputNewReady)
+	case handoff.KindReleased:
 		if isOld {
 			k.state = w.State
-			k.feed(upgrade.Released)
+			k.feed(upgrade.InputReleased)
 		}
-	case handoff.Accepting:
+	case handoff.KindAccepting:
 		if isOld && !k.fell.IsZero() {
 			k.fallMS = time.Since(k.fell).Milliseconds()
 			k.fell = time.Time{}
 		}
-		pick(upgrade.OldServes, upgrade.NewServes)
-	case handoff.Denied:
+		pick(upgrade.InputOldServes, upgrade.InputNewServes)
+	case handoff.KindDenied:
 		if isNew {
 			k.note("the new generation did not get the place")
-			k.feed(upgrade.Denied)
+			k.feed(upgrade.InputDenied)
 		}
-	case handoff.Settled:
+	case handoff.KindSettled:
 		if isNew {
-			k.feed(upgrade.Settled)
+			k.feed(upgrade.InputSettled)
 		}
-	case handoff.Beat:
-		p.ends, p.outs, p.part = w.Ends, w.Outs, w.Part
+	case handoff.KindHeartbeat:
+		p.ends, p.outs, p.part = w.Requests, w.OutstandingAttempts, w.AgentState
 		k.acted(p, w)
 		if len(k.procs()) > 1 {
 			for _, q := range k.procs() {
@@ -204,19 +204,19 @@
 			}
 		}
 		if isOld && k.new == nil {
-			k.judge.Old(k.now(), p.ends)
+			k.judge.ObserveOld(k.now(), p.ends)
 		}
-		if isNew && k.machine.State == upgrade.OnTrial {
-			if err := k.judge.New(p.ends); err != nil {
+		if isNew && k.machine.State == upgrade.StateOnTrial {
+			if err := k.judge.ObserveNew(p.ends); err != nil {
 				k.note("the new generation does worse: %v", err)
-				k.feed(upgrade.Worse)
+				k.feed(upgrade.InputWorse)
 			}
 		}
 	}
 }
 
 // beside tells a process what the others have out.
-func (k *Keeper) beside(p *proc) {
+func (k *Supervisor) beside(p *proc) {
 	sum := map[string][3]float64{}
 	for _, q := range k.procs() {
 		if q == p {
@@ -230,20 +230,20 @@
 			sum[id] = s
 		}
 	}
-	if p.part.Accepts() || p.part == upgrade.Standby || p.part == upgrade.Quiet {
-		p.say(&handoff.Word{Kind: handoff.Beside, Outs: sum})
+	if p.part.Accepts() || p.part == upgrade.AgentStandby || p.part == upgrade.AgentQuiesced {
+		p.say(&handoff.Message{Kind: handoff.KindOtherAttempts, OutstandingAttempts: sum})
 	}
 }
 
 // call is the first word of somebody who has called.
 type call struct {
 	conn    *handoff.Conn
-	word    *handoff.Word
+	word    *handoff.Message
 	sockets map[string]*os.File
 }
 
 // accept takes calls of generations and tools. Each has a moment to say what it is.
-func (k *Keeper) accept(calls chan<- *call) {
+func (k *Supervisor) accept(calls chan<- *call) {
 	room := make(chan struct{}, mostTools)
 	for {
 		sock, err := k.control.AcceptUnix()
@@ -264,7 +264,7 @@
 			defer func() { <-room }()
 			sock.SetReadDeadline(time.Now().Add(time.Second))
 			c := handoff.NewConn(sock)
-			w, err := c.Hear()
+			w, err := c.Receive()
 			if err != nil {
 				c.Close()
 				return
@@ -276,11 +276,11 @@
 }
 
 // called takes a call while the keeper runs.
-func (k *Keeper) called(c *call) {
+func (k *Supervisor) called(c *call) {
 	for _, f := range c.sockets {
 		f.Close() // the keeper has them
 	}
-	if c.word.Kind != handoff.Hello {
+	if c.word.Kind != handoff.KindHello {
 		k.tool(c)
 		return
 	}
@@ -292,22 +292,22 @@
 			return
 		}
 	}
-	c.conn.Say(&handoff.Word{Kind: handoff.End}) // it was given up
+	c.conn.Send(&handoff.Message{Kind: handoff.KindEnd}) // it was given up
 	c.conn.Close()
 }
 
 // orphan makes a process of one that says it has outlived its keeper; nil: it can't
 // be believed.
-func (k *Keeper) orphan(c *call) *proc {
-	pid, err := c.conn.Peer()
+func (k *Supervisor) orphan(c *call) *proc {
+	pid, err := c.conn.PeerPID()
 	m, mErr := k.manifest(c.word.Generation)
 	if err != nil || mErr != nil || pid != c.word.PID {
 		k.Log.WithFields(logrus.Fields{"generation": c.word.Generation, "pid": c.word.PID}).WithError(mErr).Warn("keeper: a generation that is not known, it is told to end")
-		c.conn.Say(&handoff.Word{Kind: handoff.End})
+		c.conn.Send(&handoff.Message{Kind: handoff.KindEnd})
 		c.conn.Close()
 		return nil
 	}
-	p := &proc{manifest: m, pid: pid, started: startOf(pid), conn: c.conn, hello: true, part: c.word.Part, wasSettled: c.word.WasSettled, beatAt: time.Now(), seed: seed()}
+	p := &proc{manifest: m, pid: pid, started: startOf(pid), conn: c.conn, hello: true, part: c.word.AgentState, wasSettled: c.word.WasSettled, beatAt: time.Now(), seed: seed()}
 	go k.hear(p, p.conn)
 	return p
 }
@@ -334,7 +334,7 @@
 }
 
 // usage is what a process has now.
-func usage(pid int) (u upgrade.Use) {
+func usage(pid int) (u upgrade.Resources) {
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
 		if f := strings.Fields(string(text)); len(f) > 1 {
 			pages, _ := strconv.ParseInt(f[1], 10, 64)
--- a/internal/supervisor/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -28,10 +28,10 @@
 	node   *rollout.Node // nil: no plan
 	looked time.Time
 	wrote  rollout.Durable
-	bad    string       // the plan's last fault that was told
-	base   upgrade.Ends // of generations before the settled one
-	last   upgrade.Ends // of that
-	of     uint64       // its number
+	bad    string                // the plan's last fault that was told
+	base   upgrade.RequestCounts // of generations before the settled one
+	last   upgrade.RequestCounts // of that
+	of     uint64                // its number
 	way    string
 	mute   bool // the register could not be written
 }
@@ -47,7 +47,7 @@
 }
 
 // rollOn lets the rollout go on, ten times a second.
-func (k *Keeper) rollOn(now time.Time) {
+func (k *Supervisor) rollOn(now time.Time) {
 	r := &k.roll
 	if k.Plan == "" {
 		return
@@ -60,31 +60,31 @@
 	if r.node == nil {
 		return
 	}
-	r.node.Local(k.report())
+	r.node.SetReport(k.report())
 	k.post(r.node.Tick(k.now()))
-	k.want(r.node.Want(k.now()))
-	if v, _ := r.node.View(); r.way != fmt.Sprint(v.Way, v.Stage) {
-		r.way = fmt.Sprint(v.Way, v.Stage)
-		k.Log.WithFields(logrus.Fields{"plan": r.plan.Name, "way": v.Way.String(), "stage": v.Stage + 1, "why": v.Why}).Info("rollout: " + v.Way.String())
+	k.want(r.node.Target(k.now()))
+	if v, _ := r.node.View(); r.way != fmt.Sprint(v.Phase, v.Stage) {
+		r.way = fmt.Sprint(v.Phase, v.Stage)
+		k.Log.WithFields(logrus.Fields{"plan": r.plan.Name, "way": v.Phase.String(), "stage": v.Stage + 1, "why": v.Reason}).Info("rollout: " + v.Phase.String())
 	}
 }
 
 // lookForPlan reads the plan where it has changed. One that is under way is gone on
 // with first.
-func (k *Keeper) lookForPlan() {
+func (k *Supervisor) lookForPlan() {
 	r := &k.roll
 	text, err := os.ReadFile(k.Plan)
 	if err != nil || bytes.Equal(text, r.text) && r.node != nil {
 		return
 	}
 	if r.node != nil {
-		if v, _ := r.node.View(); v.Way == rollout.Forward || v.Way == rollout.Holding || v.Way == rollout.Backward {
+		if v, _ := r.node.View(); v.Phase == rollout.PhaseForward || v.Phase == rollout.PhasePaused || v.Phase == rollout.PhaseRollingBack {
 			return
 		}
 	}
 	p, err := rollout.ParsePlan(k.Plan, text)
-	if err == nil && p.Index(k.Member) < 0 {
-		err = fmt.Errorf("%s: %s is none of its routers", k.Plan, k.Member)
+	if err == nil && p.Index(k.MemberName) < 0 {
+		err = fmt.Errorf("%s: %s is none of its routers", k.Plan, k.MemberName)
 	}
 	if err != nil {
 		if r.bad != err.Error() {
@@ -101,17 +101,17 @@
 			*d = f.Durable
 		}
 	}
-	r.node = rollout.NewNode(p, k.Member, d, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), k.now())
+	r.node = rollout.NewNode(p, k.MemberName, d, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), k.now())
 	k.Log.WithFields(logrus.Fields{"plan": p.Name, "digest": fmt.Sprintf("%016x", p.Digest), "known": d != nil}).Info("rollout: plan read")
 }
 
 // post sends words to other routers, once what they promise lasts.
-func (k *Keeper) post(out []rollout.Out) {
+func (k *Supervisor) post(out []rollout.Outgoing) {
 	r := &k.roll
-	if d := r.node.Durable; !reflect.DeepEqual(d, r.wrote) && !r.node.Standing().Lost {
+	if d := r.node.Durable; !reflect.DeepEqual(d, r.wrote) && !r.node.Status().Recovering {
 		text, err := json.Marshal(kept{1, r.plan.Digest, d})
 		if err == nil {
-			err = handoff.Put(k.path(rollFile), text)
+			err = handoff.WriteFileAtomic(k.path(rollFile), text)
 		}
 		if err != nil {
 			if !r.mute {
@@ -124,15 +124,15 @@
 	}
 	p := k.serving()
 	for _, o := range out {
-		body, err := rollout.Seal(o.Msg)
+		body, err := rollout.Encode(o.Message)
 		if err == nil && p != nil {
-			p.say(&handoff.Word{Kind: handoff.Letter, To: r.plan.Routers[o.To].Name, Body: body})
+			p.say(&handoff.Message{Kind: handoff.KindPeerMessage, To: r.plan.Routers[o.To].Name, Body: body})
 		}
 	}
 }
 
 // serving is the process that has the place.
-func (k *Keeper) serving() *proc {
+func (k *Supervisor) serving() *proc {
 	for _, p := range []*proc{k.new, k.old} {
 		if p != nil && p.part.Accepts() {
 			return p
@@ -141,64 +141,64 @@
 	return k.old
 }
 
-func (k *Keeper) letter(w *handoff.Word) {
+func (k *Supervisor) letter(w *handoff.Message) {
 	if k.roll.node == nil {
 		return
 	}
-	if m, err := rollout.Open(w.Body); err == nil {
-		k.post(k.roll.node.Heard(k.now(), w.From, m))
+	if m, err := rollout.Decode(w.Body); err == nil {
+		k.post(k.roll.node.Receive(k.now(), w.From, m))
 	}
 }
 
 // report is what this router says of itself.
-func (k *Keeper) report() rollout.Report {
+func (k *Supervisor) report() rollout.Report {
 	r := &k.roll
-	rep := rollout.Report{Changing: k.machine.Busy(), Able: k.able(), Restarts: k.restarts}
+	rep := rollout.Report{Changing: k.machine.Busy(), Capable: k.able(), Restarts: k.restarts}
 	if b := k.file.Rollout; b != nil {
-		rep.Run, rep.Failed, rep.OnNew = b.Run, b.Failed, b.New != 0 && b.New == k.file.Settled.Generation
+		rep.RunID, rep.FailureReason, rep.Upgraded = b.RunID, b.FailureReason, b.NewGeneration != 0 && b.NewGeneration == k.file.Settled.Generation
 	}
 	if p := k.old; p != nil {
-		if p.manifest.Generation != r.of || p.ends.Asked < r.last.Asked { // another process
-			r.base, r.of = r.base.And(r.last), p.manifest.Generation
+		if p.manifest.Generation != r.of || p.ends.WeightOffered < r.last.WeightOffered { // another process
+			r.base, r.of = r.base.Add(r.last), p.manifest.Generation
 		}
 		r.last = p.ends
 		rep.MemoryMB = float64(p.use.MemoryMB)
 	}
-	rep.Counts = countsOf(r.base.And(r.last))
+	rep.Counts = countsOf(r.base.Add(r.last))
 	seen := k.seen(k.old, nil)
-	rep.Broken, rep.Broke = seen.Rules, seen.Text
+	rep.ViolatedRules, rep.FirstViolation = seen.Rules, seen.Text
 	if k.eyes != nil {
-		rep.Drains, rep.Purges = k.eyes.judge.Told()
+		rep.DrainsSeen, rep.PurgesSeen = k.eyes.judge.EventCounts()
 	}
 	return rep
 }
 
 // countsOf are what the judge compares.
-func countsOf(e upgrade.Ends) canary.Counts {
-	c := canary.Counts{Txns: float64(e.Completed + e.Rejected + e.Aborted + e.Left), Asked: e.Asked, Earned: e.Earned, Refused: float64(e.Rejected),
-		Failed: float64(e.Aborted + e.Left), Answered: float64(e.Completed), Time: e.Time, Hops: float64(e.Hops)}
-	if e.Hops == 0 {
-		c.Answered = 0 // a program of before that tells neither
+func countsOf(e upgrade.RequestCounts) canary.Counts {
+	c := canary.Counts{Requests: float64(e.Completed + e.Rejected + e.Aborted + e.ClientGone), WeightOffered: e.WeightOffered, WeightEarned: e.WeightEarned, Rejected: float64(e.Rejected),
+		Failed: float64(e.Aborted + e.ClientGone), Completed: float64(e.Completed), LogLatencySum: e.LogLatencySum, Attempts: float64(e.Attempts)}
+	if e.Attempts == 0 {
+		c.Completed = 0 // a program of before that tells neither
 	}
-	for i, name := range slices.Sorted(maps.Keys(e.Rules)) {
-		if c.Rules == nil {
-			c.Rules = map[string]canary.Worth{}
+	for i, name := range slices.Sorted(maps.Keys(e.Classes)) {
+		if c.Classes == nil {
+			c.Classes = map[string]canary.ClassCounts{}
 		}
-		if w := e.Rules[name]; i < canary.MostRules {
-			c.Rules[name] = canary.Worth{Txns: w[0], Asked: w[1], Earned: w[2]}
+		if w := e.Classes[name]; i < canary.MaxClasses {
+			c.Classes[name] = canary.ClassCounts{Requests: w[0], WeightOffered: w[1], WeightEarned: w[2]}
 		}
 	}
 	return c
 }
 
 // files are what the plan names for this router.
-func (k *Keeper) files() *handoff.Manifest {
+func (k *Supervisor) files() *handoff.Manifest {
 	p := k.roll.plan
-	own := func(path string) string { return strings.ReplaceAll(path, "{name}", k.Member) }
+	own := func(path string) string { return strings.ReplaceAll(path, "{name}", k.MemberName) }
 	return &handoff.Manifest{Program: own(p.Program), Config: own(p.Config), Operator: own(p.Operator)}
 }
 
-func (k *Keeper) able() bool {
+func (k *Supervisor) able() bool {
 	m := k.files()
 	for _, path := range []string{m.Program, m.Config, m.Operator} {
 		if path != "" {
@@ -211,47 +211,47 @@
 }
 
 // want makes this router what it is to be, where it may.
-func (k *Keeper) want(w rollout.Want) {
+func (k *Supervisor) want(w rollout.Target) {
 	v, _ := k.roll.node.View()
 	b := k.file.Rollout
-	switch onNew := b != nil && b.New != 0 && b.New == k.file.Settled.Generation; {
-	case !w.Go:
-	case k.plan != nil && k.plan.run != 0 && !k.plan.back && !w.New && k.machine.State > upgrade.Steady:
+	switch onNew := b != nil && b.NewGeneration != 0 && b.NewGeneration == k.file.Settled.Generation; {
+	case !w.MayStart:
+	case k.plan != nil && k.plan.run != 0 && !k.plan.back && !w.New && k.machine.State > upgrade.StateSteady:
 		k.note("the rollout goes back")
-		k.feed(upgrade.Cancel)
+		k.feed(upgrade.InputCancel)
 	case k.machine.Busy() || w.New == onNew:
-	case w.New && (b == nil || b.Run != v.Run || b.Failed == ""):
+	case w.New && (b == nil || b.RunID != v.RunID || b.FailureReason == ""):
 		before := k.file.Settled
-		k.file.Rollout = &handoff.Begun{Run: v.Run, Before: before}
-		k.Log.WithField("run", v.Run).Info("rollout: this router changes")
-		k.plan = &plan{manifest: k.files(), run: v.Run}
-		k.feed(upgrade.Apply)
-	case !w.New && b.Before != nil:
-		k.Log.WithField("run", v.Run).Info("rollout: this router goes back")
-		k.plan = &plan{manifest: &handoff.Manifest{Program: b.Before.Program, Config: b.Before.Config, Operator: b.Before.Operator}, run: b.Run, back: true,
-			alone: v.Way == rollout.Forward || v.Way == rollout.Holding}
-		k.feed(upgrade.Apply)
+		k.file.Rollout = &handoff.RolloutRecord{RunID: v.RunID, Previous: before}
+		k.Log.WithField("run", v.RunID).Info("rollout: this router changes")
+		k.plan = &plan{manifest: k.files(), run: v.RunID}
+		k.feed(upgrade.InputApply)
+	case !w.New && b.Previous != nil:
+		k.Log.WithField("run", v.RunID).Info("rollout: this router goes back")
+		k.plan = &plan{manifest: &handoff.Manifest{Program: b.Previous.Program, Config: b.Previous.Config, Operator: b.Previous.Operator}, run: b.RunID, back: true,
+			alone: v.Phase == rollout.PhaseForward || v.Phase == rollout.PhasePaused}
+		k.feed(upgrade.InputApply)
 	}
 }
 
 // rolled notes what became of a change that a rollout wanted.
-func (k *Keeper) rolled(p *plan, ok bool, note string) {
+func (k *Supervisor) rolled(p *plan, ok bool, note string) {
 	b := k.file.Rollout
 	if p == nil || p.run == 0 || b == nil {
 		return
 	}
 	switch {
 	case !p.back && ok:
-		b.New = k.file.Settled.Generation
+		b.NewGeneration = k.file.Settled.Generation
 	case !p.back:
-		b.Failed = note
+		b.FailureReason = note
 	case ok:
-		if b.New = 0; p.alone {
-			b.Failed = "it heard of nobody for long"
+		if b.NewGeneration = 0; p.alone {
+			b.FailureReason = "it heard of nobody for long"
 		}
 	default: // the new generation does not even let go: it is ended, and the old one started
 		k.Log.WithField("why", note).Warn("rollout: back by force")
-		k.file.Settled, k.file.Previous, b.New = b.Before, k.file.Settled, 0
+		k.file.Settled, k.file.Previous, b.NewGeneration = b.Previous, k.file.Settled, 0
 		if k.old != nil {
 			k.old.kill()
 		}
@@ -260,13 +260,13 @@
 }
 
 // command takes an operator's word on the rollout.
-func (k *Keeper) command(c *call, w rollout.Command) {
+func (k *Supervisor) command(c *call, w rollout.Command) {
 	say := func(ok bool, format string, args ...any) {
-		r := &handoff.Word{Kind: handoff.Report, OK: ok, Over: true, Note: fmt.Sprintf(format, args...)}
+		r := &handoff.Message{Kind: handoff.KindReport, OK: ok, Final: true, Note: fmt.Sprintf(format, args...)}
 		if k.roll.node != nil {
-			r.Rollout = k.roll.node.Standing()
+			r.Rollout = k.roll.node.Status()
 		}
-		c.conn.Say(r)
+		c.conn.Send(r)
 		c.conn.Close()
 	}
 	switch {
@@ -274,7 +274,7 @@
 		say(false, "no plan: %s", cmp.Or(k.roll.bad, "keep.plan names none that is there"))
 	case w == 0:
 		say(true, "")
-	case w == rollout.Start && k.roll.node.Standing().Lost:
+	case w == rollout.CommandStart && k.roll.node.Status().Recovering:
 		say(false, "this router has lost what it knew, and asks the others")
 	default:
 		k.roll.node.Command(k.now(), w)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -24,15 +24,15 @@
 
 // Config of a keeper.
 type Config struct {
-	Folder   string
-	Times    upgrade.Times
-	Program  string // of the first generation
-	Platform string // the platform's configuration: what is new at each start is always taken from there
-	Operator string // the operator's file of the first generation; "": none
-	Plan     string // of rollouts; "": none
-	Member   string // the router's name among members
-	Watch    *Watch // nil: nobody looks on
-	Log      *logrus.Entry
+	Folder     string
+	Times      upgrade.Timeouts
+	Program    string    // of the first generation
+	Platform   string    // the platform's configuration: what is new at each start is always taken from there
+	Operator   string    // the operator's file of the first generation; "": none
+	Plan       string    // of rollouts; "": none
+	MemberName string    // the router's name among members
+	Observer   *Observer // nil: nobody looks on
+	Log        *logrus.Entry
 }
 
 // What lies in the folder beside the socket and the place.
@@ -52,16 +52,16 @@
 	mostTools   = 16
 )
 
-// Keeper of one router.
-type Keeper struct {
+// Supervisor of one router.
+type Supervisor struct {
 	Config
 	start   time.Time
 	events  chan func()
 	machine *upgrade.Machine
-	judge   upgrade.Judge
+	judge   upgrade.TrialMonitor
 	file    *handoff.File
-	alone   upgrade.Use // a generation's part while it is the only one
-	all     upgrade.Use // the whole machine's
+	alone   upgrade.Resources // a generation's part while it is the only one
+	all     upgrade.Resources // the whole machine's
 	sockets map[string]*os.File
 	names   []string // in the order in which they are handed down
 
@@ -75,7 +75,7 @@
 	restarts int
 	fell     time.Time
 	fallMS   int64
-	most     upgrade.Use
+	most     upgrade.Resources
 	roll     rolling
 	eyes     *watching // nil: nobody looks on
 	lock     *os.File
@@ -88,25 +88,25 @@
 // plan is the change that is under way.
 type plan struct {
 	manifest *handoff.Manifest
-	bound    upgrade.Use
+	bound    upgrade.Resources
 	note     string // why it was refused, or fell back
 	run      uint64 // of the rollout that wants it; 0: the operator does
 	back     bool   // that is on its way back
 	alone    bool   // by its own decision
 }
 
-// ErrTaken says that another keeper has the folder.
-var ErrTaken = errors.New("another keeper has this folder")
+// ErrFolderLocked says that another keeper has the folder.
+var ErrFolderLocked = errors.New("another keeper has this folder")
 
-func (k *Keeper) now() int64 { return time.Since(k.start).Microseconds() }
+func (k *Supervisor) now() int64 { return time.Since(k.start).Microseconds() }
 
-func (k *Keeper) path(parts ...string) string {
+func (k *Supervisor) path(parts ...string) string {
 	return filepath.Join(append([]string{k.Folder}, parts...)...)
 }
 
 // Run keeps the router until term says to end, or it can't.
 func Run(c Config, term, hup <-chan os.Signal) error {
-	k := &Keeper{Config: c, start: time.Now(), events: make(chan func(), 256), sockets: map[string]*os.File{}, lasting: true}
+	k := &Supervisor{Config: c, start: time.Now(), events: make(chan func(), 256), sockets: map[string]*os.File{}, lasting: true}
 	if err := k.open(); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	k.ticked, k.sampled = time.Now(), time.Now()
-	for k.machine.State != upgrade.Stopped {
+	for k.machine.State != upgrade.StateStopped {
 		select {
 		case do := <-k.events:
 			do()
@@ -125,7 +125,7 @@
 			k.tick()
 		case s := <-term:
 			k.Log.WithField("signal", s.String()).Info("keeper: ending")
-			k.feed(upgrade.Shutdown)
+			k.feed(upgrade.InputShutdown)
 		case <-hup:
 			k.reload()
 		}
@@ -135,7 +135,7 @@
 }
 
 // open takes the folder and reads what a keeper before has left.
-func (k *Keeper) open() (err error) {
+func (k *Supervisor) open() (err error) {
 	if err := os.MkdirAll(k.Folder, 0o700); err != nil {
 		return fmt.Errorf("keep.folder: %w", err)
 	}
@@ -146,7 +146,7 @@
 		was := make([]byte, 16)
 		n, _ := k.lock.ReadAt(was, 0)
 		k.lock.Close()
-		return fmt.Errorf("keep.folder: %s: %w (process %s)", k.Folder, ErrTaken, was[:n])
+		return fmt.Errorf("keep.folder: %s: %w (process %s)", k.Folder, ErrFolderLocked, was[:n])
 	}
 	k.lock.Truncate(0)
 	k.lock.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (k *Keeper) close() {
+func (k *Supervisor) close() {
 	if k.control != nil {
 		k.control.Close()
 	}
@@ -168,7 +168,7 @@
 
 // begin finds out what is settled, adopts who has outlived a keeper before, and
 // starts the machine.
-func (k *Keeper) begin() error {
+func (k *Supervisor) begin() error {
 	if k.file == nil {
 		m, _, err := k.prepare(1, k.Program, k.Platform, k.Operator)
 		if err != nil {
@@ -181,8 +181,8 @@
 	if err != nil {
 		return fmt.Errorf("generation %d: %w", k.file.Settled.Generation, err)
 	}
-	k.all = upgrade.Use{MemoryMB: got.MemoryMB, Descriptors: got.Descriptors}
-	if k.alone, err = upgrade.Alone(k.all); err != nil {
+	k.all = upgrade.Resources{MemoryMB: got.MemoryMB, Descriptors: got.Descriptors}
+	if k.alone, err = upgrade.SoleBudget(k.all); err != nil {
 		return err
 	}
 	orphans, err := k.listen()
@@ -205,15 +205,15 @@
 
 // sound sees to it that the settled generation's program is what it was. Where it is
 // not, the one before is settled, if it is sound; else what is there is run.
-func (k *Keeper) sound() {
+func (k *Supervisor) sound() {
 	s := k.file.Settled
-	sum, err := handoff.Sum(s.Program)
+	sum, err := handoff.FileDigest(s.Program)
 	if err == nil && sum == s.ProgramSum {
 		return
 	}
 	line := k.Log.WithFields(logrus.Fields{"generation": s.Generation, "program": s.Program, "was": s.ProgramSum, "is": sum})
 	if p := k.file.Previous; p != nil {
-		if got, err := handoff.Sum(p.Program); err == nil && got == p.ProgramSum {
+		if got, err := handoff.FileDigest(p.Program); err == nil && got == p.ProgramSum {
 			line.Error("keeper: the settled program is not what it was, the one before is started")
 			k.file.Settled, k.file.Previous = p, nil
 			return
@@ -222,7 +222,7 @@
 	if err != nil {
 		line.WithError(err).Error("keeper: the settled program can't be read, the keeper's own is started")
 		s.Program = k.Program
-		sum, _ = handoff.Sum(s.Program)
+		sum, _ = handoff.FileDigest(s.Program)
 	} else {
 		line.Error("keeper: the settled program is not what it was, and is started as it is")
 	}
@@ -231,7 +231,7 @@
 
 // listen opens the socket for generations and tools, and waits for orphans that the
 // file has as running, if any of them is.
-func (k *Keeper) listen() (orphans []*proc, err error) {
+func (k *Supervisor) listen() (orphans []*proc, err error) {
 	os.Remove(k.path(upgradeagent.SocketName)) // the lock says that nobody listens there
 	if k.control, err = net.ListenUnix("unix", &net.UnixAddr{Name: k.path(upgradeagent.SocketName), Net: "unix"}); err != nil {
 		return nil, fmt.Errorf("keep.folder: %w", err)
@@ -244,7 +244,7 @@
 	for len(orphans) < len(alive) {
 		select {
 		case c := <-calls:
-			if c.word.Kind != handoff.Hello {
+			if c.word.Kind != handoff.KindHello {
 				c.conn.Close() // a tool: it tries again
 				continue
 			}
@@ -277,32 +277,32 @@
 }
 
 // adopt takes over generations that have outlived a keeper.
-func (k *Keeper) adopt(list []*proc) {
+func (k *Supervisor) adopt(list []*proc) {
 	said := make([]upgrade.Orphan, len(list))
 	for i, p := range list {
 		said[i] = upgrade.Orphan{Generation: p.manifest.Generation, State: p.part, Settled: p.wasSettled}
 	}
-	for i, fate := range upgrade.Adopt(k.file.Settled.Generation, said) {
+	for i, fate := range upgrade.Dispositions(k.file.Settled.Generation, said) {
 		p := list[i]
 		k.Log.WithFields(logrus.Fields{"generation": p.manifest.Generation, "pid": p.pid, "part": p.part.String(), "settled": p.wasSettled, "fate": fate.String()}).
 			Warn("keeper: found a generation")
 		switch fate {
-		case upgrade.End:
-			k.leave(p, &handoff.Word{Kind: handoff.End})
+		case upgrade.DispositionEnd:
+			k.leave(p, &handoff.Message{Kind: handoff.KindEnd})
 			continue
-		case upgrade.TryAgain:
-			k.new, k.machine = p, upgrade.Adopted(k.Times, k.now(), true)
+		case upgrade.DispositionRetry:
+			k.new, k.machine = p, upgrade.NewAdoptedMachine(k.Times, k.now(), true)
 			k.plan = &plan{manifest: p.manifest}
-		case upgrade.Resume:
-			p.say(&handoff.Word{Kind: handoff.Resume, Hold: true})
+		case upgrade.DispositionResume:
+			p.say(&handoff.Message{Kind: handoff.KindResume, BudgetsMaybeSpent: true})
 			fallthrough
 		default:
-			k.old, k.machine = p, upgrade.Adopted(k.Times, k.now(), false)
+			k.old, k.machine = p, upgrade.NewAdoptedMachine(k.Times, k.now(), false)
 			if p.manifest.Generation != k.file.Settled.Generation {
 				k.file.Previous, k.file.Settled = k.file.Settled, p.manifest
 			}
 			if !p.wasSettled {
-				p.say(&handoff.Word{Kind: handoff.Settle})
+				p.say(&handoff.Message{Kind: handoff.KindSettle})
 			}
 		}
 		p.bound = k.alone
@@ -314,7 +314,7 @@
 }
 
 // bind opens the sockets that there are not yet, and closes those that are not wanted.
-func (k *Keeper) bind(want map[string]string) error {
+func (k *Supervisor) bind(want map[string]string) error {
 	for name, addr := range want {
 		if k.sockets[name] != nil {
 			continue
@@ -368,11 +368,11 @@
 }
 
 // tick tells the machine the time, and looks at the processes.
-func (k *Keeper) tick() {
+func (k *Supervisor) tick() {
 	now := time.Now()
 	if gap := now.Sub(k.ticked); gap > sleptAfter {
 		k.Log.WithField("gap_ms", gap.Milliseconds()).Warn("keeper: stood still")
-		k.machine.Slept(gap.Microseconds())
+		k.machine.Paused(gap.Microseconds())
 		for _, p := range k.procs() {
 			p.beatAt = now
 		}
@@ -387,15 +387,15 @@
 		}
 		k.rollOn(now)
 	}
-	if k.machine.State == upgrade.Stopping && len(k.procs()) == 0 {
-		k.feed(upgrade.AllGone)
+	if k.machine.State == upgrade.StateStopping && len(k.procs()) == 0 {
+		k.feed(upgrade.InputAllGone)
 	}
 }
 
 // sample looks at what processes use and when they were heard, and kills who was
 // told to end and does not.
-func (k *Keeper) sample(now time.Time) {
-	sum := upgrade.Use{MemoryMB: usage(os.Getpid()).MemoryMB, Descriptors: usage(os.Getpid()).Descriptors}
+func (k *Supervisor) sample(now time.Time) {
+	sum := upgrade.Resources{MemoryMB: usage(os.Getpid()).MemoryMB, Descriptors: usage(os.Getpid()).Descriptors}
 	for _, p := range k.procs() {
 		if p.cmd == nil && startOf(p.pid) != p.started { // not a child: nobody else says that it has ended
 			k.ended(p)
@@ -413,32 +413,32 @@
 			p.killAt = now.Add(time.Second)
 		}
 	}
-	if p := k.old; p != nil && p.hello && now.Sub(p.beatAt).Microseconds() > upgrade.HangAfter {
+	if p := k.old; p != nil && p.hello && now.Sub(p.beatAt).Microseconds() > upgrade.HangTimeoutMicros {
 		k.note("the settled generation has said nothing for %d ms", now.Sub(p.beatAt).Milliseconds())
 		p.beatAt = now
-		k.feed(upgrade.OldHung)
+		k.feed(upgrade.InputOldHung)
 	}
 	if p := k.new; p != nil {
-		if err := upgrade.Over(p.bound, p.use); err != nil {
+		if err := upgrade.CheckUsage(p.bound, p.use); err != nil {
 			k.note("the new generation uses more than its part: %v", err)
-			k.feed(upgrade.NewHung)
-		} else if p.hello && now.Sub(p.beatAt).Microseconds() > upgrade.TrialHang {
+			k.feed(upgrade.InputNewHung)
+		} else if p.hello && now.Sub(p.beatAt).Microseconds() > upgrade.TrialHangTimeoutMicros {
 			k.note("the new generation has said nothing for %d ms", now.Sub(p.beatAt).Milliseconds())
-			k.feed(upgrade.NewHung)
-		} else if s := k.seen(p, k.old); s.Rules != 0 && k.machine.State == upgrade.OnTrial {
+			k.feed(upgrade.InputNewHung)
+		} else if s := k.seen(p, k.old); s.Rules != 0 && k.machine.State == upgrade.StateOnTrial {
 			k.note("the new generation breaks %s", s.Text)
-			k.feed(upgrade.Worse)
+			k.feed(upgrade.InputWorse)
 		}
 	}
-	if p := k.old; p != nil && k.new == nil && len(k.leaving) == 0 && p.bound != k.alone && k.machine.State == upgrade.Steady {
+	if p := k.old; p != nil && k.new == nil && len(k.leaving) == 0 && p.bound != k.alone && k.machine.State == upgrade.StateSteady {
 		p.bound = k.alone
-		p.say(&handoff.Word{Kind: handoff.Bound, Bound: k.alone})
-		p.say(&handoff.Word{Kind: handoff.Beside})
+		p.say(&handoff.Message{Kind: handoff.KindLimits, Limits: k.alone})
+		p.say(&handoff.Message{Kind: handoff.KindOtherAttempts})
 	}
 }
 
 // note keeps the reason of what is to come.
-func (k *Keeper) note(format string, args ...any) {
+func (k *Supervisor) note(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	k.Log.Warn("keeper: " + text)
 	if k.plan != nil && k.plan.note == "" {
@@ -447,7 +447,7 @@
 }
 
 // feed gives the machine an input and does what it decides.
-func (k *Keeper) feed(in upgrade.Input) {
+func (k *Supervisor) feed(in upgrade.Input) {
 	was := k.machine.State
 	effects := k.machine.Handle(k.now(), in)
 	if k.machine.State != was {
@@ -456,7 +456,7 @@
 	k.do(effects)
 }
 
-func (k *Keeper) procs() (list []*proc) {
+func (k *Supervisor) procs() (list []*proc) {
 	for _, p := range append([]*proc{k.old, k.new}, k.leaving...) {
 		if p != nil {
 			list = append(list, p)
@@ -466,118 +466,118 @@
 }
 
 // do carries out effects.
-func (k *Keeper) do(effects []upgrade.Effect) {
+func (k *Supervisor) do(effects []upgrade.Effect) {
 	for _, e := range effects {
 		switch e {
-		case upgrade.Check:
+		case upgrade.EffectCheck:
 			k.checkPlan()
-		case upgrade.StartOld:
+		case upgrade.EffectStartOld:
 			if k.restarts++; k.fell.IsZero() {
 				k.fell = time.Now()
 			}
 			var err error
 			if k.old, err = k.launch(k.file.Settled, k.alone); err != nil {
 				k.Log.WithError(err).Error("keeper: the settled generation can't be started")
-				k.feed(upgrade.OldGone)
+				k.feed(upgrade.InputOldGone)
 				return
 			}
 			k.write()
-		case upgrade.StartNew:
+		case upgrade.EffectStartNew:
 			var err error
 			if k.new, err = k.launch(k.plan.manifest, k.plan.bound); err != nil {
 				k.note("it can't be started: %v", err)
-				k.feed(upgrade.NewGone)
+				k.feed(upgrade.InputNewGone)
 				return
 			}
 			k.write()
-		case upgrade.OwnOld:
-			k.old.say(&handoff.Word{Kind: handoff.Own, Hold: true})
-		case upgrade.OwnNew:
-			k.new.say(&handoff.Word{Kind: handoff.Own, State: k.state})
+		case upgrade.EffectServeOld:
+			k.old.say(&handoff.Message{Kind: handoff.KindServe, BudgetsMaybeSpent: true})
+		case upgrade.EffectServeNew:
+			k.new.say(&handoff.Message{Kind: handoff.KindServe, State: k.state})
 			k.state = nil
-		case upgrade.QuietOld:
-			k.old.say(&handoff.Word{Kind: handoff.Quiet})
-		case upgrade.TakenOld:
-			k.old.say(&handoff.Word{Kind: handoff.Taken})
-		case upgrade.ResumeOld:
+		case upgrade.EffectQuiesceOld:
+			k.old.say(&handoff.Message{Kind: handoff.KindQuiesce})
+		case upgrade.EffectStandbyOld:
+			k.old.say(&handoff.Message{Kind: handoff.KindSuccessorServes})
+		case upgrade.EffectResumeOld:
 			k.state = nil
 			if k.old != nil {
-				k.old.say(&handoff.Word{Kind: handoff.Resume, Hold: true})
+				k.old.say(&handoff.Message{Kind: handoff.KindResume, BudgetsMaybeSpent: true})
 			}
-		case upgrade.SettleNew:
-			k.new.say(&handoff.Word{Kind: handoff.Settle})
-		case upgrade.SettleOld:
-			k.old.say(&handoff.Word{Kind: handoff.Settle})
-		case upgrade.EndNew:
+		case upgrade.EffectSettleNew:
+			k.new.say(&handoff.Message{Kind: handoff.KindSettle})
+		case upgrade.EffectSettleOld:
+			k.old.say(&handoff.Message{Kind: handoff.KindSettle})
+		case upgrade.EffectEndNew:
 			if k.new != nil {
-				k.leave(k.new, &handoff.Word{Kind: handoff.End})
+				k.leave(k.new, &handoff.Message{Kind: handoff.KindEnd})
 				k.new = nil
 			}
-		case upgrade.KillNew:
+		case upgrade.EffectKillNew:
 			if k.new != nil {
 				k.new.kill()
 				k.leave(k.new, nil)
 				k.new = nil
 			}
-		case upgrade.KillOld:
+		case upgrade.EffectKillOld:
 			if k.old != nil {
 				k.old.kill()
 				k.leave(k.old, nil)
 				k.old = nil
 			}
-		case upgrade.Write:
+		case upgrade.EffectWrite:
 			k.file.Previous, k.file.Settled = k.file.Settled, k.new.manifest
 			if k.write() {
-				k.feed(upgrade.Written)
+				k.feed(upgrade.InputWritten)
 			} else {
-				k.feed(upgrade.Unwritten)
+				k.feed(upgrade.InputWriteFailed)
 			}
-		case upgrade.Promote:
+		case upgrade.EffectPromote:
 			if k.old != nil {
-				k.leave(k.old, &handoff.Word{Kind: handoff.End})
+				k.leave(k.old, &handoff.Message{Kind: handoff.KindEnd})
 			}
 			k.old, k.new = k.new, nil
-			k.judge.Follows()
+			k.judge.Promote()
 			k.tidy()
-		case upgrade.EndAll:
+		case upgrade.EffectEndAll:
 			for _, f := range k.sockets {
 				f.Close()
 			}
 			for _, p := range []*proc{k.old, k.new} {
 				if p != nil {
-					k.leave(p, &handoff.Word{Kind: handoff.End})
+					k.leave(p, &handoff.Message{Kind: handoff.KindEnd})
 				}
 			}
 			k.old, k.new = nil, nil
-		case upgrade.TellRefused:
+		case upgrade.EffectReportRejected:
 			k.tell(false, false, "refused, nothing has changed: %s", k.plan.note)
-		case upgrade.TellBack:
+		case upgrade.EffectReportFellBack:
 			if k.new == nil && k.old != nil && !k.fell.IsZero() {
 				k.fallMS = time.Since(k.fell).Milliseconds()
 			}
 			k.fell = time.Time{}
 			k.tell(false, true, "fell back: %s", k.plan.note)
-		case upgrade.TellDone:
+		case upgrade.EffectReportDone:
 			k.tell(true, false, "generation %d is settled", k.file.Settled.Generation)
-		case upgrade.TellBrief:
+		case upgrade.EffectReportNotPersisted:
 			k.tell(true, false, "generation %d is settled, but the file could not be written: a cold start begins with the one before", k.file.Settled.Generation)
 		}
 	}
 }
 
 // leave lets a process end, told so or killed, and sees to it that it does.
-func (k *Keeper) leave(p *proc, w *handoff.Word) {
+func (k *Supervisor) leave(p *proc, w *handoff.Message) {
 	if w != nil {
 		p.say(w)
 	}
-	p.killAt = time.Now().Add(time.Duration(k.Times.Drain) * time.Microsecond)
+	p.killAt = time.Now().Add(time.Duration(k.Times.DrainMicros) * time.Microsecond)
 	if !p.gone {
 		k.leaving = append(k.leaving, p)
 	}
 }
 
 // write puts the file in its place. False: a cold start will not know.
-func (k *Keeper) write() bool {
+func (k *Supervisor) write() bool {
 	k.file.Running = nil
 	for _, p := range k.procs() {
 		k.file.Running = append(k.file.Running, handoff.Running{Generation: p.manifest.Generation, PID: p.pid, Started: p.started})
@@ -591,12 +591,12 @@
 }
 
 // tell reports the end of a change to all who wait for it.
-func (k *Keeper) tell(ok, back bool, format string, args ...any) {
+func (k *Supervisor) tell(ok, back bool, format string, args ...any) {
 	k.last = fmt.Sprintf(format, args...)
 	defer k.rolled(k.plan, ok, k.last)
 	k.Log.WithField("ok", ok).Info("keeper: " + k.last)
 	for _, c := range k.tools {
-		c.Say(&handoff.Word{Kind: handoff.Report, Note: k.last, OK: ok, FellBack: back, Over: true})
+		c.Send(&handoff.Message{Kind: handoff.KindReport, Note: k.last, OK: ok, FellBack: back, Final: true})
 		c.Close()
 	}
 	k.tools = nil
@@ -605,11 +605,11 @@
 }
 
 // tidy removes folders of generations that nobody needs any more.
-func (k *Keeper) tidy() {
+func (k *Supervisor) tidy() {
 	need := map[string]bool{}
 	keep := []*handoff.Manifest{k.file.Settled, k.file.Previous}
 	if k.file.Rollout != nil {
-		keep = append(keep, k.file.Rollout.Before)
+		keep = append(keep, k.file.Rollout.Previous)
 	}
 	for _, m := range keep {
 		if m != nil {
--- a/internal/supervisor/watch.go
+++ b/internal/supervisor/watch.go
@@ -14,32 +14,32 @@
 	"quilldoor/internal/policy"
 )
 
-// Watch lets the keeper look on at what its generations do.
-type Watch struct {
-	Rules  invariant.Settings
-	Limits *config.Limits
-	// Board reads the platform's file: where the notice board is, and what is known.
-	Board func() (addr string, known *discovery.News, err error)
+// Observer lets the keeper look on at what its generations do.
+type Observer struct {
+	Invariants invariant.Settings
+	Limits     *config.Limits
+	// Discovery reads the platform's file: where the notice board is, and what is known.
+	Discovery func() (addr string, known *discovery.Update, err error)
 }
 
 // watching follows the notice board beside the generations, and judges their acts by
 // it. A change leaves the keeper as it is: what it runs was good before.
 type watching struct {
-	*Keeper
-	judge    *invariant.Judge
-	follower *discovery.Follower
+	*Supervisor
+	judge    *invariant.Monitor
+	follower *discovery.Watcher
 	stop     context.CancelFunc
 	done     chan struct{}
 	offset   int64 // of the system's clock from the steady one
 	told     map[int]uint8
 }
 
-func (k *Keeper) watch() {
-	if k.Watch == nil {
+func (k *Supervisor) watch() {
+	if k.Observer == nil {
 		return
 	}
-	w := &watching{Keeper: k, judge: invariant.New(k.Watch.Rules), told: map[int]uint8{}}
-	w.follower = discovery.New(k.Watch.Limits, w)
+	w := &watching{Supervisor: k, judge: invariant.New(k.Observer.Invariants), told: map[int]uint8{}}
+	w.follower = discovery.New(k.Observer.Limits, w)
 	w.offset = time.Now().UnixMicro() - k.now()
 	k.eyes = w
 	w.follow()
@@ -48,7 +48,7 @@
 // follow reads where the board is and follows it there. The last address stays if the
 // file has a fault.
 func (w *watching) follow() {
-	addr, known, err := w.Watch.Board()
+	addr, known, err := w.Observer.Discovery()
 	if err != nil {
 		w.Log.WithError(err).Error("keeper: the board is not looked for anew")
 		return
@@ -63,7 +63,7 @@
 			old()
 			<-was
 		}
-		w.follower.Apply(&discovery.News{Notices: known.Notices})
+		w.follower.Apply(&discovery.Update{Events: known.Events})
 		w.follower.Run(ctx, addr)
 	}()
 }
@@ -74,13 +74,13 @@
 	w.events <- func() { do(now) }
 }
 
-// Members takes changes of the list of servers.
-func (w *watching) Members(scope string, list []engine.Server) {
-	entries := make([]policy.Entry, len(list))
+// EndpointsChanged takes changes of the list of servers.
+func (w *watching) EndpointsChanged(scope string, list []engine.Endpoint) {
+	entries := make([]policy.Endpoint, len(list))
 	for i, s := range list {
-		entries[i] = s.Entry
+		entries[i] = s.Endpoint
 	}
-	w.in(func(now int64) { w.judge.Listed(now, scope != "diff", entries) })
+	w.in(func(now int64) { w.judge.EndpointsChanged(now, scope != "diff", entries) })
 }
 
 // Purge takes a purge.
@@ -88,17 +88,17 @@
 	w.in(func(now int64) { w.judge.Purged(now, object, group, at) })
 }
 
-// BoardLost tells of the first failed poll in a row.
-func (w *watching) BoardLost(error) { w.in(func(now int64) { w.judge.Blind(now, true) }) }
+// DiscoveryLost tells of the first failed poll in a row.
+func (w *watching) DiscoveryLost(error) { w.in(func(now int64) { w.judge.SetBlind(now, true) }) }
 
-// BoardBack tells that polls go through again.
-func (w *watching) BoardBack() { w.in(func(now int64) { w.judge.Blind(now, false) }) }
+// DiscoveryRestored tells that polls go through again.
+func (w *watching) DiscoveryRestored() { w.in(func(now int64) { w.judge.SetBlind(now, false) }) }
 
-// BoardGap tells that news may have been missed.
-func (w *watching) BoardGap() {
+// DiscoveryGap tells that news may have been missed.
+func (w *watching) DiscoveryGap() {
 	w.in(func(now int64) {
-		w.judge.Blind(now, true)
-		w.judge.Blind(now, false)
+		w.judge.SetBlind(now, true)
+		w.judge.SetBlind(now, false)
 	})
 }
 
@@ -108,14 +108,14 @@
 	now := time.Now().UnixMicro()
 	if by := now - w.now() - w.offset; by > jump || by < -jump {
 		w.Log.WithField("by_ms", by/1000).Warn("keeper: the clock has jumped")
-		w.judge.Jumped(now, by)
+		w.judge.ClockJumped(now, by)
 		w.offset += by
 	} else {
 		w.offset += by
 	}
 	w.judge.Tick(now)
 	for _, p := range w.procs() {
-		if s := w.judge.Seen(p.pid64()); s.Rules&^w.told[p.pid] != 0 {
+		if s := w.judge.Violations(p.pid64()); s.Rules&^w.told[p.pid] != 0 {
 			w.told[p.pid] |= s.Rules
 			w.Log.WithFields(logrus.Fields{"generation": p.manifest.Generation, "pid": p.pid, "what": s.Text}).Error("keeper: a rule is broken")
 		}
@@ -125,12 +125,12 @@
 func (p *proc) pid64() uint64 { return uint64(p.pid) }
 
 // seen is what a process was seen to break that the one beside it was not.
-func (k *Keeper) seen(p, beside *proc) (s invariant.Seen) {
+func (k *Supervisor) seen(p, beside *proc) (s invariant.Violations) {
 	if k.eyes == nil || p == nil {
 		return s
 	}
-	if s = k.eyes.judge.Seen(p.pid64()); beside != nil {
-		if s.Rules &^= k.eyes.judge.Seen(beside.pid64()).Rules; s.Rules == 0 {
+	if s = k.eyes.judge.Violations(p.pid64()); beside != nil {
+		if s.Rules &^= k.eyes.judge.Violations(beside.pid64()).Rules; s.Rules == 0 {
 			s.Text = ""
 		}
 	}
@@ -138,8 +138,8 @@
 }
 
 // acted takes what a process says of itself.
-func (k *Keeper) acted(p *proc, w *handoff.Word) {
-	if k.eyes != nil && w.Acts != nil {
-		k.eyes.judge.Acts(time.Now().UnixMicro(), p.pid64(), w.Acts)
+func (k *Supervisor) acted(p *proc, w *handoff.Message) {
+	if k.eyes != nil && w.Activity != nil {
+		k.eyes.judge.Observe(time.Now().UnixMicro(), p.pid64(), w.Activity)
 	}
 }
--- a/internal/upgrade/adopt.go
+++ b/internal/upgrade/adopt.go
@@ -3,34 +3,34 @@
 // Orphan is a generation that has outlived its keeper, as it says of itself.
 type Orphan struct {
 	Generation uint64
-	State      PartState
+	State      AgentState
 	Settled    bool // it was told that its trial is over, or never had one
 }
 
-// Fate is what a new keeper tells it.
-type Fate uint8
+// Disposition is what a new keeper tells it.
+type Disposition uint8
 
 // Fates of orphans.
 const (
-	Keep     Fate = iota // it serves: go on
-	TryAgain             // it serves, but was never settled: its trial begins anew
-	Resume               // nobody serves: it shall
-	End                  // another one serves
+	DispositionKeep   Disposition = iota // it serves: go on
+	DispositionRetry                     // it serves, but was never settled: its trial begins anew
+	DispositionResume                    // nobody serves: it shall
+	DispositionEnd                       // another one serves
 )
 
-func (f Fate) String() string { return [...]string{"keep", "try again", "resume", "end"}[f] }
+func (f Disposition) String() string { return [...]string{"keep", "try again", "resume", "end"}[f] }
 
-// Adopt decides by the generation that the file has as settled (0: none) what
+// Dispositions decides by the generation that the file has as settled (0: none) what
 // becomes of orphans. At most one is kept, tried again or resumed.
 //
 // One that was told that it is settled is, whatever the file says: the word goes
 // out before the file is written, and its predecessor goes only after that.
-func Adopt(settled uint64, orphans []Orphan) []Fate {
+func Dispositions(settled uint64, orphans []Orphan) []Disposition {
 	best, rank := -1, 0
 	for i, o := range orphans {
 		r := 0
 		switch {
-		case o.State == Ending || o.State == Waiting || o.State == Taking:
+		case o.State == AgentEnding || o.State == AgentWaiting || o.State == AgentAcquiring:
 			continue // it goes by itself
 		case o.Settled && o.Generation > settled:
 			r = 5 // told so, and the file was not written
@@ -47,17 +47,17 @@
 			best, rank = i, r
 		}
 	}
-	fates := make([]Fate, len(orphans))
+	fates := make([]Disposition, len(orphans))
 	for i, o := range orphans {
 		switch {
 		case i != best:
-			fates[i] = End
+			fates[i] = DispositionEnd
 		case !o.State.Accepts():
-			fates[i] = Resume
+			fates[i] = DispositionResume
 		case rank == 2:
-			fates[i] = TryAgain
+			fates[i] = DispositionRetry
 		default:
-			fates[i] = Keep
+			fates[i] = DispositionKeep
 		}
 	}
 	return fates
--- a/internal/upgrade/diff.go
+++ b/internal/upgrade/diff.go
@@ -10,51 +10,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// How a key changes.
-type How uint8
+// ChangeMode a key changes.
+type ChangeMode uint8
 
 // Ways for a key to change.
 const (
-	Live     How = iota // while the router runs, as by SIGHUP
-	HandOver            // by a new generation
-	Never               // not on this router: it would be another one
-	Unheard             // it means nothing for a change: drawn or told anew at each start
+	ModeLive    ChangeMode = iota // while the router runs, as by SIGHUP
+	ModeHandoff                   // by a new generation
+	ModeNever                     // not on this router: it would be another one
+	ModeIgnored                   // it means nothing for a change: drawn or told anew at each start
 )
 
 var howNames = [...]string{"live", "hand-over", "not at all", "at each start"}
 
-func (h How) String() string { return howNames[h] }
+func (h ChangeMode) String() string { return howNames[h] }
 
 // ways say of keys how they change, the first that fits; what stands in none changes
 // by hand-over.
 var ways = []struct {
 	prefix string
-	how    How
+	how    ChangeMode
 }{
-	{"config.name", Never}, {"config.listen", Never}, {"config.seed", Unheard}, {"config.known", Unheard}, {"config.board", Live},
-	{"config.limits.", Never}, // the machine's: the keeper has divided them
-	{"operator.keep.folder", Never}, {"operator.members.name", Never}, {"operator.members.listen", Never},
-	{"operator.gateway.name", Never}, {"operator.gateway.listen", Never},
+	{"config.name", ModeNever}, {"config.listen", ModeNever}, {"config.seed", ModeIgnored}, {"config.known", ModeIgnored}, {"config.board", ModeLive},
+	{"config.limits.", ModeNever}, // the machine's: the keeper has divided them
+	{"operator.keep.folder", ModeNever}, {"operator.members.name", ModeNever}, {"operator.members.listen", ModeNever},
+	{"operator.gateway.name", ModeNever}, {"operator.gateway.listen", ModeNever},
 }
 
-// HowOf tells how a key changes.
-func HowOf(key string) How {
+// ModeOf tells how a key changes.
+func ModeOf(key string) ChangeMode {
 	for _, w := range ways {
 		if strings.HasPrefix(key, w.prefix) {
 			return w.how
 		}
 	}
-	return HandOver
+	return ModeHandoff
 }
 
 // Change is of one key. Old or New is "" where it is not set.
 type Change struct {
 	Key, Old, New string
-	How           How
+	Mode          ChangeMode
 }
 
 func (c Change) String() string {
-	return fmt.Sprintf("%s: %s, was %s (%v)", c.Key, cmp.Or(c.New, "not set"), cmp.Or(c.Old, "not set"), c.How)
+	return fmt.Sprintf("%s: %s, was %s (%v)", c.Key, cmp.Or(c.New, "not set"), cmp.Or(c.Old, "not set"), c.Mode)
 }
 
 // Diff names the keys in which flat settings differ, sorted.
@@ -67,19 +67,19 @@
 		keys[k] = true
 	}
 	for _, k := range slices.Sorted(maps.Keys(keys)) {
-		if how := HowOf(k); old[k] != now[k] && how != Unheard {
+		if how := ModeOf(k); old[k] != now[k] && how != ModeIgnored {
 			list = append(list, Change{k, old[k], now[k], how})
 		}
 	}
 	return list
 }
 
-// Verdict is the way that the hardest of the changes takes. ok: it can be taken.
-func Verdict(list []Change) (how How, ok bool) {
+// HardestMode is the way that the hardest of the changes takes. ok: it can be taken.
+func HardestMode(list []Change) (how ChangeMode, ok bool) {
 	for _, c := range list {
-		how = max(how, c.How)
+		how = max(how, c.Mode)
 	}
-	return how, how != Never
+	return how, how != ModeNever
 }
 
 // ownKeys are a router's own: those of others with the same settings differ.
--- a/internal/upgrade/judge.go
+++ b/internal/upgrade/judge.go
@@ -6,50 +6,50 @@
 	"math"
 )
 
-// Ends counts how txns ended since a generation's start.
-type Ends struct {
-	Completed int64   `cbor:"1,keyasint,omitempty"`
-	Rejected  int64   `cbor:"2,keyasint,omitempty"`
-	Aborted   int64   `cbor:"3,keyasint,omitempty"`
-	Left      int64   `cbor:"4,keyasint,omitempty"` // the client went without an answer
-	Late      int64   `cbor:"5,keyasint,omitempty"` // of the answers
-	Asked     float64 `cbor:"6,keyasint,omitempty"` // importance
-	Earned    float64 `cbor:"7,keyasint,omitempty"` // of it, by the remap rules' SLA times
-	Time      float64 `cbor:"8,keyasint,omitempty"` // sum of ln(time / SLA time) of the completed
-	Hops      int64   `cbor:"9,keyasint,omitempty"` // of all
-	// Rules have txns, importance asked for and earned, by remap rule.
-	Rules map[string][3]float64 `cbor:"10,keyasint,omitempty"`
+// RequestCounts counts how txns ended since a generation's start.
+type RequestCounts struct {
+	Completed     int64   `cbor:"1,keyasint,omitempty"`
+	Rejected      int64   `cbor:"2,keyasint,omitempty"`
+	Aborted       int64   `cbor:"3,keyasint,omitempty"`
+	ClientGone    int64   `cbor:"4,keyasint,omitempty" json:"Left"`   // the client went without an answer
+	Late          int64   `cbor:"5,keyasint,omitempty"`               // of the answers
+	WeightOffered float64 `cbor:"6,keyasint,omitempty" json:"Asked"`  // importance
+	WeightEarned  float64 `cbor:"7,keyasint,omitempty" json:"Earned"` // of it, by the remap rules' SLA times
+	LogLatencySum float64 `cbor:"8,keyasint,omitempty" json:"Time"`   // sum of ln(time / SLA time) of the completed
+	Attempts      int64   `cbor:"9,keyasint,omitempty" json:"Hops"`   // of all
+	// Classes have txns, importance asked for and earned, by remap rule.
+	Classes map[string][3]float64 `cbor:"10,keyasint,omitempty" json:"Rules"`
 }
 
-func (e Ends) all() int64 { return e.Completed + e.Rejected + e.Aborted + e.Left }
+func (e RequestCounts) all() int64 { return e.Completed + e.Rejected + e.Aborted + e.ClientGone }
 
-func (e Ends) bad() int64 { return min(e.Rejected+e.Aborted+e.Left+e.Late, e.all()) }
+func (e RequestCounts) bad() int64 { return min(e.Rejected+e.Aborted+e.ClientGone+e.Late, e.all()) }
 
-func (e Ends) since(o Ends) Ends {
-	return Ends{Completed: e.Completed - o.Completed, Rejected: e.Rejected - o.Rejected, Aborted: e.Aborted - o.Aborted, Left: e.Left - o.Left, Late: e.Late - o.Late}
+func (e RequestCounts) since(o RequestCounts) RequestCounts {
+	return RequestCounts{Completed: e.Completed - o.Completed, Rejected: e.Rejected - o.Rejected, Aborted: e.Aborted - o.Aborted, ClientGone: e.ClientGone - o.ClientGone, Late: e.Late - o.Late}
 }
 
-// And adds.
-func (e Ends) And(o Ends) Ends {
-	rules := maps.Clone(e.Rules)
-	for name, w := range o.Rules {
+// Add adds.
+func (e RequestCounts) Add(o RequestCounts) RequestCounts {
+	rules := maps.Clone(e.Classes)
+	for name, w := range o.Classes {
 		if rules == nil {
 			rules = map[string][3]float64{}
 		}
 		sum := rules[name]
 		rules[name] = [3]float64{sum[0] + w[0], sum[1] + w[1], sum[2] + w[2]}
 	}
-	return Ends{e.Completed + o.Completed, e.Rejected + o.Rejected, e.Aborted + o.Aborted, e.Left + o.Left, e.Late + o.Late, e.Asked + o.Asked, e.Earned + o.Earned,
-		e.Time + o.Time, e.Hops + o.Hops, rules}
+	return RequestCounts{e.Completed + o.Completed, e.Rejected + o.Rejected, e.Aborted + o.Aborted, e.ClientGone + o.ClientGone, e.Late + o.Late, e.WeightOffered + o.WeightOffered, e.WeightEarned + o.WeightEarned,
+		e.LogLatencySum + o.LogLatencySum, e.Attempts + o.Attempts, rules}
 }
 
-// Judge compares a new generation on trial with what the old one did before. It
+// TrialMonitor compares a new generation on trial with what the old one did before. It
 // stops what is plainly broken; small losses are for many routers to tell.
-type Judge struct {
-	before []Ends // of what served, a sample a second, counted on over generations
+type TrialMonitor struct {
+	before []RequestCounts // of what served, a sample a second, counted on over generations
 	at     []int64
-	base   Ends // of the generations before the old one
-	last   Ends // of the old one
+	base   RequestCounts // of the generations before the old one
+	last   RequestCounts // of the old one
 }
 
 const (
@@ -64,30 +64,30 @@
 	worseBy, worseSigma = 0.2, 6.0
 )
 
-// Old notes what the old generation has done by now.
-func (j *Judge) Old(now int64, e Ends) {
+// ObserveOld notes what the old generation has done by now.
+func (j *TrialMonitor) ObserveOld(now int64, e RequestCounts) {
 	j.last = e
 	if n := len(j.at); n > 0 && now-j.at[n-1] < second {
 		return
 	}
-	j.at, j.before = append(j.at, now), append(j.before, j.base.And(e))
+	j.at, j.before = append(j.at, now), append(j.before, j.base.Add(e))
 	for len(j.at) > 1 && j.at[1] <= now-compareWith {
 		j.at, j.before = j.at[1:], j.before[1:]
 	}
 }
 
-// Follows says that a new generation is the old one now: what was before it counts on.
-func (j *Judge) Follows() { j.base, j.last = j.base.And(j.last), Ends{} }
+// Promote says that a new generation is the old one now: what was before it counts on.
+func (j *TrialMonitor) Promote() { j.base, j.last = j.base.Add(j.last), RequestCounts{} }
 
-// New notes what the new one has done by now; an error says how it is worse.
-func (j *Judge) New(e Ends) error {
+// ObserveNew notes what the new one has done by now; an error says how it is worse.
+func (j *TrialMonitor) ObserveNew(e RequestCounts) error {
 	n, bad := float64(e.all()), float64(e.bad())
 	if n < leastTxns {
 		return nil
 	}
 	m, was := 0.0, 0.0
 	if len(j.before) > 0 {
-		o := j.base.And(j.last).since(j.before[0])
+		o := j.base.Add(j.last).since(j.before[0])
 		m, was = float64(o.all()), float64(o.bad())
 	}
 	p, q := bad/n, was/max(m, 1)
--- a/internal/upgrade/keeper.go
+++ b/internal/upgrade/keeper.go
@@ -5,19 +5,19 @@
 
 // States of the keeper's machine.
 const (
-	Down      State = iota // nobody serves; the settled generation is started when it is due
-	Starting               // it is started
-	Steady                 // it serves, and no change is under way
-	Checking               // prepared: the new one's program reads the new one's settings
-	Warming                // checked: the new one is started, and gets ready
-	Quieting               // ready: the old one hands over
-	Handing                // taking over: the new one takes the place
-	OnTrial                // the new one serves, the old one stands by
-	Settling               // the new one is told that it is settled
-	Writing                // that is put into the file
-	Returning              // falling back: the old one takes its place again
-	Stopping               // all end
-	Stopped
+	StateDown        State = iota // nobody serves; the settled generation is started when it is due
+	StateStarting                 // it is started
+	StateSteady                   // it serves, and no change is under way
+	StateChecking                 // prepared: the new one's program reads the new one's settings
+	StateWarming                  // checked: the new one is started, and gets ready
+	StateQuiescing                // ready: the old one hands over
+	StateHandingOver              // taking over: the new one takes the place
+	StateOnTrial                  // the new one serves, the old one stands by
+	StateSettling                 // the new one is told that it is settled
+	StateWriting                  // that is put into the file
+	StateFallingBack              // falling back: the old one takes its place again
+	StateStopping                 // all end
+	StateStopped
 	states
 )
 
@@ -32,27 +32,27 @@
 // Inputs of the keeper's machine. Old is the generation that is settled, new the
 // one that may take its place.
 const (
-	Apply     Input = iota // the operator asks for a change
-	Checked                // the new one's settings are good, and there is room
-	Refused                // they are not, or there is none
-	OldReady               // started, and ready to serve
-	NewReady               //
-	Released               // the old one has handed over
-	OldServes              //
-	NewServes              //
-	Denied                 // the new one did not get the place
-	Settled                // the new one knows that it is
-	Written                // it is in the file
-	Unwritten              // the file could not be written
-	OldGone                // its process has ended
-	NewGone                //
-	OldHung                // it says nothing any more
-	NewHung                // that, or it uses more than its part of the machine
-	Worse                  // it answers worse than the old one did
-	Cancel                 // the operator, or a peer, wants the old one back
-	Timeout                // what the state waits for did not come
-	Shutdown               // everything ends
-	AllGone                // all processes have ended
+	InputApply       Input = iota // the operator asks for a change
+	InputChecked                  // the new one's settings are good, and there is room
+	InputRejected                 // they are not, or there is none
+	InputOldReady                 // started, and ready to serve
+	InputNewReady                 //
+	InputReleased                 // the old one has handed over
+	InputOldServes                //
+	InputNewServes                //
+	InputDenied                   // the new one did not get the place
+	InputSettled                  // the new one knows that it is
+	InputWritten                  // it is in the file
+	InputWriteFailed              // the file could not be written
+	InputOldGone                  // its process has ended
+	InputNewGone                  //
+	InputOldHung                  // it says nothing any more
+	InputNewHung                  // that, or it uses more than its part of the machine
+	InputWorse                    // it answers worse than the old one did
+	InputCancel                   // the operator, or a peer, wants the old one back
+	InputTimeout                  // what the state waits for did not come
+	InputShutdown                 // everything ends
+	InputAllGone                  // all processes have ended
 	inputs
 )
 
@@ -61,26 +61,26 @@
 
 // Effects of the keeper's machine, done in order.
 const (
-	Check       Effect = 1 + iota // the new one's program reads its settings; is there room?
-	StartOld                      // from nothing
-	StartNew                      //
-	OwnOld                        // tell it to serve, from nothing
-	OwnNew                        // tell it to serve, with what the old one handed over
-	QuietOld                      //
-	TakenOld                      // tell it that the new one serves
-	ResumeOld                     //
-	SettleNew                     //
-	SettleOld                     // it needs no trial
-	EndNew                        // it answers what it has, and is killed if it does not end
-	KillNew                       //
-	KillOld                       //
-	Write                         // that the new one is settled
-	Promote                       // the new one is the settled one now; the old one answers what it has and ends
-	EndAll                        //
-	TellRefused                   // nothing has changed
-	TellBack                      // the old one serves again
-	TellDone                      // the new one is settled
-	TellBrief                     // it is, but not in the file: a cold start begins with the old one
+	EffectCheck              Effect = 1 + iota // the new one's program reads its settings; is there room?
+	EffectStartOld                             // from nothing
+	EffectStartNew                             //
+	EffectServeOld                             // tell it to serve, from nothing
+	EffectServeNew                             // tell it to serve, with what the old one handed over
+	EffectQuiesceOld                           //
+	EffectStandbyOld                           // tell it that the new one serves
+	EffectResumeOld                            //
+	EffectSettleNew                            //
+	EffectSettleOld                            // it needs no trial
+	EffectEndNew                               // it answers what it has, and is killed if it does not end
+	EffectKillNew                              //
+	EffectKillOld                              //
+	EffectWrite                                // that the new one is settled
+	EffectPromote                              // the new one is the settled one now; the old one answers what it has and ends
+	EffectEndAll                               //
+	EffectReportRejected                       // nothing has changed
+	EffectReportFellBack                       // the old one serves again
+	EffectReportDone                           // the new one is settled
+	EffectReportNotPersisted                   // it is, but not in the file: a cold start begins with the old one
 )
 
 type row struct {
@@ -92,49 +92,49 @@
 
 // table is read by Machine.Handle. What stands in no row means nothing there.
 var table = [states][inputs]*row{
-	Down: {Timeout: to(Starting, StartOld), Shutdown: to(Stopping, EndAll)},
-	Starting: {
-		OldReady: to(Starting, OwnOld), OldServes: to(Steady, SettleOld), OldGone: to(Down), OldHung: to(Down, KillOld), Timeout: to(Down, KillOld),
-		Shutdown: to(Stopping, EndAll)},
-	Steady: {
-		Apply: to(Checking, Check), OldGone: to(Down), OldHung: to(Down, KillOld), Shutdown: to(Stopping, EndAll)},
-	Checking: {
-		Checked: to(Warming, StartNew), Refused: to(Steady, TellRefused), Timeout: to(Steady, TellRefused), Cancel: to(Steady, TellRefused),
-		OldGone: to(Down, TellRefused), OldHung: to(Down, KillOld, TellRefused), Shutdown: to(Stopping, TellRefused, EndAll)},
-	Warming: {
-		NewReady: to(Quieting, QuietOld), NewGone: to(Steady, TellRefused), NewHung: to(Steady, KillNew, TellRefused),
-		Timeout: to(Steady, KillNew, TellRefused), Cancel: to(Steady, KillNew, TellRefused), OldGone: to(Down, KillNew, TellRefused),
-		OldHung: to(Down, KillNew, KillOld, TellRefused), Shutdown: to(Stopping, TellRefused, EndAll)},
-	Quieting: {
-		Released: to(Handing, OwnNew), OldServes: to(Steady, KillNew, TellBack), NewGone: to(Returning, ResumeOld),
-		NewHung: to(Returning, KillNew, ResumeOld), Cancel: to(Returning, KillNew, ResumeOld), Timeout: to(Returning, KillNew, ResumeOld),
-		OldHung: to(Returning, KillNew, ResumeOld), OldGone: to(Down, KillNew, TellBack), Shutdown: to(Stopping, TellBack, EndAll)},
-	Handing: {
-		NewServes: to(OnTrial, TakenOld), OldServes: to(Steady, KillNew, TellBack), Denied: to(Returning, KillNew, ResumeOld),
-		NewGone: to(Returning, ResumeOld), NewHung: to(Returning, KillNew, ResumeOld), Cancel: to(Returning, KillNew, ResumeOld),
-		Timeout: to(Returning, KillNew, ResumeOld), OldGone: to(Down, KillNew, TellBack), Shutdown: to(Stopping, TellBack, EndAll)},
-	OnTrial: {
-		Timeout: to(Settling, SettleNew), NewGone: to(Returning, ResumeOld), NewHung: to(Returning, KillNew, ResumeOld),
-		Worse: to(Returning, EndNew, ResumeOld), Cancel: to(Returning, EndNew, ResumeOld), OldServes: to(Steady, KillNew, TellBack),
-		OldGone: to(OnTrial), Shutdown: to(Stopping, TellBack, EndAll)},
-	Settling: {
-		Settled: to(Writing, Write), NewGone: to(Returning, ResumeOld), NewHung: to(Returning, KillNew, ResumeOld),
-		Timeout: to(Returning, KillNew, ResumeOld), OldServes: to(Steady, KillNew, TellBack), OldGone: to(Settling),
-		Shutdown: to(Stopping, TellBack, EndAll)},
-	Writing: {
-		Written: to(Steady, Promote, TellDone), Unwritten: to(Steady, Promote, TellBrief)},
-	Returning: {
-		OldServes: to(Steady, EndNew, TellBack), OldGone: to(Down, KillNew, TellBack), Timeout: to(Down, KillNew, KillOld, TellBack),
-		Shutdown: to(Stopping, TellBack, EndAll)},
-	Stopping: {AllGone: to(Stopped)},
-	Stopped:  {},
+	StateDown: {InputTimeout: to(StateStarting, EffectStartOld), InputShutdown: to(StateStopping, EffectEndAll)},
+	StateStarting: {
+		InputOldReady: to(StateStarting, EffectServeOld), InputOldServes: to(StateSteady, EffectSettleOld), InputOldGone: to(StateDown), InputOldHung: to(StateDown, EffectKillOld), InputTimeout: to(StateDown, EffectKillOld),
+		InputShutdown: to(StateStopping, EffectEndAll)},
+	StateSteady: {
+		InputApply: to(StateChecking, EffectCheck), InputOldGone: to(StateDown), InputOldHung: to(StateDown, EffectKillOld), InputShutdown: to(StateStopping, EffectEndAll)},
+	StateChecking: {
+		InputChecked: to(StateWarming, EffectStartNew), InputRejected: to(StateSteady, EffectReportRejected), InputTimeout: to(StateSteady, EffectReportRejected), InputCancel: to(StateSteady, EffectReportRejected),
+		InputOldGone: to(StateDown, EffectReportRejected), InputOldHung: to(StateDown, EffectKillOld, EffectReportRejected), InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll)},
+	StateWarming: {
+		InputNewReady: to(StateQuiescing, EffectQuiesceOld), InputNewGone: to(StateSteady, EffectReportRejected), InputNewHung: to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputTimeout: to(StateSteady, EffectKillNew, EffectReportRejected), InputCancel: to(StateSteady, EffectKillNew, EffectReportRejected), InputOldGone: to(StateDown, EffectKillNew, EffectReportRejected),
+		InputOldHung: to(StateDown, EffectKillNew, EffectKillOld, EffectReportRejected), InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll)},
+	StateQuiescing: {
+		InputReleased: to(StateHandingOver, EffectServeNew), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack), InputNewGone: to(StateFallingBack, EffectResumeOld),
+		InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputCancel: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputOldHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+	StateHandingOver: {
+		InputNewServes: to(StateOnTrial, EffectStandbyOld), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack), InputDenied: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputNewGone: to(StateFallingBack, EffectResumeOld), InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputCancel: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+	StateOnTrial: {
+		InputTimeout: to(StateSettling, EffectSettleNew), InputNewGone: to(StateFallingBack, EffectResumeOld), InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputWorse: to(StateFallingBack, EffectEndNew, EffectResumeOld), InputCancel: to(StateFallingBack, EffectEndNew, EffectResumeOld), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
+		InputOldGone: to(StateOnTrial), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+	StateSettling: {
+		InputSettled: to(StateWriting, EffectWrite), InputNewGone: to(StateFallingBack, EffectResumeOld), InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack), InputOldGone: to(StateSettling),
+		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+	StateWriting: {
+		InputWritten: to(StateSteady, EffectPromote, EffectReportDone), InputWriteFailed: to(StateSteady, EffectPromote, EffectReportNotPersisted)},
+	StateFallingBack: {
+		InputOldServes: to(StateSteady, EffectEndNew, EffectReportFellBack), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputTimeout: to(StateDown, EffectKillNew, EffectKillOld, EffectReportFellBack),
+		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+	StateStopping: {InputAllGone: to(StateStopped)},
+	StateStopped:  {},
 }
 
-// Times that the keeper waits.
-type Times struct {
-	Ready int64 // for a generation to get ready
-	Trial int64 // how long a new one must do well
-	Drain int64 // for a generation to answer what it has
+// Timeouts that the keeper waits.
+type Timeouts struct {
+	ReadyMicros int64 // for a generation to get ready
+	TrialMicros int64 // how long a new one must do well
+	DrainMicros int64 // for a generation to answer what it has
 }
 
 const (
@@ -143,10 +143,10 @@
 	// answerWithin is for a generation to do what it is told: some system calls and a
 	// copy of what was learned. Two of them are less than a generation's patience.
 	answerWithin = 700 * ms
-	// HangAfter without a beat (one each 100 ms) a generation is taken for hung; one on
+	// HangTimeoutMicros without a beat (one each 100 ms) a generation is taken for hung; one on
 	// trial for a tenth of it, since there is another to take its place at once.
-	HangAfter = 10 * second
-	TrialHang = second
+	HangTimeoutMicros      = 10 * second
+	TrialHangTimeoutMicros = second
 	// A generation that dies is started again after restFirst, doubling up to restMost;
 	// one that served for steadyAfter begins anew.
 	restFirst, restMost = 50 * ms, 5 * second
@@ -156,7 +156,7 @@
 // Machine is the keeper's side. One goroutine at a time.
 type Machine struct {
 	State State
-	times Times
+	times Timeouts
 	since int64
 	due   int64 // 0: none
 	gone  bool  // the old one's process has ended, in a state that goes on without it
@@ -165,40 +165,40 @@
 }
 
 // NewMachine begins with nobody serving, and starts the settled generation at once.
-func NewMachine(times Times, now int64) *Machine {
-	return &Machine{State: Down, times: times, since: now, due: now, up: now}
+func NewMachine(times Timeouts, now int64) *Machine {
+	return &Machine{State: StateDown, times: times, since: now, due: now, up: now}
 }
 
-// Adopted begins with a settled generation that serves already; trial: with one that
+// NewAdoptedMachine begins with a settled generation that serves already; trial: with one that
 // is not settled, whose predecessor has gone.
-func Adopted(times Times, now int64, trial bool) *Machine {
-	m := &Machine{State: Steady, times: times, since: now, up: now}
+func NewAdoptedMachine(times Timeouts, now int64, trial bool) *Machine {
+	m := &Machine{State: StateSteady, times: times, since: now, up: now}
 	if trial {
-		m.State, m.gone, m.due = OnTrial, true, now+times.Trial
+		m.State, m.gone, m.due = StateOnTrial, true, now+times.TrialMicros
 	}
 	return m
 }
 
-// Due is when Tick wants to be called; 0: not at all.
-func (m *Machine) Due() int64 { return m.due }
+// DueMicros is when Tick wants to be called; 0: not at all.
+func (m *Machine) DueMicros() int64 { return m.due }
 
-// Since is when the state began.
-func (m *Machine) Since() int64 { return m.since }
+// SinceMicros is when the state began.
+func (m *Machine) SinceMicros() int64 { return m.since }
 
 // Busy tells whether a change is under way, so that no other one can begin.
-func (m *Machine) Busy() bool { return m.State != Steady }
+func (m *Machine) Busy() bool { return m.State != StateSteady }
 
 // Tick tells the time.
 func (m *Machine) Tick(now int64) []Effect {
 	if m.due == 0 || now < m.due {
 		return nil
 	}
-	return m.Handle(now, Timeout)
+	return m.Handle(now, InputTimeout)
 }
 
-// Slept says that the keeper itself stood still for so long: what it waits for had
+// Paused says that the keeper itself stood still for so long: what it waits for had
 // no chance to be heard meanwhile.
-func (m *Machine) Slept(gap int64) {
+func (m *Machine) Paused(gap int64) {
 	if m.due > 0 {
 		m.due += gap
 	}
@@ -212,14 +212,14 @@
 	}
 	effects := r.effects
 	next := r.next
-	if in == OldGone {
+	if in == InputOldGone {
 		m.gone = true
 	}
-	if next == Returning && m.gone { // there is nobody to come back
-		next = Down
-		effects = append([]Effect{KillNew}, TellBack)
+	if next == StateFallingBack && m.gone { // there is nobody to come back
+		next = StateDown
+		effects = append([]Effect{EffectKillNew}, EffectReportFellBack)
 	}
-	if next == m.State && in != OldReady { // only the old one's end is noted
+	if next == m.State && in != InputOldReady { // only the old one's end is noted
 		return effects
 	}
 	m.enter(now, next, in)
@@ -230,9 +230,9 @@
 	from := m.State
 	m.State, m.since, m.due = next, now, 0
 	switch next {
-	case Down:
+	case StateDown:
 		// A change that failed with both gone is no fault of the settled generation.
-		if from == Starting || from == Steady {
+		if from == StateStarting || from == StateSteady {
 			if now-m.up >= steadyAfter {
 				m.falls = 0
 			}
@@ -242,23 +242,23 @@
 		if m.falls > 1 {
 			m.due = now + min(restFirst<<min(m.falls-2, 16), restMost)
 		}
-	case Starting:
-		m.due = now + m.times.Ready
-	case Steady:
-		if m.gone = false; from == Starting || from == Returning || from == Writing {
+	case StateStarting:
+		m.due = now + m.times.ReadyMicros
+	case StateSteady:
+		if m.gone = false; from == StateStarting || from == StateFallingBack || from == StateWriting {
 			m.up = now
 		}
-	case Checking:
+	case StateChecking:
 		m.due = now + checkWithin
-	case Warming:
-		m.due = now + m.times.Ready
-	case Quieting, Handing, Settling:
+	case StateWarming:
+		m.due = now + m.times.ReadyMicros
+	case StateQuiescing, StateHandingOver, StateSettling:
 		m.due = now + answerWithin
-	case OnTrial:
-		m.due = now + m.times.Trial
-	case Returning:
+	case StateOnTrial:
+		m.due = now + m.times.TrialMicros
+	case StateFallingBack:
 		m.due = now + answerWithin
-		if in == Worse || in == Cancel {
+		if in == InputWorse || in == InputCancel {
 			m.due += takeWithin // the new one lets go of the place by itself
 		}
 	}
--- a/internal/upgrade/part.go
+++ b/internal/upgrade/part.go
@@ -11,68 +11,68 @@
 
 import "fmt"
 
-// PartState is what a generation does.
-type PartState uint8
+// AgentState is what a generation does.
+type AgentState uint8
 
 // States of a generation.
 const (
-	Waiting  PartState = iota // it has not been told to serve yet
-	Taking                    // it has, and waits for the place
-	Trial                     // it serves, and its predecessor stands by
-	Serving                   //
-	Quiet                     // takes nothing new; nobody has said that its successor serves
-	Standby                   // its successor serves
-	Retaking                  // wants its place back
-	Yielding                  // on trial without a keeper: the predecessor may take the place
-	Ending                    // answers what it has, then ends
+	AgentWaiting     AgentState = iota // it has not been told to serve yet
+	AgentAcquiring                     // it has, and waits for the place
+	AgentOnTrial                       // it serves, and its predecessor stands by
+	AgentServing                       //
+	AgentQuiesced                      // takes nothing new; nobody has said that its successor serves
+	AgentStandby                       // its successor serves
+	AgentReacquiring                   // wants its place back
+	AgentYielding                      // on trial without a keeper: the predecessor may take the place
+	AgentEnding                        // answers what it has, then ends
 	partStates
 )
 
 var partNames = [partStates]string{"waiting", "taking", "trial", "serving", "quiet", "standby", "retaking", "yielding", "ending"}
 
-func (s PartState) String() string { return partNames[min(s, partStates-1)] }
+func (s AgentState) String() string { return partNames[min(s, partStates-1)] }
 
 // Accepts tells the states in which clients are accepted: those that hold the place.
-func (s PartState) Accepts() bool { return s == Trial || s == Serving }
+func (s AgentState) Accepts() bool { return s == AgentOnTrial || s == AgentServing }
 
-// Wants tells the states that try to get the place.
-func (s PartState) Wants() bool { return s == Taking || s == Retaking }
+// WantsLock tells the states that try to get the place.
+func (s AgentState) WantsLock() bool { return s == AgentAcquiring || s == AgentReacquiring }
 
-// PartInput is what a generation is told, or finds.
-type PartInput uint8
+// AgentInput is what a generation is told, or finds.
+type AgentInput uint8
 
 // Inputs of a generation.
 const (
-	ToOwn    PartInput = iota // the keeper: serve, in the predecessor's place
-	ToQuiet                   // take nothing new, hand over
-	ToTaken                   // the successor serves
-	ToSettle                  // the trial is over
-	ToResume                  // serve again
-	ToEnd                     // answer what there is, then end
-	Lost                      // the keeper has gone
-	Free                      // it has got the place
-	Due                       // its time is over
+	AgentInputServe           AgentInput = iota // the keeper: serve, in the predecessor's place
+	AgentInputQuiesce                           // take nothing new, hand over
+	AgentInputSuccessorServes                   // the successor serves
+	AgentInputSettle                            // the trial is over
+	AgentInputResume                            // serve again
+	AgentInputEnd                               // answer what there is, then end
+	AgentInputSupervisorLost                    // the keeper has gone
+	AgentInputLockAcquired                      // it has got the place
+	AgentInputTimeout                           // its time is over
 	partInputs
 )
 
-// PartEffect is what a generation does on the way.
-type PartEffect uint8
+// AgentEffect is what a generation does on the way.
+type AgentEffect uint8
 
 // Effects of a generation, done in order.
 const (
-	Accept        PartEffect = 1 + iota // own what one generation owns, and accept clients
-	Stop                                // accept nothing more, let go what it owns, then the place
-	TellReleased                        // with all that was learned
-	TellAccepting                       //
-	TellDenied                          // the place was not free in time
-	TellSettled                         //
-	LetGo                               // give the place up again, if it has just come
-	Drain                               // answer what there is, then end
+	AgentEffectAccept          AgentEffect = 1 + iota // own what one generation owns, and accept clients
+	AgentEffectStop                                   // accept nothing more, let go what it owns, then the place
+	AgentEffectReportReleased                         // with all that was learned
+	AgentEffectReportAccepting                        //
+	AgentEffectReportDenied                           // the place was not free in time
+	AgentEffectReportSettled                          //
+	AgentEffectReleaseLock                            // give the place up again, if it has just come
+	AgentEffectDrain                                  // answer what there is, then end
 )
 
 type partRow struct {
-	next    PartState
-	effects []PartEffect
+	next    AgentState
+	effects []AgentEffect
 	within  int64 // until Due; 0: no time is set
 }
 
@@ -91,65 +91,65 @@
 )
 
 var partTable = [partStates][partInputs]*partRow{
-	Waiting: {
-		ToOwn: {Taking, nil, takeWithin}, ToEnd: {Ending, []PartEffect{Drain}, 0}, Lost: {Ending, []PartEffect{Drain}, 0}},
-	Taking: {
-		Free: {Trial, []PartEffect{Accept, TellAccepting}, 0}, Due: {Waiting, []PartEffect{TellDenied}, 0},
-		ToEnd: {Ending, []PartEffect{Drain}, 0}, Lost: {Ending, []PartEffect{Drain}, 0}},
-	Trial: {
-		ToSettle: {Serving, []PartEffect{TellSettled}, 0}, ToEnd: {Ending, []PartEffect{Stop, Drain}, 0},
-		Lost: {Yielding, []PartEffect{Stop}, yieldFor}},
-	Serving: {
-		ToQuiet: {Quiet, []PartEffect{Stop, TellReleased}, patience}, ToSettle: {Serving, []PartEffect{TellSettled}, 0},
-		ToResume: {Serving, []PartEffect{TellAccepting}, 0}, ToEnd: {Ending, []PartEffect{Drain}, 0}},
-	Quiet: {
-		ToTaken: {Standby, nil, 0}, ToResume: {Retaking, nil, 0}, Due: {Retaking, nil, 0}, Lost: {Retaking, nil, 0},
-		ToEnd: {Ending, []PartEffect{Drain}, 0}},
-	Standby: {
-		ToResume: {Retaking, nil, 0}, Lost: {Retaking, nil, 0}, ToEnd: {Ending, []PartEffect{Drain}, 0}},
-	Retaking: {
-		Free: {Serving, []PartEffect{Accept, TellAccepting}, 0}, ToTaken: {Standby, nil, 0}, ToResume: {Retaking, nil, 0},
-		ToEnd: {Ending, []PartEffect{Drain}, 0}},
-	Yielding: {
-		Due: {Retaking, nil, 0}, ToResume: {Retaking, nil, 0}, ToOwn: {Taking, nil, takeWithin}, ToEnd: {Ending, []PartEffect{Drain}, 0}},
-	Ending: {},
+	AgentWaiting: {
+		AgentInputServe: {AgentAcquiring, nil, takeWithin}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}, AgentInputSupervisorLost: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentAcquiring: {
+		AgentInputLockAcquired: {AgentOnTrial, []AgentEffect{AgentEffectAccept, AgentEffectReportAccepting}, 0}, AgentInputTimeout: {AgentWaiting, []AgentEffect{AgentEffectReportDenied}, 0},
+		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}, AgentInputSupervisorLost: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentOnTrial: {
+		AgentInputSettle: {AgentServing, []AgentEffect{AgentEffectReportSettled}, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectStop, AgentEffectDrain}, 0},
+		AgentInputSupervisorLost: {AgentYielding, []AgentEffect{AgentEffectStop}, yieldFor}},
+	AgentServing: {
+		AgentInputQuiesce: {AgentQuiesced, []AgentEffect{AgentEffectStop, AgentEffectReportReleased}, patience}, AgentInputSettle: {AgentServing, []AgentEffect{AgentEffectReportSettled}, 0},
+		AgentInputResume: {AgentServing, []AgentEffect{AgentEffectReportAccepting}, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentQuiesced: {
+		AgentInputSuccessorServes: {AgentStandby, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputTimeout: {AgentReacquiring, nil, 0}, AgentInputSupervisorLost: {AgentReacquiring, nil, 0},
+		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentStandby: {
+		AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputSupervisorLost: {AgentReacquiring, nil, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentReacquiring: {
+		AgentInputLockAcquired: {AgentServing, []AgentEffect{AgentEffectAccept, AgentEffectReportAccepting}, 0}, AgentInputSuccessorServes: {AgentStandby, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0},
+		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentYielding: {
+		AgentInputTimeout: {AgentReacquiring, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputServe: {AgentAcquiring, nil, takeWithin}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+	AgentEnding: {},
 }
 
-// Part is a generation's side.
-type Part struct {
-	State   PartState
+// Agent is a generation's side.
+type Agent struct {
+	State   AgentState
 	due     int64 // 0: none
 	settled bool  // it was told so, or needs no trial
 }
 
-// NewPart begins as one that waits to be told.
-func NewPart() *Part { return &Part{} }
+// NewAgent begins as one that waits to be told.
+func NewAgent() *Agent { return &Agent{} }
 
 // Settled tells whether it has been told that its trial is over.
-func (p *Part) Settled() bool { return p.settled }
+func (p *Agent) Settled() bool { return p.settled }
 
-// Due is when Tick wants to be called; 0: not at all.
-func (p *Part) Due() int64 { return p.due }
+// DueMicros is when Tick wants to be called; 0: not at all.
+func (p *Agent) DueMicros() int64 { return p.due }
 
 // Tick tells the time.
-func (p *Part) Tick(now int64) []PartEffect {
+func (p *Agent) Tick(now int64) []AgentEffect {
 	if p.due == 0 || now < p.due {
 		return nil
 	}
-	return p.Handle(now, Due)
+	return p.Handle(now, AgentInputTimeout)
 }
 
 // Handle takes an input. One that means nothing in its state changes nothing; a
 // place that comes when it is not wanted is given up.
-func (p *Part) Handle(now int64, in PartInput) []PartEffect {
+func (p *Agent) Handle(now int64, in AgentInput) []AgentEffect {
 	row := partTable[p.State][in]
 	if row == nil {
-		if in == Free {
-			return []PartEffect{LetGo}
+		if in == AgentInputLockAcquired {
+			return []AgentEffect{AgentEffectReleaseLock}
 		}
 		return nil
 	}
-	if in == ToSettle {
+	if in == AgentInputSettle {
 		p.settled = true
 	}
 	p.State, p.due = row.next, 0
@@ -159,6 +159,6 @@
 	return row.effects
 }
 
-func (e PartEffect) String() string {
+func (e AgentEffect) String() string {
 	return fmt.Sprint([...]string{"", "accept", "stop", "tell released", "tell accepting", "tell denied", "tell settled", "let go", "drain"}[e])
 }
--- a/internal/upgrade/search_test.go
+++ b/internal/upgrade/search_test.go
@@ -10,10 +10,10 @@
 // mproc is a process of the model: a generation's side, and what is on its way.
 type mproc struct {
 	gen     uint64
-	part    Part
+	part    Agent
 	alive   bool
 	stopped bool
-	toPart  []PartInput
+	toPart  []AgentInput
 	toKeep  []msg
 	linked  bool // to the keeper that runs
 }
@@ -46,7 +46,7 @@
 	path     []string
 }
 
-var modelTimes = Times{Ready: 2 * second, Trial: 3 * second, Drain: 2 * second}
+var modelTimes = Timeouts{ReadyMicros: 2 * second, TrialMicros: 3 * second, DrainMicros: 2 * second}
 
 func newSys(kills, stops, slow int, wrong string) sys {
 	s := sys{now: second, keeper: true, m: *NewMachine(modelTimes, second), old: -1, new: -1, place: -1, settled: 1, kills: kills, stops: stops, slow: slow, wrong: wrong, noneFrom: -1}
@@ -86,14 +86,14 @@
 	return b.String()
 }
 
-func (s *sys) say(i int, in PartInput) {
+func (s *sys) say(i int, in AgentInput) {
 	if i >= 0 && s.procs[i].alive && s.procs[i].linked {
 		s.procs[i].toPart = append(s.procs[i].toPart, in)
 	}
 }
 
 func (s *sys) start(gen uint64) int {
-	s.procs = append(s.procs, mproc{gen: gen, part: *NewPart(), alive: true, linked: true, toKeep: []msg{{OldReady, NewReady}}})
+	s.procs = append(s.procs, mproc{gen: gen, part: *NewAgent(), alive: true, linked: true, toKeep: []msg{{InputOldReady, InputNewReady}}})
 	return len(s.procs) - 1
 }
 
@@ -102,44 +102,44 @@
 func (s *sys) do(effects []Effect) {
 	for _, e := range effects {
 		switch e {
-		case Check:
-			s.feed(Checked)
-		case StartOld:
+		case EffectCheck:
+			s.feed(InputChecked)
+		case EffectStartOld:
 			s.old = s.start(s.settled)
-		case StartNew:
+		case EffectStartNew:
 			s.new = s.start(2)
-		case OwnOld:
-			s.say(s.old, ToOwn)
-		case OwnNew:
-			s.say(s.new, ToOwn)
-		case QuietOld:
-			s.say(s.old, ToQuiet)
-		case TakenOld:
-			s.say(s.old, ToTaken)
-		case ResumeOld:
-			s.say(s.old, ToResume)
-		case SettleNew:
-			if s.say(s.new, ToSettle); s.wrong == "file first" {
+		case EffectServeOld:
+			s.say(s.old, AgentInputServe)
+		case EffectServeNew:
+			s.say(s.new, AgentInputServe)
+		case EffectQuiesceOld:
+			s.say(s.old, AgentInputQuiesce)
+		case EffectStandbyOld:
+			s.say(s.old, AgentInputSuccessorServes)
+		case EffectResumeOld:
+			s.say(s.old, AgentInputResume)
+		case EffectSettleNew:
+			if s.say(s.new, AgentInputSettle); s.wrong == "file first" {
 				s.settled = 2
 			}
-		case SettleOld:
-			s.say(s.old, ToSettle)
-		case EndNew:
+		case EffectSettleOld:
+			s.say(s.old, AgentInputSettle)
+		case EffectEndNew:
 			if s.new >= 0 {
-				s.say(s.new, ToEnd)
+				s.say(s.new, AgentInputEnd)
 				s.leaving, s.new = append(s.leaving, s.new), -1
 			}
-		case KillNew:
+		case EffectKillNew:
 			s.kill(s.new)
 			s.new = -1
-		case KillOld:
+		case EffectKillOld:
 			s.kill(s.old)
 			s.old = -1
-		case Write:
+		case EffectWrite:
 			s.settled = 2
-			s.feed(Written)
-		case Promote:
-			s.say(s.old, ToEnd)
+			s.feed(InputWritten)
+		case EffectPromote:
+			s.say(s.old, AgentInputEnd)
 			if s.old >= 0 {
 				s.leaving = append(s.leaving, s.old)
 			}
@@ -165,16 +165,16 @@
 	switch i {
 	case s.old:
 		s.old = -1
-		s.feed(OldGone)
+		s.feed(InputOldGone)
 	case s.new:
 		s.new = -1
-		s.feed(NewGone)
+		s.feed(InputNewGone)
 	}
 }
 
-func (s *sys) tell(i int, in PartInput) {
+func (s *sys) tell(i int, in AgentInput) {
 	p := &s.procs[i]
-	if in == ToSettle && p.gen == 2 {
+	if in == AgentInputSettle && p.gen == 2 {
 		s.told = true
 	}
 	for _, e := range p.part.Handle(s.now, in) {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (s *sys) effect(i int, e PartEffect) {
+func (s *sys) effect(i int, e AgentEffect) {
 	p := &s.procs[i]
 	post := func(old, new Input) {
 		if p.linked {
@@ -190,19 +190,19 @@
 		}
 	}
 	switch e {
-	case Stop, LetGo:
+	case AgentEffectStop, AgentEffectReleaseLock:
 		if s.place == i {
 			s.place = -1
 		}
-	case TellReleased:
-		post(Released, Released)
-	case TellAccepting:
-		post(OldServes, NewServes)
-	case TellDenied:
-		post(Denied, Denied)
-	case TellSettled:
-		post(Settled, Settled)
-	case Drain:
+	case AgentEffectReportReleased:
+		post(InputReleased, InputReleased)
+	case AgentEffectReportAccepting:
+		post(InputOldServes, InputNewServes)
+	case AgentEffectReportDenied:
+		post(InputDenied, InputDenied)
+	case AgentEffectReportSettled:
+		post(InputSettled, InputSettled)
+	case AgentEffectDrain:
 		if s.place == i {
 			s.place = -1
 		}
@@ -213,11 +213,11 @@
 // grab lets processes that want the place try for it.
 func (s *sys) grab(i int) bool {
 	p := &s.procs[i]
-	if !p.alive || p.stopped || !p.part.State.Wants() || s.place >= 0 && s.wrong != "no place" {
+	if !p.alive || p.stopped || !p.part.State.WantsLock() || s.place >= 0 && s.wrong != "no place" {
 		return false
 	}
 	s.place = i
-	s.tell(i, Free)
+	s.tell(i, AgentInputLockAcquired)
 	return true
 }
 
@@ -280,7 +280,7 @@
 	for i := range s.procs {
 		if p := &s.procs[i]; p.alive {
 			p.linked, p.toKeep = false, nil
-			p.toPart = append(p.toPart, Lost)
+			p.toPart = append(p.toPart, AgentInputSupervisorLost)
 		}
 	}
 }
@@ -308,24 +308,24 @@
 		}
 	}
 	s.m = *NewMachine(modelTimes, s.now)
-	for n, fate := range Adopt(s.settled, said) {
+	for n, fate := range Dispositions(s.settled, said) {
 		i := who[n]
 		s.procs[i].linked = true
 		switch fate {
-		case End:
+		case DispositionEnd:
 			s.leaving = append(s.leaving, i)
-			s.say(i, ToEnd)
+			s.say(i, AgentInputEnd)
 			continue
-		case TryAgain:
-			s.new, s.m = i, *Adopted(modelTimes, s.now, true)
-		case Resume:
-			s.say(i, ToResume)
+		case DispositionRetry:
+			s.new, s.m = i, *NewAdoptedMachine(modelTimes, s.now, true)
+		case DispositionResume:
+			s.say(i, AgentInputResume)
 			fallthrough
 		default:
-			s.old, s.m = i, *Adopted(modelTimes, s.now, false)
+			s.old, s.m = i, *NewAdoptedMachine(modelTimes, s.now, false)
 			s.settled = s.procs[i].gen
 			if !said[n].Settled {
-				s.say(i, ToSettle)
+				s.say(i, AgentInputSettle)
 			}
 		}
 	}
@@ -428,16 +428,16 @@
 			pending = true
 			list = append(list, func(s *sys) string { s.deliver(i, true); return fmt.Sprint("from ", i) })
 		}
-		if p.part.State.Wants() && (s.place < 0 || s.wrong == "no place") {
+		if p.part.State.WantsLock() && (s.place < 0 || s.wrong == "no place") {
 			pending = true
 			list = append(list, func(s *sys) string { s.grab(i); return fmt.Sprint("place ", i) })
 		}
 	}
-	if s.keeper && !s.applied && s.m.State == Steady {
-		list = append(list, func(s *sys) string { s.applied = true; s.feed(Apply); return "apply" })
+	if s.keeper && !s.applied && s.m.State == StateSteady {
+		list = append(list, func(s *sys) string { s.applied = true; s.feed(InputApply); return "apply" })
 	}
-	if s.keeper && s.applied && !s.called && s.m.State > Steady && s.m.State < Writing {
-		for in, name := range map[Input]string{Cancel: "cancel", NewHung: "hung", Worse: "worse"} {
+	if s.keeper && s.applied && !s.called && s.m.State > StateSteady && s.m.State < StateWriting {
+		for in, name := range map[Input]string{InputCancel: "cancel", InputNewHung: "hung", InputWorse: "worse"} {
 			list = append(list, func(s *sys) string { s.called = true; s.feed(in); return name })
 		}
 	}
@@ -487,7 +487,7 @@
 	switch {
 	case n != 1:
 		return fmt.Sprintf("%d accept in the end, keeper %v", n, e.m.State), 0
-	case e.m.State != Steady:
+	case e.m.State != StateSteady:
 		return fmt.Sprintf("the keeper ends %v", e.m.State), 0
 	case e.procs[who].gen != e.settled:
 		return fmt.Sprintf("%d serves and %d is settled", e.procs[who].gen, e.settled), 0
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -11,8 +11,8 @@
 func TestJudge(t *testing.T) {
 	play := func(seed uint64, perS int, before, after float64) (stopped int64) {
 		dice := rand.New(rand.NewPCG(seed, 1))
-		var j Judge
-		var e Ends
+		var j TrialMonitor
+		var e RequestCounts
 		step := func(bad float64) {
 			for range perS / 10 {
 				if dice.Float64() < bad {
@@ -24,11 +24,11 @@
 		}
 		for now := int64(0); now < 40*second; now += 100 * ms {
 			step(before)
-			j.Old(now, e)
+			j.ObserveOld(now, e)
 		}
-		e = Ends{}
+		e = RequestCounts{}
 		for at := int64(0); at < 30*second; at += 100 * ms {
-			if step(after); j.New(e) != nil {
+			if step(after); j.ObserveNew(e) != nil {
 				return at + 1
 			}
 		}
@@ -53,39 +53,39 @@
 		t.Errorf("%d of 2400 stopped without a reason", stops)
 	}
 	// What served before a promotion counts on.
-	var j Judge
-	j.Old(0, Ends{})
-	j.Old(second, Ends{Completed: 50, Rejected: 50})
-	j.Follows()
-	if err := j.New(Ends{Completed: 50, Rejected: 50}); err != nil {
+	var j TrialMonitor
+	j.ObserveOld(0, RequestCounts{})
+	j.ObserveOld(second, RequestCounts{Completed: 50, Rejected: 50})
+	j.Promote()
+	if err := j.ObserveNew(RequestCounts{Completed: 50, Rejected: 50}); err != nil {
 		t.Error(err)
 	}
-	if err := j.New(Ends{Left: 100}); err == nil {
+	if err := j.ObserveNew(RequestCounts{ClientGone: 100}); err == nil {
 		t.Error("clients that leave are not found")
 	}
 }
 
 func TestRoom(t *testing.T) {
-	machine := Use{192, 1024}
-	if u, err := Alone(machine); err != nil || u.MemoryMB+KeeperMB != 192 || u.Descriptors+KeeperFDs != 1024 {
+	machine := Resources{192, 1024}
+	if u, err := SoleBudget(machine); err != nil || u.MemoryMB+SupervisorMB != 192 || u.Descriptors+SupervisorFDs != 1024 {
 		t.Errorf("%+v, %v", u, err)
 	}
-	if _, err := Alone(Use{32, 64}); err == nil || !strings.Contains(err.Error(), "32 MB and 64") {
+	if _, err := SoleBudget(Resources{32, 64}); err == nil || !strings.Contains(err.Error(), "32 MB and 64") {
 		t.Error(err)
 	}
 	for _, c := range []struct {
-		old  Use
+		old  Resources
 		want string
-	}{{Use{30, 200}, ""}, {Use{140, 200}, "memory"}, {Use{30, 900}, "descriptors"}} {
-		u, err := Beside(machine, c.old)
+	}{{Resources{30, 200}, ""}, {Resources{140, 200}, "memory"}, {Resources{30, 900}, "descriptors"}} {
+		u, err := ShareBudget(machine, c.old)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %+v, %v", c.old, u, err)
 		}
-		if err == nil && (u.MemoryMB+c.old.MemoryMB+KeeperMB > 192 || u.Descriptors+c.old.Descriptors+KeeperFDs > 1024) {
+		if err == nil && (u.MemoryMB+c.old.MemoryMB+SupervisorMB > 192 || u.Descriptors+c.old.Descriptors+SupervisorFDs > 1024) {
 			t.Errorf("%+v and %+v are more than there is", c.old, u)
 		}
 	}
-	if Over(Use{100, 50}, Use{110, 50}) != nil || Over(Use{100, 50}, Use{121, 50}) == nil || Over(Use{100, 50}, Use{10, 51}) == nil {
+	if CheckUsage(Resources{100, 50}, Resources{110, 50}) != nil || CheckUsage(Resources{100, 50}, Resources{121, 50}) == nil || CheckUsage(Resources{100, 50}, Resources{10, 51}) == nil {
 		t.Error("over")
 	}
 }
@@ -101,13 +101,13 @@
 	a := flat(map[string]any{"name": "n1", "board": "b1", "seed": "1", "settings": map[string]any{"Zone": "z", "Classes": []any{map[string]any{"TargetMs": 250.0}}}})
 	b := flat(map[string]any{"name": "n1", "board": "b2", "seed": "2", "settings": map[string]any{"Zone": "y", "Classes": []any{map[string]any{"TargetMs": 250.0}}}})
 	list := Diff(a, b)
-	if len(list) != 2 || list[0].String() != "config.board: b2, was b1 (live)" || list[1].How != HandOver {
+	if len(list) != 2 || list[0].String() != "config.board: b2, was b1 (live)" || list[1].Mode != ModeHandoff {
 		t.Errorf("%v", list)
 	}
-	if how, ok := Verdict(list); how != HandOver || !ok {
+	if how, ok := HardestMode(list); how != ModeHandoff || !ok {
 		t.Error(how, ok)
 	}
-	if how, ok := Verdict(list[:1]); how != Live || !ok {
+	if how, ok := HardestMode(list[:1]); how != ModeLive || !ok {
 		t.Error(how, ok)
 	}
 	if Digest(a) != Digest(b) {
@@ -117,7 +117,7 @@
 	if Digest(a) == Digest(b) {
 		t.Error("another SLA time has the same digest")
 	}
-	if _, ok := Verdict(Diff(a, b)); ok {
+	if _, ok := HardestMode(Diff(a, b)); ok {
 		t.Error("another name is taken")
 	}
 }
@@ -130,34 +130,34 @@
 	var waits []int64
 	for range 12 {
 		began := now
-		for m.State == Down {
-			now = m.Due()
+		for m.State == StateDown {
+			now = m.DueMicros()
 			m.Tick(now)
 		}
 		waits = append(waits, now-began)
-		m.Handle(now, OldReady)
-		m.Handle(now, OldServes)
-		if m.State != Steady {
+		m.Handle(now, InputOldReady)
+		m.Handle(now, InputOldServes)
+		if m.State != StateSteady {
 			t.Fatal(m.State)
 		}
-		m.Handle(now, OldGone)
+		m.Handle(now, InputOldGone)
 	}
 	if waits[0] != 0 || waits[1] != 0 || waits[2] != restFirst || waits[11] != restMost {
 		t.Errorf("%v", waits)
 	}
-	for m.State == Down {
-		now = m.Due()
+	for m.State == StateDown {
+		now = m.DueMicros()
 		m.Tick(now)
 	}
-	m.Handle(now, OldServes)
+	m.Handle(now, InputOldServes)
 	now += steadyAfter
-	if m.Handle(now, OldGone); m.Due() != now {
-		t.Errorf("it waits %d us", m.Due()-now)
+	if m.Handle(now, InputOldGone); m.DueMicros() != now {
+		t.Errorf("it waits %d us", m.DueMicros()-now)
 	}
 	// A keeper that stood still does not take it for the others' silence.
-	n := Adopted(modelTimes, 1, true)
-	n.Slept(10 * second)
-	if n.Tick(1+modelTimes.Trial) != nil || n.State != OnTrial {
+	n := NewAdoptedMachine(modelTimes, 1, true)
+	n.Paused(10 * second)
+	if n.Tick(1+modelTimes.TrialMicros) != nil || n.State != StateOnTrial {
 		t.Error(n.State)
 	}
 }
--- a/internal/upgradeagent/upgradeagent.go
+++ b/internal/upgradeagent/upgradeagent.go
@@ -24,19 +24,19 @@
 
 // Host is the router that is a generation.
 type Host interface {
-	// Own takes what one generation owns, and accepts clients. State is what the
+	// Acquire takes what one generation owns, and accepts clients. State is what the
 	// predecessor knew, nil at a start from nothing; mine: it is what Disown told, and
 	// another generation has served since. Hold: somebody may have spent this router's
 	// part of cold servers' budgets meanwhile.
-	Own(state *handoff.State, mine, hold bool) error
-	// Disown accepts nothing more, lets all of that go, and tells what is known.
-	Disown() *handoff.State
-	Bound(upgrade.Use)
-	Beside(outs map[string][3]float64)
+	Acquire(state *handoff.State, mine, hold bool) error
+	// Release accepts nothing more, lets all of that go, and tells what is known.
+	Release() *handoff.State
+	SetLimits(upgrade.Resources)
+	SetOtherAttempts(outs map[string][3]float64)
 	Reload()
-	Beat() *handoff.Word // Ends, Outs, Txns and Acts
+	Heartbeat() *handoff.Message // Ends, Outs, Txns and Acts
 	Ready() bool
-	Post(to string, body []byte) // to another router of the site
+	SendToPeer(to string, body []byte) // to another router of the site
 }
 
 // What the keeper hands down: the folder, the generation's number, the sockets'
@@ -52,11 +52,11 @@
 // Names of what lies in a keeper's folder.
 const (
 	SocketName = "keep.sock"
-	PlaceName  = "place"
+	LockName   = "place"
 )
 
-// Generation is this process as its keeper knows it.
-type Generation struct {
+// Agent is this process as its keeper knows it.
+type Agent struct {
 	Number  uint64
 	Sockets map[string]*os.File // by name: "listen" at least
 
@@ -67,17 +67,17 @@
 	held   bool
 	log    *logrus.Entry
 	start  time.Time
-	part   *upgrade.Part
+	part   *upgrade.Agent
 	state  *handoff.State // of the predecessor, or one's own from before
 	mine   bool           // it is one's own
 	hold   bool
-	told   bool               // that it is ready
-	came   chan *handoff.Word // letters of other routers
+	told   bool                  // that it is ready
+	came   chan *handoff.Message // letters of other routers
 	lastIn string
 }
 
 // Inherit takes over what a keeper has handed down; nil without one.
-func Inherit(env func(string) string) (*Generation, error) {
+func Inherit(env func(string) string) (*Agent, error) {
 	folder := env(EnvFolder)
 	if folder == "" {
 		return nil, nil
@@ -86,8 +86,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvGeneration, err)
 	}
-	g := &Generation{Number: n, Sockets: map[string]*os.File{}, folder: folder, names: strings.Split(env(EnvSockets), ","), start: time.Now(), part: upgrade.NewPart(),
-		came: make(chan *handoff.Word, 64)}
+	g := &Agent{Number: n, Sockets: map[string]*os.File{}, folder: folder, names: strings.Split(env(EnvSockets), ","), start: time.Now(), part: upgrade.NewAgent(),
+		came: make(chan *handoff.Message, 64)}
 	if g.conn, err = handoff.FromFile(os.NewFile(firstFD, "keeper")); err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
@@ -95,14 +95,14 @@
 		unix.CloseOnExec(firstFD + 1 + i)
 		g.Sockets[name] = os.NewFile(uintptr(firstFD+1+i), name)
 	}
-	if g.place, err = os.OpenFile(filepath.Join(folder, PlaceName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if g.place, err = os.OpenFile(filepath.Join(folder, LockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, fmt.Errorf("place: %w", err)
 	}
 	return g, nil
 }
 
 // Listener makes one of an inherited socket.
-func (g *Generation) Listener(name string) (net.Listener, error) {
+func (g *Agent) Listener(name string) (net.Listener, error) {
 	f := g.Sockets[name]
 	if f == nil {
 		return nil, fmt.Errorf("the keeper has handed down no socket for %s", name)
@@ -110,8 +110,8 @@
 	return net.FileListener(f)
 }
 
-// UDP makes a socket for datagrams of an inherited one.
-func (g *Generation) UDP(name string) (*net.UDPConn, error) {
+// PacketConn makes a socket for datagrams of an inherited one.
+func (g *Agent) PacketConn(name string) (*net.UDPConn, error) {
 	f := g.Sockets[name]
 	if f == nil {
 		return nil, fmt.Errorf("the keeper has handed down no socket for %s", name)
@@ -123,7 +123,7 @@
 	return c.(*net.UDPConn), nil
 }
 
-func (g *Generation) now() int64 { return time.Since(g.start).Microseconds() }
+func (g *Agent) now() int64 { return time.Since(g.start).Microseconds() }
 
 // Times of the connection to the keeper.
 const (
@@ -136,12 +136,12 @@
 // Run does what the keeper says until the generation has ended what it has to: it
 // returns when the router is to drain and end. Term is a wish of the system's for
 // that. An error: it could not take what it was told to own.
-func (g *Generation) Run(ctx context.Context, host Host, term <-chan os.Signal, log *logrus.Entry) error {
+func (g *Agent) Run(ctx context.Context, host Host, term <-chan os.Signal, log *logrus.Entry) error {
 	g.log = log.WithField("generation", g.Number)
-	words := make(chan *handoff.Word, 16) // nil: the connection has ended
+	words := make(chan *handoff.Message, 16) // nil: the connection has ended
 	listen := func(c *handoff.Conn) {
 		for {
-			w, err := c.Hear()
+			w, err := c.Receive()
 			if err != nil {
 				w = nil
 			}
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	g.say(&handoff.Word{Kind: handoff.Hello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid()})
+	g.say(&handoff.Message{Kind: handoff.KindHello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid()})
 	go listen(g.conn)
 	beat := time.NewTicker(beatEvery)
 	defer beat.Stop()
@@ -163,13 +163,13 @@
 	defer wake.Stop()
 	called := time.Now()
 	for {
-		var do []upgrade.PartEffect
+		var do []upgrade.AgentEffect
 		select {
 		case <-ctx.Done():
 			return nil
 		case s := <-term:
 			g.log.WithField("signal", s.String()).Info("shutting down")
-			do = g.part.Handle(g.now(), upgrade.ToEnd)
+			do = g.part.Handle(g.now(), upgrade.AgentInputEnd)
 		case w := <-words:
 			do = g.heard(host, w)
 		case w := <-g.came:
@@ -179,12 +179,12 @@
 			g.beat(host)
 			continue
 		case <-wake.C:
-			if do = g.part.Tick(g.now()); do == nil && g.part.State.Wants() && g.take() {
-				do = g.part.Handle(g.now(), upgrade.Free)
+			if do = g.part.Tick(g.now()); do == nil && g.part.State.WantsLock() && g.take() {
+				do = g.part.Handle(g.now(), upgrade.AgentInputLockAcquired)
 			}
 			if !g.told && host.Ready() {
 				g.told = true
-				g.say(&handoff.Word{Kind: handoff.Ready, Generation: g.Number})
+				g.say(&handoff.Message{Kind: handoff.KindReady, Generation: g.Number})
 			}
 			if g.conn == nil && time.Since(called) >= callEvery {
 				called = time.Now()
@@ -198,26 +198,26 @@
 		}
 		next := callEvery
 		switch {
-		case g.part.State.Wants():
+		case g.part.State.WantsLock():
 			next = placeEvery
 		case !g.told:
 			next = soon
-		case g.part.Due() > 0:
-			next = min(next, time.Duration(max(g.part.Due()-g.now(), 1))*time.Microsecond)
+		case g.part.DueMicros() > 0:
+			next = min(next, time.Duration(max(g.part.DueMicros()-g.now(), 1))*time.Microsecond)
 		}
 		wake.Reset(next)
 	}
 }
 
-func (g *Generation) beat(host Host) {
-	w := host.Beat()
-	w.Kind, w.Part = handoff.Beat, g.part.State
+func (g *Agent) beat(host Host) {
+	w := host.Heartbeat()
+	w.Kind, w.AgentState = handoff.KindHeartbeat, g.part.State
 	g.say(w)
 }
 
-// Beats goes on telling what is still out once Run has returned: the other
+// SendHeartbeats goes on telling what is still out once Run has returned: the other
 // generation's limits are for both together.
-func (g *Generation) Beats(ctx context.Context, host Host) {
+func (g *Agent) SendHeartbeats(ctx context.Context, host Host) {
 	every := time.NewTicker(beatEvery)
 	defer every.Stop()
 	for {
@@ -231,32 +231,32 @@
 }
 
 // inputs of words that only tell the part.
-var inputs = map[handoff.Kind]upgrade.PartInput{handoff.Own: upgrade.ToOwn, handoff.Quiet: upgrade.ToQuiet, handoff.Taken: upgrade.ToTaken,
-	handoff.Settle: upgrade.ToSettle, handoff.Resume: upgrade.ToResume, handoff.End: upgrade.ToEnd}
+var inputs = map[handoff.Kind]upgrade.AgentInput{handoff.KindServe: upgrade.AgentInputServe, handoff.KindQuiesce: upgrade.AgentInputQuiesce, handoff.KindSuccessorServes: upgrade.AgentInputSuccessorServes,
+	handoff.KindSettle: upgrade.AgentInputSettle, handoff.KindResume: upgrade.AgentInputResume, handoff.KindEnd: upgrade.AgentInputEnd}
 
-func (g *Generation) heard(host Host, w *handoff.Word) []upgrade.PartEffect {
+func (g *Agent) heard(host Host, w *handoff.Message) []upgrade.AgentEffect {
 	if w == nil {
 		if g.conn != nil {
 			g.conn.Close()
 			g.conn = nil
 			g.log.WithField("part", g.part.State.String()).Warn("keeper lost")
 		}
-		return g.part.Handle(g.now(), upgrade.Lost)
+		return g.part.Handle(g.now(), upgrade.AgentInputSupervisorLost)
 	}
 	switch w.Kind {
-	case handoff.Reload:
+	case handoff.KindReload:
 		host.Reload()
-	case handoff.Bound:
-		host.Bound(w.Bound)
-	case handoff.Beside:
-		host.Beside(w.Outs)
-	case handoff.Letter:
-		host.Post(w.To, w.Body)
-	case handoff.Own, handoff.Resume:
+	case handoff.KindLimits:
+		host.SetLimits(w.Limits)
+	case handoff.KindOtherAttempts:
+		host.SetOtherAttempts(w.OutstandingAttempts)
+	case handoff.KindPeerMessage:
+		host.SendToPeer(w.To, w.Body)
+	case handoff.KindServe, handoff.KindResume:
 		if w.State != nil {
 			g.state, g.mine = w.State, false
 		}
-		g.hold = w.Hold
+		g.hold = w.BudgetsMaybeSpent
 	}
 	in, known := inputs[w.Kind]
 	if !known {
@@ -265,61 +265,61 @@
 	return g.part.Handle(g.now(), in)
 }
 
-func (g *Generation) carryOut(host Host, do []upgrade.PartEffect) (over bool, err error) {
+func (g *Agent) carryOut(host Host, do []upgrade.AgentEffect) (over bool, err error) {
 	for _, e := range do {
 		g.log.WithFields(logrus.Fields{"part": g.part.State.String(), "effect": e.String()}).Debug("change")
 		switch e {
-		case upgrade.Accept:
-			if err := host.Own(g.state, g.mine, g.hold); err != nil {
+		case upgrade.AgentEffectAccept:
+			if err := host.Acquire(g.state, g.mine, g.hold); err != nil {
 				g.log.WithError(err).Error("change: what this generation is to own could not be had")
 				return false, err
 			}
 			g.log.WithField("part", g.part.State.String()).Info("change: this generation serves")
-		case upgrade.Stop:
-			g.state, g.mine, g.hold = host.Disown(), true, true
+		case upgrade.AgentEffectStop:
+			g.state, g.mine, g.hold = host.Release(), true, true
 			g.letGo()
 			g.log.WithField("part", g.part.State.String()).Info("change: this generation takes nothing new")
-		case upgrade.LetGo:
+		case upgrade.AgentEffectReleaseLock:
 			g.letGo()
-		case upgrade.Drain:
+		case upgrade.AgentEffectDrain:
 			return true, nil
-		case upgrade.TellReleased:
-			g.say(&handoff.Word{Kind: handoff.Released, Generation: g.Number, State: g.state})
-		case upgrade.TellAccepting:
-			g.say(&handoff.Word{Kind: handoff.Accepting, Generation: g.Number})
-		case upgrade.TellDenied:
-			g.say(&handoff.Word{Kind: handoff.Denied, Generation: g.Number})
-		case upgrade.TellSettled:
-			g.say(&handoff.Word{Kind: handoff.Settled, Generation: g.Number})
+		case upgrade.AgentEffectReportReleased:
+			g.say(&handoff.Message{Kind: handoff.KindReleased, Generation: g.Number, State: g.state})
+		case upgrade.AgentEffectReportAccepting:
+			g.say(&handoff.Message{Kind: handoff.KindAccepting, Generation: g.Number})
+		case upgrade.AgentEffectReportDenied:
+			g.say(&handoff.Message{Kind: handoff.KindDenied, Generation: g.Number})
+		case upgrade.AgentEffectReportSettled:
+			g.say(&handoff.Message{Kind: handoff.KindSettled, Generation: g.Number})
 		}
 	}
 	return false, nil
 }
 
-// Letter passes a letter of another router on to the keeper. It may be lost.
-func (g *Generation) Letter(from string, body []byte) {
+// ForwardMessage passes a letter of another router on to the keeper. It may be lost.
+func (g *Agent) ForwardMessage(from string, body []byte) {
 	select {
-	case g.came <- &handoff.Word{Kind: handoff.Letter, From: from, Body: body}:
+	case g.came <- &handoff.Message{Kind: handoff.KindPeerMessage, From: from, Body: body}:
 	default:
 	}
 }
 
 // say tells the keeper. Without one nothing is lost: a new one asks.
-func (g *Generation) say(w *handoff.Word) {
-	if g.conn != nil && g.conn.Say(w) != nil {
+func (g *Agent) say(w *handoff.Message) {
+	if g.conn != nil && g.conn.Send(w) != nil {
 		g.conn.Close() // the reader notices
 	}
 }
 
 // take tries to get the place. It stays with this process until it lets go, or ends.
-func (g *Generation) take() bool {
+func (g *Agent) take() bool {
 	if !g.held {
 		g.held = unix.Flock(int(g.place.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil
 	}
 	return g.held
 }
 
-func (g *Generation) letGo() {
+func (g *Agent) letGo() {
 	if g.held {
 		unix.Flock(int(g.place.Fd()), unix.LOCK_UN)
 		g.held = false
@@ -327,7 +327,7 @@
 }
 
 // call looks for a keeper, and gives it the sockets.
-func (g *Generation) call() bool {
+func (g *Agent) call() bool {
 	sock, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: filepath.Join(g.folder, SocketName), Net: "unix"})
 	if err != nil {
 		if !errors.Is(err, unix.ECONNREFUSED) && !errors.Is(err, os.ErrNotExist) && g.lastIn != err.Error() {
@@ -342,7 +342,7 @@
 	for _, name := range names {
 		files = append(files, g.Sockets[name])
 	}
-	if err := c.Say(&handoff.Word{Kind: handoff.Hello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid(), Part: g.part.State,
+	if err := c.Send(&handoff.Message{Kind: handoff.KindHello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid(), AgentState: g.part.State,
 		WasSettled: g.part.Settled(), Sockets: names}, files...); err != nil {
 		c.Close()
 		return false
@@ -350,7 +350,7 @@
 	g.conn = c
 	g.log.Info("keeper found again")
 	if g.told {
-		g.say(&handoff.Word{Kind: handoff.Ready, Generation: g.Number})
+		g.say(&handoff.Message{Kind: handoff.KindReady, Generation: g.Number})
 	}
 	return true
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,7 +19,7 @@
 
 // item is one thing to write.
 type item struct {
-	flight     *Flight
+	flight     *Call
 	drop, ping string
 }
 
@@ -27,7 +27,7 @@
 type conn struct {
 	pool    *Pool
 	peer    *peer
-	open    map[string]*Flight
+	open    map[string]*Call
 	spent   map[string]time.Time // hops over before their txns, whose answers may still come
 	probes  map[string]func(ok bool)
 	queue   []item
@@ -43,8 +43,8 @@
 }
 
 func (p *Pool) dial(r *peer) *conn {
-	ctx, cancel := context.WithTimeout(context.Background(), p.limits.Connect)
-	c := &conn{pool: p, peer: r, open: map[string]*Flight{}, spent: map[string]time.Time{},
+	ctx, cancel := context.WithTimeout(context.Background(), p.limits.ConnectTimeout)
+	c := &conn{pool: p, peer: r, open: map[string]*Call{}, spent: map[string]time.Time{},
 		probes: map[string]func(bool){}, cancel: cancel}
 	r.conns = append(r.conns, c)
 	p.peers[r.place] = r // the last connection to it may just have been evicted
@@ -151,14 +151,14 @@
 func (c *conn) write(batch []item, now time.Time) bool {
 	var bufs net.Buffers
 	ends := make([]int64, len(batch))
-	var unsent []*Flight
+	var unsent []*Call
 	var size int64
 	add := func(b []byte) {
 		bufs = append(bufs, b)
 		size += int64(len(b))
 	}
 	for i, it := range batch {
-		if it.flight != nil && !it.flight.Hop.Stands(now.UnixMicro(), c.pool.limits.Decided.Microseconds()) && it.flight.Hop.Withdraw() {
+		if it.flight != nil && !it.flight.Attempt.MayBeSent(now.UnixMicro(), c.pool.limits.MaxDecisionAge.Microseconds()) && it.flight.Attempt.Withdraw() {
 			unsent = append(unsent, it.flight)
 		}
 		switch {
@@ -166,9 +166,9 @@
 			add(cacheproto.AppendDrop(nil, it.drop))
 		case it.flight == nil:
 			add(cacheproto.AppendPing(nil, it.ping))
-		case it.flight.Hop.Begin():
+		case it.flight.Attempt.Begin():
 			add(cacheproto.AppendGet(make([]byte, 0, 256), it.flight.command(now.UnixMicro())))
-			for _, b := range it.flight.Body.Append(nil) {
+			for _, b := range it.flight.Body.AppendBuffers(nil) {
 				add(b)
 			}
 			add([]byte("\r\n"))
@@ -178,7 +178,7 @@
 	var n int64
 	var err error
 	if size > 0 {
-		c.sock.SetWriteDeadline(now.Add(c.pool.limits.Write))
+		c.sock.SetWriteDeadline(now.Add(c.pool.limits.WriteTimeout))
 		n, err = bufs.WriteTo(c.sock)
 	}
 	for i, it := range batch {
@@ -187,17 +187,17 @@
 		}
 		it.flight.Body.Release()
 		if err != nil && ends[i] > n {
-			c.pool.ended(it.flight.Hop, engine.Outcome{Code: "econnrefused"})
+			c.pool.ended(it.flight.Attempt, engine.Outcome{Code: "econnrefused"})
 		}
 	}
 	for _, f := range unsent {
 		c.pool.mu.Lock()
-		if id := f.Hop.Txn.ID; c.open[id] == f {
+		if id := f.Attempt.Request.ID; c.open[id] == f {
 			delete(c.open, id)
 			c.rest()
 		}
 		c.pool.mu.Unlock()
-		c.pool.ended(f.Hop, engine.Outcome{Code: "skipped"})
+		c.pool.ended(f.Attempt, engine.Outcome{Code: "skipped"})
 	}
 	return err == nil
 }
@@ -223,15 +223,15 @@
 
 // read takes answers until the connection ends or the peer breaks the protocol.
 func (c *conn) read() error {
-	from := &pieces{Conn: c.sock, stall: c.pool.limits.Stall}
+	from := &pieces{Conn: c.sock, stall: c.pool.limits.ReadStallTimeout}
 	r := bufio.NewReaderSize(from, bufferpool.Size)
 	for {
 		from.end = time.Time{}
 		if _, err := r.Peek(1); err != nil {
 			return err
 		}
-		from.end = time.Now().Add(c.pool.limits.Frame)
-		a, err := cacheproto.ReadAnswer(r, c.pool.limits.Answer)
+		from.end = time.Now().Add(c.pool.limits.ResponseReadTimeout)
+		a, err := cacheproto.ReadResponse(r, c.pool.limits.MaxResponseBody)
 		if err != nil {
 			return err
 		}
@@ -241,33 +241,33 @@
 	}
 }
 
-var codes = map[cacheproto.Word]string{cacheproto.Ack: "done", cacheproto.NoMod: "done", cacheproto.NoEnt: "enoent",
-	cacheproto.Again: "busy", cacheproto.EIO: "err", cacheproto.Stale: "skipped"}
+var codes = map[cacheproto.Status]string{cacheproto.StatusOK: "done", cacheproto.StatusNotModified: "done", cacheproto.StatusMiss: "enoent",
+	cacheproto.StatusBusy: "busy", cacheproto.StatusError: "err", cacheproto.StatusSkipped: "skipped"}
 
 // answer reads an answer's body and ends its hop. One that nobody waits for, a
 // second copy or one under an unknown id, is whole and costs the others nothing.
-func (c *conn) answer(r *bufio.Reader, a *cacheproto.Answer) error {
+func (c *conn) answer(r *bufio.Reader, a *cacheproto.Response) error {
 	p := c.pool
 	p.mu.Lock()
 	c.heard = time.Now()
 	f, probe := c.open[a.ID], c.probes[a.ID]
 	p.mu.Unlock()
-	if probe != nil && a.Word != cacheproto.Ready || f != nil && !f.fits(a) {
-		return fmt.Errorf("%w: it doesn't answer what was asked", cacheproto.ErrBroken)
+	if probe != nil && a.Status != cacheproto.StatusReady || f != nil && !f.fits(a) {
+		return fmt.Errorf("%w: it doesn't answer what was asked", cacheproto.ErrProtocol)
 	}
 	var body *bufferpool.Body
 	var full error
 	if a.Length >= 0 {
-		if body, full = p.bodies.Read(r, a.Length); full != nil && full != bufferpool.ErrFull {
+		if body, full = p.bodies.ReadBody(r, a.Length); full != nil && full != bufferpool.ErrFull {
 			return full
 		}
-		if err := cacheproto.ReadEnd(r); err != nil {
+		if err := cacheproto.ReadBodyEnd(r); err != nil {
 			body.Release()
 			return err
 		}
 	}
-	code := codes[a.Word]
-	if full != nil || f != nil && a.Word == cacheproto.NoMod && a.Tag != f.Tag { // it names a copy that nobody has
+	code := codes[a.Status]
+	if full != nil || f != nil && a.Status == cacheproto.StatusNotModified && a.Tag != f.Tag { // it names a copy that nobody has
 		code = "err"
 	}
 	p.mu.Lock()
@@ -289,20 +289,20 @@
 		body.Release()
 		return nil
 	}
-	o := engine.Outcome{Code: code, Note: a.Note, Waited: settings.Micros(a.Delay), Load: a.Load}
+	o := engine.Outcome{Code: code, Reason: a.Reason, OriginWait: settings.Micros(a.DelayMillis), Load: a.Load}
 	if code == "done" {
-		o.Reply = &Reply{body, a.Tag, a.Word == cacheproto.NoMod, a.Issued}
+		o.Response = &Response{body, a.Tag, a.Status == cacheproto.StatusNotModified, a.IssuedMillis}
 	} else {
 		body.Release()
 	}
-	p.ended(f.Hop, o)
+	p.ended(f.Attempt, o)
 	return nil
 }
 
 // fits tells whether an answer can be one to the hop. Copies name their tag and age.
-func (f *Flight) fits(a *cacheproto.Answer) bool {
-	copied := a.Word == cacheproto.Ack && !f.Write || a.Word == cacheproto.NoMod
-	return a.Word != cacheproto.Ready && (a.Word != cacheproto.NoMod || f.Tag != "") && (!copied || a.Tag != "" && a.Issued > 0)
+func (f *Call) fits(a *cacheproto.Response) bool {
+	copied := a.Status == cacheproto.StatusOK && !f.Write || a.Status == cacheproto.StatusNotModified
+	return a.Status != cacheproto.StatusReady && (a.Status != cacheproto.StatusNotModified || f.Tag != "") && (!copied || a.Tag != "" && a.IssuedMillis > 0)
 }
 
 // fail ends what is left on the connection.
@@ -311,11 +311,11 @@
 	p.mu.Lock()
 	c.shut()
 	open, queue, probes := c.open, c.queue, c.probes
-	c.open, c.queue, c.probes = map[string]*Flight{}, nil, nil
+	c.open, c.queue, c.probes = map[string]*Call{}, nil, nil
 	p.mu.Unlock()
 	entry := p.log.WithFields(logrus.Fields{"server": c.peer.id, "hops": len(open)})
 	switch {
-	case errors.Is(err, cacheproto.ErrBroken):
+	case errors.Is(err, cacheproto.ErrProtocol):
 		entry.WithError(err).Warn("server broke the protocol, connection closed")
 	case len(open) > 0 && !c.up:
 		entry.WithError(err).Debug("no connection to server")
@@ -329,10 +329,10 @@
 	}
 	for _, f := range open {
 		o := engine.Outcome{Code: "econnreset"}
-		if f.Hop.Withdraw() {
+		if f.Attempt.Withdraw() {
 			o.Code = "econnrefused"
 		}
-		p.ended(f.Hop, o)
+		p.ended(f.Attempt, o)
 	}
 	for _, done := range probes {
 		done(false)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,35 +15,35 @@
 	"quilldoor/internal/engine"
 )
 
-// Flight is one hop on its way, with what the client sent.
-type Flight struct {
-	Hop           *engine.Hop
-	Class, Object string
-	Part          int64
-	Tag           string
-	Key           string           // the client's mark against repeats
-	Body          *bufferpool.Body // nil: none
-	Write         bool             // its answer is no copy of an object
-	conn          *conn
-	written       time.Time // under the pool's lock, as conn
+// Call is one hop on its way, with what the client sent.
+type Call struct {
+	Attempt        *engine.Attempt
+	Class, Object  string
+	Part           int64
+	Tag            string
+	IdempotencyKey string           // the client's mark against repeats
+	Body           *bufferpool.Body // nil: none
+	Write          bool             // its answer is no copy of an object
+	conn           *conn
+	written        time.Time // under the pool's lock, as conn
 }
 
-// Reply is an answer's body and tag; it is what a txn is completed with.
-type Reply struct {
+// Response is an answer's body and tag; it is what a txn is completed with.
+type Response struct {
 	*bufferpool.Body
-	Tag    string
-	Same   bool  // the copy whose tag was sent is the one
-	Issued int64 // Unix milliseconds at which the origin gave the copy out; 0: no copy
+	Tag          string
+	NotModified  bool  // the copy whose tag was sent is the one
+	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out; 0: no copy
 }
 
-// Ended is told how hops end.
-type Ended func(h *engine.Hop, o engine.Outcome)
+// OutcomeFunc is told how hops end.
+type OutcomeFunc func(h *engine.Attempt, o engine.Outcome)
 
 // Pool holds the connections of all servers.
 type Pool struct {
 	limits *config.Limits
 	bodies *bufferpool.Pool
-	ended  Ended
+	ended  OutcomeFunc
 	log    *logrus.Entry
 
 	mu    sync.Mutex // for the books below and those of every conn; never held over I/O
@@ -57,7 +57,7 @@
 // else, whichever of the two changes.
 type place struct{ id, endpoint string }
 
-func placeOf(s *engine.Server) place { return place{s.Server, s.Endpoint} }
+func placeOf(s *engine.Endpoint) place { return place{s.ID, s.Address} }
 
 // peer is one server at one address.
 type peer struct {
@@ -66,18 +66,18 @@
 }
 
 // New makes an empty pool.
-func New(limits *config.Limits, bodies *bufferpool.Pool, ended Ended, log *logrus.Entry) *Pool {
-	return &Pool{limits: limits, bodies: bodies, ended: ended, log: log, peers: map[place]*peer{}, most: limits.Upstream}
+func New(limits *config.Limits, bodies *bufferpool.Pool, ended OutcomeFunc, log *logrus.Entry) *Pool {
+	return &Pool{limits: limits, bodies: bodies, ended: ended, log: log, peers: map[place]*peer{}, most: limits.MaxUpstreamConns}
 }
 
-// Bound sets how many connections there may be; those that there are stay.
-func (p *Pool) Bound(most int) {
+// SetMaxConns sets how many connections there may be; those that there are stay.
+func (p *Pool) SetMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.most = most
 }
 
-func (p *Pool) peer(s *engine.Server) *peer {
+func (p *Pool) peer(s *engine.Endpoint) *peer {
 	at := placeOf(s)
 	if p.peers[at] == nil {
 		p.peers[at] = &peer{place: at}
@@ -87,21 +87,21 @@
 
 // Send puts a hop on a connection. Its outcome, whatever becomes of it, goes to
 // Ended, unless it is dropped first.
-func (p *Pool) Send(f *Flight) {
-	if f.Hop.Withdrawn() { // its client left as it was decided
+func (p *Pool) Send(f *Call) {
+	if f.Attempt.Withdrawn() { // its client left as it was decided
 		return
 	}
-	id := f.Hop.Txn.ID
+	id := f.Attempt.Request.ID
 	p.mu.Lock()
-	c := p.choose(p.peer(f.Hop.Server), id)
+	c := p.choose(p.peer(f.Attempt.Endpoint), id)
 	if c == nil {
 		p.mu.Unlock()
-		f.Hop.Withdraw()
-		p.ended(f.Hop, engine.Outcome{Code: "econnrefused"})
+		f.Attempt.Withdraw()
+		p.ended(f.Attempt, engine.Outcome{Code: "econnrefused"})
 		return
 	}
 	f.conn = c
-	f.Body.Hold()
+	f.Body.Retain()
 	c.open[id] = f
 	c.put(item{flight: f}) // unlocks
 }
@@ -113,7 +113,7 @@
 func (p *Pool) choose(r *peer, id string) *conn {
 	var best *conn
 	for _, c := range r.conns {
-		if c.suspect || c.closing || len(c.open) >= p.limits.Streams || best != nil &&
+		if c.suspect || c.closing || len(c.open) >= p.limits.MaxStreamsPerConn || best != nil &&
 			(len(c.open) > len(best.open) || len(c.open) == len(best.open) && !c.idleSince.After(best.idleSince)) {
 			continue
 		}
@@ -127,7 +127,7 @@
 	if p.total >= p.most {
 		p.evict()
 	}
-	if p.stop || p.total >= p.most || len(r.conns) >= p.limits.PerServer && best != nil {
+	if p.stop || p.total >= p.most || len(r.conns) >= p.limits.MaxConnsPerEndpoint && best != nil {
 		return best
 	}
 	return p.dial(r)
@@ -151,8 +151,8 @@
 // Drop gives the hop up. Silent says that its time ran out: if its connection
 // has brought nothing since the hop went out, the machine may be gone, so that
 // nothing new goes there.
-func (f *Flight) Drop(silent bool) {
-	c, id := f.conn, f.Hop.Txn.ID
+func (f *Call) Drop(silent bool) {
+	c, id := f.conn, f.Attempt.Request.ID
 	if c == nil {
 		return
 	}
@@ -164,7 +164,7 @@
 	}
 	delete(c.open, id)
 	c.suspect = c.suspect || silent && c.heard.Before(f.written)
-	sent := !f.Hop.Withdraw()
+	sent := !f.Attempt.Withdraw()
 	if sent {
 		c.spent[id] = time.Now()
 	}
@@ -176,8 +176,8 @@
 	c.put(item{drop: id}) // unlocks
 }
 
-// Probe asks a server whether it is there; the answer goes to done.
-func (p *Pool) Probe(s *engine.Server, tag string, done func(ok bool)) {
+// CheckHealth asks a server whether it is there; the answer goes to done.
+func (p *Pool) CheckHealth(s *engine.Endpoint, tag string, done func(ok bool)) {
 	p.mu.Lock()
 	c := p.choose(p.peer(s), tag)
 	if c == nil {
@@ -189,8 +189,8 @@
 	c.put(item{ping: tag}) // unlocks
 }
 
-// Unprobe forgets a probe that has not been answered; true: it was still out.
-func (p *Pool) Unprobe(s *engine.Server, tag string) bool {
+// CancelHealthCheck forgets a probe that has not been answered; true: it was still out.
+func (p *Pool) CancelHealthCheck(s *engine.Endpoint, tag string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.peers[placeOf(s)]
@@ -208,10 +208,10 @@
 	return false
 }
 
-// Retire lets connections to servers that take nothing new end with their hops.
+// Drain lets connections to servers that take nothing new end with their hops.
 // A hop that is not on a connection yet is proven not to have run.
-func (p *Pool) Retire(servers []*engine.Server) {
-	var unsent []*Flight
+func (p *Pool) Drain(servers []*engine.Endpoint) {
+	var unsent []*Call
 	p.mu.Lock()
 	for _, s := range servers {
 		r := p.peers[placeOf(s)]
@@ -221,7 +221,7 @@
 		delete(p.peers, r.place)
 		for _, c := range r.conns {
 			for id, f := range c.open {
-				if f.Hop.Withdraw() {
+				if f.Attempt.Withdraw() {
 					delete(c.open, id)
 					unsent = append(unsent, f)
 				}
@@ -232,12 +232,12 @@
 	}
 	p.mu.Unlock()
 	for _, f := range unsent {
-		p.ended(f.Hop, engine.Outcome{Code: "skipped"})
+		p.ended(f.Attempt, engine.Outcome{Code: "skipped"})
 	}
 }
 
-// Disconnect closes idle connections to a server.
-func (p *Pool) Disconnect(s *engine.Server) {
+// CloseIdle closes idle connections to a server.
+func (p *Pool) CloseIdle(s *engine.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.peers[placeOf(s)]; r != nil {
@@ -257,11 +257,11 @@
 	for _, r := range p.peers {
 		for _, c := range r.conns {
 			for id, at := range c.spent {
-				if now.Sub(at) > p.limits.Remember {
+				if now.Sub(at) > p.limits.LateResponseWindow {
 					delete(c.spent, id)
 				}
 			}
-			if c.idle() && now.Sub(c.idleSince) > p.limits.IdleUpstream {
+			if c.idle() && now.Sub(c.idleSince) > p.limits.UpstreamIdleTimeout {
 				c.shut()
 			}
 		}
@@ -280,8 +280,8 @@
 	}
 }
 
-// Count tells how many connections there are.
-func (p *Pool) Count() int {
+// ConnCount tells how many connections there are.
+func (p *Pool) ConnCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.total
@@ -290,12 +290,12 @@
 // Command for a hop at the time of writing. Times are whole milliseconds: an
 // age is cut down, since older copies are barred, but stays above 0, which
 // would mean the default.
-func (f *Flight) command(now int64) *cacheproto.Get {
-	h := f.Hop
-	g := &cacheproto.Get{ID: h.Txn.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Rank: h.Rank,
-		Mode: h.Mode, Tag: f.Tag, Key: f.Key, Length: f.Body.Len(), Budget: max((h.Due-now)/1000, 1)}
-	if h.Age > 0 {
-		g.Age = max(h.Age/1000, 1)
+func (f *Call) command(now int64) *cacheproto.GetCommand {
+	h := f.Attempt
+	g := &cacheproto.GetCommand{ID: h.Request.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Priority: h.CachePriority,
+		Mode: h.Mode, Tag: f.Tag, IdempotencyKey: f.IdempotencyKey, Length: f.Body.Len(), BudgetMillis: max((h.Deadline-now)/1000, 1)}
+	if h.MaxAge > 0 {
+		g.MaxAgeMillis = max(h.MaxAge/1000, 1)
 	}
 	return g
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -27,15 +27,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := &config.Limits{Upstream: 8, PerServer: 4, Streams: 2, Answer: 1000, Connect: 5 * time.Second,
-		Write: 5 * time.Second, Frame: 5 * time.Second, Stall: 5 * time.Second, Decided: 5 * time.Second}
+	limits := &config.Limits{MaxUpstreamConns: 8, MaxConnsPerEndpoint: 4, MaxStreamsPerConn: 2, MaxResponseBody: 1000, ConnectTimeout: 5 * time.Second,
+		WriteTimeout: 5 * time.Second, ResponseReadTimeout: 5 * time.Second, ReadStallTimeout: 5 * time.Second, MaxDecisionAge: 5 * time.Second}
 	if change != nil {
 		change(limits)
 	}
 	s := &stand{Listener: l, ends: make(chan string, 100)}
 	log := logrus.NewEntry(logrus.New())
 	log.Logger.SetLevel(logrus.ErrorLevel)
-	s.Pool = New(limits, bufferpool.NewPool(1<<20), func(_ *engine.Hop, o engine.Outcome) { s.ends <- o.Code }, log)
+	s.Pool = New(limits, bufferpool.NewPool(1<<20), func(_ *engine.Attempt, o engine.Outcome) { s.ends <- o.Code }, log)
 	t.Cleanup(func() {
 		l.Close()
 		s.Close()
@@ -45,10 +45,10 @@
 
 func (s *stand) Close() { s.Pool.Close() }
 
-func (s *stand) flight(id string) *Flight {
-	server := &engine.Server{Entry: policy.Entry{Server: "c"}, Endpoint: s.Addr().String()}
-	return &Flight{Class: "page", Object: "x", Hop: &engine.Hop{Txn: &engine.Txn{ID: id}, Server: server,
-		Decided: time.Now().UnixMicro(), Due: time.Now().Add(time.Second).UnixMicro()}}
+func (s *stand) flight(id string) *Call {
+	server := &engine.Endpoint{Endpoint: policy.Endpoint{ID: "c"}, Address: s.Addr().String()}
+	return &Call{Class: "page", Object: "x", Attempt: &engine.Attempt{Request: &engine.Request{ID: id}, Endpoint: server,
+		DecidedAt: time.Now().UnixMicro(), Deadline: time.Now().Add(time.Second).UnixMicro()}}
 }
 
 // got accepts a connection and reads its first line.
@@ -79,8 +79,8 @@
 		t.Fatal("the connection goes on")
 	}
 	c.Close()
-	if s.Count() != 0 {
-		t.Fatalf("%d connections", s.Count())
+	if s.ConnCount() != 0 {
+		t.Fatalf("%d connections", s.ConnCount())
 	}
 }
 
@@ -98,25 +98,25 @@
 	s.Send(s.flight("b"))
 	r.ReadString('\n')
 	c.Write([]byte("a EIO - 2\r\nxx\r\nb NOENT - 0\r\n\r\n"))
-	if code := <-s.ends; code != "enoent" || s.Count() != 1 {
-		t.Fatalf("%s over %d connections", code, s.Count())
+	if code := <-s.ends; code != "enoent" || s.ConnCount() != 1 {
+		t.Fatalf("%s over %d connections", code, s.ConnCount())
 	}
 	// The same txn's next hop must not share a connection with its last.
 	g := s.flight("c")
 	s.Send(g)
 	s.Send(s.flight("c"))
-	if s.got(t); s.Count() != 2 {
-		t.Fatalf("%d connections", s.Count())
+	if s.got(t); s.ConnCount() != 2 {
+		t.Fatalf("%d connections", s.ConnCount())
 	}
 }
 
 func TestConnectionsAreBoundedAndShared(t *testing.T) {
-	s := newStand(t, func(l *config.Limits) { l.Upstream = 2 })
+	s := newStand(t, func(l *config.Limits) { l.MaxUpstreamConns = 2 })
 	for _, id := range []string{"a", "b", "c", "d"} {
 		s.Send(s.flight(id))
 	}
-	if s.Count() != 2 {
-		t.Fatalf("%d connections", s.Count())
+	if s.ConnCount() != 2 {
+		t.Fatalf("%d connections", s.ConnCount())
 	}
 	s.Send(s.flight("e")) // two hops on each: no room
 	if code := <-s.ends; code != "econnrefused" {
@@ -128,12 +128,12 @@
 func TestRetiredServerGetsNoWaitingHop(t *testing.T) {
 	s := newStand(t, nil)
 	r := s.flight("a")
-	r.conn = &conn{pool: s.Pool, open: map[string]*Flight{"a": r}, cancel: func() {}}
-	p := &peer{place: placeOf(r.Hop.Server), conns: []*conn{r.conn}}
+	r.conn = &conn{pool: s.Pool, open: map[string]*Call{"a": r}, cancel: func() {}}
+	p := &peer{place: placeOf(r.Attempt.Endpoint), conns: []*conn{r.conn}}
 	r.conn.peer, s.peers[p.place], s.total = p, p, 1 // a connection that doesn't stand yet
-	s.Retire([]*engine.Server{r.Hop.Server})
-	if code := <-s.ends; code != "skipped" || r.Hop.Begin() || s.Count() != 0 {
-		t.Fatalf("%s, %d connections", code, s.Count())
+	s.Drain([]*engine.Endpoint{r.Attempt.Endpoint})
+	if code := <-s.ends; code != "skipped" || r.Attempt.Begin() || s.ConnCount() != 0 {
+		t.Fatalf("%s, %d connections", code, s.ConnCount())
 	}
 }
 
@@ -169,14 +169,14 @@
 	s.Send(s.flight("b"))
 	r.ReadString('\n')
 	c.Write([]byte("b AGAIN - 0\r\n\r\n"))
-	if code := <-s.ends; code != "busy" || s.Count() != 2 {
-		t.Fatalf("%s over %d connections", code, s.Count())
+	if code := <-s.ends; code != "busy" || s.ConnCount() != 2 {
+		t.Fatalf("%s over %d connections", code, s.ConnCount())
 	}
 }
 
 // Half an answer once held its connection for the longest time limit and more.
 func TestStalledAnswerEndsItsConnection(t *testing.T) {
-	s := newStand(t, func(l *config.Limits) { l.Stall = 10 * time.Millisecond })
+	s := newStand(t, func(l *config.Limits) { l.ReadStallTimeout = 10 * time.Millisecond })
 	s.Send(s.flight("a"))
 	c, _ := s.got(t)
 	c.Write([]byte("a ACK entity=e,issued=7 9\r\n1234"))
@@ -188,7 +188,7 @@
 // A place whose only connection was evicted for a new one to it would be lost to
 // sweeps and to the end.
 func TestEvictionForItsOwnPlaceKeepsThePlace(t *testing.T) {
-	s := newStand(t, func(l *config.Limits) { l.Upstream = 1 })
+	s := newStand(t, func(l *config.Limits) { l.MaxUpstreamConns = 1 })
 	s.Send(s.flight("a"))
 	c, _ := s.got(t)
 	c.Write([]byte("a NOENT - 0\r\n\r\n"))
@@ -209,7 +209,7 @@
 	f := s.flight("a")
 	s.Send(f)
 	s.got(t)
-	s.Retire([]*engine.Server{f.Hop.Server})
+	s.Drain([]*engine.Endpoint{f.Attempt.Endpoint})
 	g := s.flight("b")
 	s.Send(g)
 	c, _ := s.got(t)
@@ -225,21 +225,21 @@
 // What was decided must still stand when it is written: its deadline, the window of
 // a keyed repeat, and the time after which what was told meanwhile binds.
 func TestWhatStandsNoMoreIsNotWritten(t *testing.T) {
-	s := newStand(t, func(l *config.Limits) { l.Decided = time.Second })
-	for name, change := range map[string]func(h *engine.Hop, now int64){
-		"its time is over":        func(h *engine.Hop, now int64) { h.Due = now },
-		"the window has closed":   func(h *engine.Hop, now int64) { h.Until = now },
-		"it was decided long ago": func(h *engine.Hop, now int64) { h.Decided = now - 2e6 },
+	s := newStand(t, func(l *config.Limits) { l.MaxDecisionAge = time.Second })
+	for name, change := range map[string]func(h *engine.Attempt, now int64){
+		"its time is over":        func(h *engine.Attempt, now int64) { h.Deadline = now },
+		"the window has closed":   func(h *engine.Attempt, now int64) { h.SendBefore = now },
+		"it was decided long ago": func(h *engine.Attempt, now int64) { h.DecidedAt = now - 2e6 },
 	} {
 		f := s.flight("late")
-		change(f.Hop, time.Now().UnixMicro())
+		change(f.Attempt, time.Now().UnixMicro())
 		s.Send(f)
 		if got := <-s.ends; got != "skipped" {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
 	still := s.flight("good") // on the same connection, which is idle again
-	still.Hop.Until = time.Now().Add(5 * time.Second).UnixMicro()
+	still.Attempt.SendBefore = time.Now().Add(5 * time.Second).UnixMicro()
 	s.Send(still)
 	c, err := s.Accept()
 	if err != nil {
@@ -255,9 +255,9 @@
 func TestWithdrawnHopOpensNoConnection(t *testing.T) {
 	s := newStand(t, nil)
 	f := s.flight("gone")
-	f.Hop.Withdraw()
+	f.Attempt.Withdraw()
 	s.Send(f)
-	if n := s.Count(); n != 0 {
+	if n := s.ConnCount(); n != 0 {
 		t.Errorf("%d connections", n)
 	}
 }
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -13,41 +13,41 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Fault names what is wrong, and where.
-type Fault struct {
+// Error names what is wrong, and where.
+type Error struct {
 	File, Key string
 	Line      int
 	Text      string
 }
 
-func (f *Fault) Error() string {
+func (f *Error) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.Text)
 }
 
-// Wrong makes the fault that a check returns; Read adds the place.
-func Wrong(key, format string, args ...any) error {
-	return &Fault{Key: key, Text: fmt.Sprintf(format, args...)}
+// Errorf makes the fault that a check returns; Read adds the place.
+func Errorf(key, format string, args ...any) error {
+	return &Error{Key: key, Text: fmt.Sprintf(format, args...)}
 }
 
-// Read decodes a file's text into a struct and checks it. Unknown keys, keys that
+// Decode decodes a file's text into a struct and checks it. Unknown keys, keys that
 // stand twice and a second document are faults; an empty file is not.
-func Read(name string, text []byte, into any, check func() error) error {
+func Decode(name string, text []byte, into any, check func() error) error {
 	const most = 1 << 20 // no person writes more; aliases could blow it up in memory
 	if len(text) > most {
-		return &Fault{name, "file", 1, fmt.Sprintf("%d bytes, %d at most", len(text), most)}
+		return &Error{name, "file", 1, fmt.Sprintf("%d bytes, %d at most", len(text), most)}
 	}
 	file, err := parser.ParseBytes(text, 0)
 	if err != nil {
 		return syntax(name, err)
 	}
 	if len(file.Docs) > 1 && file.Docs[1].Body != nil {
-		return &Fault{name, "file", file.Docs[1].Body.GetToken().Position.Line, "a second document"}
+		return &Error{name, "file", file.Docs[1].Body.GetToken().Position.Line, "a second document"}
 	}
 	if err := yaml.UnmarshalWithOptions(text, into, yaml.Strict()); err != nil && !empty(file) {
 		return syntax(name, err)
 	}
 	err = check()
-	if f := (*Fault)(nil); errors.As(err, &f) {
+	if f := (*Error)(nil); errors.As(err, &f) {
 		f.File, f.Line = name, line(file, f.Key)
 	}
 	return err
@@ -62,13 +62,13 @@
 func syntax(name string, err error) error {
 	var wrong yaml.Error
 	if errors.As(err, &wrong) {
-		f := &Fault{File: name, Key: "file", Line: 1, Text: wrong.GetMessage()}
+		f := &Error{File: name, Key: "file", Line: 1, Text: wrong.GetMessage()}
 		if t := wrong.GetToken(); t != nil {
 			f.Line, f.Key = t.Position.Line, cmp.Or(t.Value, f.Key)
 		}
 		return f
 	}
-	return &Fault{name, "file", 1, err.Error()}
+	return &Error{name, "file", 1, err.Error()}
 }
 
 // line finds where a key stands, or else the key above it.
