--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -21,7 +21,8 @@
 )
 
 func scriptsCommand() *cobra.Command {
-	return &cobra.Command{Use: "scripts", Short: "List the rehearsals of the library", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "scripts", Short: "List the rehearsals of the library", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			defer w.Flush()
@@ -33,16 +34,19 @@
 				fmt.Fprintf(w, "%s\t%s\n", name, s.About)
 			}
 			return nil
-		}}
+		},
+	}
 }
 
 func emulateCommand() *cobra.Command {
 	var seed uint64
 	var onSockets, virtual, asJSON bool
 	var recordTo, router string
-	c := &cobra.Command{Use: "emulate SCRIPT", Short: "Play a rehearsal; exit code 2: a rule was broken", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{
+		Use: "emulate SCRIPT", Short: "Play a rehearsal; exit code 2: a rule was broken", Args: cobra.ExactArgs(1),
 		Long: "Plays a script of the library or a file: on a virtual clock against the router's core and module in this\n" +
-			"process, or on the real one against router processes on loopback."}
+			"process, or on the real one against router processes on loopback.",
+	}
 	f := c.Flags()
 	f.Uint64Var(&seed, "seed", 0, "of all chance; 0: the script's")
 	f.BoolVar(&virtual, "virtual", false, "on a virtual clock (the default)")
--- a/cmd/quilldoor-lab/main.go
+++ b/cmd/quilldoor-lab/main.go
@@ -19,8 +19,10 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "quilldoor-lab", Short: "Experiments with the router's decisions", SilenceUsage: true,
-		SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
+	root := &cobra.Command{
+		Use: "quilldoor-lab", Short: "Experiments with the router's decisions", SilenceUsage: true,
+		SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
+	}
 	root.AddCommand(emulateCommand(), scriptsCommand(), explainCommand(), demoCommand(), membersCommand(), processesCommand(), pairsCommand(), changesCommand(), rolloutsCommand(), rolloutCostCommand(), huntCommand(), reportCommand(), diskTrial())
 	err := root.ExecuteContext(ctx)
 	if err != nil {
--- a/cmd/quilldoor-lab/report.go
+++ b/cmd/quilldoor-lab/report.go
@@ -24,8 +24,10 @@
 // reportCommand draws where a rollout stands as one page that needs nothing else.
 func reportCommand() *cobra.Command {
 	var folder, from, out string
-	c := &cobra.Command{Use: "rollout-report", Short: "Draw where a rollout stands, as one HTML page", Args: cobra.NoArgs,
-		Long: "Asks the keeper of a folder, or reads what 'quilldoor rollout status --json' has printed. Who leads knows most."}
+	c := &cobra.Command{
+		Use: "rollout-report", Short: "Draw where a rollout stands, as one HTML page", Args: cobra.NoArgs,
+		Long: "Asks the keeper of a folder, or reads what 'quilldoor rollout status --json' has printed. Who leads knows most.",
+	}
 	c.Flags().StringVar(&folder, "folder", "", "a keeper's folder")
 	c.Flags().StringVar(&from, "json", "", "a status in JSON")
 	c.Flags().StringVar(&out, "out", "rollout.html", "the page")
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -44,7 +44,8 @@
   - {kind: purge, at: 85, share: 0.5}
   - {kind: purge, at: 110, share: 0.5}
   - {kind: purge, at: 135, share: 0.5}
-`, true}}
+`, true},
+}
 
 // rolloutPlan is for 24 routers of twelve offices.
 func rolloutPlan(watch float64) (*rollout.Plan, error) {
--- a/cmd/quilldoor/check.go
+++ b/cmd/quilldoor/check.go
@@ -23,8 +23,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &supervisor.CheckResult{Format: handoff.Format, Version: version(), Name: s.Name, MemoryMB: s.MemoryMB, Descriptors: s.Limits.MaxDescriptors,
-		LongestMS: s.Limits.MaxRequestTimeout.Milliseconds(), Sockets: map[string]string{"listen": s.Listen}, Flat: flat, Digest: upgrade.Digest(flat)}
+	c := &supervisor.CheckResult{
+		Format: handoff.Format, Version: version(), Name: s.Name, MemoryMB: s.MemoryMB, Descriptors: s.Limits.MaxDescriptors,
+		LongestMS: s.Limits.MaxRequestTimeout.Milliseconds(), Sockets: map[string]string{"listen": s.Listen}, Flat: flat, Digest: upgrade.Digest(flat),
+	}
 	if g := s.operator.Gateway; g != nil {
 		c.Sockets["gateway"] = g.Listen
 	}
--- a/cmd/quilldoor/disk.go
+++ b/cmd/quilldoor/disk.go
@@ -34,8 +34,10 @@
 		}
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "check PATH", Short: "Read every record and tell whether all are sound; exit code 1: not",
-			Args: cobra.ExactArgs(1), RunE: look(true)},
+		&cobra.Command{
+			Use: "check PATH", Short: "Read every record and tell whether all are sound; exit code 1: not",
+			Args: cobra.ExactArgs(1), RunE: look(true),
+		},
 		&cobra.Command{Use: "stat PATH", Short: "Tell what the index says is there", Args: cobra.ExactArgs(1), RunE: look(false)})
 	return c
 }
--- a/cmd/quilldoor/join.go
+++ b/cmd/quilldoor/join.go
@@ -110,8 +110,10 @@
 	}
 	set := &r.set
 	r.host = &host{router: r, purges: purgeBook{done: set.Hierarchy.PurgeSettleTime + c.Limits.MaxRequestTimeout.Microseconds()}}
-	config := gateway.Config{Keys: keys, MaxUploadBytes: c.Limits.MaxRequestBody, MaxAnswerBytes: c.Limits.MaxResponseBody, MaxRequestTime: c.Limits.MaxRequestTimeout, Seed: c.Seed,
-		Settings: peerpolicy.Settings{Name: o.Name, Site: o.Site, MaxRequests: o.MaxRequests, LocalReserve: o.LocalReserve, HeartbeatInterval: int64(o.HeartbeatMS) * 1000}}
+	config := gateway.Config{
+		Keys: keys, MaxUploadBytes: c.Limits.MaxRequestBody, MaxAnswerBytes: c.Limits.MaxResponseBody, MaxRequestTime: c.Limits.MaxRequestTimeout, Seed: c.Seed,
+		Settings: peerpolicy.Settings{Name: o.Name, Site: o.Site, MaxRequests: o.MaxRequests, LocalReserve: o.LocalReserve, HeartbeatInterval: int64(o.HeartbeatMS) * 1000},
+	}
 	for _, p := range o.Peers {
 		config.Peers = append(config.Peers, gateway.Peer(p))
 	}
--- a/cmd/quilldoor/keep.go
+++ b/cmd/quilldoor/keep.go
@@ -26,9 +26,11 @@
 var errKeep = errors.New("keep: not in the operator's file")
 
 func keepCommand(f *flags) *cobra.Command {
-	c := &cobra.Command{Use: "keep", Short: "Keep a router: change its program and settings under load", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "keep", Short: "Keep a router: change its program and settings under load", Args: cobra.NoArgs,
 		Long: "Holds the router's sockets and runs it as a process of its own, by keep in the operator's file. 'quilldoor change'\n" +
-			"then puts another program or other settings in its place."}
+			"then puts another program or other settings in its place.",
+	}
 	c.RunE = func(*cobra.Command, []string) error {
 		log, err := f.logger()
 		if err != nil {
@@ -58,9 +60,11 @@
 			}
 			return fresh.DiscoveryAddr, fresh.known, nil
 		}}
-		return supervisor.Run(supervisor.Config{Observer: watch, Folder: own.Dir, Program: self, Platform: cmp.Or(f.over.File, os.Getenv("LB_CONFIG")),
+		return supervisor.Run(supervisor.Config{
+			Observer: watch, Folder: own.Dir, Program: self, Platform: cmp.Or(f.over.File, os.Getenv("LB_CONFIG")),
 			Operator: cmp.Or(f.operator, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath), Plan: own.RolloutPlan, MemberName: memberName(s.operator), Log: log.WithField("router", s.Name),
-			Times: upgrade.Timeouts{ReadyMicros: micros(own.ReadyTimeoutS), TrialMicros: micros(own.TrialS), DrainMicros: (s.Limits.MaxRequestTimeout + s.Limits.ClientIdleTimeout + drainSlack).Microseconds()}},
+			Times: upgrade.Timeouts{ReadyMicros: micros(own.ReadyTimeoutS), TrialMicros: micros(own.TrialS), DrainMicros: (s.Limits.MaxRequestTimeout + s.Limits.ClientIdleTimeout + drainSlack).Microseconds()},
+		},
 			term, hup)
 	}
 	return c
@@ -128,16 +132,22 @@
 		}
 		return p
 	}
-	apply := &cobra.Command{Use: "apply", Short: "Change, and wait for what becomes of it", Args: cobra.NoArgs,
-		Long: "--program, --config and --operator name what is new; what is not named stays. Exit code 1: refused, or it fell\nback; the last line says why."}
+	apply := &cobra.Command{
+		Use: "apply", Short: "Change, and wait for what becomes of it", Args: cobra.NoArgs,
+		Long: "--program, --config and --operator name what is new; what is not named stays. Exit code 1: refused, or it fell\nback; the last line says why.",
+	}
 	apply.Flags().StringVar(&program, "program", "", "another program")
 	apply.RunE = func(*cobra.Command, []string) error {
 		return ask(&handoff.Message{Kind: handoff.KindApply, Program: abs(program), Config: abs(f.over.File), Operator: abs(f.operator)})
 	}
-	back := &cobra.Command{Use: "back", Short: "End a trial, or change to the generation before", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(&handoff.Message{Kind: handoff.KindRollBack}) }}
-	check := &cobra.Command{Use: "check", Short: "Tell the keys in which settings differ and how each changes; changes nothing", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return f.compare(folder) }}
+	back := &cobra.Command{
+		Use: "back", Short: "End a trial, or change to the generation before", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return ask(&handoff.Message{Kind: handoff.KindRollBack}) },
+	}
+	check := &cobra.Command{
+		Use: "check", Short: "Tell the keys in which settings differ and how each changes; changes nothing", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return f.compare(folder) },
+	}
 	var asJSON bool
 	status := &cobra.Command{Use: "status", Short: "Tell the generations and what became of the last change", Args: cobra.NoArgs}
 	status.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -41,8 +41,10 @@
 func command(hup <-chan os.Signal, term chan os.Signal) *cobra.Command {
 	var f flags
 	run := func(*cobra.Command, []string) error { return f.serve(hup, term) }
-	root := &cobra.Command{Use: "quilldoor", Short: "A txn router for edge caches", Args: cobra.NoArgs, RunE: run,
-		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
+	root := &cobra.Command{
+		Use: "quilldoor", Short: "A txn router for edge caches", Args: cobra.NoArgs, RunE: run,
+		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
+	}
 	all := root.PersistentFlags()
 	all.StringVarP(&f.over.File, "config", "c", "", "configuration file (LB_CONFIG)")
 	all.StringVar(&f.operator, "operator", "", "operator's own file (LB_OPERATOR; "+operatorconfig.DefaultPath+" where it is there)")
@@ -53,8 +55,10 @@
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "Run the router (the default)", Args: cobra.NoArgs, RunE: run},
 		checkCommand(&f),
-		&cobra.Command{Use: "version", Short: "Tell the version", Args: cobra.NoArgs,
-			Run: func(*cobra.Command, []string) { fmt.Println("quilldoor", version()) }},
+		&cobra.Command{
+			Use: "version", Short: "Tell the version", Args: cobra.NoArgs,
+			Run: func(*cobra.Command, []string) { fmt.Println("quilldoor", version()) },
+		},
 		diskCommand(), gatewayCommand(&f), membersCommand(&f), keysCommand(), keepCommand(&f), changeCommand(&f), rolloutCommand(&f))
 	return root
 }
--- a/cmd/quilldoor/members.go
+++ b/cmd/quilldoor/members.go
@@ -38,8 +38,10 @@
 	for _, p := range o.Peers {
 		set.Seeds = append(set.Seeds, membership.Seed{Name: p.Name, Addr: netip.MustParseAddrPort(p.Addr)})
 	}
-	r.peers = &peers{router: r, book: gossip.New(gossip.Settings{PurgeRetention: r.set.Hierarchy.PurgeSettleTime + c.Limits.MaxRequestTimeout.Microseconds()}),
-		start: time.Now()}
+	r.peers = &peers{
+		router: r, book: gossip.New(gossip.Settings{PurgeRetention: r.set.Hierarchy.PurgeSettleTime + c.Limits.MaxRequestTimeout.Microseconds()}),
+		start: time.Now(),
+	}
 	listen := netip.MustParseAddrPort(o.Listen)
 	if r.kept != nil {
 		conn, err := r.kept.PacketConn("members")
@@ -57,9 +59,11 @@
 
 func membersCommand(f *flags) *cobra.Command {
 	var matrix, asJSON bool
-	c := &cobra.Command{Use: "members", Short: "Tell which routers are there, how sure and how old that is", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use: "members", Short: "Tell which routers are there, how sure and how old that is", Args: cobra.NoArgs,
 		Long: "Asks the router of the operator's file, by its members.listen address and key. --matrix asks all that it\n" +
-			"knows, and shows who sees whom and where they disagree. Exit code 1: no answer."}
+			"knows, and shows who sees whom and where they disagree. Exit code 1: no answer.",
+	}
 	c.Flags().BoolVar(&matrix, "matrix", false, "ask all, show who sees whom")
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
@@ -131,8 +135,10 @@
 
 // printMatrix draws a row for each router that answered: what it holds of each.
 func printMatrix(m *transport.Matrix) {
-	letters := map[membership.State]string{membership.StateUnknown: " ", membership.StateJoining: "j", membership.StateAlive: "A", membership.StateSuspect: "s", membership.StateDead: "D",
-		membership.StateLeaving: "l", membership.StateLeft: "L", membership.StateNameConflict: "2"}
+	letters := map[membership.State]string{
+		membership.StateUnknown: " ", membership.StateJoining: "j", membership.StateAlive: "A", membership.StateSuspect: "s", membership.StateDead: "D",
+		membership.StateLeaving: "l", membership.StateLeft: "L", membership.StateNameConflict: "2",
+	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(w, "\t"+strings.Join(m.Names, "\t"))
 	for _, by := range m.Names {
--- a/cmd/quilldoor/own.go
+++ b/cmd/quilldoor/own.go
@@ -153,8 +153,10 @@
 	}
 	list := make([]engine.Endpoint, len(s.Servers))
 	for i, x := range s.Servers {
-		list[i] = engine.Endpoint{Address: x.Endpoint, Endpoint: policy.Endpoint{ID: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell,
-			State: x.State, Weight: x.Weight, StartedAt: x.Born}}
+		list[i] = engine.Endpoint{Address: x.Endpoint, Endpoint: policy.Endpoint{
+			ID: x.Server, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell,
+			State: x.State, Weight: x.Weight, StartedAt: x.Born,
+		}}
 	}
 	r.follower.Resume(s.Revision, list)
 	if r.host != nil {
@@ -199,8 +201,10 @@
 	rev, list := r.follower.Snapshot()
 	s.Revision = rev
 	for _, x := range list {
-		s.Servers = append(s.Servers, handoff.Server{Server: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: x.State,
-			Weight: x.Weight, Born: x.StartedAt, Endpoint: x.Address})
+		s.Servers = append(s.Servers, handoff.Server{
+			Server: x.ID, Zone: x.Zone, Kind: x.Kind, Cell: x.Cell, State: x.State,
+			Weight: x.Weight, Born: x.StartedAt, Endpoint: x.Address,
+		})
 	}
 	return s
 }
--- a/cmd/quilldoor/publish.go
+++ b/cmd/quilldoor/publish.go
@@ -76,8 +76,10 @@
 		count(s.Counts.Lookups[i], "disk_looks_total{reason=%q}", diskcache.Reason(i))
 		count(s.Counts.Offers[i], "disk_offers_total{reason=%q}", diskcache.Reason(i))
 	}
-	for how, n := range map[string]int64{"fresh": s.Counts.Served - s.Counts.ServedStale, "stood_in": s.Counts.ServedStale,
-		"proven": s.Counts.Revalidated} {
+	for how, n := range map[string]int64{
+		"fresh": s.Counts.Served - s.Counts.ServedStale, "stood_in": s.Counts.ServedStale,
+		"proven": s.Counts.Revalidated,
+	} {
 		count(n, "disk_served_total{how=%q}", how)
 	}
 	count(s.Counts.BytesServed, "disk_bytes_total{way=%q}", "out")
@@ -114,8 +116,10 @@
 	c := v.Counts
 	count(c.Sent, "members_words_total{way=%q}", "sent")
 	count(c.Received, "members_words_total{way=%q}", "taken")
-	for why, n := range map[string]int64{"foreign": c.Misaddressed, "replayed": c.Replayed, "bad": c.Malformed, "size": d.Size.Load(),
-		"version": d.Version.Load(), "proof": d.Authentication.Load(), "payload": d.Payload.Load()} {
+	for why, n := range map[string]int64{
+		"foreign": c.Misaddressed, "replayed": c.Replayed, "bad": c.Malformed, "size": d.Size.Load(),
+		"version": d.Version.Load(), "proof": d.Authentication.Load(), "payload": d.Payload.Load(),
+	} {
 		count(n, "members_dropped_total{reason=%q}", why)
 	}
 	count(d.Unsent.Load(), "members_unsent_total")
--- a/cmd/quilldoor/rollout.go
+++ b/cmd/quilldoor/rollout.go
@@ -52,8 +52,12 @@
 	for _, x := range []struct {
 		name, short string
 		word        rollout.Command
-	}{{"start", "Start the plan's rollout", rollout.CommandStart}, {"hold", "Hold it where it is", rollout.CommandPause}, {"go", "Go on with one that is held", rollout.CommandResume},
-		{"back", "Turn it back", rollout.CommandRollBack}} {
+	}{
+		{"start", "Start the plan's rollout", rollout.CommandStart},
+		{"hold", "Hold it where it is", rollout.CommandPause},
+		{"go", "Go on with one that is held", rollout.CommandResume},
+		{"back", "Turn it back", rollout.CommandRollBack},
+	} {
 		c.AddCommand(&cobra.Command{Use: x.name, Short: x.short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			r, err := ask(x.word)
 			if err == nil {
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -82,8 +82,10 @@
 func serve(c *setup, logger *logrus.Logger, term, hup <-chan os.Signal, load func() (*setup, error)) error {
 	runtime.GOMAXPROCS(max(int(c.Cores), 1))
 	debug.SetMemoryLimit(c.Limits.MemoryBytes)
-	r := &router{log: logger.WithField("router", c.Name), setup: c, set: c.Settings.PolicySettings(), limit: c.Limits, kick: make(chan struct{}, 1),
-		boardAt: c.DiscoveryAddr}
+	r := &router{
+		log: logger.WithField("router", c.Name), setup: c, set: c.Settings.PolicySettings(), limit: c.Limits, kick: make(chan struct{}, 1),
+		boardAt: c.DiscoveryAddr,
+	}
 	var err error
 	if r.kept, err = upgradeagent.Inherit(os.Getenv); err != nil {
 		return err
@@ -109,9 +111,11 @@
 		r.acts = invariant.NewRecorder()
 		r.front.SetRecorder(r.acts)
 	}
-	r.log.WithFields(logrus.Fields{"listen": c.Listen, "board": c.DiscoveryAddr, "zone": r.set.Zone,
+	r.log.WithFields(logrus.Fields{
+		"listen": c.Listen, "board": c.DiscoveryAddr, "zone": r.set.Zone,
 		"rules": len(r.set.Classes), "cores": c.Cores, "memory_mb": c.MemoryMB, "clients_most": c.Limits.MaxClients,
-		"upstream_most": c.Limits.MaxUpstreamConns, "version": version()}).Info("starting")
+		"upstream_most": c.Limits.MaxUpstreamConns, "version": version(),
+	}).Info("starting")
 	if r.kept == nil {
 		defer r.release()
 		if err := r.acquire(nil); err != nil {
@@ -309,9 +313,11 @@
 	metrics.Read(m)
 	txns, servers := r.core.Count()
 	clients, late := r.front.CollectStats()
-	r.log.WithFields(logrus.Fields{"txns": txns, "servers": servers, "clients": clients, "late_answers": late,
+	r.log.WithFields(logrus.Fields{
+		"txns": txns, "servers": servers, "clients": clients, "late_answers": late,
 		"upstream": r.up.ConnCount(), "goroutines": runtime.NumGoroutine(), "memory_mb": m[0].Value.Uint64() >> 20,
-		"collections": m[1].Value.Uint64(), "timer_late_ms_most": lag.Milliseconds()}).Info("status")
+		"collections": m[1].Value.Uint64(), "timer_late_ms_most": lag.Milliseconds(),
+	}).Info("status")
 	if own := r.shelf.Load(); own != nil {
 		r.log.WithFields(own.Status()).Info("disk tier status")
 	}
@@ -349,8 +355,10 @@
 	}
 	r.up.Drain(r.core.UpdateEndpoints(clock(), scope, list))
 	for _, s := range list {
-		r.log.WithFields(logrus.Fields{"server": s.ID, "endpoint": s.Address, "zone": s.Zone, "kind": s.Kind,
-			"state": s.State, "born_ms": s.StartedAt / 1000}).Debug("listed")
+		r.log.WithFields(logrus.Fields{
+			"server": s.ID, "endpoint": s.Address, "zone": s.Zone, "kind": s.Kind,
+			"state": s.State, "born_ms": s.StartedAt / 1000,
+		}).Debug("listed")
 	}
 	_, servers := r.core.Count()
 	r.log.WithFields(logrus.Fields{"scope": scope, "changes": len(list), "servers": servers}).Info("list changed")
@@ -423,8 +431,10 @@
 		if named[k.Name] = true; chosen && !able {
 			return fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", k.Name)
 		}
-		rules = append(rules, diskcache.TrafficClass{Name: k.Name, FreshTime: k.FreshFor, GraceTime: k.StaleGrace, SLA: k.LatencyObjective,
-			Cacheable: able && (chosen || len(d.TrafficClasses) == 0)})
+		rules = append(rules, diskcache.TrafficClass{
+			Name: k.Name, FreshTime: k.FreshFor, GraceTime: k.StaleGrace, SLA: k.LatencyObjective,
+			Cacheable: able && (chosen || len(d.TrafficClasses) == 0),
+		})
 	}
 	for _, name := range d.TrafficClasses {
 		if !named[name] {
@@ -435,13 +445,15 @@
 	own := diskrunner.Start(diskrunner.Config{
 		FS: diskstore.Dir{Path: d.Path}, Path: d.Path, Superblock: diskstore.Superblock{SlotBytes: d.SlotKB << 10, Seed: rand.Uint64()},
 		ReadTimeout: time.Duration(d.ReadWaitMS) * time.Millisecond,
-		Settings: diskcache.Settings{Classes: rules, SlotBytes: d.SlotKB << 10, Slots: d.Slots(), MaxEntries: d.MaxEntries(),
+		Settings: diskcache.Settings{
+			Classes: rules, SlotBytes: d.SlotKB << 10, Slots: d.Slots(), MaxEntries: d.MaxEntries(),
 			WriteBytesPerSecond: int64(d.WriteMBPerSecond) * mb,
 			// Bodies that wait for the disk are the same that txns need: a quarter of them at most.
 			QueueBytes:   min(int64(d.QueueMB)*mb, c.Limits.MaxBufferedBytes/4),
 			SyncInterval: int64(d.SyncIntervalMS) * millis, MaxReads: d.MaxConcurrentReads, FlowBytesPerSecond: c.ClientBytesPerSecond, LinkBytesPerSecond: c.LinkBytesPerSecond,
 			PurgeTime: set.Hierarchy.PurgeSettleTime, MaxRequestTime: c.Limits.MaxRequestTimeout.Microseconds(),
-			DiscoveryLossLimit: blindFrom.Microseconds()},
+			DiscoveryLossLimit: blindFrom.Microseconds(),
+		},
 	}, r.bodies, r.log)
 	r.shelf.Store(own)
 	r.front.SetDiskCache(own)
--- a/internal/cacheproto/cacheproto.go
+++ b/internal/cacheproto/cacheproto.go
@@ -109,12 +109,16 @@
 	StatusReady                         // to a probe
 )
 
-var words = map[string]Status{"ACK": StatusOK, "NOMOD": StatusNotModified, "NOENT": StatusMiss, "AGAIN": StatusBusy, "EIO": StatusError,
-	"STALE": StatusSkipped, "READY": StatusReady}
+var words = map[string]Status{
+	"ACK": StatusOK, "NOMOD": StatusNotModified, "NOENT": StatusMiss, "AGAIN": StatusBusy, "EIO": StatusError,
+	"STALE": StatusSkipped, "READY": StatusReady,
+}
 
 // notes stand in the order of the simulator's numbers, from 1.
-var notes = map[string]int{"HIT": 1, "MISS": 2, "MISS_ORIGIN": 3, "COLLAPSED": 4, "STALE": 5, "UP_BUSY": 6,
-	"UP_DOWN": 7, "UP_MISS": 8, "NO_FILL": 9, "ORIGIN_ERR": 10}
+var notes = map[string]int{
+	"HIT": 1, "MISS": 2, "MISS_ORIGIN": 3, "COLLAPSED": 4, "STALE": 5, "UP_BUSY": 6,
+	"UP_DOWN": 7, "UP_MISS": 8, "NO_FILL": 9, "ORIGIN_ERR": 10,
+}
 
 // Response is one answer's line; Length bytes and CR LF follow it.
 type Response struct {
--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -49,8 +49,10 @@
 func (c Counts) Plus(o Counts) Counts { return c.add(o, 1) }
 
 func (c Counts) add(o Counts, sign float64) Counts {
-	d := Counts{Requests: c.Requests + sign*o.Requests, WeightOffered: c.WeightOffered + sign*o.WeightOffered, WeightEarned: c.WeightEarned + sign*o.WeightEarned, Rejected: c.Rejected + sign*o.Rejected,
-		Failed: c.Failed + sign*o.Failed, Completed: c.Completed + sign*o.Completed, LogLatencySum: c.LogLatencySum + sign*o.LogLatencySum, Attempts: c.Attempts + sign*o.Attempts}
+	d := Counts{
+		Requests: c.Requests + sign*o.Requests, WeightOffered: c.WeightOffered + sign*o.WeightOffered, WeightEarned: c.WeightEarned + sign*o.WeightEarned, Rejected: c.Rejected + sign*o.Rejected,
+		Failed: c.Failed + sign*o.Failed, Completed: c.Completed + sign*o.Completed, LogLatencySum: c.LogLatencySum + sign*o.LogLatencySum, Attempts: c.Attempts + sign*o.Attempts,
+	}
 	for _, rules := range []map[string]ClassCounts{c.Classes, o.Classes} {
 		for name := range rules {
 			if d.Classes == nil {
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -141,8 +141,10 @@
 
 // New makes a referee.
 func New(f Figures) *Referee {
-	r := &Referee{figures: f, rules: map[string]policy.TrafficClass{}, txns: map[id]*txn{}, listed: map[string]listing{},
-		told: map[int]map[string]state{}, purges: map[int][]purge{}, lost: map[id]*txn{}, stops: map[int]stop{}}
+	r := &Referee{
+		figures: f, rules: map[string]policy.TrafficClass{}, txns: map[id]*txn{}, listed: map[string]listing{},
+		told: map[int]map[string]state{}, purges: map[int][]purge{}, lost: map[id]*txn{}, stops: map[int]stop{},
+	}
 	for _, k := range f.Rules {
 		r.rules[k.Name] = k
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -161,7 +161,9 @@
 		key  string
 		same bool
 	}{
-		{"name", c.Name == other.Name}, {"listen", c.Listen == other.Listen}, {"seed", c.Seed == other.Seed},
+		{"name", c.Name == other.Name},
+		{"listen", c.Listen == other.Listen},
+		{"seed", c.Seed == other.Seed},
 		{"limits", c.Cores == other.Cores && c.MemoryMB == other.MemoryMB && c.Limits.MaxDescriptors == other.Limits.MaxDescriptors},
 		{"settings", reflect.DeepEqual(c.Settings, other.Settings)},
 	} {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -126,7 +126,8 @@
 			for _, t := range e.Pool.Targets {
 				list = append(list, engine.Endpoint{Address: t.Endpoint, Endpoint: policy.Endpoint{
 					ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: states[t.State],
-					Weight: t.CapacityHint, StartedAt: settings.Micros(t.BootMS)}})
+					Weight: t.CapacityHint, StartedAt: settings.Micros(t.BootMS),
+				}})
 				s := list[len(list)-1]
 				if f.list[s.ID] = s; s.State == "left" {
 					delete(f.list, s.ID)
@@ -240,8 +241,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: sock, r: bufio.NewReaderSize(sock, bufferpool.Size),
-		unget: context.AfterFunc(ctx, func() { sock.Close() })}, nil
+	return &conn{
+		Conn: sock, r: bufio.NewReaderSize(sock, bufferpool.Size),
+		unget: context.AfterFunc(ctx, func() { sock.Close() }),
+	}, nil
 }
 
 // poll asks for what comes behind the last event.
--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -81,9 +81,11 @@
 	popular := distuv.NewCategorical(weights, r)
 	now := int64(1e12)
 	slots := int(float64(total) * l.DiskShare / slot)
-	t := diskcache.New(now, diskcache.Settings{Classes: []diskcache.TrafficClass{{Name: "page", FreshTime: 1 << 60, SLA: 1e6, Cacheable: true}}, SlotBytes: slot,
+	t := diskcache.New(now, diskcache.Settings{
+		Classes: []diskcache.TrafficClass{{Name: "page", FreshTime: 1 << 60, SLA: 1e6, Cacheable: true}}, SlotBytes: slot,
 		Slots: slots, MaxEntries: slots, WriteBytesPerSecond: 1 << 40, QueueBytes: 1 << 40, SyncInterval: 0, MaxReads: 1, PurgeTime: 1, MaxRequestTime: 1,
-		Variant: choice})
+		Variant: choice,
+	})
 	var out Result
 	var written0 int64
 	once := 0
--- a/internal/diskcache/diskcache.go
+++ b/internal/diskcache/diskcache.go
@@ -104,9 +104,11 @@
 	reasons
 )
 
-var reasonNames = [reasons]string{"good", "not_keepable", "not_held", "not_written", "too_old", "from_ahead", "unvouched",
+var reasonNames = [reasons]string{
+	"good", "not_keepable", "not_held", "not_written", "too_old", "from_ahead", "unvouched",
 	"blind", "purged", "link_busy", "disk_busy", "disk_off", "wanted_once", "outweighed", "held_already", "over_budget",
-	"queue_full", "no_slots", "too_large", "gone"}
+	"queue_full", "no_slots", "too_large", "gone",
+}
 
 func (r Reason) String() string { return reasonNames[r] }
 
@@ -164,9 +166,11 @@
 // out before now, until caches have dropped what was purged before now.
 func New(now int64, set Settings) *Tier {
 	items := min(set.Slots, set.MaxEntries)
-	return &Tier{set: set, sketch: newSketch(items), table: newTable(items), slots: newSlots(set.Slots),
+	return &Tier{
+		set: set, sketch: newSketch(items), table: newTable(items), slots: newSlots(set.Slots),
 		link: link{flow: set.FlowBytesPerSecond, whole: set.LinkBytesPerSecond}, budget: budget{rate: set.WriteBytesPerSecond, left: set.WriteBytesPerSecond, at: now},
-		purges: purges{objects: map[uint64]int64{}}, epoch: 1, since: now, health: HealthOn}
+		purges: purges{objects: map[uint64]int64{}}, epoch: 1, since: now, health: HealthOn,
+	}
 }
 
 // key names a part, object an object; the seed keeps clients from choosing names
@@ -253,8 +257,10 @@
 		}
 	}
 	t.reading++
-	return verdict, LookupResult{Reason: reason, Ref: Ref{i, e.seq}, Length: int(e.length), Extents: t.slots.runs(e.slot),
-		StaleIfError: reason == ReasonTooOld && now-e.issued*1000 <= rule.FreshTime+rule.GraceTime}
+	return verdict, LookupResult{
+		Reason: reason, Ref: Ref{i, e.seq}, Length: int(e.length), Extents: t.slots.runs(e.slot),
+		StaleIfError: reason == ReasonTooOld && now-e.issued*1000 <= rule.FreshTime+rule.GraceTime,
+	}
 }
 
 // holds says whether a copy may be served as it is. A copy from ahead of the
@@ -396,8 +402,10 @@
 func (t *Tier) offer(now int64, c *Candidate) (Placement, Reason) {
 	rule := &t.set.Classes[c.ClassIndex]
 	key, object := t.key(&c.Request), t.object(c.Object)
-	e := entry{key: key, object: object, issued: c.Issued, length: uint32(c.Length), rule: uint8(c.ClassIndex),
-		group: c.Group, state: writing}
+	e := entry{
+		key: key, object: object, issued: c.Issued, length: uint32(c.Length), rule: uint8(c.ClassIndex),
+		group: c.Group, state: writing,
+	}
 	need := (c.Length + t.set.SlotBytes - 1) / t.set.SlotBytes
 	size := int64(need * t.set.SlotBytes)
 	switch {
@@ -588,8 +596,10 @@
 	for _, r := range k.Extents {
 		n += int(r.Count)
 	}
-	e := entry{key: k.Key, object: k.Object, issued: k.Issued, seq: k.Seq, length: uint32(max(k.Length, 0)),
-		rule: uint8(k.ClassIndex), group: k.Group, state: kept}
+	e := entry{
+		key: k.Key, object: k.Object, issued: k.Issued, seq: k.Seq, length: uint32(max(k.Length, 0)),
+		rule: uint8(k.ClassIndex), group: k.Group, state: kept,
+	}
 	ok := k.Length > 0 && n == (k.Length+t.set.SlotBytes-1)/t.set.SlotBytes && k.ClassIndex >= 0 && t.set.Classes[k.ClassIndex].Cacheable &&
 		!t.purges.binds(&e)
 	if old := t.table.find(k.Key); ok && old != none {
@@ -652,10 +662,12 @@
 // Size tells how full the tier is.
 func (t *Tier) Size() Size {
 	buckets, width := int64(t.table.mask+1), int64(t.sketch.mask+1)
-	return Size{Parts: t.table.live, MaxParts: t.table.most, Bytes: int64(t.table.liveSlot) * int64(t.set.SlotBytes),
+	return Size{
+		Parts: t.table.live, MaxParts: t.table.most, Bytes: int64(t.table.liveSlot) * int64(t.set.SlotBytes),
 		MaxBytes: int64(t.set.Slots) * int64(t.set.SlotBytes), QueuedBytes: t.queued, ActiveReads: t.reading,
 		MemoryBytes:    int64(len(t.table.chunks))*chunkSize*64 + buckets*8 + int64(t.set.Slots)*33/8 + width*4,
-		UnsyncedChains: len(t.condemned) + len(t.syncing), RememberedPurges: len(t.purges.objects)}
+		UnsyncedChains: len(t.condemned) + len(t.syncing), RememberedPurges: len(t.purges.objects),
+	}
 }
 
 // AdvanceSeq makes the numbers of new records go on behind one that was given before.
--- a/internal/diskcache/diskrunner/diskrunner.go
+++ b/internal/diskcache/diskrunner/diskrunner.go
@@ -69,12 +69,14 @@
 			return now.UnixMicro(), now.Sub(start).Microseconds()
 		}
 	}
-	s := &Cache{config: config, bodies: bodies, log: log.WithField("disk", config.Path), rules: map[string]int{},
+	s := &Cache{
+		config: config, bodies: bodies, log: log.WithField("disk", config.Path), rules: map[string]int{},
 		// Microseconds up to a minute in two figures: some kilobytes.
 		took:  hdrhistogram.New(1, 60_000_000, 2),
 		reads: make(chan *read, config.Settings.MaxReads), stop: make(chan struct{}),
 		// Each waiting copy takes a slot of the queue at the least.
-		writes: make(chan *write, int(config.Settings.QueueBytes)/config.Settings.SlotBytes+1)}
+		writes: make(chan *write, int(config.Settings.QueueBytes)/config.Settings.SlotBytes+1),
+	}
 	for i, r := range config.Settings.Classes {
 		s.rules[r.Name] = i
 	}
@@ -139,8 +141,10 @@
 	size := s.tier.Size()
 	s.mu.Unlock()
 	s.ready.Store(true)
-	s.log.WithFields(logrus.Fields{"parts": size.Parts, "left_out": in.refused, "bytes": size.Bytes,
-		"frames": found.Frames, "bad_frames": found.BadFrames, "took_ms": time.Since(began).Milliseconds()}).
+	s.log.WithFields(logrus.Fields{
+		"parts": size.Parts, "left_out": in.refused, "bytes": size.Bytes,
+		"frames": found.Frames, "bad_frames": found.BadFrames, "took_ms": time.Since(began).Milliseconds(),
+	}).
 		Info("disk tier recovered")
 	return true
 }
@@ -160,8 +164,10 @@
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.tier.Restore(&diskcache.CachedPart{Key: e.Key, Object: e.Object, Issued: e.Issued, Seq: e.Seq, Length: e.Length,
-		ClassIndex: rule, Group: e.Group, Extents: e.Extents}) {
+	if !in.tier.Restore(&diskcache.CachedPart{
+		Key: e.Key, Object: e.Object, Issued: e.Issued, Seq: e.Seq, Length: e.Length,
+		ClassIndex: rule, Group: e.Group, Extents: e.Extents,
+	}) {
 		in.refused++
 	}
 }
@@ -284,8 +290,10 @@
 	if !known || tag == "" || issued <= 0 {
 		return
 	}
-	rec := diskstore.Record{Issued: issued, Part: a.Part, Class: a.Class, Object: a.Object, Tag: tag, Group: a.Group,
-		BodyBytes: body.Len()}
+	rec := diskstore.Record{
+		Issued: issued, Part: a.Part, Class: a.Class, Object: a.Object, Tag: tag, Group: a.Group,
+		BodyBytes: body.Len(),
+	}
 	length := rec.Length()
 	s.mu.Lock()
 	place, reason := s.tier.Offer(s.now(), &diskcache.Candidate{Request: ask, Issued: issued, Length: length})
@@ -296,9 +304,11 @@
 	rec.Seq = place.Ref.Seq()
 	select {
 	case <-s.stop:
-	case s.writes <- &write{place: place, rec: rec, body: body.Retain(), entry: diskstore.Entry{Key: place.Key,
+	case s.writes <- &write{place: place, rec: rec, body: body.Retain(), entry: diskstore.Entry{
+		Key:    place.Key,
 		Object: place.Object, Issued: issued, Seq: rec.Seq, Length: length, ClassHash: diskstore.ClassHash(a.Class),
-		Group: a.Group, Extents: place.Extents}}:
+		Group: a.Group, Extents: place.Extents,
+	}}:
 	}
 }
 
@@ -387,9 +397,11 @@
 		looks += st.Counts.Lookups[i]
 		offers += st.Counts.Offers[i]
 	}
-	return logrus.Fields{"ready": st.Ready, "health": st.Health.String(), "parts": st.Size.Parts,
+	return logrus.Fields{
+		"ready": st.Ready, "health": st.Health.String(), "parts": st.Size.Parts,
 		"disk_mb": st.Size.Bytes >> 20, "memory_mb": st.Size.MemoryBytes >> 20, "looks": looks, "served": st.Counts.Served,
 		"proven": st.Counts.Revalidated, "stood_in": st.Counts.ServedStale, "offers": offers,
 		"written": st.Counts.Offers[diskcache.ReasonOK], "evicted": st.Counts.Evicted, "purged": st.Counts.Purged,
-		"read_us_median": st.ReadMedianMicros, "read_us_99": st.ReadP99Micros, "read_faults": st.Counts.ReadFaults}
+		"read_us_median": st.ReadMedianMicros, "read_us_99": st.ReadP99Micros, "read_faults": st.Counts.ReadFaults,
+	}
 }
--- a/internal/diskcache/diskrunner/work.go
+++ b/internal/diskcache/diskrunner/work.go
@@ -64,8 +64,10 @@
 		body.Release()
 		return nil
 	}
-	return &Copy{Body: body, Tag: rec.Tag, Fresh: r.sure, shelf: s, ref: r.found.Ref, rule: r.rule,
-		standIn: r.found.StaleIfError}
+	return &Copy{
+		Body: body, Tag: rec.Tag, Fresh: r.sure, shelf: s, ref: r.found.Ref, rule: r.rule,
+		standIn: r.found.StaleIfError,
+	}
 }
 
 // write is a copy on its way to the disk.
@@ -184,8 +186,10 @@
 			some = some[:0]
 			s.mu.Lock()
 			from = s.tier.Scan(from, func(k diskcache.CachedPart) {
-				some = append(some, diskstore.Entry{Key: k.Key, Object: k.Object, Issued: k.Issued, Seq: k.Seq,
-					Length: k.Length, ClassHash: diskstore.ClassHash(s.config.Settings.Classes[k.ClassIndex].Name), Group: k.Group, Extents: k.Extents})
+				some = append(some, diskstore.Entry{
+					Key: k.Key, Object: k.Object, Issued: k.Issued, Seq: k.Seq,
+					Length: k.Length, ClassHash: diskstore.ClassHash(s.config.Settings.Classes[k.ClassIndex].Name), Group: k.Group, Extents: k.Extents,
+				})
 			})
 			s.mu.Unlock()
 			for i := range some {
--- a/internal/diskcache/diskstore/format.go
+++ b/internal/diskcache/diskstore/format.go
@@ -197,9 +197,11 @@
 	}
 	switch kind(f[4]) {
 	case kindPut: // one before it that stayed incomplete is none
-		r.put = Entry{Group: f[5], Key: le.Uint64(f[8:]), Object: le.Uint64(f[16:]), Issued: int64(le.Uint64(f[24:])),
+		r.put = Entry{
+			Group: f[5], Key: le.Uint64(f[8:]), Object: le.Uint64(f[16:]), Issued: int64(le.Uint64(f[24:])),
 			Seq: le.Uint64(f[32:]), Length: int(le.Uint32(f[40:])), ClassHash: le.Uint32(f[44:]),
-			Extents: append(r.put.Extents[:0], diskcache.Extent{Start: le.Uint32(f[52:]), Count: le.Uint32(f[56:])})}
+			Extents: append(r.put.Extents[:0], diskcache.Extent{Start: le.Uint32(f[52:]), Count: le.Uint32(f[56:])}),
+		}
 		r.top = max(r.top, r.put.Seq)
 		r.wanted = int(le.Uint32(f[48:]))
 	case kindMore:
@@ -269,7 +271,9 @@
 	if len(h) < headSize || string(h[36:40]) != "QDR\x01" {
 		return r, 0, fmt.Errorf("%w: no head", ErrCorruptRecord)
 	}
-	r = Record{Seq: le.Uint64(h[4:]), Issued: int64(le.Uint64(h[12:])), Part: int64(le.Uint64(h[20:])),
-		BodyBytes: int(le.Uint32(h[28:])), Group: h[35]}
+	r = Record{
+		Seq: le.Uint64(h[4:]), Issued: int64(le.Uint64(h[12:])), Part: int64(le.Uint64(h[20:])),
+		BodyBytes: int(le.Uint32(h[28:])), Group: h[35],
+	}
 	return r, int(h[32]) + int(h[33]) + int(h[34]), nil
 }
--- a/internal/diskcache/table.go
+++ b/internal/diskcache/table.go
@@ -54,8 +54,10 @@
 	for buckets < most {
 		buckets *= 2
 	}
-	t := &table{most: most, vacant: none, newest: none, oldest: none, mask: uint64(buckets - 1),
-		keys: make([]uint32, buckets), objects: make([]uint32, buckets)}
+	t := &table{
+		most: most, vacant: none, newest: none, oldest: none, mask: uint64(buckets - 1),
+		keys: make([]uint32, buckets), objects: make([]uint32, buckets),
+	}
 	for i := range t.keys {
 		t.keys[i], t.objects[i] = none, none
 	}
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -134,8 +134,10 @@
 func (f *Server) RequestCounts() RequestCounts {
 	f.worth.mu.Lock()
 	defer f.worth.mu.Unlock()
-	return RequestCounts{f.ends[endCompleted].Load(), f.ends[endRejected].Load(), f.ends[endAborted].Load(), f.ends[endLeft].Load(), f.ends[endLate].Load(),
-		f.worth.asked, f.worth.earned, f.worth.time, f.worth.hops, maps.Clone(f.worth.rules)}
+	return RequestCounts{
+		f.ends[endCompleted].Load(), f.ends[endRejected].Load(), f.ends[endAborted].Load(), f.ends[endLeft].Load(), f.ends[endLate].Load(),
+		f.worth.asked, f.worth.earned, f.worth.time, f.worth.hops, maps.Clone(f.worth.rules),
+	}
 }
 
 // SetMigrating makes every further answer the last on its connection, so that clients come
@@ -217,9 +219,11 @@
 		return true
 	}
 	var code syscall.Errno
-	return errors.As(err, &code) && slices.Contains([]syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
+	return errors.As(err, &code) && slices.Contains([]syscall.Errno{
+		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 		syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
-		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ECONNABORTED}, code)
+		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ECONNABORTED,
+	}, code)
 }
 
 // giveWay closes a connection on which no txn is open: the oldest of those that
--- a/internal/downstream/txn.go
+++ b/internal/downstream/txn.go
@@ -211,8 +211,10 @@
 	for _, o := range t.TakeCommands() {
 		switch o.Kind {
 		case engine.CommandSend:
-			flight := &upstream.Call{Attempt: o.Attempt, Class: a.event.Class, Object: a.event.Object,
-				Part: a.event.Part, Tag: tag, IdempotencyKey: a.key, Body: a.body, Write: a.event.Write}
+			flight := &upstream.Call{
+				Attempt: o.Attempt, Class: a.event.Class, Object: a.event.Object,
+				Part: a.event.Part, Tag: tag, IdempotencyKey: a.key, Body: a.body, Write: a.event.Write,
+			}
 			o.Attempt.Transport = flight
 			f.acts.RecordAttempt(o.Attempt.DecidedAt, o.Attempt.Endpoint.ID, o.Attempt.Source, a.event.Class, o.Attempt.Unsafe)
 			f.up.Send(flight)
@@ -248,8 +250,10 @@
 }
 
 func (a *ask) onShelf(limit time.Time) *diskrunner.Request {
-	return &diskrunner.Request{Class: a.event.Class, Object: a.event.Object, Part: a.event.Part, Group: uint8(a.event.Group),
-		Remaining: time.Until(limit)}
+	return &diskrunner.Request{
+		Class: a.event.Class, Object: a.event.Object, Part: a.event.Part, Group: uint8(a.event.Group),
+		Remaining: time.Until(limit),
+	}
 }
 
 // settle does what the module's final order means for the router's own copies:
--- a/internal/emulator/detect.go
+++ b/internal/emulator/detect.go
@@ -68,9 +68,11 @@
 		if err != nil {
 			return nil, err
 		}
-		text, err := json.Marshal(map[string]any{"name": nameOf(i), "listen": listens[i], "seed": fmt.Sprint(i + 1), "board": "127.0.0.1:1",
+		text, err := json.Marshal(map[string]any{
+			"name": nameOf(i), "listen": listens[i], "seed": fmt.Sprint(i + 1), "board": "127.0.0.1:1",
 			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0),
-			"known": json.RawMessage(`{"rev":0,"notices":[]}`)})
+			"known": json.RawMessage(`{"rev":0,"notices":[]}`),
+		})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -117,8 +117,10 @@
 	count := v.world.Routers()
 	v.roster = simfleet.New(count, v.opt.Seed, v.world.Ways, func(h *simfleet.Host, now int64) simfleet.Detector {
 		r := v.routers[h.ID]
-		return membership.New(membership.Settings{Name: h.Name, Zone: scenario.Zone(v.world.Office(h.ID)), Addr: simfleet.Addr(h.ID),
-			Seeds: simfleet.Seeds(count), Epoch: 1}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
+		return membership.New(membership.Settings{
+			Name: h.Name, Zone: scenario.Zone(v.world.Office(h.ID)), Addr: simfleet.Addr(h.ID),
+			Seeds: simfleet.Seeds(count), Epoch: 1,
+		}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
 	})
 	v.roster.Payloads = mailer{v}
 	for i := range count {
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -25,8 +25,10 @@
 		}
 	}
 	if r.gate != "" {
-		own.Gateway = &operatorconfig.Gateway{Name: nameOf(r.id), Site: site(r), Listen: r.gate, LocalReserve: siteRatio,
-			MaxRequests: mostAcross, HeartbeatMS: beatEvery / 1000, CertFile: file(nameOf(r.id) + ".pem"), KeyFile: file(nameOf(r.id) + ".key"), CAFile: file("ca.pem")}
+		own.Gateway = &operatorconfig.Gateway{
+			Name: nameOf(r.id), Site: site(r), Listen: r.gate, LocalReserve: siteRatio,
+			MaxRequests: mostAcross, HeartbeatMS: beatEvery / 1000, CertFile: file(nameOf(r.id) + ".pem"), KeyFile: file(nameOf(r.id) + ".key"), CAFile: file("ca.pem"),
+		}
 	}
 	for _, x := range r.routers {
 		if r.gate == "" || site(x) == site(r) {
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -111,7 +111,8 @@
 			r.out.HarmedS = float64(r.world.Now()) / 1e6
 		}
 	}
-	opt := Options{Seed: seed, looks: r,
+	opt := Options{
+		Seed: seed, looks: r,
 		Refuse: func(router int, rule string) bool {
 			if !r.news(router) || set.Refuses == 0 || set.OnlyAll && !r.all() || set.Of != "" && set.Of != rule || r.dice.Float64() >= set.Refuses {
 				return false
@@ -286,8 +287,10 @@
 		}
 		seen := r.look(now, i)
 		drains, purges := r.eyes[i].judge.EventCounts()
-		n.SetReport(rollout.Report{Upgraded: l.onNew && !l.changing, Changing: l.changing, Capable: true, Counts: c, RunID: l.run, MemoryMB: 20, ViolatedRules: seen.Rules, FirstViolation: seen.Text,
-			DrainsSeen: drains, PurgesSeen: purges})
+		n.SetReport(rollout.Report{
+			Upgraded: l.onNew && !l.changing, Changing: l.changing, Capable: true, Counts: c, RunID: l.run, MemoryMB: 20, ViolatedRules: seen.Rules, FirstViolation: seen.Text,
+			DrainsSeen: drains, PurgesSeen: purges,
+		})
 		r.post(i, n.Tick(now+1))
 		if w := n.Target(now + 1); w.MayStart && !l.changing && w.New != l.onNew {
 			v, _ := n.View()
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -160,8 +160,10 @@
 	h := &lineHop{conn: c, id: g.ID, n: x.hops, body: body}
 	x.hops++
 	c.hops[g.ID] = h
-	p.world.Hop(&simulation.Hop{Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, Mode: g.Mode,
-		Within: g.MaxAgeMillis * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h})
+	p.world.Hop(&simulation.Hop{
+		Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, Mode: g.Mode,
+		Within: g.MaxAgeMillis * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h,
+	})
 }
 
 // guest makes a txn of somebody else's request, such as a person's by curl. The
@@ -175,8 +177,10 @@
 	x := &asked{Ask: a, cancel: func() {}}
 	p.asks[g.ID] = x
 	now := p.world.Now()
-	p.Note(&eventlog.Entry{Kind: "taken", At: now, Router: p.id, Txn: g.ID, Rule: g.Class, Object: g.Object, Group: group,
-		Deadline: now + g.BudgetMillis*1000})
+	p.Note(&eventlog.Entry{
+		Kind: "taken", At: now, Router: p.id, Txn: g.ID, Rule: g.Class, Object: g.Object, Group: group,
+		Deadline: now + g.BudgetMillis*1000,
+	})
 	time.AfterFunc(time.Duration(g.BudgetMillis)*time.Millisecond, func() {
 		p.send(func() {
 			if p.asks[g.ID] == x {
--- a/internal/emulator/sites.go
+++ b/internal/emulator/sites.go
@@ -39,8 +39,10 @@
 		}
 	}
 	r.from, r.beats = map[string]*vtxn{}, map[*vrouter]int64{}
-	r.gate = peerpolicy.New(peerpolicy.Settings{Name: nameOf(r.id), Site: fmt.Sprint(site), MaxRequests: mostAcross, LocalReserve: siteRatio,
-		HeartbeatInterval: beatEvery}, peers)
+	r.gate = peerpolicy.New(peerpolicy.Settings{
+		Name: nameOf(r.id), Site: fmt.Sprint(site), MaxRequests: mostAcross, LocalReserve: siteRatio,
+		HeartbeatInterval: beatEvery,
+	}, peers)
 	self := r.core
 	var beat func()
 	n := 0
@@ -176,8 +178,10 @@
 	b.Router = far.id
 	v.Note(&eventlog.Entry{Kind: "carried", At: v.world.Now(), Router: far.id, Txn: a.Txn, Hop: home.id})
 	x := &vtxn{router: far, core: far.core, ask: &b, home: home}
-	txn, err := far.core.Open(v.now(), policy.Event{Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
-		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write}, func() {
+	txn, err := far.core.Open(v.now(), policy.Event{
+		Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
+		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write,
+	}, func() {
 		if !x.rung && !x.over {
 			x.rung = true
 			v.ready = append(v.ready, x)
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -140,9 +140,11 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	v := &sockets{net: fmt.Sprintf("127.%d", firstNet+(os.Getpid()+int(played.Add(1)))%nets), opt: opt, set: s, referee: checker.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
+	v := &sockets{
+		net: fmt.Sprintf("127.%d", firstNet+(os.Getpid()+int(played.Add(1)))%nets), opt: opt, set: s, referee: checker.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
 		fail: make(chan error, 1), ctx: ctx, cancel: cancel, conf: conf,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 4 * time.Second, DisableCompression: true}}}
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 4 * time.Second, DisableCompression: true}},
+	}
 	defer func() {
 		cancel()
 		for _, r := range v.routers {
@@ -204,8 +206,10 @@
 	for _, r := range v.routers {
 		r.end()
 	}
-	r := &Result{Result: v.world.Result, Breaks: v.referee.Breaks, Count: v.referee.Count, Judged: v.referee.Judged, Late: v.late,
-		Excused: v.referee.Excused, Cost: v.cost, Broke: v.broke, Refused: v.refused}
+	r := &Result{
+		Result: v.world.Result, Breaks: v.referee.Breaks, Count: v.referee.Count, Judged: v.referee.Judged, Late: v.late,
+		Excused: v.referee.Excused, Cost: v.cost, Broke: v.broke, Refused: v.refused,
+	}
 	if f.Members {
 		r.Members = &v.knows
 	}
@@ -658,10 +662,12 @@
 		r.opt.Settings(&setup)
 	}
 	f := &r.set.Fleet
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", r.id+1), "listen": r.listen, "seed": fmt.Sprintf("%x", r.id+1+r.starts<<16),
+	text, err := json.Marshal(map[string]any{
+		"name": fmt.Sprint("n", r.id+1), "listen": r.listen, "seed": fmt.Sprintf("%x", r.id+1+r.starts<<16),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "board": r.board.Addr().String(),
 		"flow_bytes_per_s": f.FlowKBPerS * 1000, "link_bytes_per_s": f.FlowKBPerS * 4000,
-		"known": json.RawMessage(`{"rev":1,"notices":[` + r.events[0] + `]}`), "settings": setup})
+		"known": json.RawMessage(`{"rev":1,"notices":[` + r.events[0] + `]}`), "settings": setup,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -76,8 +76,10 @@
 func Figures(s *scenario.Script, slack int64) checker.Figures {
 	const toldBy = 7_000_000 // the platform's page: what the board has counts as told 7 s later
 	f := &s.Fleet
-	return checker.Figures{Rules: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
-		PurgeGrace: int64(f.PurgeMS * 1000), ToldBy: toldBy}
+	return checker.Figures{
+		Rules: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
+		PurgeGrace: int64(f.PurgeMS * 1000), ToldBy: toldBy,
+	}
 }
 
 // epoch is the routers' time at the world's zero: births before are told as 0.
@@ -326,9 +328,11 @@
 	if v.opt.looks != nil {
 		v.opt.looks.sent(t.router.id, v.world.RuleOf(a.Rule).Name, h)
 	}
-	x := &simulation.Hop{Router: t.router.id, Txn: a.Txn, N: h.Number, Server: h.Endpoint.ID, Source: h.Source, Rank: h.CachePriority,
+	x := &simulation.Hop{
+		Router: t.router.id, Txn: a.Txn, N: h.Number, Server: h.Endpoint.ID, Source: h.Source, Rank: h.CachePriority,
 		Mode: h.Mode, Within: h.MaxAge, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
-		Write: a.Write, Tag: h}
+		Write: a.Write, Tag: h,
+	}
 	if x.Source == "" && h.Endpoint.Kind == "ledger" {
 		x.Source = h.Endpoint.ID
 	}
@@ -396,8 +400,10 @@
 		v.world.Final(r.id, a.Txn, "rejected", 0, 0)
 		return
 	}
-	txn, err := r.core.Open(v.now(), policy.Event{Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
-		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write}, func() {
+	txn, err := r.core.Open(v.now(), policy.Event{
+		Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
+		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write,
+	}, func() {
 		if !t.rung && !t.over {
 			t.rung = true
 			v.ready = append(v.ready, t)
@@ -561,14 +567,17 @@
 func (h dueHeap) Less(i, j int) bool {
 	return h[i].next < h[j].next || h[i].next == h[j].next && h[i].id < h[j].id
 }
+
 func (h dueHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].place, h[j].place = i, j
 }
+
 func (h *dueHeap) Push(x any) {
 	x.(*vrouter).place = len(*h)
 	*h = append(*h, x.(*vrouter))
 }
+
 func (h *dueHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -156,8 +156,10 @@
 	} else if o.Response != nil {
 		o.Response.Release()
 	}
-	c.queue = append(c.queue, policy.Event{Kind: policy.EventAttemptEnded, Request: t.ID, Endpoint: h.Endpoint.ID, Attempt: h.Number,
-		Outcome: o.Code, Reason: o.Reason, Final: t.closed, RTT: now - h.DecidedAt, OriginWait: o.OriginWait, Load: o.Load})
+	c.queue = append(c.queue, policy.Event{
+		Kind: policy.EventAttemptEnded, Request: t.ID, Endpoint: h.Endpoint.ID, Attempt: h.Number,
+		Outcome: o.Code, Reason: o.Reason, Final: t.closed, RTT: now - h.DecidedAt, OriginWait: o.OriginWait, Load: o.Load,
+	})
 	c.forget(t)
 }
 
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -20,10 +20,12 @@
 	t[i], t[j] = t[j], t[i]
 	t[i].place, t[j].place = i, j
 }
+
 func (t *timers) Push(x any) {
 	x.(*timer).place = len(*t)
 	*t = append(*t, x.(*timer))
 }
+
 func (t *timers) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -107,8 +107,10 @@
 		peers[p.Name] = p.Site
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &Gateway{config: config, host: host, bodies: bodies, log: log, start: time.Now(), gate: peerpolicy.New(config.Settings, peers),
-		links: map[string]*link{}, calls: map[string]*call{}, ctx: ctx, stop: stop, l: l}
+	g := &Gateway{
+		config: config, host: host, bodies: bodies, log: log, start: time.Now(), gate: peerpolicy.New(config.Settings, peers),
+		links: map[string]*link{}, calls: map[string]*call{}, ctx: ctx, stop: stop, l: l,
+	}
 	own := incarnation()
 	g.all.Go(func() { g.serve(own) })
 	for i, p := range config.Peers {
@@ -238,9 +240,11 @@
 		c.least = max(c.least, (u.At+999)/1000)
 	}
 	g.calls[id], k.calls[c.number] = c, id
-	ask := peerproto.Request{SentAt: now, Budget: g.gate.Budget(now, id), RequestID: id, Class: q.Event.Class, Object: q.Event.Object, Part: q.Event.Part,
+	ask := peerproto.Request{
+		SentAt: now, Budget: g.gate.Budget(now, id), RequestID: id, Class: q.Event.Class, Object: q.Event.Object, Part: q.Event.Part,
 		Group: q.Event.Group, Tag: q.Tag, Repeat: q.Event.ClientRetry, Write: q.Event.Write, BodyBytes: int32(q.Body.Len()),
-		Route: []string{g.config.Settings.Name}, Purges: purges}
+		Route: []string{g.config.Settings.Name}, Purges: purges,
+	}
 	b, err := peerproto.Append(nil, peerproto.KindRequest, c.number, &ask)
 	for _, chunk := range q.Body.AppendBuffers(nil) {
 		for len(chunk) > 0 && err == nil {
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -61,8 +61,10 @@
 // certificate.
 func (k *Keys) server() *tls.Config {
 	l := k.now.Load()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, ClientCAs: l.trust,
-		ClientAuth: tls.RequireAndVerifyClientCert}
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, ClientCAs: l.trust,
+		ClientAuth: tls.RequireAndVerifyClientCert,
+	}
 }
 
 // peerName is the first name of a peer's certificate.
@@ -119,8 +121,10 @@
 		n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 		return n
 	}
-	ca := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: "quilldoor trial authority"}, NotBefore: now.Add(-time.Minute),
-		NotAfter: now.Add(lasts), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	ca := &x509.Certificate{
+		SerialNumber: serial(), Subject: pkix.Name{CommonName: "quilldoor trial authority"}, NotBefore: now.Add(-time.Minute),
+		NotAfter: now.Add(lasts), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	}
 	caText, err := x509.CreateCertificate(rand.Reader, ca, ca, &caKey.PublicKey, caKey)
 	if err != nil {
 		return err
@@ -136,9 +140,11 @@
 		if err != nil {
 			return err
 		}
-		leaf := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotBefore: ca.NotBefore,
+		leaf := &x509.Certificate{
+			SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotBefore: ca.NotBefore,
 			NotAfter: ca.NotAfter, KeyUsage: x509.KeyUsageDigitalSignature,
-			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
+			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+		}
 		text, err := x509.CreateCertificate(rand.Reader, leaf, ca, &key.PublicKey, caKey)
 		if err != nil {
 			return err
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -55,8 +55,10 @@
 const mostQueued = 4 << 20
 
 func newLink(g *Gateway, sock net.Conn, peer string) *link {
-	return &link{g: g, sock: sock, peer: peer, in: peerproto.NewReader(sock), calls: map[uint32]string{}, served: map[uint32]*served{},
-		more: make(chan struct{}, 1)}
+	return &link{
+		g: g, sock: sock, peer: peer, in: peerproto.NewReader(sock), calls: map[uint32]string{}, served: map[uint32]*served{},
+		more: make(chan struct{}, 1),
+	}
 }
 
 func (k *link) close() {
@@ -502,8 +504,10 @@
 			g.host.Purge(a.Object, 0, u.At)
 		}
 	}
-	q := &Request{Event: policy.Event{Request: a.RequestID, Class: a.Class, Object: a.Object, Group: a.Group, Part: a.Part,
-		Remaining: a.Budget - (g.now() - s.at), ClientRetry: a.Repeat, Write: a.Write}, Tag: a.Tag, Body: s.body}
+	q := &Request{Event: policy.Event{
+		Request: a.RequestID, Class: a.Class, Object: a.Object, Group: a.Group, Part: a.Part,
+		Remaining: a.Budget - (g.now() - s.at), ClientRetry: a.Repeat, Write: a.Write,
+	}, Tag: a.Tag, Body: s.body}
 	r := Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	select {
 	case <-s.left:
@@ -514,8 +518,10 @@
 	// It holds its place until the last byte: a peer that makes no room for answers
 	// is given no more of them.
 	defer k.end(number, s, r.Outcome == peerpolicy.OutcomeCompleted)
-	k.finish(number, &peerproto.Answer{Outcome: uint8(r.Outcome), NeverRan: r.NeverRan, NotModified: r.NotModified, RetryAfter: r.RetryAfter, Tag: r.Tag, IssuedMillis: r.IssuedMillis,
-		BodyBytes: int32(r.Body.Len())})
+	k.finish(number, &peerproto.Answer{
+		Outcome: uint8(r.Outcome), NeverRan: r.NeverRan, NotModified: r.NotModified, RetryAfter: r.RetryAfter, Tag: r.Tag, IssuedMillis: r.IssuedMillis,
+		BodyBytes: int32(r.Body.Len()),
+	})
 	k.send(number, s, r.Body)
 }
 
--- a/internal/gateway/peerproto/datagram.go
+++ b/internal/gateway/peerproto/datagram.go
@@ -35,8 +35,10 @@
 const MinKeyLength = 16
 
 var datagramDecoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+	m, err := cbor.DecOptions{
+		MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options stand above
 	}
--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -100,8 +100,10 @@
 
 // decoding refuses what no side of ours sends, before it costs memory.
 var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 256, MaxMapPairs: 16, MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode()
+	m, err := cbor.DecOptions{
+		MaxArrayElements: 256, MaxMapPairs: 16, MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options stand above
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -35,12 +35,16 @@
 func (g *Gateway) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := Status{Name: g.config.Settings.Name, Site: g.config.Settings.Site, InboundInFlight: g.gate.InboundInFlight(), ForwardedInFlight: g.gate.ForwardedInFlight(),
-		OfferedCapacity: g.gate.OfferedCapacity(g.now()), Taken: g.gate.InboundCounts.Taken, Rejected: g.gate.InboundCounts.Rejected, Draining: g.drains}
+	s := Status{
+		Name: g.config.Settings.Name, Site: g.config.Settings.Site, InboundInFlight: g.gate.InboundInFlight(), ForwardedInFlight: g.gate.ForwardedInFlight(),
+		OfferedCapacity: g.gate.OfferedCapacity(g.now()), Taken: g.gate.InboundCounts.Taken, Rejected: g.gate.InboundCounts.Rejected, Draining: g.drains,
+	}
 	for _, p := range g.gate.Peers() {
 		c := p.Counts
-		s.Peers = append(s.Peers, PeerStatus{p.Name, p.Site, p.State.String(), p.Incarnation, p.Capacity, p.InFlight, p.Limit,
-			c.Forwarded, c.Completed, c.Rejected, c.Aborted, c.ConnectionLost, c.Stale, c.Late})
+		s.Peers = append(s.Peers, PeerStatus{
+			p.Name, p.Site, p.State.String(), p.Incarnation, p.Capacity, p.InFlight, p.Limit,
+			c.Forwarded, c.Completed, c.Rejected, c.Aborted, c.ConnectionLost, c.Stale, c.Late,
+		})
 	}
 	return s
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -484,8 +484,10 @@
 }
 
 var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1024, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode()
+	m, err := cbor.DecOptions{
+		MaxArrayElements: 1024, MaxMapPairs: 16, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options stand above
 	}
--- a/internal/handoff/word.go
+++ b/internal/handoff/word.go
@@ -158,8 +158,10 @@
 )
 
 var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+	m, err := cbor.DecOptions{
+		MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options stand above
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -197,11 +197,13 @@
 	return text != ""
 }
 
-var reasons = map[int]string{200: "OK", 304: "Not Modified", 400: "Bad Request", 404: "Not Found",
+var reasons = map[int]string{
+	200: "OK", 304: "Not Modified", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
-	505: "HTTP Version Not Supported"}
+	505: "HTTP Version Not Supported",
+}
 
 // AppendResponse writes a response up to its body. A 304 has none.
 func AppendResponse(b []byte, status, length int, end bool, fields ...Field) []byte {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -205,22 +205,28 @@
 var table = [...][inputs]row{
 	StateUnknown: {
 		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, quiet}, inSuspect: {StateSuspect, suspect},
-		inDead: {StateDead, quiet}, inSilent: {StateUnknown, quiet}, inProof: {StateUnknown, quiet}, inDue: {StateUnknown, quiet}, inForget: {StateUnknown, drop}},
+		inDead: {StateDead, quiet}, inSilent: {StateUnknown, quiet}, inProof: {StateUnknown, quiet}, inDue: {StateUnknown, quiet}, inForget: {StateUnknown, drop},
+	},
 	StateAlive: {
 		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, spread}, inSuspect: {StateSuspect, suspect},
-		inDead: {StateSuspect, doubt}, inSilent: {StateSuspect, suspect}, inProof: {StateAlive, quiet}, inDue: {StateAlive, quiet}, inForget: {StateAlive, quiet}},
+		inDead: {StateSuspect, doubt}, inSilent: {StateSuspect, suspect}, inProof: {StateAlive, quiet}, inDue: {StateAlive, quiet}, inForget: {StateAlive, quiet},
+	},
 	StateSuspect: {
 		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, spread}, inSuspect: {StateSuspect, witness},
-		inDead: {StateSuspect, doubt}, inSilent: {StateSuspect, witness}, inProof: {StateSuspect, hold}, inDue: {StateDead, echo}, inForget: {StateSuspect, quiet}},
+		inDead: {StateSuspect, doubt}, inSilent: {StateSuspect, witness}, inProof: {StateSuspect, hold}, inDue: {StateDead, echo}, inForget: {StateSuspect, quiet},
+	},
 	StateDead: {
 		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, quiet}, inSuspect: {StateDead, quiet},
-		inDead: {StateDead, quiet}, inSilent: {StateDead, quiet}, inProof: {StateDead, tell}, inDue: {StateDead, quiet}, inForget: {StateUnknown, drop}},
+		inDead: {StateDead, quiet}, inSilent: {StateDead, quiet}, inProof: {StateDead, tell}, inDue: {StateDead, quiet}, inForget: {StateUnknown, drop},
+	},
 	StateLeaving: {
 		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, spread}, inSuspect: {StateLeaving, quiet},
-		inDead: {StateLeaving, quiet}, inSilent: {StateLeft, spread}, inProof: {StateLeaving, quiet}, inDue: {StateLeaving, quiet}, inForget: {StateLeaving, quiet}},
+		inDead: {StateLeaving, quiet}, inSilent: {StateLeft, spread}, inProof: {StateLeaving, quiet}, inDue: {StateLeaving, quiet}, inForget: {StateLeaving, quiet},
+	},
 	StateLeft: {
 		inAlive: {StateAlive, spread}, inLeaving: {StateLeaving, spread}, inLeft: {StateLeft, quiet}, inSuspect: {StateLeft, quiet},
-		inDead: {StateLeft, quiet}, inSilent: {StateLeft, quiet}, inProof: {StateLeft, tell}, inDue: {StateLeft, quiet}, inForget: {StateUnknown, drop}},
+		inDead: {StateLeft, quiet}, inSilent: {StateLeft, quiet}, inProof: {StateLeft, tell}, inDue: {StateLeft, quiet}, inForget: {StateUnknown, drop},
+	},
 }
 
 // suspicion is how long it lasts: from four times the least, while one alone says
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -115,8 +115,10 @@
 	if set.GossipBytesPerSecond == 0 {
 		set.GossipBytesPerSecond = defaultRate
 	}
-	n := &Node{set: set, dice: dice, now: now, started: now, heard: now, filled: now, tokens: burst, telling: 2 * burst, toldAt: now, quiet: now, members: map[string]*member{},
-		self: Update{Name: set.Name, Zone: set.Zone, Addr: set.Addr, ID: InstanceID{Epoch: max(set.Epoch, 1), Nonce: dice.Uint32()}, Incarnation: 1, State: StateJoining, Process: set.Process}}
+	n := &Node{
+		set: set, dice: dice, now: now, started: now, heard: now, filled: now, tokens: burst, telling: 2 * burst, toldAt: now, quiet: now, members: map[string]*member{},
+		self: Update{Name: set.Name, Zone: set.Zone, Addr: set.Addr, ID: InstanceID{Epoch: max(set.Epoch, 1), Nonce: dice.Uint32()}, Incarnation: 1, State: StateJoining, Process: set.Process},
+	}
 	for _, s := range set.Seeds {
 		if s.Name != set.Name {
 			n.members[s.Name] = &member{name: s.Name, addr: s.Addr, seed: true}
--- a/internal/membership/transport/ask.go
+++ b/internal/membership/transport/ask.go
@@ -33,8 +33,10 @@
 		if whole != nil {
 			from = len(whole.Members)
 		}
-		q, err := peerproto.Seal(key, &membership.Message{Kind: membership.KindQuery, RequestID: uint32(from), To: name,
-			Sender: membership.Update{Name: toolName, State: membership.StateAlive}})
+		q, err := peerproto.Seal(key, &membership.Message{
+			Kind: membership.KindQuery, RequestID: uint32(from), To: name,
+			Sender: membership.Update{Name: toolName, State: membership.StateAlive},
+		})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/membership/transport/link.go
+++ b/internal/membership/transport/link.go
@@ -216,8 +216,10 @@
 	}
 	if s.Majority != l.majority && s.State != membership.StateJoining {
 		l.majority = s.Majority
-		line := l.log.WithFields(logrus.Fields{"known": s.Known, "reachable": s.Reachable, "answered": s.ProbesAnswered, "asked": s.ProbesSent,
-			"silence_ms": s.Silence / 1000, "waking": s.Resuming})
+		line := l.log.WithFields(logrus.Fields{
+			"known": s.Known, "reachable": s.Reachable, "answered": s.ProbesAnswered, "asked": s.ProbesSent,
+			"silence_ms": s.Silence / 1000, "waking": s.Resuming,
+		})
 		if s.Majority {
 			line.Info("members: the greater part is reachable")
 		} else {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -91,8 +91,10 @@
 			}
 			continue
 		}
-		x := MemberStatus{Name: m.name, Zone: m.place, Addr: m.addr, State: m.state, ID: m.id, Incarnation: m.inc, Reach: m.reach, StateAge: n.now - m.since, Process: m.runs,
-			LastHeardAge: -1, RTT: int64(m.rtt)}
+		x := MemberStatus{
+			Name: m.name, Zone: m.place, Addr: m.addr, State: m.state, ID: m.id, Incarnation: m.inc, Reach: m.reach, StateAge: n.now - m.since, Process: m.runs,
+			LastHeardAge: -1, RTT: int64(m.rtt),
+		}
 		if m.heard > 0 {
 			x.LastHeardAge = n.now - m.heard
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -622,16 +622,20 @@
 	r.listCap = int(listCap * math.Sqrt(r.part))
 	r.cold[edge] = cold{c.SlowStartFrom, c.OverloadMultiple, float64(near), c.SlowStartFor}
 	r.cold[parent] = cold{f.ParentSlowStartFrom, f.ParentOverloadMultiple, float64(max(set.Routers, 1)), f.ParentSlowStartFor}
-	effects := map[string]effect{"keyed": keyedAll, "keyedzone": keyedZone, "keyedcell": keyedCell,
-		"unsafe": unrepeatable}
+	effects := map[string]effect{
+		"keyed": keyedAll, "keyedzone": keyedZone, "keyedcell": keyedCell,
+		"unsafe": unrepeatable,
+	}
 	for _, k := range set.Classes {
 		e, known := effects[k.Effect+k.Group]
 		if !known {
 			e = effects[k.Effect] // the group is all, or tells nothing
 		}
 		r.quiet = max(r.quiet, 3*k.LatencyObjective/2) // a rule's whole SLA time and half of it again
-		r.rules[k.Name] = &rule{effect: e, window: k.DedupWindow, sla: k.LatencyObjective, stretch: k.ObjectiveStretch,
-			fresh: k.FreshFor, grace: k.StaleGrace, write: k.Write, importance: k.PriorityWeight}
+		r.rules[k.Name] = &rule{
+			effect: e, window: k.DedupWindow, sla: k.LatencyObjective, stretch: k.ObjectiveStretch,
+			fresh: k.FreshFor, grace: k.StaleGrace, write: k.Write, importance: k.PriorityWeight,
+		}
 	}
 	return r
 }
@@ -751,8 +755,10 @@
 		k = &rule{effect: unrepeatable, sla: e.Remaining, write: e.Write}
 		r.rules[e.Class] = k
 	}
-	t := &txn{id: e.Request, state: clean, rule: k, key: hash(e.Object, uint64(e.Part)), object: e.Object,
-		group: e.Group, deadline: r.now + e.Remaining}
+	t := &txn{
+		id: e.Request, state: clean, rule: k, key: hash(e.Object, uint64(e.Part)), object: e.Object,
+		group: e.Group, deadline: r.now + e.Remaining,
+	}
 	work := k.sla // where sizes are not told
 	if e.SizeKB > 0 && r.flow > 0 {
 		t.work = int64(e.SizeKB / r.flow)
@@ -903,8 +909,10 @@
 	if to.role == edge { // at twice its SLA time it earns little, holds a place, and may never be answered
 		cap = min(left, 2*t.sla())
 	}
-	r.do(Action{Kind: ActionSend, Request: t.id, Endpoint: to.id, Source: from.id, CachePriority: rank,
-		MaxAge: r.age(t, grace), Timeout: cap, SendBefore: until, Mode: mode})
+	r.do(Action{
+		Kind: ActionSend, Request: t.id, Endpoint: to.id, Source: from.id, CachePriority: rank,
+		MaxAge: r.age(t, grace), Timeout: cap, SendBefore: until, Mode: mode,
+	})
 }
 
 // waits is how long the origin lets fills wait, of late against what it used to. One router sees few fills,
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -91,8 +91,10 @@
 
 // Snapshot tells what the instance knows. It shares nothing with it.
 func (r *Router) Snapshot() *Snapshot {
-	l := &Snapshot{SketchDoorkeeper: slices.Clone(r.sketch.door[:]), SketchSample: r.sketch.sample, NextHalving: r.halveAt,
-		TransferTimes: map[string]TransferTimes{}, FillFailures: ends(r.failed), Priorities: slices.Clone(r.values), SlowStartHoldUntil: r.holdTill}
+	l := &Snapshot{
+		SketchDoorkeeper: slices.Clone(r.sketch.door[:]), SketchSample: r.sketch.sample, NextHalving: r.halveAt,
+		TransferTimes: map[string]TransferTimes{}, FillFailures: ends(r.failed), Priorities: slices.Clone(r.values), SlowStartHoldUntil: r.holdTill,
+	}
 	for i := range r.sketch.rows {
 		l.SketchRows[i] = slices.Clone(r.sketch.rows[i][:])
 		if i < len(r.beyond) {
@@ -100,8 +102,10 @@
 		}
 	}
 	for _, s := range r.order {
-		x := EndpointSnapshot{ID: s.id, StartedAt: s.born, Health: uint8(s.health), DueAt: s.due, Ejections: s.rests, LinkUse: s.link, SourceSamples: ends(s.late),
-			CachedObjects: slices.Clone(s.kept)}
+		x := EndpointSnapshot{
+			ID: s.id, StartedAt: s.born, Health: uint8(s.health), DueAt: s.due, Ejections: s.rests, LinkUse: s.link, SourceSamples: ends(s.late),
+			CachedObjects: slices.Clone(s.kept),
+		}
 		for _, p := range s.spent {
 			x.ReservedAt, x.ReservedWork, x.ReservedVariance = append(x.ReservedAt, p.at), append(x.ReservedWork, p.work), append(x.ReservedVariance, p.vary)
 		}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -144,10 +144,20 @@
 		key       string
 		v         float64
 		low, high float64
-	}{{"at_once", float64(p.MaxConcurrent), 1, MaxRouters}, {"back_at_once", float64(p.MaxConcurrentRollback), 1, MaxRouters}, {"silent_s", p.SilentSeconds, leastSilent, 3600},
-		{"guards.most_loss", g.MaxLoss, g.Loss, 1}, {"guards.loss", g.Loss, 0.0001, 1}, {"guards.refusals", g.Rejections, 0.0001, 1},
-		{"guards.failures", g.Failures, 0.0001, 1}, {"guards.slower", g.Slowdown, 0.001, 10}, {"guards.hops", g.Attempts, 0.001, 10},
-		{"guards.rule_loss", g.ClassLoss, 0.0001, 1}, {"guards.chance", g.FalseStopProbability, 0.0001, 0.5}, {"guards.memory", g.MemoryRatio, 1, 100}} {
+	}{
+		{"at_once", float64(p.MaxConcurrent), 1, MaxRouters},
+		{"back_at_once", float64(p.MaxConcurrentRollback), 1, MaxRouters},
+		{"silent_s", p.SilentSeconds, leastSilent, 3600},
+		{"guards.most_loss", g.MaxLoss, g.Loss, 1},
+		{"guards.loss", g.Loss, 0.0001, 1},
+		{"guards.refusals", g.Rejections, 0.0001, 1},
+		{"guards.failures", g.Failures, 0.0001, 1},
+		{"guards.slower", g.Slowdown, 0.001, 10},
+		{"guards.hops", g.Attempts, 0.001, 10},
+		{"guards.rule_loss", g.ClassLoss, 0.0001, 1},
+		{"guards.chance", g.FalseStopProbability, 0.0001, 0.5},
+		{"guards.memory", g.MemoryRatio, 1, 100},
+	} {
 		if !(n.v >= n.low && n.v <= n.high) {
 			return yamlfile.Errorf(n.key, "%g is not within %g and %g", n.v, n.low, n.high)
 		}
--- a/internal/rollout/words.go
+++ b/internal/rollout/words.go
@@ -17,8 +17,10 @@
 var ErrMalformedMessage = errors.New("rollout: not a letter")
 
 var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+	m, err := cbor.DecOptions{
+		MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
+	}.DecMode()
 	if err != nil {
 		panic(err) // the options stand above
 	}
@@ -104,8 +106,10 @@
 // Status tells people.
 func (n *Node) Status() *Status {
 	v, age := n.View()
-	s := &Status{Plan: n.plan.Name, Digest: n.plan.Digest, Phase: v.Phase.String(), Stage: v.Stage + 1, Stages: len(n.plan.Stages), Reason: v.Reason, AgeMS: age / 1000, Seq: v.Seq,
-		IsLeader: n.IsLeader(), Recovering: n.recovering != 0}
+	s := &Status{
+		Plan: n.plan.Name, Digest: n.plan.Digest, Phase: v.Phase.String(), Stage: v.Stage + 1, Stages: len(n.plan.Stages), Reason: v.Reason, AgeMS: age / 1000, Seq: v.Seq,
+		IsLeader: n.IsLeader(), Recovering: n.recovering != 0,
+	}
 	if age < 0 {
 		s.AgeMS = -1
 	}
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -129,9 +129,11 @@
 	}
 	r := up[w.dice.IntN(len(up))]
 	w.clients.n++
-	a := &Ask{Router: r.id, Txn: fmt.Sprintf("%016x", w.clients.n), Rule: c.rule, Object: w.cat.name(c.object),
+	a := &Ask{
+		Router: r.id, Txn: fmt.Sprintf("%016x", w.clients.n), Rule: c.rule, Object: w.cat.name(c.object),
 		Group: w.cat.group(c.object), Part: c.part, SizeKB: w.cat.size(c.object, c.part), Limit: c.patience,
-		Again: c.tries > 1, Write: w.rules[c.rule].Write, client: c, sent: w.now, deadline: w.now + c.patience}
+		Again: c.tries > 1, Write: w.rules[c.rule].Write, client: c, sent: w.now, deadline: w.now + c.patience,
+	}
 	if a.Write {
 		a.SizeKB = 1
 	}
@@ -148,8 +150,10 @@
 			r.compact()
 		}
 		w.Result.Taken++
-		w.note(Entry{Kind: "taken", Router: r.id, Txn: a.Txn, Rule: w.rules[a.Rule].Name, Object: a.Object, Group: a.Group,
-			Deadline: a.deadline})
+		w.note(Entry{
+			Kind: "taken", Router: r.id, Txn: a.Txn, Rule: w.rules[a.Rule].Name, Object: a.Object, Group: a.Group,
+			Deadline: a.deadline,
+		})
 		// What the router is told is how long the client waits from when it sent.
 		a.Limit = a.deadline - w.now
 		w.driver.Ask(a)
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -83,8 +83,10 @@
 
 func (w *World) newCache(office int, uid string) *server {
 	f := &w.set.Fleet
-	s := &server{w: w, uid: uid, kind: cache, office: office, trunk: f.Trunk(office), weight: float64(f.Cores), up: true,
-		listed: "active", slow: 1, fills: map[int64]*fill{}}
+	s := &server{
+		w: w, uid: uid, kind: cache, office: office, trunk: f.Trunk(office), weight: float64(f.Cores), up: true,
+		listed: "active", slow: 1, fills: map[int64]*fill{},
+	}
 	// Work is told in core-microseconds; a core sends one flow.
 	s.cpu = &share{w: w, total: float64(f.Cores), most: 1}
 	s.store = newStore(f.KeepsShare * w.cat.officeKB / float64(f.Caches))
@@ -97,8 +99,10 @@
 	f := &w.set.Fleet
 	offices := (f.Offices + f.Trunks - 1 - trunk) / f.Trunks
 	kb := f.ParentLink * f.OfficeLink() * float64(max(offices, 1)) / float64(max(f.Parents, 1))
-	s := &server{w: w, uid: uid, kind: parent, office: -1, trunk: trunk, weight: kb / f.FlowKBPerS, up: true,
-		listed: "active", slow: 1, fills: map[int64]*fill{}, out: w.link(kb)}
+	s := &server{
+		w: w, uid: uid, kind: parent, office: -1, trunk: trunk, weight: kb / f.FlowKBPerS, up: true,
+		listed: "active", slow: 1, fills: map[int64]*fill{}, out: w.link(kb),
+	}
 	s.store = newStore(f.ParentKeeps * w.cat.allKB)
 	w.servers[uid] = s
 	w.after(w.jitter(f.ReportMS*1000), s.report)
@@ -111,8 +115,10 @@
 	if kb == 0 { // what all offices' links could ask for, if half of it is at parents
 		kb = f.OfficeLink() * float64(f.Offices)
 	}
-	s := &server{w: w, uid: "ledger", kind: ledger, office: -1, trunk: 0, weight: float64(f.LedgerWork), up: true,
-		listed: "active", slow: 1, out: w.link(kb)}
+	s := &server{
+		w: w, uid: "ledger", kind: ledger, office: -1, trunk: 0, weight: float64(f.LedgerWork), up: true,
+		listed: "active", slow: 1, out: w.link(kb),
+	}
 	s.cpu = &share{w: w, total: float64(f.LedgerWork), most: 1}
 	w.servers[s.uid] = s
 	return s
@@ -253,8 +259,10 @@
 	h.at, h.sent = w.servers[h.Server], w.now
 	h.from = w.servers[h.Source]
 	h.obj = w.cat.id(h.Object)
-	w.note(Entry{Kind: "sent", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.Server, Source: h.Source, Object: h.Object,
-		Group: h.Group, Rule: w.rules[h.Rule].Name})
+	w.note(Entry{
+		Kind: "sent", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.Server, Source: h.Source, Object: h.Object,
+		Group: h.Group, Rule: w.rules[h.Rule].Name,
+	})
 	if h.at == nil {
 		return // a server that never was: nothing answers
 	}
--- a/internal/supervisor/plan.go
+++ b/internal/supervisor/plan.go
@@ -311,14 +311,18 @@
 
 // standing is what the keeper tells of itself.
 func (k *Supervisor) standing() *handoff.Status {
-	s := &handoff.Status{State: k.machine.State.String(), SinceMS: (k.now() - k.machine.SinceMicros()) / 1000, Settled: k.file.Settled, Previous: k.file.Previous,
-		LastOutcome: k.last, Persistent: k.lasting, SupervisorPID: os.Getpid(), Restarts: max(k.restarts-1, 0), LastCrashMS: k.fallMS, DrainingProcesses: len(k.leaving), PeakMB: k.most.MemoryMB, PeakDescriptors: k.most.Descriptors}
+	s := &handoff.Status{
+		State: k.machine.State.String(), SinceMS: (k.now() - k.machine.SinceMicros()) / 1000, Settled: k.file.Settled, Previous: k.file.Previous,
+		LastOutcome: k.last, Persistent: k.lasting, SupervisorPID: os.Getpid(), Restarts: max(k.restarts-1, 0), LastCrashMS: k.fallMS, DrainingProcesses: len(k.leaving), PeakMB: k.most.MemoryMB, PeakDescriptors: k.most.Descriptors,
+	}
 	of := func(p *proc) *handoff.Process {
 		if p == nil {
 			return nil
 		}
-		return &handoff.Process{Generation: p.manifest.Generation, PID: p.pid, AgentState: p.part.String(), MemoryMB: p.use.MemoryMB, Descriptors: p.use.Descriptors,
-			Requests: p.ends, HeartbeatAgeMS: time.Since(p.beatAt).Milliseconds(), ViolatedRule: k.seen(p, nil).Text}
+		return &handoff.Process{
+			Generation: p.manifest.Generation, PID: p.pid, AgentState: p.part.String(), MemoryMB: p.use.MemoryMB, Descriptors: p.use.Descriptors,
+			Requests: p.ends, HeartbeatAgeMS: time.Since(p.beatAt).Milliseconds(), ViolatedRule: k.seen(p, nil).Text,
+		}
 	}
 	s.Serving, s.Next = of(k.old), of(k.new)
 	return s
--- a/internal/supervisor/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -175,8 +175,10 @@
 
 // countsOf are what the judge compares.
 func countsOf(e upgrade.RequestCounts) canary.Counts {
-	c := canary.Counts{Requests: float64(e.Completed + e.Rejected + e.Aborted + e.ClientGone), WeightOffered: e.WeightOffered, WeightEarned: e.WeightEarned, Rejected: float64(e.Rejected),
-		Failed: float64(e.Aborted + e.ClientGone), Completed: float64(e.Completed), LogLatencySum: e.LogLatencySum, Attempts: float64(e.Attempts)}
+	c := canary.Counts{
+		Requests: float64(e.Completed + e.Rejected + e.Aborted + e.ClientGone), WeightOffered: e.WeightOffered, WeightEarned: e.WeightEarned, Rejected: float64(e.Rejected),
+		Failed: float64(e.Aborted + e.ClientGone), Completed: float64(e.Completed), LogLatencySum: e.LogLatencySum, Attempts: float64(e.Attempts),
+	}
 	if e.Attempts == 0 {
 		c.Completed = 0 // a program of before that tells neither
 	}
@@ -228,8 +230,10 @@
 		k.feed(upgrade.InputApply)
 	case !w.New && b.Previous != nil:
 		k.Log.WithField("run", v.RunID).Info("rollout: this router goes back")
-		k.plan = &plan{manifest: &handoff.Manifest{Program: b.Previous.Program, Config: b.Previous.Config, Operator: b.Previous.Operator}, run: b.RunID, back: true,
-			alone: v.Phase == rollout.PhaseForward || v.Phase == rollout.PhasePaused}
+		k.plan = &plan{
+			manifest: &handoff.Manifest{Program: b.Previous.Program, Config: b.Previous.Config, Operator: b.Previous.Operator}, run: b.RunID, back: true,
+			alone: v.Phase == rollout.PhaseForward || v.Phase == rollout.PhasePaused,
+		}
 		k.feed(upgrade.InputApply)
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -198,8 +198,10 @@
 	}
 	k.write()
 	k.watch()
-	k.Log.WithFields(logrus.Fields{"folder": k.Folder, "settled": k.file.Settled.Generation, "state": k.machine.State.String(),
-		"memory_mb": k.alone.MemoryMB, "sockets": k.alone.Descriptors}).Info("keeper: keeping")
+	k.Log.WithFields(logrus.Fields{
+		"folder": k.Folder, "settled": k.file.Settled.Generation, "state": k.machine.State.String(),
+		"memory_mb": k.alone.MemoryMB, "sockets": k.alone.Descriptors,
+	}).Info("keeper: keeping")
 	return nil
 }
 
--- a/internal/upgrade/diff.go
+++ b/internal/upgrade/diff.go
@@ -31,10 +31,17 @@
 	prefix string
 	how    ChangeMode
 }{
-	{"config.name", ModeNever}, {"config.listen", ModeNever}, {"config.seed", ModeIgnored}, {"config.known", ModeIgnored}, {"config.board", ModeLive},
+	{"config.name", ModeNever},
+	{"config.listen", ModeNever},
+	{"config.seed", ModeIgnored},
+	{"config.known", ModeIgnored},
+	{"config.board", ModeLive},
 	{"config.limits.", ModeNever}, // the machine's: the keeper has divided them
-	{"operator.keep.folder", ModeNever}, {"operator.members.name", ModeNever}, {"operator.members.listen", ModeNever},
-	{"operator.gateway.name", ModeNever}, {"operator.gateway.listen", ModeNever},
+	{"operator.keep.folder", ModeNever},
+	{"operator.members.name", ModeNever},
+	{"operator.members.listen", ModeNever},
+	{"operator.gateway.name", ModeNever},
+	{"operator.gateway.listen", ModeNever},
 }
 
 // ModeOf tells how a key changes.
@@ -83,10 +90,12 @@
 }
 
 // ownKeys are a router's own: those of others with the same settings differ.
-var ownKeys = []string{"config.name", "config.listen", "config.seed", "config.known", "config.board", "config.limits", "config.settings.Rank", "config.settings.Zone",
+var ownKeys = []string{
+	"config.name", "config.listen", "config.seed", "config.known", "config.board", "config.limits", "config.settings.Rank", "config.settings.Zone",
 	"operator.members.name", "operator.members.listen", "operator.members.place", "operator.members.peers", "operator.gateway.name",
 	"operator.gateway.listen", "operator.gateway.site", "operator.gateway.peers", "operator.gateway.cert", "operator.gateway.key", "operator.keep.folder", "operator.keep.plan", "operator.metrics.file",
-	"operator.disk.path", "operator.gateway.status_file"}
+	"operator.disk.path", "operator.gateway.status_file",
+}
 
 // Digest of flat settings, the same at all routers that shall act alike.
 func Digest(flat map[string]string) uint64 {
--- a/internal/upgrade/judge.go
+++ b/internal/upgrade/judge.go
@@ -39,8 +39,10 @@
 		sum := rules[name]
 		rules[name] = [3]float64{sum[0] + w[0], sum[1] + w[1], sum[2] + w[2]}
 	}
-	return RequestCounts{e.Completed + o.Completed, e.Rejected + o.Rejected, e.Aborted + o.Aborted, e.ClientGone + o.ClientGone, e.Late + o.Late, e.WeightOffered + o.WeightOffered, e.WeightEarned + o.WeightEarned,
-		e.LogLatencySum + o.LogLatencySum, e.Attempts + o.Attempts, rules}
+	return RequestCounts{
+		e.Completed + o.Completed, e.Rejected + o.Rejected, e.Aborted + o.Aborted, e.ClientGone + o.ClientGone, e.Late + o.Late, e.WeightOffered + o.WeightOffered, e.WeightEarned + o.WeightEarned,
+		e.LogLatencySum + o.LogLatencySum, e.Attempts + o.Attempts, rules,
+	}
 }
 
 // TrialMonitor compares a new generation on trial with what the old one did before. It
--- a/internal/upgrade/keeper.go
+++ b/internal/upgrade/keeper.go
@@ -21,8 +21,10 @@
 	states
 )
 
-var stateNames = [states]string{"down", "starting", "steady", "checking", "warming", "quieting", "handing over", "on trial", "settling",
-	"writing", "falling back", "stopping", "stopped"}
+var stateNames = [states]string{
+	"down", "starting", "steady", "checking", "warming", "quieting", "handing over", "on trial", "settling",
+	"writing", "falling back", "stopping", "stopped",
+}
 
 func (s State) String() string { return stateNames[min(s, states-1)] }
 
@@ -95,37 +97,47 @@
 	StateDown: {InputTimeout: to(StateStarting, EffectStartOld), InputShutdown: to(StateStopping, EffectEndAll)},
 	StateStarting: {
 		InputOldReady: to(StateStarting, EffectServeOld), InputOldServes: to(StateSteady, EffectSettleOld), InputOldGone: to(StateDown), InputOldHung: to(StateDown, EffectKillOld), InputTimeout: to(StateDown, EffectKillOld),
-		InputShutdown: to(StateStopping, EffectEndAll)},
+		InputShutdown: to(StateStopping, EffectEndAll),
+	},
 	StateSteady: {
-		InputApply: to(StateChecking, EffectCheck), InputOldGone: to(StateDown), InputOldHung: to(StateDown, EffectKillOld), InputShutdown: to(StateStopping, EffectEndAll)},
+		InputApply: to(StateChecking, EffectCheck), InputOldGone: to(StateDown), InputOldHung: to(StateDown, EffectKillOld), InputShutdown: to(StateStopping, EffectEndAll),
+	},
 	StateChecking: {
 		InputChecked: to(StateWarming, EffectStartNew), InputRejected: to(StateSteady, EffectReportRejected), InputTimeout: to(StateSteady, EffectReportRejected), InputCancel: to(StateSteady, EffectReportRejected),
-		InputOldGone: to(StateDown, EffectReportRejected), InputOldHung: to(StateDown, EffectKillOld, EffectReportRejected), InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll)},
+		InputOldGone: to(StateDown, EffectReportRejected), InputOldHung: to(StateDown, EffectKillOld, EffectReportRejected), InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll),
+	},
 	StateWarming: {
 		InputNewReady: to(StateQuiescing, EffectQuiesceOld), InputNewGone: to(StateSteady, EffectReportRejected), InputNewHung: to(StateSteady, EffectKillNew, EffectReportRejected),
 		InputTimeout: to(StateSteady, EffectKillNew, EffectReportRejected), InputCancel: to(StateSteady, EffectKillNew, EffectReportRejected), InputOldGone: to(StateDown, EffectKillNew, EffectReportRejected),
-		InputOldHung: to(StateDown, EffectKillNew, EffectKillOld, EffectReportRejected), InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll)},
+		InputOldHung: to(StateDown, EffectKillNew, EffectKillOld, EffectReportRejected), InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll),
+	},
 	StateQuiescing: {
 		InputReleased: to(StateHandingOver, EffectServeNew), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack), InputNewGone: to(StateFallingBack, EffectResumeOld),
 		InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputCancel: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputOldHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+		InputOldHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
+	},
 	StateHandingOver: {
 		InputNewServes: to(StateOnTrial, EffectStandbyOld), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack), InputDenied: to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputNewGone: to(StateFallingBack, EffectResumeOld), InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputCancel: to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+		InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
+	},
 	StateOnTrial: {
 		InputTimeout: to(StateSettling, EffectSettleNew), InputNewGone: to(StateFallingBack, EffectResumeOld), InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputWorse: to(StateFallingBack, EffectEndNew, EffectResumeOld), InputCancel: to(StateFallingBack, EffectEndNew, EffectResumeOld), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
-		InputOldGone: to(StateOnTrial), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+		InputOldGone: to(StateOnTrial), InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
+	},
 	StateSettling: {
 		InputSettled: to(StateWriting, EffectWrite), InputNewGone: to(StateFallingBack, EffectResumeOld), InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputTimeout: to(StateFallingBack, EffectKillNew, EffectResumeOld), InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack), InputOldGone: to(StateSettling),
-		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
+	},
 	StateWriting: {
-		InputWritten: to(StateSteady, EffectPromote, EffectReportDone), InputWriteFailed: to(StateSteady, EffectPromote, EffectReportNotPersisted)},
+		InputWritten: to(StateSteady, EffectPromote, EffectReportDone), InputWriteFailed: to(StateSteady, EffectPromote, EffectReportNotPersisted),
+	},
 	StateFallingBack: {
 		InputOldServes: to(StateSteady, EffectEndNew, EffectReportFellBack), InputOldGone: to(StateDown, EffectKillNew, EffectReportFellBack), InputTimeout: to(StateDown, EffectKillNew, EffectKillOld, EffectReportFellBack),
-		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll)},
+		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
+	},
 	StateStopping: {InputAllGone: to(StateStopped)},
 	StateStopped:  {},
 }
--- a/internal/upgrade/part.go
+++ b/internal/upgrade/part.go
@@ -92,26 +92,34 @@
 
 var partTable = [partStates][partInputs]*partRow{
 	AgentWaiting: {
-		AgentInputServe: {AgentAcquiring, nil, takeWithin}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}, AgentInputSupervisorLost: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputServe: {AgentAcquiring, nil, takeWithin}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}, AgentInputSupervisorLost: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentAcquiring: {
 		AgentInputLockAcquired: {AgentOnTrial, []AgentEffect{AgentEffectAccept, AgentEffectReportAccepting}, 0}, AgentInputTimeout: {AgentWaiting, []AgentEffect{AgentEffectReportDenied}, 0},
-		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}, AgentInputSupervisorLost: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}, AgentInputSupervisorLost: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentOnTrial: {
 		AgentInputSettle: {AgentServing, []AgentEffect{AgentEffectReportSettled}, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectStop, AgentEffectDrain}, 0},
-		AgentInputSupervisorLost: {AgentYielding, []AgentEffect{AgentEffectStop}, yieldFor}},
+		AgentInputSupervisorLost: {AgentYielding, []AgentEffect{AgentEffectStop}, yieldFor},
+	},
 	AgentServing: {
 		AgentInputQuiesce: {AgentQuiesced, []AgentEffect{AgentEffectStop, AgentEffectReportReleased}, patience}, AgentInputSettle: {AgentServing, []AgentEffect{AgentEffectReportSettled}, 0},
-		AgentInputResume: {AgentServing, []AgentEffect{AgentEffectReportAccepting}, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputResume: {AgentServing, []AgentEffect{AgentEffectReportAccepting}, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentQuiesced: {
 		AgentInputSuccessorServes: {AgentStandby, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputTimeout: {AgentReacquiring, nil, 0}, AgentInputSupervisorLost: {AgentReacquiring, nil, 0},
-		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentStandby: {
-		AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputSupervisorLost: {AgentReacquiring, nil, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputSupervisorLost: {AgentReacquiring, nil, 0}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentReacquiring: {
 		AgentInputLockAcquired: {AgentServing, []AgentEffect{AgentEffectAccept, AgentEffectReportAccepting}, 0}, AgentInputSuccessorServes: {AgentStandby, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0},
-		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentYielding: {
-		AgentInputTimeout: {AgentReacquiring, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputServe: {AgentAcquiring, nil, takeWithin}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0}},
+		AgentInputTimeout: {AgentReacquiring, nil, 0}, AgentInputResume: {AgentReacquiring, nil, 0}, AgentInputServe: {AgentAcquiring, nil, takeWithin}, AgentInputEnd: {AgentEnding, []AgentEffect{AgentEffectDrain}, 0},
+	},
 	AgentEnding: {},
 }
 
--- a/internal/upgradeagent/upgradeagent.go
+++ b/internal/upgradeagent/upgradeagent.go
@@ -86,8 +86,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvGeneration, err)
 	}
-	g := &Agent{Number: n, Sockets: map[string]*os.File{}, folder: folder, names: strings.Split(env(EnvSockets), ","), start: time.Now(), part: upgrade.NewAgent(),
-		came: make(chan *handoff.Message, 64)}
+	g := &Agent{
+		Number: n, Sockets: map[string]*os.File{}, folder: folder, names: strings.Split(env(EnvSockets), ","), start: time.Now(), part: upgrade.NewAgent(),
+		came: make(chan *handoff.Message, 64),
+	}
 	if g.conn, err = handoff.FromFile(os.NewFile(firstFD, "keeper")); err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
@@ -231,8 +233,10 @@
 }
 
 // inputs of words that only tell the part.
-var inputs = map[handoff.Kind]upgrade.AgentInput{handoff.KindServe: upgrade.AgentInputServe, handoff.KindQuiesce: upgrade.AgentInputQuiesce, handoff.KindSuccessorServes: upgrade.AgentInputSuccessorServes,
-	handoff.KindSettle: upgrade.AgentInputSettle, handoff.KindResume: upgrade.AgentInputResume, handoff.KindEnd: upgrade.AgentInputEnd}
+var inputs = map[handoff.Kind]upgrade.AgentInput{
+	handoff.KindServe: upgrade.AgentInputServe, handoff.KindQuiesce: upgrade.AgentInputQuiesce, handoff.KindSuccessorServes: upgrade.AgentInputSuccessorServes,
+	handoff.KindSettle: upgrade.AgentInputSettle, handoff.KindResume: upgrade.AgentInputResume, handoff.KindEnd: upgrade.AgentInputEnd,
+}
 
 func (g *Agent) heard(host Host, w *handoff.Message) []upgrade.AgentEffect {
 	if w == nil {
@@ -342,8 +346,10 @@
 	for _, name := range names {
 		files = append(files, g.Sockets[name])
 	}
-	if err := c.Send(&handoff.Message{Kind: handoff.KindHello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid(), AgentState: g.part.State,
-		WasSettled: g.part.Settled(), Sockets: names}, files...); err != nil {
+	if err := c.Send(&handoff.Message{
+		Kind: handoff.KindHello, Format: handoff.Format, Generation: g.Number, PID: os.Getpid(), AgentState: g.part.State,
+		WasSettled: g.part.Settled(), Sockets: names,
+	}, files...); err != nil {
 		c.Close()
 		return false
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -44,8 +44,10 @@
 
 func (p *Pool) dial(r *peer) *conn {
 	ctx, cancel := context.WithTimeout(context.Background(), p.limits.ConnectTimeout)
-	c := &conn{pool: p, peer: r, open: map[string]*Call{}, spent: map[string]time.Time{},
-		probes: map[string]func(bool){}, cancel: cancel}
+	c := &conn{
+		pool: p, peer: r, open: map[string]*Call{}, spent: map[string]time.Time{},
+		probes: map[string]func(bool){}, cancel: cancel,
+	}
 	r.conns = append(r.conns, c)
 	p.peers[r.place] = r // the last connection to it may just have been evicted
 	p.total++
@@ -241,8 +243,10 @@
 	}
 }
 
-var codes = map[cacheproto.Status]string{cacheproto.StatusOK: "done", cacheproto.StatusNotModified: "done", cacheproto.StatusMiss: "enoent",
-	cacheproto.StatusBusy: "busy", cacheproto.StatusError: "err", cacheproto.StatusSkipped: "skipped"}
+var codes = map[cacheproto.Status]string{
+	cacheproto.StatusOK: "done", cacheproto.StatusNotModified: "done", cacheproto.StatusMiss: "enoent",
+	cacheproto.StatusBusy: "busy", cacheproto.StatusError: "err", cacheproto.StatusSkipped: "skipped",
+}
 
 // answer reads an answer's body and ends its hop. One that nobody waits for, a
 // second copy or one under an unknown id, is whole and costs the others nothing.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -292,8 +292,10 @@
 // would mean the default.
 func (f *Call) command(now int64) *cacheproto.GetCommand {
 	h := f.Attempt
-	g := &cacheproto.GetCommand{ID: h.Request.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Priority: h.CachePriority,
-		Mode: h.Mode, Tag: f.Tag, IdempotencyKey: f.IdempotencyKey, Length: f.Body.Len(), BudgetMillis: max((h.Deadline-now)/1000, 1)}
+	g := &cacheproto.GetCommand{
+		ID: h.Request.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Priority: h.CachePriority,
+		Mode: h.Mode, Tag: f.Tag, IdempotencyKey: f.IdempotencyKey, Length: f.Body.Len(), BudgetMillis: max((h.Deadline-now)/1000, 1),
+	}
 	if h.MaxAge > 0 {
 		g.MaxAgeMillis = max(h.MaxAge/1000, 1)
 	}
