--- a/cmd/quilldoor-lab/report.go
+++ b/cmd/quilldoor-lab/report.go
@@ -67,14 +67,14 @@
 <html lang="en"><head><meta charset="utf-8"><title>{{.S.Plan}}</title>
 <style>body{font:15px/1.5 sans-serif;margin:2em auto;max-width:60em;color:#222}table{border-collapse:collapse}td,th{padding:.25em .8em;text-align:left;border-bottom:1px solid #ddd}
 .new{background:#dff0df}.changes{background:#fff3cd}.silent{background:#f3d9d9}h2{margin-top:1.6em;font-size:1.1em}svg{max-width:100%;height:auto}</style></head><body>
-<h1>{{.S.Plan}}: {{.S.Way}}, stage {{.S.Stage}} of {{.S.Stages}}</h1>
-<p>{{.At}}; known {{.S.AgeMS}} ms before. {{if .S.Leader}}Last heard to lead: {{.S.Leader}}.{{end}} {{if not .S.Leads}}This router does not lead: figures of others are whoever leads'.{{end}}</p>
-{{if .S.Why}}<p><b>{{.S.Why}}</b></p>{{end}}
-{{if .S.Lost}}<p><b>This router has lost what it knew, and asks the others.</b></p>{{end}}
-<table><tr><th>router</th><th>office</th><th>generation</th>{{if .S.Leads}}<th>heard</th><th>txns</th><th>earned</th><th>refused</th><th>failed</th><th>MB</th><th>restarts</th><th>breaks</th>{{end}}<th></th></tr>
-{{range .Lines}}<tr class="{{.Does}}"><td>{{.Name}}</td><td>{{.Office}}</td><td>{{.Does}}</td>{{if $.S.Leads}}<td>{{.HeardMS}} ms ago</td><td>{{printf "%.0f" .Report.Counts.Txns}}</td><td>{{.Earned}}</td><td>{{printf "%.0f" .Report.Counts.Refused}}</td><td>{{printf "%.0f" .Report.Counts.Failed}}</td><td>{{printf "%.0f" .Report.MemoryMB}}</td><td>{{.Report.Restarts}}</td><td>{{.Report.Broke}}</td>{{end}}<td>{{.Report.Failed}}</td></tr>
+<h1>{{.S.Plan}}: {{.S.Phase}}, stage {{.S.Stage}} of {{.S.Stages}}</h1>
+<p>{{.At}}; known {{.S.AgeMS}} ms before. {{if .S.Leader}}Last heard to lead: {{.S.Leader}}.{{end}} {{if not .S.IsLeader}}This router does not lead: figures of others are whoever leads'.{{end}}</p>
+{{if .S.Reason}}<p><b>{{.S.Reason}}</b></p>{{end}}
+{{if .S.Recovering}}<p><b>This router has lost what it knew, and asks the others.</b></p>{{end}}
+<table><tr><th>router</th><th>office</th><th>generation</th>{{if .S.IsLeader}}<th>heard</th><th>txns</th><th>earned</th><th>refused</th><th>failed</th><th>MB</th><th>restarts</th><th>breaks</th>{{end}}<th></th></tr>
+{{range .Lines}}<tr class="{{.Activity}}"><td>{{.Name}}</td><td>{{.Office}}</td><td>{{.Activity}}</td>{{if $.S.IsLeader}}<td>{{.HeardMS}} ms ago</td><td>{{printf "%.0f" .Report.Counts.Requests}}</td><td>{{.Earned}}</td><td>{{printf "%.0f" .Report.Counts.Rejected}}</td><td>{{printf "%.0f" .Report.Counts.Failed}}</td><td>{{printf "%.0f" .Report.MemoryMB}}</td><td>{{.Report.Restarts}}</td><td>{{.Report.FirstViolation}}</td>{{end}}<td>{{.Report.FailureReason}}</td></tr>
 {{end}}</table>
-{{if .S.Say}}<h2>Watched for {{.Watched}} s: {{.S.Say}}</h2>{{end}}
+{{if .S.Verdict}}<h2>Watched for {{.Watched}} s: {{.S.Verdict}}</h2>{{end}}
 {{range .Plots}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
 </body></html>
 `))
