--- a/internal/handoff/word.go
+++ b/internal/handoff/word.go
@@ -18,6 +18,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
+	"quilldoor/internal/cborcodec"
 	"quilldoor/internal/invariant"
 	"quilldoor/internal/membership"
 	"quilldoor/internal/policy"
@@ -157,16 +158,9 @@
 	ErrMalformedMessage = errors.New("handover: not a word")
 )
 
-var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{
-		MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options stand above
-	}
-	return m
-}()
+var decoding = cborcodec.NewStrictDecoder(cborcodec.Limits{
+	MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, RejectDuplicateKeys: true,
+})
 
 // Decode reads a word's payload.
 func Decode(b []byte) (*Message, error) {
--- a/internal/rollout/words.go
+++ b/internal/rollout/words.go
@@ -7,6 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"quilldoor/internal/canary"
+	"quilldoor/internal/cborcodec"
 )
 
 // MessagePrefix is what a rollout's letter among members begins with; those of others never do,
@@ -16,16 +17,9 @@
 // ErrMalformedMessage is that of a letter that is none of a rollout.
 var ErrMalformedMessage = errors.New("rollout: not a letter")
 
-var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{
-		MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options stand above
-	}
-	return m
-}()
+var decoding = cborcodec.NewStrictDecoder(cborcodec.Limits{
+	MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, RejectDuplicateKeys: true,
+})
 
 // mostWhy keeps a letter within what members carry, mostLetter bytes: a report that is
 // longer leaves out what single remap rules earned.
