--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"quilldoor/internal/engine"
-	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/gossip"
 	"quilldoor/internal/membership"
 	"quilldoor/internal/membership/transport"
@@ -233,7 +232,7 @@
 		conn.Close()
 	})
 	r.all.Go(func() {
-		b := make([]byte, peerproto.MaxDatagram+1)
+		b := make([]byte, transport.MaxDatagram+1)
 		for {
 			n, _, err := conn.ReadFromUDPAddrPort(b)
 			if r.ctx.Err() != nil {
--- a/internal/membership/transport/ask.go
+++ b/internal/membership/transport/ask.go
@@ -9,7 +9,6 @@
 	"strings"
 	"time"
 
-	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/membership"
 )
 
@@ -33,7 +32,7 @@
 		if whole != nil {
 			from = len(whole.Members)
 		}
-		q, err := peerproto.Seal(key, &membership.Message{
+		q, err := sealDatagram(key, &membership.Message{
 			Kind: membership.KindQuery, RequestID: uint32(from), To: name,
 			Sender: membership.Update{Name: toolName, State: membership.StateAlive},
 		})
@@ -70,14 +69,14 @@
 
 func answer(conn *net.UDPConn, key []byte, seq uint32, until time.Time) *membership.View {
 	conn.SetReadDeadline(until)
-	b := make([]byte, peerproto.MaxDatagram+1)
+	b := make([]byte, MaxDatagram+1)
 	for {
 		n, err := conn.Read(b)
 		if err != nil {
 			return nil // refused, or its time is over
 		}
 		var w membership.Message
-		if peerproto.Open(key, b[:n], &w) == nil && w.Kind == membership.KindQueryResponse && w.RequestID == seq && w.View != nil {
+		if openDatagram(key, b[:n], &w) == nil && w.Kind == membership.KindQueryResponse && w.RequestID == seq && w.View != nil {
 			return w.View
 		}
 	}
--- a/internal/membership/transport/earlier_test.go
+++ b/internal/membership/transport/earlier_test.go
@@ -7,7 +7,6 @@
 	"reflect"
 	"testing"
 
-	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/membership"
 )
 
@@ -29,7 +28,7 @@
 			t.Fatal(err)
 		}
 		var got membership.Message
-		if err := peerproto.Open([]byte("a key of sixteen bytes"), b, &got); err != nil || !reflect.DeepEqual(got, want) {
+		if err := openDatagram([]byte("a key of sixteen bytes"), b, &got); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %v, %+v", f, err, got)
 		}
 	}
--- a/internal/membership/transport/link.go
+++ b/internal/membership/transport/link.go
@@ -16,7 +16,6 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/membership"
 )
 
@@ -26,8 +25,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("members.key_file: %w", err)
 	}
-	if text = bytes.TrimSpace(text); len(text) < peerproto.MinKeyLength {
-		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(text), peerproto.MinKeyLength)
+	if text = bytes.TrimSpace(text); len(text) < minKeyLength {
+		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(text), minKeyLength)
 	}
 	return text, nil
 }
@@ -112,7 +111,7 @@
 // the core: the system drops the rest.
 func (l *Agent) read() {
 	const atOnce, rest = 64, 2 * time.Millisecond
-	b := make([]byte, peerproto.MaxDatagram+1)
+	b := make([]byte, MaxDatagram+1)
 	for bad := 0; ; {
 		size, from, err := l.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -123,7 +122,7 @@
 			continue
 		}
 		w := new(membership.Message)
-		if err := peerproto.Open(l.key, b[:size], w); err != nil {
+		if err := openDatagram(l.key, b[:size], w); err != nil {
 			l.drop(err)
 			if bad++; bad >= atOnce {
 				bad = 0
@@ -168,11 +167,11 @@
 
 func (l *Agent) drop(err error) {
 	switch {
-	case errors.Is(err, peerproto.ErrSize):
+	case errors.Is(err, errSize):
 		l.Dropped.Size.Add(1)
-	case errors.Is(err, peerproto.ErrVersion):
+	case errors.Is(err, errVersion):
 		l.Dropped.Version.Add(1)
-	case errors.Is(err, peerproto.ErrProof):
+	case errors.Is(err, errAuthentication):
 		l.Dropped.Authentication.Add(1)
 	default:
 		l.Dropped.Payload.Add(1)
@@ -181,7 +180,7 @@
 
 func (l *Agent) send(out []membership.Outbound) {
 	for _, o := range out {
-		b, err := peerproto.Seal(l.key, o.Message)
+		b, err := sealDatagram(l.key, o.Message)
 		if err == nil && o.Addr.IsValid() {
 			_, err = l.conn.WriteToUDPAddrPort(b, o.Addr)
 		}
--- a/internal/membership/transport/link_test.go
+++ b/internal/membership/transport/link_test.go
@@ -13,7 +13,6 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/membership"
 )
 
@@ -122,11 +121,11 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	good, _ := peerproto.Seal(key, &membership.Message{Kind: membership.KindPing, Sender: membership.Update{Name: "x", State: membership.StateAlive}, To: "n0"})
+	good, _ := sealDatagram(key, &membership.Message{Kind: membership.KindPing, Sender: membership.Update{Name: "x", State: membership.StateAlive}, To: "n0"})
 	newer := append([]byte{9}, good[1:]...)
 	forged := append([]byte{}, good...)
 	forged[5] ^= 1
-	odd, _ := peerproto.Seal(key, []int{1})
+	odd, _ := sealDatagram(key, []int{1})
 	for range 500 {
 		conn.Write(good[:10])
 		conn.Write(newer)
