--- /dev/null
+++ b/internal/rollout/fleet_test.go
@@ -0,0 +1,308 @@
+package rollout
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"quilldoor/internal/canary"
+)
+
+const sevenRouterPlan = `
+name: test
+program: /opt/new
+routers: [{name: a1, office: a}, {name: a2, office: a}, {name: b1, office: b}, {name: b2, office: b}, {name: c1, office: c}, {name: c2, office: c}, {name: c3, office: c}]
+stages:
+  - {routers: [a1], watch_s: 60, least_s: 10}
+  - {share: 0.5, watch_s: 60, least_s: 10}
+  - {share: 1, watch_s: 20, least_s: 5}
+silent_s: 15
+guards: {most_loss: 0.1, loss: 0.02, refusals: 0.02, failures: 0.02}
+`
+
+// variant is a protocol that a test weakens. The zero one is the protocol itself.
+type variant struct {
+	weaken func(*safetyChecks) // nil: nothing
+	// A candidate promises itself its term before a quorum has.
+	promisesItselfFirst bool
+}
+
+func (v *variant) newNode(p *Plan, name string, d *Durable, random *rand.Rand, now int64) *Node {
+	n := NewNode(p, name, d, random, now)
+	if v.weaken != nil {
+		v.weaken(&n.checks)
+	}
+	return n
+}
+
+// fleet is a plan's routers on a virtual clock, with a network that loses, delays and
+// is partitioned.
+type fleet struct {
+	plan    *Plan
+	now     int64
+	random  *rand.Rand
+	variant variant
+
+	nodes   []*Node // nil: not running
+	routers []simRouter
+	disks   []*Durable // nil: lost
+	// disksLast: a router that stops keeps what it has stored.
+	disksLast bool
+
+	partition func(from, to int) bool // nil: none
+	lossRate  float64
+	maxDelay  int64
+	inFlight  []delivery
+
+	newWorseBy float64 // share of its requests that the new generation loses
+
+	begun         []begunChange
+	maxConcurrent int // forward changes at the same time in an office
+	violations    []string
+	// majorityLost: a majority was without durable state at the same time, which no
+	// protocol can make up for.
+	majorityLost bool
+}
+
+// simRouter is a router's process and machine.
+type simRouter struct {
+	up, frozen         bool
+	upgraded, changing bool
+	changesToNew       bool
+	changeEnds         int64
+	failureReason      string
+	runID              uint64
+	counts             canary.Counts
+	violatedRules      uint8
+	drainsSeen         int
+	purgesSeen         int
+	clockRate          float64
+	clockOffset        int64
+}
+
+type delivery struct {
+	at       int64
+	from, to int
+	message  *Message
+}
+
+// begunChange is a change that a router has begun.
+type begunChange struct {
+	router int
+	toNew  bool
+	seq    uint64
+}
+
+func newFleet(t *testing.T, planText string, seed uint64) *fleet {
+	t.Helper()
+	return newFleetOf(t, planText, seed, variant{})
+}
+
+func newFleetOf(t *testing.T, planText string, seed uint64, v variant) *fleet {
+	t.Helper()
+	p, err := ParsePlan("plan.yaml", []byte(planText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &fleet{plan: p, now: second, random: rand.New(rand.NewPCG(seed, 11)), variant: v, disksLast: true}
+	for i := range p.Routers {
+		f.routers = append(f.routers, simRouter{
+			clockRate:   0.96 + 0.08*f.random.Float64(),
+			clockOffset: f.random.Int64N(1000 * second),
+		})
+		f.disks = append(f.disks, &Durable{})
+		f.nodes = append(f.nodes, nil)
+		f.startRouter(i)
+	}
+	return f
+}
+
+// clock returns a router's own time: no two show the same, nor run at the same rate.
+func (f *fleet) clock(i int) int64 {
+	r := &f.routers[i]
+	return r.clockOffset + int64(float64(f.now)*r.clockRate)
+}
+
+func (f *fleet) startRouter(i int) {
+	r := &f.routers[i]
+	r.up, r.frozen = true, false
+	if f.disks[i] == nil { // the settled generation is lost as well
+		r.upgraded, r.runID, r.failureReason = false, 0, ""
+	}
+	r.changing = false // the supervisor returns to the settled generation
+	random := rand.New(rand.NewPCG(f.random.Uint64(), 1))
+	f.nodes[i] = f.variant.newNode(f.plan, f.plan.Routers[i].Name, f.disks[i], random, f.clock(i))
+}
+
+func (f *fleet) stopRouter(i int) {
+	f.routers[i].up = false
+	if d := f.nodes[i].Durable; f.disksLast && !f.nodes[i].recovering() {
+		f.disks[i] = &d
+	} else {
+		f.disks[i] = nil
+	}
+	f.nodes[i] = nil
+	lost := 0
+	for j, n := range f.nodes {
+		if n == nil && f.disks[j] == nil || n != nil && n.recovering() {
+			lost++
+		}
+	}
+	f.majorityLost = f.majorityLost || 2*lost > len(f.nodes)
+}
+
+func (f *fleet) command(i int, c Command) { f.nodes[i].Command(f.clock(i), c) }
+
+func (f *fleet) send(from int, out []Outgoing) {
+	for _, o := range out {
+		if f.partition != nil && f.partition(from, o.To) || f.random.Float64() < f.lossRate {
+			continue
+		}
+		at := f.now + 5*ms + f.random.Int64N(f.maxDelay+1)
+		f.inFlight = append(f.inFlight, delivery{at, from, o.To, o.Message})
+	}
+}
+
+// step plays 50 ms.
+func (f *fleet) step() {
+	f.now += 50 * ms
+	f.deliver()
+	for i := range f.nodes {
+		if r := &f.routers[i]; r.up && !r.frozen {
+			f.stepRouter(i)
+		}
+	}
+	f.checkConcurrency()
+}
+
+func (f *fleet) deliver() {
+	var later []delivery
+	due := f.inFlight
+	f.inFlight = nil
+	for _, d := range due {
+		if d.at > f.now || f.routers[d.to].frozen {
+			later = append(later, d)
+			continue
+		}
+		if f.routers[d.to].up {
+			f.send(d.to, f.nodes[d.to].Receive(f.clock(d.to), f.plan.Routers[d.from].Name, d.message))
+		}
+	}
+	f.inFlight = append(f.inFlight, later...)
+}
+
+func (f *fleet) stepRouter(i int) {
+	r, n := &f.routers[i], f.nodes[i]
+	if r.changing && f.now >= r.changeEnds {
+		r.changing, r.upgraded = false, r.changesToNew
+	}
+	f.serveRequests(r)
+	n.SetReport(Report{
+		Upgraded: r.upgraded && !r.changing, Changing: r.changing, FailureReason: r.failureReason, Capable: true,
+		Counts: r.counts, RunID: r.runID, ViolatedRules: r.violatedRules, DrainsSeen: r.drainsSeen, PurgesSeen: r.purgesSeen,
+	})
+	out := n.Tick(f.clock(i))
+	if f.variant.promisesItselfFirst && n.promises != nil {
+		n.PromisedTerm = max(n.PromisedTerm, n.candidateTerm)
+	}
+	f.send(i, out)
+	target := n.Target(f.clock(i))
+	failedBefore := target.New && r.failureReason != ""
+	if target.MayStart && !r.changing && target.New != r.upgraded && !failedBefore {
+		if v, _ := n.View(); !target.New && v.Phase == PhaseForward {
+			r.failureReason = "cut off"
+		}
+		f.beginChange(i, target.New)
+	}
+}
+
+func (f *fleet) serveRequests(r *simRouter) {
+	for range 3 {
+		r.counts.Requests++
+		r.counts.WeightOffered++
+		lost := r.upgraded && f.random.Float64() < f.newWorseBy
+		if !lost {
+			r.counts.WeightEarned++
+		}
+	}
+}
+
+// beginChange lets a router change, and checks that it may.
+func (f *fleet) beginChange(i int, toNew bool) {
+	r := &f.routers[i]
+	v, _ := f.nodes[i].View()
+	r.changing, r.changesToNew, r.changeEnds, r.runID = true, toNew, f.now+second, v.RunID
+	f.begun = append(f.begun, begunChange{i, toNew, v.Seq})
+	if !toNew {
+		return
+	}
+	// No leader has decided to roll this run back, and no router has acted on that.
+	for j, n := range f.nodes {
+		if n == nil || n.leader == nil || !n.leader.hasDecided {
+			continue
+		}
+		d := n.leader.decided
+		rolledBack := d.Phase == PhaseRollingBack || d.Phase == PhaseRolledBack
+		if rolledBack && d.Seq > v.Seq && d.RunID == v.RunID {
+			f.violated("%s goes forward by %d while %s has decided to go back by %d",
+				f.plan.Routers[i].Name, v.Seq, f.plan.Routers[j].Name, d.Seq)
+		}
+	}
+	for _, b := range f.begun {
+		if !b.toNew && b.seq > v.Seq {
+			f.violated("%s goes forward by %d after a router went back by %d", f.plan.Routers[i].Name, v.Seq, b.seq)
+		}
+	}
+}
+
+func (f *fleet) violated(format string, args ...any) {
+	if len(f.violations) < 5 {
+		f.violations = append(f.violations, fmt.Sprintf("%.2f s: ", float64(f.now)/1e6)+fmt.Sprintf(format, args...))
+	}
+}
+
+func (f *fleet) checkConcurrency() {
+	changing := map[string]int{}
+	for i := range f.routers {
+		if r := &f.routers[i]; r.up && r.changing && r.changesToNew {
+			changing[f.plan.Routers[i].Office]++
+			f.maxConcurrent = max(f.maxConcurrent, changing[f.plan.Routers[i].Office])
+		}
+	}
+	for office, count := range changing {
+		if count > f.plan.MaxConcurrent {
+			f.violated("%d of office %s change at once", count, office)
+		}
+	}
+}
+
+func (f *fleet) play(seconds float64) {
+	for end := f.now + int64(seconds*1e6); f.now < end; {
+		f.step()
+	}
+}
+
+// views returns what each router knows of the rollout, and how many have the new generation.
+func (f *fleet) views() (list []string, upgraded int) {
+	for i, n := range f.nodes {
+		if f.routers[i].upgraded {
+			upgraded++
+		}
+		if n != nil {
+			v, _ := n.View()
+			list = append(list, fmt.Sprintf("%s %v %d/%d", f.plan.Routers[i].Name, v.Phase, v.Stage, v.Seq))
+		}
+	}
+	return list, upgraded
+}
+
+// phase is the leader's.
+func (f *fleet) phase() Phase {
+	phase := PhaseNone
+	for _, n := range f.nodes {
+		if n != nil && n.IsLeader() {
+			phase = n.leader.decided.Phase
+		}
+	}
+	return phase
+}
--- a/internal/rollout/search_test.go
+++ b/internal/rollout/search_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const smallPlan = `
+const threeRouterPlan = `
 name: small
 program: /opt/new
 routers: [{name: a1, office: a}, {name: a2, office: a}, {name: b1, office: b}]
@@ -19,158 +19,162 @@
 silent_s: 15
 `
 
-// trouble is what can happen to three routers in a moment.
-type trouble struct {
-	name string
-	do   func(f *fleet)
+// fault is what can happen to three routers at a moment.
+type fault struct {
+	name  string
+	apply func(f *fleet)
 }
 
-func troubles() (list []trouble) {
-	list = append(list, trouble{"nothing", func(*fleet) {}}, trouble{"healed", func(f *fleet) { f.cut = nil }})
+func allFaults() []fault {
+	list := []fault{
+		{"nothing", func(*fleet) {}},
+		{"healed", func(f *fleet) { f.partition = nil }},
+	}
 	for i := range 3 {
 		list = append(list,
-			trouble{fmt.Sprint("cut ", i), func(f *fleet) { f.cut = func(a, b int) bool { return a == i || b == i } }},
-			trouble{fmt.Sprint("not heard ", i), func(f *fleet) { f.cut = func(a, b int) bool { return a == i } }},
-			trouble{fmt.Sprint("dies or starts ", i), func(f *fleet) {
-				if f.local[i].up {
-					f.down(i)
+			fault{fmt.Sprint("cut ", i), func(f *fleet) { f.partition = func(from, to int) bool { return from == i || to == i } }},
+			fault{fmt.Sprint("not heard ", i), func(f *fleet) { f.partition = func(from, _ int) bool { return from == i } }},
+			fault{fmt.Sprint("stops or starts ", i), func(f *fleet) {
+				if f.routers[i].up {
+					f.stopRouter(i)
 				} else {
-					f.up(i)
+					f.startRouter(i)
 				}
 			}},
-			trouble{fmt.Sprint("stops or wakes ", i), func(f *fleet) { f.local[i].stopped = f.local[i].up && !f.local[i].stopped }},
-			trouble{fmt.Sprint("back ", i), func(f *fleet) {
-				if n := f.nodes[i]; n != nil && !f.local[i].stopped {
-					n.Command(f.clock(i), CommandRollBack)
+			fault{fmt.Sprint("freezes or thaws ", i), func(f *fleet) { f.routers[i].frozen = f.routers[i].up && !f.routers[i].frozen }},
+			fault{fmt.Sprint("back ", i), func(f *fleet) {
+				if f.nodes[i] != nil && !f.routers[i].frozen {
+					f.command(i, CommandRollBack)
 				}
 			}})
 	}
 	return list
 }
 
-// everyOrder plays one in every so many orders of four troubles, and stops at the first
-// that goes wrong on each core.
-func everyOrder(t *testing.T, every int, wrong wrong) (bad []string, orders, states int, ways map[Phase]int) {
+// searchResult is what one worker of playFaultSequences has found.
+type searchResult struct {
+	violations []string
+	states     map[string]bool
+	ends       map[Phase]int
+}
+
+// playFaultSequences plays one in every so many sequences of four faults. Each worker
+// stops at its first violation.
+func playFaultSequences(t *testing.T, every int, v variant) (violations []string, sequences, states int, ends map[Phase]int) {
 	const depth = 4
-	list := troubles()
+	faults := allFaults()
 	total := 1
 	for range depth {
-		total *= len(list)
-	}
-	type end struct {
-		bad  []string
-		seen map[string]bool
-		ways map[Phase]int
+		total *= len(faults)
 	}
 	workers := runtime.NumCPU()
-	ends := make([]end, workers)
+	results := make([]searchResult, workers)
 	var all sync.WaitGroup
 	for w := range workers {
 		all.Go(func() {
-			e := &ends[w]
-			e.seen, e.ways = map[string]bool{}, map[Phase]int{}
-			for code := w * every; code < total && len(e.bad) < 1; code += workers * every {
-				f := newFleet(t, smallPlan, uint64(code%7))
-				f.lasts = code%2 == 0
-				f.late, f.wrong = 30*ms, wrong
-				for i := range f.nodes {
-					f.nodes[i].wrong = wrong
-				}
-				f.nodes[2].Command(f.clock(2), CommandStart)
-				f.play(6)
-				path := ""
-				for c, n := code, 0; n < depth; n++ {
-					x := list[c%len(list)]
-					c /= len(list)
-					path += x.name + ", "
-					x.do(f)
-					f.play([...]float64{1, 7, 3, 5}[n])
-					e.seen[f.print()] = true
-				}
-				f.cut = nil
-				for i := range f.local {
-					if f.local[i].stopped = false; !f.local[i].up {
-						f.up(i)
-					}
-				}
-				f.play(75)
-				_, news := f.ways()
-				way := f.way()
-				e.ways[way]++
-				lost := 0
-				for _, n := range f.nodes {
-					if n.recovering != 0 {
-						lost++
-					}
-				}
-				if f.beyond {
-					e.ways[PhaseNone]++
-				}
-				switch {
-				case f.beyond && lost == 0:
-				case len(f.bad) > 0:
-					e.bad = append(e.bad, path+f.bad[0])
-				case lost > 0:
-					e.bad = append(e.bad, fmt.Sprintf("%s%d ask for ever", path, lost))
-				case way == PhaseForward || way == PhaseRollingBack || way == PhaseDone && news != 3 || (way == PhaseRolledBack || way == PhaseNone) && news != 0:
-					l, _ := f.ways()
-					e.bad = append(e.bad, fmt.Sprintf("%s%v with %d: %v", path, way, news, l))
-				}
+			r := &results[w]
+			r.states, r.ends = map[string]bool{}, map[Phase]int{}
+			for code := w * every; code < total && len(r.violations) < 1; code += workers * every {
+				r.playSequence(t, faults, depth, code, v)
 			}
 		})
 	}
 	all.Wait()
-	seen := map[string]bool{}
-	ways = map[Phase]int{}
-	for _, e := range ends {
-		bad = append(bad, e.bad...)
-		for s := range e.seen {
-			seen[s] = true
+	distinct := map[string]bool{}
+	ends = map[Phase]int{}
+	for _, r := range results {
+		violations = append(violations, r.violations...)
+		for s := range r.states {
+			distinct[s] = true
 		}
-		for w, n := range e.ways {
-			ways[w] += n
+		for phase, count := range r.ends {
+			ends[phase] += count
 		}
 	}
-	return bad, (total + every - 1) / every, len(seen), ways
+	return violations, (total + every - 1) / every, len(distinct), ends
 }
 
-// Every order of four troubles among three routers, each for some seconds, while a
-// rollout goes on: cuts, one-way cuts, deaths with and without what lay on disk, stops,
-// orders to go back. Where a majority loses its disks at the same time nothing is asked
-// for but that all take part again. Never two directions, never two of an office at
-// once, and an end in one generation once all are there.
-func TestEveryOrder(t *testing.T) {
-	every := 16 // all of them take a minute: with QUILLDOOR_ALL=1
-	if os.Getenv("QUILLDOOR_ALL") != "" {
-		every = 1
+// playSequence plays the faults that a code's digits name during a rollout, lets all
+// routers run again, and checks the end.
+func (r *searchResult) playSequence(t *testing.T, faults []fault, depth, code int, v variant) {
+	f := newFleetOf(t, threeRouterPlan, uint64(code%7), v)
+	f.disksLast = code%2 == 0
+	f.maxDelay = 30 * ms
+	f.command(2, CommandStart)
+	f.play(6)
+	path := ""
+	for digits, n := code, 0; n < depth; n++ {
+		x := faults[digits%len(faults)]
+		digits /= len(faults)
+		path += x.name + ", "
+		x.apply(f)
+		f.play([...]float64{1, 7, 3, 5}[n])
+		r.states[f.fingerprint()] = true
 	}
-	bad, orders, states, ways := everyOrder(t, every, wrong{})
-	for _, b := range bad {
-		t.Error(b)
+	f.partition = nil
+	for i := range f.routers {
+		f.routers[i].frozen = false
+		if !f.routers[i].up {
+			f.startRouter(i)
+		}
 	}
-	t.Logf("%d orders, %d states seen; ends: %v", orders, states, ways)
+	f.play(75)
+	r.checkEnd(f, path)
 }
 
-// Without one of the guards the same orders go wrong.
-func TestWrongOrders(t *testing.T) {
-	for name, w := range map[string]wrong{"any state of a term": {anyOfTerm: true}, "who stands promises first": {promisesFirst: true}, "leads on": {leadsOn: true}} {
-		if bad, orders, _, _ := everyOrder(t, 4, w); len(bad) == 0 {
-			t.Errorf("%s: not found in %d orders", name, orders)
-		} else {
-			t.Logf("%s: %s", name, bad[0])
+func (r *searchResult) checkEnd(f *fleet, path string) {
+	views, upgraded := f.views()
+	phase := f.phase()
+	r.ends[phase]++
+	recovering := 0
+	for _, n := range f.nodes {
+		if n.recovering() {
+			recovering++
 		}
 	}
+	if f.majorityLost {
+		r.ends[PhaseNone]++
+	}
+	unfinished := phase == PhaseForward || phase == PhaseRollingBack
+	mixed := phase == PhaseDone && upgraded != 3 || (phase == PhaseRolledBack || phase == PhaseNone) && upgraded != 0
+	switch {
+	case f.majorityLost && recovering == 0:
+	case len(f.violations) > 0:
+		r.violations = append(r.violations, path+f.violations[0])
+	case recovering > 0:
+		r.violations = append(r.violations, fmt.Sprintf("%s%d ask for ever", path, recovering))
+	case unfinished || mixed:
+		r.violations = append(r.violations, fmt.Sprintf("%s%v with %d: %v", path, phase, upgraded, views))
+	}
+}
+
+// Sequences of four faults among three routers, each for some seconds, during a rollout:
+// partitions, one-way partitions, stops with and without the durable state, freezes,
+// commands to roll back. Where a majority loses its durable state at the same time, all
+// must only take part again. Otherwise never two directions, never two changes of an
+// office at once, and an end in one generation once all run.
+func TestInvariantsHoldInFaultSequences(t *testing.T) {
+	every := 16 // all of them take a minute: with QUILLDOOR_ALL=1
+	if os.Getenv("QUILLDOOR_ALL") != "" {
+		every = 1
+	}
+	violations, sequences, states, ends := playFaultSequences(t, every, variant{})
+	for _, v := range violations {
+		t.Error(v)
+	}
+	t.Logf("%d sequences, %d states seen; ends: %v", sequences, states, ends)
 }
 
-// print is a fleet's state but for its times.
-func (f *fleet) print() string {
+// fingerprint is a fleet's state without its times.
+func (f *fleet) fingerprint() string {
 	s := ""
 	for i, n := range f.nodes {
-		l := &f.local[i]
-		s += fmt.Sprint(l.up, l.stopped, l.onNew, l.changing, ";")
+		r := &f.routers[i]
+		s += fmt.Sprint(r.up, r.frozen, r.upgraded, r.changing, ";")
 		if n != nil {
-			s += fmt.Sprint(n.PromisedTerm, n.Durable.AcceptedTerm, n.State.Seq, n.State.Phase, n.State.Stage, n.State.Batch, n.State.Changed, n.State.Skipped, n.leads != nil, n.leader, n.recovering != 0,
-				n.view.Seq, n.view.Phase, ";")
+			s += fmt.Sprintf("%x,%x,%x;", n.State.Batch, n.State.Changed, n.State.Skipped)
+			s += fmt.Sprint(n.PromisedTerm, n.AcceptedTerm, n.State.Seq, n.State.Phase, n.State.Stage,
+				n.leader != nil, n.leaderIndex, n.recovering(), n.view.Seq, n.view.Phase, ";")
 		}
 	}
 	return s
--- /dev/null
+++ b/internal/rollout/status.go
@@ -0,0 +1,133 @@
+package rollout
+
+import "quilldoor/internal/canary"
+
+// Status is what a router shows to people about the rollout.
+type Status struct {
+	Plan   string `cbor:"1,keyasint,omitempty" json:"plan"`
+	Digest uint64 `cbor:"2,keyasint,omitempty" json:"digest,string"`
+	Phase  string `cbor:"3,keyasint,omitempty" json:"way"`
+	Stage  int    `cbor:"4,keyasint,omitempty" json:"stage"` // from 1
+	Stages int    `cbor:"5,keyasint,omitempty" json:"stages"`
+	Reason string `cbor:"6,keyasint,omitempty" json:"why,omitempty"`
+	AgeMS  int64  `cbor:"7,keyasint,omitempty" json:"age_ms"` // of the decided state as known here; -1: none is known
+	Seq    uint64 `cbor:"8,keyasint,omitempty" json:"seq"`
+	Leader string `cbor:"9,keyasint,omitempty" json:"leader,omitempty"`
+	// IsLeader: this router leads now. Only a leader knows the reports of the routers and
+	// the fields from Verdict to Bounds.
+	IsLeader   bool             `cbor:"10,keyasint,omitempty" json:"leads"`
+	Routers    []RouterStatus   `cbor:"11,keyasint,omitempty" json:"routers"`
+	Verdict    string           `cbor:"12,keyasint,omitempty" json:"say,omitempty"`
+	WatchMS    int64            `cbor:"13,keyasint,omitempty" json:"watch_ms"`
+	Bounds     []MetricInterval `cbor:"14,keyasint,omitempty" json:"bounds,omitempty"`
+	Recovering bool             `cbor:"15,keyasint,omitempty" json:"lost"` // it has lost its durable state and asks the others
+}
+
+// RouterStatus is a router's part of a Status.
+type RouterStatus struct {
+	Name     string `cbor:"1,keyasint" json:"name"`
+	Office   string `cbor:"2,keyasint" json:"office"`
+	Activity string `cbor:"3,keyasint,omitempty" json:"does"`
+	HeardMS  int64  `cbor:"4,keyasint,omitempty" json:"heard_ms"` // since its last report
+	Report   Report `cbor:"5,keyasint,omitempty" json:"report"`
+}
+
+// Values of RouterStatus.Activity.
+const (
+	activityOld      = "old"     // it has the old generation
+	activityChanging = "changes" // it is in the batch
+	activitySilent   = "silent"  // it was passed over
+	activityNew      = "new"     // it has the new generation
+)
+
+// MetricInterval is the confidence interval of a metric's difference, with its samples.
+type MetricInterval struct {
+	Metric    string    `cbor:"1,keyasint" json:"figure"`
+	Tolerance float64   `cbor:"2,keyasint" json:"bears"`
+	Mean      float64   `cbor:"3,keyasint" json:"mean"`
+	Low       float64   `cbor:"4,keyasint" json:"low"`
+	High      float64   `cbor:"5,keyasint" json:"high"`
+	Samples   []float64 `cbor:"6,keyasint,omitempty" json:"moments,omitempty"` // the latest ones
+}
+
+// Status returns what this router knows of the rollout.
+func (n *Node) Status() *Status {
+	view, age := n.View()
+	s := &Status{
+		Plan:       n.plan.Name,
+		Digest:     n.plan.Digest,
+		Phase:      view.Phase.String(),
+		Stage:      view.Stage + 1,
+		Stages:     len(n.plan.Stages),
+		Reason:     view.Reason,
+		AgeMS:      age / ms,
+		Seq:        view.Seq,
+		IsLeader:   n.IsLeader(),
+		Recovering: n.recovering(),
+	}
+	if age < 0 {
+		s.AgeMS = -1
+	}
+	if n.leaderIndex >= 0 {
+		s.Leader = n.plan.Routers[n.leaderIndex].Name
+	}
+	for i := range n.plan.Routers {
+		s.Routers = append(s.Routers, n.routerStatus(&view, i))
+	}
+	if n.leader != nil {
+		n.leader.addWatchStatus(n, s)
+	}
+	return s
+}
+
+func (n *Node) routerStatus(view *State, i int) RouterStatus {
+	r := &n.plan.Routers[i]
+	s := RouterStatus{Name: r.Name, Office: r.Office, Activity: activityOld}
+	switch {
+	case view.Batch.Has(i):
+		s.Activity = activityChanging
+	case view.Skipped.Has(i):
+		s.Activity = activitySilent
+	case view.Changed.Has(i):
+		s.Activity = activityNew
+	}
+	if n.leader != nil {
+		s.HeardMS = (n.now - n.leader.routers[i].heardAt) / ms
+		s.Report = n.leader.routers[i].report
+	}
+	return s
+}
+
+// addWatchStatus adds the canary analysis of the stage that is watched.
+func (l *leader) addWatchStatus(n *Node, s *Status) {
+	analyzer := l.watch.analyzer
+	if analyzer == nil {
+		return
+	}
+	s.Verdict = l.watch.verdict.String() + ": " + l.watch.verdictReason
+	s.WatchMS = (n.now - l.watch.startedAt) / ms
+	settings := n.plan.CanarySettings()
+	for metric := range canary.MetricCount {
+		s.addInterval(metric.String(), settings.Tolerance[metric], analyzer.Interval(metric), analyzer.Samples(metric))
+	}
+	for _, class := range analyzer.Classes() {
+		interval, samples := analyzer.ClassInterval(class)
+		s.addInterval(canary.MetricLoss.String()+" of "+class, settings.ClassTolerance, interval, samples)
+	}
+}
+
+// addInterval adds a metric that has an interval, with its latest samples.
+func (s *Status) addInterval(metric string, tolerance float64, interval canary.Interval, samples []float64) {
+	const maxSamples = 600
+	if interval.Samples < 2 {
+		return
+	}
+	s.Bounds = append(s.Bounds, MetricInterval{
+		Metric:    metric,
+		Tolerance: tolerance,
+		Mean:      interval.Mean,
+		Low:       interval.Low,
+		High:      interval.High,
+		Samples:   samples[max(len(samples)-maxSamples, 0):],
+	})
+}
--- /dev/null
+++ b/internal/rollout/transitions.go
@@ -0,0 +1,177 @@
+package rollout
+
+// condition is what the leader finds of the fleet. It finds the first that holds.
+type condition uint8
+
+const (
+	conditionNone      condition = iota
+	rollbackOrdered              // by the operator
+	pauseOrdered                 // by the operator
+	resumeOrdered                // by the operator
+	startOrdered                 // by the operator
+	guardrailExceeded            // a limit that needs no statistics
+	membershipChanged            // a router has changed, lost its change, fallen silent or come back
+	batchInProgress              // the batch is changing
+	batchAvailable               // routers are to change and can
+	canaryWorse                  // the new generation is worse
+	stagePassed                  // nothing speaks against the new generation, or all are back
+	canaryInconclusive           // the time to watch is over, and nothing is shown
+)
+
+// transition is what follows from a condition in a phase.
+type transition struct {
+	next  Phase
+	apply func(*leader, *Node, *State) // nil: nothing else changes
+}
+
+type transitionKey struct {
+	phase     Phase
+	condition condition
+}
+
+var transitions = map[transitionKey]transition{
+	{PhaseNone, startOrdered}:       {PhaseForward, (*leader).start},
+	{PhaseRolledBack, startOrdered}: {PhaseForward, (*leader).start},
+	{PhaseDone, startOrdered}:       {PhaseForward, (*leader).start},
+
+	{PhaseForward, rollbackOrdered}: {PhaseRollingBack, (*leader).rollBack},
+	{PhasePaused, rollbackOrdered}:  {PhaseRollingBack, (*leader).rollBack},
+	{PhaseDone, rollbackOrdered}:    {PhaseRollingBack, (*leader).rollBack},
+
+	{PhaseForward, pauseOrdered}: {PhasePaused, nil},
+	{PhasePaused, resumeOrdered}: {PhaseForward, nil},
+
+	{PhaseForward, guardrailExceeded}: {PhaseRollingBack, (*leader).rollBack},
+	{PhasePaused, guardrailExceeded}:  {PhaseRollingBack, (*leader).rollBack},
+
+	{PhaseForward, membershipChanged}:     {PhaseForward, (*leader).updateMembership},
+	{PhaseDone, membershipChanged}:        {PhaseDone, (*leader).updateMembership},
+	{PhaseRollingBack, membershipChanged}: {PhaseRollingBack, (*leader).updateMembership},
+	{PhasePaused, membershipChanged}:      {PhasePaused, (*leader).updateMembership},
+
+	{PhaseForward, batchAvailable}:     {PhaseForward, (*leader).startBatch},
+	{PhaseDone, batchAvailable}:        {PhaseDone, (*leader).startBatch},
+	{PhaseRollingBack, batchAvailable}: {PhaseRollingBack, (*leader).startBatch},
+
+	{PhaseForward, canaryWorse}:        {PhaseRollingBack, (*leader).rollBack},
+	{PhaseForward, canaryInconclusive}: {PhasePaused, nil},
+	{PhaseForward, stagePassed}:        {PhaseForward, (*leader).passStage},
+	{PhaseRollingBack, stagePassed}:    {PhaseRolledBack, nil},
+}
+
+// nextState returns the state that follows the decided one; the same Seq: none does.
+func (l *leader) nextState(n *Node) State {
+	found, reason := l.pendingCondition, l.pendingReason
+	if !l.rollbackPending {
+		found, reason = l.findCondition(n)
+	}
+	t, ok := transitions[transitionKey{l.decided.Phase, found}]
+	if !ok {
+		return l.decided
+	}
+	next := l.decided
+	next.Phase = t.next
+	if reason != "" {
+		next.Reason = reason
+	}
+	switch {
+	case found == canaryWorse && n.plan.OnWorse == ReactionPause:
+		next.Phase = PhasePaused
+	case found == canaryInconclusive && n.plan.OnInconclusive == ReactionRollBack:
+		next.Phase = PhaseRollingBack
+		l.rollBack(n, &next)
+	case t.apply != nil:
+		t.apply(l, n, &next)
+	}
+	beginsRollback := next.Phase == PhaseRollingBack && l.decided.Phase != PhaseRollingBack
+	if beginsRollback && !n.checks.forwardPermitsExpired(n.now-l.forwardPermitAt) {
+		l.rollbackPending = true
+		l.pendingCondition = found
+		l.pendingReason = reason
+		return l.decided
+	}
+	l.rollbackPending = false
+	next.Seq++
+	return next
+}
+
+// findCondition returns the condition that holds, and the reason to show for it.
+func (l *leader) findCondition(n *Node) (condition, string) {
+	if found, reason := nextCommand(n); found != conditionNone {
+		return found, reason
+	}
+	s := &l.decided
+	if s.Phase == PhaseNone || s.Phase == PhaseRolledBack {
+		return conditionNone, ""
+	}
+	if found, reason := l.checkRouters(n, s); found != conditionNone {
+		return found, reason
+	}
+	if l.anyMembershipChange(n, s) {
+		return membershipChanged, ""
+	}
+	if s.Batch.Count() > 0 {
+		return batchInProgress, ""
+	}
+	if s.Phase == PhasePaused {
+		return conditionNone, ""
+	}
+	if l.nextBatch(n, s).Count() > 0 {
+		return batchAvailable, ""
+	}
+	if l.anyDue(n, s) {
+		return conditionNone, "" // none of them can change now
+	}
+	if s.Phase != PhaseForward {
+		return stagePassed, ""
+	}
+	return l.watchStage(n, s)
+}
+
+// nextCommand takes the oldest command of the operator.
+func nextCommand(n *Node) (condition, string) {
+	if len(n.commands) == 0 {
+		return conditionNone, ""
+	}
+	command := n.commands[0]
+	n.commands = n.commands[1:]
+	switch command {
+	case CommandStart:
+		return startOrdered, ""
+	case CommandPause:
+		return pauseOrdered, "held by the operator"
+	case CommandResume:
+		return resumeOrdered, "gone on by the operator"
+	case CommandRollBack:
+		return rollbackOrdered, "turned back by the operator"
+	}
+	return conditionNone, ""
+}
+
+// start begins a run.
+func (l *leader) start(n *Node, s *State) {
+	*s = State{Seq: s.Seq, Plan: n.plan.Digest, Phase: PhaseForward, RunID: n.newNonce()}
+	l.watch.startedAt = 0
+}
+
+// rollBack counts the batch as changed: its routers may have begun.
+func (l *leader) rollBack(_ *Node, s *State) {
+	for i := range l.routers {
+		if s.Batch.Has(i) {
+			s.Changed = s.Changed.With(i)
+		}
+	}
+	s.Batch = nil
+}
+
+func (l *leader) startBatch(n *Node, s *State) { s.Batch = l.nextBatch(n, s) }
+
+// passStage goes on to the next stage, or ends the rollout after the last.
+func (l *leader) passStage(n *Node, s *State) {
+	l.watch.previousFleetLosses = l.watch.fleetLosses
+	if s.Stage+1 >= len(n.plan.Stages) {
+		s.Phase = PhaseDone
+		return
+	}
+	s.Stage++
+}
--- /dev/null
+++ b/internal/rollout/validate.go
@@ -0,0 +1,172 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"path/filepath"
+
+	"quilldoor/internal/canary"
+	"quilldoor/internal/yamlfile"
+)
+
+const (
+	maxNameBytes       = 64
+	maxStages          = 32
+	maxEvents          = 10_000 // drains or purges that a stage asks for
+	defaultWatch       = 300.0  // seconds
+	defaultMinWatch    = 30.0   // seconds
+	maxWatch           = 24 * 3600.0
+	defaultSilent      = 30.0 // seconds
+	maxSilent          = 3600.0
+	defaultMemoryRatio = 3.0
+
+	// minSilent is longer than the election of another leader takes after one has died:
+	// promiseHoldoff, electionTimeout, and the stagger of some routers. Otherwise a new
+	// leader would pass over routers that it has had no time to hear of.
+	minSilent = 15.0 // seconds
+)
+
+// validate checks the plan and fills in its defaults.
+func (p *Plan) validate() error {
+	for _, check := range []func() error{
+		p.validateChange, p.validateRouters, p.validateStages, p.validateLimits, p.validateReactions,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Plan) validateChange() error {
+	if p.Name == "" || len(p.Name) > maxNameBytes {
+		return yamlfile.Errorf("name", "missing, or longer than %d bytes", maxNameBytes)
+	}
+	if p.Program == "" && p.Config == "" && p.Operator == "" {
+		return yamlfile.Errorf("program", "nothing changes: name program, config or operator")
+	}
+	for _, file := range []struct{ key, path string }{
+		{"program", p.Program}, {"config", p.Config}, {"operator", p.Operator},
+	} {
+		if file.path != "" && !filepath.IsAbs(file.path) {
+			return yamlfile.Errorf(file.key, "not an absolute path")
+		}
+	}
+	return nil
+}
+
+func (p *Plan) validateRouters() error {
+	if len(p.Routers) < 2 || len(p.Routers) > MaxRouters {
+		return yamlfile.Errorf("routers", "%d of them, 2 to %d wanted", len(p.Routers), MaxRouters)
+	}
+	seen := map[string]bool{}
+	for i, r := range p.Routers {
+		if r.Name == "" || len(r.Name) > maxNameBytes || r.Office == "" || seen[r.Name] {
+			return yamlfile.Errorf(fmt.Sprintf("routers[%d]", i), "without name or office, or %q stands twice", r.Name)
+		}
+		seen[r.Name] = true
+	}
+	return nil
+}
+
+func (p *Plan) validateStages() error {
+	if len(p.Stages) == 0 || len(p.Stages) > maxStages {
+		return yamlfile.Errorf("stages", "%d of them, 1 to %d wanted", len(p.Stages), maxStages)
+	}
+	for i := range p.Stages {
+		if err := p.validateStage(i); err != nil {
+			return err
+		}
+	}
+	last := len(p.Stages) - 1
+	if p.Stages[last].Share != 1 {
+		return yamlfile.Errorf(fmt.Sprintf("stages[%d]", last), "the last one has share 1: a fleet ends in one generation")
+	}
+	return nil
+}
+
+func (p *Plan) validateStage(i int) error {
+	s, key := &p.Stages[i], fmt.Sprintf("stages[%d]", i)
+	for _, name := range s.Routers {
+		if p.Index(name) < 0 {
+			return yamlfile.Errorf(key+".routers", "%q is none of the plan's", name)
+		}
+	}
+	if (len(s.Routers) == 0) == (s.Share == 0) || !(s.Share >= 0 && s.Share <= 1) {
+		return yamlfile.Errorf(key, "either routers, or a share of up to 1")
+	}
+	if s.MinDrains < 0 || s.MinDrains > maxEvents || s.MinPurges < 0 || s.MinPurges > maxEvents {
+		return yamlfile.Errorf(key+".drains", "%d, and purges %d, are not within 0 and %d", s.MinDrains, s.MinPurges, maxEvents)
+	}
+	s.MaxWatchSeconds = cmp.Or(s.MaxWatchSeconds, defaultWatch)
+	s.MinWatchSeconds = cmp.Or(s.MinWatchSeconds, min(defaultMinWatch, s.MaxWatchSeconds))
+	maxInRange := s.MaxWatchSeconds > 0 && s.MaxWatchSeconds <= maxWatch
+	minInRange := s.MinWatchSeconds > 0 && s.MinWatchSeconds <= s.MaxWatchSeconds
+	if !maxInRange || !minInRange {
+		return yamlfile.Errorf(key+".watch_s", "%g, and least_s %g, are not within 0 and a day in this order",
+			s.MaxWatchSeconds, s.MinWatchSeconds)
+	}
+	return nil
+}
+
+func (p *Plan) setLimitDefaults() {
+	p.MaxConcurrent = cmp.Or(p.MaxConcurrent, 1)
+	p.MaxConcurrentRollback = cmp.Or(p.MaxConcurrentRollback, 1)
+	p.SilentSeconds = cmp.Or(p.SilentSeconds, defaultSilent)
+	defaults, g := canary.DefaultSettings(), &p.Guardrails
+	g.MaxLoss = cmp.Or(g.MaxLoss, defaults.MaxLoss)
+	g.Loss = cmp.Or(g.Loss, defaults.Tolerance[canary.MetricLoss])
+	g.Rejections = cmp.Or(g.Rejections, defaults.Tolerance[canary.MetricRejections])
+	g.Failures = cmp.Or(g.Failures, defaults.Tolerance[canary.MetricFailures])
+	g.Slowdown = cmp.Or(g.Slowdown, defaults.Tolerance[canary.MetricSlowness])
+	g.Attempts = cmp.Or(g.Attempts, defaults.Tolerance[canary.MetricAttempts])
+	g.ClassLoss = cmp.Or(g.ClassLoss, defaults.ClassTolerance)
+	g.FalseStopProbability = cmp.Or(g.FalseStopProbability, defaults.FalseStopProbability)
+	g.MemoryRatio = cmp.Or(g.MemoryRatio, defaultMemoryRatio)
+}
+
+func (p *Plan) validateLimits() error {
+	p.setLimitDefaults()
+	g := &p.Guardrails
+	for _, limit := range []struct {
+		key             string
+		value, min, max float64
+	}{
+		{"at_once", float64(p.MaxConcurrent), 1, MaxRouters},
+		{"back_at_once", float64(p.MaxConcurrentRollback), 1, MaxRouters},
+		{"silent_s", p.SilentSeconds, minSilent, maxSilent},
+		{"guards.most_loss", g.MaxLoss, g.Loss, 1},
+		{"guards.loss", g.Loss, 0.0001, 1},
+		{"guards.refusals", g.Rejections, 0.0001, 1},
+		{"guards.failures", g.Failures, 0.0001, 1},
+		{"guards.slower", g.Slowdown, 0.001, 10},
+		{"guards.hops", g.Attempts, 0.001, 10},
+		{"guards.rule_loss", g.ClassLoss, 0.0001, 1},
+		{"guards.chance", g.FalseStopProbability, 0.0001, 0.5},
+		{"guards.memory", g.MemoryRatio, 1, 100},
+	} {
+		if !(limit.value >= limit.min && limit.value <= limit.max) { // refuses NaN, too
+			return yamlfile.Errorf(limit.key, "%g is not within %g and %g", limit.value, limit.min, limit.max)
+		}
+	}
+	return nil
+}
+
+// validateReactions allows each result its default reaction and one other.
+func (p *Plan) validateReactions() error {
+	for _, reaction := range []struct {
+		key                string
+		value              *Reaction
+		byDefault, another Reaction
+	}{
+		{"on_worse", &p.OnWorse, ReactionRollBack, ReactionPause},
+		{"on_unsure", &p.OnInconclusive, ReactionPause, ReactionRollBack},
+		{"cut_off", &p.OnIsolated, ReactionRollBack, ReactionKeep},
+	} {
+		*reaction.value = cmp.Or(*reaction.value, reaction.byDefault)
+		if *reaction.value != reaction.byDefault && *reaction.value != reaction.another {
+			return yamlfile.Errorf(reaction.key, "%q is neither %s nor %s", *reaction.value, reaction.byDefault, reaction.another)
+		}
+	}
+	return nil
+}
