--- /dev/null
+++ b/internal/upgrade/requestcounts.go
@@ -0,0 +1,70 @@
+package upgrade
+
+import "maps"
+
+// RequestCounts counts how requests ended since a process began. It goes over the wire
+// to the supervisor, and as JSON into the status report.
+type RequestCounts struct {
+	Completed     int64   `cbor:"1,keyasint,omitempty"`
+	Rejected      int64   `cbor:"2,keyasint,omitempty"`
+	Aborted       int64   `cbor:"3,keyasint,omitempty"`
+	ClientGone    int64   `cbor:"4,keyasint,omitempty" json:"Left"`   // the client went before it had an answer
+	Late          int64   `cbor:"5,keyasint,omitempty"`               // of the completed
+	WeightOffered float64 `cbor:"6,keyasint,omitempty" json:"Asked"`  // sum of the requests' priority weights
+	WeightEarned  float64 `cbor:"7,keyasint,omitempty" json:"Earned"` // the part of it that latency objectives grant
+	LogLatencySum float64 `cbor:"8,keyasint,omitempty" json:"Time"`   // sum of ln(latency / objective) of the completed
+	Attempts      int64   `cbor:"9,keyasint,omitempty" json:"Hops"`   // of all requests
+	// Classes has requests, weight offered and weight earned by traffic class.
+	Classes map[string][3]float64 `cbor:"10,keyasint,omitempty" json:"Rules"`
+}
+
+func (c RequestCounts) ended() int64 {
+	return c.Completed + c.Rejected + c.Aborted + c.ClientGone
+}
+
+// failed counts requests that did not end well. A request may be late and its client gone.
+func (c RequestCounts) failed() int64 {
+	return min(c.Rejected+c.Aborted+c.ClientGone+c.Late, c.ended())
+}
+
+// outcomesSince has the outcomes, and only them, that came after an earlier count.
+func (c RequestCounts) outcomesSince(earlier RequestCounts) RequestCounts {
+	return RequestCounts{
+		Completed:  c.Completed - earlier.Completed,
+		Rejected:   c.Rejected - earlier.Rejected,
+		Aborted:    c.Aborted - earlier.Aborted,
+		ClientGone: c.ClientGone - earlier.ClientGone,
+		Late:       c.Late - earlier.Late,
+	}
+}
+
+// Add returns the sum of two counts.
+func (c RequestCounts) Add(other RequestCounts) RequestCounts {
+	return RequestCounts{
+		Completed:     c.Completed + other.Completed,
+		Rejected:      c.Rejected + other.Rejected,
+		Aborted:       c.Aborted + other.Aborted,
+		ClientGone:    c.ClientGone + other.ClientGone,
+		Late:          c.Late + other.Late,
+		WeightOffered: c.WeightOffered + other.WeightOffered,
+		WeightEarned:  c.WeightEarned + other.WeightEarned,
+		LogLatencySum: c.LogLatencySum + other.LogLatencySum,
+		Attempts:      c.Attempts + other.Attempts,
+		Classes:       addClasses(c.Classes, other.Classes),
+	}
+}
+
+func addClasses(a, b map[string][3]float64) map[string][3]float64 {
+	sum := maps.Clone(a)
+	for name, counts := range b {
+		if sum == nil {
+			sum = map[string][3]float64{}
+		}
+		total := sum[name]
+		for i := range total {
+			total[i] += counts[i]
+		}
+		sum[name] = total
+	}
+	return sum
+}
--- /dev/null
+++ b/internal/upgrade/states.go
@@ -0,0 +1,113 @@
+package upgrade
+
+import "fmt"
+
+// State is a state of the supervisor's Machine. Old is the settled generation, new the
+// one that may replace it.
+type State uint8
+
+// States of the supervisor. Their names are part of the status report.
+const (
+	StateDown        State = iota // nobody serves; the settled generation is started at the deadline
+	StateStarting                 // the settled generation's process starts
+	StateSteady                   // the settled generation serves and no change is in progress
+	StateChecking                 // the new program validates the new settings
+	StateWarming                  // the new process starts and gets ready; the old one serves
+	StateQuiescing                // the old process stops accepting and releases its state
+	StateHandingOver              // the new process acquires the serving lock
+	StateOnTrial                  // the new process serves, the old one is on standby
+	StateSettling                 // the new process is notified that its trial is over
+	StateWriting                  // the new generation is recorded in the state file
+	StateFallingBack              // the old process acquires the serving lock again
+	StateStopping                 // all processes drain and end
+	StateStopped                  // all processes have ended
+	stateCount
+)
+
+var stateNames = [stateCount]string{
+	"down", "starting", "steady", "checking", "warming", "quieting", "handing over", "on trial", "settling",
+	"writing", "falling back", "stopping", "stopped",
+}
+
+func (s State) String() string { return nameOf(stateNames[:], int(s), "state") }
+
+// Input is an event that the supervisor's Machine reacts to.
+type Input uint8
+
+// Inputs of the supervisor's Machine.
+const (
+	InputApply       Input = iota // a change is requested
+	InputChecked                  // the new settings are valid and the machine has capacity for both
+	InputRejected                 // they are not, or it has not
+	InputOldReady                 // the old process is ready to serve
+	InputNewReady                 // the new process is ready to serve
+	InputReleased                 // the old process has handed over its state and the lock
+	InputOldServes                // the old process accepts clients
+	InputNewServes                // the new process accepts clients
+	InputDenied                   // the new process did not get the serving lock
+	InputSettled                  // the new process has confirmed that its trial is over
+	InputWritten                  // the state file names the new generation as settled
+	InputWriteFailed              // the state file could not be written
+	InputOldGone                  // the old process has ended
+	InputNewGone                  // the new process has ended
+	InputOldHung                  // the old process sends no heartbeats
+	InputNewHung                  // the new process sends no heartbeats, or exceeds its resources
+	InputWorse                    // the new process does worse than the old one did
+	InputCancel                   // the operator or a rollout cancels the change
+	InputTimeout                  // the deadline of the state has passed
+	InputShutdown                 // the supervisor is asked to end
+	InputAllGone                  // all processes have ended
+	inputCount
+)
+
+var inputNames = [inputCount]string{
+	"apply", "checked", "rejected", "old ready", "new ready", "released", "old serves", "new serves", "denied",
+	"settled", "written", "write failed", "old gone", "new gone", "old hung", "new hung", "worse", "cancel",
+	"timeout", "shutdown", "all gone",
+}
+
+func (i Input) String() string { return nameOf(inputNames[:], int(i), "input") }
+
+// Effect is an action that the supervisor carries out for its Machine.
+type Effect uint8
+
+// Effects of the supervisor's Machine, carried out in the order given.
+const (
+	EffectCheck              Effect = 1 + iota // let the new program validate its settings; check the capacity
+	EffectStartOld                             // start the settled generation's process without handed-over state
+	EffectStartNew                             // start the new generation's process
+	EffectServeOld                             // command the old process to serve, without handed-over state
+	EffectServeNew                             // command the new process to serve with the old one's state
+	EffectQuiesceOld                           // command the old process to stop accepting and hand over
+	EffectStandbyOld                           // notify the old process that its successor serves
+	EffectResumeOld                            // command the old process to serve again
+	EffectSettleNew                            // notify the new process that its trial is over
+	EffectSettleOld                            // notify the old process that it needs no trial
+	EffectEndNew                               // let the new process drain and end; kill it when it does not
+	EffectKillNew                              // kill the new process
+	EffectKillOld                              // kill the old process
+	EffectWrite                                // record the new generation as settled in the state file
+	EffectPromote                              // the new process becomes the old one; its predecessor drains and ends
+	EffectEndAll                               // let all processes drain and end
+	EffectReportRejected                       // report: rejected, nothing has changed
+	EffectReportFellBack                       // report: the old generation serves again
+	EffectReportDone                           // report: the new generation is settled
+	EffectReportNotPersisted                   // report: settled, but a cold start begins with the old generation
+	effectEnd
+)
+
+var effectNames = [effectEnd]string{
+	"none", "check", "start old", "start new", "serve old", "serve new", "quiesce old", "standby old", "resume old",
+	"settle new", "settle old", "end new", "kill new", "kill old", "write", "promote", "end all", "report rejected",
+	"report fell back", "report done", "report not persisted",
+}
+
+func (e Effect) String() string { return nameOf(effectNames[:], int(e), "effect") }
+
+// nameOf returns the name of an enumeration's value, also of one out of range.
+func nameOf(names []string, value int, kind string) string {
+	if value < 0 || value >= len(names) {
+		return fmt.Sprintf("%s(%d)", kind, value)
+	}
+	return names[value]
+}
