--- a/cmd/quilldoor/peers.go
+++ b/cmd/quilldoor/peers.go
@@ -9,6 +9,7 @@
 	"quilldoor/internal/gossip"
 	"quilldoor/internal/membership"
 	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/rollout"
 )
 
@@ -52,7 +53,7 @@
 func (p *peers) apply(list []gossip.Endpoint) {
 	if len(list) > 0 {
 		p.log.WithField("changes", len(list)).Info("list changed by what other routers say")
-		p.listed("diff", coreServers(list))
+		p.listed(policy.ScopeDiff, coreServers(list))
 	}
 }
 
@@ -72,14 +73,14 @@
 }
 
 // board passes what the own board tells, with what others know better.
-func (p *peers) board(scope string, list []engine.Endpoint) []engine.Endpoint {
+func (p *peers) board(scope policy.UpdateScope, list []engine.Endpoint) []engine.Endpoint {
 	out := make([]gossip.Endpoint, len(list))
 	for i, s := range list {
 		out[i] = gossip.Endpoint{Endpoint: s.Endpoint, Address: s.Address}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return coreServers(p.book.ApplyLocal(p.now(), scope != "diff", out))
+	return coreServers(p.book.ApplyLocal(p.now(), scope != policy.ScopeDiff, out))
 }
 
 func (p *peers) purged(object string, group, at int64) {
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -100,9 +100,9 @@
 		}
 	})
 	r.bodies = bufferpool.NewPool(c.Limits.MaxBufferedBytes)
-	ended := func(h *engine.Attempt, o engine.Outcome) { r.core.AttemptEnded(clock(), h, o) }
+	ended := func(h *engine.Attempt, o engine.Result) { r.core.AttemptEnded(clock(), h, o) }
 	if lags != nil {
-		ended = func(h *engine.Attempt, o engine.Outcome) { lags(h, func() { r.core.AttemptEnded(clock(), h, o) }) }
+		ended = func(h *engine.Attempt, o engine.Result) { lags(h, func() { r.core.AttemptEnded(clock(), h, o) }) }
 	}
 	r.up = upstream.New(c.Limits, r.bodies, ended, r.log)
 	r.front = downstream.New(r.core, r.up, r.bodies, c.Limits)
@@ -327,21 +327,21 @@
 func (r *router) probe(s *engine.Endpoint, tag string) {
 	sent := clock()
 	r.up.CheckHealth(s, tag, func(ok bool) {
-		code := "done"
+		outcome := policy.OutcomeDone
 		if !ok {
-			code = "econnrefused"
+			outcome = policy.OutcomeConnectionRefused
 		}
-		r.core.HealthChecked(clock(), s.ID, code, clock()-sent)
+		r.core.HealthChecked(clock(), s.ID, outcome, clock()-sent)
 	})
 	time.AfterFunc(r.limit.ConnectTimeout, func() {
 		if r.up.CancelHealthCheck(s, tag) {
-			r.core.HealthChecked(clock(), s.ID, "etimedout", clock()-sent)
+			r.core.HealthChecked(clock(), s.ID, policy.OutcomeTimeout, clock()-sent)
 		}
 	})
 }
 
 // EndpointsChanged takes changes of the list of servers from the board.
-func (r *router) EndpointsChanged(scope string, list []engine.Endpoint) {
+func (r *router) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
 	if r.peers != nil {
 		list = r.peers.board(scope, list)
 	}
@@ -349,7 +349,7 @@
 }
 
 // listed applies changes of the list.
-func (r *router) listed(scope string, list []engine.Endpoint) {
+func (r *router) listed(scope policy.UpdateScope, list []engine.Endpoint) {
 	if mishears != nil {
 		mishears(list)
 	}
@@ -426,7 +426,7 @@
 	named := map[string]bool{}
 	for _, k := range set.Classes {
 		// An effect but a safe one, a write, or copies of no told age are never kept.
-		able := k.Effect == "safe" && !k.Write && k.FreshFor > 0
+		able := k.Effect == policy.EffectIdempotent && !k.Write && k.FreshFor > 0
 		chosen := slices.Contains(d.TrafficClasses, k.Name)
 		if named[k.Name] = true; chosen && !able {
 			return fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", k.Name)
--- a/internal/cacheproto/cacheproto.go
+++ b/internal/cacheproto/cacheproto.go
@@ -10,6 +10,8 @@
 	"math"
 	"strconv"
 	"strings"
+
+	"quilldoor/internal/policy"
 )
 
 // GetCommand is one hop's command. Times are milliseconds.
@@ -20,7 +22,7 @@
 	Source            string // "": a miss is not filled
 	Priority          int
 	MaxAgeMillis      int64 // 0: the fresh time of the class
-	Mode              int   // bits, as the module has them
+	FillMode          policy.FillMode
 	Tag               string
 	IdempotencyKey    string // the client's mark against repeats
 	Length            int
@@ -69,7 +71,7 @@
 	}
 	sep := ",f="
 	for i, word := range modeWords {
-		if g.Mode>>i&1 == 1 {
+		if g.FillMode>>i&1 == 1 {
 			b = append(append(b, sep...), word...)
 			sep = "+"
 		}
@@ -114,10 +116,18 @@
 	"STALE": StatusSkipped, "READY": StatusReady,
 }
 
-// notes stand in the order of the simulator's numbers, from 1.
-var notes = map[string]int{
-	"HIT": 1, "MISS": 2, "MISS_ORIGIN": 3, "COLLAPSED": 4, "STALE": 5, "UP_BUSY": 6,
-	"UP_DOWN": 7, "UP_MISS": 8, "NO_FILL": 9, "ORIGIN_ERR": 10,
+// notes are the words of an answer's note.
+var notes = map[string]policy.Reason{
+	"HIT":         policy.ReasonHit,
+	"MISS":        policy.ReasonMiss,
+	"MISS_ORIGIN": policy.ReasonMissOrigin,
+	"COLLAPSED":   policy.ReasonCoalesced,
+	"STALE":       policy.ReasonStale,
+	"UP_BUSY":     policy.ReasonUpstreamBusy,
+	"UP_DOWN":     policy.ReasonUpstreamDown,
+	"UP_MISS":     policy.ReasonUpstreamMiss,
+	"NO_FILL":     policy.ReasonNoFill,
+	"ORIGIN_ERR":  policy.ReasonOriginError,
 }
 
 // Response is one answer's line; Length bytes and CR LF follow it.
@@ -126,7 +136,7 @@
 	Status       Status
 	Tag          string
 	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out
-	Reason       int
+	Reason       policy.Reason
 	DelayMillis  float64 // milliseconds
 	Load         map[string]float64
 	Length       int
--- a/internal/cacheproto/cacheproto_test.go
+++ b/internal/cacheproto/cacheproto_test.go
@@ -5,6 +5,8 @@
 	"errors"
 	"strings"
 	"testing"
+
+	"quilldoor/internal/policy"
 )
 
 func TestCommands(t *testing.T) {
@@ -13,7 +15,7 @@
 	if got := string(AppendGet(nil, g)); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	g.Source, g.Priority, g.MaxAgeMillis, g.Mode, g.Tag, g.Length = "o-1", 2, 40, 1|2|8, "tag", 7
+	g.Source, g.Priority, g.MaxAgeMillis, g.FillMode, g.Tag, g.Length = "o-1", 2, 40, 1|2|8, "tag", 7
 	want = "GET 9b queue=page,path=x,blk=3,budget=150,miss=o-1,prio=2,within=40,f=wait-for+no-fetch+background,mine=tag 7\r\n"
 	if got := string(AppendGet(nil, g)); got != want {
 		t.Errorf("%q, want %q", got, want)
@@ -29,7 +31,7 @@
 
 func TestAnswer(t *testing.T) {
 	a, err := read("9b ACK entity=4be0,issued=1764576000123,detail=MISS_ORIGIN,delay=12.5,use=util:0.61;x1:2,new=1 9\r\n")
-	if err != nil || a.ID != "9b" || a.Status != StatusOK || a.Tag != "4be0" || a.IssuedMillis != 1764576000123 || a.Reason != 3 ||
+	if err != nil || a.ID != "9b" || a.Status != StatusOK || a.Tag != "4be0" || a.IssuedMillis != 1764576000123 || a.Reason != policy.ReasonMissOrigin ||
 		a.DelayMillis != 12.5 || a.Load["util"] != 0.61 || a.Load["x1"] != 2 || a.Length != 9 {
 		t.Fatalf("%+v, %v", a, err)
 	}
@@ -72,7 +74,7 @@
 
 // What one side writes the other reads.
 func TestBothSidesAgree(t *testing.T) {
-	g := GetCommand{ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2, MaxAgeMillis: 500, Mode: 11, Tag: "t", Length: 4}
+	g := GetCommand{ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2, MaxAgeMillis: 500, FillMode: 11, Tag: "t", Length: 4}
 	c, err := ReadCommand(bufio.NewReader(strings.NewReader(string(AppendGet(nil, &g)))))
 	if err != nil || c.Get == nil || *c.Get != g {
 		t.Fatalf("%+v, %v", c.Get, err)
@@ -87,9 +89,9 @@
 			t.Errorf("%q was read", bad)
 		}
 	}
-	a := Response{ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: 4, DelayMillis: 1.5, Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10}
+	a := Response{ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: policy.ReasonCoalesced, DelayMillis: 1.5, Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10}
 	got, err := ReadResponse(bufio.NewReader(strings.NewReader(string(AppendResponse(nil, &a)))), 100)
-	if err != nil || got.Tag != a.Tag || got.Reason != 4 || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
+	if err != nil || got.Tag != a.Tag || got.Reason != policy.ReasonCoalesced || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	none := Response{ID: "ab", Status: StatusMiss}
--- a/internal/cacheproto/server.go
+++ b/internal/cacheproto/server.go
@@ -81,7 +81,7 @@
 				if i < 0 {
 					return broken("word %.20q", word)
 				}
-				g.Mode |= 1 << i
+				g.FillMode |= 1 << i
 			}
 		case "mine":
 			g.Tag = value
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -253,11 +253,11 @@
 		r.drained(e, e.Source, "named as source")
 	}
 	for _, h := range t.hops {
-		if proofs[h.end] || t.rule.Effect == "safe" {
+		if proofs[h.end] || t.rule.Effect == policy.EffectIdempotent {
 			continue
 		}
 		switch {
-		case t.rule.Effect == "unsafe":
+		case t.rule.Effect == policy.EffectUnsafe:
 			r.broken(2, e, "sent again while hop %d (%q) may have run", h.n, h.end)
 		case t.rule.DedupWindow > 0 && e.At-h.sent >= t.rule.DedupWindow:
 			r.broken(2, e, "a keyed txn sent again %d ms after hop %d, past the window", (e.At-h.sent)/ms, h.n)
@@ -284,7 +284,7 @@
 	if h := t.hop(e); h != nil {
 		h.ran = true
 	}
-	if t.rule.Effect == "unsafe" {
+	if t.rule.Effect == policy.EffectUnsafe {
 		if t.runs > 1 {
 			r.broken(2, e, "run %d times", t.runs)
 		}
@@ -321,7 +321,7 @@
 	}
 	t.outcome = e.Outcome
 	r.done = append(r.done, ended{key, e.At})
-	if e.Outcome == "rejected" && t.rule.Effect == "unsafe" {
+	if e.Outcome == "rejected" && t.rule.Effect == policy.EffectUnsafe {
 		for _, h := range t.hops {
 			if h.ran || !proofs[h.end] {
 				r.broken(2, e, "rejected while hop %d (%q) may have run", h.n, h.end)
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -110,9 +110,9 @@
 		r := New(Figures{
 			AnswerSlack: 8 * ms, DrainGrace: 500 * ms, PurgeGrace: 300 * ms, ToldBy: 7 * second,
 			Rules: []policy.TrafficClass{
-				{Name: "read", Effect: "safe"},
-				{Name: "sign", Effect: "unsafe", Write: true},
-				{Name: "keyed", Effect: "keyed", DedupWindow: 100 * ms},
+				{Name: "read", Effect: policy.EffectIdempotent},
+				{Name: "sign", Effect: policy.EffectUnsafe, Write: true},
+				{Name: "keyed", Effect: policy.EffectIdempotencyKey, DedupWindow: 100 * ms},
 			},
 		})
 		for _, l := range c.lines {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,7 +27,7 @@
 
 // Handler takes the events, in order. At is in whole microseconds of Unix time.
 type Handler interface {
-	EndpointsChanged(scope string, list []engine.Endpoint)
+	EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint)
 	Purge(object string, group, at int64)
 	DiscoveryLost(err error) // after the first failed poll in a row
 	DiscoveryRestored()
@@ -60,7 +60,11 @@
 	BootMS                          float64 `json:"boot_ms"`
 }
 
-var states = map[string]string{"ready": "active", "draining": "leaving", "gone": "left"}
+var states = map[string]policy.EndpointState{
+	"ready":    policy.EndpointActive,
+	"draining": policy.EndpointDraining,
+	"gone":     policy.EndpointGone,
+}
 
 // Parse reads news and checks that all of it can be used.
 func Parse(text []byte) (*Update, error) {
@@ -111,16 +115,16 @@
 		gap = gap || f.rev > 0 && e.Rev > f.rev+1
 		f.rev = e.Rev
 		if e.Pool != nil {
-			scope := "diff"
+			scope := policy.ScopeDiff
 			switch {
 			case !f.whole:
-				scope = "disk"
+				scope = policy.ScopeDisk
 			case e.Pool.All:
-				scope = "snapshot"
+				scope = policy.ScopeSnapshot
 			}
 			f.whole = true
 			var list []engine.Endpoint
-			if scope != "diff" {
+			if scope != policy.ScopeDiff {
 				clear(f.list)
 			}
 			for _, t := range e.Pool.Targets {
@@ -129,7 +133,7 @@
 					Weight: t.CapacityHint, StartedAt: settings.Micros(t.BootMS),
 				}})
 				s := list[len(list)-1]
-				if f.list[s.ID] = s; s.State == "left" {
+				if f.list[s.ID] = s; s.State == policy.EndpointGone {
 					delete(f.list, s.ID)
 				}
 			}
@@ -176,7 +180,7 @@
 		}
 	}
 	if _, list = f.Snapshot(); len(list) > 0 {
-		f.sink.EndpointsChanged("snapshot", list)
+		f.sink.EndpointsChanged(policy.ScopeSnapshot, list)
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,13 +11,14 @@
 
 	"quilldoor/internal/config"
 	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 )
 
 // sink passes everything on as lines of text.
 type sink chan string
 
-func (s sink) EndpointsChanged(scope string, list []engine.Endpoint) {
-	line := scope
+func (s sink) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
+	line := string(scope)
 	for _, m := range list {
 		line += fmt.Sprintf(" %s@%s:%s:%d", m.ID, m.Address, m.State, m.StartedAt)
 	}
--- a/internal/downstream/across.go
+++ b/internal/downstream/across.go
@@ -12,7 +12,11 @@
 	"quilldoor/internal/upstream"
 )
 
-var effects = map[string]peerpolicy.Effect{"safe": peerpolicy.EffectIdempotent, "keyed": peerpolicy.EffectIdempotencyKey, "unsafe": peerpolicy.EffectUnsafe}
+var effects = map[policy.Effect]peerpolicy.Effect{
+	policy.EffectIdempotent:     peerpolicy.EffectIdempotent,
+	policy.EffectIdempotencyKey: peerpolicy.EffectIdempotencyKey,
+	policy.EffectUnsafe:         peerpolicy.EffectUnsafe,
+}
 
 // across hands a txn that the module has refused to another site, and puts what
 // becomes of it in the place of the refusal. False: its client has left.
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -33,7 +33,7 @@
 		MaxClients: clients, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxRequestBody: 100, MaxDiscardBytes: 1 << 20,
 		MaxRequestTimeout: time.Second, RequestReadTimeout: requestTime, ClientIdleTimeout: 10 * time.Second, LingeringCloseTimeout: 10 * time.Second,
 	}
-	set := &policy.Settings{Classes: []policy.TrafficClass{{Name: "page", Effect: "safe", LatencyObjective: 1000, PriorityWeight: 1}}}
+	set := &policy.Settings{Classes: []policy.TrafficClass{{Name: "page", Effect: policy.EffectIdempotent, LatencyObjective: 1000, PriorityWeight: 1}}}
 	d := &door{New(engine.New(set, 1, func() {}), nil, bufferpool.NewPool(1<<20), limits), l, make(chan error, 1)}
 	go func() { d.served <- d.Serve(l) }()
 	t.Cleanup(func() {
--- a/internal/downstream/txn.go
+++ b/internal/downstream/txn.go
@@ -81,7 +81,7 @@
 		a.key = key
 		ok = ok && cacheproto.IsPlain(key)
 	}
-	if rule.Effect == "keyed" && a.key == "" {
+	if rule.Effect == policy.EffectIdempotencyKey && a.key == "" {
 		return nil, 400 // a repeat of it could not be told from another
 	}
 	if !ok {
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -16,6 +16,7 @@
 	"quilldoor/internal/membership"
 	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simfleet"
 	"quilldoor/internal/simulation"
@@ -166,7 +167,7 @@
 
 func (m mailer) apply(r *vrouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.core.UpdateEndpoints(m.now(), "diff", coreServers(list))
+		r.core.UpdateEndpoints(m.now(), policy.ScopeDiff, coreServers(list))
 	}
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -10,6 +10,7 @@
 
 	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/eventlog"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simulation"
 )
@@ -161,7 +162,7 @@
 	x.hops++
 	c.hops[g.ID] = h
 	p.world.Hop(&simulation.Hop{
-		Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, Mode: g.Mode,
+		Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, FillMode: g.FillMode,
 		Within: g.MaxAgeMillis * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h,
 	})
 }
@@ -208,7 +209,7 @@
 }
 
 var (
-	answerOf  = map[string]cacheproto.Status{"done": cacheproto.StatusOK, "busy": cacheproto.StatusBusy, "enoent": cacheproto.StatusMiss, "err": cacheproto.StatusError}
+	answerOf  = map[policy.Outcome]cacheproto.Status{policy.OutcomeDone: cacheproto.StatusOK, policy.OutcomeBusy: cacheproto.StatusBusy, policy.OutcomeMiss: cacheproto.StatusMiss, policy.OutcomeError: cacheproto.StatusError}
 	garbage   = []byte("%% ACK entity\r\n")
 	secondKey = "recorded "
 )
@@ -220,7 +221,7 @@
 		return
 	}
 	delete(c.hops, h.id)
-	word, known := answerOf[e.Code]
+	word, known := answerOf[e.Outcome]
 	if !known || e.Spoilt { // a reset, or what can't be read and then the end
 		if e.Spoilt {
 			c.put(garbage)
@@ -228,7 +229,7 @@
 		c.reset()
 		return
 	}
-	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Note, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
+	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Reason, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
 	var body []byte
 	if word == cacheproto.StatusOK {
 		if w.Rule == scenario.Accept {
--- a/internal/emulator/sites.go
+++ b/internal/emulator/sites.go
@@ -137,7 +137,11 @@
 	}
 }
 
-var effectOf = map[string]peerpolicy.Effect{"safe": peerpolicy.EffectIdempotent, "keyed": peerpolicy.EffectIdempotencyKey, "unsafe": peerpolicy.EffectUnsafe}
+var effectOf = map[policy.Effect]peerpolicy.Effect{
+	policy.EffectIdempotent:     peerpolicy.EffectIdempotent,
+	policy.EffectIdempotencyKey: peerpolicy.EffectIdempotencyKey,
+	policy.EffectUnsafe:         peerpolicy.EffectUnsafe,
+}
 
 // cross hands over a txn that the module has refused; false: it stays.
 func (v *virtual) cross(t *vtxn, o engine.Command) bool {
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -24,6 +24,7 @@
 	"quilldoor/internal/checker"
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/gateway"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simulation"
 )
@@ -590,7 +591,7 @@
 		CapacityHint float64 `json:"capacity_hint"`
 		BootMS       int64   `json:"boot_ms"`
 	}
-	states := map[string]string{"active": "ready", "leaving": "draining", "left": "gone"}
+	states := map[policy.EndpointState]string{policy.EndpointActive: "ready", policy.EndpointDraining: "draining", policy.EndpointGone: "gone"}
 	out := []target{}
 	for _, s := range list {
 		p, err := r.place(s.ID)
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -242,7 +242,7 @@
 		r.book = gossip.New(gossip.Settings{PurgeRetention: int64(v.set.Fleet.ClearedMS*1000) + longest})
 		r.core.HoldSlowStart(v.now(), v.now()+set.Contract.OverloadWindow)
 	}
-	r.core.UpdateEndpoints(v.now(), "disk", v.known(r, true, servers(known)))
+	r.core.UpdateEndpoints(v.now(), policy.ScopeDisk, v.known(r, true, servers(known)))
 	v.run(r)
 }
 
@@ -330,7 +330,7 @@
 	}
 	x := &simulation.Hop{
 		Router: t.router.id, Txn: a.Txn, N: h.Number, Server: h.Endpoint.ID, Source: h.Source, Rank: h.CachePriority,
-		Mode: h.Mode, Within: h.MaxAge, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
+		FillMode: h.FillMode, Within: h.MaxAge, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
 		Write: a.Write, Tag: h,
 	}
 	if x.Source == "" && h.Endpoint.Kind == "ledger" {
@@ -444,8 +444,8 @@
 
 func (v *virtual) end(router int, h *simulation.Hop, e simulation.End) {
 	r := v.routers[router]
-	o := engine.Outcome{Code: e.Code, Reason: e.Note, OriginWait: e.Waited, Load: e.Load}
-	if e.Code == "done" {
+	o := engine.Result{Outcome: e.Outcome, Reason: e.Reason, OriginWait: e.Waited, Load: e.Load}
+	if e.Outcome == policy.OutcomeDone {
 		o.Response = reply{e.Issued}
 	}
 	if r.core == nil {
@@ -492,7 +492,7 @@
 		r.core.Purge(v.now(), n.Object, n.Group, n.At+epoch)
 		return
 	}
-	r.core.UpdateEndpoints(v.now(), "diff", v.known(r, false, servers(n.Servers)))
+	r.core.UpdateEndpoints(v.now(), policy.ScopeDiff, v.known(r, false, servers(n.Servers)))
 }
 
 // Down kills a router.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -18,7 +18,7 @@
 }
 
 // Active tells whether the server may be sent anything new.
-func (s *Endpoint) Active() bool { return s.State == "active" }
+func (s *Endpoint) Active() bool { return s.State == policy.EndpointActive }
 
 // Errors of Open.
 var (
@@ -87,7 +87,7 @@
 	if c.txns[e.Request] != nil {
 		return nil, ErrDuplicate
 	}
-	t := &Request{ID: e.Request, core: c, deadline: now + e.Remaining, wake: wake, unsafe: c.rules[e.Class].Effect == "unsafe"}
+	t := &Request{ID: e.Request, core: c, deadline: now + e.Remaining, wake: wake, unsafe: c.rules[e.Class].Effect == policy.EffectUnsafe}
 	c.txns[t.ID] = t
 	c.open++
 	t.limit = c.at(now, &timer{due: t.deadline + c.slack, txn: t})
@@ -114,13 +114,13 @@
 	}
 }
 
-// Outcome is how a hop ended.
-type Outcome struct {
-	Code       string // as the module words it
-	Reason     int
+// Result is how an attempt ended.
+type Result struct {
+	Outcome    policy.Outcome
+	Reason     policy.Reason
 	OriginWait int64
 	Load       map[string]float64
-	Response   Response // of "done"
+	Response   Response // of OutcomeDone
 }
 
 // Response is what a completed txn is answered with; the core only hands it on.
@@ -128,17 +128,14 @@
 
 // AttemptEnded takes a hop's outcome. The first one counts; the reply of a later one,
 // or of one that no client waits for, is released.
-func (c *Engine) AttemptEnded(now int64, h *Attempt, o Outcome) {
+func (c *Engine) AttemptEnded(now int64, h *Attempt, o Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended(now, h, o)
 	c.run(now)
 }
 
-// unrun are the ends that prove that a hop never ran.
-var unrun = map[string]bool{"busy": true, "enoent": true, "econnrefused": true, "skipped": true}
-
-func (c *Engine) ended(now int64, h *Attempt, o Outcome) {
+func (c *Engine) ended(now int64, h *Attempt, o Result) {
 	t := h.Request
 	if h.ended {
 		if o.Response != nil {
@@ -149,8 +146,8 @@
 	h.ended = true
 	c.over(h.limit)
 	t.out--
-	t.ran = t.ran || !unrun[o.Code]
-	if o.Code == "done" && !t.closed {
+	t.ran = t.ran || !o.Outcome.NeverExecuted()
+	if o.Outcome == policy.OutcomeDone && !t.closed {
 		t.post(Command{Kind: CommandRespond, Attempt: h, Response: o.Response})
 		c.close(now, t)
 	} else if o.Response != nil {
@@ -158,7 +155,7 @@
 	}
 	c.queue = append(c.queue, policy.Event{
 		Kind: policy.EventAttemptEnded, Request: t.ID, Endpoint: h.Endpoint.ID, Attempt: h.Number,
-		Outcome: o.Code, Reason: o.Reason, Final: t.closed, RTT: now - h.DecidedAt, OriginWait: o.OriginWait, Load: o.Load,
+		Outcome: o.Outcome, Reason: o.Reason, Final: t.closed, RTT: now - h.DecidedAt, OriginWait: o.OriginWait, Load: o.Load,
 	})
 	c.forget(t)
 }
@@ -166,7 +163,7 @@
 // UpdateEndpoints takes changes of the list ("diff") or a whole one ("disk" at the
 // start, else "snapshot") and returns the servers, as they were listed, that
 // take nothing new at their addresses now.
-func (c *Engine) UpdateEndpoints(now int64, scope string, list []Endpoint) (retired []*Endpoint) {
+func (c *Engine) UpdateEndpoints(now int64, scope policy.UpdateScope, list []Endpoint) (retired []*Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := policy.Event{Kind: policy.EventEndpoints, Scope: scope}
@@ -178,12 +175,12 @@
 			retired = append(retired, old)
 		}
 		c.servers[s.ID] = &s
-		if s.State == "left" {
+		if s.State == policy.EndpointGone {
 			delete(c.servers, s.ID)
 		}
 	}
 	for id, old := range c.servers {
-		if scope != "diff" && !named[id] {
+		if scope != policy.ScopeDiff && !named[id] {
 			delete(c.servers, id)
 			retired = append(retired, old)
 		}
@@ -240,10 +237,10 @@
 }
 
 // HealthChecked takes a probe's result.
-func (c *Engine) HealthChecked(now int64, server, code string, rtt int64) {
+func (c *Engine) HealthChecked(now int64, endpoint string, outcome policy.Outcome, rtt int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(now, policy.Event{Kind: policy.EventHealthCheck, Endpoint: server, Outcome: code, RTT: rtt})
+	c.handle(now, policy.Event{Kind: policy.EventHealthCheck, Endpoint: endpoint, Outcome: outcome, RTT: rtt})
 }
 
 // Run does what has fallen due, and returns when to call again at the latest
@@ -267,12 +264,12 @@
 	switch {
 	case d.hop != nil:
 		// Without a connection, so far, it is proven that nothing ran.
-		code := "etimedout"
+		outcome := policy.OutcomeTimeout
 		if d.hop.Withdraw() {
-			code = "econnrefused"
+			outcome = policy.OutcomeConnectionRefused
 		}
 		d.hop.Request.post(Command{Kind: CommandDrop, Attempt: d.hop, Silent: true})
-		c.ended(now, d.hop, Outcome{Code: code})
+		c.ended(now, d.hop, Result{Outcome: outcome})
 	case d.txn != nil:
 		// No answer has come from the module by now, and one is owed.
 		d.txn.post(Command{Kind: CommandFail, MaybeExecuted: true})
@@ -321,12 +318,12 @@
 	case policy.ActionCancel:
 		if t != nil && a.Attempt >= 0 && a.Attempt < len(t.hops) && !t.hops[a.Attempt].ended {
 			h := t.hops[a.Attempt]
-			code := "ecanceled"
+			outcome := policy.OutcomeCanceled
 			if h.Withdraw() {
-				code = "skipped"
+				outcome = policy.OutcomeSkipped
 			}
 			t.post(Command{Kind: CommandDrop, Attempt: h})
-			c.ended(now, h, Outcome{Code: code})
+			c.ended(now, h, Result{Outcome: outcome})
 		}
 	case policy.ActionSetTimer:
 		c.at(now, &timer{due: a.Due, token: a.Token})
@@ -353,7 +350,7 @@
 
 // send makes a hop. One that can't go out ends at once, proven not to have run.
 func (c *Engine) send(now int64, t *Request, a policy.Action) {
-	h := &Attempt{Request: t, Number: len(t.hops), CachePriority: a.CachePriority, MaxAge: a.MaxAge, Mode: a.Mode, Deadline: t.deadline, SendBefore: a.SendBefore, DecidedAt: now, Unsafe: t.unsafe && (t.ran || t.out > 0)}
+	h := &Attempt{Request: t, Number: len(t.hops), CachePriority: a.CachePriority, MaxAge: a.MaxAge, FillMode: a.FillMode, Deadline: t.deadline, SendBefore: a.SendBefore, DecidedAt: now, Unsafe: t.unsafe && (t.ran || t.out > 0)}
 	t.hops = append(t.hops, h)
 	t.out++
 	if a.Timeout > 0 {
@@ -370,7 +367,7 @@
 	}
 	if t.closed || h.Deadline <= now || c.limits.MaxAttempts > 0 && h.Number >= c.limits.MaxAttempts || !h.Endpoint.Active() {
 		h.Withdraw()
-		c.ended(now, h, Outcome{Code: "skipped"})
+		c.ended(now, h, Result{Outcome: policy.OutcomeSkipped})
 		return
 	}
 	h.limit = c.at(now, &timer{due: h.Deadline, hop: h})
@@ -386,7 +383,7 @@
 	for _, h := range t.hops {
 		if !h.ended && h.Withdraw() {
 			t.post(Command{Kind: CommandDrop, Attempt: h})
-			c.ended(now, h, Outcome{Code: "skipped"})
+			c.ended(now, h, Result{Outcome: policy.OutcomeSkipped})
 		}
 	}
 	c.forget(t)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -21,8 +21,8 @@
 		Limits:    policy.Limits{Cancel: true, Hedging: true, MaxAttempts: 6},
 		Hierarchy: policy.Hierarchy{CacheBypass: true, ParentKind: -1, OriginKind: 1, PurgeSettleTime: 6000 * ms},
 		Classes: []policy.TrafficClass{
-			{Name: "read", Effect: "safe", LatencyObjective: 200 * ms, PriorityWeight: 1},
-			{Name: "write", Effect: "unsafe", LatencyObjective: 200 * ms, PriorityWeight: 1, Write: true},
+			{Name: "read", Effect: policy.EffectIdempotent, LatencyObjective: 200 * ms, PriorityWeight: 1},
+			{Name: "write", Effect: policy.EffectUnsafe, LatencyObjective: 200 * ms, PriorityWeight: 1, Write: true},
 		},
 	}
 	if change != nil {
@@ -30,9 +30,9 @@
 	}
 	w := &world{Engine: New(&set, 1, func() {})}
 	w.UpdateEndpoints(start, "disk", []Endpoint{
-		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "a:1"},
-		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "b:1"},
-		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Address: "o:1"},
+		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "a:1"},
+		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "b:1"},
+		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: policy.EndpointActive, Weight: 1}, Address: "o:1"},
 	})
 	return w
 }
@@ -72,8 +72,8 @@
 		t.Fatalf("hop %+v after %d rings", h, w.rings)
 	}
 	first, second := &reply{}, &reply{}
-	w.AttemptEnded(start+ms, h, Outcome{Code: "done", Response: first})
-	w.AttemptEnded(start+2*ms, h, Outcome{Code: "done", Response: second})
+	w.AttemptEnded(start+ms, h, Result{Outcome: policy.OutcomeDone, Response: first})
+	w.AttemptEnded(start+2*ms, h, Result{Outcome: policy.OutcomeDone, Response: second})
 	if o := next(t, txn, CommandRespond); o.Response != Response(first) || first.released != 0 || second.released != 1 {
 		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
 	}
@@ -94,7 +94,7 @@
 		t.Fatalf("dropped %+v", o.Attempt)
 	}
 	late := &reply{}
-	w.AttemptEnded(start+2*ms, h, Outcome{Code: "done", Response: late})
+	w.AttemptEnded(start+2*ms, h, Result{Outcome: policy.OutcomeDone, Response: late})
 	if box := txn.TakeCommands(); len(box) != 0 || late.released != 1 {
 		t.Fatalf("orders %+v, released %d", box, late.released)
 	}
@@ -128,14 +128,14 @@
 		if begun && !h.Begin() {
 			t.Fatal("not begun")
 		}
-		code := "econnreset"
+		code := policy.OutcomeConnectionReset
 		if h.Withdraw() {
-			code = "econnrefused"
+			code = policy.OutcomeConnectionRefused
 		}
 		if h.Begin() {
 			t.Fatal("written after it was withdrawn or begun")
 		}
-		w.AttemptEnded(start+950*ms, h, Outcome{Code: code})
+		w.AttemptEnded(start+950*ms, h, Result{Outcome: code})
 		next(t, txn, want)
 	}
 }
@@ -144,15 +144,15 @@
 	w := newWorld(nil)
 	var list []Endpoint
 	for _, id := range []string{"a", "b"} {
-		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
+		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: policy.EndpointDraining, Weight: 8}})
 	}
-	if gone := w.UpdateEndpoints(start, "diff", list); len(gone) != 2 {
+	if gone := w.UpdateEndpoints(start, policy.ScopeDiff, list); len(gone) != 2 {
 		t.Fatalf("retired %v", gone)
 	}
 	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.Endpoint.ID != "o" || h.Source != "" {
 		t.Fatalf("sent to %s with source %q", h.Endpoint.ID, h.Source)
 	}
-	if gone := w.UpdateEndpoints(start, "snapshot", nil); len(gone) != 3 {
+	if gone := w.UpdateEndpoints(start, policy.ScopeSnapshot, nil); len(gone) != 3 {
 		t.Fatalf("a whole list without them retired %v", gone)
 	}
 }
@@ -162,10 +162,10 @@
 func TestChangedAddressRetiresTheOldOne(t *testing.T) {
 	w := newWorld(nil)
 	moved := Endpoint{Endpoint: w.servers["a"].Endpoint, Address: "a:2"}
-	if gone := w.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(gone) != 1 || gone[0].Address != "a:1" {
+	if gone := w.UpdateEndpoints(start, policy.ScopeDiff, []Endpoint{moved}); len(gone) != 1 || gone[0].Address != "a:1" {
 		t.Fatalf("retired %v", gone)
 	}
-	if gone := w.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(gone) != 0 {
+	if gone := w.UpdateEndpoints(start, policy.ScopeDiff, []Endpoint{moved}); len(gone) != 0 {
 		t.Fatalf("retired %v though nothing changed", gone)
 	}
 }
@@ -215,13 +215,13 @@
 	txn := w.ask(t, "read")
 	h := next(t, txn, CommandSend).Attempt
 	h.Begin()
-	w.AttemptEnded(start+ms, h, Outcome{Code: "enoent"})
+	w.AttemptEnded(start+ms, h, Result{Outcome: policy.OutcomeMiss})
 	again := next(t, txn, CommandSend).Attempt
 	if again.Number != 1 || again == h {
 		t.Fatalf("second hop %+v", again)
 	}
 	again.Begin()
-	w.AttemptEnded(start+2*ms, again, Outcome{Code: "done", Response: &reply{}})
+	w.AttemptEnded(start+2*ms, again, Result{Outcome: policy.OutcomeDone, Response: &reply{}})
 	next(t, txn, CommandRespond)
 	if w.Run(start + 2000*ms); len(txn.TakeCommands()) != 0 {
 		t.Fatal("an ended txn has orders")
@@ -255,7 +255,7 @@
 // The bound on a keyed repeat comes from the module to where it is written.
 func TestARepeatStandsWithinItsWindowOnly(t *testing.T) {
 	w := newWorld(func(s *policy.Settings) {
-		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: "keyed", DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
+		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
 	})
 	txn := w.ask(t, "read")
 	first := next(t, txn, CommandSend).Attempt
@@ -263,7 +263,7 @@
 	if !first.MayBeSent(start+399*ms, 1e6) {
 		t.Error("the first hop has no window")
 	}
-	w.AttemptEnded(start+100*ms, first, Outcome{Code: "econnreset"})
+	w.AttemptEnded(start+100*ms, first, Result{Outcome: policy.OutcomeConnectionReset})
 	again := next(t, txn, CommandSend).Attempt
 	if !again.MayBeSent(start+299*ms, 1e6) || again.MayBeSent(start+300*ms, 1e6) {
 		t.Errorf("repeat until %d", again.SendBefore-start)
--- a/internal/engine/txn.go
+++ b/internal/engine/txn.go
@@ -1,6 +1,10 @@
 package engine
 
-import "sync/atomic"
+import (
+	"sync/atomic"
+
+	"quilldoor/internal/policy"
+)
 
 // CommandKind tells what an Order asks for.
 type CommandKind uint8
@@ -87,7 +91,7 @@
 	Source        string // "": a miss is not filled
 	CachePriority int
 	MaxAge        int64 // whole microseconds; 0: the fresh time of the class
-	Mode          int
+	FillMode      policy.FillMode
 	DecidedAt     int64 // when the module decided on it
 	Deadline      int64 // when the router stops waiting
 	SendBefore    int64 // when it may no more be written; 0: as Due
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -69,11 +69,11 @@
 )
 
 // rank orders what is told of one birth.
-func rank(state string) uint8 {
+func rank(state policy.EndpointState) uint8 {
 	switch state {
-	case "active":
+	case policy.EndpointActive:
 		return 0
-	case "leaving":
+	case policy.EndpointDraining:
 		return 1
 	}
 	return 2
@@ -137,8 +137,8 @@
 			named[s.ID] = true
 		}
 		for id, l := range b.servers {
-			if !named[id] && l.own.State != "left" {
-				l.own.State, l.goneAt = "left", now
+			if !named[id] && l.own.State != policy.EndpointGone {
+				l.own.State, l.goneAt = policy.EndpointGone, now
 			}
 		}
 	}
@@ -154,12 +154,12 @@
 			b.servers[s.ID] = l
 		}
 		undrains := s.StartedAt == l.own.StartedAt && rank(s.State) < rank(l.own.State)
-		if l.own = s; s.State == "left" {
+		if l.own = s; s.State == policy.EndpointGone {
 			l.goneAt = now
 		}
 		for _, c := range []*claim{&l.claim, &l.next} {
 			// The own board has caught up, knows better, or says that it is not to be used.
-			if undrains || c.Endpoint.ID != "" && (!further(c.Endpoint, s) || c.State == "active" && s.State != "active") {
+			if undrains || c.Endpoint.ID != "" && (!further(c.Endpoint, s) || c.State == policy.EndpointActive && s.State != policy.EndpointActive) {
 				*c = claim{}
 			}
 		}
@@ -230,7 +230,7 @@
 
 // claimed takes what another says of a server; true: from now on it binds.
 func (b *Replica) claimed(now, wall int64, from string, s Endpoint) bool {
-	if s.ID == "" || s.State != "active" && s.State != "leaving" && s.State != "left" || s.StartedAt > wall+ahead {
+	if s.ID == "" || s.State != policy.EndpointActive && s.State != policy.EndpointDraining && s.State != policy.EndpointGone || s.StartedAt > wall+ahead {
 		b.Counts.Rejected++
 		return false
 	}
@@ -241,7 +241,7 @@
 		return false
 	}
 	// What the own board has told to be drained or gone, it alone takes back.
-	if s.State == "active" && l.own.State != "active" && !b.set.wrong.backwards {
+	if s.State == policy.EndpointActive && l.own.State != policy.EndpointActive && !b.set.wrong.backwards {
 		return false
 	}
 	s.Address = l.own.Address
@@ -274,7 +274,7 @@
 func (b *Replica) Tick(now, wall int64) (servers []Endpoint) {
 	for _, id := range b.ids() {
 		l := b.servers[id]
-		if l.own.State == "left" && now-l.goneAt > goneFor {
+		if l.own.State == policy.EndpointGone && now-l.goneAt > goneFor {
 			delete(b.servers, id)
 			continue
 		}
@@ -336,7 +336,7 @@
 func (b *Replica) digest(int64) {
 	b.digests = [buckets]uint32{}
 	for id, l := range b.servers {
-		if s := l.effective(); s.State == "active" || s.State == "leaving" {
+		if s := l.effective(); s.State == policy.EndpointActive || s.State == policy.EndpointDraining {
 			b.digests[bucket(id)] ^= s.print()
 		}
 	}
@@ -388,14 +388,14 @@
 }
 
 type wireServer struct {
-	ID       string  `cbor:"1,keyasint"`
-	Endpoint string  `cbor:"2,keyasint,omitempty"`
-	Zone     string  `cbor:"3,keyasint,omitempty"`
-	Kind     string  `cbor:"4,keyasint,omitempty"`
-	Cell     int     `cbor:"5,keyasint,omitempty"`
-	State    string  `cbor:"6,keyasint"`
-	Weight   float64 `cbor:"7,keyasint,omitempty"`
-	Born     int64   `cbor:"8,keyasint,omitempty"`
+	ID       string               `cbor:"1,keyasint"`
+	Endpoint string               `cbor:"2,keyasint,omitempty"`
+	Zone     string               `cbor:"3,keyasint,omitempty"`
+	Kind     string               `cbor:"4,keyasint,omitempty"`
+	Cell     int                  `cbor:"5,keyasint,omitempty"`
+	State    policy.EndpointState `cbor:"6,keyasint"`
+	Weight   float64              `cbor:"7,keyasint,omitempty"`
+	Born     int64                `cbor:"8,keyasint,omitempty"`
 }
 
 type wirePurge struct {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 
 const wall = 1_700_000_000 * second
 
-func server(id, state string, born int64) gossip.Endpoint {
+func server(id string, state policy.EndpointState, born int64) gossip.Endpoint {
 	return gossip.Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: state, Weight: 3, StartedAt: born}, Address: "of-" + id}
 }
 
@@ -94,7 +94,7 @@
 
 func cutSite(wrong string) *site {
 	s := newSite(4, wrong)
-	s.board(all, true, server("a", "active", 0), server("b", "active", 0), server("c", "active", 0))
+	s.board(all, true, server("a", policy.EndpointActive, 0), server("b", policy.EndpointActive, 0), server("c", policy.EndpointActive, 0))
 	s.pass(3 * second)
 	return s
 }
@@ -103,55 +103,55 @@
 // and they bind for as long as those say so.
 func TestNewsReachWhoHasNoBoard(t *testing.T) {
 	s := cutSite("")
-	s.board(fresh, false, server("a", "leaving", 0))
+	s.board(fresh, false, server("a", policy.EndpointDraining, 0))
 	s.purged(fresh, gossip.Purge{Object: "o", At: wall + s.now})
 	s.purged(fresh, gossip.Purge{Group: 7, At: wall + s.now})
 	s.pass(4 * second)
-	if got := s.view[3]["a"]; got.State != "leaving" || got.Address != "of-a" {
+	if got := s.view[3]["a"]; got.State != policy.EndpointDraining || got.Address != "of-a" {
 		t.Fatalf("a drain: %+v", got)
 	}
 	if s.purge[3]["o0"] == 0 || s.purge[3]["7"] == 0 {
 		t.Errorf("purges: %v", s.purge[3])
 	}
-	s.board(fresh, false, server("a", "left", 0), server("b", "left", 0))
+	s.board(fresh, false, server("a", policy.EndpointGone, 0), server("b", policy.EndpointGone, 0))
 	s.pass(4 * second)
-	s.board(fresh, false, server("b", "active", wall+s.now))
+	s.board(fresh, false, server("b", policy.EndpointActive, wall+s.now))
 	for range 40 { // for much longer than a claim lasts
 		s.pass(second)
-		if a, b := s.view[3]["a"], s.view[3]["b"]; a.State != "left" || s.now > 16*second && (b.State != "active" || b.StartedAt == 0) {
+		if a, b := s.view[3]["a"], s.view[3]["b"]; a.State != policy.EndpointGone || s.now > 16*second && (b.State != policy.EndpointActive || b.StartedAt == 0) {
 			t.Fatalf("at %d s: %+v %+v", s.now/second, a, b)
 		}
 	}
 	// Its own board is back, late and in order: nothing that is gone is used again
 	// before that board says so.
 	birth := s.view[3]["b"].StartedAt
-	for _, x := range []gossip.Endpoint{server("a", "leaving", 0), server("a", "left", 0), server("b", "left", 0)} {
+	for _, x := range []gossip.Endpoint{server("a", policy.EndpointDraining, 0), server("a", policy.EndpointGone, 0), server("b", policy.EndpointGone, 0)} {
 		s.board(0b1000, false, x)
-		if s.view[3]["a"].State != "left" && x.ID == "a" || x.ID == "b" && s.view[3]["b"].State != "left" {
+		if s.view[3]["a"].State != policy.EndpointGone && x.ID == "a" || x.ID == "b" && s.view[3]["b"].State != policy.EndpointGone {
 			t.Errorf("after %s %s of its board: %+v %+v", x.ID, x.State, s.view[3]["a"], s.view[3]["b"])
 		}
 	}
-	s.board(0b1000, false, server("b", "active", birth))
-	if s.view[3]["b"].State != "active" {
+	s.board(0b1000, false, server("b", policy.EndpointActive, birth))
+	if s.view[3]["b"].State != policy.EndpointActive {
 		t.Errorf("its board has it back: %+v", s.view[3]["b"])
 	}
 	// What its own board has told to be gone, only that takes back.
-	s.board(all, false, server("b", "left", birth))
-	s.board(fresh, false, server("b", "active", wall+s.now))
+	s.board(all, false, server("b", policy.EndpointGone, birth))
+	s.board(fresh, false, server("b", policy.EndpointActive, wall+s.now))
 	s.pass(3 * second)
-	if s.view[3]["b"].State != "left" {
+	if s.view[3]["b"].State != policy.EndpointGone {
 		t.Errorf("back by others' word: %+v", s.view[3]["b"])
 	}
 	// An undrain is only the own board's to tell.
-	s.board(all, false, server("c", "leaving", 0))
-	s.board(0b1000, false, server("c", "active", 0))
-	if s.view[3]["c"].State != "active" {
+	s.board(all, false, server("c", policy.EndpointDraining, 0))
+	s.board(0b1000, false, server("c", policy.EndpointActive, 0))
+	if s.view[3]["c"].State != policy.EndpointActive {
 		t.Errorf("its own board undrains: %+v", s.view[3]["c"])
 	}
-	s.board(fresh, false, server("c", "active", 0))
+	s.board(fresh, false, server("c", policy.EndpointActive, 0))
 	s.pass(20 * second)
 	for i := range 4 {
-		if s.view[i]["c"].State != "active" {
+		if s.view[i]["c"].State != policy.EndpointActive {
 			t.Errorf("%d holds the undrained %+v", i, s.view[i]["c"])
 		}
 	}
@@ -168,13 +168,13 @@
 // has become of it.
 func TestNewLifeAsksAtOnce(t *testing.T) {
 	s := cutSite("")
-	s.board(fresh, false, server("a", "left", 0))
+	s.board(fresh, false, server("a", policy.EndpointGone, 0))
 	s.purged(fresh, gossip.Purge{Group: 7, At: wall + s.now})
 	s.books[3] = gossip.New(gossip.Settings{PurgeRetention: 30 * second})
 	s.view[3], s.purge[3] = map[string]gossip.Endpoint{}, map[string]int64{}
-	s.board(0b1000, true, server("a", "active", 0), server("b", "active", 0), server("c", "active", 0))
+	s.board(0b1000, true, server("a", policy.EndpointActive, 0), server("b", policy.EndpointActive, 0), server("c", policy.EndpointActive, 0))
 	s.pass(300 * ms)
-	if s.view[3]["a"].State != "left" || s.purge[3]["7"] == 0 {
+	if s.view[3]["a"].State != policy.EndpointGone || s.purge[3]["7"] == 0 {
 		t.Errorf("after 300 ms: %+v, %v", s.view[3]["a"], s.purge[3])
 	}
 }
@@ -185,10 +185,10 @@
 		// One spoilt router holds all gone: it empties nobody's list.
 		"one witness": func(wrong string) error {
 			s := cutSite(wrong)
-			s.board(0b0001, false, server("a", "left", 0), server("b", "left", 0), server("c", "left", 0))
+			s.board(0b0001, false, server("a", policy.EndpointGone, 0), server("b", policy.EndpointGone, 0), server("c", policy.EndpointGone, 0))
 			s.pass(20 * second)
 			for i := 1; i < 4; i++ {
-				if s.view[i]["a"].State != "active" {
+				if s.view[i]["a"].State != policy.EndpointActive {
 					return fmt.Errorf("%d believes one alone: %+v", i, s.view[i]["a"])
 				}
 			}
@@ -197,7 +197,7 @@
 		// Two that are late say what has long been otherwise.
 		"backwards": func(wrong string) error {
 			s := cutSite(wrong)
-			s.board(0b0011, false, server("a", "left", 0), server("a", "active", wall+s.now))
+			s.board(0b0011, false, server("a", policy.EndpointGone, 0), server("a", policy.EndpointActive, wall+s.now))
 			s.pass(20 * second)
 			for i := range 2 {
 				if s.view[i]["a"].StartedAt == 0 {
@@ -209,16 +209,16 @@
 		// Two claimed a drain that the board never told the others of, and are gone.
 		"forever": func(wrong string) error {
 			s := cutSite(wrong)
-			s.board(0b0011, false, server("a", "leaving", 0))
+			s.board(0b0011, false, server("a", policy.EndpointDraining, 0))
 			s.pass(5 * second)
-			if s.view[3]["a"].State != "leaving" {
+			if s.view[3]["a"].State != policy.EndpointDraining {
 				return fmt.Errorf("not taken at all")
 			}
 			s.books = slices.Delete(s.books, 0, 2)
 			s.view = slices.Delete(s.view, 0, 2)
 			s.purge = slices.Delete(s.purge, 0, 2)
 			s.pass(20 * second)
-			if s.view[1]["a"].State != "active" {
+			if s.view[1]["a"].State != policy.EndpointActive {
 				return fmt.Errorf("a claim outlasts who made it: %+v", s.view[1]["a"])
 			}
 			return nil
@@ -240,13 +240,13 @@
 func TestSpoiltNews(t *testing.T) {
 	b := gossip.New(gossip.Settings{PurgeRetention: 30 * second})
 	b.SetSingleConfirmation(true)
-	b.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", 0)})
+	b.ApplyLocal(second, true, []gossip.Endpoint{server("a", policy.EndpointActive, 0)})
 	tell := func(l gossip.Payload) gossip.Result { return b.HandlePayload(second, wall, "x", 0, l.Encode(), 1000) }
 	peer := gossip.New(gossip.Settings{PurgeRetention: 1 << 60})
 	for _, p := range []gossip.Purge{{Object: "late", At: wall - 31*second}, {Object: "soon", At: wall + 3*second}} {
 		peer.ApplyLocalPurge(second, p)
 	}
-	peer.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", wall+10*second), server("a", "odd", wall), server("new", "leaving", 5)})
+	peer.ApplyLocal(second, true, []gossip.Endpoint{server("a", policy.EndpointActive, wall+10*second), server("a", "odd", wall), server("new", policy.EndpointDraining, 5)})
 	q := b.NewRequest()
 	for _, body := range peer.Respond(&q, 1000) {
 		if got := tell(gossip.Payload{StateExchange: &body}); len(got.Servers)+len(got.Purges) > 0 {
@@ -265,7 +265,7 @@
 	b := gossip.New(gossip.Settings{PurgeRetention: 30 * second})
 	q := b.NewRequest()
 	f.Add((&gossip.Payload{Request: &q}).Encode())
-	b.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", 0)})
+	b.ApplyLocal(second, true, []gossip.Endpoint{server("a", policy.EndpointActive, 0)})
 	b.ApplyLocalPurge(second, gossip.Purge{Object: "o", At: wall})
 	for _, t := range b.Respond(&q, 1000) {
 		f.Add((&gossip.Payload{StateExchange: &t}).Encode())
@@ -273,7 +273,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		b := gossip.New(gossip.Settings{PurgeRetention: 30 * second})
 		b.SetSingleConfirmation(true)
-		b.ApplyLocal(second, true, []gossip.Endpoint{server("a", "active", 0)})
+		b.ApplyLocal(second, true, []gossip.Endpoint{server("a", policy.EndpointActive, 0)})
 		for i := range 3 {
 			if got := b.HandlePayload(second*int64(i+1), wall, "x", 1, body, 1000); len(got.Replies) > 12 {
 				t.Fatalf("%d letters for one", len(got.Replies))
@@ -292,7 +292,7 @@
 		s := newSite(n, "")
 		seed := rapid.Uint64().Draw(t, "seed")
 		dice := rand.New(rand.NewPCG(seed, 1))
-		log := [][]gossip.Endpoint{{server("a", "active", 0), server("b", "active", 0), server("c", "active", 0)}}
+		log := [][]gossip.Endpoint{{server("a", policy.EndpointActive, 0), server("b", policy.EndpointActive, 0), server("c", policy.EndpointActive, 0)}}
 		heard := make([]int, n)
 		now, births := map[string]gossip.Endpoint{}, int64(0)
 		for _, x := range log[0] {
@@ -315,13 +315,13 @@
 			case 0, 1: // something happens, and the board has it
 				x := now[string(rune('a'+dice.IntN(3)))]
 				switch x.State {
-				case "active":
-					x.State = []string{"leaving", "left"}[dice.IntN(2)]
-				case "leaving":
-					x.State = "left"
+				case policy.EndpointActive:
+					x.State = []policy.EndpointState{policy.EndpointDraining, policy.EndpointGone}[dice.IntN(2)]
+				case policy.EndpointDraining:
+					x.State = policy.EndpointGone
 				default:
 					births++ // no two at one instant
-					x.State, x.StartedAt = "active", wall+s.now+births
+					x.State, x.StartedAt = policy.EndpointActive, wall+s.now+births
 				}
 				now[x.ID] = x
 				log = append(log, []gossip.Endpoint{x})
@@ -333,7 +333,7 @@
 				s.view[i], last[i], heard[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}, len(log)
 				var list []gossip.Endpoint
 				for _, x := range now {
-					if x.State != "left" {
+					if x.State != policy.EndpointGone {
 						list = append(list, x)
 					}
 				}
@@ -344,7 +344,7 @@
 			for i := range n {
 				for id, x := range s.view[i] {
 					was, is := last[i][id]
-					if is && (x.StartedAt < was.StartedAt || x.StartedAt == was.StartedAt && was.State == "left" && x.State != "left" && heard[i] == len(log)) {
+					if is && (x.StartedAt < was.StartedAt || x.StartedAt == was.StartedAt && was.State == policy.EndpointGone && x.State != policy.EndpointGone && heard[i] == len(log)) {
 						t.Fatalf("%d goes from %+v to %+v", i, was, x)
 					}
 					last[i][id] = x
@@ -357,7 +357,7 @@
 		s.pass(10 * second)
 		for i := range n {
 			for id, x := range now {
-				if got, is := s.view[i][id]; (x.State != "left" || is) && (got.State != x.State || got.StartedAt != x.StartedAt) {
+				if got, is := s.view[i][id]; (x.State != policy.EndpointGone || is) && (got.State != x.State || got.StartedAt != x.StartedAt) {
 					t.Fatalf("%d holds %+v, it is %+v", i, got, x)
 				}
 			}
--- a/internal/handoff/word.go
+++ b/internal/handoff/word.go
@@ -100,14 +100,14 @@
 
 // Server is a line of the list.
 type Server struct {
-	Server   string  `cbor:"1,keyasint"`
-	Zone     string  `cbor:"2,keyasint,omitempty"`
-	Kind     string  `cbor:"3,keyasint,omitempty"`
-	Cell     int     `cbor:"4,keyasint,omitempty"`
-	State    string  `cbor:"5,keyasint"`
-	Weight   float64 `cbor:"6,keyasint,omitempty"`
-	Born     int64   `cbor:"7,keyasint,omitempty"`
-	Endpoint string  `cbor:"8,keyasint"`
+	Server   string               `cbor:"1,keyasint"`
+	Zone     string               `cbor:"2,keyasint,omitempty"`
+	Kind     string               `cbor:"3,keyasint,omitempty"`
+	Cell     int                  `cbor:"4,keyasint,omitempty"`
+	State    policy.EndpointState `cbor:"5,keyasint"`
+	Weight   float64              `cbor:"6,keyasint,omitempty"`
+	Born     int64                `cbor:"7,keyasint,omitempty"`
+	Endpoint string               `cbor:"8,keyasint"`
 }
 
 // Purge is one that may still bind.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -178,10 +178,10 @@
 		if s.kind, s.weight = e.Kind, e.Weight; e.StartedAt != s.born {
 			s.born, s.spent = e.StartedAt, nil
 		}
-		if e.State != "active" && s.out == 0 {
+		if e.State != policy.EndpointActive && s.out == 0 {
 			j.drains++
 		}
-		s.told(now, e.State != "active", e.State == "left")
+		s.told(now, e.State != policy.EndpointActive, e.State == policy.EndpointGone)
 	}
 	for id, s := range j.servers {
 		if whole && !named[id] {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -19,7 +19,7 @@
 
 const epoch = 1_000_000 * second
 
-func entry(id, state string, born int64) policy.Endpoint {
+func entry(id string, state policy.EndpointState, born int64) policy.Endpoint {
 	return policy.Endpoint{ID: id, Kind: "box", State: state, Weight: 4, StartedAt: born}
 }
 
@@ -51,35 +51,35 @@
 	}{
 		{"calm", 0, func(j *Monitor) Violations { return play(j, epoch, epoch+30*second, to("a", 0.05e6)) }},
 		{"drained, on and on", RuleDrained, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 			return play(j, epoch, epoch+12*second, to("a", 0))
 		}},
 		{"named as source", RuleDrained, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "left", 0)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointGone, 0)})
 			return play(j, epoch, epoch+12*second, func(now int64) *Activity {
 				return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSourcedMicros: now}}}
 			})
 		}},
 		{"drained, as long as a way to the board may hang", 0, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 			return play(j, epoch, epoch+7*second, to("a", 0))
 		}},
 		{"drained, and back before that comes here", 0, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 			return play(j, epoch+10*second, epoch+30*second, func(now int64) *Activity {
 				if now == epoch+10*second+900*ms {
-					j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", "active", 0)})
+					j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", policy.EndpointActive, 0)})
 				}
 				return to("a", 0)(now)
 			})
 		}},
 		{"drained, while the board can't be reached", 0, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 			j.SetBlind(epoch+second, true)
 			return play(j, epoch+10*second, epoch+30*second, to("a", 0))
 		}},
 		{"left out of a whole list", RuleDrained, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, true, []policy.Endpoint{entry("b", "active", 0)})
+			j.EndpointsChanged(epoch, true, []policy.Endpoint{entry("b", policy.EndpointActive, 0)})
 			return play(j, epoch, epoch+12*second, to("a", 0))
 		}},
 		{"old copies, on and on", RuleStale, func(j *Monitor) Violations {
@@ -108,19 +108,19 @@
 			})
 		}},
 		{"a cold server's part, twice", RuleOverBudget, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointActive, epoch)})
 			return play(j, epoch, epoch+2*second, to("a", 0.3e6)) // 3 s of work a second; at 1 s its part is 2 * (0.25+0.075) * 4 / 2
 		}},
 		{"a cold server's part", 0, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointActive, epoch)})
 			return play(j, epoch, epoch+20*second, to("a", 0.09e6))
 		}},
 		{"a warm one", 0, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch-11*second)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointActive, epoch-11*second)})
 			return play(j, epoch, epoch+5*second, to("a", 2e6))
 		}},
 		{"words that come late and together", 0, func(j *Monitor) Violations {
-			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
+			j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointActive, epoch)})
 			for i := range int64(30) {
 				j.Observe(epoch+3*second, 1, to("a", 0.09e6)(epoch+i*second/10))
 			}
@@ -137,7 +137,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := New(figures)
-			j.EndpointsChanged(epoch-100*second, true, []policy.Endpoint{entry("a", "active", 0), entry("b", "active", 0)})
+			j.EndpointsChanged(epoch-100*second, true, []policy.Endpoint{entry("a", policy.EndpointActive, 0), entry("b", policy.EndpointActive, 0)})
 			s := c.do(j)
 			want := uint8(0)
 			if c.want != 0 {
@@ -163,7 +163,7 @@
 // it has heard, and tells of its acts.
 type router struct {
 	deafDrains, deafPurges bool
-	state                  map[string]string
+	state                  map[string]policy.EndpointState
 	purged                 []purge // told: when it heard
 }
 
@@ -173,10 +173,10 @@
 	j := New(figures)
 	ids := []string{"a", "b", "c"}
 	var list []policy.Endpoint
-	r.state = map[string]string{}
+	r.state = map[string]policy.EndpointState{}
 	for _, id := range ids {
-		list = append(list, entry(id, "active", 0))
-		r.state[id] = "active"
+		list = append(list, entry(id, policy.EndpointActive, 0))
+		r.state[id] = policy.EndpointActive
 	}
 	j.EndpointsChanged(epoch, true, list)
 	type news struct {
@@ -199,7 +199,7 @@
 		case 0, 1:
 			id := ids[draw("server", 0, 2)]
 			down[id] = !down[id]
-			state := map[bool]string{true: "leaving", false: "active"}[down[id]]
+			state := map[bool]policy.EndpointState{true: policy.EndpointDraining, false: policy.EndpointActive}[down[id]]
 			tell(now, &mine, draw("late here", 0, 900*ms), func(now int64) { j.EndpointsChanged(now, false, []policy.Endpoint{entry(id, state, 0)}) })
 			tell(now, &theirs, draw("late there", 0, 900*ms), func(int64) { r.state[id] = state })
 		case 2, 3:
@@ -223,7 +223,7 @@
 		}
 		a := &Activity{}
 		for _, id := range ids {
-			if r.state[id] == "active" || r.deafDrains {
+			if r.state[id] == policy.EndpointActive || r.deafDrains {
 				a.Endpoints = append(a.Endpoints, EndpointUse{Endpoint: id, LastSentMicros: now})
 			}
 		}
@@ -282,9 +282,9 @@
 		return play(j, epoch, epoch+30*second, func(now int64) *Activity {
 			switch at := (now - epoch) % (5 * second); {
 			case at == 0:
-				j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", "leaving", 0)})
+				j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 			case at == 4*second:
-				j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", "active", 0)})
+				j.EndpointsChanged(now, false, []policy.Endpoint{entry("a", policy.EndpointActive, 0)})
 			case at >= 3500*ms:
 				return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}}
 			}
@@ -292,20 +292,20 @@
 		})
 	}
 	hang := func(j *Monitor) Violations {
-		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 		return play(j, epoch, epoch+6*second, func(now int64) *Activity {
 			return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}}
 		})
 	}
 	lost := func(j *Monitor) Violations { // it came back while the board told nobody here
-		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "leaving", 0)})
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 		j.SetBlind(epoch+second, true)
 		return play(j, epoch+5*second, epoch+20*second, func(now int64) *Activity {
 			return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}}}
 		})
 	}
 	late := func(j *Monitor) Violations {
-		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", "active", epoch)})
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry("a", policy.EndpointActive, epoch)})
 		for i := range int64(30) {
 			j.Observe(epoch+3*second, 1, &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: epoch + i*second/10, WorkMicros: 0.09e6}}})
 		}
@@ -323,7 +323,7 @@
 			if off {
 				j.wrong = c.wrong
 			}
-			j.EndpointsChanged(epoch-100*second, true, []policy.Endpoint{entry("a", "active", 0)})
+			j.EndpointsChanged(epoch-100*second, true, []policy.Endpoint{entry("a", policy.EndpointActive, 0)})
 			if s := c.do(j); (s.Rules != 0) != off {
 				t.Errorf("%s, guard off %v: %+v", name, off, s)
 			}
@@ -335,7 +335,7 @@
 func TestJumped(t *testing.T) {
 	for _, by := range []int64{-20 * second, 20 * second} {
 		j := New(figures)
-		j.EndpointsChanged(epoch, true, []policy.Endpoint{entry("a", "leaving", 0)})
+		j.EndpointsChanged(epoch, true, []policy.Endpoint{entry("a", policy.EndpointDraining, 0)})
 		j.Purged(epoch, "", 7, epoch)
 		j.ClockJumped(epoch+by+100*ms, by)
 		s := play(j, epoch+by, epoch+by+2*second, func(now int64) *Activity {
@@ -366,7 +366,7 @@
 		j.Purged(epoch, "", int64(i), epoch)
 	}
 	for i := range 2 * mostServers {
-		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry(fmt.Sprint("s", i), "left", 0)})
+		j.EndpointsChanged(epoch, false, []policy.Endpoint{entry(fmt.Sprint("s", i), policy.EndpointGone, 0)})
 	}
 	for p := range uint64(2 * mostProcesses) {
 		for range 2 * mostWaiting {
--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -24,7 +24,7 @@
 func (c *coldSite) settings() Settings {
 	return Settings{
 		Routers: 3, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "hub", "ledger"},
-		Classes:  []TrafficClass{{Name: "read", Effect: "safe", LatencyObjective: budgetWork, Timeout: 5 * sec, PriorityWeight: 1, FreshFor: sec}},
+		Classes:  []TrafficClass{{Name: "read", Effect: EffectIdempotent, LatencyObjective: budgetWork, Timeout: 5 * sec, PriorityWeight: 1, FreshFor: sec}},
 		Contract: Contract{SlowStartFor: 60 * sec, SlowStartFrom: 0.2, OverloadWindow: sec, OverloadMultiple: 2},
 		Limits:   Limits{MaxAttempts: 1, Cancel: true}, Hierarchy: Hierarchy{ParentKind: 1, OriginKind: 2, RoutersByZone: []int{3}},
 	}
@@ -37,9 +37,9 @@
 	c.lives++
 	r := New(c.settings(), c.lives)
 	c.routers[i], c.asleep[i] = r, false
-	r.Handle(c.now, Event{Kind: EventEndpoints, Scope: "disk", Endpoints: []Endpoint{
-		{ID: "cold", Zone: "z", Kind: "box", State: "active", Weight: 30, StartedAt: 10 * sec},
-		{ID: "o", Zone: "z", Kind: "ledger", State: "active", Weight: 1},
+	r.Handle(c.now, Event{Kind: EventEndpoints, Scope: ScopeDisk, Endpoints: []Endpoint{
+		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: 30, StartedAt: 10 * sec},
+		{ID: "o", Zone: "z", Kind: "ledger", State: EndpointActive, Weight: 1},
 	}}, nil)
 	if !c.careful {
 		r.holdTill = 0
@@ -80,7 +80,7 @@
 			}
 		}
 		// It ends at once and well, so that only the budget holds the next one back.
-		r.Handle(c.now, Event{Kind: EventAttemptEnded, Request: fmt.Sprint(c.txns), Endpoint: "cold", Outcome: "done", Final: true, RTT: budgetWork}, nil)
+		r.Handle(c.now, Event{Kind: EventAttemptEnded, Request: fmt.Sprint(c.txns), Endpoint: "cold", Outcome: OutcomeDone, Final: true, RTT: budgetWork}, nil)
 		if !sent {
 			return
 		}
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -18,20 +18,20 @@
 			ParentOverloadMultiple: 2, PurgeSettleTime: 6 * sec, RoutersByZone: []int{0, 1}, PeerFills: "location",
 		},
 		Classes: []TrafficClass{
-			{Name: "read", Effect: "safe", LatencyObjective: 500 * ms, PriorityWeight: 1, FreshFor: 8 * sec},
-			{Name: "keyed", Effect: "keyed", Group: "all", DedupWindow: 2 * sec, LatencyObjective: 500 * ms, PriorityWeight: 1, Write: true},
-			{Name: "zoned", Effect: "keyed", Group: "zone", DedupWindow: 2 * sec, LatencyObjective: 500 * ms, PriorityWeight: 1},
-			{Name: "once", Effect: "unsafe", LatencyObjective: 500 * ms, PriorityWeight: 1, Write: true},
+			{Name: "read", Effect: EffectIdempotent, LatencyObjective: 500 * ms, PriorityWeight: 1, FreshFor: 8 * sec},
+			{Name: "keyed", Effect: EffectIdempotencyKey, DedupGroup: DedupGroupAll, DedupWindow: 2 * sec, LatencyObjective: 500 * ms, PriorityWeight: 1, Write: true},
+			{Name: "zoned", Effect: EffectIdempotencyKey, DedupGroup: DedupGroupZone, DedupWindow: 2 * sec, LatencyObjective: 500 * ms, PriorityWeight: 1},
+			{Name: "once", Effect: EffectUnsafe, LatencyObjective: 500 * ms, PriorityWeight: 1, Write: true},
 		},
 	}
 }
 
 func entries() []Endpoint {
 	return []Endpoint{
-		{ID: cacheA, Zone: "z", Kind: "box", State: "active", Weight: 10},
-		{ID: cacheB, Zone: "z", Kind: "box", State: "active", Weight: 10},
-		{ID: par, Zone: "hub", Kind: "parent", State: "active", Weight: 40},
-		{ID: root, Zone: "hub", Kind: "origin", State: "active", Weight: 1},
+		{ID: cacheA, Zone: "z", Kind: "box", State: EndpointActive, Weight: 10},
+		{ID: cacheB, Zone: "z", Kind: "box", State: EndpointActive, Weight: 10},
+		{ID: par, Zone: "hub", Kind: "parent", State: EndpointActive, Weight: 40},
+		{ID: root, Zone: "hub", Kind: "origin", State: EndpointActive, Weight: 1},
 	}
 }
 
@@ -42,7 +42,7 @@
 		change(&set)
 	}
 	r := New(set, 1)
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "snapshot", Endpoints: entries()}, nil)
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeSnapshot, Endpoints: entries()}, nil)
 	return r
 }
 
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -490,6 +490,21 @@
 	unrepeatable
 )
 
+// effectOf gives the row of mayTable for a traffic class.
+func effectOf(e Effect, group DedupGroup) effect {
+	switch {
+	case e == EffectIdempotent:
+		return repeatable
+	case e == EffectUnsafe:
+		return unrepeatable
+	case group == DedupGroupZone:
+		return keyedZone
+	case group == DedupGroupCell:
+		return keyedCell
+	}
+	return keyedAll
+}
+
 // mayTable says what rule 2 leaves once a hop may have run or is out: another, within window and group.
 var mayTable = []struct{ again, reject, timed, zone, cell bool }{
 	repeatable:   {again: true, reject: true},
@@ -622,18 +637,10 @@
 	r.listCap = int(listCap * math.Sqrt(r.part))
 	r.cold[edge] = cold{c.SlowStartFrom, c.OverloadMultiple, float64(near), c.SlowStartFor}
 	r.cold[parent] = cold{f.ParentSlowStartFrom, f.ParentOverloadMultiple, float64(max(set.Routers, 1)), f.ParentSlowStartFor}
-	effects := map[string]effect{
-		"keyed": keyedAll, "keyedzone": keyedZone, "keyedcell": keyedCell,
-		"unsafe": unrepeatable,
-	}
 	for _, k := range set.Classes {
-		e, known := effects[k.Effect+k.Group]
-		if !known {
-			e = effects[k.Effect] // the group is all, or tells nothing
-		}
 		r.quiet = max(r.quiet, 3*k.LatencyObjective/2) // a rule's whole SLA time and half of it again
 		r.rules[k.Name] = &rule{
-			effect: e, window: k.DedupWindow, sla: k.LatencyObjective, stretch: k.ObjectiveStretch,
+			effect: effectOf(k.Effect, k.DedupGroup), window: k.DedupWindow, sla: k.LatencyObjective, stretch: k.ObjectiveStretch,
 			fresh: k.FreshFor, grace: k.StaleGrace, write: k.Write, importance: k.PriorityWeight,
 		}
 	}
@@ -659,7 +666,7 @@
 	case EventClientGone:
 		r.step(t, inFinal)
 	case EventHealthCheck:
-		r.judge(s, map[bool]sign{true: signGood, false: signBad}[e.Outcome == "done"])
+		r.judge(s, map[bool]sign{true: signGood, false: signBad}[e.Outcome == OutcomeDone])
 	case EventPurge:
 		r.purges = append(r.purges, purge{e.Object, e.Group, now - e.Age})
 	case EventSlowStartHold:
@@ -689,17 +696,17 @@
 // discover follows the list; a full one removes whom it does not name.
 func (r *Router) discover(e Event) {
 	const retry = 1 * sec // after a failed call to discovery; it is shared by all routers
-	if e.Scope == "error" {
+	if e.Scope == ScopeError {
 		r.askAt = r.now + retry
 		return
 	}
-	if e.Scope == "disk" { // an earlier life may have spent this router's share of cold budgets
+	if e.Scope == ScopeDisk { // an earlier life may have spent this router's share of cold budgets
 		r.holdTill = max(r.holdTill, r.now+r.fallFor)
 	}
-	if r.pull && e.Scope == "disk" {
+	if r.pull && e.Scope == ScopeDisk {
 		r.do(Action{Kind: ActionSubscribe})
 	}
-	if e.Scope != "diff" {
+	if e.Scope != ScopeDiff {
 		for _, s := range r.order {
 			s.listed, s.gone = false, true
 		}
@@ -725,7 +732,7 @@
 				r.beyond[i].limit = cmp.Or(r.beyond[i].limit, s.own[i].limit)
 			}
 		}
-		s.listed, s.gone = n.State == "active", n.State == "left"
+		s.listed, s.gone = n.State == EndpointActive, n.State == EndpointGone
 		if n.StartedAt > s.born {
 			s.born = n.StartedAt
 			r.judge(s, signBorn)
@@ -834,8 +841,6 @@
 	return age
 }
 
-const modeJoin, modeHeld, modeRenew = 1, 2, 8 // as the wire has them
-
 // hop sends the txn out, or gives it up where nowhere is left.
 func (r *Router) hop(t *txn) {
 	t.due = 0
@@ -867,7 +872,7 @@
 	// Where fills are late, hits need not be: a look takes what the cache holds, then a loan what the parent
 	// holds, without the origin behind it. Else it is given up, unless a fill has room by then.
 	const slack = 0.5 // a fuller link in makes fills late itself
-	rank, mode, kind, grace := 0, 0, fills, int64(0)
+	rank, mode, kind, grace := 0, FillMode(0), fills, int64(0)
 	shed := !t.rule.write && r.shed(t)
 	if to.role != origin && !t.rule.write && (shed || r.jammed(t, &to.room[fills])) {
 		if next := r.pick(t, edge, r.idle); next != nil && !shed {
@@ -875,7 +880,7 @@
 		} else if t.looked++; t.looked == looks && !r.jammed(t, &to.room[looks]) {
 			kind, from, grace = looks, to, t.rule.grace
 		} else if t.looked == loans && from.role == parent && to.link < slack && !r.jammed(t, &to.room[loans]) {
-			kind, mode = loans, modeHeld
+			kind, mode = loans, FillNoFetch
 		} else {
 			r.giveUp(t)
 			return
@@ -884,11 +889,11 @@
 	if to.role == edge && !t.rule.write && kind != looks {
 		rank = r.admit(to, t.key)
 		if t.rule.fresh > 0 {
-			mode |= modeRenew
+			mode |= FillBackground
 		}
 	}
 	if r.joins && !t.rule.write {
-		mode |= modeJoin
+		mode |= FillWaitFor
 	}
 	until := int64(0) // rule 2 binds when the hop is written, which may be later than now
 	if t.state == clean && !t.taint() {
@@ -911,7 +916,7 @@
 	}
 	r.do(Action{
 		Kind: ActionSend, Request: t.id, Endpoint: to.id, Source: from.id, CachePriority: rank,
-		MaxAge: r.age(t, grace), Timeout: cap, SendBefore: until, Mode: mode,
+		MaxAge: r.age(t, grace), Timeout: cap, SendBefore: until, FillMode: mode,
 	})
 }
 
@@ -1029,13 +1034,13 @@
 }
 
 // outcomes turns a hop's end into what it means for the txn and its server.
-var outcomes = map[string]struct {
+var outcomes = map[Outcome]struct {
 	txn  input
 	sign sign
 }{
-	"done": {inFinal, signGood}, "err": {inMaybe, signGood}, "busy": {inUnrun, signGood},
-	"enoent": {inUnrun, signGood}, "etimedout": {inMaybe, signNone}, "econnrefused": {inUnrun, signBad},
-	"econnreset": {inMaybe, signBad}, "ecanceled": {inMaybe, signNone}, "skipped": {inUnrun, signNone},
+	OutcomeDone: {inFinal, signGood}, OutcomeError: {inMaybe, signGood}, OutcomeBusy: {inUnrun, signGood},
+	OutcomeMiss: {inUnrun, signGood}, OutcomeTimeout: {inMaybe, signNone}, OutcomeConnectionRefused: {inUnrun, signBad},
+	OutcomeConnectionReset: {inMaybe, signBad}, OutcomeCanceled: {inMaybe, signNone}, OutcomeSkipped: {inUnrun, signNone},
 }
 
 func (r *Router) answer(e Event, s *server, t *txn) {
@@ -1054,23 +1059,23 @@
 	h.out = false
 	s.room[h.kind].out--
 	s.out--
-	if e.Outcome == "done" && t.work == 0 && !t.rule.write {
+	if e.Outcome == OutcomeDone && t.work == 0 && !t.rule.write {
 		t.rule.works = sample(t.rule.works, e.RTT)
 	}
 	// A reset tells nothing of a cache's room; nor, where reasons are told, an error without one: it is the
 	// txn's own or chance. Spells of them cut every limit. It harms where one cache errs alone: a hop more each.
-	mute := e.Outcome == "ecanceled" || e.Outcome == "econnreset" || e.Outcome == "err" && e.Reason == 0 && r.told
-	if !mute && e.Outcome != "enoent" {
-		r.ended(t, h, e.Outcome == "done" && !r.overdue(t, h))
+	mute := e.Outcome == OutcomeCanceled || e.Outcome == OutcomeConnectionReset || e.Outcome == OutcomeError && e.Reason == ReasonNone && r.told
+	if !mute && e.Outcome != OutcomeMiss {
+		r.ended(t, h, e.Outcome == OutcomeDone && !r.overdue(t, h))
 	}
-	if h.kind == fills && !t.rule.write && e.Outcome == "done" && e.Reason == 3 {
+	if h.kind == fills && !t.rule.write && e.Outcome == OutcomeDone && e.Reason == ReasonMissOrigin {
 		r.waits.note(r.now, float64(max(e.OriginWait, ms)), true)
-	} else if h.kind == fills && !t.rule.write && e.Reason == 10 {
+	} else if h.kind == fills && !t.rule.write && e.Reason == ReasonOriginError {
 		r.waits.fail()
 		t.luck = 1 // one call is enough of an origin that fails
 	}
 	if h.kind == fills && !t.rule.write && !mute {
-		r.failed = r.note(r.failed, e.Outcome != "done")
+		r.failed = r.note(r.failed, e.Outcome != OutcomeDone)
 	}
 	if e.Final {
 		r.step(t, inFinal)
@@ -1080,7 +1085,7 @@
 		t.tried = append(t.tried, s)
 	}
 	// Untold, or after a time-out, the source may be what failed.
-	if h.source != s && (e.Reason >= 6 && e.Reason != 9 || e.Outcome == "etimedout") {
+	if h.source != s && (e.Reason.SourceFailed() || e.Outcome == OutcomeTimeout) {
 		t.tried = append(t.tried, h.source)
 	}
 	r.step(t, o.txn)
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -74,38 +74,39 @@
 func TestHopEnds(t *testing.T) {
 	const hopAgain, abort, reject, held = ActionSend, ActionFail, ActionReject, ActionSetTimer
 	for _, c := range []struct {
-		rule, code string
-		want       ActionKind
+		rule    string
+		outcome Outcome
+		want    ActionKind
 	}{
-		{"read", "busy", hopAgain},
-		{"read", "err", hopAgain},
-		{"read", "etimedout", hopAgain},
-		{"read", "econnrefused", hopAgain},
-		{"read", "econnreset", hopAgain},
-		{"read", "enoent", hopAgain},
-		{"read", "skipped", hopAgain},
-		{"read", "ecanceled", hopAgain},
-		{"keyed", "busy", held},
-		{"keyed", "err", held},
-		{"keyed", "etimedout", held},
-		{"keyed", "econnrefused", held},
-		{"keyed", "econnreset", held},
-		{"keyed", "skipped", held},
-		{"zoned", "busy", hopAgain},
-		{"zoned", "econnreset", hopAgain},
-		{"once", "busy", held},
-		{"once", "econnrefused", held},
-		{"once", "enoent", held},
-		{"once", "skipped", held},
-		{"once", "err", abort},
-		{"once", "etimedout", abort},
-		{"once", "econnreset", abort},
-		{"once", "ecanceled", abort},
+		{"read", OutcomeBusy, hopAgain},
+		{"read", OutcomeError, hopAgain},
+		{"read", OutcomeTimeout, hopAgain},
+		{"read", OutcomeConnectionRefused, hopAgain},
+		{"read", OutcomeConnectionReset, hopAgain},
+		{"read", OutcomeMiss, hopAgain},
+		{"read", OutcomeSkipped, hopAgain},
+		{"read", OutcomeCanceled, hopAgain},
+		{"keyed", OutcomeBusy, held},
+		{"keyed", OutcomeError, held},
+		{"keyed", OutcomeTimeout, held},
+		{"keyed", OutcomeConnectionRefused, held},
+		{"keyed", OutcomeConnectionReset, held},
+		{"keyed", OutcomeSkipped, held},
+		{"zoned", OutcomeBusy, hopAgain},
+		{"zoned", OutcomeConnectionReset, hopAgain},
+		{"once", OutcomeBusy, held},
+		{"once", OutcomeConnectionRefused, held},
+		{"once", OutcomeMiss, held},
+		{"once", OutcomeSkipped, held},
+		{"once", OutcomeError, abort},
+		{"once", OutcomeTimeout, abort},
+		{"once", OutcomeConnectionReset, abort},
+		{"once", OutcomeCanceled, abort},
 	} {
-		t.Run(c.rule+" "+c.code, func(t *testing.T) {
+		t.Run(c.rule+" "+c.outcome.String(), func(t *testing.T) {
 			r := router(nil)
 			sent := only(t, r.Handle(begin, request(c.rule), nil), ActionSend)
-			acts := r.Handle(begin+100*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: c.code}, nil)
+			acts := r.Handle(begin+100*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: c.outcome}, nil)
 			if c.want == held {
 				none(t, acts, hopAgain, abort, reject)
 				if r.txns["t"].due == 0 {
@@ -121,7 +122,7 @@
 func TestKeyedOnlyInsideItsWindow(t *testing.T) {
 	r := router(nil)
 	sent := only(t, r.Handle(begin, request("keyed"), nil), ActionSend)
-	r.Handle(begin+1990*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "etimedout"}, nil)
+	r.Handle(begin+1990*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: OutcomeTimeout}, nil)
 	acts := r.Handle(begin+2060*ms, Event{Kind: EventTimer, Token: 1}, nil)
 	none(t, acts, ActionSend)
 	only(t, acts, ActionReject)
@@ -132,15 +133,15 @@
 	r.servers[cacheA].listed = false
 	sent := only(t, r.Handle(begin, request("zoned"), nil), ActionSend)
 	r.servers[cacheB].listed = false
-	only(t, r.Handle(begin+sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "err"}, nil), ActionFail)
+	only(t, r.Handle(begin+sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: OutcomeError}, nil), ActionFail)
 }
 
 func TestAnswerAtTheTimeLimitIsFinal(t *testing.T) {
 	r := router(nil)
 	sent := only(t, r.Handle(begin, request("read"), nil), ActionSend)
-	acts := r.Handle(begin+3*sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "etimedout"}, nil)
+	acts := r.Handle(begin+3*sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: OutcomeTimeout}, nil)
 	only(t, acts, ActionFail)
-	none(t, r.Handle(begin+3*sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "etimedout"}, nil),
+	none(t, r.Handle(begin+3*sec, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: OutcomeTimeout}, nil),
 		ActionFail, ActionReject, ActionSend)
 }
 
@@ -148,15 +149,15 @@
 func TestHeldWriteEndsBeforeItsTimeLimit(t *testing.T) {
 	r := router(nil)
 	sent := only(t, r.Handle(begin, request("once"), nil), ActionSend)
-	acts := r.Handle(begin+3*sec-100*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "busy"}, nil)
+	acts := r.Handle(begin+3*sec-100*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: OutcomeBusy}, nil)
 	only(t, acts, ActionReject)
 }
 
 func TestDrainedServersGetNothing(t *testing.T) {
 	r := router(nil)
 	gone := []Endpoint{entries()[0], entries()[2]}
-	gone[0].State, gone[1].State = "leaving", "left"
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: gone}, nil)
+	gone[0].State, gone[1].State = EndpointDraining, EndpointGone
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: gone}, nil)
 	for i := range 20 {
 		e := request("read")
 		e.Request, e.Object = fmt.Sprint(i), fmt.Sprint(i)
@@ -315,7 +316,7 @@
 		t.Fatalf("not a look: %+v", a)
 	}
 	r.servers[a.Endpoint].link = 1
-	acts := r.Handle(begin+ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: a.Endpoint, Outcome: "enoent"}, nil)
+	acts := r.Handle(begin+ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: a.Endpoint, Outcome: OutcomeMiss}, nil)
 	if only(t, acts, ActionReject).RetryAfter == 0 {
 		t.Fatal("no time to come back")
 	}
@@ -326,10 +327,10 @@
 	only(t, r.Handle(begin, request("read"), nil), ActionSend)
 	r.Handle(begin+ms, Event{Kind: EventClientGone, Request: "t"}, nil)
 	for _, e := range []Event{
-		{Kind: EventAttemptEnded, Request: "t", Endpoint: cacheA, Outcome: "err"},
+		{Kind: EventAttemptEnded, Request: "t", Endpoint: cacheA, Outcome: OutcomeError},
 		{Kind: EventResponseStarted, Request: "t", Endpoint: cacheA},
 		{Kind: EventClientGone, Request: "t"},
-		{Kind: EventAttemptEnded, Request: "t", Endpoint: "nobody:1", Outcome: "done"},
+		{Kind: EventAttemptEnded, Request: "t", Endpoint: "nobody:1", Outcome: OutcomeDone},
 	} {
 		none(t, r.Handle(begin+2*ms, e, nil), ActionSend, ActionFail, ActionReject)
 	}
@@ -340,7 +341,7 @@
 	r := router(nil)
 	more := entries()[2]
 	more.ID = "q:1"
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: []Endpoint{more}}, nil)
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: []Endpoint{more}}, nil)
 	bad, good := r.servers[par], r.servers["q:1"]
 	for range window {
 		r.supplied(good, true)
@@ -428,7 +429,7 @@
 // A router that started while its location was away had no limit to go by, and rejected all.
 func TestRouterWithoutCachesGoesStraightToAParent(t *testing.T) {
 	r := New(settings(), 1)
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "snapshot", Endpoints: entries()[2:]}, nil)
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeSnapshot, Endpoints: entries()[2:]}, nil)
 	if a := only(t, r.Handle(begin, request("read"), nil), ActionSend); a.Endpoint != par {
 		t.Fatalf("not straight to the parent: %+v", a)
 	}
@@ -444,7 +445,7 @@
 	if a := only(t, r.out, ActionHealthCheck); a.Endpoint != par || s.health != doubt {
 		t.Fatalf("health %d after a late fill, action %+v", s.health, a)
 	}
-	if r.Handle(begin, Event{Kind: EventHealthCheck, Endpoint: par, Outcome: "etimedout"}, nil); s.health != down {
+	if r.Handle(begin, Event{Kind: EventHealthCheck, Endpoint: par, Outcome: OutcomeTimeout}, nil); s.health != down {
 		t.Fatal("not rested after a failed probe")
 	}
 }
@@ -455,7 +456,7 @@
 		r := router(nil)
 		get := only(t, r.Handle(begin, request("read"), nil), ActionSend)
 		sla := r.txns["t"].sla()
-		r.Handle(begin+sla*share/100, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: "done", Final: true}, nil)
+		r.Handle(begin+sla*share/100, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: OutcomeDone, Final: true}, nil)
 		if got := r.servers[get.Endpoint].room[fills].late[0].bad; got != want {
 			t.Fatalf("late %v after %d%% of the SLA time", got, share)
 		}
@@ -465,12 +466,12 @@
 // Each txn once looked through the caches of every location.
 func TestCachesOfOtherLocationsAreLeftOut(t *testing.T) {
 	r := router(nil)
-	more := []Endpoint{{ID: "far:1", Zone: "y", Kind: "box", State: "active", Weight: 10}}
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: more}, nil)
+	more := []Endpoint{{ID: "far:1", Zone: "y", Kind: "box", State: EndpointActive, Weight: 10}}
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: more}, nil)
 	if r.servers["far:1"] != nil || len(r.order) != len(entries()) {
 		t.Fatalf("%d servers kept of a list of %d of use", len(r.order), len(entries()))
 	}
-	r.Handle(begin, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: "far:1", Outcome: "done"}, nil)
+	r.Handle(begin, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: "far:1", Outcome: OutcomeDone}, nil)
 }
 
 // A limit at its floor once stayed there: no hop was out when the last ended.
@@ -512,8 +513,8 @@
 	r := router(nil)
 	jam(r)
 	look := only(t, r.Handle(begin, request("read"), nil), ActionSend)
-	miss := Event{Kind: EventAttemptEnded, Request: "t", Endpoint: look.Endpoint, Outcome: "enoent"}
-	if a := only(t, r.Handle(begin+ms, miss, nil), ActionSend); a.Source != par || a.Mode&modeHeld == 0 {
+	miss := Event{Kind: EventAttemptEnded, Request: "t", Endpoint: look.Endpoint, Outcome: OutcomeMiss}
+	if a := only(t, r.Handle(begin+ms, miss, nil), ActionSend); a.Source != par || a.FillMode&FillNoFetch == 0 {
 		t.Fatalf("not a loan: %+v", a)
 	}
 	r = router(nil)
@@ -532,7 +533,7 @@
 			r.failed = append(r.failed, end{begin, i < failed})
 		}
 		get := only(t, r.Handle(begin, request("read"), nil), ActionSend)
-		out := Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: "busy"}
+		out := Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: OutcomeBusy}
 		only(t, r.Handle(begin+ms, out, nil), want)
 	}
 }
@@ -540,14 +541,14 @@
 // A spell of errors at all caches alike once cut every limit and ended second hops: up to 23% were refused.
 // A fill that failed for a reason still counts.
 func TestErrorsWithoutAReasonCutNothing(t *testing.T) {
-	for note, code := range map[int]string{0: "err", 7: "err", -1: "econnreset"} {
+	for note, outcome := range map[Reason]Outcome{ReasonNone: OutcomeError, ReasonUpstreamDown: OutcomeError, -1: OutcomeConnectionReset} {
 		r := router(func(s *Settings) { s.Hierarchy.ReasonsGiven = "all" })
 		start := r.servers[cacheA].room[fills].limit
 		for i := range 40 {
 			e, now := request("read"), begin+int64(i)*ms
 			e.Request = fmt.Sprint(i)
 			get := only(t, r.Handle(now, e, nil), ActionSend)
-			acts := r.Handle(now, Event{Kind: EventAttemptEnded, Request: e.Request, Endpoint: get.Endpoint, Outcome: code, Reason: max(note, 0)}, nil)
+			acts := r.Handle(now, Event{Kind: EventAttemptEnded, Request: e.Request, Endpoint: get.Endpoint, Outcome: outcome, Reason: max(note, 0)}, nil)
 			if note == 0 {
 				only(t, acts, ActionSend)
 			}
@@ -563,13 +564,13 @@
 func TestGoneServersAreForgotten(t *testing.T) {
 	r := router(nil)
 	get := only(t, r.Handle(begin, request("read"), nil), ActionSend)
-	gone := []Endpoint{{ID: cacheA, Zone: "z", Kind: "box", State: "left"}, {ID: cacheB, Zone: "z", Kind: "box", State: "left"}}
-	r.Handle(begin+ms, Event{Kind: EventEndpoints, Scope: "diff", Endpoints: gone}, nil)
+	gone := []Endpoint{{ID: cacheA, Zone: "z", Kind: "box", State: EndpointGone}, {ID: cacheB, Zone: "z", Kind: "box", State: EndpointGone}}
+	r.Handle(begin+ms, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: gone}, nil)
 	r.Handle(begin+50*ms, Event{Kind: EventTimer}, nil)
 	if len(r.servers) != 3 || r.servers[get.Endpoint] == nil {
 		t.Fatalf("%d servers, want two and the one with a hop out", len(r.servers))
 	}
-	r.Handle(begin+60*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: "done", Final: true}, nil)
+	r.Handle(begin+60*ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: get.Endpoint, Outcome: OutcomeDone, Final: true}, nil)
 	r.Handle(begin+90*ms, Event{Kind: EventTimer}, nil)
 	if len(r.servers) != 2 || len(r.order) != 2 {
 		t.Fatalf("%d servers, %d in order", len(r.servers), len(r.order))
@@ -599,8 +600,8 @@
 	e := request("read")
 	e.Request, e.Object = "f"+string(rune('a'+n%26))+string(rune('0'+n/26%10)), string(rune('a'+n%26))
 	for _, a := range r.Handle(r.now, e, nil) {
-		if a.Kind == ActionSend && a.Source != a.Endpoint && a.Mode&modeHeld == 0 {
-			end.Kind, end.Request, end.Endpoint, end.Final = EventAttemptEnded, e.Request, a.Endpoint, end.Outcome == "done"
+		if a.Kind == ActionSend && a.Source != a.Endpoint && a.FillMode&FillNoFetch == 0 {
+			end.Kind, end.Request, end.Endpoint, end.Final = EventAttemptEnded, e.Request, a.Endpoint, end.Outcome == OutcomeDone
 			r.Handle(r.now, end, nil)
 			r.Handle(r.now, Event{Kind: EventClientGone, Request: e.Request}, nil)
 			return true
@@ -622,8 +623,8 @@
 		}
 		return fills
 	}
-	calm := Event{Outcome: "done", Reason: 3, OriginWait: 100 * ms, RTT: 150 * ms}
-	slow := Event{Outcome: "done", Reason: 3, OriginWait: 1600 * ms, RTT: 150 * ms}
+	calm := Event{Outcome: OutcomeDone, Reason: ReasonMissOrigin, OriginWait: 100 * ms, RTT: 150 * ms}
+	slow := Event{Outcome: OutcomeDone, Reason: ReasonMissOrigin, OriginWait: 1600 * ms, RTT: 150 * ms}
 	r := router(nil)
 	if got := asked(r, 40, calm); got != 40 {
 		t.Fatalf("in calm %d of 40 fills", got)
@@ -635,7 +636,7 @@
 		t.Error("overdue fills alone count as the origin's")
 	}
 	// Up to twice as long is bearable.
-	if got := asked(r, 40, Event{Outcome: "done", Reason: 3, OriginWait: 180 * ms, RTT: 150 * ms}); got != 40 {
+	if got := asked(r, 40, Event{Outcome: OutcomeDone, Reason: ReasonMissOrigin, OriginWait: 180 * ms, RTT: 150 * ms}); got != 40 {
 		t.Errorf("at 1.8 times calm %d of 40 fills", got)
 	}
 	r = router(nil)
@@ -652,8 +653,8 @@
 	}
 	// Where reasons are not told, nothing is left out.
 	r = router(nil)
-	asked(r, 10, Event{Outcome: "done", RTT: 150 * ms})
-	if got := asked(r, 40, Event{Outcome: "done", RTT: 150 * ms}); got != 40 {
+	asked(r, 10, Event{Outcome: OutcomeDone, RTT: 150 * ms})
+	if got := asked(r, 40, Event{Outcome: OutcomeDone, RTT: 150 * ms}); got != 40 {
 		t.Errorf("untold: %d of 40 fills", got)
 	}
 }
@@ -682,10 +683,10 @@
 		t.Errorf("late %g after 20 s", w.late)
 	}
 	r := router(nil)
-	fill(r, 1, Event{Outcome: "done", Reason: 3, OriginWait: 100 * ms})
+	fill(r, 1, Event{Outcome: OutcomeDone, Reason: ReasonMissOrigin, OriginWait: 100 * ms})
 	sent := only(t, r.Handle(r.now, request("read"), nil), ActionSend)
-	for _, a := range r.Handle(r.now+ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: "busy", Reason: 10}, nil) {
-		if a.Kind == ActionSend && a.Source != a.Endpoint && a.Mode&modeHeld == 0 {
+	for _, a := range r.Handle(r.now+ms, Event{Kind: EventAttemptEnded, Request: "t", Endpoint: sent.Endpoint, Outcome: OutcomeBusy, Reason: ReasonOriginError}, nil) {
+		if a.Kind == ActionSend && a.Source != a.Endpoint && a.FillMode&FillNoFetch == 0 {
 			t.Errorf("asks the origin again: %+v", a)
 		}
 	}
@@ -697,8 +698,8 @@
 	set.Routers, set.Hierarchy.RoutersByZone = 1, []int{0, 1}
 	r := New(set, 1)
 	list := entries()
-	list[0].StartedAt, list[1].State = begin-sec, "left"
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: "disk", Endpoints: list}, nil)
+	list[0].StartedAt, list[1].State = begin-sec, EndpointGone
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDisk, Endpoints: list}, nil)
 	if a := only(t, r.Handle(begin+sec/2, request("read"), nil), ActionSend); a.Endpoint == cacheA {
 		t.Error("a cold cache is sent to within the window")
 	}
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -24,9 +24,9 @@
 // TrafficClass describes one class of txns.
 type TrafficClass struct {
 	Name             string
-	Effect           string // "safe", "keyed" or "unsafe", as the wire gives it
-	Group            string // "all", "zone" or "cell"
-	DedupWindow      int64  // how long a group drops repeats
+	Effect           Effect
+	DedupGroup       DedupGroup
+	DedupWindow      int64 // how long a group drops repeats
 	LatencyObjective int64
 	ObjectiveStretch float64 // the SLA time grows by this multiple of the sending time
 	Timeout          int64
@@ -40,6 +40,26 @@
 	Parts            bool
 }
 
+// Effect says what a second execution of a request would do.
+type Effect uint8
+
+// The effects.
+const (
+	EffectIdempotent     Effect = iota // nothing more than the first
+	EffectIdempotencyKey               // nothing more, where the servers drop repeats of a key
+	EffectUnsafe                       // all of it again
+)
+
+// DedupGroup says which servers share what they know of idempotency keys.
+type DedupGroup uint8
+
+// The groups.
+const (
+	DedupGroupAll  DedupGroup = iota // all servers
+	DedupGroupZone                   // those of a zone
+	DedupGroupCell                   // those of a cell in a zone
+)
+
 // Tenant is a customer with a quota over all routers.
 type Tenant struct {
 	Name      string
@@ -105,7 +125,7 @@
 type Event struct {
 	Kind EventKind
 
-	Scope     string // discovery: "diff", "snapshot", "disk" or "error"
+	Scope     UpdateScope // discovery
 	Endpoints []Endpoint
 
 	Request     string
@@ -121,8 +141,8 @@
 
 	Endpoint   string
 	Attempt    int
-	Outcome    string // outcome, as the wire words it
-	Reason     int
+	Outcome    Outcome
+	Reason     Reason
 	Final      bool
 	RTT        int64
 	OriginWait int64
@@ -137,13 +157,45 @@
 	HoldUntil int64                 // peers: cold servers get nothing before: an earlier life may have spent this one's share
 }
 
+// UpdateScope says what an update of the endpoint list covers.
+type UpdateScope string
+
+// The scopes, as the simulator's wire and the log word them.
+const (
+	ScopeDiff     UpdateScope = "diff"     // the endpoints that changed
+	ScopeSnapshot UpdateScope = "snapshot" // all endpoints
+	ScopeDisk     UpdateScope = "disk"     // all endpoints, at the router's start
+	ScopeError    UpdateScope = "error"    // none: the list could not be had
+)
+
+// EndpointState is what discovery says of an endpoint.
+type EndpointState string
+
+// The states. Messages between routers carry them in these words.
+const (
+	EndpointActive   EndpointState = "active"  // takes requests
+	EndpointDraining EndpointState = "leaving" // takes no new requests
+	EndpointGone     EndpointState = "left"    // has ended
+)
+
+// FillMode says how a cache may answer an attempt that misses. Its bits are those of the simulator's wire.
+type FillMode int
+
+// The bits.
+const (
+	FillWaitFor    FillMode = 1 << iota // wait for a fill that is under way
+	FillNoFetch                         // the source gives only what it holds
+	FillNoKeep                          // the source keeps no copy
+	FillBackground                      // a stale copy is answered with, and renewed behind it
+)
+
 // Endpoint is one line of the list of servers.
 type Endpoint struct {
 	ID        string
 	Zone      string
 	Kind      string
 	Cell      int
-	State     string // "active", "leaving" or "left"
+	State     EndpointState
 	Weight    float64
 	StartedAt int64 // 0: long past
 }
@@ -178,7 +230,7 @@
 	MaxAge        int64
 	Timeout       int64
 	SendBefore    int64 // get: a keyed repeat must be written before; 0: no such bound
-	Mode          int
+	FillMode      FillMode
 	Attempt       int
 	RetryAfter    int64
 	Due           int64
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 	"testing"
+
+	"quilldoor/internal/policy"
 )
 
 func TestFaultsAreNamedByKeyAndLine(t *testing.T) {
@@ -46,7 +48,7 @@
 	if l.Zone != "office-3" || len(l.Zones) != 3 || l.Routers != 3 || l.Hierarchy.OriginKind != 2 || l.Hierarchy.ParentKind != 1 {
 		t.Fatalf("%+v", l)
 	}
-	if r := l.Classes[Page]; r.FreshFor != 12_000_000 || r.StaleGrace != 12_000_000 || l.Classes[Accept].Effect != "unsafe" || !l.Classes[Accept].Write {
+	if r := l.Classes[Page]; r.FreshFor != 12_000_000 || r.StaleGrace != 12_000_000 || l.Classes[Accept].Effect != policy.EffectUnsafe || !l.Classes[Accept].Write {
 		t.Fatalf("%+v", l.Classes)
 	}
 	if l.Contract.SlowStartFrom != s.Fleet.ColdFrom || l.Contract.OverloadMultiple != s.Fleet.FallMultiple || l.Hierarchy.ParentSlowStartFrom != s.Fleet.ParentColdFrom {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -63,6 +63,18 @@
 	RoundMs    float64
 }
 
+var effects = map[string]policy.Effect{
+	"safe":   policy.EffectIdempotent,
+	"keyed":  policy.EffectIdempotencyKey,
+	"unsafe": policy.EffectUnsafe,
+}
+
+var dedupGroups = map[string]policy.DedupGroup{
+	"all":  policy.DedupGroupAll,
+	"zone": policy.DedupGroupZone,
+	"cell": policy.DedupGroupCell,
+}
+
 func at[T any](list []T, i int) (v T) {
 	if i < len(list) {
 		v = list[i]
@@ -104,7 +116,7 @@
 	}
 	for i, k := range s.Classes {
 		out.Classes = append(out.Classes, policy.TrafficClass{
-			Name: k.Name, Effect: k.Effect, Group: k.Group, DedupWindow: Micros(k.DedupWindowMs),
+			Name: k.Name, Effect: effects[k.Effect], DedupGroup: dedupGroups[k.Group], DedupWindow: Micros(k.DedupWindowMs),
 			LatencyObjective: Micros(k.TargetMs), ObjectiveStretch: k.AimStretch, Timeout: Micros(k.GiveUpMs),
 			PriorityWeight: k.Value, LateValueShare: k.LateShare, Streamed: k.Streamed,
 			FreshFor: Micros(at(f.GoodForMs, i)), StaleGrace: Micros(at(f.ClassGraceMs, i)),
--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -90,7 +90,7 @@
 		h.routers[m.Instance] = nil
 		return nil
 	}
-	if m.Verb == simwire.VerbDiscovery && m.Event.Scope != "error" {
+	if m.Verb == simwire.VerbDiscovery && m.Event.Scope != policy.ScopeError {
 		entries, sent := h.pages[m.Page]
 		if !sent {
 			return fmt.Errorf("Discovery names list %d, which was never sent", m.Page)
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -5,6 +5,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 )
 
@@ -223,7 +224,7 @@
 			w.Result.completed(w, c, issued)
 			return
 		}
-		w.again(c, stay, outcome == "rejected" || w.rules[c.rule].Effect == "safe")
+		w.again(c, stay, outcome == "rejected" || w.rules[c.rule].Effect == policy.EffectIdempotent)
 	})
 }
 
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -26,10 +26,10 @@
 	weight float64 // flows that it can send at once when it is warm
 
 	up, silent, fell bool
-	listed           string // "active", "leaving" or "left", as the board will tell
-	born             int64  // 0: long past
-	pauses           int    // in force
-	life             int64  // counts starts: what began in an earlier one is void
+	listed           policy.EndpointState // as the board will tell
+	born             int64                // 0: long past
+	pauses           int                  // in force
+	life             int64                // counts starts: what began in an earlier one is void
 
 	cpu     *share // of a cache or the ledger: its cores or workers
 	out     *share // of a parent or the ledger: its link out
@@ -66,7 +66,7 @@
 	left    int // parts of the transfer that are not over
 	begun   int64
 	issued  int64
-	note    int
+	note    policy.Reason
 	life    int64
 	dropped bool
 }
@@ -85,7 +85,7 @@
 	f := &w.set.Fleet
 	s := &server{
 		w: w, uid: uid, kind: cache, office: office, trunk: f.Trunk(office), weight: float64(f.Cores), up: true,
-		listed: "active", slow: 1, fills: map[int64]*fill{},
+		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{},
 	}
 	// Work is told in core-microseconds; a core sends one flow.
 	s.cpu = &share{w: w, total: float64(f.Cores), most: 1}
@@ -101,7 +101,7 @@
 	kb := f.ParentLink * f.OfficeLink() * float64(max(offices, 1)) / float64(max(f.Parents, 1))
 	s := &server{
 		w: w, uid: uid, kind: parent, office: -1, trunk: trunk, weight: kb / f.FlowKBPerS, up: true,
-		listed: "active", slow: 1, fills: map[int64]*fill{}, out: w.link(kb),
+		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{}, out: w.link(kb),
 	}
 	s.store = newStore(f.ParentKeeps * w.cat.allKB)
 	w.servers[uid] = s
@@ -117,7 +117,7 @@
 	}
 	s := &server{
 		w: w, uid: "ledger", kind: ledger, office: -1, trunk: 0, weight: float64(f.LedgerWork), up: true,
-		listed: "active", slow: 1, out: w.link(kb),
+		listed: policy.EndpointActive, slow: 1, out: w.link(kb),
 	}
 	s.cpu = &share{w: w, total: float64(f.LedgerWork), most: 1}
 	w.servers[s.uid] = s
@@ -195,7 +195,7 @@
 	s.w.note(Entry{Kind: "fell", Server: s.uid, Work: s.spentOf / 1e6})
 	s.w.Result.Fallen++
 	s.die(false)
-	s.w.list(s, "left", s.w.jitter(s.w.set.Fleet.DeathMS*1000))
+	s.w.list(s, policy.EndpointGone, s.w.jitter(s.w.set.Fleet.DeathMS*1000))
 }
 
 // die ends a server's process. Reset tells its routers; a silent one tells nobody.
@@ -208,7 +208,7 @@
 		if silent {
 			s.stop(h)
 		} else {
-			s.end(h, End{Code: "econnreset"})
+			s.end(h, End{Outcome: policy.OutcomeConnectionReset})
 		}
 	}
 	for _, h := range s.hops {
@@ -288,7 +288,7 @@
 	case !s.up && s.silent:
 		return
 	case !s.up:
-		s.end(h, End{Code: "econnrefused"})
+		s.end(h, End{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
 	w.note(Entry{Kind: "came", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: s.uid})
@@ -317,9 +317,9 @@
 	}
 	s.stop(h)
 	e.Load = s.load
-	if e.Code != "econnreset" && e.Code != "econnrefused" {
-		s.w.Result.Ends[e.Code]++
-		if e = s.w.spoil(s, e); e.Code == "" {
+	if e.Outcome != policy.OutcomeConnectionReset && e.Outcome != policy.OutcomeConnectionRefused {
+		s.w.Result.Ends[e.Outcome.String()]++
+		if e = s.w.spoil(s, e); e.Outcome == policy.OutcomeUnknown {
 			return // it never comes
 		}
 	}
@@ -332,7 +332,7 @@
 		return // the router has given it up
 	}
 	delete(w.hops, key)
-	w.note(Entry{Kind: "end", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.Server, Outcome: e.Code, Issued: e.Issued})
+	w.note(Entry{Kind: "end", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.Server, Outcome: e.Outcome.String(), Issued: e.Issued})
 	w.driver.End(h.Router, h, e)
 }
 
@@ -383,7 +383,7 @@
 		h.state = waiting
 		s.queue = append(s.queue, h)
 	default:
-		s.end(h, End{Code: "busy"})
+		s.end(h, End{Outcome: policy.OutcomeBusy})
 	}
 }
 
@@ -396,21 +396,6 @@
 	}
 }
 
-const (
-	noteHit = 1 + iota
-	noteMiss
-	noteMissOrigin
-	noteCollapsed
-	noteStale
-	noteUpBusy
-	noteUpDown
-	noteUpMiss
-	noteNoFill
-	noteOriginErr
-)
-
-const modeJoin, modeHeld, modeNoKeep = 1, 2, 4 // as the wire has them
-
 // work looks for a copy, or begins a fill.
 func (s *server) work(h *Hop) {
 	w, f := s.w, &s.w.set.Fleet
@@ -424,25 +409,25 @@
 	s.served++
 	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
 		s.hits++
-		note := noteHit
+		note := policy.ReasonHit
 		if w.now-c.issued > w.rules[h.Rule].FreshFor {
-			note = noteStale
+			note = policy.ReasonStale
 		}
 		s.send(h, note, c.issued, 0)
 		return
 	}
 	switch {
 	case h.from == nil || h.from == s:
-		s.end(h, End{Code: "enoent", Note: noteNoFill})
-	case h.Mode&modeJoin != 0 && s.fills[key] != nil:
+		s.end(h, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
+	case h.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
 		x := s.fills[key]
 		x.rank = max(x.rank, h.Rank)
 		x.hops = append(x.hops, h)
 		h.fill = x
 	case s.fillsN >= f.FillsPerCore*f.Cores:
-		s.end(h, End{Code: "busy"})
+		s.end(h, End{Outcome: policy.OutcomeBusy})
 	default:
-		x := &fill{at: s, key: key, hops: []*Hop{h}, rank: h.Rank, begun: w.now, life: s.life, note: noteMiss}
+		x := &fill{at: s, key: key, hops: []*Hop{h}, rank: h.Rank, begun: w.now, life: s.life, note: policy.ReasonMiss}
 		h.fill = x
 		s.fillsN++
 		if s.fills[key] == nil {
@@ -473,12 +458,12 @@
 }
 
 // send sends a copy from the cache: the core is taken for the time of sending.
-func (s *server) send(h *Hop, note int, issued, waited int64) {
+func (s *server) send(h *Hop, note policy.Reason, issued, waited int64) {
 	work := h.SizeKB / s.w.set.Fleet.FlowKBPerS * 1e6
 	s.w.ran(h)
 	h.job = s.cpu.add(work, func() {
 		h.job = nil
-		s.end(h, End{Code: "done", Note: note, Issued: issued, Waited: waited, SizeKB: h.SizeKB})
+		s.end(h, End{Outcome: policy.OutcomeDone, Reason: note, Issued: issued, Waited: waited, SizeKB: h.SizeKB})
 	})
 	s.power()
 }
@@ -504,15 +489,15 @@
 		case !from.up && from.silent:
 			return // until the hop is given up
 		case !from.up:
-			w.after(way, func() { x.fail(noteUpDown) })
+			w.after(way, func() { x.fail(policy.ReasonUpstreamDown) })
 			return
 		case from.kind != ledger && from.charge(work):
 			from.fall()
-			w.after(way, func() { x.fail(noteUpDown) })
+			w.after(way, func() { x.fail(policy.ReasonUpstreamDown) })
 			return
 		}
-		from.supply(&ask, func(issued int64, note int) {
-			if note >= noteUpBusy {
+		from.supply(&ask, func(issued int64, note policy.Reason) {
+			if note >= policy.ReasonUpstreamBusy {
 				w.after(way, func() { x.fail(note) })
 				return
 			}
@@ -563,14 +548,14 @@
 		h.fill = nil
 		note := x.note
 		if i > 0 {
-			note = noteCollapsed
+			note = policy.ReasonCoalesced
 		}
 		s.send(h, note, x.issued, s.w.now-x.begun)
 	}
 	x.hops = nil
 }
 
-func (x *fill) fail(note int) {
+func (x *fill) fail(note policy.Reason) {
 	if x.dropped || x.life != x.at.life {
 		return
 	}
@@ -580,7 +565,7 @@
 	x.hops = nil
 	for _, h := range hops {
 		h.fill = nil
-		x.at.end(h, End{Code: "err", Note: note, Waited: x.at.w.now - x.begun})
+		x.at.end(h, End{Outcome: policy.OutcomeError, Reason: note, Waited: x.at.w.now - x.begun})
 	}
 }
 
@@ -604,16 +589,16 @@
 
 // supply is what a source does for a fill: a parent or another cache gives what
 // it holds, or fetches it; the ledger makes it.
-func (s *server) supply(h *Hop, done func(issued int64, note int)) {
+func (s *server) supply(h *Hop, done func(issued int64, note policy.Reason)) {
 	w := s.w
 	switch s.kind {
 	case ledger:
 		s.read(done)
 	case cache: // another office's: only what it holds
 		if c := s.store.get(keyOf(h.obj, h.Part)); c != nil && c.issued > w.purgedAt(h.obj, h.Group) {
-			done(c.issued, noteMiss)
+			done(c.issued, policy.ReasonMiss)
 		} else {
-			done(0, noteUpMiss)
+			done(0, policy.ReasonUpstreamMiss)
 		}
 	default:
 		s.fetch(h, done)
@@ -621,7 +606,7 @@
 }
 
 // fetch gives a parent's copy, or has it from the ledger first.
-func (s *server) fetch(h *Hop, done func(issued int64, note int)) {
+func (s *server) fetch(h *Hop, done func(issued int64, note policy.Reason)) {
 	w, f := s.w, &s.w.set.Fleet
 	key, life := keyOf(h.obj, h.Part), s.life
 	within := h.Within
@@ -631,11 +616,11 @@
 	s.served++
 	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
 		s.hits++
-		done(c.issued, noteMiss)
+		done(c.issued, policy.ReasonMiss)
 		return
 	}
-	if h.Mode&modeHeld != 0 {
-		done(0, noteUpMiss)
+	if h.FillMode&policy.FillNoFetch != 0 {
+		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
 	if x := s.fills[key]; x != nil && f.ParentJoins {
@@ -646,14 +631,14 @@
 	s.fills[key] = x
 	s.fillsN++
 	way := w.away(0, w.ledger) + int64(f.FarMS*500*float64(abs(s.trunk-w.ledger.trunk)))
-	finish := func(issued int64, note int) {
+	finish := func(issued int64, note policy.Reason) {
 		if s.life != life { // it died meanwhile
-			done(0, noteUpDown)
+			done(0, policy.ReasonUpstreamDown)
 			return
 		}
 		x.over()
 		x.issued, x.note = issued, note
-		if note < noteUpBusy && h.Mode&modeNoKeep == 0 && issued > w.purgedAt(h.obj, h.Group) {
+		if note < policy.ReasonUpstreamBusy && h.FillMode&policy.FillNoKeep == 0 && issued > w.purgedAt(h.obj, h.Group) {
 			s.store.put(key, h.SizeKB, issued, h.Group, 1)
 		}
 		done(issued, note)
@@ -662,15 +647,15 @@
 		}
 	}
 	w.after(way, func() {
-		w.ledger.read(func(issued int64, note int) {
-			if note >= noteUpBusy {
+		w.ledger.read(func(issued int64, note policy.Reason) {
+			if note >= policy.ReasonUpstreamBusy {
 				w.after(way, func() { finish(0, note) })
 				return
 			}
 			if w.phase() != "settle" {
 				w.Result.LedgerKB += h.SizeKB
 			}
-			w.ledger.out.add(h.SizeKB, func() { w.after(way, func() { finish(issued, noteMissOrigin) }) })
+			w.ledger.out.add(h.SizeKB, func() { w.after(way, func() { finish(issued, policy.ReasonMissOrigin) }) })
 		})
 	})
 }
@@ -692,20 +677,20 @@
 func (s *server) fetchFor(h *Hop) {
 	h.state = working
 	life := s.life
-	s.fetch(h, func(issued int64, note int) {
+	s.fetch(h, func(issued int64, note policy.Reason) {
 		if h.state == ended || s.life != life {
 			return
 		}
-		if note >= noteUpBusy {
-			code := "err"
-			if note == noteUpMiss {
-				code = "enoent"
+		if note >= policy.ReasonUpstreamBusy {
+			outcome := policy.OutcomeError
+			if note == policy.ReasonUpstreamMiss {
+				outcome = policy.OutcomeMiss
 			}
-			s.end(h, End{Code: code, Note: note})
+			s.end(h, End{Outcome: outcome, Reason: note})
 			return
 		}
 		s.w.ran(h)
-		s.crossing(h, func() { s.end(h, End{Code: "done", Note: note, Issued: issued, SizeKB: h.SizeKB}) })
+		s.crossing(h, func() { s.end(h, End{Outcome: policy.OutcomeDone, Reason: note, Issued: issued, SizeKB: h.SizeKB}) })
 	})
 }
 
@@ -759,19 +744,19 @@
 }
 
 // read makes an object for a fill.
-func (s *server) read(done func(issued int64, note int)) {
+func (s *server) read(done func(issued int64, note policy.Reason)) {
 	if !s.up || !s.takes() {
-		done(0, noteUpBusy)
+		done(0, policy.ReasonUpstreamBusy)
 		return
 	}
-	s.cpu.add(s.effort(), func() { done(s.w.now, noteMissOrigin) })
+	s.cpu.add(s.effort(), func() { done(s.w.now, policy.ReasonMissOrigin) })
 }
 
 // ledgerWork is a hop straight to the ledger: a write, or a read past the caches.
 func (s *server) ledgerWork(h *Hop) {
 	h.state = working
 	if !s.takes() {
-		s.end(h, End{Code: "busy"})
+		s.end(h, End{Outcome: policy.OutcomeBusy})
 		return
 	}
 	s.w.ran(h) // from here on a write may have its effect
@@ -780,10 +765,12 @@
 		issued := s.w.now
 		if h.Write {
 			s.w.note(Entry{Kind: "effect", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: s.uid, Rule: s.w.rules[h.Rule].Name})
-			s.end(h, End{Code: "done", Note: noteMissOrigin, SizeKB: 1})
+			s.end(h, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: 1})
 			return
 		}
-		s.crossing(h, func() { s.end(h, End{Code: "done", Note: noteMissOrigin, Issued: issued, SizeKB: h.SizeKB}) })
+		s.crossing(h, func() {
+			s.end(h, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, Issued: issued, SizeKB: h.SizeKB})
+		})
 	})
 }
 
@@ -793,7 +780,7 @@
 func (s *server) report() {
 	w, f := s.w, &s.w.set.Fleet
 	every := w.jitter(f.ReportMS * 1000)
-	if s.listed == "left" && !s.up && s.fell {
+	if s.listed == policy.EndpointGone && !s.up && s.fell {
 		return
 	}
 	noise := func(v float64) float64 { return max(0, v*(1+f.ReportNoise*w.dice.NormFloat64())) }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -73,7 +73,8 @@
 	Txn            string
 	N              int
 	Server, Source string // Source "": a miss is not filled
-	Rank, Mode     int
+	Rank           int
+	FillMode       policy.FillMode
 	Within         int64 // the oldest copy that will do; 0: the rule's
 	Rule           int
 	Object         string
@@ -105,13 +106,13 @@
 
 // End is how a hop ended, as the module words it.
 type End struct {
-	Code   string
-	Note   int
-	Waited int64
-	Load   map[string]float64
-	Issued int64 // of the copy; 0: none
-	SizeKB float64
-	Spoilt bool // on sockets: an answer that can't be read
+	Outcome policy.Outcome
+	Reason  policy.Reason
+	Waited  int64
+	Load    map[string]float64
+	Issued  int64 // of the copy; 0: none
+	SizeKB  float64
+	Spoilt  bool // on sockets: an answer that can't be read
 }
 
 // Entry is one line of the record.
@@ -288,7 +289,7 @@
 // Known is the list as it is, in order.
 func (w *World) Known() (list []Server) {
 	add := func(s *server) {
-		if s.listed != "left" {
+		if s.listed != policy.EndpointGone {
 			list = append(list, s.entry())
 		}
 	}
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"quilldoor/internal/netsim"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 )
 
@@ -15,10 +16,10 @@
 type heldNotice struct{ n Notice }
 
 // list changes what the board tells of a server, some time from now.
-func (w *World) list(s *server, state string, delay int64) {
+func (w *World) list(s *server, state policy.EndpointState, delay int64) {
 	s.listed = state
 	e := s.entry()
-	w.note(Entry{Kind: "listed", Server: s.uid, State: state, Until: w.now + delay})
+	w.note(Entry{Kind: "listed", Server: s.uid, State: string(state), Until: w.now + delay})
 	w.after(delay, func() { w.announce(Notice{Servers: []Server{e}}) })
 }
 
@@ -41,7 +42,7 @@
 		return
 	}
 	for _, s := range n.Servers {
-		w.note(Entry{Kind: "told", Router: r.id, Server: s.ID, State: s.State})
+		w.note(Entry{Kind: "told", Router: r.id, Server: s.ID, State: string(s.State)})
 	}
 	if n.Purge {
 		w.note(Entry{Kind: "told_purge", Router: r.id, Object: n.Object, Group: n.Group, Until: n.At})
@@ -104,24 +105,24 @@
 // spoil lets troubles get between a server and its answer; no code: it never comes.
 func (w *World) spoil(s *server, e End) End {
 	if s.kind == cache && w.set.Fleet.ErrorShare > 0 && w.dice.Float64() < w.set.Fleet.ErrorShare {
-		return End{Code: "err", Load: e.Load}
+		return End{Outcome: policy.OutcomeError, Load: e.Load}
 	}
 	for _, x := range w.spells {
 		if x.kind == "ledger_resets" && s.kind == ledger && w.dice.Float64() < x.share {
-			return End{Code: "econnreset"}
+			return End{Outcome: policy.OutcomeConnectionReset}
 		}
 		if s.kind != cache || x.kind == "ledger_resets" || x.office > 0 && s.office != x.office-1 || w.dice.Float64() >= x.share {
 			continue
 		}
 		switch x.kind {
 		case "resets":
-			return End{Code: "econnreset"}
+			return End{Outcome: policy.OutcomeConnectionReset}
 		case "spoilt":
-			return End{Code: "econnreset", Spoilt: true}
+			return End{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
 		case "endless":
 			return End{}
 		case "errors":
-			return End{Code: "err", Load: e.Load}
+			return End{Outcome: policy.OutcomeError, Load: e.Load}
 		}
 	}
 	return e
@@ -268,7 +269,7 @@
 func (w *World) lose(list []*server, silent bool) (over func()) {
 	for _, s := range list {
 		s.die(silent)
-		w.list(s, "left", w.jitter(w.set.Fleet.DeathMS*1000))
+		w.list(s, policy.EndpointGone, w.jitter(w.set.Fleet.DeathMS*1000))
 	}
 	return func() { w.back(list) }
 }
@@ -279,7 +280,7 @@
 			continue
 		}
 		s.start()
-		w.list(s, "active", 0)
+		w.list(s, policy.EndpointActive, 0)
 	}
 }
 
@@ -318,7 +319,7 @@
 				if !s.up {
 					continue
 				}
-				w.list(s, "leaving", 0)
+				w.list(s, policy.EndpointDraining, 0)
 				w.after(drained, func() { w.replace(s) })
 			}
 		})
@@ -329,7 +330,7 @@
 	if s.up {
 		s.die(false)
 	}
-	w.list(s, "left", 0)
+	w.list(s, policy.EndpointGone, 0)
 	place := slices.Index(w.caches[s.office], s)
 	if place < 0 {
 		return
@@ -338,18 +339,18 @@
 	next.up = false
 	w.caches[s.office][place] = next
 	next.start()
-	w.list(next, "active", 0)
+	w.list(next, policy.EndpointActive, 0)
 }
 
 // preempt drains servers, and takes them away a moment later; they come back.
 func (w *World) preempt(list []*server, notice int64) (over func()) {
 	for _, s := range list {
-		w.list(s, "leaving", 0)
+		w.list(s, policy.EndpointDraining, 0)
 		w.after(notice, func() {
 			if s.up {
 				s.die(false)
 			}
-			w.list(s, "left", 0)
+			w.list(s, policy.EndpointGone, 0)
 		})
 	}
 	return func() { w.back(list) }
@@ -467,7 +468,7 @@
 		a.open = false
 		delete(r.open, id)
 		w.after(w.jitter(w.set.Fleet.ClientMS*500), func() {
-			w.again(a.client, 0, w.rules[a.Rule].Effect == "safe")
+			w.again(a.client, 0, w.rules[a.Rule].Effect == policy.EffectIdempotent)
 		})
 	}
 	r.openSeq = nil
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -51,6 +51,18 @@
 	"Abandoned":     policy.EventClientGone,
 }
 
+var outcomes = map[string]policy.Outcome{
+	"done":         policy.OutcomeDone,
+	"err":          policy.OutcomeError,
+	"busy":         policy.OutcomeBusy,
+	"enoent":       policy.OutcomeMiss,
+	"etimedout":    policy.OutcomeTimeout,
+	"econnrefused": policy.OutcomeConnectionRefused,
+	"econnreset":   policy.OutcomeConnectionReset,
+	"ecanceled":    policy.OutcomeCanceled,
+	"skipped":      policy.OutcomeSkipped,
+}
+
 // KnownVerb tells whether a verb stands on the wire's list of events.
 func KnownVerb(verb string) bool {
 	_, ok := kinds[verb]
@@ -162,12 +174,12 @@
 		for _, n := range e.NodesList {
 			m.Endpoints = append(m.Endpoints, policy.Endpoint{
 				ID: n.Server, Zone: n.Site, Kind: n.Kind, Cell: n.Stripe,
-				State: n.Availability, Weight: n.Heft, StartedAt: settings.Micros(n.BornMs),
+				State: policy.EndpointState(n.Availability), Weight: n.Heft, StartedAt: settings.Micros(n.BornMs),
 			})
 		}
 		return m, nil
 	case VerbDiscovery:
-		if e.Page == nil && e.Scope != "error" {
+		if e.Page == nil && policy.UpdateScope(e.Scope) != policy.ScopeError {
 			return m, fmt.Errorf("Discovery: no Page")
 		}
 		if e.Page != nil {
@@ -180,10 +192,10 @@
 	}
 	tenant, _ := e.Team.(string)
 	m.Event = policy.Event{
-		Kind: kinds[m.Verb], Scope: e.Scope, Request: e.OpId, Class: e.Grade, Object: e.ContentId,
+		Kind: kinds[m.Verb], Scope: policy.UpdateScope(e.Scope), Request: e.OpId, Class: e.Grade, Object: e.ContentId,
 		Group: e.BatchId, Part: int64(e.Piece), SizeKB: e.LengthKb, Remaining: settings.Micros(e.RemainingMs),
 		ClientRetry: e.Attrs&2 != 0, Write: e.Attrs&4 != 0, Tenant: tenant, Endpoint: e.Server, Attempt: e.RoundNo,
-		Outcome: e.Rc, Reason: e.Remark, Final: e.Final, RTT: settings.Micros(e.RttMs), OriginWait: settings.Micros(e.WaitedMs),
+		Outcome: outcomes[e.Rc], Reason: policy.Reason(e.Remark), Final: e.Final, RTT: settings.Micros(e.RttMs), OriginWait: settings.Micros(e.WaitedMs),
 		Load: e.Stats, Token: e.Ctx, Age: settings.Micros(e.AgeMs), Peer: e.By, Data: data,
 	}
 	return m, nil
@@ -224,7 +236,7 @@
 		d := decision{I: instance, OpId: a.Request, Server: a.Endpoint}
 		switch a.Kind {
 		case policy.ActionSend:
-			d.Verb, d.FillFrom, d.Rank, d.Mode = "Get", a.Source, &a.CachePriority, a.Mode
+			d.Verb, d.FillFrom, d.Rank, d.Mode = "Get", a.Source, &a.CachePriority, int(a.FillMode)
 			d.AgeMs, d.CapMs = millis(a.MaxAge), millis(a.Timeout)
 		case policy.ActionForward:
 			d.Verb, d.CapMs = "PassOn", millis(a.Timeout)
--- a/internal/supervisor/watch.go
+++ b/internal/supervisor/watch.go
@@ -75,12 +75,12 @@
 }
 
 // EndpointsChanged takes changes of the list of servers.
-func (w *watching) EndpointsChanged(scope string, list []engine.Endpoint) {
+func (w *watching) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
 	entries := make([]policy.Endpoint, len(list))
 	for i, s := range list {
 		entries[i] = s.Endpoint
 	}
-	w.in(func(now int64) { w.judge.EndpointsChanged(now, scope != "diff", entries) })
+	w.in(func(now int64) { w.judge.EndpointsChanged(now, scope != policy.ScopeDiff, entries) })
 }
 
 // Purge takes a purge.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,6 +14,7 @@
 	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/settings"
 )
 
@@ -189,7 +190,7 @@
 		}
 		it.flight.Body.Release()
 		if err != nil && ends[i] > n {
-			c.pool.ended(it.flight.Attempt, engine.Outcome{Code: "econnrefused"})
+			c.pool.ended(it.flight.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
 		}
 	}
 	for _, f := range unsent {
@@ -199,7 +200,7 @@
 			c.rest()
 		}
 		c.pool.mu.Unlock()
-		c.pool.ended(f.Attempt, engine.Outcome{Code: "skipped"})
+		c.pool.ended(f.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
 	}
 	return err == nil
 }
@@ -243,9 +244,9 @@
 	}
 }
 
-var codes = map[cacheproto.Status]string{
-	cacheproto.StatusOK: "done", cacheproto.StatusNotModified: "done", cacheproto.StatusMiss: "enoent",
-	cacheproto.StatusBusy: "busy", cacheproto.StatusError: "err", cacheproto.StatusSkipped: "skipped",
+var codes = map[cacheproto.Status]policy.Outcome{
+	cacheproto.StatusOK: policy.OutcomeDone, cacheproto.StatusNotModified: policy.OutcomeDone, cacheproto.StatusMiss: policy.OutcomeMiss,
+	cacheproto.StatusBusy: policy.OutcomeBusy, cacheproto.StatusError: policy.OutcomeError, cacheproto.StatusSkipped: policy.OutcomeSkipped,
 }
 
 // answer reads an answer's body and ends its hop. One that nobody waits for, a
@@ -270,16 +271,16 @@
 			return err
 		}
 	}
-	code := codes[a.Status]
+	outcome := codes[a.Status]
 	if full != nil || f != nil && a.Status == cacheproto.StatusNotModified && a.Tag != f.Tag { // it names a copy that nobody has
-		code = "err"
+		outcome = policy.OutcomeError
 	}
 	p.mu.Lock()
 	c.heard = time.Now()
 	mine := f != nil && c.open[a.ID] == f
 	if mine {
 		delete(c.open, a.ID)
-		if code != "done" { // its txn may go on
+		if outcome != policy.OutcomeDone { // its txn may go on
 			c.spent[a.ID] = c.heard
 		}
 	}
@@ -293,8 +294,8 @@
 		body.Release()
 		return nil
 	}
-	o := engine.Outcome{Code: code, Reason: a.Reason, OriginWait: settings.Micros(a.DelayMillis), Load: a.Load}
-	if code == "done" {
+	o := engine.Result{Outcome: outcome, Reason: a.Reason, OriginWait: settings.Micros(a.DelayMillis), Load: a.Load}
+	if outcome == policy.OutcomeDone {
 		o.Response = &Response{body, a.Tag, a.Status == cacheproto.StatusNotModified, a.IssuedMillis}
 	} else {
 		body.Release()
@@ -332,9 +333,9 @@
 		}
 	}
 	for _, f := range open {
-		o := engine.Outcome{Code: "econnreset"}
+		o := engine.Result{Outcome: policy.OutcomeConnectionReset}
 		if f.Attempt.Withdraw() {
-			o.Code = "econnrefused"
+			o.Outcome = policy.OutcomeConnectionRefused
 		}
 		p.ended(f.Attempt, o)
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -13,6 +13,7 @@
 	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/config"
 	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 )
 
 // Call is one hop on its way, with what the client sent.
@@ -36,14 +37,14 @@
 	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out; 0: no copy
 }
 
-// OutcomeFunc is told how hops end.
-type OutcomeFunc func(h *engine.Attempt, o engine.Outcome)
+// ResultFunc is told how hops end.
+type ResultFunc func(h *engine.Attempt, o engine.Result)
 
 // Pool holds the connections of all servers.
 type Pool struct {
 	limits *config.Limits
 	bodies *bufferpool.Pool
-	ended  OutcomeFunc
+	ended  ResultFunc
 	log    *logrus.Entry
 
 	mu    sync.Mutex // for the books below and those of every conn; never held over I/O
@@ -66,7 +67,7 @@
 }
 
 // New makes an empty pool.
-func New(limits *config.Limits, bodies *bufferpool.Pool, ended OutcomeFunc, log *logrus.Entry) *Pool {
+func New(limits *config.Limits, bodies *bufferpool.Pool, ended ResultFunc, log *logrus.Entry) *Pool {
 	return &Pool{limits: limits, bodies: bodies, ended: ended, log: log, peers: map[place]*peer{}, most: limits.MaxUpstreamConns}
 }
 
@@ -97,7 +98,7 @@
 	if c == nil {
 		p.mu.Unlock()
 		f.Attempt.Withdraw()
-		p.ended(f.Attempt, engine.Outcome{Code: "econnrefused"})
+		p.ended(f.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
 	f.conn = c
@@ -232,7 +233,7 @@
 	}
 	p.mu.Unlock()
 	for _, f := range unsent {
-		p.ended(f.Attempt, engine.Outcome{Code: "skipped"})
+		p.ended(f.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
 	}
 }
 
@@ -294,7 +295,7 @@
 	h := f.Attempt
 	g := &cacheproto.GetCommand{
 		ID: h.Request.ID, Class: f.Class, Object: f.Object, Part: f.Part, Source: h.Source, Priority: h.CachePriority,
-		Mode: h.Mode, Tag: f.Tag, IdempotencyKey: f.IdempotencyKey, Length: f.Body.Len(), BudgetMillis: max((h.Deadline-now)/1000, 1),
+		FillMode: h.FillMode, Tag: f.Tag, IdempotencyKey: f.IdempotencyKey, Length: f.Body.Len(), BudgetMillis: max((h.Deadline-now)/1000, 1),
 	}
 	if h.MaxAge > 0 {
 		g.MaxAgeMillis = max(h.MaxAge/1000, 1)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,7 +19,7 @@
 type stand struct {
 	*Pool
 	net.Listener
-	ends chan string // codes of hops that ended
+	ends chan policy.Outcome // of attempts that ended
 }
 
 func newStand(t *testing.T, change func(*config.Limits)) *stand {
@@ -34,10 +34,10 @@
 	if change != nil {
 		change(limits)
 	}
-	s := &stand{Listener: l, ends: make(chan string, 100)}
+	s := &stand{Listener: l, ends: make(chan policy.Outcome, 100)}
 	log := logrus.NewEntry(logrus.New())
 	log.Logger.SetLevel(logrus.ErrorLevel)
-	s.Pool = New(limits, bufferpool.NewPool(1<<20), func(_ *engine.Attempt, o engine.Outcome) { s.ends <- o.Code }, log)
+	s.Pool = New(limits, bufferpool.NewPool(1<<20), func(_ *engine.Attempt, o engine.Result) { s.ends <- o.Outcome }, log)
 	t.Cleanup(func() {
 		l.Close()
 		s.Close()
@@ -102,7 +102,7 @@
 	s.Send(s.flight("b"))
 	r.ReadString('\n')
 	c.Write([]byte("a EIO - 2\r\nxx\r\nb NOENT - 0\r\n\r\n"))
-	if code := <-s.ends; code != "enoent" || s.ConnCount() != 1 {
+	if code := <-s.ends; code != policy.OutcomeMiss || s.ConnCount() != 1 {
 		t.Fatalf("%s over %d connections", code, s.ConnCount())
 	}
 	// The same txn's next hop must not share a connection with its last.
@@ -123,7 +123,7 @@
 		t.Fatalf("%d connections", s.ConnCount())
 	}
 	s.Send(s.flight("e")) // two hops on each: no room
-	if code := <-s.ends; code != "econnrefused" {
+	if code := <-s.ends; code != policy.OutcomeConnectionRefused {
 		t.Fatal(code)
 	}
 }
@@ -136,7 +136,7 @@
 	p := &peer{place: placeOf(r.Attempt.Endpoint), conns: []*conn{r.conn}}
 	r.conn.peer, s.peers[p.place], s.total = p, p, 1 // a connection that doesn't stand yet
 	s.Drain([]*engine.Endpoint{r.Attempt.Endpoint})
-	if code := <-s.ends; code != "skipped" || r.Attempt.Begin() || s.ConnCount() != 0 {
+	if code := <-s.ends; code != policy.OutcomeSkipped || r.Attempt.Begin() || s.ConnCount() != 0 {
 		t.Fatalf("%s, %d connections", code, s.ConnCount())
 	}
 }
@@ -152,7 +152,7 @@
 		c, _ := s.got(t)
 		c.Write([]byte(text))
 		c.(*net.TCPConn).CloseWrite()
-		if code := <-s.ends; code != "econnreset" {
+		if code := <-s.ends; code != policy.OutcomeConnectionReset {
 			t.Errorf("%q: %s", text, code)
 		}
 	}
@@ -166,7 +166,7 @@
 	c, r := s.got(t)
 	r.ReadString('\n')
 	c.Write([]byte("x ACK entity=e,issued=7 2\r\nxx\r\nx READY\r\na NOENT - 0\r\n\r\n"))
-	if code := <-s.ends; code != "enoent" {
+	if code := <-s.ends; code != policy.OutcomeMiss {
 		t.Fatal(code)
 	}
 	s.Send(s.flight("a"))
@@ -175,7 +175,7 @@
 	s.Send(s.flight("b"))
 	r.ReadString('\n')
 	c.Write([]byte("b AGAIN - 0\r\n\r\n"))
-	if code := <-s.ends; code != "busy" || s.ConnCount() != 2 {
+	if code := <-s.ends; code != policy.OutcomeBusy || s.ConnCount() != 2 {
 		t.Fatalf("%s over %d connections", code, s.ConnCount())
 	}
 }
@@ -186,7 +186,7 @@
 	s.Send(s.flight("a"))
 	c, _ := s.got(t)
 	c.Write([]byte("a ACK entity=e,issued=7 9\r\n1234"))
-	if code := <-s.ends; code != "econnreset" {
+	if code := <-s.ends; code != policy.OutcomeConnectionReset {
 		t.Fatal(code)
 	}
 }
@@ -240,7 +240,7 @@
 		f := s.flight("late")
 		change(f.Attempt, time.Now().UnixMicro())
 		s.Send(f)
-		if got := <-s.ends; got != "skipped" {
+		if got := <-s.ends; got != policy.OutcomeSkipped {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
