--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"quilldoor/internal/engine"
-	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/gossip"
 	"quilldoor/internal/membership"
 	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simfleet"
 	"quilldoor/internal/simulation"
@@ -166,7 +166,7 @@
 
 func (m mailer) apply(r *vrouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.core.UpdateEndpoints(m.now(), "diff", coreServers(list))
+		r.core.UpdateEndpoints(m.now(), policy.ScopeDiff, coreServers(list))
 	}
 }
 
@@ -233,7 +233,7 @@
 		conn.Close()
 	})
 	r.all.Go(func() {
-		b := make([]byte, peerproto.MaxDatagram+1)
+		b := make([]byte, transport.MaxDatagram+1)
 		for {
 			n, _, err := conn.ReadFromUDPAddrPort(b)
 			if r.ctx.Err() != nil {
