--- /dev/null
+++ b/internal/handoff/fileio.go
@@ -0,0 +1,39 @@
+package handoff
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/google/renameio/v2"
+)
+
+// WriteFileAtomic writes a file whole or not at all, and syncs it and its folder.
+func WriteFileAtomic(path string, content []byte) error {
+	folder := filepath.Dir(path)
+	if err := renameio.WriteFile(path, content, 0o600, renameio.WithTempDir(folder)); err != nil {
+		return err
+	}
+	d, err := os.Open(folder)
+	if err != nil {
+		return err
+	}
+	defer d.Close()
+	return d.Sync()
+}
+
+// FileDigest is the xxHash64 of a file's bytes, in hex.
+func FileDigest(path string) (string, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return "", err
+	}
+	defer f.Close()
+	d := xxhash.New()
+	if _, err := io.Copy(d, f); err != nil {
+		return "", err
+	}
+	return fmt.Sprintf("%016x", d.Sum64()), nil
+}
--- /dev/null
+++ b/internal/handoff/message.go
@@ -0,0 +1,105 @@
+package handoff
+
+import (
+	"fmt"
+
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/rollout"
+	"quilldoor/internal/upgrade"
+)
+
+// Format is the version of the messages. A supervisor rejects a process that names none.
+const Format = 1
+
+// Kind of a message. Its number goes over the wire.
+type Kind uint8
+
+// Kinds of messages: of the supervisor to a router process.
+const (
+	KindServe           Kind = 1 + iota // serve; with State: in the place of the process that had it
+	KindQuiesce                         // accept nothing new, hand over
+	KindSuccessorServes                 // the successor serves
+	KindSettle                          // the trial is over
+	KindResume                          // serve again
+	KindEnd                             // answer the open requests, then end
+	KindReload                          // read the settings again, as on SIGHUP
+	KindLimits                          // Limits is the process's part of the machine from now on
+	KindOtherAttempts                   // OutstandingAttempts of the other processes
+)
+
+// Kinds of messages: of a router process to the supervisor.
+const (
+	// KindHello is the first message: Format, Generation, PID; that of an orphan also
+	// has AgentState, WasSettled and the listening sockets.
+	KindHello     Kind = 10 + iota
+	KindReady          // it is ready to serve
+	KindReleased       // it accepts nothing new and owns nothing any more; with State
+	KindAccepting      // it serves
+	KindDenied         // it did not get the serving lock
+	KindSettled        // it knows that its trial is over
+	KindHeartbeat      // with Requests, OutstandingAttempts, OpenRequests, Activity
+)
+
+// Kinds of messages: of a tool to the supervisor, and the answer.
+const (
+	KindApply    Kind = 17 + iota // change to Program, Config, Operator
+	KindRollBack                  // return to the previous generation, or cancel the change
+	KindStatus                    // ask for Status
+	KindReport                    // the answer: Note; with Final it is the last one
+)
+
+// Kinds of messages that came later.
+const (
+	// KindPeerMessage carries Body to the router To, or from the router From, over the
+	// membership connections of the router process.
+	KindPeerMessage Kind = 21 + iota
+	// KindRollout is of a tool: Command of a rollout; 0: only a report, with Rollout.
+	KindRollout
+	kindEnd
+)
+
+var kindNames = [kindEnd]string{
+	"none", "serve", "quiesce", "successor serves", "settle", "resume", "end", "reload", "limits", "other attempts",
+	"hello", "ready", "released", "accepting", "denied", "settled", "heartbeat", "apply", "roll back", "status",
+	"report", "peer message", "rollout",
+}
+
+func (k Kind) String() string {
+	if k >= kindEnd {
+		return fmt.Sprintf("kind(%d)", uint8(k))
+	}
+	return kindNames[k]
+}
+
+// Message is one message. Which fields count depends on Kind.
+type Message struct {
+	Kind                Kind                  `cbor:"1,keyasint"`
+	Format              int                   `cbor:"2,keyasint,omitempty"`
+	Generation          uint64                `cbor:"3,keyasint,omitempty"`
+	State               *State                `cbor:"4,keyasint,omitempty"`
+	Requests            upgrade.RequestCounts `cbor:"5,keyasint,omitempty"`
+	OutstandingAttempts map[string][3]float64 `cbor:"6,keyasint,omitempty"` // by endpoint
+	Limits              upgrade.Resources     `cbor:"7,keyasint,omitempty"`
+	AgentState          upgrade.AgentState    `cbor:"8,keyasint,omitempty"`
+	WasSettled          bool                  `cbor:"9,keyasint,omitempty"`
+	PID                 int                   `cbor:"10,keyasint,omitempty"`
+	Sockets             []string              `cbor:"11,keyasint,omitempty"` // names of the descriptors that come along
+	Program             string                `cbor:"12,keyasint,omitempty"` // paths
+	Config              string                `cbor:"13,keyasint,omitempty"`
+	Operator            string                `cbor:"14,keyasint,omitempty"`
+	Note                string                `cbor:"15,keyasint,omitempty"` // for people
+	Final               bool                  `cbor:"16,keyasint,omitempty"`
+	OK                  bool                  `cbor:"17,keyasint,omitempty"`
+	FellBack            bool                  `cbor:"18,keyasint,omitempty"`
+	Status              *Status               `cbor:"19,keyasint,omitempty"`
+	OpenRequests        int                   `cbor:"20,keyasint,omitempty"`
+	To                  string                `cbor:"22,keyasint,omitempty"` // names of routers
+	From                string                `cbor:"23,keyasint,omitempty"`
+	Body                []byte                `cbor:"24,keyasint,omitempty"`
+	Command             rollout.Command       `cbor:"25,keyasint,omitempty"`
+	Rollout             *rollout.Status       `cbor:"26,keyasint,omitempty"`
+	Activity            *invariant.Activity   `cbor:"27,keyasint,omitempty"`
+	// BudgetsMaybeSpent is of KindServe and KindResume: another process may have spent
+	// this router's slow-start budgets meanwhile.
+	BudgetsMaybeSpent bool `cbor:"21,keyasint,omitempty"`
+}
--- /dev/null
+++ b/internal/handoff/status.go
@@ -0,0 +1,36 @@
+package handoff
+
+import "quilldoor/internal/upgrade"
+
+// Status is what a supervisor reports of itself. Its JSON is printed by
+// `quilldoor change status --json`.
+type Status struct {
+	State             string    `cbor:"1,keyasint" json:"state"` // of its upgrade.Machine
+	SinceMS           int64     `cbor:"2,keyasint" json:"since_ms"`
+	Serving           *Process  `cbor:"3,keyasint,omitempty" json:"serving,omitempty"`
+	Next              *Process  `cbor:"4,keyasint,omitempty" json:"next,omitempty"`
+	Settled           *Manifest `cbor:"5,keyasint,omitempty" json:"settled,omitempty"`
+	Previous          *Manifest `cbor:"6,keyasint,omitempty" json:"previous,omitempty"`
+	LastOutcome       string    `cbor:"7,keyasint,omitempty" json:"last,omitempty"` // of the last change
+	Persistent        bool      `cbor:"8,keyasint,omitempty" json:"lasting"`        // the state file could be written
+	SupervisorPID     int       `cbor:"9,keyasint,omitempty" json:"keeper_pid"`
+	Restarts          int       `cbor:"10,keyasint,omitempty" json:"restarts"` // of the settled generation after crashes
+	LastCrashMS       int64     `cbor:"11,keyasint,omitempty" json:"last_fall_ms"`
+	DrainingProcesses int       `cbor:"14,keyasint,omitempty" json:"others"`
+	// PeakMB and PeakDescriptors are of all processes together, since the supervisor began.
+	PeakMB          int `cbor:"12,keyasint,omitempty" json:"most_mb"`
+	PeakDescriptors int `cbor:"13,keyasint,omitempty" json:"most_descriptors"`
+}
+
+// Process is a running process of a generation.
+type Process struct {
+	Generation     uint64                `cbor:"1,keyasint" json:"generation"`
+	PID            int                   `cbor:"2,keyasint" json:"pid"`
+	AgentState     string                `cbor:"3,keyasint" json:"part"`
+	MemoryMB       int                   `cbor:"4,keyasint,omitempty" json:"memory_mb"`
+	Descriptors    int                   `cbor:"5,keyasint,omitempty" json:"descriptors"`
+	Requests       upgrade.RequestCounts `cbor:"6,keyasint,omitempty" json:"ends"`
+	HeartbeatAgeMS int64                 `cbor:"7,keyasint,omitempty" json:"beat_ms"`
+	// ViolatedRule is the invariant that its supervisor saw it violate.
+	ViolatedRule string `cbor:"8,keyasint,omitempty" json:"broken,omitempty"`
+}
