--- /dev/null
+++ b/internal/engine/command.go
@@ -0,0 +1,75 @@
+package engine
+
+// CommandKind says what a Command asks for.
+type CommandKind uint8
+
+// The commands of a request, then those that are always in the background.
+const (
+	CommandSend        CommandKind = iota // put the attempt on a connection
+	CommandDrop                           // give the attempt up
+	CommandRespond                        // answer with Response
+	CommandReject                         // answer that retrying is harmless, after RetryAfter
+	CommandFail                           // answer that the request failed
+	CommandHealthCheck                    // check the endpoint's health
+	CommandDisconnect                     // close idle connections to the endpoint
+	CommandLog                            // write Text to the log
+)
+
+var commandNames = [...]string{
+	CommandSend:        "send",
+	CommandDrop:        "drop",
+	CommandRespond:     "respond",
+	CommandReject:      "reject",
+	CommandFail:        "fail",
+	CommandHealthCheck: "health check",
+	CommandDisconnect:  "disconnect",
+	CommandLog:         "log",
+}
+
+func (k CommandKind) String() string { return commandNames[k] }
+
+// Command is one thing to do on the sockets.
+type Command struct {
+	Kind          CommandKind
+	Attempt       *Attempt // of CommandSend, CommandDrop and CommandRespond
+	Silent        bool     // of CommandDrop: the attempt timed out without an answer
+	Response      Response // of CommandRespond
+	RetryAfter    int64    // of CommandReject: microseconds from now; 0: not given
+	MaybeExecuted bool     // of CommandReject and CommandFail: an attempt may have run
+	Endpoint      *Endpoint
+	Text          string
+}
+
+// Response is what a request is answered with; the engine only hands it on.
+type Response interface{ Release() }
+
+// post puts a command into the request's mailbox, or leaves it to the caller of
+// Run once nobody reads the mailbox.
+func (r *Request) post(command Command) {
+	if r.wake == nil {
+		r.engine.postBackground(command)
+		return
+	}
+	r.mailbox = append(r.mailbox, command)
+	r.wake()
+}
+
+// TakeCommands empties the mailbox.
+func (r *Request) TakeCommands() []Command {
+	r.engine.mu.Lock()
+	defer r.engine.mu.Unlock()
+	commands := r.mailbox
+	r.mailbox = nil
+	return commands
+}
+
+// Detach says that the mailbox is read no more: wake is not called again, and
+// later commands become background commands. It returns what is left.
+func (r *Request) Detach() []Command {
+	r.engine.mu.Lock()
+	defer r.engine.mu.Unlock()
+	commands := r.mailbox
+	r.mailbox = nil
+	r.wake = nil
+	return commands
+}
--- /dev/null
+++ b/internal/engine/endpoints.go
@@ -0,0 +1,50 @@
+package engine
+
+import "quilldoor/internal/policy"
+
+// Endpoint is an entry of the endpoint list with its address.
+type Endpoint struct {
+	policy.Endpoint
+	Address string
+}
+
+// Active reports whether the endpoint may be sent new work.
+func (s *Endpoint) Active() bool { return s.State == "active" }
+
+// UpdateEndpoints takes changes of the endpoint list ("diff") or a whole one
+// ("disk" at the start, else "snapshot"). It returns the endpoints, as they were
+// listed before, that take no new work at their addresses any more.
+func (e *Engine) UpdateEndpoints(now int64, scope string, list []Endpoint) (retired []*Endpoint) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	event := policy.Event{Kind: policy.EventEndpoints, Scope: scope}
+	listed := map[string]bool{}
+	for _, endpoint := range list {
+		listed[endpoint.ID] = true
+		event.Endpoints = append(event.Endpoints, endpoint.Endpoint)
+		old := e.endpoints[endpoint.ID]
+		if old != nil && (!endpoint.Active() || old.Address != endpoint.Address) {
+			retired = append(retired, old)
+		}
+		e.endpoints[endpoint.ID] = &endpoint
+		if endpoint.State == "left" {
+			delete(e.endpoints, endpoint.ID)
+		}
+	}
+	if scope != "diff" {
+		retired = append(retired, e.removeUnlisted(listed)...)
+	}
+	e.handle(now, event)
+	return retired
+}
+
+// removeUnlisted removes the endpoints that a whole list does not name.
+func (e *Engine) removeUnlisted(listed map[string]bool) (removed []*Endpoint) {
+	for id, old := range e.endpoints {
+		if !listed[id] {
+			delete(e.endpoints, id)
+			removed = append(removed, old)
+		}
+	}
+	return removed
+}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"errors"
 	"testing"
 
 	"quilldoor/internal/policy"
@@ -8,13 +9,13 @@
 
 const ms, start = int64(1000), int64(1_000_000_000)
 
-// world is a core that knows two caches and an origin, with its mailbox's bell.
-type world struct {
+// testEngine has two caches and an origin, and counts calls of wake.
+type testEngine struct {
 	*Engine
-	rings int
+	wakes int
 }
 
-func newWorld(change func(*policy.Settings)) *world {
+func newTestEngine(change func(*policy.Settings)) *testEngine {
 	set := policy.Settings{
 		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
 		Contract:  policy.Contract{AnswerSlack: 8 * ms, SlowStartFor: 1000 * ms, SlowStartFrom: 0.5, OverloadWindow: 1000 * ms, OverloadMultiple: 2},
@@ -28,247 +29,249 @@
 	if change != nil {
 		change(&set)
 	}
-	w := &world{Engine: New(&set, 1, func() {})}
-	w.UpdateEndpoints(start, "disk", []Endpoint{
+	e := &testEngine{Engine: New(&set, 1, func() {})}
+	e.UpdateEndpoints(start, "disk", []Endpoint{
 		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "a:1"},
 		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "b:1"},
 		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Address: "o:1"},
 	})
-	return w
+	return e
 }
 
-func (w *world) ask(t *testing.T, rule string) *Request {
+func (e *testEngine) open(t *testing.T, class string) *Request {
 	t.Helper()
-	txn, err := w.Open(start, policy.Event{
-		Request: "t", Class: rule, Object: "x", Remaining: 1000 * ms,
-		Write: rule == "write",
-	}, func() { w.rings++ })
+	request, err := e.Open(start, policy.Event{
+		Request: "t", Class: class, Object: "x", Remaining: 1000 * ms,
+		Write: class == "write",
+	}, func() { e.wakes++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return txn
+	return request
 }
 
-// next gives the one order in the mailbox, and fails the test if it is of
+// next returns the one command in the mailbox, and fails the test if it is of
 // another kind.
-func next(t *testing.T, txn *Request, kind CommandKind) Command {
+func next(t *testing.T, request *Request, kind CommandKind) Command {
 	t.Helper()
-	box := txn.TakeCommands()
-	if len(box) != 1 || box[0].Kind != kind {
-		t.Fatalf("orders %+v, want one of kind %d", box, kind)
+	commands := request.TakeCommands()
+	if len(commands) != 1 || commands[0].Kind != kind {
+		t.Fatalf("commands %+v, want one of kind %s", commands, kind)
 	}
-	return box[0]
+	return commands[0]
 }
 
-type reply struct{ released int }
+type countedResponse struct{ released int }
 
-func (r *reply) Release() { r.released++ }
+func (r *countedResponse) Release() { r.released++ }
 
-func TestFirstDoneIsTheAnswerAndALaterOneIsReleased(t *testing.T) {
-	w := newWorld(nil)
-	txn := w.ask(t, "read")
-	h := next(t, txn, CommandSend).Attempt
-	if w.rings == 0 || h.Source != "o" || h.Deadline != start+400*ms && h.Deadline != start+1000*ms {
-		t.Fatalf("hop %+v after %d rings", h, w.rings)
-	}
-	first, second := &reply{}, &reply{}
-	w.AttemptEnded(start+ms, h, Outcome{Code: "done", Response: first})
-	w.AttemptEnded(start+2*ms, h, Outcome{Code: "done", Response: second})
-	if o := next(t, txn, CommandRespond); o.Response != Response(first) || first.released != 0 || second.released != 1 {
+func TestFirstResponseAnswersAndALaterOneIsReleased(t *testing.T) {
+	e := newTestEngine(nil)
+	request := e.open(t, "read")
+	attempt := next(t, request, CommandSend).Attempt
+	if e.wakes == 0 || attempt.Source != "o" || attempt.Deadline != start+400*ms && attempt.Deadline != start+1000*ms {
+		t.Fatalf("attempt %+v after %d wakes", attempt, e.wakes)
+	}
+	first, second := &countedResponse{}, &countedResponse{}
+	e.AttemptEnded(start+ms, attempt, Outcome{Code: "done", Response: first})
+	e.AttemptEnded(start+2*ms, attempt, Outcome{Code: "done", Response: second})
+	if o := next(t, request, CommandRespond); o.Response != Response(first) || first.released != 0 || second.released != 1 {
 		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
 	}
-	// Timers once held ended txns for seconds; one, the module's, stays.
-	if n, _ := w.Count(); n != 0 || len(w.txns) != 0 || len(w.timers) != 1 {
-		t.Fatalf("%d txns open, %d remembered, %d timers", n, len(w.txns), len(w.timers))
+	// Timers once kept ended requests in memory for seconds; the policy's own stays.
+	if n, _ := e.Count(); n != 0 || len(e.requests) != 0 || len(e.timers) != 1 {
+		t.Fatalf("%d requests open, %d remembered, %d timers", n, len(e.requests), len(e.timers))
 	}
 }
 
-// A client that had left was once answered, and its hop went on.
-func TestLeaveGivesTheHopUpAndOwesNothing(t *testing.T) {
-	w := newWorld(nil)
-	txn := w.ask(t, "read")
-	h := next(t, txn, CommandSend).Attempt
-	h.Begin()
-	w.ClientGone(start+ms, txn)
-	if o := next(t, txn, CommandDrop); o.Attempt != h {
+// A client that had left was once answered, and its attempt went on.
+func TestClientGoneDropsTheAttemptAndNeedsNoAnswer(t *testing.T) {
+	e := newTestEngine(nil)
+	request := e.open(t, "read")
+	attempt := next(t, request, CommandSend).Attempt
+	attempt.Begin()
+	e.ClientGone(start+ms, request)
+	if o := next(t, request, CommandDrop); o.Attempt != attempt {
 		t.Fatalf("dropped %+v", o.Attempt)
 	}
-	late := &reply{}
-	w.AttemptEnded(start+2*ms, h, Outcome{Code: "done", Response: late})
-	if box := txn.TakeCommands(); len(box) != 0 || late.released != 1 {
-		t.Fatalf("orders %+v, released %d", box, late.released)
+	late := &countedResponse{}
+	e.AttemptEnded(start+2*ms, attempt, Outcome{Code: "done", Response: late})
+	if commands := request.TakeCommands(); len(commands) != 0 || late.released != 1 {
+		t.Fatalf("commands %+v, released %d", commands, late.released)
 	}
 }
 
-func TestTimeLimitBringsOneAnswer(t *testing.T) {
-	w := newWorld(nil)
-	txn := w.ask(t, "write")
-	h := next(t, txn, CommandSend).Attempt
-	h.Begin()
-	if w.Run(start + 1000*ms - 1); len(txn.TakeCommands()) != 0 {
+func TestDeadlineBringsOneAnswer(t *testing.T) {
+	e := newTestEngine(nil)
+	request := e.open(t, "write")
+	attempt := next(t, request, CommandSend).Attempt
+	attempt.Begin()
+	if e.Run(start + 1000*ms - 1); len(request.TakeCommands()) != 0 {
 		t.Fatal("something happened before the time limit")
 	}
-	w.Run(start + 1000*ms)
-	box := txn.TakeCommands()
-	if len(box) != 2 || box[0].Kind != CommandDrop || !box[0].Silent || box[1].Kind != CommandFail {
-		t.Fatalf("orders %+v, want a silent drop and an abort", box)
+	e.Run(start + 1000*ms)
+	commands := request.TakeCommands()
+	if len(commands) != 2 || commands[0].Kind != CommandDrop || !commands[0].Silent || commands[1].Kind != CommandFail {
+		t.Fatalf("commands %+v, want a silent drop and a failure", commands)
 	}
-	if w.Run(start + 1100*ms); len(txn.TakeCommands()) != 0 {
+	if e.Run(start + 1100*ms); len(request.TakeCommands()) != 0 {
 		t.Fatal("answered again")
 	}
 }
 
-// An unrepeatable txn whose hop never reached a connection may be tried again;
-// one that may have come whole is aborted.
-func TestProofThatNothingRan(t *testing.T) {
+// An unsafe request whose attempt never reached a connection may be retried; one
+// that may have been received fails.
+func TestUnsafeRequestIsRejectedOnlyIfItNeverRan(t *testing.T) {
 	for begun, want := range map[bool]CommandKind{false: CommandReject, true: CommandFail} {
-		w := newWorld(nil)
-		txn := w.ask(t, "write")
-		h := next(t, txn, CommandSend).Attempt
-		if begun && !h.Begin() {
+		e := newTestEngine(nil)
+		request := e.open(t, "write")
+		attempt := next(t, request, CommandSend).Attempt
+		if begun && !attempt.Begin() {
 			t.Fatal("not begun")
 		}
 		code := "econnreset"
-		if h.Withdraw() {
+		if attempt.Withdraw() {
 			code = "econnrefused"
 		}
-		if h.Begin() {
+		if attempt.Begin() {
 			t.Fatal("written after it was withdrawn or begun")
 		}
-		w.AttemptEnded(start+950*ms, h, Outcome{Code: code})
-		next(t, txn, want)
+		e.AttemptEnded(start+950*ms, attempt, Outcome{Code: code})
+		next(t, request, want)
 	}
 }
 
-func TestDrainedServerIsNotSentTo(t *testing.T) {
-	w := newWorld(nil)
+func TestDrainingEndpointGetsNoAttempt(t *testing.T) {
+	e := newTestEngine(nil)
 	var list []Endpoint
 	for _, id := range []string{"a", "b"} {
 		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
 	}
-	if gone := w.UpdateEndpoints(start, "diff", list); len(gone) != 2 {
-		t.Fatalf("retired %v", gone)
+	if retired := e.UpdateEndpoints(start, "diff", list); len(retired) != 2 {
+		t.Fatalf("retired %v", retired)
 	}
-	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.Endpoint.ID != "o" || h.Source != "" {
-		t.Fatalf("sent to %s with source %q", h.Endpoint.ID, h.Source)
+	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.Endpoint.ID != "o" || attempt.Source != "" {
+		t.Fatalf("sent to %s with source %q", attempt.Endpoint.ID, attempt.Source)
 	}
-	if gone := w.UpdateEndpoints(start, "snapshot", nil); len(gone) != 3 {
-		t.Fatalf("a whole list without them retired %v", gone)
+	if retired := e.UpdateEndpoints(start, "snapshot", nil); len(retired) != 3 {
+		t.Fatalf("a whole list without them retired %v", retired)
 	}
 }
 
-// Hops that waited for a connection to a server's old address once had no
-// outcome until their time was over.
+// Attempts that waited for a connection to an endpoint's old address once had no
+// outcome until their deadline.
 func TestChangedAddressRetiresTheOldOne(t *testing.T) {
-	w := newWorld(nil)
-	moved := Endpoint{Endpoint: w.servers["a"].Endpoint, Address: "a:2"}
-	if gone := w.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(gone) != 1 || gone[0].Address != "a:1" {
-		t.Fatalf("retired %v", gone)
+	e := newTestEngine(nil)
+	moved := Endpoint{Endpoint: e.endpoints["a"].Endpoint, Address: "a:2"}
+	if retired := e.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(retired) != 1 || retired[0].Address != "a:1" {
+		t.Fatalf("retired %v", retired)
 	}
-	if gone := w.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(gone) != 0 {
-		t.Fatalf("retired %v though nothing changed", gone)
+	if retired := e.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(retired) != 0 {
+		t.Fatalf("retired %v though nothing changed", retired)
 	}
 }
 
-func TestOpenIsBounded(t *testing.T) {
-	w := newWorld(func(s *policy.Settings) { s.Limits.MaxOpenRequests = 2 })
-	w.ask(t, "read")
-	if _, err := w.Open(start, policy.Event{Request: "t", Class: "read"}, nil); err != ErrDuplicate {
+func TestOpenRequestsAreBounded(t *testing.T) {
+	e := newTestEngine(func(s *policy.Settings) { s.Limits.MaxOpenRequests = 2 })
+	e.open(t, "read")
+	if _, err := e.Open(start, policy.Event{Request: "t", Class: "read"}, nil); !errors.Is(err, ErrDuplicate) {
 		t.Fatalf("the same id again: %v", err)
 	}
-	w.Open(start, policy.Event{Request: "u", Class: "read", Object: "x", Remaining: ms}, func() {})
-	if _, err := w.Open(start, policy.Event{Request: "v", Class: "read"}, nil); err != ErrFull {
+	if _, err := e.Open(start, policy.Event{Request: "u", Class: "read", Object: "x", Remaining: ms}, func() {}); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := e.Open(start, policy.Event{Request: "v", Class: "read"}, nil); !errors.Is(err, ErrFull) {
 		t.Fatalf("one too many: %v", err)
 	}
 }
 
-// Orders that come once nobody reads the mailbox were once lost.
-func TestOrdersAfterDetachAreErrands(t *testing.T) {
-	w := newWorld(func(s *policy.Settings) { s.Limits.Cancel = false })
-	txn := w.ask(t, "read")
-	h := next(t, txn, CommandSend).Attempt
-	h.Begin()
-	w.ClientGone(start+ms, txn)
-	txn.Detach()
-	if _, errands := w.Run(start + 1000*ms); len(errands) != 1 || errands[0].Kind != CommandDrop || errands[0].Attempt != h {
-		t.Fatalf("errands %+v", errands)
+// Commands that came once nobody read the mailbox were once lost.
+func TestCommandsAfterDetachAreBackground(t *testing.T) {
+	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
+	request := e.open(t, "read")
+	attempt := next(t, request, CommandSend).Attempt
+	attempt.Begin()
+	e.ClientGone(start+ms, request)
+	request.Detach()
+	if _, background := e.Run(start + 1000*ms); len(background) != 1 || background[0].Kind != CommandDrop || background[0].Attempt != attempt {
+		t.Fatalf("background commands %+v", background)
 	}
 }
 
-func TestOldPurgesAreNotTold(t *testing.T) {
-	w := newWorld(nil)
-	w.Purge(start, "x", 0, start-7000*ms)
-	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.MaxAge != 0 {
-		t.Fatalf("age %d by a purge that binds no more", h.MaxAge)
+func TestOldPurgesAreIgnored(t *testing.T) {
+	e := newTestEngine(nil)
+	e.Purge(start, "x", 0, start-7000*ms)
+	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.MaxAge != 0 {
+		t.Fatalf("age %d by a purge that has no effect any more", attempt.MaxAge)
 	}
-	w = newWorld(nil)
-	w.Purge(start, "", 0, start-500*ms)
-	if h := next(t, w.ask(t, "read"), CommandSend).Attempt; h.MaxAge <= 0 || h.MaxAge >= 500*ms {
-		t.Fatalf("age %d by a purge 500 ms ago", h.MaxAge)
+	e = newTestEngine(nil)
+	e.Purge(start, "", 0, start-500*ms)
+	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.MaxAge <= 0 || attempt.MaxAge >= 500*ms {
+		t.Fatalf("age %d by a purge 500 ms ago", attempt.MaxAge)
 	}
 }
 
-// A whole body that came for a hop out of time is not an answer, and the timer
-// of a hop that has ended does nothing.
-func TestTimersOfEndedHopsAreIgnored(t *testing.T) {
-	w := newWorld(nil)
-	txn := w.ask(t, "read")
-	h := next(t, txn, CommandSend).Attempt
-	h.Begin()
-	w.AttemptEnded(start+ms, h, Outcome{Code: "enoent"})
-	again := next(t, txn, CommandSend).Attempt
-	if again.Number != 1 || again == h {
-		t.Fatalf("second hop %+v", again)
-	}
-	again.Begin()
-	w.AttemptEnded(start+2*ms, again, Outcome{Code: "done", Response: &reply{}})
-	next(t, txn, CommandRespond)
-	if w.Run(start + 2000*ms); len(txn.TakeCommands()) != 0 {
-		t.Fatal("an ended txn has orders")
+// A response that comes for an attempt after its deadline is not an answer, and
+// the timer of an attempt that has ended does nothing.
+func TestTimersOfEndedAttemptsAreIgnored(t *testing.T) {
+	e := newTestEngine(nil)
+	request := e.open(t, "read")
+	attempt := next(t, request, CommandSend).Attempt
+	attempt.Begin()
+	e.AttemptEnded(start+ms, attempt, Outcome{Code: "enoent"})
+	retry := next(t, request, CommandSend).Attempt
+	if retry.Number != 1 || retry == attempt {
+		t.Fatalf("second attempt %+v", retry)
+	}
+	retry.Begin()
+	e.AttemptEnded(start+2*ms, retry, Outcome{Code: "done", Response: &countedResponse{}})
+	next(t, request, CommandRespond)
+	if e.Run(start + 2000*ms); len(request.TakeCommands()) != 0 {
+		t.Fatal("an ended request has commands")
 	}
 }
 
-// Where a site lets nobody cancel, a hop that waits for its connection once went out
-// for a client that had left, or behind its txn's answer.
-func TestNothingBeginsForAClosedTxnWhereNobodyMayCancel(t *testing.T) {
-	w := newWorld(func(s *policy.Settings) { s.Limits.Cancel = false })
-	txn := w.ask(t, "read")
-	h := next(t, txn, CommandSend).Attempt
-	w.ClientGone(start+ms, txn)
-	if h.Begin() {
-		t.Error("the hop begins")
-	}
-	next(t, txn, CommandDrop)
-	if open, _ := w.Count(); open != 0 || len(w.txns) != 0 {
-		t.Errorf("%d open, %d kept", open, len(w.txns))
-	}
-	// One that may be on the wire stays out until its end.
-	txn = w.ask(t, "read")
-	h = next(t, txn, CommandSend).Attempt
-	h.Begin()
-	w.ClientGone(start+ms, txn)
-	if len(txn.TakeCommands()) != 0 || len(w.txns) != 1 {
+// Where a site permits no cancelling, an attempt that waited for its connection was
+// once sent for a client that had left or had its answer.
+func TestNothingBeginsForAClosedRequestWithoutCancelling(t *testing.T) {
+	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
+	request := e.open(t, "read")
+	attempt := next(t, request, CommandSend).Attempt
+	e.ClientGone(start+ms, request)
+	if attempt.Begin() {
+		t.Error("the attempt begins")
+	}
+	next(t, request, CommandDrop)
+	if open, _ := e.Count(); open != 0 || len(e.requests) != 0 {
+		t.Errorf("%d open, %d remembered", open, len(e.requests))
+	}
+	// One that may be on the wire stays in flight until its end.
+	request = e.open(t, "read")
+	attempt = next(t, request, CommandSend).Attempt
+	attempt.Begin()
+	e.ClientGone(start+ms, request)
+	if len(request.TakeCommands()) != 0 || len(e.requests) != 1 {
 		t.Error("it was given up")
 	}
 }
 
-// The bound on a keyed repeat comes from the module to where it is written.
-func TestARepeatStandsWithinItsWindowOnly(t *testing.T) {
-	w := newWorld(func(s *policy.Settings) {
+// The window of an idempotency key must reach the place where a retry is written.
+func TestRetryMayBeSentWithinItsWindowOnly(t *testing.T) {
+	e := newTestEngine(func(s *policy.Settings) {
 		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: "keyed", DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
 	})
-	txn := w.ask(t, "read")
-	first := next(t, txn, CommandSend).Attempt
+	request := e.open(t, "read")
+	first := next(t, request, CommandSend).Attempt
 	first.Begin()
 	if !first.MayBeSent(start+399*ms, 1e6) {
-		t.Error("the first hop has no window")
+		t.Error("the first attempt has no window")
 	}
-	w.AttemptEnded(start+100*ms, first, Outcome{Code: "econnreset"})
-	again := next(t, txn, CommandSend).Attempt
-	if !again.MayBeSent(start+299*ms, 1e6) || again.MayBeSent(start+300*ms, 1e6) {
-		t.Errorf("repeat until %d", again.SendBefore-start)
+	e.AttemptEnded(start+100*ms, first, Outcome{Code: "econnreset"})
+	retry := next(t, request, CommandSend).Attempt
+	if !retry.MayBeSent(start+299*ms, 1e6) || retry.MayBeSent(start+300*ms, 1e6) {
+		t.Errorf("retry until %d", retry.SendBefore-start)
 	}
-	if again.MayBeSent(start+290*ms, 100*ms) {
-		t.Error("an old decision stands")
+	if retry.MayBeSent(start+290*ms, 100*ms) {
+		t.Error("an old decision still holds")
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -1,55 +1,76 @@
 package engine
 
-import "container/heap"
+import (
+	"container/heap"
 
-// timer falls due for a hop, for a txn's time limit or for the module. Those of
-// hops and txns that end before are taken out, since they hold all of a txn.
+	"quilldoor/internal/policy"
+)
+
+// timer is for an attempt's deadline, a request's or, with neither, the policy.
+// Timers of requests and attempts are removed as those end, since each keeps all
+// of a request in memory.
 type timer struct {
-	due   int64
-	hop   *Attempt
-	txn   *Request
-	token int64
-	place int // in the heap; -1: out of it
+	due     int64 // microseconds
+	attempt *Attempt
+	request *Request
+	token   int64 // the policy's
+	index   int   // in the heap; -1: removed
 }
 
-type timers []*timer
+// timerHeap is a heap.Interface with the timer that is due next in front.
+type timerHeap []*timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timers) Swap(i, j int) {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
+func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].place, t[j].place = i, j
+	t[i].index = i
+	t[j].index = j
 }
 
-func (t *timers) Push(x any) {
-	x.(*timer).place = len(*t)
-	*t = append(*t, x.(*timer))
+func (t *timerHeap) Push(x any) {
+	added := x.(*timer)
+	added.index = len(*t)
+	*t = append(*t, added)
 }
 
-func (t *timers) Pop() any {
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
-	x := (*t)[last]
+	removed := (*t)[last]
 	(*t)[last] = nil
 	*t = (*t)[:last]
-	x.place = -1
-	return x
+	removed.index = -1
+	return removed
 }
 
-// at sets a timer; one that comes before all others moves the next call of Run.
-func (c *Engine) at(now int64, t *timer) *timer {
+// setTimer adds a timer; one that is due before all others moves the next call
+// of Run.
+func (e *Engine) setTimer(now int64, t *timer) *timer {
 	t.due = max(t.due, now)
-	if len(c.timers) == 0 || t.due < c.timers[0].due {
-		c.kick()
+	if len(e.timers) == 0 || t.due < e.timers[0].due {
+		e.kick()
 	}
-	heap.Push(&c.timers, t)
+	heap.Push(&e.timers, t)
 	return t
 }
 
-// over takes a timer out, if it was set and has not fallen due.
-func (c *Engine) over(t *timer) {
-	if t != nil && t.place >= 0 {
-		heap.Remove(&c.timers, t.place)
+// stopTimer removes a timer, if it was set and has not fired.
+func (e *Engine) stopTimer(t *timer) {
+	if t != nil && t.index >= 0 {
+		heap.Remove(&e.timers, t.index)
 	}
 }
 
-func (c *Engine) pop() *timer { return heap.Pop(&c.timers).(*timer) }
+func (e *Engine) popTimer() *timer { return heap.Pop(&e.timers).(*timer) }
+
+// fire does what a timer was set for. The caller dispatches the events.
+func (e *Engine) fire(now int64, t *timer) {
+	switch {
+	case t.attempt != nil:
+		e.timeOut(now, t.attempt)
+	case t.request != nil:
+		e.failOverdue(now, t.request)
+	default:
+		e.events = append(e.events, policy.Event{Kind: policy.EventTimer, Token: t.token})
+	}
+}
