--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,130 @@
+package discovery
+
+import (
+	"maps"
+	"slices"
+
+	"quilldoor/internal/config"
+	"quilldoor/internal/engine"
+)
+
+// Handler takes the events, in order, on the goroutine that runs the Watcher.
+type Handler interface {
+	// EndpointsChanged takes the first list ("disk"), a whole one ("snapshot")
+	// or changes of it ("diff").
+	EndpointsChanged(scope string, list []engine.Endpoint)
+	// Purge takes the purge of an object, or of a group where object is "", made
+	// at a time in microseconds of Unix time.
+	Purge(object string, group, at int64)
+	DiscoveryLost(err error) // the first failed poll in a row
+	DiscoveryRestored()
+	DiscoveryGap() // events were missed, or are numbered anew
+}
+
+// Watcher knows how far the events were followed. It is not safe for concurrent
+// use.
+type Watcher struct {
+	limits    *config.Limits
+	handler   Handler
+	revision  int64                      // of the last event
+	listed    bool                       // a whole list has come
+	endpoints map[string]engine.Endpoint // the list as the service has it
+	gapAt     int64                      // the last revision that was reported as a gap without an event
+	address   string
+	conn      *pollConn // nil: none is open
+}
+
+// New makes a watcher that knows nothing yet.
+func New(limits *config.Limits, handler Handler) *Watcher {
+	return &Watcher{limits: limits, handler: handler, endpoints: map[string]engine.Endpoint{}}
+}
+
+// Apply hands the events that are new in an update to the handler.
+func (w *Watcher) Apply(update *Update) {
+	gap := false
+	for _, event := range update.Events {
+		if event.Revision <= w.revision {
+			continue
+		}
+		gap = gap || w.revision > 0 && event.Revision > w.revision+1
+		w.revision = event.Revision
+		if event.Endpoints != nil {
+			w.applyEndpoints(event.Endpoints)
+		}
+		if event.Purge != nil {
+			w.applyPurge(event.Purge)
+		}
+	}
+	// The service's revision without its event is reported once for each revision.
+	if update.Revision > 0 && update.Revision != w.revision && w.listed && update.Revision != w.gapAt {
+		w.gapAt = update.Revision
+		gap = true
+	}
+	w.revision = max(w.revision, update.Revision)
+	if gap {
+		w.handler.DiscoveryGap()
+	}
+}
+
+func (w *Watcher) applyEndpoints(change *endpointChange) {
+	scope := "diff"
+	switch {
+	case !w.listed:
+		scope = "disk"
+	case change.Whole:
+		scope = "snapshot"
+	}
+	w.listed = true
+	if scope != "diff" {
+		clear(w.endpoints)
+	}
+	var list []engine.Endpoint
+	for _, entry := range change.Entries {
+		endpoint := entry.engineEndpoint()
+		list = append(list, endpoint)
+		w.endpoints[endpoint.ID] = endpoint
+		if endpoint.State == "left" {
+			delete(w.endpoints, endpoint.ID)
+		}
+	}
+	w.handler.EndpointsChanged(scope, list)
+}
+
+func (w *Watcher) applyPurge(purge *purge) {
+	var object string
+	var group int64
+	if purge.Object != nil {
+		object = *purge.Object
+	} else {
+		group = *purge.Group
+	}
+	w.handler.Purge(object, group, purge.UnixMillis*1000)
+}
+
+// Snapshot returns the revision of the last event and the endpoint list, sorted
+// by id, for the other generation of this router. It is called while Run is not
+// running.
+func (w *Watcher) Snapshot() (revision int64, list []engine.Endpoint) {
+	for _, id := range slices.Sorted(maps.Keys(w.endpoints)) {
+		list = append(list, w.endpoints[id])
+	}
+	return w.revision, list
+}
+
+// Resume goes on behind the revision up to which the other generation of this
+// router has followed the events, with its list, unless this watcher has come
+// further already. The handler gets the whole list in any case.
+func (w *Watcher) Resume(revision int64, list []engine.Endpoint) {
+	if revision >= w.revision && len(list) > 0 {
+		w.revision = revision
+		w.listed = true
+		w.gapAt = 0
+		clear(w.endpoints)
+		for _, endpoint := range list {
+			w.endpoints[endpoint.ID] = endpoint
+		}
+	}
+	if _, list = w.Snapshot(); len(list) > 0 {
+		w.handler.EndpointsChanged("snapshot", list)
+	}
+}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/watcher_test.go
@@ -13,27 +13,27 @@
 	"quilldoor/internal/engine"
 )
 
-// sink passes everything on as lines of text.
-type sink chan string
+// recorder is a Handler that passes everything on as lines of text.
+type recorder chan string
 
-func (s sink) EndpointsChanged(scope string, list []engine.Endpoint) {
+func (r recorder) EndpointsChanged(scope string, list []engine.Endpoint) {
 	line := scope
-	for _, m := range list {
-		line += fmt.Sprintf(" %s@%s:%s:%d", m.ID, m.Address, m.State, m.StartedAt)
+	for _, endpoint := range list {
+		line += fmt.Sprintf(" %s@%s:%s:%d", endpoint.ID, endpoint.Address, endpoint.State, endpoint.StartedAt)
 	}
-	s <- line
+	r <- line
 }
 
-func (s sink) Purge(object string, group, at int64) {
-	s <- fmt.Sprintf("purge %q %d %d", object, group, at)
+func (r recorder) Purge(object string, group, at int64) {
+	r <- fmt.Sprintf("purge %q %d %d", object, group, at)
 }
-func (s sink) DiscoveryLost(error) { s <- "lost" }
-func (s sink) DiscoveryRestored()  { s <- "back" }
-func (s sink) DiscoveryGap()       { s <- "gap" }
+func (r recorder) DiscoveryLost(error) { r <- "lost" }
+func (r recorder) DiscoveryRestored()  { r <- "back" }
+func (r recorder) DiscoveryGap()       { r <- "gap" }
 
-func TestApply(t *testing.T) {
-	s := make(sink, 10)
-	f := New(&config.Limits{}, s)
+func TestApplyHandsOnNewEventsInOrder(t *testing.T) {
+	events := make(recorder, 10)
+	watcher := New(&config.Limits{}, events)
 	for _, text := range []string{
 		`{"rev":2,"notices":[{"rev":1,"pool":{"all":true,"targets":[{"uid":"a","endpoint":"1.1.1.1:1","state":"ready"}]}},
 		  {"rev":2,"flush":{"asset":"x","ms":5}}]}`,
@@ -42,28 +42,28 @@
 		  {"uid":"b","endpoint":"1.1.1.1:1","state":"ready","boot_ms":7}]}}]}`,
 		`{"rev":5,"notices":[{"rev":5,"pool":{"all":true,"targets":[]}}]}`,
 	} {
-		n, err := Parse([]byte(text))
+		update, err := Parse([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(n)
+		watcher.Apply(update)
 	}
-	close(s)
+	close(events)
 	want := []string{
 		"disk a@1.1.1.1:1:active:0", `purge "x" 0 5000`, `purge "" 17 6000`,
 		"diff a@1.1.1.1:1:left:0 b@1.1.1.1:1:active:7000", "snapshot",
 	}
-	for _, w := range want {
-		if got := <-s; got != w {
-			t.Errorf("%s, want %s", got, w)
+	for _, line := range want {
+		if got := <-events; got != line {
+			t.Errorf("%s, want %s", got, line)
 		}
 	}
-	if f.rev != 5 {
-		t.Errorf("at %d", f.rev)
+	if watcher.revision != 5 {
+		t.Errorf("at revision %d", watcher.revision)
 	}
 }
 
-func TestBadNews(t *testing.T) {
+func TestParseRejectsUnusableUpdates(t *testing.T) {
 	for _, text := range []string{
 		"", "[]", `{"rev":"x"}`, `{"notices":[{"flush":{"ms":1}}]}`,
 		`{"notices":[{"pool":{"targets":[{"uid":"a b","state":"ready"}]}}]}`,
@@ -75,8 +75,8 @@
 	}
 }
 
-// A board that broke off, or sent nonsense, was once a reason to lose the list.
-func TestRunGoesOnAfterFaults(t *testing.T) {
+// A service that broke off or sent nonsense once made the watcher lose its list.
+func TestRunContinuesAfterFaults(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -106,13 +106,13 @@
 		PollWait: time.Second, PollGrace: time.Second, PollBackoffMin: time.Millisecond,
 		PollBackoffMax: 2 * time.Millisecond, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxDiscoveryBody: 1000,
 	}
-	s := make(sink, 10)
+	events := make(recorder, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	f := New(limits, s)
-	go f.Run(ctx, l.Addr().String())
+	watcher := New(limits, events)
+	go watcher.Run(ctx, l.Addr().String())
 	for _, want := range []string{"lost", "back", `purge "x" 0 5000`} {
-		if got := <-s; got != want {
+		if got := <-events; got != want {
 			t.Fatalf("%s, want %s", got, want)
 		}
 	}
@@ -126,20 +126,20 @@
 	}
 }
 
-// A board that sends long news in chunks was once lost for good: each poll asked
-// for the same news again. A broken chunk is no news.
-func TestNewsInChunks(t *testing.T) {
+// A service that sends long updates in chunks was once lost for good: each poll
+// asked for the same update again. A broken chunk is no update.
+func TestRunReadsChunkedUpdates(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	const news = `{"rev":1,"notices":[{"rev":1,"flush":{"asset":"x","ms":5}}]}`
+	const update = `{"rev":1,"notices":[{"rev":1,"flush":{"asset":"x","ms":5}}]}`
 	go func() {
 		for _, answer := range []string{
 			head + "zz\r\n", head + "5\r\n{\"rev\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n" + head[17:],
-			head + fmt.Sprintf("10\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", news[:16], len(news)-16, news[16:]),
+			head + fmt.Sprintf("10\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", update[:16], len(update)-16, update[16:]),
 		} {
 			c, err := l.Accept()
 			if err != nil {
@@ -150,16 +150,16 @@
 			c.Close()
 		}
 	}()
-	s := make(sink, 10)
+	events := make(recorder, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	f := New(&config.Limits{
+	watcher := New(&config.Limits{
 		PollWait: time.Second, PollGrace: time.Second, PollBackoffMin: time.Millisecond,
 		PollBackoffMax: 2 * time.Millisecond, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxDiscoveryBody: 1000,
-	}, s)
-	go f.Run(ctx, l.Addr().String())
+	}, events)
+	go watcher.Run(ctx, l.Addr().String())
 	for _, want := range []string{"lost", "back", `purge "x" 0 5000`} {
-		if got := <-s; got != want {
+		if got := <-events; got != want {
 			t.Fatalf("%s, want %s", got, want)
 		}
 	}
