--- a/internal/cacheproto/cacheproto_test.go
+++ b/internal/cacheproto/codec_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestCommands(t *testing.T) {
+func TestCommandsAreWritten(t *testing.T) {
 	g := &GetCommand{ID: "9b", Class: "page", Object: "x", Part: 3, BudgetMillis: 150, Length: 0}
 	want := "GET 9b queue=page,path=x,blk=3,budget=150 0\r\n"
 	if got := string(AppendGet(nil, g)); got != want {
@@ -27,7 +27,7 @@
 	return ReadResponse(bufio.NewReaderSize(strings.NewReader(text), 256), 1000)
 }
 
-func TestAnswer(t *testing.T) {
+func TestResponseIsRead(t *testing.T) {
 	a, err := read("9b ACK entity=4be0,issued=1764576000123,detail=MISS_ORIGIN,delay=12.5,use=util:0.61;x1:2,new=1 9\r\n")
 	if err != nil || a.ID != "9b" || a.Status != StatusOK || a.Tag != "4be0" || a.IssuedMillis != 1764576000123 || a.Reason != 3 ||
 		a.DelayMillis != 12.5 || a.Load["util"] != 0.61 || a.Load["x1"] != 2 || a.Length != 9 {
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"9b ACK - -1\r\n", "9b ACK - 1001\r\n", "9b ACK - 99999999999999999999\r\n", "9b ACK -\r\n", "9b HELLO - 0\r\n",
 		" ACK - 0\r\n", "9b ACK - 0\n", "9b ACK delay 0\r\n", "9b ACK delay=x 0\r\n", "9b ACK use=a:b 0\r\n",
 		"9b ACK issued=1.5 0\r\n", "\r\n",
-		// Not numbers once reached the module.
+		// NaN and Inf once reached the policy.
 		"9b EIO delay=NaN 0\r\n", "9b EIO delay=-1 0\r\n", "9b EIO use=util:Inf 0\r\n", "9b NOMOD entity=e,issued=7 1\r\n", "9b ACK entity=" + strings.Repeat("x", 300) + " 0\r\n",
 	} {
 		if _, err := read(text); !errors.Is(err, ErrProtocol) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// FuzzAnswer looks for panics and for lengths outside the bound.
-func FuzzAnswer(f *testing.F) {
+// FuzzReadResponse looks for panics and for lengths outside the bound.
+func FuzzReadResponse(f *testing.F) {
 	f.Add("9b ACK entity=4be0,issued=1,detail=HIT,delay=0.5,use=util:0.6;x0:1 9\r\n")
 	f.Add("p READY\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
