--- a/internal/cacheproto/command.go
+++ b/internal/cacheproto/command.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"quilldoor/internal/policy"
 )
 
 // GetCommand is one attempt's command. A body of Length bytes and CR LF follow it.
@@ -18,7 +20,7 @@
 	Source         string // where a miss is filled from; "": it is not filled
 	Priority       int
 	MaxAgeMillis   int64 // 0: the fresh time of the class
-	Mode           int   // bits, as the module has them
+	FillMode       policy.FillMode
 	Tag            string
 	IdempotencyKey string
 	Length         int
@@ -31,7 +33,7 @@
 	PingID string
 }
 
-// modeWords stand in the order of the mode's bits.
+// modeWords stand in the order of the bits of policy.FillMode.
 var modeWords = []string{"wait-for", "no-fetch", "no-keep", "background"}
 
 // AppendGet writes the command up to where the body follows.
@@ -58,7 +60,7 @@
 		b = append(b, ",within="...)
 		b = strconv.AppendInt(b, get.MaxAgeMillis, 10)
 	}
-	b = appendMode(b, get.Mode)
+	b = appendMode(b, get.FillMode)
 	if get.Tag != "" {
 		b = append(b, ",mine="...)
 		b = append(b, get.Tag...)
@@ -72,7 +74,7 @@
 	return append(b, "\r\n"...)
 }
 
-func appendMode(b []byte, mode int) []byte {
+func appendMode(b []byte, mode policy.FillMode) []byte {
 	separator := ",f="
 	for i, word := range modeWords {
 		if mode>>i&1 == 1 {
@@ -139,7 +141,7 @@
 	case "within":
 		g.MaxAgeMillis, err = strconv.ParseInt(value, 10, 64)
 	case "f":
-		g.Mode, err = parseMode(value)
+		g.FillMode, err = parseMode(value)
 	case "mine":
 		g.Tag = value
 	case "uniq":
@@ -150,7 +152,7 @@
 	return err
 }
 
-func parseMode(text string) (mode int, err error) {
+func parseMode(text string) (mode policy.FillMode, err error) {
 	for word := range strings.SplitSeq(text, "+") {
 		bit := slices.Index(modeWords, word)
 		if bit < 0 {
--- a/internal/cacheproto/response.go
+++ b/internal/cacheproto/response.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"quilldoor/internal/policy"
 )
 
 // Status is what a response says.
@@ -40,10 +42,18 @@
 	return Status(max(slices.Index(statusWords[:], word), 0))
 }
 
-// notes stand in the order of the simulator's numbers, from 1.
-var notes = map[string]int{
-	"HIT": 1, "MISS": 2, "MISS_ORIGIN": 3, "COLLAPSED": 4, "STALE": 5, "UP_BUSY": 6,
-	"UP_DOWN": 7, "UP_MISS": 8, "NO_FILL": 9, "ORIGIN_ERR": 10,
+// reasonWords are the policy's reasons by the protocol's words.
+var reasonWords = map[string]policy.Reason{
+	"HIT":         policy.ReasonHit,
+	"MISS":        policy.ReasonMiss,
+	"MISS_ORIGIN": policy.ReasonMissOrigin,
+	"COLLAPSED":   policy.ReasonCoalesced,
+	"STALE":       policy.ReasonStale,
+	"UP_BUSY":     policy.ReasonUpstreamBusy,
+	"UP_DOWN":     policy.ReasonUpstreamDown,
+	"UP_MISS":     policy.ReasonUpstreamMiss,
+	"NO_FILL":     policy.ReasonNoFill,
+	"ORIGIN_ERR":  policy.ReasonOriginError,
 }
 
 // Response is one response's line; Length bytes and CR LF follow it.
@@ -52,7 +62,7 @@
 	Status       Status
 	Tag          string
 	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out
-	Reason       int
+	Reason       policy.Reason
 	DelayMillis  float64 // that the fill waited for the origin
 	Load         map[string]float64
 	Length       int // -1: neither body nor CR LF follow
@@ -101,7 +111,7 @@
 	case "issued":
 		r.IssuedMillis, err = strconv.ParseInt(value, 10, 64)
 	case "detail":
-		r.Reason = notes[value]
+		r.Reason = reasonWords[value]
 	case "delay":
 		r.DelayMillis, err = parseFigure(value)
 	case "use":
@@ -162,8 +172,8 @@
 		appendName("issued")
 		b = strconv.AppendInt(b, response.IssuedMillis, 10)
 	}
-	for name, n := range notes {
-		if n == response.Reason {
+	for name, reason := range reasonWords {
+		if reason == response.Reason {
 			appendName("detail")
 			b = append(b, name...)
 		}
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -48,7 +48,11 @@
 }
 
 // endpointStates are the policy's states by the service's words.
-var endpointStates = map[string]string{"ready": "active", "draining": "leaving", "gone": "left"}
+var endpointStates = map[string]policy.EndpointState{
+	"ready":    policy.EndpointActive,
+	"draining": policy.EndpointDraining,
+	"gone":     policy.EndpointGone,
+}
 
 // Parse reads an update and checks that all of it can be used. Its errors name the
 // service's keys.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -6,13 +6,14 @@
 
 	"quilldoor/internal/config"
 	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 )
 
 // Handler takes the events, in order, on the goroutine that runs the Watcher.
 type Handler interface {
-	// EndpointsChanged takes the first list ("disk"), a whole one ("snapshot")
-	// or changes of it ("diff").
-	EndpointsChanged(scope string, list []engine.Endpoint)
+	// EndpointsChanged takes the first list (ScopeDisk), a whole one
+	// (ScopeSnapshot) or changes of it (ScopeDiff).
+	EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint)
 	// Purge takes the purge of an object, or of a group where object is "", made
 	// at a time in microseconds of Unix time.
 	Purge(object string, group, at int64)
@@ -67,15 +68,15 @@
 }
 
 func (w *Watcher) applyEndpoints(change *endpointChange) {
-	scope := "diff"
+	scope := policy.ScopeDiff
 	switch {
 	case !w.listed:
-		scope = "disk"
+		scope = policy.ScopeDisk
 	case change.Whole:
-		scope = "snapshot"
+		scope = policy.ScopeSnapshot
 	}
 	w.listed = true
-	if scope != "diff" {
+	if scope != policy.ScopeDiff {
 		clear(w.endpoints)
 	}
 	var list []engine.Endpoint
@@ -83,7 +84,7 @@
 		endpoint := entry.engineEndpoint()
 		list = append(list, endpoint)
 		w.endpoints[endpoint.ID] = endpoint
-		if endpoint.State == "left" {
+		if endpoint.State == policy.EndpointGone {
 			delete(w.endpoints, endpoint.ID)
 		}
 	}
@@ -125,6 +126,6 @@
 		}
 	}
 	if _, list = w.Snapshot(); len(list) > 0 {
-		w.handler.EndpointsChanged("snapshot", list)
+		w.handler.EndpointsChanged(policy.ScopeSnapshot, list)
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,13 +11,14 @@
 
 	"quilldoor/internal/config"
 	"quilldoor/internal/engine"
+	"quilldoor/internal/policy"
 )
 
 // recorder is a Handler that passes everything on as lines of text.
 type recorder chan string
 
-func (r recorder) EndpointsChanged(scope string, list []engine.Endpoint) {
-	line := scope
+func (r recorder) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
+	line := string(scope)
 	for _, endpoint := range list {
 		line += fmt.Sprintf(" %s@%s:%s:%d", endpoint.ID, endpoint.Address, endpoint.State, endpoint.StartedAt)
 	}
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -14,7 +14,7 @@
 	Source        string // where a miss is filled from; "": it is not filled
 	CachePriority int
 	MaxAge        int64 // of a copy; 0: the class's fresh time
-	Mode          int
+	FillMode      policy.FillMode
 	DecidedAt     int64 // when the policy decided on it
 	Deadline      int64 // when the router stops waiting
 	SendBefore    int64 // when it may no more be written; 0: Deadline
@@ -63,31 +63,28 @@
 	return now < a.Deadline && inWindow && now-a.DecidedAt <= maxAge
 }
 
-// Outcome is how an attempt ended.
-type Outcome struct {
-	Code       string // as the module words it
-	Reason     int
+// Result is how an attempt ended.
+type Result struct {
+	Outcome    policy.Outcome
+	Reason     policy.Reason
 	OriginWait int64 // microseconds that the fill waited for the origin
 	Load       map[string]float64
-	Response   Response // of "done"
+	Response   Response // of OutcomeDone
 }
 
-// neverRan are the outcomes that prove that an attempt was not executed.
-var neverRan = map[string]bool{"busy": true, "enoent": true, "econnrefused": true, "skipped": true}
-
-// AttemptEnded takes an attempt's outcome. The first one counts; the response of
+// AttemptEnded takes an attempt's result. The first one counts; the response of
 // a later one, or of one that no client waits for, is released.
-func (e *Engine) AttemptEnded(now int64, attempt *Attempt, outcome Outcome) {
+func (e *Engine) AttemptEnded(now int64, attempt *Attempt, result Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.endAttempt(now, attempt, outcome)
+	e.endAttempt(now, attempt, result)
 	e.dispatch(now)
 }
 
-func (e *Engine) endAttempt(now int64, attempt *Attempt, outcome Outcome) {
+func (e *Engine) endAttempt(now int64, attempt *Attempt, result Result) {
 	if attempt.ended {
-		if outcome.Response != nil {
-			outcome.Response.Release()
+		if result.Response != nil {
+			result.Response.Release()
 		}
 		return
 	}
@@ -95,17 +92,17 @@
 	attempt.ended = true
 	e.stopTimer(attempt.timer)
 	request.pendingAttempts--
-	request.maybeExecuted = request.maybeExecuted || !neverRan[outcome.Code]
-	if outcome.Code == "done" && !request.closed {
-		request.post(Command{Kind: CommandRespond, Attempt: attempt, Response: outcome.Response})
+	request.maybeExecuted = request.maybeExecuted || !result.Outcome.NeverExecuted()
+	if result.Outcome == policy.OutcomeDone && !request.closed {
+		request.post(Command{Kind: CommandRespond, Attempt: attempt, Response: result.Response})
 		e.closeRequest(now, request)
-	} else if outcome.Response != nil {
-		outcome.Response.Release()
+	} else if result.Response != nil {
+		result.Response.Release()
 	}
 	e.events = append(e.events, policy.Event{
 		Kind: policy.EventAttemptEnded, Request: request.ID, Endpoint: attempt.Endpoint.ID, Attempt: attempt.Number,
-		Outcome: outcome.Code, Reason: outcome.Reason, Final: request.closed, RTT: now - attempt.DecidedAt,
-		OriginWait: outcome.OriginWait, Load: outcome.Load,
+		Outcome: result.Outcome, Reason: result.Reason, Final: request.closed, RTT: now - attempt.DecidedAt,
+		OriginWait: result.OriginWait, Load: result.Load,
 	})
 	e.removeIfDone(request)
 }
@@ -119,7 +116,7 @@
 	tooMany := e.limits.MaxAttempts > 0 && attempt.Number >= e.limits.MaxAttempts
 	if request.closed || attempt.Deadline <= now || tooMany || !attempt.Endpoint.Active() {
 		attempt.Withdraw()
-		e.endAttempt(now, attempt, Outcome{Code: "skipped"})
+		e.endAttempt(now, attempt, Result{Outcome: policy.OutcomeSkipped})
 		return
 	}
 	attempt.timer = e.setTimer(now, &timer{due: attempt.Deadline, attempt: attempt})
@@ -133,7 +130,7 @@
 		Endpoint:      e.endpoints[action.Endpoint],
 		CachePriority: action.CachePriority,
 		MaxAge:        action.MaxAge,
-		Mode:          action.Mode,
+		FillMode:      action.FillMode,
 		DecidedAt:     now,
 		Deadline:      attemptDeadline(now, request, action.Timeout),
 		SendBefore:    action.SendBefore,
@@ -166,21 +163,21 @@
 		return
 	}
 	attempt := request.attempts[number]
-	code := "ecanceled"
+	outcome := policy.OutcomeCanceled
 	if attempt.Withdraw() {
-		code = "skipped"
+		outcome = policy.OutcomeSkipped
 	}
 	request.post(Command{Kind: CommandDrop, Attempt: attempt})
-	e.endAttempt(now, attempt, Outcome{Code: code})
+	e.endAttempt(now, attempt, Result{Outcome: outcome})
 }
 
 // timeOut ends an attempt whose deadline has passed. One that never got a
 // connection is proven not to have run.
 func (e *Engine) timeOut(now int64, attempt *Attempt) {
-	code := "etimedout"
+	outcome := policy.OutcomeTimeout
 	if attempt.Withdraw() {
-		code = "econnrefused"
+		outcome = policy.OutcomeConnectionRefused
 	}
 	attempt.Request.post(Command{Kind: CommandDrop, Attempt: attempt, Silent: true})
-	e.endAttempt(now, attempt, Outcome{Code: code})
+	e.endAttempt(now, attempt, Result{Outcome: outcome})
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -9,12 +9,12 @@
 }
 
 // Active reports whether the endpoint may be sent new work.
-func (s *Endpoint) Active() bool { return s.State == "active" }
+func (s *Endpoint) Active() bool { return s.State == policy.EndpointActive }
 
-// UpdateEndpoints takes changes of the endpoint list ("diff") or a whole one
-// ("disk" at the start, else "snapshot"). It returns the endpoints, as they were
+// UpdateEndpoints takes changes of the endpoint list (ScopeDiff) or a whole one
+// (ScopeDisk at the start, else ScopeSnapshot). It returns the endpoints, as they were
 // listed before, that take no new work at their addresses any more.
-func (e *Engine) UpdateEndpoints(now int64, scope string, list []Endpoint) (retired []*Endpoint) {
+func (e *Engine) UpdateEndpoints(now int64, scope policy.UpdateScope, list []Endpoint) (retired []*Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	event := policy.Event{Kind: policy.EventEndpoints, Scope: scope}
@@ -27,11 +27,11 @@
 			retired = append(retired, old)
 		}
 		e.endpoints[endpoint.ID] = &endpoint
-		if endpoint.State == "left" {
+		if endpoint.State == policy.EndpointGone {
 			delete(e.endpoints, endpoint.ID)
 		}
 	}
-	if scope != "diff" {
+	if scope != policy.ScopeDiff {
 		retired = append(retired, e.removeUnlisted(listed)...)
 	}
 	e.handle(now, event)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -93,10 +93,10 @@
 }
 
 // HealthChecked takes a health check's outcome; rtt is in microseconds.
-func (e *Engine) HealthChecked(now int64, endpoint, code string, rtt int64) {
+func (e *Engine) HealthChecked(now int64, endpoint string, outcome policy.Outcome, rtt int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.handle(now, policy.Event{Kind: policy.EventHealthCheck, Endpoint: endpoint, Outcome: code, RTT: rtt})
+	e.handle(now, policy.Event{Kind: policy.EventHealthCheck, Endpoint: endpoint, Outcome: outcome, RTT: rtt})
 }
 
 // Snapshot returns the policy's state, endpoints included, for the other
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -22,18 +22,18 @@
 		Limits:    policy.Limits{Cancel: true, Hedging: true, MaxAttempts: 6},
 		Hierarchy: policy.Hierarchy{CacheBypass: true, ParentKind: -1, OriginKind: 1, PurgeSettleTime: 6000 * ms},
 		Classes: []policy.TrafficClass{
-			{Name: "read", Effect: "safe", LatencyObjective: 200 * ms, PriorityWeight: 1},
-			{Name: "write", Effect: "unsafe", LatencyObjective: 200 * ms, PriorityWeight: 1, Write: true},
+			{Name: "read", Effect: policy.EffectIdempotent, LatencyObjective: 200 * ms, PriorityWeight: 1},
+			{Name: "write", Effect: policy.EffectUnsafe, LatencyObjective: 200 * ms, PriorityWeight: 1, Write: true},
 		},
 	}
 	if change != nil {
 		change(&set)
 	}
 	e := &testEngine{Engine: New(&set, 1, func() {})}
-	e.UpdateEndpoints(start, "disk", []Endpoint{
-		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "a:1"},
-		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: "active", Weight: 8}, Address: "b:1"},
-		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: "active", Weight: 1}, Address: "o:1"},
+	e.UpdateEndpoints(start, policy.ScopeDisk, []Endpoint{
+		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "a:1"},
+		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "b:1"},
+		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: policy.EndpointActive, Weight: 1}, Address: "o:1"},
 	})
 	return e
 }
@@ -73,8 +73,8 @@
 		t.Fatalf("attempt %+v after %d wakes", attempt, e.wakes)
 	}
 	first, second := &countedResponse{}, &countedResponse{}
-	e.AttemptEnded(start+ms, attempt, Outcome{Code: "done", Response: first})
-	e.AttemptEnded(start+2*ms, attempt, Outcome{Code: "done", Response: second})
+	e.AttemptEnded(start+ms, attempt, Result{Outcome: policy.OutcomeDone, Response: first})
+	e.AttemptEnded(start+2*ms, attempt, Result{Outcome: policy.OutcomeDone, Response: second})
 	if o := next(t, request, CommandRespond); o.Response != Response(first) || first.released != 0 || second.released != 1 {
 		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
 	}
@@ -95,7 +95,7 @@
 		t.Fatalf("dropped %+v", o.Attempt)
 	}
 	late := &countedResponse{}
-	e.AttemptEnded(start+2*ms, attempt, Outcome{Code: "done", Response: late})
+	e.AttemptEnded(start+2*ms, attempt, Result{Outcome: policy.OutcomeDone, Response: late})
 	if commands := request.TakeCommands(); len(commands) != 0 || late.released != 1 {
 		t.Fatalf("commands %+v, released %d", commands, late.released)
 	}
@@ -129,14 +129,14 @@
 		if begun && !attempt.Begin() {
 			t.Fatal("not begun")
 		}
-		code := "econnreset"
+		outcome := policy.OutcomeConnectionReset
 		if attempt.Withdraw() {
-			code = "econnrefused"
+			outcome = policy.OutcomeConnectionRefused
 		}
 		if attempt.Begin() {
 			t.Fatal("written after it was withdrawn or begun")
 		}
-		e.AttemptEnded(start+950*ms, attempt, Outcome{Code: code})
+		e.AttemptEnded(start+950*ms, attempt, Result{Outcome: outcome})
 		next(t, request, want)
 	}
 }
@@ -145,15 +145,15 @@
 	e := newTestEngine(nil)
 	var list []Endpoint
 	for _, id := range []string{"a", "b"} {
-		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: "leaving", Weight: 8}})
+		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: policy.EndpointDraining, Weight: 8}})
 	}
-	if retired := e.UpdateEndpoints(start, "diff", list); len(retired) != 2 {
+	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, list); len(retired) != 2 {
 		t.Fatalf("retired %v", retired)
 	}
 	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.Endpoint.ID != "o" || attempt.Source != "" {
 		t.Fatalf("sent to %s with source %q", attempt.Endpoint.ID, attempt.Source)
 	}
-	if retired := e.UpdateEndpoints(start, "snapshot", nil); len(retired) != 3 {
+	if retired := e.UpdateEndpoints(start, policy.ScopeSnapshot, nil); len(retired) != 3 {
 		t.Fatalf("a whole list without them retired %v", retired)
 	}
 }
@@ -163,10 +163,10 @@
 func TestChangedAddressRetiresTheOldOne(t *testing.T) {
 	e := newTestEngine(nil)
 	moved := Endpoint{Endpoint: e.endpoints["a"].Endpoint, Address: "a:2"}
-	if retired := e.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(retired) != 1 || retired[0].Address != "a:1" {
+	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, []Endpoint{moved}); len(retired) != 1 || retired[0].Address != "a:1" {
 		t.Fatalf("retired %v", retired)
 	}
-	if retired := e.UpdateEndpoints(start, "diff", []Endpoint{moved}); len(retired) != 0 {
+	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, []Endpoint{moved}); len(retired) != 0 {
 		t.Fatalf("retired %v though nothing changed", retired)
 	}
 }
@@ -218,13 +218,13 @@
 	request := e.open(t, "read")
 	attempt := next(t, request, CommandSend).Attempt
 	attempt.Begin()
-	e.AttemptEnded(start+ms, attempt, Outcome{Code: "enoent"})
+	e.AttemptEnded(start+ms, attempt, Result{Outcome: policy.OutcomeMiss})
 	retry := next(t, request, CommandSend).Attempt
 	if retry.Number != 1 || retry == attempt {
 		t.Fatalf("second attempt %+v", retry)
 	}
 	retry.Begin()
-	e.AttemptEnded(start+2*ms, retry, Outcome{Code: "done", Response: &countedResponse{}})
+	e.AttemptEnded(start+2*ms, retry, Result{Outcome: policy.OutcomeDone, Response: &countedResponse{}})
 	next(t, request, CommandRespond)
 	if e.Run(start + 2000*ms); len(request.TakeCommands()) != 0 {
 		t.Fatal("an ended request has commands")
@@ -258,7 +258,7 @@
 // The window of an idempotency key must reach the place where a retry is written.
 func TestRetryMayBeSentWithinItsWindowOnly(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) {
-		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: "keyed", DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
+		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
 	})
 	request := e.open(t, "read")
 	first := next(t, request, CommandSend).Attempt
@@ -266,7 +266,7 @@
 	if !first.MayBeSent(start+399*ms, 1e6) {
 		t.Error("the first attempt has no window")
 	}
-	e.AttemptEnded(start+100*ms, first, Outcome{Code: "econnreset"})
+	e.AttemptEnded(start+100*ms, first, Result{Outcome: policy.OutcomeConnectionReset})
 	retry := next(t, request, CommandSend).Attempt
 	if !retry.MayBeSent(start+299*ms, 1e6) || retry.MayBeSent(start+300*ms, 1e6) {
 		t.Errorf("retry until %d", retry.SendBefore-start)
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -44,7 +44,7 @@
 		engine:   e,
 		deadline: now + event.Remaining,
 		wake:     wake,
-		unsafe:   e.classes[event.Class].Effect == "unsafe",
+		unsafe:   e.classes[event.Class].Effect == policy.EffectUnsafe,
 	}
 	e.requests[request.ID] = request
 	e.openRequests++
@@ -84,7 +84,7 @@
 	for _, attempt := range request.attempts {
 		if !attempt.ended && attempt.Withdraw() {
 			request.post(Command{Kind: CommandDrop, Attempt: attempt})
-			e.endAttempt(now, attempt, Outcome{Code: "skipped"})
+			e.endAttempt(now, attempt, Result{Outcome: policy.OutcomeSkipped})
 		}
 	}
 	e.removeIfDone(request)
--- a/internal/handoff/word.go
+++ b/internal/handoff/word.go
@@ -18,6 +18,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
+	"quilldoor/internal/cborcodec"
 	"quilldoor/internal/invariant"
 	"quilldoor/internal/membership"
 	"quilldoor/internal/policy"
@@ -100,14 +101,14 @@
 
 // Server is a line of the list.
 type Server struct {
-	Server   string  `cbor:"1,keyasint"`
-	Zone     string  `cbor:"2,keyasint,omitempty"`
-	Kind     string  `cbor:"3,keyasint,omitempty"`
-	Cell     int     `cbor:"4,keyasint,omitempty"`
-	State    string  `cbor:"5,keyasint"`
-	Weight   float64 `cbor:"6,keyasint,omitempty"`
-	Born     int64   `cbor:"7,keyasint,omitempty"`
-	Endpoint string  `cbor:"8,keyasint"`
+	Server   string               `cbor:"1,keyasint"`
+	Zone     string               `cbor:"2,keyasint,omitempty"`
+	Kind     string               `cbor:"3,keyasint,omitempty"`
+	Cell     int                  `cbor:"4,keyasint,omitempty"`
+	State    policy.EndpointState `cbor:"5,keyasint"`
+	Weight   float64              `cbor:"6,keyasint,omitempty"`
+	Born     int64                `cbor:"7,keyasint,omitempty"`
+	Endpoint string               `cbor:"8,keyasint"`
 }
 
 // Purge is one that may still bind.
@@ -157,16 +158,9 @@
 	ErrMalformedMessage = errors.New("handover: not a word")
 )
 
-var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{
-		MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options stand above
-	}
-	return m
-}()
+var decoding = cborcodec.NewStrictDecoder(cborcodec.Limits{
+	MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, RejectDuplicateKeys: true,
+})
 
 // Decode reads a word's payload.
 func Decode(b []byte) (*Message, error) {
