--- /dev/null
+++ b/internal/loopback/loopback_test.go
@@ -0,0 +1,211 @@
+package loopback
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"os/exec"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// childVariable is set for a process that prints one address per line and runs until
+// its input ends.
+const childVariable = "QUILLDOOR_TEST_RESERVE"
+
+const addressesPerChild = 20
+
+func TestMain(m *testing.M) {
+	if os.Getenv(childVariable) == "" {
+		os.Exit(m.Run())
+	}
+	firstTried = 0 // as all others of these processes
+	for range addressesPerChild {
+		address, err := Reserve()
+		if err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		fmt.Println(address)
+	}
+	io.Copy(io.Discard, os.Stdin)
+}
+
+func reserve(t *testing.T) netip.AddrPort {
+	t.Helper()
+	address, err := Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return address
+}
+
+func TestNoAddressTwiceInAProcess(t *testing.T) {
+	var mutex sync.Mutex
+	var takers sync.WaitGroup
+	seen := map[netip.AddrPort]bool{}
+	for range 4 {
+		takers.Go(func() {
+			for range addressesEach/4 + 50 { // more in all than a block has
+				address, err := Reserve()
+				mutex.Lock()
+				if err != nil || seen[address] {
+					t.Errorf("%v was given out before, or %v", address, err)
+				}
+				seen[address] = true
+				mutex.Unlock()
+			}
+		})
+	}
+	takers.Wait()
+	if len(held) < 2 {
+		t.Errorf("%d blocks for %d addresses", len(held), len(seen))
+	}
+}
+
+// Processes that run at the same time never share a block, though they try the same one
+// first.
+func TestNoAddressTwiceAmongProcesses(t *testing.T) {
+	seen := map[string]bool{}
+	for range 12 {
+		for _, address := range startChild(t) {
+			if seen[address] {
+				t.Errorf("%s was given to two processes", address)
+			}
+			seen[address] = true
+		}
+	}
+}
+
+// startChild starts a process that runs until the test ends, and gives back the
+// addresses that it has reserved.
+func startChild(t *testing.T) (addresses []string) {
+	t.Helper()
+	child := exec.Command(os.Args[0])
+	child.Env = append(os.Environ(), childVariable+"=1")
+	child.Stderr = os.Stderr
+	input, err := child.StdinPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	output, err := child.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := child.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		input.Close()
+		if err := child.Wait(); err != nil {
+			t.Error(err)
+		}
+	})
+	lines := bufio.NewScanner(output)
+	for len(addresses) < addressesPerChild && lines.Scan() {
+		addresses = append(addresses, lines.Text())
+	}
+	if len(addresses) < addressesPerChild {
+		t.Fatalf("%d addresses from a process, want %d", len(addresses), addressesPerChild)
+	}
+	return addresses
+}
+
+// Two processes that try the same block first: the second finds it taken.
+func TestATakenBlockIsPassedOver(t *testing.T) {
+	reserve(t)
+	mutex.Lock()
+	defer mutex.Unlock()
+	before := current
+	for range 3 {
+		if err := claimBlock(); err != nil {
+			t.Fatal(err)
+		}
+		if current.network == before.network {
+			t.Fatalf("block %d was claimed twice", current.network)
+		}
+		before = current
+	}
+}
+
+func TestAnAddressInUseIsPassedOver(t *testing.T) {
+	reserve(t)
+	for _, network := range []string{"tcp", "udp"} {
+		mutex.Lock()
+		ahead := *current
+		mutex.Unlock()
+		used := ahead.next()
+		socket := bind(t, network, used)
+		if got := reserve(t); got == used {
+			t.Errorf("%v is in use for %s", used, network)
+		}
+		socket.Close()
+	}
+}
+
+func bind(t *testing.T, network string, address netip.AddrPort) io.Closer {
+	t.Helper()
+	var socket io.Closer
+	var err error
+	if network == "udp" {
+		socket, err = net.ListenPacket(network, address.String())
+	} else {
+		socket, err = net.Listen(network, address.String())
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return socket
+}
+
+// Neither a connection nor a listener at port 0 gets a reserved port from the kernel,
+// even where it asks for the reserved host.
+func TestTheKernelGivesOutNoReservedPort(t *testing.T) {
+	address := reserve(t)
+	listener := bind(t, "tcp", address)
+	defer listener.Close()
+	first, err := portsOutsideEphemeral()
+	if err != nil {
+		t.Fatal(err)
+	}
+	isReserved := func(a net.Addr) bool {
+		port := int(netip.MustParseAddrPort(a.String()).Port())
+		return port >= first && port < first+portsPerHost
+	}
+	host := address.Addr().String()
+	for range 500 {
+		conn, err := net.Dial("tcp", address.String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		other, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if isReserved(conn.LocalAddr()) || isReserved(other.Addr()) {
+			t.Fatalf("the kernel gave out %v and %v", conn.LocalAddr(), other.Addr())
+		}
+		conn.Close()
+		other.Close()
+	}
+}
+
+func TestPortsBesideTheEphemeralRange(t *testing.T) {
+	for _, c := range []struct{ low, high, want int }{
+		{32768, 60999, 32768 - portsPerHost},
+		{1024 + portsPerHost, 65535, 1024},
+		{1024, 65000, 65001},
+		{1024, 65535 - portsPerHost, 65536 - portsPerHost},
+	} {
+		if got, err := portsBeside(c.low, c.high); got != c.want || err != nil {
+			t.Errorf("%d to %d: %d, %v; want %d", c.low, c.high, got, err, c.want)
+		}
+	}
+	if _, err := portsBeside(1024, 65535); err == nil || !strings.Contains(err.Error(), "leaves no") {
+		t.Errorf("ports were found where there are none: %v", err)
+	}
+}
