--- a/internal/memberlink/link_test.go
+++ b/internal/memberlink/link_test.go
@@ -14,6 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"quilldoor/internal/frames"
+	"quilldoor/internal/loopback"
 	"quilldoor/internal/members"
 )
 
@@ -25,15 +26,14 @@
 	return logrus.NewEntry(log)
 }
 
-// free finds addresses of this test's own.
+// free reserves addresses of this test's own.
 func free(t *testing.T, n int) (list []netip.AddrPort) {
-	for i := range n {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 78, 1, byte(i+1))})
+	for range n {
+		address, err := loopback.Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, c.LocalAddr().(*net.UDPAddr).AddrPort())
-		c.Close()
+		list = append(list, address)
 	}
 	return list
 }
