--- a/internal/emulate/detect.go
+++ b/internal/emulate/detect.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -19,6 +18,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/goccy/go-yaml"
 
+	"quilldoor/internal/loopback"
 	"quilldoor/internal/operator"
 	"quilldoor/internal/script"
 )
@@ -49,13 +49,12 @@
 	var peers []operator.Member
 	var listens []string
 	for i := range routers {
-		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 79, byte(1+i/200), byte(1+i%200))})
+		addr, err := loopback.Reserve()
 		if err != nil {
 			return nil, 0, err
 		}
-		peers = append(peers, operator.Member{Name: nameOf(i), Addr: udp.LocalAddr().String()})
-		listens = append(listens, udp.LocalAddr().String()) // the same number is free for TCP there
-		udp.Close()
+		peers = append(peers, operator.Member{Name: nameOf(i), Addr: addr.String()})
+		listens = append(listens, addr.String()) // reserved for TCP as well
 	}
 	key := filepath.Join(dir, "members.key")
 	if err := os.WriteFile(key, []byte(membersKey), 0o600); err != nil {
--- a/internal/emulate/members.go
+++ b/internal/emulate/members.go
@@ -250,16 +250,6 @@
 	return conn.LocalAddr().String(), nil
 }
 
-// freeUDP finds an address of a router's own.
-func (r *process) freeUDP() (netip.AddrPort, error) {
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 77, byte(1+r.id/200), byte(1+r.id%200))})
-	if err != nil {
-		return netip.AddrPort{}, err
-	}
-	defer conn.Close()
-	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
-}
-
 // watch looks at all views time and again, as a person would with the router's own
 // command.
 func (v *sockets) watch() {
--- a/internal/emulate/server.go
+++ b/internal/emulate/server.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"quilldoor/internal/lines"
+	"quilldoor/internal/loopback"
 	"quilldoor/internal/record"
 	"quilldoor/internal/script"
 	"quilldoor/internal/world"
@@ -28,7 +29,12 @@
 	if p := r.places[server]; p != nil {
 		return p, nil
 	}
-	p := &place{process: r, server: server, addr: "127.0.0.1:0", conns: map[*lineConn]struct{}{}}
+	// Reserved, as the server listens there again after it was down.
+	addr, err := loopback.Reserve()
+	if err != nil {
+		return nil, err
+	}
+	p := &place{process: r, server: server, addr: addr.String(), conns: map[*lineConn]struct{}{}}
 	r.places[server] = p
 	return p, p.open()
 }
@@ -38,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("server %s: %w", p.server, err)
 	}
-	p.addr, p.listener = l.Addr().String(), l
+	p.listener = l
 	p.all.Go(func() {
 		for {
 			c, err := l.Accept()
--- a/internal/emulate/sockets.go
+++ b/internal/emulate/sockets.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"quilldoor/internal/gateway"
+	"quilldoor/internal/loopback"
 	"quilldoor/internal/record"
 	"quilldoor/internal/referee"
 	"quilldoor/internal/script"
@@ -31,7 +32,7 @@
 // Routers are the processes to play against.
 type Routers struct {
 	Program string         // "": quilldoor beside the running program
-	Listen  string         // of the first router; "": any port
+	Listen  string         // of the first router; "" or port 0: any address on loopback
 	Ready   func([]string) // told the routers' addresses once all are ready
 	Log     io.Writer      // what routers log; nil: kept only for the report of a death
 	Guests  bool           // requests that are none of the world's are served, too
@@ -49,12 +50,6 @@
 // module's 8.
 const slackOnSockets = 58_000
 
-// Runs side by side have networks of their own: an address that one has found free must
-// not be found by another before a router listens there.
-const firstNet, nets = 64, 128
-
-var played atomic.Int32
-
 // mostListeners bounds the descriptors: each router has an address of its own for
 // each server.
 const mostListeners = 3000
@@ -71,7 +66,6 @@
 	start   time.Time
 	in      chan func()
 	dir     string
-	net     string // first half of its routers' addresses
 	fail    chan error
 	cancel  context.CancelFunc
 	ctx     context.Context
@@ -140,7 +134,7 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	v := &sockets{net: fmt.Sprintf("127.%d", firstNet+(os.Getpid()+int(played.Add(1)))%nets), opt: opt, set: s, referee: referee.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
+	v := &sockets{opt: opt, set: s, referee: referee.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
 		fail: make(chan error, 1), ctx: ctx, cancel: cancel, conf: conf,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 4 * time.Second, DisableCompression: true}}}
 	defer func() {
@@ -531,33 +525,12 @@
 
 // ---- Router processes ----
 
-// prepare finds an address, starts the board and the servers' listeners.
+// prepare takes addresses, starts the board and the servers' listeners.
 func (r *process) prepare() error {
-	// An address of its own: ports of 127.0.0.1 that are free now may be taken by
-	// some connection before the process listens, or while it is dead.
-	own := fmt.Sprintf("%s.%d.%d:0", r.net, 1+r.id/200, 1+r.id%200)
-	want := own
-	if r.conf.Listen != "" && r.id == 0 {
-		want = r.conf.Listen
-	}
-	l, err := net.Listen("tcp", want)
-	if err != nil {
+	if err := r.takeAddresses(); err != nil {
 		return err
 	}
-	r.listen = l.Addr().String()
-	l.Close()
-	if r.set.Fleet.Sites >= 2 {
-		if l, err = net.Listen("tcp", own); err != nil {
-			return err
-		}
-		r.gate = l.Addr().String()
-		l.Close()
-	}
-	if r.set.Fleet.Members {
-		if r.members, err = r.freeUDP(); err != nil {
-			return err
-		}
-	}
+	var err error
 	if r.board, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
 	}
@@ -575,6 +548,46 @@
 	return nil
 }
 
+// takeAddresses reserves what the router's process listens at: it binds them itself,
+// and again when it is started after a death.
+func (r *process) takeAddresses() error {
+	listen, err := r.clientAddress()
+	if err != nil {
+		return err
+	}
+	r.listen = listen
+	if r.set.Fleet.Sites >= 2 {
+		gate, err := loopback.Reserve()
+		if err != nil {
+			return err
+		}
+		r.gate = gate.String()
+	}
+	if r.set.Fleet.Members {
+		if r.members, err = loopback.Reserve(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// clientAddress is where the router hears clients: the address that the run's options
+// name for the first router, or a reserved one.
+func (r *process) clientAddress() (string, error) {
+	named := r.conf.Listen
+	if r.id != 0 || named == "" || strings.HasSuffix(named, ":0") {
+		address, err := loopback.Reserve()
+		return address.String(), err
+	}
+	// A port that somebody named can't be reserved. That it is in use shows here already.
+	l, err := net.Listen("tcp", named)
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
 // pool is a change of the list as the board words it.
 func (r *process) pool(rev int, list []world.Server, all bool) string {
 	type target struct {
