--- a/cmd/quilldoor/disk_test.go
+++ b/cmd/quilldoor/disk_test.go
@@ -208,12 +208,7 @@
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	free, err := net.Listen("tcp", "127.77.0.2:0") // where no connection takes the port while the router is dead
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := free.Addr().String()
-	free.Close()
+	addr := reserveAddress(t) // the router binds it again after each death
 	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
 	pool := `{"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", o.cache.Addr(), "box") + "," +
 		fmt.Sprintf(target, "o", o.cache.Addr(), "origin") + `]}}`
--- a/cmd/quilldoor/members_test.go
+++ b/cmd/quilldoor/members_test.go
@@ -151,15 +151,15 @@
 	os.WriteFile(key, []byte("a key of sixteen bytes"), 0o600)
 	var procs []*exec.Cmd
 	var files []string
-	addr := func(i int) string { return fmt.Sprintf("127.80.1.%d:7711", i+1) }
+	addrs := []string{reserveAddress(t), reserveAddress(t)} // for clients by TCP, and for members by UDP
 	start := func(i int, permit bool) (*exec.Cmd, *strings.Builder) {
 		s := script.Default()
 		s.Fleet.Members = permit
-		text, _ := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": fmt.Sprintf("127.80.1.%d:8811", i+1), "seed": "1", "board": "127.0.0.1:1",
+		text, _ := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": addrs[i], "seed": "1", "board": "127.0.0.1:1",
 			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0), "known": json.RawMessage(`{"rev":0,"notices":[]}`)})
 		config := filepath.Join(dir, fmt.Sprint("n", i, ".json"))
 		os.WriteFile(config, text, 0o600)
-		own := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n", i, addr(i), key, addr(0), addr(1))
+		own := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n", i, addrs[i], key, addrs[0], addrs[1])
 		file := filepath.Join(dir, fmt.Sprint("n", i, ".yaml"))
 		os.WriteFile(file, []byte(own), 0o600)
 		files = append(files, file)
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -16,6 +16,7 @@
 	"github.com/sirupsen/logrus"
 
 	"quilldoor/internal/config"
+	"quilldoor/internal/loopback"
 )
 
 // standIn is a cache server of the test's own: it passes the lines it gets to
@@ -81,6 +82,16 @@
 // serveOn is how long routers under test serve on behind their listeners.
 var serveOn = 50 * time.Millisecond
 
+// reserveAddress is an address on loopback that only this test binds.
+func reserveAddress(t *testing.T) string {
+	t.Helper()
+	address, err := loopback.Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return address.String()
+}
+
 // running is a router under test.
 type running struct {
 	addr, path, text string // of its configuration, board at 127.0.0.1:1
@@ -108,13 +119,8 @@
 // startWith starts one with an operator's file, and its configuration edited.
 func startWith(t *testing.T, cache, origin, own string, edit *strings.Replacer) *running {
 	t.Helper()
-	free, err := net.Listen("tcp", "127.77.0.3:0") // where no connection takes the port before the router does
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &running{addr: free.Addr().String(), path: filepath.Join(t.TempDir(), "config.json"),
+	r := &running{addr: reserveAddress(t), path: filepath.Join(t.TempDir(), "config.json"),
 		term: make(chan os.Signal, 1), hup: make(chan os.Signal, 1), end: make(chan error, 1), log: make(chan string, 1000)}
-	free.Close()
 	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
 	r.text = `{"name":"t","listen":"` + r.addr + `","seed":"1","board":"127.0.0.1:1","known":{"rev":1,"notices":[
 	 {"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", cache, "box") + "," +
@@ -379,9 +385,8 @@
 }
 
 func TestRefusedConnectionsAreProof(t *testing.T) {
-	gone := newStandIn(t, nil)
-	gone.Close()
-	addr := startRouter(t, gone.Addr().String(), gone.Addr().String()).addr
+	gone := reserveAddress(t) // nobody listens there
+	addr := startRouter(t, gone, gone).addr
 	c := dial(t, addr)
 	c.send("PUT", "/rpc/sign/x", "", "name")
 	c.want(t, "503")
