--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -9,83 +9,12 @@
 	"math"
 	"math/bits"
 	"slices"
+
+	"quilldoor/internal/tinylfu"
 )
 
 const ms, sec = int64(1000), int64(1000 * 1000)
 
-// ---- The paper's sketch ----
-
-const sketchWidth = 1 << 12 // counters in each of four rows: a halving period sees about a thousand objects
-
-const counterTop = 10 // where a counter stops rising (the design page's ten)
-
-type sketch struct {
-	rows   [4][sketchWidth / 16]uint64 // 4-bit counters, 16 to a word
-	door   [sketchWidth / 16]uint64    // four bits to a counter's place
-	sample int
-}
-
-// spot gives row i's place for a key's hash: two halves stepped as one.
-func spot(h uint64, i int) uint64 { return (h + uint64(i)*(h>>32|1)) * 0x9e3779b97f4a7c15 >> 20 }
-
-func (k *sketch) counter(h uint64, i int) (word *uint64, shift uint64) {
-	p := spot(h, i) % sketchWidth
-	return &k.rows[i][p/16], p % 16 * 4
-}
-
-func (k *sketch) minimum(h uint64) uint64 {
-	low := uint64(counterTop)
-	for i := range k.rows {
-		w, s := k.counter(h, i)
-		low = min(low, *w>>s&15)
-	}
-	return low
-}
-
-func (k *sketch) inDoor(h uint64, enter bool) bool {
-	in := true
-	for i := range k.rows {
-		p := spot(h, i+4) % (sketchWidth * 4)
-		bit := uint64(1) << (p % 64)
-		in = in && k.door[p/64]&bit != 0
-		if enter {
-			k.door[p/64] |= bit
-		}
-	}
-	return in
-}
-
-func (k *sketch) estimate(h uint64) uint64 {
-	if k.inDoor(h, false) {
-		return k.minimum(h) + 1
-	}
-	return k.minimum(h)
-}
-
-// count notes one txn; only the minimal counters rise.
-func (k *sketch) count(h uint64) {
-	k.sample++
-	if !k.inDoor(h, true) {
-		return
-	}
-	low := k.minimum(h)
-	for i := range k.rows {
-		if w, s := k.counter(h, i); low < counterTop && *w>>s&15 == low {
-			*w += 1 << s
-		}
-	}
-}
-
-func (k *sketch) halve() {
-	k.sample /= 2
-	for i := range k.rows {
-		for j, w := range k.rows[i] {
-			k.rows[i][j] = w >> 1 & 0x7777777777777777
-		}
-	}
-	clear(k.door[:])
-}
-
 // listCap bounds what a router remembers of one edge cache: longer lists hardly filled, 32 kept too little.
 // It is divided by the root of the location's routers (simulated; see docs/design.md).
 const listCap = 64
@@ -95,7 +24,7 @@
 	if i := slices.Index(s.kept, h); i >= 0 {
 		s.kept = slices.Delete(s.kept, i, i+1)
 	} else if len(s.kept) >= r.listCap {
-		if r.sketch.estimate(h) <= r.sketch.estimate(s.kept[0]) {
+		if r.sketch.Estimate(h) <= r.sketch.Estimate(s.kept[0]) {
 			return 0
 		}
 		s.kept = slices.Delete(s.kept, 0, 1)
@@ -563,7 +492,7 @@
 type Router struct {
 	now            int64
 	out            []Action
-	sketch         sketch
+	sketch         *tinylfu.Sketch
 	sampleN        int
 	servers        map[string]*server
 	order          []*server // every server of use here, by id, until it is gone and its hops are over
@@ -604,6 +533,7 @@
 func New(set Settings, seed uint64) *Router {
 	c, f, l := &set.Contract, &set.Hierarchy, &set.Limits
 	r := &Router{
+		sketch:  newSketch(),
 		servers: map[string]*server{}, rules: map[string]*rule{}, txns: map[string]*txn{},
 		dice: seed, zone: set.Zone, kinds: map[string]role{}, fallFor: c.OverloadWindow, flow: f.StreamKBPerS / float64(sec),
 		purgeDone: f.PurgeSettleTime, maxHops: max(l.MaxAttempts, 1), direct: f.CacheBypass, joins: f.CoalescesFills,
@@ -776,9 +706,9 @@
 }
 
 func (r *Router) count(h uint64) {
-	r.sketch.count(h)
-	if r.sampleN > 0 && r.sketch.sample >= r.sampleN {
-		r.sketch.halve()
+	r.sketch.Record(h)
+	if samples := r.sketch.AddSample(); r.sampleN > 0 && samples >= r.sampleN {
+		r.sketch.Halve()
 	}
 }
 
@@ -1109,7 +1039,7 @@
 	const halveEvery = 30 * sec // the design page starts at 10; at few txns a second that forgot what is popular
 	if r.now >= r.halveAt {
 		if r.halveAt > 0 {
-			r.sketch.halve()
+			r.sketch.Halve()
 		}
 		r.halveAt = r.now + halveEvery
 	}
