--- a/internal/diskcache/diskcache.go
+++ b/internal/diskcache/diskcache.go
@@ -7,6 +7,8 @@
 
 import (
 	"github.com/cespare/xxhash/v2"
+
+	"quilldoor/internal/tinylfu"
 )
 
 const second = int64(1_000_000)
@@ -134,7 +136,7 @@
 // Tier is the state.
 type Tier struct {
 	set    Settings
-	sketch *sketch
+	sketch *tinylfu.Sketch
 	table  *table
 	slots  *slots
 	link   link
@@ -226,7 +228,7 @@
 		return VerdictMiss, LookupResult{Reason: ReasonNotCacheable}
 	}
 	key, object := t.key(a), t.object(a.Object)
-	t.sketch.count(t.weighs(key, object), t.table.live)
+	countRequest(t.sketch, t.weighs(key, object), t.table.live)
 	if t.health == HealthOff {
 		return VerdictMiss, LookupResult{Reason: ReasonDiskOff}
 	}
@@ -431,7 +433,7 @@
 			return Placement{}, ReasonAlreadyCached
 		}
 	}
-	wants := t.sketch.estimate(t.weighs(key, object))
+	wants := t.sketch.Estimate(t.weighs(key, object))
 	switch {
 	case wants < 2 && !t.set.Variant.AdmitOnFirstRequest && !t.set.Variant.AdmitAll:
 		return Placement{}, ReasonRequestedOnce
@@ -498,7 +500,7 @@
 		if t.purges.binds(e) || t.set.Variant.AdmitAll || t.set.Variant.AdmitOnSecondRequest {
 			continue // it weighs nothing
 		}
-		w := t.sketch.estimate(t.weighs(e.key, e.object))
+		w := t.sketch.Estimate(t.weighs(e.key, e.object))
 		if !t.set.Variant.WeighByRequests {
 			w *= uint64(size)
 		}
@@ -661,11 +663,11 @@
 
 // Size tells how full the tier is.
 func (t *Tier) Size() Size {
-	buckets, width := int64(t.table.mask+1), int64(t.sketch.mask+1)
+	buckets, width := int64(t.table.mask+1), int64(t.sketch.Counters())
 	return Size{
 		Parts: t.table.live, MaxParts: t.table.most, Bytes: int64(t.table.liveSlot) * int64(t.set.SlotBytes),
 		MaxBytes: int64(t.set.Slots) * int64(t.set.SlotBytes), QueuedBytes: t.queued, ActiveReads: t.reading,
-		MemoryBytes:    int64(len(t.table.chunks))*chunkSize*64 + buckets*8 + int64(t.set.Slots)*33/8 + width*4,
+		MemoryBytes:    int64(len(t.table.chunks))*chunkSize*64 + buckets*8 + int64(t.set.Slots)*33/8 + width*sketchBytesPerCounter,
 		UnsyncedChains: len(t.condemned) + len(t.syncing), RememberedPurges: len(t.purges.objects),
 	}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -4,24 +4,41 @@
 	"fmt"
 	"slices"
 	"testing"
+
+	"quilldoor/internal/tinylfu"
 )
 
+// recordSample notes one request in a sketch, as countRequest does short of halving.
+func recordSample(sketch *tinylfu.Sketch, key uint64) {
+	sketch.Record(key)
+	sketch.AddSample()
+}
+
+func setSamples(t *testing.T, sketch *tinylfu.Sketch, samples int) {
+	t.Helper()
+	state := sketch.State()
+	state.Samples = samples
+	if err := sketch.Restore(state); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func TestSketchCountsAndHalves(t *testing.T) {
-	k, h := new(sketch), hash("x")
+	k, h := newSketch(), hash("x")
 	for i, want := range []uint64{1, 2, 3, 4} {
-		if k.count(h); k.estimate(h) != want {
-			t.Fatalf("after %d: estimate %d, want %d", i+1, k.estimate(h), want)
+		if recordSample(k, h); k.Estimate(h) != want {
+			t.Fatalf("after %d: estimate %d, want %d", i+1, k.Estimate(h), want)
 		}
 	}
 	for range 50 {
-		k.count(h)
+		recordSample(k, h)
 	}
-	if got := k.estimate(h); got != counterTop+1 {
+	if got := k.Estimate(h); got != sketchMaxCount+1 {
 		t.Fatalf("estimate %d, want the top and one for the doorkeeper", got)
 	}
-	k.halve()
-	if got := k.estimate(h); got != counterTop/2 || k.sample != 27 {
-		t.Fatalf("halved: estimate %d, sample %d", got, k.sample)
+	k.Halve()
+	if got := k.Estimate(h); got != sketchMaxCount/2 || k.Samples() != 27 {
+		t.Fatalf("halved: estimate %d, sample %d", got, k.Samples())
 	}
 }
 
@@ -36,7 +53,7 @@
 	if r.admit(s, 1000) != 0 || len(s.kept) != listCap {
 		t.Fatal("kept although its estimate does not beat the tail's")
 	}
-	r.sketch.count(1000)
+	recordSample(r.sketch, 1000)
 	if r.admit(s, 1000) != 2 || s.kept[0] != 1 || s.kept[listCap-1] != 1000 {
 		t.Fatal("not kept although its estimate beats the tail's")
 	}
@@ -55,18 +72,18 @@
 
 func TestCountHalvesSketch(t *testing.T) {
 	r := router(nil)
-	r.sketch.sample = r.sampleN - 1
+	setSamples(t, r.sketch, r.sampleN-1)
 	r.Handle(begin, request("read"), nil)
-	if r.sketch.sample != r.sampleN/2 {
-		t.Fatalf("sample %d after reaching %d", r.sketch.sample, r.sampleN)
+	if r.sketch.Samples() != r.sampleN/2 {
+		t.Fatalf("sample %d after reaching %d", r.sketch.Samples(), r.sampleN)
 	}
 }
 
 func TestWritePassesUncounted(t *testing.T) {
 	r := router(nil)
 	a := only(t, r.Handle(begin, request("once"), nil), ActionSend)
-	if a.Endpoint != root || a.CachePriority != 0 || r.sketch.sample != 0 {
-		t.Fatalf("write sent as %+v, sample %d", a, r.sketch.sample)
+	if a.Endpoint != root || a.CachePriority != 0 || r.sketch.Samples() != 0 {
+		t.Fatalf("write sent as %+v, sample %d", a, r.sketch.Samples())
 	}
 }
 
@@ -590,7 +607,7 @@
 			}
 		}
 	}
-	if n := r.sketch.estimate(hash("x", 2)); n != 3 || len(r.txns) != 0 {
+	if n := r.sketch.Estimate(hash("x", 2)); n != 3 || len(r.txns) != 0 {
 		t.Fatalf("estimate %d, %d txns open", n, len(r.txns))
 	}
 }
