--- a/internal/cacheproto/codec_test.go
+++ b/internal/cacheproto/codec_test.go
@@ -46,7 +46,9 @@
 		" ACK - 0\r\n", "9b ACK - 0\n", "9b ACK delay 0\r\n", "9b ACK delay=x 0\r\n", "9b ACK use=a:b 0\r\n",
 		"9b ACK issued=1.5 0\r\n", "\r\n",
 		// NaN and Inf once reached the policy.
-		"9b EIO delay=NaN 0\r\n", "9b EIO delay=-1 0\r\n", "9b EIO use=util:Inf 0\r\n", "9b NOMOD entity=e,issued=7 1\r\n", "9b ACK entity=" + strings.Repeat("x", 300) + " 0\r\n",
+		"9b EIO delay=NaN 0\r\n", "9b EIO delay=-1 0\r\n", "9b EIO use=util:Inf 0\r\n",
+		"9b NOMOD entity=e,issued=7 1\r\n",
+		"9b ACK entity=" + strings.Repeat("x", 300) + " 0\r\n",
 	} {
 		if _, err := read(text); !errors.Is(err, ErrProtocol) {
 			t.Errorf("%.50q: %v", text, err)
@@ -74,7 +76,10 @@
 
 // What one side writes the other reads.
 func TestBothSidesAgree(t *testing.T) {
-	g := GetCommand{ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2, MaxAgeMillis: 500, FillMode: 11, Tag: "t", Length: 4}
+	g := GetCommand{
+		ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2,
+		MaxAgeMillis: 500, FillMode: 11, Tag: "t", Length: 4,
+	}
 	c, err := ReadCommand(bufio.NewReader(strings.NewReader(string(AppendGet(nil, &g)))))
 	if err != nil || c.Get == nil || *c.Get != g {
 		t.Fatalf("%+v, %v", c.Get, err)
@@ -89,7 +94,10 @@
 			t.Errorf("%q was read", bad)
 		}
 	}
-	a := Response{ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: policy.ReasonCoalesced, DelayMillis: 1.5, Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10}
+	a := Response{
+		ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: policy.ReasonCoalesced, DelayMillis: 1.5,
+		Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10,
+	}
 	got, err := ReadResponse(bufio.NewReader(strings.NewReader(string(AppendResponse(nil, &a)))), 100)
 	if err != nil || got.Tag != a.Tag || got.Reason != policy.ReasonCoalesced || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
 		t.Fatalf("%+v, %v", got, err)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -18,7 +18,9 @@
 func newTestEngine(change func(*policy.Settings)) *testEngine {
 	set := policy.Settings{
 		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
-		Contract:  policy.Contract{AnswerSlack: 8 * ms, SlowStartFor: 1000 * ms, SlowStartFrom: 0.5, OverloadWindow: 1000 * ms, OverloadMultiple: 2},
+		Contract: policy.Contract{
+			AnswerSlack: 8 * ms, SlowStartFor: 1000 * ms, SlowStartFrom: 0.5, OverloadWindow: 1000 * ms, OverloadMultiple: 2,
+		},
 		Limits:    policy.Limits{Cancel: true, Hedging: true, MaxAttempts: 6},
 		Hierarchy: policy.Hierarchy{CacheBypass: true, ParentKind: -1, OriginKind: 1, PurgeSettleTime: 6000 * ms},
 		Classes: []policy.TrafficClass{
@@ -75,7 +77,8 @@
 	first, second := &countedResponse{}, &countedResponse{}
 	e.AttemptEnded(start+ms, attempt, Result{Outcome: policy.OutcomeDone, Response: first})
 	e.AttemptEnded(start+2*ms, attempt, Result{Outcome: policy.OutcomeDone, Response: second})
-	if o := next(t, request, CommandRespond); o.Response != Response(first) || first.released != 0 || second.released != 1 {
+	o := next(t, request, CommandRespond)
+	if o.Response != Response(first) || first.released != 0 || second.released != 1 {
 		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
 	}
 	// Timers once kept ended requests in memory for seconds; the policy's own stays.
@@ -177,7 +180,8 @@
 	if _, err := e.Open(start, policy.Event{Request: "t", Class: "read"}, nil); !errors.Is(err, ErrDuplicate) {
 		t.Fatalf("the same id again: %v", err)
 	}
-	if _, err := e.Open(start, policy.Event{Request: "u", Class: "read", Object: "x", Remaining: ms}, func() {}); err != nil {
+	other := policy.Event{Request: "u", Class: "read", Object: "x", Remaining: ms}
+	if _, err := e.Open(start, other, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := e.Open(start, policy.Event{Request: "v", Class: "read"}, nil); !errors.Is(err, ErrFull) {
@@ -193,7 +197,8 @@
 	attempt.Begin()
 	e.ClientGone(start+ms, request)
 	request.Detach()
-	if _, background := e.Run(start + 1000*ms); len(background) != 1 || background[0].Kind != CommandDrop || background[0].Attempt != attempt {
+	_, background := e.Run(start + 1000*ms)
+	if len(background) != 1 || background[0].Kind != CommandDrop || background[0].Attempt != attempt {
 		t.Fatalf("background commands %+v", background)
 	}
 }
@@ -258,7 +263,9 @@
 // The window of an idempotency key must reach the place where a retry is written.
 func TestRetryMayBeSentWithinItsWindowOnly(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) {
-		s.Classes[0] = policy.TrafficClass{Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1}
+		s.Classes[0] = policy.TrafficClass{
+			Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1,
+		}
 	})
 	request := e.open(t, "read")
 	first := next(t, request, CommandSend).Attempt
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,345 +1,149 @@
 package upstream
 
 import (
-	"bufio"
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"slices"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
-	"quilldoor/internal/bufferpool"
 	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/engine"
 	"quilldoor/internal/policy"
-	"quilldoor/internal/settings"
 )
 
-// item is one thing to write.
-type item struct {
-	flight     *Call
-	drop, ping string
-}
-
-// conn is one connection. Its books are under the pool's lock.
+// conn is one connection. Its state is under the pool's lock.
 type conn struct {
-	pool    *Pool
-	peer    *peer
-	open    map[string]*Call
-	spent   map[string]time.Time // hops over before their txns, whose answers may still come
-	probes  map[string]func(ok bool)
-	queue   []item
-	up      bool // the connection stands
-	writing bool // somebody empties the queue
-	suspect bool // said nothing for as long as a hop had
-	closing bool // ends with its hops
-	dead    bool
-
-	idleSince, heard time.Time
-	cancel           context.CancelFunc // of the dial
-	sock             net.Conn
+	pool         *Pool
+	peer         *peer
+	calls        map[string]*Call         // in flight, by id
+	abandoned    map[string]time.Time     // ids of ended attempts whose responses may still come
+	healthChecks map[string]func(ok bool) // unanswered, by id
+	queue        []outgoing
+
+	connected bool
+	writing   bool // a goroutine empties the queue
+	suspect   bool // received nothing for as long as an attempt had
+	draining  bool // ends with its calls
+	closed    bool
+
+	idleSince    time.Time
+	lastReceived time.Time
+	cancelDial   context.CancelFunc
+	socket       net.Conn // set once connected
+}
+
+func (c *conn) idle() bool { return c.connected && len(c.calls) == 0 && len(c.healthChecks) == 0 }
+
+// noteIdle notes that the connection may have become idle, and closes one that
+// is to take nothing new.
+func (c *conn) noteIdle() {
+	if len(c.calls) > 0 || len(c.healthChecks) > 0 {
+		return
+	}
+	c.idleSince = time.Now()
+	if c.suspect || c.draining {
+		c.close()
+	}
 }
 
-func (p *Pool) dial(r *peer) *conn {
-	ctx, cancel := context.WithTimeout(context.Background(), p.limits.ConnectTimeout)
-	c := &conn{
-		pool: p, peer: r, open: map[string]*Call{}, spent: map[string]time.Time{},
-		probes: map[string]func(bool){}, cancel: cancel,
+// withdrawUnsent removes the calls that have not begun.
+func (c *conn) withdrawUnsent() (unsent []*Call) {
+	for id, call := range c.calls {
+		if call.Attempt.Withdraw() {
+			delete(c.calls, id)
+			unsent = append(unsent, call)
+		}
 	}
-	r.conns = append(r.conns, c)
-	p.peers[r.place] = r // the last connection to it may just have been evicted
-	p.total++
-	go c.run(ctx)
-	return c
+	return unsent
 }
 
-func (c *conn) idle() bool { return c.up && len(c.open) == 0 && len(c.probes) == 0 }
-
-// rest notes that the connection may have become idle, and closes one that is
-// to take nothing new.
-func (c *conn) rest() {
-	if len(c.open) > 0 || len(c.probes) > 0 {
-		return
-	}
-	c.idleSince = time.Now()
-	if c.suspect || c.closing {
-		c.shut()
+// forgetAbandoned forgets the attempts that were abandoned before a time.
+func (c *conn) forgetAbandoned(before time.Time) {
+	for id, since := range c.abandoned {
+		if since.Before(before) {
+			delete(c.abandoned, id)
+		}
 	}
 }
 
-// shut takes the connection off the books and ends its goroutine.
-func (c *conn) shut() {
-	if c.dead {
+// close removes the connection from the pool and ends its goroutine.
+func (c *conn) close() {
+	if c.closed {
 		return
 	}
-	c.dead = true
-	c.pool.total--
-	// A new list, since the old one may be walked by who shuts its connections.
+	c.closed = true
+	c.pool.connCount--
+	// A new list, since the caller may be ranging over the old one.
 	c.peer.conns = slices.DeleteFunc(slices.Clone(c.peer.conns), func(other *conn) bool { return other == c })
-	if p := c.pool; len(c.peer.conns) == 0 && p.peers[c.peer.place] == c.peer {
-		delete(p.peers, c.peer.place) // servers come and go all day
+	// Endpoints come and go all day: one without connections is not kept.
+	if len(c.peer.conns) == 0 && c.pool.peers[c.peer.peerKey] == c.peer {
+		delete(c.pool.peers, c.peer.peerKey)
 	}
-	c.cancel()
-	if c.sock != nil {
-		c.sock.Close()
+	c.cancelDial()
+	if c.socket != nil {
+		c.socket.Close()
 	}
 }
 
-// run is the life of a connection.
+// run dials, writes what was queued meanwhile, and reads to the end.
 func (c *conn) run(ctx context.Context) {
-	sock, err := new(net.Dialer).DialContext(ctx, "tcp", c.peer.endpoint)
+	socket, err := new(net.Dialer).DialContext(ctx, "tcp", c.peer.address)
 	if err != nil {
-		c.fail(err)
+		c.end(err)
 		return
 	}
 	c.pool.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.pool.mu.Unlock()
-		sock.Close()
-		c.fail(nil)
+		socket.Close()
+		c.end(nil)
 		return
 	}
-	c.sock, c.up, c.writing, c.heard = sock, true, true, time.Now()
+	c.socket = socket
+	c.connected = true
+	c.writing = true
+	c.lastReceived = time.Now()
 	c.pool.mu.Unlock()
 	c.flush()
-	c.fail(c.read())
+	c.end(c.read())
 }
 
-// put queues something, and writes unless somebody does already or the
-// connection doesn't stand yet. It is called with the pool's lock, which it
-// gives back.
-func (c *conn) put(i item) {
-	c.queue = append(c.queue, i)
-	write := c.up && !c.writing && !c.dead
-	c.writing = c.writing || write
+// end closes the connection and ends what is left on it.
+func (c *conn) end(err error) {
+	c.pool.mu.Lock()
+	c.close()
+	calls, queue, healthChecks := c.calls, c.queue, c.healthChecks
+	c.calls, c.queue, c.healthChecks = map[string]*Call{}, nil, nil
 	c.pool.mu.Unlock()
-	if write {
-		c.flush()
-	}
-}
-
-// flush writes until the queue is empty. A peer that takes nothing in for the
-// time of a write loses the connection.
-func (c *conn) flush() {
-	for {
-		c.pool.mu.Lock()
-		batch := c.queue
-		c.queue = nil
-		if len(batch) == 0 || c.dead {
-			c.writing = false
-			c.pool.mu.Unlock()
-			return
-		}
-		now := time.Now()
-		for _, i := range batch {
-			if i.flight != nil {
-				i.flight.written = now
-			}
-		}
-		c.pool.mu.Unlock()
-		if !c.write(batch, now) {
-			c.pool.mu.Lock()
-			c.shut()
-			c.pool.mu.Unlock()
-		}
-	}
-}
-
-// write puts a batch on the wire, but for hops whose decision stands no more. Those
-// whose last byte was not taken can't have come whole, so that they are proven not
-// to have run.
-func (c *conn) write(batch []item, now time.Time) bool {
-	var bufs net.Buffers
-	ends := make([]int64, len(batch))
-	var unsent []*Call
-	var size int64
-	add := func(b []byte) {
-		bufs = append(bufs, b)
-		size += int64(len(b))
-	}
-	for i, it := range batch {
-		if it.flight != nil && !it.flight.Attempt.MayBeSent(now.UnixMicro(), c.pool.limits.MaxDecisionAge.Microseconds()) && it.flight.Attempt.Withdraw() {
-			unsent = append(unsent, it.flight)
-		}
-		switch {
-		case it.flight == nil && it.drop != "":
-			add(cacheproto.AppendDrop(nil, it.drop))
-		case it.flight == nil:
-			add(cacheproto.AppendPing(nil, it.ping))
-		case it.flight.Attempt.Begin():
-			add(cacheproto.AppendGet(make([]byte, 0, 256), it.flight.command(now.UnixMicro())))
-			for _, b := range it.flight.Body.AppendBuffers(nil) {
-				add(b)
-			}
-			add([]byte("\r\n"))
-		}
-		ends[i] = size
-	}
-	var n int64
-	var err error
-	if size > 0 {
-		c.sock.SetWriteDeadline(now.Add(c.pool.limits.WriteTimeout))
-		n, err = bufs.WriteTo(c.sock)
-	}
-	for i, it := range batch {
-		if it.flight == nil {
-			continue
-		}
-		it.flight.Body.Release()
-		if err != nil && ends[i] > n {
-			c.pool.ended(it.flight.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
+	c.logEnd(err, len(calls))
+	for _, item := range queue {
+		if item.call != nil {
+			item.call.Body.Release()
 		}
 	}
-	for _, f := range unsent {
-		c.pool.mu.Lock()
-		if id := f.Attempt.Request.ID; c.open[id] == f {
-			delete(c.open, id)
-			c.rest()
+	for _, call := range calls {
+		outcome := policy.OutcomeConnectionReset
+		if call.Attempt.Withdraw() {
+			outcome = policy.OutcomeConnectionRefused
 		}
-		c.pool.mu.Unlock()
-		c.pool.ended(f.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
+		c.pool.ended(call.Attempt, engine.Result{Outcome: outcome})
 	}
-	return err == nil
-}
-
-// pieces reads an answer's pieces. Between answers a peer may be silent; one that
-// stops within an answer is of no further use to any hop on the connection.
-type pieces struct {
-	net.Conn
-	stall time.Duration
-	end   time.Time // for the whole answer; zero: between answers
-}
-
-func (p *pieces) Read(b []byte) (int, error) {
-	var until time.Time
-	if !p.end.IsZero() {
-		if until = time.Now().Add(p.stall); p.end.Before(until) {
-			until = p.end
-		}
-	}
-	p.SetReadDeadline(until)
-	return p.Conn.Read(b)
-}
-
-// read takes answers until the connection ends or the peer breaks the protocol.
-func (c *conn) read() error {
-	from := &pieces{Conn: c.sock, stall: c.pool.limits.ReadStallTimeout}
-	r := bufio.NewReaderSize(from, bufferpool.Size)
-	for {
-		from.end = time.Time{}
-		if _, err := r.Peek(1); err != nil {
-			return err
-		}
-		from.end = time.Now().Add(c.pool.limits.ResponseReadTimeout)
-		a, err := cacheproto.ReadResponse(r, c.pool.limits.MaxResponseBody)
-		if err != nil {
-			return err
-		}
-		if err := c.answer(r, &a); err != nil {
-			return err
-		}
-	}
-}
-
-var codes = map[cacheproto.Status]policy.Outcome{
-	cacheproto.StatusOK: policy.OutcomeDone, cacheproto.StatusNotModified: policy.OutcomeDone, cacheproto.StatusMiss: policy.OutcomeMiss,
-	cacheproto.StatusBusy: policy.OutcomeBusy, cacheproto.StatusError: policy.OutcomeError, cacheproto.StatusSkipped: policy.OutcomeSkipped,
-}
-
-// answer reads an answer's body and ends its hop. One that nobody waits for, a
-// second copy or one under an unknown id, is whole and costs the others nothing.
-func (c *conn) answer(r *bufio.Reader, a *cacheproto.Response) error {
-	p := c.pool
-	p.mu.Lock()
-	c.heard = time.Now()
-	f, probe := c.open[a.ID], c.probes[a.ID]
-	p.mu.Unlock()
-	if probe != nil && a.Status != cacheproto.StatusReady || f != nil && !f.fits(a) {
-		return fmt.Errorf("%w: it doesn't answer what was asked", cacheproto.ErrProtocol)
-	}
-	var body *bufferpool.Body
-	var full error
-	if a.Length >= 0 {
-		if body, full = p.bodies.ReadBody(r, a.Length); full != nil && full != bufferpool.ErrFull {
-			return full
-		}
-		if err := cacheproto.ReadBodyEnd(r); err != nil {
-			body.Release()
-			return err
-		}
-	}
-	outcome := codes[a.Status]
-	if full != nil || f != nil && a.Status == cacheproto.StatusNotModified && a.Tag != f.Tag { // it names a copy that nobody has
-		outcome = policy.OutcomeError
-	}
-	p.mu.Lock()
-	c.heard = time.Now()
-	mine := f != nil && c.open[a.ID] == f
-	if mine {
-		delete(c.open, a.ID)
-		if outcome != policy.OutcomeDone { // its txn may go on
-			c.spent[a.ID] = c.heard
-		}
-	}
-	delete(c.probes, a.ID)
-	c.rest()
-	p.mu.Unlock()
-	if probe != nil {
-		probe(true)
-	}
-	if !mine {
-		body.Release()
-		return nil
-	}
-	o := engine.Result{Outcome: outcome, Reason: a.Reason, OriginWait: settings.Micros(a.DelayMillis), Load: a.Load}
-	if outcome == policy.OutcomeDone {
-		o.Response = &Response{body, a.Tag, a.Status == cacheproto.StatusNotModified, a.IssuedMillis}
-	} else {
-		body.Release()
+	for _, done := range healthChecks {
+		done(false)
 	}
-	p.ended(f.Attempt, o)
-	return nil
 }
 
-// fits tells whether an answer can be one to the hop. Copies name their tag and age.
-func (f *Call) fits(a *cacheproto.Response) bool {
-	copied := a.Status == cacheproto.StatusOK && !f.Write || a.Status == cacheproto.StatusNotModified
-	return a.Status != cacheproto.StatusReady && (a.Status != cacheproto.StatusNotModified || f.Tag != "") && (!copied || a.Tag != "" && a.IssuedMillis > 0)
-}
-
-// fail ends what is left on the connection.
-func (c *conn) fail(err error) {
-	p := c.pool
-	p.mu.Lock()
-	c.shut()
-	open, queue, probes := c.open, c.queue, c.probes
-	c.open, c.queue, c.probes = map[string]*Call{}, nil, nil
-	p.mu.Unlock()
-	entry := p.log.WithFields(logrus.Fields{"server": c.peer.id, "hops": len(open)})
+func (c *conn) logEnd(err error, calls int) {
+	entry := c.pool.log.WithFields(logrus.Fields{"endpoint": c.peer.id, "attempts": calls}).WithError(err)
 	switch {
 	case errors.Is(err, cacheproto.ErrProtocol):
-		entry.WithError(err).Warn("server broke the protocol, connection closed")
-	case len(open) > 0 && !c.up:
-		entry.WithError(err).Debug("no connection to server")
-	case len(open) > 0:
-		entry.WithError(err).Debug("connection to server broke")
-	}
-	for _, i := range queue {
-		if i.flight != nil {
-			i.flight.Body.Release()
-		}
-	}
-	for _, f := range open {
-		o := engine.Result{Outcome: policy.OutcomeConnectionReset}
-		if f.Attempt.Withdraw() {
-			o.Outcome = policy.OutcomeConnectionRefused
-		}
-		p.ended(f.Attempt, o)
-	}
-	for _, done := range probes {
-		done(false)
+		entry.Warn("endpoint violated the protocol, connection closed")
+	case calls > 0 && !c.connected:
+		entry.Debug("connecting to endpoint failed")
+	case calls > 0:
+		entry.Debug("connection to endpoint broke")
 	}
 }
