--- a/cmd/quilldoor-lab/changes.go
+++ b/cmd/quilldoor-lab/changes.go
@@ -169,7 +169,7 @@
 				}
 			}
 		}}
-		r, err := emulator.Sockets(ctx, s, opt, emulator.Routers{Program: program, Drive: func(ctx context.Context, k *emulator.Kept) error {
+		r, err := emulator.Sockets(ctx, s, opt, emulator.Routers{Program: program, Drive: func(_ context.Context, k *emulator.Kept) error {
 			time.Sleep(at * time.Microsecond)
 			began := time.Now()
 			ends := make(chan error, k.Count())
@@ -219,12 +219,15 @@
 	}
 	took := hdrhistogram.New(1, 60_000_000, 3)
 	var last *handoff.Status
-	r, err := emulator.Sockets(ctx, s, emulator.Options{Seed: 1}, emulator.Routers{Program: program, Drive: func(ctx context.Context, k *emulator.Kept) error {
+	r, err := emulator.Sockets(ctx, s, emulator.Options{Seed: 1}, emulator.Routers{Program: program, Drive: func(_ context.Context, k *emulator.Kept) error {
 		for i := range n {
 			began := time.Now()
 			w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply})
-			if err != nil || !w.OK {
-				return fmt.Errorf("change %d: %v, %+v", i+1, err, w)
+			if err != nil {
+				return fmt.Errorf("change %d: %w", i+1, err)
+			}
+			if !w.OK {
+				return fmt.Errorf("change %d: %+v", i+1, w)
 			}
 			took.RecordValue(time.Since(began).Microseconds())
 		}
--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -45,7 +45,7 @@
 			return nil
 		}
 		if err == nil {
-			print(os.Stdout, s, r)
+			printResult(os.Stdout, s, r)
 		}
 		return err
 	}
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -87,7 +87,7 @@
 			enc.SetIndent("", " ")
 			err = enc.Encode(r)
 		} else {
-			print(os.Stdout, s, r)
+			printResult(os.Stdout, s, r)
 		}
 		switch {
 		case err != nil:
@@ -137,8 +137,8 @@
 	}, nil
 }
 
-// print writes a result for people.
-func print(to io.Writer, s *scenario.Script, r *emulator.Result) {
+// printResult writes a result for people.
+func printResult(to io.Writer, s *scenario.Script, r *emulator.Result) {
 	fmt.Fprintf(to, "%s: %s\n", s.Name, s.About)
 	for _, t := range r.Troubles {
 		fmt.Fprintln(to, "  ", t)
@@ -208,7 +208,9 @@
 	var txn string
 	c := &cobra.Command{Use: "explain FILE", Short: "Tell one txn's life, hop by hop, from a record", Args: cobra.ExactArgs(1)}
 	c.Flags().StringVar(&txn, "txn", "", "id of the txn")
-	c.MarkFlagRequired("txn")
+	if err := c.MarkFlagRequired("txn"); err != nil {
+		panic(err) // the flag is defined above
+	}
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		f, err := os.Open(args[0])
 		if err != nil {
--- a/cmd/quilldoor/change_test.go
+++ b/cmd/quilldoor/change_test.go
@@ -162,13 +162,19 @@
 		func(k *emulator.Kept) error {
 			for i := range many {
 				w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply})
-				if err != nil || !w.OK {
-					return fmt.Errorf("change %d: %v, %+v", i, err, w)
+				if err != nil {
+					return fmt.Errorf("change %d: %w", i, err)
+				}
+				if !w.OK {
+					return fmt.Errorf("change %d: %+v", i, w)
 				}
 			}
 			s, err := k.Until(0, 5*time.Second, func(s *handoff.Status) bool { return s.Serving != nil && s.Serving.AgentState == "serving" })
-			if err != nil || s.Settled.Generation != many+1 || s.Restarts != 0 {
-				return fmt.Errorf("%v: %+v", err, s)
+			if err != nil {
+				return err
+			}
+			if s.Settled.Generation != many+1 || s.Restarts != 0 {
+				return fmt.Errorf("status %+v", s)
 			}
 			t.Logf("%d MB and %d descriptors of all processes at the most", s.PeakMB, s.PeakDescriptors)
 			return nil
@@ -206,7 +212,8 @@
 						return
 					}
 					if _, err := k.Until(0, 4*time.Second, func(s *handoff.Status) bool { return s.State == "on trial" || s.State == "handing over" }); err == nil {
-						k.Until(0, 4*time.Second, func(s *handoff.Status) bool { k.Crashed(0); return s.State == "steady" })
+						// That it did not settle shows in what the test looks at next.
+						_, _ = k.Until(0, 4*time.Second, func(s *handoff.Status) bool { k.Crashed(0); return s.State == "steady" })
 					}
 				}()
 				w, err := k.Ask(0, &handoff.Message{Kind: handoff.KindApply, Program: variant(t, c.fault)})
@@ -219,14 +226,20 @@
 				s, err := k.Until(0, 2*time.Second, func(s *handoff.Status) bool {
 					return s.Serving != nil && s.Serving.AgentState == "serving" && s.Next == nil
 				})
-				if err != nil || s.Serving.Generation != 1 || s.Settled.Generation != 1 {
-					return fmt.Errorf("%v: %+v", err, s)
+				if err != nil {
+					return err
+				}
+				if s.Serving.Generation != 1 || s.Settled.Generation != 1 {
+					return fmt.Errorf("status %+v", s)
 				}
 				fell = s.LastCrashMS
 				<-done
 				// It can be changed again, and by a good one.
-				if w, err = k.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || w.OK {
-					return fmt.Errorf("back to nothing: %v, %+v", err, w)
+				if w, err = k.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil {
+					return fmt.Errorf("back to nothing: %w", err)
+				}
+				if w.OK {
+					return fmt.Errorf("back to nothing: %+v", w)
 				}
 				return nil
 			})
@@ -264,7 +277,7 @@
 	}
 }
 
-func harm(t *testing.T, k *emulator.Kept, step, who string) error {
+func harm(_ *testing.T, k *emulator.Kept, step, who string) error {
 	asked := make(chan *handoff.Message, 1)
 	if step != "steady" {
 		go func() {
@@ -369,8 +382,12 @@
 			go func() {
 				for n := range 3 {
 					w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply})
-					if err != nil || !w.OK {
-						ends <- fmt.Errorf("router %d, change %d: %v, %+v", i, n, err, w)
+					if err != nil {
+						ends <- fmt.Errorf("router %d, change %d: %w", i, n, err)
+						return
+					}
+					if !w.OK {
+						ends <- fmt.Errorf("router %d, change %d: %+v", i, n, w)
 						return
 					}
 				}
@@ -423,7 +440,7 @@
 // says why, and the router serves on.
 func TestChangesRefused(t *testing.T) {
 	t.Parallel()
-	edit := func(path string, old, new string) (string, error) {
+	edit := func(path string, old, replacement string) (string, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return "", err
@@ -432,7 +449,7 @@
 			return "", fmt.Errorf("no %s in %s", old, path)
 		}
 		to := filepath.Join(t.TempDir(), "changed")
-		return to, os.WriteFile(to, []byte(strings.Replace(string(text), old, new, 1)), 0o600)
+		return to, os.WriteFile(to, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600)
 	}
 	changes(t, keptFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(k *emulator.Kept) error {
 		for _, c := range []struct {
--- a/cmd/quilldoor/disk_test.go
+++ b/cmd/quilldoor/disk_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	o.board = l
-	go http.Serve(l, http.HandlerFunc(o.poll))
+	go func() { _ = http.Serve(l, http.HandlerFunc(o.poll)) }() // until the listener is closed
 	t.Cleanup(func() { l.Close() })
 	return o
 }
@@ -188,7 +188,7 @@
 		}
 		served.Add(1)
 		v := -1
-		fmt.Sscanf(string(got), object+"/"+part+" version %d;", &v)
+		_, _ = fmt.Sscanf(string(got), object+"/"+part+" version %d;", &v) // -1 where it is no such body
 		if v < least || string(got) != bodyOf(object, part, v) {
 			wrong.Add(1)
 			told(fmt.Sprintf("%s/%s: %.40q, version %d at least", object, part, got, least))
@@ -291,12 +291,14 @@
 	if int(served.Load()) < o.hops+500 || o.proofs < rounds || parts < 30 {
 		t.Error("the disk did too little for this test to tell anything")
 	}
-	filepath.WalkDir(folder, func(path string, e os.DirEntry, err error) error {
+	if err := filepath.WalkDir(folder, func(path string, _ os.DirEntry, _ error) error {
 		if b, _ := os.ReadFile(path); bytes.Contains(b, []byte("SECRET")) {
 			t.Errorf("%s holds an acceptance", path)
 		}
 		return nil
-	})
+	}); err != nil {
+		t.Error(err)
+	}
 	if figures, err := os.ReadFile(filepath.Join(dir, "figures")); err != nil || !strings.Contains(string(figures), `quilldoor_disk_looks_total{reason="good"}`) {
 		t.Errorf("figures: %v, %.200s", err, figures)
 	}
--- a/cmd/quilldoor/earlier_test.go
+++ b/cmd/quilldoor/earlier_test.go
@@ -65,12 +65,16 @@
 		time.Sleep(2 * time.Second)
 		for _, i := range []int{0, 2} {
 			for range 2 {
-				if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply}); err != nil || !w.OK {
-					return fmt.Errorf("router %d: %v, %+v", i, err, w)
+				if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply}); err != nil {
+					return fmt.Errorf("router %d: %w", i, err)
+				} else if !w.OK {
+					return fmt.Errorf("router %d: %+v", i, w)
 				}
 			}
-			if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply, Program: program}); err != nil || w.OK || !strings.Contains(w.Note, "json") {
-				return fmt.Errorf("router %d, to the earlier text: %v, %+v", i, err, w)
+			if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply, Program: program}); err != nil {
+				return fmt.Errorf("router %d, to the earlier text: %w", i, err)
+			} else if w.OK || !strings.Contains(w.Note, "json") {
+				return fmt.Errorf("router %d, to the earlier text: %+v", i, w)
 			}
 		}
 		// All agree once the camps are over.
--- a/cmd/quilldoor/log.go
+++ b/cmd/quilldoor/log.go
@@ -19,7 +19,7 @@
 	go func() {
 		defer close(o.done)
 		for line := range o.lines {
-			to.Write(line) // there is nowhere to tell of a failure
+			_, _ = to.Write(line) // there is nowhere to tell of a failure
 		}
 	}()
 	return o
--- a/cmd/quilldoor/members_test.go
+++ b/cmd/quilldoor/members_test.go
@@ -145,10 +145,17 @@
 
 // Membership is refused where the settings forbid talk among routers, and a person
 // asks a running router with its own command.
+func writeFile(t *testing.T, path string, content []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func TestMembersCommand(t *testing.T) {
 	dir := t.TempDir()
 	key := filepath.Join(dir, "key")
-	os.WriteFile(key, []byte("a key of sixteen bytes"), 0o600)
+	writeFile(t, key, []byte("a key of sixteen bytes"))
 	var procs []*exec.Cmd
 	var files []string
 	addrs := []string{reserveAddress(t), reserveAddress(t)} // for clients by TCP, and for members by UDP
@@ -160,10 +167,10 @@
 			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0), "known": json.RawMessage(`{"rev":0,"notices":[]}`),
 		})
 		config := filepath.Join(dir, fmt.Sprint("n", i, ".json"))
-		os.WriteFile(config, text, 0o600)
+		writeFile(t, config, text)
 		own := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n", i, addrs[i], key, addrs[0], addrs[1])
 		file := filepath.Join(dir, fmt.Sprint("n", i, ".yaml"))
-		os.WriteFile(file, []byte(own), 0o600)
+		writeFile(t, file, []byte(own))
 		files = append(files, file)
 		cmd := exec.Command(os.Args[0], "serve", "--config", config, "--operator", file)
 		cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
--- a/cmd/quilldoor/own.go
+++ b/cmd/quilldoor/own.go
@@ -184,7 +184,7 @@
 	r := o.router
 	r.listener.SetDeadline(time.Now())
 	r.front.SuspendClientLimit(true)
-	<-r.served
+	_ = <-r.served // its end was asked for
 	r.served = nil
 	r.front.SetMigrating(true)
 	r.core.HoldSlowStart(clock(), never)
--- a/cmd/quilldoor/peers.go
+++ b/cmd/quilldoor/peers.go
@@ -45,7 +45,7 @@
 	p.mu.Unlock()
 	p.apply(t.Servers)
 	for _, x := range t.Purges {
-		p.router.taken(x.Object, x.Group, x.At)
+		p.taken(x.Object, x.Group, x.At)
 	}
 	return t.Replies
 }
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -56,7 +57,7 @@
 			return last, nil
 		}
 	}
-	return last, fmt.Errorf("no end after %v: %+v, %v", within, last, err)
+	return last, errors.Join(fmt.Errorf("no end after %v: %+v", within, last), err)
 }
 
 // begin starts the rollout at a router, once all have read the plan.
@@ -83,8 +84,11 @@
 func generations(k *emulator.Kept) (list []uint64, err error) {
 	for i := range k.Count() {
 		s, err := k.Standing(i)
-		if err != nil || s.Serving == nil {
-			return nil, fmt.Errorf("router %d: %v, %+v", i, err, s)
+		if err != nil {
+			return nil, fmt.Errorf("router %d: %w", i, err)
+		}
+		if s.Serving == nil {
+			return nil, fmt.Errorf("router %d: %+v", i, s)
 		}
 		list = append(list, s.Serving.Generation)
 	}
@@ -220,7 +224,7 @@
 					return err
 				}
 				for i, g := range list {
-					if i > 0 && g != 1 && !(c.half && i%2 == 0) {
+					if i > 0 && g != 1 && (!c.half || i%2 != 0) {
 						t.Errorf("router %d has had generation %d", i, g)
 					}
 				}
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -159,7 +159,7 @@
 		// What is under way towards the listener when the signal comes is still taken.
 		r.listener.SetDeadline(time.Now().Add(c.Limits.ShutdownAcceptTime))
 		time.AfterFunc(c.Limits.ShutdownAcceptTime, func() { r.front.SuspendClientLimit(true) })
-		<-r.served
+		_ = <-r.served // its end was asked for
 		r.takeBacklog()
 		r.listener.Close()
 		r.front.SetMigrating(true) // requests still come on open connections: each is the last on its own
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -125,7 +125,6 @@
 	left     bool
 	excused  bool // a process that may have held it was killed
 	hops     []hop
-	firstRun int64 // when a hop that ran was sent
 	runs     int
 	carried  []int // other routers that have it
 }
--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -34,8 +34,10 @@
 	Outweighed, Second int64 // offers refused
 }
 
-// HitRatio is that of txns, SavedShare that of bytes.
-func (r *Result) HitRatio() float64     { return float64(r.Hits) / float64(r.Requests) }
+// HitRatio is the share of requests that the disk cache answers.
+func (r *Result) HitRatio() float64 { return float64(r.Hits) / float64(r.Requests) }
+
+// ByteHitRatio is the share of bytes that the disk cache answers.
 func (r *Result) ByteHitRatio() float64 { return float64(r.BytesServed) / float64(r.Bytes) }
 
 // WrittenPerServed is the bytes written for each byte served from disk.
--- a/internal/emulator/detect.go
+++ b/internal/emulator/detect.go
@@ -102,9 +102,9 @@
 					}
 				}
 			}
-			io.Copy(io.Discard, r)
+			_, _ = io.Copy(io.Discard, r) // until the process ends
 		})
-		all.Go(func() { cmd.Wait(); w.Close() })
+		all.Go(func() { _ = cmd.Wait(); w.Close() })
 		return cmd, nil
 	}
 	var cmds []*exec.Cmd
--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	return last, fmt.Errorf("router %d does not stand as wanted after %v: %+v, %v", i, within, last, err)
+	return last, errors.Join(fmt.Errorf("router %d does not stand as wanted after %v: %+v", i, within, last), err)
 }
 
 // Signal sends one to a process of a router. What it held when it was killed is no
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -245,7 +245,7 @@
 			now := r.now()
 			for _, at := range r.world.Ways.Transmit(now, r.id, to.id, n) {
 				word := slices.Clone(b[:n])
-				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { conn.WriteToUDPAddrPort(word, to.members) })
+				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { _, _ = conn.WriteToUDPAddrPort(word, to.members) })
 			}
 		}
 	})
@@ -315,6 +315,6 @@
 }
 
 func (v *sockets) byName(name string) (router int) {
-	fmt.Sscanf(name, "n%d", &router)
+	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
 	return router
 }
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -197,7 +197,7 @@
 // news tells whether a router's new program serves.
 func (r *rolling) news(router int) bool {
 	l := &r.local[router]
-	return l.onNew && !(l.changing && !l.target)
+	return l.onNew && (!l.changing || l.target)
 }
 
 // all tells whether it serves everywhere.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -288,7 +288,7 @@
 // reset ends the connection as a dying process does.
 func (c *lineConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // else it ends by FIN
 	}
 	c.Close()
 	c.end()
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -540,7 +540,7 @@
 		return err
 	}
 	server := &http.Server{Handler: http.HandlerFunc(r.poll), ReadTimeout: 10 * time.Second}
-	r.all.Go(func() { server.Serve(r.board) })
+	r.all.Go(func() { _ = server.Serve(r.board) }) // it ends with the listener
 	r.all.Go(func() {
 		<-r.ctx.Done()
 		server.Close()
@@ -651,13 +651,13 @@
 			return
 		}
 		if !strings.HasSuffix(news, "[]}") {
-			io.WriteString(w, news)
+			_, _ = io.WriteString(w, news) // a poller that is gone asks again
 			return
 		}
 		select {
 		case <-more:
 		case <-late:
-			io.WriteString(w, news)
+			_, _ = io.WriteString(w, news) // a poller that is gone asks again
 			return
 		case <-q.Context().Done():
 			return
@@ -739,7 +739,7 @@
 		close(ended)
 		r.send(func() {
 			if r.cmd == cmd && !r.killed {
-				r.failed(fmt.Errorf("router n%d ended by itself (%v); its last lines:\n%s", r.id+1, err, r.said()))
+				r.failed(fmt.Errorf("router n%d ended by itself (%w); its last lines:\n%s", r.id+1, err, r.said()))
 			}
 		})
 	})
@@ -749,7 +749,7 @@
 // said is the end of what the router has logged.
 func (r *process) said() string {
 	if text, err := os.ReadFile(filepath.Join(r.dir, nameOf(r.id)+".log")); err == nil {
-		r.log.Write(text)
+		_, _ = r.log.Write(text) // to memory
 	}
 	return r.log.String()
 }
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -52,8 +52,8 @@
 			for range 2 {
 				var all bytes.Buffer
 				enc := json.NewEncoder(&all)
-				r := play(t, load(t, name), Options{Record: func(e *eventlog.Entry) { enc.Encode(e) }})
-				enc.Encode(r)
+				r := play(t, load(t, name), Options{Record: func(e *eventlog.Entry) { encode(t, enc, e) }})
+				encode(t, enc, r)
 				if first == nil {
 					first = all.Bytes()
 				} else if !bytes.Equal(first, all.Bytes()) {
@@ -175,3 +175,10 @@
 		}
 	}
 }
+
+func encode(t *testing.T, encoder *json.Encoder, value any) {
+	t.Helper()
+	if err := encoder.Encode(value); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -17,8 +17,11 @@
 // The same cases at every run.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "1")
-	flag.Set("rapid.nofailfile", "true")
+	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
 	os.Exit(m.Run())
 }
 
@@ -204,7 +207,8 @@
 	for i := range 100 {
 		w.after(int64(i%3)*5, func() { got = append(got, i) })
 	}
-	for w.Step(w.Next()) && len(w.events) > 0 {
+	for more := true; more; {
+		more = w.Step(w.Next()) && len(w.events) > 0
 	}
 	last := [3]int{-1, -1, -1}
 	for n, i := range got {
