--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -439,26 +439,26 @@
 	k := newSketch(1000)
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 9000 { // under the reset
-		k.count(r.Uint64(), 1000)
+		countRequest(k, r.Uint64(), 1000)
 	}
 	hot := uint64(77)
 	for range 5 {
-		k.count(hot, 1000)
+		countRequest(k, hot, 1000)
 	}
-	if n := k.estimate(hot); n < 5 {
+	if n := k.Estimate(hot); n < 5 {
 		t.Fatalf("estimate %d of 5: it never counts short", n)
 	}
 	over := 0
 	for range 1000 {
-		if k.estimate(r.Uint64()) > 1 {
+		if k.Estimate(r.Uint64()) > 1 {
 			over++
 		}
 	}
 	if over > 100 {
 		t.Fatalf("%d of 1000 never seen count as wanted more than once", over)
 	}
-	k.halve()
-	if n := k.estimate(hot); n < 2 || n > 4 {
+	k.Halve()
+	if n := k.Estimate(hot); n < 2 || n > 4 {
 		t.Fatalf("%d after the reset", n)
 	}
 }
