--- /dev/null
+++ b/internal/canary/counts.go
@@ -0,0 +1,75 @@
+package canary
+
+// MaxClasses is how many traffic classes are compared by themselves. The weight of
+// further ones counts only in the totals.
+const MaxClasses = 8
+
+// Counts are the totals of one router since its start, or over a sample. Weights are
+// priority weights. What an earlier generation does not report is zero and not compared.
+type Counts struct {
+	Requests      float64                `cbor:"1,keyasint,omitempty" json:"Txns"`
+	WeightOffered float64                `cbor:"2,keyasint,omitempty" json:"Asked"`
+	WeightEarned  float64                `cbor:"3,keyasint,omitempty" json:"Earned"`
+	Rejected      float64                `cbor:"4,keyasint,omitempty" json:"Refused"`
+	Failed        float64                `cbor:"5,keyasint,omitempty"` // aborted, or the client left without a response
+	Completed     float64                `cbor:"6,keyasint,omitempty" json:"Answered"`
+	LogLatencySum float64                `cbor:"7,keyasint,omitempty" json:"Time"` // of ln(latency / objective) of completed requests
+	Attempts      float64                `cbor:"8,keyasint,omitempty" json:"Hops"`
+	Classes       map[string]ClassCounts `cbor:"9,keyasint,omitempty" json:"Rules"` // by traffic class
+}
+
+// ClassCounts are the totals of one traffic class.
+type ClassCounts struct {
+	_             struct{} `cbor:",toarray"`
+	Requests      float64  `json:"Txns"`
+	WeightOffered float64  `json:"Asked"`
+	WeightEarned  float64  `json:"Earned"`
+}
+
+// Minus returns what came since o was taken.
+func (c Counts) Minus(o Counts) Counts { return c.addScaled(o, -1) }
+
+// Plus returns the sum.
+func (c Counts) Plus(o Counts) Counts { return c.addScaled(o, 1) }
+
+// addScaled returns c + scale*o, with at most MaxClasses classes.
+func (c Counts) addScaled(o Counts, scale float64) Counts {
+	sum := Counts{
+		Requests:      c.Requests + scale*o.Requests,
+		WeightOffered: c.WeightOffered + scale*o.WeightOffered,
+		WeightEarned:  c.WeightEarned + scale*o.WeightEarned,
+		Rejected:      c.Rejected + scale*o.Rejected,
+		Failed:        c.Failed + scale*o.Failed,
+		Completed:     c.Completed + scale*o.Completed,
+		LogLatencySum: c.LogLatencySum + scale*o.LogLatencySum,
+		Attempts:      c.Attempts + scale*o.Attempts,
+	}
+	for _, classes := range []map[string]ClassCounts{c.Classes, o.Classes} {
+		for name := range classes {
+			if sum.Classes == nil {
+				sum.Classes = map[string]ClassCounts{}
+			}
+			if len(sum.Classes) < MaxClasses || sum.Classes[name] != (ClassCounts{}) {
+				sum.Classes[name] = c.Classes[name].addScaled(o.Classes[name], scale)
+			}
+		}
+	}
+	return sum
+}
+
+func (c ClassCounts) addScaled(o ClassCounts, scale float64) ClassCounts {
+	return ClassCounts{
+		Requests:      c.Requests + scale*o.Requests,
+		WeightOffered: c.WeightOffered + scale*o.WeightOffered,
+		WeightEarned:  c.WeightEarned + scale*o.WeightEarned,
+	}
+}
+
+// minWeight keeps shares of no weight at all finite.
+const minWeight = 1e-9
+
+// loss is the share of the weight offered that was not earned.
+func (c *Counts) loss() float64 { return 1 - c.WeightEarned/max(c.WeightOffered, minWeight) }
+
+// earned is the share of the weight offered that was earned.
+func (c *ClassCounts) earned() float64 { return c.WeightEarned / max(c.WeightOffered, minWeight) }
--- /dev/null
+++ b/internal/canary/settings.go
@@ -0,0 +1,70 @@
+package canary
+
+// Settings of an analysis.
+type Settings struct {
+	// FalseStopProbability is that of stopping a generation that is the same, over all
+	// metrics, stages and looks. A smaller one takes more samples to stop a worse one.
+	FalseStopProbability float64
+	// Tolerance are differences that do not stop a stage: two routers of an office never
+	// see quite the same.
+	Tolerance [MetricCount]float64
+	// ClassTolerance is the tolerated loss of a single traffic class.
+	ClassTolerance float64
+	// MaxLoss is the loss that must be ruled out for a pass.
+	MaxLoss float64
+	// MinRequests of each arm make a sample.
+	MinRequests float64
+	// SkipMicros is the time after a router's change that is left out, microseconds.
+	SkipMicros int64
+}
+
+// DefaultSettings returns the settings of a plan that states none.
+func DefaultSettings() Settings {
+	return Settings{
+		FalseStopProbability: 0.05,
+		Tolerance: [MetricCount]float64{
+			MetricLoss:       0.01,
+			MetricRejections: 0.005,
+			MetricFailures:   0.005,
+			MetricSlowness:   0.05,
+			MetricAttempts:   0.05,
+		},
+		ClassTolerance: 0.03,
+		MaxLoss:        0.05,
+		MinRequests:    25,
+		SkipMicros:     2_000_000,
+	}
+}
+
+// primaryShare of FalseStopProbability goes to the primary metrics, the rest to all
+// others together.
+const primaryShare = 0.8
+
+// errorBudget divides FalseStopProbability among what is compared: by the union bound
+// the parts add up to it.
+type errorBudget struct {
+	metric [MetricCount]float64
+	class  float64 // of each traffic class
+}
+
+func newErrorBudget(settings *Settings, stages int) errorBudget {
+	const primaryMetrics = 3
+	const others = float64(MetricCount - primaryMetrics + MaxClasses)
+	perStage := settings.FalseStopProbability / float64(max(stages, 1))
+	var b errorBudget
+	for m := range MetricCount {
+		if m.primary() {
+			b.metric[m] = perStage * primaryShare / primaryMetrics
+		} else {
+			b.metric[m] = perStage * (1 - primaryShare) / others
+		}
+	}
+	b.class = perStage * (1 - primaryShare) / others
+	return b
+}
+
+// LossOf returns the share of the weight offered that was not earned; false: there were
+// fewer than MinRequests.
+func (s *Settings) LossOf(c Counts) (loss float64, enough bool) {
+	return c.loss(), c.Requests >= s.MinRequests
+}
--- /dev/null
+++ b/internal/canary/verdict.go
@@ -0,0 +1,84 @@
+package canary
+
+import (
+	"fmt"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// Verdict is the result of a stage.
+type Verdict uint8
+
+// Verdicts.
+const (
+	VerdictInconclusive Verdict = iota // the samples show neither of the others
+	VerdictPass                        // no metric is worse, and Settings.MaxLoss is ruled out
+	VerdictWorse                       // a metric is worse by more than its tolerance
+)
+
+var verdictNames = [...]string{"can't tell", "good", "worse"}
+
+// String returns the name that status pages show.
+func (v Verdict) String() string { return verdictNames[v] }
+
+// minSamples come before any verdict: the sequence is asymptotic.
+const minSamples = 15
+
+// Verdict returns the verdict on the samples so far, and a reason that names the metric.
+func (a *Analyzer) Verdict() (v Verdict, reason string) {
+	if count := len(a.samples[MetricLoss]); count < minSamples {
+		return VerdictInconclusive, fmt.Sprintf("%d moments, %d are wanted", count, minSamples)
+	}
+	if reason := a.worse(); reason != "" {
+		return VerdictWorse, reason
+	}
+	loss := a.Interval(MetricLoss)
+	if loss.High < a.settings.MaxLoss {
+		return VerdictPass, fmt.Sprintf("%v: %+.4f, at most %+.4f (%d moments)",
+			MetricLoss, loss.Mean, loss.High, loss.Samples)
+	}
+	return VerdictInconclusive, fmt.Sprintf("%v: %+.4f, from %+.4f to %+.4f (%d moments)",
+		MetricLoss, loss.Mean, loss.Low, loss.High, loss.Samples)
+}
+
+// worse says which metric or class is worse by more than its tolerance; "": none.
+func (a *Analyzer) worse() string {
+	for m := range MetricCount {
+		if i := a.Interval(m); i.exceeds(a.settings.Tolerance[m]) {
+			return i.worseBy(m.String(), a.settings.Tolerance[m])
+		}
+	}
+	for _, class := range a.Classes() {
+		if i, _ := a.ClassInterval(class); i.exceeds(a.settings.ClassTolerance) {
+			return i.worseBy(fmt.Sprintf("%v of %s", MetricLoss, class), a.settings.ClassTolerance)
+		}
+	}
+	return ""
+}
+
+func (i Interval) exceeds(tolerance float64) bool {
+	return i.Samples >= minSamples && i.Low > tolerance
+}
+
+func (i Interval) worseBy(name string, tolerance float64) string {
+	return fmt.Sprintf("%s: %+.4f, at least %+.4f, %.4f is borne (%d moments)", name, i.Mean, i.Low, tolerance, i.Samples)
+}
+
+// FleetRegressed reports whether a whole fleet loses more than before by at least
+// Settings.MaxLoss, and by how much at least, with confidence in both means. It is for
+// stages that leave no router to compare with, and can't tell a change from a fault that
+// began at the same time.
+func FleetRegressed(settings Settings, stages int, before, after []float64) (by float64, regressed bool) {
+	if len(before) < minSamples || len(after) < minSamples {
+		return 0, false
+	}
+	errorProbability := newErrorBudget(&settings, stages).metric[MetricLoss] / 2
+	beforeMean, beforeHalf := meanAndHalfWidth(before, errorProbability)
+	afterMean, afterHalf := meanAndHalfWidth(after, errorProbability)
+	by = afterMean - afterHalf - beforeMean - beforeHalf
+	return by, by > settings.MaxLoss
+}
+
+func meanAndHalfWidth(samples []float64, errorProbability float64) (mean, half float64) {
+	return stat.Mean(samples, nil), deviationOf(samples) * HalfWidth(len(samples), errorProbability)
+}
