--- /dev/null
+++ b/internal/supervisor/messages.go
@@ -0,0 +1,150 @@
+package supervisor
+
+import (
+	"slices"
+	"time"
+
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
+)
+
+// receive passes a process's messages to the loop, until the connection ends. The end of
+// the process is noticed otherwise, and the process may connect again.
+func (s *Supervisor) receive(p *process, conn *handoff.Conn) {
+	for {
+		m, err := conn.Receive()
+		if err != nil {
+			return
+		}
+		s.events <- func() { s.handleMessage(p, m) }
+	}
+}
+
+// handleMessage takes a message of a process. One that drains only has its heartbeats
+// and messages of peers heard.
+func (s *Supervisor) handleMessage(p *process, m *handoff.Message) {
+	p.heardAt = time.Now()
+	isOld, isNew := p == s.old, p == s.new
+	switch m.Kind {
+	case handoff.KindPeerMessage:
+		s.handleRolloutMessage(m)
+	case handoff.KindHello:
+		s.handleHello(p, m)
+	case handoff.KindReady:
+		s.feedFrom(p, upgrade.InputOldReady, upgrade.InputNewReady)
+	case handoff.KindReleased:
+		if isOld {
+			s.state = m.State
+			s.feed(upgrade.InputReleased)
+		}
+	case handoff.KindAccepting:
+		if isOld && !s.crashedAt.IsZero() {
+			s.lastCrashMS = time.Since(s.crashedAt).Milliseconds()
+			s.crashedAt = time.Time{}
+		}
+		s.feedFrom(p, upgrade.InputOldServes, upgrade.InputNewServes)
+	case handoff.KindDenied:
+		if isNew {
+			s.noteReason("the new generation did not get the serving lock")
+			s.feed(upgrade.InputDenied)
+		}
+	case handoff.KindSettled:
+		if isNew {
+			s.feed(upgrade.InputSettled)
+		}
+	case handoff.KindHeartbeat:
+		s.handleHeartbeat(p, m)
+	}
+}
+
+// feedFrom feeds the input that a process's message means, by what the process is.
+func (s *Supervisor) feedFrom(p *process, ifOld, ifNew upgrade.Input) {
+	switch p {
+	case s.old:
+		s.feed(ifOld)
+	case s.new:
+		s.feed(ifNew)
+	}
+}
+
+func (s *Supervisor) handleHello(p *process, m *handoff.Message) {
+	p.greeted = true
+	if m.Format < 1 {
+		s.noteReason("the generation names no format")
+		p.kill()
+	}
+}
+
+func (s *Supervisor) handleHeartbeat(p *process, m *handoff.Message) {
+	p.requests = m.Requests
+	p.outstandingAttempts = m.OutstandingAttempts
+	p.agentState = m.AgentState
+	s.observeActivity(p, m)
+	for _, other := range s.processes() {
+		if other != p {
+			s.sendOtherAttempts(other)
+		}
+	}
+	if p == s.old && s.new == nil {
+		s.trial.ObserveOld(s.now(), p.requests)
+	}
+	if p == s.new && s.machine.State == upgrade.StateOnTrial {
+		if err := s.trial.ObserveNew(p.requests); err != nil {
+			s.noteReason("the new generation does worse: %v", err)
+			s.feed(upgrade.InputWorse)
+		}
+	}
+}
+
+// sendOtherAttempts tells a process what the others have outstanding, which count in its
+// concurrency limits. One that does not serve and won't again has no use for it.
+func (s *Supervisor) sendOtherAttempts(p *process) {
+	serves := p.agentState.Accepts() || p.agentState == upgrade.AgentStandby || p.agentState == upgrade.AgentQuiesced
+	if !serves {
+		return
+	}
+	sum := map[string][3]float64{}
+	for _, other := range s.processes() {
+		if other == p {
+			continue
+		}
+		for endpoint, attempts := range other.outstandingAttempts {
+			total := sum[endpoint]
+			for i := range attempts {
+				total[i] += attempts[i]
+			}
+			sum[endpoint] = total
+		}
+	}
+	p.send(&handoff.Message{Kind: handoff.KindOtherAttempts, OutstandingAttempts: sum})
+}
+
+// processEnded takes the end of a process, which may be noticed twice.
+func (s *Supervisor) processEnded(p *process) {
+	if p.ended {
+		return
+	}
+	p.ended = true
+	if p.conn != nil {
+		p.conn.Close()
+	}
+	s.draining = slices.DeleteFunc(s.draining, func(x *process) bool { return x == p })
+	if s.observer != nil {
+		s.observer.processEnded(p)
+	}
+	switch p {
+	case s.old:
+		s.old = nil
+		s.crashedAt = time.Now()
+		s.noteReason("the settled generation has ended")
+		s.feed(upgrade.InputOldGone)
+	case s.new:
+		s.new = nil
+		s.crashedAt = time.Now()
+		s.noteReason("the new generation has ended")
+		s.feed(upgrade.InputNewGone)
+	}
+	for _, other := range s.processes() {
+		s.sendOtherAttempts(other)
+	}
+}
--- /dev/null
+++ b/internal/supervisor/process.go
@@ -0,0 +1,160 @@
+package supervisor
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"fmt"
+	"os"
+	"os/exec"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sys/unix"
+
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
+	"quilldoor/internal/upgradeagent"
+)
+
+// process is a router process of a generation.
+type process struct {
+	manifest   *handoff.Manifest
+	pid        int
+	startTicks uint64    // tells it from a later process with the same PID
+	cmd        *exec.Cmd // nil: an earlier supervisor has started it
+	conn       *handoff.Conn
+	seed       string // of its random choices
+	budget     upgrade.Resources
+	usage      upgrade.Resources
+	greeted    bool // it has sent its hello
+	ended      bool
+	wasSettled bool // before this supervisor began
+
+	// What it has reported.
+	agentState          upgrade.AgentState
+	requests            upgrade.RequestCounts
+	outstandingAttempts map[string][3]float64 // by endpoint
+	heardAt             time.Time
+
+	killAt time.Time // while it drains
+}
+
+// id of the process for the invariant monitor.
+func (p *process) id() uint64 { return uint64(p.pid) }
+
+// send sends a message. A process that does not read it is found by its silence.
+func (p *process) send(m *handoff.Message) {
+	if p.conn != nil {
+		_ = p.conn.Send(m)
+	}
+}
+
+// kill kills the process, if the PID is still its own.
+func (p *process) kill() { killProcess(p.pid, p.startTicks) }
+
+func killProcess(pid int, startTicks uint64) {
+	if startTicksOf(pid) == startTicks {
+		_ = unix.Kill(pid, unix.SIGKILL) // it may have ended meanwhile
+	}
+}
+
+// start starts a process of a generation and hands the sockets down.
+func (s *Supervisor) start(manifest *handoff.Manifest, budget upgrade.Resources) (*process, error) {
+	p := &process{manifest: manifest, budget: budget, heardAt: time.Now(), seed: newSeed()}
+	config, err := s.writeProcessConfig(manifest, p.seed, budget)
+	if err != nil {
+		return nil, err
+	}
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		return nil, fmt.Errorf("socket pair: %w", err)
+	}
+	peerEnd := os.NewFile(uintptr(pair[1]), "supervisor")
+	defer peerEnd.Close()
+	if p.conn, err = handoff.FromFile(os.NewFile(uintptr(pair[0]), "generation")); err != nil {
+		return nil, err
+	}
+	p.cmd = s.command(manifest, config, peerEnd)
+	if err := p.cmd.Start(); err != nil {
+		p.conn.Close()
+		return nil, err
+	}
+	p.pid = p.cmd.Process.Pid
+	p.startTicks = startTicksOf(p.pid)
+	s.log.WithFields(logrus.Fields{
+		"generation": manifest.Generation, "pid": p.pid, "memory_mb": budget.MemoryMB, "sockets": budget.Descriptors,
+	}).Info("supervisor: process started")
+	go s.receive(p, p.conn)
+	go s.wait(p)
+	return p, nil
+}
+
+// command is the command line of a router process, with the descriptors in the order
+// that package upgradeagent expects.
+func (s *Supervisor) command(manifest *handoff.Manifest, config string, conn *os.File) *exec.Cmd {
+	cmd := exec.Command(manifest.Program, "serve", "--config", config,
+		"--operator", s.generationPath(manifest.Generation, operatorFile),
+		"--log-level", s.log.Logger.GetLevel().String())
+	cmd.ExtraFiles = []*os.File{conn}
+	for _, name := range s.socketNames {
+		cmd.ExtraFiles = append(cmd.ExtraFiles, s.sockets[name])
+	}
+	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
+	cmd.Env = append(processEnvironment(),
+		upgradeagent.EnvFolder+"="+s.config.Folder,
+		upgradeagent.EnvGeneration+"="+generationName(manifest.Generation),
+		upgradeagent.EnvSockets+"="+strings.Join(s.socketNames, ","),
+		upgradeagent.EnvProgram+"="+manifest.ProgramSum)
+	return cmd
+}
+
+// wait reports the end of a process that this supervisor has started.
+func (s *Supervisor) wait(p *process) {
+	err := p.cmd.Wait()
+	s.events <- func() {
+		s.log.WithFields(logrus.Fields{
+			"generation": p.manifest.Generation, "pid": p.pid, "how": fmt.Sprint(err),
+		}).Info("supervisor: process ended")
+		s.processEnded(p)
+	}
+}
+
+// processEnvironment is this process's own without what the platform tells a router:
+// that stands in the configuration file.
+func processEnvironment() (environment []string) {
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "LB_") && !strings.HasPrefix(variable, upgradeagent.EnvFolder+"=") {
+			environment = append(environment, variable)
+		}
+	}
+	return environment
+}
+
+func newSeed() string {
+	var b [8]byte
+	_, _ = rand.Read(b[:]) // never fails
+	return strconv.FormatUint(binary.LittleEndian.Uint64(b[:]), 16)
+}
+
+// processes are those that run: the old and the new one, and those that drain.
+func (s *Supervisor) processes() (running []*process) {
+	for _, p := range append([]*process{s.old, s.new}, s.draining...) {
+		if p != nil {
+			running = append(running, p)
+		}
+	}
+	return running
+}
+
+// drain lets a process end, and sees to it that it does. Without a message it was killed.
+func (s *Supervisor) drain(p *process, m *handoff.Message) {
+	if m != nil {
+		p.send(m)
+	}
+	p.killAt = time.Now().Add(time.Duration(s.config.Times.DrainMicros) * time.Microsecond)
+	if !p.ended {
+		s.draining = append(s.draining, p)
+	}
+}
--- /dev/null
+++ b/internal/supervisor/procfs.go
@@ -0,0 +1,53 @@
+package supervisor
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+
+	"quilldoor/internal/upgrade"
+)
+
+// Fields of /proc/PID/stat after the name, see proc(5).
+const (
+	statState     = 0
+	statStartTime = 19
+)
+
+// startTicksOf is when a process started, in clock ticks since the machine's start; 0:
+// there is none with this PID, or it has ended and was not waited for.
+func startTicksOf(pid int) uint64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		return 0
+	}
+	// The name stands in brackets and may hold any character.
+	endOfName := strings.LastIndex(string(text), ") ")
+	if endOfName < 0 {
+		return 0
+	}
+	fields := strings.Fields(string(text)[endOfName+len(") "):])
+	if len(fields) <= statStartTime || fields[statState] == "Z" {
+		return 0
+	}
+	ticks, _ := strconv.ParseUint(fields[statStartTime], 10, 64) // 0 on an error
+	return ticks
+}
+
+// usageOf is what a process uses now; zero where it can't be read.
+func usageOf(pid int) (usage upgrade.Resources) {
+	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
+		if fields := strings.Fields(string(text)); len(fields) > 1 {
+			pages, _ := strconv.ParseInt(fields[1], 10, 64) // 0 on an error
+			usage.MemoryMB = int(pages * int64(syscall.Getpagesize()) >> 20)
+		}
+	}
+	if d, err := os.Open(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
+		names, _ := d.Readdirnames(-1) // what was read before an error counts
+		usage.Descriptors = len(names)
+		d.Close()
+	}
+	return usage
+}
--- /dev/null
+++ b/internal/supervisor/status.go
@@ -0,0 +1,44 @@
+package supervisor
+
+import (
+	"os"
+	"time"
+
+	"quilldoor/internal/handoff"
+)
+
+// status is what the supervisor reports of itself.
+func (s *Supervisor) status() *handoff.Status {
+	return &handoff.Status{
+		State:             s.machine.State.String(),
+		SinceMS:           (s.now() - s.machine.SinceMicros()) / 1000,
+		Serving:           s.processStatus(s.old),
+		Next:              s.processStatus(s.new),
+		Settled:           s.file.Settled,
+		Previous:          s.file.Previous,
+		LastOutcome:       s.lastOutcome,
+		Persistent:        s.persistent,
+		SupervisorPID:     os.Getpid(),
+		Restarts:          max(s.starts-1, 0),
+		LastCrashMS:       s.lastCrashMS,
+		DrainingProcesses: len(s.draining),
+		PeakMB:            s.peakUsage.MemoryMB,
+		PeakDescriptors:   s.peakUsage.Descriptors,
+	}
+}
+
+func (s *Supervisor) processStatus(p *process) *handoff.Process {
+	if p == nil {
+		return nil
+	}
+	return &handoff.Process{
+		Generation:     p.manifest.Generation,
+		PID:            p.pid,
+		AgentState:     p.agentState.String(),
+		MemoryMB:       p.usage.MemoryMB,
+		Descriptors:    p.usage.Descriptors,
+		Requests:       p.requests,
+		HeartbeatAgeMS: time.Since(p.heardAt).Milliseconds(),
+		ViolatedRule:   s.violations(p, nil).Text,
+	}
+}
