--- /dev/null
+++ b/internal/policy/attempt.go
@@ -0,0 +1,234 @@
+package policy
+
+// attemptKind says how far an attempt may go for a copy.
+type attemptKind uint8
+
+const (
+	attemptFill       attemptKind = iota // to the origin
+	attemptCacheOnly                     // what the cache holds
+	attemptParentOnly                    // what the parent holds
+	attemptKinds                         // how many there are
+)
+
+// attempt is one sending of a request to an endpoint.
+type attempt struct {
+	endpoint *endpoint
+	source   *endpoint // that it fills from; the endpoint itself: from none
+	sentAt   int64
+	kind     attemptKind
+	inFlight bool
+	lost     bool // the endpoint failed meanwhile, and the request has gone on
+	late     bool // counted as overdue
+}
+
+// release gives back the capacity that an attempt has taken.
+func (a *attempt) release() {
+	a.inFlight = false
+	a.endpoint.limiters[a.kind].inFlight--
+	a.endpoint.inFlight--
+}
+
+// plan is an attempt to be sent.
+type plan struct {
+	target, source *endpoint
+	kind           attemptKind
+	mode           FillMode
+	staleGrace     int64 // by which a copy may be older than its class's freshness time
+	cachePriority  int
+}
+
+// startAttempt sends the request to an endpoint, or answers it where nowhere is left.
+func (r *Router) startAttempt(t *request) {
+	t.retryAt = 0
+	t.setCost()
+	var p plan
+	p.target, p.source = r.route(t)
+	if p.target == nil || p.source == nil || t.deadline <= r.now || len(t.attempts) >= r.maxAttempts(t) ||
+		!r.retryPermitted(t, p.target) {
+		r.rejectOrFail(t)
+		return
+	}
+	if !t.class.write && !r.avoidOverload(t, &p) {
+		r.rejectOrFail(t)
+		return
+	}
+	if !t.class.write {
+		r.planFill(t, &p)
+	}
+	r.send(t, &p)
+}
+
+// avoidOverload changes the plan of a read that the origin or its target has no capacity for: to another cache
+// that is idle, then to what the cache holds, then to what the parent holds. False: nothing is left to try.
+func (r *Router) avoidOverload(t *request, p *plan) bool {
+	// Above this use of the link from the parents, transfers from there are late themselves.
+	const maxLinkUse = 0.5
+	shed := r.shedLoad(t)
+	if p.target.role == roleOrigin || !shed && !r.saturated(t, &p.target.limiters[attemptFill]) {
+		return true
+	}
+	if !shed {
+		if other := r.selectEndpoint(t, roleCache, r.idle); other != nil {
+			p.target = other
+			return true
+		}
+	}
+	t.fallback++
+	switch {
+	case t.fallback == attemptCacheOnly && !r.saturated(t, &p.target.limiters[attemptCacheOnly]):
+		p.kind, p.source, p.staleGrace = attemptCacheOnly, p.target, t.class.staleGrace
+		return true
+	case t.fallback == attemptParentOnly && p.source.role == roleParent && p.target.linkUse < maxLinkUse &&
+		!r.saturated(t, &p.target.limiters[attemptParentOnly]):
+		p.kind, p.mode = attemptParentOnly, FillNoFetch
+		return true
+	}
+	return false
+}
+
+// planFill says how a read's target shall fill, and whether it shall keep the copy.
+func (r *Router) planFill(t *request, p *plan) {
+	if p.target.role == roleCache && p.kind != attemptCacheOnly {
+		p.cachePriority = r.cachePriority(p.target, t.key)
+		if t.class.freshFor > 0 {
+			p.mode |= FillBackground
+		}
+	}
+	if r.config.coalesceFills {
+		p.mode |= FillWaitFor
+	}
+}
+
+// send sends an attempt.
+func (r *Router) send(t *request, p *plan) {
+	sendBefore := r.noteFirstSent(t)
+	t.attempts = append(t.attempts, attempt{
+		endpoint: p.target, source: p.source, sentAt: r.now, kind: p.kind, inFlight: true,
+	})
+	p.target.limiters[p.kind].inFlight++
+	p.target.inFlight++
+	if p.target.inFlight == 1 {
+		p.target.silentSince = r.now
+	}
+	r.reserve(p.target, t)
+	if p.source != p.target {
+		r.reserve(p.source, t)
+	}
+	r.do(Action{
+		Kind:          ActionSend,
+		Request:       t.id,
+		Endpoint:      p.target.id,
+		Source:        p.source.id,
+		CachePriority: p.cachePriority,
+		MaxAge:        r.maxAge(t, p.staleGrace),
+		Timeout:       r.attemptTimeout(t, p.target),
+		SendBefore:    sendBefore,
+		FillMode:      p.mode,
+	})
+}
+
+// outcomeMeanings say what an attempt's end means for its request and its endpoint.
+var outcomeMeanings = [...]struct {
+	input  input
+	signal signal
+}{
+	OutcomeDone:              {inputFinal, signalAnswered},
+	OutcomeError:             {inputMaybeExecuted, signalAnswered},
+	OutcomeBusy:              {inputNotExecuted, signalAnswered},
+	OutcomeMiss:              {inputNotExecuted, signalAnswered},
+	OutcomeTimeout:           {inputMaybeExecuted, signalNone},
+	OutcomeConnectionRefused: {inputNotExecuted, signalFailed},
+	OutcomeConnectionReset:   {inputMaybeExecuted, signalFailed},
+	OutcomeCanceled:          {inputMaybeExecuted, signalNone},
+	OutcomeSkipped:           {inputNotExecuted, signalNone},
+}
+
+// loadLinkUse is the name that load reports have for the use of a zone's link from the parents.
+const loadLinkUse = "x1"
+
+// endAttempt takes in an attempt's end. An endpoint or request that is unknown is nil.
+func (r *Router) endAttempt(e *Event, s *endpoint, t *request) {
+	if s == nil || e.Outcome == OutcomeUnknown || int(e.Outcome) >= len(outcomeMeanings) {
+		return
+	}
+	meaning := outcomeMeanings[e.Outcome]
+	if use, reported := e.Load[loadLinkUse]; reported {
+		s.linkUse = use
+	}
+	r.observe(s, meaning.signal)
+	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].inFlight {
+		return
+	}
+	a := &t.attempts[e.Attempt]
+	a.release()
+	r.learn(e, t, a)
+	if e.Final {
+		r.advance(t, inputFinal)
+		return
+	}
+	t.noteFailed(e, a)
+	r.advance(t, meaning.input)
+}
+
+// learn takes from an attempt's end what it tells of capacity: that of the endpoint, the source and the origin.
+func (r *Router) learn(e *Event, t *request, a *attempt) {
+	if e.Outcome == OutcomeDone && t.transferTime == 0 && !t.class.write {
+		t.class.transferTimes = addRecent(t.class.transferTimes, e.RTT)
+	}
+	telling := r.tellsOfCapacity(e)
+	if telling && e.Outcome != OutcomeMiss {
+		r.observeAttempt(t, a, e.Outcome == OutcomeDone && !r.overdue(t, a))
+	}
+	if a.kind != attemptFill || t.class.write {
+		return
+	}
+	switch {
+	case e.Outcome == OutcomeDone && e.Reason == ReasonMissOrigin:
+		const shortest = 1 * millisecond
+		r.originDelay.observeReported(r.now, float64(max(e.OriginWait, shortest)))
+	case e.Reason == ReasonOriginError:
+		r.originDelay.observeFailure()
+		t.admissionDraw = 1 // one fill is enough of an origin that fails
+	}
+	if telling {
+		r.fillSamples = addSample(r.fillSamples, r.now, e.Outcome != OutcomeDone)
+	}
+}
+
+// tellsOfCapacity tells whether an attempt's end tells anything of its endpoint's capacity. A reset does not; nor,
+// where reasons are given, does an error without one.
+func (r *Router) tellsOfCapacity(e *Event) bool {
+	switch e.Outcome {
+	case OutcomeCanceled, OutcomeConnectionReset:
+		return false
+	case OutcomeError:
+		return e.Reason != ReasonNone || !r.config.reasonsGiven
+	}
+	return true
+}
+
+// noteFailed notes which endpoints failed the request, to be tried after all others. After a time-out the source
+// may be what failed.
+func (t *request) noteFailed(e *Event, a *attempt) {
+	if a.kind == attemptFill {
+		t.failed = append(t.failed, a.endpoint)
+	}
+	if a.source != a.endpoint && (e.Reason.SourceFailed() || e.Outcome == OutcomeTimeout) {
+		t.failed = append(t.failed, a.source)
+	}
+}
+
+// observeAttempt takes in whether an attempt was in time, once: when it ends or when it is overdue.
+func (r *Router) observeAttempt(t *request, a *attempt, timely bool) {
+	if a.late || a.endpoint.role == roleOrigin || t.class.write {
+		return
+	}
+	a.late = !timely
+	if a.kind == attemptFill && !timely && a.inFlight {
+		r.originDelay.observeOverdue(float64(r.now - a.sentAt))
+	}
+	r.adjustLimit(&a.endpoint.limiters[a.kind], timely)
+	if a.kind != attemptCacheOnly && a.endpoint.role == roleCache {
+		r.observeFill(a.source, timely)
+	}
+}
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -27,7 +27,7 @@
 		Hierarchy: policy.Hierarchy{
 			CacheBypass: true, ParentKind: 1, OriginKind: 2, StreamKBPerS: 1000, ParentSlowStartFrom: 0.1,
 			ParentSlowStartFor: 10 * second, ParentOverloadMultiple: 2, PurgeSettleTime: 6 * second,
-			RoutersByZone: []int{0, 2}, PeerFills: "location", ReasonsGiven: "all",
+			RoutersByZone: []int{0, 2}, ReasonsGiven: "all",
 		},
 		Classes: []policy.TrafficClass{
 			{Name: "read", LatencyObjective: 500 * millisecond, PriorityWeight: 1, FreshFor: 8 * second},
--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -9,49 +9,49 @@
 // coldSite is three routers of one location before one cold cache: real modules,
 // events of the platform, and all the work that was sent there.
 type coldSite struct {
-	now     int64
-	routers []*Router
-	asleep  []bool
-	lives   uint64
-	txns    int
-	spent   []spend
-	careful bool // else wrong: a new life spends at once
-	counts  bool // wrong: the budget is divided by the living
+	now          int64
+	routers      []*Router
+	asleep       []bool
+	lives        uint64
+	txns         int
+	reservations []reservation
+	careful      bool // else wrong: a new life spends at once
+	counts       bool // wrong: the budget is divided by the living
 }
 
-const budgetWork = 200 * ms // of a txn, by the rule's SLA time: sizes are not told
+const budgetWork = 200 * millisecond // of a txn, by the rule's SLA time: sizes are not told
 
 func (c *coldSite) settings() Settings {
 	return Settings{
 		Routers: 3, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "hub", "ledger"},
-		Classes:  []TrafficClass{{Name: "read", Effect: EffectIdempotent, LatencyObjective: budgetWork, Timeout: 5 * sec, PriorityWeight: 1, FreshFor: sec}},
-		Contract: Contract{SlowStartFor: 60 * sec, SlowStartFrom: 0.2, OverloadWindow: sec, OverloadMultiple: 2},
+		Classes:  []TrafficClass{{Name: "read", Effect: EffectIdempotent, LatencyObjective: budgetWork, Timeout: 5 * second, PriorityWeight: 1, FreshFor: second}},
+		Contract: Contract{SlowStartFor: 60 * second, SlowStartFrom: 0.2, OverloadWindow: second, OverloadMultiple: 2},
 		Limits:   Limits{MaxAttempts: 1, Cancel: true}, Hierarchy: Hierarchy{ParentKind: 1, OriginKind: 2, RoutersByZone: []int{3}},
 	}
 }
 
 // budget is what the cache takes within a window at its start.
-const budgetMost = 0.2 * 2 * 30 * float64(sec)
+const budgetMost = 0.2 * 2 * 30 * float64(second)
 
 func (c *coldSite) start(i int) {
 	c.lives++
 	r := New(c.settings(), c.lives)
 	c.routers[i], c.asleep[i] = r, false
 	r.Handle(c.now, Event{Kind: EventEndpoints, Scope: ScopeDisk, Endpoints: []Endpoint{
-		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: 30, StartedAt: 10 * sec},
+		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: 30, StartedAt: 10 * second},
 		{ID: "o", Zone: "z", Kind: "ledger", State: EndpointActive, Weight: 1},
 	}}, nil)
 	if !c.careful {
-		r.holdTill = 0
+		r.slowStartHoldUntil = 0
 	}
 }
 
 func newColdSite(careful, counts bool) *coldSite {
-	c := &coldSite{now: 10 * sec, routers: make([]*Router, 3), asleep: make([]bool, 3), careful: careful, counts: counts}
+	c := &coldSite{now: 10 * second, routers: make([]*Router, 3), asleep: make([]bool, 3), careful: careful, counts: counts}
 	for i := range c.routers {
 		c.start(i)
 	}
-	c.now += sec
+	c.now += second
 	return c
 }
 
@@ -68,14 +68,14 @@
 				living++
 			}
 		}
-		r.cold[edge].routers = float64(living)
+		r.config.slowStart[roleCache].routers = float64(living)
 	}
 	for range 60 {
 		c.txns++
 		sent := false
-		for _, a := range r.Handle(c.now, Event{Kind: EventRequest, Request: fmt.Sprint(c.txns), Class: "read", Object: fmt.Sprint(c.txns), Remaining: 5 * sec}, nil) {
+		for _, a := range r.Handle(c.now, Event{Kind: EventRequest, Request: fmt.Sprint(c.txns), Class: "read", Object: fmt.Sprint(c.txns), Remaining: 5 * second}, nil) {
 			if a.Kind == ActionSend && a.Endpoint == "cold" {
-				c.spent = append(c.spent, spend{at: c.now, work: budgetWork})
+				c.reservations = append(c.reservations, reservation{at: c.now, work: budgetWork})
 				sent = true
 			}
 		}
@@ -88,9 +88,9 @@
 }
 
 func (c *coldSite) over() bool {
-	c.spent = slices.DeleteFunc(c.spent, func(s spend) bool { return s.at <= c.now-sec })
+	c.reservations = slices.DeleteFunc(c.reservations, func(s reservation) bool { return s.at <= c.now-second })
 	sum := int64(0)
-	for _, s := range c.spent {
+	for _, s := range c.reservations {
 		sum += s.work
 	}
 	return float64(sum) > budgetMost
@@ -104,8 +104,8 @@
 		do   func(c *coldSite)
 	}
 	events := []event{
-		{"soon", func(c *coldSite) { c.now += 300 * ms }},
-		{"later", func(c *coldSite) { c.now += sec }},
+		{"soon", func(c *coldSite) { c.now += 300 * millisecond }},
+		{"later", func(c *coldSite) { c.now += second }},
 		{"use all", func(c *coldSite) { c.use(0); c.use(1); c.use(2) }},
 	}
 	for i := range 3 {
@@ -132,11 +132,11 @@
 				return true
 			}
 		}
-		key := fmt.Sprint(c.now, c.asleep, c.spent)
+		key := fmt.Sprint(c.now, c.asleep, c.reservations)
 		for _, r := range c.routers {
 			key += fmt.Sprint(r == nil)
 			if r != nil {
-				key += fmt.Sprint(r.holdTill, r.servers["cold"].spent)
+				key += fmt.Sprint(r.slowStartHoldUntil, r.endpoints["cold"].reservations)
 			}
 		}
 		if seen[key] {
--- /dev/null
+++ b/internal/policy/concurrencylimit.go
@@ -0,0 +1,83 @@
+package policy
+
+import "cmp"
+
+// limiter bounds how many attempts of one kind an endpoint is given at once, by how many it has lately answered
+// in time. Limit and counts are this router's share.
+type limiter struct {
+	limit         float64
+	inFlight      float64
+	otherInFlight float64 // of the router's other process, while one replaces the other
+	weight        float64 // of the endpoint, as listed
+	reducedAt     int64
+	samples       []sample // of the last attempts: late or refused ones are bad
+}
+
+// initialLimit of attempts for a unit of weight is above what an endpoint in order is given; late answers bring
+// it down.
+const initialLimit = 3
+
+// adjustLimit moves a limit after an attempt: up by a quarter of the floor for a round of timely answers, down
+// when a quarter of the last were late or refused, then not again for a round. The floor keeps an eighth of a
+// cache's link busy: less would not mend what makes answers late.
+func (r *Router) adjustLimit(m *limiter, timely bool) {
+	const (
+		reduction   = 0.7
+		round       = 200 * millisecond
+		floorWeight = 8 // the floor is the weight divided by this ...
+		leastFloor  = 2 // ... and at least this
+	)
+	share := r.config.zoneShare
+	floor := max(leastFloor, m.weight/floorWeight)
+	least := max(int(minSamples*share), 4)
+	m.samples = addSample(m.samples, r.now, !timely)
+	late, all := countBad(m.samples, r.now, least)
+	switch {
+	case timely && m.inFlight+1 >= m.limit/2:
+		m.limit += floor * share / (4 * m.limit)
+	case !timely && 4*late >= max(all, least) && r.now-m.reducedAt > round:
+		m.reducedAt = r.now
+		m.limit = max(min(m.limit, m.inFlight+1)*reduction, floor*share)
+	}
+}
+
+// saturated tells whether a limiter has no capacity for the request. Requests of low priority are turned away
+// first: the lowest at half the limit, the highest at half above it. A limit below one is a chance.
+func (r *Router) saturated(t *request, m *limiter) bool {
+	below := 0.0
+	for _, p := range r.priorities {
+		below += float64(1+cmp.Compare(t.priority, p)) / 2
+	}
+	limit := m.limit * (0.5 + below/float64(max(len(r.priorities), 1)))
+	return m.inFlight+m.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
+}
+
+// idle tells whether a cache has capacity for requests of a saturated one. It is strict: where all are saturated,
+// copies should not be scattered.
+func (r *Router) idle(s *endpoint) bool {
+	m := &s.limiters[attemptFill]
+	late, all := countBad(m.samples, r.now, minSamples)
+	return minSamples*late < max(all, 1) && 3*(m.inFlight+m.otherInFlight) < m.limit
+}
+
+// initLimiters gives an endpoint the limiters that bound it, and those that are new a limit.
+func (r *Router) initLimiters(s *endpoint) {
+	if s.role != roleCache {
+		s.limiters = &r.bypassLimiters
+		return
+	}
+	s.limiters = &s.ownLimiters
+	for i := range s.ownLimiters {
+		own, bypass := &s.ownLimiters[i], &r.bypassLimiters[i]
+		own.weight, bypass.weight = s.weight, s.weight
+		own.limit = cmp.Or(own.limit, initialLimit*s.weight*r.config.zoneShare)
+		bypass.limit = cmp.Or(bypass.limit, own.limit)
+	}
+}
+
+// initBypassLimiters gives limits for attempts past the caches where no cache was ever listed.
+func (r *Router) initBypassLimiters() {
+	for i := range r.bypassLimiters {
+		r.bypassLimiters[i].limit = cmp.Or(r.bypassLimiters[i].limit, initialLimit*r.config.zoneShare)
+	}
+}
--- /dev/null
+++ b/internal/policy/endpointselection.go
@@ -0,0 +1,81 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// hash is FNV-1a with a final mix: the same at every router.
+func hash(text string, more ...uint64) uint64 {
+	const offset, prime = 14695981039346656037, 1099511628211
+	h := uint64(offset)
+	for i := range len(text) {
+		h = (h ^ uint64(text[i])) * prime
+	}
+	for _, m := range more {
+		h = (h ^ m) * prime
+	}
+	h ^= h >> 32
+	h *= 0xd6e8feb86659fd93
+	return h ^ h>>32
+}
+
+// rendezvousScore is an endpoint's score for an object, by rendezvous hashing weighted by its size.
+func (s *endpoint) rendezvousScore(key uint64) float64 {
+	uniform := float64(hash("", key, s.hash)>>11+1) / (1<<53 + 1) // within (0, 1)
+	return -s.hashWeight / math.Log(uniform)
+}
+
+// usable tells whether an endpoint may be sent the request now, or be its fill source. One on probation is given
+// one attempt at a time, none where a health check decides.
+func (r *Router) usable(s *endpoint, t *request) bool {
+	onTrial := s.health == probation && (s.inFlight > 0 || r.config.healthChecks)
+	return s.active && s.health != ejected && !onTrial && r.slowStartAllows(s, t)
+}
+
+// selectEndpoint gives the usable endpoint of a role that scores highest for the request's object, those that
+// failed the request after all others; nil if there is none. A filter leaves out more.
+func (r *Router) selectEndpoint(t *request, role role, filter func(*endpoint) bool) *endpoint {
+	var best *endpoint
+	var bestScore float64
+	bestFailed := true
+	for _, s := range r.ordered {
+		if s.role != role || role == roleCache && !r.retryPermitted(t, s) || !r.usable(s, t) ||
+			filter != nil && !filter(s) {
+			continue
+		}
+		failed := slices.Contains(t.failed, s)
+		score := s.rendezvousScore(t.key)
+		if best == nil || bestFailed && !failed || failed == bestFailed && score > bestScore {
+			best, bestScore, bestFailed = s, score, failed
+		}
+	}
+	return best
+}
+
+// fillSource gives the endpoint that a cache shall fill from: a parent, or the origin where no parent is left
+// that has not failed the request.
+func (r *Router) fillSource(t *request) *endpoint {
+	if p := r.selectEndpoint(t, roleParent, nil); p != nil && !slices.Contains(t.failed, p) {
+		return p
+	}
+	return r.origin
+}
+
+// route gives the endpoint that the request is sent to and the source that this fills from; nil if there is none.
+// Writes go to the origin, past the caches where the site allows that; reads pass them if no cache is usable.
+func (r *Router) route(t *request) (target, source *endpoint) {
+	if t.class.write && r.config.bypassCaches {
+		return r.origin, r.origin
+	}
+	if cache := r.selectEndpoint(t, roleCache, nil); cache != nil {
+		if t.class.write {
+			return cache, r.origin
+		}
+		return cache, r.fillSource(t)
+	}
+	if r.config.bypassCaches {
+		return r.fillSource(t), r.origin
+	}
+	return nil, nil
+}
--- /dev/null
+++ b/internal/policy/loadshedding.go
@@ -0,0 +1,71 @@
+package policy
+
+// originDelay is how long fills wait for the origin, of late against what is usual. One router sees few fills,
+// but the origin gets those of all: each router leaves out the part of them by which the origin is slower than
+// bearable. It is known where cache answers give their reasons; else the limits alone hold fills back.
+type originDelay struct {
+	baseline   float64 // mean of about a minute, in microseconds
+	reported   float64 // mean of the last reported
+	current    float64 // mean of the last reported, and of overdue fills
+	reportedAt int64   // of the last reported
+}
+
+// bearableDelay is how much longer than the baseline fills may wait before some are left out.
+const bearableDelay = 2
+
+// recentWeight is the weight of a new delay in the means of the last ones: one in this many.
+const recentWeight = 4
+
+// observeReported takes in the delay of a fill as the cache's answer reported it, in microseconds.
+func (d *originDelay) observeReported(now int64, delay float64) {
+	const (
+		baselinePeriod = 60 * float64(second)
+		maxStep        = 1. / 16 // of the distance to the baseline
+	)
+	if d.baseline == 0 {
+		d.baseline, d.reported, d.current, d.reportedAt = delay, delay, delay, now
+	} else {
+		step := min(float64(now-d.reportedAt)/baselinePeriod, maxStep)
+		d.baseline += min(delay-d.baseline, d.baseline) * step // overload is no baseline
+		d.reported += (delay - d.reported) / recentWeight
+		d.reportedAt = now
+	}
+	d.current += (delay - d.current) / recentWeight
+}
+
+// observeOverdue takes in the age of a fill that is overdue, in microseconds. The cause may be its cache: it
+// counts once reported delays are longer, too.
+func (d *originDelay) observeOverdue(age float64) {
+	const longer = 1.5
+	if d.reported > longer*d.baseline {
+		d.current += (age - d.current) / recentWeight
+	}
+}
+
+// observeFailure takes in a fill that the origin failed: a delay far above bearable, and longer with each.
+func (d *originDelay) observeFailure() {
+	const least, most, growth = 4 * bearableDelay, 32 * bearableDelay, 1.25
+	d.current = min(max(growth*d.current, least*d.baseline), most*d.baseline)
+}
+
+// decay brings the current delay nearer to the baseline with time: an origin that failed recovers, and nothing
+// that is left out would show it.
+func (d *originDelay) decay(elapsed int64) {
+	const recovery = 3 * second
+	if d.current > d.baseline {
+		d.current -= (d.current - d.baseline) * float64(elapsed) / float64(recovery)
+	}
+}
+
+// shedLoad tells whether the request shall take nothing from the origin. Its draw is kept, so that a request
+// once left out stays so while the origin gets no faster.
+func (r *Router) shedLoad(t *request) bool {
+	d := &r.originDelay
+	if d.current <= bearableDelay*d.baseline {
+		return false
+	}
+	if t.admissionDraw == 0 {
+		t.admissionDraw = r.random.float64()
+	}
+	return t.admissionDraw*d.current > bearableDelay*d.baseline
+}
--- /dev/null
+++ b/internal/policy/outlierejection.go
@@ -0,0 +1,144 @@
+package policy
+
+import "slices"
+
+// health is what a Router thinks of an endpoint. Its values are kept in Snapshots.
+type health uint8
+
+const (
+	healthy   health = 1 << iota
+	suspect          // failed once, or was silent
+	ejected          // gets nothing until its ejection is over
+	probation        // gets one attempt, or a health check, that decides
+	anyHealth = healthy | suspect | ejected | probation
+)
+
+// signal is what an event tells of an endpoint's health.
+type signal uint8
+
+const (
+	signalNone         signal = iota // nothing
+	signalAnswered                   // it answered, whatever it said
+	signalFailed                     // it refused, broke off or failed a health check
+	signalSilent                     // it said nothing for far longer than usual
+	signalLateFills                  // fills from it are late, those from others are not
+	signalEjectionOver               // its ejection is over
+	signalRestarted                  // the endpoint list tells of a new start
+)
+
+// healthTransitions follow from signals alone, whatever their cause. One failure may be chance; another some time
+// after it, with no answer between, or silence, is not.
+var healthTransitions = []struct {
+	in     health
+	signal signal
+	next   health
+	do     func(*Router, *endpoint)
+}{
+	{healthy, signalFailed, suspect, nil},
+	{healthy, signalSilent, suspect, (*Router).checkHealth},
+	{suspect | probation, signalFailed, ejected, (*Router).eject},
+	{suspect | probation, signalSilent, ejected, (*Router).eject},
+	{healthy | suspect | probation, signalLateFills, ejected, (*Router).eject},
+	{ejected, signalEjectionOver, probation, (*Router).checkHealth},
+	{suspect, signalAnswered, healthy, nil},
+	{ejected | probation, signalAnswered, healthy, (*Router).readmit},
+	{anyHealth, signalRestarted, healthy, (*Router).readmit},
+}
+
+// observe takes in a signal of an endpoint; nil is one that is not listed.
+func (r *Router) observe(s *endpoint, signal signal) {
+	// Attempts that fail together, as those of one connection do, are one failure.
+	const failuresApart = 100 * millisecond
+	if s == nil || signal == signalFailed && s.health == suspect && r.now < s.healthDue {
+		return
+	}
+	switch {
+	case signal == signalFailed && s.health == healthy:
+		s.healthDue = r.now + failuresApart
+	case signal == signalAnswered:
+		s.silentSince = r.now
+	}
+	for i := range healthTransitions {
+		row := &healthTransitions[i]
+		if row.in&s.health == 0 || row.signal != signal {
+			continue
+		}
+		s.health = row.next
+		if row.do != nil {
+			row.do(r, s)
+		}
+		return
+	}
+}
+
+// eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted.
+func (r *Router) eject(s *endpoint) {
+	const ejectionTime, maxEjectionTime = 1 * second, 4 * second
+	s.fillSamples = nil
+	s.healthDue = r.now + min(ejectionTime<<s.ejections, maxEjectionTime)
+	s.ejections = min(s.ejections+1, maxEjections)
+	r.do(Action{Kind: ActionLog, Text: "server rests: " + s.id})
+}
+
+// maxEjections bounds the count from which the ejection time is shifted.
+const maxEjections = 8
+
+// checkHealth sends a health check where that is allowed; else the next attempt tells.
+func (r *Router) checkHealth(s *endpoint) {
+	if r.config.healthChecks {
+		r.do(Action{Kind: ActionHealthCheck, Endpoint: s.id})
+	}
+}
+
+// readmit takes an ejected endpoint in again and drops what counted against it.
+func (r *Router) readmit(s *endpoint) {
+	s.ejections, s.fillSamples, s.readmittedAt = 0, nil, r.now
+	r.do(Action{Kind: ActionLog, Text: "server is back: " + s.id})
+}
+
+// observeHealthCheck takes in the end of a health check.
+func (r *Router) observeHealthCheck(s *endpoint, outcome Outcome) {
+	if outcome == OutcomeDone {
+		r.observe(s, signalAnswered)
+	} else {
+		r.observe(s, signalFailed)
+	}
+}
+
+// observeFill takes in whether a fill from a source came in time. A parent is ejected when half of its last fills
+// were late and that is twice the share of another source: a slow origin makes those of all late alike. Where
+// health checks are allowed a late fill brings one.
+func (r *Router) observeFill(source *endpoint, timely bool) {
+	source.fillSamples = addSample(source.fillSamples, r.now, !timely)
+	if source.role != roleParent || timely {
+		return
+	}
+	late, all := countBad(source.fillSamples, r.now, minSamples)
+	if 2*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
+		r.observe(source, signalLateFills)
+	} else if r.config.healthChecks && source.health == healthy {
+		r.observe(source, signalSilent)
+	}
+}
+
+// hasTimelierSource tells whether another source has at most half as large a share of late fills.
+func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
+	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
+		otherLate, otherAll := countBad(other.fillSamples, r.now, minSamples)
+		return other != source && other.active && other.health != ejected &&
+			2*otherAll >= minSamples && late*otherAll > 2*otherLate*all
+	})
+}
+
+// updateHealth ends ejections that are over, and suspects an endpoint that answers none of several attempts for
+// far longer than answers take.
+func (r *Router) updateHealth(s *endpoint) {
+	const minUnanswered = 3 // attempts: a single one may just be slow
+	if s.health == ejected && r.now >= s.healthDue {
+		r.observe(s, signalEjectionOver)
+	}
+	if s.inFlight >= minUnanswered && r.now-s.silentSince > r.config.silenceLimit {
+		r.observe(s, signalSilent)
+		s.silentSince = r.now
+	}
+}
--- /dev/null
+++ b/internal/policy/request.go
@@ -0,0 +1,194 @@
+package policy
+
+import "slices"
+
+// trafficClass is what decisions use of a TrafficClass.
+type trafficClass struct {
+	idempotency      idempotency
+	dedupWindow      int64
+	latencyObjective int64
+	objectiveStretch float64
+	freshFor         int64
+	staleGrace       int64
+	write            bool
+	priorityWeight   float64
+	transferTimes    []int64 // of the last requests
+}
+
+// request is an open request.
+type request struct {
+	id       string
+	class    *trafficClass
+	key      uint64 // hash of the object and its part
+	object   string
+	group    int64
+	deadline int64
+	priority float64 // weight for transfer time
+
+	transferTime int64   // by its size; 0: not told
+	cost         int64   // what an attempt takes of slow-start budgets: the transfer time ...
+	costVariance float64 // ... or its mean and variance in the class
+
+	state         requestState
+	retryAt       int64       // when the next attempt is due; 0: none is
+	fallback      attemptKind // the last kind without the origin that it has come to
+	admissionDraw float64     // drawn once, against load shedding; 0: not yet
+	firstSentAt   int64       // when the first attempt that may have been executed was sent
+	attempts      []attempt
+	failed        []*endpoint // endpoints and sources that failed it
+}
+
+// requestState is a state of an open request.
+type requestState uint8
+
+const (
+	stateNotExecuted   requestState = 1 << iota // each attempt that ended is proven not to have been executed
+	stateMaybeExecuted                          // one may have been
+	stateStreaming                              // the response has begun
+	stateClosed
+	stateUndecided = stateNotExecuted | stateMaybeExecuted
+)
+
+// input is what changes a request's state.
+type input uint8
+
+const (
+	inputArrived       input = iota
+	inputNotExecuted         // an attempt ended, proven not to have been executed
+	inputMaybeExecuted       // an attempt ended that may have been executed
+	inputEndpointLost        // an attempt is in flight to an endpoint that failed
+	inputRetryDue            // the pause before the next attempt is over
+	inputStarted             // the response begins
+	inputFinal               // it is answered, or its client has gone
+)
+
+// transition is one row of the request's state machine.
+type transition struct {
+	in    requestState
+	input input
+	next  requestState // 0: the same
+	do    func(*Router, *request)
+}
+
+var transitions []transition
+
+// The table is filled here, since its functions lead back to it.
+func init() {
+	transitions = []transition{
+		{stateNotExecuted, inputArrived, 0, (*Router).startAttempt},
+		{stateUndecided, inputNotExecuted, 0, (*Router).retry},
+		{stateUndecided, inputMaybeExecuted, stateMaybeExecuted, (*Router).retry},
+		{stateUndecided, inputEndpointLost, 0, (*Router).hedge},
+		{stateUndecided, inputRetryDue, 0, (*Router).startAttempt},
+		{stateUndecided, inputStarted, stateStreaming, nil},
+		{stateUndecided | stateStreaming, inputFinal, stateClosed, (*Router).closeRequest},
+	}
+}
+
+// advance takes a request through one transition; nil is one that is unknown or closed.
+func (r *Router) advance(t *request, input input) {
+	if t == nil {
+		return
+	}
+	for i := range transitions {
+		row := &transitions[i]
+		if row.in&t.state == 0 || row.input != input {
+			continue
+		}
+		if row.next != 0 {
+			t.state = row.next
+		}
+		if row.do != nil {
+			row.do(r, t)
+		}
+		return
+	}
+}
+
+// openRequest takes in a new request.
+func (r *Router) openRequest(e *Event) {
+	class := r.class(e)
+	t := &request{
+		id:       e.Request,
+		class:    class,
+		key:      hash(e.Object, uint64(e.Part)),
+		object:   e.Object,
+		group:    e.Group,
+		deadline: r.now + e.Remaining,
+		state:    stateNotExecuted,
+	}
+	r.setPriority(t, e.SizeKB)
+	r.requests[t.id] = t
+	r.open = append(r.open, t)
+	if !class.write {
+		r.countRequest(t.key)
+	}
+	r.advance(t, inputArrived)
+}
+
+// class gives a request's traffic class. One that the settings do not name is taken for unsafe.
+func (r *Router) class(e *Event) *trafficClass {
+	class := r.classes[e.Class]
+	if class == nil {
+		class = &trafficClass{idempotency: unsafe, latencyObjective: e.Remaining, write: e.Write}
+		r.classes[e.Class] = class
+	}
+	return class
+}
+
+// setPriority works out a request's transfer time, and its priority: the class's weight for transfer time, where
+// a small request counts as an eighth of its class's mean at least.
+func (r *Router) setPriority(t *request, sizeKB float64) {
+	const smallest = 8
+	class := t.class
+	transfer := class.latencyObjective // where sizes are not told
+	if sizeKB > 0 && r.config.transferRate > 0 {
+		t.transferTime = int64(sizeKB / r.config.transferRate)
+		class.transferTimes = addRecent(class.transferTimes, t.transferTime)
+		transfer = max(t.transferTime, mean(class.transferTimes, class.latencyObjective)/smallest)
+	}
+	t.priority = class.priorityWeight / float64(transfer)
+	r.priorities = addRecent(r.priorities, t.priority)
+}
+
+// setCost works out what an attempt takes of slow-start budgets.
+func (t *request) setCost() {
+	t.cost, t.costVariance = t.transferTime, 0
+	if t.transferTime == 0 {
+		t.cost = mean(t.class.transferTimes, t.class.latencyObjective)
+		t.costVariance = variance(t.class.transferTimes)
+	}
+}
+
+// inFlight tells whether an attempt is in flight.
+func (t *request) inFlight() bool {
+	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.inFlight })
+}
+
+// maybeExecuted tells whether an attempt may have been executed, or may yet be.
+func (t *request) maybeExecuted() bool { return t.state == stateMaybeExecuted || t.inFlight() }
+
+// rejectOrFail answers the request for good: rejected where its repetition by the client is harmless.
+func (r *Router) rejectOrFail(t *request) {
+	if r.now < t.deadline && (!t.maybeExecuted() || retryRules[t.class.idempotency].reject) {
+		r.do(Action{Kind: ActionReject, Request: t.id, RetryAfter: r.config.retryAfter})
+	} else {
+		r.do(Action{Kind: ActionFail, Request: t.id})
+	}
+	r.advance(t, inputFinal)
+}
+
+// closeRequest withdraws what is in flight for a request that is answered. Ends of its attempts are only heard.
+func (r *Router) closeRequest(t *request) {
+	for i := range t.attempts {
+		a := &t.attempts[i]
+		if !a.inFlight {
+			continue
+		}
+		a.release()
+		if r.config.cancel {
+			r.do(Action{Kind: ActionCancel, Request: t.id, Attempt: i})
+		}
+	}
+	delete(r.requests, t.id)
+}
--- /dev/null
+++ b/internal/policy/retry.go
@@ -0,0 +1,131 @@
+package policy
+
+import "slices"
+
+// idempotency says what a second execution of a request does, and where repeats are recognized.
+type idempotency uint8
+
+const (
+	idempotent idempotency = iota
+	keyedAll               // with an idempotency key that all servers share
+	keyedZone              // ... that the servers of a zone share
+	keyedCell              // ... that the servers of a cell share
+	unsafe
+)
+
+// idempotencyOf gives the idempotency of a traffic class.
+func idempotencyOf(effect Effect, group DedupGroup) idempotency {
+	switch {
+	case effect == EffectIdempotent:
+		return idempotent
+	case effect == EffectUnsafe:
+		return unsafe
+	case group == DedupGroupZone:
+		return keyedZone
+	case group == DedupGroupCell:
+		return keyedCell
+	}
+	return keyedAll
+}
+
+// retryRules say what is permitted once an attempt may have been executed.
+var retryRules = [...]struct {
+	retry    bool // another attempt
+	reject   bool // telling the client that it may repeat the request
+	windowed bool // another attempt within the dedup window of the first only
+	sameZone bool // another attempt in the zone of the first only
+	sameCell bool // another attempt in the cell of the first only
+}{
+	idempotent: {retry: true, reject: true},
+	keyedAll:   {retry: true, reject: true, windowed: true},
+	keyedZone:  {retry: true, windowed: true, sameZone: true},
+	keyedCell:  {retry: true, windowed: true, sameZone: true, sameCell: true},
+	unsafe:     {},
+}
+
+// retryPermitted tells whether the request may be sent to an endpoint without the danger of a second effect.
+func (r *Router) retryPermitted(t *request, s *endpoint) bool {
+	if !t.maybeExecuted() {
+		return true
+	}
+	rule := &retryRules[t.class.idempotency]
+	first := t.firstExecuted()
+	return rule.retry &&
+		(!rule.windowed || r.now-t.firstSentAt < t.class.dedupWindow) &&
+		(!rule.sameZone || s.zone == first.zone) &&
+		(!rule.sameCell || s.cell == first.cell)
+}
+
+// firstExecuted is the endpoint of the first attempt that may have been executed.
+func (t *request) firstExecuted() *endpoint {
+	i := slices.IndexFunc(t.attempts, func(a attempt) bool { return a.sentAt == t.firstSentAt })
+	return t.attempts[i].endpoint
+}
+
+// noteFirstSent keeps the time from which the dedup window runs, as an attempt is sent. It gives the time before
+// which the attempt must be written; 0: there is no such bound.
+func (r *Router) noteFirstSent(t *request) (sendBefore int64) {
+	if !t.maybeExecuted() {
+		t.firstSentAt = r.now
+		return 0
+	}
+	if retryRules[t.class.idempotency].windowed {
+		return t.firstSentAt + t.class.dedupWindow
+	}
+	return 0
+}
+
+// maxReadAttempts bounds the attempts of a read: one or two elsewhere may find what the first lacks, more only
+// feed an overload.
+const maxReadAttempts = 4
+
+// maxAttempts bounds the request's attempts.
+func (r *Router) maxAttempts(t *request) int {
+	if t.class.write {
+		return r.config.maxAttempts
+	}
+	return min(r.config.maxAttempts, maxReadAttempts)
+}
+
+// retry follows an attempt that ended without a response.
+func (r *Router) retry(t *request) {
+	switch {
+	case t.inFlight(): // another attempt may bring one
+	case t.class.write:
+		r.retryWrite(t)
+	case r.fillsFail() && t.attempts[len(t.attempts)-1].kind == attemptFill:
+		r.rejectOrFail(t)
+	default:
+		r.startAttempt(t)
+	}
+}
+
+// retryWrite sends a write again after a pause, or gives it up where that is not permitted or comes too late.
+func (r *Router) retryWrite(t *request) {
+	const pause = 60 * millisecond // lets an overloaded origin recover
+	t.retryAt = r.now + pause
+	barred := t.maybeExecuted() && !retryRules[t.class.idempotency].retry
+	late := t.retryAt+2*timerInterval >= t.deadline
+	if barred || late || len(t.attempts) >= r.config.maxAttempts {
+		r.rejectOrFail(t)
+	}
+}
+
+// fillsFail tells whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
+// overload then, at the cost of writes.
+func (r *Router) fillsFail() bool {
+	failed, all := countBad(r.fillSamples, r.now, minSamples)
+	return 4*failed >= max(all, minSamples)
+}
+
+// hedge sends a second attempt while the first is in flight; or, where the site does not allow that, withdraws
+// the first, whose end brings another.
+func (r *Router) hedge(t *request) {
+	switch {
+	case t.class.idempotency != idempotent:
+	case !r.config.hedging && r.config.cancel:
+		r.do(Action{Kind: ActionCancel, Request: t.id, Attempt: len(t.attempts) - 1})
+	case r.config.hedging && len(t.attempts) < r.config.maxAttempts && r.selectEndpoint(t, roleCache, nil) != nil:
+		r.startAttempt(t)
+	}
+}
--- /dev/null
+++ b/internal/policy/router.go
@@ -0,0 +1,198 @@
+package policy
+
+import "slices"
+
+// Durations are whole microseconds.
+const (
+	millisecond = int64(1000)
+	second      = 1000 * millisecond
+)
+
+// Router is one instance of the decisions.
+type Router struct {
+	config  config
+	now     int64    // of the event in hand
+	actions []Action // decided on for the event in hand
+	random  random
+
+	endpoints map[string]*endpoint
+	ordered   []*endpoint // every endpoint of use here, by id, until it is gone and its attempts are over
+	origin    *endpoint   // nil: none is active
+
+	classes    map[string]*trafficClass
+	requests   map[string]*request
+	open       []*request // in order of arrival; closed ones leave at the next sweep
+	priorities []float64  // of the last requests
+
+	popularity       sketch // how often objects were requested
+	popularitySample int    // after how many requests it is halved; 0: by time only
+	nextHalving      int64
+
+	fillSamples    []sample              // of the last attempts that might fill: bad ones brought no response
+	bypassLimiters [attemptKinds]limiter // for attempts past the caches: they share one link
+	originDelay    originDelay
+	purges         []purge
+
+	slowStartHoldUntil int64 // until then endpoints in slow start get nothing
+	subscribeAt        int64 // when to ask for the endpoint list again; 0: not
+	timerSet           bool
+}
+
+// config is what decisions use of the Settings.
+type config struct {
+	zone             string
+	zoneShare        float64 // this router's part of its zone's requests
+	roles            map[string]role
+	slowStart        [roles]slowStartBudget
+	overloadWindow   int64
+	silenceLimit     int64   // how long an endpoint may say nothing with attempts in flight
+	transferRate     float64 // KB in a microsecond; 0: not told
+	purgeSettleTime  int64   // within which a purge has reached all caches
+	retryAfter       int64   // that rejected clients are told; 0: none
+	maxAttempts      int
+	maxCachedObjects int // that a router remembers of a cache
+
+	bypassCaches  bool // requests may go past the caches
+	coalesceFills bool
+	healthChecks  bool // may be sent
+	cancel        bool // attempts may be withdrawn
+	hedging       bool // a second attempt may be sent while one is in flight
+	pollDiscovery bool
+	liveWeights   bool // weights follow the load
+	reasonsGiven  bool // every answer of a cache gives its reason
+}
+
+// New starts a Router from its settings and the seed of its random draws.
+func New(settings Settings, seed uint64) *Router {
+	r := &Router{
+		config:    newConfig(&settings),
+		random:    random(seed),
+		endpoints: map[string]*endpoint{},
+		classes:   map[string]*trafficClass{},
+		requests:  map[string]*request{},
+	}
+	for i := range settings.Classes {
+		class := &settings.Classes[i]
+		r.classes[class.Name] = &trafficClass{
+			idempotency:      idempotencyOf(class.Effect, class.DedupGroup),
+			dedupWindow:      class.DedupWindow,
+			latencyObjective: class.LatencyObjective,
+			objectiveStretch: class.ObjectiveStretch,
+			freshFor:         class.FreshFor,
+			staleGrace:       class.StaleGrace,
+			write:            class.Write,
+			priorityWeight:   class.PriorityWeight,
+		}
+	}
+	return r
+}
+
+func newConfig(settings *Settings) config {
+	contract, hierarchy, limits := &settings.Contract, &settings.Hierarchy, &settings.Limits
+	zoneRouters := settings.zoneRouters()
+	zoneShare := 1 / float64(zoneRouters)
+	c := config{
+		zone:             settings.Zone,
+		zoneShare:        zoneShare,
+		roles:            settings.roles(),
+		overloadWindow:   contract.OverloadWindow,
+		silenceLimit:     settings.silenceLimit(),
+		transferRate:     hierarchy.StreamKBPerS / float64(second),
+		purgeSettleTime:  hierarchy.PurgeSettleTime,
+		maxAttempts:      max(limits.MaxAttempts, 1),
+		maxCachedObjects: cachedObjectsLimit(zoneShare),
+		bypassCaches:     hierarchy.CacheBypass,
+		coalesceFills:    hierarchy.CoalescesFills,
+		healthChecks:     limits.HealthChecks,
+		cancel:           limits.Cancel,
+		hedging:          limits.Hedging,
+		pollDiscovery:    settings.Discovery == DiscoveryPoll,
+		liveWeights:      settings.WeightKind == WeightLive,
+		reasonsGiven:     hierarchy.ReasonsGiven == ReasonsAll,
+	}
+	if limits.RetryAfter {
+		c.retryAfter = limits.MaxRetryAfter
+	}
+	c.slowStart[roleCache] = slowStartBudget{
+		from:     contract.SlowStartFrom,
+		multiple: contract.OverloadMultiple,
+		routers:  float64(zoneRouters),
+		duration: contract.SlowStartFor,
+	}
+	c.slowStart[roleParent] = slowStartBudget{
+		from:     hierarchy.ParentSlowStartFrom,
+		multiple: hierarchy.ParentOverloadMultiple,
+		routers:  float64(max(settings.Routers, 1)),
+		duration: hierarchy.ParentSlowStartFor,
+	}
+	return c
+}
+
+// zoneRouters is how many routers share the caches of this router's zone.
+func (s *Settings) zoneRouters() int {
+	perZone := s.Hierarchy.RoutersByZone
+	if i := slices.Index(s.Zones, s.Zone); i >= 0 && i < len(perZone) && perZone[i] > 0 {
+		return perZone[i]
+	}
+	return max(s.Routers, 1)
+}
+
+// roles gives the role of each kind of endpoint.
+func (s *Settings) roles() map[string]role {
+	roles := map[string]role{}
+	for i, kind := range s.EndpointKinds {
+		switch i {
+		case s.Hierarchy.OriginKind:
+			roles[kind] = roleOrigin
+		case s.Hierarchy.ParentKind:
+			roles[kind] = roleParent
+		default:
+			roles[kind] = roleCache
+		}
+	}
+	return roles
+}
+
+// silenceLimit is half as long again as the longest latency objective.
+func (s *Settings) silenceLimit() (limit int64) {
+	for i := range s.Classes {
+		limit = max(limit, 3*s.Classes[i].LatencyObjective/2)
+	}
+	return limit
+}
+
+// Handle takes one event at the given time and appends the actions that it leads to.
+func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
+	r.now, r.actions = now, actions
+	s, t := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
+	switch e.Kind {
+	case EventEndpoints:
+		r.updateEndpoints(e.Scope, e.Endpoints)
+	case EventRequest:
+		r.openRequest(&e)
+	case EventLocalHit: // answered from copies of the router's own
+		r.countRequest(hash(e.Object, uint64(e.Part)))
+	case EventAttemptEnded:
+		r.endAttempt(&e, s, t)
+	case EventResponseStarted:
+		r.observe(s, signalAnswered)
+		r.advance(t, inputStarted)
+	case EventClientGone:
+		r.advance(t, inputFinal)
+	case EventHealthCheck:
+		r.observeHealthCheck(s, e.Outcome)
+	case EventPurge:
+		r.notePurge(e.Object, e.Group, e.Age)
+	case EventSlowStartHold:
+		r.slowStartHoldUntil = e.HoldUntil
+	case EventOtherGeneration:
+		r.setOtherInFlight(e.InFlight)
+	case EventTimer:
+		r.timerSet = false
+		r.sweep()
+	}
+	r.setTimer()
+	return r.actions
+}
+
+func (r *Router) do(a Action) { r.actions = append(r.actions, a) }
--- /dev/null
+++ b/internal/policy/samples.go
@@ -0,0 +1,67 @@
+package policy
+
+import "slices"
+
+// sample says of one attempt that ended whether it counts against its endpoint.
+type sample struct {
+	at  int64
+	bad bool
+}
+
+const (
+	// minSamples is how many samples a share is taken of at least: with fewer a quarter of them is often chance.
+	minSamples = 16
+	// sampleWindow is the time within which all samples count, so that a short burst does not decide alone at
+	// high rates.
+	sampleWindow = 250 * millisecond
+)
+
+// addSample appends a sample and drops those that no share needs any more.
+func addSample(samples []sample, now int64, bad bool) []sample {
+	for len(samples) >= minSamples && samples[0].at <= now-sampleWindow {
+		samples = slices.Delete(samples, 0, 1)
+	}
+	return append(samples, sample{now, bad})
+}
+
+// countBad counts the samples of the window, and older ones until there are least of them.
+func countBad(samples []sample, now int64, least int) (bad, all int) {
+	for i := len(samples) - 1; i >= 0 && (all < least || samples[i].at > now-sampleWindow); i-- {
+		all++
+		if samples[i].bad {
+			bad++
+		}
+	}
+	return bad, all
+}
+
+// maxRecent bounds a list of recent values: enough for a distribution, few enough to follow a change in seconds.
+const maxRecent = 32
+
+// addRecent appends a value to a list of the last maxRecent.
+func addRecent[T any](values []T, v T) []T {
+	if len(values) >= maxRecent {
+		values = slices.Delete(values, 0, 1)
+	}
+	return append(values, v)
+}
+
+// mean gives the mean of values, or a default where there are none.
+func mean(values []int64, without int64) int64 {
+	if len(values) == 0 {
+		return without
+	}
+	sum := int64(0)
+	for _, v := range values {
+		sum += v
+	}
+	return sum / int64(len(values))
+}
+
+func variance(values []int64) float64 {
+	middle, sum := float64(mean(values, 0)), 0.0
+	for _, v := range values {
+		sum += (float64(v) - middle) * (float64(v) - middle)
+	}
+	return sum / float64(max(len(values), 1))
+}
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -5,58 +5,59 @@
 	"slices"
 )
 
-// Snapshot is what an instance has learned, for one that takes its place in the same second: the sketch, the
-// lists, limits, rests, what cold servers were sent, purges. It decides nothing. Open txns stay where they are.
-// Times are those of Handle; fields that an earlier text did not have are zero.
+// Snapshot is what a Router has learned, for one that takes its place at once: how popular objects are, what
+// caches keep, limits, ejections, slow-start reservations and purges. Open requests are not in it. Times are those
+// of Handle. Routers of different versions exchange it: fields are only added, and those that the writer does not
+// know are zero.
 type Snapshot struct {
-	SketchRows         [4][]uint64              `cbor:"1,keyasint"`
-	SketchDoorkeeper   []uint64                 `cbor:"2,keyasint"`
-	SketchSample       int                      `cbor:"3,keyasint"`
-	NextHalving        int64                    `cbor:"4,keyasint,omitempty"`
-	Endpoints          []EndpointSnapshot       `cbor:"5,keyasint"`
-	BypassLimiters     [3]LimiterSnapshot       `cbor:"6,keyasint"`
-	TransferTimes      map[string]TransferTimes `cbor:"7,keyasint,omitempty"`
-	FillFailures       []SampleSnapshot         `cbor:"8,keyasint,omitempty"`
-	Priorities         []float64                `cbor:"9,keyasint,omitempty"`
-	Purges             []PurgeSnapshot          `cbor:"10,keyasint,omitempty"`
-	SlowStartHoldUntil int64                    `cbor:"11,keyasint,omitempty"`
-	Extra              map[string][]byte        `cbor:"12,keyasint,omitempty"` // of later texts
-}
-
-// TransferTimes are sending times of a rule's last txns.
+	SketchRows         [4][]uint64                   `cbor:"1,keyasint"`
+	SketchDoorkeeper   []uint64                      `cbor:"2,keyasint"`
+	SketchSample       int                           `cbor:"3,keyasint"`
+	NextHalving        int64                         `cbor:"4,keyasint,omitempty"`
+	Endpoints          []EndpointSnapshot            `cbor:"5,keyasint"`
+	BypassLimiters     [attemptKinds]LimiterSnapshot `cbor:"6,keyasint"`
+	TransferTimes      map[string]TransferTimes      `cbor:"7,keyasint,omitempty"`
+	FillFailures       []SampleSnapshot              `cbor:"8,keyasint,omitempty"`
+	Priorities         []float64                     `cbor:"9,keyasint,omitempty"`
+	Purges             []PurgeSnapshot               `cbor:"10,keyasint,omitempty"`
+	SlowStartHoldUntil int64                         `cbor:"11,keyasint,omitempty"`
+	Extra              map[string][]byte             `cbor:"12,keyasint,omitempty"` // of later versions
+}
+
+// TransferTimes are those of a traffic class's last requests.
 type TransferTimes []int64
 
-// EndpointSnapshot is what is known of a server.
+// EndpointSnapshot is what is known of an endpoint.
 type EndpointSnapshot struct {
-	ID               string             `cbor:"1,keyasint"`
-	StartedAt        int64              `cbor:"2,keyasint,omitempty"`
-	Health           uint8              `cbor:"3,keyasint"`
-	DueAt            int64              `cbor:"4,keyasint,omitempty"`
-	Ejections        int64              `cbor:"5,keyasint,omitempty"`
-	ReservedAt       []int64            `cbor:"6,keyasint,omitempty"`  // when work was sent to it while cold ...
-	ReservedWork     []int64            `cbor:"7,keyasint,omitempty"`  // ... how much ...
-	ReservedVariance []float64          `cbor:"12,keyasint,omitempty"` // ... and the variance of that
-	LinkUse          float64            `cbor:"8,keyasint,omitempty"`
-	SourceSamples    []SampleSnapshot   `cbor:"9,keyasint,omitempty"`
-	CachedObjects    []uint64           `cbor:"10,keyasint,omitempty"`
-	Limiters         [3]LimiterSnapshot `cbor:"11,keyasint"`
-}
-
-// LimiterSnapshot is a limit with its last hops.
+	ID               string                        `cbor:"1,keyasint"`
+	StartedAt        int64                         `cbor:"2,keyasint,omitempty"`
+	Health           uint8                         `cbor:"3,keyasint"`
+	DueAt            int64                         `cbor:"4,keyasint,omitempty"`
+	Ejections        int64                         `cbor:"5,keyasint,omitempty"`
+	ReservedAt       []int64                       `cbor:"6,keyasint,omitempty"`  // when work was sent to it in slow start ...
+	ReservedWork     []int64                       `cbor:"7,keyasint,omitempty"`  // ... how much ...
+	ReservedVariance []float64                     `cbor:"12,keyasint,omitempty"` // ... and the variance of that
+	LinkUse          float64                       `cbor:"8,keyasint,omitempty"`
+	SourceSamples    []SampleSnapshot              `cbor:"9,keyasint,omitempty"`
+	CachedObjects    []uint64                      `cbor:"10,keyasint,omitempty"`
+	Limiters         [attemptKinds]LimiterSnapshot `cbor:"11,keyasint"`
+}
+
+// LimiterSnapshot is a concurrency limit with its last attempts.
 type LimiterSnapshot struct {
 	Limit     float64          `cbor:"1,keyasint"`
 	ReducedAt int64            `cbor:"2,keyasint,omitempty"`
 	Samples   []SampleSnapshot `cbor:"3,keyasint,omitempty"`
 }
 
-// SampleSnapshot is how a hop ended.
+// SampleSnapshot is how an attempt ended.
 type SampleSnapshot struct {
 	_   struct{} `cbor:",toarray"`
 	At  int64
 	Bad bool
 }
 
-// PurgeSnapshot is one that still binds.
+// PurgeSnapshot is a purge that some caches may not have seen.
 type PurgeSnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Object string
@@ -64,145 +65,195 @@
 	At     int64
 }
 
-func ends(list []end) (out []SampleSnapshot) {
-	for _, e := range list {
-		out = append(out, SampleSnapshot{At: e.at, Bad: e.bad})
+// Bounds on what is taken over: what a Router can hold itself, with room to spare.
+const (
+	maxSnapshotSamples   = 4096 // of a list
+	maxSnapshotEndpoints = 20_000
+	maxSnapshotPurges    = 65_536
+)
+
+// ErrSnapshot says that a snapshot has another shape, and that nothing of it was taken over.
+var ErrSnapshot = errors.New("learned state of another shape")
+
+// Snapshot gives what the Router has learned. It shares no memory with it.
+func (r *Router) Snapshot() *Snapshot {
+	s := &Snapshot{
+		SketchDoorkeeper:   slices.Clone(r.popularity.door[:]),
+		SketchSample:       r.popularity.sample,
+		NextHalving:        r.nextHalving,
+		TransferTimes:      map[string]TransferTimes{},
+		FillFailures:       snapshotSamples(r.fillSamples),
+		Priorities:         slices.Clone(r.priorities),
+		SlowStartHoldUntil: r.slowStartHoldUntil,
 	}
-	return out
+	for i := range r.popularity.rows {
+		s.SketchRows[i] = slices.Clone(r.popularity.rows[i][:])
+	}
+	for i := range r.bypassLimiters {
+		s.BypassLimiters[i] = r.bypassLimiters[i].snapshot()
+	}
+	for _, e := range r.ordered {
+		s.Endpoints = append(s.Endpoints, e.snapshot())
+	}
+	for name, class := range r.classes {
+		if len(class.transferTimes) > 0 {
+			s.TransferTimes[name] = slices.Clone(class.transferTimes)
+		}
+	}
+	for _, p := range r.purges {
+		s.Purges = append(s.Purges, PurgeSnapshot{Object: p.object, Group: p.group, At: p.at})
+	}
+	return s
 }
 
-func unends(list []SampleSnapshot) (out []end) {
-	for _, e := range list[max(len(list)-mostEnds, 0):] {
-		out = append(out, end{e.At, e.Bad})
+func (s *endpoint) snapshot() EndpointSnapshot {
+	out := EndpointSnapshot{
+		ID:            s.id,
+		StartedAt:     s.startedAt,
+		Health:        uint8(s.health),
+		DueAt:         s.healthDue,
+		Ejections:     s.ejections,
+		LinkUse:       s.linkUse,
+		SourceSamples: snapshotSamples(s.fillSamples),
+		CachedObjects: slices.Clone(s.cached),
+	}
+	for _, p := range s.reservations {
+		out.ReservedAt = append(out.ReservedAt, p.at)
+		out.ReservedWork = append(out.ReservedWork, p.work)
+		out.ReservedVariance = append(out.ReservedVariance, p.variance)
+	}
+	for i := range s.ownLimiters {
+		out.Limiters[i] = s.ownLimiters[i].snapshot()
 	}
 	return out
 }
 
-// Bounds on what is taken over: what an instance can hold itself, with room.
-const mostEnds, mostLearned, mostLearnedPurges = 4096, 20_000, 65_536
-
-func (m *room) learned() LimiterSnapshot { return LimiterSnapshot{m.limit, m.cutAt, ends(m.late)} }
+func (m *limiter) snapshot() LimiterSnapshot {
+	return LimiterSnapshot{m.limit, m.reducedAt, snapshotSamples(m.samples)}
+}
 
-func (m *room) take(l LimiterSnapshot) {
-	if l.Limit > 0 { // no later text may hand over that nothing is allowed
-		m.limit, m.cutAt, m.late = l.Limit, l.ReducedAt, unends(l.Samples)
+func snapshotSamples(samples []sample) (out []SampleSnapshot) {
+	for _, s := range samples {
+		out = append(out, SampleSnapshot{At: s.at, Bad: s.bad})
 	}
+	return out
 }
 
-// Snapshot tells what the instance knows. It shares nothing with it.
-func (r *Router) Snapshot() *Snapshot {
-	l := &Snapshot{
-		SketchDoorkeeper: slices.Clone(r.sketch.door[:]), SketchSample: r.sketch.sample, NextHalving: r.halveAt,
-		TransferTimes: map[string]TransferTimes{}, FillFailures: ends(r.failed), Priorities: slices.Clone(r.values), SlowStartHoldUntil: r.holdTill,
-	}
-	for i := range r.sketch.rows {
-		l.SketchRows[i] = slices.Clone(r.sketch.rows[i][:])
-		if i < len(r.beyond) {
-			l.BypassLimiters[i] = r.beyond[i].learned()
-		}
+// Restore takes over what another Router has learned. It is called after the first endpoint list and before the
+// first request. Endpoints that are not listed here, or have started again since, are passed over. A snapshot of
+// another shape gives ErrSnapshot.
+func (r *Router) Restore(s *Snapshot) error {
+	if !r.fits(s) {
+		return ErrSnapshot
 	}
-	for _, s := range r.order {
-		x := EndpointSnapshot{
-			ID: s.id, StartedAt: s.born, Health: uint8(s.health), DueAt: s.due, Ejections: s.rests, LinkUse: s.link, SourceSamples: ends(s.late),
-			CachedObjects: slices.Clone(s.kept),
-		}
-		for _, p := range s.spent {
-			x.ReservedAt, x.ReservedWork, x.ReservedVariance = append(x.ReservedAt, p.at), append(x.ReservedWork, p.work), append(x.ReservedVariance, p.vary)
-		}
-		for i := range s.own {
-			x.Limiters[i] = s.own[i].learned()
-		}
-		l.Endpoints = append(l.Endpoints, x)
+	for i := range s.SketchRows {
+		copy(r.popularity.rows[i][:], s.SketchRows[i])
+	}
+	copy(r.popularity.door[:], s.SketchDoorkeeper)
+	r.popularity.sample = max(s.SketchSample, 0)
+	r.nextHalving = s.NextHalving
+	r.slowStartHoldUntil = max(s.SlowStartHoldUntil, r.slowStartHoldUntil)
+	for i := range r.bypassLimiters {
+		r.bypassLimiters[i].restore(&s.BypassLimiters[i])
 	}
-	for name, k := range r.rules {
-		if len(k.works) > 0 {
-			l.TransferTimes[name] = slices.Clone(k.works)
+	for i := range s.Endpoints {
+		r.restoreEndpoint(&s.Endpoints[i])
+	}
+	for name, times := range s.TransferTimes {
+		if class := r.classes[name]; class != nil {
+			class.transferTimes = slices.Clone(last(times, maxRecent))
 		}
 	}
-	for _, p := range r.purges {
-		l.Purges = append(l.Purges, PurgeSnapshot{Object: p.object, Group: p.group, At: p.at})
+	r.fillSamples = restoreSamples(s.FillFailures)
+	r.priorities = slices.Clone(last(s.Priorities, maxRecent))
+	for _, p := range s.Purges {
+		r.purges = append(r.purges, purge{p.Object, p.Group, p.At})
 	}
-	return l
+	return nil
 }
 
-// ErrSnapshot says that what was handed over has another shape, and that nothing of it was taken.
-var ErrSnapshot = errors.New("learned state of another shape")
-
-// Restore takes over what another instance knew, after the list and before the first txn. Servers that are not
-// listed here are passed over; a later birth here stays.
-func (r *Router) Restore(l *Snapshot) error {
-	if len(l.SketchDoorkeeper) != len(r.sketch.door) || len(l.Endpoints) > mostLearned || len(l.Purges) > mostLearnedPurges {
-		return ErrSnapshot
-	}
-	for i := range l.SketchRows {
-		if len(l.SketchRows[i]) != len(r.sketch.rows[i]) {
-			return ErrSnapshot
+// fits tells whether a snapshot has the shape of this Router's state.
+func (r *Router) fits(s *Snapshot) bool {
+	for i := range s.SketchRows {
+		if len(s.SketchRows[i]) != len(r.popularity.rows[i]) {
+			return false
 		}
 	}
-	for i := range l.SketchRows {
-		copy(r.sketch.rows[i][:], l.SketchRows[i])
+	return len(s.SketchDoorkeeper) == len(r.popularity.door) && len(s.Endpoints) <= maxSnapshotEndpoints &&
+		len(s.Purges) <= maxSnapshotPurges
+}
+
+func (r *Router) restoreEndpoint(from *EndpointSnapshot) {
+	s := r.endpoints[from.ID]
+	if s == nil || s.startedAt > from.StartedAt {
+		return
 	}
-	copy(r.sketch.door[:], l.SketchDoorkeeper)
-	r.sketch.sample, r.halveAt, r.holdTill = max(l.SketchSample, 0), l.NextHalving, max(l.SlowStartHoldUntil, r.holdTill)
-	for i := range r.beyond {
-		r.beyond[i].take(l.BypassLimiters[i])
+	switch h := health(from.Health); h {
+	case healthy, suspect, ejected, probation:
+		s.health = h
 	}
-	for _, x := range l.Endpoints {
-		s := r.servers[x.ID]
-		if s == nil || s.born > x.StartedAt {
-			continue
-		}
-		switch h := health(x.Health); h {
-		case up, doubt, down, trial:
-			s.health = h
-		}
-		s.due, s.rests, s.link, s.late = x.DueAt, min(max(x.Ejections, 0), 8), x.LinkUse, unends(x.SourceSamples)
-		s.kept = slices.Clone(x.CachedObjects[max(len(x.CachedObjects)-r.listCap, 0):])
-		for i := range min(len(x.ReservedWork), len(x.ReservedAt), mostEnds) {
-			p := spend{at: x.ReservedAt[i], work: x.ReservedWork[i]}
-			if i < len(x.ReservedVariance) { // a text of before tells none
-				p.vary = x.ReservedVariance[i]
-			}
-			s.spent = append(s.spent, p)
-		}
-		for i := range s.own {
-			s.own[i].take(x.Limiters[i])
+	s.healthDue = from.DueAt
+	s.ejections = min(max(from.Ejections, 0), maxEjections)
+	s.linkUse = from.LinkUse
+	s.fillSamples = restoreSamples(from.SourceSamples)
+	s.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
+	for i := range min(len(from.ReservedWork), len(from.ReservedAt), maxSnapshotSamples) {
+		p := reservation{at: from.ReservedAt[i], work: from.ReservedWork[i]}
+		if i < len(from.ReservedVariance) { // earlier versions give none
+			p.variance = from.ReservedVariance[i]
 		}
+		s.reservations = append(s.reservations, p)
 	}
-	for name, w := range l.TransferTimes {
-		if k := r.rules[name]; k != nil {
-			k.works = slices.Clone([]int64(w[max(len(w)-keepSamples, 0):]))
-		}
+	for i := range s.ownLimiters {
+		s.ownLimiters[i].restore(&from.Limiters[i])
 	}
-	r.failed, r.values = unends(l.FillFailures), slices.Clone(l.Priorities[max(len(l.Priorities)-keepSamples, 0):])
-	for _, p := range l.Purges {
-		r.purges = append(r.purges, purge{p.Object, p.Group, p.At})
+}
+
+// restore takes a limit over. One of zero is passed over: nothing would be sent, and the limit would never rise.
+func (m *limiter) restore(from *LimiterSnapshot) {
+	if from.Limit > 0 {
+		m.limit, m.reducedAt, m.samples = from.Limit, from.ReducedAt, restoreSamples(from.Samples)
 	}
-	return nil
 }
 
-// InFlight tells the hops that are out, by server and kind; those that pass the caches by stand under "".
-func (r *Router) InFlight() map[string][3]float64 {
-	out := map[string][3]float64{}
-	for _, s := range r.order {
-		if n := [3]float64{s.own[0].out, s.own[1].out, s.own[2].out}; n != [3]float64{} {
-			out[s.id] = n
+func restoreSamples(from []SampleSnapshot) (out []sample) {
+	for _, s := range last(from, maxSnapshotSamples) {
+		out = append(out, sample{s.At, s.Bad})
+	}
+	return out
+}
+
+// last gives the last elements of a list, at most so many.
+func last[T any](list []T, most int) []T { return list[max(len(list)-most, 0):] }
+
+// InFlight gives the attempts in flight, by endpoint and kind. Those that pass the caches stand under "".
+func (r *Router) InFlight() map[string][attemptKinds]float64 {
+	out := map[string][attemptKinds]float64{}
+	add := func(id string, limiters *[attemptKinds]limiter) {
+		var counts [attemptKinds]float64
+		for i := range limiters {
+			counts[i] = limiters[i].inFlight
+		}
+		if counts != [attemptKinds]float64{} {
+			out[id] = counts
 		}
 	}
-	if n := [3]float64{r.beyond[0].out, r.beyond[1].out, r.beyond[2].out}; n != [3]float64{} {
-		out[""] = n
+	for _, s := range r.ordered {
+		add(s.id, &s.ownLimiters)
 	}
+	add("", &r.bypassLimiters)
 	return out
 }
 
-// beside takes the hops that the other generation of this router has out: its limits are for both together.
-func (r *Router) beside(outs map[string][3]float64) {
-	for i := range r.beyond {
-		r.beyond[i].beside = outs[""][i]
+// setOtherInFlight takes in the attempts that the other process of this router has in flight, while one takes the
+// other's place: the limits are for both together.
+func (r *Router) setOtherInFlight(counts map[string][attemptKinds]float64) {
+	for i := range r.bypassLimiters {
+		r.bypassLimiters[i].otherInFlight = counts[""][i]
 	}
-	for _, s := range r.order {
-		for i := range s.own {
-			s.own[i].beside = outs[s.id][i]
+	for _, s := range r.ordered {
+		for i := range s.ownLimiters {
+			s.ownLimiters[i].otherInFlight = counts[s.id][i]
 		}
 	}
 }
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -1,43 +1,55 @@
 package policy
 
-// Settings are the figures an instance is handed when it starts. Times are
-// whole microseconds.
+// Settings are what a Router is started with. Times are whole microseconds.
 type Settings struct {
-	Rank               int // of this router among Siblings
-	Routers            int
-	Zone               string
-	Zones              []string
-	EndpointKinds      []string
-	Classes            []TrafficClass
-	Tenants            []Tenant
-	OverQuotaWeight    float64
-	ClientsMarkRetries bool
-	Discovery          string // "push" or "ask"
-	Contract           Contract
-	Limits             Limits
-	Hierarchy          Hierarchy
-	LoadReport         LoadReport
-	WeightKind         string
-	BatchInterval      int64 // least time between two batches
+	Routers       int      // of all zones
+	Zone          string   // of this router
+	Zones         []string // of the site
+	EndpointKinds []string // names; Hierarchy says which are parents and origin, all others are caches
+	Classes       []TrafficClass
+	Discovery     DiscoveryMode
+	WeightKind    WeightKind
+	Contract      Contract
+	Limits        Limits
+	Hierarchy     Hierarchy
 }
 
-// TrafficClass describes one class of txns.
+// DiscoveryMode says how the endpoint list comes.
+type DiscoveryMode string
+
+// The modes, as settings word them.
+const (
+	DiscoveryPush DiscoveryMode = "push" // unasked
+	DiscoveryPoll DiscoveryMode = "ask"  // after a subscription
+)
+
+// WeightKind says what the weights of the endpoint list are worth.
+type WeightKind string
+
+// WeightLive are weights that follow the load, and so differ from router to router; others are sizes.
+const WeightLive WeightKind = "live"
+
+// ReasonsGiven says which answers of caches carry a Reason.
+type ReasonsGiven string
+
+// ReasonsAll is given where each answer carries one.
+const ReasonsAll ReasonsGiven = "all"
+
+// TrafficClass describes one class of requests.
 type TrafficClass struct {
 	Name             string
 	Effect           Effect
 	DedupGroup       DedupGroup
-	DedupWindow      int64 // how long a group drops repeats
-	LatencyObjective int64
-	ObjectiveStretch float64 // the SLA time grows by this multiple of the sending time
-	Timeout          int64
-	PriorityWeight   float64
-	LateValueShare   float64
-	Streamed         bool
-	FreshFor         int64
-	StaleGrace       int64
-	StaleValueShare  float64
+	DedupWindow      int64   // how long a group recognizes an idempotency key
+	LatencyObjective int64   // within which a response is worth all
+	ObjectiveStretch float64 // the objective grows by this multiple of the transfer time
+	Timeout          int64   // after which clients give up
+	PriorityWeight   float64 // what a response in time is worth
+	LateValueShare   float64 // of that, for one that is late
+	FreshFor         int64   // how old a copy may be; 0: no copies
+	StaleGrace       int64   // by which a stale copy may be older
+	StaleValueShare  float64 // of the worth, for a stale copy
 	Write            bool
-	Parts            bool
 }
 
 // Effect says what a second execution of a request would do.
@@ -60,46 +72,41 @@
 	DedupGroupCell                   // those of a cell in a zone
 )
 
-// Tenant is a customer with a quota over all routers.
-type Tenant struct {
-	Name      string
-	QuotaPerS float64
-	Share     float64
-}
-
-// Contract holds the figures of the rules.
+// Contract holds what the router owes its clients, and what endpoints bear.
 type Contract struct {
-	AnswerSlack, PollInterval, SlowStartFor, DrainGrace, OverloadWindow int64
-	SlowStartFrom, OverloadMultiple                                     float64
+	AnswerSlack      int64   // past a request's time limit, for its answer
+	DrainGrace       int64   // for requests to a drained endpoint
+	SlowStartFor     int64   // how long a cache's slow start lasts
+	SlowStartFrom    float64 // part of its capacity that a cache has at its start
+	OverloadWindow   int64   // within which work is summed
+	OverloadMultiple float64 // of its capacity in a window, that a cache in slow start bears
 }
 
 // Limits says what the site permits.
 type Limits struct {
-	Cancel, PeerMessages, HealthChecks, RetryAfter, Hedging bool
-	MaxAttempts, MaxOpenRequests, StreamsPerConn            int
-	MaxRetryAfter, ConnectTimeout                           int64
+	Cancel          bool // withdrawing attempts
+	HealthChecks    bool
+	RetryAfter      bool // telling rejected clients how long to stay away
+	Hedging         bool // a second attempt while one is in flight
+	MaxAttempts     int
+	MaxOpenRequests int   // 0: any number
+	MaxRetryAfter   int64 // that clients comply with
 }
 
-// Hierarchy describes the tiers behind the caches.
+// Hierarchy describes what is behind the caches.
 type Hierarchy struct {
-	CacheBypass, CoalescesFills bool
-	OriginKind, ParentKind      int
-	StreamKBPerS, LinkPrice     float64
-	ParentSlowStartFrom         float64
-	ParentSlowStartFor          int64
-	ParentOverloadMultiple      float64
-	PurgeSettleTime, PurgeGrace int64
-	PeerFills, ReasonsGiven     string
-	RoutersByZone, HubByZone    []int
-	LinkKBPerS                  []float64
-	OriginOverloadMultiple      float64
-	OriginOverloadWindow        int64
-}
-
-// LoadReport describes load reports.
-type LoadReport struct {
-	How    string // "inline", "on_probe" or "off"
-	Fields []string
+	CacheBypass            bool // requests may go to parents and the origin
+	CoalescesFills         bool // a cache may wait for a fill that is under way
+	OriginKind             int  // index into Settings.EndpointKinds
+	ParentKind             int  // -1: there are none
+	StreamKBPerS           float64
+	ParentSlowStartFrom    float64
+	ParentSlowStartFor     int64
+	ParentOverloadMultiple float64
+	PurgeSettleTime        int64 // within which a purge reaches all caches
+	PurgeGrace             int64 // for responses older than a purge
+	ReasonsGiven           ReasonsGiven
+	RoutersByZone          []int // parallel to Settings.Zones
 }
 
 // EventKind tells which fields of an Event are set.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -82,49 +82,88 @@
 	return v
 }
 
-// PolicySettings turns the object into what the module is handed.
+// PolicySettings gives what the decisions use of the settings object.
 func (s *Setup) PolicySettings() policy.Settings {
-	f, c, l := &s.FamilyInfo, &s.Contract, &s.Limits
 	out := policy.Settings{
-		Rank: s.Rank, Routers: s.Siblings, Zone: s.Zone, Zones: s.Zones, EndpointKinds: s.Kinds,
-		OverQuotaWeight: s.OverShareWorth, ClientsMarkRetries: s.Callers.MarksRetry, Discovery: s.Discovery,
-		WeightKind: s.WeightKind, BatchInterval: Micros(s.RoundMs),
-		Contract: policy.Contract{
-			AnswerSlack: Micros(c.AnswerSlackMs), PollInterval: Micros(c.AskEveryMs), SlowStartFor: Micros(c.ColdMs),
-			DrainGrace: Micros(c.DrainGraceMs), OverloadWindow: Micros(c.FallMs),
-			SlowStartFrom: c.ColdFrom, OverloadMultiple: c.FallMultiple,
-		},
-		Limits: policy.Limits{
-			Cancel: l.Cancel, PeerMessages: l.PeerMessages, HealthChecks: l.Probes, RetryAfter: l.RetryAfter,
-			Hedging: l.SecondCopies, MaxAttempts: l.MostTries, MaxOpenRequests: l.MaxOpen,
-			StreamsPerConn: l.StreamsPerConn, MaxRetryAfter: Micros(l.MaxRetryAfterMs),
-			ConnectTimeout: Micros(l.ConnectTimeoutMs),
-		},
-		Hierarchy: policy.Hierarchy{
-			CacheBypass: f.BypassAllowed, CoalescesFills: f.Collapses, OriginKind: f.MasterKind, ParentKind: -1,
-			StreamKBPerS: f.FlowKbPerS, LinkPrice: f.LinkPrice, ParentSlowStartFrom: f.ParentColdFrom,
-			ParentSlowStartFor: Micros(f.ParentRampMs), ParentOverloadMultiple: f.UpperFallMultiple,
-			PurgeSettleTime: Micros(f.ClearedWithinMs), PurgeGrace: Micros(f.PurgeGraceMs),
-			PeerFills: f.Sideways, ReasonsGiven: f.NotesGiven, RoutersByZone: f.ZoneBalancers,
-			HubByZone: f.HubByZone, LinkKBPerS: f.FeedKbPerS,
-			OriginOverloadMultiple: f.OriginFallMultiple, OriginOverloadWindow: Micros(f.OriginFallMs),
-		},
-		LoadReport: policy.LoadReport{How: s.LoadReport.How, Fields: s.LoadReport.Fields},
+		Routers:       s.Siblings,
+		Zone:          s.Zone,
+		Zones:         s.Zones,
+		EndpointKinds: s.Kinds,
+		Discovery:     policy.DiscoveryMode(s.Discovery),
+		WeightKind:    policy.WeightKind(s.WeightKind),
+		Contract:      s.contract(),
+		Limits:        s.limits(),
+		Hierarchy:     s.hierarchy(),
 	}
-	if f.SecondTierKind != nil {
-		out.Hierarchy.ParentKind = *f.SecondTierKind
+	for i := range s.Classes {
+		out.Classes = append(out.Classes, s.class(i))
 	}
-	for i, k := range s.Classes {
-		out.Classes = append(out.Classes, policy.TrafficClass{
-			Name: k.Name, Effect: effects[k.Effect], DedupGroup: dedupGroups[k.Group], DedupWindow: Micros(k.DedupWindowMs),
-			LatencyObjective: Micros(k.TargetMs), ObjectiveStretch: k.AimStretch, Timeout: Micros(k.GiveUpMs),
-			PriorityWeight: k.Value, LateValueShare: k.LateShare, Streamed: k.Streamed,
-			FreshFor: Micros(at(f.GoodForMs, i)), StaleGrace: Micros(at(f.ClassGraceMs, i)),
-			StaleValueShare: at(f.WorthWhenOld, i), Write: at(f.GoesThrough, i), Parts: at(f.MultiPart, i),
-		})
+	return out
+}
+
+func (s *Setup) contract() policy.Contract {
+	c := &s.Contract
+	return policy.Contract{
+		AnswerSlack:      Micros(c.AnswerSlackMs),
+		DrainGrace:       Micros(c.DrainGraceMs),
+		SlowStartFor:     Micros(c.ColdMs),
+		SlowStartFrom:    c.ColdFrom,
+		OverloadWindow:   Micros(c.FallMs),
+		OverloadMultiple: c.FallMultiple,
 	}
-	for _, t := range s.Tenants {
-		out.Tenants = append(out.Tenants, policy.Tenant{Name: t.Name, QuotaPerS: t.QuotaPerS, Share: t.Portion})
+}
+
+func (s *Setup) limits() policy.Limits {
+	l := &s.Limits
+	return policy.Limits{
+		Cancel:          l.Cancel,
+		HealthChecks:    l.Probes,
+		RetryAfter:      l.RetryAfter,
+		Hedging:         l.SecondCopies,
+		MaxAttempts:     l.MostTries,
+		MaxOpenRequests: l.MaxOpen,
+		MaxRetryAfter:   Micros(l.MaxRetryAfterMs),
+	}
+}
+
+func (s *Setup) hierarchy() policy.Hierarchy {
+	f := &s.FamilyInfo
+	h := policy.Hierarchy{
+		CacheBypass:            f.BypassAllowed,
+		CoalescesFills:         f.Collapses,
+		OriginKind:             f.MasterKind,
+		ParentKind:             -1,
+		StreamKBPerS:           f.FlowKbPerS,
+		ParentSlowStartFrom:    f.ParentColdFrom,
+		ParentSlowStartFor:     Micros(f.ParentRampMs),
+		ParentOverloadMultiple: f.UpperFallMultiple,
+		PurgeSettleTime:        Micros(f.ClearedWithinMs),
+		PurgeGrace:             Micros(f.PurgeGraceMs),
+		ReasonsGiven:           policy.ReasonsGiven(f.NotesGiven),
+		RoutersByZone:          f.ZoneBalancers,
+	}
+	if f.SecondTierKind != nil {
+		h.ParentKind = *f.SecondTierKind
+	}
+	return h
+}
+
+// class gives a traffic class; what FamilyInfo says of classes stands in lists parallel to them.
+func (s *Setup) class(i int) policy.TrafficClass {
+	k, f := &s.Classes[i], &s.FamilyInfo
+	return policy.TrafficClass{
+		Name:             k.Name,
+		Effect:           effects[k.Effect],
+		DedupGroup:       dedupGroups[k.Group],
+		DedupWindow:      Micros(k.DedupWindowMs),
+		LatencyObjective: Micros(k.TargetMs),
+		ObjectiveStretch: k.AimStretch,
+		Timeout:          Micros(k.GiveUpMs),
+		PriorityWeight:   k.Value,
+		LateValueShare:   k.LateShare,
+		FreshFor:         Micros(at(f.GoodForMs, i)),
+		StaleGrace:       Micros(at(f.ClassGraceMs, i)),
+		StaleValueShare:  at(f.WorthWhenOld, i),
+		Write:            at(f.GoesThrough, i),
 	}
-	return out
 }
