--- a/internal/http1/http1_test.go
+++ b/internal/http1/message_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-var bounds = Limits{MaxBytes: 1000, MaxFields: 5, MaxBody: 100}
+var limits = Limits{MaxBytes: 1000, MaxFields: 5, MaxBody: 100}
 
 func read(text string) (*Head, error) {
-	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 512), bounds)
+	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 512), limits)
 }
 
-func TestRequest(t *testing.T) {
+func TestRequestIsRead(t *testing.T) {
 	h, err := read("PUT /rpc/a/b HTTP/1.1\r\nHost: x\r\nX-Txn:  7 \r\nContent-Length: 3\r\nConnection: foo, Close\r\n\r\nabc")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestMalformedRequestsHaveAStatus(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET /\r\n\r\n":                                                                      400,
 		"GET / HTTP/1.1 x\r\n\r\n":                                                           400,
@@ -45,36 +45,36 @@
 		"GET / HTTP/1.1\r\n" + strings.Repeat("A: "+strings.Repeat("b", 400)+"\r\n", 3) + "": 431,
 	} {
 		_, err := read(text)
-		var fault *Error
-		if !errors.As(err, &fault) || fault.Status != status {
+		var httpError *Error
+		if !errors.As(err, &httpError) || httpError.Status != status {
 			t.Errorf("%.60q: %v, want %d", text, err, status)
 		}
 	}
 }
 
-func TestHalfARequestIsNoFault(t *testing.T) {
+func TestHalfARequestIsNoHTTPError(t *testing.T) {
 	for _, text := range []string{"", "GET / HT", "GET / HTTP/1.1\r\nHost: x\r\n"} {
 		_, err := read(text)
-		var fault *Error
-		if err == nil || errors.As(err, &fault) {
+		var httpError *Error
+		if err == nil || errors.As(err, &httpError) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-func TestResponse(t *testing.T) {
-	h, err := ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")), bounds)
+func TestResponseIsRead(t *testing.T) {
+	h, err := ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")), limits)
 	if err != nil || h.Status != 200 || h.ContentLength != 2 {
 		t.Fatalf("%+v, %v", h, err)
 	}
 	for _, text := range []string{"HTTP/1.1 abc\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "\r\n\r\n"} {
-		if _, err := ReadResponse(bufio.NewReader(strings.NewReader(text)), bounds); err == nil {
+		if _, err := ReadResponse(bufio.NewReader(strings.NewReader(text)), limits); err == nil {
 			t.Errorf("%q passes", text)
 		}
 	}
 }
 
-func TestAppendResponse(t *testing.T) {
+func TestResponseIsWritten(t *testing.T) {
 	got := string(AppendResponse(nil, 304, 0, true, Field{"ETag", `"x"`}))
 	if want := "HTTP/1.1 304 Not Modified\r\nConnection: close\r\nETag: \"x\"\r\n\r\n"; got != want {
 		t.Errorf("%q", got)
@@ -84,13 +84,13 @@
 	}
 }
 
-// FuzzRequest looks for panics and for heads that break the bounds.
-func FuzzRequest(f *testing.F) {
+// FuzzReadRequest looks for panics and for heads that break the limits.
+func FuzzReadRequest(f *testing.F) {
 	f.Add("GET /rpc/a/b HTTP/1.1\r\nHost: x\r\nX-Txn: 0123456789abcdef\r\n\r\n")
 	f.Add("PUT / HTTP/1.0\r\nContent-Length: 100\r\nExpect: 100-continue\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		h, err := read(text)
-		if err == nil && (h.ContentLength < 0 || h.ContentLength > bounds.MaxBody || len(h.Fields) > bounds.MaxFields || h.Target == "") {
+		if err == nil && (h.ContentLength < 0 || h.ContentLength > limits.MaxBody || len(h.Fields) > limits.MaxFields || h.Target == "") {
 			t.Fatalf("%+v", h)
 		}
 	})
--- /dev/null
+++ b/internal/http1/read.go
@@ -0,0 +1,172 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+const (
+	version10 = "HTTP/1.0"
+	version11 = "HTTP/1.1"
+)
+
+// ReadRequest reads a request up to its body. Every line must fit into r's
+// buffer. What is wrong with the request is an *Error.
+func ReadRequest(r *bufio.Reader, limits Limits) (*Head, error) {
+	left := limits.MaxBytes
+	line, err := readLine(r, &left)
+	if err != nil {
+		return nil, err
+	}
+	head, version, err := parseRequestLine(string(line))
+	if err != nil {
+		return nil, err
+	}
+	if err := head.readFields(r, limits, &left); err != nil {
+		return nil, err
+	}
+	head.ContentLength = max(head.ContentLength, 0)
+	if _, found := head.Get("host"); !found && version == version11 {
+		return nil, &Error{http.StatusBadRequest, "no Host"}
+	}
+	return head, nil
+}
+
+func parseRequestLine(line string) (head *Head, version string, err error) {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" {
+		return nil, "", &Error{http.StatusBadRequest, "malformed request line"}
+	}
+	head = &Head{Method: parts[0], Target: parts[1]}
+	version = parts[2]
+	switch version {
+	case version11:
+	case version10:
+		head.Close = true
+	default:
+		return nil, "", &Error{http.StatusHTTPVersionNotSupported, "unknown version"}
+	}
+	for _, c := range []byte(head.Target) {
+		if c <= ' ' || c >= 0x7f {
+			return nil, "", &Error{http.StatusBadRequest, "malformed target"}
+		}
+	}
+	return head, version, nil
+}
+
+// ReadResponse reads a response up to its body, with the same bounds and errors.
+func ReadResponse(r *bufio.Reader, limits Limits) (*Head, error) {
+	left := limits.MaxBytes
+	line, err := readLine(r, &left)
+	if err != nil {
+		return nil, err
+	}
+	version, rest, _ := strings.Cut(string(line), " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.ParseUint(code, 10, 16)
+	if err != nil || len(code) != 3 || version != version11 && version != version10 {
+		return nil, &Error{http.StatusBadGateway, "malformed status line"}
+	}
+	head := &Head{Status: int(status), Close: version == version10}
+	return head, head.readFields(r, limits, &left)
+}
+
+// readLine reads one line without its end and takes its length off what is left
+// for the head.
+func readLine(r *bufio.Reader, left *int) ([]byte, error) {
+	line, err := r.ReadSlice('\n')
+	*left -= len(line)
+	if errors.Is(err, bufio.ErrBufferFull) || *left < 0 {
+		return nil, &Error{http.StatusRequestHeaderFieldsTooLarge, "header too long"}
+	}
+	if err != nil {
+		return nil, err
+	}
+	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
+}
+
+func (h *Head) readFields(r *bufio.Reader, limits Limits, left *int) error {
+	h.ContentLength = -1
+	for {
+		line, err := readLine(r, left)
+		if err != nil {
+			return err
+		}
+		if len(line) == 0 {
+			if h.Chunked && h.ContentLength >= 0 {
+				return &Error{http.StatusBadGateway, "chunks and a length"}
+			}
+			return nil
+		}
+		name, value, ok := strings.Cut(string(line), ":")
+		if !ok || !isToken(name) {
+			return &Error{http.StatusBadRequest, "malformed header"}
+		}
+		if len(h.Fields) >= limits.MaxFields {
+			return &Error{http.StatusRequestHeaderFieldsTooLarge, "too many headers"}
+		}
+		field := Field{strings.ToLower(name), strings.Trim(value, " \t")}
+		if strings.ContainsFunc(field.Value, isForbiddenInValue) {
+			return &Error{http.StatusBadRequest, "malformed header"}
+		}
+		h.Fields = append(h.Fields, field)
+		if err := h.applyFraming(field, limits.MaxBody); err != nil {
+			return err
+		}
+	}
+}
+
+func isForbiddenInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+
+// applyFraming takes in what a field says of the message's body and end.
+func (h *Head) applyFraming(field Field, maxBody int) error {
+	switch field.Name {
+	case "content-length":
+		return h.setContentLength(field.Value, maxBody)
+	case "transfer-encoding":
+		// Clients of the protocol give lengths; a server may answer in chunks.
+		if h.Status == 0 || h.Chunked || !strings.EqualFold(field.Value, "chunked") {
+			return &Error{http.StatusNotImplemented, "no transfer encodings here"}
+		}
+		h.Chunked = true
+	case "expect":
+		h.ExpectContinue = strings.EqualFold(field.Value, "100-continue")
+	case "connection":
+		for option := range strings.SplitSeq(strings.ToLower(field.Value), ",") {
+			h.Close = h.Close || strings.Trim(option, " \t") == "close"
+		}
+	}
+	return nil
+}
+
+func (h *Head) setContentLength(value string, maxBody int) error {
+	if value == "" || strings.Trim(value, "0123456789") != "" {
+		return &Error{http.StatusBadRequest, "malformed Content-Length"}
+	}
+	n, err := strconv.ParseUint(value, 10, 31)
+	if err != nil || int(n) > maxBody {
+		return &Error{http.StatusRequestEntityTooLarge, "body too long"}
+	}
+	if h.ContentLength >= 0 && h.ContentLength != int(n) {
+		return &Error{http.StatusBadRequest, "two lengths"}
+	}
+	h.ContentLength = int(n)
+	return nil
+}
+
+// isToken reports whether text can be a method or a field's name (RFC 9110,
+// section 5.6.2).
+func isToken(text string) bool {
+	for _, c := range []byte(text) {
+		isLetter := c|0x20 >= 'a' && c|0x20 <= 'z'
+		isDigit := c >= '0' && c <= '9'
+		if !isLetter && !isDigit && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+			return false
+		}
+	}
+	return text != ""
+}
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,53 +1,60 @@
-// Package stall tells what was read from a socket just after the process stood
-// still: a stopped process, a machine that was paused, a core that others had. Its
-// clients counted their time meanwhile, and nobody can tell which of the bytes
-// that wait came first. It decides only; ticks and times come from outside.
+// Package stall detects that the process was stopped for a while, as by a paused
+// machine or a core that others had, and bounds how long what is read from a
+// socket afterwards may have waited in its buffer. Clients count that time, too,
+// and nobody can tell which of the waiting bytes came first.
+//
+// The package decides only: ticks and times come from outside, in microseconds
+// of a steady clock.
 package stall
 
 import "sync"
 
 const (
-	// TickIntervalMicros is how often Tick wants to be called, microseconds.
+	// TickIntervalMicros is how often Tick is to be called, in microseconds.
 	TickIntervalMicros = 20_000
-	// least is what counts as standing still: five ticks, more than a busy core
-	// keeps a goroutine waiting.
-	least = 100_000
-	// BufferDrainMicros is how long after it what is read may have waited meanwhile: all that
-	// is in the sockets' buffers is read by then.
+
+	// BufferDrainMicros is how long after a stall, in microseconds, what is read
+	// may have waited during it: by then the sockets' buffers have been read.
 	BufferDrainMicros = 100_000
+
+	// minStallMicros is what counts as a stall: five ticks, more than a busy core
+	// keeps a goroutine waiting.
+	minStallMicros = 5 * TickIntervalMicros
 )
 
-// Detector remembers when the process stood still last. Its zero is not ready: call
-// Tick first.
+// Detector remembers the last stall. It may be used from any goroutine. Before
+// the first Tick it knows of none.
 type Detector struct {
-	mu   sync.Mutex
-	last int64 // tick
-	gap  int64 // of the last standstill
-	woke int64
+	mu        sync.Mutex
+	lastTick  int64
+	lastStall int64 // how long it was
+	stallEnd  int64 // when it was noticed
 }
 
-// Tick tells that the process runs.
-func (w *Detector) Tick(now int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.last > 0 && now-w.last > least {
-		w.gap, w.woke = now-w.last, now
+// Tick says that the process runs.
+func (d *Detector) Tick(now int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.lastTick > 0 && now-d.lastTick > minStallMicros {
+		d.lastStall = now - d.lastTick
+		d.stallEnd = now
 	}
-	w.last = now
+	d.lastTick = now
 }
 
-// MaxWaitMicros is how long what is read now may have waited for the process at most;
-// 0: it did not stand still lately. All are microseconds of a steady clock.
-func (w *Detector) MaxWaitMicros(now int64) int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// MaxWaitMicros is how long, in microseconds, what is read now may have waited at
+// most; 0: there was no stall lately.
+func (d *Detector) MaxWaitMicros(now int64) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	sinceTick, sinceStall := now-d.lastTick, now-d.stallEnd
 	switch {
-	case w.last == 0:
+	case d.lastTick == 0:
 		return 0
-	case now-w.last > least: // reading is ahead of the first tick
-		return now - w.last
-	case w.gap > 0 && now-w.woke < BufferDrainMicros:
-		return max(w.gap+now-w.woke, 0) // 0: it was read before the process stood still
+	case sinceTick > minStallMicros: // reading is ahead of the first tick
+		return sinceTick
+	case d.lastStall > 0 && sinceStall < BufferDrainMicros:
+		return max(d.lastStall+sinceStall, 0) // 0: it was read before the stall
 	}
 	return 0
 }
