--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"quilldoor/internal/bufferpool"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8080","seed":"8c1f30d27a5be964","board":"127.0.0.1:2379","unknown":1,
+const valid = `{"name":"n3","listen":"127.0.0.1:8080","seed":"8c1f30d27a5be964","board":"127.0.0.1:2379","unknown":1,
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "settings":{"Zone":"z","Kinds":["box","origin"],"Siblings":1,"FamilyInfo":{"MasterKind":1,"PurgeGraceMs":200},
   "Contract":{"DrainGraceMs":500},"Limits":{"ConnectTimeoutMs":400,"ConnIdleMs":15000,"StreamsPerConn":32},
@@ -26,8 +26,8 @@
 	return Load(Overrides{File: path}, func(name string) string { return env[name] })
 }
 
-func TestGoodConfiguration(t *testing.T) {
-	c, err := load(t, good, map[string]string{"LB_NAME": "other", "LB_CONFIG": "/nowhere"})
+func TestConfigurationIsCompleted(t *testing.T) {
+	c, err := load(t, valid, map[string]string{"LB_NAME": "other", "LB_CONFIG": "/nowhere"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	if l.MaxClients < 1024/3 || l.MaxClients+l.MaxUpstreamConns > 900 || l.MemoryBytes+0 >= 192<<20 {
 		t.Fatalf("%d clients, %d upstream, %d bytes", l.MaxClients, l.MaxUpstreamConns, l.MemoryBytes)
 	}
-	// A hop that waits longer for its connection could be written past the graces.
+	// An attempt that waits longer for its connection could be written past the graces.
 	if l.ConnectTimeout != 150*time.Millisecond {
 		t.Fatalf("connect %v with a grace of 200 ms", l.ConnectTimeout)
 	}
@@ -47,7 +47,7 @@
 // A router with 48 MB once refused to start; what it may hold must follow.
 func TestLimitsFollowMemory(t *testing.T) {
 	for _, sockets := range []string{"256", "1024"} {
-		text := strings.Replace(strings.Replace(good, "192", "32", 1), "1024", sockets, 1)
+		text := strings.Replace(strings.Replace(valid, "192", "32", 1), "1024", sockets, 1)
 		c, err := load(t, text, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestFaultsNameTheKey(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name":"n3",`, ``, "name: missing"},
 		{`"n3"`, `5`, "name: number where a text is wanted"},
@@ -84,8 +84,8 @@
 		{`"Siblings":1`, `"Tenants":[{"Name":"t"}]`, "settings.Tenants: "},
 		{`"Siblings":1`, `"Siblings":"one"`, "settings.Siblings: string where a number"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if !json.Valid([]byte(text)) || text == good {
+		text := strings.Replace(valid, c.old, c.new, 1)
+		if !json.Valid([]byte(text)) || text == valid {
 			t.Fatalf("bad case %q", c.new)
 		}
 		if _, err := load(t, text, nil); err == nil || !strings.Contains(err.Error(), c.want) {
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,91 @@
+package config
+
+import (
+	"fmt"
+
+	"quilldoor/internal/cacheproto"
+	"quilldoor/internal/settings"
+)
+
+// maxClassMillis bounds a traffic class's objective and timeout.
+const maxClassMillis = 60e3
+
+// checkSettings rejects what the router can't work with, or what the protocols
+// on sockets have no form for.
+func checkSettings(s *settings.Setup) error {
+	switch {
+	case len(s.Classes) == 0:
+		return keyError{"settings.Classes", "missing or empty"}
+	case len(s.Kinds) == 0:
+		return keyError{"settings.Kinds", "missing or empty"}
+	case s.Zone == "":
+		return keyError{"settings.Zone", "missing"}
+	case len(s.Tenants) > 0:
+		return keyError{"settings.Tenants", "the protocol has no field that names a request's tenant"}
+	case !isIndex(s.FamilyInfo.MasterKind, len(s.Kinds)):
+		return keyError{"settings.FamilyInfo.MasterKind", "not a place in Kinds"}
+	case s.FamilyInfo.SecondTierKind != nil && !isIndexOrNone(*s.FamilyInfo.SecondTierKind, len(s.Kinds)):
+		return keyError{"settings.FamilyInfo.SecondTierKind", "not a place in Kinds"}
+	}
+	if err := checkNotNegative(s); err != nil {
+		return err
+	}
+	for i := range s.Classes {
+		if err := checkClass(fmt.Sprintf("settings.Classes[%d].", i), &s.Classes[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func isIndex(i, length int) bool { return i >= 0 && i < length }
+
+func isIndexOrNone(i, length int) bool { return i == -1 || isIndex(i, length) }
+
+func checkNotNegative(s *settings.Setup) error {
+	for _, item := range []struct {
+		key   string
+		value float64
+	}{
+		{"Limits.MostTries", float64(s.Limits.MostTries)},
+		{"Limits.MaxOpen", float64(s.Limits.MaxOpen)},
+		{"Limits.StreamsPerConn", float64(s.Limits.StreamsPerConn)},
+		{"Limits.ConnectTimeoutMs", s.Limits.ConnectTimeoutMs},
+		{"Limits.ConnIdleMs", s.Limits.ConnIdleMs},
+		{"Limits.MaxRetryAfterMs", s.Limits.MaxRetryAfterMs},
+		{"Contract.AnswerSlackMs", s.Contract.AnswerSlackMs},
+		{"Contract.DrainGraceMs", s.Contract.DrainGraceMs},
+		{"Contract.ColdMs", s.Contract.ColdMs},
+		{"Contract.FallMs", s.Contract.FallMs},
+		{"FamilyInfo.ClearedWithinMs", s.FamilyInfo.ClearedWithinMs},
+		{"FamilyInfo.PurgeGraceMs", s.FamilyInfo.PurgeGraceMs},
+		{"Siblings", float64(s.Siblings)},
+	} {
+		if item.value < 0 {
+			return keyError{"settings." + item.key, "negative"}
+		}
+	}
+	return nil
+}
+
+func checkClass(prefix string, class *settings.Class) error {
+	switch {
+	case class.Name == "" || !cacheproto.IsPlain(class.Name):
+		return keyError{prefix + "Name", "not a plain word"}
+	case class.Effect != "safe" && class.Effect != "keyed" && class.Effect != "unsafe":
+		return keyError{prefix + "Effect", fmt.Sprintf("%q is none of safe, keyed, unsafe", class.Effect)}
+	case class.Streamed:
+		return keyError{prefix + "Streamed", "the protocol has no streams"}
+	}
+	if err := checkClassTime(prefix+"TargetMs", class.TargetMs); err != nil {
+		return err
+	}
+	return checkClassTime(prefix+"GiveUpMs", class.GiveUpMs)
+}
+
+func checkClassTime(key string, millis float64) error {
+	if millis <= 0 || millis > maxClassMillis {
+		return keyError{key, fmt.Sprintf("%g is not within 0 and %g", millis, maxClassMillis)}
+	}
+	return nil
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,14 +17,8 @@
 	Rank, Siblings int
 	Zone           string
 	Zones, Kinds   []string
-	Classes        []struct {
-		Name, Effect, Group             string
-		DedupWindowMs, TargetMs         float64
-		GiveUpMs, AimStretch, LateShare float64
-		Value                           float64
-		Streamed                        bool
-	}
-	Tenants []struct {
+	Classes        []Class
+	Tenants        []struct {
 		Name               string
 		QuotaPerS, Portion float64
 	}
@@ -63,6 +57,15 @@
 	RoundMs    float64
 }
 
+// Class is one traffic class.
+type Class struct {
+	Name, Effect, Group             string
+	DedupWindowMs, TargetMs         float64
+	GiveUpMs, AimStretch, LateShare float64
+	Value                           float64
+	Streamed                        bool
+}
+
 var effects = map[string]policy.Effect{
 	"safe":   policy.EffectIdempotent,
 	"keyed":  policy.EffectIdempotencyKey,
