--- a/internal/downstream/client_test.go
+++ b/internal/downstream/client_test.go
@@ -11,7 +11,7 @@
 	"quilldoor/internal/bufferpool"
 )
 
-// pair is a client's end of a connection, and ours as the front has it.
+// pair returns a client's end of a connection, and ours as the server has it.
 func pair(t *testing.T) (theirs *net.TCPConn, ours *client) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,49 +23,52 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sock, err := l.Accept()
+	socket, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		c.Close()
-		sock.Close()
+		socket.Close()
 	})
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c.(*net.TCPConn), newClient(sock)
+	return c.(*net.TCPConn), newClient(socket)
 }
 
-// until waits for what another end does to become visible here.
-func until(t *testing.T, what func() bool) {
+// eventually waits for what the other end does to become visible here.
+func eventually(t *testing.T, visible func() bool) {
 	t.Helper()
 	for range 5000 {
-		if what() {
+		if visible() {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it did not come")
+	t.Fatal("it did not happen")
 }
 
-// A client that had sent on early was once not watched any further: its leaving was
-// seen only at the next read, hops later.
-func TestALeavingClientIsSeenBehindWhatItSent(t *testing.T) {
-	for name, ahead := range map[string]int{"nothing": 0, "half a request": 20, "more than the buffer": 4 * bufferpool.Size} {
+// A client that had sent early was once not watched any further: its leaving was seen
+// only at the next read, attempts later.
+func TestLeavingClientIsSeenBehindWhatItSent(t *testing.T) {
+	for name, ahead := range map[string]int{
+		"nothing":              0,
+		"half a request":       20,
+		"more than the buffer": 4 * bufferpool.Size,
+	} {
 		t.Run(name, func(t *testing.T) {
-			f := newDoor(t, 1, time.Minute)
 			theirs, ours := pair(t)
 			io.WriteString(theirs, "!"+strings.Repeat("x", ahead))
 			if _, err := ours.r.ReadByte(); err != nil {
 				t.Fatal(err)
 			}
-			here := make(chan bool, 1)
-			bell := make(chan struct{}, 1)
-			go func() { here <- f.wait(ours, bell) }()
+			present := make(chan bool, 1)
+			wake := newSignal()
+			go func() { present <- ours.wait(wake) }()
 			theirs.Close()
 			select {
-			case got := <-here:
+			case got := <-present:
 				if got {
-					t.Error("it counts as there")
+					t.Error("it counts as present")
 				}
 			case <-time.After(5 * time.Second):
 				t.Error("its leaving is not seen")
@@ -74,21 +77,20 @@
 	}
 }
 
-// The bell wakes whoever watches a client with a full buffer, too.
-func TestTheBellRingsBehindAFullBuffer(t *testing.T) {
-	f := newDoor(t, 1, time.Minute)
+// The signal wakes whoever watches a client with a full buffer, too.
+func TestSignalWakesBehindAFullBuffer(t *testing.T) {
 	theirs, ours := pair(t)
 	io.WriteString(theirs, strings.Repeat("x", 4*bufferpool.Size))
 	if _, err := ours.r.Peek(bufferpool.Size); err != nil {
 		t.Fatal(err)
 	}
-	bell := make(chan struct{}, 1)
-	here := make(chan bool, 1)
-	go func() { here <- f.wait(ours, bell) }()
-	bell <- struct{}{}
+	wake := newSignal()
+	present := make(chan bool, 1)
+	go func() { present <- ours.wait(wake) }()
+	wake.raise()
 	ours.SetReadDeadline(time.Now())
 	select {
-	case got := <-here:
+	case got := <-present:
 		if !got {
 			t.Error("the client counts as gone")
 		}
@@ -98,156 +100,157 @@
 }
 
 // A request that was read with its client's end behind it was once begun.
-func TestNothingIsBegunForWhoHasLeft(t *testing.T) {
-	d := newDoor(t, 1, time.Minute)
+func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
+	s := newTestServer(t, 1, time.Minute)
 	theirs, ours := pair(t)
-	fmt.Fprintf(theirs, whole, 1)
+	fmt.Fprintf(theirs, requestText, 1)
 	theirs.Close()
-	until(t, func() bool {
-		_, closed := ours.look()
+	eventually(t, func() bool {
+		_, closed := ours.pollSocket()
 		return closed
 	})
-	if d.next(ours) && d.request(ours) {
+	if s.awaitRequest(ours) && s.serveRequest(ours) {
 		t.Error("the connection goes on")
 	}
-	if n := d.RequestCounts().Rejected; n != 0 {
-		t.Errorf("the module was asked for it: %d", n)
+	if n := s.RequestCounts().Rejected; n != 0 {
+		t.Errorf("the policy was asked for it: %d", n)
 	}
 }
 
-// A request that crosses the end of its connection was once sent on: its answer had
+// A request that crosses the end of its connection was once served: its response had
 // nowhere to go.
-func TestNothingIsBegunOnWhatDrainHasShut(t *testing.T) {
-	d := newDoor(t, 1, time.Minute)
+func TestNothingBeginsOnAConnectionThatDrainShut(t *testing.T) {
+	s := newTestServer(t, 1, time.Minute)
 	theirs, ours := pair(t)
-	d.mu.Lock()
-	d.clients[ours] = struct{}{}
-	d.mu.Unlock()
-	if left := d.Drain(0); left != 1 {
+	s.mu.Lock()
+	s.clients[ours] = struct{}{}
+	s.mu.Unlock()
+	if left := s.Drain(0); left != 1 {
 		t.Fatalf("%d clients", left)
 	}
-	fmt.Fprintf(theirs, whole, 1) // it crosses
-	until(t, func() bool {
-		readable, _ := ours.look()
+	fmt.Fprintf(theirs, requestText, 1) // it crosses
+	eventually(t, func() bool {
+		readable, _ := ours.pollSocket()
 		return readable
 	})
-	if d.next(ours) {
+	if s.awaitRequest(ours) {
 		t.Error("the request is read")
 	}
 }
 
-// A connection that goes to rest as it is shut was to wait for its idle time.
-func TestDrainWakesWhoGoesToRestJustThen(t *testing.T) {
-	d := newDoor(t, 1, time.Minute)
+// A connection that becomes idle as it is shut once waited for its idle timeout.
+func TestDrainWakesAConnectionThatJustBecomesIdle(t *testing.T) {
+	s := newTestServer(t, 1, time.Minute)
 	_, ours := pair(t)
-	ours.asked = true
-	d.mu.Lock()
-	d.clients[ours] = struct{}{}
-	d.mu.Unlock()
-	d.Drain(0) // its wake comes before next sets the deadline of an idle client
+	ours.served = true
+	s.mu.Lock()
+	s.clients[ours] = struct{}{}
+	s.mu.Unlock()
+	s.Drain(0) // its wake comes before awaitRequest sets the deadline of an idle client
 	done := make(chan bool, 1)
-	go func() { done <- d.next(ours) }()
+	go func() { done <- s.awaitRequest(ours) }()
 	select {
 	case on := <-done:
 		if on {
 			t.Error("the connection goes on")
 		}
-	case <-time.After(d.limits.ClientIdleTimeout / 2):
-		t.Error("it rests on")
+	case <-time.After(s.limits.ClientIdleTimeout / 2):
+		t.Error("it stays idle")
 	}
 }
 
 // Drain must not shut a connection whose request has come and not been read yet.
-func TestDrainAnswersWhatHasCome(t *testing.T) {
-	d := newDoor(t, 1, time.Minute)
+func TestDrainAnswersWhatHasArrived(t *testing.T) {
+	s := newTestServer(t, 1, time.Minute)
 	theirs, ours := pair(t)
-	d.mu.Lock()
-	d.clients[ours] = struct{}{}
-	d.mu.Unlock()
-	fmt.Fprintf(theirs, whole, 1)
-	until(t, func() bool {
-		readable, _ := ours.look()
+	s.mu.Lock()
+	s.clients[ours] = struct{}{}
+	s.mu.Unlock()
+	fmt.Fprintf(theirs, requestText, 1)
+	eventually(t, func() bool {
+		readable, _ := ours.pollSocket()
 		return readable
 	})
-	d.Drain(0)
-	go d.serve(ours)
+	s.Drain(0)
+	go s.serve(ours)
 	got, err := io.ReadAll(theirs)
-	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 503") || !strings.Contains(string(got), "Connection: close") {
+	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 503") ||
+		!strings.Contains(string(got), "Connection: close") {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// Clients that rest until they are let go are shut by Drain, and it waits for them.
-func TestDrainLetsRestingClientsGo(t *testing.T) {
-	d := newDoor(t, 10, time.Minute)
-	v := d.visit(t)
-	if got := v.status(fmt.Sprintf(whole, 1)); got != "503" {
+// Clients that stay idle are shut by Drain, and it waits for them.
+func TestDrainShutsIdleClients(t *testing.T) {
+	s := newTestServer(t, 10, time.Minute)
+	client := s.connect(t)
+	if got := client.status(fmt.Sprintf(requestText, 1)); got != "503" {
 		t.Fatal(got)
 	}
-	until(t, func() bool {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		for c := range d.clients {
-			return c.state == waiting
+	eventually(t, func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for c := range s.clients {
+			return c.state == clientIdle
 		}
 		return false
 	})
 	left := make(chan int, 1)
-	go func() { left <- d.Drain(5 * time.Second) }()
-	if _, err := v.r.ReadByte(); err != io.EOF {
-		t.Errorf("resting client: %v", err)
+	go func() { left <- s.Drain(5 * time.Second) }()
+	if _, err := client.r.ReadByte(); err != io.EOF {
+		t.Errorf("idle client: %v", err)
 	}
-	v.Close()
+	client.Close()
 	if n := <-left; n != 0 {
 		t.Errorf("%d clients left", n)
 	}
 }
 
-// The last answer on a connection was once eaten by the reset that a close over
+// The last response on a connection was once discarded by the reset that a close over
 // unread bytes is answered with.
-func TestTheLastAnswerOutlivesUnreadBytes(t *testing.T) {
-	d := newDoor(t, 1, time.Minute)
-	v := d.visit(t)
-	last := strings.Replace(fmt.Sprintf(whole, 1), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
-	// One write: what comes behind the request lies in the socket as it is answered.
-	io.WriteString(v, last+strings.Repeat("x", 8*bufferpool.Size))
-	got, err := io.ReadAll(v.r)
+func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
+	s := newTestServer(t, 1, time.Minute)
+	client := s.connect(t)
+	last := strings.Replace(fmt.Sprintf(requestText, 1), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
+	// One write: what comes behind the request waits in the socket as it is answered.
+	io.WriteString(client, last+strings.Repeat("x", 8*bufferpool.Size))
+	got, err := io.ReadAll(client.r)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 503") {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// The time of a request that was sent ahead was once counted from when the one before
-// it began to be answered.
-func TestTimeOfWhatIsSentAheadCountsFromWhenItCame(t *testing.T) {
+// The timeout of a request that was sent early once began when the request before it
+// was being answered.
+func TestTimeoutOfAnEarlyRequestBeginsAtItsArrival(t *testing.T) {
 	theirs, ours := pair(t)
 	io.WriteString(theirs, "ab")
 	if _, err := ours.r.Peek(2); err != nil {
 		t.Fatal(err)
 	}
-	came := time.Now()
+	secondWrite := time.Now()
 	io.WriteString(theirs, "cd")
 	if _, err := ours.r.Peek(4); err != nil {
 		t.Fatal(err)
 	}
 	for n, want := range map[int]bool{4: true, 3: true} {
-		if got := ours.tap.came(n).Before(came); got != want {
-			t.Errorf("with %d bytes in the buffer: came before the second write: %v", n, got)
+		if got := ours.arrivals.arrivedAt(n).Before(secondWrite); got != want {
+			t.Errorf("with %d bytes in the buffer: arrived before the second write: %v", n, got)
 		}
 	}
-	if ours.tap.came(2).Before(came) {
-		t.Error("the second write's bytes came with the first's")
+	if ours.arrivals.arrivedAt(2).Before(secondWrite) {
+		t.Error("the second write's bytes arrived with the first's")
 	}
-	for range 3 * mostStamps { // bounded, and never later than it was
+	for range 3 * maxArrivals { // bounded, and never later than it was
 		io.WriteString(theirs, "e")
 		if _, err := ours.r.Peek(ours.r.Buffered() + 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(ours.tap.stamps); n > mostStamps {
-		t.Errorf("%d stamps", n)
+	if n := len(ours.arrivals.arrivals); n > maxArrivals {
+		t.Errorf("%d arrivals", n)
 	}
-	if got := ours.tap.came(1); got.After(time.Now()) || got.Before(came) {
-		t.Errorf("the last byte came at %v", got)
+	if got := ours.arrivals.arrivedAt(1); got.After(time.Now()) || got.Before(secondWrite) {
+		t.Errorf("the last byte arrived at %v", got)
 	}
 }
--- /dev/null
+++ b/internal/downstream/respond.go
@@ -0,0 +1,72 @@
+package downstream
+
+import (
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/diskcache/diskrunner"
+	"quilldoor/internal/engine"
+	"quilldoor/internal/http1"
+	"quilldoor/internal/upstream"
+)
+
+// respondEmpty answers without a body. Where the socket's buffer has no place for
+// that, the client gets LingeringCloseTimeout to read. False: it was not written.
+func (s *Server) respondEmpty(c *client, status int, last bool) bool {
+	deadline := time.Now().Add(s.limits.LingeringCloseTimeout)
+	return c.write(deadline, http1.AppendResponse(nil, status, 0, last)) == nil
+}
+
+// write writes buffers in one call.
+func (c *client) write(deadline time.Time, buffers ...[]byte) error {
+	c.SetWriteDeadline(deadline)
+	list := net.Buffers(buffers)
+	_, err := list.WriteTo(c.Conn)
+	return err
+}
+
+// respond writes what the final command says. False: it was not written.
+func (x *exchange) respond(final *engine.Command) bool {
+	switch final.Kind {
+	case engine.CommandRespond:
+		response := final.Response.(*upstream.Response)
+		defer response.Release()
+		status := http.StatusOK
+		if response.NotModified {
+			status = http.StatusNotModified
+		}
+		return x.respondCopy(status, response.Tag, response.Body)
+	case engine.CommandReject:
+		if final.RetryAfter > 0 {
+			millis := strconv.FormatInt(final.RetryAfter/1000, 10)
+			return x.write(http.StatusServiceUnavailable, nil, http1.Field{Name: "X-Throttle-Ms", Value: millis})
+		}
+		return x.write(http.StatusServiceUnavailable, nil)
+	}
+	return x.write(http.StatusGatewayTimeout, nil)
+}
+
+// respondCached answers with the router's own copy.
+func (x *exchange) respondCached(cached *diskrunner.Copy) bool {
+	if x.request.tag == cached.Tag {
+		return x.respondCopy(http.StatusNotModified, cached.Tag, nil)
+	}
+	return x.respondCopy(http.StatusOK, cached.Tag, cached.Body)
+}
+
+// respondCopy answers with a copy and its tag, if it has one.
+func (x *exchange) respondCopy(status int, tag string, body *bufferpool.Body) bool {
+	if tag == "" {
+		return x.write(status, body)
+	}
+	return x.write(status, body, http1.Field{Name: "ETag", Value: `"` + tag + `"`})
+}
+
+func (x *exchange) write(status int, body *bufferpool.Body, fields ...http1.Field) bool {
+	buffers := body.AppendBuffers([][]byte{nil})
+	buffers[0] = http1.AppendResponse(nil, status, body.Len(), x.last, fields...)
+	return x.client.write(x.deadline.Add(x.server.limits.ResponseGrace), buffers...) == nil
+}
