--- a/cmd/quilldoor/publish.go
+++ b/cmd/quilldoor/publish.go
@@ -86,7 +86,7 @@
 	count(s.Counts.BytesWritten, "disk_bytes_total{way=%q}", "in")
 	count(s.Counts.Evicted, "disk_gone_total{why=%q}", "evicted")
 	count(s.Counts.Purged, "disk_gone_total{why=%q}", "purged")
-	count(s.Counts.ReadFaults, "disk_read_faults_total")
+	count(s.Counts.ReadFailures, "disk_read_faults_total")
 	count(s.Counts.HistoryGaps, "disk_gaps_total")
 	for _, h := range []diskcache.Health{diskcache.HealthOn, diskcache.HealthFull, diskcache.HealthReadOnly, diskcache.HealthOff} {
 		gauge(map[bool]float64{true: 1}[s.Health == h], "disk_health{state=%q}", h)
--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -125,7 +125,7 @@
 }
 
 // txn asks for a part, and offers it where it wasn't there.
-func txn(t *diskcache.Tier, now int64, name string, part, size int) (hit bool) {
+func txn(t *diskcache.Policy, now int64, name string, part, size int) (hit bool) {
 	a := diskcache.Request{Object: name, Part: int64(part), Remaining: 1e6}
 	v, found := t.Lookup(now, &a)
 	if v != diskcache.VerdictMiss {
--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -14,12 +14,16 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "1") // the same cases at every run
-	flag.Set("rapid.nofailfile", "true")
+	// The same cases at every run.
+	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
 	os.Exit(m.Run())
 }
 
-func small(change func(*Settings)) *Tier {
+func small(change func(*Settings)) *Policy {
 	set := Settings{
 		Classes: []TrafficClass{
 			{Name: "page", FreshTime: 60 * second, GraceTime: 30 * second, SLA: second / 2, Cacheable: true},
@@ -39,32 +43,32 @@
 	return Request{Object: object, Part: part, Remaining: second}
 }
 
-// put writes a copy as if it was wanted so often, and tells why not.
-func (t *Tier) put(now int64, a Request, slots int, wants int) Reason {
+// put writes a copy as if it was requested so often, and tells why not.
+func (p *Policy) put(now int64, a Request, slots int, wants int) Reason {
 	for range wants {
-		if v, _ := t.Lookup(now, &a); v != VerdictMiss {
-			t.reading--
+		if v, _ := p.Lookup(now, &a); v != VerdictMiss {
+			p.activeReads--
 		}
 	}
-	p, reason := t.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: slots * t.set.SlotBytes})
+	placement, reason := p.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: slots * p.settings.SlotBytes})
 	if reason == ReasonOK {
-		t.FinishWrite(p.Ref, slots*t.set.SlotBytes, true)
-		t.TakeDrops()
-		t.Synced()
+		p.FinishWrite(placement.Ref, slots*p.settings.SlotBytes, true)
+		p.TakeDrops()
+		p.Synced()
 	}
 	return reason
 }
 
-// look gives a verdict and ends the read at once.
-func (t *Tier) peek(now int64, a Request) (Verdict, Reason) {
-	v, f := t.Lookup(now, &a)
+// peek gives a verdict and ends the read at once.
+func (p *Policy) peek(now int64, a Request) (Verdict, Reason) {
+	v, f := p.Lookup(now, &a)
 	if v != VerdictMiss {
-		t.reading--
+		p.activeReads--
 	}
 	return v, f.Reason
 }
 
-func TestNewcomerMustOutweighWhatItPushesOutByBytes(t *testing.T) {
+func TestNewcomerIsAdmittedOnlyIfItOutweighsItsVictimsByBytes(t *testing.T) {
 	x := small(nil)
 	for i := range 30 { // 175 slots are for use; five in each, wanted three times
 		x.put(start+second, page(fmt.Sprint("old", i), 0), 5, 3)
@@ -93,8 +97,8 @@
 	}
 }
 
-// The long tail of objects wanted once costs no write and pushes nothing out.
-func TestScanWritesNothing(t *testing.T) {
+// Objects requested once cost no write and evict nothing.
+func TestScanOfObjectsRequestedOnceWritesNothing(t *testing.T) {
 	x := small(nil)
 	for i := range 30 {
 		x.put(start+second, page(fmt.Sprint("video", i), 0), 5, 3)
@@ -113,33 +117,33 @@
 	}
 }
 
-func TestWhatMayBeServed(t *testing.T) {
+func TestVerdicts(t *testing.T) {
 	a := page("x", 3)
 	for name, c := range map[string]struct {
-		change  func(x *Tier)
+		change  func(x *Policy)
 		later   int64
 		verdict Verdict
 		reason  Reason
 	}{
-		"fresh":            {nil, 10 * second, VerdictServe, ReasonOK},
-		"past fresh":       {nil, 61 * second, VerdictRevalidate, ReasonTooOld},
-		"gap in the board": {func(x *Tier) { x.HistoryGap(start + second) }, 2 * second, VerdictRevalidate, ReasonUnvalidated},
-		"board just lost":  {func(x *Tier) { x.SetDiscoveryLost(start+second, true) }, 2 * second, VerdictServe, ReasonOK},
-		"board lost":       {func(x *Tier) { x.SetDiscoveryLost(start+second, true) }, 4 * second, VerdictRevalidate, ReasonPurgesUnknown},
-		"board back": {
-			func(x *Tier) { x.SetDiscoveryLost(start+second, true); x.SetDiscoveryLost(start+9*second, false) },
+		"fresh":                     {nil, 10 * second, VerdictServe, ReasonOK},
+		"past fresh":                {nil, 61 * second, VerdictRevalidate, ReasonTooOld},
+		"gap in discovery's events": {func(x *Policy) { x.HistoryGap(start + second) }, 2 * second, VerdictRevalidate, ReasonUnvalidated},
+		"discovery just lost":       {func(x *Policy) { x.SetDiscoveryLost(start+second, true) }, 2 * second, VerdictServe, ReasonOK},
+		"discovery lost":            {func(x *Policy) { x.SetDiscoveryLost(start+second, true) }, 4 * second, VerdictRevalidate, ReasonPurgesUnknown},
+		"discovery restored": {
+			func(x *Policy) { x.SetDiscoveryLost(start+second, true); x.SetDiscoveryLost(start+9*second, false) },
 			10 * second, VerdictServe, ReasonOK,
 		},
-		"object purged":       {func(x *Tier) { x.Purge(start+second, "x", 0, start+second) }, 2 * second, VerdictMiss, ReasonNotCached},
-		"other object purged": {func(x *Tier) { x.Purge(start+second, "y", 0, start+second) }, 2 * second, VerdictServe, ReasonOK},
-		"group purged":        {func(x *Tier) { x.Purge(start+second, "", 0, start+second) }, 2 * second, VerdictMiss, ReasonPurged},
-		"other group":         {func(x *Tier) { x.Purge(start+second, "", 1, start+second) }, 2 * second, VerdictServe, ReasonOK},
-		"purged before":       {func(x *Tier) { x.Purge(start+second, "x", 0, start-second) }, 2 * second, VerdictServe, ReasonOK},
+		"object purged":       {func(x *Policy) { x.Purge(start+second, "x", 0, start+second) }, 2 * second, VerdictMiss, ReasonNotCached},
+		"other object purged": {func(x *Policy) { x.Purge(start+second, "y", 0, start+second) }, 2 * second, VerdictServe, ReasonOK},
+		"group purged":        {func(x *Policy) { x.Purge(start+second, "", 0, start+second) }, 2 * second, VerdictMiss, ReasonPurged},
+		"other group":         {func(x *Policy) { x.Purge(start+second, "", 1, start+second) }, 2 * second, VerdictServe, ReasonOK},
+		"purged before":       {func(x *Policy) { x.Purge(start+second, "x", 0, start-second) }, 2 * second, VerdictServe, ReasonOK},
 		"from ahead":          {nil, -5 * second, VerdictRevalidate, ReasonFromFuture},
-		"link full":           {func(x *Tier) { x.link = link{whole: 1000, busy: start + 2*second} }, second, VerdictMiss, ReasonLinkBusy},
-		"reads in hand":       {func(x *Tier) { x.reading = 4 }, second, VerdictMiss, ReasonDiskBusy},
-		"off":                 {func(x *Tier) { x.HandleEvent(start, EventManyReadFailures) }, second, VerdictMiss, ReasonDiskOff},
-		"writes fail":         {func(x *Tier) { x.HandleEvent(start, EventWriteFailed) }, second, VerdictServe, ReasonOK},
+		"link full":           {func(x *Policy) { x.bandwidth = linkModel{linkRate: 1000, busyUntil: start + 2*second} }, second, VerdictMiss, ReasonLinkBusy},
+		"reads in hand":       {func(x *Policy) { x.activeReads = 4 }, second, VerdictMiss, ReasonDiskBusy},
+		"off":                 {func(x *Policy) { x.HandleEvent(start, EventManyReadFailures) }, second, VerdictMiss, ReasonDiskOff},
+		"writes fail":         {func(x *Policy) { x.HandleEvent(start, EventWriteFailed) }, second, VerdictServe, ReasonOK},
 	} {
 		x := small(nil)
 		if r := x.put(start+ms*500, a, 2, 2); r != ReasonOK {
@@ -162,7 +166,7 @@
 
 // A copy that an answer brings after a purge, but that was given out before it,
 // is not kept; nor served, if the purge comes while it is written or read.
-func TestPurgeMeetsCopyOnItsWay(t *testing.T) {
+func TestPurgeDuringReadOrWriteForbidsTheCopy(t *testing.T) {
 	a := page("x", 0)
 	x := small(nil)
 	x.Purge(start+second, "x", 0, start+second)
@@ -196,7 +200,7 @@
 }
 
 // After a start, what caches still hold may be older than a purge of before.
-func TestCopiesOfBeforeTheStartAreNotVouchedFor(t *testing.T) {
+func TestCopiesIssuedBeforeTheStartAreRevalidated(t *testing.T) {
 	x := small(nil)
 	a := page("x", 0)
 	x.Lookup(start, &a)
@@ -216,10 +220,10 @@
 	}
 }
 
-func TestRecoveredPartsAreProvenFirst(t *testing.T) {
+func TestRestoredPartsAreRevalidatedFirst(t *testing.T) {
 	x := small(nil)
 	a := page("x", 0)
-	k := CachedPart{Key: x.key(&a), Object: x.object("x"), Issued: start / ms, Seq: 9, Length: 1500, Extents: []Extent{{7, 2}}}
+	k := CachedPart{Key: x.partKey(&a), Object: x.objectKey("x"), Issued: start / ms, Seq: 9, Length: 1500, Extents: []Extent{{7, 2}}}
 	bad := []CachedPart{
 		{Length: 1500, Extents: []Extent{{7, 1}}},
 		{Length: 500, Extents: []Extent{{200, 1}}},
@@ -237,11 +241,11 @@
 		t.Fatal("not installed")
 	}
 	twice := CachedPart{Key: 1, Length: 2500, Seq: 10, Extents: []Extent{{2, 2}, {8, 1}}}
-	if x.Restore(&twice) || x.slots.free != 198 {
-		t.Errorf("slots of another, %d free", x.slots.free)
+	if x.Restore(&twice) || x.slots.freeSlots != 198 {
+		t.Errorf("slots of another, %d free", x.slots.freeSlots)
 	}
 	x.Purge(start, "late", 0, start) // told while recovery is going on
-	if x.Restore(&CachedPart{Key: 2, Object: x.object("late"), Issued: start / ms, Length: 500, Seq: 11, Extents: []Extent{{20, 1}}}) {
+	if x.Restore(&CachedPart{Key: 2, Object: x.objectKey("late"), Issued: start / ms, Length: 500, Seq: 11, Extents: []Extent{{20, 1}}}) {
 		t.Error("purged, yet installed")
 	}
 	if v, r := x.peek(start+ms, a); v != VerdictRevalidate || r != ReasonUnvalidated {
@@ -308,21 +312,21 @@
 	if r := x.put(start+second, page("x", 0), 1, 2); r != ReasonDiskOff {
 		t.Fatalf("written to a full disk: %v", r)
 	}
-	if r := x.put(start+tryAgain, page("x", 0), 1, 2); r != ReasonOK {
+	if r := x.put(start+fullDiskRetryInterval, page("x", 0), 1, 2); r != ReasonOK {
 		t.Fatalf("not tried again: %v", r)
 	}
 	x.HandleEvent(start, EventWriteFailed)
 	if h, _ := x.HandleEvent(start, EventRetryDue); h != HealthReadOnly {
 		t.Fatalf("%v: written again after a failed sync", h)
 	}
-	for i := range readFaultsMost {
-		if h, _ := x.HandleEvent(start+int64(i)*faultWindow/4, EventReadFailed); h != HealthReadOnly {
+	for i := range maxReadFailures {
+		if h, _ := x.HandleEvent(start+int64(i)*readFailureWindow/4, EventReadFailed); h != HealthReadOnly {
 			t.Fatal("off by faults far apart")
 		}
 	}
 	changes := 0
-	for range 2 * readFaultsMost {
-		if _, changed := x.HandleEvent(start+10*faultWindow, EventReadFailed); changed {
+	for range 2 * maxReadFailures {
+		if _, changed := x.HandleEvent(start+10*readFailureWindow, EventReadFailed); changed {
 			changes++
 		}
 	}
@@ -331,9 +335,9 @@
 	}
 }
 
-// The books agree with each other after any steps: no slot in two chains, none
-// lost, every entry found by its key, all bounds kept.
-func TestBooksAgree(t *testing.T) {
+// After any steps no slot is in two chains, none is lost, every entry is found by its key
+// and all bounds are kept.
+func TestIndexAndSlotMapAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
 		x := small(func(s *Settings) { s.Slots, s.MaxEntries = 70, 10+draw(30) })
@@ -368,10 +372,10 @@
 	})
 }
 
-func check(t *rapid.T, x *Tier) {
+func check(t *rapid.T, x *Policy) {
 	owner := map[uint32]string{}
 	own := func(first uint32, who string) {
-		for at := first; at != none; at = x.slots.next[at] {
+		for at := first; at != noIndex; at = x.slots.next[at] {
 			if owner[at] != "" {
 				t.Fatalf("slot %d of %s and %s", at, owner[at], who)
 			}
@@ -379,34 +383,34 @@
 		}
 	}
 	live, slots := 0, 0
-	for i := x.table.oldest; i != none; i = x.table.at(i).newer {
-		e := x.table.at(i)
-		if live++; x.table.find(e.key) != i {
+	for i := x.index.oldest; i != noIndex; i = x.index.at(i).newer {
+		e := x.index.at(i)
+		if live++; x.index.find(e.key) != i {
 			t.Fatalf("entry %d is not found by its key", i)
 		}
-		own(e.slot, fmt.Sprint("entry ", i))
-		slots += x.chain(i)
+		own(e.firstSlot, fmt.Sprint("entry ", i))
+		slots += x.slotsOf(i)
 	}
-	for _, first := range append(append([]uint32{}, x.condemned...), x.syncing...) {
+	for _, first := range append(append([]uint32{}, x.pendingChains...), x.syncingChains...) {
 		own(first, "condemned")
 	}
-	if live != x.table.live || slots != x.table.liveSlot || len(owner)+x.slots.free != x.set.Slots {
-		t.Fatalf("%d of %d entries, %d of %d slots, %d owned and %d free of %d", live, x.table.live, slots,
-			x.table.liveSlot, len(owner), x.slots.free, x.set.Slots)
+	if live != x.index.entries || slots != x.index.usedSlots || len(owner)+x.slots.freeSlots != x.settings.Slots {
+		t.Fatalf("%d of %d entries, %d of %d slots, %d owned and %d free of %d", live, x.index.entries, slots,
+			x.index.usedSlots, len(owner), x.slots.freeSlots, x.settings.Slots)
 	}
-	if live > x.set.MaxEntries || x.table.liveSlot > x.set.Slots-x.reserve() {
-		t.Fatalf("over a bound: %d entries, %d slots", live, x.table.liveSlot)
+	if live > x.settings.MaxEntries || x.index.usedSlots > x.settings.Slots-x.reservedSlots() {
+		t.Fatalf("over a bound: %d entries, %d slots", live, x.index.usedSlots)
 	}
 }
 
-func TestPurgesAreBounded(t *testing.T) {
+func TestRememberedPurgesAreBounded(t *testing.T) {
 	x := small(nil)
 	a := page("kept", 0)
 	x.put(start+ms, a, 1, 2)
-	for i := range 3 * purgesMost {
+	for i := range 3 * maxObjectPurges {
 		x.Purge(start+second, fmt.Sprint(i), 0, start+second)
 	}
-	if n := len(x.purges.objects); n > purgesMost {
+	if n := len(x.purges.objects); n > maxObjectPurges {
 		t.Fatalf("%d purges remembered", n)
 	}
 	if v, _ := x.peek(start+second, a); v != VerdictMiss {
@@ -418,7 +422,7 @@
 	}
 }
 
-func TestClockJumpsAreSeen(t *testing.T) {
+func TestClockStepsAreDetected(t *testing.T) {
 	var c StepDetector
 	wall, steady := start, int64(0)
 	for range 100 { // slewed by 500 ppm, as time servers do
--- a/internal/diskcache/diskrunner/diskrunner.go
+++ b/internal/diskcache/diskrunner/diskrunner.go
@@ -34,8 +34,8 @@
 	log    *logrus.Entry
 	rules  map[string]int
 
-	mu    sync.Mutex      // for what follows; never held over I/O
-	tier  *diskcache.Tier // nil until the folder is open
+	mu    sync.Mutex        // for what follows; never held over I/O
+	tier  *diskcache.Policy // nil until the folder is open
 	clock diskcache.StepDetector
 	lost  bool // the board is lost
 	took  *hdrhistogram.Histogram
@@ -402,6 +402,6 @@
 		"disk_mb": st.Size.Bytes >> 20, "memory_mb": st.Size.MemoryBytes >> 20, "looks": looks, "served": st.Counts.Served,
 		"proven": st.Counts.Revalidated, "stood_in": st.Counts.ServedStale, "offers": offers,
 		"written": st.Counts.Offers[diskcache.ReasonOK], "evicted": st.Counts.Evicted, "purged": st.Counts.Purged,
-		"read_us_median": st.ReadMedianMicros, "read_us_99": st.ReadP99Micros, "read_faults": st.Counts.ReadFaults,
+		"read_us_median": st.ReadMedianMicros, "read_us_99": st.ReadP99Micros, "read_faults": st.Counts.ReadFailures,
 	}
 }
--- a/internal/diskcache/health.go
+++ b/internal/diskcache/health.go
@@ -3,39 +3,49 @@
 // Health is what the disk can be used for.
 type Health uint8
 
-// The tier's states of health.
+// The states of health.
 const (
 	HealthOn       Health = 1 << iota
-	HealthFull            // no space: reads go on, writes are tried again after a while
+	HealthFull            // no space: reads go on, writes are retried after a while
 	HealthReadOnly        // a write or sync failed: what is there may still be read
-	HealthOff             // nothing is asked of the disk any more
+	HealthOff             // the disk is not used any more
 )
 
+func (h Health) String() string {
+	switch h {
+	case HealthOn:
+		return "on"
+	case HealthFull:
+		return "full"
+	case HealthReadOnly:
+		return "reads only"
+	case HealthOff:
+		return "off"
+	}
+	return ""
+}
+
 // Event is what the disk's side has to tell.
 type Event uint8
 
-// Faults, and what ends them.
+// The events.
 const (
-	EventWriteFailed Event = iota // a write or sync failed: what the kernel still holds is not known
-	EventNoSpace
-	EventReadFailed // a record could not be read, or was not what was written
-	EventManyReadFailures
-	EventRetryDue // the time to try again has come
-	EventClosed
+	EventWriteFailed      Event = iota // a write or sync failed: what the kernel still holds is unknown
+	EventNoSpace                       // the file system is full
+	EventReadFailed                    // a record could not be read, or was corrupt
+	EventManyReadFailures              // maxReadFailures within readFailureWindow
+	EventRetryDue                      // the time to write to a full disk again has come
+	EventClosed                        // the router ends
 )
 
-func (h Health) String() string {
-	return map[Health]string{HealthOn: "on", HealthFull: "full", HealthReadOnly: "reads only", HealthOff: "off"}[h]
-}
-
-// healthTable says what a fault makes of the tier. After a failed sync the same
-// pages may count as clean though they never came to the disk (Rebello et al.,
-// "Can Applications Recover from fsync Failures?", USENIX ATC 2020), so that
-// writing isn't tried again before a restart; a full disk does recover.
-var healthTable = []struct {
-	in   Health
-	what Event
-	next Health
+// healthTransitions says what an event makes of the health. After a failed sync the same
+// pages may count as clean though they never reached the disk (Rebello et al., "Can
+// Applications Recover from fsync Failures?", USENIX ATC 2020), so that writing is not
+// retried before a restart; a full disk does recover.
+var healthTransitions = []struct {
+	from  Health // any of these
+	event Event
+	to    Health
 }{
 	{HealthOn, EventNoSpace, HealthFull},
 	{HealthFull, EventRetryDue, HealthOn},
@@ -46,34 +56,48 @@
 }
 
 const (
-	readFaultsMost = 8           // within faultWindow: a disk at its end, not one bad sector
-	faultWindow    = 60 * second // as above
-	tryAgain       = 30 * second // on a full disk
+	maxReadFailures       = 8           // within readFailureWindow: a failing disk, not one bad sector
+	readFailureWindow     = 60 * second // microseconds
+	fullDiskRetryInterval = 30 * second // microseconds
 )
 
-// HandleEvent takes one and tells the state of health and whether it has changed.
-func (t *Tier) HandleEvent(now int64, what Event) (Health, bool) {
-	if what == EventReadFailed {
-		t.Counts.ReadFaults++
-		if now-t.faultsFrom > faultWindow || now < t.faultsFrom {
-			t.faults, t.faultsFrom = 0, now
-		}
-		if t.faults++; t.faults < readFaultsMost {
-			return t.health, false
+// HandleEvent takes an event and tells the health and whether it has changed.
+func (p *Policy) HandleEvent(now int64, event Event) (Health, bool) {
+	if event == EventReadFailed {
+		if !p.countReadFailure(now) {
+			return p.health, false
 		}
-		what = EventManyReadFailures
+		event = EventManyReadFailures
 	}
-	for _, row := range healthTable {
-		if row.in&t.health != 0 && row.what == what {
-			changed := t.health != row.next
-			if t.health = row.next; t.health == HealthFull {
-				t.dueAt = now + tryAgain
-			}
-			return t.health, changed
+	for _, transition := range healthTransitions {
+		if transition.from&p.health == 0 || transition.event != event {
+			continue
 		}
+		changed := p.health != transition.to
+		p.health = transition.to
+		if p.health == HealthFull {
+			p.retryAt = now + fullDiskRetryInterval
+		}
+		return p.health, changed
+	}
+	return p.health, false
+}
+
+// countReadFailure tells whether there were too many within the window.
+func (p *Policy) countReadFailure(now int64) bool {
+	p.Counts.ReadFailures++
+	if now-p.readFailuresSince > readFailureWindow || now < p.readFailuresSince {
+		p.readFailures, p.readFailuresSince = 0, now
+	}
+	p.readFailures++
+	return p.readFailures >= maxReadFailures
+}
+
+func (p *Policy) retryFullDisk(now int64) {
+	if p.health == HealthFull && now >= p.retryAt {
+		p.HandleEvent(now, EventRetryDue)
 	}
-	return t.health, false
 }
 
 // Health tells what the disk can be used for.
-func (t *Tier) Health() Health { return t.health }
+func (p *Policy) Health() Health { return p.health }
--- a/internal/diskcache/purge.go
+++ b/internal/diskcache/purge.go
@@ -1,110 +1,146 @@
 package diskcache
 
-// purges remembers which purges still bind copies that may come. A purge of a
-// group binds for good, one of an object until no cache holds an older copy:
-// what is kept of the object goes at once. Where too many objects are remembered
-// they become one purge of everything up to the latest: safe, and bounded.
-type purges struct {
+const (
+	microsPerMilli = 1000
+
+	// maxClockSkew is how far the clocks of the origin, which dates copies, and of whoever
+	// dates purges may differ, in microseconds. Copies dated less than that behind a purge
+	// are not used.
+	maxClockSkew       = 100_000
+	maxClockSkewMillis = maxClockSkew / microsPerMilli
+
+	maxObjectPurges    = 1 << 14 // purges of single objects that are remembered
+	targetObjectPurges = maxObjectPurges / 2
+)
+
+// purgeHistory remembers the purges that still cover copies which may arrive. A purge of
+// a group is remembered for good, one of an object until no cache has an older copy.
+// Where too many are remembered, they become one purge of everything up to the latest,
+// which is safe and bounded.
+type purgeHistory struct {
 	groups  [256]int64       // Unix milliseconds of the last purge
-	objects map[uint64]int64 // by hash
-	floor   int64            // nothing given out before is used
+	objects map[uint64]int64 // by the object's hash
+	floor   int64            // no copy issued before is used
 }
 
-const (
-	// purgeSkew is how far the clocks of the origin, which dates copies, and of
-	// who dates purges may lie apart: copies dated less than that behind a purge
-	// are not used. They cost one more fetch each.
-	purgeSkew   = 100_000
-	purgesMost  = 1 << 14 // objects remembered: 16 bytes each, some 400 kB with the map's own
-	skewMS      = purgeSkew / 1000
-	sweepPurges = purgesMost / 2
-)
+// covers tells whether a purge forbids the copy.
+func (h *purgeHistory) covers(e *entry) bool {
+	purgedAt := max(h.groups[e.group], h.floor)
+	if object, purged := h.objects[e.object]; purged {
+		purgedAt = max(purgedAt, object)
+	}
+	return purgedAt > 0 && e.issued <= purgedAt+maxClockSkewMillis
+}
 
-// binds tells whether a purge bars the copy.
-func (p *purges) binds(e *entry) bool {
-	at := max(p.groups[e.group], p.floor)
-	if o, told := p.objects[e.object]; told {
-		at = max(at, o)
+// forget removes purges of objects that were made before the given Unix milliseconds.
+func (h *purgeHistory) forget(before int64) {
+	for object, purgedAt := range h.objects {
+		if purgedAt < before {
+			delete(h.objects, object)
+		}
 	}
-	return at > 0 && e.issued <= at+skewMS
 }
 
-// Purge takes the purge of an object, or of a group where that is "", made at
-// the given time. A purge from ahead of the clock is taken as told.
-func (t *Tier) Purge(now int64, object string, group uint8, at int64) {
-	ms := (at + 999) / 1000
+// raiseFloor replaces all purges of objects by one of everything up to the latest.
+func (h *purgeHistory) raiseFloor() {
+	for _, purgedAt := range h.objects {
+		h.floor = max(h.floor, purgedAt)
+	}
+	clear(h.objects)
+}
+
+// Purge takes the purge of an object, or of a group where object is "", made at the given
+// time. Cached copies of the object that it covers are dropped at once.
+func (p *Policy) Purge(now int64, object string, group uint8, at int64) {
+	atMillis := (at + microsPerMilli - 1) / microsPerMilli
 	if object == "" {
-		t.purges.groups[group] = max(t.purges.groups[group], ms)
+		p.purges.groups[group] = max(p.purges.groups[group], atMillis)
 		return
 	}
-	h := t.object(object)
-	t.purges.objects[h] = max(t.purges.objects[h], ms)
-	for i := t.table.objects[h&t.table.mask]; i != none; {
-		e := t.table.at(i)
-		next := e.objNext
-		if e.object == h && t.purges.binds(e) {
-			t.drop(i)
-			t.Counts.Purged++
+	key := p.objectKey(object)
+	p.purges.objects[key] = max(p.purges.objects[key], atMillis)
+	p.dropPurged(key)
+	if len(p.purges.objects) >= maxObjectPurges {
+		p.forgetPurges(now)
+	}
+}
+
+func (p *Policy) dropPurged(object uint64) {
+	for i := p.index.objectBuckets[object&p.index.mask]; i != noIndex; {
+		e := p.index.at(i)
+		next := e.nextOfObject
+		if e.object == object && p.purges.covers(e) {
+			p.drop(i)
+			p.Counts.Purged++
 		}
 		i = next
 	}
-	if len(t.purges.objects) >= purgesMost {
-		t.forget(now)
-	}
 }
 
-// forget drops purges that can bind nothing that still comes; if that is not
+// forgetPurges removes purges that cover nothing which can still arrive; if that is not
 // enough, the rest becomes the floor.
-func (t *Tier) forget(now int64) {
-	over := (now - t.set.PurgeTime - 2*t.set.MaxRequestTime - purgeSkew) / 1000
-	for h, ms := range t.purges.objects {
-		if ms < over {
-			delete(t.purges.objects, h)
-		}
+func (p *Policy) forgetPurges(now int64) {
+	settled := now - p.settings.PurgeTime - 2*p.settings.MaxRequestTime - maxClockSkew
+	p.purges.forget(settled / microsPerMilli)
+	if len(p.purges.objects) > targetObjectPurges {
+		p.purges.raiseFloor()
 	}
-	if len(t.purges.objects) <= sweepPurges {
-		return
+}
+
+// purgesUnknown tells whether purges may have been missed because discovery has been
+// unreachable for too long.
+func (p *Policy) purgesUnknown(now int64) bool {
+	return p.discoveryLostAt != 0 && now-p.discoveryLostAt >= p.settings.DiscoveryLossLimit
+}
+
+// purgesComplete tells whether all purges that can cover a copy issued at issuedMillis,
+// and received from a cache now, are known or done: either it was issued since purges
+// are known, or caches have dropped what was purged before.
+func (p *Policy) purgesComplete(now, issuedMillis int64) bool {
+	if p.purgesUnknown(now) {
+		return false
 	}
-	floor := int64(0)
-	for _, ms := range t.purges.objects {
-		floor = max(floor, ms)
+	issuedSince := issuedMillis*microsPerMilli > p.purgesKnownSince+maxClockSkew
+	settled := now >= p.purgesKnownSince+p.settings.PurgeTime+p.settings.MaxRequestTime
+	return issuedSince || settled
+}
+
+// HistoryGap says that purges may have been missed, or that the clock has jumped. No copy
+// cached so far is served before it has been revalidated.
+func (p *Policy) HistoryGap(now int64) {
+	p.Counts.HistoryGaps++
+	p.purgesKnownSince = now
+	p.bandwidth.busyUntil = min(p.bandwidth.busyUntil, now)
+	p.writeBudget.filledAt = now
+	p.epoch++
+	if p.epoch == 0 { // wrapped: no old copy may carry the new epoch
+		p.resetEpochs()
 	}
-	t.purges.floor = max(t.purges.floor, floor)
-	clear(t.purges.objects)
 }
 
-// HistoryGap says that the history of copies has one: purges may have been missed, or
-// the clock has jumped. Nothing kept so far is served before it was proven.
-func (t *Tier) HistoryGap(now int64) {
-	t.Counts.HistoryGaps++
-	t.since = now
-	t.link.busy = min(t.link.busy, now)
-	t.budget.at = now
-	if t.epoch++; t.epoch == 0 { // once in 255 gaps all are looked at
-		for i := range t.table.used {
-			t.table.at(uint32(i)).epoch = 0
-		}
-		t.epoch = 1
+func (p *Policy) resetEpochs() {
+	for i := range p.index.allocated {
+		p.index.at(uint32(i)).epoch = 0
 	}
+	p.epoch = 1
 }
 
-// SetDiscoveryLost tells whether the notice board can be reached. Lost for long, purges
-// count as told that never arrived; back, they arrive numbered and none is missed.
-func (t *Tier) SetDiscoveryLost(now int64, lost bool) {
+// SetDiscoveryLost tells whether discovery is unreachable. After DiscoveryLossLimit purges
+// count as missed; once it is back they arrive numbered, and none is missing.
+func (p *Policy) SetDiscoveryLost(now int64, lost bool) {
 	switch {
 	case !lost:
-		t.lostAt = 0
-	case t.lostAt == 0:
-		t.lostAt = max(now, 1)
+		p.discoveryLostAt = 0
+	case p.discoveryLostAt == 0:
+		p.discoveryLostAt = max(now, 1)
 	}
 }
 
-// Sweep forgets what binds no more; it is called every few seconds.
-func (t *Tier) Sweep(now int64) {
-	if len(t.purges.objects) > sweepPurges/2 {
-		t.forget(now)
-	}
-	if t.health == HealthFull && now >= t.dueAt {
-		t.HandleEvent(now, EventRetryDue)
+// Sweep forgets purges that cover nothing any more and retries a full disk. It is to be
+// called every few seconds.
+func (p *Policy) Sweep(now int64) {
+	if len(p.purges.objects) > targetObjectPurges/2 {
+		p.forgetPurges(now)
 	}
+	p.retryFullDisk(now)
 }
