--- a/internal/gateway/peerpolicy/peerpolicy_test.go
+++ b/internal/gateway/peerpolicy/controller_test.go
@@ -10,7 +10,7 @@
 
 const start = 100 * second
 
-func gate(peers ...string) *Controller {
+func newController(peers ...string) *Controller {
 	sites := map[string]string{}
 	for _, p := range peers {
 		sites[p] = "south"
@@ -18,18 +18,18 @@
 	return New(Settings{Name: "n", Site: "north", MaxRequests: 40, LocalReserve: 0.5, HeartbeatInterval: 250 * ms}, sites)
 }
 
-// trusted makes a peer one that anything may be handed to.
-func trusted(g *Controller, now int64, name string, room int) *Peer {
-	g.Connected(now, name, 1)
-	g.Heartbeat(now, name, room, false, 20*ms)
+// makeHealthy makes a peer healthy, with a limit of ten.
+func makeHealthy(g *Controller, name string, capacity int) *Peer {
+	g.Connected(start, name, 1)
+	g.Heartbeat(start, name, capacity, false, 20*ms)
 	p := g.Peer(name)
 	p.Limit = 10
 	g.Actions()
 	return p
 }
 
-func TestTrust(t *testing.T) {
-	g := gate("a")
+func TestPeerStates(t *testing.T) {
+	g := newController("a")
 	p := g.Peer("a")
 	step := func(what string, want PeerState) {
 		t.Helper()
@@ -43,7 +43,7 @@
 	g.Connected(start, "a", 7)
 	step("up", StateProbation)
 	if _, r := g.Forward(start, &Request{RequestID: "t", Deadline: start + second}); r != ReasonNoPeer {
-		t.Fatalf("handed over on trial: %v", r)
+		t.Fatalf("forwarded in probation: %v", r)
 	}
 	g.Heartbeat(start, "a", 5, false, 0)
 	step("beat", StateHealthy)
@@ -52,7 +52,7 @@
 	g.Tick(start + 501*ms)
 	step("later", StateSuspect)
 	if _, r := g.Forward(start, &Request{RequestID: "t", Deadline: start + second}); r != ReasonNoPeer {
-		t.Fatalf("handed over in doubt: %v", r)
+		t.Fatalf("forwarded to a suspect: %v", r)
 	}
 	g.Heartbeat(start+600*ms, "a", 5, false, 0)
 	step("heard", StateHealthy)
@@ -64,16 +64,16 @@
 		t.Fatalf("%+v", a)
 	}
 	if g.Connected(start, "a", 6) || !g.Connected(start, "a", 7) || !g.Connected(start, "a", 8) || p.State != StateProbation {
-		t.Fatal("a ghost was greeted, or its successor was not")
+		t.Fatal("an earlier process was accepted, or a later one was not")
 	}
 	if g.Connected(start, "stranger", 1) {
-		t.Fatal("a stranger was greeted")
+		t.Fatal("an unknown router was accepted")
 	}
 }
 
-func TestWhoIsChosen(t *testing.T) {
-	g := gate("a", "b")
-	a, b := trusted(g, start, "a", 4), trusted(g, start, "b", 2)
+func TestForwardChoosesThePeerWithTheLeastShareInUse(t *testing.T) {
+	g := newController("a", "b")
+	a, b := makeHealthy(g, "a", 4), makeHealthy(g, "b", 2)
 	ask := func(n int) *Request { return &Request{RequestID: fmt.Sprint(n), Deadline: start + second} }
 	got := ""
 	for n := range 7 {
@@ -104,8 +104,8 @@
 			t.Errorf("%s: %v, want %v", name, r, c.want)
 		}
 	}
-	one := gate("a")
-	trusted(one, start, "a", 1000).Limit = 1000
+	one := newController("a")
+	makeHealthy(one, "a", 1000).Limit = 1000
 	for n := range 41 {
 		if _, r := one.Forward(start, ask(n)); (r == ReasonTooMany) != (n == 40) {
 			t.Fatalf("%d: %v", n, r)
@@ -113,10 +113,10 @@
 	}
 }
 
-// A site that is back is handed two txns at first, and more as they come back.
-func TestReturnWithoutStorm(t *testing.T) {
-	g := gate("a")
-	now := int64(start)
+// A site that was back once got all at once that was rejected meanwhile.
+func TestReturningPeerGetsFewRequestsAtFirst(t *testing.T) {
+	g := newController("a")
+	now := start
 	g.Connected(now, "a", 1)
 	g.Heartbeat(now, "a", 1000, false, ms)
 	most, n := 0, 0
@@ -157,9 +157,9 @@
 	}
 }
 
-func TestWhatIsTakenFromPeers(t *testing.T) {
-	g := gate("a", "b")
-	trusted(g, start, "a", 0)
+func TestAdmit(t *testing.T) {
+	g := newController("a", "b")
+	makeHealthy(g, "a", 0)
 	for name, c := range map[string]struct {
 		peer  string
 		route []string
@@ -186,7 +186,7 @@
 	for g.Admit(start, "a", fmt.Sprint(n), []string{"a"}, 0) == ReasonOK {
 		n++
 	}
-	if n+2 != inFirst || g.OfferedCapacity(start) != 0 {
+	if n+2 != initialInboundLimit || g.OfferedCapacity(start) != 0 {
 		t.Fatalf("%d at first, %d offered", n+2, g.OfferedCapacity(start))
 	}
 	for id := range n {
@@ -196,14 +196,16 @@
 	for range 10_000 {
 		g.Admit(start, "a", "x", []string{"a"}, 0)
 		g.FinishInbound(start, "a", "x", true)
-		g.inCap = 1000
+		g.inboundLimit = 1000
 	}
-	for n = g.InboundInFlight(); g.Admit(start, "a", fmt.Sprint("y", n), []string{"a"}, 0) == ReasonOK; n++ {
+	n = g.InboundInFlight()
+	for g.Admit(start, "a", fmt.Sprint("y", n), []string{"a"}, 0) == ReasonOK {
+		n++
 	}
 	if n != 20 {
 		t.Fatalf("%d taken of 40 with half in reserve", n)
 	}
-	h := gate("a")
+	h := newController("a")
 	for range 7 {
 		h.ObserveLocal(start, false)
 	}
@@ -216,10 +218,10 @@
 	}
 }
 
-func TestOlderThanAPurgeIsNotPassedOn(t *testing.T) {
+func TestResponseOlderThanAPurgeIsNotUsed(t *testing.T) {
 	for issued, want := range map[int64]Outcome{999: OutcomeRejected, 1000: OutcomeRejected, 1001: OutcomeCompleted} {
-		g := gate("a")
-		trusted(g, start, "a", 9)
+		g := newController("a")
+		makeHealthy(g, "a", 9)
 		g.Forward(start, &Request{RequestID: "t", Deadline: start + second})
 		g.MarkSent("t")
 		g.HandleAnswer(start, "a", "t", PeerAnswer{Outcome: OutcomeCompleted, IssuedMillis: issued, LatestPurgeMillis: 1000})
@@ -229,9 +231,9 @@
 	}
 }
 
-// duo is one txn and all that can happen to it between the two ends: the home end
+// exchange is one request and all that can happen to it between the two ends: the home end
 // is the gate, the far end and the wire are written out here.
-type duo struct {
+type exchange struct {
 	g        *Controller
 	effect   Effect
 	onWire   bool        // the request
@@ -249,173 +251,173 @@
 // moves are what can happen; each tells whether it could.
 var moves = []struct {
 	name string
-	do   func(d *duo) bool
+	do   func(x *exchange) bool
 }{
-	{"cross", func(d *duo) bool {
-		if d.crossed {
+	{"cross", func(x *exchange) bool {
+		if x.crossed {
 			return false
 		}
-		d.crossed = true
-		_, r := d.g.Forward(d.now, &Request{RequestID: "t", Effect: d.effect, NeverRan: true, Deadline: d.now + second})
+		x.crossed = true
+		_, r := x.g.Forward(x.now, &Request{RequestID: "t", Effect: x.effect, NeverRan: true, Deadline: x.now + second})
 		return r == ReasonOK
 	}},
-	{"write", func(d *duo) bool {
-		if !d.up || d.onWire || d.far != "" || !d.g.MarkSent("t") {
+	{"write", func(x *exchange) bool {
+		if !x.up || x.onWire || x.far != "" || !x.g.MarkSent("t") {
 			return false
 		}
-		d.onWire = true
+		x.onWire = true
 		return true
 	}},
-	{"write again", func(d *duo) bool { // as a careless writer would
-		if !d.up || d.onWire || !d.g.IsForwarded("t") || d.far == "" {
+	{"write again", func(x *exchange) bool { // as a careless writer would
+		if !x.up || x.onWire || !x.g.IsForwarded("t") || x.far == "" {
 			return false
 		}
-		if _, r := d.g.Forward(d.now, &Request{RequestID: "t", Effect: d.effect, NeverRan: true, Deadline: d.now + second}); r == ReasonOK {
-			d.onWire = true
+		if _, r := x.g.Forward(x.now, &Request{RequestID: "t", Effect: x.effect, NeverRan: true, Deadline: x.now + second}); r == ReasonOK {
+			x.onWire = true
 			return true
 		}
 		return false
 	}},
-	{"come", func(d *duo) bool {
-		if !d.onWire {
+	{"come", func(x *exchange) bool {
+		if !x.onWire {
 			return false
 		}
-		d.onWire, d.far = false, "has"
+		x.onWire, x.far = false, "has"
 		return true
 	}},
-	{"run", func(d *duo) bool { // also once its asker is gone: a far side that wakes up late
-		if d.far != "has" {
+	{"run", func(x *exchange) bool { // also once its asker is gone: a far side that wakes up late
+		if x.far != "has" {
 			return false
 		}
-		d.far = "ran"
-		d.runs++
+		x.far = "ran"
+		x.runs++
 		return true
 	}},
-	{"turn away", func(d *duo) bool {
-		if d.far != "has" || !d.up || d.coming != nil {
+	{"turn away", func(x *exchange) bool {
+		if x.far != "has" || !x.up || x.coming != nil {
 			return false
 		}
-		d.far, d.coming = "", &PeerAnswer{Outcome: OutcomeRejected, NeverRan: true}
+		x.far, x.coming = "", &PeerAnswer{Outcome: OutcomeRejected, NeverRan: true}
 		return true
 	}},
-	{"answer", func(d *duo) bool {
-		if d.far != "ran" || !d.up || d.coming != nil {
+	{"answer", func(x *exchange) bool {
+		if x.far != "ran" || !x.up || x.coming != nil {
 			return false
 		}
-		d.coming = &PeerAnswer{Outcome: OutcomeCompleted}
+		x.coming = &PeerAnswer{Outcome: OutcomeCompleted}
 		return true
 	}},
-	{"fail", func(d *duo) bool {
-		if d.far != "ran" || !d.up || d.coming != nil {
+	{"fail", func(x *exchange) bool {
+		if x.far != "ran" || !x.up || x.coming != nil {
 			return false
 		}
-		d.coming = &PeerAnswer{Outcome: OutcomeAborted}
+		x.coming = &PeerAnswer{Outcome: OutcomeAborted}
 		return true
 	}},
-	{"refuse after it ran", func(d *duo) bool { // a repeatable one may be refused though it ran
-		if d.far != "ran" || !d.up || d.coming != nil {
+	{"refuse after it ran", func(x *exchange) bool { // a repeatable one may be refused though it ran
+		if x.far != "ran" || !x.up || x.coming != nil {
 			return false
 		}
-		d.coming = &PeerAnswer{Outcome: OutcomeRejected}
+		x.coming = &PeerAnswer{Outcome: OutcomeRejected}
 		return true
 	}},
-	{"deliver", func(d *duo) bool {
-		if d.coming == nil {
+	{"deliver", func(x *exchange) bool {
+		if x.coming == nil {
 			return false
 		}
-		d.g.HandleAnswer(d.now, "a", "t", *d.coming)
-		d.coming = nil
+		x.g.HandleAnswer(x.now, "a", "t", *x.coming)
+		x.coming = nil
 		return true
 	}},
-	{"deliver twice", func(d *duo) bool {
-		if d.coming == nil {
+	{"deliver twice", func(x *exchange) bool {
+		if x.coming == nil {
 			return false
 		}
-		d.g.HandleAnswer(d.now, "a", "t", *d.coming)
+		x.g.HandleAnswer(x.now, "a", "t", *x.coming)
 		return true
 	}},
-	{"cut", func(d *duo) bool { // bytes on the wire may still come, or not
-		if !d.up {
+	{"cut", func(x *exchange) bool { // bytes on the wire may still come, or not
+		if !x.up {
 			return false
 		}
-		d.up, d.coming = false, nil
-		d.g.Disconnected("a")
+		x.up, x.coming = false, nil
+		x.g.Disconnected("a")
 		return true
 	}},
-	{"lose the wire", func(d *duo) bool {
-		if d.up || !d.onWire {
+	{"lose the wire", func(x *exchange) bool {
+		if x.up || !x.onWire {
 			return false
 		}
-		d.onWire = false
+		x.onWire = false
 		return true
 	}},
-	{"join", func(d *duo) bool {
-		if d.up || d.restarts > 1 {
+	{"join", func(x *exchange) bool {
+		if x.up || x.restarts > 1 {
 			return false
 		}
-		d.restarts++
-		d.up = true
-		d.g.Connected(d.now, "a", uint64(1+d.restarts))
-		d.g.Heartbeat(d.now, "a", 9, false, ms)
+		x.restarts++
+		x.up = true
+		x.g.Connected(x.now, "a", uint64(1+x.restarts))
+		x.g.Heartbeat(x.now, "a", 9, false, ms)
 		return true
 	}},
-	{"time is over", func(d *duo) bool {
-		if d.now > start+second {
+	{"time is over", func(x *exchange) bool {
+		if x.now > start+second {
 			return false
 		}
-		d.now += 2 * second
-		d.g.Heartbeat(d.now, "a", 9, false, ms)
-		d.g.Tick(d.now)
+		x.now += 2 * second
+		x.g.Heartbeat(x.now, "a", 9, false, ms)
+		x.g.Tick(x.now)
 		return true
 	}},
-	{"client leaves", func(d *duo) bool {
-		if d.left || !d.g.IsForwarded("t") {
+	{"client leaves", func(x *exchange) bool {
+		if x.left || !x.g.IsForwarded("t") {
 			return false
 		}
-		d.left = true
-		d.g.ClientGone("t")
+		x.left = true
+		x.g.ClientGone("t")
 		return true
 	}},
 }
 
-func newDuo(effect Effect) *duo {
-	d := &duo{g: gate("a"), effect: effect, up: true, now: start}
-	trusted(d.g, start, "a", 9)
-	return d
+func newExchange(effect Effect) *exchange {
+	x := &exchange{g: newController("a"), effect: effect, up: true, now: start}
+	makeHealthy(x.g, "a", 9)
+	return x
 }
 
 // step makes a move and judges the rules at once.
-func (d *duo) step(i int) (could bool, broken string) {
-	could = moves[i].do(d)
-	for _, a := range d.g.Actions() {
+func (x *exchange) step(i int) (could bool, broken string) {
+	could = moves[i].do(x)
+	for _, a := range x.g.Actions() {
 		if a.Kind == ActionAnswer {
-			d.answers = append(d.answers, a.Outcome)
+			x.answers = append(x.answers, a.Outcome)
 		}
 	}
 	switch {
-	case len(d.answers) > 1:
+	case len(x.answers) > 1:
 		broken = "two answers"
-	case d.left && len(d.answers) > 0:
+	case x.left && len(x.answers) > 0:
 		broken = "an answer to a client that had left"
-	case d.effect != EffectIdempotent && d.runs > 1:
+	case x.effect != EffectIdempotent && x.runs > 1:
 		broken = "run twice"
-	case d.effect != EffectIdempotent && d.runs > 0 && len(d.answers) > 0 && d.answers[0] == OutcomeRejected:
+	case x.effect != EffectIdempotent && x.runs > 0 && len(x.answers) > 0 && x.answers[0] == OutcomeRejected:
 		broken = "rejected, and it ran"
 	}
 	return could, broken
 }
 
-func (d *duo) key() string {
-	state := state(0)
-	if c := d.g.out["t"]; c != nil {
+func (x *exchange) key() string {
+	state := forwardState(0)
+	if c := x.g.forwarded["t"]; c != nil {
 		state = c.state
 	}
-	return fmt.Sprint(d.effect, d.onWire, d.coming, d.up, d.far, d.runs, d.answers, d.now, d.crossed, d.left, d.restarts, state, d.g.Peer("a").State)
+	return fmt.Sprint(x.effect, x.onWire, x.coming, x.up, x.far, x.runs, string(x.answers), x.now, x.crossed, x.left, x.restarts, state, x.g.Peer("a").State)
 }
 
-// Every order of what can happen to one txn, from the first move to the last: no
+// Every order of what can happen to one request, from the first move to the last: no
 // state that can be reached breaks a rule, and each ends with one outcome.
-func TestEveryOrderOfEvents(t *testing.T) {
+func TestOneOutcomeInEveryOrderOfEvents(t *testing.T) {
 	for _, effect := range []Effect{EffectIdempotent, EffectIdempotencyKey, EffectUnsafe} {
 		seen := map[string]bool{}
 		edges := 0
@@ -425,11 +427,11 @@
 			p := queue[0]
 			queue = queue[1:]
 			for i := range moves {
-				d := newDuo(effect)
+				x := newExchange(effect)
 				for _, j := range p {
-					d.step(j)
+					x.step(j)
 				}
-				could, broken := d.step(i)
+				could, broken := x.step(i)
 				if broken != "" {
 					var names []string
 					for _, j := range append(p, i) {
@@ -438,19 +440,19 @@
 					t.Fatalf("effect %d: %s after %q", effect, broken, names)
 				}
 				edges++
-				if k := d.key(); could && !seen[k] {
+				if k := x.key(); could && !seen[k] {
 					seen[k] = true
 					queue = append(queue, append(p[:len(p):len(p)], i))
 					// Whatever the state, time brings an end.
-					if d.now += 10 * second; d.g.IsForwarded("t") {
-						d.g.Tick(d.now)
-						for _, a := range d.g.Actions() {
+					if x.now += 10 * second; x.g.IsForwarded("t") {
+						x.g.Tick(x.now)
+						for _, a := range x.g.Actions() {
 							if a.Kind == ActionAnswer {
-								d.answers = append(d.answers, a.Outcome)
+								x.answers = append(x.answers, a.Outcome)
 							}
 						}
-						if d.g.IsForwarded("t") || len(d.answers) != 1 {
-							t.Fatalf("effect %d: %d answers at the end of time", effect, len(d.answers))
+						if x.g.IsForwarded("t") || len(x.answers) != 1 {
+							t.Fatalf("effect %d: %d answers at the end of time", effect, len(x.answers))
 						}
 					}
 				}
@@ -463,13 +465,13 @@
 	}
 }
 
-// Long random lives of many txns: as many answers as were handed over, and the
+// Long random lives of many requests: as many answers as were handed over, and the
 // books agree.
-func TestLongLives(t *testing.T) {
+func TestEachForwardedRequestIsAnsweredOnce(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		g := gate("a", "b")
-		now, n := int64(start), 0
+		g := newController("a", "b")
+		now, n := start, 0
 		open, answers := map[string]bool{}, map[string]int{}
 		for range 400 {
 			now += r.Int64N(100 * ms)
@@ -502,7 +504,7 @@
 				if a.Kind == ActionAnswer {
 					answers[a.RequestID]++
 					if !open[a.RequestID] || answers[a.RequestID] > 1 {
-						t.Fatalf("txn %s answered %d times", a.RequestID, answers[a.RequestID])
+						t.Fatalf("request %s answered %d times", a.RequestID, answers[a.RequestID])
 					}
 					delete(open, a.RequestID)
 				}
