--- a/internal/cacheproto/cacheproto_test.go
+++ b/internal/cacheproto/codec_test.go
@@ -5,15 +5,17 @@
 	"errors"
 	"strings"
 	"testing"
+
+	"quilldoor/internal/policy"
 )
 
-func TestCommands(t *testing.T) {
+func TestCommandsAreWritten(t *testing.T) {
 	g := &GetCommand{ID: "9b", Class: "page", Object: "x", Part: 3, BudgetMillis: 150, Length: 0}
 	want := "GET 9b queue=page,path=x,blk=3,budget=150 0\r\n"
 	if got := string(AppendGet(nil, g)); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	g.Source, g.Priority, g.MaxAgeMillis, g.Mode, g.Tag, g.Length = "o-1", 2, 40, 1|2|8, "tag", 7
+	g.Source, g.Priority, g.MaxAgeMillis, g.FillMode, g.Tag, g.Length = "o-1", 2, 40, 1|2|8, "tag", 7
 	want = "GET 9b queue=page,path=x,blk=3,budget=150,miss=o-1,prio=2,within=40,f=wait-for+no-fetch+background,mine=tag 7\r\n"
 	if got := string(AppendGet(nil, g)); got != want {
 		t.Errorf("%q, want %q", got, want)
@@ -27,9 +29,9 @@
 	return ReadResponse(bufio.NewReaderSize(strings.NewReader(text), 256), 1000)
 }
 
-func TestAnswer(t *testing.T) {
+func TestResponseIsRead(t *testing.T) {
 	a, err := read("9b ACK entity=4be0,issued=1764576000123,detail=MISS_ORIGIN,delay=12.5,use=util:0.61;x1:2,new=1 9\r\n")
-	if err != nil || a.ID != "9b" || a.Status != StatusOK || a.Tag != "4be0" || a.IssuedMillis != 1764576000123 || a.Reason != 3 ||
+	if err != nil || a.ID != "9b" || a.Status != StatusOK || a.Tag != "4be0" || a.IssuedMillis != 1764576000123 || a.Reason != policy.ReasonMissOrigin ||
 		a.DelayMillis != 12.5 || a.Load["util"] != 0.61 || a.Load["x1"] != 2 || a.Length != 9 {
 		t.Fatalf("%+v, %v", a, err)
 	}
@@ -38,13 +40,15 @@
 	}
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"9b ACK - -1\r\n", "9b ACK - 1001\r\n", "9b ACK - 99999999999999999999\r\n", "9b ACK -\r\n", "9b HELLO - 0\r\n",
 		" ACK - 0\r\n", "9b ACK - 0\n", "9b ACK delay 0\r\n", "9b ACK delay=x 0\r\n", "9b ACK use=a:b 0\r\n",
 		"9b ACK issued=1.5 0\r\n", "\r\n",
-		// Not numbers once reached the module.
-		"9b EIO delay=NaN 0\r\n", "9b EIO delay=-1 0\r\n", "9b EIO use=util:Inf 0\r\n", "9b NOMOD entity=e,issued=7 1\r\n", "9b ACK entity=" + strings.Repeat("x", 300) + " 0\r\n",
+		// NaN and Inf once reached the policy.
+		"9b EIO delay=NaN 0\r\n", "9b EIO delay=-1 0\r\n", "9b EIO use=util:Inf 0\r\n",
+		"9b NOMOD entity=e,issued=7 1\r\n",
+		"9b ACK entity=" + strings.Repeat("x", 300) + " 0\r\n",
 	} {
 		if _, err := read(text); !errors.Is(err, ErrProtocol) {
 			t.Errorf("%.50q: %v", text, err)
@@ -58,8 +62,8 @@
 	}
 }
 
-// FuzzAnswer looks for panics and for lengths outside the bound.
-func FuzzAnswer(f *testing.F) {
+// FuzzReadResponse looks for panics and for lengths outside the bound.
+func FuzzReadResponse(f *testing.F) {
 	f.Add("9b ACK entity=4be0,issued=1,detail=HIT,delay=0.5,use=util:0.6;x0:1 9\r\n")
 	f.Add("p READY\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -72,7 +76,10 @@
 
 // What one side writes the other reads.
 func TestBothSidesAgree(t *testing.T) {
-	g := GetCommand{ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2, MaxAgeMillis: 500, Mode: 11, Tag: "t", Length: 4}
+	g := GetCommand{
+		ID: "ab", Class: "page", Object: "o1", Part: 3, BudgetMillis: 70, Source: "s", Priority: 2,
+		MaxAgeMillis: 500, FillMode: 11, Tag: "t", Length: 4,
+	}
 	c, err := ReadCommand(bufio.NewReader(strings.NewReader(string(AppendGet(nil, &g)))))
 	if err != nil || c.Get == nil || *c.Get != g {
 		t.Fatalf("%+v, %v", c.Get, err)
@@ -87,9 +94,12 @@
 			t.Errorf("%q was read", bad)
 		}
 	}
-	a := Response{ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: 4, DelayMillis: 1.5, Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10}
+	a := Response{
+		ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: policy.ReasonCoalesced, DelayMillis: 1.5,
+		Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10,
+	}
 	got, err := ReadResponse(bufio.NewReader(strings.NewReader(string(AppendResponse(nil, &a)))), 100)
-	if err != nil || got.Tag != a.Tag || got.Reason != 4 || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
+	if err != nil || got.Tag != a.Tag || got.Reason != policy.ReasonCoalesced || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	none := Response{ID: "ab", Status: StatusMiss}
--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -34,8 +34,10 @@
 	Outweighed, Second int64 // offers refused
 }
 
-// HitRatio is that of txns, SavedShare that of bytes.
-func (r *Result) HitRatio() float64     { return float64(r.Hits) / float64(r.Requests) }
+// HitRatio is the share of requests that the disk cache answers.
+func (r *Result) HitRatio() float64 { return float64(r.Hits) / float64(r.Requests) }
+
+// ByteHitRatio is the share of bytes that the disk cache answers.
 func (r *Result) ByteHitRatio() float64 { return float64(r.BytesServed) / float64(r.Bytes) }
 
 // WrittenPerServed is the bytes written for each byte served from disk.
@@ -123,7 +125,7 @@
 }
 
 // txn asks for a part, and offers it where it wasn't there.
-func txn(t *diskcache.Tier, now int64, name string, part, size int) (hit bool) {
+func txn(t *diskcache.Policy, now int64, name string, part, size int) (hit bool) {
 	a := diskcache.Request{Object: name, Part: int64(part), Remaining: 1e6}
 	v, found := t.Lookup(now, &a)
 	if v != diskcache.VerdictMiss {
--- a/internal/emulator/detect.go
+++ b/internal/emulator/detect.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -19,6 +18,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/goccy/go-yaml"
 
+	"quilldoor/internal/loopback"
 	"quilldoor/internal/operatorconfig"
 	"quilldoor/internal/scenario"
 )
@@ -49,13 +49,12 @@
 	var peers []operatorconfig.MembershipPeer
 	var listens []string
 	for i := range routers {
-		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 79, byte(1+i/200), byte(1+i%200))})
+		addr, err := loopback.Reserve()
 		if err != nil {
 			return nil, 0, err
 		}
-		peers = append(peers, operatorconfig.MembershipPeer{Name: nameOf(i), Addr: udp.LocalAddr().String()})
-		listens = append(listens, udp.LocalAddr().String()) // the same number is free for TCP there
-		udp.Close()
+		peers = append(peers, operatorconfig.MembershipPeer{Name: nameOf(i), Addr: addr.String()})
+		listens = append(listens, addr.String()) // reserved for TCP as well
 	}
 	key := filepath.Join(dir, "members.key")
 	if err := os.WriteFile(key, []byte(membersKey), 0o600); err != nil {
@@ -103,9 +102,9 @@
 					}
 				}
 			}
-			io.Copy(io.Discard, r)
+			_, _ = io.Copy(io.Discard, r) // until the process ends
 		})
-		all.Go(func() { cmd.Wait(); w.Close() })
+		all.Go(func() { _ = cmd.Wait(); w.Close() })
 		return cmd, nil
 	}
 	var cmds []*exec.Cmd
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -15,6 +15,7 @@
 	"quilldoor/internal/membership"
 	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simfleet"
 	"quilldoor/internal/simulation"
@@ -165,7 +166,7 @@
 
 func (m mailer) apply(r *vrouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.core.UpdateEndpoints(m.now(), "diff", coreServers(list))
+		r.core.UpdateEndpoints(m.now(), policy.ScopeDiff, coreServers(list))
 	}
 }
 
@@ -244,23 +245,13 @@
 			now := r.now()
 			for _, at := range r.world.Ways.Transmit(now, r.id, to.id, n) {
 				word := slices.Clone(b[:n])
-				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { conn.WriteToUDPAddrPort(word, to.members) })
+				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { _, _ = conn.WriteToUDPAddrPort(word, to.members) })
 			}
 		}
 	})
 	return conn.LocalAddr().String(), nil
 }
 
-// freeUDP finds an address of a router's own.
-func (r *process) freeUDP() (netip.AddrPort, error) {
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 77, byte(1+r.id/200), byte(1+r.id%200))})
-	if err != nil {
-		return netip.AddrPort{}, err
-	}
-	defer conn.Close()
-	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), nil
-}
-
 // watch looks at all views time and again, as a person would with the router's own
 // command.
 func (v *sockets) watch() {
@@ -324,6 +315,6 @@
 }
 
 func (v *sockets) byName(name string) (router int) {
-	fmt.Sscanf(name, "n%d", &router)
+	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
 	return router
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -10,6 +10,8 @@
 
 	"quilldoor/internal/cacheproto"
 	"quilldoor/internal/eventlog"
+	"quilldoor/internal/loopback"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simulation"
 )
@@ -28,7 +30,12 @@
 	if p := r.places[server]; p != nil {
 		return p, nil
 	}
-	p := &place{process: r, server: server, addr: "127.0.0.1:0", conns: map[*lineConn]struct{}{}}
+	// Reserved, as the server listens there again after it was down.
+	addr, err := loopback.Reserve()
+	if err != nil {
+		return nil, err
+	}
+	p := &place{process: r, server: server, addr: addr.String(), conns: map[*lineConn]struct{}{}}
 	r.places[server] = p
 	return p, p.open()
 }
@@ -38,7 +45,7 @@
 	if err != nil {
 		return fmt.Errorf("server %s: %w", p.server, err)
 	}
-	p.addr, p.listener = l.Addr().String(), l
+	p.listener = l
 	p.all.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -161,7 +168,7 @@
 	x.hops++
 	c.hops[g.ID] = h
 	p.world.Hop(&simulation.Hop{
-		Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, Mode: g.Mode,
+		Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, FillMode: g.FillMode,
 		Within: g.MaxAgeMillis * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h,
 	})
 }
@@ -208,7 +215,7 @@
 }
 
 var (
-	answerOf  = map[string]cacheproto.Status{"done": cacheproto.StatusOK, "busy": cacheproto.StatusBusy, "enoent": cacheproto.StatusMiss, "err": cacheproto.StatusError}
+	answerOf  = map[policy.Outcome]cacheproto.Status{policy.OutcomeDone: cacheproto.StatusOK, policy.OutcomeBusy: cacheproto.StatusBusy, policy.OutcomeMiss: cacheproto.StatusMiss, policy.OutcomeError: cacheproto.StatusError}
 	garbage   = []byte("%% ACK entity\r\n")
 	secondKey = "recorded "
 )
@@ -220,7 +227,7 @@
 		return
 	}
 	delete(c.hops, h.id)
-	word, known := answerOf[e.Code]
+	word, known := answerOf[e.Outcome]
 	if !known || e.Spoilt { // a reset, or what can't be read and then the end
 		if e.Spoilt {
 			c.put(garbage)
@@ -228,7 +235,7 @@
 		c.reset()
 		return
 	}
-	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Note, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
+	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Reason, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
 	var body []byte
 	if word == cacheproto.StatusOK {
 		if w.Rule == scenario.Accept {
@@ -281,7 +288,7 @@
 // reset ends the connection as a dying process does.
 func (c *lineConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // else it ends by FIN
 	}
 	c.Close()
 	c.end()
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"slices"
+
+	"quilldoor/internal/tinylfu"
 )
 
 // Snapshot is what an instance has learned, for one that takes its place in the same second: the sketch, the
@@ -91,15 +93,13 @@
 
 // Snapshot tells what the instance knows. It shares nothing with it.
 func (r *Router) Snapshot() *Snapshot {
+	sketch := r.sketch.State()
 	l := &Snapshot{
-		SketchDoorkeeper: slices.Clone(r.sketch.door[:]), SketchSample: r.sketch.sample, NextHalving: r.halveAt,
+		SketchRows: sketch.Rows, SketchDoorkeeper: sketch.Doorkeeper, SketchSample: sketch.Samples, NextHalving: r.halveAt,
 		TransferTimes: map[string]TransferTimes{}, FillFailures: ends(r.failed), Priorities: slices.Clone(r.values), SlowStartHoldUntil: r.holdTill,
 	}
-	for i := range r.sketch.rows {
-		l.SketchRows[i] = slices.Clone(r.sketch.rows[i][:])
-		if i < len(r.beyond) {
-			l.BypassLimiters[i] = r.beyond[i].learned()
-		}
+	for i := range r.beyond {
+		l.BypassLimiters[i] = r.beyond[i].learned()
 	}
 	for _, s := range r.order {
 		x := EndpointSnapshot{
@@ -131,19 +131,14 @@
 // Restore takes over what another instance knew, after the list and before the first txn. Servers that are not
 // listed here are passed over; a later birth here stays.
 func (r *Router) Restore(l *Snapshot) error {
-	if len(l.SketchDoorkeeper) != len(r.sketch.door) || len(l.Endpoints) > mostLearned || len(l.Purges) > mostLearnedPurges {
+	sketch := tinylfu.State{Rows: l.SketchRows, Doorkeeper: l.SketchDoorkeeper, Samples: l.SketchSample}
+	if !r.sketch.Fits(sketch) || len(l.Endpoints) > mostLearned || len(l.Purges) > mostLearnedPurges {
 		return ErrSnapshot
 	}
-	for i := range l.SketchRows {
-		if len(l.SketchRows[i]) != len(r.sketch.rows[i]) {
-			return ErrSnapshot
-		}
-	}
-	for i := range l.SketchRows {
-		copy(r.sketch.rows[i][:], l.SketchRows[i])
+	if err := r.sketch.Restore(sketch); err != nil {
+		return ErrSnapshot
 	}
-	copy(r.sketch.door[:], l.SketchDoorkeeper)
-	r.sketch.sample, r.halveAt, r.holdTill = max(l.SketchSample, 0), l.NextHalving, max(l.SlowStartHoldUntil, r.holdTill)
+	r.halveAt, r.holdTill = l.NextHalving, max(l.SlowStartHoldUntil, r.holdTill)
 	for i := range r.beyond {
 		r.beyond[i].take(l.BypassLimiters[i])
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,14 +17,8 @@
 	Rank, Siblings int
 	Zone           string
 	Zones, Kinds   []string
-	Classes        []struct {
-		Name, Effect, Group             string
-		DedupWindowMs, TargetMs         float64
-		GiveUpMs, AimStretch, LateShare float64
-		Value                           float64
-		Streamed                        bool
-	}
-	Tenants []struct {
+	Classes        []Class
+	Tenants        []struct {
 		Name               string
 		QuotaPerS, Portion float64
 	}
@@ -63,6 +57,27 @@
 	RoundMs    float64
 }
 
+// Class is one traffic class.
+type Class struct {
+	Name, Effect, Group             string
+	DedupWindowMs, TargetMs         float64
+	GiveUpMs, AimStretch, LateShare float64
+	Value                           float64
+	Streamed                        bool
+}
+
+var effects = map[string]policy.Effect{
+	"safe":   policy.EffectIdempotent,
+	"keyed":  policy.EffectIdempotencyKey,
+	"unsafe": policy.EffectUnsafe,
+}
+
+var dedupGroups = map[string]policy.DedupGroup{
+	"all":  policy.DedupGroupAll,
+	"zone": policy.DedupGroupZone,
+	"cell": policy.DedupGroupCell,
+}
+
 func at[T any](list []T, i int) (v T) {
 	if i < len(list) {
 		v = list[i]
@@ -104,7 +119,7 @@
 	}
 	for i, k := range s.Classes {
 		out.Classes = append(out.Classes, policy.TrafficClass{
-			Name: k.Name, Effect: k.Effect, Group: k.Group, DedupWindow: Micros(k.DedupWindowMs),
+			Name: k.Name, Effect: effects[k.Effect], DedupGroup: dedupGroups[k.Group], DedupWindow: Micros(k.DedupWindowMs),
 			LatencyObjective: Micros(k.TargetMs), ObjectiveStretch: k.AimStretch, Timeout: Micros(k.GiveUpMs),
 			PriorityWeight: k.Value, LateValueShare: k.LateShare, Streamed: k.Streamed,
 			FreshFor: Micros(at(f.GoodForMs, i)), StaleGrace: Micros(at(f.ClassGraceMs, i)),
