--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -24,7 +24,7 @@
 	if i := slices.Index(s.cached, key); i >= 0 {
 		s.cached = slices.Delete(s.cached, i, i+1)
 	} else if len(s.cached) >= r.config.maxCachedObjects {
-		if r.popularity.estimate(key) <= r.popularity.estimate(s.cached[0]) {
+		if r.popularity.Estimate(key) <= r.popularity.Estimate(s.cached[0]) {
 			return cachePriorityNone
 		}
 		s.cached = slices.Delete(s.cached, 0, 1)
@@ -32,36 +32,3 @@
 	s.cached = append(s.cached, key)
 	return cachePriorityMiddle
 }
-
-// samplesPerCachedObject sets after how many requests the popularity counts are halved.
-const samplesPerCachedObject = 10
-
-// setPopularitySample sets the halving period to ten times what the zone's caches are asked to keep.
-func (r *Router) setPopularitySample() {
-	r.popularitySample = 0
-	for _, s := range r.ordered {
-		if s.active && s.role == roleCache {
-			r.popularitySample += samplesPerCachedObject * r.config.maxCachedObjects
-		}
-	}
-}
-
-// countRequest counts a request for an object.
-func (r *Router) countRequest(key uint64) {
-	r.popularity.count(key)
-	if r.popularitySample > 0 && r.popularity.sample >= r.popularitySample {
-		r.popularity.halve()
-	}
-}
-
-// halvePopularity halves the counts after some time, too, for routers that see few requests.
-func (r *Router) halvePopularity() {
-	const period = 30 * second
-	if r.now < r.nextHalving {
-		return
-	}
-	if r.nextHalving > 0 {
-		r.popularity.halve()
-	}
-	r.nextHalving = r.now + period
-}
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -1,6 +1,10 @@
 package policy
 
-import "slices"
+import (
+	"slices"
+
+	"quilldoor/internal/tinylfu"
+)
 
 // Durations are whole microseconds.
 const (
@@ -24,8 +28,8 @@
 	open       []*request // in order of arrival; closed ones leave at the next sweep
 	priorities []float64  // of the last requests
 
-	popularity       sketch // how often objects were requested
-	popularitySample int    // after how many requests it is halved; 0: by time only
+	popularity       *tinylfu.Sketch // how often objects were requested
+	popularitySample int             // after how many requests it is halved; 0: by time only
 	nextHalving      int64
 
 	fillSamples    []sample              // of the last attempts that might fill: bad ones brought no response
@@ -65,11 +69,12 @@
 // New starts a Router from its settings and the seed of its random draws.
 func New(settings Settings, seed uint64) *Router {
 	r := &Router{
-		config:    newConfig(&settings),
-		random:    random(seed),
-		endpoints: map[string]*endpoint{},
-		classes:   map[string]*trafficClass{},
-		requests:  map[string]*request{},
+		config:     newConfig(&settings),
+		random:     random(seed),
+		popularity: newSketch(),
+		endpoints:  map[string]*endpoint{},
+		classes:    map[string]*trafficClass{},
+		requests:   map[string]*request{},
 	}
 	for i := range settings.Classes {
 		class := &settings.Classes[i]
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -2,7 +2,10 @@
 
 import (
 	"errors"
+	"fmt"
 	"slices"
+
+	"quilldoor/internal/tinylfu"
 )
 
 // Snapshot is what a Router has learned, for one that takes its place at once: how popular objects are, what
@@ -77,18 +80,17 @@
 
 // Snapshot gives what the Router has learned. It shares no memory with it.
 func (r *Router) Snapshot() *Snapshot {
+	sketch := r.popularity.State()
 	s := &Snapshot{
-		SketchDoorkeeper:   slices.Clone(r.popularity.door[:]),
-		SketchSample:       r.popularity.sample,
+		SketchRows:         sketch.Rows,
+		SketchDoorkeeper:   sketch.Doorkeeper,
+		SketchSample:       sketch.Samples,
 		NextHalving:        r.nextHalving,
 		TransferTimes:      map[string]TransferTimes{},
 		FillFailures:       snapshotSamples(r.fillSamples),
 		Priorities:         slices.Clone(r.priorities),
 		SlowStartHoldUntil: r.slowStartHoldUntil,
 	}
-	for i := range r.popularity.rows {
-		s.SketchRows[i] = slices.Clone(r.popularity.rows[i][:])
-	}
 	for i := range r.bypassLimiters {
 		s.BypassLimiters[i] = r.bypassLimiters[i].snapshot()
 	}
@@ -143,14 +145,13 @@
 // first request. Endpoints that are not listed here, or have started again since, are passed over. A snapshot of
 // another shape gives ErrSnapshot.
 func (r *Router) Restore(s *Snapshot) error {
-	if !r.fits(s) {
+	if len(s.Endpoints) > maxSnapshotEndpoints || len(s.Purges) > maxSnapshotPurges {
 		return ErrSnapshot
 	}
-	for i := range s.SketchRows {
-		copy(r.popularity.rows[i][:], s.SketchRows[i])
+	sketch := tinylfu.State{Rows: s.SketchRows, Doorkeeper: s.SketchDoorkeeper, Samples: s.SketchSample}
+	if err := r.popularity.Restore(sketch); err != nil {
+		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	copy(r.popularity.door[:], s.SketchDoorkeeper)
-	r.popularity.sample = max(s.SketchSample, 0)
 	r.nextHalving = s.NextHalving
 	r.slowStartHoldUntil = max(s.SlowStartHoldUntil, r.slowStartHoldUntil)
 	for i := range r.bypassLimiters {
@@ -172,17 +173,6 @@
 	return nil
 }
 
-// fits tells whether a snapshot has the shape of this Router's state.
-func (r *Router) fits(s *Snapshot) bool {
-	for i := range s.SketchRows {
-		if len(s.SketchRows[i]) != len(r.popularity.rows[i]) {
-			return false
-		}
-	}
-	return len(s.SketchDoorkeeper) == len(r.popularity.door) && len(s.Endpoints) <= maxSnapshotEndpoints &&
-		len(s.Purges) <= maxSnapshotPurges
-}
-
 func (r *Router) restoreEndpoint(from *EndpointSnapshot) {
 	s := r.endpoints[from.ID]
 	if s == nil || s.startedAt > from.StartedAt {
