--- /dev/null
+++ b/internal/invariant/rules.go
@@ -0,0 +1,88 @@
+package invariant
+
+import "fmt"
+
+// Rule is one that a router must keep, by its number in the operators' list.
+type Rule uint8
+
+// Rules that can be checked from outside the process.
+const (
+	RuleDuplicate  Rule = 2 // no second attempt beside one that may have been executed, if not idempotent
+	RuleDrained    Rule = 3 // no attempt to, or fill from, an endpoint that drains or has gone
+	RuleOverBudget Rule = 4 // no more work to an endpoint in slow start than this router's share
+	RuleStale      Rule = 5 // no response older than a purge
+	ruleCount      Rule = 6
+)
+
+var ruleNames = [ruleCount]string{
+	RuleDuplicate:  "an unrepeatable txn sent twice",
+	RuleDrained:    "sent to servers that drain or have gone",
+	RuleOverBudget: "cold servers' budgets overspent",
+	RuleStale:      "answers older than a purge",
+}
+
+// String returns the rule's number and name, as reports and pages show it.
+func (r Rule) String() string { return fmt.Sprintf("rule %d, %s", uint8(r), ruleNames[r]) }
+
+// Times in microseconds.
+const (
+	ms     = int64(1000)
+	second = int64(1_000_000)
+)
+
+const (
+	// maxDiscoverySkew is how much later than the monitor a process may learn of the same
+	// change: both poll discovery, and one of them may lose a poll and its retry.
+	maxDiscoverySkew = 2 * second
+	// settleDelay is how long activity waits to be judged, so that a change which the
+	// process learned of first has come here as well.
+	settleDelay = second
+	// maxDiscoveryStall is how late a process may learn of a change if its connection to
+	// discovery hangs. It violates rules for that long and no longer; what goes on is a
+	// fault of the program.
+	maxDiscoveryStall = 7 * second
+	// minViolations of a rule prove a fault, except of RuleDuplicate, where one does.
+	minViolations = 3
+	// violationTTL is how long a violation counts.
+	violationTTL = 60 * second
+	// goneTTL is how long endpoints are remembered after they have gone.
+	goneTTL = 120 * second
+	// purgeTTL is how long purges are remembered: caches and disks hold older copies.
+	purgeTTL = 120 * second
+)
+
+// Bounds of memory.
+const (
+	maxEndpoints      = 8192
+	maxPurges         = 4096
+	maxPending        = 128 // activities of a process; a dozen come in a second
+	maxProcesses      = 64
+	maxViolationTimes = 256            // of a rule and a process
+	maxWorkRecords    = 4 * maxPending // of an endpoint
+)
+
+// safetyChecks are the conditions that keep a router from being accused of what it could
+// not know. They are replaceable so that a test can drop one and show that a router which
+// keeps the rules is then accused; nothing but tests replaces them.
+type safetyChecks struct {
+	// settled reports whether an activity that came so long ago may be judged.
+	settled func(age int64) bool
+	// outlastsStall reports whether violations over such a time can't come from a
+	// connection to discovery that hangs.
+	outlastsStall func(duration int64) bool
+	// drainsKnown reports whether the endpoint list is current: the monitor follows
+	// discovery, and has done so since before knownFrom.
+	drainsKnown func(disconnected bool, now, knownFrom int64) bool
+	// workTime is when work counts that was sent and received at these times: reports may
+	// come late and together.
+	workTime func(sent, received int64) int64
+}
+
+func defaultSafetyChecks() safetyChecks {
+	return safetyChecks{
+		settled:       func(age int64) bool { return age >= settleDelay },
+		outlastsStall: func(duration int64) bool { return duration >= maxDiscoveryStall },
+		drainsKnown:   func(disconnected bool, now, knownFrom int64) bool { return !disconnected && now >= knownFrom },
+		workTime:      func(sent, _ int64) int64 { return sent },
+	}
+}
