--- a/cmd/quilldoor/peers.go
+++ b/cmd/quilldoor/peers.go
@@ -43,7 +43,7 @@
 	p.mu.Lock()
 	t := p.book.HandlePayload(p.now(), clock(), from, tag, body, transport.MaxPayloadBytes)
 	p.mu.Unlock()
-	p.apply(t.Servers)
+	p.apply(t.Endpoints)
 	for _, x := range t.Purges {
 		p.taken(x.Object, x.Group, x.At)
 	}
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -156,7 +156,7 @@
 func (m mailer) HandlePayload(h *simfleet.Host, l membership.Payload) [][]byte {
 	r := m.routers[h.ID]
 	t := r.book.HandlePayload(m.now(), m.now(), l.From, l.Digest, l.Body, transport.MaxPayloadBytes)
-	m.apply(r, t.Servers)
+	m.apply(r, t.Endpoints)
 	for _, p := range t.Purges {
 		r.core.Purge(m.now(), p.Object, p.Group, p.At)
 	}
--- /dev/null
+++ b/internal/gossip/doc.go
@@ -0,0 +1,18 @@
+// Package gossip replicates among the routers of a site what their discovery sources have told: endpoints that drain
+// or are gone, restarted endpoints, purges. A router whose own source is late or cut off applies what the others
+// report. A Replica does no I/O and reads no clock; its messages travel as payloads of package membership.
+//
+// Each source numbers its events anew for each router, so the numbers of two routers can't be compared. Two reports of
+// an endpoint are ordered by what they say instead: a later start goes before an earlier one, and within one start
+// gone before draining before active. Of two purges of the same key the later one goes before. The replica takes the
+// join of all reports (a state-based CRDT; Shapiro and others 2011): in any order, late or repeated they give the same
+// state, and it never goes backwards.
+//
+// The files:
+//
+//   - gossip.go: the replica, what its own source has told, and its ticks
+//   - claim.go: what other routers report of an endpoint, and when it is applied
+//   - purge.go: purges
+//   - exchange.go: digests, and the exchange of what differs
+//   - message.go: the form of the messages
+package gossip
--- /dev/null
+++ b/internal/gossip/message.go
@@ -0,0 +1,106 @@
+package gossip
+
+import (
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"quilldoor/internal/policy"
+)
+
+// Payload is what one replica sends another: a request or a part of the response.
+type Payload struct {
+	Request       *DigestRequest `cbor:"1,keyasint,omitempty"`
+	StateExchange *StateExchange `cbor:"2,keyasint,omitempty"`
+}
+
+// DigestRequest asks for the state of the buckets whose digests differ from these.
+type DigestRequest struct {
+	Digests []uint32 `cbor:"1,keyasint"`
+}
+
+// StateExchange is a part of a response.
+type StateExchange struct {
+	Endpoints []endpointMessage `cbor:"1,keyasint,omitempty"`
+	Purges    []purgeMessage    `cbor:"2,keyasint,omitempty"`
+}
+
+type endpointMessage struct {
+	ID        string               `cbor:"1,keyasint"`
+	Address   string               `cbor:"2,keyasint,omitempty"`
+	Zone      string               `cbor:"3,keyasint,omitempty"`
+	Kind      string               `cbor:"4,keyasint,omitempty"`
+	Cell      int                  `cbor:"5,keyasint,omitempty"`
+	State     policy.EndpointState `cbor:"6,keyasint"`
+	Weight    float64              `cbor:"7,keyasint,omitempty"`
+	StartedAt int64                `cbor:"8,keyasint,omitempty"` // Unix microseconds
+}
+
+type purgeMessage struct {
+	Object string `cbor:"1,keyasint,omitempty"`
+	Group  int64  `cbor:"2,keyasint,omitempty"`
+	At     int64  `cbor:"3,keyasint"`
+}
+
+func newEndpointMessage(e Endpoint) endpointMessage {
+	return endpointMessage{
+		ID:        e.ID,
+		Address:   e.Address,
+		Zone:      e.Zone,
+		Kind:      e.Kind,
+		Cell:      e.Cell,
+		State:     e.State,
+		Weight:    e.Weight,
+		StartedAt: e.StartedAt,
+	}
+}
+
+func (m *endpointMessage) endpoint() Endpoint {
+	return Endpoint{
+		Endpoint: policy.Endpoint{
+			ID:        m.ID,
+			Zone:      m.Zone,
+			Kind:      m.Kind,
+			Cell:      m.Cell,
+			State:     m.State,
+			Weight:    m.Weight,
+			StartedAt: m.StartedAt,
+		},
+		Address: m.Address,
+	}
+}
+
+func (m purgeMessage) purge() Purge { return Purge(m) }
+
+// decoding bounds what a payload may hold.
+var decoding = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		MaxArrayElements: 1024,
+		MaxMapPairs:      16,
+		MaxNestedLevels:  6,
+		IndefLength:      cbor.IndefLengthForbidden,
+		TagsMd:           cbor.TagsForbidden,
+	}.DecMode()
+	if err != nil {
+		panic(err) // the options above are constant
+	}
+	return mode
+}()
+
+// Encode returns the payload's bytes.
+func (p *Payload) Encode() []byte {
+	b, err := cbor.Marshal(p)
+	if err != nil {
+		panic(fmt.Errorf("encode gossip payload: %w", err)) // its types can all be encoded
+	}
+	return b
+}
+
+// Decode reads a payload; nil: it is malformed.
+func Decode(b []byte) *Payload {
+	var p Payload
+	if decoding.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
+		return nil
+	}
+	return &p
+}
