--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -93,24 +93,29 @@
 		body.Release()
 		return nil
 	}
+	c.pool.ended(call.Attempt, resultOf(outcome, response, body))
+	return nil
+}
+
+// resultOf is an attempt's result. It takes the body over, or releases it.
+func resultOf(outcome policy.Outcome, response *cacheproto.Response, body *bufferpool.Body) engine.Result {
 	result := engine.Result{
 		Outcome:    outcome,
 		Reason:     response.Reason,
 		OriginWait: settings.Micros(response.DelayMillis),
 		Load:       response.Load,
 	}
-	if outcome == policy.OutcomeDone {
-		result.Response = &Response{
-			Body:         body,
-			Tag:          response.Tag,
-			NotModified:  response.Status == cacheproto.StatusNotModified,
-			IssuedMillis: response.IssuedMillis,
-		}
-	} else {
+	if outcome != policy.OutcomeDone {
 		body.Release()
+		return result
 	}
-	c.pool.ended(call.Attempt, result)
-	return nil
+	result.Response = &Response{
+		Body:         body,
+		Tag:          response.Tag,
+		NotModified:  response.Status == cacheproto.StatusNotModified,
+		IssuedMillis: response.IssuedMillis,
+	}
+	return result
 }
 
 // expecting notes that a response has begun, and finds what waits for it.
