--- /dev/null
+++ b/internal/policy/admission.go
@@ -0,0 +1,34 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// maxCachedObjects bounds what a router remembers of one cache. It is divided by the square root of the number
+// of routers that share the cache, since each sees a part of its requests.
+const maxCachedObjects = 64
+
+// cachedObjectsLimit is the bound for a router with this share of its zone's requests.
+func cachedObjectsLimit(zoneShare float64) int { return int(maxCachedObjects * math.Sqrt(zoneShare)) }
+
+// Priorities at which a cache may be asked to keep a copy.
+const (
+	cachePriorityNone   = 0
+	cachePriorityMiddle = 2
+)
+
+// cachePriority decides whether a cache shall keep the object, by TinyLFU: an object that is not on the cache's
+// list replaces the least recent one there only if it is requested more often.
+func (r *Router) cachePriority(s *endpoint, key uint64) int {
+	if i := slices.Index(s.cached, key); i >= 0 {
+		s.cached = slices.Delete(s.cached, i, i+1)
+	} else if len(s.cached) >= r.config.maxCachedObjects {
+		if r.popularity.Estimate(key) <= r.popularity.Estimate(s.cached[0]) {
+			return cachePriorityNone
+		}
+		s.cached = slices.Delete(s.cached, 0, 1)
+	}
+	s.cached = append(s.cached, key)
+	return cachePriorityMiddle
+}
