--- a/cmd/quilldoor/log_test.go
+++ b/cmd/quilldoor/asyncwriter_test.go
@@ -9,7 +9,7 @@
 // A log that nobody read could hold up what time brings, time-outs among it.
 func TestBlockedLogHoldsNobodyUp(t *testing.T) {
 	r, w := io.Pipe() // a write waits for a read
-	o := newOutlet(w)
+	o := newAsyncWriter(w)
 	for range 1000 {
 		if n, err := o.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
--- /dev/null
+++ b/cmd/quilldoor/gatewayhost.go
@@ -0,0 +1,170 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"quilldoor/internal/gateway"
+	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/gateway/peerproto"
+	"quilldoor/internal/operatorconfig"
+)
+
+// gatewayHost is what the gateway needs of the router.
+type gatewayHost struct {
+	*router
+	purges purgeLog
+}
+
+// Execute runs a peer's request.
+func (h *gatewayHost) Execute(clientGone <-chan struct{}, request *gateway.Request) gateway.Reply {
+	return h.downstream.ServeForwarded(clientGone, request)
+}
+
+// Purge takes one that a peer knows. It is not told to others: each site tells the purges
+// of its own discovery.
+func (h *gatewayHost) Purge(object string, group, at int64) { h.purgeCopies(object, group, at) }
+
+// Purges are those that cover a request: the latest of its object and of its group.
+func (h *gatewayHost) Purges(object string, group int64) (list []peerproto.Purge) {
+	ofObject, ofGroup := h.purges.latest(object, group)
+	if ofObject > 0 {
+		list = append(list, peerproto.Purge{At: ofObject})
+	}
+	if ofGroup > 0 {
+		list = append(list, peerproto.Purge{Group: true, At: ofGroup})
+	}
+	return list
+}
+
+// purgeLog remembers purges that caches may not have done yet, for peers that may not
+// have heard of them.
+type purgeLog struct {
+	mu        sync.Mutex
+	retention int64 // microseconds
+	list      []purgeEvent
+}
+
+type purgeEvent struct {
+	object string // "": of the group
+	group  int64
+	at     int64 // Unix microseconds
+}
+
+// maxLoggedPurges are remembered; beyond that the oldest are forgotten, which peers have
+// from their own discovery.
+const maxLoggedPurges = 4096
+
+func (l *purgeLog) add(object string, group, at int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	expired := clock() - l.retention
+	for len(l.list) > 0 && (l.list[0].at < expired || len(l.list) >= maxLoggedPurges) {
+		l.list = l.list[1:]
+	}
+	l.list = append(l.list, purgeEvent{object, group, at})
+}
+
+func (l *purgeLog) all() []purgeEvent {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.list)
+}
+
+// latest gives the times of the latest purges of an object and of a group; 0: none.
+func (l *purgeLog) latest(object string, group int64) (ofObject, ofGroup int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, purge := range l.list {
+		switch {
+		case purge.object != "" && purge.object == object:
+			ofObject = max(ofObject, purge.at)
+		case purge.object == "" && purge.group == group:
+			ofGroup = max(ofGroup, purge.at)
+		}
+	}
+	return ofObject, ofGroup
+}
+
+// openGateway starts the gateway as the operator's file has it.
+func (r *router) openGateway(file *operatorconfig.Gateway) error {
+	keys := &gateway.Keys{Cert: file.CertFile, Key: file.KeyFile, CA: file.CAFile}
+	if err := keys.Load(); err != nil {
+		return err
+	}
+	listener, err := r.listenOrInherit("gateway", file.Listen)
+	if err != nil {
+		return fmt.Errorf("gateway.listen: %w", err)
+	}
+	retention := r.policy.Hierarchy.PurgeSettleTime + r.limits.MaxRequestTimeout.Microseconds()
+	r.gatewayHost = &gatewayHost{router: r, purges: purgeLog{retention: retention}}
+	r.gatewayKeys = keys
+	r.gateway = gateway.Start(r.gatewayConfig(file, keys), listener, r.gatewayHost, r.buffers, r.log)
+	r.downstream.SetGateway(r.gateway)
+	return nil
+}
+
+func (r *router) gatewayConfig(file *operatorconfig.Gateway, keys *gateway.Keys) gateway.Config {
+	const microsPerMilli = 1000
+	config := gateway.Config{
+		Keys:           keys,
+		MaxUploadBytes: r.limits.MaxRequestBody,
+		MaxAnswerBytes: r.limits.MaxResponseBody,
+		MaxRequestTime: r.limits.MaxRequestTimeout,
+		Seed:           r.config.Seed,
+		Settings: peerpolicy.Settings{
+			Name:              file.Name,
+			Site:              file.Site,
+			MaxRequests:       file.MaxRequests,
+			LocalReserve:      file.LocalReserve,
+			HeartbeatInterval: int64(file.HeartbeatMS) * microsPerMilli,
+		},
+	}
+	for _, peer := range file.Peers {
+		config.Peers = append(config.Peers, gateway.Peer(peer))
+	}
+	return config
+}
+
+// writeGatewayStatus writes the gateway's status to a file every second.
+func (r *router) writeGatewayStatus(ctx context.Context, g *gateway.Gateway, path string) {
+	r.writePeriodically(ctx, time.Second, "gateway: status not written", func() error {
+		status := g.Status()
+		status.WrittenAtMS = time.Now().UnixMilli()
+		text, err := json.MarshalIndent(status, "", " ")
+		if err != nil {
+			return err
+		}
+		if err := os.WriteFile(path+newFileSuffix, append(text, '\n'), 0o644); err != nil {
+			return err
+		}
+		return os.Rename(path+newFileSuffix, path)
+	})
+}
+
+// newFileSuffix is that of a file which is renamed once it is whole.
+const newFileSuffix = ".new"
+
+// writePeriodically calls write until the context ends. A failure is logged once, until
+// it succeeds again.
+func (r *router) writePeriodically(ctx context.Context, interval time.Duration, failure string, write func() error) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for failed := false; ; {
+		err := write()
+		if err != nil && !failed {
+			r.log.WithError(err).Error(failure)
+		}
+		failed = err != nil
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
--- /dev/null
+++ b/cmd/quilldoor/generation.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"context"
+	"runtime/debug"
+	"time"
+
+	"quilldoor/internal/engine"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/upgrade"
+)
+
+// generation is the router as its supervisor sees it: a process that takes the place of
+// another one of the same router, and gives it back. It is the agent's host.
+type generation struct {
+	*router
+	ctx  context.Context
+	load func() (*startConfig, error)
+}
+
+// Acquire takes the place of another generation, or begins from nothing where state is
+// nil. With own the state is this process's, which gets its place back; with
+// holdSlowStart the earlier process may have spent this router's slow-start budgets.
+func (g *generation) Acquire(state *handoff.State, own, holdSlowStart bool) error {
+	g.stopWatching()
+	defer g.watchDiscovery(g.ctx)
+	if state == nil {
+		state = &handoff.State{}
+	}
+	if own && state.Membership != nil {
+		state.Membership.Reclaim()
+	}
+	g.slowStartHoldUntil = 0
+	if holdSlowStart {
+		g.slowStartHoldUntil = clock() + g.policy.Contract.OverloadWindow
+	}
+	if err := g.openExclusive(state.Membership); err != nil {
+		return err
+	}
+	g.watcher.Resume(state.Revision, handedEndpoints(state.Servers))
+	if g.gatewayHost != nil {
+		for _, purge := range state.Purges {
+			g.gatewayHost.purges.add(purge.Object, purge.Group, purge.At)
+		}
+	}
+	if state.Learned != nil && !own {
+		g.restore(state.Learned)
+	}
+	g.engine.HoldSlowStart(clock(), g.slowStartHoldUntil)
+	g.accept()
+	testFaults.at(stageServing, g.router)
+	return nil
+}
+
+func (g *generation) restore(snapshot *policy.Snapshot) {
+	if err := g.engine.Restore(snapshot); err != nil { // it serves without, as after a start from nothing
+		g.log.WithError(err).Warn("upgrade: snapshot has another shape, starting without it")
+	}
+}
+
+// Release stops accepting and hands over what another generation goes on with. From now
+// on this process sends nothing to warming endpoints: their budgets go with the snapshot.
+func (g *generation) Release() *handoff.State {
+	const never = 1 << 62
+	_ = g.listener.SetDeadline(time.Now())
+	g.downstream.SuspendClientLimit(true)
+	g.awaitServed()
+	g.served = nil
+	g.downstream.SetMigrating(true)
+	g.engine.HoldSlowStart(clock(), never)
+	g.stopWatching()
+	defer g.watchDiscovery(g.ctx)
+	state := &handoff.State{Learned: g.engine.Snapshot()}
+	state.Learned.SlowStartHoldUntil = g.slowStartHoldUntil
+	if g.gatewayHost != nil {
+		for _, purge := range g.gatewayHost.purges.all() {
+			state.Purges = append(state.Purges, handoff.Purge{Object: purge.object, Group: purge.group, At: purge.at})
+		}
+	}
+	state.Membership = g.handOffExclusive()
+	revision, list := g.watcher.Snapshot()
+	state.Revision = revision
+	state.Servers = endpointsToHand(list)
+	return state
+}
+
+func handedEndpoints(list []handoff.Server) []engine.Endpoint {
+	endpoints := make([]engine.Endpoint, len(list))
+	for i, s := range list {
+		endpoints[i] = engine.Endpoint{Address: s.Endpoint, Endpoint: policy.Endpoint{
+			ID: s.Server, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
+			State: s.State, Weight: s.Weight, StartedAt: s.Born,
+		}}
+	}
+	return endpoints
+}
+
+func endpointsToHand(list []engine.Endpoint) (servers []handoff.Server) {
+	for _, endpoint := range list {
+		servers = append(servers, handoff.Server{
+			Server: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell, State: endpoint.State,
+			Weight: endpoint.Weight, Born: endpoint.StartedAt, Endpoint: endpoint.Address,
+		})
+	}
+	return servers
+}
+
+// SetLimits sets this generation's share of the machine.
+func (g *generation) SetLimits(share upgrade.Resources) {
+	limits := g.config.LimitsFor(share.MemoryMB, share.Descriptors)
+	debug.SetMemoryLimit(limits.MemoryBytes)
+	g.buffers.SetLimit(limits.MaxBufferedBytes)
+	g.downstream.SetMaxClients(limits.MaxClients)
+	g.upstream.SetMaxConns(limits.MaxUpstreamConns)
+	g.log.WithField("memory_mb", share.MemoryMB).WithField("descriptors", share.Descriptors).Info("upgrade: limits set")
+}
+
+// SetOtherAttempts takes the attempts that the other generation has in flight, by
+// endpoint and kind: concurrency limits are for both together.
+func (g *generation) SetOtherAttempts(inFlight map[string][3]float64) {
+	g.engine.SetOtherGeneration(clock(), inFlight)
+}
+
+// SendToPeer sends a supervisor's message, if this generation is the member.
+func (g *generation) SendToPeer(to string, body []byte) {
+	if g.membership != nil {
+		g.membership.SendPayload(to, body)
+	}
+}
+
+// Reload reads the configuration again.
+func (g *generation) Reload() { g.reload(g.ctx, g.load) }
+
+// Ready tells whether a whole endpoint list is known.
+func (g *generation) Ready() bool {
+	testFaults.at(stageReady, g.router)
+	return g.downstream.IsReady()
+}
+
+// Heartbeat tells the supervisor what this generation does.
+func (g *generation) Heartbeat() *handoff.Message {
+	testFaults.at(stageHeartbeat, g.router)
+	requests, _ := g.engine.Count()
+	return &handoff.Message{
+		Requests:            upgrade.RequestCounts(g.downstream.RequestCounts()),
+		OutstandingAttempts: g.engine.InFlight(),
+		OpenRequests:        requests,
+		Activity:            g.activity.Take(),
+	}
+}
--- /dev/null
+++ b/cmd/quilldoor/membership.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"net/netip"
+
+	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/operatorconfig"
+)
+
+// openMembership starts to look for the other routers of the site, as the operator's file
+// has it. With state it goes on as the member that another process was.
+func (r *router) openMembership(file *operatorconfig.Membership, state *membership.HandoffState) error {
+	key, err := transport.ReadKey(file.KeyFile)
+	if err != nil {
+		return err
+	}
+	settings := r.membershipSettings(file, state)
+	r.gossip = newGossipHandler(r)
+	listen := netip.MustParseAddrPort(file.Listen)
+	if r.agent != nil {
+		conn, err := r.agent.PacketConn("members")
+		if err != nil {
+			return err
+		}
+		r.membership = transport.StartOn(conn, settings, key, listen, r.gossip, r.log)
+		return nil
+	}
+	// The process before this one may have spent its slow-start budgets until now.
+	r.engine.HoldSlowStart(clock(), clock()+r.policy.Contract.OverloadWindow)
+	r.membership, err = transport.Start(settings, key, listen, r.gossip, r.log)
+	return err
+}
+
+func (r *router) membershipSettings(file *operatorconfig.Membership, state *membership.HandoffState) membership.Settings {
+	settings := membership.Settings{
+		Name: file.Name, Zone: file.Zone, GossipBytesPerSecond: file.BytesPerSecond, Handoff: state,
+	}
+	if settings.Zone == "" {
+		settings.Zone = r.config.Settings.Zone
+	}
+	if r.agent != nil {
+		settings.Process = &membership.ProcessInfo{
+			Generation: uint32(r.agent.Number), Program: programDigest(), Settings: uint32(r.config.settingsDigest),
+		}
+	}
+	for _, peer := range file.Peers {
+		settings.Seeds = append(settings.Seeds, membership.Seed{Name: peer.Name, Addr: netip.MustParseAddrPort(peer.Addr)})
+	}
+	return settings
+}
--- /dev/null
+++ b/cmd/quilldoor/membershipcommand.go
@@ -0,0 +1,147 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
+	"quilldoor/internal/operatorconfig"
+)
+
+var errNoMembership = errors.New("members: not in the operator's file")
+
+// membersCommand asks running routers who is there.
+func membersCommand(f *flags) *cobra.Command {
+	var matrix, asJSON bool
+	c := &cobra.Command{
+		Use: "members", Short: "Tell which routers are there, how sure and how old that is", Args: cobra.NoArgs,
+		Long: "Asks the router of the operator's file, by its members.listen address and key. --matrix asks all that it\n" +
+			"knows, and shows who sees whom and where they disagree. Exit code 1: no answer.",
+	}
+	c.Flags().BoolVar(&matrix, "matrix", false, "ask all, show who sees whom")
+	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
+	c.RunE = func(*cobra.Command, []string) error {
+		key, view, err := queryMembership(f)
+		switch {
+		case err != nil:
+			return err
+		case matrix:
+			return showMatrix(transport.QueryAll(key, view), asJSON)
+		case asJSON:
+			return printJSON(view)
+		}
+		printMembership(view)
+		return nil
+	}
+	return c
+}
+
+func queryMembership(f *flags) (key []byte, view *membership.View, err error) {
+	operator, err := operatorconfig.Load(f.operatorFile, os.Getenv)
+	if err != nil {
+		return nil, nil, err
+	}
+	members := operator.Membership
+	if members == nil {
+		return nil, nil, errNoMembership
+	}
+	if key, err = transport.ReadKey(members.KeyFile); err != nil {
+		return nil, nil, err
+	}
+	view, err = transport.Query(key, members.Name, netip.MustParseAddrPort(members.Listen))
+	return key, view, err
+}
+
+func showMatrix(matrix *transport.Matrix, asJSON bool) error {
+	if asJSON {
+		return printJSON(matrix)
+	}
+	printMatrix(matrix)
+	return nil
+}
+
+func printMembership(v *membership.View) {
+	c := v.Connectivity
+	part := "a majority"
+	if !c.Majority {
+		part = "isolated or in the minority"
+	}
+	fmt.Printf("%s of %s (epoch %d, incarnation %d) is %v: %d of %d routers reachable, %s for %s; %d of its last %d probes answered\n",
+		v.Self.Name, v.Self.Zone, v.Self.ID.Epoch, v.Self.Incarnation, c.State, c.Reachable, c.Known, part,
+		formatAge(c.MajorityAge), c.ProbesAnswered, c.ProbesSent)
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	defer w.Flush()
+	fmt.Fprintln(w, "router\toffice\tstate\tfor\tknown by\tlast heard\tconfirmations\tround trip\tepoch\taddress")
+	for _, m := range v.Members {
+		heard := "never"
+		if m.LastHeardAge >= 0 {
+			heard = formatAge(m.LastHeardAge) + " ago"
+		}
+		const microsPerMilli = 1000
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%v\t%s\t%d\t%.1f ms\t%d\t%v\n",
+			m.Name, m.Zone, m.State, formatAge(m.StateAge), m.Reach, heard, m.Confirmations,
+			float64(m.RTT)/microsPerMilli, m.ID.Epoch, m.Addr)
+	}
+}
+
+// formatAge words microseconds.
+func formatAge(age int64) string {
+	const second = 1_000_000
+	if age < 10*second {
+		return fmt.Sprintf("%.1f s", float64(age)/second)
+	}
+	return fmt.Sprintf("%d s", age/second)
+}
+
+// matrixMarks draw a member's state in one letter.
+var matrixMarks = map[membership.State]string{
+	membership.StateUnknown:      " ",
+	membership.StateJoining:      "j",
+	membership.StateAlive:        "A",
+	membership.StateSuspect:      "s",
+	membership.StateDead:         "D",
+	membership.StateLeaving:      "l",
+	membership.StateLeft:         "L",
+	membership.StateNameConflict: "2",
+}
+
+const matrixLegend = "a row is what a router knows of each: A alive, a alive through others only, s suspected, D dead, l leaving, L left,\n" +
+	"j joining, 2 name conflict, ? it did not answer"
+
+// printMatrix draws a row for each router that answered: what it knows of each.
+func printMatrix(m *transport.Matrix) {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
+	fmt.Fprintln(w, "\t"+strings.Join(m.Names, "\t"))
+	for _, observer := range m.Names {
+		row := []string{observer}
+		for _, member := range m.Names {
+			row = append(row, matrixMark(m, member, observer))
+		}
+		fmt.Fprintln(w, strings.Join(row, "\t"))
+	}
+	w.Flush()
+	fmt.Println(matrixLegend)
+	if disagreements := m.Disagreements(); len(disagreements) > 0 {
+		fmt.Println("they disagree on", strings.Join(disagreements, ", "))
+	} else {
+		fmt.Println("all that answered agree")
+	}
+}
+
+func matrixMark(m *transport.Matrix, member, observer string) string {
+	status, answered := m.Status(member, observer)
+	switch {
+	case !answered:
+		return "?"
+	case status.State == membership.StateAlive && status.Reach == membership.ReachRelayed:
+		return "a"
+	}
+	return matrixMarks[status.State]
+}
--- /dev/null
+++ b/cmd/quilldoor/metrics.go
@@ -0,0 +1,160 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskrunner"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/operatorconfig"
+)
+
+// writeMetrics writes the router's metrics to a file at intervals, in the text format of
+// Prometheus.
+func (r *router) writeMetrics(ctx context.Context, file *operatorconfig.Metrics) {
+	set := metricSet{metrics.NewSet()}
+	interval := time.Duration(file.IntervalS) * time.Second
+	r.writePeriodically(ctx, interval, "metrics not written", func() error {
+		r.collectMetrics(set)
+		return writeMetricsFile(file.File, set.Set)
+	})
+}
+
+// writeMetricsFile replaces the file as a whole or not at all.
+func writeMetricsFile(path string, set *metrics.Set) error {
+	f, err := os.Create(path + newFileSuffix)
+	if err != nil {
+		return err
+	}
+	set.WritePrometheus(f)
+	metrics.WriteProcessMetrics(f)
+	if err := f.Close(); err != nil {
+		return err
+	}
+	return os.Rename(path+newFileSuffix, path)
+}
+
+// metricSet names metrics with the router's prefix and their labels.
+type metricSet struct{ *metrics.Set }
+
+func (s metricSet) gauge(value float64, name string, labels ...any) {
+	s.GetOrCreateGauge("quilldoor_"+fmt.Sprintf(name, labels...), nil).Set(value)
+}
+
+func (s metricSet) counter(value int64, name string, labels ...any) {
+	s.GetOrCreateCounter("quilldoor_" + fmt.Sprintf(name, labels...)).Set(uint64(value))
+}
+
+// flag is a gauge of 0 or 1.
+func (s metricSet) flag(value bool, name string, labels ...any) {
+	number := 0.0
+	if value {
+		number = 1
+	}
+	s.gauge(number, name, labels...)
+}
+
+// collectMetrics takes over the parts' own counts.
+func (r *router) collectMetrics(set metricSet) {
+	requests, endpoints := r.engine.Count()
+	set.gauge(float64(requests), "txns_open")
+	set.gauge(float64(endpoints), "servers_listed")
+	set.gauge(float64(r.downstream.Clients()), "clients")
+	set.gauge(float64(r.upstream.ConnCount()), "upstream_connections")
+	if r.membership != nil {
+		r.collectMembership(set)
+	}
+	if r.agent != nil {
+		set.gauge(float64(r.agent.Number), "generation")
+	}
+	if cache := r.diskCache.Load(); cache != nil {
+		collectDiskCache(set, cache.State())
+	}
+}
+
+func collectDiskCache(set metricSet, state diskrunner.State) {
+	counts := &state.Counts
+	for i := range diskcache.ReasonCount {
+		set.counter(counts.Lookups[i], "disk_looks_total{reason=%q}", diskcache.Reason(i))
+		set.counter(counts.Offers[i], "disk_offers_total{reason=%q}", diskcache.Reason(i))
+	}
+	set.counter(counts.Served-counts.ServedStale, "disk_served_total{how=%q}", "fresh")
+	set.counter(counts.ServedStale, "disk_served_total{how=%q}", "stood_in")
+	set.counter(counts.Revalidated, "disk_served_total{how=%q}", "proven")
+	set.counter(counts.BytesServed, "disk_bytes_total{way=%q}", "out")
+	set.counter(counts.BytesWritten, "disk_bytes_total{way=%q}", "in")
+	set.counter(counts.Evicted, "disk_gone_total{why=%q}", "evicted")
+	set.counter(counts.Purged, "disk_gone_total{why=%q}", "purged")
+	set.counter(counts.ReadFailures, "disk_read_faults_total")
+	set.counter(counts.HistoryGaps, "disk_gaps_total")
+	for _, health := range []diskcache.Health{
+		diskcache.HealthOn, diskcache.HealthFull, diskcache.HealthReadOnly, diskcache.HealthOff,
+	} {
+		set.flag(state.Health == health, "disk_health{state=%q}", health)
+	}
+	const microsPerSecond = 1e6
+	set.gauge(float64(state.Size.Parts), "disk_parts")
+	set.gauge(float64(state.Size.Bytes), "disk_slot_bytes")
+	set.gauge(float64(state.Size.MemoryBytes), "disk_memory_bytes")
+	set.gauge(float64(state.Size.QueuedBytes), "disk_queued_bytes")
+	set.gauge(float64(state.ReadMedianMicros)/microsPerSecond, "disk_read_seconds{quantile=%q}", "0.5")
+	set.gauge(float64(state.ReadP99Micros)/microsPerSecond, "disk_read_seconds{quantile=%q}", "0.99")
+}
+
+// collectMembership takes over what is known of the other routers.
+func (r *router) collectMembership(set metricSet) {
+	view, dropped := r.membership.View(), &r.membership.Dropped
+	members := map[membership.State]int{}
+	for _, member := range view.Members {
+		members[member.State]++
+	}
+	for _, state := range []membership.State{
+		membership.StateAlive, membership.StateSuspect, membership.StateDead, membership.StateLeaving, membership.StateLeft,
+	} {
+		set.gauge(float64(members[state]), "members{state=%q}", state)
+	}
+	set.gauge(float64(view.Connectivity.Known), "members_known")
+	set.gauge(float64(view.Connectivity.Reachable), "members_reachable")
+	set.flag(view.Connectivity.Majority, "members_majority")
+	set.gauge(float64(view.Connectivity.LocalHealth), "members_self_doubt")
+
+	counts := view.Counts
+	set.counter(counts.Sent, "members_words_total{way=%q}", "sent")
+	set.counter(counts.Received, "members_words_total{way=%q}", "taken")
+	for reason, count := range map[string]int64{
+		"foreign":  counts.Misaddressed,
+		"replayed": counts.Replayed,
+		"bad":      counts.Malformed,
+		"size":     dropped.Size.Load(),
+		"version":  dropped.Version.Load(),
+		"proof":    dropped.Authentication.Load(),
+		"payload":  dropped.Payload.Load(),
+	} {
+		set.counter(count, "members_dropped_total{reason=%q}", reason)
+	}
+	set.counter(dropped.Unsent.Load(), "members_unsent_total")
+	set.counter(counts.Suspicions, "members_suspicions_total")
+	set.counter(counts.Refutations, "members_refuted_total")
+	set.counter(counts.Deaths, "members_deaths_total")
+	set.counter(counts.Resumes, "members_wakings_total")
+	collectGossip(set, r)
+}
+
+func collectGossip(set metricSet, r *router) {
+	counts := r.gossip.counts()
+	for what, count := range map[string]int64{
+		"asked":    counts.Requests,
+		"answered": counts.Responses,
+		"bound":    counts.ClaimsAccepted,
+		"lapsed":   counts.ClaimsExpired,
+		"purges":   counts.Purges,
+		"refused":  counts.Rejected,
+	} {
+		set.counter(count, "news_total{what=%q}", what)
+	}
+}
--- /dev/null
+++ b/cmd/quilldoor/rolloutcommand.go
@@ -0,0 +1,185 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/canary"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/rollout"
+)
+
+// rolloutCommand takes an upgrade through many supervised routers.
+func rolloutCommand(f *flags) *cobra.Command {
+	client := &supervisorClient{flags: f}
+	c := &cobra.Command{Use: "rollout", Short: "Take a change through many supervised routers in stages"}
+	client.define(c)
+	for _, order := range []struct {
+		name, short string
+		command     rollout.Command
+	}{
+		{"start", "Start the plan's rollout", rollout.CommandStart},
+		{"hold", "Pause it where it is", rollout.CommandPause},
+		{"go", "Go on with one that is paused", rollout.CommandResume},
+		{"back", "Roll it back", rollout.CommandRollBack},
+	} {
+		c.AddCommand(&cobra.Command{
+			Use: order.name, Short: order.short, Args: cobra.NoArgs,
+			RunE: func(*cobra.Command, []string) error {
+				answer, err := client.rollout(order.command)
+				if err == nil {
+					fmt.Println(answer.Note)
+				}
+				return err
+			},
+		})
+	}
+	c.AddCommand(rolloutStatusCommand(client), rolloutCheckCommand(f))
+	return c
+}
+
+// rollout sends a command; 0 asks for the status only.
+func (c *supervisorClient) rollout(command rollout.Command) (*handoff.Message, error) {
+	answer, err := c.request(&handoff.Message{Kind: handoff.KindRollout, Command: command}, nil)
+	if err == nil && !answer.OK {
+		err = errors.New(answer.Note)
+	}
+	return answer, err
+}
+
+func rolloutStatusCommand(client *supervisorClient) *cobra.Command {
+	var asJSON bool
+	c := &cobra.Command{Use: "status", Short: "Tell where it stands; the leader knows most", Args: cobra.NoArgs}
+	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
+	c.RunE = func(*cobra.Command, []string) error {
+		answer, err := client.rollout(0)
+		if err != nil {
+			return err
+		}
+		if asJSON {
+			return printJSON(answer.Rollout)
+		}
+		printRolloutStatus(answer.Rollout)
+		return nil
+	}
+	return c
+}
+
+func rolloutCheckCommand(f *flags) *cobra.Command {
+	const defaultSpread = 0.03
+	var path string
+	var spread float64
+	c := &cobra.Command{Use: "check", Short: "Check the plan, and tell what its stages can show", Args: cobra.NoArgs}
+	c.Flags().StringVar(&path, "plan", "", "the plan; else keep.plan of the operator's file")
+	c.Flags().Float64Var(&spread, "spread", defaultSpread, "standard deviation, over seconds, of the loss of worth between two routers of an office")
+	c.RunE = func(*cobra.Command, []string) error {
+		plan, err := readPlan(f, path)
+		if err != nil {
+			return err
+		}
+		printPlan(plan, spread)
+		return nil
+	}
+	return c
+}
+
+func readPlan(f *flags, path string) (*rollout.Plan, error) {
+	if path == "" {
+		operator, err := operatorconfig.Load(f.operatorFile, os.Getenv)
+		if err != nil {
+			return nil, err
+		}
+		if operator.Supervisor == nil {
+			return nil, errNoSupervisor
+		}
+		path = operator.Supervisor.RolloutPlan
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return rollout.ParsePlan(path, text)
+}
+
+// printPlan prints for each stage after how many seconds it stops a loss, and passes a
+// program that is the same.
+func printPlan(plan *rollout.Plan, spread float64) {
+	fmt.Printf("%s (%016x): %d routers, %d of an office at once\n", plan.Name, plan.Digest, len(plan.Routers), plan.MaxConcurrent)
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "stage\trouters\twatched\tstops a loss of 0.05 after\t0.1\t0.2\tpasses the same after")
+	for i := range plan.Stages {
+		printStage(w, plan, i, spread)
+	}
+	w.Flush()
+	fmt.Printf("with a spread of %g; by chance alone at most %g of rollouts of the same are stopped\n",
+		spread, plan.Guardrails.FalseStopProbability)
+}
+
+func printStage(w *tabwriter.Writer, plan *rollout.Plan, i int, spread float64) {
+	const maxSamples = 100_000
+	stage := plan.Stages[i]
+	within := func(samples int) string {
+		if samples == 0 || float64(samples) > stage.MaxWatchSeconds {
+			return "not within it"
+		}
+		return fmt.Sprintf("%d s", samples)
+	}
+	changed := plan.ChangedThrough(i).Count()
+	fmt.Fprintf(w, "%d\t%d\t%g to %g s", i+1, changed, stage.MinWatchSeconds, stage.MaxWatchSeconds)
+	if changed == len(plan.Routers) { // nobody is left to compare with
+		fmt.Fprintln(w, "\tguardrails only\t\t\tthe watch")
+		return
+	}
+	pass := 0
+	for _, loss := range []float64{0.05, 0.1, 0.2} {
+		var stop int
+		stop, pass = canary.SamplesNeeded(plan.CanarySettings(), len(plan.Stages), spread, loss, maxSamples)
+		fmt.Fprintf(w, "\t%s", within(stop))
+	}
+	fmt.Fprintf(w, "\t%s\n", within(pass))
+}
+
+func printRolloutStatus(s *rollout.Status) {
+	role := "leads"
+	if !s.IsLeader {
+		role = "does not lead"
+	}
+	fmt.Printf("%s: %s, stage %d of %d, known %d ms ago; last leader: %s; this router %s\n",
+		s.Plan, s.Phase, s.Stage, s.Stages, s.AgeMS, s.Leader, role)
+	if s.Reason != "" {
+		fmt.Println("last:", s.Reason)
+	}
+	if s.Recovering {
+		fmt.Println("this router has lost its register, and recovers it from the others")
+	}
+	printRolloutRouters(s)
+	if s.Verdict == "" {
+		return
+	}
+	const millisPerSecond = 1000
+	fmt.Printf("watched for %d s: %s\n", s.WatchMS/millisPerSecond, s.Verdict)
+	for _, b := range s.Bounds {
+		fmt.Printf("  %s: %+.4f (%+.4f to %+.4f; tolerance %g)\n", b.Metric, b.Mean, b.Low, b.High, b.Tolerance)
+	}
+}
+
+func printRolloutRouters(s *rollout.Status) {
+	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	defer w.Flush()
+	fmt.Fprintln(w, "router\toffice\tgeneration\theard\tMB\trestarts\tviolation\tfailure")
+	for _, router := range s.Routers {
+		heard := ""
+		if s.IsLeader {
+			heard = fmt.Sprintf("%d ms ago", router.HeardMS)
+		}
+		report := &router.Report
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f\t%d\t%s\t%s\n",
+			router.Name, router.Office, router.Activity, heard, report.MemoryMB, report.Restarts,
+			report.FirstViolation, report.FailureReason)
+	}
+}
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -134,7 +134,7 @@
 	   {"Name":"sign","Effect":"unsafe","TargetMs":500,"GiveUpMs":2000,"Value":1}]}}`
 	r.text = edit.Replace(r.text)
 	r.configure(t, r.text)
-	f := &flags{over: config.Overrides{File: r.path}, operator: own}
+	f := &flags{overrides: config.Overrides{File: r.path}, operatorFile: own}
 	c, err := f.load()
 	if err != nil {
 		t.Fatal(err)
@@ -402,7 +402,7 @@
 
 // A router stood still for fifteen seconds while its table of descriptors grew.
 func TestDescriptorTableIsGrownAtTheStart(t *testing.T) {
-	if err := reserve(900); err != nil {
+	if err := growDescriptorTable(900); err != nil {
 		t.Fatal(err)
 	}
 	status, err := os.ReadFile("/proc/self/status")
--- /dev/null
+++ b/cmd/quilldoor/supervise.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"cmp"
+	"errors"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/discovery"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/supervisor"
+	"quilldoor/internal/upgrade"
+)
+
+var errNoSupervisor = errors.New("keep: not in the operator's file")
+
+// keepCommand runs a router under a supervisor.
+func keepCommand(f *flags) *cobra.Command {
+	return &cobra.Command{
+		Use: "keep", Short: "Supervise a router: upgrade its program and settings under load", Args: cobra.NoArgs,
+		Long: "Holds the router's sockets and runs it as a process of its own, by keep in the operator's file. 'quilldoor change'\n" +
+			"then puts another program or other settings in its place.",
+		RunE: func(*cobra.Command, []string) error { return f.supervise() },
+	}
+}
+
+func (f *flags) supervise() error {
+	log, err := f.logger()
+	if err != nil {
+		return err
+	}
+	config, err := f.load()
+	if err != nil {
+		return err
+	}
+	file := config.operator.Supervisor
+	if file == nil {
+		return errNoSupervisor
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	term, hup := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(hup, syscall.SIGHUP)
+	return supervisor.Run(supervisor.Config{
+		Observer:   f.observer(config),
+		Folder:     file.Dir,
+		Program:    self,
+		Platform:   f.platformPath(),
+		Operator:   f.operatorPath(),
+		Plan:       file.RolloutPlan,
+		MemberName: memberName(config.operator),
+		Log:        log.WithField("router", config.Name),
+		Times:      upgradeTimeouts(config, file),
+	}, term, hup)
+}
+
+// platformPath and operatorPath are the files that the configuration is read from.
+func (f *flags) platformPath() string { return cmp.Or(f.overrides.File, os.Getenv("LB_CONFIG")) }
+
+func (f *flags) operatorPath() string {
+	return cmp.Or(f.operatorFile, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath)
+}
+
+// observer watches the router's invariants by what discovery tells the supervisor itself.
+func (f *flags) observer(config *startConfig) *supervisor.Observer {
+	settings := config.Settings.PolicySettings()
+	return &supervisor.Observer{
+		Invariants: invariant.SettingsFrom(&settings),
+		Limits:     config.Limits,
+		Discovery: func() (string, *discovery.Update, error) {
+			fresh, err := f.load()
+			if err != nil {
+				return "", nil, err
+			}
+			return fresh.DiscoveryAddr, fresh.initialUpdate, nil
+		},
+	}
+}
+
+func upgradeTimeouts(config *startConfig, file *operatorconfig.Supervisor) upgrade.Timeouts {
+	// shutdownSlack is for what surrounds the drain: accepting for half a second, the disk
+	// cache's last writes, closing connections.
+	const shutdownSlack = 3 * time.Second
+	drain := config.Limits.MaxRequestTimeout + config.Limits.ClientIdleTimeout + shutdownSlack
+	return upgrade.Timeouts{
+		ReadyMicros: micros(file.ReadyTimeoutS),
+		TrialMicros: micros(file.TrialS),
+		DrainMicros: drain.Microseconds(),
+	}
+}
+
+func micros(seconds float64) int64 {
+	const microsPerSecond = 1e6
+	return int64(seconds * microsPerSecond)
+}
+
+func memberName(operator *operatorconfig.Config) string {
+	if operator.Membership == nil {
+		return ""
+	}
+	return operator.Membership.Name
+}
--- a/cmd/quilldoor/change_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -19,89 +19,126 @@
 	"quilldoor/internal/engine"
 	"quilldoor/internal/handoff"
 	"quilldoor/internal/membership"
+	"quilldoor/internal/upstream"
 )
 
-// Wrong variants of the program, by QUILLDOOR_FAULT; the shipped binary has none.
+// faults are those of a faulty variant of the program, by QUILLDOOR_FAULT; the shipped
+// binary has none.
+type faults struct {
+	name   string
+	served atomic.Bool
+	memory [][]byte   // held for ever
+	files  []*os.File // never closed
+}
+
 func init() {
-	fault := os.Getenv("QUILLDOOR_FAULT")
-	if fault == "" {
-		return
+	if name := os.Getenv("QUILLDOOR_FAULT"); name != "" {
+		testFaults = &faults{name: name}
 	}
-	var hoard [][]byte
-	var files []*os.File
-	var served atomic.Bool
-	switch fault {
-	case "deaf to drains":
-		mishears = func(list []engine.Endpoint) {
-			for i := range list {
-				list[i].State = "active"
-			}
-		}
-	case "deaf to purges":
-		forgetful = true
-	case "a fifth slower":
-		lags = func(h *engine.Attempt, ended func()) {
-			time.AfterFunc(time.Duration(time.Now().UnixMicro()-h.DecidedAt)*time.Microsecond/5, ended)
+}
+
+func (f *faults) hearEndpoints(list []engine.Endpoint) {
+	if f.name == "deaf to drains" {
+		for i := range list {
+			list[i].State = "active"
 		}
 	}
-	wrongly = func(when string, r *router) {
-		switch {
-		case when == "start" && fault == "no start":
-			fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
-			os.Exit(3)
-		case when == "ready" && fault == "never ready":
-			time.Sleep(time.Minute)
-		case when == "own" && fault == "silent":
-			served.Store(true)
-		case when == "beat" && fault == "silent" && served.Load():
+}
+
+func (f *faults) ignoresPurges() bool { return f.name == "deaf to purges" }
+
+func (f *faults) wrapResults(handle upstream.ResultFunc) upstream.ResultFunc {
+	if f.name != "a fifth slower" {
+		return handle
+	}
+	return func(attempt *engine.Attempt, result engine.Result) {
+		delay := time.Duration(time.Now().UnixMicro()-attempt.DecidedAt) * time.Microsecond / 5
+		time.AfterFunc(delay, func() { handle(attempt, result) })
+	}
+}
+
+func (f *faults) at(stage lifecycleStage, r *router) {
+	switch stage {
+	case stageStart:
+		f.atStart(r)
+	case stageReady:
+		if f.name == "never ready" {
 			time.Sleep(time.Minute)
-		case when == "own" && fault == "mute": // it says nothing of what it was told
+		}
+	case stageServing:
+		f.atServing(r)
+	case stageHeartbeat:
+		f.atHeartbeat(r)
+	}
+}
+
+func (f *faults) atStart(r *router) {
+	switch f.name {
+	case "no start":
+		fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
+		os.Exit(3)
+	case "narrow": // rejects what it could do
+		r.policy.Limits.MaxOpenRequests = 1
+	case "greedy": // takes warming endpoints for warm
+		r.policy.Contract.SlowStartFor, r.policy.Hierarchy.ParentSlowStartFor = 1, 1
+	case "refuses":
+		r.policy.Zone, r.policy.Hierarchy.CacheBypass = "nowhere", false
+	}
+}
+
+func (f *faults) atServing(r *router) {
+	switch f.name {
+	case "silent", "memory":
+		f.served.Store(true)
+	case "mute": // it does not report what it was told
+		time.Sleep(time.Minute)
+	case "crash":
+		time.AfterFunc(time.Second, func() { os.Exit(3) })
+	case "quiet among members":
+		if r.membership != nil {
+			r.membership.Close()
+			r.membership = nil
+		}
+	}
+}
+
+func (f *faults) atHeartbeat(r *router) {
+	worked := func() bool { return r.downstream.RequestCounts().Completed > 60 }
+	switch f.name {
+	case "silent":
+		if f.served.Load() {
 			time.Sleep(time.Minute)
-		case when == "own" && fault == "crash":
-			time.AfterFunc(time.Second, func() { os.Exit(3) })
-		case when == "own" && fault == "memory":
-			served.Store(true)
-		case when == "beat" && fault == "memory" && served.Load():
-			b := make([]byte, 40<<20)
-			for i := range b {
-				b[i] = 1
-			}
-			hoard = append(hoard, b)
-		case when == "beat" && fault == "descriptors":
-			for range 200 {
-				if f, err := os.Open(os.DevNull); err == nil {
-					files = append(files, f)
-				}
-			}
-		case when == "start" && fault == "narrow": // refuses what it could do
-			r.set.Limits.MaxOpenRequests = 1
-		case when == "beat" && fault == "dies at work":
-			if e := r.front.RequestCounts(); e.Completed > 60 {
-				os.Exit(3)
-			}
-		case when == "beat" && fault == "hangs at work":
-			if e := r.front.RequestCounts(); e.Completed > 60 {
-				time.Sleep(time.Hour)
-			}
-		case when == "beat" && fault == "leaks":
-			b := make([]byte, 2<<20)
-			for i := range b {
-				b[i] = 1
-			}
-			hoard = append(hoard, b)
-		case when == "own" && fault == "quiet among members":
-			if r.members != nil {
-				r.members.Close()
-				r.members = nil
+		}
+	case "memory":
+		if f.served.Load() {
+			f.hold(40 << 20)
+		}
+	case "leaks":
+		f.hold(2 << 20)
+	case "descriptors":
+		for range 200 {
+			if file, err := os.Open(os.DevNull); err == nil {
+				f.files = append(f.files, file)
 			}
-		case when == "start" && fault == "greedy": // takes cold servers for warm
-			r.set.Contract.SlowStartFor, r.set.Hierarchy.ParentSlowStartFor = 1, 1
-		case when == "start" && fault == "refuses":
-			r.set.Zone, r.set.Hierarchy.CacheBypass = "nowhere", false
 		}
+	case "dies at work":
+		if worked() {
+			os.Exit(3)
+		}
+	case "hangs at work":
+		if worked() {
+			time.Sleep(time.Hour)
+		}
+	}
+}
+
+// hold takes memory that is really used.
+func (f *faults) hold(bytes int) {
+	b := make([]byte, bytes)
+	for i := range b {
+		b[i] = 1
 	}
-	_ = hoard
-	_ = files
+	f.memory = append(f.memory, b)
 }
 
 // variant is a program that is wrong in one way.
