--- a/internal/rollout/validate.go
+++ b/internal/rollout/validate.go
@@ -129,8 +129,8 @@
 	p.setLimitDefaults()
 	g := &p.Guardrails
 	for _, limit := range []struct {
-		key             string
-		value, min, max float64
+		key              string
+		value, low, high float64
 	}{
 		{"at_once", float64(p.MaxConcurrent), 1, MaxRouters},
 		{"back_at_once", float64(p.MaxConcurrentRollback), 1, MaxRouters},
@@ -145,8 +145,8 @@
 		{"guards.chance", g.FalseStopProbability, 0.0001, 0.5},
 		{"guards.memory", g.MemoryRatio, 1, 100},
 	} {
-		if !(limit.value >= limit.min && limit.value <= limit.max) { // refuses NaN, too
-			return yamlfile.Errorf(limit.key, "%g is not within %g and %g", limit.value, limit.min, limit.max)
+		if err := yamlfile.CheckRange(limit.key, limit.value, limit.low, limit.high); err != nil {
+			return err
 		}
 	}
 	return nil
