--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -67,13 +67,13 @@
 // ProcessEnded forgets a process.
 func (m *Monitor) ProcessEnded(processID uint64) { delete(m.processes, processID) }
 
-// Tick judges activity that has settled. Call it some ten times a second.
+// Tick checks activity that has settled. Call it some ten times a second.
 func (m *Monitor) Tick(now int64) {
 	for _, p := range m.processes {
 		for len(p.pending) > 0 && m.checks.settled(now-p.pending[0].receivedAt) {
 			a := p.pending[0].activity
 			p.pending = p.pending[1:]
-			m.judge(now, p, a)
+			m.check(now, p, a)
 		}
 		for r := range p.violations {
 			p.violations[r].expire(now)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (m *Monitor) judge(now int64, p *process, a *Activity) {
+func (m *Monitor) check(now int64, p *process, a *Activity) {
 	for range a.DuplicateAttempts {
 		p.violations[RuleDuplicate].add(now, "a hop beside one that may have run")
 	}
--- a/internal/rollout/batch.go
+++ b/internal/rollout/batch.go
@@ -29,8 +29,8 @@
 	return report.Upgraded && report.RunID == s.RunID
 }
 
-// anyMembershipChange reports whether updateMembership has anything to do.
-func (l *leader) anyMembershipChange(n *Node, s *State) bool {
+// areSetsOutdated reports whether updateSets would change the state.
+func (l *leader) areSetsOutdated(n *Node, s *State) bool {
 	for i := range l.routers {
 		switch {
 		case l.lostChange(n, s, i),
@@ -42,9 +42,9 @@
 	return false
 }
 
-// updateMembership takes routers that have changed out of the batch, passes over silent
+// updateSets takes routers that have changed out of the batch, passes over silent
 // ones and takes those back that are heard again.
-func (l *leader) updateMembership(n *Node, s *State) {
+func (l *leader) updateSets(n *Node, s *State) {
 	for i := range l.routers {
 		switch {
 		case s.Skipped.Has(i) && l.heardRecently(n, i):
--- a/internal/rollout/guardrails.go
+++ b/internal/rollout/guardrails.go
@@ -19,7 +19,7 @@
 		}
 		silent := l.silent(n, i)
 		if s.Batch.Has(i) && silent || s.Changed.Has(i) && silent && !s.Skipped.Has(i) {
-			return membershipChanged, ""
+			return setsOutdated, ""
 		}
 	}
 	return conditionNone, ""
--- /dev/null
+++ b/internal/rollout/plan_test.go
@@ -0,0 +1,90 @@
+package rollout
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+)
+
+func TestPlanErrorsNameTheKey(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
+		{"name: small", "name: ''", "name: missing"},
+		{"program: /opt/new", "operator: ''", "program: nothing changes"},
+		{"program: /opt/new", "program: opt/new", "program: not an absolute path"},
+		{"program: /opt/new", "config: opt/new", "config: not an absolute path"},
+		{"{name: a2, office: a}, {name: b1, office: b}", "", "routers: 1 of them, 2 to 512 wanted"},
+		{"name: a2", "name: a1", "routers[1]: without name or office, or \"a1\" stands twice"},
+		{"{name: a2, office: a}", "{name: a2}", "routers[1]: without name"},
+		{"routers: [a1]", "routers: [c1]", "stages[0].routers: \"c1\" is none of the plan's"},
+		{"routers: [a1]", "routers: [a1], share: 0.5", "stages[0]: either routers, or a share"},
+		{"share: 1,", "share: 1.5,", "stages[1]: either routers, or a share"},
+		{"share: 1,", "share: 0.5,", "stages[1]: the last one has share 1"},
+		{"{routers: [a1],", "{routers: [a1], drains: 10001,", "stages[0].drains: 10001, and purges 0,"},
+		{"watch_s: 3, least_s: 1", "watch_s: 3, least_s: 4", "stages[0].watch_s: 3, and least_s 4,"},
+		{"silent_s: 15", "silent_s: 14", "silent_s: 14 is not within 15 and 3600"},
+		{"silent_s: 15", "at_once: 513", "at_once: 513 is not within 1 and 512"},
+		{"silent_s: 15", "guards: {most_loss: 0.005}", "guards.most_loss: 0.005 is not within 0.01 and 1"},
+		{"silent_s: 15", "guards: {chance: .nan}", "guards.chance: NaN is not within 0.0001 and 0.5"},
+		{"silent_s: 15", "on_worse: keep", "on_worse: \"keep\" is neither back nor hold"},
+		{"on_unsure: back", "on_unsure: keep", "on_unsure: \"keep\" is neither hold nor back"},
+		{"silent_s: 15", "cut_off: hold", "cut_off: \"hold\" is neither back nor keep"},
+	} {
+		if !strings.Contains(threeRouterPlan, c.old) {
+			t.Fatalf("%q is not in the plan", c.old)
+		}
+		_, err := ParsePlan("f", []byte(strings.Replace(threeRouterPlan, c.old, c.new, 1)))
+		if err == nil || !strings.Contains(err.Error(), ": "+c.want) {
+			t.Errorf("%q: %v, want %q", c.new, err, c.want)
+		}
+	}
+}
+
+func TestPlanDefaults(t *testing.T) {
+	p, err := ParsePlan("f", []byte(`
+name: n
+program: /p
+routers: [{name: a, office: x}, {name: b, office: x}]
+stages: [{routers: [a]}, {share: 1, watch_s: 20}]
+`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.Digest = 0
+	want := &Plan{
+		Name: "n", Program: "/p",
+		Routers: []Router{{"a", "x"}, {"b", "x"}},
+		Stages: []Stage{
+			{Routers: []string{"a"}, MaxWatchSeconds: 300, MinWatchSeconds: 30},
+			{Share: 1, MaxWatchSeconds: 20, MinWatchSeconds: 20},
+		},
+		MaxConcurrent: 1, MaxConcurrentRollback: 1,
+		OnWorse: "back", OnInconclusive: "hold", OnIsolated: "back", SilentSeconds: 30,
+		Guardrails: Guardrails{
+			MaxLoss: 0.05, Loss: 0.01, Rejections: 0.005, Failures: 0.005, Slowdown: 0.05, Attempts: 0.05,
+			ClassLoss: 0.03, FalseStopProbability: 0.05, MemoryRatio: 3,
+		},
+	}
+	if !reflect.DeepEqual(p, want) {
+		t.Errorf("%+v", p)
+	}
+}
+
+// A share is rounded up in each office and counts the routers of earlier stages.
+func TestSharesAreRoundedUpInEachOffice(t *testing.T) {
+	p, err := ParsePlan("f", []byte(sevenRouterPlan))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for stage, want := range []string{"a1", "a1 b1 c1 c2", "a1 a2 b1 b2 c1 c2 c3"} {
+		var names []string
+		changed := p.ChangedThrough(stage)
+		for i, r := range p.Routers {
+			if changed.Has(i) {
+				names = append(names, r.Name)
+			}
+		}
+		if got := strings.Join(names, " "); got != want {
+			t.Errorf("stage %d: %s, want %s", stage, got, want)
+		}
+	}
+}
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -10,7 +10,7 @@
 	resumeOrdered                // by the operator
 	startOrdered                 // by the operator
 	guardrailExceeded            // a limit that needs no statistics
-	membershipChanged            // a router has changed, lost its change, fallen silent or come back
+	setsOutdated                 // Batch, Changed or Skipped no longer fit what the routers report
 	batchInProgress              // the batch is changing
 	batchAvailable               // routers are to change and can
 	canaryWorse                  // the new generation is worse
@@ -44,10 +44,10 @@
 	{PhaseForward, guardrailExceeded}: {PhaseRollingBack, (*leader).rollBack},
 	{PhasePaused, guardrailExceeded}:  {PhaseRollingBack, (*leader).rollBack},
 
-	{PhaseForward, membershipChanged}:     {PhaseForward, (*leader).updateMembership},
-	{PhaseDone, membershipChanged}:        {PhaseDone, (*leader).updateMembership},
-	{PhaseRollingBack, membershipChanged}: {PhaseRollingBack, (*leader).updateMembership},
-	{PhasePaused, membershipChanged}:      {PhasePaused, (*leader).updateMembership},
+	{PhaseForward, setsOutdated}:     {PhaseForward, (*leader).updateSets},
+	{PhaseDone, setsOutdated}:        {PhaseDone, (*leader).updateSets},
+	{PhaseRollingBack, setsOutdated}: {PhaseRollingBack, (*leader).updateSets},
+	{PhasePaused, setsOutdated}:      {PhasePaused, (*leader).updateSets},
 
 	{PhaseForward, batchAvailable}:     {PhaseForward, (*leader).startBatch},
 	{PhaseDone, batchAvailable}:        {PhaseDone, (*leader).startBatch},
@@ -107,8 +107,8 @@
 	if found, reason := l.checkRouters(n, s); found != conditionNone {
 		return found, reason
 	}
-	if l.anyMembershipChange(n, s) {
-		return membershipChanged, ""
+	if l.areSetsOutdated(n, s) {
+		return setsOutdated, ""
 	}
 	if s.Batch.Count() > 0 {
 		return batchInProgress, ""
