--- /dev/null
+++ b/internal/policy/admission_test.go
@@ -0,0 +1,31 @@
+package policy
+
+import "testing"
+
+func TestAdmissionComparesWithTheLeastRecentObject(t *testing.T) {
+	r := newRouter(nil)
+	s := r.endpoints[cacheA]
+	for i := range maxCachedObjects {
+		if r.cachePriority(s, uint64(i)) != 2 {
+			t.Fatal("not admitted although there is room")
+		}
+	}
+	if r.cachePriority(s, 1000) != 0 || len(s.cached) != maxCachedObjects {
+		t.Fatal("admitted although its estimate is no higher than that of the least recent object")
+	}
+	recordSample(r.popularity, 1000)
+	if r.cachePriority(s, 1000) != 2 || s.cached[0] != 1 || s.cached[maxCachedObjects-1] != 1000 {
+		t.Fatal("not admitted although its estimate is higher than that of the least recent object")
+	}
+	if r.cachePriority(s, 5) != 2 || s.cached[maxCachedObjects-1] != 5 || len(s.cached) != maxCachedObjects {
+		t.Fatal("an object that is kept does not become the most recent")
+	}
+}
+
+// Against lists that many routers of a zone hardly fill.
+func TestCachedObjectsShrinkWithTheZonesRouters(t *testing.T) {
+	r := newRouter(func(s *Settings) { s.Hierarchy.RoutersByZone = []int{0, 16} })
+	if r.config.maxCachedObjects != maxCachedObjects/4 || r.popularitySample != 2*10*maxCachedObjects/4 {
+		t.Fatalf("%d objects, halved after %d", r.config.maxCachedObjects, r.popularitySample)
+	}
+}
--- /dev/null
+++ b/internal/policy/attempt_test.go
@@ -0,0 +1,70 @@
+package policy
+
+import "testing"
+
+// At a saturated cache a hit is still to be had; a miss is rejected at once.
+func TestCacheOnlyAttemptAtASaturatedCache(t *testing.T) {
+	r := newRouter(nil)
+	saturateCaches(r)
+	a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+	if a.Source != a.Endpoint || a.CachePriority != 0 {
+		t.Fatalf("not a cache-only attempt: %+v", a)
+	}
+	r.endpoints[a.Endpoint].linkUse = 1
+	actions := r.Handle(begin+millisecond, attemptEnded(a.Endpoint, OutcomeMiss), nil)
+	if onlyAction(t, actions, ActionReject).RetryAfter == 0 {
+		t.Fatal("no Retry-After")
+	}
+}
+
+func TestCacheOnlyAttemptTakesACopyWithinItsGrace(t *testing.T) {
+	r := newRouter(func(s *Settings) { s.Classes[0].StaleGrace = 10 * second })
+	saturateCaches(r)
+	if a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend); a.MaxAge != 18*second {
+		t.Fatalf("a cache-only attempt with age %d, want fresh and grace", a.MaxAge)
+	}
+}
+
+// Behind a slow origin parents still hold much of what caches miss.
+func TestParentOnlyAttemptAfterACacheOnlyOne(t *testing.T) {
+	r := newRouter(nil)
+	saturateCaches(r)
+	first := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+	miss := attemptEnded(first.Endpoint, OutcomeMiss)
+	if a := onlyAction(t, r.Handle(begin+millisecond, miss, nil), ActionSend); a.Source != parentA || a.FillMode&FillNoFetch == 0 {
+		t.Fatalf("not a parent-only attempt: %+v", a)
+	}
+	r = newRouter(nil)
+	for _, id := range []string{cacheA, cacheB} {
+		r.endpoints[id].limiters[attemptFill] = limiter{inFlight: 5, limit: 2}
+		r.endpoints[id].linkUse = 1
+	}
+	r.Handle(begin, newRequest("read"), nil)
+	onlyAction(t, r.Handle(begin+millisecond, miss, nil), ActionReject)
+}
+
+// Against rejects at one saturated cache beside idle ones.
+func TestSaturatedCacheGivesWayToAnIdleOne(t *testing.T) {
+	r := newRouter(nil)
+	first := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend).Endpoint
+	r.endpoints[first].limiters[attemptFill] = limiter{inFlight: 5, limit: 2}
+	e := newRequest("read")
+	e.Request = "u"
+	if a := onlyAction(t, r.Handle(begin, e, nil), ActionSend); a.Endpoint == first || a.Source == a.Endpoint {
+		t.Fatalf("the idle cache was not asked to fill: %+v", a)
+	}
+}
+
+func TestEventsAfterTheEndAreIgnored(t *testing.T) {
+	r := newRouter(nil)
+	onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+	r.Handle(begin+millisecond, Event{Kind: EventClientGone, Request: "t"}, nil)
+	for _, e := range []Event{
+		attemptEnded(cacheA, OutcomeError),
+		{Kind: EventResponseStarted, Request: "t", Endpoint: cacheA},
+		{Kind: EventClientGone, Request: "t"},
+		attemptEnded("nobody:1", OutcomeDone),
+	} {
+		noAction(t, r.Handle(begin+2*millisecond, e, nil), ActionSend, ActionFail, ActionReject)
+	}
+}
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -11,17 +11,31 @@
 func testSettings() Settings {
 	return Settings{
 		Routers: 2, Zone: "z", Zones: []string{"hub", "z"}, EndpointKinds: []string{"box", "parent", "origin"},
-		Contract: Contract{SlowStartFor: 10 * second, SlowStartFrom: 0.2, OverloadWindow: second, OverloadMultiple: 2, DrainGrace: second},
-		Limits:   Limits{Cancel: true, RetryAfter: true, Hedging: true, MaxAttempts: 6, MaxRetryAfter: second / 2},
+		Contract: Contract{
+			SlowStartFor: 10 * second, SlowStartFrom: 0.2, OverloadWindow: second, OverloadMultiple: 2,
+			DrainGrace: second,
+		},
+		Limits: Limits{Cancel: true, RetryAfter: true, Hedging: true, MaxAttempts: 6, MaxRetryAfter: second / 2},
 		Hierarchy: Hierarchy{
-			CacheBypass: true, ParentKind: 1, OriginKind: 2, StreamKBPerS: 1000, ParentSlowStartFrom: 0.1, ParentSlowStartFor: 10 * second,
-			ParentOverloadMultiple: 2, PurgeSettleTime: 6 * second, RoutersByZone: []int{0, 1},
+			CacheBypass: true, ParentKind: 1, OriginKind: 2, StreamKBPerS: 1000, ParentSlowStartFrom: 0.1,
+			ParentSlowStartFor: 10 * second, ParentOverloadMultiple: 2, PurgeSettleTime: 6 * second, RoutersByZone: []int{0, 1},
 		},
 		Classes: []TrafficClass{
-			{Name: "read", Effect: EffectIdempotent, LatencyObjective: 500 * millisecond, PriorityWeight: 1, FreshFor: 8 * second},
-			{Name: "keyed", Effect: EffectIdempotencyKey, DedupGroup: DedupGroupAll, DedupWindow: 2 * second, LatencyObjective: 500 * millisecond, PriorityWeight: 1, Write: true},
-			{Name: "zoned", Effect: EffectIdempotencyKey, DedupGroup: DedupGroupZone, DedupWindow: 2 * second, LatencyObjective: 500 * millisecond, PriorityWeight: 1},
-			{Name: "once", Effect: EffectUnsafe, LatencyObjective: 500 * millisecond, PriorityWeight: 1, Write: true},
+			{
+				Name: "read", Effect: EffectIdempotent, LatencyObjective: 500 * millisecond, PriorityWeight: 1,
+				FreshFor: 8 * second,
+			},
+			{
+				Name: "keyed", Effect: EffectIdempotencyKey, DedupGroup: DedupGroupAll, DedupWindow: 2 * second,
+				LatencyObjective: 500 * millisecond, PriorityWeight: 1, Write: true,
+			},
+			{
+				Name: "zoned", Effect: EffectIdempotencyKey, DedupGroup: DedupGroupZone, DedupWindow: 2 * second,
+				LatencyObjective: 500 * millisecond, PriorityWeight: 1,
+			},
+			{
+				Name: "once", Effect: EffectUnsafe, LatencyObjective: 500 * millisecond, PriorityWeight: 1, Write: true,
+			},
 		},
 	}
 }
@@ -47,7 +61,14 @@
 }
 
 func newRequest(class string) Event {
-	return Event{Kind: EventRequest, Request: "t", Class: class, Object: "x", Group: 7, SizeKB: 100, Remaining: 3 * second}
+	return Event{
+		Kind: EventRequest, Request: "t", Class: class, Object: "x", Group: 7, SizeKB: 100, Remaining: 3 * second,
+	}
+}
+
+// attemptEnded is the end of the request's first attempt.
+func attemptEnded(endpoint string, outcome Outcome) Event {
+	return Event{Kind: EventAttemptEnded, Request: "t", Endpoint: endpoint, Outcome: outcome}
 }
 
 // onlyAction gives the one action of a kind, or fails the test.
--- /dev/null
+++ b/internal/policy/popularity_test.go
@@ -0,0 +1,76 @@
+package policy
+
+import (
+	"testing"
+
+	"quilldoor/internal/tinylfu"
+)
+
+// recordSample notes one request in a sketch, as countRequest does short of halving.
+func recordSample(sketch *tinylfu.Sketch, key uint64) {
+	sketch.Record(key)
+	sketch.AddSample()
+}
+
+func setSamples(t *testing.T, sketch *tinylfu.Sketch, samples int) {
+	t.Helper()
+	state := sketch.State()
+	state.Samples = samples
+	if err := sketch.Restore(state); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestSketchCountsAndHalves(t *testing.T) {
+	k, h := newSketch(), hash("x")
+	for i, want := range []uint64{1, 2, 3, 4} {
+		if recordSample(k, h); k.Estimate(h) != want {
+			t.Fatalf("after %d: estimate %d, want %d", i+1, k.Estimate(h), want)
+		}
+	}
+	for range 50 {
+		recordSample(k, h)
+	}
+	if got := k.Estimate(h); got != sketchMaxCount+1 {
+		t.Fatalf("estimate %d, want the maximum and one for the doorkeeper", got)
+	}
+	k.Halve()
+	if got := k.Estimate(h); got != sketchMaxCount/2 || k.Samples() != 27 {
+		t.Fatalf("halved: estimate %d, sample %d", got, k.Samples())
+	}
+}
+
+func TestPopularityIsHalvedAfterItsSample(t *testing.T) {
+	r := newRouter(nil)
+	setSamples(t, r.popularity, r.popularitySample-1)
+	r.Handle(begin, newRequest("read"), nil)
+	if r.popularity.Samples() != r.popularitySample/2 {
+		t.Fatalf("sample %d after reaching %d", r.popularity.Samples(), r.popularitySample)
+	}
+}
+
+func TestWritesAreNotCounted(t *testing.T) {
+	r := newRouter(nil)
+	a := onlyAction(t, r.Handle(begin, newRequest("once"), nil), ActionSend)
+	if a.Endpoint != originA || a.CachePriority != 0 || r.popularity.Samples() != 0 {
+		t.Fatalf("write sent as %+v, sample %d", a, r.popularity.Samples())
+	}
+}
+
+// A request answered by the router's own copies counts as any other, and opens nothing.
+func TestLocalHitsAreOnlyCounted(t *testing.T) {
+	r := New(Settings{
+		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
+		Hierarchy: Hierarchy{OriginKind: 1, ParentKind: -1},
+	}, 1)
+	for range 3 {
+		for _, a := range r.Handle(1, Event{Kind: EventLocalHit, Request: "t", Object: "x", Part: 2}, nil) {
+			if a.Kind != ActionSetTimer {
+				t.Fatalf("action %+v", a)
+			}
+		}
+	}
+	if n := r.popularity.Estimate(hash("x", 2)); n != 3 || len(r.requests) != 0 {
+		t.Fatalf("estimate %d, %d requests open", n, len(r.requests))
+	}
+}
--- /dev/null
+++ b/internal/policy/retry_test.go
@@ -0,0 +1,89 @@
+package policy
+
+import "testing"
+
+// One row for each way an attempt may end, for each idempotency: what follows at once.
+func TestRetryAfterEachOutcome(t *testing.T) {
+	const again, abort, reject, later = ActionSend, ActionFail, ActionReject, ActionSetTimer
+	for _, c := range []struct {
+		class   string
+		outcome Outcome
+		want    ActionKind
+	}{
+		{"read", OutcomeBusy, again},
+		{"read", OutcomeError, again},
+		{"read", OutcomeTimeout, again},
+		{"read", OutcomeConnectionRefused, again},
+		{"read", OutcomeConnectionReset, again},
+		{"read", OutcomeMiss, again},
+		{"read", OutcomeSkipped, again},
+		{"read", OutcomeCanceled, again},
+		{"keyed", OutcomeBusy, later},
+		{"keyed", OutcomeError, later},
+		{"keyed", OutcomeTimeout, later},
+		{"keyed", OutcomeConnectionRefused, later},
+		{"keyed", OutcomeConnectionReset, later},
+		{"keyed", OutcomeSkipped, later},
+		{"zoned", OutcomeBusy, again},
+		{"zoned", OutcomeConnectionReset, again},
+		{"once", OutcomeBusy, later},
+		{"once", OutcomeConnectionRefused, later},
+		{"once", OutcomeMiss, later},
+		{"once", OutcomeSkipped, later},
+		{"once", OutcomeError, abort},
+		{"once", OutcomeTimeout, abort},
+		{"once", OutcomeConnectionReset, abort},
+		{"once", OutcomeCanceled, abort},
+	} {
+		t.Run(c.class+" "+c.outcome.String(), func(t *testing.T) {
+			r := newRouter(nil)
+			sent := onlyAction(t, r.Handle(begin, newRequest(c.class), nil), ActionSend)
+			actions := r.Handle(begin+100*millisecond, attemptEnded(sent.Endpoint, c.outcome), nil)
+			if c.want == later {
+				noAction(t, actions, again, abort, reject)
+				if r.requests["t"].retryAt == 0 {
+					t.Fatal("no retry is due")
+				}
+				return
+			}
+			onlyAction(t, actions, c.want)
+		})
+	}
+}
+
+func TestKeyedRetryStaysInsideItsDedupWindow(t *testing.T) {
+	r := newRouter(nil)
+	sent := onlyAction(t, r.Handle(begin, newRequest("keyed"), nil), ActionSend)
+	r.Handle(begin+1990*millisecond, attemptEnded(sent.Endpoint, OutcomeTimeout), nil)
+	actions := r.Handle(begin+2060*millisecond, Event{Kind: EventTimer, Token: 1}, nil)
+	noAction(t, actions, ActionSend)
+	onlyAction(t, actions, ActionReject)
+}
+
+func TestKeyedZoneIsNeverRejectedOnceMaybeExecuted(t *testing.T) {
+	r := newRouter(nil)
+	r.endpoints[cacheA].active = false
+	sent := onlyAction(t, r.Handle(begin, newRequest("zoned"), nil), ActionSend)
+	r.endpoints[cacheB].active = false
+	onlyAction(t, r.Handle(begin+second, attemptEnded(sent.Endpoint, OutcomeError), nil), ActionFail)
+}
+
+func TestReadIsRetriedWhileFewFillsFail(t *testing.T) {
+	for failed, want := range map[int]ActionKind{minSamples/4 - 2: ActionSend, minSamples/4 - 1: ActionReject} {
+		r := newRouter(nil)
+		for i := range minSamples - 1 {
+			r.fillSamples = append(r.fillSamples, sample{begin, i < failed})
+		}
+		get := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+		out := attemptEnded(get.Endpoint, OutcomeBusy)
+		onlyAction(t, r.Handle(begin+millisecond, out, nil), want)
+	}
+}
+
+// Against a pause before the retry that outlasts the request.
+func TestWriteRetryEndsBeforeTheDeadline(t *testing.T) {
+	r := newRouter(nil)
+	sent := onlyAction(t, r.Handle(begin, newRequest("once"), nil), ActionSend)
+	actions := r.Handle(begin+3*second-100*millisecond, attemptEnded(sent.Endpoint, OutcomeBusy), nil)
+	onlyAction(t, actions, ActionReject)
+}
--- /dev/null
+++ b/internal/policy/slowstartsearch_test.go
@@ -0,0 +1,230 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// slowStartZone is three routers of one zone with one cache in slow start, and all the work that they send there.
+type slowStartZone struct {
+	now          int64
+	routers      []*Router // nil: killed
+	stopped      []bool
+	starts       uint64
+	requests     int
+	reservations []reservation
+	fault        slowStartFault
+}
+
+// slowStartFault is a wrong rule, to show that the search finds its consequences.
+type slowStartFault uint8
+
+const (
+	noFault          slowStartFault = iota
+	reserveAtRestart                // a restarted router uses its share at once
+	countRunning                    // the budget is divided by the routers that run
+)
+
+const (
+	searchWork   = 200 * millisecond // of a request, by its class's latency objective: sizes are not told
+	searchWeight = 30
+	// searchBudget is what the cache takes within a window at its start.
+	searchBudget = 0.2 * 2 * searchWeight * float64(second)
+)
+
+func slowStartZoneSettings() Settings {
+	return Settings{
+		Routers: 3, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "hub", "ledger"},
+		Classes: []TrafficClass{{
+			Name: "read", Effect: EffectIdempotent, LatencyObjective: searchWork, Timeout: 5 * second, PriorityWeight: 1,
+			FreshFor: second,
+		}},
+		Contract: Contract{
+			SlowStartFor: 60 * second, SlowStartFrom: 0.2, OverloadWindow: second, OverloadMultiple: 2,
+		},
+		Limits:    Limits{MaxAttempts: 1, Cancel: true},
+		Hierarchy: Hierarchy{ParentKind: 1, OriginKind: 2, RoutersByZone: []int{3}},
+	}
+}
+
+func newSlowStartZone(fault slowStartFault) *slowStartZone {
+	z := &slowStartZone{
+		now: 10 * second, routers: make([]*Router, 3), stopped: make([]bool, 3), fault: fault,
+	}
+	for i := range z.routers {
+		z.start(i)
+	}
+	z.now += second
+	return z
+}
+
+func (z *slowStartZone) start(i int) {
+	z.starts++
+	r := New(slowStartZoneSettings(), z.starts)
+	z.routers[i], z.stopped[i] = r, false
+	r.Handle(z.now, Event{Kind: EventEndpoints, Scope: ScopeDisk, Endpoints: []Endpoint{
+		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: searchWeight, StartedAt: 10 * second},
+		{ID: "o", Zone: "z", Kind: "ledger", State: EndpointActive, Weight: 1},
+	}}, nil)
+	if z.fault == reserveAtRestart {
+		r.slowStartHoldUntil = 0
+	}
+}
+
+func (z *slowStartZone) killOrStart(i int) {
+	if z.routers[i] != nil {
+		z.routers[i] = nil
+	} else {
+		z.start(i)
+	}
+}
+
+// running is how many routers run.
+func (z *slowStartZone) running() (n int) {
+	for i, r := range z.routers {
+		if r != nil && !z.stopped[i] {
+			n++
+		}
+	}
+	return n
+}
+
+// use gives a router requests until it sends the cache no more.
+func (z *slowStartZone) use(i int) {
+	r := z.routers[i]
+	if r == nil || z.stopped[i] {
+		return
+	}
+	if z.fault == countRunning {
+		r.config.slowStart[roleCache].routers = float64(z.running())
+	}
+	for range 60 {
+		if !z.request(r) {
+			return
+		}
+	}
+}
+
+// request gives a router one request and tells whether it was sent to the cache. It ends at once and well, so that
+// only the budget holds the next one back.
+func (z *slowStartZone) request(r *Router) (sent bool) {
+	z.requests++
+	id := fmt.Sprint(z.requests)
+	for _, a := range r.Handle(z.now, Event{
+		Kind: EventRequest, Request: id, Class: "read", Object: id, Remaining: 5 * second,
+	}, nil) {
+		if a.Kind == ActionSend && a.Endpoint == "cold" {
+			z.reservations = append(z.reservations, reservation{at: z.now, work: searchWork})
+			sent = true
+		}
+	}
+	r.Handle(z.now, Event{
+		Kind: EventAttemptEnded, Request: id, Endpoint: "cold", Outcome: OutcomeDone, Final: true, RTT: searchWork,
+	}, nil)
+	return sent
+}
+
+// overBudget tells whether the cache was sent more than its budget within a window.
+func (z *slowStartZone) overBudget() bool {
+	z.reservations = slices.DeleteFunc(z.reservations, func(p reservation) bool { return p.at <= z.now-second })
+	sum := int64(0)
+	for _, p := range z.reservations {
+		sum += p.work
+	}
+	return float64(sum) > searchBudget
+}
+
+// key names the state, so that none is searched twice.
+func (z *slowStartZone) key() string {
+	key := fmt.Sprint(z.now, z.stopped, z.reservations)
+	for _, r := range z.routers {
+		key += fmt.Sprint(r == nil)
+		if r != nil {
+			key += fmt.Sprint(r.slowStartHoldUntil, r.endpoints["cold"].reservations)
+		}
+	}
+	return key
+}
+
+type searchEvent struct {
+	name string
+	do   func(z *slowStartZone)
+}
+
+func searchEvents() []searchEvent {
+	events := []searchEvent{
+		{"soon", func(z *slowStartZone) { z.now += 300 * millisecond }},
+		{"later", func(z *slowStartZone) { z.now += second }},
+		{"use all", func(z *slowStartZone) {
+			z.use(0)
+			z.use(1)
+			z.use(2)
+		}},
+	}
+	for i := range 3 {
+		events = append(events,
+			searchEvent{fmt.Sprint("use ", i), func(z *slowStartZone) { z.use(i) }},
+			searchEvent{fmt.Sprint("stop or wake ", i), func(z *slowStartZone) { z.stopped[i] = !z.stopped[i] }},
+			searchEvent{fmt.Sprint("kill or start ", i), func(z *slowStartZone) { z.killOrStart(i) }})
+	}
+	return events
+}
+
+// searchSlowStart plays every order of use, time, stops, wakings, kills and starts to a depth. It gives the number
+// of states, and the names of the events that lead above the budget, if any do.
+func searchSlowStart(depth int, fault slowStartFault) (states int, broken []string) {
+	events := searchEvents()
+	seen := map[string]bool{}
+	var walk func(path []int) bool
+	walk = func(path []int) bool {
+		z := newSlowStartZone(fault)
+		for _, e := range path {
+			events[e].do(z)
+			if !z.overBudget() {
+				continue
+			}
+			for _, e := range path {
+				broken = append(broken, events[e].name)
+			}
+			return true
+		}
+		key := z.key()
+		if seen[key] {
+			return false
+		}
+		seen[key] = true
+		states++
+		if len(path) == depth {
+			return false
+		}
+		for e := range events {
+			if walk(append(slices.Clone(path), e)) {
+				return true
+			}
+		}
+		return false
+	}
+	walk(nil)
+	return states, broken
+}
+
+// Whatever order use, stops, wakings, kills and starts come in: all routers, with their earlier runs, never send a
+// cache in slow start more than its budget in a window.
+func TestSlowStartBudgetAddsUpOverRouters(t *testing.T) {
+	states, broken := searchSlowStart(5, noFault)
+	if broken != nil {
+		t.Fatalf("above the budget by %v", broken)
+	}
+	t.Logf("%d states", states)
+	for name, fault := range map[string]slowStartFault{
+		"running routers counted":               countRunning,
+		"a restarted router holds nothing back": reserveAtRestart,
+	} {
+		if _, broken := searchSlowStart(5, fault); broken == nil {
+			t.Errorf("%s: not caught", name)
+		} else {
+			t.Logf("%s: %v", name, broken)
+		}
+	}
+}
