--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs the decision module on the simulator's wire: batches
-// on standard input, replies on standard output.
+// Command simadapter runs routers' decisions under the simulator: batches of events on standard input, replies on
+// standard output. It ends with status 1 on a malformed batch.
 package main
 
 import (
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -384,13 +384,10 @@
 	}
 	names := []string{"demo-video", "quote-page", "quote-accept"}
 	for i, r := range ruleTimes {
-		set.Classes = append(set.Classes, struct {
-			Name, Effect, Group             string
-			DedupWindowMs, TargetMs         float64
-			GiveUpMs, AimStretch, LateShare float64
-			Value                           float64
-			Streamed                        bool
-		}{Name: names[i], Effect: "safe", TargetMs: r.sla, GiveUpMs: r.limit, AimStretch: r.stretch, LateShare: r.late, Value: r.value})
+		set.Classes = append(set.Classes, settings.Class{
+			Name: names[i], Effect: "safe", TargetMs: r.sla, GiveUpMs: r.limit, AimStretch: r.stretch, LateShare: r.late,
+			Value: r.value,
+		})
 	}
 	set.Classes[Accept].Effect = "unsafe"
 	fi := &set.FamilyInfo
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the nested settings object that an instance starts
-// with, for the simulator's wire and for the router's configuration alike.
+// Package settings reads the settings object that a router starts with, as the simulator's wire and the router's
+// configuration both give it, and turns it into the settings of package policy. The object's words are mapped here
+// and nowhere else.
 package settings
 
 import (
@@ -11,43 +12,67 @@
 // Micros turns milliseconds into whole microseconds.
 func Micros(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
-// Setup is the settings object as the simulator and the configuration word it;
-// both sides read it here.
+// Setup is the settings object. Its fields have the names of the object's keys; names that end in Ms are
+// milliseconds. Some are accepted for sites that give them and decide nothing.
 type Setup struct {
-	Rank, Siblings int
-	Zone           string
-	Zones, Kinds   []string
+	Rank, Siblings int      // index of this router, and how many there are
+	Zone           string   // of this router
+	Zones, Kinds   []string // of the site: zones, kinds of endpoints
 	Classes        []Class
 	Tenants        []struct {
-		Name               string
-		QuotaPerS, Portion float64
+		Name      string
+		QuotaPerS float64
+		Portion   float64
 	}
 	OverShareWorth float64
 	Callers        struct{ MarksRetry bool }
-	Discovery      string
+	Discovery      string // push or ask
 	Contract       struct {
-		AnswerSlackMs, AskEveryMs, ColdFrom, ColdMs float64
-		DrainGraceMs, FallMs, FallMultiple          float64
+		AnswerSlackMs float64 // past a request's time limit, for its answer
+		AskEveryMs    float64
+		ColdFrom      float64 // slow start of caches: the part of their capacity at the start ...
+		ColdMs        float64 // ... and the duration
+		DrainGraceMs  float64
+		FallMs        float64 // overload: the window ...
+		FallMultiple  float64 // ... and the multiple of the capacity that a cache bears in it
 	}
 	Limits struct {
-		Cancel, PeerMessages, Probes, RetryAfter, SecondCopies bool
-		MostTries, MaxOpen, StreamsPerConn                     int
-		MaxRetryAfterMs, ConnectTimeoutMs, ConnIdleMs          float64
+		Cancel           bool // attempts may be withdrawn
+		PeerMessages     bool // routers may talk to each other
+		Probes           bool // health checks are allowed
+		RetryAfter       bool // rejected clients may be told how long to stay away
+		SecondCopies     bool // hedged requests are allowed
+		MostTries        int  // attempts of a request
+		MaxOpen          int  // open requests
+		StreamsPerConn   int
+		MaxRetryAfterMs  float64
+		ConnectTimeoutMs float64
+		ConnIdleMs       float64
 	}
 	FamilyInfo struct {
-		BypassAllowed, Collapses              bool
-		ClassGraceMs, GoodForMs, WorthWhenOld []float64
-		GoesThrough, MultiPart                []bool
-		ClearedWithinMs, PurgeGraceMs         float64
-		FeedKbPerS                            []float64
-		FlowKbPerS, LinkPrice                 float64
-		HubByZone, ZoneBalancers              []int
-		MasterKind                            int
-		SecondTierKind                        *int
-		NotesGiven, Sideways                  string
-		OriginFallMs, OriginFallMultiple      float64
-		ParentColdFrom, ParentRampMs          float64
-		UpperFallMultiple                     float64
+		BypassAllowed      bool      // requests may go past the caches
+		Collapses          bool      // caches coalesce fills
+		ClassGraceMs       []float64 // of each class: by which a stale copy may be older
+		GoodForMs          []float64 // of each class: freshness time
+		WorthWhenOld       []float64 // of each class: the part of its value for a stale copy
+		GoesThrough        []bool    // of each class: it is written through to the origin
+		MultiPart          []bool
+		ClearedWithinMs    float64 // within which a purge reaches all caches
+		PurgeGraceMs       float64
+		FeedKbPerS         []float64
+		FlowKbPerS         float64 // transfer rate of a request
+		LinkPrice          float64
+		HubByZone          []int
+		ZoneBalancers      []int // routers of each zone
+		MasterKind         int   // index of the origin's kind
+		SecondTierKind     *int  // index of the parents' kind; nil: there are none
+		NotesGiven         string
+		Sideways           string
+		OriginFallMs       float64
+		OriginFallMultiple float64
+		ParentColdFrom     float64 // slow start of parents
+		ParentRampMs       float64
+		UpperFallMultiple  float64 // overload of parents
 	}
 	LoadReport struct {
 		Fields []string
@@ -59,11 +84,16 @@
 
 // Class is one traffic class.
 type Class struct {
-	Name, Effect, Group             string
-	DedupWindowMs, TargetMs         float64
-	GiveUpMs, AimStretch, LateShare float64
-	Value                           float64
-	Streamed                        bool
+	Name          string
+	Effect        string // safe, keyed or unsafe
+	Group         string // of endpoints that share idempotency keys: all, zone or cell
+	DedupWindowMs float64
+	TargetMs      float64 // latency objective
+	GiveUpMs      float64 // after which clients give up
+	AimStretch    float64 // multiple of the transfer time by which the latency objective grows
+	LateShare     float64 // part of Value for a late response
+	Value         float64 // of a response in time
+	Streamed      bool
 }
 
 var effects = map[string]policy.Effect{
@@ -78,6 +108,7 @@
 	"cell": policy.DedupGroupCell,
 }
 
+// at gives an element of a list, or zero where the list is shorter.
 func at[T any](list []T, i int) (v T) {
 	if i < len(list) {
 		v = list[i]
