--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -280,10 +280,8 @@
 			case engine.CommandHealthCheck:
 				probes++
 				r.probe(o.Endpoint, "p"+strconv.Itoa(probes))
-			case engine.CommandDisconnect:
-				r.up.CloseIdle(o.Endpoint)
 			case engine.CommandLog:
-				r.log.Info(o.Text)
+				r.logDecision(&o)
 			case engine.CommandDrop:
 				o.Attempt.Drop(o.Silent)
 			}
@@ -323,6 +321,15 @@
 	}
 }
 
+// logDecision writes what the policy reports to the log.
+func (r *router) logDecision(c *engine.Command) {
+	entry := r.log.WithField("endpoint", c.EndpointID)
+	if c.Backoff > 0 {
+		entry = entry.WithField("backoff_ms", c.Backoff/1000)
+	}
+	entry.Info(c.Text)
+}
+
 // probe sends one, and counts it as timed out if a connection's time passes.
 func (r *router) probe(s *engine.Endpoint, tag string) {
 	sent := clock()
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -11,8 +11,7 @@
 	CommandReject                         // answer that retrying is harmless, after RetryAfter
 	CommandFail                           // answer that the request failed
 	CommandHealthCheck                    // check the endpoint's health
-	CommandDisconnect                     // close idle connections to the endpoint
-	CommandLog                            // write Text to the log
+	CommandLog                            // write Text to the log, with EndpointID and Backoff
 )
 
 var commandNames = [...]string{
@@ -22,7 +21,6 @@
 	CommandReject:      "reject",
 	CommandFail:        "fail",
 	CommandHealthCheck: "health check",
-	CommandDisconnect:  "disconnect",
 	CommandLog:         "log",
 }
 
@@ -38,6 +36,8 @@
 	MaybeExecuted bool     // of CommandReject and CommandFail: an attempt may have run
 	Endpoint      *Endpoint
 	Text          string
+	EndpointID    string // of CommandLog
+	Backoff       int64  // of CommandLog: microseconds; 0: none
 }
 
 // Response is what a request is answered with; the engine only hands it on.
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -21,12 +21,12 @@
 	e.events = nil
 }
 
-// apply carries out one action. Discovery is followed unasked and messages
-// between routers have no form on sockets, so their actions need nothing here.
+// apply carries out one action. Discovery is followed unasked, so that a
+// subscription needs nothing here.
 func (e *Engine) apply(now int64, action policy.Action) {
 	request := e.requests[action.Request]
 	switch action.Kind {
-	case policy.ActionSend, policy.ActionForward:
+	case policy.ActionSend:
 		if request != nil {
 			e.startAttempt(now, request, action)
 		}
@@ -40,10 +40,10 @@
 		e.setTimer(now, &timer{due: action.Due, token: action.Token})
 	case policy.ActionHealthCheck:
 		e.commandEndpoint(CommandHealthCheck, action.Endpoint)
-	case policy.ActionDisconnect:
-		e.commandEndpoint(CommandDisconnect, action.Endpoint)
 	case policy.ActionLog:
-		e.postBackground(Command{Kind: CommandLog, Text: action.Text})
+		e.postBackground(Command{
+			Kind: CommandLog, Text: action.Text, EndpointID: action.Endpoint, Backoff: action.Backoff,
+		})
 	}
 }
 
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -75,9 +75,10 @@
 func (r *Router) eject(s *endpoint) {
 	const ejectionTime, maxEjectionTime = 1 * second, 4 * second
 	s.fillSamples = nil
-	s.healthDue = r.now + min(ejectionTime<<s.ejections, maxEjectionTime)
+	backoff := min(ejectionTime<<s.ejections, maxEjectionTime)
+	s.healthDue = r.now + backoff
 	s.ejections = min(s.ejections+1, maxEjections)
-	r.do(Action{Kind: ActionLog, Text: "server rests: " + s.id})
+	r.do(Action{Kind: ActionLog, Text: "endpoint ejected", Endpoint: s.id, Backoff: backoff})
 }
 
 // maxEjections bounds the count from which the ejection time is shifted.
@@ -93,7 +94,7 @@
 // readmit takes an ejected endpoint in again and drops what counted against it.
 func (r *Router) readmit(s *endpoint) {
 	s.ejections, s.fillSamples, s.readmittedAt = 0, nil, r.now
-	r.do(Action{Kind: ActionLog, Text: "server is back: " + s.id})
+	r.do(Action{Kind: ActionLog, Text: "endpoint readmitted", Endpoint: s.id})
 }
 
 // observeHealthCheck takes in the end of a health check.
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -112,56 +112,55 @@
 // EventKind tells which fields of an Event are set.
 type EventKind uint8
 
-// The events of an instance.
+// The events.
 const (
-	EventEndpoints EventKind = iota
-	EventRequest
-	EventHealthCheck
-	EventPeerMessage
-	EventTimer
-	EventResponseStarted
-	EventPurge
-	EventAttemptEnded
-	EventClientGone
-	EventSlowStartHold   // the routers know each other: Hold
-	EventLocalHit        // a txn that copies of the router's own answer: counted, nothing else
-	EventOtherGeneration // the router has two generations: Outs
+	EventEndpoints       EventKind = iota // an update of the endpoint list: Scope, Endpoints
+	EventRequest                          // a request arrives
+	EventHealthCheck                      // the end of a health check: Endpoint, Outcome, RTT
+	EventPeerMessage                      // a message of another router; ignored
+	EventTimer                            // a timer is due: Token
+	EventResponseStarted                  // a response begins: Request, Endpoint
+	EventPurge                            // copies are outdated: Object or Group, Age
+	EventAttemptEnded                     // the end of an attempt
+	EventClientGone                       // a client left, or was answered otherwise: Request
+	EventSlowStartHold                    // the routers know each other: HoldUntil
+	EventLocalHit                         // the router answered from copies of its own: Object, Part
+	EventOtherGeneration                  // the router has another process: InFlight
 )
 
-// Event is one thing that an instance is told.
+// Event is one thing that a Router is told.
 type Event struct {
 	Kind EventKind
 
-	Scope     UpdateScope // discovery
+	// Of the endpoint list.
+	Scope     UpdateScope
 	Endpoints []Endpoint
 
-	Request     string
-	Class       string
+	// Of a request.
+	Request     string // its id
+	Class       string // name of its traffic class
 	Object      string
-	Group       int64
-	Part        int64
-	SizeKB      float64
-	Remaining   int64
-	ClientRetry bool // a client's marked repeat
+	Group       int64   // of objects that are purged together
+	Part        int64   // of the object
+	SizeKB      float64 // of the response; 0: not told
+	Remaining   int64   // until its deadline
+	ClientRetry bool    // the client marked it as a retry
 	Write       bool
-	Tenant      string
 
-	Endpoint   string
-	Attempt    int
+	// Of an attempt or a health check.
+	Endpoint   string // its id
+	Attempt    int    // index among the request's attempts
 	Outcome    Outcome
 	Reason     Reason
-	Final      bool
-	RTT        int64
-	OriginWait int64
-	Load       map[string]float64
-
-	Token int64
-	Age   int64 // purge: how long ago
-	Peer  int
-	Data  []byte
-
-	InFlight  map[string][3]float64 // beside: hops that the other generation has out, by server and kind
-	HoldUntil int64                 // peers: cold servers get nothing before: an earlier life may have spent this one's share
+	Final      bool               // the request is answered by it
+	RTT        int64              // from sending it to its end
+	OriginWait int64              // how long the cache waited for the origin
+	Load       map[string]float64 // the endpoint's load report
+
+	Token     int64                            // of a timer
+	Age       int64                            // of a purge: how long ago it was made
+	InFlight  map[string][attemptKinds]float64 // of the other process: attempts by endpoint and kind
+	HoldUntil int64                            // until then endpoints in slow start get nothing
 }
 
 // UpdateScope says what an update of the endpoint list covers.
@@ -196,53 +195,48 @@
 	FillBackground                      // a stale copy is answered with, and renewed behind it
 )
 
-// Endpoint is one line of the list of servers.
+// Endpoint is one line of the endpoint list.
 type Endpoint struct {
 	ID        string
 	Zone      string
-	Kind      string
-	Cell      int
+	Kind      string // one of Settings.EndpointKinds
+	Cell      int    // a part of the zone
 	State     EndpointState
-	Weight    float64
-	StartedAt int64 // 0: long past
+	Weight    float64 // its size, or its capacity now
+	StartedAt int64   // 0: long past
 }
 
 // ActionKind tells which fields of an Action are set.
 type ActionKind uint8
 
-// The actions of an instance.
+// The actions.
 const (
-	ActionSend ActionKind = iota
-	ActionForward
-	ActionFail
-	ActionReject
-	ActionCancel
-	ActionSetTimer
-	ActionHealthCheck
-	ActionSubscribe
-	ActionFetch
-	ActionLog
-	ActionTellPeer
-	ActionDisconnect
-	ActionPanic
+	ActionSend        ActionKind = iota // send an attempt
+	ActionFail                          // answer a request: failed, it may have been executed
+	ActionReject                        // answer a request: rejected, repeating it is harmless
+	ActionCancel                        // withdraw an attempt
+	ActionSetTimer                      // bring an EventTimer with Token when it is due
+	ActionHealthCheck                   // check an endpoint's health
+	ActionSubscribe                     // ask for the endpoint list and its updates
+	ActionLog                           // write Text to the log, with Endpoint and Backoff
+	ActionPanic                         // the decisions failed, with Text
 )
 
-// Action is one thing that an instance does.
+// Action is one thing that a Router decides on.
 type Action struct {
 	Kind          ActionKind
 	Request       string
 	Endpoint      string
-	Source        string
-	CachePriority int
-	MaxAge        int64
-	Timeout       int64
-	SendBefore    int64 // get: a keyed repeat must be written before; 0: no such bound
+	Source        string // that the endpoint fills from; the endpoint itself: from none
+	CachePriority int    // at which a cache keeps the copy; 0: not
+	MaxAge        int64  // of a copy; 0: the freshness time of the class
+	Timeout       int64  // of the attempt
+	SendBefore    int64  // an attempt with an idempotency key must be written before; 0: no bound
 	FillMode      FillMode
-	Attempt       int
-	RetryAfter    int64
+	Attempt       int   // index among the request's attempts
+	RetryAfter    int64 // how long a rejected client shall stay away; 0: not told
 	Due           int64
 	Token         int64
-	Peer          int // -1: every peer
-	Data          []byte
 	Text          string
+	Backoff       int64 // how long the endpoint is ejected
 }
--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -1,5 +1,5 @@
-// Package simhost keeps the instances of the decision module in one process and
-// hands each its own events.
+// Package simhost runs routers' decisions under the simulator. A Host owns the routers of one process and the
+// endpoint lists that the simulator has sent; it hands each router its own events and writes down its actions.
 package simhost
 
 import (
@@ -13,26 +13,27 @@
 	"quilldoor/internal/simwire"
 )
 
-// Host holds the instances and the numbered lists of servers.
+// Host holds the routers of a process. It is used by one goroutine.
 type Host struct {
-	routers map[int]*policy.Router // nil once detached
-	pages   map[int][]policy.Endpoint
-	warn    io.Writer
-	buf     []policy.Action
+	routers  map[int]*policy.Router    // by instance; nil once detached
+	lists    map[int][]policy.Endpoint // by page
+	warnings io.Writer
+	actions  []policy.Action // reused
 }
 
-// New returns an empty host that reports skipped events on warn.
-func New(warn io.Writer) *Host {
-	return &Host{routers: map[int]*policy.Router{}, pages: map[int][]policy.Endpoint{}, warn: warn}
+// New returns an empty host that writes a line about each event it skips to warnings.
+func New(warnings io.Writer) *Host {
+	return &Host{routers: map[int]*policy.Router{}, lists: map[int][]policy.Endpoint{}, warnings: warnings}
 }
 
 // Run answers batches from in on out until the input ends.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
+	const bufferBytes = 1 << 20
+	r := bufio.NewReaderSize(in, bufferBytes)
 	for {
-		line, err := r.ReadBytes('\n')
-		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("reading: %w", err)
+		line, readErr := r.ReadBytes('\n')
+		if readErr != nil && !errors.Is(readErr, io.EOF) {
+			return fmt.Errorf("reading: %w", readErr)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
 			reply, err := h.HandleBatch(line)
@@ -43,7 +44,7 @@
 				return fmt.Errorf("writing: %w", err)
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return nil
 		}
 	}
@@ -51,37 +52,47 @@
 
 // HandleBatch answers one line.
 func (h *Host) HandleBatch(line []byte) ([]byte, error) {
-	b, err := simwire.ReadBatch(line)
+	batch, err := simwire.ReadBatch(line)
 	if err != nil {
 		return nil, fmt.Errorf("malformed batch: %w", err)
 	}
-	reply := simwire.NewResponse(b.Turn)
-	for i, raw := range b.Events {
-		m, err := simwire.ReadMessage(raw)
-		if err == nil {
-			err = h.message(b, i, m, reply)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("batch %d, event %d: %w", b.Turn, i, err)
+	reply := simwire.NewResponse(batch.Turn)
+	for i, raw := range batch.Events {
+		if err := h.handleEvent(&batch, i, raw, reply); err != nil {
+			return nil, fmt.Errorf("batch %d, event %d: %w", batch.Turn, i, err)
 		}
 	}
 	return reply.Encode()
 }
 
-func (h *Host) message(b simwire.Batch, index int, m simwire.Message, reply *simwire.Response) error {
+func (h *Host) handleEvent(batch *simwire.Batch, index int, raw []byte, reply *simwire.Response) error {
+	m, err := simwire.ReadMessage(raw)
 	switch {
+	case err != nil:
+		return err
 	case !simwire.KnownVerb(m.Verb):
-		_, err := fmt.Fprintf(h.warn, "batch %d, event %d: unknown verb %q skipped\n", b.Turn, index, m.Verb)
+		_, err := fmt.Fprintf(h.warnings, "batch %d, event %d: unknown verb %q skipped\n", batch.Turn, index, m.Verb)
 		return err
 	case m.Verb == simwire.VerbInventory:
-		h.pages[m.Page] = m.Endpoints
+		h.lists[m.Page] = m.Endpoints
 		return nil
 	case m.Verb == simwire.VerbPowerOn:
-		return h.act(m.Instance, reply, func([]policy.Action) []policy.Action {
-			h.routers[m.Instance] = policy.New(m.Settings, m.Seed)
-			return nil
-		})
+		h.start(&m, reply)
+		return nil
 	}
+	return h.handleRouterEvent(batch, &m, reply)
+}
+
+// start starts a router, in the place of one that had its number.
+func (h *Host) start(m *simwire.Message, reply *simwire.Response) {
+	h.decide(m.Instance, reply, func([]policy.Action) []policy.Action {
+		h.routers[m.Instance] = policy.New(m.Settings, m.Seed)
+		return nil
+	})
+}
+
+// handleRouterEvent hands a router its event. Events for one that was detached are dropped.
+func (h *Host) handleRouterEvent(batch *simwire.Batch, m *simwire.Message, reply *simwire.Response) error {
 	router, started := h.routers[m.Instance]
 	if !started {
 		return fmt.Errorf("%s for instance %d, which was never started", m.Verb, m.Instance)
@@ -91,28 +102,28 @@
 		return nil
 	}
 	if m.Verb == simwire.VerbDiscovery && m.Event.Scope != policy.ScopeError {
-		entries, sent := h.pages[m.Page]
+		list, sent := h.lists[m.Page]
 		if !sent {
-			return fmt.Errorf("Discovery names list %d, which was never sent", m.Page)
+			return fmt.Errorf("%s names list %d, which was never sent", m.Verb, m.Page)
 		}
-		m.Event.Endpoints = entries
+		m.Event.Endpoints = list
 	}
 	if router == nil {
-		return nil // of an earlier life
+		return nil
 	}
-	return h.act(m.Instance, reply, func(buf []policy.Action) []policy.Action {
-		return router.Handle(b.NowMicros, m.Event, buf)
+	h.decide(m.Instance, reply, func(actions []policy.Action) []policy.Action {
+		return router.Handle(batch.NowMicros, m.Event, actions)
 	})
+	return nil
 }
 
-// act runs one call of the module; a panic in it becomes the wire's Panic.
-func (h *Host) act(instance int, reply *simwire.Response, call func([]policy.Action) []policy.Action) error {
+// decide makes one call into the decisions and writes down their actions. A panic becomes the wire's Panic.
+func (h *Host) decide(instance int, reply *simwire.Response, call func([]policy.Action) []policy.Action) {
 	defer func() {
-		if r := recover(); r != nil {
-			reply.Add(instance, []policy.Action{{Kind: policy.ActionPanic, Text: fmt.Sprint(r)}})
+		if cause := recover(); cause != nil {
+			reply.Add(instance, []policy.Action{{Kind: policy.ActionPanic, Text: fmt.Sprint(cause)}})
 		}
 	}()
-	h.buf = call(h.buf[:0])
-	reply.Add(instance, h.buf)
-	return nil
+	h.actions = call(h.actions[:0])
+	reply.Add(instance, h.actions)
 }
--- /dev/null
+++ b/internal/simwire/message.go
@@ -0,0 +1,211 @@
+package simwire
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"quilldoor/internal/policy"
+	"quilldoor/internal/settings"
+)
+
+// Message is one event of a batch.
+type Message struct {
+	Verb     string
+	Instance int // the router that it is for
+	Event    policy.Event
+
+	// Of VerbPowerOn.
+	Seed     uint64
+	Settings policy.Settings
+
+	// Of VerbInventory, which gives an endpoint list, and VerbDiscovery, which names one.
+	Page      int
+	Endpoints []policy.Endpoint
+}
+
+// Verbs that concern the host of the routers.
+const (
+	VerbPowerOn   = "PowerOn"   // start a router
+	VerbDetach    = "Detach"    // end a router
+	VerbInventory = "Inventory" // an endpoint list, for later
+	VerbDiscovery = "Discovery" // a router is told of an endpoint list
+)
+
+// eventKinds are the verbs that a router is told.
+var eventKinds = map[string]policy.EventKind{
+	VerbDiscovery:   policy.EventEndpoints,
+	"NewRequest":    policy.EventRequest,
+	"Health":        policy.EventHealthCheck,
+	"NeighbourSays": policy.EventPeerMessage,
+	"Reminder":      policy.EventTimer,
+	"Started":       policy.EventResponseStarted,
+	"Outdated":      policy.EventPurge,
+	"Answer":        policy.EventAttemptEnded,
+	"Abandoned":     policy.EventClientGone,
+}
+
+var outcomes = map[string]policy.Outcome{
+	"done":         policy.OutcomeDone,
+	"err":          policy.OutcomeError,
+	"busy":         policy.OutcomeBusy,
+	"enoent":       policy.OutcomeMiss,
+	"etimedout":    policy.OutcomeTimeout,
+	"econnrefused": policy.OutcomeConnectionRefused,
+	"econnreset":   policy.OutcomeConnectionReset,
+	"ecanceled":    policy.OutcomeCanceled,
+	"skipped":      policy.OutcomeSkipped,
+}
+
+// Bits of a new request's Attrs.
+const (
+	attrRetry = 1 << 1 // the client marked it as a retry
+	attrWrite = 1 << 2
+)
+
+// KnownVerb tells whether a verb is one of the wire's events.
+func KnownVerb(verb string) bool {
+	switch verb {
+	case VerbPowerOn, VerbDetach, VerbInventory:
+		return true
+	}
+	_, known := eventKinds[verb]
+	return known
+}
+
+// event has the members of all verbs.
+type event struct {
+	Verb       *string            `json:"verb"`
+	Instance   *int               `json:"I"`
+	Seed       uint64             `json:"Seed"`
+	Setup      *settings.Setup    `json:"Setup"`
+	Page       *int               `json:"Page"`
+	Endpoints  []endpoint         `json:"NodesList"`
+	Scope      policy.UpdateScope `json:"Scope"`
+	Request    string             `json:"OpId"`
+	Class      string             `json:"Grade"`
+	Object     string             `json:"ContentId"`
+	Remaining  float64            `json:"RemainingMs"`
+	SizeKB     float64            `json:"LengthKb"`
+	Part       float64            `json:"Piece"`
+	Attrs      int                `json:"Attrs"`
+	Group      int64              `json:"BatchId"`
+	RTT        float64            `json:"RttMs"`
+	Endpoint   string             `json:"Server"`
+	Outcome    string             `json:"Rc"`
+	Load       map[string]float64 `json:"Stats"`
+	Token      int64              `json:"Ctx"`
+	Attempt    int                `json:"RoundNo"`
+	Age        float64            `json:"AgeMs"`
+	Reason     policy.Reason      `json:"Remark"`
+	OriginWait float64            `json:"WaitedMs"`
+	Final      bool               `json:"Final"`
+}
+
+type endpoint struct {
+	ID        string               `json:"Server"`
+	Zone      string               `json:"Site"`
+	Kind      string               `json:"Kind"`
+	Cell      int                  `json:"Stripe"`
+	State     policy.EndpointState `json:"Availability"`
+	Weight    float64              `json:"Heft"`
+	StartedAt float64              `json:"BornMs"`
+}
+
+// ReadMessage parses one event of a batch. An unknown verb gives a Message with that verb and nothing else; a
+// member that is missing a MissingMemberError.
+func ReadMessage(raw json.RawMessage) (Message, error) {
+	verb, err := readVerb(raw)
+	m := Message{Verb: verb}
+	if err != nil || !KnownVerb(verb) {
+		return m, err
+	}
+	var e event
+	if err := json.Unmarshal(raw, &e); err != nil {
+		return m, fmt.Errorf("%s: %w", verb, err)
+	}
+	if err := e.validate(verb); err != nil {
+		return m, err
+	}
+	if e.Instance != nil {
+		m.Instance = *e.Instance
+	}
+	if e.Page != nil {
+		m.Page = *e.Page
+	}
+	switch verb {
+	case VerbPowerOn:
+		m.Seed, m.Settings = e.Seed, e.Setup.PolicySettings()
+	case VerbInventory:
+		m.Endpoints = e.policyEndpoints()
+	default:
+		m.Event = e.policyEvent(verb)
+	}
+	return m, nil
+}
+
+func readVerb(raw json.RawMessage) (string, error) {
+	var head struct {
+		Verb *string `json:"verb"`
+	}
+	if err := json.Unmarshal(raw, &head); err != nil {
+		return "", err
+	}
+	if head.Verb == nil {
+		return "", &MissingMemberError{Member: "verb"}
+	}
+	return *head.Verb, nil
+}
+
+// validate names a member that the verb requires and the event lacks.
+func (e *event) validate(verb string) error {
+	switch {
+	case e.Instance == nil && verb != VerbInventory:
+		return &MissingMemberError{verb, "I"}
+	case e.Setup == nil && verb == VerbPowerOn:
+		return &MissingMemberError{verb, "Setup"}
+	case e.Page == nil && (verb == VerbInventory || verb == VerbDiscovery && e.Scope != policy.ScopeError):
+		return &MissingMemberError{verb, "Page"}
+	}
+	return nil
+}
+
+func (e *event) policyEndpoints() (list []policy.Endpoint) {
+	for _, n := range e.Endpoints {
+		list = append(list, policy.Endpoint{
+			ID:        n.ID,
+			Zone:      n.Zone,
+			Kind:      n.Kind,
+			Cell:      n.Cell,
+			State:     n.State,
+			Weight:    n.Weight,
+			StartedAt: settings.Micros(n.StartedAt),
+		})
+	}
+	return list
+}
+
+func (e *event) policyEvent(verb string) policy.Event {
+	return policy.Event{
+		Kind:        eventKinds[verb],
+		Scope:       e.Scope,
+		Request:     e.Request,
+		Class:       e.Class,
+		Object:      e.Object,
+		Group:       e.Group,
+		Part:        int64(e.Part),
+		SizeKB:      e.SizeKB,
+		Remaining:   settings.Micros(e.Remaining),
+		ClientRetry: e.Attrs&attrRetry != 0,
+		Write:       e.Attrs&attrWrite != 0,
+		Endpoint:    e.Endpoint,
+		Attempt:     e.Attempt,
+		Outcome:     outcomes[e.Outcome],
+		Reason:      e.Reason,
+		Final:       e.Final,
+		RTT:         settings.Micros(e.RTT),
+		OriginWait:  settings.Micros(e.OriginWait),
+		Load:        e.Load,
+		Token:       e.Token,
+		Age:         settings.Micros(e.Age),
+	}
+}
--- /dev/null
+++ b/internal/simwire/response.go
@@ -0,0 +1,83 @@
+package simwire
+
+import (
+	"encoding/json"
+
+	"quilldoor/internal/policy"
+)
+
+// Response is the reply to a batch.
+type Response struct {
+	Turn      int64      `json:"turn"`
+	Decisions []decision `json:"decisions"`
+}
+
+// decision has the members of all verbs.
+type decision struct {
+	Verb          string   `json:"verb"`
+	Instance      int      `json:"I"`
+	Request       string   `json:"OpId,omitempty"`
+	Endpoint      string   `json:"Server,omitempty"`
+	Source        string   `json:"FillFrom,omitempty"`
+	CachePriority *int     `json:"Rank,omitempty"`
+	MaxAge        float64  `json:"AgeMs,omitempty"`
+	Timeout       float64  `json:"CapMs,omitempty"`
+	FillMode      int      `json:"Mode,omitempty"`
+	Attempt       *int     `json:"RoundNo,omitempty"`
+	RetryAfter    float64  `json:"StayAwayMs,omitempty"`
+	Due           *float64 `json:"DueAtMs,omitempty"`
+	Token         *int64   `json:"Ctx,omitempty"`
+	Active        *bool    `json:"Active,omitempty"`
+	Message       string   `json:"Message,omitempty"`
+}
+
+// NewResponse starts the reply to a batch.
+func NewResponse(turn int64) *Response { return &Response{turn, []decision{}} }
+
+// Add appends a router's actions.
+func (r *Response) Add(instance int, actions []policy.Action) {
+	for i := range actions {
+		r.Decisions = append(r.Decisions, newDecision(instance, &actions[i]))
+	}
+}
+
+// Encode writes the reply as one line.
+func (r *Response) Encode() ([]byte, error) {
+	line, err := json.Marshal(r)
+	return append(line, '\n'), err
+}
+
+func newDecision(instance int, a *policy.Action) decision {
+	d := decision{Instance: instance, Request: a.Request, Endpoint: a.Endpoint}
+	switch a.Kind {
+	case policy.ActionSend:
+		d.Verb = "Get"
+		d.Source = a.Source
+		d.CachePriority = copyOf(a.CachePriority)
+		d.FillMode = int(a.FillMode)
+		d.MaxAge, d.Timeout = millis(a.MaxAge), millis(a.Timeout)
+	case policy.ActionFail:
+		d.Verb = "RespondError"
+	case policy.ActionReject:
+		d.Verb, d.RetryAfter = "OverloadReply", millis(a.RetryAfter)
+	case policy.ActionCancel:
+		d.Verb, d.Attempt = "StopAttempt", copyOf(a.Attempt)
+	case policy.ActionSetTimer:
+		d.Verb, d.Due, d.Token = "Defer", copyOf(millis(a.Due)), copyOf(a.Token)
+	case policy.ActionHealthCheck:
+		d.Verb = "Ping"
+	case policy.ActionSubscribe:
+		d.Verb, d.Active = "Subscribe", copyOf(true)
+	case policy.ActionLog: // the wire's line has a text alone
+		d.Verb, d.Endpoint = "JournalLine", ""
+		d.Message = a.Text + ": " + a.Endpoint
+	case policy.ActionPanic:
+		d.Verb, d.Message = "Panic", a.Text
+	}
+	return d
+}
+
+func millis(micros int64) float64 { return float64(micros) / 1000 }
+
+// copyOf gives a pointer to a value that is written even if it is zero; the caller reuses its actions.
+func copyOf[T any](v T) *T { return &v }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -138,21 +138,6 @@
 	}
 }
 
-// CloseIdle closes idle connections to an endpoint.
-func (p *Pool) CloseIdle(endpoint *engine.Endpoint) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	peer := p.peers[keyOf(endpoint)]
-	if peer == nil {
-		return
-	}
-	for _, conn := range peer.conns {
-		if conn.idle() {
-			conn.close()
-		}
-	}
-}
-
 // Sweep closes connections that have been idle for long, before the server does,
 // and forgets abandoned attempts whose responses can't come any more.
 func (p *Pool) Sweep(now time.Time) {
