--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -31,9 +31,9 @@
 			}
 			far := newSide(b, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, south)
 			home := newSide(b, "n", "north", []Peer{{"s", "south", far.addr}}, north)
-			until(b, "trust", func() bool { return home.trusts() })
+			until(b, "trust", func() bool { return home.isConnected() })
 			text := strings.Repeat("x", 20_000)
-			far.does(func(_ <-chan struct{}, _ *Request) Reply {
+			far.executes(func(_ <-chan struct{}, _ *Request) Reply {
 				return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: far.body(text)}
 			})
 			b.SetParallelism(4)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -87,32 +87,32 @@
 	w.open = nil
 }
 
-// side is a gateway with a host that the test scripts.
+// side is a gateway with a scripted host.
 type side struct {
 	*Gateway
-	hook   *logtest.Hook
-	pool   *bufferpool.Pool
-	addr   string
-	carry  func(left <-chan struct{}, q *Request) Reply
-	known  []peerproto.Purge
-	mu     sync.Mutex
-	purges []string
-	ran    map[string]int
+	hook    *logtest.Hook
+	pool    *bufferpool.Pool
+	addr    string
+	execute func(left <-chan struct{}, q *Request) Reply
+	known   []peerproto.Purge
+	mu      sync.Mutex
+	purges  []string
+	ran     map[string]int
 }
 
 func (s *side) Execute(left <-chan struct{}, q *Request) Reply {
 	s.mu.Lock()
 	s.ran[q.Event.Request]++
-	carry := s.carry
+	carry := s.execute
 	s.mu.Unlock()
 	return carry(left, q)
 }
 
-// does scripts the host.
-func (s *side) does(carry func(left <-chan struct{}, q *Request) Reply) {
+// executes scripts the host.
+func (s *side) executes(carry func(left <-chan struct{}, q *Request) Reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.carry = carry
+	s.execute = carry
 }
 func (s *side) Purges(string, int64) []peerproto.Purge { return s.known }
 func (s *side) Purge(object string, group, at int64) {
@@ -140,7 +140,7 @@
 	log, hook := logtest.NewNullLogger()
 	log.SetLevel(logrus.DebugLevel)
 	s := &side{hook: hook, pool: bufferpool.NewPool(4 << 20), addr: l.Addr().String(), ran: map[string]int{}}
-	s.carry = func(_ <-chan struct{}, q *Request) Reply {
+	s.execute = func(_ <-chan struct{}, q *Request) Reply {
 		return Reply{Outcome: peerpolicy.OutcomeCompleted, Tag: "tag", IssuedMillis: 1000, Body: s.body("answer to " + q.Event.Object)}
 	}
 	s.Gateway = Start(Config{
@@ -162,26 +162,26 @@
 	t.Fatal(what, "has not come")
 }
 
-func (s *side) trusts() bool {
+func (s *side) isConnected() bool {
 	s.Gateway.mu.Lock()
 	defer s.Gateway.mu.Unlock()
-	p := s.gate.Peer("s")
+	p := s.controller.Peer("s")
 	return p.State == peerpolicy.StateHealthy && p.Capacity > 0
 }
 
-// pair is two sites, north hands over to south through a wire.
+// pair is two sites, north forwards to south through a wire.
 func pair(t *testing.T) (north, south *side, w *wire) {
 	t.Helper()
 	south = newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, nil)
 	w = newWire(t, south.addr)
 	north = newSide(t, "n", "north", []Peer{{"s", "south", w.Addr().String()}}, nil)
-	until(t, "trust", func() bool { return north.trusts() })
+	until(t, "a healthy peer", func() bool { return north.isConnected() })
 	return north, south, w
 }
 
 var count atomic.Int64
 
-// send hands a txn over, and returns how it ended, or nil if it wasn't.
+// send forwards a request, and returns how it ended; nil: it was not forwarded.
 func (s *side) send(effect peerpolicy.Effect, object string, body *bufferpool.Body, within time.Duration) chan Reply {
 	out := make(chan Reply, 9)
 	q := &Request{Event: policy.Event{
@@ -197,7 +197,7 @@
 func get(t *testing.T, c chan Reply) Reply {
 	t.Helper()
 	if c == nil {
-		t.Fatal("not handed over")
+		t.Fatal("not forwarded")
 	}
 	select {
 	case r := <-c:
@@ -213,7 +213,7 @@
 	return Reply{}
 }
 
-func TestAcross(t *testing.T) {
+func TestForwardedRequestIsAnswered(t *testing.T) {
 	north, south, _ := pair(t)
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
 	if r.Outcome != peerpolicy.OutcomeCompleted || text(r.Body) != "answer to film" || r.Tag != "tag" || r.IssuedMillis != 1000 {
@@ -222,7 +222,7 @@
 	r.Body.Release()
 	// Large bodies both ways, past the first window.
 	long := strings.Repeat("0123456789abcdef", 15_000)
-	south.does(func(_ <-chan struct{}, q *Request) Reply {
+	south.executes(func(_ <-chan struct{}, q *Request) Reply {
 		return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: south.body(text(q.Body) + long[:240_000-q.Body.Len()])}
 	})
 	for range 5 {
@@ -235,7 +235,7 @@
 		body.Release()
 	}
 	for want, far := range map[peerpolicy.Outcome]Reply{peerpolicy.OutcomeRejected: {Outcome: peerpolicy.OutcomeRejected, NeverRan: true, RetryAfter: 7}, peerpolicy.OutcomeAborted: {Outcome: peerpolicy.OutcomeAborted}} {
-		south.does(func(<-chan struct{}, *Request) Reply { return far })
+		south.executes(func(<-chan struct{}, *Request) Reply { return far })
 		if r := get(t, north.send(peerpolicy.EffectUnsafe, "x", nil, time.Second)); r.Outcome != want {
 			t.Errorf("%v for %+v", r.Outcome, far)
 		}
@@ -250,12 +250,12 @@
 	}
 }
 
-// The far side falls silent after it may have run the txn: one end, and it is run
-// once at the most, also when the far side wakes up or comes back.
-func TestFarSideFallsSilent(t *testing.T) {
+// A peer that falls silent after it may have executed a request once led to a second
+// execution when it came back.
+func TestSilentPeerGetsOneOutcomeAndOneExecution(t *testing.T) {
 	north, south, w := pair(t)
 	running, wake := make(chan bool, 9), make(chan bool)
-	south.does(func(_ <-chan struct{}, _ *Request) Reply {
+	south.executes(func(_ <-chan struct{}, _ *Request) Reply {
 		running <- true
 		<-wake
 		return Reply{Outcome: peerpolicy.OutcomeCompleted}
@@ -271,7 +271,7 @@
 		"requests lost, unsafe": {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, func() { w.dead[0].Store(true) }},
 		"both lost, safe":       {peerpolicy.EffectIdempotent, peerpolicy.OutcomeRejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
 	} {
-		until(t, name+": trust", func() bool { return north.trusts() })
+		until(t, name+": a healthy peer", func() bool { return north.isConnected() })
 		out := north.send(c.effect, name, nil, 3*time.Second)
 		<-running
 		began := time.Now()
@@ -280,7 +280,7 @@
 		if r.Outcome != c.want {
 			t.Errorf("%s: %v, want %v", name, r.Outcome, c.want)
 		}
-		// Known by the cut or by five beats, not by the txn's time.
+		// Known by the cut or by five beats, not by the request's time.
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%s: told after %v", name, took)
 		}
@@ -291,22 +291,22 @@
 	}
 	south.mu.Lock()
 	defer south.mu.Unlock()
-	for txn, n := range south.ran {
+	for request, n := range south.ran {
 		if n > 1 {
-			t.Errorf("txn %s run %d times", txn, n)
+			t.Errorf("request %s run %d times", request, n)
 		}
 	}
 	if len(south.ran) != 5 {
-		t.Errorf("%d txns run", len(south.ran))
+		t.Errorf("%d requests run", len(south.ran))
 	}
 }
 
-// A far side that beats and doesn't answer: the txn ends before its time, as one
-// that may have run, and the far side hears that it was given up.
-func TestFarSideIsTooSlow(t *testing.T) {
+// A peer that sends heartbeats and no answer: the request fails before its deadline, as one
+// that may have been executed, and the peer hears that it was given up.
+func TestSlowPeerIsGivenUpInTime(t *testing.T) {
 	north, south, _ := pair(t)
 	gone := make(chan bool, 9)
-	south.does(func(left <-chan struct{}, _ *Request) Reply {
+	south.executes(func(left <-chan struct{}, _ *Request) Reply {
 		<-left
 		gone <- true
 		return Reply{Outcome: peerpolicy.OutcomeAborted}
@@ -323,9 +323,9 @@
 	}
 }
 
-// A link that is slow ends a txn in its time; one that is cut and joined again and
-// again loses none and doubles none.
-func TestManyCuts(t *testing.T) {
+// A slow link ends a request in its time; one that is cut and joined again and again loses
+// none and duplicates none.
+func TestCutsLoseAndDuplicateNoRequest(t *testing.T) {
 	north, south, w := pair(t)
 	w.delay.Store(int64(2 * time.Millisecond))
 	var ends sync.Map
@@ -354,7 +354,7 @@
 					n, _ := ends.LoadOrStore(r.Outcome, new(atomic.Int64))
 					n.(*atomic.Int64).Add(1)
 				case <-time.After(2 * time.Second):
-					t.Error("a txn without an end")
+					t.Error("a request without an end")
 					return
 				}
 			}
@@ -368,9 +368,9 @@
 	all.Wait()
 	south.mu.Lock()
 	defer south.mu.Unlock()
-	for txn, n := range south.ran {
+	for request, n := range south.ran {
 		if n > 1 {
-			t.Errorf("txn %s run %d times", txn, n)
+			t.Errorf("request %s run %d times", request, n)
 		}
 	}
 	if handed.Load() != ended.Load() || handed.Load() < 50 {
@@ -379,9 +379,8 @@
 	ends.Range(func(k, v any) bool { t.Logf("outcome %v: %d", k, v.(*atomic.Int64).Load()); return true })
 }
 
-// What the asking side knows of purges goes along, and what is older doesn't come
-// back.
-func TestPurgesAcross(t *testing.T) {
+// The forwarding site's purges travel with a request, and no older copy comes back.
+func TestPurgesTravelWithRequests(t *testing.T) {
 	north, south, _ := pair(t)
 	north.known = []peerproto.Purge{{At: 999_000}, {Group: true, At: 1_000_000}}
 	if r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second)); r.Outcome != peerpolicy.OutcomeRejected {
@@ -401,16 +400,16 @@
 }
 
 // A client that leaves, and a router that drains.
-func TestLeaveAndDrain(t *testing.T) {
+func TestClientGoneAndDrain(t *testing.T) {
 	north, south, _ := pair(t)
 	gone := make(chan bool, 1)
-	south.does(func(left <-chan struct{}, _ *Request) Reply {
+	south.executes(func(left <-chan struct{}, _ *Request) Reply {
 		<-left
 		gone <- true
 		return Reply{Outcome: peerpolicy.OutcomeAborted}
 	})
 	out := north.send(peerpolicy.EffectIdempotent, "x", nil, 3*time.Second)
-	until(t, "the txn", func() bool { return south.Status().InboundInFlight == 1 })
+	until(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
 	north.Cancel(fmt.Sprintf("%016x", count.Load()))
 	<-gone
 	if len(out) > 0 {
@@ -423,8 +422,8 @@
 	}
 }
 
-// What no peer of ours writes costs its own connection, and nothing else.
-func TestBadPeers(t *testing.T) {
+// What no router writes ends its own connection, and nothing else.
+func TestMalformedFramesEndTheirConnection(t *testing.T) {
 	north, south, _ := pair(t)
 	hello := func(version uint16, name string) []byte {
 		b, _ := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{Version: version, Name: name, Site: "north", Incarnation: 9})
@@ -469,25 +468,25 @@
 	until(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
 }
 
-// Clocks of two sides may be hours apart: what is told of a frame is only how much
-// longer than the quickest it was under way.
-func TestClocksApart(t *testing.T) {
+// The clocks of two sites may be hours apart: a frame's delay is counted from the quickest
+// frame.
+func TestDelayIsMeasuredBetweenDifferentClocks(t *testing.T) {
 	for _, apart := range []int64{0, 3600_000_000, -3600_000_000} {
 		k := newLink(nil, nil, "s")
 		at := int64(10_000_000_000)
 		for i := range int64(20) {
-			k.heard(at+i*1000+20_000+i%3*5_000, &peerproto.Heartbeat{SentAt: at + i*1000 + apart})
+			k.handleHeartbeat(at+i*1000+20_000+i%3*5_000, &peerproto.Heartbeat{SentAt: at + i*1000 + apart})
 		}
-		if d := k.delay(at+50_000, at+30_000+apart); d != 0 {
+		if d := k.extraDelay(at+50_000, at+30_000+apart); d != 0 {
 			t.Errorf("apart by %d: a frame of the quickest is %d us late", apart, d)
 		}
-		if d := k.delay(at+750_000, at+30_000+apart); d != 700_000 {
+		if d := k.extraDelay(at+750_000, at+30_000+apart); d != 700_000 {
 			t.Errorf("apart by %d: a frame that lay 700 ms is %d us late", apart, d)
 		}
 	}
 }
 
-// Certificates: good ones, and each kind of bad one told by its reason.
+// Valid certificates, and each kind of invalid one with its reason.
 func TestKeys(t *testing.T) {
 	dir, other, old := t.TempDir(), t.TempDir(), t.TempDir()
 	for d, lasts := range map[string]time.Duration{dir: time.Hour, other: time.Hour, old: -time.Second} {
@@ -517,7 +516,7 @@
 	south := newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, own)
 	join := func(k *Keys) *side { return newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, k) }
 	north := join(keys(dir, "n", dir))
-	until(t, "trust", func() bool { return north.trusts() })
+	until(t, "a healthy peer", func() bool { return north.isConnected() })
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
 	if r.Outcome != peerpolicy.OutcomeCompleted {
 		t.Fatal(r.Outcome)
@@ -532,7 +531,7 @@
 	logged(wrong, "certificate of another name")
 	liar := newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, keys(dir, "x", dir))
 	time.Sleep(100 * time.Millisecond)
-	if liar.trusts() {
+	if liar.isConnected() {
 		t.Error("a router with another's certificate is trusted")
 	}
 	// New files come into force without dropping what is there; a bad one changes nothing.
@@ -555,11 +554,10 @@
 	r.Body.Release()
 }
 
-// A peer that asks on and on and makes no room for the answers holds the places
-// that it has, and gets no more.
-func TestPeerThatTakesNothing(t *testing.T) {
+// A peer that sent requests and read no answers once got ever more places.
+func TestPeerThatReadsNothingKeepsItsPlaces(t *testing.T) {
 	_, south, _ := pair(t)
-	south.does(func(<-chan struct{}, *Request) Reply {
+	south.executes(func(<-chan struct{}, *Request) Reply {
 		return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: south.body(strings.Repeat("x", 200_000))}
 	})
 	c, err := net.Dial("tcp", south.addr)
@@ -578,7 +576,7 @@
 	n := len(south.ran)
 	south.mu.Unlock()
 	if n < 1 || n > 10 || south.Status().InboundInFlight != n {
-		t.Fatalf("%d txns run for it, %d hold a place", n, south.Status().InboundInFlight)
+		t.Fatalf("%d requests run for it, %d hold a place", n, south.Status().InboundInFlight)
 	}
 	c.Close()
 	until(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -1,39 +1,31 @@
 package gateway
 
 import (
-	"crypto/ecdsa"
-	"crypto/elliptic"
-	"crypto/rand"
 	"crypto/tls"
 	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
 	"errors"
 	"fmt"
 	"io"
-	"math/big"
 	"net"
 	"os"
-	"path/filepath"
 	"sync/atomic"
-	"time"
 
 	"quilldoor/internal/gateway/peerproto"
 )
 
-// Keys are what a router proves itself with, and whom it trusts: files in PEM,
-// read again by Load. TLS 1.3 both ways; a peer's certificate must name it.
+// Keys are a router's certificate and the authorities that it trusts: PEM files, read again
+// by Load. Connections use TLS 1.3 with certificates both ways; a peer's must name it.
 type Keys struct {
 	Cert, Key, CA string // paths
-	now           atomic.Pointer[loaded]
+	current       atomic.Pointer[keyMaterial]
 }
 
-type loaded struct {
-	cert  tls.Certificate
-	trust *x509.CertPool
+type keyMaterial struct {
+	cert        tls.Certificate
+	authorities *x509.CertPool
 }
 
-// Load reads the files. After an error those of before stay in force.
+// Load reads the files. After an error the ones read before stay in force.
 func (k *Keys) Load() error {
 	cert, err := tls.LoadX509KeyPair(k.Cert, k.Key)
 	if err != nil {
@@ -47,22 +39,22 @@
 	if !trust.AppendCertsFromPEM(text) {
 		return fmt.Errorf("gateway.ca: %s holds no certificate", k.CA)
 	}
-	k.now.Store(&loaded{cert, trust})
+	k.current.Store(&keyMaterial{cert, trust})
 	return nil
 }
 
-// client is the configuration for dialling a peer.
-func (k *Keys) client(peer string) *tls.Config {
-	l := k.now.Load()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, RootCAs: l.trust, ServerName: peer}
+// clientConfig is the configuration for dialling a peer.
+func (k *Keys) clientConfig(peer string) *tls.Config {
+	l := k.current.Load()
+	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, RootCAs: l.authorities, ServerName: peer}
 }
 
-// server is that for being dialled. The greeting is held against the name in the
+// serverConfig is that for being dialled. The greeting is held against the name in the
 // certificate.
-func (k *Keys) server() *tls.Config {
-	l := k.now.Load()
+func (k *Keys) serverConfig() *tls.Config {
+	l := k.current.Load()
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, ClientCAs: l.trust,
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, ClientCAs: l.authorities,
 		ClientAuth: tls.RequireAndVerifyClientCert,
 	}
 }
@@ -75,8 +67,8 @@
 	return s.PeerCertificates[0].DNSNames[0]
 }
 
-// reasonOf words why a connection failed, in a few words that stay the same.
-func reasonOf(err error) string {
+// failureReason words why a connection failed, in a few constant words.
+func failureReason(err error) string {
 	var (
 		invalid x509.CertificateInvalidError
 		unknown x509.UnknownAuthorityError
@@ -99,7 +91,7 @@
 		return "the peer refused our certificate"
 	case errors.Is(err, peerproto.ErrMalformed):
 		return "protocol"
-	case errors.Is(err, errEnded):
+	case errors.Is(err, errConnectionEnded):
 		return "connection lost"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return "closed by the peer"
@@ -108,57 +100,3 @@
 	}
 	return "other"
 }
-
-// MakeKeys makes an authority for trials and a pair for each name in a folder:
-// ca.pem, NAME.pem, NAME.key. The authority's own key is not kept.
-func MakeKeys(dir string, names []string, lasts time.Duration) error {
-	now := time.Now()
-	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return err
-	}
-	serial := func() *big.Int {
-		n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
-		return n
-	}
-	ca := &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: "quilldoor trial authority"}, NotBefore: now.Add(-time.Minute),
-		NotAfter: now.Add(lasts), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
-	}
-	caText, err := x509.CreateCertificate(rand.Reader, ca, ca, &caKey.PublicKey, caKey)
-	if err != nil {
-		return err
-	}
-	write := func(name, kind string, text []byte, mode os.FileMode) error {
-		return os.WriteFile(filepath.Join(dir, name), pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: text}), mode)
-	}
-	if err := write("ca.pem", "CERTIFICATE", caText, 0o644); err != nil {
-		return err
-	}
-	for _, name := range names {
-		key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-		if err != nil {
-			return err
-		}
-		leaf := &x509.Certificate{
-			SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotBefore: ca.NotBefore,
-			NotAfter: ca.NotAfter, KeyUsage: x509.KeyUsageDigitalSignature,
-			ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
-		}
-		text, err := x509.CreateCertificate(rand.Reader, leaf, ca, &key.PublicKey, caKey)
-		if err != nil {
-			return err
-		}
-		private, err := x509.MarshalECPrivateKey(key)
-		if err != nil {
-			return err
-		}
-		if err := write(name+".pem", "CERTIFICATE", text, 0o644); err != nil {
-			return err
-		}
-		if err := write(name+".key", "EC PRIVATE KEY", private, 0o600); err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -1,6 +1,6 @@
-// Package peerproto is the codec of the protocol between sites: frames of a kind, a
-// txn's number and a payload, length-checked. It does no I/O of its own but read
-// and append; docs/gateway.md tells the protocol.
+// Package peerproto is the codec of the protocol between routers of two sites: frames of
+// a kind, a request's number and a payload, with bounded lengths. It reads from a reader
+// and appends to buffers. docs/gateway.md describes the protocol.
 package peerproto
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version of the protocol. Sides of different versions don't talk.
+// Version of the protocol. Routers of different versions don't talk.
 const Version = 1
 
 // Kind of a frame.
 type Kind uint8
 
-// Kinds. Payloads but those of Data and Window are CBOR arrays (RFC 8949).
+// The kinds. Payloads but those of KindData and KindWindow are CBOR arrays (RFC 8949).
 const (
 	KindHello     Kind = 1 + iota // Hello, the first frame each way
-	KindHeartbeat                 // Beat
-	KindRequest                   // Ask; its body follows as Data
-	KindAnswer                    // Answer; its body follows as Data
+	KindHeartbeat                 // Heartbeat
+	KindRequest                   // Request; its body follows as KindData
+	KindAnswer                    // Answer; its body follows as KindData
 	KindData                      // bytes of a body
 	KindWindow                    // 4 bytes: so many more bytes of this body may be sent
-	KindCancel                    // none: the txn is given up
-	KindGoodbye                   // none: nothing new is taken; the connection ends with what is out
+	KindCancel                    // none: the request is given up
+	KindGoodbye                   // none: nothing new is taken; the connection ends with what is in flight
 	lastKind      = KindGoodbye
 )
 
@@ -37,13 +37,14 @@
 const (
 	MaxPayload    = 16 << 10
 	InitialWindow = 64 << 10
-	headSize      = 8 // length of the payload 3, kind 1, txn's number 4
+	windowSize    = 4
+	headerSize    = 8 // length of the payload 3, kind 1, request's number 4
 )
 
 // ErrMalformed is behind every error about what a peer wrote.
-var ErrMalformed = errors.New("broken frame")
+var ErrMalformed = errors.New("malformed frame")
 
-// Hello names a side.
+// Hello is a router's greeting.
 type Hello struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint16
@@ -51,8 +52,9 @@
 	Incarnation uint64
 }
 
-// Heartbeat tells what a side offers. Times are its own microseconds; Echo is the
-// other's At of the last beat that came, Held how long ago that was.
+// Heartbeat tells what a router offers. Times are microseconds of its own clock; EchoedAt
+// is SentAt of the last heartbeat that came from the other one, HeldTime how long ago that
+// was.
 type Heartbeat struct {
 	_                  struct{} `cbor:",toarray"`
 	SentAt             int64
@@ -61,14 +63,14 @@
 	Draining           bool
 }
 
-// Purge is one that binds a txn at the asking side.
+// Purge is one that covers a request at the forwarding site.
 type Purge struct {
 	_     struct{} `cbor:",toarray"`
-	Group bool     // else the object
+	Group bool     // else of the object
 	At    int64    // Unix microseconds
 }
 
-// Request is a txn. Times are microseconds, At is the sender's clock.
+// Request is a forwarded request. Times are microseconds, SentAt of the sender's clock.
 type Request struct {
 	_         struct{} `cbor:",toarray"`
 	SentAt    int64
@@ -86,19 +88,19 @@
 	Purges    []Purge
 }
 
-// Answer ends a txn.
+// Answer ends a request.
 type Answer struct {
 	_            struct{} `cbor:",toarray"`
-	Outcome      uint8    // as package crossing has them
-	NeverRan     bool     // it never ran here
-	NotModified  bool     // the copy whose tag was sent is the one
+	Outcome      uint8    // a peerpolicy.Outcome
+	NeverRan     bool     // it was not executed here
+	NotModified  bool     // the copy whose tag was sent is current
 	RetryAfter   int64
 	Tag          string
 	IssuedMillis int64 // Unix milliseconds
 	BodyBytes    int32
 }
 
-// decoding refuses what no side of ours sends, before it costs memory.
+// decoding refuses what no router sends, before it costs memory.
 var decoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxArrayElements: 256, MaxMapPairs: 16, MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
@@ -110,10 +112,10 @@
 	return m
 }()
 
-// Frame is one as it came. Payload holds until the next is read.
+// Frame is one as it arrived. Payload is valid until the next one is read.
 type Frame struct {
 	Kind    Kind
-	Number  uint32 // of the txn on its connection; 0: none
+	Number  uint32 // of the request on its connection; 0: none
 	Payload []byte
 }
 
@@ -151,26 +153,19 @@
 // NewReader reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 4<<10)} }
 
-// Next reads a frame. An error that is ErrBroken ends the connection.
+// Next reads a frame. After ErrMalformed the connection is of no use.
 func (r *Reader) Next() (f Frame, err error) {
-	var h [headSize]byte
-	if _, err := io.ReadFull(r.r, h[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r.r, header[:]); err != nil {
 		return f, err
 	}
-	n := int(h[0]) | int(h[1])<<8 | int(h[2])<<16
-	f.Kind, f.Number = Kind(h[3]), binary.LittleEndian.Uint32(h[4:])
-	switch {
-	case n > MaxPayload:
-		return f, fmt.Errorf("%w: %d bytes, %d at most", ErrMalformed, n, MaxPayload)
-	case f.Kind == 0 || f.Kind > lastKind:
-		return f, fmt.Errorf("%w: kind %d", ErrMalformed, f.Kind)
-	case f.Kind == KindWindow && n != 4, (f.Kind == KindCancel || f.Kind == KindGoodbye) && n != 0:
-		return f, fmt.Errorf("%w: %d bytes in a frame of kind %d", ErrMalformed, n, f.Kind)
-	case (f.Kind == KindHello || f.Kind == KindHeartbeat || f.Kind == KindGoodbye) != (f.Number == 0):
-		return f, fmt.Errorf("%w: kind %d of txn %d", ErrMalformed, f.Kind, f.Number)
+	n := int(header[0]) | int(header[1])<<8 | int(header[2])<<16
+	f.Kind, f.Number = Kind(header[3]), binary.LittleEndian.Uint32(header[4:])
+	if err := f.check(n); err != nil {
+		return f, err
 	}
 	if _, err := io.ReadFull(r.r, r.buf[:n]); err != nil {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		return f, err
@@ -179,7 +174,24 @@
 	return f, nil
 }
 
-// Window reads a Window frame's figure.
+// check checks a header: the payload's length, the kind, and whether it has a number.
+func (f Frame) check(length int) error {
+	noPayload := f.Kind == KindCancel || f.Kind == KindGoodbye
+	noNumber := f.Kind == KindHello || f.Kind == KindHeartbeat || f.Kind == KindGoodbye
+	switch {
+	case length > MaxPayload:
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrMalformed, length, MaxPayload)
+	case f.Kind == 0 || f.Kind > lastKind:
+		return fmt.Errorf("%w: kind %d", ErrMalformed, f.Kind)
+	case f.Kind == KindWindow && length != windowSize, noPayload && length != 0:
+		return fmt.Errorf("%w: %d bytes in a frame of kind %d", ErrMalformed, length, f.Kind)
+	case noNumber != (f.Number == 0):
+		return fmt.Errorf("%w: kind %d of request %d", ErrMalformed, f.Kind, f.Number)
+	}
+	return nil
+}
+
+// Window is the number of bytes of a KindWindow frame.
 func (f Frame) Window() int { return int(binary.LittleEndian.Uint32(f.Payload)) }
 
 // Decode reads a CBOR payload.
--- a/internal/gateway/peerproto/peerproto_test.go
+++ b/internal/gateway/peerproto/peerproto_test.go
@@ -54,13 +54,13 @@
 
 func TestBadFrames(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"too long":          {1, 64, 0, byte(KindData), 1, 0, 0, 0},
-		"no kind":           {0, 0, 0, 0, 1, 0, 0, 0},
-		"unknown kind":      {0, 0, 0, 99, 1, 0, 0, 0},
-		"short window":      {1, 0, 0, byte(KindWindow), 1, 0, 0, 0, 5},
-		"cancel with more":  {1, 0, 0, byte(KindCancel), 1, 0, 0, 0, 5},
-		"greeting of a txn": {0, 0, 0, byte(KindHello), 1, 0, 0, 0},
-		"txn without one":   {0, 0, 0, byte(KindRequest), 0, 0, 0, 0},
+		"too long":                 {1, 64, 0, byte(KindData), 1, 0, 0, 0},
+		"no kind":                  {0, 0, 0, 0, 1, 0, 0, 0},
+		"unknown kind":             {0, 0, 0, 99, 1, 0, 0, 0},
+		"short window":             {1, 0, 0, byte(KindWindow), 1, 0, 0, 0, 5},
+		"cancel with more":         {1, 0, 0, byte(KindCancel), 1, 0, 0, 0, 5},
+		"greeting of a request":    {0, 0, 0, byte(KindHello), 1, 0, 0, 0},
+		"request without a number": {0, 0, 0, byte(KindRequest), 0, 0, 0, 0},
 	} {
 		if _, err := NewReader(bytes.NewReader(b)).Next(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
@@ -99,8 +99,8 @@
 	})
 }
 
-// A txn's request and answer, written and read.
-func BenchmarkAskAndAnswer(b *testing.B) {
+// A request and its answer, written and read.
+func BenchmarkRequestAndAnswer(b *testing.B) {
 	answer := Answer{Outcome: 1, IssuedMillis: 1 << 40, Tag: "0123456789abcdef", BodyBytes: 100_000}
 	var buf []byte
 	var a Request
@@ -110,10 +110,10 @@
 		buf, _ = Append(buf[:0], KindRequest, 7, &ask)
 		n := len(buf)
 		buf, _ = Append(buf, KindAnswer, 7, &answer)
-		if err := (Frame{Payload: buf[headSize:n]}).Decode(&a); err != nil {
+		if err := (Frame{Payload: buf[headerSize:n]}).Decode(&a); err != nil {
 			b.Fatal(err)
 		}
-		if err := (Frame{Payload: buf[n+headSize:]}).Decode(&z); err != nil {
+		if err := (Frame{Payload: buf[n+headerSize:]}).Decode(&z); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Status is what a gateway tells of itself.
+// Status is what a gateway tells of itself. Its JSON keys are those of the status file.
 type Status struct {
 	Name, Site        string
 	InboundInFlight   int   `json:"In"`
@@ -13,7 +13,7 @@
 	WrittenAtMS       int64
 }
 
-// PeerStatus is that of a peer.
+// PeerStatus is the state of a peer.
 type PeerStatus struct {
 	Name           string
 	Site           string
@@ -31,19 +31,27 @@
 	Late           int64 `json:"InDue"`
 }
 
-// Status tells how the gateway stands.
+// Status tells the gateway's state.
 func (g *Gateway) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := Status{
-		Name: g.config.Settings.Name, Site: g.config.Settings.Site, InboundInFlight: g.gate.InboundInFlight(), ForwardedInFlight: g.gate.ForwardedInFlight(),
-		OfferedCapacity: g.gate.OfferedCapacity(g.now()), Taken: g.gate.InboundCounts.Taken, Rejected: g.gate.InboundCounts.Rejected, Draining: g.drains,
+		Name:              g.config.Settings.Name,
+		Site:              g.config.Settings.Site,
+		InboundInFlight:   g.controller.InboundInFlight(),
+		ForwardedInFlight: g.controller.ForwardedInFlight(),
+		OfferedCapacity:   g.controller.OfferedCapacity(g.now()),
+		Taken:             g.controller.InboundCounts.Taken,
+		Rejected:          g.controller.InboundCounts.Rejected,
+		Draining:          g.draining,
 	}
-	for _, p := range g.gate.Peers() {
+	for _, p := range g.controller.Peers() {
 		c := p.Counts
 		s.Peers = append(s.Peers, PeerStatus{
-			p.Name, p.Site, p.State.String(), p.Incarnation, p.Capacity, p.InFlight, p.Limit,
-			c.Forwarded, c.Completed, c.Rejected, c.Aborted, c.ConnectionLost, c.Stale, c.Late,
+			Name: p.Name, Site: p.Site, State: p.State.String(), Incarnation: p.Incarnation,
+			Capacity: p.Capacity, InFlight: p.InFlight, Limit: p.Limit,
+			Forwarded: c.Forwarded, Completed: c.Completed, Rejected: c.Rejected, Aborted: c.Aborted,
+			ConnectionLost: c.ConnectionLost, Stale: c.Stale, Late: c.Late,
 		})
 	}
 	return s
