--- a/cmd/quilldoor/gossip.go
+++ b/cmd/quilldoor/gossip.go
@@ -53,7 +53,7 @@
 	h.mu.Lock()
 	result := h.replica.HandlePayload(h.now(), clock(), from, digest, body, transport.MaxPayloadBytes)
 	h.mu.Unlock()
-	h.apply(result.Servers)
+	h.apply(result.Endpoints)
 	for _, purge := range result.Purges {
 		h.applyPurge(purge.Object, purge.Group, purge.At)
 	}
