--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -1,7 +1,6 @@
-// Package netsim models what lies between routers, for tests and rehearsals: between
-// every ordered pair a way of its own that delays, jitters, loses, doubles,
-// reorders, is slow or cut. It does no I/O: drivers ask it when a datagram that
-// is sent now arrives, on a virtual clock or on loopback.
+// Package netsim models the network between routers for tests and experiments: each ordered pair has a path of its own
+// that delays, jitters, loses, duplicates, reorders, limits or cuts. It does no I/O. Its users ask when a datagram that
+// is sent now arrives, and deliver it on a virtual clock or on loopback.
 package netsim
 
 import (
@@ -10,117 +9,147 @@
 	"sync"
 )
 
-// Fault is on the ways from some routers to some, until it is taken away.
+// Durations are microseconds.
+const (
+	second = 1_000_000
+	// reorderDelay is how long a datagram that others overtake is held back.
+	reorderDelay = 30_000
+	// duplicateDelay is the time between a datagram and its duplicate.
+	duplicateDelay = 1000
+	// maxQueueDelay is the length of a slow path's queue.
+	maxQueueDelay = 2 * second
+)
+
+// Fault is on the paths from some routers to some, until it is removed. The probabilities are from 0 to 1.
 type Fault struct {
-	From, To       []int // nil: all
-	Bidirectional  bool  // the other direction as well
-	Partitioned    bool  // silently
+	From, To       []int // routers; nil: all
+	Bidirectional  bool  // the opposite paths as well
+	Partitioned    bool  // all datagrams are lost
 	Delay          int64 // microseconds, one way
-	Jitter         int64 // up to so much more, by chance
+	Jitter         int64 // microseconds, the bound of a random delay beside it
 	Loss           float64
 	Duplicate      float64
-	Reorder        float64 // share that is held back by some of the others
-	BytesPerSecond float64 // bytes a second; what waits for more than queueMost is lost
+	Reorder        float64
+	BytesPerSecond float64 // 0: no limit
 }
 
-// reorderBy is how long a datagram that is overtaken is held back, queueMost how
-// long a slow way's queue is.
-const reorderBy, queueMost = 30_000, 2_000_000
+// affects reports whether the fault is on a path.
+func (f *Fault) affects(from, to int) bool {
+	matches := func(routers []int, router int) bool { return routers == nil || slices.Contains(routers, router) }
+	forward := matches(f.From, from) && matches(f.To, to)
+	return forward || f.Bidirectional && matches(f.From, to) && matches(f.To, from)
+}
 
-// Network is the ways of a fleet. It may be used by several goroutines.
+// path is an ordered pair of routers.
+type path struct{ from, to int }
+
+// Network is the paths of a fleet. It may be used by several goroutines.
 type Network struct {
-	mu       sync.Mutex
-	Delay    int64 // of every way
-	Jitter   int64
-	troubles []*Fault
-	free     map[[2]int]int64 // when a slow way is free again
-	dice     *rand.Rand
-
-	Sent, Lost int64
+	Delay  int64 // microseconds, of every path
+	Jitter int64 // microseconds, the bound of a random delay beside it
+
+	Sent, Lost int64 // datagrams
+
+	mu     sync.Mutex
+	faults []*Fault
+	freeAt map[path]int64 // when a slow path has sent all that it holds
+	random *rand.Rand
 }
 
-// New makes ways without trouble.
-func New(delay, jitter int64, dice *rand.Rand) *Network {
-	return &Network{Delay: delay, Jitter: jitter, free: map[[2]int]int64{}, dice: dice}
+// New makes a network without faults.
+func New(delay, jitter int64, random *rand.Rand) *Network {
+	return &Network{Delay: delay, Jitter: jitter, freeAt: map[path]int64{}, random: random}
 }
 
-// AddFault puts a trouble on; what it returns takes it away.
-func (n *Network) AddFault(t *Fault) (over func()) {
-	n.troubles = append(n.troubles, t)
+// AddFault adds a fault and returns the function that removes it.
+func (n *Network) AddFault(fault *Fault) (remove func()) {
+	n.faults = append(n.faults, fault)
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.troubles = slices.DeleteFunc(n.troubles, func(o *Fault) bool { return o == t })
+		n.faults = slices.DeleteFunc(n.faults, func(f *Fault) bool { return f == fault })
 	}
 }
 
-func (t *Fault) on(from, to int) bool {
-	in := func(l []int, i int) bool { return l == nil || slices.Contains(l, i) }
-	return in(t.From, from) && in(t.To, to) || t.Bidirectional && in(t.From, to) && in(t.To, from)
+// Partition cuts the paths between groups of routers and returns the function that heals them.
+func (n *Network) Partition(groups ...[]int) (heal func()) {
+	var removals []func()
+	for i, group := range groups {
+		for _, other := range groups[i+1:] {
+			fault := &Fault{From: group, To: other, Bidirectional: true, Partitioned: true}
+			removals = append(removals, n.AddFault(fault))
+		}
+	}
+	return func() {
+		for _, remove := range removals {
+			remove()
+		}
+	}
 }
 
-// Reachable tells whether anything sent now could arrive.
+// Reachable reports whether a datagram that is sent now could arrive.
 func (n *Network) Reachable(from, to int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !slices.ContainsFunc(n.troubles, func(t *Fault) bool { return t.Partitioned && t.on(from, to) })
+	return !slices.ContainsFunc(n.faults, func(f *Fault) bool { return f.Partitioned && f.affects(from, to) })
 }
 
-// Transmit tells when what is sent now arrives: not at all, once or twice.
-func (n *Network) Transmit(now int64, from, to, size int) (at []int64) {
+// Transmit returns when a datagram that is sent now arrives: no time where it is lost, two where it is duplicated.
+func (n *Network) Transmit(now int64, from, to, size int) (arrivals []int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.Sent++
-	delay, copies := n.Delay, 1
-	if n.Jitter > 0 {
-		delay += n.dice.Int64N(n.Jitter)
-	}
-	for _, t := range n.troubles {
-		if !t.on(from, to) {
+	delay := n.Delay + n.jitter(n.Jitter)
+	copies := 1
+	for _, f := range n.faults {
+		if !f.affects(from, to) {
 			continue
 		}
-		if t.Partitioned || t.Loss > 0 && n.dice.Float64() < t.Loss {
+		if f.Partitioned || n.happens(f.Loss) {
 			n.Lost++
 			return nil
 		}
-		delay += t.Delay
-		if t.Jitter > 0 {
-			delay += n.dice.Int64N(t.Jitter)
-		}
-		if t.Reorder > 0 && n.dice.Float64() < t.Reorder {
-			delay += reorderBy
+		delay += f.Delay + n.jitter(f.Jitter)
+		if n.happens(f.Reorder) {
+			delay += reorderDelay
 		}
-		if t.Duplicate > 0 && n.dice.Float64() < t.Duplicate {
+		if n.happens(f.Duplicate) {
 			copies = 2
 		}
-		if t.BytesPerSecond > 0 {
-			key := [2]int{from, to}
-			n.free[key] = max(n.free[key], now) + int64(float64(size)/t.BytesPerSecond*1e6)
-			if n.free[key]-now > queueMost {
-				n.free[key] = now + queueMost
+		if f.BytesPerSecond > 0 {
+			wait, accepted := n.enqueue(now, path{from, to}, float64(size)/f.BytesPerSecond*second)
+			if !accepted {
 				n.Lost++
 				return nil
 			}
-			delay += n.free[key] - now
+			delay += wait
 		}
 	}
 	for i := range copies {
-		at = append(at, now+delay+int64(i)*1000)
+		arrivals = append(arrivals, now+delay+int64(i)*duplicateDelay)
 	}
-	return at
+	return arrivals
 }
 
-// Partition cuts routers into parts that don't hear each other.
-func (n *Network) Partition(camps ...[]int) (over func()) {
-	var ends []func()
-	for i, a := range camps {
-		for _, b := range camps[i+1:] {
-			ends = append(ends, n.AddFault(&Fault{From: a, To: b, Bidirectional: true, Partitioned: true}))
-		}
+// happens draws whether an event of a probability happens. It draws nothing for 0.
+func (n *Network) happens(probability float64) bool {
+	return probability > 0 && n.random.Float64() < probability
+}
+
+// jitter draws a delay below a bound. It draws nothing for 0.
+func (n *Network) jitter(bound int64) int64 {
+	if bound <= 0 {
+		return 0
 	}
-	return func() {
-		for _, end := range ends {
-			end()
-		}
+	return n.random.Int64N(bound)
+}
+
+// enqueue puts a datagram into a slow path's queue and returns how long it takes to be sent; false: the queue is full.
+func (n *Network) enqueue(now int64, p path, transmission float64) (wait int64, accepted bool) {
+	n.freeAt[p] = max(n.freeAt[p], now) + int64(transmission)
+	if n.freeAt[p]-now > maxQueueDelay {
+		n.freeAt[p] = now + maxQueueDelay
+		return 0, false
 	}
+	return n.freeAt[p] - now, true
 }
--- /dev/null
+++ b/internal/simfleet/delivery.go
@@ -0,0 +1,71 @@
+package simfleet
+
+import (
+	"fmt"
+	"net/netip"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"quilldoor/internal/membership"
+)
+
+// datagramOverhead is the size of a datagram's version and authentication tag in bytes. IP and UDP are not counted.
+const datagramOverhead = 17
+
+// Send sends messages of a router that its detector has returned outside of Tick and Receive, such as for its
+// departure.
+func (f *Fleet) Send(i int, out []membership.Outbound) { f.send(f.Hosts[i], out) }
+
+// send encodes messages and hands them to the network.
+func (f *Fleet) send(from *Host, out []membership.Outbound) {
+	for _, o := range out {
+		if f.BeforeSend != nil {
+			f.BeforeSend(from, o.Message)
+		}
+		body, err := cbor.Marshal(o.Message)
+		if err != nil {
+			panic(fmt.Errorf("encode message: %w", err)) // its types can all be encoded
+		}
+		size := len(body) + datagramOverhead
+		from.SentBytes += int64(size)
+		from.SentMessages++
+		to := f.byName[o.To]
+		if to == nil {
+			continue
+		}
+		for _, at := range f.Network.Transmit(f.Now, from.ID, to.ID, size) {
+			f.Schedule(at, func() { f.arrive(to, body, size) })
+		}
+	}
+}
+
+// arrive decodes a message anew for each receiver, as on a wire.
+func (f *Fleet) arrive(to *Host, body []byte, size int) {
+	if to.Detector == nil {
+		return
+	}
+	to.ReceivedBytes += int64(size)
+	f.whenRunning(to, func() {
+		var msg membership.Message
+		if err := cbor.Unmarshal(body, &msg); err != nil {
+			panic(fmt.Errorf("decode message: %w", err)) // send has encoded it
+		}
+		f.receive(to, &msg)
+	})
+}
+
+// receive hands a message to a router's detector, and its payloads to the handler.
+func (f *Fleet) receive(h *Host, msg *membership.Message) {
+	node, isNode := h.Detector.(*membership.Node)
+	if !isNode || f.Payloads == nil {
+		f.send(h, h.Detector.Receive(f.Now, netip.AddrPort{}, msg))
+		return
+	}
+	node.SetGossipDigest(f.Payloads.Digest(h))
+	f.send(h, node.Receive(f.Now, netip.AddrPort{}, msg))
+	for _, p := range node.Payloads() {
+		for _, body := range f.Payloads.HandlePayload(h, p) {
+			f.send(h, node.SendPayload(p.From, body))
+		}
+	}
+}
--- /dev/null
+++ b/internal/simfleet/heartbeat.go
@@ -0,0 +1,80 @@
+package simfleet
+
+import (
+	"net/netip"
+	"slices"
+
+	"quilldoor/internal/membership"
+)
+
+// HeartbeatDetector is the baseline of the experiments: every router sends all others a heartbeat at an interval, and
+// one that is silent for too long is dead. Nothing is passed on.
+type HeartbeatDetector struct {
+	self       membership.Update
+	members    []membership.Seed
+	interval   int64
+	maxSilence int64
+	nextBeatAt int64
+	heardAt    map[string]int64
+	states     map[string]membership.State
+}
+
+// NewHeartbeatDetector makes the detector of one router, which sends its first heartbeat at start. The interval and
+// the longest silence are microseconds.
+func NewHeartbeatDetector(name string, members []membership.Seed, interval, maxSilence, start int64) *HeartbeatDetector {
+	return &HeartbeatDetector{
+		self:       membership.Update{Name: name, State: membership.StateAlive, Incarnation: 1},
+		members:    members,
+		interval:   interval,
+		maxSilence: maxSilence,
+		nextBeatAt: start,
+		heardAt:    map[string]int64{},
+		states:     map[string]membership.State{},
+	}
+}
+
+// Tick sends the heartbeats that are due and declares silent members dead.
+func (d *HeartbeatDetector) Tick(now int64) (next int64, out []membership.Outbound, changes []membership.Change) {
+	if now >= d.nextBeatAt {
+		d.nextBeatAt = now + d.interval
+		out = d.heartbeats()
+	}
+	for _, m := range d.members {
+		if d.states[m.Name] == membership.StateAlive && now-d.heardAt[m.Name] > d.maxSilence {
+			d.states[m.Name] = membership.StateDead
+			changes = append(changes, membership.Change{
+				At: now, Name: m.Name, From: membership.StateAlive, To: membership.StateDead,
+			})
+		}
+	}
+	return min(d.nextBeatAt, now+d.interval/4), out, changes
+}
+
+func (d *HeartbeatDetector) heartbeats() (out []membership.Outbound) {
+	for _, m := range d.members {
+		if m.Name == d.self.Name {
+			continue
+		}
+		msg := &membership.Message{Kind: membership.KindPing, Sender: d.self, To: m.Name}
+		out = append(out, membership.Outbound{To: m.Name, Addr: m.Addr, Message: msg})
+	}
+	return out
+}
+
+// Receive takes a heartbeat.
+func (d *HeartbeatDetector) Receive(now int64, _ netip.AddrPort, msg *membership.Message) []membership.Outbound {
+	name := msg.Sender.Name
+	if slices.ContainsFunc(d.members, func(m membership.Seed) bool { return m.Name == name }) {
+		d.heardAt[name] = now
+		d.states[name] = membership.StateAlive
+	}
+	return nil
+}
+
+// State returns the state of a member.
+func (d *HeartbeatDetector) State(name string) membership.State {
+	if name == d.self.Name {
+		return membership.StateAlive
+	}
+	return d.states[name]
+}
--- /dev/null
+++ b/internal/simfleet/schedule.go
@@ -0,0 +1,55 @@
+package simfleet
+
+import "container/heap"
+
+// event is something that happens at a time; events at the same time happen in the order of seq.
+type event struct {
+	at, seq int64
+	do      func()
+}
+
+// eventQueue is a heap of events, the next one first.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	(*q)[last] = event{}
+	*q = (*q)[:last]
+	return e
+}
+
+// Schedule has something done at a time, or now where that has passed.
+func (f *Fleet) Schedule(at int64, do func()) {
+	f.lastSeq++
+	heap.Push(&f.events, event{max(at, f.Now), f.lastSeq, do})
+}
+
+// NextEvent returns when something happens next; a time that is never reached where nothing will.
+func (f *Fleet) NextEvent() int64 {
+	const never = 1 << 62 // far from an overflow of sums
+	if len(f.events) == 0 {
+		return never
+	}
+	return f.events[0].at
+}
+
+// RunUntil does all that is scheduled up to a time, and sets the clock to it.
+func (f *Fleet) RunUntil(at int64) {
+	for len(f.events) > 0 && f.events[0].at <= at {
+		e := heap.Pop(&f.events).(event)
+		f.Now = max(f.Now, e.at)
+		e.do()
+	}
+	f.Now = max(f.Now, at)
+}
