--- a/cmd/quilldoor/background.go
+++ b/cmd/quilldoor/background.go
@@ -52,15 +52,22 @@
 	case engine.CommandHealthCheck:
 		b.healthChecks++
 		r.checkHealth(command.Endpoint, "p"+strconv.Itoa(b.healthChecks))
-	case engine.CommandDisconnect:
-		r.upstream.CloseIdle(command.Endpoint)
 	case engine.CommandLog:
-		r.log.Info(command.Text)
+		r.logDecision(command)
 	case engine.CommandDrop:
 		command.Attempt.Drop(command.Silent)
 	}
 }
 
+// logDecision writes what the policy reports to the log.
+func (r *router) logDecision(command engine.Command) {
+	entry := r.log.WithField("endpoint", command.EndpointID)
+	if command.Backoff > 0 {
+		entry = entry.WithField("backoff_ms", command.Backoff/1000)
+	}
+	entry.Info(command.Text)
+}
+
 func (r *router) sweep(b *background, now time.Time) {
 	if now.Sub(b.sweptAt) < sweepInterval {
 		return
