--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -14,7 +14,7 @@
 	roundAt    int64             // when the latest round was sent
 	leaseUntil int64
 
-	// A rollback waits until no router may begin to go forward (lease.go).
+	// A rollback waits until no router may begin to go forward (forwardPermitDuration).
 	forwardPermitAt  int64 // when a router was last allowed to go forward
 	rollbackPending  bool
 	pendingCondition condition
