--- a/internal/gossip/claim.go
+++ b/internal/gossip/claim.go
@@ -8,14 +8,14 @@
 
 const (
 	// claimLifetime is how long a claim holds without being reported again: the time that the platform gives a
-	// discovery source to tell a change.
+	// discovery source to announce a change.
 	claimLifetime = 7 * second
 	// requiredConfirmations is the number of other routers that must report the same: one router that holds all
 	// endpoints gone by a fault of its own must not empty the list of any other.
 	requiredConfirmations = 2
 )
 
-// claim is what other routers report of an endpoint that the own source has not told. The zero value is no claim.
+// claim is what other routers report of an endpoint that goes beyond what the own source has announced. The zero value is no claim.
 type claim struct {
 	Endpoint
 	confirmedBy [requiredConfirmations]string // routers; "": none yet
@@ -39,7 +39,7 @@
 		r.Counts.Rejected++
 		return false
 	}
-	// A new endpoint is taken from the own source only: where that is cut off nothing can be sent to the endpoint
+	// A new endpoint is taken from the own source only: where that one is unreachable nothing can be sent to the endpoint
 	// either, and its address may be another one for each router.
 	rec := r.endpoints[reported.ID]
 	if rec == nil || !r.mayOverride(rec, reported) {
@@ -69,8 +69,8 @@
 	return false
 }
 
-// mayOverride reports whether a report is later than what the own source has told. An endpoint that the own source
-// has told to be draining or gone becomes active by that source only.
+// mayOverride reports whether a report is later than what the own source has announced. Where that source has
+// announced a draining or an end, only it can make the endpoint active again.
 func (r *Replica) mayOverride(rec *record, reported Endpoint) bool {
 	if !r.guards(safeguardOrder) {
 		return true
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,6 +1,6 @@
-// Package gossip replicates among the routers of a site what their discovery sources have told: endpoints that drain
-// or are gone, restarted endpoints, purges. A router whose own source is late or cut off applies what the others
-// report. A Replica does no I/O and reads no clock; its messages travel as payloads of package membership.
+// Package gossip replicates among the routers of a site what their discovery sources have announced: endpoints that
+// drain or are gone, restarted endpoints, purges. A router whose own source is late or unreachable applies what the
+// others report. A Replica does no I/O and reads no clock; its messages travel as payloads of package membership.
 //
 // Each source numbers its events anew for each router, so the numbers of two routers can't be compared. Two reports of
 // an endpoint are ordered by what they say instead: a later start goes before an earlier one, and within one start
@@ -10,7 +10,7 @@
 //
 // The files:
 //
-//   - gossip.go: the replica, what its own source has told, and its ticks
+//   - gossip.go: the replica, what its own source has announced, and its ticks
 //   - claim.go: what other routers report of an endpoint, and when it is applied
 //   - purge.go: purges
 //   - exchange.go: digests, and the exchange of what differs
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -14,7 +14,7 @@
 	requestInterval        = second / 2
 	confirmRequestInterval = requestInterval / 5
 	// settleTime is how long a replica must be unchanged before it asks: most differences are changes that the other
-	// sources are about to tell.
+	// sources are about to announce.
 	settleTime = second / 2
 	// startupRequests is the number of requests that a new replica sends without waiting: its list may be as old as
 	// the start of its process.
@@ -103,7 +103,7 @@
 	return true
 }
 
-// claimStatus reports whether there are claims, and whether one of them is to be asked for: a candidate wants a
+// claimStatus reports whether there are claims, and whether one of them is due for a request: a candidate wants a
 // confirmation, an accepted one is to be prolonged after a third of its lifetime.
 func (r *Replica) claimStatus(now int64) (claims, confirmationDue bool) {
 	for _, rec := range r.endpoints {
@@ -128,8 +128,8 @@
 	return request
 }
 
-// Respond returns what the own source has told in the buckets that differ, in chunks of up to chunkBytes. Claims are
-// not passed on, else routers without a source would confirm each other's. Purges are, whoever told them.
+// Respond returns what the own source has announced in the buckets that differ, in chunks of up to chunkBytes. Claims are
+// not passed on, else routers without a source would confirm each other's. Purges are, whoever announced them.
 func (r *Replica) Respond(request *DigestRequest, chunkBytes int) []StateExchange {
 	if len(request.Digests) != digestBuckets {
 		r.Counts.Rejected++
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -49,7 +49,7 @@
 type Counts struct {
 	Requests       int64 // sent
 	Responses      int64
-	ClaimsAccepted int64 // applied over what the own source has told
+	ClaimsAccepted int64 // applied over what the own source has announced
 	ClaimsExpired  int64
 	Purges         int64 // of other routers, applied
 	Rejected       int64 // reports and messages that can't be true or can't be read
@@ -65,15 +65,15 @@
 	endpoints          map[string]*record
 	purges             map[purgeKey]int64 // Unix microseconds
 	digests            [digestBuckets]uint32
-	changedAt          int64 // when the own source or the others told something last
+	changedAt          int64 // when the own source or another router announced a change last
 	requestedAt        int64
 	singleConfirmation bool
 }
 
 // record is what is held of one endpoint.
 type record struct {
-	local     Endpoint // as the own source has told it
-	goneAt    int64    // when the own source told that it is gone
+	local     Endpoint // as the own source has announced it
+	goneAt    int64    // when the own source announced that it is gone
 	accepted  claim    // applied over local
 	candidate claim    // later than local and accepted, and short of confirmations
 }
@@ -97,7 +97,7 @@
 // SetSingleConfirmation sets whether one router's report is enough, as fewer than two others are known.
 func (r *Replica) SetSingleConfirmation(single bool) { r.singleConfirmation = single }
 
-// stateRank orders the states within one start of an endpoint: a later one never goes back by another router's word.
+// stateRank orders the states within one start of an endpoint: another router's report never goes back to an earlier one.
 func stateRank(s policy.EndpointState) uint8 {
 	switch s {
 	case policy.EndpointActive:
@@ -113,7 +113,7 @@
 	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(stateRank(a.State), stateRank(b.State))) > 0
 }
 
-// ApplyLocal takes endpoints as the own source tells them. complete says that the list names all that exist. It
+// ApplyLocal takes endpoints that the own source announces. complete says that the list names all that exist. It
 // returns what is to be applied for each: what others claim stays in force over it.
 func (r *Replica) ApplyLocal(now int64, complete bool, list []Endpoint) []Endpoint {
 	r.changedAt = now
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// testSite holds replicas, what was applied at each, and the means to tell some of them what their sources would.
+// testSite holds replicas, what was applied at each, and the means to announce to some of them what their sources would.
 type testSite struct {
 	now      int64
 	replicas []*gossip.Replica
@@ -62,8 +62,8 @@
 	}
 }
 
-// tellLocal tells endpoints to some replicas as their own sources would; to has a bit for each.
-func (s *testSite) tellLocal(to int, complete bool, list ...gossip.Endpoint) {
+// announce announces endpoints to some replicas as their own sources would; to has a bit for each.
+func (s *testSite) announce(to int, complete bool, list ...gossip.Endpoint) {
 	for i, r := range s.replicas {
 		if to>>i&1 == 1 {
 			s.apply(i, r.ApplyLocal(s.now, complete, list), nil)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (s *testSite) tellPurge(to int, p gossip.Purge) {
+func (s *testSite) announcePurge(to int, p gossip.Purge) {
 	for i, r := range s.replicas {
 		if to>>i&1 == 1 {
 			r.ApplyLocalPurge(s.now, p)
@@ -114,7 +114,7 @@
 
 func newCutSite(without string) *testSite {
 	s := newTestSite(4, without)
-	s.tellLocal(all, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
+	s.announce(all, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
 	s.advance(3 * second)
 	return s
 }
@@ -123,9 +123,9 @@
 // report them.
 func TestReportsReachRouterWithoutSource(t *testing.T) {
 	s := newCutSite("")
-	s.tellLocal(connected, false, endpoint("a", draining, 0))
-	s.tellPurge(connected, gossip.Purge{Object: "o", At: wall + s.now})
-	s.tellPurge(connected, gossip.Purge{Group: 7, At: wall + s.now})
+	s.announce(connected, false, endpoint("a", draining, 0))
+	s.announcePurge(connected, gossip.Purge{Object: "o", At: wall + s.now})
+	s.announcePurge(connected, gossip.Purge{Group: 7, At: wall + s.now})
 	s.advance(4 * second)
 	if got := s.applied[3]["a"]; got.State != draining || got.Address != "of-a" {
 		t.Fatalf("draining: %+v", got)
@@ -133,9 +133,9 @@
 	if s.purges[3]["o0"] == 0 || s.purges[3]["7"] == 0 {
 		t.Errorf("purges: %v", s.purges[3])
 	}
-	s.tellLocal(connected, false, endpoint("a", gone, 0), endpoint("b", gone, 0))
+	s.announce(connected, false, endpoint("a", gone, 0), endpoint("b", gone, 0))
 	s.advance(4 * second)
-	s.tellLocal(connected, false, endpoint("b", active, wall+s.now))
+	s.announce(connected, false, endpoint("b", active, wall+s.now))
 	for range 40 { // for much longer than the lifetime of a claim
 		s.advance(second)
 		a, b := s.applied[3]["a"], s.applied[3]["b"]
@@ -146,29 +146,29 @@
 	// Its own source is back, late and in order: nothing that is gone is used again before that source says so.
 	start := s.applied[3]["b"].StartedAt
 	for _, x := range []gossip.Endpoint{endpoint("a", draining, 0), endpoint("a", gone, 0), endpoint("b", gone, 0)} {
-		s.tellLocal(0b1000, false, x)
+		s.announce(0b1000, false, x)
 		if s.applied[3]["a"].State != gone && x.ID == "a" || x.ID == "b" && s.applied[3]["b"].State != gone {
 			t.Errorf("after %s %s of its source: %+v %+v", x.ID, x.State, s.applied[3]["a"], s.applied[3]["b"])
 		}
 	}
-	s.tellLocal(0b1000, false, endpoint("b", active, start))
+	s.announce(0b1000, false, endpoint("b", active, start))
 	if s.applied[3]["b"].State != active {
-		t.Errorf("its source tells that it is back: %+v", s.applied[3]["b"])
+		t.Errorf("its source announces that it is back: %+v", s.applied[3]["b"])
 	}
-	// What its own source has told to be gone, only that source takes back.
-	s.tellLocal(all, false, endpoint("b", gone, start))
-	s.tellLocal(connected, false, endpoint("b", active, wall+s.now))
+	// What its own source has announced to be gone, only that source takes back.
+	s.announce(all, false, endpoint("b", gone, start))
+	s.announce(connected, false, endpoint("b", active, wall+s.now))
 	s.advance(3 * second)
 	if s.applied[3]["b"].State != gone {
 		t.Errorf("active by the others' reports: %+v", s.applied[3]["b"])
 	}
 	// Only the own source takes a draining back.
-	s.tellLocal(all, false, endpoint("c", draining, 0))
-	s.tellLocal(0b1000, false, endpoint("c", active, 0))
+	s.announce(all, false, endpoint("c", draining, 0))
+	s.announce(0b1000, false, endpoint("c", active, 0))
 	if s.applied[3]["c"].State != active {
 		t.Errorf("its own source takes the draining back: %+v", s.applied[3]["c"])
 	}
-	s.tellLocal(connected, false, endpoint("c", active, 0))
+	s.announce(connected, false, endpoint("c", active, 0))
 	s.advance(20 * second)
 	for i := range 4 {
 		if s.applied[i]["c"].State != active {
@@ -187,11 +187,11 @@
 // A replica that starts with an old list and without a source asks at once what has changed.
 func TestNewReplicaAsksAtOnce(t *testing.T) {
 	s := newCutSite("")
-	s.tellLocal(connected, false, endpoint("a", gone, 0))
-	s.tellPurge(connected, gossip.Purge{Group: 7, At: wall + s.now})
+	s.announce(connected, false, endpoint("a", gone, 0))
+	s.announcePurge(connected, gossip.Purge{Group: 7, At: wall + s.now})
 	s.replicas[3] = newReplica("")
 	s.applied[3], s.purges[3] = map[string]gossip.Endpoint{}, map[string]int64{}
-	s.tellLocal(0b1000, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
+	s.announce(0b1000, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
 	s.advance(300 * millisecond)
 	if s.applied[3]["a"].State != gone || s.purges[3]["7"] == 0 {
 		t.Errorf("after 300 ms: %+v, %v", s.applied[3]["a"], s.purges[3])
@@ -204,7 +204,7 @@
 		// One faulty router holds all endpoints gone: it empties no other's list.
 		"confirmations": func(without string) error {
 			s := newCutSite(without)
-			s.tellLocal(0b0001, false, endpoint("a", gone, 0), endpoint("b", gone, 0), endpoint("c", gone, 0))
+			s.announce(0b0001, false, endpoint("a", gone, 0), endpoint("b", gone, 0), endpoint("c", gone, 0))
 			s.advance(20 * second)
 			for i := 1; i < 4; i++ {
 				if s.applied[i]["a"].State != active {
@@ -216,7 +216,7 @@
 		// Two routers whose sources are late report an earlier state.
 		"order": func(without string) error {
 			s := newCutSite(without)
-			s.tellLocal(0b0011, false, endpoint("a", gone, 0), endpoint("a", active, wall+s.now))
+			s.announce(0b0011, false, endpoint("a", gone, 0), endpoint("a", active, wall+s.now))
 			s.advance(20 * second)
 			for i := range 2 {
 				if s.applied[i]["a"].StartedAt == 0 {
@@ -225,10 +225,10 @@
 			}
 			return nil
 		},
-		// Two routers have reported a draining that the other sources never told, and are gone.
+		// Two routers have reported a draining that the other sources never announced, and are gone.
 		"expiry": func(without string) error {
 			s := newCutSite(without)
-			s.tellLocal(0b0011, false, endpoint("a", draining, 0))
+			s.announce(0b0011, false, endpoint("a", draining, 0))
 			s.advance(5 * second)
 			if s.applied[3]["a"].State != draining {
 				return fmt.Errorf("the claim is not accepted at all")
@@ -307,7 +307,7 @@
 	})
 }
 
-// Sources that tell the same at different times, restarts and exchanges in any order: no replica goes backwards, and
+// Sources that announce the same at different times, restarts and exchanges in any order: no replica goes backwards, and
 // when all sources have caught up all hold the same.
 func TestConvergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -316,14 +316,14 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		random := rand.New(rand.NewPCG(seed, 1))
 		log := [][]gossip.Endpoint{{endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0)}}
-		told := make([]int, n)
+		announced := make([]int, n)
 		now, starts := map[string]gossip.Endpoint{}, int64(0)
 		for _, x := range log[0] {
 			now[x.ID] = x
 		}
 		catchUp := func(i int) {
-			for ; told[i] < len(log); told[i]++ {
-				s.tellLocal(1<<i, told[i] == 0, log[told[i]]...)
+			for ; announced[i] < len(log); announced[i]++ {
+				s.announce(1<<i, announced[i] == 0, log[announced[i]]...)
 			}
 		}
 		for i := range n {
@@ -353,14 +353,14 @@
 			case 4: // a replica starts anew, with the present list
 				i := random.IntN(n)
 				s.replicas[i] = newReplica("")
-				s.applied[i], last[i], told[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}, len(log)
+				s.applied[i], last[i], announced[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}, len(log)
 				var list []gossip.Endpoint
 				for _, x := range now {
 					if x.State != gone {
 						list = append(list, x)
 					}
 				}
-				s.tellLocal(1<<i, true, list...)
+				s.announce(1<<i, true, list...)
 			case 5:
 				s.advance(int64(random.IntN(30)) * 100 * millisecond)
 			}
@@ -368,7 +368,7 @@
 				for id, x := range s.applied[i] {
 					was, known := last[i][id]
 					backInStart := x.StartedAt < was.StartedAt
-					reactivated := x.StartedAt == was.StartedAt && was.State == gone && x.State != gone && told[i] == len(log)
+					reactivated := x.StartedAt == was.StartedAt && was.State == gone && x.State != gone && announced[i] == len(log)
 					if known && (backInStart || reactivated) {
 						t.Fatalf("%d goes from %+v to %+v", i, was, x)
 					}
--- a/internal/gossip/purge.go
+++ b/internal/gossip/purge.go
@@ -27,7 +27,7 @@
 	return cmp.Or(cmp.Compare(a.object, b.object), cmp.Compare(a.group, b.group))
 }
 
-// ApplyLocalPurge takes a purge as the own source tells it.
+// ApplyLocalPurge takes a purge that the own source announces.
 func (r *Replica) ApplyLocalPurge(now int64, p Purge) {
 	r.changedAt = now
 	r.applyPurge(p)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -227,7 +227,7 @@
 }
 
 // isNews reports whether an update of the member's present instance counts. What a member says of itself needs a
-// higher incarnation; that it is suspect or dead is another member's word on the incarnation that it names.
+// higher incarnation; that it is suspect or dead is said by another member of the incarnation that it names.
 func (m *member) isNews(u *Update) bool {
 	if u.Incarnation == m.incarnation {
 		return u.State == StateSuspect || u.State == StateDead
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -138,7 +138,7 @@
 }
 
 // transitions is the protocol's state machine for one member. Updates of an earlier instance or a lower incarnation
-// are dropped before they become an event (applyUpdate). Another member's word never makes a member dead: it counts
+// are dropped before they become an event (applyUpdate). Another member's report never makes a member dead: it counts
 // as one confirmation of a suspicion, and each node waits for its own timeout.
 var transitions = [...][eventCount]transition{
 	StateUnknown: {
--- a/internal/membership/transport/compatibility_test.go
+++ b/internal/membership/transport/compatibility_test.go
@@ -36,7 +36,7 @@
 			SuspectedBy: []uint16{17},
 		}},
 	}
-	files, _ := filepath.Glob("testdata/word-*.bin")
+	files, _ := filepath.Glob("testdata/datagram-*.bin")
 	if len(files) != 3 {
 		t.Fatalf("%d files", len(files))
 	}
