--- a/internal/policy/deadline.go
+++ b/internal/policy/deadline.go
@@ -1,19 +1,19 @@
 package policy
 
-// latencyObjective is the time within which the request's response is worth most. Where its size is not told,
-// half the class's objective stands for its transfer time; observed ones would grow with the load.
-func (t *request) latencyObjective() int64 {
-	transfer := t.transferTime
-	if transfer == 0 {
-		transfer = t.class.latencyObjective / 2
+// requestObjective is the time within which the response to a request is worth most: the class's latency objective,
+// and more for a longer transfer. Where the size is not told, half the class's objective stands for the transfer
+// time; observed ones would grow with the load.
+func (c *trafficClass) requestObjective(transferTime int64) int64 {
+	if transferTime == 0 {
+		transferTime = c.latencyObjective / 2
 	}
-	return t.class.latencyObjective + int64(t.class.objectiveStretch*float64(transfer))
+	return c.latencyObjective + int64(c.objectiveStretch*float64(transferTime))
 }
 
 // overdue tells whether an attempt counts as late: from four fifths of the latency objective on, so that limits
 // come down before responses miss it.
 func (r *Router) overdue(t *request, a *attempt) bool {
-	return 5*(r.now-a.sentAt) > 4*t.latencyObjective()
+	return 5*(r.now-a.sentAt) > 4*t.latencyObjective
 }
 
 // attemptTimeout is an attempt's time limit. At a cache it ends at twice the latency objective: it is worth
@@ -22,7 +22,7 @@
 	const objectives = 2
 	left := t.deadline - r.now
 	if target.role == roleCache {
-		return min(left, objectives*t.latencyObjective())
+		return min(left, objectives*t.latencyObjective)
 	}
 	return left
 }
--- a/internal/policy/deadline_test.go
+++ b/internal/policy/deadline_test.go
@@ -34,7 +34,7 @@
 	for share, want := range map[int64]bool{79: false, 81: true} {
 		r := newRouter(nil)
 		get := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
-		objective := r.requests["t"].latencyObjective()
+		objective := r.requests["t"].latencyObjective
 		end := attemptEnded(get.Endpoint, OutcomeDone)
 		end.Final = true
 		r.Handle(begin+objective*share/100, end, nil)
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -39,8 +39,9 @@
 	var best *endpoint
 	var bestScore float64
 	bestFailed := true
+	restricted := role == roleCache && t.maybeExecuted()
 	for _, s := range r.ordered {
-		if s.role != role || role == roleCache && !r.retryPermitted(t, s) || !r.usable(s, t) ||
+		if s.role != role || restricted && !r.retryPermitted(t, s) || !r.usable(s, t) ||
 			filter != nil && !filter(s) {
 			continue
 		}
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -131,15 +131,17 @@
 	})
 }
 
-// updateHealth ends ejections that are over, and suspects an endpoint that answers none of several attempts for
-// far longer than answers take.
-func (r *Router) updateHealth(s *endpoint) {
+// updateHealth ends ejections that are over, and suspects endpoints that answer none of several attempts for far
+// longer than answers take.
+func (r *Router) updateHealth() {
 	const minUnanswered = 3 // attempts: a single one may just be slow
-	if s.health == ejected && r.now >= s.healthDue {
-		r.observe(s, signalEjectionOver)
-	}
-	if s.inFlight >= minUnanswered && r.now-s.silentSince > r.config.silenceLimit {
-		r.observe(s, signalSilent)
-		s.silentSince = r.now
+	for _, s := range r.ordered {
+		if s.health == ejected && r.now >= s.healthDue {
+			r.observe(s, signalEjectionOver)
+		}
+		if s.inFlight >= minUnanswered && r.now-s.silentSince > r.config.silenceLimit {
+			r.observe(s, signalSilent)
+			s.silentSince = r.now
+		}
 	}
 }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -25,9 +25,10 @@
 	deadline int64
 	priority float64 // weight for transfer time
 
-	transferTime int64   // by its size; 0: not told
-	cost         int64   // what an attempt takes of slow-start budgets: the transfer time ...
-	costVariance float64 // ... or its mean and variance in the class
+	transferTime     int64   // by its size; 0: not told
+	latencyObjective int64   // see requestObjective
+	cost             int64   // what an attempt takes of slow-start budgets: the transfer time ...
+	costVariance     float64 // ... or its mean and variance in the class
 
 	state         requestState
 	retryAt       int64       // when the next attempt is due; 0: none is
@@ -118,6 +119,7 @@
 		state:    stateNotExecuted,
 	}
 	r.setPriority(t, e.SizeKB)
+	t.latencyObjective = class.requestObjective(t.transferTime)
 	r.requests[t.id] = t
 	r.open = append(r.open, t)
 	if !class.write {
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -20,9 +20,7 @@
 	r.resubscribe()
 	r.originDelay.decay(timerInterval)
 	r.dropSettledPurges()
-	for _, s := range r.ordered {
-		r.updateHealth(s)
-	}
+	r.updateHealth()
 	r.forgetGoneEndpoints()
 	r.open = slices.DeleteFunc(r.open, func(t *request) bool { return t.state == stateClosed })
 	for _, t := range r.open {
