--- a/cmd/quilldoor/disk_test.go
+++ b/cmd/quilldoor/disk_test.go
@@ -335,7 +335,7 @@
 	const fresh = 1500 * time.Millisecond
 	r := startWith(t, cache.Addr().String(), cache.Addr().String(), own, strings.NewReplacer(`"NotesGiven":"all"`,
 		`"NotesGiven":"all","GoodForMs":[1500,0],"ClassGraceMs":[60000,0],"ClearedWithinMs":1`))
-	r.logged(t, "disk tier recovered")
+	r.logged(t, "disk cache recovered")
 	time.Sleep(150 * time.Millisecond) // copies given out from now on are vouched for
 	c := dial(t, r.addr)
 	ask := func(more, status string) string {
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -454,12 +454,12 @@
 			if err != nil {
 				return err
 			}
-			for _, bad := range []string{"disk tier off", "member dead", "member left", "this one keeps quiet", "level=error"} {
+			for _, bad := range []string{"disk cache off", "member dead", "member left", "this one keeps quiet", "level=error"} {
 				if strings.Contains(string(text), bad) {
 					t.Errorf("router %d has logged %q", i, bad)
 				}
 			}
-			if got := strings.Count(string(text), "disk tier recovered"); got != 4 {
+			if got := strings.Count(string(text), "disk cache recovered"); got != 4 {
 				t.Errorf("router %d: its folder was opened %d times", i, got)
 			}
 		}
--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -49,7 +49,7 @@
 func (bare) Drop(diskcache.Drop)  {}
 
 func opened(b *testing.B, c Config) *diskstore.Store {
-	s, err := diskstore.Open(c.FS, c.Superblock, c.Settings.Slots)
+	s, err := diskstore.Open(c.FS, c.Superblock)
 	if err == nil {
 		_, err = s.Recover(bare{})
 	}
@@ -86,7 +86,7 @@
 	for b.Loop() {
 		before := heap()
 		began := time.Now()
-		s := plain(c, bufferpool.NewPool(1<<20), quiet())
+		s := newCache(c, bufferpool.NewPool(1<<20), quiet())
 		if !s.recover() {
 			b.Fatal("not recovered")
 		}
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -60,7 +60,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	b := &bench{fs: fs, now: now, content: map[uint64][]byte{}, version: map[string]int64{}}
-	b.Cache = plain(Config{
+	b.Cache = newCache(Config{
 		FS: fs, Superblock: diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 7}, Settings: settings(),
 		Clock: func() (int64, int64) { return b.now, b.now },
 	}, bufferpool.NewPool(1<<20), log.WithField("t", 1))
@@ -76,16 +76,16 @@
 	issued := b.now / ms
 	content := bytes.Repeat(fmt.Appendf(nil, "%s/%d@%d ", object, part, issued), size/10+1)[:size]
 	body, _ := b.bodies.ReadBody(bytes.NewReader(content), size)
-	ask, _ := b.ask(a)
-	b.tier.Lookup(b.now, &ask) // wanted twice, so that it is worth a write
-	b.tier.Lookup(b.now, &ask)
+	ask, _ := b.policyRequest(a)
+	b.policy.Lookup(b.now, &ask) // wanted twice, so that it is worth a write
+	b.policy.Lookup(b.now, &ask)
 	b.Offer(a, fmt.Sprintf("tag%d", issued), issued, body)
 	body.Release()
 	b.version[object] = issued
 	for len(b.writes) > 0 {
 		w := <-b.writes
-		b.content[w.rec.Seq] = content
-		b.write(w, &b.batch)
+		b.content[w.record.Seq] = content
+		b.writePart(w, &b.batch)
 	}
 }
 
@@ -94,7 +94,7 @@
 	b.commit(&b.batch)
 	m := mark{steps: b.fs.Steps(), kept: map[uint64]bool{}}
 	for from := 0; from >= 0; {
-		from = b.tier.Scan(from, func(k diskcache.CachedPart) { m.kept[k.Seq] = true })
+		from = b.policy.Scan(from, func(k diskcache.CachedPart) { m.kept[k.Seq] = true })
 	}
 	b.synced = append(b.synced, m)
 }
@@ -132,7 +132,7 @@
 	*later = *newBench(t, fs, b.now+1000*ms)
 	found := map[uint64]bool{}
 	for from := 0; from >= 0; {
-		from = later.tier.Scan(from, func(k diskcache.CachedPart) {
+		from = later.policy.Scan(from, func(k diskcache.CachedPart) {
 			found[k.Seq] = true
 			rec, r, err := later.store.Read(k.Extents, k.Length)
 			if err == nil {
@@ -147,10 +147,10 @@
 			}
 			// Nothing that was found is served before it is proven.
 			ask := diskcache.Request{ClassIndex: 0, Object: rec.Object, Part: rec.Part, Group: rec.Group, Remaining: second}
-			if v, _ := later.tier.Lookup(later.now, &ask); v == diskcache.VerdictServe {
+			if v, _ := later.policy.Lookup(later.now, &ask); v == diskcache.VerdictServe {
 				out.stale++
 			} else if v == diskcache.VerdictRevalidate {
-				later.tier.FinishRead(later.now, diskcache.Ref{}, diskcache.ReadUnused)
+				later.policy.FinishRead(later.now, diskcache.Ref{}, diskcache.ReadUnused)
 			}
 		})
 	}
@@ -180,7 +180,7 @@
 	}
 	now := map[uint64]bool{}
 	for from := 0; from >= 0; {
-		from = b.tier.Scan(from, func(k diskcache.CachedPart) { now[k.Seq] = true })
+		from = b.policy.Scan(from, func(k diskcache.CachedPart) { now[k.Seq] = true })
 	}
 	return now
 }
--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -157,7 +157,7 @@
 	super := diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 1}
 	made := func() *crashfs.FS {
 		fs := crashfs.New()
-		s, err := diskstore.Open(fs, super, 64)
+		s, err := diskstore.Open(fs, super)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,7 +186,7 @@
 		"in use": {used, diskstore.ErrInUse, super.SlotBytes}, "other slots": {other, diskstore.ErrCorruptStore, 2 * super.SlotBytes},
 	} {
 		s, hook := running(t, c.fs, clockAt(second), func(k *Config) { k.Superblock.SlotBytes = c.slot })
-		s.done.Wait()
+		s.goroutines.Wait()
 		if len(hook.AllEntries()) != 1 || hook.LastEntry().Level != logrus.ErrorLevel ||
 			!errors.Is(hook.LastEntry().Data["error"].(error), c.want) {
 			t.Errorf("%s: %v, want one line with %v", name, hook.AllEntries(), c.want)
@@ -364,12 +364,12 @@
 		for i := range 3 * 6 * 4 { // all that drive may have kept
 			object := fmt.Sprintf("%*d", 1+i/24, i/4%6)
 			a := &Request{Class: "page", Object: object, Part: int64(i % 4), Group: uint8(len(object)), Remaining: time.Second}
-			ask, _ := later.ask(a)
-			v, found := later.tier.Lookup(later.now, &ask)
+			ask, _ := later.policyRequest(a)
+			v, found := later.policy.Lookup(later.now, &ask)
 			if v == diskcache.VerdictMiss {
 				continue
 			}
-			c := later.read(&read{ask: a, found: found})
+			c := later.readPart(&readJob{request: a, found: found})
 			if c == nil {
 				caught++
 				continue
@@ -460,15 +460,15 @@
 	b := newBench(t, fs, 1000*second)
 	b.now += second
 	a := &Request{Class: "page", Object: "x", Group: 1, Remaining: time.Second}
-	ask, _ := b.ask(a)
-	b.tier.Lookup(b.now, &ask)
-	b.tier.Lookup(b.now, &ask)
+	ask, _ := b.policyRequest(a)
+	b.policy.Lookup(b.now, &ask)
+	b.policy.Lookup(b.now, &ask)
 	body, _ := b.bodies.ReadBody(strings.NewReader("purged in the queue"), 19)
 	b.Offer(a, "tag", b.now/ms, body)
 	body.Release()
 	b.Purge("x", 0, b.now)
 	steps := fs.Steps()
-	b.write(<-b.writes, &b.batch)
+	b.writePart(<-b.writes, &b.batch)
 	if fs.Steps() != steps || len(b.batch.puts) != 0 {
 		t.Fatal("purged in the queue, yet written")
 	}
@@ -481,16 +481,16 @@
 		"another name": {&Request{Class: "page", Object: "y", Group: 1}, false}, "another group": {&Request{Class: "page", Object: "x"}, false},
 		"purged": {a, true},
 	} {
-		v, found := b.tier.Lookup(b.now, &ask)
+		v, found := b.policy.Lookup(b.now, &ask)
 		if v == diskcache.VerdictMiss { // the purge came first
 			b.now += second
 			b.keep("x", 0, 100)
-			_, found = b.tier.Lookup(b.now, &ask)
+			_, found = b.policy.Lookup(b.now, &ask)
 		}
 		if c.purge {
 			b.Purge("x", 0, b.now)
 		}
-		if b.read(&read{ask: c.ask, found: found}) != nil {
+		if b.readPart(&readJob{request: c.ask, found: found}) != nil {
 			t.Errorf("%s: read", name)
 		}
 	}
--- /dev/null
+++ b/internal/diskcache/diskrunner/recovery.go
@@ -0,0 +1,85 @@
+package diskrunner
+
+import (
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"quilldoor/internal/diskcache"
+	"quilldoor/internal/diskcache/diskstore"
+)
+
+// recover opens the folder and restores what it holds.
+func (c *Cache) recover() bool {
+	began := time.Now()
+	settings := &c.config.Settings
+	store, err := diskstore.Open(c.config.FS, c.config.Superblock)
+	if err != nil {
+		c.log.WithError(err).Error("disk cache off")
+		return false
+	}
+	settings.Seed = store.Seed()
+	c.mu.Lock()
+	now := c.now()
+	c.store, c.policy = store, diskcache.New(now, *settings)
+	c.policy.SetDiscoveryLost(now, c.discoveryLost)
+	c.mu.Unlock()
+
+	restorer := newRestorer(c)
+	found, err := store.Recover(restorer)
+	if err != nil {
+		store.Close()
+		c.handleEvent(diskcache.EventClosed, nil)
+		c.log.WithError(err).Error("disk cache off")
+		return false
+	}
+	c.mu.Lock()
+	c.policy.AdvanceSeq(found.MaxSeq)
+	size := c.policy.Size()
+	c.mu.Unlock()
+	c.ready.Store(true)
+	c.log.WithFields(logrus.Fields{
+		"parts": size.Parts, "left_out": restorer.refused, "bytes": size.Bytes,
+		"frames": found.Frames, "bad_frames": found.BadFrames, "took_ms": time.Since(began).Milliseconds(),
+	}).Info("disk cache recovered")
+	return true
+}
+
+// restorer enters what the index on disk says. Purges may come in between.
+type restorer struct {
+	*Cache
+	classes map[uint32]int // places in Settings.Classes, by hash of the name
+	refused int
+}
+
+func newRestorer(c *Cache) *restorer {
+	r := &restorer{Cache: c, classes: map[uint32]int{}}
+	for i, class := range c.config.Settings.Classes {
+		r.classes[diskstore.ClassHash(class.Name)] = i
+	}
+	return r
+}
+
+// Put restores a part. The one that was written last is the most recently used one.
+func (r *restorer) Put(entry *diskstore.Entry) {
+	const unknownClass = -1
+	class, known := r.classes[entry.ClassHash]
+	if !known {
+		class = unknownClass
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.policy.Restore(&diskcache.CachedPart{
+		Key: entry.Key, Object: entry.Object, Issued: entry.Issued, Seq: entry.Seq, Length: entry.Length,
+		ClassIndex: class, Group: entry.Group, Extents: entry.Extents,
+	}) {
+		r.refused++
+	}
+}
+
+// Drop takes one out again.
+func (r *restorer) Drop(drop diskcache.Drop) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.policy.RemoveRestored(drop)
+}
--- a/internal/diskcache/diskstore/diskstore_test.go
+++ b/internal/diskcache/diskstore/diskstore_test.go
@@ -25,7 +25,7 @@
 
 func open(t testing.TB, fs diskstore.FS) (*diskstore.Store, found) {
 	t.Helper()
-	s, err := diskstore.Open(fs, super, 64)
+	s, err := diskstore.Open(fs, super)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 // by one that was killed.
 func TestLockOfAnotherProcess(t *testing.T) {
 	if path := os.Getenv("QUILLDOOR_TEST_LOCK"); path != "" {
-		if _, err := diskstore.Open(diskstore.Dir{Path: path}, super, 64); err != nil {
+		if _, err := diskstore.Open(diskstore.Dir{Path: path}, super); err != nil {
 			t.Fatal(err)
 		}
 		os.Stdout.WriteString("held\n")
@@ -151,7 +151,7 @@
 	if _, err := io.ReadFull(out, make([]byte, 5)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := diskstore.Open(diskstore.Dir{Path: dir}, super, 64); !errors.Is(err, diskstore.ErrInUse) {
+	if _, err := diskstore.Open(diskstore.Dir{Path: dir}, super); !errors.Is(err, diskstore.ErrInUse) {
 		t.Fatalf("held by another: %v", err)
 	}
 	if _, err := diskstore.Inspect(diskstore.Dir{Path: dir, ReadOnly: true}, true); err != nil {
--- a/internal/diskcache/diskstore/fs.go
+++ b/internal/diskcache/diskstore/filesystem.go
@@ -1,7 +1,3 @@
-// Package diskstore keeps records in the slots of one file and an index of them in
-// another, so that what was synced is found again after a crash at any byte. It
-// decides nothing: which slots a record takes, and what gives way, is told by
-// package tier. The format stands in docs/disk-tier.md.
 package diskstore
 
 import (
@@ -14,17 +10,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is what the store needs of a file system; tests put their own in its place.
-// Names are those of files in one folder.
+// FS is what the store needs of a file system. Names are those of files in one folder.
 type FS interface {
 	// Open opens a file for reading and writing; create makes it if need be.
 	Open(name string, create bool) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	List() ([]string, error)
-	// SyncDir makes creations, renames and removals last.
+	// SyncDir makes creations, renames and removals durable.
 	SyncDir() error
-	// Lock keeps other processes out until it is closed; ErrInUse: one is in.
+	// Lock keeps other processes out until it is closed; ErrInUse: another one holds it.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -41,10 +36,10 @@
 // ErrInUse is behind the error on a folder that another process holds.
 var ErrInUse = errors.New("in use by another process")
 
-// Dir is a folder of the operating system. Read-only ones create and lock nothing.
+// Dir is a folder of the operating system.
 type Dir struct {
 	Path     string
-	ReadOnly bool
+	ReadOnly bool // nothing is created or locked
 }
 
 type osFile struct{ *os.File }
@@ -57,10 +52,10 @@
 	return info.Size(), nil
 }
 
-// Sync leaves out the times of the file, as nothing reads them.
+// Sync leaves out the file's times, which nothing reads.
 func (f osFile) Sync() error {
 	for {
-		if err := unix.Fdatasync(int(f.Fd())); err != unix.EINTR {
+		if err := unix.Fdatasync(int(f.Fd())); !errors.Is(err, unix.EINTR) {
 			return err
 		}
 	}
@@ -118,7 +113,7 @@
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
-		if err == unix.EWOULDBLOCK {
+		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", d.Path, ErrInUse)
 		}
 		return nil, fmt.Errorf("%s: lock: %w", d.Path, err)
