--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -2,6 +2,12 @@
 
 import "slices"
 
+// The texts of ActionLog.
+const (
+	LogEjected    = "endpoint ejected"
+	LogReadmitted = "endpoint readmitted"
+)
+
 // health is what a Router thinks of an endpoint. Its values are kept in Snapshots.
 type health uint8
 
@@ -78,7 +84,7 @@
 	backoff := min(ejectionTime<<s.ejections, maxEjectionTime)
 	s.healthDue = r.now + backoff
 	s.ejections = min(s.ejections+1, maxEjections)
-	r.do(Action{Kind: ActionLog, Text: "endpoint ejected", Endpoint: s.id, Backoff: backoff})
+	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: s.id, Backoff: backoff})
 }
 
 // maxEjections bounds the count from which the ejection time is shifted.
@@ -94,7 +100,7 @@
 // readmit takes an ejected endpoint in again and drops what counted against it.
 func (r *Router) readmit(s *endpoint) {
 	s.ejections, s.fillSamples, s.readmittedAt = 0, nil, r.now
-	r.do(Action{Kind: ActionLog, Text: "endpoint readmitted", Endpoint: s.id})
+	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: s.id})
 }
 
 // observeHealthCheck takes in the end of a health check.
--- a/internal/simwire/response.go
+++ b/internal/simwire/response.go
@@ -70,13 +70,19 @@
 		d.Verb, d.Active = "Subscribe", copyOf(true)
 	case policy.ActionLog: // the wire's line has a text alone
 		d.Verb, d.Endpoint = "JournalLine", ""
-		d.Message = a.Text + ": " + a.Endpoint
+		d.Message = journalTexts[a.Text] + ": " + a.Endpoint
 	case policy.ActionPanic:
 		d.Verb, d.Message = "Panic", a.Text
 	}
 	return d
 }
 
+// journalTexts are the wire's words for what the policy logs.
+var journalTexts = map[string]string{
+	policy.LogEjected:    "server rests",
+	policy.LogReadmitted: "server is back",
+}
+
 func millis(micros int64) float64 { return float64(micros) / 1000 }
 
 // copyOf gives a pointer to a value that is written even if it is zero; the caller reuses its actions.
