--- a/cmd/quilldoor-lab/changes.go
+++ b/cmd/quilldoor-lab/changes.go
@@ -157,13 +157,13 @@
 		var mu sync.Mutex
 		opt := emulator.Options{Seed: seed, Record: func(e *eventlog.Entry) {
 			switch e.Kind {
-			case "taken":
+			case eventlog.KindTaken:
 				if e.At >= at && e.At < at+long {
-					taken[e.Txn] = open{e.At, e.Rule}
-					asked += rules[e.Rule]
+					taken[e.Request] = open{e.At, e.Class}
+					asked += rules[e.Class]
 				}
 			case "final":
-				if o, ok := taken[e.Txn]; ok && e.Outcome == "completed" {
+				if o, ok := taken[e.Request]; ok && e.Outcome == "completed" {
 					out.took.RecordValue(e.At - o.at)
 					got += rules[o.rule]
 				}
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -227,7 +227,7 @@
 			} else if err != nil {
 				return fmt.Errorf("%s:%d: %w", args[0], line, err)
 			}
-			if e.Txn != txn {
+			if e.Request != txn {
 				continue
 			}
 			if n++; n == 1 {
@@ -246,22 +246,22 @@
 // life words a line of a txn's record.
 func life(e *eventlog.Entry) string {
 	switch e.Kind {
-	case "taken":
-		return fmt.Sprintf("router %d takes it: %s of %s, group %d, %d ms left", e.Router, e.Rule, e.Object, e.Group, (e.Deadline-e.At)/1000)
-	case "sent":
-		text := fmt.Sprintf("hop %d goes out to %s", e.Hop, e.Server)
-		if e.Source != "" && e.Source != e.Server {
+	case eventlog.KindTaken:
+		return fmt.Sprintf("router %d takes it: %s of %s, group %d, %d ms left", e.Router, e.Class, e.Object, e.Group, (e.Deadline-e.At)/1000)
+	case eventlog.KindSent:
+		text := fmt.Sprintf("hop %d goes out to %s", e.Attempt, e.Endpoint)
+		if e.Source != "" && e.Source != e.Endpoint {
 			text += ", filled from " + e.Source
 		}
 		return text
 	case "came":
-		return fmt.Sprintf("hop %d has come to %s", e.Hop, e.Server)
+		return fmt.Sprintf("hop %d has come to %s", e.Attempt, e.Endpoint)
 	case "ran":
-		return fmt.Sprintf("hop %d runs at %s", e.Hop, e.Server)
+		return fmt.Sprintf("hop %d runs at %s", e.Attempt, e.Endpoint)
 	case "effect":
-		return fmt.Sprintf("hop %d has had its effect at %s", e.Hop, e.Server)
+		return fmt.Sprintf("hop %d has had its effect at %s", e.Attempt, e.Endpoint)
 	case "end":
-		return fmt.Sprintf("hop %d ends: %s", e.Hop, e.Outcome)
+		return fmt.Sprintf("hop %d ends: %s", e.Attempt, e.Outcome)
 	case "final":
 		return "answered: " + e.Outcome
 	case "left":
--- a/cmd/quilldoor/emulated_test.go
+++ b/cmd/quilldoor/emulated_test.go
@@ -165,7 +165,7 @@
 			t.Parallel()
 			carried := 0
 			r, err := rehearse(t, text, emulator.Options{Record: func(e *eventlog.Entry) {
-				if e.Kind == "carried" {
+				if e.Kind == eventlog.KindForwarded {
 					carried++
 				}
 			}})
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -259,7 +259,7 @@
 			}
 			t.Parallel()
 			broken := 0
-			may := func(b checker.Break) bool {
+			may := func(b checker.Violation) bool {
 				if b.Rule == c.rule && (b.Router == 0 || c.rule == 4) {
 					broken++
 					return true
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -160,8 +160,8 @@
 
 // played is how a script is, besides.
 type played struct {
-	may  func(checker.Break) bool // rules that may be broken: a wrong program is tested for it
-	ends bool                     // clients come no longer than drive takes
+	may  func(checker.Violation) bool // rules that may be broken: a wrong program is tested for it
+	ends bool                         // clients come no longer than drive takes
 }
 
 func changesBut(t *testing.T, text string, how played, drive func(*emulator.Kept) error) *emulator.Result {
--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -147,7 +147,7 @@
 // Crashed notes that a process of a router has been, or will be, killed by its
 // keeper: what it holds is no longer its duty.
 func (k *Kept) Crashed(i int) {
-	k.send(func() { k.Note(&eventlog.Entry{Kind: "crashed", At: k.world.Now(), Router: i}) })
+	k.send(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
 }
 
 // KillKeeper kills a router's keeper alone; its generations run on.
@@ -202,8 +202,8 @@
 	}
 	<-r.ended
 	k.send(func() {
-		k.Note(&eventlog.Entry{Kind: "router_down", At: k.world.Now(), Router: i})
-		k.Note(&eventlog.Entry{Kind: "router_up", At: k.world.Now(), Router: i})
+		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: k.world.Now(), Router: i})
+		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: k.world.Now(), Router: i})
 		done <- r.run(k.world.Known())
 	})
 	return wait()
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -135,18 +135,18 @@
 		},
 		Record: func(e *eventlog.Entry) {
 			switch e.Kind {
-			case "taken":
-				held[e.Txn] = &taken{at: e.At, rule: e.Rule}
-			case "sent":
-				if x := held[e.Txn]; x != nil {
+			case eventlog.KindTaken:
+				held[e.Request] = &taken{at: e.At, rule: e.Class}
+			case eventlog.KindSent:
+				if x := held[e.Request]; x != nil {
 					x.hops++
 				}
 			case "final", "left":
-				x, ok := held[e.Txn]
+				x, ok := held[e.Request]
 				if !ok {
 					return
 				}
-				delete(held, e.Txn)
+				delete(held, e.Request)
 				c := &r.local[e.Router].counts
 				c.Requests++
 				c.WeightOffered += rules[x.rule]
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -185,14 +185,14 @@
 	p.asks[g.ID] = x
 	now := p.world.Now()
 	p.Note(&eventlog.Entry{
-		Kind: "taken", At: now, Router: p.id, Txn: g.ID, Rule: g.Class, Object: g.Object, Group: group,
+		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: g.ID, Class: g.Class, Object: g.Object, Group: group,
 		Deadline: now + g.BudgetMillis*1000,
 	})
 	time.AfterFunc(time.Duration(g.BudgetMillis)*time.Millisecond, func() {
 		p.send(func() {
 			if p.asks[g.ID] == x {
 				delete(p.asks, g.ID)
-				p.Note(&eventlog.Entry{Kind: "final", At: p.world.Now(), Router: p.id, Txn: g.ID, Outcome: "aborted"})
+				p.Note(&eventlog.Entry{Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: g.ID, Outcome: "aborted"})
 			}
 		})
 	})
--- a/internal/emulator/sites.go
+++ b/internal/emulator/sites.go
@@ -180,7 +180,7 @@
 	}
 	b := *a
 	b.Router = far.id
-	v.Note(&eventlog.Entry{Kind: "carried", At: v.world.Now(), Router: far.id, Txn: a.Txn, Hop: home.id})
+	v.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: a.Txn, Attempt: home.id})
 	x := &vtxn{router: far, core: far.core, ask: &b, home: home}
 	txn, err := far.core.Open(v.now(), policy.Event{
 		Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -61,7 +61,7 @@
 	opt     Options
 	set     *scenario.Script
 	world   *simulation.World
-	referee *checker.Referee
+	referee *checker.Checker
 	routers []*process
 	client  *http.Client
 	start   time.Time
@@ -202,7 +202,7 @@
 		r.end()
 	}
 	r := &Result{
-		Result: v.world.Result, Breaks: v.referee.Breaks, Count: v.referee.Count, Judged: v.referee.Judged, Late: v.late,
+		Result: v.world.Result, Breaks: v.referee.Violations, Count: v.referee.CountByRule, Judged: v.referee.Checked, Late: v.late,
 		Excused: v.referee.Excused, Cost: v.cost, Broke: v.broke, Refused: v.refused,
 	}
 	if f.Members {
@@ -295,7 +295,7 @@
 		v.send(func() {
 			cancel()
 			if wrong != "" {
-				v.Note(&eventlog.Entry{Kind: "wrong", At: v.world.Now(), Router: a.Router, Txn: a.Txn, State: wrong})
+				v.Note(&eventlog.Entry{Kind: eventlog.KindWrong, At: v.world.Now(), Router: a.Router, Request: a.Txn, State: wrong})
 			}
 			v.everywhere(a.Txn)
 			if outcome == "" && r.asks[a.Txn] == x {
@@ -330,7 +330,7 @@
 			b.Router = r.id
 			mine := &asked{Ask: &b, cancel: func() {}, carried: true}
 			r.asks[txn] = mine
-			r.Note(&eventlog.Entry{Kind: "carried", At: r.world.Now(), Router: r.id, Txn: txn, Hop: home.id})
+			r.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: txn, Attempt: home.id})
 			return mine
 		}
 	}
@@ -440,14 +440,14 @@
 func (v *sockets) Note(e *eventlog.Entry) {
 	v.cut.Store(v.world != nil && v.world.SitesCut())
 	switch e.Kind {
-	case "down", "started":
+	case eventlog.KindDown, eventlog.KindStarted:
 		for _, r := range v.routers {
-			if p := r.places[e.Server]; p != nil {
-				p.turn(e.Kind == "started", v.world.Silent(e.Server))
+			if p := r.places[e.Endpoint]; p != nil {
+				p.turn(e.Kind == eventlog.KindStarted, v.world.Silent(e.Endpoint))
 			}
 		}
 	}
-	v.referee.Note(e)
+	v.referee.Observe(e)
 	if v.opt.Record != nil {
 		v.opt.Record(e)
 	}
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -50,7 +50,7 @@
 // Result is what came of a run.
 type Result struct {
 	*simulation.Result
-	Breaks []checker.Break
+	Breaks []checker.Violation
 	Count  [6]int // broken, by rule
 	Judged int
 	Late   int64 // on sockets: how late the model was at most, in microseconds
@@ -73,12 +73,12 @@
 const TooLate = 100_000
 
 // Figures of the rules for a script.
-func Figures(s *scenario.Script, slack int64) checker.Figures {
+func Figures(s *scenario.Script, slack int64) checker.Settings {
 	const toldBy = 7_000_000 // the platform's page: what the board has counts as told 7 s later
 	f := &s.Fleet
-	return checker.Figures{
-		Rules: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
-		PurgeGrace: int64(f.PurgeMS * 1000), ToldBy: toldBy,
+	return checker.Settings{
+		Classes: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
+		PurgeGrace: int64(f.PurgeMS * 1000), NotificationDeadline: toldBy,
 	}
 }
 
@@ -90,7 +90,7 @@
 	opt     Options
 	set     *scenario.Script
 	world   *simulation.World
-	referee *checker.Referee
+	referee *checker.Checker
 	routers []*vrouter
 	due     dueHeap
 	kicked  []*vrouter
@@ -208,7 +208,7 @@
 }
 
 func (v *virtual) result() *Result {
-	r := &Result{Result: v.world.Result, Breaks: v.referee.Breaks, Count: v.referee.Count, Judged: v.referee.Judged, Excused: v.referee.Excused}
+	r := &Result{Result: v.world.Result, Breaks: v.referee.Violations, Count: v.referee.CountByRule, Judged: v.referee.Checked, Excused: v.referee.Excused}
 	if v.roster != nil {
 		r.Members = &v.knows
 	}
@@ -555,7 +555,7 @@
 
 // Note passes a line of the record on.
 func (v *virtual) Note(e *eventlog.Entry) {
-	v.referee.Note(e)
+	v.referee.Observe(e)
 	if v.opt.Record != nil {
 		v.opt.Record(e)
 	}
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -148,12 +148,12 @@
 		dead := 0
 		r := play(t, s, Options{Record: func(e *eventlog.Entry) {
 			switch e.Kind {
-			case "down":
-				up[e.Server] = false
-			case "started":
-				up[e.Server] = true
-			case "came", "ran", "effect":
-				if alive, told := up[e.Server]; told && !alive {
+			case eventlog.KindDown:
+				up[e.Endpoint] = false
+			case eventlog.KindStarted:
+				up[e.Endpoint] = true
+			case eventlog.KindArrived, eventlog.KindRan, eventlog.KindEffect:
+				if alive, told := up[e.Endpoint]; told && !alive {
 					dead++
 				}
 			}
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,29 +1,57 @@
-// Package eventlog holds the lines of a run's record: what was asked, sent, run and
-// answered, by which the referee judges.
+// Package eventlog holds the lines of a run's event log: what was requested, sent,
+// executed and answered, by which the checker judges. The JSON keys and kinds are those of
+// recorded logs.
 package eventlog
 
-// Entry is one line of the record. At is in microseconds from the start. Kinds:
-//
-//	taken       a router has a client's request whole
-//	sent        it sends a hop; came: that has come to its server; ran: its work
-//	            began, so that it may have its effect; end: its end came back
-//	carried     it was handed over by the router that Hop names
-//	refused     its machine refused the connection: not taken after all
-//	final       the router's answer; left: the client's time was over without one
-//	listed      the board will tell at Until; told: a router was told of a server
-//	purged      an editor's purge; told_purge: a router was told of it
-//	started, down, fell, stopped   of servers; router_down, router_up,
-//	            router_stopped, router_woken   of routers
-//	crashed     a process of a kept router was killed, another one serves
-//	trouble     of the script
+// Kind of an entry.
+type Kind string
+
+// The kinds of requests and attempts.
+const (
+	KindTaken     Kind = "taken"   // a router has a client's request whole
+	KindSent      Kind = "sent"    // it sends an attempt
+	KindArrived   Kind = "came"    // the attempt has arrived at its endpoint
+	KindRan       Kind = "ran"     // the endpoint's work began: the attempt may have its effect
+	KindEffect    Kind = "effect"  // the attempt has had its effect at the origin
+	KindEnded     Kind = "end"     // the attempt's end came back
+	KindForwarded Kind = "carried" // the request was forwarded by the router that Attempt names
+	KindRefused   Kind = "refused" // the router's machine refused the connection: not taken after all
+	KindAnswered  Kind = "final"   // the router's answer
+	KindLeft      Kind = "left"    // the client's time was over without one
+	KindWrong     Kind = "wrong"   // a response that no endpoint made for the request
+)
+
+// The kinds of discovery.
+const (
+	KindListed        Kind = "listed"     // discovery will tell a state at Until
+	KindNotified      Kind = "told"       // a router was notified of an endpoint
+	KindPurged        Kind = "purged"     // a purge was made
+	KindPurgeNotified Kind = "told_purge" // a router was notified of a purge
+)
+
+// The kinds of processes and faults.
+const (
+	KindStarted       Kind = "started" // an endpoint
+	KindDown          Kind = "down"
+	KindOverloaded    Kind = "fell" // a warming endpoint got more than it bears
+	KindStopped       Kind = "stopped"
+	KindRouterDown    Kind = "router_down"
+	KindRouterUp      Kind = "router_up"
+	KindRouterStopped Kind = "router_stopped" // its process stands still
+	KindRouterWoken   Kind = "router_woken"
+	KindCrashed       Kind = "crashed" // a process of a supervised router was killed, another one serves
+	KindFault         Kind = "trouble" // of the scenario
+)
+
+// Entry is one line. Times are microseconds from the start.
 type Entry struct {
 	At       int64
-	Kind     string
+	Kind     Kind
 	Router   int     `json:",omitempty"`
-	Txn      string  `json:",omitempty"`
-	Rule     string  `json:",omitempty"`
-	Hop      int     `json:",omitempty"`
-	Server   string  `json:",omitempty"`
+	Request  string  `json:"Txn,omitempty"`
+	Class    string  `json:"Rule,omitempty"`
+	Attempt  int     `json:"Hop,omitempty"` // its number among the request's attempts
+	Endpoint string  `json:"Server,omitempty"`
 	Source   string  `json:",omitempty"`
 	Object   string  `json:",omitempty"`
 	Group    int64   `json:",omitempty"`
@@ -32,5 +60,5 @@
 	Deadline int64   `json:",omitempty"`
 	Issued   int64   `json:",omitempty"`
 	Until    int64   `json:",omitempty"`
-	Work     float64 `json:",omitempty"`
+	Work     float64 `json:",omitempty"` // seconds
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -5,6 +5,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
+	"quilldoor/internal/eventlog"
 	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 )
@@ -152,7 +153,7 @@
 		}
 		w.Result.Taken++
 		w.note(Entry{
-			Kind: "taken", Router: r.id, Txn: a.Txn, Rule: w.rules[a.Rule].Name, Object: a.Object, Group: a.Group,
+			Kind: eventlog.KindTaken, Router: r.id, Request: a.Txn, Class: w.rules[a.Rule].Name, Object: a.Object, Group: a.Group,
 			Deadline: a.deadline,
 		})
 		// What the router is told is how long the client waits from when it sent.
@@ -179,7 +180,7 @@
 	}
 	a.open = false
 	delete(r.open, a.Txn)
-	w.note(Entry{Kind: "left", Router: r.id, Txn: a.Txn})
+	w.note(Entry{Kind: eventlog.KindLeft, Router: r.id, Request: a.Txn})
 	w.Result.Lost++
 	w.driver.Leave(r.id, a.Txn)
 	w.again(a.client, 0, a.client.rule != scenario.Accept)
@@ -195,7 +196,7 @@
 	}
 	a.open = false
 	delete(r.open, txn)
-	w.note(Entry{Kind: "refused", Router: router, Txn: txn})
+	w.note(Entry{Kind: eventlog.KindRefused, Router: router, Request: txn})
 	w.again(a.client, 0, true)
 }
 
@@ -204,9 +205,9 @@
 func (w *World) Final(router int, txn, outcome string, issued, stay int64) {
 	r := w.routers[router]
 	a := r.open[txn]
-	e := Entry{Kind: "final", Router: router, Txn: txn, Outcome: outcome, Issued: issued}
+	e := Entry{Kind: eventlog.KindAnswered, Router: router, Request: txn, Outcome: outcome, Issued: issued}
 	if a != nil {
-		e.Rule, e.Object, e.Group, e.Deadline = w.rules[a.Rule].Name, a.Object, a.Group, a.deadline
+		e.Class, e.Object, e.Group, e.Deadline = w.rules[a.Rule].Name, a.Object, a.Group, a.deadline
 	}
 	w.note(e)
 	if a == nil {
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"quilldoor/internal/eventlog"
 	"quilldoor/internal/policy"
 )
 
@@ -192,7 +193,7 @@
 // fall is what becomes of a server that was pushed over: it stays down.
 func (s *server) fall() {
 	s.fell = true
-	s.w.note(Entry{Kind: "fell", Server: s.uid, Work: s.spentOf / 1e6})
+	s.w.note(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.uid, Work: s.spentOf / 1e6})
 	s.w.Result.Fallen++
 	s.die(false)
 	s.w.list(s, policy.EndpointGone, s.w.jitter(s.w.set.Fleet.DeathMS*1000))
@@ -202,7 +203,7 @@
 func (s *server) die(silent bool) {
 	s.up, s.silent = false, silent
 	s.life++
-	s.w.note(Entry{Kind: "down", Server: s.uid})
+	s.w.note(Entry{Kind: eventlog.KindDown, Endpoint: s.uid})
 	hops := slices.Clone(s.hops)
 	for _, h := range hops {
 		if silent {
@@ -246,7 +247,7 @@
 	s.up, s.silent = true, false
 	s.life++
 	s.born = max(s.w.now, 1)
-	s.w.note(Entry{Kind: "started", Server: s.uid})
+	s.w.note(Entry{Kind: eventlog.KindStarted, Endpoint: s.uid})
 	s.warming(s.life)
 }
 
@@ -260,8 +261,8 @@
 	h.from = w.servers[h.Source]
 	h.obj = w.cat.id(h.Object)
 	w.note(Entry{
-		Kind: "sent", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.Server, Source: h.Source, Object: h.Object,
-		Group: h.Group, Rule: w.rules[h.Rule].Name,
+		Kind: eventlog.KindSent, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server, Source: h.Source, Object: h.Object,
+		Group: h.Group, Class: w.rules[h.Rule].Name,
 	})
 	if h.at == nil {
 		return // a server that never was: nothing answers
@@ -291,7 +292,7 @@
 		s.end(h, End{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
-	w.note(Entry{Kind: "came", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: s.uid})
+	w.note(Entry{Kind: eventlog.KindArrived, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: s.uid})
 	h.place = len(s.hops)
 	s.hops = append(s.hops, h)
 	work := h.SizeKB / w.set.Fleet.FlowKBPerS * 1e6
@@ -332,7 +333,7 @@
 		return // the router has given it up
 	}
 	delete(w.hops, key)
-	w.note(Entry{Kind: "end", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.Server, Outcome: e.Outcome.String(), Issued: e.Issued})
+	w.note(Entry{Kind: eventlog.KindEnded, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server, Outcome: e.Outcome.String(), Issued: e.Issued})
 	w.driver.End(h.Router, h, e)
 }
 
@@ -470,7 +471,7 @@
 
 // ran notes that a hop's work was done in part at least.
 func (w *World) ran(h *Hop) {
-	w.note(Entry{Kind: "ran", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: h.at.uid, Rule: w.rules[h.Rule].Name})
+	w.note(Entry{Kind: eventlog.KindRan, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.at.uid, Class: w.rules[h.Rule].Name})
 }
 
 // ---- Fills ----
@@ -724,7 +725,7 @@
 	if !s.stopped && float64(len(s.asked)) > f.LedgerStops*able*3 {
 		s.stopped = true
 		w.Result.LedgerStops++
-		w.note(Entry{Kind: "stopped", Server: s.uid})
+		w.note(Entry{Kind: eventlog.KindStopped, Endpoint: s.uid})
 		s.power()
 		w.after(int64(f.LedgerStopS*1e6), func() {
 			s.stopped = false
@@ -764,7 +765,7 @@
 		h.job = nil
 		issued := s.w.now
 		if h.Write {
-			s.w.note(Entry{Kind: "effect", Router: h.Router, Txn: h.Txn, Hop: h.N, Server: s.uid, Rule: s.w.rules[h.Rule].Name})
+			s.w.note(Entry{Kind: eventlog.KindEffect, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: s.uid, Class: s.w.rules[h.Rule].Name})
 			s.end(h, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: 1})
 			return
 		}
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -5,6 +5,7 @@
 	"math"
 	"slices"
 
+	"quilldoor/internal/eventlog"
 	"quilldoor/internal/netsim"
 	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
@@ -19,7 +20,7 @@
 func (w *World) list(s *server, state policy.EndpointState, delay int64) {
 	s.listed = state
 	e := s.entry()
-	w.note(Entry{Kind: "listed", Server: s.uid, State: string(state), Until: w.now + delay})
+	w.note(Entry{Kind: eventlog.KindListed, Endpoint: s.uid, State: string(state), Until: w.now + delay})
 	w.after(delay, func() { w.announce(Notice{Servers: []Server{e}}) })
 }
 
@@ -42,10 +43,10 @@
 		return
 	}
 	for _, s := range n.Servers {
-		w.note(Entry{Kind: "told", Router: r.id, Server: s.ID, State: string(s.State)})
+		w.note(Entry{Kind: eventlog.KindNotified, Router: r.id, Endpoint: s.ID, State: string(s.State)})
 	}
 	if n.Purge {
-		w.note(Entry{Kind: "told_purge", Router: r.id, Object: n.Object, Group: n.Group, Until: n.At})
+		w.note(Entry{Kind: eventlog.KindPurgeNotified, Router: r.id, Object: n.Object, Group: n.Group, Until: n.At})
 	}
 	w.driver.Told(r.id, n)
 }
@@ -84,7 +85,7 @@
 	} else {
 		w.groups[group] = at
 	}
-	w.note(Entry{Kind: "purged", Object: n.Object, Group: n.Group, Until: at})
+	w.note(Entry{Kind: eventlog.KindPurged, Object: n.Object, Group: n.Group, Until: at})
 	for _, l := range slices.Concat(w.caches, w.parents) {
 		for _, s := range l {
 			w.after(int64(w.dice.Float64()*0.9*w.set.Fleet.ClearedMS*1000), func() { s.store.purge(object, group, at) })
@@ -154,13 +155,13 @@
 	w.after(int64(t.At*1e6), func() {
 		w.troubled++
 		w.lastTurn = w.now
-		w.note(Entry{Kind: "trouble", Outcome: "begins", State: t.Kind, Until: w.now + int64(t.For*1e6)})
+		w.note(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: t.Kind, Until: w.now + int64(t.For*1e6)})
 		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/1e6, t.Kind))
 		over := w.begins(t)
 		w.after(int64(t.For*1e6), func() {
 			w.troubled--
 			w.lastTurn = w.now
-			w.note(Entry{Kind: "trouble", Outcome: "ends", State: t.Kind})
+			w.note(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: t.Kind})
 			if over != nil {
 				over()
 			}
@@ -374,7 +375,7 @@
 	for _, r := range list {
 		lives[r] = r.life
 		if r.stopped++; r.stopped == 1 {
-			w.note(Entry{Kind: "router_stopped", Router: r.id})
+			w.note(Entry{Kind: eventlog.KindRouterStopped, Router: r.id})
 			w.driver.Stop(r.id)
 		}
 	}
@@ -384,7 +385,7 @@
 				continue // it was killed meanwhile
 			}
 			if r.stopped--; r.stopped == 0 {
-				w.note(Entry{Kind: "router_woken", Router: r.id})
+				w.note(Entry{Kind: eventlog.KindRouterWoken, Router: r.id})
 				w.driver.Wake(r.id)
 			}
 		}
@@ -454,7 +455,7 @@
 func (w *World) routerDown(r *router) {
 	r.up, r.downAt, r.held, r.stopped = false, w.now, nil, 0
 	r.life++
-	w.note(Entry{Kind: "router_down", Router: r.id})
+	w.note(Entry{Kind: eventlog.KindRouterDown, Router: r.id})
 	w.driver.Down(r.id)
 	for _, h := range w.hopsOf(r.id) {
 		delete(w.hops, hopKey{h.Router, h.Txn, h.N})
@@ -495,6 +496,6 @@
 		return
 	}
 	r.up, r.toldAt = true, w.now
-	w.note(Entry{Kind: "router_up", Router: r.id})
+	w.note(Entry{Kind: eventlog.KindRouterUp, Router: r.id})
 	w.driver.Up(r.id, w.Known())
 }
