--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -105,12 +105,19 @@
 	return last, errors.Join(fmt.Errorf("router %d does not stand as wanted after %v: %+v", i, within, last), err)
 }
 
+// signalKinds are the event log's kinds of what a signal does to a process.
+var signalKinds = map[syscall.Signal]eventlog.Kind{
+	syscall.SIGKILL: eventlog.KindCrashed,
+	syscall.SIGSTOP: eventlog.KindRouterStopped,
+	syscall.SIGCONT: eventlog.KindRouterWoken,
+}
+
 // Signal sends one to a process of a router. What it held when it was killed is no
 // longer its duty; what fell due while it stood still is told apart.
 func (k *Kept) Signal(i, pid int, s syscall.Signal) error {
 	done := make(chan error, 1)
 	k.send(func() {
-		kind := map[syscall.Signal]string{syscall.SIGKILL: "crashed", syscall.SIGSTOP: "router_stopped", syscall.SIGCONT: "router_woken"}[s]
+		kind := signalKinds[s]
 		if kind != "" {
 			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
 		}
