--- a/cmd/quilldoor-lab/changes.go
+++ b/cmd/quilldoor-lab/changes.go
@@ -162,7 +162,7 @@
 					taken[e.Request] = open{e.At, e.Class}
 					asked += rules[e.Class]
 				}
-			case "final":
+			case eventlog.KindAnswered:
 				if o, ok := taken[e.Request]; ok && e.Outcome == "completed" {
 					out.took.RecordValue(e.At - o.at)
 					got += rules[o.rule]
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -256,16 +256,16 @@
 		return text
 	case "came":
 		return fmt.Sprintf("hop %d has come to %s", e.Attempt, e.Endpoint)
-	case "ran":
+	case eventlog.KindRan:
 		return fmt.Sprintf("hop %d runs at %s", e.Attempt, e.Endpoint)
 	case "effect":
 		return fmt.Sprintf("hop %d has had its effect at %s", e.Attempt, e.Endpoint)
 	case "end":
 		return fmt.Sprintf("hop %d ends: %s", e.Attempt, e.Outcome)
-	case "final":
+	case eventlog.KindAnswered:
 		return "answered: " + e.Outcome
-	case "left":
+	case eventlog.KindLeft:
 		return "its client's time is over"
 	}
-	return e.Kind
+	return string(e.Kind)
 }
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -141,7 +141,7 @@
 				if x := held[e.Request]; x != nil {
 					x.hops++
 				}
-			case "final", "left":
+			case eventlog.KindAnswered, eventlog.KindLeft:
 				x, ok := held[e.Request]
 				if !ok {
 					return
