--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -254,13 +254,13 @@
 			text += ", filled from " + e.Source
 		}
 		return text
-	case "came":
+	case eventlog.KindArrived:
 		return fmt.Sprintf("hop %d has come to %s", e.Attempt, e.Endpoint)
 	case eventlog.KindRan:
 		return fmt.Sprintf("hop %d runs at %s", e.Attempt, e.Endpoint)
-	case "effect":
+	case eventlog.KindEffect:
 		return fmt.Sprintf("hop %d has had its effect at %s", e.Attempt, e.Endpoint)
-	case "end":
+	case eventlog.KindEnded:
 		return fmt.Sprintf("hop %d ends: %s", e.Attempt, e.Outcome)
 	case eventlog.KindAnswered:
 		return "answered: " + e.Outcome
