--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -160,8 +160,8 @@
 
 // played is how a script is, besides.
 type played struct {
-	may  func(checker.Break) bool // rules that may be broken: a wrong program is tested for it
-	ends bool                     // clients come no longer than drive takes
+	may  func(checker.Violation) bool // rules that may be broken: a wrong program is tested for it
+	ends bool                         // clients come no longer than drive takes
 }
 
 func changesBut(t *testing.T, text string, how played, drive func(*emulator.Kept) error) *emulator.Result {
@@ -454,12 +454,12 @@
 			if err != nil {
 				return err
 			}
-			for _, bad := range []string{"disk tier off", "member dead", "member left", "this one keeps quiet", "level=error"} {
+			for _, bad := range []string{"disk cache off", "member dead", "member left", "this one keeps quiet", "level=error"} {
 				if strings.Contains(string(text), bad) {
 					t.Errorf("router %d has logged %q", i, bad)
 				}
 			}
-			if got := strings.Count(string(text), "disk tier recovered"); got != 4 {
+			if got := strings.Count(string(text), "disk cache recovered"); got != 4 {
 				t.Errorf("router %d: its folder was opened %d times", i, got)
 			}
 		}
