--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -31,7 +31,8 @@
 	saturateCaches(r)
 	first := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
 	miss := attemptEnded(first.Endpoint, OutcomeMiss)
-	if a := onlyAction(t, r.Handle(begin+millisecond, miss, nil), ActionSend); a.Source != parentA || a.FillMode&FillNoFetch == 0 {
+	a := onlyAction(t, r.Handle(begin+millisecond, miss, nil), ActionSend)
+	if a.Source != parentA || a.FillMode&FillNoFetch == 0 {
 		t.Fatalf("not a parent-only attempt: %+v", a)
 	}
 	r = newRouter(nil)
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -22,8 +22,10 @@
 // cache's link busy: less would not mend what makes answers late.
 func (r *Router) adjustLimit(m *limiter, timely bool) {
 	const (
+		lateOneIn   = 4 // responses that were late or refused
 		reduction   = 0.7
 		round       = 200 * millisecond
+		raiseOneIn  = 4 // of the floor, for a round of timely responses
 		floorWeight = 8 // the floor is the weight divided by this ...
 		leastFloor  = 2 // ... and at least this
 	)
@@ -34,8 +36,8 @@
 	late, all := countBad(m.samples, r.now, least)
 	switch {
 	case timely && m.inFlight+1 >= m.limit/2:
-		m.limit += floor * share / (4 * m.limit)
-	case !timely && 4*late >= max(all, least) && r.now-m.reducedAt > round:
+		m.limit += floor * share / (raiseOneIn * m.limit)
+	case !timely && lateOneIn*late >= max(all, least) && r.now-m.reducedAt > round:
 		m.reducedAt = r.now
 		m.limit = max(min(m.limit, m.inFlight+1)*reduction, floor*share)
 	}
@@ -44,20 +46,22 @@
 // saturated tells whether a limiter has no capacity for the request. Requests of low priority are turned away
 // first: the lowest at half the limit, the highest at half above it. A limit below one is a chance.
 func (r *Router) saturated(t *request, m *limiter) bool {
+	const lowestShare = 0.5
 	below := 0.0
 	for _, p := range r.priorities {
 		below += float64(1+cmp.Compare(t.priority, p)) / 2
 	}
-	limit := m.limit * (0.5 + below/float64(max(len(r.priorities), 1)))
+	limit := m.limit * (lowestShare + below/float64(max(len(r.priorities), 1)))
 	return m.inFlight+m.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
 }
 
 // idle tells whether a cache has capacity for requests of a saturated one. It is strict: where all are saturated,
 // copies should not be scattered.
 func (r *Router) idle(s *endpoint) bool {
+	const lateOneIn, inFlightOneIn = 16, 3
 	m := &s.limiters[attemptFill]
 	late, all := countBad(m.samples, r.now, minSamples)
-	return minSamples*late < max(all, 1) && 3*(m.inFlight+m.otherInFlight) < m.limit
+	return lateOneIn*late < max(all, 1) && inFlightOneIn*(m.inFlight+m.otherInFlight) < m.limit
 }
 
 // initLimiters gives an endpoint the limiters that bound it, and those that are new a limit.
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -133,7 +133,8 @@
 func TestAttemptsPastTheCachesAreLimited(t *testing.T) {
 	r := newRouter(nil)
 	r.endpoints[cacheA].active, r.endpoints[cacheB].active = false, false
-	if a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend); a.Endpoint != parentA || a.Source != originA {
+	a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+	if a.Endpoint != parentA || a.Source != originA {
 		t.Fatalf("not straight to the parent: %+v", a)
 	}
 	for i := range r.bypassLimiters { // whichever parent they went to
--- a/internal/policy/deadline.go
+++ b/internal/policy/deadline.go
@@ -13,7 +13,8 @@
 // overdue tells whether an attempt counts as late: from four fifths of the latency objective on, so that limits
 // come down before responses miss it.
 func (r *Router) overdue(t *request, a *attempt) bool {
-	return 5*(r.now-a.sentAt) > 4*t.latencyObjective
+	const numerator, denominator = 4, 5
+	return denominator*(r.now-a.sentAt) > numerator*t.latencyObjective
 }
 
 // attemptTimeout is an attempt's time limit. At a cache it ends at twice the latency objective: it is worth
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -9,6 +9,9 @@
 //
 // Times and durations are whole microseconds unless a name says otherwise; sizes are in KB.
 //
+// Settings say what the site and its operators set; New works out from them what decisions use (config). Load, time
+// and endpoints that change reach decisions by events alone.
+//
 // Each decision stands in the file that is named for it:
 //
 //	admission.go          which objects a cache shall keep
@@ -19,9 +22,13 @@
 //	endpointselection.go  the endpoint and the fill source of an attempt
 //	loadshedding.go       fills left out because the origin is slow
 //	outlierejection.go    ejecting endpoints that fail, and taking them in again
+//	popularity.go         how often objects are requested
 //	purgeage.go           how old a copy may be after purges
 //	request.go            the states of an open request
 //	retry.go              retries, hedging, and what idempotency permits
 //	slowstart.go          load on an endpoint that has just started
 //	sweep.go              what the periodic timer does
+//
+// The types that a Router exchanges with its surroundings stand in types.go and outcome.go, its learned state in
+// snapshot.go.
 package policy
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -7,7 +7,11 @@
 
 // hash is FNV-1a with a final mix: the same at every router.
 func hash(text string, more ...uint64) uint64 {
-	const offset, prime = 14695981039346656037, 1099511628211
+	const (
+		offset   = 14695981039346656037
+		prime    = 1099511628211
+		mixPrime = 0xd6e8feb86659fd93
+	)
 	h := uint64(offset)
 	for i := range len(text) {
 		h = (h ^ uint64(text[i])) * prime
@@ -16,7 +20,7 @@
 		h = (h ^ m) * prime
 	}
 	h ^= h >> 32
-	h *= 0xd6e8feb86659fd93
+	h *= mixPrime
 	return h ^ h>>32
 }
 
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -120,8 +120,9 @@
 	if source.role != roleParent || timely {
 		return
 	}
+	const lateOneIn = 2
 	late, all := countBad(source.fillSamples, r.now, minSamples)
-	if 2*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
+	if lateOneIn*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
 		r.observe(source, signalLateFills)
 	} else if r.config.healthChecks && source.health == healthy {
 		r.observe(source, signalSilent)
@@ -130,10 +131,11 @@
 
 // hasTimelierSource tells whether another source has at most half as large a share of late fills.
 func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
+	const times, leastSamples = 2, minSamples / 2
 	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
 		otherLate, otherAll := countBad(other.fillSamples, r.now, minSamples)
 		return other != source && other.active && other.health != ejected &&
-			2*otherAll >= minSamples && late*otherAll > 2*otherLate*all
+			otherAll >= leastSamples && late*otherAll > times*otherLate*all
 	})
 }
 
--- a/internal/policy/outlierejection_test.go
+++ b/internal/policy/outlierejection_test.go
@@ -77,7 +77,8 @@
 	if a := onlyAction(t, r.actions, ActionHealthCheck); a.Endpoint != parentA || s.health != suspect {
 		t.Fatalf("health %d after a late fill, action %+v", s.health, a)
 	}
-	if r.Handle(begin, Event{Kind: EventHealthCheck, Endpoint: parentA, Outcome: OutcomeTimeout}, nil); s.health != ejected {
+	r.Handle(begin, Event{Kind: EventHealthCheck, Endpoint: parentA, Outcome: OutcomeTimeout}, nil)
+	if s.health != ejected {
 		t.Fatal("not ejected after a failed health check")
 	}
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -114,8 +114,9 @@
 // fillsFail tells whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
 // overload then, at the cost of writes.
 func (r *Router) fillsFail() bool {
+	const failedOneIn = 4
 	failed, all := countBad(r.fillSamples, r.now, minSamples)
-	return 4*failed >= max(all, minSamples)
+	return failedOneIn*failed >= max(all, minSamples)
 }
 
 // hedge sends a second attempt while the first is in flight; or, where the site does not allow that, withdraws
