--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -105,12 +105,19 @@
 	return last, errors.Join(fmt.Errorf("router %d does not stand as wanted after %v: %+v", i, within, last), err)
 }
 
+// signalKinds are the event log's kinds of what a signal does to a process.
+var signalKinds = map[syscall.Signal]eventlog.Kind{
+	syscall.SIGKILL: eventlog.KindCrashed,
+	syscall.SIGSTOP: eventlog.KindRouterStopped,
+	syscall.SIGCONT: eventlog.KindRouterWoken,
+}
+
 // Signal sends one to a process of a router. What it held when it was killed is no
 // longer its duty; what fell due while it stood still is told apart.
 func (k *Kept) Signal(i, pid int, s syscall.Signal) error {
 	done := make(chan error, 1)
 	k.send(func() {
-		kind := map[syscall.Signal]string{syscall.SIGKILL: "crashed", syscall.SIGSTOP: "router_stopped", syscall.SIGCONT: "router_woken"}[s]
+		kind := signalKinds[s]
 		if kind != "" {
 			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
 		}
@@ -147,7 +154,7 @@
 // Crashed notes that a process of a router has been, or will be, killed by its
 // keeper: what it holds is no longer its duty.
 func (k *Kept) Crashed(i int) {
-	k.send(func() { k.Note(&eventlog.Entry{Kind: "crashed", At: k.world.Now(), Router: i}) })
+	k.send(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
 }
 
 // KillKeeper kills a router's keeper alone; its generations run on.
@@ -202,8 +209,8 @@
 	}
 	<-r.ended
 	k.send(func() {
-		k.Note(&eventlog.Entry{Kind: "router_down", At: k.world.Now(), Router: i})
-		k.Note(&eventlog.Entry{Kind: "router_up", At: k.world.Now(), Router: i})
+		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: k.world.Now(), Router: i})
+		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: k.world.Now(), Router: i})
 		done <- r.run(k.world.Known())
 	})
 	return wait()
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -2,6 +2,12 @@
 
 import "slices"
 
+// The texts of ActionLog.
+const (
+	LogEjected    = "endpoint ejected"
+	LogReadmitted = "endpoint readmitted"
+)
+
 // health is what a Router thinks of an endpoint. Its values are kept in Snapshots.
 type health uint8
 
@@ -78,7 +84,7 @@
 	backoff := min(ejectionTime<<s.ejections, maxEjectionTime)
 	s.healthDue = r.now + backoff
 	s.ejections = min(s.ejections+1, maxEjections)
-	r.do(Action{Kind: ActionLog, Text: "endpoint ejected", Endpoint: s.id, Backoff: backoff})
+	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: s.id, Backoff: backoff})
 }
 
 // maxEjections bounds the count from which the ejection time is shifted.
@@ -94,7 +100,7 @@
 // readmit takes an ejected endpoint in again and drops what counted against it.
 func (r *Router) readmit(s *endpoint) {
 	s.ejections, s.fillSamples, s.readmittedAt = 0, nil, r.now
-	r.do(Action{Kind: ActionLog, Text: "endpoint readmitted", Endpoint: s.id})
+	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: s.id})
 }
 
 // observeHealthCheck takes in the end of a health check.
@@ -114,8 +120,9 @@
 	if source.role != roleParent || timely {
 		return
 	}
+	const lateOneIn = 2
 	late, all := countBad(source.fillSamples, r.now, minSamples)
-	if 2*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
+	if lateOneIn*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
 		r.observe(source, signalLateFills)
 	} else if r.config.healthChecks && source.health == healthy {
 		r.observe(source, signalSilent)
@@ -124,22 +131,25 @@
 
 // hasTimelierSource tells whether another source has at most half as large a share of late fills.
 func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
+	const times, leastSamples = 2, minSamples / 2
 	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
 		otherLate, otherAll := countBad(other.fillSamples, r.now, minSamples)
 		return other != source && other.active && other.health != ejected &&
-			2*otherAll >= minSamples && late*otherAll > 2*otherLate*all
+			otherAll >= leastSamples && late*otherAll > times*otherLate*all
 	})
 }
 
-// updateHealth ends ejections that are over, and suspects an endpoint that answers none of several attempts for
-// far longer than answers take.
-func (r *Router) updateHealth(s *endpoint) {
+// updateHealth ends ejections that are over, and suspects endpoints that answer none of several attempts for far
+// longer than answers take.
+func (r *Router) updateHealth() {
 	const minUnanswered = 3 // attempts: a single one may just be slow
-	if s.health == ejected && r.now >= s.healthDue {
-		r.observe(s, signalEjectionOver)
-	}
-	if s.inFlight >= minUnanswered && r.now-s.silentSince > r.config.silenceLimit {
-		r.observe(s, signalSilent)
-		s.silentSince = r.now
+	for _, s := range r.ordered {
+		if s.health == ejected && r.now >= s.healthDue {
+			r.observe(s, signalEjectionOver)
+		}
+		if s.inFlight >= minUnanswered && r.now-s.silentSince > r.config.silenceLimit {
+			r.observe(s, signalSilent)
+			s.silentSince = r.now
+		}
 	}
 }
