--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -134,6 +134,9 @@
 
 // isFree tells whether an address can be bound for both TCP and UDP.
 func isFree(address netip.AddrPort) (bool, error) {
+	// A process that is forked meanwhile would have the sockets open until its exec.
+	syscall.ForkLock.RLock()
+	defer syscall.ForkLock.RUnlock()
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err == nil {
 		defer listener.Close()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -212,3 +212,36 @@
 		t.Errorf("ports were found where there are none: %v", err)
 	}
 }
+
+// A child process between its fork and its exec once had the sockets open with which
+// Reserve had looked whether the address is free.
+func TestReservedAddressIsFreeWhileProcessesStart(t *testing.T) {
+	const addresses = 300
+	done := make(chan struct{})
+	var starters sync.WaitGroup
+	for range 4 {
+		starters.Go(func() {
+			for {
+				select {
+				case <-done:
+					return
+				default:
+				}
+				if err := exec.Command(os.Args[0], "-test.run=^$").Run(); err != nil {
+					t.Error(err)
+					return
+				}
+			}
+		})
+	}
+	for range addresses {
+		listener, err := net.Listen("tcp", reserve(t).String())
+		if err != nil {
+			t.Error(err)
+			break
+		}
+		listener.Close()
+	}
+	close(done)
+	starters.Wait()
+}
