--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -20,15 +20,15 @@
 
 // cachePriority decides whether a cache shall keep the object, by TinyLFU: an object that is not on the cache's
 // list replaces the least recent one there only if it is requested more often.
-func (r *Router) cachePriority(s *endpoint, key uint64) int {
-	if i := slices.Index(s.cached, key); i >= 0 {
-		s.cached = slices.Delete(s.cached, i, i+1)
-	} else if len(s.cached) >= r.config.maxCachedObjects {
-		if r.popularity.Estimate(key) <= r.popularity.Estimate(s.cached[0]) {
+func (r *Router) cachePriority(ep *endpoint, key uint64) int {
+	if i := slices.Index(ep.cached, key); i >= 0 {
+		ep.cached = slices.Delete(ep.cached, i, i+1)
+	} else if len(ep.cached) >= r.config.maxCachedObjects {
+		if r.popularity.Estimate(key) <= r.popularity.Estimate(ep.cached[0]) {
 			return cachePriorityNone
 		}
-		s.cached = slices.Delete(s.cached, 0, 1)
+		ep.cached = slices.Delete(ep.cached, 0, 1)
 	}
-	s.cached = append(s.cached, key)
+	ep.cached = append(ep.cached, key)
 	return cachePriorityMiddle
 }
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -38,48 +38,48 @@
 }
 
 // startAttempt sends the request to an endpoint, or answers it where nowhere is left.
-func (r *Router) startAttempt(t *request) {
-	t.retryAt = 0
-	t.setCost()
+func (r *Router) startAttempt(req *request) {
+	req.retryAt = 0
+	req.setCost()
 	var p plan
-	p.target, p.source = r.route(t)
-	if p.target == nil || p.source == nil || t.deadline <= r.now || len(t.attempts) >= r.maxAttempts(t) ||
-		!r.retryPermitted(t, p.target) {
-		r.rejectOrFail(t)
+	p.target, p.source = r.route(req)
+	if p.target == nil || p.source == nil || req.deadline <= r.now || len(req.attempts) >= r.maxAttempts(req) ||
+		!r.retryPermitted(req, p.target) {
+		r.rejectOrFail(req)
 		return
 	}
-	if !t.class.write && !r.avoidOverload(t, &p) {
-		r.rejectOrFail(t)
+	if !req.class.write && !r.avoidOverload(req, &p) {
+		r.rejectOrFail(req)
 		return
 	}
-	if !t.class.write {
-		r.planFill(t, &p)
+	if !req.class.write {
+		r.planFill(req, &p)
 	}
-	r.send(t, &p)
+	r.send(req, &p)
 }
 
 // avoidOverload changes the plan of a read that the origin or its target has no capacity for: to another cache
 // that is idle, then to what the cache holds, then to what the parent holds. False: nothing is left to try.
-func (r *Router) avoidOverload(t *request, p *plan) bool {
+func (r *Router) avoidOverload(req *request, p *plan) bool {
 	// Above this use of the link from the parents, transfers from there are late themselves.
 	const maxLinkUse = 0.5
-	shed := r.shedLoad(t)
-	if p.target.role == roleOrigin || !shed && !r.saturated(t, &p.target.limiters[attemptFill]) {
+	shed := r.shedLoad(req)
+	if p.target.role == roleOrigin || !shed && !r.saturated(req, &p.target.limiters[attemptFill]) {
 		return true
 	}
 	if !shed {
-		if other := r.selectEndpoint(t, roleCache, r.idle); other != nil {
+		if other := r.selectEndpoint(req, roleCache, r.idle); other != nil {
 			p.target = other
 			return true
 		}
 	}
-	t.fallback++
+	req.fallback++
 	switch {
-	case t.fallback == attemptCacheOnly && !r.saturated(t, &p.target.limiters[attemptCacheOnly]):
-		p.kind, p.source, p.staleGrace = attemptCacheOnly, p.target, t.class.staleGrace
+	case req.fallback == attemptCacheOnly && !r.saturated(req, &p.target.limiters[attemptCacheOnly]):
+		p.kind, p.source, p.staleGrace = attemptCacheOnly, p.target, req.class.staleGrace
 		return true
-	case t.fallback == attemptParentOnly && p.source.role == roleParent && p.target.linkUse < maxLinkUse &&
-		!r.saturated(t, &p.target.limiters[attemptParentOnly]):
+	case req.fallback == attemptParentOnly && p.source.role == roleParent && p.target.linkUse < maxLinkUse &&
+		!r.saturated(req, &p.target.limiters[attemptParentOnly]):
 		p.kind, p.mode = attemptParentOnly, FillNoFetch
 		return true
 	}
@@ -87,10 +87,10 @@
 }
 
 // planFill says how a read's target shall fill, and whether it shall keep the copy.
-func (r *Router) planFill(t *request, p *plan) {
+func (r *Router) planFill(req *request, p *plan) {
 	if p.target.role == roleCache && p.kind != attemptCacheOnly {
-		p.cachePriority = r.cachePriority(p.target, t.key)
-		if t.class.freshFor > 0 {
+		p.cachePriority = r.cachePriority(p.target, req.key)
+		if req.class.freshFor > 0 {
 			p.mode |= FillBackground
 		}
 	}
@@ -100,9 +100,9 @@
 }
 
 // send sends an attempt.
-func (r *Router) send(t *request, p *plan) {
-	sendBefore := r.noteFirstSent(t)
-	t.attempts = append(t.attempts, attempt{
+func (r *Router) send(req *request, p *plan) {
+	sendBefore := r.noteFirstSent(req)
+	req.attempts = append(req.attempts, attempt{
 		endpoint: p.target, source: p.source, sentAt: r.now, kind: p.kind, inFlight: true,
 	})
 	p.target.limiters[p.kind].inFlight++
@@ -110,18 +110,18 @@
 	if p.target.inFlight == 1 {
 		p.target.silentSince = r.now
 	}
-	r.reserve(p.target, t)
+	r.reserve(p.target, req)
 	if p.source != p.target {
-		r.reserve(p.source, t)
+		r.reserve(p.source, req)
 	}
 	r.do(Action{
 		Kind:          ActionSend,
-		Request:       t.id,
+		Request:       req.id,
 		Endpoint:      p.target.id,
 		Source:        p.source.id,
 		CachePriority: p.cachePriority,
-		MaxAge:        r.maxAge(t, p.staleGrace),
-		Timeout:       r.attemptTimeout(t, p.target),
+		MaxAge:        r.maxAge(req, p.staleGrace),
+		Timeout:       r.attemptTimeout(req, p.target),
 		SendBefore:    sendBefore,
 		FillMode:      p.mode,
 	})
@@ -147,39 +147,39 @@
 const loadLinkUse = "x1"
 
 // endAttempt takes in an attempt's end. An endpoint or request that is unknown is nil.
-func (r *Router) endAttempt(e *Event, s *endpoint, t *request) {
-	if s == nil || e.Outcome == OutcomeUnknown || int(e.Outcome) >= len(outcomeMeanings) {
+func (r *Router) endAttempt(e *Event, ep *endpoint, req *request) {
+	if ep == nil || e.Outcome == OutcomeUnknown || int(e.Outcome) >= len(outcomeMeanings) {
 		return
 	}
 	meaning := outcomeMeanings[e.Outcome]
 	if use, reported := e.Load[loadLinkUse]; reported {
-		s.linkUse = use
+		ep.linkUse = use
 	}
-	r.observe(s, meaning.signal)
-	if t == nil || e.Attempt < 0 || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].inFlight {
+	r.observe(ep, meaning.signal)
+	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || !req.attempts[e.Attempt].inFlight {
 		return
 	}
-	a := &t.attempts[e.Attempt]
+	a := &req.attempts[e.Attempt]
 	a.release()
-	r.learn(e, t, a)
+	r.learn(e, req, a)
 	if e.Final {
-		r.advance(t, inputFinal)
+		r.advance(req, inputFinal)
 		return
 	}
-	t.noteFailed(e, a)
-	r.advance(t, meaning.input)
+	req.noteFailed(e, a)
+	r.advance(req, meaning.input)
 }
 
 // learn takes from an attempt's end what it tells of capacity: that of the endpoint, the source and the origin.
-func (r *Router) learn(e *Event, t *request, a *attempt) {
-	if e.Outcome == OutcomeDone && t.transferTime == 0 && !t.class.write {
-		t.class.transferTimes = addRecent(t.class.transferTimes, e.RTT)
+func (r *Router) learn(e *Event, req *request, a *attempt) {
+	if e.Outcome == OutcomeDone && req.transferTime == 0 && !req.class.write {
+		req.class.transferTimes = addRecent(req.class.transferTimes, e.RTT)
 	}
 	telling := r.tellsOfCapacity(e)
 	if telling && e.Outcome != OutcomeMiss {
-		r.observeAttempt(t, a, e.Outcome == OutcomeDone && !r.overdue(t, a))
+		r.observeAttempt(req, a, e.Outcome == OutcomeDone && !r.overdue(req, a))
 	}
-	if a.kind != attemptFill || t.class.write {
+	if a.kind != attemptFill || req.class.write {
 		return
 	}
 	switch {
@@ -188,7 +188,7 @@
 		r.originDelay.observeReported(r.now, float64(max(e.OriginWait, shortest)))
 	case e.Reason == ReasonOriginError:
 		r.originDelay.observeFailure()
-		t.admissionDraw = 1 // one fill is enough of an origin that fails
+		req.admissionDraw = 1 // one fill is enough of an origin that fails
 	}
 	if telling {
 		r.fillSamples = addSample(r.fillSamples, r.now, e.Outcome != OutcomeDone)
@@ -209,18 +209,18 @@
 
 // noteFailed notes which endpoints failed the request, to be tried after all others. After a time-out the source
 // may be what failed.
-func (t *request) noteFailed(e *Event, a *attempt) {
+func (req *request) noteFailed(e *Event, a *attempt) {
 	if a.kind == attemptFill {
-		t.failed = append(t.failed, a.endpoint)
+		req.failed = append(req.failed, a.endpoint)
 	}
 	if a.source != a.endpoint && (e.Reason.SourceFailed() || e.Outcome == OutcomeTimeout) {
-		t.failed = append(t.failed, a.source)
+		req.failed = append(req.failed, a.source)
 	}
 }
 
 // observeAttempt takes in whether an attempt was in time, once: when it ends or when it is overdue.
-func (r *Router) observeAttempt(t *request, a *attempt, timely bool) {
-	if a.late || a.endpoint.role == roleOrigin || t.class.write {
+func (r *Router) observeAttempt(req *request, a *attempt, timely bool) {
+	if a.late || a.endpoint.role == roleOrigin || req.class.write {
 		return
 	}
 	a.late = !timely
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -20,7 +20,7 @@
 // adjustLimit moves a limit after an attempt: up by a quarter of the floor for a round of timely answers, down
 // when a quarter of the last were late or refused, then not again for a round. The floor keeps an eighth of a
 // cache's link busy: less would not mend what makes answers late.
-func (r *Router) adjustLimit(m *limiter, timely bool) {
+func (r *Router) adjustLimit(lim *limiter, timely bool) {
 	const (
 		lateOneIn   = 4 // responses that were late or refused
 		reduction   = 0.7
@@ -30,51 +30,51 @@
 		leastFloor  = 2 // ... and at least this
 	)
 	share := r.config.zoneShare
-	floor := max(leastFloor, m.weight/floorWeight)
+	floor := max(leastFloor, lim.weight/floorWeight)
 	least := max(int(minSamples*share), 4)
-	m.samples = addSample(m.samples, r.now, !timely)
-	late, all := countBad(m.samples, r.now, least)
+	lim.samples = addSample(lim.samples, r.now, !timely)
+	late, all := countBad(lim.samples, r.now, least)
 	switch {
-	case timely && m.inFlight+1 >= m.limit/2:
-		m.limit += floor * share / (raiseOneIn * m.limit)
-	case !timely && lateOneIn*late >= max(all, least) && r.now-m.reducedAt > round:
-		m.reducedAt = r.now
-		m.limit = max(min(m.limit, m.inFlight+1)*reduction, floor*share)
+	case timely && lim.inFlight+1 >= lim.limit/2:
+		lim.limit += floor * share / (raiseOneIn * lim.limit)
+	case !timely && lateOneIn*late >= max(all, least) && r.now-lim.reducedAt > round:
+		lim.reducedAt = r.now
+		lim.limit = max(min(lim.limit, lim.inFlight+1)*reduction, floor*share)
 	}
 }
 
 // saturated tells whether a limiter has no capacity for the request. Requests of low priority are turned away
 // first: the lowest at half the limit, the highest at half above it. A limit below one is a chance.
-func (r *Router) saturated(t *request, m *limiter) bool {
+func (r *Router) saturated(req *request, lim *limiter) bool {
 	const lowestShare = 0.5
 	below := 0.0
 	for _, p := range r.priorities {
-		below += float64(1+cmp.Compare(t.priority, p)) / 2
+		below += float64(1+cmp.Compare(req.priority, p)) / 2
 	}
-	limit := m.limit * (lowestShare + below/float64(max(len(r.priorities), 1)))
-	return m.inFlight+m.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
+	limit := lim.limit * (lowestShare + below/float64(max(len(r.priorities), 1)))
+	return lim.inFlight+lim.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
 }
 
 // idle tells whether a cache has capacity for requests of a saturated one. It is strict: where all are saturated,
 // copies should not be scattered.
-func (r *Router) idle(s *endpoint) bool {
+func (r *Router) idle(ep *endpoint) bool {
 	const lateOneIn, inFlightOneIn = 16, 3
-	m := &s.limiters[attemptFill]
-	late, all := countBad(m.samples, r.now, minSamples)
-	return lateOneIn*late < max(all, 1) && inFlightOneIn*(m.inFlight+m.otherInFlight) < m.limit
+	lim := &ep.limiters[attemptFill]
+	late, all := countBad(lim.samples, r.now, minSamples)
+	return lateOneIn*late < max(all, 1) && inFlightOneIn*(lim.inFlight+lim.otherInFlight) < lim.limit
 }
 
 // initLimiters gives an endpoint the limiters that bound it, and those that are new a limit.
-func (r *Router) initLimiters(s *endpoint) {
-	if s.role != roleCache {
-		s.limiters = &r.bypassLimiters
+func (r *Router) initLimiters(ep *endpoint) {
+	if ep.role != roleCache {
+		ep.limiters = &r.bypassLimiters
 		return
 	}
-	s.limiters = &s.ownLimiters
-	for i := range s.ownLimiters {
-		own, bypass := &s.ownLimiters[i], &r.bypassLimiters[i]
-		own.weight, bypass.weight = s.weight, s.weight
-		own.limit = cmp.Or(own.limit, initialLimit*s.weight*r.config.zoneShare)
+	ep.limiters = &ep.ownLimiters
+	for i := range ep.ownLimiters {
+		own, bypass := &ep.ownLimiters[i], &r.bypassLimiters[i]
+		own.weight, bypass.weight = ep.weight, ep.weight
+		own.limit = cmp.Or(own.limit, initialLimit*ep.weight*r.config.zoneShare)
 		bypass.limit = cmp.Or(bypass.limit, own.limit)
 	}
 }
--- a/internal/policy/deadline.go
+++ b/internal/policy/deadline.go
@@ -12,18 +12,18 @@
 
 // overdue tells whether an attempt counts as late: from four fifths of the latency objective on, so that limits
 // come down before responses miss it.
-func (r *Router) overdue(t *request, a *attempt) bool {
+func (r *Router) overdue(req *request, a *attempt) bool {
 	const numerator, denominator = 4, 5
-	return denominator*(r.now-a.sentAt) > numerator*t.latencyObjective
+	return denominator*(r.now-a.sentAt) > numerator*req.latencyObjective
 }
 
 // attemptTimeout is an attempt's time limit. At a cache it ends at twice the latency objective: it is worth
 // little then, and takes capacity.
-func (r *Router) attemptTimeout(t *request, target *endpoint) int64 {
+func (r *Router) attemptTimeout(req *request, target *endpoint) int64 {
 	const objectives = 2
-	left := t.deadline - r.now
+	left := req.deadline - r.now
 	if target.role == roleCache {
-		return min(left, objectives*t.latencyObjective)
+		return min(left, objectives*req.latencyObjective)
 	}
 	return left
 }
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -20,8 +20,8 @@
 		}
 	}
 	if scope != ScopeDiff {
-		for _, s := range r.ordered {
-			s.active, s.gone = false, true
+		for _, ep := range r.ordered {
+			ep.active, ep.gone = false, true
 		}
 	}
 	for i := range list {
@@ -40,52 +40,52 @@
 	if e.Zone != r.config.zone && role == roleCache {
 		return
 	}
-	s := r.endpoints[e.ID]
-	if s == nil {
-		s = r.addEndpoint(e)
+	ep := r.endpoints[e.ID]
+	if ep == nil {
+		ep = r.addEndpoint(e)
 	}
-	s.role = role
-	s.zone, s.cell = e.Zone, e.Cell
-	s.weight = max(e.Weight, minWeight)
-	r.initLimiters(s)
-	s.active = e.State == EndpointActive
-	s.gone = e.State == EndpointGone
-	if e.StartedAt > s.startedAt {
-		s.startedAt = e.StartedAt
-		r.observe(s, signalRestarted)
-		s.readmittedAt = 0
+	ep.role = role
+	ep.zone, ep.cell = e.Zone, e.Cell
+	ep.weight = max(e.Weight, minWeight)
+	r.initLimiters(ep)
+	ep.active = e.State == EndpointActive
+	ep.gone = e.State == EndpointGone
+	if e.StartedAt > ep.startedAt {
+		ep.startedAt = e.StartedAt
+		r.observe(ep, signalRestarted)
+		ep.readmittedAt = 0
 	}
-	s.hashWeight = s.weight
+	ep.hashWeight = ep.weight
 	if r.config.liveWeights { // they differ from router to router
-		s.hashWeight = 1
+		ep.hashWeight = 1
 	}
 }
 
 // addEndpoint adds an endpoint in the order of ids.
 func (r *Router) addEndpoint(e *Endpoint) *endpoint {
-	s := &endpoint{id: e.ID, hash: hash(e.ID), startedAt: e.StartedAt, health: healthy}
-	r.endpoints[e.ID] = s
-	at, _ := slices.BinarySearchFunc(r.ordered, s, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
-	r.ordered = slices.Insert(r.ordered, at, s)
-	return s
+	ep := &endpoint{id: e.ID, hash: hash(e.ID), startedAt: e.StartedAt, health: healthy}
+	r.endpoints[e.ID] = ep
+	at, _ := slices.BinarySearchFunc(r.ordered, ep, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	r.ordered = slices.Insert(r.ordered, at, ep)
+	return ep
 }
 
 // setOrigin finds the origin: the last one that is active.
 func (r *Router) setOrigin() {
 	r.origin = nil
-	for _, s := range r.ordered {
-		if s.active && s.role == roleOrigin {
-			r.origin = s
+	for _, ep := range r.ordered {
+		if ep.active && ep.role == roleOrigin {
+			r.origin = ep
 		}
 	}
 }
 
 // forgetGoneEndpoints drops endpoints that are not listed any more once their attempts are over.
 func (r *Router) forgetGoneEndpoints() {
-	r.ordered = slices.DeleteFunc(r.ordered, func(s *endpoint) bool {
-		over := s.gone && s.inFlight == 0
+	r.ordered = slices.DeleteFunc(r.ordered, func(ep *endpoint) bool {
+		over := ep.gone && ep.inFlight == 0
 		if over {
-			delete(r.endpoints, s.id)
+			delete(r.endpoints, ep.id)
 		}
 		return over
 	})
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -25,34 +25,34 @@
 }
 
 // rendezvousScore is an endpoint's score for an object, by rendezvous hashing weighted by its size.
-func (s *endpoint) rendezvousScore(key uint64) float64 {
-	uniform := float64(hash("", key, s.hash)>>11+1) / (1<<53 + 1) // within (0, 1)
-	return -s.hashWeight / math.Log(uniform)
+func (ep *endpoint) rendezvousScore(key uint64) float64 {
+	uniform := float64(hash("", key, ep.hash)>>11+1) / (1<<53 + 1) // within (0, 1)
+	return -ep.hashWeight / math.Log(uniform)
 }
 
 // usable tells whether an endpoint may be sent the request now, or be its fill source. One on probation is given
 // one attempt at a time, none where a health check decides.
-func (r *Router) usable(s *endpoint, t *request) bool {
-	onTrial := s.health == probation && (s.inFlight > 0 || r.config.healthChecks)
-	return s.active && s.health != ejected && !onTrial && r.slowStartAllows(s, t)
+func (r *Router) usable(ep *endpoint, req *request) bool {
+	onTrial := ep.health == probation && (ep.inFlight > 0 || r.config.healthChecks)
+	return ep.active && ep.health != ejected && !onTrial && r.slowStartAllows(ep, req)
 }
 
 // selectEndpoint gives the usable endpoint of a role that scores highest for the request's object, those that
 // failed the request after all others; nil if there is none. A filter leaves out more.
-func (r *Router) selectEndpoint(t *request, role role, filter func(*endpoint) bool) *endpoint {
+func (r *Router) selectEndpoint(req *request, role role, filter func(*endpoint) bool) *endpoint {
 	var best *endpoint
 	var bestScore float64
 	bestFailed := true
-	restricted := role == roleCache && t.maybeExecuted()
-	for _, s := range r.ordered {
-		if s.role != role || restricted && !r.retryPermitted(t, s) || !r.usable(s, t) ||
-			filter != nil && !filter(s) {
+	restricted := role == roleCache && req.maybeExecuted()
+	for _, ep := range r.ordered {
+		if ep.role != role || restricted && !r.retryPermitted(req, ep) || !r.usable(ep, req) ||
+			filter != nil && !filter(ep) {
 			continue
 		}
-		failed := slices.Contains(t.failed, s)
-		score := s.rendezvousScore(t.key)
+		failed := slices.Contains(req.failed, ep)
+		score := ep.rendezvousScore(req.key)
 		if best == nil || bestFailed && !failed || failed == bestFailed && score > bestScore {
-			best, bestScore, bestFailed = s, score, failed
+			best, bestScore, bestFailed = ep, score, failed
 		}
 	}
 	return best
@@ -60,8 +60,8 @@
 
 // fillSource gives the endpoint that a cache shall fill from: a parent, or the origin where no parent is left
 // that has not failed the request.
-func (r *Router) fillSource(t *request) *endpoint {
-	if p := r.selectEndpoint(t, roleParent, nil); p != nil && !slices.Contains(t.failed, p) {
+func (r *Router) fillSource(req *request) *endpoint {
+	if p := r.selectEndpoint(req, roleParent, nil); p != nil && !slices.Contains(req.failed, p) {
 		return p
 	}
 	return r.origin
@@ -69,18 +69,18 @@
 
 // route gives the endpoint that the request is sent to and the source that this fills from; nil if there is none.
 // Writes go to the origin, past the caches where the site allows that; reads pass them if no cache is usable.
-func (r *Router) route(t *request) (target, source *endpoint) {
-	if t.class.write && r.config.bypassCaches {
+func (r *Router) route(req *request) (target, source *endpoint) {
+	if req.class.write && r.config.bypassCaches {
 		return r.origin, r.origin
 	}
-	if cache := r.selectEndpoint(t, roleCache, nil); cache != nil {
-		if t.class.write {
+	if cache := r.selectEndpoint(req, roleCache, nil); cache != nil {
+		if req.class.write {
 			return cache, r.origin
 		}
-		return cache, r.fillSource(t)
+		return cache, r.fillSource(req)
 	}
 	if r.config.bypassCaches {
-		return r.fillSource(t), r.origin
+		return r.fillSource(req), r.origin
 	}
 	return nil, nil
 }
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -59,13 +59,13 @@
 
 // shedLoad tells whether the request shall take nothing from the origin. Its draw is kept, so that a request
 // once left out stays so while the origin gets no faster.
-func (r *Router) shedLoad(t *request) bool {
+func (r *Router) shedLoad(req *request) bool {
 	d := &r.originDelay
 	if d.current <= bearableDelay*d.baseline {
 		return false
 	}
-	if t.admissionDraw == 0 {
-		t.admissionDraw = r.random.float64()
+	if req.admissionDraw == 0 {
+		req.admissionDraw = r.random.float64()
 	}
-	return t.admissionDraw*d.current > bearableDelay*d.baseline
+	return req.admissionDraw*d.current > bearableDelay*d.baseline
 }
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -52,63 +52,63 @@
 }
 
 // observe takes in a signal of an endpoint; nil is one that is not listed.
-func (r *Router) observe(s *endpoint, signal signal) {
+func (r *Router) observe(ep *endpoint, signal signal) {
 	// Attempts that fail together, as those of one connection do, are one failure.
 	const failuresApart = 100 * millisecond
-	if s == nil || signal == signalFailed && s.health == suspect && r.now < s.healthDue {
+	if ep == nil || signal == signalFailed && ep.health == suspect && r.now < ep.healthDue {
 		return
 	}
 	switch {
-	case signal == signalFailed && s.health == healthy:
-		s.healthDue = r.now + failuresApart
+	case signal == signalFailed && ep.health == healthy:
+		ep.healthDue = r.now + failuresApart
 	case signal == signalAnswered:
-		s.silentSince = r.now
+		ep.silentSince = r.now
 	}
 	for i := range healthTransitions {
 		row := &healthTransitions[i]
-		if row.in&s.health == 0 || row.signal != signal {
+		if row.in&ep.health == 0 || row.signal != signal {
 			continue
 		}
-		s.health = row.next
+		ep.health = row.next
 		if row.do != nil {
-			row.do(r, s)
+			row.do(r, ep)
 		}
 		return
 	}
 }
 
 // eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted.
-func (r *Router) eject(s *endpoint) {
+func (r *Router) eject(ep *endpoint) {
 	const ejectionTime, maxEjectionTime = 1 * second, 4 * second
-	s.fillSamples = nil
-	backoff := min(ejectionTime<<s.ejections, maxEjectionTime)
-	s.healthDue = r.now + backoff
-	s.ejections = min(s.ejections+1, maxEjections)
-	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: s.id, Backoff: backoff})
+	ep.fillSamples = nil
+	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
+	ep.healthDue = r.now + backoff
+	ep.ejections = min(ep.ejections+1, maxEjections)
+	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: ep.id, Backoff: backoff})
 }
 
 // maxEjections bounds the count from which the ejection time is shifted.
 const maxEjections = 8
 
 // checkHealth sends a health check where that is allowed; else the next attempt tells.
-func (r *Router) checkHealth(s *endpoint) {
+func (r *Router) checkHealth(ep *endpoint) {
 	if r.config.healthChecks {
-		r.do(Action{Kind: ActionHealthCheck, Endpoint: s.id})
+		r.do(Action{Kind: ActionHealthCheck, Endpoint: ep.id})
 	}
 }
 
 // readmit takes an ejected endpoint in again and drops what counted against it.
-func (r *Router) readmit(s *endpoint) {
-	s.ejections, s.fillSamples, s.readmittedAt = 0, nil, r.now
-	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: s.id})
+func (r *Router) readmit(ep *endpoint) {
+	ep.ejections, ep.fillSamples, ep.readmittedAt = 0, nil, r.now
+	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
 }
 
 // observeHealthCheck takes in the end of a health check.
-func (r *Router) observeHealthCheck(s *endpoint, outcome Outcome) {
+func (r *Router) observeHealthCheck(ep *endpoint, outcome Outcome) {
 	if outcome == OutcomeDone {
-		r.observe(s, signalAnswered)
+		r.observe(ep, signalAnswered)
 	} else {
-		r.observe(s, signalFailed)
+		r.observe(ep, signalFailed)
 	}
 }
 
@@ -143,13 +143,13 @@
 // longer than answers take.
 func (r *Router) updateHealth() {
 	const minUnanswered = 3 // attempts: a single one may just be slow
-	for _, s := range r.ordered {
-		if s.health == ejected && r.now >= s.healthDue {
-			r.observe(s, signalEjectionOver)
+	for _, ep := range r.ordered {
+		if ep.health == ejected && r.now >= ep.healthDue {
+			r.observe(ep, signalEjectionOver)
 		}
-		if s.inFlight >= minUnanswered && r.now-s.silentSince > r.config.silenceLimit {
-			r.observe(s, signalSilent)
-			s.silentSince = r.now
+		if ep.inFlight >= minUnanswered && r.now-ep.silentSince > r.config.silenceLimit {
+			r.observe(ep, signalSilent)
+			ep.silentSince = r.now
 		}
 	}
 }
--- a/internal/policy/popularity.go
+++ b/internal/policy/popularity.go
@@ -24,8 +24,8 @@
 // setPopularitySample sets the halving period to ten times what the zone's caches are asked to keep.
 func (r *Router) setPopularitySample() {
 	r.popularitySample = 0
-	for _, s := range r.ordered {
-		if s.active && s.role == roleCache {
+	for _, ep := range r.ordered {
+		if ep.active && ep.role == roleCache {
 			r.popularitySample += samplesPerCachedObject * r.config.maxCachedObjects
 		}
 	}
--- a/internal/policy/purgeage.go
+++ b/internal/policy/purgeage.go
@@ -19,11 +19,11 @@
 
 // maxAge is how old a copy may be for the request: the class's freshness time with some grace, and no older than
 // the last purge that caches may not have seen. 0: the class's freshness time alone.
-func (r *Router) maxAge(t *request, grace int64) int64 {
-	age := t.class.freshFor + grace
+func (r *Router) maxAge(req *request, grace int64) int64 {
+	age := req.class.freshFor + grace
 	for _, p := range r.purges {
 		since := r.now - p.at
-		if since >= r.config.purgeSettleTime+purgeMargin || !p.covers(t) {
+		if since >= r.config.purgeSettleTime+purgeMargin || !p.covers(req) {
 			continue
 		}
 		since = max(since-purgeMargin, 1)
@@ -35,8 +35,8 @@
 }
 
 // covers tells whether a purge concerns the request's object.
-func (p *purge) covers(t *request) bool {
-	return p.object == t.object || p.object == "" && p.group == t.group
+func (p *purge) covers(req *request) bool {
+	return p.object == req.object || p.object == "" && p.group == req.group
 }
 
 // dropSettledPurges drops purges that all caches have seen.
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -87,20 +87,20 @@
 }
 
 // advance takes a request through one transition; nil is one that is unknown or closed.
-func (r *Router) advance(t *request, input input) {
-	if t == nil {
+func (r *Router) advance(req *request, input input) {
+	if req == nil {
 		return
 	}
 	for i := range transitions {
 		row := &transitions[i]
-		if row.in&t.state == 0 || row.input != input {
+		if row.in&req.state == 0 || row.input != input {
 			continue
 		}
 		if row.next != 0 {
-			t.state = row.next
+			req.state = row.next
 		}
 		if row.do != nil {
-			row.do(r, t)
+			row.do(r, req)
 		}
 		return
 	}
@@ -109,7 +109,7 @@
 // openRequest takes in a new request.
 func (r *Router) openRequest(e *Event) {
 	class := r.class(e)
-	t := &request{
+	req := &request{
 		id:       e.Request,
 		class:    class,
 		key:      hash(e.Object, uint64(e.Part)),
@@ -118,21 +118,21 @@
 		deadline: r.now + e.Remaining,
 		state:    stateNotExecuted,
 	}
-	r.setPriority(t, e.SizeKB)
-	t.latencyObjective = class.requestObjective(t.transferTime)
-	r.requests[t.id] = t
-	r.open = append(r.open, t)
+	r.setPriority(req, e.SizeKB)
+	req.latencyObjective = class.requestObjective(req.transferTime)
+	r.requests[req.id] = req
+	r.open = append(r.open, req)
 	if !class.write {
-		r.countRequest(t.key)
+		r.countRequest(req.key)
 	}
-	r.advance(t, inputArrived)
+	r.advance(req, inputArrived)
 }
 
 // class gives a request's traffic class. One that the settings do not name is taken for unsafe.
 func (r *Router) class(e *Event) *trafficClass {
 	class := r.classes[e.Class]
 	if class == nil {
-		class = &trafficClass{idempotency: unsafe, latencyObjective: e.Remaining, write: e.Write}
+		class = &trafficClass{idempotency: notIdempotent, latencyObjective: e.Remaining, write: e.Write}
 		r.classes[e.Class] = class
 	}
 	return class
@@ -140,57 +140,57 @@
 
 // setPriority works out a request's transfer time, and its priority: the class's weight for transfer time, where
 // a small request counts as an eighth of its class's mean at least.
-func (r *Router) setPriority(t *request, sizeKB float64) {
+func (r *Router) setPriority(req *request, sizeKB float64) {
 	const smallest = 8
-	class := t.class
+	class := req.class
 	transfer := class.latencyObjective // where sizes are not told
 	if sizeKB > 0 && r.config.transferRate > 0 {
-		t.transferTime = int64(sizeKB / r.config.transferRate)
-		class.transferTimes = addRecent(class.transferTimes, t.transferTime)
-		transfer = max(t.transferTime, mean(class.transferTimes, class.latencyObjective)/smallest)
+		req.transferTime = int64(sizeKB / r.config.transferRate)
+		class.transferTimes = addRecent(class.transferTimes, req.transferTime)
+		transfer = max(req.transferTime, mean(class.transferTimes, class.latencyObjective)/smallest)
 	}
-	t.priority = class.priorityWeight / float64(transfer)
-	r.priorities = addRecent(r.priorities, t.priority)
+	req.priority = class.priorityWeight / float64(transfer)
+	r.priorities = addRecent(r.priorities, req.priority)
 }
 
 // setCost works out what an attempt takes of slow-start budgets.
-func (t *request) setCost() {
-	t.cost, t.costVariance = t.transferTime, 0
-	if t.transferTime == 0 {
-		t.cost = mean(t.class.transferTimes, t.class.latencyObjective)
-		t.costVariance = variance(t.class.transferTimes)
+func (req *request) setCost() {
+	req.cost, req.costVariance = req.transferTime, 0
+	if req.transferTime == 0 {
+		req.cost = mean(req.class.transferTimes, req.class.latencyObjective)
+		req.costVariance = variance(req.class.transferTimes)
 	}
 }
 
 // inFlight tells whether an attempt is in flight.
-func (t *request) inFlight() bool {
-	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.inFlight })
+func (req *request) inFlight() bool {
+	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.inFlight })
 }
 
 // maybeExecuted tells whether an attempt may have been executed, or may yet be.
-func (t *request) maybeExecuted() bool { return t.state == stateMaybeExecuted || t.inFlight() }
+func (req *request) maybeExecuted() bool { return req.state == stateMaybeExecuted || req.inFlight() }
 
 // rejectOrFail answers the request for good: rejected where its repetition by the client is harmless.
-func (r *Router) rejectOrFail(t *request) {
-	if r.now < t.deadline && (!t.maybeExecuted() || retryRules[t.class.idempotency].reject) {
-		r.do(Action{Kind: ActionReject, Request: t.id, RetryAfter: r.config.retryAfter})
+func (r *Router) rejectOrFail(req *request) {
+	if r.now < req.deadline && (!req.maybeExecuted() || retryRules[req.class.idempotency].reject) {
+		r.do(Action{Kind: ActionReject, Request: req.id, RetryAfter: r.config.retryAfter})
 	} else {
-		r.do(Action{Kind: ActionFail, Request: t.id})
+		r.do(Action{Kind: ActionFail, Request: req.id})
 	}
-	r.advance(t, inputFinal)
+	r.advance(req, inputFinal)
 }
 
 // closeRequest withdraws what is in flight for a request that is answered. Ends of its attempts are only heard.
-func (r *Router) closeRequest(t *request) {
-	for i := range t.attempts {
-		a := &t.attempts[i]
+func (r *Router) closeRequest(req *request) {
+	for i := range req.attempts {
+		a := &req.attempts[i]
 		if !a.inFlight {
 			continue
 		}
 		a.release()
 		if r.config.cancel {
-			r.do(Action{Kind: ActionCancel, Request: t.id, Attempt: i})
+			r.do(Action{Kind: ActionCancel, Request: req.id, Attempt: i})
 		}
 	}
-	delete(r.requests, t.id)
+	delete(r.requests, req.id)
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -10,7 +10,7 @@
 	keyedAll               // with an idempotency key that all servers share
 	keyedZone              // ... that the servers of a zone share
 	keyedCell              // ... that the servers of a cell share
-	unsafe
+	notIdempotent
 )
 
 // idempotencyOf gives the idempotency of a traffic class.
@@ -19,7 +19,7 @@
 	case effect == EffectIdempotent:
 		return idempotent
 	case effect == EffectUnsafe:
-		return unsafe
+		return notIdempotent
 	case group == DedupGroupZone:
 		return keyedZone
 	case group == DedupGroupCell:
@@ -36,41 +36,41 @@
 	sameZone bool // another attempt in the zone of the first only
 	sameCell bool // another attempt in the cell of the first only
 }{
-	idempotent: {retry: true, reject: true},
-	keyedAll:   {retry: true, reject: true, windowed: true},
-	keyedZone:  {retry: true, windowed: true, sameZone: true},
-	keyedCell:  {retry: true, windowed: true, sameZone: true, sameCell: true},
-	unsafe:     {},
+	idempotent:    {retry: true, reject: true},
+	keyedAll:      {retry: true, reject: true, windowed: true},
+	keyedZone:     {retry: true, windowed: true, sameZone: true},
+	keyedCell:     {retry: true, windowed: true, sameZone: true, sameCell: true},
+	notIdempotent: {},
 }
 
 // retryPermitted tells whether the request may be sent to an endpoint without the danger of a second effect.
-func (r *Router) retryPermitted(t *request, s *endpoint) bool {
-	if !t.maybeExecuted() {
+func (r *Router) retryPermitted(req *request, ep *endpoint) bool {
+	if !req.maybeExecuted() {
 		return true
 	}
-	rule := &retryRules[t.class.idempotency]
-	first := t.firstExecuted()
+	rule := &retryRules[req.class.idempotency]
+	first := req.firstExecuted()
 	return rule.retry &&
-		(!rule.windowed || r.now-t.firstSentAt < t.class.dedupWindow) &&
-		(!rule.sameZone || s.zone == first.zone) &&
-		(!rule.sameCell || s.cell == first.cell)
+		(!rule.windowed || r.now-req.firstSentAt < req.class.dedupWindow) &&
+		(!rule.sameZone || ep.zone == first.zone) &&
+		(!rule.sameCell || ep.cell == first.cell)
 }
 
 // firstExecuted is the endpoint of the first attempt that may have been executed.
-func (t *request) firstExecuted() *endpoint {
-	i := slices.IndexFunc(t.attempts, func(a attempt) bool { return a.sentAt == t.firstSentAt })
-	return t.attempts[i].endpoint
+func (req *request) firstExecuted() *endpoint {
+	i := slices.IndexFunc(req.attempts, func(a attempt) bool { return a.sentAt == req.firstSentAt })
+	return req.attempts[i].endpoint
 }
 
 // noteFirstSent keeps the time from which the dedup window runs, as an attempt is sent. It gives the time before
 // which the attempt must be written; 0: there is no such bound.
-func (r *Router) noteFirstSent(t *request) (sendBefore int64) {
-	if !t.maybeExecuted() {
-		t.firstSentAt = r.now
+func (r *Router) noteFirstSent(req *request) (sendBefore int64) {
+	if !req.maybeExecuted() {
+		req.firstSentAt = r.now
 		return 0
 	}
-	if retryRules[t.class.idempotency].windowed {
-		return t.firstSentAt + t.class.dedupWindow
+	if retryRules[req.class.idempotency].windowed {
+		return req.firstSentAt + req.class.dedupWindow
 	}
 	return 0
 }
@@ -80,34 +80,34 @@
 const maxReadAttempts = 4
 
 // maxAttempts bounds the request's attempts.
-func (r *Router) maxAttempts(t *request) int {
-	if t.class.write {
+func (r *Router) maxAttempts(req *request) int {
+	if req.class.write {
 		return r.config.maxAttempts
 	}
 	return min(r.config.maxAttempts, maxReadAttempts)
 }
 
 // retry follows an attempt that ended without a response.
-func (r *Router) retry(t *request) {
+func (r *Router) retry(req *request) {
 	switch {
-	case t.inFlight(): // another attempt may bring one
-	case t.class.write:
-		r.retryWrite(t)
-	case r.fillsFail() && t.attempts[len(t.attempts)-1].kind == attemptFill:
-		r.rejectOrFail(t)
+	case req.inFlight(): // another attempt may bring one
+	case req.class.write:
+		r.retryWrite(req)
+	case r.fillsFail() && req.attempts[len(req.attempts)-1].kind == attemptFill:
+		r.rejectOrFail(req)
 	default:
-		r.startAttempt(t)
+		r.startAttempt(req)
 	}
 }
 
 // retryWrite sends a write again after a pause, or gives it up where that is not permitted or comes too late.
-func (r *Router) retryWrite(t *request) {
+func (r *Router) retryWrite(req *request) {
 	const pause = 60 * millisecond // lets an overloaded origin recover
-	t.retryAt = r.now + pause
-	barred := t.maybeExecuted() && !retryRules[t.class.idempotency].retry
-	late := t.retryAt+2*timerInterval >= t.deadline
-	if barred || late || len(t.attempts) >= r.config.maxAttempts {
-		r.rejectOrFail(t)
+	req.retryAt = r.now + pause
+	barred := req.maybeExecuted() && !retryRules[req.class.idempotency].retry
+	late := req.retryAt+2*timerInterval >= req.deadline
+	if barred || late || len(req.attempts) >= r.config.maxAttempts {
+		r.rejectOrFail(req)
 	}
 }
 
@@ -121,12 +121,12 @@
 
 // hedge sends a second attempt while the first is in flight; or, where the site does not allow that, withdraws
 // the first, whose end brings another.
-func (r *Router) hedge(t *request) {
+func (r *Router) hedge(req *request) {
 	switch {
-	case t.class.idempotency != idempotent:
+	case req.class.idempotency != idempotent:
 	case !r.config.hedging && r.config.cancel:
-		r.do(Action{Kind: ActionCancel, Request: t.id, Attempt: len(t.attempts) - 1})
-	case r.config.hedging && len(t.attempts) < r.config.maxAttempts && r.selectEndpoint(t, roleCache, nil) != nil:
-		r.startAttempt(t)
+		r.do(Action{Kind: ActionCancel, Request: req.id, Attempt: len(req.attempts) - 1})
+	case r.config.hedging && len(req.attempts) < r.config.maxAttempts && r.selectEndpoint(req, roleCache, nil) != nil:
+		r.startAttempt(req)
 	}
 }
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -169,7 +169,7 @@
 // Handle takes one event at the given time and appends the actions that it leads to.
 func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
 	r.now, r.actions = now, actions
-	s, t := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
+	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
 	switch e.Kind {
 	case EventEndpoints:
 		r.updateEndpoints(e.Scope, e.Endpoints)
@@ -178,14 +178,14 @@
 	case EventLocalHit: // answered from copies of the router's own
 		r.countRequest(hash(e.Object, uint64(e.Part)))
 	case EventAttemptEnded:
-		r.endAttempt(&e, s, t)
+		r.endAttempt(&e, ep, req)
 	case EventResponseStarted:
-		r.observe(s, signalAnswered)
-		r.advance(t, inputStarted)
+		r.observe(ep, signalAnswered)
+		r.advance(req, inputStarted)
 	case EventClientGone:
-		r.advance(t, inputFinal)
+		r.advance(req, inputFinal)
 	case EventHealthCheck:
-		r.observeHealthCheck(s, e.Outcome)
+		r.observeHealthCheck(ep, e.Outcome)
 	case EventPurge:
 		r.notePurge(e.Object, e.Group, e.Age)
 	case EventSlowStartHold:
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -29,58 +29,58 @@
 	variance float64 // of the work; 0 where sizes are told
 }
 
-// slowStartBegan is when an endpoint's slow start began. A cache that is readmitted may have been restarted:
-// until the list would have told, it is taken for that.
-func (r *Router) slowStartBegan(s *endpoint) int64 {
-	const listDelay = 7 * second
-	if s.role == roleCache && s.readmittedAt > s.startedAt && r.now-s.readmittedAt < listDelay {
-		return s.readmittedAt
+// slowStartBegan is when an endpoint's slow start began. A cache that is readmitted may have been restarted: it is
+// treated so until the endpoint list would show it.
+func (r *Router) slowStartBegan(ep *endpoint) int64 {
+	const listDelay = 7 * second // within which the list shows a restart
+	if ep.role == roleCache && ep.readmittedAt > ep.startedAt && r.now-ep.readmittedAt < listDelay {
+		return ep.readmittedAt
 	}
-	return s.startedAt
+	return ep.startedAt
 }
 
 // warm tells whether an endpoint's slow start is over.
-func (r *Router) warm(s *endpoint) bool {
-	began := r.slowStartBegan(s)
-	return began == 0 || r.now-began >= r.config.slowStart[s.role].duration
+func (r *Router) warm(ep *endpoint) bool {
+	began := r.slowStartBegan(ep)
+	return began == 0 || r.now-began >= r.config.slowStart[ep.role].duration
 }
 
 // slowStartAllows tells whether an endpoint may be sent the request: any once it is warm, else what this
 // router's share of its budget leaves within the overload window.
-func (r *Router) slowStartAllows(s *endpoint, t *request) bool {
-	if r.warm(s) {
+func (r *Router) slowStartAllows(ep *endpoint, req *request) bool {
+	if r.warm(ep) {
 		return true
 	}
 	if r.now < r.slowStartHoldUntil {
 		return false
 	}
-	r.dropReservations(s)
-	work, variance := float64(t.cost), t.costVariance
-	for _, p := range s.reservations {
+	r.dropReservations(ep)
+	work, variance := float64(req.cost), req.costVariance
+	for _, p := range ep.reservations {
 		work += float64(p.work)
 		variance += p.variance
 	}
-	budget := &r.config.slowStart[s.role]
-	age := max(r.now-r.slowStartBegan(s), 0)
+	budget := &r.config.slowStart[ep.role]
+	age := max(r.now-r.slowStartBegan(ep), 0)
 	capacity := budget.from + (1-budget.from)*float64(age)/float64(budget.duration)
-	most := budget.multiple * capacity * s.weight * float64(r.config.overloadWindow)
+	most := budget.multiple * capacity * ep.weight * float64(r.config.overloadWindow)
 	total := work * budget.routers // if every router sends as much
 	return total <= budgetShare*most && total+budgetDeviations*math.Sqrt(variance*budget.routers) <= most
 }
 
 // reserve counts the request against an endpoint's budget.
-func (r *Router) reserve(s *endpoint, t *request) {
-	if r.warm(s) {
-		s.reservations = nil
+func (r *Router) reserve(ep *endpoint, req *request) {
+	if r.warm(ep) {
+		ep.reservations = nil
 		return
 	}
-	r.dropReservations(s)
-	s.reservations = append(s.reservations, reservation{r.now, t.cost, t.costVariance})
+	r.dropReservations(ep)
+	ep.reservations = append(ep.reservations, reservation{r.now, req.cost, req.costVariance})
 }
 
 // dropReservations drops those older than the overload window.
-func (r *Router) dropReservations(s *endpoint) {
-	s.reservations = slices.DeleteFunc(s.reservations, func(p reservation) bool {
+func (r *Router) dropReservations(ep *endpoint) {
+	ep.reservations = slices.DeleteFunc(ep.reservations, func(p reservation) bool {
 		return p.at <= r.now-r.config.overloadWindow
 	})
 }
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -108,30 +108,30 @@
 	return s
 }
 
-func (s *endpoint) snapshot() EndpointSnapshot {
+func (ep *endpoint) snapshot() EndpointSnapshot {
 	out := EndpointSnapshot{
-		ID:            s.id,
-		StartedAt:     s.startedAt,
-		Health:        uint8(s.health),
-		DueAt:         s.healthDue,
-		Ejections:     s.ejections,
-		LinkUse:       s.linkUse,
-		SourceSamples: snapshotSamples(s.fillSamples),
-		CachedObjects: slices.Clone(s.cached),
-	}
-	for _, p := range s.reservations {
+		ID:            ep.id,
+		StartedAt:     ep.startedAt,
+		Health:        uint8(ep.health),
+		DueAt:         ep.healthDue,
+		Ejections:     ep.ejections,
+		LinkUse:       ep.linkUse,
+		SourceSamples: snapshotSamples(ep.fillSamples),
+		CachedObjects: slices.Clone(ep.cached),
+	}
+	for _, p := range ep.reservations {
 		out.ReservedAt = append(out.ReservedAt, p.at)
 		out.ReservedWork = append(out.ReservedWork, p.work)
 		out.ReservedVariance = append(out.ReservedVariance, p.variance)
 	}
-	for i := range s.ownLimiters {
-		out.Limiters[i] = s.ownLimiters[i].snapshot()
+	for i := range ep.ownLimiters {
+		out.Limiters[i] = ep.ownLimiters[i].snapshot()
 	}
 	return out
 }
 
-func (m *limiter) snapshot() LimiterSnapshot {
-	return LimiterSnapshot{m.limit, m.reducedAt, snapshotSamples(m.samples)}
+func (lim *limiter) snapshot() LimiterSnapshot {
+	return LimiterSnapshot{lim.limit, lim.reducedAt, snapshotSamples(lim.samples)}
 }
 
 func snapshotSamples(samples []sample) (out []SampleSnapshot) {
@@ -174,35 +174,35 @@
 }
 
 func (r *Router) restoreEndpoint(from *EndpointSnapshot) {
-	s := r.endpoints[from.ID]
-	if s == nil || s.startedAt > from.StartedAt {
+	ep := r.endpoints[from.ID]
+	if ep == nil || ep.startedAt > from.StartedAt {
 		return
 	}
 	switch h := health(from.Health); h {
 	case healthy, suspect, ejected, probation:
-		s.health = h
+		ep.health = h
 	}
-	s.healthDue = from.DueAt
-	s.ejections = min(max(from.Ejections, 0), maxEjections)
-	s.linkUse = from.LinkUse
-	s.fillSamples = restoreSamples(from.SourceSamples)
-	s.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
+	ep.healthDue = from.DueAt
+	ep.ejections = min(max(from.Ejections, 0), maxEjections)
+	ep.linkUse = from.LinkUse
+	ep.fillSamples = restoreSamples(from.SourceSamples)
+	ep.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
 	for i := range min(len(from.ReservedWork), len(from.ReservedAt), maxSnapshotSamples) {
 		p := reservation{at: from.ReservedAt[i], work: from.ReservedWork[i]}
 		if i < len(from.ReservedVariance) { // earlier versions give none
 			p.variance = from.ReservedVariance[i]
 		}
-		s.reservations = append(s.reservations, p)
+		ep.reservations = append(ep.reservations, p)
 	}
-	for i := range s.ownLimiters {
-		s.ownLimiters[i].restore(&from.Limiters[i])
+	for i := range ep.ownLimiters {
+		ep.ownLimiters[i].restore(&from.Limiters[i])
 	}
 }
 
 // restore takes a limit over. One of zero is passed over: nothing would be sent, and the limit would never rise.
-func (m *limiter) restore(from *LimiterSnapshot) {
+func (lim *limiter) restore(from *LimiterSnapshot) {
 	if from.Limit > 0 {
-		m.limit, m.reducedAt, m.samples = from.Limit, from.ReducedAt, restoreSamples(from.Samples)
+		lim.limit, lim.reducedAt, lim.samples = from.Limit, from.ReducedAt, restoreSamples(from.Samples)
 	}
 }
 
@@ -228,8 +228,8 @@
 			out[id] = counts
 		}
 	}
-	for _, s := range r.ordered {
-		add(s.id, &s.ownLimiters)
+	for _, ep := range r.ordered {
+		add(ep.id, &ep.ownLimiters)
 	}
 	add("", &r.bypassLimiters)
 	return out
@@ -241,9 +241,9 @@
 	for i := range r.bypassLimiters {
 		r.bypassLimiters[i].otherInFlight = counts[""][i]
 	}
-	for _, s := range r.ordered {
-		for i := range s.ownLimiters {
-			s.ownLimiters[i].otherInFlight = counts[s.id][i]
+	for _, ep := range r.ordered {
+		for i := range ep.ownLimiters {
+			ep.ownLimiters[i].otherInFlight = counts[ep.id][i]
 		}
 	}
 }
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -22,9 +22,9 @@
 	r.dropSettledPurges()
 	r.updateHealth()
 	r.forgetGoneEndpoints()
-	r.open = slices.DeleteFunc(r.open, func(t *request) bool { return t.state == stateClosed })
-	for _, t := range r.open {
-		r.sweepRequest(t)
+	r.open = slices.DeleteFunc(r.open, func(req *request) bool { return req.state == stateClosed })
+	for _, req := range r.open {
+		r.sweepRequest(req)
 	}
 }
 
@@ -38,26 +38,26 @@
 
 // sweepRequest sends an attempt that is due, takes in those that are overdue, and goes on from one whose endpoint
 // failed.
-func (r *Router) sweepRequest(t *request) {
-	if t.retryAt > 0 && r.now >= t.retryAt {
-		r.advance(t, inputRetryDue)
+func (r *Router) sweepRequest(req *request) {
+	if req.retryAt > 0 && r.now >= req.retryAt {
+		r.advance(req, inputRetryDue)
 		return
 	}
-	for i := range t.attempts {
-		if a := &t.attempts[i]; a.inFlight && r.overdue(t, a) {
-			r.observeAttempt(t, a, false)
+	for i := range req.attempts {
+		if a := &req.attempts[i]; a.inFlight && r.overdue(req, a) {
+			r.observeAttempt(req, a, false)
 		}
 	}
-	last := &t.attempts[len(t.attempts)-1] // an open request has had one
-	if last.inFlight && !last.lost && r.lost(t, last) {
+	last := &req.attempts[len(req.attempts)-1] // an open request has had one
+	if last.inFlight && !last.lost && r.lost(req, last) {
 		last.lost = true
-		t.failed = append(t.failed, last.endpoint)
-		r.advance(t, inputEndpointLost)
+		req.failed = append(req.failed, last.endpoint)
+		r.advance(req, inputEndpointLost)
 	}
 }
 
 // lost tells whether an attempt's endpoint failed meanwhile, or the source of its fill some time ago.
-func (r *Router) lost(t *request, a *attempt) bool {
-	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > t.class.latencyObjective/2
+func (r *Router) lost(req *request, a *attempt) bool {
+	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > req.class.latencyObjective/2
 	return stuck || a.endpoint.health == ejected
 }
