--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -21,7 +21,7 @@
 	late     bool // counted as overdue
 }
 
-// release gives back the capacity that an attempt has taken.
+// release frees the capacity that an attempt has taken.
 func (a *attempt) release() {
 	a.inFlight = false
 	a.endpoint.limiters[a.kind].inFlight--
@@ -170,13 +170,13 @@
 	r.advance(req, meaning.input)
 }
 
-// learn takes from an attempt's end what it tells of capacity: that of the endpoint, the source and the origin.
+// learn takes from an attempt's end what it shows of the capacity of the endpoint, the source and the origin.
 func (r *Router) learn(e *Event, req *request, a *attempt) {
 	if e.Outcome == OutcomeDone && req.transferTime == 0 && !req.class.write {
 		req.class.transferTimes = addRecent(req.class.transferTimes, e.RTT)
 	}
-	telling := r.tellsOfCapacity(e)
-	if telling && e.Outcome != OutcomeMiss {
+	significant := r.showsCapacity(e)
+	if significant && e.Outcome != OutcomeMiss {
 		r.observeAttempt(req, a, e.Outcome == OutcomeDone && !r.overdue(req, a))
 	}
 	if a.kind != attemptFill || req.class.write {
@@ -190,14 +190,14 @@
 		r.originDelay.observeFailure()
 		req.admissionDraw = 1 // one fill is enough of an origin that fails
 	}
-	if telling {
+	if significant {
 		r.fillSamples = addSample(r.fillSamples, r.now, e.Outcome != OutcomeDone)
 	}
 }
 
-// tellsOfCapacity tells whether an attempt's end tells anything of its endpoint's capacity. A reset does not; nor,
+// showsCapacity reports whether an attempt's end shows anything of its endpoint's capacity. A reset does not; nor,
 // where reasons are given, does an error without one.
-func (r *Router) tellsOfCapacity(e *Event) bool {
+func (r *Router) showsCapacity(e *Event) bool {
 	switch e.Outcome {
 	case OutcomeCanceled, OutcomeConnectionReset:
 		return false
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// benchRouter gives a router that knows some caches, a parent and the origin.
+// benchRouter returns a router that knows some caches, a parent and the origin.
 func benchRouter(caches int) *policy.Router {
 	list := []policy.Endpoint{
 		{ID: "p:1", Zone: "hub", Kind: "parent", State: "active", Weight: 40},
@@ -96,7 +96,7 @@
 	}
 }
 
-// endpointOf gives the endpoint of the attempt among some actions.
+// endpointOf returns the endpoint of the attempt among some actions.
 func endpointOf(actions []policy.Action) string {
 	for _, a := range actions {
 		if a.Kind == policy.ActionSend {
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// saturated tells whether a limiter has no capacity for the request. Requests of low priority are turned away
+// saturated reports whether a limiter has no capacity for the request. Requests of low priority are turned away
 // first: the lowest at half the limit, the highest at half above it. A limit below one is a chance.
 func (r *Router) saturated(req *request, lim *limiter) bool {
 	const lowestShare = 0.5
@@ -55,7 +55,7 @@
 	return lim.inFlight+lim.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
 }
 
-// idle tells whether a cache has capacity for requests of a saturated one. It is strict: where all are saturated,
+// idle reports whether a cache has capacity for requests of a saturated one. It is strict: where all are saturated,
 // copies should not be scattered.
 func (r *Router) idle(ep *endpoint) bool {
 	const lateOneIn, inFlightOneIn = 16, 3
@@ -64,7 +64,7 @@
 	return lateOneIn*late < max(all, 1) && inFlightOneIn*(lim.inFlight+lim.otherInFlight) < lim.limit
 }
 
-// initLimiters gives an endpoint the limiters that bound it, and those that are new a limit.
+// initLimiters assigns the limiters that bound an endpoint, and sets the limit of new ones.
 func (r *Router) initLimiters(ep *endpoint) {
 	if ep.role != roleCache {
 		ep.limiters = &r.bypassLimiters
@@ -79,7 +79,7 @@
 	}
 }
 
-// initBypassLimiters gives limits for attempts past the caches where no cache was ever listed.
+// initBypassLimiters sets limits for attempts past the caches where no cache was ever listed.
 func (r *Router) initBypassLimiters() {
 	for i := range r.bypassLimiters {
 		r.bypassLimiters[i].limit = cmp.Or(r.bypassLimiters[i].limit, initialLimit*r.config.zoneShare)
--- a/internal/policy/deadline.go
+++ b/internal/policy/deadline.go
@@ -1,7 +1,7 @@
 package policy
 
 // requestObjective is the time within which the response to a request is worth most: the class's latency objective,
-// and more for a longer transfer. Where the size is not told, half the class's objective stands for the transfer
+// and more for a longer transfer. Where the size is unknown, half the class's objective stands for the transfer
 // time; observed ones would grow with the load.
 func (c *trafficClass) requestObjective(transferTime int64) int64 {
 	if transferTime == 0 {
@@ -10,7 +10,7 @@
 	return c.latencyObjective + int64(c.objectiveStretch*float64(transferTime))
 }
 
-// overdue tells whether an attempt counts as late: from four fifths of the latency objective on, so that limits
+// overdue reports whether an attempt counts as late: from four fifths of the latency objective on, so that limits
 // come down before responses miss it.
 func (r *Router) overdue(req *request, a *attempt) bool {
 	const numerator, denominator = 4, 5
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -15,7 +15,7 @@
 // Each decision stands in the file that is named for it:
 //
 //	admission.go          which objects a cache shall keep
-//	attempt.go            sending an attempt, and what its end tells
+//	attempt.go            sending an attempt, and learning from its end
 //	concurrencylimit.go   how many attempts of a kind an endpoint is given at once
 //	deadline.go           latency objective and time limit of an attempt
 //	endpointlist.go       the list that discovery gives
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -30,14 +30,14 @@
 	return -ep.hashWeight / math.Log(uniform)
 }
 
-// usable tells whether an endpoint may be sent the request now, or be its fill source. One on probation is given
+// usable reports whether an endpoint may be sent the request now, or be its fill source. One on probation is given
 // one attempt at a time, none where a health check decides.
 func (r *Router) usable(ep *endpoint, req *request) bool {
 	onTrial := ep.health == probation && (ep.inFlight > 0 || r.config.healthChecks)
 	return ep.active && ep.health != ejected && !onTrial && r.slowStartAllows(ep, req)
 }
 
-// selectEndpoint gives the usable endpoint of a role that scores highest for the request's object, those that
+// selectEndpoint returns the usable endpoint of a role that scores highest for the request's object, those that
 // failed the request after all others; nil if there is none. A filter leaves out more.
 func (r *Router) selectEndpoint(req *request, role role, filter func(*endpoint) bool) *endpoint {
 	var best *endpoint
@@ -58,7 +58,7 @@
 	return best
 }
 
-// fillSource gives the endpoint that a cache shall fill from: a parent, or the origin where no parent is left
+// fillSource returns the endpoint that a cache shall fill from: a parent, or the origin where no parent is left
 // that has not failed the request.
 func (r *Router) fillSource(req *request) *endpoint {
 	if p := r.selectEndpoint(req, roleParent, nil); p != nil && !slices.Contains(req.failed, p) {
@@ -67,7 +67,7 @@
 	return r.origin
 }
 
-// route gives the endpoint that the request is sent to and the source that this fills from; nil if there is none.
+// route returns the endpoint that the request is sent to and the source that this fills from; nil if there is none.
 // Writes go to the origin, past the caches where the site allows that; reads pass them if no cache is usable.
 func (r *Router) route(req *request) (target, source *endpoint) {
 	if req.class.write && r.config.bypassCaches {
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// newRouter gives a Router that knows the list; change edits its settings first.
+// newRouter returns a Router that knows the list; change edits its settings first.
 func newRouter(change func(*Settings)) *Router {
 	set := testSettings()
 	if change != nil {
@@ -71,7 +71,7 @@
 	return Event{Kind: EventAttemptEnded, Request: "t", Endpoint: endpoint, Outcome: outcome}
 }
 
-// onlyAction gives the one action of a kind, or fails the test.
+// onlyAction returns the one action of a kind, or fails the test.
 func onlyAction(t *testing.T, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// shedLoad tells whether the request shall take nothing from the origin. Its draw is kept, so that a request
+// shedLoad reports whether the request shall take nothing from the origin. Its draw is kept, so that a request
 // once left out stays so while the origin gets no faster.
 func (r *Router) shedLoad(req *request) bool {
 	d := &r.originDelay
--- a/internal/policy/loadshedding_test.go
+++ b/internal/policy/loadshedding_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// fill sends a request for an object and ends its attempt; it tells whether that was to fill.
+// fill sends a request for an object and ends its attempt; it reports whether that was to fill.
 func fill(r *Router, n int, end Event) bool {
 	e := newRequest("read")
 	e.Request, e.Object = "f"+string(rune('a'+n%26))+string(rune('0'+n/26%10)), string(rune('a'+n%26))
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -30,7 +30,7 @@
 	OutcomeSkipped:           "skipped",
 }
 
-// String gives the outcome's name in records and on the simulator's wire.
+// String returns the outcome's name in records and on the simulator's wire.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -38,7 +38,7 @@
 	return ""
 }
 
-// NeverExecuted tells whether the outcome proves that the attempt was not executed.
+// NeverExecuted reports whether the outcome proves that the attempt was not executed.
 func (o Outcome) NeverExecuted() bool {
 	switch o {
 	case OutcomeBusy, OutcomeMiss, OutcomeConnectionRefused, OutcomeSkipped:
@@ -62,9 +62,9 @@
 	ReasonUpstreamBusy               // the source refused the fill
 	ReasonUpstreamDown               // the source was out of reach
 	ReasonUpstreamMiss               // the source has no copy and may not fetch one
-	ReasonNoFill                     // the cache was told not to fill
+	ReasonNoFill                     // the cache was not to fill
 	ReasonOriginError                // the origin failed the fill
 )
 
-// SourceFailed tells whether the note says that the fill's source gave no copy.
+// SourceFailed reports whether the note says that the fill's source gave no copy.
 func (r Reason) SourceFailed() bool { return r >= ReasonUpstreamBusy && r != ReasonNoFill }
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -19,7 +19,7 @@
 	anyHealth = healthy | suspect | ejected | probation
 )
 
-// signal is what an event tells of an endpoint's health.
+// signal is what an event means for an endpoint's health.
 type signal uint8
 
 const (
@@ -29,7 +29,7 @@
 	signalSilent                     // it said nothing for far longer than usual
 	signalLateFills                  // fills from it are late, those from others are not
 	signalEjectionOver               // its ejection is over
-	signalRestarted                  // the endpoint list tells of a new start
+	signalRestarted                  // the endpoint list shows a new start
 )
 
 // healthTransitions follow from signals alone, whatever their cause. One failure may be chance; another some time
@@ -90,7 +90,7 @@
 // maxEjections bounds the count from which the ejection time is shifted.
 const maxEjections = 8
 
-// checkHealth sends a health check where that is allowed; else the next attempt tells.
+// checkHealth sends a health check where that is allowed; else the next attempt decides.
 func (r *Router) checkHealth(ep *endpoint) {
 	if r.config.healthChecks {
 		r.do(Action{Kind: ActionHealthCheck, Endpoint: ep.id})
@@ -129,7 +129,7 @@
 	}
 }
 
-// hasTimelierSource tells whether another source has at most half as large a share of late fills.
+// hasTimelierSource reports whether another source has at most half as large a share of late fills.
 func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
 	const times, leastSamples = 2, minSamples / 2
 	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
--- a/internal/policy/purgeage.go
+++ b/internal/policy/purgeage.go
@@ -34,7 +34,7 @@
 	return age
 }
 
-// covers tells whether a purge concerns the request's object.
+// covers reports whether a purge concerns the request's object.
 func (p *purge) covers(req *request) bool {
 	return p.object == req.object || p.object == "" && p.group == req.group
 }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -25,7 +25,7 @@
 	deadline int64
 	priority float64 // weight for transfer time
 
-	transferTime     int64   // by its size; 0: not told
+	transferTime     int64   // by its size; 0: unknown
 	latencyObjective int64   // see requestObjective
 	cost             int64   // what an attempt takes of slow-start budgets: the transfer time ...
 	costVariance     float64 // ... or its mean and variance in the class
@@ -128,7 +128,7 @@
 	r.advance(req, inputArrived)
 }
 
-// class gives a request's traffic class. One that the settings do not name is taken for unsafe.
+// class returns a request's traffic class. One that the settings do not name is taken for unsafe.
 func (r *Router) class(e *Event) *trafficClass {
 	class := r.classes[e.Class]
 	if class == nil {
@@ -143,7 +143,7 @@
 func (r *Router) setPriority(req *request, sizeKB float64) {
 	const smallest = 8
 	class := req.class
-	transfer := class.latencyObjective // where sizes are not told
+	transfer := class.latencyObjective // where sizes are unknown
 	if sizeKB > 0 && r.config.transferRate > 0 {
 		req.transferTime = int64(sizeKB / r.config.transferRate)
 		class.transferTimes = addRecent(class.transferTimes, req.transferTime)
@@ -162,12 +162,12 @@
 	}
 }
 
-// inFlight tells whether an attempt is in flight.
+// inFlight reports whether an attempt is in flight.
 func (req *request) inFlight() bool {
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-// maybeExecuted tells whether an attempt may have been executed, or may yet be.
+// maybeExecuted reports whether an attempt may have been executed, or may yet be.
 func (req *request) maybeExecuted() bool { return req.state == stateMaybeExecuted || req.inFlight() }
 
 // rejectOrFail answers the request for good: rejected where its repetition by the client is harmless.
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -13,7 +13,7 @@
 	notIdempotent
 )
 
-// idempotencyOf gives the idempotency of a traffic class.
+// idempotencyOf returns the idempotency of a traffic class.
 func idempotencyOf(effect Effect, group DedupGroup) idempotency {
 	switch {
 	case effect == EffectIdempotent:
@@ -43,7 +43,7 @@
 	notIdempotent: {},
 }
 
-// retryPermitted tells whether the request may be sent to an endpoint without the danger of a second effect.
+// retryPermitted reports whether the request may be sent to an endpoint without the danger of a second effect.
 func (r *Router) retryPermitted(req *request, ep *endpoint) bool {
 	if !req.maybeExecuted() {
 		return true
@@ -111,7 +111,7 @@
 	}
 }
 
-// fillsFail tells whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
+// fillsFail reports whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
 // overload then, at the cost of writes.
 func (r *Router) fillsFail() bool {
 	const failedOneIn = 4
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -50,9 +50,9 @@
 	slowStart        [roles]slowStartBudget
 	overloadWindow   int64
 	silenceLimit     int64   // how long an endpoint may say nothing with attempts in flight
-	transferRate     float64 // KB in a microsecond; 0: not told
+	transferRate     float64 // KB in a microsecond; 0: unknown
 	purgeSettleTime  int64   // within which a purge has reached all caches
-	retryAfter       int64   // that rejected clients are told; 0: none
+	retryAfter       int64   // sent to rejected clients; 0: none
 	maxAttempts      int
 	maxCachedObjects int // that a router remembers of a cache
 
@@ -142,7 +142,7 @@
 	return max(s.Routers, 1)
 }
 
-// roles gives the role of each kind of endpoint.
+// roles returns the role of each kind of endpoint.
 func (s *Settings) roles() map[string]role {
 	roles := map[string]role{}
 	for i, kind := range s.EndpointKinds {
--- a/internal/policy/samples.go
+++ b/internal/policy/samples.go
@@ -46,7 +46,7 @@
 	return append(values, v)
 }
 
-// mean gives the mean of values, or a default where there are none.
+// mean returns the mean of values, or a default where there are none.
 func mean(values []int64, without int64) int64 {
 	if len(values) == 0 {
 		return without
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -17,7 +17,7 @@
 const (
 	// budgetShare is the part of the budget that is used. The rest covers routers that learn late of a start.
 	budgetShare = 0.75
-	// budgetDeviations of the summed work stay free as well where sizes are not told: few requests may all be
+	// budgetDeviations of the summed work stay free as well where sizes are unknown: few requests may all be
 	// large ones.
 	budgetDeviations = 3
 )
@@ -25,8 +25,8 @@
 // reservation is work sent to an endpoint in slow start.
 type reservation struct {
 	at       int64
-	work     int64   // transfer time; the mean of the class where sizes are not told
-	variance float64 // of the work; 0 where sizes are told
+	work     int64   // transfer time; the mean of the class where sizes are unknown
+	variance float64 // of the work; 0 where sizes are known
 }
 
 // slowStartBegan is when an endpoint's slow start began. A cache that is readmitted may have been restarted: it is
@@ -39,13 +39,13 @@
 	return ep.startedAt
 }
 
-// warm tells whether an endpoint's slow start is over.
+// warm reports whether an endpoint's slow start is over.
 func (r *Router) warm(ep *endpoint) bool {
 	began := r.slowStartBegan(ep)
 	return began == 0 || r.now-began >= r.config.slowStart[ep.role].duration
 }
 
-// slowStartAllows tells whether an endpoint may be sent the request: any once it is warm, else what this
+// slowStartAllows reports whether an endpoint may be sent the request: any once it is warm, else what this
 // router's share of its budget leaves within the overload window.
 func (r *Router) slowStartAllows(ep *endpoint, req *request) bool {
 	if r.warm(ep) {
--- a/internal/policy/slowstartsearch_test.go
+++ b/internal/policy/slowstartsearch_test.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	searchWork   = 200 * millisecond // of a request, by its class's latency objective: sizes are not told
+	searchWork   = 200 * millisecond // of a request, by its class's latency objective: sizes are unknown
 	searchWeight = 30
 	// searchBudget is what the cache takes within a window at its start.
 	searchBudget = 0.2 * 2 * searchWeight * float64(second)
@@ -90,7 +90,7 @@
 	return n
 }
 
-// use gives a router requests until it sends the cache no more.
+// use hands a router requests until it sends the cache no more.
 func (z *slowStartZone) use(i int) {
 	r := z.routers[i]
 	if r == nil || z.stopped[i] {
@@ -106,7 +106,7 @@
 	}
 }
 
-// request gives a router one request and tells whether it was sent to the cache. It ends at once and well, so that
+// request hands a router one request and reports whether it was sent to the cache. It ends at once and well, so that
 // only the budget holds the next one back.
 func (z *slowStartZone) request(r *Router) (sent bool) {
 	z.requests++
@@ -125,7 +125,7 @@
 	return sent
 }
 
-// overBudget tells whether the cache was sent more than its budget within a window.
+// overBudget reports whether the cache was sent more than its budget within a window.
 func (z *slowStartZone) overBudget() bool {
 	z.reservations = slices.DeleteFunc(z.reservations, func(p reservation) bool { return p.at <= z.now-second })
 	sum := int64(0)
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -78,7 +78,7 @@
 // ErrSnapshot says that a snapshot has another shape, and that nothing of it was taken over.
 var ErrSnapshot = errors.New("learned state of another shape")
 
-// Snapshot gives what the Router has learned. It shares no memory with it.
+// Snapshot returns what the Router has learned. It shares no memory with it.
 func (r *Router) Snapshot() *Snapshot {
 	sketch := r.popularity.State()
 	s := &Snapshot{
@@ -213,10 +213,10 @@
 	return out
 }
 
-// last gives the last elements of a list, at most so many.
+// last returns the last elements of a list, at most so many.
 func last[T any](list []T, most int) []T { return list[max(len(list)-most, 0):] }
 
-// InFlight gives the attempts in flight, by endpoint and kind. Those that pass the caches stand under "".
+// InFlight returns the attempts in flight, by endpoint and kind. Those that pass the caches stand under "".
 func (r *Router) InFlight() map[string][attemptKinds]float64 {
 	out := map[string][attemptKinds]float64{}
 	add := func(id string, limiters *[attemptKinds]limiter) {
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// lost tells whether an attempt's endpoint failed meanwhile, or the source of its fill some time ago.
+// lost reports whether an attempt's endpoint failed meanwhile, or the source of its fill some time ago.
 func (r *Router) lost(req *request, a *attempt) bool {
 	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > req.class.latencyObjective/2
 	return stuck || a.endpoint.health == ejected
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -86,7 +86,7 @@
 type Limits struct {
 	Cancel          bool // withdrawing attempts
 	HealthChecks    bool
-	RetryAfter      bool // telling rejected clients how long to stay away
+	RetryAfter      bool // sending Retry-After to rejected clients
 	Hedging         bool // a second attempt while one is in flight
 	MaxAttempts     int
 	MaxOpenRequests int   // 0: any number
@@ -109,7 +109,7 @@
 	RoutersByZone          []int // parallel to Settings.Zones
 }
 
-// EventKind tells which fields of an Event are set.
+// EventKind says which fields of an Event are set.
 type EventKind uint8
 
 // The events.
@@ -128,7 +128,7 @@
 	EventOtherGeneration                  // the router has another process: InFlight
 )
 
-// Event is one thing that a Router is told.
+// Event is one input of a Router.
 type Event struct {
 	Kind EventKind
 
@@ -142,7 +142,7 @@
 	Object      string
 	Group       int64   // of objects that are purged together
 	Part        int64   // of the object
-	SizeKB      float64 // of the response; 0: not told
+	SizeKB      float64 // of the response; 0: unknown
 	Remaining   int64   // until its deadline
 	ClientRetry bool    // the client marked it as a retry
 	Write       bool
@@ -206,7 +206,7 @@
 	StartedAt int64   // 0: long past
 }
 
-// ActionKind tells which fields of an Action are set.
+// ActionKind says which fields of an Action are set.
 type ActionKind uint8
 
 // The actions.
@@ -222,7 +222,7 @@
 	ActionPanic                         // the decisions failed, with Text
 )
 
-// Action is one thing that a Router decides on.
+// Action is one output of a Router.
 type Action struct {
 	Kind          ActionKind
 	Request       string
@@ -234,7 +234,7 @@
 	SendBefore    int64  // an attempt with an idempotency key must be written before; 0: no bound
 	FillMode      FillMode
 	Attempt       int   // index among the request's attempts
-	RetryAfter    int64 // how long a rejected client shall stay away; 0: not told
+	RetryAfter    int64 // how long a rejected client shall wait; 0: not said
 	Due           int64
 	Token         int64
 	Text          string
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,7 +40,7 @@
 		Cancel           bool // attempts may be withdrawn
 		PeerMessages     bool // routers may talk to each other
 		Probes           bool // health checks are allowed
-		RetryAfter       bool // rejected clients may be told how long to stay away
+		RetryAfter       bool // rejected clients may be sent Retry-After
 		SecondCopies     bool // hedged requests are allowed
 		MostTries        int  // attempts of a request
 		MaxOpen          int  // open requests
@@ -108,7 +108,7 @@
 	"cell": policy.DedupGroupCell,
 }
 
-// at gives an element of a list, or zero where the list is shorter.
+// at returns an element of a list, or zero where the list is shorter.
 func at[T any](list []T, i int) (v T) {
 	if i < len(list) {
 		v = list[i]
@@ -116,7 +116,7 @@
 	return v
 }
 
-// PolicySettings gives what the decisions use of the settings object.
+// PolicySettings returns what the decisions use of the settings object.
 func (s *Setup) PolicySettings() policy.Settings {
 	out := policy.Settings{
 		Routers:       s.Siblings,
@@ -182,7 +182,7 @@
 	return h
 }
 
-// class gives a traffic class; what FamilyInfo says of classes stands in lists parallel to them.
+// class returns a traffic class; what FamilyInfo says of classes stands in lists parallel to them.
 func (s *Setup) class(i int) policy.TrafficClass {
 	k, f := &s.Classes[i], &s.FamilyInfo
 	return policy.TrafficClass{
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -28,10 +28,10 @@
 	VerbPowerOn   = "PowerOn"   // start a router
 	VerbDetach    = "Detach"    // end a router
 	VerbInventory = "Inventory" // an endpoint list, for later
-	VerbDiscovery = "Discovery" // a router is told of an endpoint list
+	VerbDiscovery = "Discovery" // an endpoint list for a router
 )
 
-// eventKinds are the verbs that a router is told.
+// eventKinds are the verbs of events for a router.
 var eventKinds = map[string]policy.EventKind{
 	VerbDiscovery:   policy.EventEndpoints,
 	"NewRequest":    policy.EventRequest,
@@ -62,7 +62,7 @@
 	attrWrite = 1 << 2
 )
 
-// KnownVerb tells whether a verb is one of the wire's events.
+// KnownVerb reports whether a verb is one of the wire's events.
 func KnownVerb(verb string) bool {
 	switch verb {
 	case VerbPowerOn, VerbDetach, VerbInventory:
--- a/internal/simwire/response.go
+++ b/internal/simwire/response.go
@@ -85,5 +85,5 @@
 
 func millis(micros int64) float64 { return float64(micros) / 1000 }
 
-// copyOf gives a pointer to a value that is written even if it is zero; the caller reuses its actions.
+// copyOf returns a pointer to a value that is written even if it is zero; the caller reuses its actions.
 func copyOf[T any](v T) *T { return &v }
