--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -50,9 +50,9 @@
 	slowStart        [roles]slowStartBudget
 	overloadWindow   int64
 	silenceLimit     int64   // how long an endpoint may say nothing with attempts in flight
-	transferRate     float64 // KB in a microsecond; 0: not told
+	transferRate     float64 // KB in a microsecond; 0: unknown
 	purgeSettleTime  int64   // within which a purge has reached all caches
-	retryAfter       int64   // that rejected clients are told; 0: none
+	retryAfter       int64   // sent to rejected clients; 0: none
 	maxAttempts      int
 	maxCachedObjects int // that a router remembers of a cache
 
@@ -142,7 +142,7 @@
 	return max(s.Routers, 1)
 }
 
-// roles gives the role of each kind of endpoint.
+// roles returns the role of each kind of endpoint.
 func (s *Settings) roles() map[string]role {
 	roles := map[string]role{}
 	for i, kind := range s.EndpointKinds {
@@ -169,7 +169,7 @@
 // Handle takes one event at the given time and appends the actions that it leads to.
 func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
 	r.now, r.actions = now, actions
-	s, t := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
+	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
 	switch e.Kind {
 	case EventEndpoints:
 		r.updateEndpoints(e.Scope, e.Endpoints)
@@ -178,14 +178,14 @@
 	case EventLocalHit: // answered from copies of the router's own
 		r.countRequest(hash(e.Object, uint64(e.Part)))
 	case EventAttemptEnded:
-		r.endAttempt(&e, s, t)
+		r.endAttempt(&e, ep, req)
 	case EventResponseStarted:
-		r.observe(s, signalAnswered)
-		r.advance(t, inputStarted)
+		r.observe(ep, signalAnswered)
+		r.advance(req, inputStarted)
 	case EventClientGone:
-		r.advance(t, inputFinal)
+		r.advance(req, inputFinal)
 	case EventHealthCheck:
-		r.observeHealthCheck(s, e.Outcome)
+		r.observeHealthCheck(ep, e.Outcome)
 	case EventPurge:
 		r.notePurge(e.Object, e.Group, e.Age)
 	case EventSlowStartHold:
