--- a/cmd/quilldoor-lab/changes.go
+++ b/cmd/quilldoor-lab/changes.go
@@ -145,7 +145,7 @@
 		out := &changeRun{took: hdrhistogram.New(1, 60_000_000, 3)}
 		rules := map[string]float64{}
 		sla := map[string]int64{}
-		for _, k := range s.Rules() {
+		for _, k := range s.Classes() {
 			rules[k.Name], sla[k.Name] = k.PriorityWeight, k.LatencyObjective
 		}
 		type open struct {
--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -53,7 +53,7 @@
 }
 
 // welcome tells what can be done with the demo.
-func welcome(to io.Writer, s *scenario.Script, addrs []string) {
+func welcome(to io.Writer, s *scenario.Scenario, addrs []string) {
 	w := simulation.New(s, s.Seed, nil)
 	const object = "o1" // a page: even numbers are videos
 	_, group, _, _ := w.Object(object, 0)
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -138,7 +138,7 @@
 }
 
 // printResult writes a result for people.
-func printResult(to io.Writer, s *scenario.Script, r *emulator.Result) {
+func printResult(to io.Writer, s *scenario.Scenario, r *emulator.Result) {
 	fmt.Fprintf(to, "%s: %s\n", s.Name, s.About)
 	for _, t := range r.Troubles {
 		fmt.Fprintln(to, "  ", t)
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -40,7 +40,7 @@
 	f.StringSliceVar(&space.Kinds, "kinds", nil, "of trouble; else all")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		for _, k := range space.Kinds {
-			if _, known := scenario.Kinds[k]; !known {
+			if _, known := scenario.FaultKinds[k]; !known {
 				return fmt.Errorf("--kinds: %q is no trouble", k)
 			}
 		}
@@ -77,7 +77,7 @@
 		}
 		each(len(cut), jobs, func(i int) {
 			d := cut[i]
-			d.Script, _ = faultsearch.Shrink(d.Script, func(s *scenario.Script) bool {
+			d.Script, _ = faultsearch.Shrink(d.Script, func(s *scenario.Scenario) bool {
 				what, worth := playDay(c.Context(), s)
 				if what == d.What {
 					d.Worth = worth
@@ -110,7 +110,7 @@
 }
 
 // playDay plays a day; what is "" where all rules are kept.
-func playDay(ctx context.Context, s *scenario.Script) (what string, worth float64) {
+func playDay(ctx context.Context, s *scenario.Scenario) (what string, worth float64) {
 	defer func() {
 		if r := recover(); r != nil {
 			what = fmt.Sprintf("panic: %v", r)
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -78,7 +78,7 @@
 			s, e := scenarios.Load(name)
 			var r *emulator.Result
 			if e == nil {
-				s.Fleet.Members = members
+				s.Fleet.Membership = members
 				if share >= 0 {
 					kill(s, share)
 				}
@@ -99,10 +99,10 @@
 	return p, err
 }
 
-func kill(s *scenario.Script, share float64) {
-	for i := range s.Troubles {
-		if s.Troubles[i].Kind == "router_dies" {
-			s.Troubles[i].Share = share
+func kill(s *scenario.Scenario, share float64) {
+	for i := range s.Faults {
+		if s.Faults[i].Kind == "router_dies" {
+			s.Faults[i].Share = share
 			return
 		}
 	}
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -169,7 +169,7 @@
 func playRollout(ctx context.Context, program string, seed uint64, txns, length float64, rolls bool) (r *emulator.Result, took time.Duration, err error) {
 	const tries = 3
 	for range tries {
-		var s *scenario.Script
+		var s *scenario.Scenario
 		if s, err = scenario.Parse("rollout", fmt.Appendf(nil, costFleet, length, txns)); err != nil {
 			return nil, 0, err
 		}
--- a/cmd/quilldoor/members_test.go
+++ b/cmd/quilldoor/members_test.go
@@ -161,7 +161,7 @@
 	addrs := []string{reserveAddress(t), reserveAddress(t)} // for clients by TCP, and for members by UDP
 	start := func(i int, permit bool) (*exec.Cmd, *strings.Builder) {
 		s := scenario.Default()
-		s.Fleet.Members = permit
+		s.Fleet.Membership = permit
 		text, _ := json.Marshal(map[string]any{
 			"name": fmt.Sprint("n", i), "listen": addrs[i], "seed": "1", "board": "127.0.0.1:1",
 			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0), "known": json.RawMessage(`{"rev":0,"notices":[]}`),
--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -17,12 +17,12 @@
 		n := size.offices * size.caches
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := scenario.Default()
-			s.LengthS, s.SettleS = max(4000/float64(n), 8), 2
+			s.LengthS, s.WarmUpS = max(4000/float64(n), 8), 2
 			s.Fleet.Offices, s.Fleet.Caches, s.Fleet.Trunks = size.offices, size.caches, min(size.offices, 5)
-			s.Fleet.Parents, s.Fleet.LedgerWork = max(size.offices/15, 1), 2*n
-			s.Load.TxnsPerS = 13 * float64(n)
+			s.Fleet.Parents, s.Fleet.OriginWorkers = max(size.offices/15, 1), 2*n
+			s.Load.RequestsPerS = 13 * float64(n)
 			if n == 1000 {
-				s.Load.TxnsPerS, s.Fleet.Cores = 20_000, 8
+				s.Load.RequestsPerS, s.Fleet.Cores = 20_000, 8
 			}
 			txns, hops := 0, 0
 			var before, after runtime.MemStats
--- a/internal/emulator/detect.go
+++ b/internal/emulator/detect.go
@@ -61,7 +61,7 @@
 		return nil, 0, err
 	}
 	s := scenario.Default()
-	s.Fleet.Members = true
+	s.Fleet.Membership = true
 	start := func(i int) (*exec.Cmd, error) {
 		own, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{Name: nameOf(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
 		if err != nil {
--- a/internal/emulator/members.go
+++ b/internal/emulator/members.go
@@ -111,7 +111,7 @@
 
 // know gives the routers of the virtual clock their knowledge of each other.
 func (v *virtual) know() {
-	if !v.set.Fleet.Members {
+	if !v.set.Fleet.Membership {
 		return
 	}
 	count := v.world.Routers()
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -19,7 +19,7 @@
 	site := func(x *process) string { return scenario.Zone(r.set.Fleet.Site(r.world.Office(x.id))) }
 	file := func(name string) string { return filepath.Join(r.dir, name) }
 	var own operatorconfig.Config
-	if r.set.Fleet.Members {
+	if r.set.Fleet.Membership {
 		if own.Membership, err = r.membersPart(); err != nil {
 			return err
 		}
@@ -46,9 +46,9 @@
 			return err
 		}
 	}
-	if f := &r.set.Fleet; f.Keep && !r.earlier() {
+	if f := &r.set.Fleet; f.Supervised && !r.earlier() {
 		own.Supervisor = &operatorconfig.Supervisor{Dir: (&Kept{r.sockets}).Folder(r.id), ReadyTimeoutS: keptReady, TrialS: f.TrialS}
-		if f.Members {
+		if f.Membership {
 			own.Supervisor.RolloutPlan = (&Kept{r.sockets}).Plan()
 		}
 	}
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/rollouts.go
@@ -85,7 +85,7 @@
 }
 
 // VirtualRollout plays a script with a rollout in it.
-func VirtualRollout(ctx context.Context, s *scenario.Script, seed uint64, set Rolling) (*Rolled, error) {
+func VirtualRollout(ctx context.Context, s *scenario.Scenario, seed uint64, set Rolling) (*Rolled, error) {
 	if n := s.Fleet.Offices * s.Fleet.Routers; n != len(set.Plan.Routers) {
 		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, n, len(set.Plan.Routers))
 	}
@@ -97,7 +97,7 @@
 	}
 	rules := map[string]float64{}
 	sla := map[string]int64{}
-	for _, k := range s.Rules() {
+	for _, k := range s.Classes() {
 		rules[k.Name], sla[k.Name] = k.PriorityWeight, k.LatencyObjective+int64(k.ObjectiveStretch*250_000)
 	}
 	type taken struct {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -238,7 +238,7 @@
 	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Reason, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
 	var body []byte
 	if word == cacheproto.StatusOK {
-		if w.Rule == scenario.Accept {
+		if w.Rule == scenario.ClassAccept {
 			body = append([]byte(secondKey), h.body...)
 		} else {
 			body = bodyOf(w.Object, w.Part, e.Issued, w.SizeKB)
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -59,7 +59,7 @@
 // world and what is below it; all others send it what comes in.
 type sockets struct {
 	opt     Options
-	set     *scenario.Script
+	set     *scenario.Scenario
 	world   *simulation.World
 	referee *checker.Checker
 	routers []*process
@@ -113,11 +113,11 @@
 
 // Sockets plays a script in real time: it listens on loopback for all that routers
 // talk to, and starts a router process for each.
-func Sockets(ctx context.Context, s *scenario.Script, opt Options, conf Routers) (*Result, error) {
+func Sockets(ctx context.Context, s *scenario.Scenario, opt Options, conf Routers) (*Result, error) {
 	f := &s.Fleet
 	routers := f.Offices * f.Routers
 	n := routers * (f.Offices*f.Caches + f.Trunks*f.Parents + 1)
-	if f.Members {
+	if f.Membership {
 		n += routers * routers // a way each
 	}
 	if n > mostListeners {
@@ -166,7 +166,7 @@
 			return nil, err
 		}
 	}
-	if f.Sites >= 2 || f.Members || f.Keep || f.DiskMB > 0 {
+	if f.Sites >= 2 || f.Membership || f.Supervised || f.DiskMB > 0 {
 		for _, r := range v.routers {
 			if err := r.operator(); err != nil {
 				return nil, err
@@ -188,7 +188,7 @@
 		conf.Ready(addrs)
 	}
 	v.start = time.Now()
-	if f.Members {
+	if f.Membership {
 		v.all.Go(v.watch)
 	}
 	if conf.Drive != nil {
@@ -205,7 +205,7 @@
 		Result: v.world.Result, Breaks: v.referee.Violations, Count: v.referee.CountByRule, Judged: v.referee.Checked, Late: v.late,
 		Excused: v.referee.Excused, Cost: v.cost, Broke: v.broke, Refused: v.refused,
 	}
-	if f.Members {
+	if f.Membership {
 		r.Members = &v.knows
 	}
 	return r, nil
@@ -345,7 +345,7 @@
 	}
 	name := v.world.RuleOf(a.Rule).Name
 	url := "http://" + listen + "/rpc/" + name + "/" + a.Object
-	if a.Rule == scenario.Video {
+	if a.Rule == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(a.Part, 10)
 	}
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -568,7 +568,7 @@
 		}
 		r.gate = gate.String()
 	}
-	if r.set.Fleet.Members {
+	if r.set.Fleet.Membership {
 		if r.members, err = loopback.Reserve(); err != nil {
 			return err
 		}
@@ -702,7 +702,7 @@
 	switch {
 	case r.earlier():
 		program = r.conf.Earlier
-	case r.set.Fleet.Keep:
+	case r.set.Fleet.Supervised:
 		what = "keep"
 	}
 	cmd := exec.Command(program, what, "--config", r.config())
@@ -710,7 +710,7 @@
 	// all of it along.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.WaitDelay = 100 * time.Millisecond // others of its group may hold its log
-	if r.gate != "" || r.members.IsValid() || r.set.Fleet.Keep || r.set.Fleet.DiskMB > 0 {
+	if r.gate != "" || r.members.IsValid() || r.set.Fleet.Supervised || r.set.Fleet.DiskMB > 0 {
 		cmd.Args = append(cmd.Args, "--operator", filepath.Join(r.dir, nameOf(r.id)+".yaml"))
 	}
 	for _, e := range os.Environ() {
@@ -721,7 +721,7 @@
 	cmd.Env = append(cmd.Env, "QUILLDOOR_TEST_MAIN=1") // a test's own binary is the program in tests
 	cmd.Dir = r.dir
 	cmd.Stderr = io.MultiWriter(&r.log, cmp.Or[io.Writer](r.conf.Log, io.Discard))
-	if r.set.Fleet.Keep { // a pipe would end with the keeper, and take its generations along
+	if r.set.Fleet.Supervised { // a pipe would end with the keeper, and take its generations along
 		f, err := os.OpenFile(filepath.Join(r.dir, nameOf(r.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
@@ -779,7 +779,7 @@
 // steady tells whether nothing is under way at the router's keeper, if it has one: it
 // hears only after the first client that its generation serves.
 func (r *process) steady() bool {
-	if !r.set.Fleet.Keep || r.earlier() {
+	if !r.set.Fleet.Supervised || r.earlier() {
 		return true
 	}
 	s, err := (&Kept{r.sockets}).Standing(r.id)
--- a/internal/emulator/together_test.go
+++ b/internal/emulator/together_test.go
@@ -17,7 +17,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Fleet.Members = know
+			s.Fleet.Membership = know
 			r, err := Virtual(context.Background(), s, Options{Seed: seed + 1})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -73,12 +73,12 @@
 const TooLate = 100_000
 
 // Figures of the rules for a script.
-func Figures(s *scenario.Script, slack int64) checker.Settings {
+func Figures(s *scenario.Scenario, slack int64) checker.Settings {
 	const toldBy = 7_000_000 // the platform's page: what the board has counts as told 7 s later
 	f := &s.Fleet
 	return checker.Settings{
-		Classes: s.Rules(), AnswerSlack: slack, DrainGrace: int64(f.DrainMS * 1000),
-		PurgeGrace: int64(f.PurgeMS * 1000), NotificationDeadline: toldBy,
+		Classes: s.Classes(), AnswerSlack: slack, DrainGrace: int64(f.DrainGraceMS * 1000),
+		PurgeGrace: int64(f.PurgeGraceMS * 1000), NotificationDeadline: toldBy,
 	}
 }
 
@@ -88,7 +88,7 @@
 // virtual is a run on a virtual clock.
 type virtual struct {
 	opt     Options
-	set     *scenario.Script
+	set     *scenario.Scenario
 	world   *simulation.World
 	referee *checker.Checker
 	routers []*vrouter
@@ -147,7 +147,7 @@
 
 // Virtual plays a script on a virtual clock. The same script and seed give the
 // same result, whatever the machine.
-func Virtual(ctx context.Context, s *scenario.Script, opt Options) (*Result, error) {
+func Virtual(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
 	v := &virtual{opt: opt, set: s, referee: checker.New(Figures(s, 8_000)), purges: map[int][]simulation.Notice{}}
 	v.world = simulation.New(s, opt.Seed, v)
 	for i := range v.world.Routers() {
@@ -238,8 +238,8 @@
 	if v.opt.looks != nil {
 		v.opt.looks.listed(r.id, v.now(), true, servers(known))
 	}
-	if v.set.Fleet.Members {
-		r.book = gossip.New(gossip.Settings{PurgeRetention: int64(v.set.Fleet.ClearedMS*1000) + longest})
+	if v.set.Fleet.Membership {
+		r.book = gossip.New(gossip.Settings{PurgeRetention: int64(v.set.Fleet.PurgeCompleteMS*1000) + longest})
 		r.core.HoldSlowStart(v.now(), v.now()+set.Contract.OverloadWindow)
 	}
 	r.core.UpdateEndpoints(v.now(), policy.ScopeDisk, v.known(r, true, servers(known)))
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -14,7 +14,7 @@
 	"quilldoor/scenarios"
 )
 
-func play(t *testing.T, s *scenario.Script, opt Options) *Result {
+func play(t *testing.T, s *scenario.Scenario, opt Options) *Result {
 	t.Helper()
 	if opt.Seed == 0 {
 		opt.Seed = 1
@@ -26,7 +26,7 @@
 	return r
 }
 
-func load(t *testing.T, name string) *scenario.Script {
+func load(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenarios.Load(name)
 	if err != nil {
@@ -91,7 +91,7 @@
 			return 1
 		}}, 1},
 		"repeats acceptances": {"rude-answers", Options{Settings: func(s *settings.Setup) {
-			s.Classes[scenario.Accept].Effect = "safe"
+			s.Classes[scenario.ClassAccept].Effect = "safe"
 		}}, 2},
 		"deaf to drains": {"deploy-waves", Options{Deaf: func(_ int, n simulation.Notice) bool {
 			return !n.Purge && n.Servers[0].State != "active"
@@ -113,13 +113,13 @@
 
 // coldStart is a fleet of which all but one cache of an office come back cold
 // under a load that the office can bear when it is warm.
-func coldStart() *scenario.Script {
+func coldStart() *scenario.Scenario {
 	s := scenario.Default()
 	s.LengthS = 40
 	s.Fleet.Offices, s.Fleet.Trunks, s.Fleet.Caches = 1, 1, 6
-	s.Fleet.ColdFrom, s.Fleet.FallMultiple = 0.15, 1.5
-	s.Load.TxnsPerS = 100
-	s.Troubles = []scenario.Trouble{{Kind: "die", At: 15, For: 4, Share: 0.34}}
+	s.Fleet.SlowStartFrom, s.Fleet.OverloadMultiple = 0.15, 1.5
+	s.Load.RequestsPerS = 100
+	s.Faults = []scenario.Fault{{Kind: "die", At: 15, For: 4, Share: 0.34}}
 	return &s
 }
 
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -14,7 +14,7 @@
 func TestDraw(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(500) {
-		draw := func() *scenario.Script { return Draw(rand.New(rand.NewPCG(seed, 1)), Default()) }
+		draw := func() *scenario.Scenario { return Draw(rand.New(rand.NewPCG(seed, 1)), Default()) }
 		s := draw()
 		if !reflect.DeepEqual(s, draw()) {
 			t.Fatalf("seed %d draws another day", seed)
@@ -30,11 +30,11 @@
 		if r.Name = s.Name; !reflect.DeepEqual(r, s) {
 			t.Fatalf("seed %d: %+v\nis read as %+v\n%s", seed, s, r, text)
 		}
-		for _, x := range s.Troubles {
+		for _, x := range s.Faults {
 			kinds[x.Kind]++
 		}
 	}
-	for _, k := range scenario.Names() {
+	for _, k := range scenario.FaultNames() {
 		if kinds[k] == 0 {
 			t.Errorf("%s is never drawn", k)
 		}
@@ -43,28 +43,28 @@
 
 // What matters stays, all else goes; the plays are bounded.
 func TestShrink(t *testing.T) {
-	needs := func(s *scenario.Script) bool {
+	needs := func(s *scenario.Scenario) bool {
 		has := func(kind string, long float64) bool {
-			return slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool { return t.Kind == kind && t.For >= long })
+			return slices.ContainsFunc(s.Faults, func(t scenario.Fault) bool { return t.Kind == kind && t.For >= long })
 		}
-		return has("purge", 0) && has("die", 1) && s.Fleet.Caches >= 2 && s.Load.TxnsPerS >= 30
+		return has("purge", 0) && has("die", 1) && s.Fleet.Caches >= 2 && s.Load.RequestsPerS >= 30
 	}
 	for seed := range uint64(50) {
 		dice := rand.New(rand.NewPCG(seed, 2))
 		s := Draw(dice, Default())
 		for _, k := range []string{"purge", "die", "deploy", "burst"} {
-			s.Troubles = append(s.Troubles, trouble(dice, s, k))
+			s.Faults = append(s.Faults, trouble(dice, s, k))
 		}
-		for i := range s.Troubles {
-			s.Troubles[i].For = max(s.Troubles[i].For, 1)
+		for i := range s.Faults {
+			s.Faults[i].For = max(s.Faults[i].For, 1)
 		}
-		s.Load.TxnsPerS = 200
+		s.Load.RequestsPerS = 200
 		was := Copy(s)
 		c, plays := Shrink(s, needs, 2000)
 		if !reflect.DeepEqual(s, was) {
 			t.Fatal("it has changed what it was given")
 		}
-		if !needs(c) || len(c.Troubles) != 2 || c.Fleet.Caches != 2 || c.Load.TxnsPerS > 60 || c.Fleet.Offices != 1 || c.Fleet.Members {
+		if !needs(c) || len(c.Faults) != 2 || c.Fleet.Caches != 2 || c.Load.RequestsPerS > 60 || c.Fleet.Offices != 1 || c.Fleet.Membership {
 			text, _ := Text(c)
 			t.Fatalf("seed %d, %d plays:\n%s", seed, plays, text)
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -31,9 +31,9 @@
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	for _, name := range Names() {
+	for _, name := range FaultNames() {
 		s, err := Parse("f", []byte("troubles:\n- {kind: "+name+", at: 1, for: 2}\n"))
-		if k := Kinds[name]; err != nil || s.Troubles[0].Strength != k.Strength || k.Waves && s.Troubles[0].Every == 0 {
+		if k := FaultKinds[name]; err != nil || s.Faults[0].Strength != k.Strength || k.Recurring && s.Faults[0].Every == 0 {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 	}
@@ -42,16 +42,16 @@
 // What a script asks for is what routers are told.
 func TestSettingsAreTheScripts(t *testing.T) {
 	s := Default()
-	s.Load.FreshS = 12
+	s.Load.PageFreshS = 12
 	set := s.Settings(2, 2)
 	l := set.PolicySettings()
 	if l.Zone != "office-3" || len(l.Zones) != 3 || l.Routers != 3 || l.Hierarchy.OriginKind != 2 || l.Hierarchy.ParentKind != 1 {
 		t.Fatalf("%+v", l)
 	}
-	if r := l.Classes[Page]; r.FreshFor != 12_000_000 || r.StaleGrace != 12_000_000 || l.Classes[Accept].Effect != policy.EffectUnsafe || !l.Classes[Accept].Write {
+	if r := l.Classes[ClassPage]; r.FreshFor != 12_000_000 || r.StaleGrace != 12_000_000 || l.Classes[ClassAccept].Effect != policy.EffectUnsafe || !l.Classes[ClassAccept].Write {
 		t.Fatalf("%+v", l.Classes)
 	}
-	if l.Contract.SlowStartFrom != s.Fleet.ColdFrom || l.Contract.OverloadMultiple != s.Fleet.FallMultiple || l.Hierarchy.ParentSlowStartFrom != s.Fleet.ParentColdFrom {
+	if l.Contract.SlowStartFrom != s.Fleet.SlowStartFrom || l.Contract.OverloadMultiple != s.Fleet.OverloadMultiple || l.Hierarchy.ParentSlowStartFrom != s.Fleet.ParentSlowStartFrom {
 		t.Fatalf("%+v", l.Contract)
 	}
 }
--- a/internal/simulation/catalogue.go
+++ b/internal/simulation/catalogue.go
@@ -21,7 +21,7 @@
 // them wanted at one office only. An object is a number; its figures follow from
 // that and the seed.
 type catalogue struct {
-	set      *scenario.Script
+	set      *scenario.Scenario
 	salt     uint64
 	objects  int64
 	ranks    [2][]int64 // by rule: the objects by popularity
@@ -34,7 +34,7 @@
 
 func keyOf(object, part int64) int64 { return object<<partBits | part&(1<<partBits-1) }
 
-func newCatalogue(s *scenario.Script, dice *rand.Rand) *catalogue {
+func newCatalogue(s *scenario.Scenario, dice *rand.Rand) *catalogue {
 	c := &catalogue{set: s, salt: dice.Uint64(), objects: int64(s.Load.Objects)}
 	for rule := range c.ranks {
 		var weights []float64
@@ -55,8 +55,8 @@
 		}
 	}
 	c.officeKB = c.allKB - local + local/float64(s.Fleet.Offices)
-	if s.Fleet.Warm {
-		c.warm = [2]int64{cache: c.upTo(s.Fleet.KeepsShare), parent: c.upTo(s.Fleet.ParentKeeps)}
+	if s.Fleet.PreWarmed {
+		c.warm = [2]int64{cache: c.upTo(s.Fleet.CacheShare), parent: c.upTo(s.Fleet.ParentCacheShare)}
 	}
 	return c
 }
@@ -94,7 +94,7 @@
 func (c *catalogue) group(object int64) int64 { return int64(c.mix(object, 1) % groupCount) }
 
 func (c *catalogue) parts(object int64) int64 {
-	if c.rule(object) == scenario.Page {
+	if c.rule(object) == scenario.ClassPage {
 		return 1
 	}
 	return 9 + int64(c.mix(object, 2)%11)
@@ -102,7 +102,7 @@
 
 // size of a part in KB: even in its logarithm, the last part of a video shorter.
 func (c *catalogue) size(object, part int64) float64 {
-	if c.rule(object) == scenario.Page {
+	if c.rule(object) == scenario.ClassPage {
 		return 6 * math.Pow(10, c.even(object, 3))
 	}
 	kb := 40 * math.Pow(5.8, c.even(object, 3))
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -63,17 +63,17 @@
 	if w.now >= w.end {
 		return
 	}
-	rate := l.TxnsPerS / float64(w.set.Fleet.Offices) * w.burst * l.Weight(office, w.set.Fleet.Offices)
-	page, video := 1-l.Videos-l.Writes, l.Videos/meanParts
-	total := page + video + l.Writes
+	rate := l.RequestsPerS / float64(w.set.Fleet.Offices) * w.burst * l.Weight(office, w.set.Fleet.Offices)
+	page, video := 1-l.VideoShare-l.WriteShare, l.VideoShare/meanParts
+	total := page + video + l.WriteShare
 	w.after(int64(w.clients.wait.Rand()*1e6/(rate*total))+1, func() { w.arrive(office) })
 	switch x := w.dice.Float64() * total; {
-	case x < l.Writes:
-		w.begin(&client{office: office, rule: scenario.Accept, object: w.cat.onlyOnce(scenario.Page)})
-	case x < l.Writes+page:
-		w.begin(&client{office: office, rule: scenario.Page, object: w.pick(scenario.Page, office)})
+	case x < l.WriteShare:
+		w.begin(&client{office: office, rule: scenario.ClassAccept, object: w.cat.onlyOnce(scenario.ClassPage)})
+	case x < l.WriteShare+page:
+		w.begin(&client{office: office, rule: scenario.ClassPage, object: w.pick(scenario.ClassPage, office)})
 	default:
-		v := &view{office: office, object: w.pick(scenario.Video, office)}
+		v := &view{office: office, object: w.pick(scenario.ClassVideo, office)}
 		w.watch(v)
 	}
 }
@@ -87,7 +87,7 @@
 
 // watch asks for a video's next part, and for the one after it some time later.
 func (w *World) watch(v *view) {
-	w.begin(&client{office: v.office, rule: scenario.Video, object: v.object, part: v.part, view: v})
+	w.begin(&client{office: v.office, rule: scenario.ClassVideo, object: v.object, part: v.part, view: v})
 	if v.part++; w.now < w.end && v.part < w.cat.parts(v.object) && w.dice.Float64() > stopEach {
 		w.after(int64(4e5+w.dice.Float64()*3.5e5), func() { w.watch(v) })
 	}
@@ -95,7 +95,7 @@
 
 func (w *World) begin(c *client) {
 	l := &w.set.Load
-	c.first, c.honours = w.now, w.dice.Float64() < l.Honour
+	c.first, c.honours = w.now, w.dice.Float64() < l.HonourShare
 	c.patience = int64(float64(w.rules[c.rule].Timeout) * l.Patience)
 	c.phase = w.phase()
 	w.Result.asked(w, c)
@@ -106,7 +106,7 @@
 // phase names the part of the run for the counts.
 func (w *World) phase() string {
 	switch {
-	case w.now < int64(w.set.SettleS*1e6):
+	case w.now < int64(w.set.WarmUpS*1e6):
 		return "settle"
 	case w.troubled > 0:
 		return "trouble"
@@ -183,7 +183,7 @@
 	w.note(Entry{Kind: eventlog.KindLeft, Router: r.id, Request: a.Txn})
 	w.Result.Lost++
 	w.driver.Leave(r.id, a.Txn)
-	w.again(a.client, 0, a.client.rule != scenario.Accept)
+	w.again(a.client, 0, a.client.rule != scenario.ClassAccept)
 }
 
 // Refused takes that a router's machine refused the connection: it has taken
@@ -239,8 +239,8 @@
 		return
 	}
 	wait := int64(0)
-	if l.WaitMS > 0 {
-		wait = w.jitter(l.WaitMS * 1000 * float64(int64(1)<<min(c.tries-1, 6)))
+	if l.RetryWaitMS > 0 {
+		wait = w.jitter(l.RetryWaitMS * 1000 * float64(int64(1)<<min(c.tries-1, 6)))
 	}
 	if c.honours {
 		wait = max(wait, stay)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -57,9 +57,9 @@
 	filled                          float64
 }
 
-func newResult(s *scenario.Script) *Result {
+func newResult(s *scenario.Scenario) *Result {
 	r := &Result{Ends: map[string]int{}}
-	for _, k := range s.Rules() {
+	for _, k := range s.Classes() {
 		r.Rules = append(r.Rules, &RuleResult{
 			Name: k.Name, Phases: map[string]*Outcomes{},
 			took: hdrhistogram.New(100, 60_000_000, 3),
@@ -83,7 +83,7 @@
 	o := r.of(c)
 	o.Asked++
 	o.WorthMost += w.rules[c.rule].PriorityWeight
-	if c.phase != "settle" && c.rule != scenario.Accept {
+	if c.phase != "settle" && c.rule != scenario.ClassAccept {
 		r.AskedKB += w.cat.size(c.object, c.part)
 	}
 }
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -90,7 +90,7 @@
 	}
 	// Work is told in core-microseconds; a core sends one flow.
 	s.cpu = &share{w: w, total: float64(f.Cores), most: 1}
-	s.store = newStore(f.KeepsShare * w.cat.officeKB / float64(f.Caches))
+	s.store = newStore(f.CacheShare * w.cat.officeKB / float64(f.Caches))
 	w.servers[uid] = s
 	w.after(w.jitter(f.ReportMS*1000), s.report)
 	return s
@@ -99,12 +99,12 @@
 func (w *World) newParent(trunk int, uid string) *server {
 	f := &w.set.Fleet
 	offices := (f.Offices + f.Trunks - 1 - trunk) / f.Trunks
-	kb := f.ParentLink * f.OfficeLink() * float64(max(offices, 1)) / float64(max(f.Parents, 1))
+	kb := f.ParentLink * f.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(f.Parents, 1))
 	s := &server{
 		w: w, uid: uid, kind: parent, office: -1, trunk: trunk, weight: kb / f.FlowKBPerS, up: true,
 		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{}, out: w.link(kb),
 	}
-	s.store = newStore(f.ParentKeeps * w.cat.allKB)
+	s.store = newStore(f.ParentCacheShare * w.cat.allKB)
 	w.servers[uid] = s
 	w.after(w.jitter(f.ReportMS*1000), s.report)
 	return s
@@ -112,15 +112,15 @@
 
 func (w *World) newLedger() *server {
 	f := &w.set.Fleet
-	kb := f.LedgerLink
+	kb := f.OriginLinkKBPerS
 	if kb == 0 { // what all offices' links could ask for, if half of it is at parents
-		kb = f.OfficeLink() * float64(f.Offices)
+		kb = f.OfficeLinkKBPerS() * float64(f.Offices)
 	}
 	s := &server{
-		w: w, uid: "ledger", kind: ledger, office: -1, trunk: 0, weight: float64(f.LedgerWork), up: true,
+		w: w, uid: "ledger", kind: ledger, office: -1, trunk: 0, weight: float64(f.OriginWorkers), up: true,
 		listed: policy.EndpointActive, slow: 1, out: w.link(kb),
 	}
-	s.cpu = &share{w: w, total: float64(f.LedgerWork), most: 1}
+	s.cpu = &share{w: w, total: float64(f.OriginWorkers), most: 1}
 	w.servers[s.uid] = s
 	return s
 }
@@ -128,9 +128,9 @@
 // able is the share of its power that a server has now, by warmth.
 func (s *server) able() float64 {
 	f := &s.w.set.Fleet
-	from, lasts := f.ColdFrom, f.ColdS
+	from, lasts := f.SlowStartFrom, f.SlowStartS
 	if s.kind == parent {
-		from, lasts = f.ParentColdFrom, f.ParentColdS
+		from, lasts = f.ParentSlowStartFrom, f.ParentSlowStartS
 	}
 	if s.born == 0 || s.kind == ledger {
 		return 1
@@ -156,7 +156,7 @@
 		kb := s.weight * f.FlowKBPerS / 1e6
 		s.out.change(rate*kb, rate*kb)
 	case ledger:
-		s.cpu.change(rate*float64(f.LedgerWork)/s.slow, rate/s.slow)
+		s.cpu.change(rate*float64(f.OriginWorkers)/s.slow, rate/s.slow)
 	}
 }
 
@@ -176,7 +176,7 @@
 // do now over the window, by all routers together.
 func (s *server) charge(work float64) bool {
 	f := &s.w.set.Fleet
-	window := int64(f.FallMS * 1000)
+	window := int64(f.OverloadMS * 1000)
 	s.spent = append(s.spent, spend{s.w.now, work})
 	s.spentOf += work
 	old := 0
@@ -187,7 +187,7 @@
 	if old > 0 {
 		s.spent = slices.Delete(s.spent, 0, old)
 	}
-	return s.able() < 1 && s.spentOf > f.FallMultiple*s.able()*s.weight*float64(window)
+	return s.able() < 1 && s.spentOf > f.OverloadMultiple*s.able()*s.weight*float64(window)
 }
 
 // fall is what becomes of a server that was pushed over: it stays down.
@@ -196,7 +196,7 @@
 	s.w.note(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.uid, Work: s.spentOf / 1e6})
 	s.w.Result.Fallen++
 	s.die(false)
-	s.w.list(s, policy.EndpointGone, s.w.jitter(s.w.set.Fleet.DeathMS*1000))
+	s.w.list(s, policy.EndpointGone, s.w.jitter(s.w.set.Fleet.DeathDetectionMS*1000))
 }
 
 // die ends a server's process. Reset tells its routers; a silent one tells nobody.
@@ -582,7 +582,7 @@
 // leave takes a hop from a fill; one that nobody waits for is dropped, or runs on.
 func (x *fill) leave(h *Hop) {
 	x.hops = slices.DeleteFunc(x.hops, func(o *Hop) bool { return o == h })
-	if len(x.hops) == 0 && !x.dropped && !x.at.w.set.Fleet.Orphans {
+	if len(x.hops) == 0 && !x.dropped && !x.at.w.set.Fleet.OrphanFills {
 		x.drop()
 		x.over()
 	}
@@ -624,7 +624,7 @@
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if x := s.fills[key]; x != nil && f.ParentJoins {
+	if x := s.fills[key]; x != nil && f.ParentCoalesces {
 		x.waits(func() { done(x.issued, x.note) })
 		return
 	}
@@ -721,27 +721,27 @@
 		s.asked = s.asked[1:]
 	}
 	s.asked = append(s.asked, w.now)
-	able := float64(f.LedgerWork) / (f.LedgerMS / 1000) / s.slow
-	if !s.stopped && float64(len(s.asked)) > f.LedgerStops*able*3 {
+	able := float64(f.OriginWorkers) / (f.OriginServiceMS / 1000) / s.slow
+	if !s.stopped && float64(len(s.asked)) > f.OriginStopMultiple*able*3 {
 		s.stopped = true
 		w.Result.LedgerStops++
 		w.note(Entry{Kind: eventlog.KindStopped, Endpoint: s.uid})
 		s.power()
-		w.after(int64(f.LedgerStopS*1e6), func() {
+		w.after(int64(f.OriginStopS*1e6), func() {
 			s.stopped = false
 			s.asked = nil
 			s.power()
 		})
 	}
-	places := 4 * f.LedgerWork // at work and waiting
-	return !s.stopped && float64(len(s.cpu.jobs)) < f.LedgerRefuse*float64(places)
+	places := 4 * f.OriginWorkers // at work and waiting
+	return !s.stopped && float64(len(s.cpu.jobs)) < f.OriginRejectShare*float64(places)
 }
 
 // crowd makes the ledger's work longer the fuller it is.
 func (s *server) effort() float64 {
 	f := &s.w.set.Fleet
-	full := float64(len(s.cpu.jobs)) / float64(4*f.LedgerWork)
-	return f.LedgerMS * 1000 * (1 + 0.5*full) * (0.5 + s.w.dice.ExpFloat64()*0.5)
+	full := float64(len(s.cpu.jobs)) / float64(4*f.OriginWorkers)
+	return f.OriginServiceMS * 1000 * (1 + 0.5*full) * (0.5 + s.w.dice.ExpFloat64()*0.5)
 }
 
 // read makes an object for a fill.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -121,7 +121,7 @@
 // World is the state of a run.
 type World struct {
 	end    int64 // clients come until then
-	set    *scenario.Script
+	set    *scenario.Scenario
 	driver Driver
 	rules  []policy.TrafficClass
 	now    int64
@@ -199,17 +199,17 @@
 }
 
 // New makes a world at time 0.
-func New(s *scenario.Script, seed uint64, d Driver) *World {
+func New(s *scenario.Scenario, seed uint64, d Driver) *World {
 	w := &World{
-		set: s, end: int64(s.LengthS * 1e6), driver: d, rules: s.Rules(), dice: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		set: s, end: int64(s.LengthS * 1e6), driver: d, rules: s.Classes(), dice: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		servers: map[string]*server{}, hops: map[hopKey]*Hop{}, purged: map[int64]int64{}, warmed: map[warmKey]bool{}, burst: 1, Result: newResult(s),
 	}
 	f := &s.Fleet
 	w.wayDice = rand.New(rand.NewPCG(seed, 0x7761797773))
-	w.Ways = netsim.New(int64(f.WayMS*1000), int64(f.WayJitterMS*1000), rand.New(rand.NewPCG(seed, 0x77617973)))
+	w.Ways = netsim.New(int64(f.RouterDelayMS*1000), int64(f.RouterJitterMS*1000), rand.New(rand.NewPCG(seed, 0x77617973)))
 	w.cat = newCatalogue(s, w.dice)
 	for o := range f.Offices {
-		w.links = append(w.links, w.link(f.OfficeLink()))
+		w.links = append(w.links, w.link(f.OfficeLinkKBPerS()))
 		var list []*server
 		for c := range f.Caches {
 			list = append(list, w.newCache(o, fmt.Sprintf("c%d-%d", o+1, c+1)))
@@ -228,8 +228,8 @@
 		w.routers = append(w.routers, &router{id: i, office: i / f.Routers, up: true, open: map[string]*Ask{}})
 	}
 	w.startClients()
-	for i := range s.Troubles {
-		w.plan(&s.Troubles[i])
+	for i := range s.Faults {
+		w.plan(&s.Faults[i])
 	}
 	w.after(second, w.tick)
 	return w
@@ -348,7 +348,7 @@
 func (w *World) away(office int, s *server) int64 {
 	f := &w.set.Fleet
 	if s.office >= 0 {
-		return int64(f.HomeMS * 500)
+		return int64(f.LocalMS * 500)
 	}
 	return int64((f.TrunkMS + f.FarMS*float64(w.trunks(office, s))) * 500)
 }
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -28,7 +28,7 @@
 func (w *World) announce(n Notice) {
 	f := &w.set.Fleet
 	for _, r := range w.routers {
-		at := max(r.toldAt, w.now+w.jitter(f.BoardMS*1000)+w.late)
+		at := max(r.toldAt, w.now+w.jitter(f.DiscoveryDelayMS*1000)+w.late)
 		r.toldAt = at
 		w.after(at-w.now, func() { w.tell(r, n) })
 	}
@@ -88,7 +88,7 @@
 	w.note(Entry{Kind: eventlog.KindPurged, Object: n.Object, Group: n.Group, Until: at})
 	for _, l := range slices.Concat(w.caches, w.parents) {
 		for _, s := range l {
-			w.after(int64(w.dice.Float64()*0.9*w.set.Fleet.ClearedMS*1000), func() { s.store.purge(object, group, at) })
+			w.after(int64(w.dice.Float64()*0.9*w.set.Fleet.PurgeCompleteMS*1000), func() { s.store.purge(object, group, at) })
 		}
 	}
 	w.announce(n)
@@ -131,7 +131,7 @@
 
 // some draws a share of the servers at a trouble's place, in a stated order: the
 // draw is made when the trouble begins.
-func (w *World) some(t *scenario.Trouble, of [][]*server) (out []*server) {
+func (w *World) some(t *scenario.Fault, of [][]*server) (out []*server) {
 	for i, l := range of {
 		if t.Office > 0 && i != t.Office-1 || t.Trunk > 0 && w.set.Fleet.Trunk(i) != t.Trunk-1 {
 			continue
@@ -151,7 +151,7 @@
 }
 
 // plan sets a trouble's beginning and end.
-func (w *World) plan(t *scenario.Trouble) {
+func (w *World) plan(t *scenario.Fault) {
 	w.after(int64(t.At*1e6), func() {
 		w.troubled++
 		w.lastTurn = w.now
@@ -170,7 +170,7 @@
 }
 
 // begins starts a trouble and returns what ends it.
-func (w *World) begins(t *scenario.Trouble) (over func()) {
+func (w *World) begins(t *scenario.Fault) (over func()) {
 	switch t.Kind {
 	case "die", "silent":
 		return w.lose(w.some(t, w.caches), t.Kind == "silent")
@@ -270,7 +270,7 @@
 func (w *World) lose(list []*server, silent bool) (over func()) {
 	for _, s := range list {
 		s.die(silent)
-		w.list(s, policy.EndpointGone, w.jitter(w.set.Fleet.DeathMS*1000))
+		w.list(s, policy.EndpointGone, w.jitter(w.set.Fleet.DeathDetectionMS*1000))
 	}
 	return func() { w.back(list) }
 }
@@ -285,7 +285,7 @@
 	}
 }
 
-func (w *World) pauses(list []*server, t *scenario.Trouble) (over func()) {
+func (w *World) pauses(list []*server, t *scenario.Fault) (over func()) {
 	going := true
 	for _, s := range list {
 		var again func()
@@ -311,7 +311,7 @@
 
 // deploy drains servers some at a time; a successor with a name of its own starts
 // cold in the place of each.
-func (w *World) deploy(list []*server, t *scenario.Trouble) {
+func (w *World) deploy(list []*server, t *scenario.Fault) {
 	const drained = 3 * second // what a drained one has left to finish
 	for i := 0; i < len(list); i += int(t.Strength) {
 		wave := list[i:min(i+int(t.Strength), len(list))]
@@ -358,7 +358,7 @@
 }
 
 // someRouters draws a share of the routers at a trouble's place.
-func (w *World) someRouters(t *scenario.Trouble) (list []*router) {
+func (w *World) someRouters(t *scenario.Fault) (list []*router) {
 	for _, r := range w.routers {
 		if r.up && (t.Office == 0 || r.office == t.Office-1) {
 			list = append(list, r)
@@ -369,7 +369,7 @@
 }
 
 // stopRouters lets routers stand still for a trouble's time.
-func (w *World) stopRouters(t *scenario.Trouble) (over func()) {
+func (w *World) stopRouters(t *scenario.Fault) (over func()) {
 	list := w.someRouters(t)
 	lives := map[*router]int{}
 	for _, r := range list {
@@ -393,7 +393,7 @@
 }
 
 // spoilWays puts a trouble on the ways between routers.
-func (w *World) spoilWays(t *scenario.Trouble) (over func()) {
+func (w *World) spoilWays(t *scenario.Fault) (over func()) {
 	var all []int
 	for _, r := range w.routers {
 		if t.Office == 0 || r.office == t.Office-1 {
@@ -439,7 +439,7 @@
 	return w.Ways.AddFault(x)
 }
 
-func (w *World) loseRouters(t *scenario.Trouble) (over func()) {
+func (w *World) loseRouters(t *scenario.Fault) (over func()) {
 	list := w.someRouters(t)
 	for _, r := range list {
 		w.routerDown(r)
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -24,7 +24,7 @@
 }
 
 // Load reads a rehearsal of the library by its name, or a file.
-func Load(name string) (*scenario.Script, error) {
+func Load(name string) (*scenario.Scenario, error) {
 	text, err := files.ReadFile(name + ".yaml")
 	if err == nil {
 		return scenario.Parse(name, text)
