--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -24,7 +24,7 @@
 	var days, jobs, shrink, plays int
 	var seed uint64
 	var out string
-	space := faultsearch.Default()
+	space := faultsearch.DefaultSpace()
 	c := &cobra.Command{Use: "hunt", Short: "Look for days on which a rule breaks, drawn by chance and cut down to what matters; simulated", Args: cobra.NoArgs}
 	f := c.Flags()
 	f.IntVar(&days, "days", 500, "to draw")
@@ -33,30 +33,30 @@
 	f.IntVar(&shrink, "shrink", 2, "days of each kind of break that are cut down")
 	f.IntVar(&plays, "plays", 300, "for cutting one down, at most")
 	f.StringVar(&out, "out", "", "a folder for what was found; else it is printed")
-	f.BoolVar(&space.Members, "members", space.Members, "days whose routers know each other are drawn, too")
+	f.BoolVar(&space.Membership, "members", space.Membership, "days whose routers know each other are drawn, too")
 	f.BoolVar(&space.Sites, "sites", space.Sites, "so are days of two sites")
-	f.IntVar(&space.Most, "most", space.Most, "troubles of a day, at most")
+	f.IntVar(&space.MaxFaults, "most", space.MaxFaults, "troubles of a day, at most")
 	f.Float64Var(&space.LengthS, "length", space.LengthS, "seconds of a day")
-	f.StringSliceVar(&space.Kinds, "kinds", nil, "of trouble; else all")
+	f.StringSliceVar(&space.FaultKinds, "kinds", nil, "of trouble; else all")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		for _, k := range space.Kinds {
+		for _, k := range space.FaultKinds {
 			if _, known := scenario.FaultKinds[k]; !known {
 				return fmt.Errorf("--kinds: %q is no trouble", k)
 			}
 		}
-		list := make([]*faultsearch.Found, days)
+		list := make([]*faultsearch.Finding, days)
 		each(days, jobs, func(i int) {
 			s := faultsearch.Draw(rand.New(rand.NewPCG(seed, uint64(i))), space)
 			what, worth := playDay(c.Context(), s)
-			list[i] = &faultsearch.Found{N: i + 1, What: what, Worth: worth, Script: s}
+			list[i] = &faultsearch.Finding{Number: i + 1, Violation: what, EarnedShare: worth, Scenario: s}
 		})
 		if err := c.Context().Err(); err != nil {
 			return err
 		}
-		kinds := map[string][]*faultsearch.Found{}
+		kinds := map[string][]*faultsearch.Finding{}
 		for _, d := range list {
-			if d.What != "" {
-				kinds[d.What] = append(kinds[d.What], d)
+			if d.Violation != "" {
+				kinds[d.Violation] = append(kinds[d.Violation], d)
 			}
 		}
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -65,28 +65,28 @@
 			fmt.Fprintf(w, "%s\t%d\t%s\n", what, len(kinds[what]), dayNumbers(kinds[what]))
 		}
 		w.Flush()
-		slices.SortFunc(list, func(a, b *faultsearch.Found) int { return int(1e6 * (a.Worth - b.Worth)) })
+		slices.SortFunc(list, func(a, b *faultsearch.Finding) int { return int(1e6 * (a.EarnedShare - b.EarnedShare)) })
 		sum := 0.0
 		for _, d := range list {
-			sum += d.Worth
+			sum += d.EarnedShare
 		}
-		fmt.Printf("worth: mean %.4f, least %.3f (day %d), a twentieth under %.3f, half under %.3f\n", sum/float64(days), list[0].Worth, list[0].N, list[days/20].Worth, list[days/2].Worth)
-		var cut []*faultsearch.Found
+		fmt.Printf("worth: mean %.4f, least %.3f (day %d), a twentieth under %.3f, half under %.3f\n", sum/float64(days), list[0].EarnedShare, list[0].Number, list[days/20].EarnedShare, list[days/2].EarnedShare)
+		var cut []*faultsearch.Finding
 		for _, what := range sortedKeys(kinds) {
 			cut = append(cut, kinds[what][:min(shrink, len(kinds[what]))]...)
 		}
 		each(len(cut), jobs, func(i int) {
 			d := cut[i]
-			d.Script, _ = faultsearch.Shrink(d.Script, func(s *scenario.Scenario) bool {
+			d.Scenario, _ = faultsearch.Shrink(d.Scenario, func(s *scenario.Scenario) bool {
 				what, worth := playDay(c.Context(), s)
-				if what == d.What {
-					d.Worth = worth
+				if what == d.Violation {
+					d.EarnedShare = worth
 				}
-				return what == d.What
+				return what == d.Violation
 			}, plays)
 		})
 		for _, d := range cut {
-			text, err := faultsearch.Text(d.Script)
+			text, err := faultsearch.Marshal(d.Scenario)
 			if err != nil {
 				return err
 			}
@@ -97,7 +97,7 @@
 			if err := os.MkdirAll(out, 0o755); err != nil {
 				return err
 			}
-			if err := os.WriteFile(filepath.Join(out, fmt.Sprintf("day-%d.yaml", d.N)), append([]byte(fmt.Sprintf("# %v\n", d)), text...), 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(out, fmt.Sprintf("day-%d.yaml", d.Number)), append([]byte(fmt.Sprintf("# %v\n", d)), text...), 0o644); err != nil {
 				return err
 			}
 		}
@@ -151,11 +151,11 @@
 	return keys
 }
 
-func dayNumbers(list []*faultsearch.Found) string {
+func dayNumbers(list []*faultsearch.Finding) string {
 	const many = 12
 	var out []string
 	for _, d := range list[:min(many, len(list))] {
-		out = append(out, fmt.Sprint(d.N))
+		out = append(out, fmt.Sprint(d.Number))
 	}
 	if len(list) > many {
 		out = append(out, "...")
--- /dev/null
+++ b/internal/faultsearch/draw.go
@@ -0,0 +1,173 @@
+package faultsearch
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"quilldoor/internal/scenario"
+)
+
+const (
+	// warmUpS is how many seconds a scenario runs before its outcomes count and its first fault.
+	warmUpS = 6.0
+	// quietEndS is how many seconds before the end no further fault begins.
+	quietEndS = 12.0
+	// meanServiceS is the mean time, in core seconds, that a request of the default mix takes.
+	meanServiceS = 0.27
+)
+
+// Space bounds what is drawn.
+type Space struct {
+	Membership bool     // routers may know each other by membership
+	Sites      bool     // fleets may span two sites
+	FaultKinds []string // empty: all that the drawn fleet can have
+	MaxFaults  int
+	LengthS    float64
+	// The load, as a share of what the fleet's caches can serve, lies between these.
+	MinLoadShare, MaxLoadShare float64
+}
+
+// DefaultSpace draws small fleets with faults of all kinds.
+func DefaultSpace() Space {
+	return Space{
+		Membership:   true,
+		Sites:        true,
+		MaxFaults:    6,
+		LengthS:      32,
+		MinLoadShare: 0.15,
+		MaxLoadShare: 0.8,
+	}
+}
+
+// Draw returns a random scenario within the space. The order of the random draws is part of its
+// contract: a seed that is named in a test or a report must keep drawing the same scenario.
+func Draw(random *rand.Rand, space Space) *scenario.Scenario {
+	s := scenario.Default()
+	s.Seed = 1 + random.Uint64N(1<<32)
+	s.LengthS = space.LengthS
+	s.WarmUpS = warmUpS
+	drawFleet(random, &s.Fleet)
+	drawLoad(random, &s, space)
+	drawTopology(random, &s.Fleet, space)
+	s.Faults = drawFaults(random, &s, space)
+	return &s
+}
+
+// drawFleet draws the sizes, capacities and delays.
+func drawFleet(random *rand.Rand, f *scenario.Fleet) {
+	f.Trunks = 1 + random.IntN(3)
+	f.Offices = 1 + random.IntN(4)
+	f.Routers = 1 + random.IntN(3)
+	f.Caches = 2 + random.IntN(4)
+	f.Parents = choose(random, 1, 1, 2)
+	f.Cores = 2 + random.IntN(5)
+	f.LinkShare = logUniform(random, 0.2, 0.8)
+	f.ParentLink = logUniform(random, 0.8, 1.8)
+	f.SlowStartFrom = logUniform(random, 0.15, 0.5)
+	f.SlowStartS = logUniform(random, 3, 15)
+	f.OverloadMultiple = logUniform(random, 1.5, 4)
+	f.ParentSlowStartFrom = logUniform(random, 0.06, 0.4)
+	f.ParentSlowStartS = logUniform(random, 3, 20)
+	f.DiscoveryDelayMS = logUniform(random, 100, 2500)
+	f.DeathDetectionMS = logUniform(random, 300, 4000)
+	f.CacheShare = logUniform(random, 0.1, 0.5)
+	f.PreWarmed = random.IntN(4) > 0
+	f.ParentCoalesces = random.IntN(2) == 0
+	f.OrphanFills = random.IntN(2) == 0
+	f.Hedging = random.IntN(2) == 0
+	f.OriginRejectShare = logUniform(random, 0.5, 1)
+}
+
+// drawLoad draws the clients' behaviour and a request rate that suits the drawn fleet.
+func drawLoad(random *rand.Rand, s *scenario.Scenario, space Space) {
+	f, l := &s.Fleet, &s.Load
+	l.Retries = random.IntN(4)
+	l.RetryWaitMS = choose(random, 0, 150, 600.0)
+	l.HonourShare = choose(random, 0, 0.5, 1)
+	l.WriteShare = choose(random, 0.034, 0.034, 0.2)
+	loadShare := logUniform(random, space.MinLoadShare, space.MaxLoadShare)
+	l.RequestsPerS = roundDigits(loadShare * float64(f.Offices*f.Caches*f.Cores) / meanServiceS)
+}
+
+// drawTopology draws how the routers know each other and whether they span sites.
+func drawTopology(random *rand.Rand, f *scenario.Fleet, space Space) {
+	f.Membership = space.Membership && f.Offices*f.Routers > 1 && random.IntN(2) == 0
+	if space.Sites && f.Offices > 1 && random.IntN(4) == 0 {
+		f.Sites = 2
+	}
+}
+
+// drawFaults returns at least one fault, in the order in which they begin.
+func drawFaults(random *rand.Rand, s *scenario.Scenario, space Space) []scenario.Fault {
+	kinds := possibleKinds(&s.Fleet, space.FaultKinds)
+	var faults []scenario.Fault
+	for range 1 + random.IntN(max(space.MaxFaults, 1)) {
+		faults = append(faults, drawFault(random, s, choose(random, kinds...)))
+	}
+	slices.SortStableFunc(faults, func(a, b scenario.Fault) int { return int(math.Copysign(1, a.At-b.At)) })
+	return faults
+}
+
+// possibleKinds returns those of the kinds, or of all if there are none, that the fleet can have.
+func possibleKinds(f *scenario.Fleet, kinds []string) []string {
+	if len(kinds) == 0 {
+		kinds = scenario.FaultNames()
+	}
+	return slices.DeleteFunc(slices.Clone(kinds), func(kind string) bool {
+		needsMembership := strings.HasPrefix(kind, "ways_")
+		needsSites := kind == "site_cut"
+		return needsMembership && !f.Membership || needsSites && f.Sites < 2
+	})
+}
+
+// drawFault returns a fault of a kind at a random time and place.
+func drawFault(random *rand.Rand, s *scenario.Scenario, name string) scenario.Fault {
+	kind := scenario.FaultKinds[name]
+	fault := scenario.Fault{Kind: name}
+	fault.At = roundDigits(warmUpS + random.Float64()*max(s.LengthS-warmUpS-quietEndS, 1))
+	fault.For = logUniform(random, 0.2, 9)
+	fault.Share = choose(random, 1, logUniform(random, 0.05, 1))
+	switch kind.Scope {
+	case "":
+		fault.Share = logUniform(random, 0.02, 1)
+	case "office", "caches", "routers":
+		if random.IntN(2) == 0 {
+			fault.Office = 1 + random.IntN(s.Fleet.Offices)
+		}
+	case "trunk":
+		fault.Trunk = 1 + random.IntN(s.Fleet.Trunks)
+	}
+	switch name {
+	case "spoilt", "resets", "ledger_resets", "endless", "errors": // the share is of all responses
+		fault.Share = logUniform(random, 0.005, 0.3)
+	case "ways_camps":
+		fault.Strength = choose(random, 2, 3.0)
+	}
+	if kind.Strength != 0 && fault.Strength == 0 {
+		strength := kind.Strength * logUniform(random, 0.3, 3)
+		fault.Strength = roundDigits(min(max(strength, kind.MinStrength), kind.MaxStrength))
+	}
+	if kind.Recurring {
+		fault.Every = logUniform(random, 0.5, 4)
+	}
+	return fault
+}
+
+// logUniform draws a number whose logarithm is uniform between those of low and high.
+func logUniform(random *rand.Rand, low, high float64) float64 {
+	return roundDigits(low * math.Pow(high/low, random.Float64()))
+}
+
+// roundDigits rounds to three significant digits, so that a scenario's YAML stays short.
+func roundDigits(v float64) float64 {
+	if v == 0 {
+		return 0
+	}
+	scale := math.Pow(10, 2-math.Floor(math.Log10(math.Abs(v))))
+	return math.Round(v*scale) / scale
+}
+
+// choose draws one of the list.
+func choose[T any](random *rand.Rand, list ...T) T { return list[random.IntN(len(list))] }
--- /dev/null
+++ b/internal/faultsearch/finding.go
@@ -0,0 +1,20 @@
+package faultsearch
+
+import (
+	"fmt"
+
+	"quilldoor/internal/scenario"
+)
+
+// Finding is a drawn scenario and the outcome of playing it.
+type Finding struct {
+	Number      int    // of the draw, from 1
+	Violation   string // the violated invariants, a panic or an error; empty if there was none
+	EarnedShare float64
+	Scenario    *scenario.Scenario
+}
+
+// String is a one-line summary.
+func (f *Finding) String() string {
+	return fmt.Sprintf("day %d: %s, worth %.3f", f.Number, f.Violation, f.EarnedShare)
+}
