--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -132,9 +132,18 @@
 	return 0, fmt.Errorf("%s: %d to %d leaves no %d ports", ephemeralConfig, low, high, portsPerHost)
 }
 
+// cloneProbeProcess has package os try out process descriptors now. It does so once in a
+// process, before the first child, by a clone that does not take ForkLock.
+var cloneProbeProcess = sync.OnceFunc(func() {
+	if process, err := os.FindProcess(os.Getpid()); err == nil {
+		_ = process.Release()
+	}
+})
+
 // isFree tells whether an address can be bound for both TCP and UDP.
 func isFree(address netip.AddrPort) (bool, error) {
 	// A process that is forked meanwhile would have the sockets open until its exec.
+	cloneProbeProcess()
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
