--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -15,49 +15,75 @@
 	"quilldoor/scenarios"
 )
 
+// demoOptions are the flags of demo.
+type demoOptions struct {
+	listen     string
+	scenario   string
+	routerBin  string
+	showRouter bool
+}
+
+// demoCommand starts an emulated fleet for a first look.
 func demoCommand() *cobra.Command {
-	var listen, name, router string
-	var logs bool
-	c := &cobra.Command{Use: "demo", Short: "Start a small emulated fleet with a router before it, until interrupted", Args: cobra.NoArgs}
+	var options demoOptions
+	c := &cobra.Command{
+		Use:   "demo",
+		Short: "Start a small emulated fleet with a router before it, until interrupted",
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+	}
 	f := c.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:8080", "address of the router")
-	f.StringVar(&name, "script", "demo", "rehearsal that is played")
-	f.StringVar(&router, "router", "", "the router's program; else quilldoor beside this one")
-	f.BoolVar(&logs, "logs", false, "show the router's log")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		s, err := scenarios.Load(name)
-		if err != nil {
-			return err
-		}
-		conf := emulator.Routers{Program: router, Listen: listen, Guests: true, Ready: func(addrs []string) { welcome(os.Stdout, s, addrs) }}
-		if logs {
-			conf.Log = os.Stderr
-		}
-		shown := 0
-		r, err := emulator.Sockets(c.Context(), s, emulator.Options{Seed: s.Seed, Progress: func(_ float64, seconds []simulation.Second) {
-			for ; shown < len(seconds); shown++ {
-				x := seconds[shown]
-				fmt.Printf("%4d s: %4d asked, %4d in time, %3d late, %3d without; %2d caches up, links %3.0f%% full, %3d hops out\n",
-					x.At, x.Asked, x.InTime, x.Late, x.None, x.Servers, 100*x.LinkUse, x.Hops)
-			}
-		}}, conf)
-		if errors.Is(err, context.Canceled) {
-			return nil
-		}
-		if err == nil {
-			printResult(os.Stdout, s, r)
-		}
+	f.StringVar(&options.listen, "listen", "127.0.0.1:8080", "address of the router")
+	f.StringVar(&options.scenario, "script", "demo", "scenario to play")
+	f.StringVar(&options.routerBin, "router", "", routerFlagHelp)
+	f.BoolVar(&options.showRouter, "logs", false, "show the router's log")
+	return c
+}
+
+func (o *demoOptions) run(ctx context.Context) error {
+	s, err := scenarios.Load(o.scenario)
+	if err != nil {
 		return err
 	}
-	return c
+	routers := emulator.Routers{
+		Program: o.routerBin,
+		Listen:  o.listen,
+		Guests:  true,
+		Ready:   func(addresses []string) { printWelcome(os.Stdout, s, addresses) },
+	}
+	if o.showRouter {
+		routers.Log = os.Stderr
+	}
+	result, err := emulator.Sockets(ctx, s, emulator.Options{Seed: s.Seed, Progress: showSeconds()}, routers)
+	if errors.Is(err, context.Canceled) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	printResult(os.Stdout, s, result)
+	return nil
+}
+
+// showSeconds returns a callback that prints each second once.
+func showSeconds() func(float64, []simulation.Second) {
+	shown := 0
+	return func(_ float64, seconds []simulation.Second) {
+		for ; shown < len(seconds); shown++ {
+			second := seconds[shown]
+			fmt.Printf("%4d s: %4d requests, %4d in time, %3d late, %3d without a response; "+
+				"%2d caches up, links %3.0f%% full, %3d attempts open\n",
+				second.At, second.Asked, second.InTime, second.Late, second.None,
+				second.Servers, 100*second.LinkUse, second.Hops)
+		}
+	}
 }
 
-// welcome tells what can be done with the demo.
-func welcome(to io.Writer, s *scenario.Scenario, addrs []string) {
-	w := simulation.New(s, s.Seed, nil)
-	const object = "o1" // a page: even numbers are videos
-	_, group, _, _ := w.Object(object, 0)
-	fmt.Fprintf(to, "a router serves at %s, before %d caches, their parents and a ledger, all emulated. Ask it yourself:\n\n"+
+// printWelcome writes how to send a request to the demo.
+func printWelcome(to io.Writer, s *scenario.Scenario, addresses []string) {
+	const page = "o1" // objects with even numbers are videos
+	_, group, _, _ := simulation.New(s, s.Seed, nil).Object(page, 0)
+	fmt.Fprintf(to, "A router serves at %s, before %d caches, their parents and an origin, all emulated. Send it a request:\n\n"+
 		"  curl -si -H 'X-Txn: 00000000000000aa' -H 'X-Ttl-Ms: 2500' -H 'X-Shard: %d' http://%s/rpc/quote-page/%s | head -c 300\n\n"+
-		"Interrupt to end.\n", addrs[0], s.Fleet.Offices*s.Fleet.Caches, group, addrs[0], object)
+		"Interrupt to end.\n", addresses[0], s.Fleet.Offices*s.Fleet.Caches, group, addresses[0], page)
 }
--- /dev/null
+++ b/cmd/quilldoor-lab/diskcache.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/diskbench"
+	"quilldoor/internal/diskcache"
+)
+
+// diskVariant is a variant of the disk cache's policy.
+type diskVariant struct {
+	name    string
+	variant diskcache.Variant
+}
+
+// diskVariants are compared in docs/disk-tier.md.
+var diskVariants = []diskVariant{
+	{"the router's", diskcache.Variant{}},
+	{"LRU, all admitted", diskcache.Variant{AdmitAll: true}},
+	{"LRU from the second request on", diskcache.Variant{AdmitOnSecondRequest: true}},
+	{"estimate, also on first request", diskcache.Variant{AdmitOnFirstRequest: true}},
+	{"victims by requests, not bytes", diskcache.Variant{WeighByRequests: true}},
+	{"estimate of the whole object", diskcache.Variant{EstimateWholeObject: true}},
+}
+
+const (
+	lruVariant    = 1 // index in diskVariants of plain LRU, the baseline for bytes written
+	diskTrialJobs = 6 // runs at once; each holds a whole catalogue in memory
+)
+
+// oneTimeShares are the shares of sessions that go to objects requested only once.
+var oneTimeShares = []float64{0.1, 0.3, 0.6}
+
+// diskTrialCommand compares variants of the disk cache's policy.
+func diskTrialCommand() *cobra.Command {
+	workload := diskbench.Workload{Objects: 20_000, Skew: 0.9, MultipartShare: 0.2}
+	var seeds int
+	c := &cobra.Command{
+		Use:   "disk-trial",
+		Short: "Compare variants of the disk cache's policy on a simulated workload",
+		Args:  cobra.NoArgs,
+	}
+	f := c.Flags()
+	f.IntVar(&workload.Requests, "txns", 1_500_000, "requests; the first third is warm-up")
+	f.Float64Var(&workload.DiskShare, "disk", 0.05, "size of the disk, as a share of the catalogue's bytes")
+	f.IntVar(&workload.DriftInterval, "drift", 200, "requests after which two objects swap their popularity; 0: never")
+	f.IntVar(&seeds, "seeds", 3, "runs of each, of which the mean is printed")
+	c.RunE = func(*cobra.Command, []string) error {
+		if seeds < 1 || workload.Requests < 3 || workload.DiskShare <= 0 {
+			return errors.New("--seeds, --txns and --disk: too small")
+		}
+		table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+		defer table.Flush()
+		fmt.Fprintln(table, "requested once\tvariant\thit ratio\tbyte hit ratio\twritten per byte served\twritten, of LRU's")
+		results, err := runDiskTrial(workload, seeds)
+		if err != nil {
+			return err
+		}
+		for i, share := range oneTimeShares {
+			printDiskTrial(table, share, results[i])
+		}
+		return nil
+	}
+	return c
+}
+
+// runDiskTrial returns results by one-time share, variant and seed.
+func runDiskTrial(workload diskbench.Workload, seeds int) ([][][]diskbench.Result, error) {
+	results := make([][][]diskbench.Result, len(oneTimeShares))
+	for i := range results {
+		results[i] = make([][]diskbench.Result, len(diskVariants))
+		for j := range results[i] {
+			results[i][j] = make([]diskbench.Result, seeds)
+		}
+	}
+	err := parallel(len(oneTimeShares)*len(diskVariants)*seeds, diskTrialJobs, func(i int) error {
+		seed := i % seeds
+		variant := i / seeds % len(diskVariants)
+		share := i / seeds / len(diskVariants)
+		run := workload
+		run.Seed = uint64(seed)
+		run.OneTimeShare = oneTimeShares[share]
+		results[share][variant][seed] = diskbench.Run(run, diskVariants[variant].variant)
+		return nil
+	})
+	return results, err
+}
+
+// printDiskTrial writes a line for each variant: means over the seeds.
+func printDiskTrial(to io.Writer, oneTimeShare float64, byVariant [][]diskbench.Result) {
+	for variant, results := range byVariant {
+		var hits, byteHits, writtenPerServed, written, writtenByLRU float64
+		for seed := range results {
+			hits += results[seed].HitRatio()
+			byteHits += results[seed].ByteHitRatio()
+			writtenPerServed += results[seed].WrittenPerServed()
+			written += float64(results[seed].BytesWritten)
+			writtenByLRU += float64(byVariant[lruVariant][seed].BytesWritten)
+		}
+		n := float64(len(results))
+		fmt.Fprintf(to, "%.0f%%\t%s\t%.3f\t%.3f\t%.3f\t%.2f\n", 100*oneTimeShare, diskVariants[variant].name,
+			hits/n, byteHits/n, writtenPerServed/n, written/writtenByLRU)
+	}
+}
--- /dev/null
+++ b/cmd/quilldoor-lab/explain.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/eventlog"
+)
+
+// explainCommand prints the events of one request.
+func explainCommand() *cobra.Command {
+	const requestFlag = "txn"
+	var request string
+	c := &cobra.Command{
+		Use:   "explain FILE",
+		Short: "Print the events of one request, attempt by attempt, from an event log",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return explain(args[0], request) },
+	}
+	c.Flags().StringVar(&request, requestFlag, "", "id of the request")
+	if err := c.MarkFlagRequired(requestFlag); err != nil {
+		panic(err) // only if the flag were not defined
+	}
+	return c
+}
+
+func explain(path, request string) error {
+	file, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	found := false
+	var first int64
+	decoder := json.NewDecoder(bufio.NewReaderSize(file, 1<<20))
+	for line := 1; ; line++ {
+		var entry eventlog.Entry
+		err := decoder.Decode(&entry)
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			return fmt.Errorf("%s:%d: %w", path, line, err)
+		}
+		if entry.Request != request {
+			continue
+		}
+		if !found {
+			found = true
+			first = entry.At
+		}
+		fmt.Printf("%12.6f s %+10.3f ms  %s\n", float64(entry.At)/1e6, float64(entry.At-first)/1e3, describe(&entry))
+	}
+	if !found {
+		return fmt.Errorf("%s has no request %s", path, request)
+	}
+	return nil
+}
+
+// describe is an event in words.
+func describe(e *eventlog.Entry) string {
+	switch e.Kind {
+	case eventlog.KindTaken:
+		return fmt.Sprintf("router %d accepts it: %s of %s, group %d, %d ms left",
+			e.Router, e.Class, e.Object, e.Group, (e.Deadline-e.At)/1000)
+	case eventlog.KindSent:
+		text := fmt.Sprintf("attempt %d is sent to %s", e.Attempt, e.Endpoint)
+		if e.Source != "" && e.Source != e.Endpoint {
+			text += ", filled from " + e.Source
+		}
+		return text
+	case eventlog.KindArrived:
+		return fmt.Sprintf("attempt %d arrives at %s", e.Attempt, e.Endpoint)
+	case eventlog.KindRan:
+		return fmt.Sprintf("attempt %d runs at %s", e.Attempt, e.Endpoint)
+	case eventlog.KindEffect:
+		return fmt.Sprintf("attempt %d has taken effect at %s", e.Attempt, e.Endpoint)
+	case eventlog.KindEnded:
+		return fmt.Sprintf("attempt %d ends: %s", e.Attempt, e.Outcome)
+	case eventlog.KindAnswered:
+		return "answered: " + e.Outcome
+	case eventlog.KindLeft:
+		return "the client's deadline has passed"
+	}
+	return string(e.Kind)
+}
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -2,14 +2,15 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"runtime"
 	"slices"
 	"strings"
-	"sync"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -19,146 +20,174 @@
 	"quilldoor/internal/scenario"
 )
 
-// huntCommand draws days by chance and plays them on the virtual clock.
+// huntOptions are the flags of hunt.
+type huntOptions struct {
+	draws     int
+	seed      uint64
+	jobs      int
+	shrink    int
+	maxPlays  int
+	outFolder string
+	space     faultsearch.Space
+}
+
+// huntCommand searches for scenarios that violate a rule.
 func huntCommand() *cobra.Command {
-	var days, jobs, shrink, plays int
-	var seed uint64
-	var out string
-	space := faultsearch.DefaultSpace()
-	c := &cobra.Command{Use: "hunt", Short: "Look for days on which a rule breaks, drawn by chance and cut down to what matters; simulated", Args: cobra.NoArgs}
-	f := c.Flags()
-	f.IntVar(&days, "days", 500, "to draw")
-	f.Uint64Var(&seed, "seed", 1, "of the draw")
-	f.IntVar(&jobs, "jobs", runtime.NumCPU(), "days played at once")
-	f.IntVar(&shrink, "shrink", 2, "days of each kind of break that are cut down")
-	f.IntVar(&plays, "plays", 300, "for cutting one down, at most")
-	f.StringVar(&out, "out", "", "a folder for what was found; else it is printed")
-	f.BoolVar(&space.Membership, "members", space.Membership, "days whose routers know each other are drawn, too")
-	f.BoolVar(&space.Sites, "sites", space.Sites, "so are days of two sites")
-	f.IntVar(&space.MaxFaults, "most", space.MaxFaults, "troubles of a day, at most")
-	f.Float64Var(&space.LengthS, "length", space.LengthS, "seconds of a day")
-	f.StringSliceVar(&space.FaultKinds, "kinds", nil, "of trouble; else all")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		for _, k := range space.FaultKinds {
-			if _, known := scenario.FaultKinds[k]; !known {
-				return fmt.Errorf("--kinds: %q is no trouble", k)
-			}
-		}
-		list := make([]*faultsearch.Finding, days)
-		each(days, jobs, func(i int) {
-			s := faultsearch.Draw(rand.New(rand.NewPCG(seed, uint64(i))), space)
-			what, worth := playDay(c.Context(), s)
-			list[i] = &faultsearch.Finding{Number: i + 1, Violation: what, EarnedShare: worth, Scenario: s}
-		})
-		if err := c.Context().Err(); err != nil {
-			return err
-		}
-		kinds := map[string][]*faultsearch.Finding{}
-		for _, d := range list {
-			if d.Violation != "" {
-				kinds[d.Violation] = append(kinds[d.Violation], d)
-			}
-		}
-		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintf(w, "days\t%d\t\n", days)
-		for _, what := range sortedKeys(kinds) {
-			fmt.Fprintf(w, "%s\t%d\t%s\n", what, len(kinds[what]), dayNumbers(kinds[what]))
+	options := huntOptions{space: faultsearch.DefaultSpace()}
+	c := &cobra.Command{
+		Use:   "hunt",
+		Short: "Search random scenarios for violated rules and reduce what is found; simulated",
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+	}
+	f, space := c.Flags(), &options.space
+	f.IntVar(&options.draws, "days", 500, "scenarios to draw")
+	f.Uint64Var(&options.seed, "seed", 1, "of the draw")
+	f.IntVar(&options.jobs, "jobs", runtime.NumCPU(), "scenarios played at once")
+	f.IntVar(&options.shrink, "shrink", 2, "scenarios to reduce of each kind of violation")
+	f.IntVar(&options.maxPlays, "plays", 300, "runs to reduce one, at most")
+	f.StringVar(&options.outFolder, "out", "", "a folder for the reduced scenarios; default: print them")
+	f.BoolVar(&space.Membership, "members", space.Membership, "draw fleets with membership, too")
+	f.BoolVar(&space.Sites, "sites", space.Sites, "draw fleets of two sites, too")
+	f.IntVar(&space.MaxFaults, "most", space.MaxFaults, "faults of a scenario, at most")
+	f.Float64Var(&space.LengthS, "length", space.LengthS, "seconds of a scenario")
+	f.StringSliceVar(&space.FaultKinds, "kinds", nil, "of faults; default: all")
+	return c
+}
+
+func (o *huntOptions) run(ctx context.Context) error {
+	for _, kind := range o.space.FaultKinds {
+		if _, known := scenario.FaultKinds[kind]; !known {
+			return fmt.Errorf("--kinds: %q is not a kind of fault", kind)
 		}
-		w.Flush()
-		slices.SortFunc(list, func(a, b *faultsearch.Finding) int { return int(1e6 * (a.EarnedShare - b.EarnedShare)) })
-		sum := 0.0
-		for _, d := range list {
-			sum += d.EarnedShare
+	}
+	findings, err := o.search(ctx)
+	if err != nil {
+		return err
+	}
+	byViolation := map[string][]*faultsearch.Finding{}
+	for _, finding := range findings {
+		if finding.Violation != "" {
+			byViolation[finding.Violation] = append(byViolation[finding.Violation], finding)
 		}
-		fmt.Printf("worth: mean %.4f, least %.3f (day %d), a twentieth under %.3f, half under %.3f\n", sum/float64(days), list[0].EarnedShare, list[0].Number, list[days/20].EarnedShare, list[days/2].EarnedShare)
-		var cut []*faultsearch.Finding
-		for _, what := range sortedKeys(kinds) {
-			cut = append(cut, kinds[what][:min(shrink, len(kinds[what]))]...)
+	}
+	o.printSummary(findings, byViolation)
+	reduced, err := o.reduce(ctx, byViolation)
+	if err != nil {
+		return err
+	}
+	for _, finding := range reduced {
+		if err := o.write(finding); err != nil {
+			return err
 		}
-		each(len(cut), jobs, func(i int) {
-			d := cut[i]
-			d.Scenario, _ = faultsearch.Shrink(d.Scenario, func(s *scenario.Scenario) bool {
-				what, worth := playDay(c.Context(), s)
-				if what == d.Violation {
-					d.EarnedShare = worth
-				}
-				return what == d.Violation
-			}, plays)
-		})
-		for _, d := range cut {
-			text, err := faultsearch.Marshal(d.Scenario)
-			if err != nil {
-				return err
-			}
-			if out == "" {
-				fmt.Printf("\n# %v\n%s", d, text)
-				continue
-			}
-			if err := os.MkdirAll(out, 0o755); err != nil {
-				return err
-			}
-			if err := os.WriteFile(filepath.Join(out, fmt.Sprintf("day-%d.yaml", d.Number)), append([]byte(fmt.Sprintf("# %v\n", d)), text...), 0o644); err != nil {
-				return err
+	}
+	if len(byViolation) > 0 {
+		return errViolation
+	}
+	return nil
+}
+
+// search draws scenarios and plays them.
+func (o *huntOptions) search(ctx context.Context) ([]*faultsearch.Finding, error) {
+	findings := make([]*faultsearch.Finding, o.draws)
+	err := parallel(o.draws, o.jobs, func(i int) error {
+		s := faultsearch.Draw(rand.New(rand.NewPCG(o.seed, uint64(i))), o.space)
+		violation, earned := playDrawn(ctx, s)
+		findings[i] = &faultsearch.Finding{Number: i + 1, Violation: violation, EarnedShare: earned, Scenario: s}
+		return nil
+	})
+	return findings, errors.Join(err, ctx.Err())
+}
+
+// reduce shrinks the first scenarios of each kind of violation.
+func (o *huntOptions) reduce(ctx context.Context, byViolation map[string][]*faultsearch.Finding) ([]*faultsearch.Finding, error) {
+	var chosen []*faultsearch.Finding
+	for _, violation := range slices.Sorted(maps.Keys(byViolation)) {
+		findings := byViolation[violation]
+		chosen = append(chosen, findings[:min(o.shrink, len(findings))]...)
+	}
+	err := parallel(len(chosen), o.jobs, func(i int) error {
+		finding := chosen[i]
+		finding.Scenario, _ = faultsearch.Shrink(finding.Scenario, func(s *scenario.Scenario) bool {
+			violation, earned := playDrawn(ctx, s)
+			if violation != finding.Violation {
+				return false
 			}
-		}
-		if len(kinds) > 0 {
-			return errBroken
-		}
+			finding.EarnedShare = earned
+			return true
+		}, o.maxPlays)
 		return nil
+	})
+	return chosen, err
+}
+
+// printSummary prints the violations and how the earned share is distributed.
+func (o *huntOptions) printSummary(findings []*faultsearch.Finding, byViolation map[string][]*faultsearch.Finding) {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "scenarios\t%d\t\n", o.draws)
+	for _, violation := range slices.Sorted(maps.Keys(byViolation)) {
+		found := byViolation[violation]
+		fmt.Fprintf(table, "%s\t%d\t%s\n", violation, len(found), numbersOf(found))
 	}
-	return c
+	table.Flush()
+	sorted := slices.Clone(findings)
+	slices.SortFunc(sorted, func(a, b *faultsearch.Finding) int { return int(1e6 * (a.EarnedShare - b.EarnedShare)) })
+	sum := 0.0
+	for _, finding := range sorted {
+		sum += finding.EarnedShare
+	}
+	fmt.Printf("weight earned: mean %.4f, least %.3f (scenario %d), a twentieth under %.3f, half under %.3f\n",
+		sum/float64(o.draws), sorted[0].EarnedShare, sorted[0].Number,
+		sorted[o.draws/20].EarnedShare, sorted[o.draws/2].EarnedShare)
 }
 
-// playDay plays a day; what is "" where all rules are kept.
-func playDay(ctx context.Context, s *scenario.Scenario) (what string, worth float64) {
+// write prints a reduced scenario or saves it to the folder.
+func (o *huntOptions) write(finding *faultsearch.Finding) error {
+	text, err := faultsearch.Marshal(finding.Scenario)
+	if err != nil {
+		return err
+	}
+	if o.outFolder == "" {
+		fmt.Printf("\n# %v\n%s", finding, text)
+		return nil
+	}
+	if err := os.MkdirAll(o.outFolder, 0o755); err != nil {
+		return err
+	}
+	path := filepath.Join(o.outFolder, fmt.Sprintf("day-%d.yaml", finding.Number))
+	return os.WriteFile(path, fmt.Appendf(nil, "# %v\n%s", finding, text), 0o644)
+}
+
+// playDrawn plays a scenario on the virtual clock. The violation is empty if all rules hold; a
+// panic or an error counts as one, so that the search goes on and can reduce it.
+func playDrawn(ctx context.Context, s *scenario.Scenario) (violation string, earnedShare float64) {
 	defer func() {
 		if r := recover(); r != nil {
-			what = fmt.Sprintf("panic: %v", r)
+			violation = fmt.Sprintf("panic: %v", r)
 		}
 	}()
-	r, err := emulator.Virtual(ctx, s, emulator.Options{Seed: s.Seed})
+	result, err := emulator.Virtual(ctx, s, emulator.Options{Seed: s.Seed})
 	if err != nil {
 		return "error: " + err.Error(), 0
 	}
 	var rules []string
-	for rule, n := range r.Count {
+	for rule, n := range result.Count {
 		if n > 0 {
 			rules = append(rules, fmt.Sprint("rule ", rule))
 		}
 	}
-	return strings.Join(rules, ", "), r.Worth()
-}
-
-// each does n things, some at once.
-func each(n, jobs int, do func(int)) {
-	var all sync.WaitGroup
-	places := make(chan struct{}, max(jobs, 1))
-	for i := range n {
-		places <- struct{}{}
-		all.Go(func() {
-			defer func() { <-places }()
-			do(i)
-		})
-	}
-	all.Wait()
-}
-
-func sortedKeys[T any](m map[string]T) (keys []string) {
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
+	return strings.Join(rules, ", "), result.Worth()
 }
 
-func dayNumbers(list []*faultsearch.Finding) string {
-	const many = 12
-	var out []string
-	for _, d := range list[:min(many, len(list))] {
-		out = append(out, fmt.Sprint(d.Number))
+// numbersOf lists the numbers of the first findings.
+func numbersOf(findings []*faultsearch.Finding) string {
+	const maxShown = 12
+	var numbers []string
+	for _, finding := range findings[:min(maxShown, len(findings))] {
+		numbers = append(numbers, fmt.Sprint(finding.Number))
 	}
-	if len(list) > many {
-		out = append(out, "...")
+	if len(findings) > maxShown {
+		numbers = append(numbers, "...")
 	}
-	return strings.Join(out, " ")
+	return strings.Join(numbers, " ")
 }
--- /dev/null
+++ b/cmd/quilldoor-lab/interval.go
@@ -0,0 +1,21 @@
+package main
+
+import (
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// pairedDifference returns the mean of other less base, pair by pair, and half the width of its
+// 95 % confidence interval by Student's t distribution.
+func pairedDifference(base, other []float64) (mean, halfWidth float64) {
+	n := len(base)
+	differences := make([]float64, n)
+	for i := range differences {
+		differences[i] = other[i] - base[i]
+	}
+	mean, deviation := stat.MeanStdDev(differences, nil)
+	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(max(n-1, 1))}
+	return mean, student.Quantile(0.975) * deviation / math.Sqrt(float64(n))
+}
--- a/cmd/quilldoor-lab/main.go
+++ b/cmd/quilldoor-lab/main.go
@@ -1,5 +1,8 @@
-// Command quilldoor-lab is for experiments with the router's decisions: it
-// rehearses incidents on an emulated fleet. Nothing of it is in the router.
+// Command quilldoor-lab runs experiments with the router's decisions: it plays scenarios of
+// faults on an emulated fleet, on a virtual clock or against router processes, and compares
+// variants. The router contains none of it.
+//
+// Exit codes: 0 success; 1 an error; 2 a rule of the checker was violated.
 package main
 
 import (
@@ -13,25 +16,57 @@
 	"github.com/spf13/cobra"
 )
 
-// errBroken ends the command with exit code 2.
-var errBroken = errors.New("a rule was broken")
+const (
+	exitError     = 1
+	exitViolation = 2
+)
+
+// errViolation ends the command with exitViolation.
+var errViolation = errors.New("a rule was violated")
 
 func main() {
+	os.Exit(run())
+}
+
+// run executes the command line and returns the exit code.
+func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{
-		Use: "quilldoor-lab", Short: "Experiments with the router's decisions", SilenceUsage: true,
-		SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
-	}
-	root.AddCommand(emulateCommand(), scriptsCommand(), explainCommand(), demoCommand(), membersCommand(), processesCommand(), pairsCommand(), changesCommand(), rolloutsCommand(), rolloutCostCommand(), huntCommand(), reportCommand(), diskTrial())
-	err := root.ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "quilldoor-lab:", err)
 	}
 	switch {
-	case errors.Is(err, errBroken):
-		os.Exit(2)
+	case errors.Is(err, errViolation):
+		return exitViolation
 	case err != nil:
-		os.Exit(1)
+		return exitError
+	}
+	return 0
+}
+
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:               "quilldoor-lab",
+		Short:             "Experiments with the router's decisions",
+		SilenceUsage:      true,
+		SilenceErrors:     true,
+		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
+	root.AddCommand(
+		emulateCommand(),
+		scriptsCommand(),
+		explainCommand(),
+		demoCommand(),
+		membersTrialCommand(),
+		membersProcessesCommand(),
+		pairsCommand(),
+		changesCommand(),
+		rolloutsCommand(),
+		rolloutCostCommand(),
+		huntCommand(),
+		rolloutReportCommand(),
+		diskTrialCommand(),
+	)
+	return root
 }
--- /dev/null
+++ b/cmd/quilldoor-lab/membership.go
@@ -0,0 +1,173 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/simfleet"
+)
+
+// partitionTime is how long the network of a membership trial stays partitioned.
+const partitionTime = 60 * time.Second
+
+// detectors are the failure detectors to compare, by their names in --with.
+var detectors = []struct {
+	name       string
+	heartbeats bool
+}{
+	{name: "swim", heartbeats: false},
+	{name: "beats", heartbeats: true},
+}
+
+// membersTrialOptions are the flags of members-trial.
+type membersTrialOptions struct {
+	sizes     []int
+	seeds     int
+	kills     int
+	hold      time.Duration
+	loss      float64
+	detectors string
+}
+
+// membersTrialCommand plays membership on a virtual clock, beside all-to-all heartbeats.
+func membersTrialCommand() *cobra.Command {
+	var options membersTrialOptions
+	c := &cobra.Command{
+		Use:   "members-trial",
+		Short: "How soon and how reliably routers detect failures; simulated",
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+	}
+	f := c.Flags()
+	f.IntSliceVar(&options.sizes, "routers", []int{4, 24, 60, 222}, "numbers of routers to play")
+	f.IntVar(&options.seeds, "seeds", 3, "seeds of each")
+	f.IntVar(&options.kills, "kills", 20, "routers killed one after another, for each seed")
+	f.DurationVar(&options.hold, "hold", time.Minute, "duration with stopped and CPU-starved routers")
+	f.Float64Var(&options.loss, "loss", 0.05, "share of messages lost during that time")
+	f.StringVar(&options.detectors, "with", "swim,beats", "failure detectors: swim, beats")
+	return c
+}
+
+func (o *membersTrialOptions) run(ctx context.Context) error {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	defer table.Flush()
+	fmt.Fprintln(table, "routers\tdetector\tdeath detected ms: p50\tp99\tmissed\thalf dead ms\trejoined ms\t"+
+		"partition detected ms\tconverged ms\tbaseline B/s\tafter healing\tunder stress: suspected\tdeclared dead\tsent B/s\treceived\t")
+	for _, routers := range o.sizes {
+		for _, detector := range detectors {
+			if o.detectors != detector.name && o.detectors != "swim,beats" {
+				continue
+			}
+			if err := ctx.Err(); err != nil {
+				return err
+			}
+			o.play(routers, detector.heartbeats).print(table, routers, detector.name)
+			table.Flush()
+		}
+	}
+	return nil
+}
+
+// membershipFigures are the figures of one number of routers over all seeds.
+type membershipFigures struct {
+	detection, halfDetection, rejoin *simfleet.Durations
+	partition                        simfleet.PartitionResult // the worst seed's
+	stability                        simfleet.StabilityResult // traffic of the first seed, sums of the rest
+}
+
+// play runs the experiments with each seed.
+func (o *membersTrialOptions) play(routers int, heartbeats bool) *membershipFigures {
+	var total *membershipFigures
+	for seed := range uint64(o.seeds) {
+		experiment := simfleet.Experiment{Routers: routers, Seed: seed + 1, Heartbeats: heartbeats}
+		figures := new(membershipFigures)
+		figures.detection = experiment.Detection(o.kills)
+		figures.halfDetection, figures.rejoin = experiment.KillHalf()
+		figures.partition = experiment.Partition(partitionTime.Microseconds())
+		experiment.Loss = o.loss
+		figures.stability = experiment.Stability(o.hold.Microseconds())
+		if total == nil {
+			total = figures
+			continue
+		}
+		total.add(figures)
+	}
+	return total
+}
+
+// add merges the figures of another seed.
+func (m *membershipFigures) add(other *membershipFigures) {
+	mergeDurations(m.detection, other.detection)
+	mergeDurations(m.halfDetection, other.halfDetection)
+	mergeDurations(m.rejoin, other.rejoin)
+	p, q := &m.partition, &other.partition
+	p.DetectedAfter = max(p.DetectedAfter, q.DetectedAfter)
+	p.ConvergedAfter = max(p.ConvergedAfter, q.ConvergedAfter)
+	p.BaselineBytesPerSecond = max(p.BaselineBytesPerSecond, q.BaselineBytesPerSecond)
+	p.RecoveryBytesPerSecond = max(p.RecoveryBytesPerSecond, q.RecoveryBytesPerSecond)
+	m.stability.Suspicions += other.stability.Suspicions
+	m.stability.Deaths += other.stability.Deaths
+}
+
+func mergeDurations(into, from *simfleet.Durations) {
+	into.Merge(from.Histogram)
+	into.Missed += from.Missed
+}
+
+// print writes the figures as a line of the table; times are in ms.
+func (m *membershipFigures) print(to io.Writer, routers int, detector string) {
+	cells := []string{
+		fmt.Sprint(routers),
+		detector,
+		fmt.Sprint(m.detection.ValueAtQuantile(50) / 1000),
+		fmt.Sprint(m.detection.ValueAtQuantile(99) / 1000),
+		fmt.Sprint(m.detection.Missed),
+		fmt.Sprint(m.halfDetection.Max() / 1000),
+		fmt.Sprint(m.rejoin.Max() / 1000),
+		fmt.Sprint(m.partition.DetectedAfter / 1000),
+		fmt.Sprint(m.partition.ConvergedAfter / 1000),
+		fmt.Sprintf("%.0f", m.partition.BaselineBytesPerSecond),
+		fmt.Sprintf("%.0f", m.partition.RecoveryBytesPerSecond),
+		fmt.Sprint(m.stability.Suspicions),
+		fmt.Sprint(m.stability.Deaths),
+		fmt.Sprintf("%.0f", m.stability.SentBytesPerSecond),
+		fmt.Sprintf("%.0f", m.stability.ReceivedBytesPerSecond),
+	}
+	fmt.Fprintln(to, strings.Join(cells, "\t")+"\t")
+}
+
+// membersProcessesCommand kills router processes on loopback.
+func membersProcessesCommand() *cobra.Command {
+	var routers, kills int
+	var seed uint64
+	var routerBin string
+	c := &cobra.Command{
+		Use:   "members-processes",
+		Short: "How soon all routers detect the death of a router process",
+		Args:  cobra.NoArgs,
+	}
+	f := c.Flags()
+	f.IntVar(&routers, "routers", 24, "processes")
+	f.IntVar(&kills, "kills", 30, "processes killed one after another")
+	f.Uint64Var(&seed, "seed", 1, "of the choice of processes and times")
+	f.StringVar(&routerBin, "router", "", routerFlagHelp)
+	c.RunE = func(c *cobra.Command, _ []string) error {
+		times, missed, err := emulator.Detection(c.Context(), routerBin, routers, kills, seed)
+		if err != nil {
+			return err
+		}
+		fmt.Printf("%d processes, %d killed: detected by all after p50 %d, p90 %d, p99 %d, at most %d ms; missed %d\n",
+			routers, kills, times.ValueAtQuantile(50)/1000, times.ValueAtQuantile(90)/1000,
+			times.ValueAtQuantile(99)/1000, times.Max()/1000, missed)
+		return nil
+	}
+	return c
+}
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -3,57 +3,49 @@
 import (
 	"context"
 	"fmt"
-	"math"
+	"io"
 	"os"
 	"runtime"
 	"slices"
-	"sync"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 	"gonum.org/v1/gonum/stat"
-	"gonum.org/v1/gonum/stat/distuv"
 
 	"quilldoor/internal/emulator"
 	"quilldoor/internal/scenario"
 	"quilldoor/scenarios"
 )
 
-// pairsCommand plays rehearsals with and without routers that know each other, the
-// same seeds on both sides.
+// unchangedShare stands for the share of killed routers that the scenario itself names.
+const unchangedShare = -1
+
+// pairsCommand plays scenarios with and without membership, with the same seeds on both sides.
 func pairsCommand() *cobra.Command {
 	var seeds int
-	var shares []float64
-	c := &cobra.Command{Use: "pairs SCRIPT...", Short: "Rehearsals with members off and on, paired by seed; simulated", Args: cobra.MinimumNArgs(1)}
+	var killedShares []float64
+	c := &cobra.Command{
+		Use:   "pairs SCENARIO...",
+		Short: "Scenarios without and with membership, paired by seed; simulated",
+		Args:  cobra.MinimumNArgs(1),
+	}
 	c.Flags().IntVar(&seeds, "seeds", 16, "of each")
-	c.Flags().Float64SliceVar(&shares, "killed", nil, "play each with so many of the routers killed by its first router_dies")
+	c.Flags().Float64SliceVar(&killedShares, "killed", nil,
+		"play each with these shares of the routers killed by its first router_dies")
 	c.RunE = func(c *cobra.Command, names []string) error {
-		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-		defer w.Flush()
-		fmt.Fprintln(w, "script\tkilled\toff: mean\tworst\tbreaks\tpushed over\ton: mean\tworst\tbreaks\tpushed over\tdifference\t95%\t")
+		if len(killedShares) == 0 {
+			killedShares = []float64{unchangedShare}
+		}
+		table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+		defer table.Flush()
+		fmt.Fprintln(table, "scenario\tkilled\toff: mean\tworst\tviolations\toverloaded\t"+
+			"on: mean\tworst\tviolations\toverloaded\tdifference\t95%\t")
 		for _, name := range names {
-			for _, share := range append(slices.Clone(shares), -1)[:max(len(shares), 1)] {
-				off, err := playAll(c.Context(), name, share, seeds, false)
-				if err != nil {
-					return err
-				}
-				on, err := playAll(c.Context(), name, share, seeds, true)
-				if err != nil {
+			for _, share := range killedShares {
+				if err := comparePair(c.Context(), table, name, share, seeds); err != nil {
 					return err
 				}
-				diff := make([]float64, seeds)
-				for i := range diff {
-					diff[i] = on.worth[i] - off.worth[i]
-				}
-				mean, dev := stat.MeanStdDev(diff, nil)
-				half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(seeds - 1)}.Quantile(0.975) * dev / math.Sqrt(float64(seeds))
-				killed := "as told"
-				if share >= 0 {
-					killed = fmt.Sprintf("%.0f%%", 100*share)
-				}
-				fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%d\t%d\t%.4f\t%.4f\t%d\t%d\t%+.4f\t%.4f\t\n", name, killed, stat.Mean(off.worth, nil), slices.Min(off.worth), off.breaks,
-					off.fallen, stat.Mean(on.worth, nil), slices.Min(on.worth), on.breaks, on.fallen, mean, half)
-				w.Flush()
+				table.Flush()
 			}
 		}
 		return nil
@@ -61,45 +53,65 @@
 	return c
 }
 
-type played struct {
-	worth          []float64
-	breaks, fallen int
+// comparePair plays a scenario without and with membership and writes a line of the table.
+func comparePair(ctx context.Context, to io.Writer, name string, killedShare float64, seeds int) error {
+	off, err := playSeeds(ctx, name, killedShare, seeds, false)
+	if err != nil {
+		return err
+	}
+	on, err := playSeeds(ctx, name, killedShare, seeds, true)
+	if err != nil {
+		return err
+	}
+	mean, halfWidth := pairedDifference(off.earned, on.earned)
+	killed := "unchanged"
+	if killedShare >= 0 {
+		killed = fmt.Sprintf("%.0f%%", 100*killedShare)
+	}
+	fmt.Fprintf(to, "%s\t%s\t%s\t%s\t%+.4f\t%.4f\t\n", name, killed, off, on, mean, halfWidth)
+	return nil
+}
+
+// seedFigures are the figures of a scenario over all seeds.
+type seedFigures struct {
+	earned     []float64 // share of the offered weight, by seed
+	violations int
+	overloaded int // servers
 }
 
-func playAll(ctx context.Context, name string, share float64, seeds int, members bool) (p played, err error) {
-	p.worth = make([]float64, seeds)
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	places := make(chan struct{}, max(runtime.NumCPU()-1, 1))
-	for i := range seeds {
-		all.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			s, e := scenarios.Load(name)
-			var r *emulator.Result
-			if e == nil {
-				s.Fleet.Membership = members
-				if share >= 0 {
-					kill(s, share)
-				}
-				r, e = emulator.Virtual(ctx, s, emulator.Options{Seed: uint64(i + 1)})
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			if e != nil {
-				err = e
-				return
-			}
-			p.worth[i] = r.Worth()
-			p.breaks += len(r.Breaks)
-			p.fallen += r.Fallen
-		})
+// String is the figures' four cells of the table.
+func (f *seedFigures) String() string {
+	return fmt.Sprintf("%.4f\t%.4f\t%d\t%d", stat.Mean(f.earned, nil), slices.Min(f.earned), f.violations, f.overloaded)
+}
+
+func playSeeds(ctx context.Context, name string, killedShare float64, seeds int, membership bool) (*seedFigures, error) {
+	results := make([]*emulator.Result, seeds)
+	err := parallel(seeds, runtime.NumCPU()-1, func(i int) error {
+		s, err := scenarios.Load(name)
+		if err != nil {
+			return err
+		}
+		s.Fleet.Membership = membership
+		if killedShare >= 0 {
+			setKilledShare(s, killedShare)
+		}
+		results[i], err = emulator.Virtual(ctx, s, emulator.Options{Seed: uint64(i + 1)})
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	figures := new(seedFigures)
+	for _, result := range results {
+		figures.earned = append(figures.earned, result.Worth())
+		figures.violations += len(result.Breaks)
+		figures.overloaded += result.Fallen
 	}
-	all.Wait()
-	return p, err
+	return figures, nil
 }
 
-func kill(s *scenario.Scenario, share float64) {
+// setKilledShare sets the share of the routers that the first router_dies kills.
+func setKilledShare(s *scenario.Scenario, share float64) {
 	for i := range s.Faults {
 		if s.Faults[i].Kind == "router_dies" {
 			s.Faults[i].Share = share
--- /dev/null
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -0,0 +1,182 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/rollout"
+	"quilldoor/internal/scenario"
+)
+
+const rolloutCostScenario = `
+settle_s: 3
+length_s: %g
+fleet: {offices: 4, routers: 2, trunks: 2, caches: 5, cores: 5, link_share: 0.8, keep: true, trial_s: 2, members: true}
+load: {txns_per_s: %g, objects: 800}
+`
+
+const (
+	// rolloutCostTries is how often a run is played when the machine is too busy for it.
+	rolloutCostTries = 3
+	// rolloutPollInterval is the time between looks at the routers' rollout status.
+	rolloutPollInterval = 200 * time.Millisecond
+)
+
+// rolloutCostOptions are the flags of rollout-cost.
+type rolloutCostOptions struct {
+	seeds        int
+	requestsPerS float64
+	lengthS      float64
+	routerBin    string
+}
+
+// rolloutCostCommand plays rollouts of the running program among eight router processes, beside
+// calm runs with the same seeds.
+func rolloutCostCommand() *cobra.Command {
+	var options rolloutCostOptions
+	c := &cobra.Command{
+		Use:   "rollout-cost",
+		Short: "What a rollout of the same program costs eight router processes on loopback, beside calm runs",
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+	}
+	c.Flags().IntVar(&options.seeds, "seeds", 4, "of each")
+	c.Flags().Float64Var(&options.requestsPerS, "txns", 240, "requests a second, over all routers")
+	c.Flags().Float64Var(&options.lengthS, "length", 100, "seconds of a run")
+	c.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
+	return c
+}
+
+func (o *rolloutCostOptions) run(ctx context.Context) error {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	defer table.Flush()
+	fmt.Fprintln(table, "seed\tcase\tweight earned\trequests\trefused\tbroken off\trules violated\tended after s\tCPU s\t")
+	var calm, during []float64
+	for seed := uint64(1); seed <= uint64(o.seeds); seed++ {
+		earned, err := o.playRow(ctx, table, seed, "calm", false)
+		if err != nil {
+			return err
+		}
+		calm = append(calm, earned)
+		earned, err = o.playRow(ctx, table, seed, "rollout", true)
+		if err != nil {
+			return err
+		}
+		during = append(during, earned)
+		table.Flush()
+	}
+	mean, halfWidth := pairedDifference(calm, during)
+	fmt.Printf("a rollout against a calm run: %+.4f +- %.4f\n", mean, halfWidth)
+	return nil
+}
+
+// playRow plays a run, writes a line of the table and returns the share of the weight earned.
+func (o *rolloutCostOptions) playRow(ctx context.Context, to io.Writer, seed uint64, name string, rolls bool) (float64, error) {
+	r, took, err := o.play(ctx, seed, rolls)
+	if err != nil {
+		return 0, fmt.Errorf("%s, seed %d: %w", name, seed, err)
+	}
+	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n", seed, name, r.Worth(), r.Judged,
+		r.Refused, r.Broke, len(r.Breaks), took.Seconds(), r.Cost.CPU.Seconds())
+	return r.Worth(), nil
+}
+
+// play plays one run, again if it was undecided, and returns how long the rollout took.
+func (o *rolloutCostOptions) play(ctx context.Context, seed uint64, rolls bool) (*emulator.Result, time.Duration, error) {
+	for range rolloutCostTries {
+		s, err := scenario.Parse("rollout", fmt.Appendf(nil, rolloutCostScenario, o.lengthS, o.requestsPerS))
+		if err != nil {
+			return nil, 0, err
+		}
+		var took time.Duration
+		drive := func(ctx context.Context, routers *emulator.Kept) error {
+			if !rolls {
+				return nil
+			}
+			began := time.Now()
+			defer func() { took = time.Since(began) }()
+			return driveRollout(ctx, routers, time.Duration(o.lengthS)*time.Second)
+		}
+		result, err := emulator.Sockets(ctx, s, emulator.Options{Seed: seed},
+			emulator.Routers{Program: o.routerBin, Drive: drive})
+		if result == nil || result.Late <= emulator.TooLate {
+			return result, took, err
+		}
+	}
+	return nil, 0, errBusy
+}
+
+// driveRollout rolls the program that runs out to all routers once more.
+func driveRollout(ctx context.Context, routers *emulator.Kept, limit time.Duration) error {
+	status, err := routers.Standing(0)
+	if err != nil {
+		return err
+	}
+	plan := sameProgramPlan(routers, status.Settled.Program)
+	if err := os.WriteFile(routers.Plan(), []byte(plan), 0o600); err != nil {
+		return err
+	}
+	started := false
+	last := ""
+	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(rolloutPollInterval) {
+		poll := pollRollout(routers)
+		if started && poll.done {
+			return nil
+		}
+		last = cmp.Or(poll.last, last)
+		if !started && poll.ready == routers.Count() {
+			if _, err := routers.Rollout(1, rollout.CommandStart); err != nil {
+				return err
+			}
+			started = true
+		}
+	}
+	return fmt.Errorf("rollout not done after %v: %s", limit, last)
+}
+
+// rolloutPoll is what the routers' rollout status says at one time.
+type rolloutPoll struct {
+	ready int    // routers that have recovered their state
+	done  bool   // by any router
+	last  string // phase and reason of the last router that answered
+}
+
+func pollRollout(routers *emulator.Kept) rolloutPoll {
+	var poll rolloutPoll
+	for router := range routers.Count() {
+		status, err := routers.Rollout(router, 0)
+		if err != nil {
+			continue // a router that is being replaced has no status for a moment
+		}
+		poll.last = status.Phase + ": " + status.Reason
+		poll.done = poll.done || status.Phase == "done"
+		if !status.Recovering {
+			poll.ready++
+		}
+	}
+	return poll
+}
+
+// sameProgramPlan is a rollout plan in YAML: one router, half of them, all.
+func sameProgramPlan(routers *emulator.Kept, program string) string {
+	var plan strings.Builder
+	fmt.Fprintf(&plan, "name: cost\nprogram: %s\nsilent_s: 15\n", program)
+	fmt.Fprintf(&plan, "guards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n")
+	for router := range routers.Count() {
+		name, office := routers.Name(router)
+		fmt.Fprintf(&plan, "  - {name: %s, office: %s}\n", name, office)
+	}
+	first, _ := routers.Name(0)
+	fmt.Fprintf(&plan, "stages:\n  - {routers: [%s], watch_s: 40, least_s: 2}\n", first)
+	fmt.Fprint(&plan, "  - {share: 0.5, watch_s: 30, least_s: 2}\n  - {share: 1, watch_s: 2, least_s: 2}\n")
+	return plan.String()
+}
--- /dev/null
+++ b/cmd/quilldoor-lab/rolloutreport.go
@@ -0,0 +1,243 @@
+package main
+
+import (
+	"bytes"
+	_ "embed"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"html/template"
+	"image/color"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/spf13/cobra"
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	_ "gonum.org/v1/plot/vg/vgsvg" // the format in which charts are written
+
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/rollout"
+	"quilldoor/internal/upgradeagent"
+)
+
+//go:embed rolloutreport.html
+var rolloutReportText string
+
+var rolloutReportTemplate = template.Must(template.New("rollout").Parse(rolloutReportText))
+
+// rolloutReportCommand renders a rollout's status as one page without external resources.
+func rolloutReportCommand() *cobra.Command {
+	var folder, jsonFile, out string
+	c := &cobra.Command{
+		Use:   "rollout-report",
+		Short: "Render a rollout's status as one HTML page",
+		Args:  cobra.NoArgs,
+		Long: "Asks the supervisor of a folder, or reads what 'quilldoor rollout status --json' has printed. The leader's\n" +
+			"status has the figures of all routers.",
+	}
+	c.Flags().StringVar(&folder, "folder", "", "a supervisor's folder")
+	c.Flags().StringVar(&jsonFile, "json", "", "a status in JSON")
+	c.Flags().StringVar(&out, "out", "rollout.html", "the page")
+	c.RunE = func(*cobra.Command, []string) error {
+		status, err := loadRolloutStatus(folder, jsonFile)
+		if err != nil {
+			return err
+		}
+		page, err := renderRollout(status, time.Now())
+		if err != nil {
+			return err
+		}
+		return os.WriteFile(out, page, 0o644)
+	}
+	return c
+}
+
+// loadRolloutStatus gets the status from a supervisor or from a file; one of them is named.
+func loadRolloutStatus(folder, jsonFile string) (*rollout.Status, error) {
+	if (folder == "") == (jsonFile == "") {
+		return nil, errors.New("either --folder or --json")
+	}
+	if folder != "" {
+		return requestRolloutStatus(folder)
+	}
+	text, err := os.ReadFile(jsonFile)
+	if err != nil {
+		return nil, err
+	}
+	status := new(rollout.Status)
+	if err := json.Unmarshal(text, status); err != nil {
+		return nil, fmt.Errorf("%s: %w", jsonFile, err)
+	}
+	return status, nil
+}
+
+func requestRolloutStatus(folder string) (*rollout.Status, error) {
+	socket := filepath.Join(folder, upgradeagent.SocketName)
+	reply, err := handoff.Request(socket, &handoff.Message{Kind: handoff.KindRollout}, nil)
+	if err != nil {
+		return nil, err
+	}
+	if reply.Rollout == nil {
+		return nil, errors.New(reply.Note)
+	}
+	return reply.Rollout, nil
+}
+
+// rolloutPage is what the template renders.
+type rolloutPage struct {
+	Status   *rollout.Status
+	At       string
+	WatchedS int64
+	Routers  []routerRow
+	Charts   []boundChart
+}
+
+// routerRow is a router's line of the table.
+type routerRow struct {
+	rollout.RouterStatus
+	EarnedShare string // of the offered weight; "-" if none was offered
+}
+
+// boundChart is the chart of one of the guards' metrics.
+type boundChart struct {
+	Title string
+	SVG   template.HTML
+}
+
+// renderRollout returns the page.
+func renderRollout(status *rollout.Status, at time.Time) ([]byte, error) {
+	page := rolloutPage{
+		Status:   status,
+		At:       at.UTC().Format("2006-01-02 15:04:05 UTC"),
+		WatchedS: status.WatchMS / 1000,
+	}
+	for _, router := range status.Routers {
+		row := routerRow{RouterStatus: router, EarnedShare: "-"}
+		if counts := router.Report.Counts; counts.WeightOffered > 0 {
+			row.EarnedShare = fmt.Sprintf("%.4f", counts.WeightEarned/counts.WeightOffered)
+		}
+		page.Routers = append(page.Routers, row)
+	}
+	for i := range status.Bounds {
+		chart, err := newBoundChart(&status.Bounds[i])
+		if err != nil {
+			return nil, err
+		}
+		page.Charts = append(page.Charts, chart)
+	}
+	var out bytes.Buffer
+	err := rolloutReportTemplate.Execute(&out, page)
+	return out.Bytes(), err
+}
+
+func newBoundChart(b *rollout.MetricInterval) (boundChart, error) {
+	svg, err := drawBound(b)
+	if err != nil {
+		return boundChart{}, fmt.Errorf("chart of %s: %w", b.Metric, err)
+	}
+	title := fmt.Sprintf("%s, new less old: %+.4f, from %+.4f to %+.4f; %g is tolerated",
+		b.Metric, b.Mean, b.Low, b.High, b.Tolerance)
+	return boundChart{Title: title, SVG: svg}, nil
+}
+
+const (
+	chartWidth  = 640 // points
+	chartHeight = 220 // points
+	lineWidth   = 1.5 // points; also the radius of a sample
+)
+
+var (
+	sampleColor    = color.Gray{170}
+	meanColor      = color.RGBA{30, 80, 160, 255}
+	intervalColor  = color.RGBA{30, 80, 160, 120}
+	toleranceColor = color.RGBA{180, 40, 40, 255}
+)
+
+// drawBound plots a metric's samples, their running mean, its current interval and the tolerance.
+func drawBound(b *rollout.MetricInterval) (template.HTML, error) {
+	chart := plot.New()
+	chart.X.Label.Text = "sample"
+	chart.Y.Label.Text = "new less old"
+	if err := addSamples(chart, b.Samples); err != nil {
+		return "", err
+	}
+	lastX := float64(max(len(b.Samples), 2))
+	for _, line := range []struct {
+		name  string // empty: not in the legend
+		y     float64
+		color color.Color
+	}{
+		{"interval", b.Low, intervalColor},
+		{"", b.High, intervalColor},
+		{"tolerance", b.Tolerance, toleranceColor},
+	} {
+		if err := addLevel(chart, line.name, line.y, lastX, line.color); err != nil {
+			return "", err
+		}
+	}
+	return chartSVG(chart)
+}
+
+// addSamples adds the samples and their running mean.
+func addSamples(chart *plot.Plot, samples []float64) error {
+	points := make(plotter.XYs, len(samples))
+	means := make(plotter.XYs, len(samples))
+	sum := 0.0
+	for i, value := range samples {
+		sum += value
+		x := float64(i + 1)
+		points[i] = plotter.XY{X: x, Y: value}
+		means[i] = plotter.XY{X: x, Y: sum / x}
+	}
+	dots, err := plotter.NewScatter(points)
+	if err != nil {
+		return err
+	}
+	dots.Color = sampleColor
+	dots.Radius = vg.Points(lineWidth)
+	mean, err := plotter.NewLine(means)
+	if err != nil {
+		return err
+	}
+	mean.Color = meanColor
+	mean.Width = vg.Points(lineWidth)
+	chart.Add(dots, mean)
+	chart.Legend.Add("samples", dots)
+	chart.Legend.Add("running mean", mean)
+	return nil
+}
+
+// addLevel adds a dashed horizontal line.
+func addLevel(chart *plot.Plot, name string, y, lastX float64, c color.Color) error {
+	line, err := plotter.NewLine(plotter.XYs{{X: 1, Y: y}, {X: lastX, Y: y}})
+	if err != nil {
+		return err
+	}
+	line.Color = c
+	line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+	chart.Add(line)
+	if name != "" {
+		chart.Legend.Add(name, line)
+	}
+	return nil
+}
+
+// chartSVG returns the chart as an svg element.
+func chartSVG(chart *plot.Plot) (template.HTML, error) {
+	writer, err := chart.WriterTo(vg.Points(chartWidth), vg.Points(chartHeight), "svg")
+	if err != nil {
+		return "", err
+	}
+	var svg bytes.Buffer
+	if _, err := writer.WriteTo(&svg); err != nil {
+		return "", err
+	}
+	text := svg.Bytes()
+	if i := bytes.Index(text, []byte("<svg")); i > 0 { // an XML prologue is not allowed inside a page
+		text = text[i:]
+	}
+	return template.HTML(text), nil
+}
--- a/cmd/quilldoor-lab/report_test.go
+++ b/cmd/quilldoor-lab/rolloutreport_test.go
@@ -8,15 +8,15 @@
 	"quilldoor/internal/rollout"
 )
 
-// The page holds all that is known, plots included, asks for nothing else, and lets no
-// name of a router be anything but text.
-func TestRolloutPage(t *testing.T) {
-	s := &rollout.Status{
+// The page has charts for the bounds, loads nothing from elsewhere, and escapes the names of
+// routers.
+func TestRolloutPageIsCompleteAndEscaped(t *testing.T) {
+	status := &rollout.Status{
 		Plan: "faster", Phase: "forward", Stage: 1, Stages: 3, IsLeader: true, Reason: "<script>", Verdict: "good",
 		Routers: []rollout.RouterStatus{{Name: "n1<b>", Office: "a", Activity: "new"}, {Name: "n2", Office: "a", Activity: "old"}},
 		Bounds:  []rollout.MetricInterval{{Metric: "loss of worth", Tolerance: 0.01, Mean: 0.02, Low: -0.01, High: 0.05, Samples: []float64{0.01, 0.03, 0.02}}},
 	}
-	page, err := drawRollout(s, time.Unix(0, 0))
+	page, err := renderRollout(status, time.Unix(0, 0))
 	text := string(page)
 	if err != nil || !strings.Contains(text, "<svg") || !strings.Contains(text, "n1&lt;b&gt;") || !strings.Contains(text, "0.0200, from") {
 		t.Fatalf("%v\n%.2000s", err, text)
--- a/internal/faultsearch/finding.go
+++ b/internal/faultsearch/finding.go
@@ -16,5 +16,5 @@
 
 // String is a one-line summary.
 func (f *Finding) String() string {
-	return fmt.Sprintf("day %d: %s, worth %.3f", f.Number, f.Violation, f.EarnedShare)
+	return fmt.Sprintf("scenario %d: %s, weight earned %.3f", f.Number, f.Violation, f.EarnedShare)
 }
