--- /dev/null
+++ b/internal/emulator/log_tail.go
@@ -0,0 +1,26 @@
+package emulator
+
+import "sync"
+
+// tail keeps the last bytes that were written.
+type tail struct {
+	mu   sync.Mutex
+	text []byte
+}
+
+func (t *tail) Write(b []byte) (int, error) {
+	const most = 4 << 10
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.text = append(t.text, b...)
+	if over := len(t.text) - most; over > 0 {
+		t.text = append(t.text[:0], t.text[over:]...)
+	}
+	return len(b), nil
+}
+
+func (t *tail) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return string(t.text)
+}
--- a/internal/emulator/relay.go
+++ b/internal/emulator/process_config.go
@@ -1,17 +1,42 @@
 package emulator
 
 import (
-	"net"
+	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
-	"time"
 
 	"github.com/goccy/go-yaml"
 
 	"quilldoor/internal/operatorconfig"
 	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
 )
 
+// run starts the process with the list as it is.
+func (r *process) run(known []simulation.Server) error {
+	r.starts++
+	r.events = []string{r.pool(1, known, true)}
+	setup := r.set.Settings(r.world.Office(r.id), r.id)
+	if r.opt.Settings != nil {
+		r.opt.Settings(&setup)
+	}
+	f := &r.set.Fleet
+	text, err := json.Marshal(map[string]any{
+		"name": fmt.Sprint("n", r.id+1), "listen": r.listen, "seed": fmt.Sprintf("%x", r.id+1+r.starts<<16),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "board": r.board.Addr().String(),
+		"flow_bytes_per_s": f.FlowKBPerS * 1000, "link_bytes_per_s": f.FlowKBPerS * 4000,
+		"known": json.RawMessage(`{"rev":1,"notices":[` + r.events[0] + `]}`), "settings": setup,
+	})
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(r.config(), text, 0o600); err != nil {
+		return err
+	}
+	return r.exec()
+}
+
 // operator writes a router's own file: its gateway, with peers behind relays that
 // are as far away as the script says and are cut with the sites, and its part among
 // the routers of the site.
@@ -58,77 +83,3 @@
 	}
 	return os.WriteFile(file(nameOf(r.id)+".yaml"), text, 0o600)
 }
-
-// relay passes connections on, late by the way between sites. While they are cut
-// bytes wait, as they do with TCP.
-func (v *sockets) relay(to string) (addr string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	v.all.Go(func() {
-		<-v.ctx.Done()
-		l.Close()
-	})
-	v.all.Go(func() {
-		for {
-			a, err := l.Accept()
-			if err != nil {
-				return
-			}
-			b, err := net.Dial("tcp", to)
-			if err != nil {
-				a.Close()
-				continue
-			}
-			v.all.Go(func() { v.pass(a, b) })
-			v.all.Go(func() { v.pass(b, a) })
-		}
-	})
-	return l.Addr().String(), nil
-}
-
-func (v *sockets) pass(from, to net.Conn) {
-	defer to.Close()
-	defer from.Close()
-	way := time.Duration(v.set.Fleet.SiteMS * float64(time.Millisecond))
-	type piece struct {
-		at time.Time
-		b  []byte
-	}
-	pieces := make(chan piece, 1024)
-	v.all.Go(func() {
-		defer to.Close()
-		defer from.Close()
-		for {
-			select {
-			case <-v.ctx.Done():
-				return
-			case p, more := <-pieces:
-				if !more {
-					return
-				}
-				time.Sleep(time.Until(p.at.Add(way)))
-				for v.cut.Load() && v.ctx.Err() == nil {
-					time.Sleep(5 * time.Millisecond)
-				}
-				if _, err := to.Write(p.b); err != nil {
-					return
-				}
-			}
-		}
-	})
-	defer close(pieces)
-	for {
-		b := make([]byte, 16<<10)
-		n, err := from.Read(b)
-		if err != nil {
-			return
-		}
-		select {
-		case pieces <- piece{time.Now(), b[:n]}:
-		case <-v.ctx.Done():
-			return
-		}
-	}
-}
--- a/internal/emulator/rollouts.go
+++ b/internal/emulator/virtual_rollout.go
@@ -8,10 +8,8 @@
 	"math/rand/v2"
 
 	"quilldoor/internal/canary"
-	"quilldoor/internal/engine"
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/invariant"
-	"quilldoor/internal/policy"
 	"quilldoor/internal/rollout"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simulation"
@@ -51,6 +49,7 @@
 	News    int     // routers with the new generation in the end
 }
 
+// rolling is the state of a rollout run: a rollout node and a simulated upgrade for each router.
 type rolling struct {
 	*virtual
 	set   *Rolling
@@ -64,14 +63,7 @@
 	eyes  []*eye
 }
 
-// eye is a router's witness, and what it has gathered.
-type eye struct {
-	judge   *invariant.Monitor
-	acts    *invariant.Recorder
-	process uint64
-	accused bool
-}
-
+// rollingRouter is which program a router runs, and what its canary analysis counts.
 type rollingRouter struct {
 	onNew, changing, target bool
 	until                   int64
@@ -79,6 +71,7 @@
 	counts                  canary.Counts
 }
 
+// rollingMail is a message between rollout nodes that is delivered at the next step.
 type rollingMail struct {
 	from, to int
 	m        *rollout.Message
@@ -210,46 +203,6 @@
 	return true
 }
 
-func (r *rolling) listed(router int, now int64, whole bool, list []engine.Endpoint) {
-	entries := make([]policy.Endpoint, len(list))
-	for i, s := range list {
-		entries[i] = s.Endpoint
-	}
-	r.eyes[router].judge.EndpointsChanged(now, whole, entries)
-}
-
-func (r *rolling) purged(router int, now int64, object string, group, made int64) {
-	r.eyes[router].judge.Purged(now, object, group, made)
-}
-
-func (r *rolling) sent(router int, rule string, h *engine.Attempt) {
-	r.eyes[router].acts.RecordAttempt(h.DecidedAt, h.Endpoint.ID, h.Source, rule, h.Unsafe)
-}
-
-func (r *rolling) answered(router int, a *simulation.Ask, h *engine.Attempt, issued int64) {
-	k := r.world.RuleOf(a.Rule)
-	if k.Write {
-		return
-	}
-	flow := r.virtual.set.Fleet.FlowKBPerS / 1e6
-	r.eyes[router].acts.RecordResponse(k.Name, a.Object, a.Group, h.DecidedAt, issued+epoch, a.SizeKB/flow)
-}
-
-// look lets a router's witness judge; each change is another process.
-func (r *rolling) look(now int64, i int) invariant.Violations {
-	e, l := r.eyes[i], &r.local[i]
-	if of := l.run<<1 | uint64(map[bool]int{true: 1}[r.news(i)]); of != e.process {
-		e.judge.ProcessEnded(e.process)
-		e.process = of
-		e.acts.Take()
-	}
-	e.judge.Observe(now+epoch, e.process, e.acts.Take())
-	e.judge.Tick(now + epoch)
-	s := e.judge.Violations(e.process)
-	e.accused = e.accused || s.Rules != 0
-	return s
-}
-
 // step is called ten times a second.
 func (r *rolling) step(now int64) {
 	if r.set.AtOnce {
