--- a/cmd/quilldoor/asyncwriter_test.go
+++ b/cmd/quilldoor/asyncwriter_test.go
@@ -7,7 +7,7 @@
 )
 
 // A log that nobody read could hold up what time brings, time-outs among it.
-func TestBlockedLogHoldsNobodyUp(t *testing.T) {
+func TestBlockedLogDelaysNobody(t *testing.T) {
 	r, w := io.Pipe() // a write waits for a read
 	o := newAsyncWriter(w)
 	for range 1000 {
--- a/cmd/quilldoor/build_test.go
+++ b/cmd/quilldoor/build_test.go
@@ -13,7 +13,7 @@
 
 // The operators' bench loads a library into the router's process: the program that the
 // deploy file builds must name the C library as one that it needs.
-func TestTheBuiltRouterNeedsTheCLibrary(t *testing.T) {
+func TestBuiltRouterNeedsTheCLibrary(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/quilldoor/crossings_test.go
+++ b/cmd/quilldoor/crossings_test.go
@@ -11,7 +11,7 @@
 
 // A keyed txn's mark once stayed behind, so that no cache server could have told a
 // repeat; one without a mark is no request.
-func TestAKeyedTxnBringsItsMark(t *testing.T) {
+func TestKeyedRequestCarriesItsIdempotencyKey(t *testing.T) {
 	origin := newStandIn(t, func(id, _, _ string) string { return id + " ACK - 2\r\nok\r\n" })
 	keyed := strings.NewReplacer(`"Effect":"unsafe"`, `"Effect":"keyed","Group":"all","DedupWindowMs":700`)
 	addr := startWith(t, origin.Addr().String(), origin.Addr().String(), "", keyed).addr
@@ -28,7 +28,7 @@
 }
 
 // An answer that names another copy than the client's once made it a 304.
-func TestACopyIsCurrentOnlyByItsOwnTag(t *testing.T) {
+func TestCopyIsCurrentOnlyByItsOwnTag(t *testing.T) {
 	cache := newStandIn(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "mine=") {
 			return id + " NOMOD entity=e2,issued=7 0\r\n\r\n"
@@ -46,7 +46,7 @@
 
 // What a client sent ahead ends with it: neither another hop of the txn in hand nor
 // the next txn begins.
-func TestNothingFollowsForAClientThatLeft(t *testing.T) {
+func TestNoAttemptBeginsForAClientThatLeft(t *testing.T) {
 	cache := newStandIn(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "path=held,") {
 			return ""
@@ -73,7 +73,7 @@
 
 // Once the listener is shut, answers say that their connections end, so that clients
 // come back elsewhere before theirs are shut.
-func TestAnswersSayCloseOnceTheListenerIsShut(t *testing.T) {
+func TestResponsesSayCloseOnceTheListenerIsShut(t *testing.T) {
 	serveOn = 5 * time.Second
 	defer func() { serveOn = 50 * time.Millisecond }()
 	cache := newStandIn(t, func(id, _, _ string) string { return ack(id, "there") })
--- a/cmd/quilldoor/earlier_test.go
+++ b/cmd/quilldoor/earlier_test.go
@@ -48,7 +48,7 @@
 // Two routers of the landing before and two of this text, kept, know each other, while
 // those of this text are changed and one of the others dies. The earlier program can't
 // be kept, and is refused with a reason.
-func TestEarlierBesideThis(t *testing.T) {
+func TestEarlierProgramBesideThis(t *testing.T) {
 	t.Parallel()
 	program := earlierProgram(t)
 	const text = `
--- a/cmd/quilldoor/emulated_test.go
+++ b/cmd/quilldoor/emulated_test.go
@@ -86,7 +86,7 @@
 }
 
 // Real routers before an emulated fleet with all kinds of trouble keep the rules.
-func TestEmulatedTroubles(t *testing.T) {
+func TestEmulatedFaults(t *testing.T) {
 	t.Parallel()
 	r, err := rehearse(t, `
 length_s: 7
--- a/cmd/quilldoor/members_test.go
+++ b/cmd/quilldoor/members_test.go
@@ -18,7 +18,7 @@
 // Six real routers that know each other, under load, while some of them fail or are
 // cut off: each txn one end, no rule broken, no live router called dead by all the
 // others, and every view right soon after the last trouble.
-func TestMembersAmongProcesses(t *testing.T) {
+func TestMembershipAmongProcesses(t *testing.T) {
 	const fleet = `
 settle_s: 1
 fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3, members: true, board_ms: 200, death_ms: 500, cold_s: 2}
@@ -122,7 +122,7 @@
 
 // The same cut of the board breaks rules where routers know nobody: the test above
 // proves what it says.
-func TestBoardCutAlone(t *testing.T) {
+func TestDiscoveryCutBesideStarvedRouters(t *testing.T) {
 	t.Parallel()
 	r, err := rehearse(t, `
 settle_s: 1
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestMembersCommand(t *testing.T) {
+func TestMembershipCommand(t *testing.T) {
 	dir := t.TempDir()
 	key := filepath.Join(dir, "key")
 	writeFile(t, key, []byte("a key of sixteen bytes"))
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -97,7 +97,7 @@
 
 // The same program goes through all stages while who leads is killed with its machine,
 // stopped for some seconds, and cut off, and caches are lost and come back cold.
-func TestRolloutOfTheSame(t *testing.T) {
+func TestRolloutOfTheSameProgram(t *testing.T) {
 	t.Parallel()
 	r := changesBut(t, rolloutFleet+"length_s: 150\ntroubles:\n  - {kind: office_lost, at: 22, for: 3, office: 2}\n  - {kind: ways_camps, at: 30, for: 4, share: 0.25}\n  - {kind: cut_board, at: 34, for: 3, share: 0.5}\n", played{ends: true},
 		func(k *emulator.Kept) error {
@@ -168,7 +168,7 @@
 
 // A worse one is stopped at its first stage, and every router has the old one in the
 // end.
-func TestRolloutsOfWorse(t *testing.T) {
+func TestRolloutsOfWorsePrograms(t *testing.T) {
 	for _, c := range []struct {
 		fault, says string
 		long        bool
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -322,7 +322,7 @@
 }
 
 // A wait for a hop once didn't see that its client had gone.
-func TestLeavingClientGivesItsHopUp(t *testing.T) {
+func TestLeavingClientCancelsItsAttempt(t *testing.T) {
 	silent := newStandIn(t, func(string, string, string) string { return "" })
 	addr := startRouter(t, silent.Addr().String(), silent.Addr().String()).addr
 	c := dial(t, addr)
@@ -334,7 +334,7 @@
 	}
 }
 
-func TestSilentServerHoldsUpNoOtherHop(t *testing.T) {
+func TestSilentEndpointDelaysNoOtherAttempt(t *testing.T) {
 	cache := newStandIn(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "path=slow,") {
 			return ""
@@ -356,7 +356,7 @@
 }
 
 // What broke off, or broke the protocol, was answered whole by the next try.
-func TestBrokenAnswersAreTriedAgain(t *testing.T) {
+func TestBrokenResponsesAreRetried(t *testing.T) {
 	for _, first := range []string{"CLOSE", "%s ACK entity=e,issued=7 10\r\n01234CLOSE", "%s ACK - -1\r\n", "%s ACK - 0\r\n\r\n", "x\r\n"} {
 		tries := 0
 		server := newStandIn(t, func(id, _, _ string) string {
@@ -376,7 +376,7 @@
 
 // An unrepeatable txn that may have run is aborted; where it is proven that it
 // has not, it goes again and may be rejected.
-func TestUnrepeatableTxns(t *testing.T) {
+func TestUnsafeRequestsAreNotRetried(t *testing.T) {
 	for answer, want := range map[string]string{"%s EIO - 0\r\n\r\n": "504", "CLOSE": "504", "%s AGAIN - 0\r\n\r\n": "503"} {
 		origin := newStandIn(t, func(id, _, _ string) string { return strings.Replace(answer, "%s", id, 1) })
 		addr := startRouter(t, origin.Addr().String(), origin.Addr().String()).addr
@@ -392,7 +392,7 @@
 	}
 }
 
-func TestRefusedConnectionsAreProof(t *testing.T) {
+func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	gone := reserveAddress(t) // nobody listens there
 	addr := startRouter(t, gone, gone).addr
 	c := dial(t, addr)
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -192,7 +192,7 @@
 
 // Changes in a row under load: no connection is refused or broken off, each txn has
 // one end, no rule is broken, one generation serves in the end.
-func TestChangesInARow(t *testing.T) {
+func TestUpgradesInARow(t *testing.T) {
 	t.Parallel()
 	const many = 15
 	r := changes(t, keptFleet+"load: {txns_per_s: 200, objects: 800}\nlength_s: 14\ntroubles:\n  - {kind: deploy, at: 3, for: 1, every: 1, strength: 1}\n  - {kind: purge, at: 5, share: 1}\n  - {kind: cut_board, at: 7, for: 2}\n  - {kind: die, at: 9, for: 1.5, share: 0.25}\n",
@@ -223,7 +223,7 @@
 
 // A new generation that is wrong in any way is refused or falls back; the old one
 // serves in the end, and says why.
-func TestWrongGenerations(t *testing.T) {
+func TestFaultyGenerations(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		fault, says string
@@ -293,7 +293,7 @@
 
 // Processes killed and stopped at each step of a change: one generation serves in
 // the end, the old one unless the new one was settled.
-func TestKilledAtEachStep(t *testing.T) {
+func TestProcessKilledAtEachUpgradeStep(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(keptFleet, "trial_s: 0.4", "trial_s: 1.5", 1) + "load: {txns_per_s: 100, objects: 500}\nlength_s: 12\n"
 	for _, step := range []string{"warming", "on trial", "steady"} {
@@ -394,7 +394,7 @@
 // gateway, a disk tier, a metrics file. Each is changed three times, all at once,
 // while a purge comes and the sites are cut: the others hold each for one member that
 // never went, the folder is nobody's twice, every txn has one end.
-func TestChangeHandsAllOver(t *testing.T) {
+func TestUpgradeHandsEverythingOver(t *testing.T) {
 	t.Parallel()
 	r := changes(t, `
 settle_s: 1
@@ -475,7 +475,7 @@
 
 // What a change is asked for and can't be, is live, or finds the folder harmed: it
 // says why, and the router serves on.
-func TestChangesRefused(t *testing.T) {
+func TestRefusedUpgrades(t *testing.T) {
 	t.Parallel()
 	edit := func(path string, old, replacement string) (string, error) {
 		text, err := os.ReadFile(path)
--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -120,13 +120,13 @@
 // there were.
 func (m *Monitor) EventCounts() (drains, purges int) { return m.drainsSeen, m.purgesSeen }
 
-// SetBlind says whether discovery can't be reached. An endpoint that returned meanwhile
+// SetDisconnected says whether discovery can't be reached. An endpoint that returned meanwhile
 // is not known to have, so drains are not judged until some time after.
-func (m *Monitor) SetBlind(now int64, blind bool) {
-	if m.disconnected && !blind {
+func (m *Monitor) SetDisconnected(now int64, disconnected bool) {
+	if m.disconnected && !disconnected {
 		m.drainsFrom = now + maxDiscoverySkew
 	}
-	m.disconnected = blind
+	m.disconnected = disconnected
 }
 
 // ClockJumped says that the system's clock was moved by so much, in microseconds. Earlier
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -73,7 +73,7 @@
 		}},
 		{"drained, while discovery can't be reached", 0, func(m *Monitor) Violations {
 			m.EndpointsChanged(epoch, false, []policy.Endpoint{listed("a", policy.EndpointDraining, 0)})
-			m.SetBlind(epoch+second, true)
+			m.SetDisconnected(epoch+second, true)
 			return play(m, epoch+10*second, epoch+30*second, useOf("a", 0))
 		}},
 		{"missing from a complete list", RuleDrained, func(m *Monitor) Violations {
--- a/internal/invariant/random_test.go
+++ b/internal/invariant/random_test.go
@@ -108,7 +108,7 @@
 		toRouter.receive(now)
 		if unreachable := now < reachableFrom; unreachable != disconnected {
 			disconnected = unreachable
-			m.SetBlind(now, disconnected)
+			m.SetDisconnected(now, disconnected)
 		}
 		m.Observe(now, 1, r.activity(now, ids))
 		m.Tick(now)
--- a/internal/invariant/safety_test.go
+++ b/internal/invariant/safety_test.go
@@ -36,7 +36,7 @@
 	// The endpoint returns while the monitor can't reach discovery.
 	returnsUnseen := func(m *Monitor) Violations {
 		drain(m, epoch)
-		m.SetBlind(epoch+second, true)
+		m.SetDisconnected(epoch+second, true)
 		return play(m, epoch+5*second, epoch+20*second, useA)
 	}
 	// Reports of an endpoint in slow start come late and together.
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestLowestPriorityIsTurnedAwayFirst(t *testing.T) {
+func TestLowestPriorityIsRejectedFirst(t *testing.T) {
 	r := newRouter(nil)
 	r.priorities = []float64{1, 2, 3, 4}
 	m := &limiter{inFlight: 10, limit: 10}
--- a/internal/supervisor/observer.go
+++ b/internal/supervisor/observer.go
@@ -102,19 +102,19 @@
 
 // DiscoveryLost takes the first failed poll in a row.
 func (o *observer) DiscoveryLost(error) {
-	o.enqueue(func(now int64) { o.monitor.SetBlind(now, true) })
+	o.enqueue(func(now int64) { o.monitor.SetDisconnected(now, true) })
 }
 
 // DiscoveryRestored takes the first poll that succeeds again.
 func (o *observer) DiscoveryRestored() {
-	o.enqueue(func(now int64) { o.monitor.SetBlind(now, false) })
+	o.enqueue(func(now int64) { o.monitor.SetDisconnected(now, false) })
 }
 
 // DiscoveryGap takes that events may have been missed.
 func (o *observer) DiscoveryGap() {
 	o.enqueue(func(now int64) {
-		o.monitor.SetBlind(now, true)
-		o.monitor.SetBlind(now, false)
+		o.monitor.SetDisconnected(now, true)
+		o.monitor.SetDisconnected(now, false)
 	})
 }
 
