--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -9,128 +9,128 @@
 
 // Hop takes a hop that a router sends at its time. It comes to the server after
 // the way there.
-func (w *World) Hop(h *Hop) {
+func (w *World) Hop(attempt *Hop) {
 	w.Result.Hops++
-	h.at, h.sent = w.servers[h.Server], w.now
-	h.from = w.servers[h.Source]
-	h.obj = w.cat.id(h.Object)
-	w.note(Entry{
-		Kind: eventlog.KindSent, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server, Source: h.Source, Object: h.Object,
-		Group: h.Group, Class: w.rules[h.Rule].Name,
+	attempt.target = w.servers[attempt.Server]
+	attempt.fillSource = w.servers[attempt.Source]
+	attempt.objectID = w.catalogue.id(attempt.Object)
+	w.record(Entry{
+		Kind: eventlog.KindSent, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: attempt.Server, Source: attempt.Source, Object: attempt.Object,
+		Group: attempt.Group, Class: w.classes[attempt.Rule].Name,
 	})
-	if h.at == nil {
+	if attempt.target == nil {
 		return // a server that never was: nothing answers
 	}
-	h.latent = w.away(w.routers[h.Router].office, h.at)
-	w.hops[hopKey{h.Router, h.Txn, h.N}] = h
-	w.after(h.latent, func() { w.come(h) })
+	attempt.latency = w.oneWayDelay(w.routers[attempt.Router].office, attempt.target)
+	w.attempts[attemptKey{attempt.Router, attempt.Txn, attempt.N}] = attempt
+	w.schedule(attempt.latency, func() { w.attemptArrived(attempt) })
 }
 
 // Cancel takes that a router gives a hop up; the server hears of it later.
-func (w *World) Cancel(router int, txn string, n int) {
-	key := hopKey{router, txn, n}
-	if h := w.hops[key]; h != nil {
-		delete(w.hops, key)
-		w.after(h.latent, func() { h.at.stop(h) })
+func (w *World) Cancel(router int, requestID string, number int) {
+	key := attemptKey{router, requestID, number}
+	if attempt := w.attempts[key]; attempt != nil {
+		delete(w.attempts, key)
+		w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
 	}
 }
 
-func (w *World) come(h *Hop) {
-	s := h.at
+func (w *World) attemptArrived(attempt *Hop) {
+	server := attempt.target
 	switch {
-	case h.state == ended:
+	case attempt.state == attemptEnded:
 		return
-	case !s.up && s.silent:
+	case !server.up && server.silent:
 		return
-	case !s.up:
-		s.end(h, End{Outcome: policy.OutcomeConnectionRefused})
+	case !server.up:
+		server.finish(attempt, End{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
-	w.note(Entry{Kind: eventlog.KindArrived, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: s.uid})
-	h.place = len(s.hops)
-	s.hops = append(s.hops, h)
-	work := h.SizeKB / w.set.Fleet.FlowKBPerS * 1e6
-	if s.charge(work) {
-		s.fall()
+	w.record(Entry{Kind: eventlog.KindArrived, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: server.id})
+	attempt.index = len(server.attempts)
+	server.attempts = append(server.attempts, attempt)
+	work := attempt.SizeKB / w.scenario.Fleet.FlowKBPerS * 1e6
+	if server.recordWork(work) {
+		server.collapse()
 		return
 	}
-	switch s.kind {
-	case cache:
-		s.admit(h)
-	case parent:
-		s.fetchFor(h)
-	case ledger:
-		s.ledgerWork(h)
+	switch server.kind {
+	case kindCache:
+		server.admit(attempt)
+	case kindParent:
+		server.serveFromParent(attempt)
+	case kindOrigin:
+		server.serveFromOrigin(attempt)
 	}
 }
 
-// end answers a hop. What the router gets takes the way back, and a trouble may
+// finish answers a hop. What the router gets takes the way back, and a trouble may
 // get between.
-func (s *server) end(h *Hop, e End) {
-	if h.state == ended {
+func (s *server) finish(attempt *Hop, end End) {
+	if attempt.state == attemptEnded {
 		return
 	}
-	s.stop(h)
-	e.Load = s.load
-	if e.Outcome != policy.OutcomeConnectionReset && e.Outcome != policy.OutcomeConnectionRefused {
-		s.w.Result.Ends[e.Outcome.String()]++
-		if e = s.w.spoil(s, e); e.Outcome == policy.OutcomeUnknown {
+	s.detach(attempt)
+	end.Load = s.visibleLoad
+	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
+		s.world.Result.Ends[end.Outcome.String()]++
+		if end = s.world.applyAnswerFaults(s, end); end.Outcome == policy.OutcomeUnknown {
 			return // it never comes
 		}
 	}
-	s.w.after(h.latent, func() { s.w.deliver(h, e) })
+	s.world.schedule(attempt.latency, func() { s.world.deliver(attempt, end) })
 }
 
-func (w *World) deliver(h *Hop, e End) {
-	key := hopKey{h.Router, h.Txn, h.N}
-	if w.hops[key] != h {
+func (w *World) deliver(attempt *Hop, end End) {
+	key := attemptKey{attempt.Router, attempt.Txn, attempt.N}
+	if w.attempts[key] != attempt {
 		return // the router has given it up
 	}
-	delete(w.hops, key)
-	w.note(Entry{Kind: eventlog.KindEnded, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server, Outcome: e.Outcome.String(), Issued: e.Issued})
-	w.driver.End(h.Router, h, e)
+	delete(w.attempts, key)
+	w.record(Entry{Kind: eventlog.KindEnded, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: attempt.Server, Outcome: end.Outcome.String(), Issued: end.Issued})
+	w.driver.End(attempt.Router, attempt, end)
 }
 
-// stop takes a hop off its server: it has ended, or was given up.
-func (s *server) stop(h *Hop) {
-	if h.state == ended {
+// detach takes a hop off its server: it has ended, or was given up.
+func (s *server) detach(attempt *Hop) {
+	if attempt.state == attemptEnded {
 		return
 	}
-	was := h.state
-	h.state = ended
-	if h.place < len(s.hops) && s.hops[h.place] == h {
-		last := len(s.hops) - 1
-		s.hops[h.place] = s.hops[last]
-		s.hops[h.place].place = h.place
-		s.hops[last] = nil
-		s.hops = s.hops[:last]
+	previous := attempt.state
+	attempt.state = attemptEnded
+	if attempt.index < len(s.attempts) && s.attempts[attempt.index] == attempt {
+		last := len(s.attempts) - 1
+		s.attempts[attempt.index] = s.attempts[last]
+		s.attempts[attempt.index].index = attempt.index
+		s.attempts[last] = nil
+		s.attempts = s.attempts[:last]
 	}
-	if f := h.fill; f != nil {
-		h.fill = nil
-		f.leave(h)
+	if inFlight := attempt.fill; inFlight != nil {
+		attempt.fill = nil
+		inFlight.removeAttempt(attempt)
 	}
-	if h.job != nil {
-		h.job.of.remove(h.job)
-		h.job = nil
+	if attempt.job != nil {
+		attempt.job.resource.remove(attempt.job)
+		attempt.job = nil
 	}
-	if s.kind != cache {
+	if s.kind != kindCache {
 		return
 	}
-	switch was {
-	case waiting:
-		if i := slices.Index(s.queue, h); i >= 0 {
+	switch previous {
+	case attemptQueued:
+		if i := slices.Index(s.queue, attempt); i >= 0 {
 			s.queue = slices.Delete(s.queue, i, i+1)
 		}
-	case working:
-		s.slots--
-		s.power()
-		s.next()
+	case attemptWorking:
+		s.busySlots--
+		s.updateRate()
+		s.startQueued()
 	}
 }
 
-// ran notes that a hop's work was done in part at least.
-func (w *World) ran(h *Hop) {
-	w.note(Entry{Kind: eventlog.KindRan, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.at.uid, Class: w.rules[h.Rule].Name})
+// recordExecuted notes that a hop's work was done in part at least.
+func (w *World) recordExecuted(attempt *Hop) {
+	w.record(Entry{Kind: eventlog.KindRan, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: attempt.target.id, Class: w.classes[attempt.Rule].Name})
 }
 
 // Hop is what a router sends to a server.
@@ -150,28 +150,27 @@
 	Write          bool
 	Tag            any // the driver's own
 
-	at     *server
-	from   *server
-	obj    int64
-	state  hopState
-	place  int // in the server's list
-	job    *job
-	fill   *fill
-	sent   int64
-	latent int64 // one way
+	target     *server
+	fillSource *server
+	objectID   int64
+	state      attemptState
+	index      int // in the server's list
+	job        *job
+	fill       *fill
+	latency    int64 // one way
 }
 
-type hopState uint8
+type attemptState uint8
 
 const (
-	onTheWay hopState = iota
-	waiting           // in the server's waiting room
-	working           // has a slot
-	ended
+	attemptInTransit attemptState = iota
+	attemptQueued                 // in the server's waiting room
+	attemptWorking                // has a slot
+	attemptEnded
 )
 
-type hopKey struct {
-	router int
-	txn    string
-	n      int
+type attemptKey struct {
+	router    int
+	requestID string
+	attempt   int
 }
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -7,116 +7,116 @@
 )
 
 func (w *World) newCache(office int, uid string) *server {
-	f := &w.set.Fleet
+	fleet := &w.scenario.Fleet
 	s := &server{
-		w: w, uid: uid, kind: cache, office: office, trunk: f.Trunk(office), weight: float64(f.Cores), up: true,
-		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{},
+		world: w, id: uid, kind: kindCache, office: office, trunk: fleet.Trunk(office), weight: float64(fleet.Cores), up: true,
+		listed: policy.EndpointActive, slowdown: 1, fills: map[int64]*fill{},
 	}
 	// Work is told in core-microseconds; a core sends one flow.
-	s.cpu = &share{w: w, total: float64(f.Cores), most: 1}
-	s.store = newStore(f.CacheShare * w.cat.officeKB / float64(f.Caches))
+	s.cpu = &sharedResource{world: w, totalRate: float64(fleet.Cores), maxJobRate: 1}
+	s.store = newCopyStore(fleet.CacheShare * w.catalogue.officeKB / float64(fleet.Caches))
 	w.servers[uid] = s
-	w.after(w.jitter(f.ReportMS*1000), s.report)
+	w.schedule(w.jitter(fleet.ReportMS*1000), s.reportLoad)
 	return s
 }
 
 // admit takes a hop in at a cache: to work, to the waiting room, or not.
-func (s *server) admit(h *Hop) {
-	f := &s.w.set.Fleet
+func (s *server) admit(attempt *Hop) {
+	fleet := &s.world.scenario.Fleet
 	switch {
-	case s.slots < f.SlotsPerCore*f.Cores:
-		s.work(h)
-	case len(s.queue) < f.QueuePerCore*f.Cores:
-		h.state = waiting
-		s.queue = append(s.queue, h)
+	case s.busySlots < fleet.SlotsPerCore*fleet.Cores:
+		s.serve(attempt)
+	case len(s.queue) < fleet.QueuePerCore*fleet.Cores:
+		attempt.state = attemptQueued
+		s.queue = append(s.queue, attempt)
 	default:
-		s.end(h, End{Outcome: policy.OutcomeBusy})
+		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
 	}
 }
 
-func (s *server) next() {
-	f := &s.w.set.Fleet
-	for s.up && len(s.queue) > 0 && s.slots < f.SlotsPerCore*f.Cores {
-		h := s.queue[0]
+func (s *server) startQueued() {
+	fleet := &s.world.scenario.Fleet
+	for s.up && len(s.queue) > 0 && s.busySlots < fleet.SlotsPerCore*fleet.Cores {
+		attempt := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
-		s.work(h)
+		s.serve(attempt)
 	}
 }
 
-// work looks for a copy, or begins a fill.
-func (s *server) work(h *Hop) {
-	w, f := s.w, &s.w.set.Fleet
-	h.state = working
-	s.slots++
-	key := keyOf(h.obj, h.Part)
-	within := h.Within
-	if within == 0 {
-		within = w.rules[h.Rule].FreshFor
+// serve looks for a copy, or begins a fill.
+func (s *server) serve(attempt *Hop) {
+	w, fleet := s.world, &s.world.scenario.Fleet
+	attempt.state = attemptWorking
+	s.busySlots++
+	key := partKey(attempt.objectID, attempt.Part)
+	maxAge := attempt.Within
+	if maxAge == 0 {
+		maxAge = w.classes[attempt.Rule].FreshFor
 	}
-	s.served++
-	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
-		s.hits++
-		note := policy.ReasonHit
-		if w.now-c.issued > w.rules[h.Rule].FreshFor {
-			note = policy.ReasonStale
+	s.reportServed++
+	if copied := s.lookup(attempt, key); copied != nil && w.now-copied.issuedAt <= maxAge {
+		s.reportHits++
+		reason := policy.ReasonHit
+		if w.now-copied.issuedAt > w.classes[attempt.Rule].FreshFor {
+			reason = policy.ReasonStale
 		}
-		s.send(h, note, c.issued, 0)
+		s.sendCopy(attempt, reason, copied.issuedAt, 0)
 		return
 	}
 	switch {
-	case h.from == nil || h.from == s:
-		s.end(h, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
-	case h.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
-		x := s.fills[key]
-		x.rank = max(x.rank, h.Rank)
-		x.hops = append(x.hops, h)
-		h.fill = x
-	case s.fillsN >= f.FillsPerCore*f.Cores:
-		s.end(h, End{Outcome: policy.OutcomeBusy})
+	case attempt.fillSource == nil || attempt.fillSource == s:
+		s.finish(attempt, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
+	case attempt.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
+		inFlight := s.fills[key]
+		inFlight.rank = max(inFlight.rank, attempt.Rank)
+		inFlight.attempts = append(inFlight.attempts, attempt)
+		attempt.fill = inFlight
+	case s.fillCount >= fleet.FillsPerCore*fleet.Cores:
+		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
 	default:
-		x := &fill{at: s, key: key, hops: []*Hop{h}, rank: h.Rank, begun: w.now, life: s.life, note: policy.ReasonMiss}
-		h.fill = x
-		s.fillsN++
+		inFlight := &fill{server: s, key: key, attempts: []*Hop{attempt}, rank: attempt.Rank, startedAt: w.now, incarnation: s.incarnation, reason: policy.ReasonMiss}
+		attempt.fill = inFlight
+		s.fillCount++
 		if s.fills[key] == nil {
-			s.fills[key] = x
+			s.fills[key] = inFlight
 		}
-		x.ask(h)
+		inFlight.start(attempt)
 	}
 }
 
 // lookup finds a copy. Where the run begins warm, what was popular then counts as
 // kept by the server that is asked for it first: which one that is, is the
 // routers' to choose.
-func (s *server) lookup(h *Hop, key int64) *kept {
-	if c := s.store.get(key); c != nil || h.obj >= s.w.cat.warm[s.kind] || s.life > 0 || s.born > 0 {
-		return c
+func (s *server) lookup(attempt *Hop, key int64) *cachedCopy {
+	if cached := s.store.get(key); cached != nil || attempt.objectID >= s.world.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
+		return cached
 	}
-	place := s.office
-	if s.kind == parent {
-		place = -1 - s.trunk
+	location := s.office
+	if s.kind == kindParent {
+		location = -1 - s.trunk
 	}
-	mark := warmKey{place, key}
-	if s.w.warmed[mark] || s.w.purgedAt(h.obj, h.Group) > 0 {
+	prewarm := prewarmKey{location, key}
+	if s.world.prewarmed[prewarm] || s.world.purgedAt(attempt.objectID, attempt.Group) > 0 {
 		return nil
 	}
-	s.w.warmed[mark] = true
-	s.store.put(key, h.SizeKB, 1, h.Group, 1)
+	s.world.prewarmed[prewarm] = true
+	s.store.put(key, attempt.SizeKB, 1, attempt.Group, 1)
 	return s.store.get(key)
 }
 
-// send sends a copy from the cache: the core is taken for the time of sending.
-func (s *server) send(h *Hop, note policy.Reason, issued, waited int64) {
-	work := h.SizeKB / s.w.set.Fleet.FlowKBPerS * 1e6
-	s.w.ran(h)
-	h.job = s.cpu.add(work, func() {
-		h.job = nil
-		s.end(h, End{Outcome: policy.OutcomeDone, Reason: note, Issued: issued, Waited: waited, SizeKB: h.SizeKB})
+// sendCopy sends a copy from the cache: the core is taken for the time of sending.
+func (s *server) sendCopy(attempt *Hop, reason policy.Reason, issuedAt, waited int64) {
+	work := attempt.SizeKB / s.world.scenario.Fleet.FlowKBPerS * 1e6
+	s.world.recordExecuted(attempt)
+	attempt.job = s.cpu.add(work, func() {
+		attempt.job = nil
+		s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, Waited: waited, SizeKB: attempt.SizeKB})
 	})
-	s.power()
+	s.updateRate()
 }
 
-// warmKey is a part at an office, or at a trunk (below 0).
-type warmKey struct {
-	place int
-	key   int64
+// prewarmKey is a part at an office, or at a trunk (below 0).
+type prewarmKey struct {
+	location int
+	key      int64
 }
--- a/internal/simulation/catalogue.go
+++ b/internal/simulation/catalogue.go
@@ -12,138 +12,138 @@
 )
 
 const (
-	groupCount = 256
-	partBits   = 8 // of a key: the part
-	onceFrom   = int64(1) << 40
+	groupCount  = 256
+	partBits    = 8 // of a key: the part
+	oneTimeFrom = int64(1) << 40
 )
 
 // catalogue is what clients ask for: videos of several parts and pages, some of
 // them wanted at one office only. An object is a number; its figures follow from
 // that and the seed.
 type catalogue struct {
-	set      *scenario.Scenario
-	salt     uint64
-	objects  int64
-	ranks    [2][]int64 // by rule: the objects by popularity
-	popular  [2]distuv.Categorical
-	once     int64
-	allKB    float64
-	officeKB float64  // what one office can want
-	warm     [2]int64 // by kind of server: objects up to there are kept at the start
+	scenario       *scenario.Scenario
+	salt           uint64
+	objects        int64
+	byPopularity   [2][]int64 // by rule: the objects by popularity
+	popularity     [2]distuv.Categorical
+	oneTimeCount   int64
+	totalKB        float64
+	officeKB       float64  // what one office can want
+	prewarmedBelow [2]int64 // by kind of server: objects up to there are kept at the start
 }
 
-func keyOf(object, part int64) int64 { return object<<partBits | part&(1<<partBits-1) }
+func partKey(object, part int64) int64 { return object<<partBits | part&(1<<partBits-1) }
 
 func newCatalogue(s *scenario.Scenario, dice *rand.Rand) *catalogue {
-	c := &catalogue{set: s, salt: dice.Uint64(), objects: int64(s.Load.Objects)}
-	for rule := range c.ranks {
+	c := &catalogue{scenario: s, salt: dice.Uint64(), objects: int64(s.Load.Objects)}
+	for class := range c.byPopularity {
 		var weights []float64
 		for i := range int(c.objects) / 2 {
-			c.ranks[rule] = append(c.ranks[rule], int64(i)*2+int64(rule))
+			c.byPopularity[class] = append(c.byPopularity[class], int64(i)*2+int64(class))
 			weights = append(weights, math.Pow(float64(i+1), -s.Load.Skew))
 		}
-		c.popular[rule] = distuv.NewCategorical(weights, dice)
+		c.popularity[class] = distuv.NewCategorical(weights, dice)
 	}
-	local := 0.0
+	localKB := 0.0
 	for i := range c.objects / 2 * 2 {
 		for p := range c.parts(i) {
 			kb := c.size(i, p)
-			c.allKB += kb
+			c.totalKB += kb
 			if c.home(i) >= 0 {
-				local += kb
+				localKB += kb
 			}
 		}
 	}
-	c.officeKB = c.allKB - local + local/float64(s.Fleet.Offices)
+	c.officeKB = c.totalKB - localKB + localKB/float64(s.Fleet.Offices)
 	if s.Fleet.PreWarmed {
-		c.warm = [2]int64{cache: c.upTo(s.Fleet.CacheShare), parent: c.upTo(s.Fleet.ParentCacheShare)}
+		c.prewarmedBelow = [2]int64{kindCache: c.objectsWithin(s.Fleet.CacheShare), kindParent: c.objectsWithin(s.Fleet.ParentCacheShare)}
 	}
 	return c
 }
 
-// upTo gives the number under which objects make up a share of the catalogue's
+// objectsWithin gives the number under which objects make up a share of the catalogue's
 // bytes: at the start numbers are by popularity.
-func (c *catalogue) upTo(share float64) int64 {
+func (c *catalogue) objectsWithin(share float64) int64 {
 	kb := 0.0
 	for i := range c.objects {
 		for p := range c.parts(i) {
 			kb += c.size(i, p)
 		}
-		if kb > share*c.allKB {
+		if kb > share*c.totalKB {
 			return i
 		}
 	}
 	return c.objects
 }
 
-// mix is a hash of an object's number and a purpose (SplitMix64's finish).
-func (c *catalogue) mix(object int64, purpose uint64) uint64 {
+// hash is a hash of an object's number and a purpose (SplitMix64's finish).
+func (c *catalogue) hash(object int64, purpose uint64) uint64 {
 	z := uint64(object)*0x9e3779b97f4a7c15 + c.salt + purpose*0xbf58476d1ce4e5b9
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-func (c *catalogue) even(object int64, purpose uint64) float64 {
-	return float64(c.mix(object, purpose)>>11) / (1 << 53)
+func (c *catalogue) uniform(object int64, purpose uint64) float64 {
+	return float64(c.hash(object, purpose)>>11) / (1 << 53)
 }
 
-// rule of an object: even numbers are videos, odd ones pages.
-func (c *catalogue) rule(object int64) int { return int(object & 1) }
+// class of an object: even numbers are videos, odd ones pages.
+func (c *catalogue) class(object int64) int { return int(object & 1) }
 
-func (c *catalogue) group(object int64) int64 { return int64(c.mix(object, 1) % groupCount) }
+func (c *catalogue) group(object int64) int64 { return int64(c.hash(object, 1) % groupCount) }
 
 func (c *catalogue) parts(object int64) int64 {
-	if c.rule(object) == scenario.ClassPage {
+	if c.class(object) == scenario.ClassPage {
 		return 1
 	}
-	return 9 + int64(c.mix(object, 2)%11)
+	return 9 + int64(c.hash(object, 2)%11)
 }
 
 // size of a part in KB: even in its logarithm, the last part of a video shorter.
 func (c *catalogue) size(object, part int64) float64 {
-	if c.rule(object) == scenario.ClassPage {
-		return 6 * math.Pow(10, c.even(object, 3))
+	if c.class(object) == scenario.ClassPage {
+		return 6 * math.Pow(10, c.uniform(object, 3))
 	}
-	kb := 40 * math.Pow(5.8, c.even(object, 3))
+	kb := 40 * math.Pow(5.8, c.uniform(object, 3))
 	if part == c.parts(object)-1 {
-		kb *= 0.3 + 0.6*c.even(object, 4)
+		kb *= 0.3 + 0.6*c.uniform(object, 4)
 	}
 	return kb
 }
 
 // home is the one office at which an object is wanted, or -1.
 func (c *catalogue) home(object int64) int {
-	if object < onceFrom && c.even(object, 5) < c.set.Load.LocalShare {
-		return int(c.mix(object, 6) % uint64(c.set.Fleet.Offices))
+	if object < oneTimeFrom && c.uniform(object, 5) < c.scenario.Load.LocalShare {
+		return int(c.hash(object, 6) % uint64(c.scenario.Fleet.Offices))
 	}
 	return -1
 }
 
 // draw picks an object for an office by popularity.
-func (c *catalogue) draw(rule, office int) int64 {
-	const tries = 8 // an object at home elsewhere is drawn again
-	for range tries {
-		o := c.ranks[rule][int(c.popular[rule].Rand())]
-		if h := c.home(o); h < 0 || h == office {
-			return o
+func (c *catalogue) draw(class, office int) int64 {
+	const maxDraws = 8 // an object at home elsewhere is drawn again
+	for range maxDraws {
+		object := c.byPopularity[class][int(c.popularity[class].Rand())]
+		if home := c.home(object); home < 0 || home == office {
+			return object
 		}
 	}
-	return c.ranks[rule][0]
+	return c.byPopularity[class][0]
 }
 
-// onlyOnce makes an object that nobody wants again.
-func (c *catalogue) onlyOnce(rule int) int64 {
-	c.once++
-	return onceFrom + c.once*2 + int64(rule)
+// newOneTimeObject makes an object that nobody wants again.
+func (c *catalogue) newOneTimeObject(class int) int64 {
+	c.oneTimeCount++
+	return oneTimeFrom + c.oneTimeCount*2 + int64(class)
 }
 
 // drift lets one object in a hundred change its place with another.
 func (c *catalogue) drift(dice *rand.Rand) {
-	for _, list := range c.ranks {
-		for range len(list)/100 + 1 {
-			a, b := dice.IntN(len(list)), dice.IntN(len(list))
-			list[a], list[b] = list[b], list[a]
+	for _, objects := range c.byPopularity {
+		for range len(objects)/100 + 1 {
+			a, b := dice.IntN(len(objects)), dice.IntN(len(objects))
+			objects[a], objects[b] = objects[b], objects[a]
 		}
 	}
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -6,93 +6,93 @@
 	"quilldoor/internal/scenario"
 )
 
-// clients is how requests come about: pages and acceptances one by one, videos
+// clientPopulation is how requests come about: pages and acceptances one by one, videos
 // as viewers who ask for part after part.
-type clients struct {
-	n    uint64
-	wait distuv.Exponential
+type clientPopulation struct {
+	requestCount uint64
+	interarrival distuv.Exponential
 }
 
-type view struct {
+type viewer struct {
 	office int
 	object int64
 	part   int64
 }
 
 func (w *World) startClients() {
-	w.clients.wait = distuv.Exponential{Rate: 1, Src: w.dice}
-	for o := range w.set.Fleet.Offices {
-		w.after(0, func() { w.arrive(o) })
+	w.clients.interarrival = distuv.Exponential{Rate: 1, Src: w.random}
+	for office := range w.scenario.Fleet.Offices {
+		w.schedule(0, func() { w.clientArrival(office) })
 	}
-	if d := w.set.Load.DriftS; d > 0 {
+	if interval := w.scenario.Load.DriftS; interval > 0 {
 		var drift func()
 		drift = func() {
-			w.cat.drift(w.dice)
-			w.after(int64(d*1e6), drift)
+			w.catalogue.drift(w.random)
+			w.schedule(int64(interval*1e6), drift)
 		}
-		w.after(int64(d*1e6), drift)
+		w.schedule(int64(interval*1e6), drift)
 	}
 }
 
-// meanParts is what a viewer asks for on average, with a chance of a tenth to
+// meanPartsWatched is what a viewer asks for on average, with a chance of a tenth to
 // stop after each.
 const (
-	meanParts = 7.2
-	stopEach  = 0.1
+	meanPartsWatched = 7.2
+	stopProbability  = 0.1
 )
 
-// arrive is one office's clients: the next comes by chance.
-func (w *World) arrive(office int) {
-	l := &w.set.Load
-	if w.now >= w.end {
+// clientArrival is one office's clients: the next comes by chance.
+func (w *World) clientArrival(office int) {
+	load := &w.scenario.Load
+	if w.now >= w.clientsUntil {
 		return
 	}
-	rate := l.RequestsPerS / float64(w.set.Fleet.Offices) * w.burst * l.Weight(office, w.set.Fleet.Offices)
-	page, video := 1-l.VideoShare-l.WriteShare, l.VideoShare/meanParts
-	total := page + video + l.WriteShare
-	w.after(int64(w.clients.wait.Rand()*1e6/(rate*total))+1, func() { w.arrive(office) })
-	switch x := w.dice.Float64() * total; {
-	case x < l.WriteShare:
-		w.begin(&client{office: office, rule: scenario.ClassAccept, object: w.cat.onlyOnce(scenario.ClassPage)})
-	case x < l.WriteShare+page:
-		w.begin(&client{office: office, rule: scenario.ClassPage, object: w.pick(scenario.ClassPage, office)})
+	rate := load.RequestsPerS / float64(w.scenario.Fleet.Offices) * w.loadFactor * load.Weight(office, w.scenario.Fleet.Offices)
+	page, video := 1-load.VideoShare-load.WriteShare, load.VideoShare/meanPartsWatched
+	total := page + video + load.WriteShare
+	w.schedule(int64(w.clients.interarrival.Rand()*1e6/(rate*total))+1, func() { w.clientArrival(office) })
+	switch draw := w.random.Float64() * total; {
+	case draw < load.WriteShare:
+		w.beginRequest(&client{office: office, rule: scenario.ClassAccept, object: w.catalogue.newOneTimeObject(scenario.ClassPage)})
+	case draw < load.WriteShare+page:
+		w.beginRequest(&client{office: office, rule: scenario.ClassPage, object: w.pickObject(scenario.ClassPage, office)})
 	default:
-		v := &view{office: office, object: w.pick(scenario.ClassVideo, office)}
-		w.watch(v)
+		viewer := &viewer{office: office, object: w.pickObject(scenario.ClassVideo, office)}
+		w.watchVideo(viewer)
 	}
 }
 
-func (w *World) pick(rule, office int) int64 {
-	if w.onceShare > 0 && w.dice.Float64() < w.onceShare {
-		return w.cat.onlyOnce(rule)
+func (w *World) pickObject(class, office int) int64 {
+	if w.oneTimeShare > 0 && w.random.Float64() < w.oneTimeShare {
+		return w.catalogue.newOneTimeObject(class)
 	}
-	return w.cat.draw(rule, office)
+	return w.catalogue.draw(class, office)
 }
 
-// watch asks for a video's next part, and for the one after it some time later.
-func (w *World) watch(v *view) {
-	w.begin(&client{office: v.office, rule: scenario.ClassVideo, object: v.object, part: v.part, view: v})
-	if v.part++; w.now < w.end && v.part < w.cat.parts(v.object) && w.dice.Float64() > stopEach {
-		w.after(int64(4e5+w.dice.Float64()*3.5e5), func() { w.watch(v) })
+// watchVideo asks for a video's next part, and for the one after it some time later.
+func (w *World) watchVideo(viewer *viewer) {
+	w.beginRequest(&client{office: viewer.office, rule: scenario.ClassVideo, object: viewer.object, part: viewer.part, viewer: viewer})
+	if viewer.part++; w.now < w.clientsUntil && viewer.part < w.catalogue.parts(viewer.object) && w.random.Float64() > stopProbability {
+		w.schedule(int64(4e5+w.random.Float64()*3.5e5), func() { w.watchVideo(viewer) })
 	}
 }
 
-func (w *World) begin(c *client) {
-	l := &w.set.Load
-	c.first, c.honours = w.now, w.dice.Float64() < l.HonourShare
-	c.patience = int64(float64(w.rules[c.rule].Timeout) * l.Patience)
-	c.phase = w.phase()
-	w.Result.asked(w, c)
-	w.live++
-	w.try(c)
+func (w *World) beginRequest(client *client) {
+	load := &w.scenario.Load
+	client.startedAt, client.honoursRetryAfter = w.now, w.random.Float64() < load.HonourShare
+	client.timeLimit = int64(float64(w.classes[client.rule].Timeout) * load.Patience)
+	client.phase = w.currentPhase()
+	w.Result.countRequest(w, client)
+	w.openRequests++
+	w.sendRequest(client)
 }
 
-// phase names the part of the run for the counts.
-func (w *World) phase() string {
+// currentPhase names the part of the run for the counts.
+func (w *World) currentPhase() string {
 	switch {
-	case w.now < int64(w.set.WarmUpS*1e6):
+	case w.now < int64(w.scenario.WarmUpS*1e6):
 		return "settle"
-	case w.troubled > 0:
+	case w.activeFaults > 0:
 		return "trouble"
 	}
 	return "calm"
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -10,68 +10,68 @@
 // heldNotice waits at a board that can't be reached.
 type heldNotice struct{ n Notice }
 
-// list changes what the board tells of a server, some time from now.
-func (w *World) list(s *server, state policy.EndpointState, delay int64) {
-	s.listed = state
-	e := s.entry()
-	w.note(Entry{Kind: eventlog.KindListed, Endpoint: s.uid, State: string(state), Until: w.now + delay})
-	w.after(delay, func() { w.announce(Notice{Servers: []Server{e}}) })
+// setListed changes what the board tells of a server, some time from now.
+func (w *World) setListed(server *server, state policy.EndpointState, delay int64) {
+	server.listed = state
+	endpoint := server.endpoint()
+	w.record(Entry{Kind: eventlog.KindListed, Endpoint: server.id, State: string(state), Until: w.now + delay})
+	w.schedule(delay, func() { w.announce(Notice{Servers: []Server{endpoint}}) })
 }
 
 // announce puts an event on the board. Each router has it a little later, in order.
-func (w *World) announce(n Notice) {
-	f := &w.set.Fleet
-	for _, r := range w.routers {
-		at := max(r.toldAt, w.now+w.jitter(f.DiscoveryDelayMS*1000)+w.late)
-		r.toldAt = at
-		w.after(at-w.now, func() { w.tell(r, n) })
+func (w *World) announce(notice Notice) {
+	fleet := &w.scenario.Fleet
+	for _, router := range w.routers {
+		due := max(router.notifiedAt, w.now+w.jitter(fleet.DiscoveryDelayMS*1000)+w.discoveryDelay)
+		router.notifiedAt = due
+		w.schedule(due-w.now, func() { w.notify(router, notice) })
 	}
 }
 
-func (w *World) tell(r *router, n Notice) {
-	if !r.up {
+func (w *World) notify(router *router, notice Notice) {
+	if !router.up {
 		return // it has the list as it is when it starts
 	}
-	if w.cut || r.cut {
-		r.held = append(r.held, heldNotice{n})
+	if w.discoveryCut || router.discoveryCut {
+		router.heldNotices = append(router.heldNotices, heldNotice{notice})
 		return
 	}
-	for _, s := range n.Servers {
-		w.note(Entry{Kind: eventlog.KindNotified, Router: r.id, Endpoint: s.ID, State: string(s.State)})
+	for _, server := range notice.Servers {
+		w.record(Entry{Kind: eventlog.KindNotified, Router: router.id, Endpoint: server.ID, State: string(server.State)})
 	}
-	if n.Purge {
-		w.note(Entry{Kind: eventlog.KindPurgeNotified, Router: r.id, Object: n.Object, Group: n.Group, Until: n.At})
+	if notice.Purge {
+		w.record(Entry{Kind: eventlog.KindPurgeNotified, Router: router.id, Object: notice.Object, Group: notice.Group, Until: notice.At})
 	}
-	w.driver.Told(r.id, n)
+	w.driver.Told(router.id, notice)
 }
 
-// mend lets a board that was cut be reached again.
-func (w *World) mend() {
-	w.cut = false
-	for _, r := range w.routers {
-		if r.cut {
+// restoreDiscovery lets a board that was cut be reached again.
+func (w *World) restoreDiscovery() {
+	w.discoveryCut = false
+	for _, router := range w.routers {
+		if router.discoveryCut {
 			continue
 		}
-		held := r.held
-		r.held = nil
-		for _, h := range held {
-			w.tell(r, h.n)
+		held := router.heldNotices
+		router.heldNotices = nil
+		for _, notice := range held {
+			w.notify(router, notice.n)
 		}
 	}
 }
 
 // Known is the list as it is, in order.
-func (w *World) Known() (list []Server) {
-	add := func(s *server) {
-		if s.listed != policy.EndpointGone {
-			list = append(list, s.entry())
+func (w *World) Known() (servers []Server) {
+	add := func(server *server) {
+		if server.listed != policy.EndpointGone {
+			servers = append(servers, server.endpoint())
 		}
 	}
-	for _, l := range slices.Concat(w.caches, w.parents) {
-		for _, s := range l {
-			add(s)
+	for _, group := range slices.Concat(w.caches, w.parents) {
+		for _, server := range group {
+			add(server)
 		}
 	}
-	add(w.ledger)
-	return list
+	add(w.origin)
+	return servers
 }
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -2,19 +2,19 @@
 
 // event is one thing that is to happen.
 type event struct {
-	at, seq int64
-	do      func()
+	at, sequence int64
+	action       func()
 }
 
-// events is a heap by time; what falls on one instant comes in the order in which
+// eventQueue is a heap by time; what falls on one instant comes in the order in which
 // it was set.
-type events []event
+type eventQueue []event
 
-func (h events) less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (h eventQueue) less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 
-func (h *events) push(e event) {
+func (h *eventQueue) push(e event) {
 	*h = append(*h, e)
 	s := *h
 	for i := len(s) - 1; i > 0; {
@@ -27,7 +27,7 @@
 	}
 }
 
-func (h *events) pop() event {
+func (h *eventQueue) pop() event {
 	s := *h
 	first, last := s[0], len(s)-1
 	s[0], s[last] = s[last], event{}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,139 +9,141 @@
 	"quilldoor/internal/scenario"
 )
 
-// some draws a share of the servers at a trouble's place, in a stated order: the
+// drawServers draws a share of the servers at a trouble's place, in a stated order: the
 // draw is made when the trouble begins.
-func (w *World) some(t *scenario.Fault, of [][]*server) (out []*server) {
-	for i, l := range of {
-		if t.Office > 0 && i != t.Office-1 || t.Trunk > 0 && w.set.Fleet.Trunk(i) != t.Trunk-1 {
+func (w *World) drawServers(fault *scenario.Fault, groups [][]*server) (servers []*server) {
+	for i, group := range groups {
+		if fault.Office > 0 && i != fault.Office-1 || fault.Trunk > 0 && w.scenario.Fleet.Trunk(i) != fault.Trunk-1 {
 			continue
 		}
-		for _, s := range l {
-			if s.up {
-				out = append(out, s)
+		for _, server := range group {
+			if server.up {
+				servers = append(servers, server)
 			}
 		}
 	}
-	return w.part(out, t.Share)
+	return w.drawShare(servers, fault.Share)
 }
 
-func (w *World) part(list []*server, share float64) []*server {
-	w.dice.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), int(math.Ceil(share*float64(len(list)))))]
+func (w *World) drawShare(servers []*server, share float64) []*server {
+	w.random.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
+	return servers[:min(len(servers), int(math.Ceil(share*float64(len(servers)))))]
 }
 
-// plan sets a trouble's beginning and end.
-func (w *World) plan(t *scenario.Fault) {
-	w.after(int64(t.At*1e6), func() {
-		w.troubled++
-		w.lastTurn = w.now
-		w.note(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: t.Kind, Until: w.now + int64(t.For*1e6)})
-		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/1e6, t.Kind))
-		over := w.begins(t)
-		w.after(int64(t.For*1e6), func() {
-			w.troubled--
-			w.lastTurn = w.now
-			w.note(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: t.Kind})
-			if over != nil {
-				over()
+// scheduleFault sets a trouble's beginning and end.
+func (w *World) scheduleFault(fault *scenario.Fault) {
+	w.schedule(int64(fault.At*1e6), func() {
+		w.activeFaults++
+		w.lastFaultChange = w.now
+		w.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: w.now + int64(fault.For*1e6)})
+		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/1e6, fault.Kind))
+		endFault := w.startFault(fault)
+		w.schedule(int64(fault.For*1e6), func() {
+			w.activeFaults--
+			w.lastFaultChange = w.now
+			w.record(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: fault.Kind})
+			if endFault != nil {
+				endFault()
 			}
 		})
 	})
 }
 
-// begins starts a trouble and returns what ends it.
-func (w *World) begins(t *scenario.Fault) (over func()) {
-	switch t.Kind {
+// startFault starts a trouble and returns what ends it.
+func (w *World) startFault(fault *scenario.Fault) (endFault func()) {
+	switch fault.Kind {
 	case "die", "silent":
-		return w.lose(w.some(t, w.caches), t.Kind == "silent")
+		return w.takeDown(w.drawServers(fault, w.caches), fault.Kind == "silent")
 	case "office_lost":
-		one := *t
-		if one.Office == 0 {
-			one.Office = 1 + w.dice.IntN(len(w.caches))
+		target := *fault
+		if target.Office == 0 {
+			target.Office = 1 + w.random.IntN(len(w.caches))
 		}
-		return w.lose(w.some(&one, w.caches), false)
+		return w.takeDown(w.drawServers(&target, w.caches), false)
 	case "parents_lost":
-		trunk := t.Trunk
+		trunk := fault.Trunk
 		if trunk == 0 {
-			trunk = 1 + w.dice.IntN(len(w.parents))
+			trunk = 1 + w.random.IntN(len(w.parents))
 		}
-		return w.lose(w.part(slices.Clone(w.parents[trunk-1]), t.Share), false)
+		return w.takeDown(w.drawShare(slices.Clone(w.parents[trunk-1]), fault.Share), false)
 	case "pause":
-		return w.pauses(w.some(t, w.caches), t)
+		return w.pauseRepeatedly(w.drawServers(fault, w.caches), fault)
 	case "deploy":
-		w.deploy(w.some(t, w.caches), t)
+		w.deploy(w.drawServers(fault, w.caches), fault)
 	case "preempt":
-		return w.preempt(w.some(t, w.caches), int64(t.Strength*1e6))
+		return w.preempt(w.drawServers(fault, w.caches), int64(fault.Strength*1e6))
 	case "purge":
-		for g := range int64(groupCount) {
-			if w.dice.Float64() < t.Share {
-				w.purge(-1, g)
+		for group := range int64(groupCount) {
+			if w.random.Float64() < fault.Share {
+				w.purge(-1, group)
 			}
 		}
 	case "purge_object":
-		for i := range min(int(t.Strength), len(w.cat.ranks[0])) {
-			w.purge(w.cat.ranks[i%2][i/2], 0)
+		for i := range min(int(fault.Strength), len(w.catalogue.byPopularity[0])) {
+			w.purge(w.catalogue.byPopularity[i%2][i/2], 0)
 		}
 	case "ledger_slow":
-		w.ledger.slow *= t.Strength
-		w.ledger.power()
-		return func() { w.ledger.slow /= t.Strength; w.ledger.power() }
+		w.origin.slowdown *= fault.Strength
+		w.origin.updateRate()
+		return func() { w.origin.slowdown /= fault.Strength; w.origin.updateRate() }
 	case "ledger_stop":
-		w.ledger.pauses++
-		w.ledger.power()
-		return func() { w.ledger.pauses--; w.ledger.power() }
+		w.origin.activePauses++
+		w.origin.updateRate()
+		return func() { w.origin.activePauses--; w.origin.updateRate() }
 	case "late_reports":
-		w.reportLag += int64(t.Strength * 1e6)
-		return func() { w.reportLag -= int64(t.Strength * 1e6) }
+		w.reportDelay += int64(fault.Strength * 1e6)
+		return func() { w.reportDelay -= int64(fault.Strength * 1e6) }
 	case "late_board":
-		w.late += int64(t.Strength * 1e6)
-		return func() { w.late -= int64(t.Strength * 1e6) }
+		w.discoveryDelay += int64(fault.Strength * 1e6)
+		return func() { w.discoveryDelay -= int64(fault.Strength * 1e6) }
 	case "site_cut":
 		w.sitesCut = true
 		return func() { w.sitesCut = false }
 	case "cut_board":
-		if t.Share >= 1 && t.Office == 0 {
-			w.cut = true
-			return w.mend
+		if fault.Share >= 1 && fault.Office == 0 {
+			w.discoveryCut = true
+			return w.restoreDiscovery
 		}
-		list := w.someRouters(t)
-		for _, r := range list {
-			r.cut = true
+		routers := w.drawRouters(fault)
+		for _, router := range routers {
+			router.discoveryCut = true
 		}
 		return func() {
-			for _, r := range list {
-				r.cut = false
+			for _, router := range routers {
+				router.discoveryCut = false
 			}
-			if !w.cut {
-				w.mend()
+			if !w.discoveryCut {
+				w.restoreDiscovery()
 			}
 		}
 	case "router_stops":
-		return w.stopRouters(t)
+		return w.suspendRouters(fault)
 	case "router_starves":
-		list := w.someRouters(t)
-		for _, r := range list {
-			w.driver.Starve(r.id, t.Strength)
+		routers := w.drawRouters(fault)
+		for _, router := range routers {
+			w.driver.Starve(router.id, fault.Strength)
 		}
 		return func() {
-			for _, r := range list {
-				w.driver.Starve(r.id, 0)
+			for _, router := range routers {
+				w.driver.Starve(router.id, 0)
 			}
 		}
 	case "ways_delay", "ways_jitter", "ways_loss", "ways_double", "ways_reorder", "ways_slow", "ways_cut", "ways_one_way", "ways_camps", "ways_chain":
-		return w.spoilWays(t)
+		return w.startNetworkFault(fault)
 	case "once":
-		w.onceShare = t.Share
-		return func() { w.onceShare = 0 }
+		w.oneTimeShare = fault.Share
+		return func() { w.oneTimeShare = 0 }
 	case "burst":
-		w.burst *= t.Strength
-		return func() { w.burst /= t.Strength }
+		w.loadFactor *= fault.Strength
+		return func() { w.loadFactor /= fault.Strength }
 	case "router_dies":
-		return w.loseRouters(t)
+		return w.killRouters(fault)
 	default: // resets, endless, spoilt, errors
-		x := &spell{t.Kind, t.Office, t.Share}
-		w.spells = append(w.spells, x)
-		return func() { w.spells = slices.DeleteFunc(w.spells, func(o *spell) bool { return o == x }) }
+		answers := &answerFault{fault.Kind, fault.Office, fault.Share}
+		w.answerFaults = append(w.answerFaults, answers)
+		return func() {
+			w.answerFaults = slices.DeleteFunc(w.answerFaults, func(o *answerFault) bool { return o == answers })
+		}
 	}
 	return nil
 }
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -8,145 +8,145 @@
 
 // fill is a fetch that is under way; hops that join it wait for it as well.
 type fill struct {
-	at      *server
-	key     int64
-	hops    []*Hop
-	rank    int
-	jobs    []*job
-	left    int // parts of the transfer that are not over
-	begun   int64
-	issued  int64
-	note    policy.Reason
-	life    int64
-	dropped bool
+	server       *server
+	key          int64
+	attempts     []*Hop
+	rank         int
+	jobs         []*job
+	pendingParts int // parts of the transfer that are not over
+	startedAt    int64
+	issuedAt     int64
+	reason       policy.Reason
+	incarnation  int64
+	closed       bool
 }
 
-// ask sends a fill to its source.
-func (x *fill) ask(h *Hop) {
-	w, from := x.at.w, h.from
-	way := w.away(x.at.office, from)
-	ask := *h // the hop may leave while the fill runs on
-	w.after(way, func() {
-		if x.dropped {
+// start sends a fill to its source.
+func (x *fill) start(attempt *Hop) {
+	w, source := x.server.world, attempt.fillSource
+	delay := w.oneWayDelay(x.server.office, source)
+	snapshot := *attempt // the hop may leave while the fill runs on
+	w.schedule(delay, func() {
+		if x.closed {
 			return
 		}
-		work := ask.SizeKB / w.set.Fleet.FlowKBPerS * 1e6
+		work := snapshot.SizeKB / w.scenario.Fleet.FlowKBPerS * 1e6
 		switch {
-		case !from.up && from.silent:
+		case !source.up && source.silent:
 			return // until the hop is given up
-		case !from.up:
-			w.after(way, func() { x.fail(policy.ReasonUpstreamDown) })
+		case !source.up:
+			w.schedule(delay, func() { x.fail(policy.ReasonUpstreamDown) })
 			return
-		case from.kind != ledger && from.charge(work):
-			from.fall()
-			w.after(way, func() { x.fail(policy.ReasonUpstreamDown) })
+		case source.kind != kindOrigin && source.recordWork(work):
+			source.collapse()
+			w.schedule(delay, func() { x.fail(policy.ReasonUpstreamDown) })
 			return
 		}
-		from.supply(&ask, func(issued int64, note policy.Reason) {
-			if note >= policy.ReasonUpstreamBusy {
-				w.after(way, func() { x.fail(note) })
+		source.serveFill(&snapshot, func(issuedAt int64, reason policy.Reason) {
+			if reason >= policy.ReasonUpstreamBusy {
+				w.schedule(delay, func() { x.fail(reason) })
 				return
 			}
-			x.issued, x.note = issued, note
-			w.after(way, func() { x.transfer(&ask, from) })
+			x.issuedAt, x.reason = issuedAt, reason
+			w.schedule(delay, func() { x.transfer(&snapshot, source) })
 		})
 	})
 }
 
 // transfer takes a fill's bytes over the source's link out, the office's link in,
 // and no faster than its pace; it is over when all three are.
-func (x *fill) transfer(h *Hop, from *server) {
-	w, f := x.at.w, &x.at.w.set.Fleet
-	if x.dropped || x.life != x.at.life {
+func (x *fill) transfer(attempt *Hop, source *server) {
+	w, fleet := x.server.world, &x.server.world.scenario.Fleet
+	if x.closed || x.incarnation != x.server.incarnation {
 		return
 	}
-	pace := f.FillSpeed * f.FlowKBPerS / 1e6 / float64(1+w.trunks(x.at.office, from))
-	part := func() {
-		if x.left--; x.left == 0 && !x.dropped {
-			x.done(h)
+	pace := fleet.FillSpeed * fleet.FlowKBPerS / 1e6 / float64(1+w.trunkDistance(x.server.office, source))
+	partDone := func() {
+		if x.pendingParts--; x.pendingParts == 0 && !x.closed {
+			x.complete(attempt)
 		}
 	}
-	w.Result.filled(w, h.SizeKB, from.kind == ledger)
-	x.left = 2
-	if from.out != nil {
-		x.left++
-		x.jobs = append(x.jobs, from.out.add(h.SizeKB, part))
+	w.Result.countFill(w, attempt.SizeKB, source.kind == kindOrigin)
+	x.pendingParts = 2
+	if source.egress != nil {
+		x.pendingParts++
+		x.jobs = append(x.jobs, source.egress.add(attempt.SizeKB, partDone))
 	}
-	x.jobs = append(x.jobs, w.links[x.at.office].add(h.SizeKB, part))
-	w.after(int64(h.SizeKB/pace), part)
+	x.jobs = append(x.jobs, w.links[x.server.office].add(attempt.SizeKB, partDone))
+	w.schedule(int64(attempt.SizeKB/pace), partDone)
 }
 
-func (x *fill) over() {
-	x.at.fillsN--
-	if x.at.fills[x.key] == x {
-		delete(x.at.fills, x.key)
+func (x *fill) unregister() {
+	x.server.fillCount--
+	if x.server.fills[x.key] == x {
+		delete(x.server.fills, x.key)
 	}
 }
 
-func (x *fill) done(h *Hop) {
-	s := x.at
-	x.dropped = true
-	x.over()
-	if x.rank > 0 && x.issued > s.w.purgedAt(h.obj, h.Group) {
-		s.store.put(x.key, h.SizeKB, x.issued, h.Group, x.rank)
+func (x *fill) complete(attempt *Hop) {
+	s := x.server
+	x.closed = true
+	x.unregister()
+	if x.rank > 0 && x.issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
+		s.store.put(x.key, attempt.SizeKB, x.issuedAt, attempt.Group, x.rank)
 	}
-	for i, h := range x.hops {
-		h.fill = nil
-		note := x.note
+	for i, attempt := range x.attempts {
+		attempt.fill = nil
+		reason := x.reason
 		if i > 0 {
-			note = policy.ReasonCoalesced
+			reason = policy.ReasonCoalesced
 		}
-		s.send(h, note, x.issued, s.w.now-x.begun)
+		s.sendCopy(attempt, reason, x.issuedAt, s.world.now-x.startedAt)
 	}
-	x.hops = nil
+	x.attempts = nil
 }
 
-func (x *fill) fail(note policy.Reason) {
-	if x.dropped || x.life != x.at.life {
+func (x *fill) fail(reason policy.Reason) {
+	if x.closed || x.incarnation != x.server.incarnation {
 		return
 	}
-	x.drop()
-	x.over()
-	hops := x.hops
-	x.hops = nil
-	for _, h := range hops {
-		h.fill = nil
-		x.at.end(h, End{Outcome: policy.OutcomeError, Reason: note, Waited: x.at.w.now - x.begun})
+	x.cancel()
+	x.unregister()
+	attempts := x.attempts
+	x.attempts = nil
+	for _, attempt := range attempts {
+		attempt.fill = nil
+		x.server.finish(attempt, End{Outcome: policy.OutcomeError, Reason: reason, Waited: x.server.world.now - x.startedAt})
 	}
 }
 
-// drop ends a fill's transfers.
-func (x *fill) drop() {
-	x.dropped = true
+// cancel ends a fill's transfers.
+func (x *fill) cancel() {
+	x.closed = true
 	for _, j := range x.jobs {
-		j.of.remove(j)
+		j.resource.remove(j)
 	}
 	x.jobs = nil
 }
 
-// leave takes a hop from a fill; one that nobody waits for is dropped, or runs on.
-func (x *fill) leave(h *Hop) {
-	x.hops = slices.DeleteFunc(x.hops, func(o *Hop) bool { return o == h })
-	if len(x.hops) == 0 && !x.dropped && !x.at.w.set.Fleet.OrphanFills {
-		x.drop()
-		x.over()
+// removeAttempt takes a hop from a fill; one that nobody waits for is dropped, or runs on.
+func (x *fill) removeAttempt(attempt *Hop) {
+	x.attempts = slices.DeleteFunc(x.attempts, func(o *Hop) bool { return o == attempt })
+	if len(x.attempts) == 0 && !x.closed && !x.server.world.scenario.Fleet.OrphanFills {
+		x.cancel()
+		x.unregister()
 	}
 }
 
-// supply is what a source does for a fill: a parent or another cache gives what
+// serveFill is what a source does for a fill: a parent or another cache gives what
 // it holds, or fetches it; the ledger makes it.
-func (s *server) supply(h *Hop, done func(issued int64, note policy.Reason)) {
-	w := s.w
+func (s *server) serveFill(attempt *Hop, done func(issuedAt int64, reason policy.Reason)) {
+	w := s.world
 	switch s.kind {
-	case ledger:
-		s.read(done)
-	case cache: // another office's: only what it holds
-		if c := s.store.get(keyOf(h.obj, h.Part)); c != nil && c.issued > w.purgedAt(h.obj, h.Group) {
-			done(c.issued, policy.ReasonMiss)
+	case kindOrigin:
+		s.originRead(done)
+	case kindCache: // another office's: only what it holds
+		if cached := s.store.get(partKey(attempt.objectID, attempt.Part)); cached != nil && cached.issuedAt > w.purgedAt(attempt.objectID, attempt.Group) {
+			done(cached.issuedAt, policy.ReasonMiss)
 		} else {
 			done(0, policy.ReasonUpstreamMiss)
 		}
 	default:
-		s.fetch(h, done)
+		s.fetch(attempt, done)
 	}
 }
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -2,32 +2,32 @@
 
 import "quilldoor/internal/policy"
 
-// report works out a server's load; it is seen in answers after its delay.
-func (s *server) report() {
-	w, f := s.w, &s.w.set.Fleet
-	every := w.jitter(f.ReportMS * 1000)
-	if s.listed == policy.EndpointGone && !s.up && s.fell {
+// reportLoad works out a server's load; it is seen in answers after its delay.
+func (s *server) reportLoad() {
+	w, fleet := s.world, &s.world.scenario.Fleet
+	every := w.jitter(fleet.ReportMS * 1000)
+	if s.listed == policy.EndpointGone && !s.up && s.collapsed {
 		return
 	}
-	noise := func(v float64) float64 { return max(0, v*(1+f.ReportNoise*w.dice.NormFloat64())) }
+	noise := func(v float64) float64 { return max(0, v*(1+fleet.ReportNoise*w.random.NormFloat64())) }
 	load := map[string]float64{}
 	if s.cpu != nil {
 		s.cpu.advance()
-		load["util"] = noise(min(1, (s.cpu.served-s.usedCPU)/float64(every)/s.weight))
-		s.usedCPU = s.cpu.served
+		load["util"] = noise(min(1, (s.cpu.served-s.reportedCPU)/float64(every)/s.weight))
+		s.reportedCPU = s.cpu.served
 	}
-	if s.served > 0 {
-		load["x0"] = float64(s.hits) / float64(s.served)
+	if s.reportServed > 0 {
+		load["x0"] = float64(s.reportHits) / float64(s.reportServed)
 	}
-	s.served, s.hits = 0, 0
+	s.reportServed, s.reportHits = 0, 0
 	if s.office >= 0 {
-		l := w.links[s.office]
-		l.advance()
-		load["x1"] = noise(min(1, (l.served-s.usedLink)/float64(every)/l.total))
-		s.usedLink = l.served
+		link := w.links[s.office]
+		link.advance()
+		load["x1"] = noise(min(1, (link.served-s.reportedLink)/float64(every)/link.totalRate))
+		s.reportedLink = link.served
 	} else {
-		load["x1"] = float64(s.fillsN)
+		load["x1"] = float64(s.fillCount)
 	}
-	w.after(int64(f.ReportDelayMS*1000)+w.reportLag, func() { s.load = load })
-	w.after(every, s.report)
+	w.schedule(int64(fleet.ReportDelayMS*1000)+w.reportDelay, func() { s.visibleLoad = load })
+	w.schedule(every, s.reportLoad)
 }
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -7,49 +7,49 @@
 	"quilldoor/internal/scenario"
 )
 
-// spoilWays puts a trouble on the ways between routers.
-func (w *World) spoilWays(t *scenario.Fault) (over func()) {
-	var all []int
-	for _, r := range w.routers {
-		if t.Office == 0 || r.office == t.Office-1 {
-			all = append(all, r.id)
+// startNetworkFault puts a trouble on the ways between routers.
+func (w *World) startNetworkFault(fault *scenario.Fault) (endFault func()) {
+	var ids []int
+	for _, router := range w.routers {
+		if fault.Office == 0 || router.office == fault.Office-1 {
+			ids = append(ids, router.id)
 		}
 	}
-	w.wayDice.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	some := all[:min(len(all), int(math.Ceil(t.Share*float64(len(all)))))]
-	x := &netsim.Fault{From: some, Bidirectional: true}
-	switch t.Kind {
+	w.networkRandom.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	chosen := ids[:min(len(ids), int(math.Ceil(fault.Share*float64(len(ids)))))]
+	networkFault := &netsim.Fault{From: chosen, Bidirectional: true}
+	switch fault.Kind {
 	case "ways_delay":
-		x.Delay = int64(t.Strength * 1000)
+		networkFault.Delay = int64(fault.Strength * 1000)
 	case "ways_jitter":
-		x.Jitter = int64(t.Strength * 1000)
+		networkFault.Jitter = int64(fault.Strength * 1000)
 	case "ways_loss":
-		x.Loss = t.Strength
+		networkFault.Loss = fault.Strength
 	case "ways_double":
-		x.Duplicate = t.Strength
+		networkFault.Duplicate = fault.Strength
 	case "ways_reorder":
-		x.Reorder = t.Strength
+		networkFault.Reorder = fault.Strength
 	case "ways_slow":
-		x.BytesPerSecond = t.Strength * 1000
+		networkFault.BytesPerSecond = fault.Strength * 1000
 	case "ways_cut":
-		x.Partitioned = true
+		networkFault.Partitioned = true
 	case "ways_one_way":
-		x.Partitioned, x.Bidirectional = true, false
+		networkFault.Partitioned, networkFault.Bidirectional = true, false
 	case "ways_chain":
-		third := len(all) / 3
-		return w.Ways.Partition(all[:third], all[third:2*third])
+		third := len(ids) / 3
+		return w.Ways.Partition(ids[:third], ids[third:2*third])
 	default: // ways_camps
-		parts := int(t.Strength)
-		first := int(math.Ceil(t.Share * float64(len(all))))
-		if t.Share == 0 {
-			first = len(all) / parts
+		parts := int(fault.Strength)
+		firstSize := int(math.Ceil(fault.Share * float64(len(ids))))
+		if fault.Share == 0 {
+			firstSize = len(ids) / parts
 		}
-		camps, rest := [][]int{all[:first]}, all[first:]
+		groups, rest := [][]int{ids[:firstSize]}, ids[firstSize:]
 		for i := 1; i < parts; i++ {
-			n := len(rest) / (parts - i)
-			camps, rest = append(camps, rest[:n]), rest[n:]
+			size := len(rest) / (parts - i)
+			groups, rest = append(groups, rest[:size]), rest[size:]
 		}
-		return w.Ways.Partition(camps...)
+		return w.Ways.Partition(groups...)
 	}
-	return w.Ways.AddFault(x)
+	return w.Ways.AddFault(networkFault)
 }
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -3,104 +3,106 @@
 import "quilldoor/internal/policy"
 
 func (w *World) newParent(trunk int, uid string) *server {
-	f := &w.set.Fleet
-	offices := (f.Offices + f.Trunks - 1 - trunk) / f.Trunks
-	kb := f.ParentLink * f.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(f.Parents, 1))
+	fleet := &w.scenario.Fleet
+	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
+	egressKBPerS := fleet.ParentLink * fleet.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(fleet.Parents, 1))
 	s := &server{
-		w: w, uid: uid, kind: parent, office: -1, trunk: trunk, weight: kb / f.FlowKBPerS, up: true,
-		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{}, out: w.link(kb),
+		world: w, id: uid, kind: kindParent, office: -1, trunk: trunk, weight: egressKBPerS / fleet.FlowKBPerS, up: true,
+		listed: policy.EndpointActive, slowdown: 1, fills: map[int64]*fill{}, egress: w.newLink(egressKBPerS),
 	}
-	s.store = newStore(f.ParentCacheShare * w.cat.allKB)
+	s.store = newCopyStore(fleet.ParentCacheShare * w.catalogue.totalKB)
 	w.servers[uid] = s
-	w.after(w.jitter(f.ReportMS*1000), s.report)
+	w.schedule(w.jitter(fleet.ReportMS*1000), s.reportLoad)
 	return s
 }
 
 // fetch gives a parent's copy, or has it from the ledger first.
-func (s *server) fetch(h *Hop, done func(issued int64, note policy.Reason)) {
-	w, f := s.w, &s.w.set.Fleet
-	key, life := keyOf(h.obj, h.Part), s.life
-	within := h.Within
-	if within == 0 {
-		within = w.rules[h.Rule].FreshFor
+func (s *server) fetch(attempt *Hop, done func(issuedAt int64, reason policy.Reason)) {
+	w, fleet := s.world, &s.world.scenario.Fleet
+	key, incarnation := partKey(attempt.objectID, attempt.Part), s.incarnation
+	maxAge := attempt.Within
+	if maxAge == 0 {
+		maxAge = w.classes[attempt.Rule].FreshFor
 	}
-	s.served++
-	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
-		s.hits++
-		done(c.issued, policy.ReasonMiss)
+	s.reportServed++
+	if cached := s.lookup(attempt, key); cached != nil && w.now-cached.issuedAt <= maxAge {
+		s.reportHits++
+		done(cached.issuedAt, policy.ReasonMiss)
 		return
 	}
-	if h.FillMode&policy.FillNoFetch != 0 {
+	if attempt.FillMode&policy.FillNoFetch != 0 {
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if x := s.fills[key]; x != nil && f.ParentCoalesces {
-		x.waits(func() { done(x.issued, x.note) })
+	if inFlight := s.fills[key]; inFlight != nil && fleet.ParentCoalesces {
+		inFlight.addWaiter(func() { done(inFlight.issuedAt, inFlight.reason) })
 		return
 	}
-	x := &fill{at: s, key: key, begun: w.now, life: life}
-	s.fills[key] = x
-	s.fillsN++
-	way := w.away(0, w.ledger) + int64(f.FarMS*500*float64(abs(s.trunk-w.ledger.trunk)))
-	finish := func(issued int64, note policy.Reason) {
-		if s.life != life { // it died meanwhile
+	inFlight := &fill{server: s, key: key, startedAt: w.now, incarnation: incarnation}
+	s.fills[key] = inFlight
+	s.fillCount++
+	delay := w.oneWayDelay(0, w.origin) + int64(fleet.FarMS*500*float64(abs(s.trunk-w.origin.trunk)))
+	finish := func(issuedAt int64, reason policy.Reason) {
+		if s.incarnation != incarnation { // it died meanwhile
 			done(0, policy.ReasonUpstreamDown)
 			return
 		}
-		x.over()
-		x.issued, x.note = issued, note
-		if note < policy.ReasonUpstreamBusy && h.FillMode&policy.FillNoKeep == 0 && issued > w.purgedAt(h.obj, h.Group) {
-			s.store.put(key, h.SizeKB, issued, h.Group, 1)
+		inFlight.unregister()
+		inFlight.issuedAt, inFlight.reason = issuedAt, reason
+		if reason < policy.ReasonUpstreamBusy && attempt.FillMode&policy.FillNoKeep == 0 && issuedAt > w.purgedAt(attempt.objectID, attempt.Group) {
+			s.store.put(key, attempt.SizeKB, issuedAt, attempt.Group, 1)
 		}
-		done(issued, note)
-		for _, j := range x.joined() {
-			j()
+		done(issuedAt, reason)
+		for _, waiter := range inFlight.takeWaiters() {
+			waiter()
 		}
 	}
-	w.after(way, func() {
-		w.ledger.read(func(issued int64, note policy.Reason) {
-			if note >= policy.ReasonUpstreamBusy {
-				w.after(way, func() { finish(0, note) })
+	w.schedule(delay, func() {
+		w.origin.originRead(func(issuedAt int64, reason policy.Reason) {
+			if reason >= policy.ReasonUpstreamBusy {
+				w.schedule(delay, func() { finish(0, reason) })
 				return
 			}
-			if w.phase() != "settle" {
-				w.Result.LedgerKB += h.SizeKB
+			if w.currentPhase() != "settle" {
+				w.Result.LedgerKB += attempt.SizeKB
 			}
-			w.ledger.out.add(h.SizeKB, func() { w.after(way, func() { finish(issued, policy.ReasonMissOrigin) }) })
+			w.origin.egress.add(attempt.SizeKB, func() { w.schedule(delay, func() { finish(issuedAt, policy.ReasonMissOrigin) }) })
 		})
 	})
 }
 
 // waiters of a parent's fetch stand as jobs without a share.
-func (x *fill) waits(do func()) { x.jobs = append(x.jobs, &job{place: -1, done: do}) }
+func (x *fill) addWaiter(waiter func()) { x.jobs = append(x.jobs, &job{index: -1, done: waiter}) }
 
-func (x *fill) joined() (out []func()) {
+func (x *fill) takeWaiters() (waiters []func()) {
 	for _, j := range x.jobs {
-		out = append(out, j.done)
+		waiters = append(waiters, j.done)
 	}
 	x.jobs = nil
-	return out
+	return waiters
 }
 
 func abs(i int) int { return max(i, -i) }
 
-// fetchFor is a hop straight to a parent.
-func (s *server) fetchFor(h *Hop) {
-	h.state = working
-	life := s.life
-	s.fetch(h, func(issued int64, note policy.Reason) {
-		if h.state == ended || s.life != life {
+// serveFromParent is a hop straight to a parent.
+func (s *server) serveFromParent(attempt *Hop) {
+	attempt.state = attemptWorking
+	incarnation := s.incarnation
+	s.fetch(attempt, func(issuedAt int64, reason policy.Reason) {
+		if attempt.state == attemptEnded || s.incarnation != incarnation {
 			return
 		}
-		if note >= policy.ReasonUpstreamBusy {
+		if reason >= policy.ReasonUpstreamBusy {
 			outcome := policy.OutcomeError
-			if note == policy.ReasonUpstreamMiss {
+			if reason == policy.ReasonUpstreamMiss {
 				outcome = policy.OutcomeMiss
 			}
-			s.end(h, End{Outcome: outcome, Reason: note})
+			s.finish(attempt, End{Outcome: outcome, Reason: reason})
 			return
 		}
-		s.w.ran(h)
-		s.crossing(h, func() { s.end(h, End{Outcome: policy.OutcomeDone, Reason: note, Issued: issued, SizeKB: h.SizeKB}) })
+		s.world.recordExecuted(attempt)
+		s.sendToOffice(attempt, func() {
+			s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, SizeKB: attempt.SizeKB})
+		})
 	})
 }
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -8,28 +8,28 @@
 
 // purgedAt is when an object was purged last, by itself or with its group.
 func (w *World) purgedAt(object, group int64) int64 {
-	at := w.groups[group%groupCount]
-	if o, ever := w.purged[object]; ever {
-		at = max(at, o)
+	at := w.groupPurges[group%groupCount]
+	if objectPurge, known := w.objectPurges[object]; known {
+		at = max(at, objectPurge)
 	}
 	return at
 }
 
 // purge is an editor's: servers drop what it names within their time.
 func (w *World) purge(object, group int64) {
-	at := w.now
-	n := Notice{Purge: true, Group: group, At: at}
+	now := w.now
+	notice := Notice{Purge: true, Group: group, At: now}
 	if object >= 0 {
-		w.purged[object] = at
-		n.Object, n.Group = w.cat.name(object), 0
+		w.objectPurges[object] = now
+		notice.Object, notice.Group = w.catalogue.name(object), 0
 	} else {
-		w.groups[group] = at
+		w.groupPurges[group] = now
 	}
-	w.note(Entry{Kind: eventlog.KindPurged, Object: n.Object, Group: n.Group, Until: at})
-	for _, l := range slices.Concat(w.caches, w.parents) {
-		for _, s := range l {
-			w.after(int64(w.dice.Float64()*0.9*w.set.Fleet.PurgeCompleteMS*1000), func() { s.store.purge(object, group, at) })
+	w.record(Entry{Kind: eventlog.KindPurged, Object: notice.Object, Group: notice.Group, Until: now})
+	for _, servers := range slices.Concat(w.caches, w.parents) {
+		for _, server := range servers {
+			w.schedule(int64(w.random.Float64()*0.9*w.scenario.Fleet.PurgeCompleteMS*1000), func() { server.store.purge(object, group, now) })
 		}
 	}
-	w.announce(n)
+	w.announce(notice)
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -22,7 +22,6 @@
 	Write    bool
 	client   *client
 	deadline int64
-	sent     int64
 	open     bool
 }
 
@@ -31,136 +30,136 @@
 
 // client is one request with all its tries.
 type client struct {
-	office, rule int
-	object, part int64
-	tries        int
-	first        int64
-	view         *view // of which it is a part
-	phase        string
-	patience     int64
-	honours      bool
+	office, rule      int
+	object, part      int64
+	attempts          int
+	startedAt         int64
+	viewer            *viewer // of which it is a part
+	phase             string
+	timeLimit         int64
+	honoursRetryAfter bool
 }
 
-// try sends a request to one of the office's routers that the front knows as up.
-func (w *World) try(c *client) {
+// sendRequest sends a request to one of the office's routers that the front knows as up.
+func (w *World) sendRequest(client *client) {
 	const noticed = 1 * second // a dead router gets clients for so long
-	f := &w.set.Fleet
+	fleet := &w.scenario.Fleet
 	var up []*router
-	for _, r := range w.routers[c.office*f.Routers : (c.office+1)*f.Routers] {
-		if r.up || w.now-r.downAt < noticed {
-			up = append(up, r)
+	for _, router := range w.routers[client.office*fleet.Routers : (client.office+1)*fleet.Routers] {
+		if router.up || w.now-router.downAt < noticed {
+			up = append(up, router)
 		}
 	}
-	c.tries++
+	client.attempts++
 	if len(up) == 0 {
-		w.again(c, 0, true)
+		w.retryOrFail(client, 0, true)
 		return
 	}
-	r := up[w.dice.IntN(len(up))]
-	w.clients.n++
-	a := &Ask{
-		Router: r.id, Txn: fmt.Sprintf("%016x", w.clients.n), Rule: c.rule, Object: w.cat.name(c.object),
-		Group: w.cat.group(c.object), Part: c.part, SizeKB: w.cat.size(c.object, c.part), Limit: c.patience,
-		Again: c.tries > 1, Write: w.rules[c.rule].Write, client: c, sent: w.now, deadline: w.now + c.patience,
+	router := up[w.random.IntN(len(up))]
+	w.clients.requestCount++
+	request := &Ask{
+		Router: router.id, Txn: fmt.Sprintf("%016x", w.clients.requestCount), Rule: client.rule, Object: w.catalogue.name(client.object),
+		Group: w.catalogue.group(client.object), Part: client.part, SizeKB: w.catalogue.size(client.object, client.part), Limit: client.timeLimit,
+		Again: client.attempts > 1, Write: w.classes[client.rule].Write, client: client, deadline: w.now + client.timeLimit,
 	}
-	if a.Write {
-		a.SizeKB = 1
+	if request.Write {
+		request.SizeKB = 1
 	}
-	way := w.jitter(f.ClientMS * 500)
-	w.after(way, func() {
-		if !r.up { // refused: it never ran
-			w.after(way, func() { w.again(c, 0, true) })
+	delay := w.jitter(fleet.ClientMS * 500)
+	w.schedule(delay, func() {
+		if !router.up { // refused: it never ran
+			w.schedule(delay, func() { w.retryOrFail(client, 0, true) })
 			return
 		}
-		a.open = true
-		r.open[a.Txn] = a
-		r.openSeq = append(r.openSeq, a.Txn)
-		if len(r.openSeq) > 64 && len(r.openSeq) > 2*len(r.open) {
-			r.compact()
+		request.open = true
+		router.openRequests[request.Txn] = request
+		router.arrivalOrder = append(router.arrivalOrder, request.Txn)
+		if len(router.arrivalOrder) > 64 && len(router.arrivalOrder) > 2*len(router.openRequests) {
+			router.compactArrivalOrder()
 		}
 		w.Result.Taken++
-		w.note(Entry{
-			Kind: eventlog.KindTaken, Router: r.id, Request: a.Txn, Class: w.rules[a.Rule].Name, Object: a.Object, Group: a.Group,
-			Deadline: a.deadline,
+		w.record(Entry{
+			Kind: eventlog.KindTaken, Router: router.id, Request: request.Txn, Class: w.classes[request.Rule].Name, Object: request.Object, Group: request.Group,
+			Deadline: request.deadline,
 		})
 		// What the router is told is how long the client waits from when it sent.
-		a.Limit = a.deadline - w.now
-		w.driver.Ask(a)
+		request.Limit = request.deadline - w.now
+		w.driver.Ask(request)
 	})
-	w.after(c.patience+2*way+w.Slack, func() { w.lost(r, a) })
+	w.schedule(client.timeLimit+2*delay+w.Slack, func() { w.clientTimedOut(router, request) })
 }
 
-// lost is a client whose time is over without an answer.
-func (w *World) lost(r *router, a *Ask) {
-	if !a.open {
+// clientTimedOut is a client whose time is over without an answer.
+func (w *World) clientTimedOut(router *router, request *Ask) {
+	if !request.open {
 		return
 	}
-	a.open = false
-	delete(r.open, a.Txn)
-	w.note(Entry{Kind: eventlog.KindLeft, Router: r.id, Request: a.Txn})
+	request.open = false
+	delete(router.openRequests, request.Txn)
+	w.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.Txn})
 	w.Result.Lost++
-	w.driver.Leave(r.id, a.Txn)
-	w.again(a.client, 0, a.client.rule != scenario.ClassAccept)
+	w.driver.Leave(router.id, request.Txn)
+	w.retryOrFail(request.client, 0, request.client.rule != scenario.ClassAccept)
 }
 
 // Refused takes that a router's machine refused the connection: it has taken
 // nothing. Only sockets can tell; here a router that is up takes all.
-func (w *World) Refused(router int, txn string) {
-	r := w.routers[router]
-	a := r.open[txn]
-	if a == nil {
+func (w *World) Refused(routerID int, requestID string) {
+	router := w.routers[routerID]
+	request := router.openRequests[requestID]
+	if request == nil {
 		return
 	}
-	a.open = false
-	delete(r.open, txn)
-	w.note(Entry{Kind: eventlog.KindRefused, Router: router, Request: txn})
-	w.again(a.client, 0, true)
+	request.open = false
+	delete(router.openRequests, requestID)
+	w.record(Entry{Kind: eventlog.KindRefused, Router: routerID, Request: requestID})
+	w.retryOrFail(request.client, 0, true)
 }
 
 // Final takes a router's answer to a txn: "completed", "rejected" or "aborted".
 // Issued is that of the copy.
-func (w *World) Final(router int, txn, outcome string, issued, stay int64) {
-	r := w.routers[router]
-	a := r.open[txn]
-	e := Entry{Kind: eventlog.KindAnswered, Router: router, Request: txn, Outcome: outcome, Issued: issued}
-	if a != nil {
-		e.Class, e.Object, e.Group, e.Deadline = w.rules[a.Rule].Name, a.Object, a.Group, a.deadline
+func (w *World) Final(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
+	router := w.routers[routerID]
+	request := router.openRequests[requestID]
+	entry := Entry{Kind: eventlog.KindAnswered, Router: routerID, Request: requestID, Outcome: outcome, Issued: issuedAt}
+	if request != nil {
+		entry.Class, entry.Object, entry.Group, entry.Deadline = w.classes[request.Rule].Name, request.Object, request.Group, request.deadline
 	}
-	w.note(e)
-	if a == nil {
+	w.record(entry)
+	if request == nil {
 		return
 	}
-	a.open = false
-	delete(r.open, txn)
-	c := a.client
-	w.after(w.jitter(w.set.Fleet.ClientMS*500), func() {
-		if w.now > a.deadline+50*ms+w.Slack {
+	request.open = false
+	delete(router.openRequests, requestID)
+	client := request.client
+	w.schedule(w.jitter(w.scenario.Fleet.ClientMS*500), func() {
+		if w.now > request.deadline+50*millisecond+w.Slack {
 			outcome = "late"
 		}
 		if outcome == "completed" {
-			w.live--
-			w.Result.completed(w, c, issued)
+			w.openRequests--
+			w.Result.countCompleted(w, client, issuedAt)
 			return
 		}
-		w.again(c, stay, outcome == "rejected" || w.rules[c.rule].Effect == policy.EffectIdempotent)
+		w.retryOrFail(client, retryAfter, outcome == "rejected" || w.classes[client.rule].Effect == policy.EffectIdempotent)
 	})
 }
 
-// again is a client that got no answer it can use. It tries again where that is
+// retryOrFail is a client that got no answer it can use. It tries again where that is
 // harmless, after a wait.
-func (w *World) again(c *client, stay int64, harmless bool) {
-	l := &w.set.Load
-	if !harmless || c.tries > l.Retries {
-		w.live--
-		w.Result.failed(w, c, harmless)
+func (w *World) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
+	load := &w.scenario.Load
+	if !retrySafe || client.attempts > load.Retries {
+		w.openRequests--
+		w.Result.countFailed(w, client, retrySafe)
 		return
 	}
 	wait := int64(0)
-	if l.RetryWaitMS > 0 {
-		wait = w.jitter(l.RetryWaitMS * 1000 * float64(int64(1)<<min(c.tries-1, 6)))
+	if load.RetryWaitMS > 0 {
+		wait = w.jitter(load.RetryWaitMS * 1000 * float64(int64(1)<<min(client.attempts-1, 6)))
 	}
-	if c.honours {
-		wait = max(wait, stay)
+	if client.honoursRetryAfter {
+		wait = max(wait, retryAfter)
 	}
-	w.after(wait, func() { w.try(c) })
+	w.schedule(wait, func() { w.sendRequest(client) })
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -25,14 +25,14 @@
 	LedgerKB    float64 // from the ledger
 	AskedKB     float64 // all three past settling
 
-	now Second
+	current Second
 }
 
 // RuleResult is that of a remap rule, by phase.
 type RuleResult struct {
-	Name   string
-	Phases map[string]*Outcomes
-	took   *hdrhistogram.Histogram
+	Name      string
+	Phases    map[string]*Outcomes
+	latencies *hdrhistogram.Histogram
 }
 
 // Outcomes counts requests, a client's retries as part of the first try.
@@ -54,43 +54,43 @@
 	Troubles                        int
 	Servers                         int // caches up
 	LinkUse                         float64
-	filled                          float64
+	filledKB                        float64
 }
 
 func newResult(s *scenario.Scenario) *Result {
 	r := &Result{Ends: map[string]int{}}
-	for _, k := range s.Classes() {
+	for _, class := range s.Classes() {
 		r.Rules = append(r.Rules, &RuleResult{
-			Name: k.Name, Phases: map[string]*Outcomes{},
-			took: hdrhistogram.New(100, 60_000_000, 3),
+			Name: class.Name, Phases: map[string]*Outcomes{},
+			latencies: hdrhistogram.New(100, 60_000_000, 3),
 		})
 	}
 	return r
 }
 
-func (r *Result) of(c *client) *Outcomes {
-	rule := r.Rules[c.rule]
-	o := rule.Phases[c.phase]
-	if o == nil {
-		o = &Outcomes{}
-		rule.Phases[c.phase] = o
+func (r *Result) outcomes(client *client) *Outcomes {
+	rule := r.Rules[client.rule]
+	outcomes := rule.Phases[client.phase]
+	if outcomes == nil {
+		outcomes = &Outcomes{}
+		rule.Phases[client.phase] = outcomes
 	}
-	return o
+	return outcomes
 }
 
-func (r *Result) asked(w *World, c *client) {
-	r.now.Asked++
-	o := r.of(c)
-	o.Asked++
-	o.WorthMost += w.rules[c.rule].PriorityWeight
-	if c.phase != "settle" && c.rule != scenario.ClassAccept {
-		r.AskedKB += w.cat.size(c.object, c.part)
+func (r *Result) countRequest(w *World, client *client) {
+	r.current.Asked++
+	outcomes := r.outcomes(client)
+	outcomes.Asked++
+	outcomes.WorthMost += w.classes[client.rule].PriorityWeight
+	if client.phase != "settle" && client.rule != scenario.ClassAccept {
+		r.AskedKB += w.catalogue.size(client.object, client.part)
 	}
 }
 
-// filled counts bytes that come into an office, and those from the ledger.
-func (r *Result) filled(w *World, kb float64, ledger bool) {
-	if w.phase() == "settle" {
+// countFill counts bytes that come into an office, and those from the ledger.
+func (r *Result) countFill(w *World, kb float64, ledger bool) {
+	if w.currentPhase() == "settle" {
 		return
 	}
 	r.FilledKB += kb
@@ -99,60 +99,60 @@
 	}
 }
 
-// completed counts an answer by how long the client waited from its first try.
-func (r *Result) completed(w *World, c *client, issued int64) {
-	k := &w.rules[c.rule]
-	took := w.now - c.first
-	r.Rules[c.rule].took.RecordValue(took)
-	work := w.cat.size(c.object, c.part) / w.set.Fleet.FlowKBPerS * 1e6
-	if k.Write {
+// countCompleted counts an answer by how long the client waited from its first try.
+func (r *Result) countCompleted(w *World, client *client, issuedAt int64) {
+	class := &w.classes[client.rule]
+	latency := w.now - client.startedAt
+	r.Rules[client.rule].latencies.RecordValue(latency)
+	work := w.catalogue.size(client.object, client.part) / w.scenario.Fleet.FlowKBPerS * 1e6
+	if class.Write {
 		work = 0
 	}
-	o, worth := r.of(c), k.PriorityWeight
-	if took <= k.LatencyObjective+int64(k.ObjectiveStretch*work) {
-		o.InTime++
-		r.now.InTime++
+	outcomes, weight := r.outcomes(client), class.PriorityWeight
+	if latency <= class.LatencyObjective+int64(class.ObjectiveStretch*work) {
+		outcomes.InTime++
+		r.current.InTime++
 	} else {
-		o.Late++
-		r.now.Late++
-		worth *= k.LateValueShare
+		outcomes.Late++
+		r.current.Late++
+		weight *= class.LateValueShare
 	}
-	if !k.Write && k.FreshFor > 0 && w.now-issued > k.FreshFor {
-		o.Stale++
-		worth *= k.StaleValueShare
+	if !class.Write && class.FreshFor > 0 && w.now-issuedAt > class.FreshFor {
+		outcomes.Stale++
+		weight *= class.StaleValueShare
 	}
-	o.Worth += worth
+	outcomes.Worth += weight
 }
 
-func (r *Result) failed(_ *World, c *client, harmless bool) {
-	r.now.None++
-	if o := r.of(c); harmless {
-		o.Refused++
+func (r *Result) countFailed(_ *World, client *client, harmless bool) {
+	r.current.None++
+	if outcomes := r.outcomes(client); harmless {
+		outcomes.Refused++
 	} else {
-		o.Failed++
+		outcomes.Failed++
 	}
 }
 
-func (r *Result) second(w *World) {
-	s := r.now
-	s.At, s.Troubles, s.Hops = int(w.now/second), w.troubled, len(w.hops)
-	for _, l := range w.caches {
-		for _, c := range l {
-			if c.up {
-				s.Servers++
+func (r *Result) closeSecond(w *World) {
+	finished := r.current
+	finished.At, finished.Troubles, finished.Hops = int(w.now/second), w.activeFaults, len(w.attempts)
+	for _, servers := range w.caches {
+		for _, server := range servers {
+			if server.up {
+				finished.Servers++
 			}
 		}
 	}
-	s.filled = 0
+	finished.filledKB = 0
 	total := 0.0
-	for _, l := range w.links {
-		l.advance()
-		s.filled += l.served
-		total += l.total * 1e6
+	for _, link := range w.links {
+		link.advance()
+		finished.filledKB += link.served
+		total += link.totalRate * 1e6
 	}
-	s.LinkUse = (s.filled - r.now.filled) / total
-	r.Timeline = append(r.Timeline, s)
-	r.now = Second{filled: s.filled}
+	finished.LinkUse = (finished.filledKB - r.current.filledKB) / total
+	r.Timeline = append(r.Timeline, finished)
+	r.current = Second{filledKB: finished.filledKB}
 }
 
 // Phases of a run, in order.
@@ -160,20 +160,20 @@
 
 // Worth is the share of the importance asked for that was earned, past settling.
 func (r *Result) Worth() float64 {
-	got, most := 0.0, 0.0
-	for _, k := range r.Rules {
+	earned, possible := 0.0, 0.0
+	for _, class := range r.Rules {
 		for _, phase := range Phases[1:] {
-			if o := k.Phases[phase]; o != nil {
-				got, most = got+o.Worth, most+o.WorthMost
+			if outcomes := class.Phases[phase]; outcomes != nil {
+				earned, possible = earned+outcomes.Worth, possible+outcomes.WorthMost
 			}
 		}
 	}
-	if most == 0 {
+	if possible == 0 {
 		return 0
 	}
-	return got / most
+	return earned / possible
 }
 
 // Quantile of the time that clients of a rule waited for what they got, from
 // their first try, in microseconds; the settling time counts too.
-func (k *RuleResult) Quantile(q float64) int64 { return k.took.ValueAtQuantile(q) }
+func (k *RuleResult) Quantile(q float64) int64 { return k.latencies.ValueAtQuantile(q) }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -7,75 +7,75 @@
 	"quilldoor/internal/policy"
 )
 
-// routerDown kills a router: its hops' connections end, its clients see a reset.
-func (w *World) routerDown(r *router) {
-	r.up, r.downAt, r.held, r.stopped = false, w.now, nil, 0
-	r.life++
-	w.note(Entry{Kind: eventlog.KindRouterDown, Router: r.id})
-	w.driver.Down(r.id)
-	for _, h := range w.hopsOf(r.id) {
-		delete(w.hops, hopKey{h.Router, h.Txn, h.N})
-		w.after(h.latent, func() { h.at.stop(h) })
+// killRouter kills a router: its hops' connections end, its clients see a reset.
+func (w *World) killRouter(router *router) {
+	router.up, router.downAt, router.heldNotices, router.suspensions = false, w.now, nil, 0
+	router.incarnation++
+	w.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
+	w.driver.Down(router.id)
+	for _, attempt := range w.attemptsOf(router.id) {
+		delete(w.attempts, attemptKey{attempt.Router, attempt.Txn, attempt.N})
+		w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
 	}
-	for _, id := range r.openSeq {
-		a := r.open[id]
-		if a == nil {
+	for _, id := range router.arrivalOrder {
+		request := router.openRequests[id]
+		if request == nil {
 			continue
 		}
-		a.open = false
-		delete(r.open, id)
-		w.after(w.jitter(w.set.Fleet.ClientMS*500), func() {
-			w.again(a.client, 0, w.rules[a.Rule].Effect == policy.EffectIdempotent)
+		request.open = false
+		delete(router.openRequests, id)
+		w.schedule(w.jitter(w.scenario.Fleet.ClientMS*500), func() {
+			w.retryOrFail(request.client, 0, w.classes[request.Rule].Effect == policy.EffectIdempotent)
 		})
 	}
-	r.openSeq = nil
+	router.arrivalOrder = nil
 }
 
-func (w *World) hopsOf(router int) (out []*Hop) {
-	for k, h := range w.hops {
-		if k.router == router {
-			out = append(out, h)
+func (w *World) attemptsOf(routerID int) (attempts []*Hop) {
+	for key, attempt := range w.attempts {
+		if key.router == routerID {
+			attempts = append(attempts, attempt)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Hop) int {
+	slices.SortFunc(attempts, func(a, b *Hop) int {
 		switch {
 		case a.Txn != b.Txn && a.Txn < b.Txn, a.Txn == b.Txn && a.N < b.N:
 			return -1
 		}
 		return 1
 	})
-	return out
+	return attempts
 }
 
-func (w *World) routerUp(r *router) {
-	if r.up {
+func (w *World) startRouter(router *router) {
+	if router.up {
 		return
 	}
-	r.up, r.toldAt = true, w.now
-	w.note(Entry{Kind: eventlog.KindRouterUp, Router: r.id})
-	w.driver.Up(r.id, w.Known())
+	router.up, router.notifiedAt = true, w.now
+	w.record(Entry{Kind: eventlog.KindRouterUp, Router: router.id})
+	w.driver.Up(router.id, w.Known())
 }
 
 type router struct {
-	id      int
-	office  int
-	up      bool
-	life    int
-	stopped int  // troubles that hold it
-	cut     bool // it can't reach the board
-	downAt  int64
-	toldAt  int64 // the last notice; later ones come behind it
-	held    []heldNotice
-	open    map[string]*Ask
-	openSeq []string // in the order of arrival, for a router's death
+	id           int
+	office       int
+	up           bool
+	incarnation  int
+	suspensions  int  // troubles that hold it
+	discoveryCut bool // it can't reach the board
+	downAt       int64
+	notifiedAt   int64 // the last notice; later ones come behind it
+	heldNotices  []heldNotice
+	openRequests map[string]*Ask
+	arrivalOrder []string // in the order of arrival, for a router's death
 }
 
-func (r *router) compact() {
-	list := r.openSeq[:0]
-	for _, id := range r.openSeq {
-		if r.open[id] != nil {
+func (r *router) compactArrivalOrder() {
+	list := r.arrivalOrder[:0]
+	for _, id := range r.arrivalOrder {
+		if r.openRequests[id] != nil {
 			list = append(list, id)
 		}
 	}
-	r.openSeq = list
+	r.arrivalOrder = list
 }
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -7,49 +7,49 @@
 	"quilldoor/internal/scenario"
 )
 
-// someRouters draws a share of the routers at a trouble's place.
-func (w *World) someRouters(t *scenario.Fault) (list []*router) {
-	for _, r := range w.routers {
-		if r.up && (t.Office == 0 || r.office == t.Office-1) {
-			list = append(list, r)
+// drawRouters draws a share of the routers at a trouble's place.
+func (w *World) drawRouters(fault *scenario.Fault) (routers []*router) {
+	for _, router := range w.routers {
+		if router.up && (fault.Office == 0 || router.office == fault.Office-1) {
+			routers = append(routers, router)
 		}
 	}
-	w.dice.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), int(math.Ceil(t.Share*float64(len(list)))))]
+	w.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
+	return routers[:min(len(routers), int(math.Ceil(fault.Share*float64(len(routers)))))]
 }
 
-// stopRouters lets routers stand still for a trouble's time.
-func (w *World) stopRouters(t *scenario.Fault) (over func()) {
-	list := w.someRouters(t)
-	lives := map[*router]int{}
-	for _, r := range list {
-		lives[r] = r.life
-		if r.stopped++; r.stopped == 1 {
-			w.note(Entry{Kind: eventlog.KindRouterStopped, Router: r.id})
-			w.driver.Stop(r.id)
+// suspendRouters lets routers stand still for a trouble's time.
+func (w *World) suspendRouters(fault *scenario.Fault) (endFault func()) {
+	routers := w.drawRouters(fault)
+	incarnations := map[*router]int{}
+	for _, router := range routers {
+		incarnations[router] = router.incarnation
+		if router.suspensions++; router.suspensions == 1 {
+			w.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
+			w.driver.Stop(router.id)
 		}
 	}
 	return func() {
-		for _, r := range list {
-			if !r.up || r.life != lives[r] {
+		for _, router := range routers {
+			if !router.up || router.incarnation != incarnations[router] {
 				continue // it was killed meanwhile
 			}
-			if r.stopped--; r.stopped == 0 {
-				w.note(Entry{Kind: eventlog.KindRouterWoken, Router: r.id})
-				w.driver.Wake(r.id)
+			if router.suspensions--; router.suspensions == 0 {
+				w.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
+				w.driver.Wake(router.id)
 			}
 		}
 	}
 }
 
-func (w *World) loseRouters(t *scenario.Fault) (over func()) {
-	list := w.someRouters(t)
-	for _, r := range list {
-		w.routerDown(r)
+func (w *World) killRouters(fault *scenario.Fault) (endFault func()) {
+	routers := w.drawRouters(fault)
+	for _, router := range routers {
+		w.killRouter(router)
 	}
 	return func() {
-		for _, r := range list {
-			w.routerUp(r)
+		for _, router := range routers {
+			w.startRouter(router)
 		}
 	}
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -7,170 +7,170 @@
 	"quilldoor/internal/policy"
 )
 
-type kind uint8
+type serverKind uint8
 
 const (
-	cache kind = iota
-	parent
-	ledger
+	kindCache serverKind = iota
+	kindParent
+	kindOrigin
 )
 
-var kindNames = [...]string{"box", "hub", "ledger"}
+var serverKindNames = [...]string{"box", "hub", "ledger"}
 
 // server is a cache, a parent or the ledger.
 type server struct {
-	w      *World
-	uid    string
-	kind   kind
+	world  *World
+	id     string
+	kind   serverKind
 	office int // -1: at a trunk
 	trunk  int
 	weight float64 // flows that it can send at once when it is warm
 
-	up, silent, fell bool
-	listed           policy.EndpointState // as the board will tell
-	born             int64                // 0: long past
-	pauses           int                  // in force
-	life             int64                // counts starts: what began in an earlier one is void
-
-	cpu     *share // of a cache or the ledger: its cores or workers
-	out     *share // of a parent or the ledger: its link out
-	store   *store
-	hops    []*Hop // that have come and not ended
-	queue   []*Hop
-	slots   int // taken
-	fills   map[int64]*fill
-	fillsN  int
-	spent   []spend
-	spentOf float64
-	slow    float64 // the ledger: times slower
-	stopped bool
-	asked   []int64 // the ledger: arrivals of the last three seconds
-
-	load         map[string]float64 // the report that is visible
-	served, hits int                // since the last report
-	usedCPU      float64
-	usedLink     float64
+	up, silent, collapsed bool
+	listed                policy.EndpointState // as the board will tell
+	startedAt             int64                // 0: long past
+	activePauses          int                  // in force
+	incarnation           int64                // counts starts: what began in an earlier one is void
+
+	cpu             *sharedResource // of a cache or the ledger: its cores or workers
+	egress          *sharedResource // of a parent or the ledger: its link out
+	store           *copyStore
+	attempts        []*Hop // that have come and not ended
+	queue           []*Hop
+	busySlots       int // taken
+	fills           map[int64]*fill
+	fillCount       int
+	recentWork      []workSample
+	recentWorkTotal float64
+	slowdown        float64 // the ledger: times slower
+	stopped         bool
+	arrivals        []int64 // the ledger: arrivals of the last three seconds
+
+	visibleLoad              map[string]float64 // the report that is visible
+	reportServed, reportHits int                // since the last report
+	reportedCPU              float64
+	reportedLink             float64
 }
 
-type spend struct {
+type workSample struct {
 	at   int64
 	work float64
 }
 
-func (s *server) entry() Server {
-	e := Server{policy.Endpoint{ID: s.uid, Kind: kindNames[s.kind], State: s.listed, Weight: s.weight, StartedAt: s.born}}
+func (s *server) endpoint() Server {
+	endpoint := Server{policy.Endpoint{ID: s.id, Kind: serverKindNames[s.kind], State: s.listed, Weight: s.weight, StartedAt: s.startedAt}}
 	if s.office >= 0 {
-		e.Zone = zoneName(s.office)
+		endpoint.Zone = zoneName(s.office)
 	} else {
-		e.Zone = trunkName(s.trunk)
+		endpoint.Zone = trunkName(s.trunk)
 	}
-	return e
+	return endpoint
 }
 
-// able is the share of its power that a server has now, by warmth.
-func (s *server) able() float64 {
-	f := &s.w.set.Fleet
-	from, lasts := f.SlowStartFrom, f.SlowStartS
-	if s.kind == parent {
-		from, lasts = f.ParentSlowStartFrom, f.ParentSlowStartS
+// capacityShare is the share of its power that a server has now, by warmth.
+func (s *server) capacityShare() float64 {
+	fleet := &s.world.scenario.Fleet
+	initial, duration := fleet.SlowStartFrom, fleet.SlowStartS
+	if s.kind == kindParent {
+		initial, duration = fleet.ParentSlowStartFrom, fleet.ParentSlowStartS
 	}
-	if s.born == 0 || s.kind == ledger {
+	if s.startedAt == 0 || s.kind == kindOrigin {
 		return 1
 	}
-	return min(1, from+(1-from)*float64(s.w.now-s.born)/(lasts*1e6))
+	return min(1, initial+(1-initial)*float64(s.world.now-s.startedAt)/(duration*1e6))
 }
 
-// power sets the cores' rate by warmth, crowd, pauses and slowness.
-func (s *server) power() {
-	f := &s.w.set.Fleet
-	rate := s.able()
-	if s.pauses > 0 || s.stopped {
+// updateRate sets the cores' rate by warmth, crowd, pauses and slowness.
+func (s *server) updateRate() {
+	fleet := &s.world.scenario.Fleet
+	rate := s.capacityShare()
+	if s.activePauses > 0 || s.stopped {
 		rate = 0
 	}
 	switch s.kind {
-	case cache:
-		over := float64(len(s.cpu.jobs))/float64(f.Cores) - 4
-		if over > 0 {
-			rate *= max(1-f.Thrash*over, 0.3)
+	case kindCache:
+		crowding := float64(len(s.cpu.jobs))/float64(fleet.Cores) - 4
+		if crowding > 0 {
+			rate *= max(1-fleet.Thrash*crowding, 0.3)
 		}
-		s.cpu.change(rate*float64(f.Cores), rate)
-	case parent:
-		kb := s.weight * f.FlowKBPerS / 1e6
-		s.out.change(rate*kb, rate*kb)
-	case ledger:
-		s.cpu.change(rate*float64(f.OriginWorkers)/s.slow, rate/s.slow)
+		s.cpu.setRates(rate*float64(fleet.Cores), rate)
+	case kindParent:
+		egressRate := s.weight * fleet.FlowKBPerS / 1e6
+		s.egress.setRates(rate*egressRate, rate*egressRate)
+	case kindOrigin:
+		s.cpu.setRates(rate*float64(fleet.OriginWorkers)/s.slowdown, rate/s.slowdown)
 	}
 }
 
-// warming moves a started server's power up in steps.
-func (s *server) warming(life int64) {
-	if s.life != life || !s.up {
+// warmUp moves a started server's power up in steps.
+func (s *server) warmUp(incarnation int64) {
+	if s.incarnation != incarnation || !s.up {
 		return
 	}
-	s.power()
-	if s.able() < 1 {
-		s.w.after(250*ms, func() { s.warming(life) })
+	s.updateRate()
+	if s.capacityShare() < 1 {
+		s.world.schedule(250*millisecond, func() { s.warmUp(incarnation) })
 	}
 }
 
-// charge adds work that was sent to a server, in its own units (microseconds of a
+// recordWork adds work that was sent to a server, in its own units (microseconds of a
 // flow), and tells whether it falls over: sent more than a multiple of what it can
 // do now over the window, by all routers together.
-func (s *server) charge(work float64) bool {
-	f := &s.w.set.Fleet
-	window := int64(f.OverloadMS * 1000)
-	s.spent = append(s.spent, spend{s.w.now, work})
-	s.spentOf += work
-	old := 0
-	for s.spent[old].at <= s.w.now-window {
-		s.spentOf -= s.spent[old].work
-		old++
-	}
-	if old > 0 {
-		s.spent = slices.Delete(s.spent, 0, old)
-	}
-	return s.able() < 1 && s.spentOf > f.OverloadMultiple*s.able()*s.weight*float64(window)
+func (s *server) recordWork(work float64) bool {
+	fleet := &s.world.scenario.Fleet
+	window := int64(fleet.OverloadMS * 1000)
+	s.recentWork = append(s.recentWork, workSample{s.world.now, work})
+	s.recentWorkTotal += work
+	expired := 0
+	for s.recentWork[expired].at <= s.world.now-window {
+		s.recentWorkTotal -= s.recentWork[expired].work
+		expired++
+	}
+	if expired > 0 {
+		s.recentWork = slices.Delete(s.recentWork, 0, expired)
+	}
+	return s.capacityShare() < 1 && s.recentWorkTotal > fleet.OverloadMultiple*s.capacityShare()*s.weight*float64(window)
 }
 
-// fall is what becomes of a server that was pushed over: it stays down.
-func (s *server) fall() {
-	s.fell = true
-	s.w.note(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.uid, Work: s.spentOf / 1e6})
-	s.w.Result.Fallen++
-	s.die(false)
-	s.w.list(s, policy.EndpointGone, s.w.jitter(s.w.set.Fleet.DeathDetectionMS*1000))
+// collapse is what becomes of a server that was pushed over: it stays down.
+func (s *server) collapse() {
+	s.collapsed = true
+	s.world.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / 1e6})
+	s.world.Result.Fallen++
+	s.crash(false)
+	s.world.setListed(s, policy.EndpointGone, s.world.jitter(s.world.scenario.Fleet.DeathDetectionMS*1000))
 }
 
-// die ends a server's process. Reset tells its routers; a silent one tells nobody.
-func (s *server) die(silent bool) {
+// crash ends a server's process. Reset tells its routers; a silent one tells nobody.
+func (s *server) crash(silent bool) {
 	s.up, s.silent = false, silent
-	s.life++
-	s.w.note(Entry{Kind: eventlog.KindDown, Endpoint: s.uid})
-	hops := slices.Clone(s.hops)
-	for _, h := range hops {
+	s.incarnation++
+	s.world.record(Entry{Kind: eventlog.KindDown, Endpoint: s.id})
+	attempts := slices.Clone(s.attempts)
+	for _, attempt := range attempts {
 		if silent {
-			s.stop(h)
+			s.detach(attempt)
 		} else {
-			s.end(h, End{Outcome: policy.OutcomeConnectionReset})
+			s.finish(attempt, End{Outcome: policy.OutcomeConnectionReset})
 		}
 	}
-	for _, h := range s.hops {
-		h.state = ended
+	for _, attempt := range s.attempts {
+		attempt.state = attemptEnded
 	}
-	s.hops, s.queue, s.slots = nil, nil, 0
+	s.attempts, s.queue, s.busySlots = nil, nil, 0
 	for _, key := range sortedKeys(s.fills) {
-		s.fills[key].drop()
+		s.fills[key].cancel()
 	}
-	s.fills, s.fillsN = map[int64]*fill{}, 0
+	s.fills, s.fillCount = map[int64]*fill{}, 0
 	if s.store != nil {
 		s.store.clear()
 	}
 	if s.cpu != nil {
 		s.cpu.advance()
 		s.cpu.jobs = nil
-		s.cpu.set()
+		s.cpu.scheduleNext()
 	}
-	s.spent, s.spentOf, s.pauses = nil, 0, 0
+	s.recentWork, s.recentWorkTotal, s.activePauses = nil, 0, 0
 }
 
 func sortedKeys(m map[int64]*fill) (keys []int64) {
@@ -183,12 +183,12 @@
 
 // start brings a server back, cold and empty.
 func (s *server) start() {
-	if s.fell || s.up {
+	if s.collapsed || s.up {
 		return
 	}
 	s.up, s.silent = true, false
-	s.life++
-	s.born = max(s.w.now, 1)
-	s.w.note(Entry{Kind: eventlog.KindStarted, Endpoint: s.uid})
-	s.warming(s.life)
+	s.incarnation++
+	s.startedAt = max(s.world.now, 1)
+	s.world.record(Entry{Kind: eventlog.KindStarted, Endpoint: s.id})
+	s.warmUp(s.incarnation)
 }
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -8,26 +8,26 @@
 	"quilldoor/internal/scenario"
 )
 
-// spell is a share of answers that goes wrong at some caches.
-type spell struct {
+// answerFault is a share of answers that goes wrong at some caches.
+type answerFault struct {
 	kind   string
 	office int // from 1; 0: all
 	share  float64
 }
 
-// spoil lets troubles get between a server and its answer; no code: it never comes.
-func (w *World) spoil(s *server, e End) End {
-	if s.kind == cache && w.set.Fleet.ErrorShare > 0 && w.dice.Float64() < w.set.Fleet.ErrorShare {
-		return End{Outcome: policy.OutcomeError, Load: e.Load}
+// applyAnswerFaults lets troubles get between a server and its answer; no code: it never comes.
+func (w *World) applyAnswerFaults(server *server, end End) End {
+	if server.kind == kindCache && w.scenario.Fleet.ErrorShare > 0 && w.random.Float64() < w.scenario.Fleet.ErrorShare {
+		return End{Outcome: policy.OutcomeError, Load: end.Load}
 	}
-	for _, x := range w.spells {
-		if x.kind == "ledger_resets" && s.kind == ledger && w.dice.Float64() < x.share {
+	for _, fault := range w.answerFaults {
+		if fault.kind == "ledger_resets" && server.kind == kindOrigin && w.random.Float64() < fault.share {
 			return End{Outcome: policy.OutcomeConnectionReset}
 		}
-		if s.kind != cache || x.kind == "ledger_resets" || x.office > 0 && s.office != x.office-1 || w.dice.Float64() >= x.share {
+		if server.kind != kindCache || fault.kind == "ledger_resets" || fault.office > 0 && server.office != fault.office-1 || w.random.Float64() >= fault.share {
 			continue
 		}
-		switch x.kind {
+		switch fault.kind {
 		case "resets":
 			return End{Outcome: policy.OutcomeConnectionReset}
 		case "spoilt":
@@ -35,99 +35,99 @@
 		case "endless":
 			return End{}
 		case "errors":
-			return End{Outcome: policy.OutcomeError, Load: e.Load}
+			return End{Outcome: policy.OutcomeError, Load: end.Load}
 		}
 	}
-	return e
+	return end
 }
 
-// lose takes servers away; the board hears of it late, and of their return.
-func (w *World) lose(list []*server, silent bool) (over func()) {
-	for _, s := range list {
-		s.die(silent)
-		w.list(s, policy.EndpointGone, w.jitter(w.set.Fleet.DeathDetectionMS*1000))
+// takeDown takes servers away; the board hears of it late, and of their return.
+func (w *World) takeDown(servers []*server, silent bool) (endFault func()) {
+	for _, server := range servers {
+		server.crash(silent)
+		w.setListed(server, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*1000))
 	}
-	return func() { w.back(list) }
+	return func() { w.bringBack(servers) }
 }
 
-func (w *World) back(list []*server) {
-	for _, s := range list {
-		if s.up || s.fell {
+func (w *World) bringBack(servers []*server) {
+	for _, server := range servers {
+		if server.up || server.collapsed {
 			continue
 		}
-		s.start()
-		w.list(s, policy.EndpointActive, 0)
+		server.start()
+		w.setListed(server, policy.EndpointActive, 0)
 	}
 }
 
-func (w *World) pauses(list []*server, t *scenario.Fault) (over func()) {
-	going := true
-	for _, s := range list {
-		var again func()
-		life := s.life
-		again = func() {
-			if !going || s.life != life {
+func (w *World) pauseRepeatedly(servers []*server, fault *scenario.Fault) (endFault func()) {
+	active := true
+	for _, server := range servers {
+		var pause func()
+		incarnation := server.incarnation
+		pause = func() {
+			if !active || server.incarnation != incarnation {
 				return
 			}
-			s.pauses++
-			s.power()
-			w.after(int64(t.Strength*1000), func() {
-				if s.life == life {
-					s.pauses--
-					s.power()
+			server.activePauses++
+			server.updateRate()
+			w.schedule(int64(fault.Strength*1000), func() {
+				if server.incarnation == incarnation {
+					server.activePauses--
+					server.updateRate()
 				}
 			})
-			w.after(w.jitter(t.Every*1e6), again)
+			w.schedule(w.jitter(fault.Every*1e6), pause)
 		}
-		w.after(int64(w.dice.Float64()*t.Every*1e6), again)
+		w.schedule(int64(w.random.Float64()*fault.Every*1e6), pause)
 	}
-	return func() { going = false }
+	return func() { active = false }
 }
 
 // deploy drains servers some at a time; a successor with a name of its own starts
 // cold in the place of each.
-func (w *World) deploy(list []*server, t *scenario.Fault) {
+func (w *World) deploy(servers []*server, fault *scenario.Fault) {
 	const drained = 3 * second // what a drained one has left to finish
-	for i := 0; i < len(list); i += int(t.Strength) {
-		wave := list[i:min(i+int(t.Strength), len(list))]
-		w.after(int64(float64(i)/t.Strength*t.Every*1e6), func() {
-			for _, s := range wave {
-				if !s.up {
+	for i := 0; i < len(servers); i += int(fault.Strength) {
+		wave := servers[i:min(i+int(fault.Strength), len(servers))]
+		w.schedule(int64(float64(i)/fault.Strength*fault.Every*1e6), func() {
+			for _, server := range wave {
+				if !server.up {
 					continue
 				}
-				w.list(s, policy.EndpointDraining, 0)
-				w.after(drained, func() { w.replace(s) })
+				w.setListed(server, policy.EndpointDraining, 0)
+				w.schedule(drained, func() { w.replace(server) })
 			}
 		})
 	}
 }
 
-func (w *World) replace(s *server) {
-	if s.up {
-		s.die(false)
+func (w *World) replace(server *server) {
+	if server.up {
+		server.crash(false)
 	}
-	w.list(s, policy.EndpointGone, 0)
-	place := slices.Index(w.caches[s.office], s)
-	if place < 0 {
+	w.setListed(server, policy.EndpointGone, 0)
+	index := slices.Index(w.caches[server.office], server)
+	if index < 0 {
 		return
 	}
-	next := w.newCache(s.office, fmt.Sprintf("%s.%d", s.uid, w.seq))
-	next.up = false
-	w.caches[s.office][place] = next
-	next.start()
-	w.list(next, policy.EndpointActive, 0)
+	successor := w.newCache(server.office, fmt.Sprintf("%s.%d", server.id, w.sequence))
+	successor.up = false
+	w.caches[server.office][index] = successor
+	successor.start()
+	w.setListed(successor, policy.EndpointActive, 0)
 }
 
 // preempt drains servers, and takes them away a moment later; they come back.
-func (w *World) preempt(list []*server, notice int64) (over func()) {
-	for _, s := range list {
-		w.list(s, policy.EndpointDraining, 0)
-		w.after(notice, func() {
-			if s.up {
-				s.die(false)
+func (w *World) preempt(servers []*server, notice int64) (endFault func()) {
+	for _, server := range servers {
+		w.setListed(server, policy.EndpointDraining, 0)
+		w.schedule(notice, func() {
+			if server.up {
+				server.crash(false)
 			}
-			w.list(s, policy.EndpointGone, 0)
+			w.setListed(server, policy.EndpointGone, 0)
 		})
 	}
-	return func() { w.back(list) }
+	return func() { w.bringBack(servers) }
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -41,7 +41,7 @@
 
 func bare() *World {
 	s := scenario.Default()
-	return &World{set: &s, driver: silent{}, dice: rand.New(rand.NewPCG(1, 1))}
+	return &World{scenario: &s, driver: silent{}, random: rand.New(rand.NewPCG(1, 1))}
 }
 
 // Jobs of exponential work that share c cores are as many as in an M/M/c queue,
@@ -52,9 +52,9 @@
 		load  float64
 	}{{1, 0.6}, {5, 0.8}, {20, 0.9}} {
 		w := bare()
-		s := &share{w: w, total: float64(c.cores), most: 1}
+		s := &sharedResource{world: w, totalRate: float64(c.cores), maxJobRate: 1}
 		const work, jobs = 1e5, 200_000
-		wait := distuv.Exponential{Rate: 1, Src: w.dice}
+		wait := distuv.Exponential{Rate: 1, Src: w.random}
 		stayed, n := 0.0, 0
 		var arrive func()
 		arrive = func() {
@@ -63,7 +63,7 @@
 				stayed += float64(w.now - began)
 				n++
 			})
-			w.after(int64(wait.Rand()*work/c.load/float64(c.cores)), arrive)
+			w.schedule(int64(wait.Rand()*work/c.load/float64(c.cores)), arrive)
 		}
 		arrive()
 		for n < jobs {
@@ -116,7 +116,7 @@
 	_, want := filled(low)
 	r := rand.New(rand.NewPCG(3, 3))
 	popular := distuv.NewCategorical(weights, r)
-	s := newStore(room)
+	s := newCopyStore(room)
 	hits, all := 0, 0
 	for i := range 300_000 {
 		key := int64(popular.Rand())
@@ -142,7 +142,7 @@
 func TestStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		s := newStore(50)
+		s := newCopyStore(50)
 		for range 80 {
 			switch key := int64(draw(30)); draw(5) {
 			case 0:
@@ -164,7 +164,7 @@
 					higher := 0.0
 					for _, c := range s.copies {
 						if c.rank > rank {
-							higher += c.kb
+							higher += c.sizeKB
 						}
 					}
 					if higher+kb <= 50 {
@@ -173,9 +173,9 @@
 				}
 			}
 			used, n := 0.0, 0
-			for rank := range s.ranks {
-				for c := s.ranks[rank].newer; c != &s.ranks[rank]; c = c.newer {
-					if used, n = used+c.kb, n+1; s.copies[c.key] != c || c.rank != rank {
+			for rank := range s.rankRings {
+				for c := s.rankRings[rank].newer; c != &s.rankRings[rank]; c = c.newer {
+					if used, n = used+c.sizeKB, n+1; s.copies[c.key] != c || c.rank != rank {
 						t.Fatal("a ring and the map disagree")
 					}
 				}
@@ -183,8 +183,8 @@
 			if n != len(s.copies) {
 				t.Fatalf("%d in rings, %d in the map", n, len(s.copies))
 			}
-			for g := range s.groups {
-				for c := s.groups[g].next; c != &s.groups[g]; c = c.next {
+			for g := range s.groupRings {
+				for c := s.groupRings[g].next; c != &s.groupRings[g]; c = c.next {
 					if n--; s.copies[c.key] != c || c.group != int64(g) {
 						t.Fatal("a group's ring and the map disagree")
 					}
@@ -193,8 +193,8 @@
 			if n != 0 {
 				t.Fatalf("%d copies are in no group's ring", n)
 			}
-			if math.Abs(used-s.used) > 1e-9 || used > 50 {
-				t.Fatalf("%.1f of 50 used, told %.1f", used, s.used)
+			if math.Abs(used-s.usedKB) > 1e-9 || used > 50 {
+				t.Fatalf("%.1f of 50 used, told %.1f", used, s.usedKB)
 			}
 		}
 	})
@@ -205,7 +205,7 @@
 	w := bare()
 	var got []int
 	for i := range 100 {
-		w.after(int64(i%3)*5, func() { got = append(got, i) })
+		w.schedule(int64(i%3)*5, func() { got = append(got, i) })
 	}
 	for more := true; more; {
 		more = w.Step(w.Next()) && len(w.events) > 0
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,115 +1,117 @@
 package simulation
 
-// store is what a cache or a parent keeps: by rank, and within it by recency.
+// copyStore is what a cache or a parent keeps: by rank, and within it by recency.
 // What was ranked lowest goes first, then what was used longest ago; nothing goes
 // for a copy of lower rank.
-type store struct {
-	room   float64 // KB
-	used   float64
-	copies map[int64]*kept
-	ranks  [4]kept          // rings by recency
-	groups [groupCount]kept // rings by group, so that a purge costs what it drops
+type copyStore struct {
+	capacityKB float64 // KB
+	usedKB     float64
+	copies     map[int64]*cachedCopy
+	rankRings  [4]cachedCopy          // rings by recency
+	groupRings [groupCount]cachedCopy // rings by group, so that a purge costs what it drops
 }
 
-type kept struct {
+type cachedCopy struct {
 	key          int64
-	kb           float64
-	issued       int64
+	sizeKB       float64
+	issuedAt     int64
 	group        int64
 	rank         int
-	newer, older *kept
-	next, prev   *kept // in the ring of its group
+	newer, older *cachedCopy
+	next, prev   *cachedCopy // in the ring of its group
 }
 
-func newStore(kb float64) *store {
-	s := &store{room: kb, copies: map[int64]*kept{}}
+func newCopyStore(kb float64) *copyStore {
+	s := &copyStore{capacityKB: kb, copies: map[int64]*cachedCopy{}}
 	s.clear()
 	return s
 }
 
-func (s *store) clear() {
+func (s *copyStore) clear() {
 	clear(s.copies)
-	s.used = 0
-	for i := range s.ranks {
-		s.ranks[i].newer, s.ranks[i].older = &s.ranks[i], &s.ranks[i]
+	s.usedKB = 0
+	for i := range s.rankRings {
+		s.rankRings[i].newer, s.rankRings[i].older = &s.rankRings[i], &s.rankRings[i]
 	}
-	for i := range s.groups {
-		s.groups[i].next, s.groups[i].prev = &s.groups[i], &s.groups[i]
+	for i := range s.groupRings {
+		s.groupRings[i].next, s.groupRings[i].prev = &s.groupRings[i], &s.groupRings[i]
 	}
 }
 
-func (s *store) unlink(c *kept) { c.newer.older, c.older.newer = c.older, c.newer }
+func (s *copyStore) unlink(cached *cachedCopy) {
+	cached.newer.older, cached.older.newer = cached.older, cached.newer
+}
 
-// front makes a copy the newest of its rank. A ring's own node has the oldest as
+// moveToFront makes a copy the newest of its rank. A ring's own node has the oldest as
 // its newer and the newest as its older.
-func (s *store) front(c *kept) {
-	ring := &s.ranks[c.rank]
-	c.older, c.newer = ring.older, ring
-	ring.older.newer = c
-	ring.older = c
+func (s *copyStore) moveToFront(cached *cachedCopy) {
+	ring := &s.rankRings[cached.rank]
+	cached.older, cached.newer = ring.older, ring
+	ring.older.newer = cached
+	ring.older = cached
 }
 
-func (s *store) get(key int64) *kept {
-	c := s.copies[key]
-	if c != nil {
-		s.unlink(c)
-		s.front(c)
+func (s *copyStore) get(key int64) *cachedCopy {
+	cached := s.copies[key]
+	if cached != nil {
+		s.unlink(cached)
+		s.moveToFront(cached)
 	}
-	return c
+	return cached
 }
 
-func (s *store) drop(c *kept) {
-	s.unlink(c)
-	c.next.prev, c.prev.next = c.prev, c.next
-	delete(s.copies, c.key)
-	s.used -= c.kb
+func (s *copyStore) remove(cached *cachedCopy) {
+	s.unlink(cached)
+	cached.next.prev, cached.prev.next = cached.prev, cached.next
+	delete(s.copies, cached.key)
+	s.usedKB -= cached.sizeKB
 }
 
-func (s *store) put(key int64, kb float64, issued, group int64, rank int) {
-	if c := s.copies[key]; c != nil {
-		if c.issued > issued {
+func (s *copyStore) put(key int64, sizeKB float64, issuedAt, group int64, rank int) {
+	if cached := s.copies[key]; cached != nil {
+		if cached.issuedAt > issuedAt {
 			return
 		}
-		s.drop(c)
+		s.remove(cached)
 	}
-	if kb > s.room {
+	if sizeKB > s.capacityKB {
 		return
 	}
-	for r := 0; s.used+kb > s.room; {
-		ring := &s.ranks[r]
+	for r := 0; s.usedKB+sizeKB > s.capacityKB; {
+		ring := &s.rankRings[r]
 		if ring.newer == ring {
 			if r++; r > rank {
 				return // all that is left is ranked higher
 			}
 			continue
 		}
-		s.drop(ring.newer)
+		s.remove(ring.newer)
 	}
-	c := &kept{key: key, kb: kb, issued: issued, group: group, rank: rank}
-	s.copies[key] = c
-	s.used += kb
-	s.front(c)
-	ring := &s.groups[group%groupCount]
-	c.next, c.prev = ring.next, ring
-	ring.next.prev, ring.next = c, c
+	cached := &cachedCopy{key: key, sizeKB: sizeKB, issuedAt: issuedAt, group: group, rank: rank}
+	s.copies[key] = cached
+	s.usedKB += sizeKB
+	s.moveToFront(cached)
+	ring := &s.groupRings[group%groupCount]
+	cached.next, cached.prev = ring.next, ring
+	ring.next.prev, ring.next = cached, cached
 }
 
 // purge drops what was given out before a purge of an object or, below 0, a group.
-func (s *store) purge(object, group, at int64) {
+func (s *copyStore) purge(object, group, at int64) {
 	if object >= 0 {
 		for part := range int64(1 << partBits) {
-			if c := s.copies[keyOf(object, part)]; c != nil && c.issued <= at {
-				s.drop(c)
+			if cached := s.copies[partKey(object, part)]; cached != nil && cached.issuedAt <= at {
+				s.remove(cached)
 			}
 		}
 		return
 	}
-	ring := &s.groups[group%groupCount]
-	for c := ring.next; c != ring; {
-		next := c.next
-		if c.issued <= at {
-			s.drop(c)
+	ring := &s.groupRings[group%groupCount]
+	for cached := ring.next; cached != ring; {
+		next := cached.next
+		if cached.issuedAt <= at {
+			s.remove(cached)
 		}
-		c = next
+		cached = next
 	}
 }
