--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -11,102 +11,102 @@
 	"quilldoor/internal/simulation"
 )
 
-// lineConn is a router's connection to a server.
-type lineConn struct {
+// serverConn is a router's connection to a server.
+type serverConn struct {
 	net.Conn
-	place *place
-	hops  map[string]*lineHop // the loop's
+	server   *serverListener
+	attempts map[string]*serverAttempt // the loop's
 
-	mu    sync.Mutex
-	queue [][]byte
-	more  chan struct{}
-	gone  bool
+	mu     sync.Mutex
+	queue  [][]byte
+	queued chan struct{}
+	closed bool
 }
 
-// lineHop is a hop on a connection.
-type lineHop struct {
-	conn *lineConn
-	id   string
-	n    int
-	body []byte // of a write
+// serverAttempt is a hop on a connection.
+type serverAttempt struct {
+	conn      *serverConn
+	requestID string
+	number    int
+	body      []byte // of a write
 }
 
 var (
-	answerOf  = map[policy.Outcome]cacheproto.Status{policy.OutcomeDone: cacheproto.StatusOK, policy.OutcomeBusy: cacheproto.StatusBusy, policy.OutcomeMiss: cacheproto.StatusMiss, policy.OutcomeError: cacheproto.StatusError}
-	garbage   = []byte("%% ACK entity\r\n")
-	secondKey = "recorded "
+	statusByOutcome   = map[policy.Outcome]cacheproto.Status{policy.OutcomeDone: cacheproto.StatusOK, policy.OutcomeBusy: cacheproto.StatusBusy, policy.OutcomeMiss: cacheproto.StatusMiss, policy.OutcomeError: cacheproto.StatusError}
+	malformedResponse = []byte("%% ACK entity\r\n")
+	recordedPrefix    = "recorded "
 )
 
-// end writes the world's end of a hop.
-func (h *lineHop) end(w *simulation.Hop, e simulation.End) {
-	c := h.conn
-	if c.hops[h.id] != h {
+// finish writes the world's end of a hop.
+func (h *serverAttempt) finish(hop *simulation.Hop, end simulation.End) {
+	conn := h.conn
+	if conn.attempts[h.requestID] != h {
 		return
 	}
-	delete(c.hops, h.id)
-	word, known := answerOf[e.Outcome]
-	if !known || e.Spoilt { // a reset, or what can't be read and then the end
-		if e.Spoilt {
-			c.put(garbage)
+	delete(conn.attempts, h.requestID)
+	status, known := statusByOutcome[end.Outcome]
+	if !known || end.Spoilt { // a reset, or what can't be read and then the end
+		if end.Spoilt {
+			conn.enqueue(malformedResponse)
 		}
-		c.reset()
+		conn.reset()
 		return
 	}
-	a := cacheproto.Response{ID: h.id, Status: word, Reason: e.Reason, DelayMillis: float64(e.Waited) / 1000, Load: e.Load}
+	response := cacheproto.Response{ID: h.requestID, Status: status, Reason: end.Reason, DelayMillis: float64(end.Waited) / 1000, Load: end.Load}
 	var body []byte
-	if word == cacheproto.StatusOK {
-		if w.Rule == scenario.ClassAccept {
-			body = append([]byte(secondKey), h.body...)
+	if status == cacheproto.StatusOK {
+		if hop.Rule == scenario.ClassAccept {
+			body = append([]byte(recordedPrefix), h.body...)
 		} else {
-			body = bodyOf(w.Object, w.Part, e.Issued, w.SizeKB)
-			a.IssuedMillis = max(c.place.unixMS(e.Issued), 1)
-			a.Tag = fmt.Sprintf("%s.%d.%d", w.Object, w.Part, e.Issued)
+			body = responseBody(hop.Object, hop.Part, end.Issued, hop.SizeKB)
+			response.IssuedMillis = max(conn.server.unixMS(end.Issued), 1)
+			response.Tag = fmt.Sprintf("%s.%d.%d", hop.Object, hop.Part, end.Issued)
 		}
 	}
-	a.Length = len(body)
-	c.put(append(append(cacheproto.AppendResponse(nil, &a), body...), "\r\n"...))
+	response.Length = len(body)
+	conn.enqueue(append(append(cacheproto.AppendResponse(nil, &response), body...), "\r\n"...))
 }
 
-// put queues bytes. What a connection may have waiting is bounded by its streams.
-func (c *lineConn) put(b []byte) {
+// enqueue queues bytes. What a connection may have waiting is bounded by its streams.
+func (c *serverConn) enqueue(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone {
+	if c.closed {
 		return
 	}
 	c.queue = append(c.queue, b)
 	select {
-	case c.more <- struct{}{}:
+	case c.queued <- struct{}{}:
 	default:
 	}
 }
 
-func (c *lineConn) end() {
+func (c *serverConn) closeQueue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.gone {
-		c.gone = true
-		close(c.more)
+	if !c.closed {
+		c.closed = true
+		close(c.queued)
 	}
 }
 
-func (c *lineConn) write() {
-	for range c.more {
+func (c *serverConn) writeQueue() {
+	for range c.queued {
 		c.mu.Lock()
-		list := net.Buffers(c.queue)
+		buffers := net.Buffers(c.queue)
 		c.queue = nil
 		c.mu.Unlock()
-		if _, err := list.WriteTo(c.Conn); err != nil {
+		if _, err := buffers.WriteTo(c.Conn); err != nil {
 			return
 		}
 	}
 }
 
 // reset ends the connection as a dying process does.
-func (c *lineConn) reset() {
+func (c *serverConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // else it ends by FIN
 	}
 	c.Close()
-	c.end()
+	c.closeQueue()
 }
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -13,55 +13,55 @@
 	"quilldoor/internal/simulation"
 )
 
-// place is where one router finds one server. Its books are the loop's.
-type place struct {
-	*process
-	server   string
+// serverListener is where one router finds one server. Its books are the loop's.
+type serverListener struct {
+	*routerProcess
+	serverID string
 	addr     string
 	listener net.Listener // nil: down, connections are refused
-	conns    map[*lineConn]struct{}
+	conns    map[*serverConn]struct{}
 }
 
-// place finds a server's place, or makes it.
-func (r *process) place(server string) (*place, error) {
-	if p := r.places[server]; p != nil {
-		return p, nil
+// listenerFor finds a server's place, or makes it.
+func (r *routerProcess) listenerFor(server string) (*serverListener, error) {
+	if listener := r.servers[server]; listener != nil {
+		return listener, nil
 	}
 	// Reserved, as the server listens there again after it was down.
 	addr, err := loopback.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	p := &place{process: r, server: server, addr: addr.String(), conns: map[*lineConn]struct{}{}}
-	r.places[server] = p
-	return p, p.open()
+	listener := &serverListener{routerProcess: r, serverID: server, addr: addr.String(), conns: map[*serverConn]struct{}{}}
+	r.servers[server] = listener
+	return listener, listener.open()
 }
 
-func (p *place) open() error {
-	l, err := net.Listen("tcp", p.addr)
+func (p *serverListener) open() error {
+	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
-		return fmt.Errorf("server %s: %w", p.server, err)
+		return fmt.Errorf("server %s: %w", p.serverID, err)
 	}
-	p.listener = l
-	p.all.Go(func() {
+	p.listener = listener
+	p.goroutines.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			p.all.Go(func() { p.serve(c, l) })
+			p.goroutines.Go(func() { p.serve(conn, listener) })
 		}
 	})
-	p.all.Go(func() {
+	p.goroutines.Go(func() {
 		<-p.ctx.Done()
-		l.Close()
+		listener.Close()
 	})
 	return nil
 }
 
-// turn follows the server's life: a dead one resets its connections and refuses
+// setState follows the server's life: a dead one resets its connections and refuses
 // new ones; a silent one keeps them and says nothing.
-func (p *place) turn(up, silent bool) {
+func (p *serverListener) setState(up, silent bool) {
 	if up || !silent {
 		for c := range p.conns {
 			c.reset()
@@ -73,120 +73,120 @@
 	}
 	if up && p.listener == nil {
 		if err := p.open(); err != nil {
-			p.failed(err)
+			p.fail(err)
 		}
 	}
 }
 
 // serve reads a router's commands.
-func (p *place) serve(sock net.Conn, l net.Listener) {
-	c := &lineConn{Conn: sock, place: p, hops: map[string]*lineHop{}, more: make(chan struct{}, 1)}
-	defer sock.Close()
+func (p *serverListener) serve(socket net.Conn, listener net.Listener) {
+	conn := &serverConn{Conn: socket, server: p, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
+	defer socket.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	p.all.Go(func() {
+	p.goroutines.Go(func() {
 		select {
 		case <-p.ctx.Done():
-			sock.Close()
+			socket.Close()
 		case <-stop:
 		}
 	})
-	p.send(func() {
-		if p.listener == l {
-			p.conns[c] = struct{}{}
+	p.runInLoop(func() {
+		if p.listener == listener {
+			p.conns[conn] = struct{}{}
 		} else {
-			c.reset()
+			conn.reset()
 		}
 	})
-	p.all.Go(c.write)
+	p.goroutines.Go(conn.writeQueue)
 	defer func() {
-		c.end()
-		p.send(func() { p.leave(c) })
+		conn.closeQueue()
+		p.runInLoop(func() { p.forgetConn(conn) })
 	}()
-	r := bufio.NewReaderSize(sock, 16<<10)
+	reader := bufio.NewReaderSize(socket, 16<<10)
 	for {
-		cmd, err := cacheproto.ReadCommand(r)
+		cmd, err := cacheproto.ReadCommand(reader)
 		if err != nil {
 			return
 		}
 		switch {
 		case cmd.Get != nil:
 			body := make([]byte, cmd.Get.Length)
-			if _, err := io.ReadFull(r, body); err != nil {
+			if _, err := io.ReadFull(reader, body); err != nil {
 				return
 			}
-			if err := cacheproto.ReadBodyEnd(r); err != nil {
+			if err := cacheproto.ReadBodyEnd(reader); err != nil {
 				return
 			}
-			p.send(func() { p.hop(c, cmd.Get, body) })
+			p.runInLoop(func() { p.startAttempt(conn, cmd.Get, body) })
 		case cmd.DropID != "":
-			p.send(func() { p.drop(c, cmd.DropID) })
+			p.runInLoop(func() { p.cancelAttempt(conn, cmd.DropID) })
 		default:
-			c.put([]byte(cmd.PingID + " READY\r\n"))
+			conn.enqueue([]byte(cmd.PingID + " READY\r\n"))
 		}
 	}
 }
 
-// hop hands a hop to the world.
-func (p *place) hop(c *lineConn, g *cacheproto.GetCommand, body []byte) {
-	x := p.asks[g.ID]
-	if x == nil {
-		x = p.carried(g.ID)
+// startAttempt hands a hop to the world.
+func (p *serverListener) startAttempt(conn *serverConn, get *cacheproto.GetCommand, body []byte) {
+	request := p.requests[get.ID]
+	if request == nil {
+		request = p.findForwarded(get.ID)
 	}
-	if x == nil && p.conf.Guests {
-		x = p.guest(g)
+	if request == nil && p.config.Guests {
+		request = p.admitGuest(get)
 	}
-	if x == nil { // its client has just left, or the id is none of ours
-		c.put(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: g.ID, Status: cacheproto.StatusSkipped}))
-		c.put([]byte("\r\n"))
+	if request == nil { // its client has just left, or the id is none of ours
+		conn.enqueue(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}))
+		conn.enqueue([]byte("\r\n"))
 		return
 	}
-	h := &lineHop{conn: c, id: g.ID, n: x.hops, body: body}
-	x.hops++
-	c.hops[g.ID] = h
+	attempt := &serverAttempt{conn: conn, requestID: get.ID, number: request.attempts, body: body}
+	request.attempts++
+	conn.attempts[get.ID] = attempt
 	p.world.Hop(&simulation.Hop{
-		Router: p.id, Txn: g.ID, N: h.n, Server: p.server, Source: g.Source, Rank: g.Priority, FillMode: g.FillMode,
-		Within: g.MaxAgeMillis * 1000, Rule: x.Rule, Object: x.Object, Part: x.Part, Group: x.Group, SizeKB: x.SizeKB, Write: x.Write, Tag: h,
+		Router: p.id, Txn: get.ID, N: attempt.number, Server: p.serverID, Source: get.Source, Rank: get.Priority, FillMode: get.FillMode,
+		Within: get.MaxAgeMillis * 1000, Rule: request.Rule, Object: request.Object, Part: request.Part, Group: request.Group, SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
 	})
 }
 
-// guest makes a txn of somebody else's request, such as a person's by curl. The
+// admitGuest makes a txn of somebody else's request, such as a person's by curl. The
 // record has it as given up when its time is over.
-func (p *place) guest(g *cacheproto.GetCommand) *asked {
-	rule, group, kb, known := p.world.Object(g.Object, g.Part)
-	if !known || p.world.RuleOf(rule).Name != g.Class {
+func (p *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
+	class, group, sizeKB, known := p.world.Object(get.Object, get.Part)
+	if !known || p.world.RuleOf(class).Name != get.Class {
 		return nil
 	}
-	a := &simulation.Ask{Router: p.id, Txn: g.ID, Rule: rule, Object: g.Object, Part: g.Part, Group: group, SizeKB: kb}
-	x := &asked{Ask: a, cancel: func() {}}
-	p.asks[g.ID] = x
+	ask := &simulation.Ask{Router: p.id, Txn: get.ID, Rule: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB}
+	request := &clientRequest{Ask: ask, cancel: func() {}}
+	p.requests[get.ID] = request
 	now := p.world.Now()
 	p.Note(&eventlog.Entry{
-		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: g.ID, Class: g.Class, Object: g.Object, Group: group,
-		Deadline: now + g.BudgetMillis*1000,
+		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: get.ID, Class: get.Class, Object: get.Object, Group: group,
+		Deadline: now + get.BudgetMillis*1000,
 	})
-	time.AfterFunc(time.Duration(g.BudgetMillis)*time.Millisecond, func() {
-		p.send(func() {
-			if p.asks[g.ID] == x {
-				delete(p.asks, g.ID)
-				p.Note(&eventlog.Entry{Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: g.ID, Outcome: "aborted"})
+	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
+		p.runInLoop(func() {
+			if p.requests[get.ID] == request {
+				delete(p.requests, get.ID)
+				p.Note(&eventlog.Entry{Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: get.ID, Outcome: "aborted"})
 			}
 		})
 	})
-	return x
+	return request
 }
 
-func (p *place) drop(c *lineConn, id string) {
-	if h := c.hops[id]; h != nil {
-		delete(c.hops, id)
-		p.world.Cancel(p.id, id, h.n)
+func (p *serverListener) cancelAttempt(conn *serverConn, requestID string) {
+	if attempt := conn.attempts[requestID]; attempt != nil {
+		delete(conn.attempts, requestID)
+		p.world.Cancel(p.id, requestID, attempt.number)
 	}
 }
 
-// leave gives up all that is open on a connection that has ended.
-func (p *place) leave(c *lineConn) {
-	delete(p.conns, c)
-	for id := range c.hops {
-		p.drop(c, id)
+// forgetConn gives up all that is open on a connection that has ended.
+func (p *serverListener) forgetConn(conn *serverConn) {
+	delete(p.conns, conn)
+	for requestID := range conn.attempts {
+		p.cancelAttempt(conn, requestID)
 	}
 }
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -36,8 +36,8 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer cancel()
 	type line struct {
 		by     int
@@ -53,36 +53,36 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		peers = append(peers, operatorconfig.MembershipPeer{Name: nameOf(i), Addr: addr.String()})
+		peers = append(peers, operatorconfig.MembershipPeer{Name: routerName(i), Addr: addr.String()})
 		listens = append(listens, addr.String()) // reserved for TCP as well
 	}
 	key := filepath.Join(dir, "members.key")
-	if err := os.WriteFile(key, []byte(membersKey), 0o600); err != nil {
+	if err := os.WriteFile(key, []byte(membershipKey), 0o600); err != nil {
 		return nil, 0, err
 	}
-	s := scenario.Default()
-	s.Fleet.Membership = true
+	defaults := scenario.Default()
+	defaults.Fleet.Membership = true
 	start := func(i int) (*exec.Cmd, error) {
-		own, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{Name: nameOf(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
+		operator, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{Name: routerName(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
 		if err != nil {
 			return nil, err
 		}
 		text, err := json.Marshal(map[string]any{
-			"name": nameOf(i), "listen": listens[i], "seed": fmt.Sprint(i + 1), "board": "127.0.0.1:1",
-			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0),
+			"name": routerName(i), "listen": listens[i], "seed": fmt.Sprint(i + 1), "board": "127.0.0.1:1",
+			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": defaults.Settings(0, 0),
 			"known": json.RawMessage(`{"rev":0,"notices":[]}`),
 		})
 		if err != nil {
 			return nil, err
 		}
-		config, yamlPath := filepath.Join(dir, nameOf(i)+".json"), filepath.Join(dir, nameOf(i)+".yaml")
-		if err := cmp.Or(os.WriteFile(config, text, 0o600), os.WriteFile(yamlPath, own, 0o600)); err != nil {
+		config, yamlPath := filepath.Join(dir, routerName(i)+".json"), filepath.Join(dir, routerName(i)+".yaml")
+		if err := cmp.Or(os.WriteFile(config, text, 0o600), os.WriteFile(yamlPath, operator, 0o600)); err != nil {
 			return nil, err
 		}
 		cmd := exec.CommandContext(ctx, program, "serve", "--config", config, "--operator", yamlPath, "--log-format", "json")
-		for _, e := range os.Environ() {
-			if !strings.HasPrefix(e, "LB_") {
-				cmd.Env = append(cmd.Env, e)
+		for _, variable := range os.Environ() {
+			if !strings.HasPrefix(variable, "LB_") {
+				cmd.Env = append(cmd.Env, variable)
 			}
 		}
 		cmd.Env = append(cmd.Env, "QUILLDOOR_TEST_MAIN=1")
@@ -91,38 +91,38 @@
 		if err := cmd.Start(); err != nil {
 			return nil, err
 		}
-		all.Go(func() {
+		goroutines.Go(func() {
 			scan := bufio.NewScanner(r)
 			for scan.Scan() {
-				var l struct{ Msg, Member string }
-				if json.Unmarshal(scan.Bytes(), &l) == nil && l.Member != "" {
+				var parsed struct{ Msg, Member string }
+				if json.Unmarshal(scan.Bytes(), &parsed) == nil && parsed.Member != "" {
 					select {
-					case lines <- line{i, l.Msg, l.Member, time.Now()}:
+					case lines <- line{i, parsed.Msg, parsed.Member, time.Now()}:
 					case <-ctx.Done():
 					}
 				}
 			}
 			_, _ = io.Copy(io.Discard, r) // until the process ends
 		})
-		all.Go(func() { _ = cmd.Wait(); w.Close() })
+		goroutines.Go(func() { _ = cmd.Wait(); w.Close() })
 		return cmd, nil
 	}
 	var cmds []*exec.Cmd
 	for i := range routers {
-		c, err := start(i)
+		cmd, err := start(i)
 		if err != nil {
 			return nil, 0, err
 		}
-		cmds = append(cmds, c)
+		cmds = append(cmds, cmd)
 	}
 	// until collects lines of a kind about one until so many routers have logged them.
-	until := func(msg, member string, want int, within time.Duration) (last time.Time, ok bool) {
+	collect := func(msg, member string, want int, within time.Duration) (last time.Time, ok bool) {
 		seen, timer := map[int]bool{}, time.After(within)
 		for len(seen) < want {
 			select {
-			case l := <-lines:
-				if l.msg == msg && (l.member == member || member == "") {
-					seen[l.by], last = true, l.at
+			case parsed := <-lines:
+				if parsed.msg == msg && (parsed.member == member || member == "") {
+					seen[parsed.by], last = true, parsed.at
 				}
 			case <-timer:
 				return last, false
@@ -132,16 +132,16 @@
 		}
 		return last, true
 	}
-	until("", "", 1, 15*time.Second) // all that they say while they find each other
-	dice := rand.New(rand.NewPCG(seed, 5))
+	collect("", "", 1, 15*time.Second) // all that they say while they find each other
+	random := rand.New(rand.NewPCG(seed, 5))
 	times = hdrhistogram.New(1000, 60_000_000, 3)
 	for range kills {
-		i := dice.IntN(routers)
+		i := random.IntN(routers)
 		began := time.Now()
 		if err := cmds[i].Process.Kill(); err != nil {
 			return nil, 0, err
 		}
-		if last, ok := until("member dead", nameOf(i), routers-1, 15*time.Second); ok {
+		if last, ok := collect("member dead", routerName(i), routers-1, 15*time.Second); ok {
 			times.RecordValue(last.Sub(began).Microseconds())
 		} else {
 			missed++
@@ -149,8 +149,8 @@
 		if cmds[i], err = start(i); err != nil {
 			return nil, 0, err
 		}
-		until("member alive", nameOf(i), routers-1, 10*time.Second)
-		until("", "", 1, time.Second+time.Duration(dice.IntN(500))*time.Millisecond)
+		collect("member alive", routerName(i), routers-1, 10*time.Second)
+		collect("", "", 1, time.Second+time.Duration(random.IntN(500))*time.Millisecond)
 	}
 	return times, missed, ctx.Err()
 }
--- a/internal/emulator/log_tail.go
+++ b/internal/emulator/log_tail.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// tail keeps the last bytes that were written.
-type tail struct {
+// logTail keeps the last bytes that were written.
+type logTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *logTail) Write(b []byte) (int, error) {
 	const most = 4 << 10
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -19,7 +19,7 @@
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.text)
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -14,28 +14,28 @@
 	CalledDead  int   // looks at which all the others that answered held a live router dead
 	DeadByAll   []string
 
-	turn  int64            // the trouble's turn that the agreement is counted from
-	touch map[string]int64 // since when a router runs and somebody can both hear it and be heard
+	faultTurn      int64            // the trouble's turn that the agreement is counted from
+	reachableSince map[string]int64 // since when a router runs and somebody can both hear it and be heard
 }
 
-// mustKnow is how long a router that runs must have been able to talk with another
+// deadGraceMicros is how long a router that runs must have been able to talk with another
 // one, until all others holding it dead counts against them.
-const mustKnow = 3_000_000
+const deadGraceMicros = 3_000_000
 
-// inTouch follows which routers could be known to live.
-func (m *Members) inTouch(now int64, name string, can bool) {
-	if m.touch == nil {
-		m.touch = map[string]int64{}
+// recordReachable follows which routers could be known to live.
+func (m *Members) recordReachable(now int64, name string, reachable bool) {
+	if m.reachableSince == nil {
+		m.reachableSince = map[string]int64{}
 	}
-	if _, was := m.touch[name]; !can {
-		delete(m.touch, name)
-	} else if !was {
-		m.touch[name] = now
+	if _, known := m.reachableSince[name]; !reachable {
+		delete(m.reachableSince, name)
+	} else if !known {
+		m.reachableSince[name] = now
 	}
 }
 
-// canTalk tells whether a router runs and some other one can hear it and be heard.
-func canTalk(w *simulation.World, id int) bool {
+// reachable tells whether a router runs and some other one can hear it and be heard.
+func reachable(w *simulation.World, id int) bool {
 	if !w.Up(id) || w.Stopped(id) {
 		return false
 	}
@@ -47,42 +47,42 @@
 	return false
 }
 
-// lookEvery is how often views are looked at.
-const lookEvery = 200_000
+// viewIntervalMicros is how often views are looked at.
+const viewIntervalMicros = 200_000
 
-// look judges views: of routers that run, by name, those that could be asked.
-func (m *Members) look(now, turn int64, up []string, views map[string]*membership.View) {
+// observe judges views: of routers that run, by name, those that could be asked.
+func (m *Members) observe(now, turn int64, up []string, views map[string]*membership.View) {
 	m.Looks++
-	if turn != m.turn || m.Looks == 1 {
-		m.turn, m.AgreedAfter = turn, -1
+	if turn != m.faultTurn || m.Looks == 1 {
+		m.faultTurn, m.AgreedAfter = turn, -1
 	}
 	agreed := len(views) == len(up)
-	for _, x := range up {
+	for _, name := range up {
 		dead, others := 0, 0
-		for by, v := range views {
-			if by == x {
+		for observer, view := range views {
+			if observer == name {
 				continue
 			}
 			others++
-			i := slices.IndexFunc(v.Members, func(s membership.MemberStatus) bool { return s.Name == x })
+			i := slices.IndexFunc(view.Members, func(member membership.MemberStatus) bool { return member.Name == name })
 			switch {
-			case i < 0 || v.Members[i].State != membership.StateAlive:
+			case i < 0 || view.Members[i].State != membership.StateAlive:
 				agreed = false
-				if i >= 0 && v.Members[i].State == membership.StateDead {
+				if i >= 0 && view.Members[i].State == membership.StateDead {
 					dead++
 				}
 			}
 		}
-		if since, can := m.touch[x]; can && now-since >= mustKnow && others >= 2 && dead == others {
+		if since, can := m.reachableSince[name]; can && now-since >= deadGraceMicros && others >= 2 && dead == others {
 			m.CalledDead++
-			if !slices.Contains(m.DeadByAll, x) {
-				m.DeadByAll = append(m.DeadByAll, x)
+			if !slices.Contains(m.DeadByAll, name) {
+				m.DeadByAll = append(m.DeadByAll, name)
 			}
 		}
 	}
-	for _, v := range views {
-		for _, s := range v.Members {
-			if s.State == membership.StateAlive && !slices.Contains(up, s.Name) {
+	for _, view := range views {
+		for _, member := range view.Members {
+			if member.State == membership.StateAlive && !slices.Contains(up, member.Name) {
 				agreed = false
 			}
 		}
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -20,15 +20,15 @@
 	Refuse   func(router int, rule string) bool         // txns that it refuses as they come; nil: none
 	Lag      func(router int) float64                   // how much longer its hops take, as a share; nil: no longer
 
-	Each  func(now int64) // ten times a second; on the virtual clock
-	ready func(*virtual)
-	looks onlooker // nil: nobody looks on
+	Each     func(now int64) // ten times a second; on the virtual clock
+	onStart  func(*virtualRun)
+	observer routerObserver // nil: nobody looks on
 }
 
-// onlooker hears what a keeper would beside a router. Times are the routers'.
-type onlooker interface {
-	listed(router int, now int64, whole bool, list []engine.Endpoint)
+// routerObserver hears what a keeper would beside a router. Times are the routers'.
+type routerObserver interface {
+	endpointsChanged(router int, now int64, whole bool, list []engine.Endpoint)
 	purged(router int, now int64, object string, group, made int64)
-	sent(router int, rule string, h *engine.Attempt)
-	answered(router int, a *simulation.Ask, h *engine.Attempt, issued int64)
+	attemptSent(router int, rule string, h *engine.Attempt)
+	responded(router int, a *simulation.Ask, h *engine.Attempt, issued int64)
 }
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -15,26 +15,26 @@
 	"time"
 )
 
-// process is a router and what it alone talks to.
-type process struct {
-	*sockets
-	id      int
-	listen  string
-	starts  int
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	counted *exec.Cmd // the last whose cost is
-	killed  bool
-	groups  []int // of keepers before, whose generations may run on
-	log     tail
-	events  []string // of the board, from 1 at each start
-	changed chan struct{}
-	board   net.Listener
-	places  map[string]*place // by server
-	asks    map[string]*asked
-	gate    string         // address of its gateway; "": its site is alone
-	members netip.AddrPort // where it hears the other routers
-	starved *time.Ticker   // takes its CPU away time and again
+// routerProcess is a router and what it alone talks to.
+type routerProcess struct {
+	*socketRun
+	id                int
+	clientAddr        string
+	startCount        int
+	cmd               *exec.Cmd
+	exited            chan struct{}
+	costCounted       *exec.Cmd // the last whose cost is
+	killed            bool
+	orphanGroups      []int // of keepers before, whose generations may run on
+	log               logTail
+	discoveryEvents   []string // of the board, from 1 at each start
+	eventPosted       chan struct{}
+	discoveryListener net.Listener
+	servers           map[string]*serverListener // by server
+	requests          map[string]*clientRequest
+	gatewayAddr       string         // address of its gateway; "": its site is alone
+	membershipAddr    netip.AddrPort // where it hears the other routers
+	starveTicker      *time.Ticker   // takes its CPU away time and again
 }
 
 func findProgram(name string) (string, error) {
@@ -52,60 +52,62 @@
 }
 
 // prepare takes addresses, starts the board and the servers' listeners.
-func (r *process) prepare() error {
-	if err := r.takeAddresses(); err != nil {
+func (r *routerProcess) prepare() error {
+	if err := r.reserveAddresses(); err != nil {
 		return err
 	}
 	var err error
-	if r.board, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if r.discoveryListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
 	}
-	server := &http.Server{Handler: http.HandlerFunc(r.poll), ReadTimeout: 10 * time.Second}
-	r.all.Go(func() { _ = server.Serve(r.board) }) // it ends with the listener
-	r.all.Go(func() {
+	server := &http.Server{Handler: http.HandlerFunc(r.serveLongPoll), ReadTimeout: 10 * time.Second}
+	r.goroutines.Go(func() { _ = server.Serve(r.discoveryListener) }) // it ends with the listener
+	r.goroutines.Go(func() {
 		<-r.ctx.Done()
 		server.Close()
 	})
 	for _, s := range r.world.Known() {
-		if _, err := r.place(s.ID); err != nil {
+		if _, err := r.listenerFor(s.ID); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// earlier tells whether the router runs an earlier text.
-func (r *process) earlier() bool { return r.conf.Earlier != "" && r.id%2 == 1 }
+// runsEarlier tells whether the router runs an earlier text.
+func (r *routerProcess) runsEarlier() bool { return r.config.Earlier != "" && r.id%2 == 1 }
 
-func (r *process) config() string { return filepath.Join(r.dir, fmt.Sprintf("n%d.json", r.id+1)) }
+func (r *routerProcess) configPath() string {
+	return filepath.Join(r.dir, fmt.Sprintf("n%d.json", r.id+1))
+}
 
-// exec starts the program with the configuration that lies there.
-func (r *process) exec() error {
-	program, what := r.conf.Program, "serve"
+// launch starts the program with the configuration that lies there.
+func (r *routerProcess) launch() error {
+	program, command := r.config.Program, "serve"
 	switch {
-	case r.earlier():
-		program = r.conf.Earlier
-	case r.set.Fleet.Supervised:
-		what = "keep"
+	case r.runsEarlier():
+		program = r.config.Earlier
+	case r.scenario.Fleet.Supervised:
+		command = "keep"
 	}
-	cmd := exec.Command(program, what, "--config", r.config())
+	cmd := exec.Command(program, command, "--config", r.configPath())
 	// A router and all that its keeper starts are a group: a machine that dies takes
 	// all of it along.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.WaitDelay = 100 * time.Millisecond // others of its group may hold its log
-	if r.gate != "" || r.members.IsValid() || r.set.Fleet.Supervised || r.set.Fleet.DiskMB > 0 {
-		cmd.Args = append(cmd.Args, "--operator", filepath.Join(r.dir, nameOf(r.id)+".yaml"))
+	if r.gatewayAddr != "" || r.membershipAddr.IsValid() || r.scenario.Fleet.Supervised || r.scenario.Fleet.DiskMB > 0 {
+		cmd.Args = append(cmd.Args, "--operator", filepath.Join(r.dir, routerName(r.id)+".yaml"))
 	}
-	for _, e := range os.Environ() {
-		if !strings.HasPrefix(e, "LB_") {
-			cmd.Env = append(cmd.Env, e)
+	for _, variable := range os.Environ() {
+		if !strings.HasPrefix(variable, "LB_") {
+			cmd.Env = append(cmd.Env, variable)
 		}
 	}
 	cmd.Env = append(cmd.Env, "QUILLDOOR_TEST_MAIN=1") // a test's own binary is the program in tests
 	cmd.Dir = r.dir
-	cmd.Stderr = io.MultiWriter(&r.log, cmp.Or[io.Writer](r.conf.Log, io.Discard))
-	if r.set.Fleet.Supervised { // a pipe would end with the keeper, and take its generations along
-		f, err := os.OpenFile(filepath.Join(r.dir, nameOf(r.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	cmd.Stderr = io.MultiWriter(&r.log, cmp.Or[io.Writer](r.config.Log, io.Discard))
+	if r.scenario.Fleet.Supervised { // a pipe would end with the keeper, and take its generations along
+		f, err := os.OpenFile(filepath.Join(r.dir, routerName(r.id)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -116,42 +118,42 @@
 		return fmt.Errorf("router n%d: %w", r.id+1, err)
 	}
 	ended := make(chan struct{})
-	r.cmd, r.ended, r.killed = cmd, ended, false
-	r.all.Go(func() {
+	r.cmd, r.exited, r.killed = cmd, ended, false
+	r.goroutines.Go(func() {
 		err := cmd.Wait()
 		close(ended)
-		r.send(func() {
+		r.runInLoop(func() {
 			if r.cmd == cmd && !r.killed {
-				r.failed(fmt.Errorf("router n%d ended by itself (%w); its last lines:\n%s", r.id+1, err, r.said()))
+				r.fail(fmt.Errorf("router n%d ended by itself (%w); its last lines:\n%s", r.id+1, err, r.recentLog()))
 			}
 		})
 	})
 	return nil
 }
 
-// said is the end of what the router has logged.
-func (r *process) said() string {
-	if text, err := os.ReadFile(filepath.Join(r.dir, nameOf(r.id)+".log")); err == nil {
+// recentLog is the end of what the router has logged.
+func (r *routerProcess) recentLog() string {
+	if text, err := os.ReadFile(filepath.Join(r.dir, routerName(r.id)+".log")); err == nil {
 		_, _ = r.log.Write(text) // to memory
 	}
 	return r.log.String()
 }
 
-// ready waits until the router answers.
-func (r *process) ready() error {
-	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+// waitReady waits until the router answers.
+func (r *routerProcess) waitReady() error {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		select {
-		case <-r.ended:
+		case <-r.exited:
 			return fmt.Errorf("router n%d ended at its start; its last lines:\n%s", r.id+1, r.log.String())
 		case <-r.ctx.Done():
 			return r.ctx.Err()
-		case do := <-r.in: // nobody else reads it yet
-			do()
+		case task := <-r.tasks: // nobody else reads it yet
+			task()
 		default:
 		}
-		if res, err := r.client.Get("http://" + r.listen + "/health"); err == nil {
+		if res, err := r.client.Get("http://" + r.clientAddr + "/health"); err == nil {
 			res.Body.Close()
-			if res.StatusCode == 200 && r.steady() {
+			if res.StatusCode == 200 && r.supervisorSteady() {
 				return nil
 			}
 		}
@@ -159,33 +161,33 @@
 	return fmt.Errorf("router n%d is not ready after 30 s; its last lines:\n%s", r.id+1, r.log.String())
 }
 
-// steady tells whether nothing is under way at the router's keeper, if it has one: it
+// supervisorSteady tells whether nothing is under way at the router's keeper, if it has one: it
 // hears only after the first client that its generation serves.
-func (r *process) steady() bool {
-	if !r.set.Fleet.Supervised || r.earlier() {
+func (r *routerProcess) supervisorSteady() bool {
+	if !r.scenario.Fleet.Supervised || r.runsEarlier() {
 		return true
 	}
-	s, err := (&Kept{r.sockets}).Standing(r.id)
+	s, err := (&Kept{r.socketRun}).Standing(r.id)
 	return err == nil && s.State == "steady"
 }
 
-// end kills the process and waits for it.
-func (r *process) end() {
+// kill kills the process and waits for it.
+func (r *routerProcess) kill() {
 	if r.cmd == nil {
 		return
 	}
 	r.killed = true
-	if r.starved != nil {
-		r.starved.Stop()
-		r.starved = nil
+	if r.starveTicker != nil {
+		r.starveTicker.Stop()
+		r.starveTicker = nil
 	}
-	for _, g := range append(r.groups, r.cmd.Process.Pid) {
+	for _, g := range append(r.orphanGroups, r.cmd.Process.Pid) {
 		syscall.Kill(-g, syscall.SIGKILL)
 	}
-	r.groups = nil
-	<-r.ended
-	if state := r.cmd.ProcessState; r.counted != r.cmd {
-		r.counted = r.cmd
+	r.orphanGroups = nil
+	<-r.exited
+	if state := r.cmd.ProcessState; r.costCounted != r.cmd {
+		r.costCounted = r.cmd
 		r.cost.CPU += state.UserTime() + state.SystemTime()
 		if use, ok := state.SysUsage().(*syscall.Rusage); ok {
 			r.cost.MostKB = max(r.cost.MostKB, use.Maxrss)
--- a/internal/emulator/process_addresses.go
+++ b/internal/emulator/process_addresses.go
@@ -7,33 +7,33 @@
 	"quilldoor/internal/loopback"
 )
 
-// takeAddresses reserves what the router's process listens at: it binds them itself,
+// reserveAddresses reserves what the router's process listens at: it binds them itself,
 // and again when it is started after a death.
-func (r *process) takeAddresses() error {
-	listen, err := r.clientAddress()
+func (r *routerProcess) reserveAddresses() error {
+	listen, err := r.reserveClientAddress()
 	if err != nil {
 		return err
 	}
-	r.listen = listen
-	if r.set.Fleet.Sites >= 2 {
+	r.clientAddr = listen
+	if r.scenario.Fleet.Sites >= 2 {
 		gate, err := loopback.Reserve()
 		if err != nil {
 			return err
 		}
-		r.gate = gate.String()
+		r.gatewayAddr = gate.String()
 	}
-	if r.set.Fleet.Membership {
-		if r.members, err = loopback.Reserve(); err != nil {
+	if r.scenario.Fleet.Membership {
+		if r.membershipAddr, err = loopback.Reserve(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// clientAddress is where the router hears clients: the address that the run's options
+// reserveClientAddress is where the router hears clients: the address that the run's options
 // name for the first router, or a reserved one.
-func (r *process) clientAddress() (string, error) {
-	named := r.conf.Listen
+func (r *routerProcess) reserveClientAddress() (string, error) {
+	named := r.config.Listen
 	if r.id != 0 || named == "" || strings.HasSuffix(named, ":0") {
 		address, err := loopback.Reserve()
 		return address.String(), err
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -14,22 +14,22 @@
 )
 
 // Told puts an event on a router's board.
-func (v *sockets) Told(router int, n simulation.Notice) {
+func (v *socketRun) Told(router int, n simulation.Notice) {
 	r := v.routers[router]
-	rev := len(r.events) + 1
+	revision := len(r.discoveryEvents) + 1
 	if n.Purge {
-		what := fmt.Sprintf(`"collection":%d`, n.Group)
+		selector := fmt.Sprintf(`"collection":%d`, n.Group)
 		if n.Object != "" {
-			what = fmt.Sprintf(`"asset":%q`, n.Object)
+			selector = fmt.Sprintf(`"asset":%q`, n.Object)
 		}
-		r.post(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, rev, what, v.unixMS(n.At)))
+		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, v.unixMS(n.At)))
 		return
 	}
-	r.post(r.pool(rev, n.Servers, false))
+	r.postEvent(r.endpointListEvent(revision, n.Servers, false))
 }
 
-// pool is a change of the list as the board words it.
-func (r *process) pool(rev int, list []simulation.Server, all bool) string {
+// endpointListEvent is a change of the list as the board words it.
+func (r *routerProcess) endpointListEvent(revision int, list []simulation.Server, all bool) string {
 	type target struct {
 		UID          string  `json:"uid"`
 		Endpoint     string  `json:"endpoint"`
@@ -42,9 +42,9 @@
 	states := map[policy.EndpointState]string{policy.EndpointActive: "ready", policy.EndpointDraining: "draining", policy.EndpointGone: "gone"}
 	out := []target{}
 	for _, s := range list {
-		p, err := r.place(s.ID)
+		p, err := r.listenerFor(s.ID)
 		if err != nil {
-			r.failed(err)
+			r.fail(err)
 			continue
 		}
 		t := target{s.ID, p.addr, s.Zone, s.Kind, states[s.State], s.Weight, 0}
@@ -53,48 +53,48 @@
 		}
 		out = append(out, t)
 	}
-	text, _ := json.Marshal(map[string]any{"rev": rev, "pool": map[string]any{"all": all, "targets": out}})
+	text, _ := json.Marshal(map[string]any{"rev": revision, "pool": map[string]any{"all": all, "targets": out}})
 	return string(text)
 }
 
-func (r *process) post(event string) {
-	r.events = append(r.events, event)
-	close(r.changed)
-	r.changed = make(chan struct{})
+func (r *routerProcess) postEvent(event string) {
+	r.discoveryEvents = append(r.discoveryEvents, event)
+	close(r.eventPosted)
+	r.eventPosted = make(chan struct{})
 }
 
-// poll is the board's long poll.
-func (r *process) poll(w http.ResponseWriter, q *http.Request) {
-	watch, _ := strconv.Atoi(q.URL.Query().Get("watch"))
-	linger, _ := strconv.Atoi(q.URL.Query().Get("linger"))
-	late := time.After(time.Duration(min(max(linger, 0), 5000)) * time.Millisecond)
+// serveLongPoll is the board's long poll.
+func (r *routerProcess) serveLongPoll(w http.ResponseWriter, request *http.Request) {
+	since, _ := strconv.Atoi(request.URL.Query().Get("watch"))
+	lingerMillis, _ := strconv.Atoi(request.URL.Query().Get("linger"))
+	timeout := time.After(time.Duration(min(max(lingerMillis, 0), 5000)) * time.Millisecond)
 	for {
-		var news string
-		var more <-chan struct{}
+		var events string
+		var posted <-chan struct{}
 		done := make(chan struct{})
-		r.send(func() {
+		r.runInLoop(func() {
 			defer close(done)
-			more = r.changed
-			if watch < len(r.events) {
-				news = strings.Join(r.events[max(watch, 0):], ",")
+			posted = r.eventPosted
+			if since < len(r.discoveryEvents) {
+				events = strings.Join(r.discoveryEvents[max(since, 0):], ",")
 			}
-			news = fmt.Sprintf(`{"rev":%d,"notices":[%s]}`, len(r.events), news)
+			events = fmt.Sprintf(`{"rev":%d,"notices":[%s]}`, len(r.discoveryEvents), events)
 		})
 		select {
 		case <-done:
 		case <-r.ctx.Done():
 			return
 		}
-		if !strings.HasSuffix(news, "[]}") {
-			_, _ = io.WriteString(w, news) // a poller that is gone asks again
+		if !strings.HasSuffix(events, "[]}") {
+			_, _ = io.WriteString(w, events) // a poller that is gone asks again
 			return
 		}
 		select {
-		case <-more:
-		case <-late:
-			_, _ = io.WriteString(w, news) // a poller that is gone asks again
+		case <-posted:
+		case <-timeout:
+			_, _ = io.WriteString(w, events) // a poller that is gone asks again
 			return
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-r.ctx.Done():
 			return
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -14,44 +14,44 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-// membersKey is that of a run's routers.
-const membersKey = "of rehearsals on loopback only"
+// membershipKey is that of a run's routers.
+const membershipKey = "of rehearsals on loopback only"
 
-// membersPart is a router's part of the operator's file: it reaches every other one
+// membershipConfig is a router's part of the operator's file: it reaches every other one
 // by a way of its own.
-func (r *process) membersPart() (*operatorconfig.Membership, error) {
+func (r *routerProcess) membershipConfig() (*operatorconfig.Membership, error) {
 	path := filepath.Join(r.dir, "members.key")
-	if err := os.WriteFile(path, []byte(membersKey), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(membershipKey), 0o600); err != nil {
 		return nil, err
 	}
-	m := &operatorconfig.Membership{Name: nameOf(r.id), Listen: r.members.String(), KeyFile: path}
-	for _, x := range r.routers {
-		if x == r {
+	config := &operatorconfig.Membership{Name: routerName(r.id), Listen: r.membershipAddr.String(), KeyFile: path}
+	for _, peer := range r.routers {
+		if peer == r {
 			continue
 		}
-		addr, err := r.way(x)
+		addr, err := r.startDatagramRelay(peer)
 		if err != nil {
 			return nil, err
 		}
-		m.Peers = append(m.Peers, operatorconfig.MembershipPeer{Name: nameOf(x.id), Addr: addr})
+		config.Peers = append(config.Peers, operatorconfig.MembershipPeer{Name: routerName(peer.id), Addr: addr})
 	}
-	return m, nil
+	return config, nil
 }
 
-// way passes datagrams from a router to another, as the world's ways say.
-func (r *process) way(to *process) (addr string, err error) {
+// startDatagramRelay passes datagrams from a router to another, as the world's ways say.
+func (r *routerProcess) startDatagramRelay(to *routerProcess) (addr string, err error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", err
 	}
-	r.all.Go(func() {
+	r.goroutines.Go(func() {
 		<-r.ctx.Done()
 		conn.Close()
 	})
-	r.all.Go(func() {
-		b := make([]byte, transport.MaxDatagram+1)
+	r.goroutines.Go(func() {
+		buffer := make([]byte, transport.MaxDatagram+1)
 		for {
-			n, _, err := conn.ReadFromUDPAddrPort(b)
+			n, _, err := conn.ReadFromUDPAddrPort(buffer)
 			if r.ctx.Err() != nil {
 				return
 			}
@@ -60,17 +60,17 @@
 			}
 			now := r.now()
 			for _, at := range r.world.Ways.Transmit(now, r.id, to.id, n) {
-				word := slices.Clone(b[:n])
-				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { _, _ = conn.WriteToUDPAddrPort(word, to.members) })
+				datagram := slices.Clone(buffer[:n])
+				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { _, _ = conn.WriteToUDPAddrPort(datagram, to.membershipAddr) })
 			}
 		}
 	})
 	return conn.LocalAddr().String(), nil
 }
 
-// watch looks at all views time and again, as a person would with the router's own
+// watchMembership looks at all views time and again, as a person would with the router's own
 // command.
-func (v *sockets) watch() {
+func (v *socketRun) watchMembership() {
 	type target struct {
 		id   int
 		name string
@@ -78,16 +78,16 @@
 	}
 	for v.ctx.Err() == nil {
 		var up []string
-		var ask []target
+		var targets []target
 		done := make(chan struct{})
-		v.send(func() {
+		v.runInLoop(func() {
 			defer close(done)
 			for _, r := range v.routers {
-				v.knows.inTouch(v.world.Now(), nameOf(r.id), canTalk(v.world, r.id))
+				v.membership.recordReachable(v.world.Now(), routerName(r.id), reachable(v.world, r.id))
 				if v.world.Up(r.id) {
-					up = append(up, nameOf(r.id))
+					up = append(up, routerName(r.id))
 					if !v.world.Stopped(r.id) {
-						ask = append(ask, target{r.id, nameOf(r.id), r.members})
+						targets = append(targets, target{r.id, routerName(r.id), r.membershipAddr})
 					}
 				}
 			}
@@ -97,40 +97,40 @@
 		case <-v.ctx.Done():
 			return
 		}
-		type got struct {
+		type answer struct {
 			name string
 			view *membership.View
 		}
-		answers := make(chan got, len(ask))
-		for _, t := range ask {
+		answers := make(chan answer, len(targets))
+		for _, t := range targets {
 			go func() {
-				view, _ := transport.Query([]byte(membersKey), t.name, t.addr)
-				answers <- got{t.name, view}
+				view, _ := transport.Query([]byte(membershipKey), t.name, t.addr)
+				answers <- answer{t.name, view}
 			}()
 		}
 		views := map[string]*membership.View{}
-		for range ask {
-			if g := <-answers; g.view != nil {
-				views[g.name] = g.view
+		for range targets {
+			if answered := <-answers; answered.view != nil {
+				views[answered.name] = answered.view
 			}
 		}
-		v.send(func() {
+		v.runInLoop(func() {
 			// Who was killed or started while it was asked is looked at next time.
-			for _, x := range up {
-				if !v.world.Up(v.byName(x)) {
+			for _, name := range up {
+				if !v.world.Up(v.routerByName(name)) {
 					return
 				}
 			}
-			v.knows.look(v.world.Now(), v.world.LastTurn(), up, views)
+			v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
 		})
 		select {
-		case <-time.After(lookEvery * time.Microsecond):
+		case <-time.After(viewIntervalMicros * time.Microsecond):
 		case <-v.ctx.Done():
 		}
 	}
 }
 
-func (v *sockets) byName(name string) (router int) {
+func (v *socketRun) routerByName(name string) (router int) {
 	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
 	return router
 }
--- a/internal/emulator/rollout_canary.go
+++ b/internal/emulator/rollout_canary.go
@@ -7,50 +7,50 @@
 	"quilldoor/internal/simulation"
 )
 
-// eye is a router's witness, and what it has gathered.
-type eye struct {
-	judge   *invariant.Monitor
-	acts    *invariant.Recorder
-	process uint64
-	accused bool
+// routerMonitor is a router's witness, and what it has gathered.
+type routerMonitor struct {
+	monitor   *invariant.Monitor
+	recorder  *invariant.Recorder
+	processID uint64
+	accused   bool
 }
 
-func (r *rolling) listed(router int, now int64, whole bool, list []engine.Endpoint) {
+func (r *rolloutRun) endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint) {
 	entries := make([]policy.Endpoint, len(list))
-	for i, s := range list {
-		entries[i] = s.Endpoint
+	for i, endpoint := range list {
+		entries[i] = endpoint.Endpoint
 	}
-	r.eyes[router].judge.EndpointsChanged(now, whole, entries)
+	r.monitors[router].monitor.EndpointsChanged(now, complete, entries)
 }
 
-func (r *rolling) purged(router int, now int64, object string, group, made int64) {
-	r.eyes[router].judge.Purged(now, object, group, made)
+func (r *rolloutRun) purged(router int, now int64, object string, group, at int64) {
+	r.monitors[router].monitor.Purged(now, object, group, at)
 }
 
-func (r *rolling) sent(router int, rule string, h *engine.Attempt) {
-	r.eyes[router].acts.RecordAttempt(h.DecidedAt, h.Endpoint.ID, h.Source, rule, h.Unsafe)
+func (r *rolloutRun) attemptSent(router int, class string, attempt *engine.Attempt) {
+	r.monitors[router].recorder.RecordAttempt(attempt.DecidedAt, attempt.Endpoint.ID, attempt.Source, class, attempt.Unsafe)
 }
 
-func (r *rolling) answered(router int, a *simulation.Ask, h *engine.Attempt, issued int64) {
-	k := r.world.RuleOf(a.Rule)
-	if k.Write {
+func (r *rolloutRun) responded(router int, ask *simulation.Ask, attempt *engine.Attempt, issued int64) {
+	class := r.world.RuleOf(ask.Rule)
+	if class.Write {
 		return
 	}
-	flow := r.virtual.set.Fleet.FlowKBPerS / 1e6
-	r.eyes[router].acts.RecordResponse(k.Name, a.Object, a.Group, h.DecidedAt, issued+epoch, a.SizeKB/flow)
+	kbPerMicro := r.scenario.Fleet.FlowKBPerS / 1e6
+	r.monitors[router].recorder.RecordResponse(class.Name, ask.Object, ask.Group, attempt.DecidedAt, issued+epochMicros, ask.SizeKB/kbPerMicro)
 }
 
-// look lets a router's witness judge; each change is another process.
-func (r *rolling) look(now int64, i int) invariant.Violations {
-	e, l := r.eyes[i], &r.local[i]
-	if of := l.run<<1 | uint64(map[bool]int{true: 1}[r.news(i)]); of != e.process {
-		e.judge.ProcessEnded(e.process)
-		e.process = of
-		e.acts.Take()
+// observe lets a router's witness judge; each change is another process.
+func (r *rolloutRun) observe(now int64, i int) invariant.Violations {
+	monitor, state := r.monitors[i], &r.states[i]
+	if processID := state.runID<<1 | uint64(map[bool]int{true: 1}[r.servesNew(i)]); processID != monitor.processID {
+		monitor.monitor.ProcessEnded(monitor.processID)
+		monitor.processID = processID
+		monitor.recorder.Take()
 	}
-	e.judge.Observe(now+epoch, e.process, e.acts.Take())
-	e.judge.Tick(now + epoch)
-	s := e.judge.Violations(e.process)
-	e.accused = e.accused || s.Rules != 0
-	return s
+	monitor.monitor.Observe(now+epochMicros, monitor.processID, monitor.recorder.Take())
+	monitor.monitor.Tick(now + epochMicros)
+	violations := monitor.monitor.Violations(monitor.processID)
+	monitor.accused = monitor.accused || violations.Rules != 0
+	return violations
 }
--- a/internal/emulator/site_relay.go
+++ b/internal/emulator/site_relay.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// relay passes connections on, late by the way between sites. While they are cut
+// startRelay passes connections on, late by the way between sites. While they are cut
 // bytes wait, as they do with TCP.
-func (v *sockets) relay(to string) (addr string, err error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (v *socketRun) startRelay(to string) (addr string, err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	v.all.Go(func() {
+	v.goroutines.Go(func() {
 		<-v.ctx.Done()
-		l.Close()
+		listener.Close()
 	})
-	v.all.Go(func() {
+	v.goroutines.Go(func() {
 		for {
-			a, err := l.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			b, err := net.Dial("tcp", to)
+			server, err := net.Dial("tcp", to)
 			if err != nil {
-				a.Close()
+				client.Close()
 				continue
 			}
-			v.all.Go(func() { v.pass(a, b) })
-			v.all.Go(func() { v.pass(b, a) })
+			v.goroutines.Go(func() { v.relayDelayed(client, server) })
+			v.goroutines.Go(func() { v.relayDelayed(server, client) })
 		}
 	})
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-func (v *sockets) pass(from, to net.Conn) {
+func (v *socketRun) relayDelayed(from, to net.Conn) {
 	defer to.Close()
 	defer from.Close()
-	way := time.Duration(v.set.Fleet.SiteMS * float64(time.Millisecond))
-	type piece struct {
+	delay := time.Duration(v.scenario.Fleet.SiteMS * float64(time.Millisecond))
+	type chunk struct {
 		at time.Time
 		b  []byte
 	}
-	pieces := make(chan piece, 1024)
-	v.all.Go(func() {
+	chunks := make(chan chunk, 1024)
+	v.goroutines.Go(func() {
 		defer to.Close()
 		defer from.Close()
 		for {
 			select {
 			case <-v.ctx.Done():
 				return
-			case p, more := <-pieces:
-				if !more {
+			case p, open := <-chunks:
+				if !open {
 					return
 				}
-				time.Sleep(time.Until(p.at.Add(way)))
-				for v.cut.Load() && v.ctx.Err() == nil {
+				time.Sleep(time.Until(p.at.Add(delay)))
+				for v.sitesCut.Load() && v.ctx.Err() == nil {
 					time.Sleep(5 * time.Millisecond)
 				}
 				if _, err := to.Write(p.b); err != nil {
@@ -64,7 +64,7 @@
 			}
 		}
 	})
-	defer close(pieces)
+	defer close(chunks)
 	for {
 		b := make([]byte, 16<<10)
 		n, err := from.Read(b)
@@ -72,7 +72,7 @@
 			return
 		}
 		select {
-		case pieces <- piece{time.Now(), b[:n]}:
+		case chunks <- chunk{time.Now(), b[:n]}:
 		case <-v.ctx.Done():
 			return
 		}
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -34,52 +34,52 @@
 	EndWithDrive bool
 }
 
-// slackOnSockets is how much longer answers may take: the platform's 50 ms and the
+// socketAnswerSlackMicros is how much longer answers may take: the platform's 50 ms and the
 // module's 8.
-const slackOnSockets = 58_000
+const socketAnswerSlackMicros = 58_000
 
-// mostListeners bounds the descriptors: each router has an address of its own for
+// maxListeners bounds the descriptors: each router has an address of its own for
 // each server.
-const mostListeners = 3000
+const maxListeners = 3000
 
-// sockets is a run on loopback. Its loop is the one goroutine that touches the
+// socketRun is a run on loopback. Its loop is the one goroutine that touches the
 // world and what is below it; all others send it what comes in.
-type sockets struct {
-	opt     Options
-	set     *scenario.Scenario
-	world   *simulation.World
-	referee *checker.Checker
-	routers []*process
-	client  *http.Client
-	start   time.Time
-	in      chan func()
-	dir     string
-	fail    chan error
-	cancel  context.CancelFunc
-	ctx     context.Context
-	all     sync.WaitGroup
-	conf    Routers
-	drive   chan error  // nil: nobody drives, or it is over
-	cut     atomic.Bool // sites can't reach each other
-	late    int64       // how late the loop did something, at most
-	knows   Members     // what was seen of the routers' knowledge of each other
-	cost    Cost
-	broke   int // connections that ended without an answer, not by their client
-	refused int
+type socketRun struct {
+	options      Options
+	scenario     *scenario.Scenario
+	world        *simulation.World
+	checker      *checker.Checker
+	routers      []*routerProcess
+	client       *http.Client
+	startedAt    time.Time
+	tasks        chan func()
+	dir          string
+	failures     chan error
+	cancel       context.CancelFunc
+	ctx          context.Context
+	goroutines   sync.WaitGroup
+	config       Routers
+	driverDone   chan error  // nil: nobody drives, or it is over
+	sitesCut     atomic.Bool // sites can't reach each other
+	maxLate      int64       // how late the loop did something, at most
+	membership   Members     // what was seen of the routers' knowledge of each other
+	cost         Cost
+	brokenConns  int // connections that ended without an answer, not by their client
+	refusedConns int
 }
 
 // Sockets plays a script in real time: it listens on loopback for all that routers
 // talk to, and starts a router process for each.
 func Sockets(ctx context.Context, s *scenario.Scenario, opt Options, conf Routers) (*Result, error) {
-	f := &s.Fleet
-	routers := f.Offices * f.Routers
-	n := routers * (f.Offices*f.Caches + f.Trunks*f.Parents + 1)
-	if f.Membership {
-		n += routers * routers // a way each
+	fleet := &s.Fleet
+	routers := fleet.Offices * fleet.Routers
+	listeners := routers * (fleet.Offices*fleet.Caches + fleet.Trunks*fleet.Parents + 1)
+	if fleet.Membership {
+		listeners += routers * routers // a way each
 	}
-	if n > mostListeners {
+	if listeners > maxListeners {
 		return nil, fmt.Errorf("%s: %d routers and their servers take %d listeners, %d at most: play it on the virtual clock",
-			s.Name, routers, n, mostListeners)
+			s.Name, routers, listeners, maxListeners)
 	}
 	program, err := findProgram(conf.Program)
 	if err != nil {
@@ -92,121 +92,121 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	v := &sockets{
-		opt: opt, set: s, referee: checker.New(Figures(s, slackOnSockets)), in: make(chan func(), 4096), dir: dir,
-		fail: make(chan error, 1), ctx: ctx, cancel: cancel, conf: conf,
+	v := &socketRun{
+		options: opt, scenario: s, checker: checker.New(Figures(s, socketAnswerSlackMicros)), tasks: make(chan func(), 4096), dir: dir,
+		failures: make(chan error, 1), ctx: ctx, cancel: cancel, config: conf,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 4 * time.Second, DisableCompression: true}},
 	}
 	defer func() {
 		cancel()
 		for _, r := range v.routers {
-			r.end()
+			r.kill()
 		}
 		v.client.CloseIdleConnections()
-		v.all.Wait()
+		v.goroutines.Wait()
 	}()
 	v.world = simulation.New(s, opt.Seed, v)
-	v.world.Slack = slackOnSockets
-	if f.Sites >= 2 {
+	v.world.Slack = socketAnswerSlackMicros
+	if fleet.Sites >= 2 {
 		var names []string
 		for i := range v.world.Routers() {
-			names = append(names, nameOf(i))
+			names = append(names, routerName(i))
 		}
 		if err := gateway.MakeKeys(dir, names, 24*time.Hour); err != nil {
 			return nil, err
 		}
 	}
 	for i := range v.world.Routers() {
-		r := &process{sockets: v, id: i, places: map[string]*place{}, asks: map[string]*asked{}, changed: make(chan struct{})}
+		r := &routerProcess{socketRun: v, id: i, servers: map[string]*serverListener{}, requests: map[string]*clientRequest{}, eventPosted: make(chan struct{})}
 		v.routers = append(v.routers, r)
 		if err := r.prepare(); err != nil {
 			return nil, err
 		}
 	}
-	if f.Sites >= 2 || f.Membership || f.Supervised || f.DiskMB > 0 {
+	if fleet.Sites >= 2 || fleet.Membership || fleet.Supervised || fleet.DiskMB > 0 {
 		for _, r := range v.routers {
-			if err := r.operator(); err != nil {
+			if err := r.writeOperatorConfig(); err != nil {
 				return nil, err
 			}
 		}
 	}
-	v.start = time.Now()
+	v.startedAt = time.Now()
 	var addrs []string
 	for _, r := range v.routers { // one by one: a start takes CPU, and others may be judged meanwhile
-		if err := r.run(v.world.Known()); err != nil {
+		if err := r.start(v.world.Known()); err != nil {
 			return nil, err
 		}
-		if err := r.ready(); err != nil {
+		if err := r.waitReady(); err != nil {
 			return nil, err
 		}
-		addrs = append(addrs, r.listen)
+		addrs = append(addrs, r.clientAddr)
 	}
 	if conf.Ready != nil {
 		conf.Ready(addrs)
 	}
-	v.start = time.Now()
-	if f.Membership {
-		v.all.Go(v.watch)
+	v.startedAt = time.Now()
+	if fleet.Membership {
+		v.goroutines.Go(v.watchMembership)
 	}
 	if conf.Drive != nil {
-		v.drive = make(chan error, 1)
-		v.all.Go(func() { v.drive <- conf.Drive(ctx, &Kept{v}) })
+		v.driverDone = make(chan error, 1)
+		v.goroutines.Go(func() { v.driverDone <- conf.Drive(ctx, &Kept{v}) })
 	}
 	if err := v.loop(); err != nil {
 		return nil, err
 	}
 	for _, r := range v.routers {
-		r.end()
+		r.kill()
 	}
 	r := &Result{
-		Result: v.world.Result, Breaks: v.referee.Violations, Count: v.referee.CountByRule, Judged: v.referee.Checked, Late: v.late,
-		Excused: v.referee.Excused, Cost: v.cost, Broke: v.broke, Refused: v.refused,
+		Result: v.world.Result, Breaks: v.checker.Violations, Count: v.checker.CountByRule, Judged: v.checker.Checked, Late: v.maxLate,
+		Excused: v.checker.Excused, Cost: v.cost, Broke: v.brokenConns, Refused: v.refusedConns,
 	}
-	if f.Membership {
-		r.Members = &v.knows
+	if fleet.Membership {
+		r.Members = &v.membership
 	}
 	return r, nil
 }
 
-func (v *sockets) now() int64 { return time.Since(v.start).Microseconds() }
+func (v *socketRun) now() int64 { return time.Since(v.startedAt).Microseconds() }
 
 // unixMS is the world's time as the platform tells times; births before the run
 // are 0.
-func (v *sockets) unixMS(at int64) int64 { return v.start.UnixMilli() + at/1000 }
+func (v *socketRun) unixMS(at int64) int64 { return v.startedAt.UnixMilli() + at/1000 }
 
 // loop plays the world by the real clock until it is over.
-func (v *sockets) loop() error {
+func (v *socketRun) loop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	told := int64(0)
+	reported := int64(0)
 	for {
 		now, end := v.now(), v.world.Length()
 		if v.world.Over() || now > end {
-			if v.drive != nil {
-				return <-v.drive
+			if v.driverDone != nil {
+				return <-v.driverDone
 			}
 			return nil
 		}
 		for at := v.world.Next(); at <= now && v.world.Step(now); at = v.world.Next() {
-			v.late = max(v.late, v.now()-at)
+			v.maxLate = max(v.maxLate, v.now()-at)
 		}
-		if at := now / 1_000_000; at > told && v.opt.Progress != nil {
-			told = at
-			v.opt.Progress(float64(now)/float64(end), v.world.Result.Timeline)
+		if at := now / 1_000_000; at > reported && v.options.Progress != nil {
+			reported = at
+			v.options.Progress(float64(now)/float64(end), v.world.Result.Timeline)
 		}
 		timer.Reset(time.Duration(max(min(v.world.Next()-v.now(), 100_000), 0)) * time.Microsecond)
 		select {
-		case do := <-v.in:
+		case task := <-v.tasks:
 			v.world.At(v.now())
-			do()
+			task()
 		case <-timer.C:
-		case err := <-v.fail:
+		case err := <-v.failures:
 			return err
-		case err := <-v.drive:
-			if v.drive = nil; err != nil {
+		case err := <-v.driverDone:
+			if v.driverDone = nil; err != nil {
 				return err
 			}
-			if v.conf.EndWithDrive {
+			if v.config.EndWithDrive {
 				v.world.At(v.now())
 				v.world.Close()
 			}
@@ -216,38 +216,40 @@
 	}
 }
 
-// send gives the loop something to do, unless the run is over.
-func (v *sockets) send(do func()) {
+// runInLoop gives the loop something to do, unless the run is over.
+func (v *socketRun) runInLoop(task func()) {
 	select {
-	case v.in <- do:
+	case v.tasks <- task:
 	case <-v.ctx.Done():
 	}
 }
 
 // End answers a hop.
-func (v *sockets) End(_ int, h *simulation.Hop, e simulation.End) { h.Tag.(*lineHop).end(h, e) }
+func (v *socketRun) End(_ int, h *simulation.Hop, e simulation.End) {
+	h.Tag.(*serverAttempt).finish(h, e)
+}
 
 // Note passes a line of the record on; what becomes of servers moves their
 // listeners.
-func (v *sockets) Note(e *eventlog.Entry) {
-	v.cut.Store(v.world != nil && v.world.SitesCut())
+func (v *socketRun) Note(e *eventlog.Entry) {
+	v.sitesCut.Store(v.world != nil && v.world.SitesCut())
 	switch e.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
 		for _, r := range v.routers {
-			if p := r.places[e.Endpoint]; p != nil {
-				p.turn(e.Kind == eventlog.KindStarted, v.world.Silent(e.Endpoint))
+			if p := r.servers[e.Endpoint]; p != nil {
+				p.setState(e.Kind == eventlog.KindStarted, v.world.Silent(e.Endpoint))
 			}
 		}
 	}
-	v.referee.Observe(e)
-	if v.opt.Record != nil {
-		v.opt.Record(e)
+	v.checker.Observe(e)
+	if v.options.Record != nil {
+		v.options.Record(e)
 	}
 }
 
-func (v *sockets) failed(err error) {
+func (v *socketRun) fail(err error) {
 	select {
-	case v.fail <- err:
+	case v.failures <- err:
 	default: // the first one counts
 	}
 }
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -15,144 +15,144 @@
 	"quilldoor/internal/simulation"
 )
 
-// asked is a txn that the router has, with its hops so far.
-type asked struct {
+// clientRequest is a txn that the router has, with its hops so far.
+type clientRequest struct {
 	*simulation.Ask
-	hops    int
-	cancel  context.CancelFunc
-	carried bool // for a router of another site
+	attempts  int
+	cancel    context.CancelFunc
+	forwarded bool // for a router of another site
 }
 
 // Ask sends a client's request.
-func (v *sockets) Ask(a *simulation.Ask) {
-	r := v.routers[a.Router]
+func (v *socketRun) Ask(ask *simulation.Ask) {
+	r := v.routers[ask.Router]
 	ctx, cancel := context.WithCancel(v.ctx)
-	x := &asked{Ask: a, cancel: cancel}
-	r.asks[a.Txn] = x
-	listen := r.listen
-	v.all.Go(func() {
-		outcome, issued, stay, wrong := v.request(ctx, listen, a)
-		v.send(func() {
+	request := &clientRequest{Ask: ask, cancel: cancel}
+	r.requests[ask.Txn] = request
+	listen := r.clientAddr
+	v.goroutines.Go(func() {
+		outcome, issued, retryAfter, mismatch := v.sendRequest(ctx, listen, ask)
+		v.runInLoop(func() {
 			cancel()
-			if wrong != "" {
-				v.Note(&eventlog.Entry{Kind: eventlog.KindWrong, At: v.world.Now(), Router: a.Router, Request: a.Txn, State: wrong})
+			if mismatch != "" {
+				v.Note(&eventlog.Entry{Kind: eventlog.KindWrong, At: v.world.Now(), Router: ask.Router, Request: ask.Txn, State: mismatch})
 			}
-			v.everywhere(a.Txn)
-			if outcome == "" && r.asks[a.Txn] == x {
-				v.broke++
+			v.forgetForwarded(ask.Txn)
+			if outcome == "" && r.requests[ask.Txn] == request {
+				v.brokenConns++
 			}
-			if outcome == "refused" && r.asks[a.Txn] == x {
-				v.refused++
-				delete(r.asks, a.Txn)
-				v.world.Refused(a.Router, a.Txn)
-			} else if outcome != "" && r.asks[a.Txn] == x {
-				delete(r.asks, a.Txn)
-				v.world.Final(a.Router, a.Txn, outcome, issued, stay)
+			if outcome == "refused" && r.requests[ask.Txn] == request {
+				v.refusedConns++
+				delete(r.requests, ask.Txn)
+				v.world.Refused(ask.Router, ask.Txn)
+			} else if outcome != "" && r.requests[ask.Txn] == request {
+				delete(r.requests, ask.Txn)
+				v.world.Final(ask.Router, ask.Txn, outcome, issued, retryAfter)
 			}
 		})
 	})
 }
 
-// everywhere forgets a txn at routers that carried it for another.
-func (v *sockets) everywhere(txn string) {
+// forgetForwarded forgets a txn at routers that carried it for another.
+func (v *socketRun) forgetForwarded(requestID string) {
 	for _, r := range v.routers {
-		if x := r.asks[txn]; x != nil && x.carried {
-			delete(r.asks, txn)
+		if request := r.requests[requestID]; request != nil && request.forwarded {
+			delete(r.requests, requestID)
 		}
 	}
 }
 
-// carried finds a txn that another site's router has handed over.
-func (r *process) carried(txn string) *asked {
+// findForwarded finds a txn that another site's router has handed over.
+func (r *routerProcess) findForwarded(requestID string) *clientRequest {
 	for _, home := range r.routers {
-		if x := home.asks[txn]; x != nil && !x.carried && r.gate != "" && home.gate != "" {
-			b := *x.Ask
-			b.Router = r.id
-			mine := &asked{Ask: &b, cancel: func() {}, carried: true}
-			r.asks[txn] = mine
-			r.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: txn, Attempt: home.id})
-			return mine
+		if request := home.requests[requestID]; request != nil && !request.forwarded && r.gatewayAddr != "" && home.gatewayAddr != "" {
+			ask := *request.Ask
+			ask.Router = r.id
+			forwarded := &clientRequest{Ask: &ask, cancel: func() {}, forwarded: true}
+			r.requests[requestID] = forwarded
+			r.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: requestID, Attempt: home.id})
+			return forwarded
 		}
 	}
 	return nil
 }
 
-// request is a try over HTTP. No outcome: there was no answer.
-func (v *sockets) request(ctx context.Context, listen string, a *simulation.Ask) (outcome string, issued, stay int64, wrong string) {
+// sendRequest is a try over HTTP. No outcome: there was no answer.
+func (v *socketRun) sendRequest(ctx context.Context, listen string, ask *simulation.Ask) (outcome string, issued, retryAfter int64, mismatch string) {
 	method, body := "GET", []byte(nil)
-	if a.Write {
-		method, body = "PUT", []byte("accepted "+a.Txn)
+	if ask.Write {
+		method, body = "PUT", []byte("accepted "+ask.Txn)
 	}
-	name := v.world.RuleOf(a.Rule).Name
-	url := "http://" + listen + "/rpc/" + name + "/" + a.Object
-	if a.Rule == scenario.ClassVideo {
-		url += "/n-" + strconv.FormatInt(a.Part, 10)
+	name := v.world.RuleOf(ask.Rule).Name
+	url := "http://" + listen + "/rpc/" + name + "/" + ask.Object
+	if ask.Rule == scenario.ClassVideo {
+		url += "/n-" + strconv.FormatInt(ask.Part, 10)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
-	q.Header.Set("X-Txn", a.Txn)
-	q.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(a.Limit/1000, 1), 10))
-	q.Header.Set("X-Shard", strconv.FormatInt(a.Group, 10))
-	if a.Again {
-		q.Header.Set("X-Second-Try", "1")
+	request.Header.Set("X-Txn", ask.Txn)
+	request.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(ask.Limit/1000, 1), 10))
+	request.Header.Set("X-Shard", strconv.FormatInt(ask.Group, 10))
+	if ask.Again {
+		request.Header.Set("X-Second-Try", "1")
 	}
-	res, err := v.client.Do(q)
+	response, err := v.client.Do(request)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return "refused", 0, 0, ""
 	}
 	if err != nil {
 		return
 	}
-	defer res.Body.Close()
-	got, err := io.ReadAll(res.Body)
+	defer response.Body.Close()
+	received, err := io.ReadAll(response.Body)
 	if err != nil {
 		return
 	}
-	switch res.StatusCode {
+	switch response.StatusCode {
 	case 200:
-		if a.Write {
-			if string(got) != "recorded accepted "+a.Txn {
-				wrong = fmt.Sprintf("%.40q for an acceptance", got)
+		if ask.Write {
+			if string(received) != "recorded accepted "+ask.Txn {
+				mismatch = fmt.Sprintf("%.40q for an acceptance", received)
 			}
-			return "completed", 0, 0, wrong
+			return "completed", 0, 0, mismatch
 		}
-		issued, wrong = readBody(got, a)
-		return "completed", issued, 0, wrong
+		issued, mismatch = checkBody(received, ask)
+		return "completed", issued, 0, mismatch
 	case 429, 503:
-		ms, _ := strconv.ParseInt(res.Header.Get("X-Throttle-Ms"), 10, 32)
-		return "rejected", 0, ms * 1000, ""
+		retryAfterMillis, _ := strconv.ParseInt(response.Header.Get("X-Throttle-Ms"), 10, 32)
+		return "rejected", 0, retryAfterMillis * 1000, ""
 	}
 	return "aborted", 0, 0, ""
 }
 
-// bodyOf is a copy's bytes: they tell what it is and when it was given out.
-func bodyOf(object string, part, issued int64, kb float64) []byte {
-	line := fmt.Appendf(nil, "%s/%d@%d;", object, part, issued)
-	n := max(int(kb*1000), len(line))
-	b := bytes.Repeat(line, n/len(line)+1)
-	return b[:n]
+// responseBody is a copy's bytes: they tell what it is and when it was given out.
+func responseBody(object string, part, issued int64, sizeKB float64) []byte {
+	header := fmt.Appendf(nil, "%s/%d@%d;", object, part, issued)
+	size := max(int(sizeKB*1000), len(header))
+	repeated := bytes.Repeat(header, size/len(header)+1)
+	return repeated[:size]
 }
 
-func readBody(got []byte, a *simulation.Ask) (issued int64, wrong string) {
-	line, _, _ := bytes.Cut(got, []byte(";"))
-	at := bytes.LastIndexByte(line, '@')
-	if at < 0 {
-		return 0, fmt.Sprintf("%.40q", line)
+func checkBody(body []byte, ask *simulation.Ask) (issued int64, mismatch string) {
+	header, _, _ := bytes.Cut(body, []byte(";"))
+	separator := bytes.LastIndexByte(header, '@')
+	if separator < 0 {
+		return 0, fmt.Sprintf("%.40q", header)
 	}
-	issued, err := strconv.ParseInt(string(line[at+1:]), 10, 64)
-	if err != nil || !bytes.Equal(got, bodyOf(a.Object, a.Part, issued, a.SizeKB)) {
-		return 0, fmt.Sprintf("%.40q, %d bytes for %s/%d", line, len(got), a.Object, a.Part)
+	issued, err := strconv.ParseInt(string(header[separator+1:]), 10, 64)
+	if err != nil || !bytes.Equal(body, responseBody(ask.Object, ask.Part, issued, ask.SizeKB)) {
+		return 0, fmt.Sprintf("%.40q, %d bytes for %s/%d", header, len(body), ask.Object, ask.Part)
 	}
 	return issued, ""
 }
 
 // Leave ends a client's wait: it closes its connection.
-func (v *sockets) Leave(router int, txn string) {
-	if x := v.routers[router].asks[txn]; x != nil {
-		delete(v.routers[router].asks, txn)
-		v.everywhere(txn)
-		x.cancel()
+func (v *socketRun) Leave(router int, requestID string) {
+	if request := v.routers[router].requests[requestID]; request != nil {
+		delete(v.routers[router].requests, requestID)
+		v.forgetForwarded(requestID)
+		request.cancel()
 	}
 }
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -18,13 +18,13 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// keptReady is how long a generation may take to get ready, seconds.
-const keptReady = 3
+// readyTimeoutSeconds is how long a generation may take to get ready, seconds.
+const readyTimeoutSeconds = 3
 
 // Kept are the routers of a run on sockets whose script has them kept, for whoever
 // changes them or does them harm. Its calls may come from any goroutine but the
 // run's own.
-type Kept struct{ *sockets }
+type Kept struct{ *socketRun }
 
 // Count is how many there are.
 func (k *Kept) Count() int { return len(k.routers) }
@@ -33,72 +33,72 @@
 func (k *Kept) Folder(i int) string { return filepath.Join(k.dir, fmt.Sprintf("k%d", i+1)) }
 
 // Operator is the router's operator's file.
-func (k *Kept) Operator(i int) string { return filepath.Join(k.dir, nameOf(i)+".yaml") }
+func (k *Kept) Operator(i int) string { return filepath.Join(k.dir, routerName(i)+".yaml") }
 
 // Log is what the router's processes have logged, in a file.
-func (k *Kept) Log(i int) string { return filepath.Join(k.dir, nameOf(i)+".log") }
+func (k *Kept) Log(i int) string { return filepath.Join(k.dir, routerName(i)+".log") }
 
 // View is what a router holds of the others, by its own protocol.
 func (k *Kept) View(i int) (*membership.View, error) {
-	return transport.Query([]byte(membersKey), nameOf(i), k.routers[i].members)
+	return transport.Query([]byte(membershipKey), routerName(i), k.routers[i].membershipAddr)
 }
 
 // Config is the platform's configuration of a router.
-func (k *Kept) Config(i int) string { return k.routers[i].config() }
+func (k *Kept) Config(i int) string { return k.routers[i].configPath() }
 
 // Plan is where the routers look for a rollout's; it is not there at first.
 func (k *Kept) Plan() string { return filepath.Join(k.dir, "plan.yaml") }
 
 // Name of a router among members, and its office.
 func (k *Kept) Name(i int) (name, office string) {
-	return nameOf(i), scenario.Zone(k.world.Office(i))
+	return routerName(i), scenario.Zone(k.world.Office(i))
 }
 
 // Rollout says a word on it to a router, 0: only asks.
-func (k *Kept) Rollout(i int, c rollout.Command) (*rollout.Status, error) {
-	w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: c})
+func (k *Kept) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
+	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
 		return nil, err
 	}
-	if !w.OK || w.Rollout == nil {
-		return nil, errors.New(w.Note)
+	if !reply.OK || reply.Rollout == nil {
+		return nil, errors.New(reply.Note)
 	}
-	return w.Rollout, nil
+	return reply.Rollout, nil
 }
 
 // Listen is where clients reach it.
-func (k *Kept) Listen(i int) string { return k.routers[i].listen }
+func (k *Kept) Listen(i int) string { return k.routers[i].clientAddr }
 
 // Ask says a word to a keeper and waits for its last report.
-func (k *Kept) Ask(i int, w *handoff.Message) (*handoff.Message, error) {
-	return handoff.Request(filepath.Join(k.Folder(i), upgradeagent.SocketName), w, nil)
+func (k *Kept) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
+	return handoff.Request(filepath.Join(k.Folder(i), upgradeagent.SocketName), message, nil)
 }
 
 // Standing is what a keeper tells of itself.
 func (k *Kept) Standing(i int) (*handoff.Status, error) {
-	w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
+	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
 		return nil, err
 	}
-	if w.Status == nil {
+	if reply.Status == nil {
 		return nil, errors.New("a report without a standing")
 	}
-	return w.Status, nil
+	return reply.Status, nil
 }
 
 // Until asks a keeper time and again until it stands as wanted.
-func (k *Kept) Until(i int, within time.Duration, want func(*handoff.Status) bool) (*handoff.Status, error) {
-	const every = 5 * time.Millisecond
+func (k *Kept) Until(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
+	const interval = 5 * time.Millisecond
 	var last *handoff.Status
 	var err error
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(every) {
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(interval) {
 		if k.ctx.Err() != nil {
 			return last, k.ctx.Err()
 		}
-		var s *handoff.Status
-		if s, err = k.Standing(i); err == nil {
-			if last = s; want(s) {
-				return s, nil
+		var status *handoff.Status
+		if status, err = k.Standing(i); err == nil {
+			if last = status; reached(status) {
+				return status, nil
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 // longer its duty; what fell due while it stood still is told apart.
 func (k *Kept) Signal(i, pid int, s syscall.Signal) error {
 	done := make(chan error, 1)
-	k.send(func() {
+	k.runInLoop(func() {
 		kind := signalKinds[s]
 		if kind != "" {
 			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
@@ -126,7 +126,7 @@
 	select {
 	case err := <-done:
 		if err == nil && s == syscall.SIGKILL {
-			k.gone(i, pid)
+			k.waitGone(i, pid)
 		}
 		return err
 	case <-k.ctx.Done():
@@ -134,10 +134,10 @@
 	}
 }
 
-// gone waits until a process that was killed has ended. On a busy machine that takes
+// waitGone waits until a process that was killed has ended. On a busy machine that takes
 // milliseconds, in which the system goes on accepting connections for it: what it held
 // by then was never its duty either.
-func (k *Kept) gone(i, pid int) {
+func (k *Kept) waitGone(i, pid int) {
 	for k.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, ok := strings.Cut(string(stat), ") ")
@@ -154,20 +154,20 @@
 // Crashed notes that a process of a router has been, or will be, killed by its
 // keeper: what it holds is no longer its duty.
 func (k *Kept) Crashed(i int) {
-	k.send(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
+	k.runInLoop(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
 }
 
 // KillKeeper kills a router's keeper alone; its generations run on.
 func (k *Kept) KillKeeper(i int) error {
 	r := k.routers[i]
 	done := make(chan error, 1)
-	k.send(func() {
-		r.killed, r.groups = true, append(r.groups, r.cmd.Process.Pid)
+	k.runInLoop(func() {
+		r.killed, r.orphanGroups = true, append(r.orphanGroups, r.cmd.Process.Pid)
 		done <- r.cmd.Process.Kill()
 	})
 	select {
 	case err := <-done:
-		<-r.ended
+		<-r.exited
 		return err
 	case <-k.ctx.Done():
 		return k.ctx.Err()
@@ -178,7 +178,7 @@
 func (k *Kept) StartKeeper(i int) error {
 	r := k.routers[i]
 	done := make(chan error, 1)
-	k.send(func() { done <- r.exec() })
+	k.runInLoop(func() { done <- r.launch() })
 	select {
 	case err := <-done:
 		return err
@@ -200,18 +200,18 @@
 			return k.ctx.Err()
 		}
 	}
-	k.send(func() {
+	k.runInLoop(func() {
 		r.killed = true
 		done <- r.cmd.Process.Signal(syscall.SIGTERM)
 	})
 	if err := wait(); err != nil {
 		return err
 	}
-	<-r.ended
-	k.send(func() {
+	<-r.exited
+	k.runInLoop(func() {
 		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: k.world.Now(), Router: i})
 		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: k.world.Now(), Router: i})
-		done <- r.run(k.world.Known())
+		done <- r.start(k.world.Known())
 	})
 	return wait()
 }
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -10,64 +10,64 @@
 	"quilldoor/internal/simulation"
 )
 
-// virtual is a run on a virtual clock.
-type virtual struct {
-	opt     Options
-	set     *scenario.Scenario
-	world   *simulation.World
-	referee *checker.Checker
-	routers []*vrouter
-	due     dueHeap
-	kicked  []*vrouter
-	ready   []*vtxn
-	purges  map[int][]simulation.Notice // that routers were told of, where sites are joined
-	roster  *simfleet.Fleet             // what routers know of each other; nil: nothing
-	knows   Members
+// virtualRun is a run on a virtual clock.
+type virtualRun struct {
+	options       Options
+	scenario      *scenario.Scenario
+	world         *simulation.World
+	checker       *checker.Checker
+	routers       []*virtualRouter
+	timers        timerHeap
+	woken         []*virtualRouter
+	readyRequests []*virtualRequest
+	seenPurges    map[int][]simulation.Notice // that routers were told of, where sites are joined
+	fleet         *simfleet.Fleet             // what routers know of each other; nil: nothing
+	membership    Members
 }
 
 // Virtual plays a script on a virtual clock. The same script and seed give the
 // same result, whatever the machine.
 func Virtual(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
-	v := &virtual{opt: opt, set: s, referee: checker.New(Figures(s, 8_000)), purges: map[int][]simulation.Notice{}}
+	v := &virtualRun{options: opt, scenario: s, checker: checker.New(Figures(s, 8_000)), seenPurges: map[int][]simulation.Notice{}}
 	v.world = simulation.New(s, opt.Seed, v)
 	for i := range v.world.Routers() {
-		r := &vrouter{id: i, next: 1 << 62, place: -1}
+		r := &virtualRouter{id: i, nextTimer: 1 << 62, heapIndex: -1}
 		v.routers = append(v.routers, r)
-		v.start(r, v.world.Known())
+		v.startRouter(r, v.world.Known())
 	}
 	v.settle()
-	v.know()
-	if opt.ready != nil {
-		opt.ready(v)
+	v.startMembership()
+	if opt.onStart != nil {
+		opt.onStart(v)
 	}
 	if opt.Each != nil {
-		var each func()
-		each = func() {
+		var tick func()
+		tick = func() {
 			opt.Each(v.world.Now())
-			v.world.After(100_000, each)
+			v.world.After(100_000, tick)
 		}
-		v.world.After(100_000, each)
+		v.world.After(100_000, tick)
 	}
-	end, told := v.world.Length(), int64(0)
+	end, reported := v.world.Length(), int64(0)
 	for steps := 0; !v.world.Over(); steps++ {
 		now := v.world.Next()
-		if v.roster != nil {
-			if at := v.roster.NextEvent(); at <= now && (len(v.due) == 0 || at <= v.due[0].next) {
+		if v.fleet != nil {
+			if at := v.fleet.NextEvent(); at <= now && (len(v.timers) == 0 || at <= v.timers[0].nextTimer) {
 				if at > end {
 					break
 				}
 				v.world.At(at)
-				v.roster.RunUntil(at)
+				v.fleet.RunUntil(at)
 				continue
 			}
 		}
-		if len(v.due) > 0 && v.due[0].next < now {
-			now = v.due[0].next
+		if len(v.timers) > 0 && v.timers[0].nextTimer < now {
+			now = v.timers[0].nextTimer
 			if now > end {
 				break
 			}
 			v.world.At(now)
-			v.run(v.due[0])
+			v.runTimers(v.timers[0])
 		} else if now > end {
 			break
 		} else {
@@ -78,8 +78,8 @@
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			if at := now / 1_000_000; at > told && opt.Progress != nil {
-				told = at
+			if at := now / 1_000_000; at > reported && opt.Progress != nil {
+				reported = at
 				opt.Progress(float64(now)/float64(end), v.world.Result.Timeline)
 			}
 		}
@@ -87,40 +87,40 @@
 	return v.result(), nil
 }
 
-func (v *virtual) result() *Result {
-	r := &Result{Result: v.world.Result, Breaks: v.referee.Violations, Count: v.referee.CountByRule, Judged: v.referee.Checked, Excused: v.referee.Excused}
-	if v.roster != nil {
-		r.Members = &v.knows
+func (v *virtualRun) result() *Result {
+	r := &Result{Result: v.world.Result, Breaks: v.checker.Violations, Count: v.checker.CountByRule, Judged: v.checker.Checked, Excused: v.checker.Excused}
+	if v.fleet != nil {
+		r.Members = &v.membership
 	}
 	return r
 }
 
-func (v *virtual) now() int64 { return v.world.Now() + epoch }
+func (v *virtualRun) now() int64 { return v.world.Now() + epochMicros }
 
 // settle carries out what routers have decided, until nothing is left.
-func (v *virtual) settle() {
-	for len(v.ready) > 0 || len(v.kicked) > 0 {
-		for i := 0; i < len(v.ready); i++ {
-			t := v.ready[i]
-			t.rung = false
-			v.orders(t, t.txn.TakeCommands())
+func (v *virtualRun) settle() {
+	for len(v.readyRequests) > 0 || len(v.woken) > 0 {
+		for i := 0; i < len(v.readyRequests); i++ {
+			request := v.readyRequests[i]
+			request.queued = false
+			v.runCommands(request, request.request.TakeCommands())
 		}
-		v.ready = v.ready[:0]
-		for i := 0; i < len(v.kicked); i++ {
-			r := v.kicked[i]
-			r.kick = false
-			if r.core != nil {
-				v.run(r)
+		v.readyRequests = v.readyRequests[:0]
+		for i := 0; i < len(v.woken); i++ {
+			r := v.woken[i]
+			r.wakePending = false
+			if r.engine != nil {
+				v.runTimers(r)
 			}
 		}
-		v.kicked = v.kicked[:0]
+		v.woken = v.woken[:0]
 	}
 }
 
 // Note passes a line of the record on.
-func (v *virtual) Note(e *eventlog.Entry) {
-	v.referee.Observe(e)
-	if v.opt.Record != nil {
-		v.opt.Record(e)
+func (v *virtualRun) Note(e *eventlog.Entry) {
+	v.checker.Observe(e)
+	if v.options.Record != nil {
+		v.options.Record(e)
 	}
 }
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -7,31 +7,31 @@
 )
 
 // Told tells a router of servers, or of a purge.
-func (v *virtual) Told(router int, n simulation.Notice) {
-	v.routers[router].act(func() { v.told(router, n) })
+func (v *virtualRun) Told(router int, n simulation.Notice) {
+	v.routers[router].whenRunning(func() { v.notify(router, n) })
 }
 
-func (v *virtual) told(router int, n simulation.Notice) {
+func (v *virtualRun) notify(router int, notice simulation.Notice) {
 	r := v.routers[router]
-	if v.opt.looks != nil {
-		if n.Purge {
-			v.opt.looks.purged(router, v.now(), n.Object, n.Group, n.At+epoch)
+	if v.options.observer != nil {
+		if notice.Purge {
+			v.options.observer.purged(router, v.now(), notice.Object, notice.Group, notice.At+epochMicros)
 		} else {
-			v.opt.looks.listed(router, v.now(), false, servers(n.Servers))
+			v.options.observer.endpointsChanged(router, v.now(), false, routerEndpoints(notice.Servers))
 		}
 	}
-	if v.opt.Deaf != nil && v.opt.Deaf(router, n) {
+	if v.options.Deaf != nil && v.options.Deaf(router, notice) {
 		return
 	}
-	if n.Purge {
-		if r.gate != nil {
-			v.purges[router] = append(v.purges[router], n)
+	if notice.Purge {
+		if r.gateway != nil {
+			v.seenPurges[router] = append(v.seenPurges[router], notice)
 		}
-		if r.book != nil {
-			r.book.ApplyLocalPurge(v.now(), gossip.Purge{Object: n.Object, Group: n.Group, At: n.At + epoch})
+		if r.replica != nil {
+			r.replica.ApplyLocalPurge(v.now(), gossip.Purge{Object: notice.Object, Group: notice.Group, At: notice.At + epochMicros})
 		}
-		r.core.Purge(v.now(), n.Object, n.Group, n.At+epoch)
+		r.engine.Purge(v.now(), notice.Object, notice.Group, notice.At+epochMicros)
 		return
 	}
-	r.core.UpdateEndpoints(v.now(), policy.ScopeDiff, v.known(r, false, servers(n.Servers)))
+	r.engine.UpdateEndpoints(v.now(), policy.ScopeDiff, v.mergeEndpoints(r, false, routerEndpoints(notice.Servers)))
 }
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -8,155 +8,155 @@
 	"quilldoor/internal/simulation"
 )
 
-// giveUp ends a txn that another site's router has given up.
-func (v *virtual) giveUp(r *vrouter, x *vtxn) {
-	x.over = true
-	x.core.ClientGone(v.now(), x.txn)
-	v.detach(x)
-	r.gate.FinishInbound(v.now(), nameOf(x.home.id), x.ask.Txn, false)
+// withdraw ends a txn that another site's router has given up.
+func (v *virtualRun) withdraw(r *virtualRouter, request *virtualRequest) {
+	request.finished = true
+	request.engine.ClientGone(v.now(), request.request)
+	v.detach(request)
+	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, false)
 }
 
-var effectOf = map[policy.Effect]peerpolicy.Effect{
+var peerEffects = map[policy.Effect]peerpolicy.Effect{
 	policy.EffectIdempotent:     peerpolicy.EffectIdempotent,
 	policy.EffectIdempotencyKey: peerpolicy.EffectIdempotencyKey,
 	policy.EffectUnsafe:         peerpolicy.EffectUnsafe,
 }
 
-// cross hands over a txn that the module has refused; false: it stays.
-func (v *virtual) cross(t *vtxn, o engine.Command) bool {
-	r, a, now := t.router, t.ask, v.now()
-	rule := v.world.RuleOf(a.Rule)
-	left := a.Deadline() - v.world.Now()
-	p, reason := r.gate.Forward(now, &peerpolicy.Request{RequestID: a.Txn, Effect: effectOf[rule.Effect], NeverRan: !o.MaybeExecuted, Deadline: now + left})
+// forward hands over a txn that the module has refused; false: it stays.
+func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
+	r, ask, now := request.router, request.ask, v.now()
+	class := v.world.RuleOf(ask.Rule)
+	remaining := ask.Deadline() - v.world.Now()
+	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{RequestID: ask.Txn, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining})
 	if reason != peerpolicy.ReasonOK {
 		return false
 	}
-	r.gate.MarkSent(a.Txn)
-	v.detach(t)
-	r.from[a.Txn] = t
-	t.over = true
+	r.gateway.MarkSent(ask.Txn)
+	v.detach(request)
+	r.forwarded[ask.Txn] = request
+	request.finished = true
 	v.world.Result.Crossed++
-	var far *vrouter
-	for _, x := range v.routers {
-		if nameOf(x.id) == p.Name {
-			far = x
+	var far *virtualRouter
+	for _, router := range v.routers {
+		if routerName(router.id) == peer.Name {
+			far = router
 		}
 	}
-	budget := r.gate.Budget(now, a.Txn) // counted there from when it comes
-	v.over(func() { v.arrive(far, t, budget) })
+	budget := r.gateway.Budget(now, ask.Txn) // counted there from when it comes
+	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
 	return true
 }
 
-// arrive is a txn at the other site.
-func (v *virtual) arrive(far *vrouter, t *vtxn, left int64) {
-	home, a := t.router, t.ask
-	if far.gate == nil || far.core == nil {
+// receiveForwarded is a txn at the other site.
+func (v *virtualRun) receiveForwarded(far *virtualRouter, original *virtualRequest, remaining int64) {
+	home, ask := original.router, original.ask
+	if far.gateway == nil || far.engine == nil {
 		return // no process: the gate hears of it by silence
 	}
-	if far.gate.Admit(v.now(), nameOf(home.id), a.Txn, []string{nameOf(home.id)}, 0) != peerpolicy.ReasonOK || far.open[a.Txn] != nil {
-		v.back(far, home, t, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
+	if far.gateway.Admit(v.now(), routerName(home.id), ask.Txn, []string{routerName(home.id)}, 0) != peerpolicy.ReasonOK || far.requests[ask.Txn] != nil {
+		v.sendAnswerHome(far, home, original, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
 		return
 	}
-	b := *a
-	b.Router = far.id
-	v.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: a.Txn, Attempt: home.id})
-	x := &vtxn{router: far, core: far.core, ask: &b, home: home}
-	txn, err := far.core.Open(v.now(), policy.Event{
-		Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
-		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write,
+	forwardedAsk := *ask
+	forwardedAsk.Router = far.id
+	v.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: ask.Txn, Attempt: home.id})
+	request := &virtualRequest{router: far, engine: far.engine, ask: &forwardedAsk, forwardedBy: home}
+	opened, err := far.engine.Open(v.now(), policy.Event{
+		Request: ask.Txn, Class: v.world.RuleOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
+		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Again, Write: ask.Write,
 	}, func() {
-		if !x.rung && !x.over {
-			x.rung = true
-			v.ready = append(v.ready, x)
+		if !request.queued && !request.finished {
+			request.queued = true
+			v.readyRequests = append(v.readyRequests, request)
 		}
 	})
 	if err != nil {
-		far.gate.FinishInbound(v.now(), nameOf(home.id), a.Txn, false)
-		v.back(far, home, t, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
+		far.gateway.FinishInbound(v.now(), routerName(home.id), ask.Txn, false)
+		v.sendAnswerHome(far, home, original, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
 		return
 	}
-	x.txn = txn
-	far.open[a.Txn] = x
+	request.request = opened
+	far.requests[ask.Txn] = request
 }
 
-// carriedBack is the far side's end of a txn.
-func (v *virtual) carriedBack(x *vtxn, outcome string, issued int64, o engine.Command) {
-	x.over = true
-	v.detach(x)
-	far := x.router
-	far.gate.FinishInbound(v.now(), nameOf(x.home.id), x.ask.Txn, outcome == "completed")
-	end := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
-	kb := 0.0
+// answerForwarded is the far side's end of a txn.
+func (v *virtualRun) answerForwarded(request *virtualRequest, outcome string, issued int64, command engine.Command) {
+	request.finished = true
+	v.detach(request)
+	far := request.router
+	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, outcome == "completed")
+	answer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
+	sizeKB := 0.0
 	switch outcome {
 	case "completed":
-		end = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: issued}
-		kb = x.ask.SizeKB
-		if x.ask.Write {
-			end.IssuedMillis = 0
+		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: issued}
+		sizeKB = request.ask.SizeKB
+		if request.ask.Write {
+			answer.IssuedMillis = 0
 		}
 	case "rejected":
-		end = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !o.MaybeExecuted}
+		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !command.MaybeExecuted}
 	}
-	v.back(far, x.home, &vtxn{ask: x.ask}, end, kb)
+	v.sendAnswerHome(far, request.forwardedBy, &virtualRequest{ask: request.ask}, answer, sizeKB)
 }
 
-// back takes an answer home.
-func (v *virtual) back(far, home *vrouter, t *vtxn, end peerpolicy.PeerAnswer, kb float64) {
-	pace := int64(kb / (sitePace * v.set.Fleet.FlowKBPerS) * 1e6)
-	v.world.After(pace, func() {
-		v.over(func() {
-			if home.gate == nil {
+// sendAnswerHome takes an answer home.
+func (v *virtualRun) sendAnswerHome(far, home *virtualRouter, request *virtualRequest, answer peerpolicy.PeerAnswer, sizeKB float64) {
+	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * 1e6)
+	v.world.After(transferMicros, func() {
+		v.acrossSites(func() {
+			if home.gateway == nil {
 				return
 			}
-			home.back(t.ask.Txn, end.IssuedMillis)
+			home.recordIssued(request.ask.Txn, answer.IssuedMillis)
 			// Issues are the world's microseconds here; so are purges.
-			end.LatestPurgeMillis = v.purgedHere(home, t.ask)
-			home.gate.HandleAnswer(v.now(), nameOf(far.id), t.ask.Txn, end)
-			v.crossed(home)
+			answer.LatestPurgeMillis = v.latestPurge(home, request.ask)
+			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ask.Txn, answer)
+			v.runGatewayActions(home)
 		})
 	})
 }
 
-// back keeps the issue for the answer that the gate may give.
-func (r *vrouter) back(txn string, issued int64) {
-	if t := r.from[txn]; t != nil {
-		t.issued = issued
+// recordIssued keeps the issue for the answer that the gate may give.
+func (r *virtualRouter) recordIssued(requestID string, issued int64) {
+	if request := r.forwarded[requestID]; request != nil {
+		request.issued = issued
 	}
 }
 
-// purgedHere is the youngest purge that a router was told of and that binds a txn.
-func (v *virtual) purgedHere(r *vrouter, a *simulation.Ask) (at int64) {
-	for _, p := range v.purges[r.id] {
-		if p.Object != "" && p.Object == a.Object || p.Object == "" && p.Group == a.Group {
-			at = max(at, p.At)
+// latestPurge is the youngest purge that a router was told of and that binds a txn.
+func (v *virtualRun) latestPurge(r *virtualRouter, ask *simulation.Ask) (at int64) {
+	for _, purge := range v.seenPurges[r.id] {
+		if purge.Object != "" && purge.Object == ask.Object || purge.Object == "" && purge.Group == ask.Group {
+			at = max(at, purge.At)
 		}
 	}
 	return at
 }
 
-// crossed carries out what a gate has decided.
-func (v *virtual) crossed(r *vrouter) {
-	for _, a := range r.gate.Actions() {
-		switch a.Kind {
+// runGatewayActions carries out what a gate has decided.
+func (v *virtualRun) runGatewayActions(r *virtualRouter) {
+	for _, action := range r.gateway.Actions() {
+		switch action.Kind {
 		case peerpolicy.ActionAnswer:
-			t := r.from[a.RequestID]
-			if t == nil {
+			request := r.forwarded[action.RequestID]
+			if request == nil {
 				continue
 			}
-			delete(r.from, a.RequestID)
-			outcome := map[peerpolicy.Outcome]string{peerpolicy.OutcomeCompleted: "completed", peerpolicy.OutcomeRejected: "rejected", peerpolicy.OutcomeAborted: "aborted"}[a.Outcome]
+			delete(r.forwarded, action.RequestID)
+			outcome := map[peerpolicy.Outcome]string{peerpolicy.OutcomeCompleted: "completed", peerpolicy.OutcomeRejected: "rejected", peerpolicy.OutcomeAborted: "aborted"}[action.Outcome]
 			if outcome == "completed" {
 				v.world.Result.CrossedDone++
 			}
-			v.world.Final(r.id, a.RequestID, outcome, t.issued, 500_000)
+			v.world.Final(r.id, action.RequestID, outcome, request.issued, 500_000)
 		case peerpolicy.ActionWithdraw:
-			for _, p := range v.peers(r) {
-				if nameOf(p.id) != a.Peer {
+			for _, peer := range v.peers(r) {
+				if routerName(peer.id) != action.Peer {
 					continue
 				}
-				v.over(func() {
-					if x := p.open[a.RequestID]; x != nil && x.home == r && p.gate != nil {
-						v.giveUp(p, x)
+				v.acrossSites(func() {
+					if request := peer.requests[action.RequestID]; request != nil && request.forwardedBy == r && peer.gateway != nil {
+						v.withdraw(peer, request)
 					}
 				})
 			}
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -12,89 +12,91 @@
 	"quilldoor/internal/simfleet"
 )
 
-// know gives the routers of the virtual clock their knowledge of each other.
-func (v *virtual) know() {
-	if !v.set.Fleet.Membership {
+// startMembership gives the routers of the virtual clock their knowledge of each other.
+func (v *virtualRun) startMembership() {
+	if !v.scenario.Fleet.Membership {
 		return
 	}
 	count := v.world.Routers()
-	v.roster = simfleet.New(count, v.opt.Seed, v.world.Ways, func(h *simfleet.Host, now int64) simfleet.Detector {
-		r := v.routers[h.ID]
+	v.fleet = simfleet.New(count, v.options.Seed, v.world.Ways, func(host *simfleet.Host, now int64) simfleet.Detector {
+		r := v.routers[host.ID]
 		return membership.New(membership.Settings{
-			Name: h.Name, Zone: scenario.Zone(v.world.Office(h.ID)), Addr: simfleet.Addr(h.ID),
+			Name: host.Name, Zone: scenario.Zone(v.world.Office(host.ID)), Addr: simfleet.Addr(host.ID),
 			Seeds: simfleet.Seeds(count), Epoch: 1,
-		}, rand.New(rand.NewPCG(v.opt.Seed, uint64(h.ID)<<32|r.starts)), now)
+		}, rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|r.incarnation)), now)
 	})
-	v.roster.Payloads = mailer{v}
+	v.fleet.Payloads = payloadHandler{v}
 	for i := range count {
-		v.roster.Start(i)
+		v.fleet.Start(i)
 	}
-	var look func()
-	look = func() {
+	var observe func()
+	observe = func() {
 		views := map[string]*membership.View{}
 		var up []string
-		for _, h := range v.roster.Hosts {
-			v.knows.inTouch(v.world.Now(), h.Name, canTalk(v.world, h.ID))
-			if h.Detector != nil {
-				up = append(up, h.Name)
-				if !v.routers[h.ID].stopped {
-					views[h.Name] = h.Detector.(*membership.Node).View()
+		for _, host := range v.fleet.Hosts {
+			v.membership.recordReachable(v.world.Now(), host.Name, reachable(v.world, host.ID))
+			if host.Detector != nil {
+				up = append(up, host.Name)
+				if !v.routers[host.ID].stopped {
+					views[host.Name] = host.Detector.(*membership.Node).View()
 				}
 			}
 		}
-		v.knows.look(v.world.Now(), v.world.LastTurn(), up, views)
-		v.world.After(lookEvery, look)
+		v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
+		v.world.After(viewIntervalMicros, observe)
 	}
-	v.world.After(lookEvery, look)
+	v.world.After(viewIntervalMicros, observe)
 }
 
-// longest is the longest time limit of the rules.
-const longest = 5_000_000
+// maxRequestMicros is the longest time limit of the rules.
+const maxRequestMicros = 5_000_000
 
-// mailer is what virtual routers do with what they know, as the router does it.
-type mailer struct{ *virtual }
+// payloadHandler is what virtual routers do with what they know, as the router does it.
+type payloadHandler struct{ *virtualRun }
 
-func (m mailer) Digest(h *simfleet.Host) uint32 { return m.routers[h.ID].book.Digest() }
+func (m payloadHandler) Digest(host *simfleet.Host) uint32 {
+	return m.routers[host.ID].replica.Digest()
+}
 
-func (m mailer) HandlePayload(h *simfleet.Host, l membership.Payload) [][]byte {
-	r := m.routers[h.ID]
-	t := r.book.HandlePayload(m.now(), m.now(), l.From, l.Digest, l.Body, transport.MaxPayloadBytes)
-	m.apply(r, t.Endpoints)
-	for _, p := range t.Purges {
-		r.core.Purge(m.now(), p.Object, p.Group, p.At)
+func (m payloadHandler) HandlePayload(host *simfleet.Host, payload membership.Payload) [][]byte {
+	router := m.routers[host.ID]
+	result := router.replica.HandlePayload(m.now(), m.now(), payload.From, payload.Digest, payload.Body, transport.MaxPayloadBytes)
+	m.applyEndpoints(router, result.Endpoints)
+	for _, purge := range result.Purges {
+		router.engine.Purge(m.now(), purge.Object, purge.Group, purge.At)
 	}
 	m.settle()
-	return t.Replies
+	return result.Replies
 }
 
-func (m mailer) apply(r *vrouter, list []gossip.Endpoint) {
+func (m payloadHandler) applyEndpoints(r *virtualRouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.core.UpdateEndpoints(m.now(), policy.ScopeDiff, coreServers(list))
+		r.engine.UpdateEndpoints(m.now(), policy.ScopeDiff, engineEndpoints(list))
 	}
 }
 
-func (m mailer) Tick(h *simfleet.Host) {
-	r, n := m.routers[h.ID], h.Detector.(*membership.Node)
-	r.book.SetSingleConfirmation(n.Connectivity().Known < 3)
-	m.apply(r, r.book.Tick(m.now(), m.now()))
+func (m payloadHandler) Tick(host *simfleet.Host) {
+	router, node := m.routers[host.ID], host.Detector.(*membership.Node)
+	router.replica.SetSingleConfirmation(node.Connectivity().Known < 3)
+	m.applyEndpoints(router, router.replica.Tick(m.now(), m.now()))
 	m.settle()
 }
 
-// known passes what the board tells, with what other routers know better.
-func (v *virtual) known(r *vrouter, whole bool, list []engine.Endpoint) []engine.Endpoint {
-	if r.book == nil {
+// mergeEndpoints passes what the board tells, with what other routers know better.
+func (v *virtualRun) mergeEndpoints(r *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
+	if r.replica == nil {
 		return list
 	}
 	out := make([]gossip.Endpoint, len(list))
-	for i, s := range list {
-		out[i] = gossip.Endpoint{Endpoint: s.Endpoint, Address: s.Address}
+	for i, endpoint := range list {
+		out[i] = gossip.Endpoint{Endpoint: endpoint.Endpoint, Address: endpoint.Address}
 	}
-	return coreServers(r.book.ApplyLocal(v.now(), whole, out))
+	return engineEndpoints(r.replica.ApplyLocal(v.now(), complete, out))
 }
 
-func coreServers(list []gossip.Endpoint) (out []engine.Endpoint) {
-	for _, s := range list {
-		out = append(out, engine.Endpoint{Endpoint: s.Endpoint, Address: s.Address})
+func engineEndpoints(list []gossip.Endpoint) (out []engine.Endpoint) {
+	for _, endpoint := range list {
+		out = append(out, engine.Endpoint{Endpoint: endpoint.Endpoint, Address: endpoint.Address})
 	}
 	return out
 }
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -7,183 +7,183 @@
 	"quilldoor/internal/stall"
 )
 
-// vtxn is a request that a router of the virtual clock works on.
-type vtxn struct {
-	router *vrouter
-	core   *engine.Engine // the router may have been started again since
-	txn    *engine.Request
-	ask    *simulation.Ask
-	rung   bool
-	over   bool
-	issued int64
-	home   *vrouter // that handed it over; nil: it came from a client
+// virtualRequest is a request that a router of the virtual clock works on.
+type virtualRequest struct {
+	router      *virtualRouter
+	engine      *engine.Engine // the router may have been started again since
+	request     *engine.Request
+	ask         *simulation.Ask
+	queued      bool
+	finished    bool
+	issued      int64
+	forwardedBy *virtualRouter // that handed it over; nil: it came from a client
 }
 
-// reply is a response of the virtual clock: it has no bytes, only the time it was issued at.
-type reply struct{ issued int64 }
+// virtualResponse is a response of the virtual clock: it has no bytes, only the time it was issued at.
+type virtualResponse struct{ issued int64 }
 
 // Release does nothing: there is no buffer to give back.
-func (reply) Release() {}
+func (virtualResponse) Release() {}
 
-func (v *virtual) orders(t *vtxn, orders []engine.Command) {
-	for _, o := range orders {
-		switch o.Kind {
+func (v *virtualRun) runCommands(request *virtualRequest, commands []engine.Command) {
+	for _, command := range commands {
+		switch command.Kind {
 		case engine.CommandSend:
-			v.send(t, o.Attempt)
+			v.startAttempt(request, command.Attempt)
 		case engine.CommandDrop:
-			v.world.Cancel(t.router.id, t.ask.Txn, o.Attempt.Number)
+			v.world.Cancel(request.router.id, request.ask.Txn, command.Attempt.Number)
 		case engine.CommandRespond:
-			if v.opt.looks != nil && o.Attempt != nil && !t.over {
-				v.opt.looks.answered(t.router.id, t.ask, o.Attempt, o.Response.(reply).issued)
+			if v.options.observer != nil && command.Attempt != nil && !request.finished {
+				v.options.observer.responded(request.router.id, request.ask, command.Attempt, command.Response.(virtualResponse).issued)
 			}
-			v.ended(t, "completed", o.Response.(reply).issued, o)
+			v.finish(request, "completed", command.Response.(virtualResponse).issued, command)
 		case engine.CommandReject:
-			v.ended(t, "rejected", 0, o)
+			v.finish(request, "rejected", 0, command)
 		case engine.CommandFail:
-			v.ended(t, "aborted", 0, o)
+			v.finish(request, "aborted", 0, command)
 		}
 	}
 }
 
-func (v *virtual) send(t *vtxn, h *engine.Attempt) {
-	if t.over || !h.Begin() {
+func (v *virtualRun) startAttempt(request *virtualRequest, attempt *engine.Attempt) {
+	if request.finished || !attempt.Begin() {
 		return
 	}
-	a := t.ask
-	if v.opt.looks != nil {
-		v.opt.looks.sent(t.router.id, v.world.RuleOf(a.Rule).Name, h)
+	ask := request.ask
+	if v.options.observer != nil {
+		v.options.observer.attemptSent(request.router.id, v.world.RuleOf(ask.Rule).Name, attempt)
 	}
-	x := &simulation.Hop{
-		Router: t.router.id, Txn: a.Txn, N: h.Number, Server: h.Endpoint.ID, Source: h.Source, Rank: h.CachePriority,
-		FillMode: h.FillMode, Within: h.MaxAge, Rule: a.Rule, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.SizeKB,
-		Write: a.Write, Tag: h,
+	hop := &simulation.Hop{
+		Router: request.router.id, Txn: ask.Txn, N: attempt.Number, Server: attempt.Endpoint.ID, Source: attempt.Source, Rank: attempt.CachePriority,
+		FillMode: attempt.FillMode, Within: attempt.MaxAge, Rule: ask.Rule, Object: ask.Object, Part: ask.Part, Group: ask.Group, SizeKB: ask.SizeKB,
+		Write: ask.Write, Tag: attempt,
 	}
-	if x.Source == "" && h.Endpoint.Kind == "ledger" {
-		x.Source = h.Endpoint.ID
+	if hop.Source == "" && attempt.Endpoint.Kind == "ledger" {
+		hop.Source = attempt.Endpoint.ID
 	}
-	v.world.Hop(x)
+	v.world.Hop(hop)
 }
 
-// ended takes the module's final order: it is the answer, unless another site has
+// finish takes the module's final order: it is the answer, unless another site has
 // handed the txn over, or takes it.
-func (v *virtual) ended(t *vtxn, outcome string, issued int64, o engine.Command) {
+func (v *virtualRun) finish(request *virtualRequest, outcome string, issued int64, command engine.Command) {
 	switch {
-	case t.over:
-	case t.home != nil:
-		v.carriedBack(t, outcome, issued, o)
-	case t.router.gate != nil:
-		t.router.gate.ObserveLocal(v.now(), outcome == "rejected")
-		if outcome != "rejected" || !v.cross(t, o) {
-			v.final(t, outcome, issued, o.RetryAfter)
+	case request.finished:
+	case request.forwardedBy != nil:
+		v.answerForwarded(request, outcome, issued, command)
+	case request.router.gateway != nil:
+		request.router.gateway.ObserveLocal(v.now(), outcome == "rejected")
+		if outcome != "rejected" || !v.forward(request, command) {
+			v.respond(request, outcome, issued, command.RetryAfter)
 		}
 	default:
-		v.final(t, outcome, issued, o.RetryAfter)
+		v.respond(request, outcome, issued, command.RetryAfter)
 	}
 }
 
-func (v *virtual) final(t *vtxn, outcome string, issued, stay int64) {
-	if t.over {
+func (v *virtualRun) respond(request *virtualRequest, outcome string, issued, retryAfter int64) {
+	if request.finished {
 		return
 	}
-	t.over = true
+	request.finished = true
 	times := 1
-	if v.opt.Answer != nil {
-		times = v.opt.Answer(t.ask.Txn, 1)
+	if v.options.Answer != nil {
+		times = v.options.Answer(request.ask.Txn, 1)
 	}
 	for range times {
-		v.world.Final(t.router.id, t.ask.Txn, outcome, issued, stay)
+		v.world.Final(request.router.id, request.ask.Txn, outcome, issued, retryAfter)
 	}
-	v.detach(t)
+	v.detach(request)
 }
 
 // detach ends the reading of a mailbox, as front does.
-func (v *virtual) detach(t *vtxn) {
-	delete(t.router.open, t.ask.Txn)
-	for _, o := range t.txn.Detach() {
-		if o.Kind == engine.CommandDrop {
-			v.world.Cancel(t.router.id, t.ask.Txn, o.Attempt.Number)
+func (v *virtualRun) detach(request *virtualRequest) {
+	delete(request.router.requests, request.ask.Txn)
+	for _, command := range request.request.Detach() {
+		if command.Kind == engine.CommandDrop {
+			v.world.Cancel(request.router.id, request.ask.Txn, command.Attempt.Number)
 		}
 	}
 }
 
 // Ask opens a txn.
-func (v *virtual) Ask(a *simulation.Ask) {
-	v.routers[a.Router].act(func() { v.ask(a) })
+func (v *virtualRun) Ask(a *simulation.Ask) {
+	v.routers[a.Router].whenRunning(func() { v.openRequest(a) })
 }
 
-func (v *virtual) ask(a *simulation.Ask) {
-	r := v.routers[a.Router]
-	t := &vtxn{router: r, core: r.core, ask: a}
+func (v *virtualRun) openRequest(ask *simulation.Ask) {
+	r := v.routers[ask.Router]
+	request := &virtualRequest{router: r, engine: r.engine, ask: ask}
 	// What is read as it wakes may have waited all the time, as front has it.
-	left := a.Limit
-	if r.wokeAt > 0 && v.now()-r.wokeAt < stall.BufferDrainMicros {
-		left -= v.now() - r.stoppedAt
+	remaining := ask.Limit
+	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
+		remaining -= v.now() - r.stoppedAt
 	}
-	if left <= 0 || v.opt.Refuse != nil && v.opt.Refuse(r.id, v.world.RuleOf(a.Rule).Name) {
-		v.world.Final(r.id, a.Txn, "rejected", 0, 0)
+	if remaining <= 0 || v.options.Refuse != nil && v.options.Refuse(r.id, v.world.RuleOf(ask.Rule).Name) {
+		v.world.Final(r.id, ask.Txn, "rejected", 0, 0)
 		return
 	}
-	txn, err := r.core.Open(v.now(), policy.Event{
-		Request: a.Txn, Class: v.world.RuleOf(a.Rule).Name, Object: a.Object, Group: a.Group,
-		Part: a.Part, Remaining: left, ClientRetry: a.Again, Write: a.Write,
+	opened, err := r.engine.Open(v.now(), policy.Event{
+		Request: ask.Txn, Class: v.world.RuleOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
+		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Again, Write: ask.Write,
 	}, func() {
-		if !t.rung && !t.over {
-			t.rung = true
-			v.ready = append(v.ready, t)
+		if !request.queued && !request.finished {
+			request.queued = true
+			v.readyRequests = append(v.readyRequests, request)
 		}
 	})
 	if err != nil {
-		v.world.Final(r.id, a.Txn, "rejected", 0, 0)
-		t.over, t.rung = true, true
+		v.world.Final(r.id, ask.Txn, "rejected", 0, 0)
+		request.finished, request.queued = true, true
 		return
 	}
-	t.txn = txn
-	r.open[a.Txn] = t
+	request.request = opened
+	r.requests[ask.Txn] = request
 }
 
 // Leave says that a client has gone.
-func (v *virtual) Leave(router int, txn string) {
-	v.routers[router].act(func() { v.leave(router, txn) })
+func (v *virtualRun) Leave(router int, requestID string) {
+	v.routers[router].whenRunning(func() { v.clientLeft(router, requestID) })
 }
 
-func (v *virtual) leave(router int, txn string) {
-	if r := v.routers[router]; r.from[txn] != nil {
-		delete(r.from, txn)
-		r.gate.ClientGone(txn)
-		v.crossed(r)
+func (v *virtualRun) clientLeft(router int, requestID string) {
+	if r := v.routers[router]; r.forwarded[requestID] != nil {
+		delete(r.forwarded, requestID)
+		r.gateway.ClientGone(requestID)
+		v.runGatewayActions(r)
 		return
 	}
-	if t := v.routers[router].open[txn]; t != nil {
-		t.over = true
-		t.core.ClientGone(v.now(), t.txn)
-		v.detach(t)
+	if request := v.routers[router].requests[requestID]; request != nil {
+		request.finished = true
+		request.engine.ClientGone(v.now(), request.request)
+		v.detach(request)
 	}
 }
 
 // End ends a hop.
-func (v *virtual) End(router int, h *simulation.Hop, e simulation.End) {
-	v.routers[router].act(func() { v.end(router, h, e) })
+func (v *virtualRun) End(router int, h *simulation.Hop, e simulation.End) {
+	v.routers[router].whenRunning(func() { v.attemptEnded(router, h, e) })
 }
 
-func (v *virtual) end(router int, h *simulation.Hop, e simulation.End) {
+func (v *virtualRun) attemptEnded(router int, hop *simulation.Hop, end simulation.End) {
 	r := v.routers[router]
-	o := engine.Result{Outcome: e.Outcome, Reason: e.Reason, OriginWait: e.Waited, Load: e.Load}
-	if e.Outcome == policy.OutcomeDone {
-		o.Response = reply{e.Issued}
+	result := engine.Result{Outcome: end.Outcome, Reason: end.Reason, OriginWait: end.Waited, Load: end.Load}
+	if end.Outcome == policy.OutcomeDone {
+		result.Response = virtualResponse{end.Issued}
 	}
-	if r.core == nil {
+	if r.engine == nil {
 		return
 	}
-	c, hop := r.core, h.Tag.(*engine.Attempt)
-	if v.opt.Lag != nil {
-		if by := int64(v.opt.Lag(router) * float64(v.now()-hop.DecidedAt)); by > 0 {
-			v.world.After(by, func() {
-				if r.core == c {
-					c.AttemptEnded(v.now(), hop, o)
+	current, attempt := r.engine, hop.Tag.(*engine.Attempt)
+	if v.options.Lag != nil {
+		if delay := int64(v.options.Lag(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
+			v.world.After(delay, func() {
+				if r.engine == current {
+					current.AttemptEnded(v.now(), attempt, result)
 				}
 			})
 			return
 		}
 	}
-	c.AttemptEnded(v.now(), hop, o)
+	current.AttemptEnded(v.now(), attempt, result)
 }
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -49,79 +49,79 @@
 	News    int     // routers with the new generation in the end
 }
 
-// rolling is the state of a rollout run: a rollout node and a simulated upgrade for each router.
-type rolling struct {
-	*virtual
-	set   *Rolling
-	out   Rolled
-	nodes []*rollout.Node
-	local []rollingRouter
-	mail  []rollingMail
-	dice  *rand.Rand
-	seed  uint64
-	begun bool
-	eyes  []*eye
+// rolloutRun is the state of a rollout run: a rollout node and a simulated upgrade for each router.
+type rolloutRun struct {
+	*virtualRun
+	config     *Rolling
+	outcome    Rolled
+	nodes      []*rollout.Node
+	states     []rolloutState
+	deliveries []rolloutDelivery
+	random     *rand.Rand
+	seed       uint64
+	started    bool
+	monitors   []*routerMonitor
 }
 
-// rollingRouter is which program a router runs, and what its canary analysis counts.
-type rollingRouter struct {
-	onNew, changing, target bool
-	until                   int64
-	run                     uint64
-	counts                  canary.Counts
+// rolloutState is which program a router runs, and what its canary analysis counts.
+type rolloutState struct {
+	upgraded, upgrading, targetNew bool
+	upgradeEnds                    int64
+	runID                          uint64
+	counts                         canary.Counts
 }
 
-// rollingMail is a message between rollout nodes that is delivered at the next step.
-type rollingMail struct {
+// rolloutDelivery is a message between rollout nodes that is delivered at the next step.
+type rolloutDelivery struct {
 	from, to int
-	m        *rollout.Message
+	message  *rollout.Message
 }
 
 // VirtualRollout plays a script with a rollout in it.
 func VirtualRollout(ctx context.Context, s *scenario.Scenario, seed uint64, set Rolling) (*Rolled, error) {
-	if n := s.Fleet.Offices * s.Fleet.Routers; n != len(set.Plan.Routers) {
-		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, n, len(set.Plan.Routers))
+	if count := s.Fleet.Offices * s.Fleet.Routers; count != len(set.Plan.Routers) {
+		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, count, len(set.Plan.Routers))
 	}
-	r := &rolling{set: &set, dice: rand.New(rand.NewPCG(seed, 41)), seed: seed, local: make([]rollingRouter, len(set.Plan.Routers))}
+	r := &rolloutRun{config: &set, random: rand.New(rand.NewPCG(seed, 41)), seed: seed, states: make([]rolloutState, len(set.Plan.Routers))}
 	setup := s.Settings(0, 0)
-	figures := setup.PolicySettings()
-	for range r.local {
-		r.eyes = append(r.eyes, &eye{judge: invariant.New(invariant.SettingsFrom(&figures)), acts: invariant.NewRecorder()})
+	settings := setup.PolicySettings()
+	for range r.states {
+		r.monitors = append(r.monitors, &routerMonitor{monitor: invariant.New(invariant.SettingsFrom(&settings)), recorder: invariant.NewRecorder()})
 	}
-	rules := map[string]float64{}
-	sla := map[string]int64{}
-	for _, k := range s.Classes() {
-		rules[k.Name], sla[k.Name] = k.PriorityWeight, k.LatencyObjective+int64(k.ObjectiveStretch*250_000)
+	weights := map[string]float64{}
+	objectives := map[string]int64{}
+	for _, class := range s.Classes() {
+		weights[class.Name], objectives[class.Name] = class.PriorityWeight, class.LatencyObjective+int64(class.ObjectiveStretch*250_000)
 	}
-	type taken struct {
+	type openRequest struct {
 		at   int64
 		rule string
 		hops int
 	}
-	held := map[string]*taken{}
-	harm := func() {
-		if r.out.Harmed++; r.out.HarmedS == 0 {
-			r.out.HarmedS = float64(r.world.Now()) / 1e6
+	open := map[string]*openRequest{}
+	countHarm := func() {
+		if r.outcome.Harmed++; r.outcome.HarmedS == 0 {
+			r.outcome.HarmedS = float64(r.world.Now()) / 1e6
 		}
 	}
 	opt := Options{
-		Seed: seed, looks: r,
+		Seed: seed, observer: r,
 		Refuse: func(router int, rule string) bool {
-			if !r.news(router) || set.Refuses == 0 || set.OnlyAll && !r.all() || set.Of != "" && set.Of != rule || r.dice.Float64() >= set.Refuses {
+			if !r.servesNew(router) || set.Refuses == 0 || set.OnlyAll && !r.allServeNew() || set.Of != "" && set.Of != rule || r.random.Float64() >= set.Refuses {
 				return false
 			}
-			harm()
+			countHarm()
 			return true
 		},
-		Deaf: func(router int, n simulation.Notice) bool {
-			deaf := r.news(router) && (n.Purge && set.DeafPurges || !n.Purge && set.DeafDrains)
-			if deaf && r.out.HarmedS == 0 { // the referee counts what it breaks by that
-				r.out.HarmedS = float64(r.world.Now()) / 1e6
+		Deaf: func(router int, notice simulation.Notice) bool {
+			deaf := r.servesNew(router) && (notice.Purge && set.DeafPurges || !notice.Purge && set.DeafDrains)
+			if deaf && r.outcome.HarmedS == 0 { // the referee counts what it breaks by that
+				r.outcome.HarmedS = float64(r.world.Now()) / 1e6
 			}
 			return deaf
 		},
 		Lag: func(router int) float64 {
-			if !r.news(router) {
+			if !r.servesNew(router) {
 				return 0
 			}
 			return set.Slower
@@ -129,32 +129,32 @@
 		Record: func(e *eventlog.Entry) {
 			switch e.Kind {
 			case eventlog.KindTaken:
-				held[e.Request] = &taken{at: e.At, rule: e.Class}
+				open[e.Request] = &openRequest{at: e.At, rule: e.Class}
 			case eventlog.KindSent:
-				if x := held[e.Request]; x != nil {
+				if x := open[e.Request]; x != nil {
 					x.hops++
 				}
 			case eventlog.KindAnswered, eventlog.KindLeft:
-				x, ok := held[e.Request]
+				x, ok := open[e.Request]
 				if !ok {
 					return
 				}
-				delete(held, e.Request)
-				c := &r.local[e.Router].counts
+				delete(open, e.Request)
+				c := &r.states[e.Router].counts
 				c.Requests++
-				c.WeightOffered += rules[x.rule]
+				c.WeightOffered += weights[x.rule]
 				c.Attempts += float64(x.hops)
 				earned := 0.0
 				if e.Outcome == "completed" {
 					c.Completed++
-					c.LogLatencySum += math.Log(float64(max(e.At-x.at, 1000)) / float64(sla[x.rule]))
-					if set.Slower > 0 && r.news(e.Router) {
-						harm()
+					c.LogLatencySum += math.Log(float64(max(e.At-x.at, 1000)) / float64(objectives[x.rule]))
+					if set.Slower > 0 && r.servesNew(e.Router) {
+						countHarm()
 					}
 				}
 				switch {
-				case e.Outcome == "completed" && e.At-x.at <= sla[x.rule]:
-					earned = rules[x.rule]
+				case e.Outcome == "completed" && e.At-x.at <= objectives[x.rule]:
+					earned = weights[x.rule]
 				case e.Outcome == "rejected":
 					c.Rejected++
 				case e.Outcome != "completed":
@@ -165,38 +165,38 @@
 					c.Classes = map[string]canary.ClassCounts{}
 				}
 				w := c.Classes[x.rule]
-				c.Classes[x.rule] = canary.ClassCounts{Requests: w.Requests + 1, WeightOffered: w.WeightOffered + rules[x.rule], WeightEarned: w.WeightEarned + earned}
+				c.Classes[x.rule] = canary.ClassCounts{Requests: w.Requests + 1, WeightOffered: w.WeightOffered + weights[x.rule], WeightEarned: w.WeightEarned + earned}
 			}
 		},
 		Each: r.step,
 	}
-	opt.ready = func(v *virtual) { r.virtual = v }
+	opt.onStart = func(v *virtualRun) { r.virtualRun = v }
 	res, err := Virtual(ctx, s, opt)
 	if err != nil {
 		return nil, err
 	}
-	r.out.Result = res
-	for i := range r.local {
-		if r.local[i].onNew {
-			r.out.News++
+	r.outcome.Result = res
+	for i := range r.states {
+		if r.states[i].upgraded {
+			r.outcome.News++
 		}
-		if r.eyes[i].accused {
-			r.out.Accused++
+		if r.monitors[i].accused {
+			r.outcome.Accused++
 		}
 	}
-	return &r.out, nil
+	return &r.outcome, nil
 }
 
-// news tells whether a router's new program serves.
-func (r *rolling) news(router int) bool {
-	l := &r.local[router]
-	return l.onNew && (!l.changing || l.target)
+// servesNew tells whether a router's new program serves.
+func (r *rolloutRun) servesNew(router int) bool {
+	state := &r.states[router]
+	return state.upgraded && (!state.upgrading || state.targetNew)
 }
 
-// all tells whether it serves everywhere.
-func (r *rolling) all() bool {
-	for i := range r.local {
-		if !r.news(i) {
+// allServeNew tells whether it serves everywhere.
+func (r *rolloutRun) allServeNew() bool {
+	for i := range r.states {
+		if !r.servesNew(i) {
 			return false
 		}
 	}
@@ -204,65 +204,65 @@
 }
 
 // step is called ten times a second.
-func (r *rolling) step(now int64) {
-	if r.set.AtOnce {
-		if !r.begun && now >= int64(r.set.StartS*1e6) {
-			r.begun = true
-			for i := range r.local {
-				r.local[i].onNew = true
+func (r *rolloutRun) step(now int64) {
+	if r.config.AtOnce {
+		if !r.started && now >= int64(r.config.StartS*1e6) {
+			r.started = true
+			for i := range r.states {
+				r.states[i].upgraded = true
 			}
 		}
 		return
 	}
 	if r.nodes == nil {
-		for i, x := range r.set.Plan.Routers {
-			r.nodes = append(r.nodes, rollout.NewNode(r.set.Plan, x.Name, &rollout.Durable{}, rand.New(rand.NewPCG(r.seed, uint64(i))), now+1))
+		for i, router := range r.config.Plan.Routers {
+			r.nodes = append(r.nodes, rollout.NewNode(r.config.Plan, router.Name, &rollout.Durable{}, rand.New(rand.NewPCG(r.seed, uint64(i))), now+1))
 		}
 	}
-	mail := r.mail
-	r.mail = nil
-	for _, m := range mail {
-		r.post(m.to, r.nodes[m.to].Receive(now+1, r.set.Plan.Routers[m.from].Name, m.m))
+	due := r.deliveries
+	r.deliveries = nil
+	for _, delivery := range due {
+		r.enqueue(delivery.to, r.nodes[delivery.to].Receive(now+1, r.config.Plan.Routers[delivery.from].Name, delivery.message))
 	}
-	if !r.begun && now >= int64(r.set.StartS*1e6) {
-		r.begun = true
+	if !r.started && now >= int64(r.config.StartS*1e6) {
+		r.started = true
 		r.nodes[0].Command(now+1, rollout.CommandStart)
 	}
-	for i, n := range r.nodes {
-		l := &r.local[i]
-		if l.changing && now >= l.until {
-			l.changing = false
+	for i, node := range r.nodes {
+		state := &r.states[i]
+		if state.upgrading && now >= state.upgradeEnds {
+			state.upgrading = false
 		}
-		c := l.counts
-		c.Classes = maps.Clone(c.Classes)
-		if r.set.NoJudge { // nothing is ever worse
-			c = canary.Counts{Requests: float64(now) / 1e4, WeightOffered: float64(now) / 1e4, WeightEarned: float64(now) / 1e4}
+		counts := state.counts
+		counts.Classes = maps.Clone(counts.Classes)
+		if r.config.NoJudge { // nothing is ever worse
+			counts = canary.Counts{Requests: float64(now) / 1e4, WeightOffered: float64(now) / 1e4, WeightEarned: float64(now) / 1e4}
 		}
-		seen := r.look(now, i)
-		drains, purges := r.eyes[i].judge.EventCounts()
-		n.SetReport(rollout.Report{
-			Upgraded: l.onNew && !l.changing, Changing: l.changing, Capable: true, Counts: c, RunID: l.run, MemoryMB: 20, ViolatedRules: seen.Rules, FirstViolation: seen.Text,
+		violations := r.observe(now, i)
+		drains, purges := r.monitors[i].monitor.EventCounts()
+		node.SetReport(rollout.Report{
+			Upgraded: state.upgraded && !state.upgrading, Changing: state.upgrading, Capable: true, Counts: counts, RunID: state.runID, MemoryMB: 20, ViolatedRules: violations.Rules, FirstViolation: violations.Text,
 			DrainsSeen: drains, PurgesSeen: purges,
 		})
-		r.post(i, n.Tick(now+1))
-		if w := n.Target(now + 1); w.MayStart && !l.changing && w.New != l.onNew {
-			v, _ := n.View()
-			l.changing, l.target, l.onNew, l.run = true, w.New, w.New, v.RunID
-			l.until = now + int64(r.set.TrialS*1e6)
+		r.enqueue(i, node.Tick(now+1))
+		if target := node.Target(now + 1); target.MayStart && !state.upgrading && target.New != state.upgraded {
+			view, _ := node.View()
+			state.upgrading, state.targetNew, state.upgraded, state.runID = true, target.New, target.New, view.RunID
+			state.upgradeEnds = now + int64(r.config.TrialS*1e6)
 		}
-		if v, age := n.View(); n.IsLeader() && age >= 0 {
-			if r.out.Way, r.out.Stage, r.out.Why = v.Phase, v.Stage, v.Reason; v.Phase == rollout.PhaseRollingBack && r.out.TurnedS == 0 {
-				r.out.TurnedS = float64(now) / 1e6
+		if view, age := node.View(); node.IsLeader() && age >= 0 {
+			if r.outcome.Way, r.outcome.Stage, r.outcome.Why = view.Phase, view.Stage, view.Reason; view.Phase == rollout.PhaseRollingBack && r.outcome.TurnedS == 0 {
+				r.outcome.TurnedS = float64(now) / 1e6
 			}
-			if (v.Phase == rollout.PhaseDone || v.Phase == rollout.PhaseRolledBack) && r.out.EndedS == 0 {
-				r.out.EndedS = float64(now) / 1e6
+			if (view.Phase == rollout.PhaseDone || view.Phase == rollout.PhaseRolledBack) && r.outcome.EndedS == 0 {
+				r.outcome.EndedS = float64(now) / 1e6
 			}
 		}
 	}
 }
 
-func (r *rolling) post(from int, out []rollout.Outgoing) {
-	for _, o := range out {
-		r.mail = append(r.mail, rollingMail{from, o.To, o.Message})
+func (r *rolloutRun) enqueue(from int, out []rollout.Outgoing) {
+	for _, outgoing := range out {
+		r.deliveries = append(r.deliveries, rolloutDelivery{from, outgoing.To, outgoing.Message})
 	}
 }
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -10,156 +10,156 @@
 	"quilldoor/internal/simulation"
 )
 
-// epoch is the routers' time at the world's zero: births before are told as 0.
-const epoch = int64(1_000_000_000_000)
+// epochMicros is the routers' time at the world's zero: births before are told as 0.
+const epochMicros = int64(1_000_000_000_000)
 
-// vrouter is a router: its core, and the time of its next timer.
-type vrouter struct {
-	id     int
-	core   *engine.Engine
-	starts uint64
-	next   int64
-	place  int
-	kick   bool
-	open   map[string]*vtxn
-	gate   *peerpolicy.Controller // nil: its site is alone
-	from   map[string]*vtxn       // txns that it has handed over
-	beats  map[*vrouter]int64     // when peers were heard
+// virtualRouter is a router: its core, and the time of its next timer.
+type virtualRouter struct {
+	id          int
+	engine      *engine.Engine
+	incarnation uint64
+	nextTimer   int64
+	heapIndex   int
+	wakePending bool
+	requests    map[string]*virtualRequest
+	gateway     *peerpolicy.Controller     // nil: its site is alone
+	forwarded   map[string]*virtualRequest // txns that it has handed over
+	heartbeats  map[*virtualRouter]int64   // when peers were heard
 
-	book *gossip.Replica // nil: routers don't know each other
+	replica *gossip.Replica // nil: routers don't know each other
 
 	stopped   bool
-	held      []func() // what waits for it to go on
+	deferred  []func() // what waits for it to go on
 	stoppedAt int64
-	wokeAt    int64 // 0: it never stood still
+	resumedAt int64 // 0: it never stood still
 }
 
-// act does something at a router, or keeps it until the router has woken.
-func (r *vrouter) act(do func()) {
+// whenRunning does something at a router, or keeps it until the router has woken.
+func (r *virtualRouter) whenRunning(task func()) {
 	if r.stopped {
-		r.held = append(r.held, do)
+		r.deferred = append(r.deferred, task)
 		return
 	}
-	do()
+	task()
 }
 
-// start makes a router's core from nothing.
-func (v *virtual) start(r *vrouter, known []simulation.Server) {
-	setup := v.set.Settings(v.world.Office(r.id), r.id)
-	if v.opt.Settings != nil {
-		v.opt.Settings(&setup)
-	}
-	set := setup.PolicySettings()
-	r.starts++
-	r.open = map[string]*vtxn{}
+// startRouter makes a router's core from nothing.
+func (v *virtualRun) startRouter(r *virtualRouter, known []simulation.Server) {
+	setup := v.scenario.Settings(v.world.Office(r.id), r.id)
+	if v.options.Settings != nil {
+		v.options.Settings(&setup)
+	}
+	settings := setup.PolicySettings()
+	r.incarnation++
+	r.requests = map[string]*virtualRequest{}
 	// A core of before may still call its kick; it must not wake the new one.
-	var self *engine.Engine
-	r.kick = false
-	self = engine.New(&set, v.opt.Seed*1000+uint64(r.id)+r.starts<<32, func() {
-		if r.core == self && !r.kick {
-			r.kick = true
-			v.kicked = append(v.kicked, r)
+	var current *engine.Engine
+	r.wakePending = false
+	current = engine.New(&settings, v.options.Seed*1000+uint64(r.id)+r.incarnation<<32, func() {
+		if r.engine == current && !r.wakePending {
+			r.wakePending = true
+			v.woken = append(v.woken, r)
 		}
 	})
-	r.core = self
-	v.join(r)
-	if v.opt.looks != nil {
-		v.opt.looks.listed(r.id, v.now(), true, servers(known))
+	r.engine = current
+	v.joinSites(r)
+	if v.options.observer != nil {
+		v.options.observer.endpointsChanged(r.id, v.now(), true, routerEndpoints(known))
 	}
-	if v.set.Fleet.Membership {
-		r.book = gossip.New(gossip.Settings{PurgeRetention: int64(v.set.Fleet.PurgeCompleteMS*1000) + longest})
-		r.core.HoldSlowStart(v.now(), v.now()+set.Contract.OverloadWindow)
+	if v.scenario.Fleet.Membership {
+		r.replica = gossip.New(gossip.Settings{PurgeRetention: int64(v.scenario.Fleet.PurgeCompleteMS*1000) + maxRequestMicros})
+		r.engine.HoldSlowStart(v.now(), v.now()+settings.Contract.OverloadWindow)
 	}
-	r.core.UpdateEndpoints(v.now(), policy.ScopeDisk, v.known(r, true, servers(known)))
-	v.run(r)
+	r.engine.UpdateEndpoints(v.now(), policy.ScopeDisk, v.mergeEndpoints(r, true, routerEndpoints(known)))
+	v.runTimers(r)
 }
 
-func servers(list []simulation.Server) (out []engine.Endpoint) {
-	for _, s := range list {
-		e := s.Endpoint
-		if e.StartedAt > 0 {
-			e.StartedAt += epoch
+func routerEndpoints(list []simulation.Server) (out []engine.Endpoint) {
+	for _, server := range list {
+		endpoint := server.Endpoint
+		if endpoint.StartedAt > 0 {
+			endpoint.StartedAt += epochMicros
 		}
-		out = append(out, engine.Endpoint{Endpoint: e, Address: e.ID})
+		out = append(out, engine.Endpoint{Endpoint: endpoint, Address: endpoint.ID})
 	}
 	return out
 }
 
-// run does what has fallen due at a router, and sets its next time.
-func (v *virtual) run(r *vrouter) {
+// runTimers does what has fallen due at a router, and sets its next time.
+func (v *virtualRun) runTimers(r *virtualRouter) {
 	if r.stopped {
-		r.next = 1 << 62
-		heap.Fix(&v.due, r.place)
+		r.nextTimer = 1 << 62
+		heap.Fix(&v.timers, r.heapIndex)
 		return
 	}
-	next, errands := r.core.Run(v.now())
-	for _, o := range errands {
-		if o.Kind == engine.CommandDrop {
-			v.world.Cancel(r.id, o.Attempt.Request.ID, o.Attempt.Number)
+	next, commands := r.engine.Run(v.now())
+	for _, command := range commands {
+		if command.Kind == engine.CommandDrop {
+			v.world.Cancel(r.id, command.Attempt.Request.ID, command.Attempt.Number)
 		}
 	}
-	r.next = next - epoch
-	if r.place < 0 {
-		heap.Push(&v.due, r)
+	r.nextTimer = next - epochMicros
+	if r.heapIndex < 0 {
+		heap.Push(&v.timers, r)
 	} else {
-		heap.Fix(&v.due, r.place)
+		heap.Fix(&v.timers, r.heapIndex)
 	}
 }
 
 // Down kills a router.
-func (v *virtual) Down(router int) {
+func (v *virtualRun) Down(router int) {
 	r := v.routers[router]
-	for _, t := range r.open {
-		t.over = true
+	for _, request := range r.requests {
+		request.finished = true
 	}
-	r.core, r.open = nil, map[string]*vtxn{}
-	r.stopped, r.held, r.wokeAt = false, nil, 0
-	if v.roster != nil {
-		v.roster.Kill(router)
+	r.engine, r.requests = nil, map[string]*virtualRequest{}
+	r.stopped, r.deferred, r.resumedAt = false, nil, 0
+	if v.fleet != nil {
+		v.fleet.Kill(router)
 	}
-	v.part(r)
-	if r.place >= 0 {
-		heap.Remove(&v.due, r.place)
+	v.leaveSites(r)
+	if r.heapIndex >= 0 {
+		heap.Remove(&v.timers, r.heapIndex)
 	}
 }
 
 // Up starts it from nothing.
-func (v *virtual) Up(router int, known []simulation.Server) {
-	v.start(v.routers[router], known)
-	if v.roster != nil {
-		v.roster.Start(router)
+func (v *virtualRun) Up(router int, known []simulation.Server) {
+	v.startRouter(v.routers[router], known)
+	if v.fleet != nil {
+		v.fleet.Start(router)
 	}
 }
 
 // Stop lets a router stand still: what comes waits for it.
-func (v *virtual) Stop(router int) {
+func (v *virtualRun) Stop(router int) {
 	r := v.routers[router]
 	r.stopped, r.stoppedAt = true, v.now()
-	if v.roster != nil {
-		v.roster.Pause(router)
+	if v.fleet != nil {
+		v.fleet.Pause(router)
 	}
 }
 
 // Wake lets it go on as it was.
-func (v *virtual) Wake(router int) {
+func (v *virtualRun) Wake(router int) {
 	r := v.routers[router]
-	r.stopped, r.wokeAt = false, v.now()
-	held := r.held
-	r.held = nil
-	for _, do := range held {
-		do()
+	r.stopped, r.resumedAt = false, v.now()
+	held := r.deferred
+	r.deferred = nil
+	for _, task := range held {
+		task()
 	}
-	if r.core != nil {
-		v.run(r)
+	if r.engine != nil {
+		v.runTimers(r)
 	}
-	if v.roster != nil {
-		v.roster.Resume(router)
+	if v.fleet != nil {
+		v.fleet.Resume(router)
 	}
 }
 
 // Starve takes CPU from what the router knows of the others; txns cost none here.
-func (v *virtual) Starve(router int, share float64) {
-	if v.roster != nil {
-		v.roster.Throttle(router, share)
+func (v *virtualRun) Starve(router int, share float64) {
+	if v.fleet != nil {
+		v.fleet.Throttle(router, share)
 	}
 }
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -12,114 +12,114 @@
 // them is written out here: a way of some milliseconds, and bytes at ten flows.
 
 const (
-	beatEvery  = 250_000
-	sitePace   = 10 // flows that one txn's bytes cross at
-	siteRatio  = 0.5
-	mostAcross = 256
+	heartbeatMicros  = 250_000
+	siteFlows        = 10 // flows that one txn's bytes cross at
+	siteLocalReserve = 0.5
+	maxForwarded     = 256
 )
 
-func nameOf(router int) string { return fmt.Sprint("n", router) }
+func routerName(router int) string { return fmt.Sprint("n", router) }
 
-func (v *virtual) siteOf(r *vrouter) int { return v.set.Fleet.Site(v.world.Office(r.id)) }
+func (v *virtualRun) siteOf(r *virtualRouter) int { return v.scenario.Fleet.Site(v.world.Office(r.id)) }
 
-// join gives a starting router its gate.
-func (v *virtual) join(r *vrouter) {
+// joinSites gives a starting router its gate.
+func (v *virtualRun) joinSites(r *virtualRouter) {
 	site := v.siteOf(r)
 	if site < 0 {
 		return
 	}
 	peers := map[string]string{}
 	for i := range v.world.Routers() {
-		if s := v.set.Fleet.Site(v.world.Office(i)); s != site {
-			peers[nameOf(i)] = fmt.Sprint(s)
+		if s := v.scenario.Fleet.Site(v.world.Office(i)); s != site {
+			peers[routerName(i)] = fmt.Sprint(s)
 		}
 	}
-	r.from, r.beats = map[string]*vtxn{}, map[*vrouter]int64{}
-	r.gate = peerpolicy.New(peerpolicy.Settings{
-		Name: nameOf(r.id), Site: fmt.Sprint(site), MaxRequests: mostAcross, LocalReserve: siteRatio,
-		HeartbeatInterval: beatEvery,
+	r.forwarded, r.heartbeats = map[string]*virtualRequest{}, map[*virtualRouter]int64{}
+	r.gateway = peerpolicy.New(peerpolicy.Settings{
+		Name: routerName(r.id), Site: fmt.Sprint(site), MaxRequests: maxForwarded, LocalReserve: siteLocalReserve,
+		HeartbeatInterval: heartbeatMicros,
 	}, peers)
-	self := r.core
-	var beat func()
-	n := 0
-	beat = func() {
-		if r.core != self {
+	current := r.engine
+	var heartbeat func()
+	ticks := 0
+	heartbeat = func() {
+		if r.engine != current {
 			return
 		}
 		now := v.now()
-		r.gate.Tick(now)
-		v.crossed(r)
-		v.silent(r, now)
-		v.world.After(beatEvery/4, beat)
-		if n++; n%4 != 0 {
+		r.gateway.Tick(now)
+		v.runGatewayActions(r)
+		v.withdrawSilent(r, now)
+		v.world.After(heartbeatMicros/4, heartbeat)
+		if ticks++; ticks%4 != 0 {
 			return
 		}
-		offer := r.gate.OfferedCapacity(now)
-		for _, p := range v.peers(r) {
-			v.over(func() {
-				if p.gate == nil || p.core == nil || r.core != self {
+		offer := r.gateway.OfferedCapacity(now)
+		for _, peer := range v.peers(r) {
+			v.acrossSites(func() {
+				if peer.gateway == nil || peer.engine == nil || r.engine != current {
 					return
 				}
-				if q := p.gate.Peer(nameOf(r.id)); q.State == peerpolicy.StateDisconnected || q.Incarnation < r.starts {
-					p.gate.Connected(v.now(), nameOf(r.id), r.starts)
+				if link := peer.gateway.Peer(routerName(r.id)); link.State == peerpolicy.StateDisconnected || link.Incarnation < r.incarnation {
+					peer.gateway.Connected(v.now(), routerName(r.id), r.incarnation)
 				}
-				p.gate.Heartbeat(v.now(), nameOf(r.id), offer, false, int64(2*v.set.Fleet.SiteMS*1000))
-				p.beats[r] = v.now()
-				v.crossed(p)
+				peer.gateway.Heartbeat(v.now(), routerName(r.id), offer, false, int64(2*v.scenario.Fleet.SiteMS*1000))
+				peer.heartbeats[r] = v.now()
+				v.runGatewayActions(peer)
 			})
 		}
 	}
-	v.world.After(int64(r.id%8)*beatEvery/8, beat)
+	v.world.After(int64(r.id%8)*heartbeatMicros/8, heartbeat)
 }
 
-// silent gives up what came from a peer that has said nothing for long, as the end of
+// withdrawSilent gives up what came from a peer that has said nothing for long, as the end of
 // its connection does.
-func (v *virtual) silent(r *vrouter, now int64) {
-	var gone []*vtxn
-	for _, x := range r.open {
-		if x.home != nil && now-r.beats[x.home] > peerpolicy.MaxSilentHeartbeats*beatEvery {
-			gone = append(gone, x)
+func (v *virtualRun) withdrawSilent(r *virtualRouter, now int64) {
+	var silent []*virtualRequest
+	for _, request := range r.requests {
+		if request.forwardedBy != nil && now-r.heartbeats[request.forwardedBy] > peerpolicy.MaxSilentHeartbeats*heartbeatMicros {
+			silent = append(silent, request)
 		}
 	}
-	slices.SortFunc(gone, func(a, b *vtxn) int { return strings.Compare(a.ask.Txn, b.ask.Txn) })
-	for _, x := range gone {
-		v.giveUp(r, x)
+	slices.SortFunc(silent, func(a, b *virtualRequest) int { return strings.Compare(a.ask.Txn, b.ask.Txn) })
+	for _, request := range silent {
+		v.withdraw(r, request)
 	}
 }
 
-// over takes something to the other site, unless the way is cut when it begins or
+// acrossSites takes something to the other site, unless the way is cut when it begins or
 // ends.
-func (v *virtual) over(do func()) {
+func (v *virtualRun) acrossSites(task func()) {
 	if v.world.SitesCut() {
 		return
 	}
-	v.world.After(int64(v.set.Fleet.SiteMS*1000), func() {
+	v.world.After(int64(v.scenario.Fleet.SiteMS*1000), func() {
 		if !v.world.SitesCut() {
-			do()
+			task()
 		}
 	})
 }
 
-func (v *virtual) peers(r *vrouter) (out []*vrouter) {
-	for _, p := range v.routers {
-		if p.gate != nil && p.core != nil && v.siteOf(p) != v.siteOf(r) {
-			out = append(out, p)
+func (v *virtualRun) peers(r *virtualRouter) (out []*virtualRouter) {
+	for _, peer := range v.routers {
+		if peer.gateway != nil && peer.engine != nil && v.siteOf(peer) != v.siteOf(r) {
+			out = append(out, peer)
 		}
 	}
 	return out
 }
 
-// part is a router's death: peers lose its connection.
-func (v *virtual) part(r *vrouter) {
-	if r.gate == nil {
+// leaveSites is a router's death: peers lose its connection.
+func (v *virtualRun) leaveSites(r *virtualRouter) {
+	if r.gateway == nil {
 		return
 	}
-	r.gate, r.from = nil, nil
-	for _, p := range v.peers(r) {
-		v.over(func() {
-			if p.gate != nil {
-				p.gate.Disconnected(nameOf(r.id))
-				v.crossed(p)
+	r.gateway, r.forwarded = nil, nil
+	for _, peer := range v.peers(r) {
+		v.acrossSites(func() {
+			if peer.gateway != nil {
+				peer.gateway.Disconnected(routerName(r.id))
+				v.runGatewayActions(peer)
 			}
 		})
 	}
