--- /dev/null
+++ b/internal/emulator/cache_server.go
@@ -0,0 +1,192 @@
+package emulator
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"quilldoor/internal/cacheproto"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/loopback"
+	"quilldoor/internal/simulation"
+)
+
+// serverListener is where one router finds one server. Its books are the loop's.
+type serverListener struct {
+	*routerProcess
+	serverID string
+	addr     string
+	listener net.Listener // nil: down, connections are refused
+	conns    map[*serverConn]struct{}
+}
+
+// listenerFor finds a server's place, or makes it.
+func (r *routerProcess) listenerFor(server string) (*serverListener, error) {
+	if listener := r.servers[server]; listener != nil {
+		return listener, nil
+	}
+	// Reserved, as the server listens there again after it was down.
+	addr, err := loopback.Reserve()
+	if err != nil {
+		return nil, err
+	}
+	listener := &serverListener{routerProcess: r, serverID: server, addr: addr.String(), conns: map[*serverConn]struct{}{}}
+	r.servers[server] = listener
+	return listener, listener.open()
+}
+
+func (p *serverListener) open() error {
+	listener, err := net.Listen("tcp", p.addr)
+	if err != nil {
+		return fmt.Errorf("server %s: %w", p.serverID, err)
+	}
+	p.listener = listener
+	p.goroutines.Go(func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			p.goroutines.Go(func() { p.serve(conn, listener) })
+		}
+	})
+	p.goroutines.Go(func() {
+		<-p.ctx.Done()
+		listener.Close()
+	})
+	return nil
+}
+
+// setState follows the server's life: a dead one resets its connections and refuses
+// new ones; a silent one keeps them and says nothing.
+func (p *serverListener) setState(up, silent bool) {
+	if up || !silent {
+		for c := range p.conns {
+			c.reset()
+		}
+	}
+	if !up && !silent && p.listener != nil {
+		p.listener.Close()
+		p.listener = nil
+	}
+	if up && p.listener == nil {
+		if err := p.open(); err != nil {
+			p.fail(err)
+		}
+	}
+}
+
+// serve reads a router's commands.
+func (p *serverListener) serve(socket net.Conn, listener net.Listener) {
+	conn := &serverConn{Conn: socket, server: p, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
+	defer socket.Close()
+	stop := make(chan struct{})
+	defer close(stop)
+	p.goroutines.Go(func() {
+		select {
+		case <-p.ctx.Done():
+			socket.Close()
+		case <-stop:
+		}
+	})
+	p.runInLoop(func() {
+		if p.listener == listener {
+			p.conns[conn] = struct{}{}
+		} else {
+			conn.reset()
+		}
+	})
+	p.goroutines.Go(conn.writeQueue)
+	defer func() {
+		conn.closeQueue()
+		p.runInLoop(func() { p.forgetConn(conn) })
+	}()
+	reader := bufio.NewReaderSize(socket, 16<<10)
+	for {
+		cmd, err := cacheproto.ReadCommand(reader)
+		if err != nil {
+			return
+		}
+		switch {
+		case cmd.Get != nil:
+			body := make([]byte, cmd.Get.Length)
+			if _, err := io.ReadFull(reader, body); err != nil {
+				return
+			}
+			if err := cacheproto.ReadBodyEnd(reader); err != nil {
+				return
+			}
+			p.runInLoop(func() { p.startAttempt(conn, cmd.Get, body) })
+		case cmd.DropID != "":
+			p.runInLoop(func() { p.cancelAttempt(conn, cmd.DropID) })
+		default:
+			conn.enqueue([]byte(cmd.PingID + " READY\r\n"))
+		}
+	}
+}
+
+// startAttempt hands a hop to the world.
+func (p *serverListener) startAttempt(conn *serverConn, get *cacheproto.GetCommand, body []byte) {
+	request := p.requests[get.ID]
+	if request == nil {
+		request = p.findForwarded(get.ID)
+	}
+	if request == nil && p.config.Guests {
+		request = p.admitGuest(get)
+	}
+	if request == nil { // its client has just left, or the id is none of ours
+		conn.enqueue(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}))
+		conn.enqueue([]byte("\r\n"))
+		return
+	}
+	attempt := &serverAttempt{conn: conn, requestID: get.ID, number: request.attempts, body: body}
+	request.attempts++
+	conn.attempts[get.ID] = attempt
+	p.world.Hop(&simulation.Hop{
+		Router: p.id, Txn: get.ID, N: attempt.number, Server: p.serverID, Source: get.Source, Rank: get.Priority, FillMode: get.FillMode,
+		Within: get.MaxAgeMillis * 1000, Rule: request.Rule, Object: request.Object, Part: request.Part, Group: request.Group, SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
+	})
+}
+
+// admitGuest makes a txn of somebody else's request, such as a person's by curl. The
+// record has it as given up when its time is over.
+func (p *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
+	class, group, sizeKB, known := p.world.Object(get.Object, get.Part)
+	if !known || p.world.RuleOf(class).Name != get.Class {
+		return nil
+	}
+	ask := &simulation.Ask{Router: p.id, Txn: get.ID, Rule: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB}
+	request := &clientRequest{Ask: ask, cancel: func() {}}
+	p.requests[get.ID] = request
+	now := p.world.Now()
+	p.Note(&eventlog.Entry{
+		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: get.ID, Class: get.Class, Object: get.Object, Group: group,
+		Deadline: now + get.BudgetMillis*1000,
+	})
+	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
+		p.runInLoop(func() {
+			if p.requests[get.ID] == request {
+				delete(p.requests, get.ID)
+				p.Note(&eventlog.Entry{Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: get.ID, Outcome: "aborted"})
+			}
+		})
+	})
+	return request
+}
+
+func (p *serverListener) cancelAttempt(conn *serverConn, requestID string) {
+	if attempt := conn.attempts[requestID]; attempt != nil {
+		delete(conn.attempts, requestID)
+		p.world.Cancel(p.id, requestID, attempt.number)
+	}
+}
+
+// forgetConn gives up all that is open on a connection that has ended.
+func (p *serverListener) forgetConn(conn *serverConn) {
+	delete(p.conns, conn)
+	for requestID := range conn.attempts {
+		p.cancelAttempt(conn, requestID)
+	}
+}
--- /dev/null
+++ b/internal/emulator/rollout_canary.go
@@ -0,0 +1,56 @@
+package emulator
+
+import (
+	"quilldoor/internal/engine"
+	"quilldoor/internal/invariant"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/simulation"
+)
+
+// routerMonitor is a router's witness, and what it has gathered.
+type routerMonitor struct {
+	monitor   *invariant.Monitor
+	recorder  *invariant.Recorder
+	processID uint64
+	accused   bool
+}
+
+func (r *rolloutRun) endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint) {
+	entries := make([]policy.Endpoint, len(list))
+	for i, endpoint := range list {
+		entries[i] = endpoint.Endpoint
+	}
+	r.monitors[router].monitor.EndpointsChanged(now, complete, entries)
+}
+
+func (r *rolloutRun) purged(router int, now int64, object string, group, at int64) {
+	r.monitors[router].monitor.Purged(now, object, group, at)
+}
+
+func (r *rolloutRun) attemptSent(router int, class string, attempt *engine.Attempt) {
+	r.monitors[router].recorder.RecordAttempt(attempt.DecidedAt, attempt.Endpoint.ID, attempt.Source, class, attempt.Unsafe)
+}
+
+func (r *rolloutRun) responded(router int, ask *simulation.Ask, attempt *engine.Attempt, issued int64) {
+	class := r.world.RuleOf(ask.Rule)
+	if class.Write {
+		return
+	}
+	kbPerMicro := r.scenario.Fleet.FlowKBPerS / 1e6
+	r.monitors[router].recorder.RecordResponse(class.Name, ask.Object, ask.Group, attempt.DecidedAt, issued+epochMicros, ask.SizeKB/kbPerMicro)
+}
+
+// observe lets a router's witness judge; each change is another process.
+func (r *rolloutRun) observe(now int64, i int) invariant.Violations {
+	monitor, state := r.monitors[i], &r.states[i]
+	if processID := state.runID<<1 | uint64(map[bool]int{true: 1}[r.servesNew(i)]); processID != monitor.processID {
+		monitor.monitor.ProcessEnded(monitor.processID)
+		monitor.processID = processID
+		monitor.recorder.Take()
+	}
+	monitor.monitor.Observe(now+epochMicros, monitor.processID, monitor.recorder.Take())
+	monitor.monitor.Tick(now + epochMicros)
+	violations := monitor.monitor.Violations(monitor.processID)
+	monitor.accused = monitor.accused || violations.Rules != 0
+	return violations
+}
--- /dev/null
+++ b/internal/emulator/timer_heap.go
@@ -0,0 +1,30 @@
+package emulator
+
+// timerHeap orders routers by their next timer, and by their number where timers are equal.
+// It implements heap.Interface.
+type timerHeap []*virtualRouter
+
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].nextTimer < h[j].nextTimer || h[i].nextTimer == h[j].nextTimer && h[i].id < h[j].id
+}
+
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+func (h *timerHeap) Push(x any) {
+	x.(*virtualRouter).heapIndex = len(*h)
+	*h = append(*h, x.(*virtualRouter))
+}
+
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	x.heapIndex = -1
+	return x
+}
