--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -113,7 +113,7 @@
 // setKilledShare sets the share of the routers that the first router_dies kills.
 func setKilledShare(s *scenario.Scenario, share float64) {
 	for i := range s.Faults {
-		if s.Faults[i].Kind == "router_dies" {
+		if s.Faults[i].Kind == scenario.KindRouterDeath {
 			s.Faults[i].Share = share
 			return
 		}
--- a/internal/faultsearch/draw.go
+++ b/internal/faultsearch/draw.go
@@ -116,8 +116,8 @@
 		kinds = scenario.FaultNames()
 	}
 	return slices.DeleteFunc(slices.Clone(kinds), func(kind string) bool {
-		needsMembership := strings.HasPrefix(kind, "ways_")
-		needsSites := kind == "site_cut"
+		needsMembership := strings.HasPrefix(kind, scenario.PeerKindPrefix)
+		needsSites := kind == scenario.KindSiteCut
 		return needsMembership && !f.Membership || needsSites && f.Sites < 2
 	})
 }
@@ -130,19 +130,20 @@
 	fault.For = logUniform(random, 0.2, 9)
 	fault.Share = choose(random, 1, logUniform(random, 0.05, 1))
 	switch kind.Scope {
-	case "":
+	case scenario.ScopeAll:
 		fault.Share = logUniform(random, 0.02, 1)
-	case "office", "caches", "routers":
+	case scenario.ScopeOffice, scenario.ScopeCaches, scenario.ScopeRouters:
 		if random.IntN(2) == 0 {
 			fault.Office = 1 + random.IntN(s.Fleet.Offices)
 		}
-	case "trunk":
+	case scenario.ScopeTrunk:
 		fault.Trunk = 1 + random.IntN(s.Fleet.Trunks)
 	}
 	switch name {
-	case "spoilt", "resets", "ledger_resets", "endless", "errors": // the share is of all responses
+	case scenario.KindResponseCorrupt, scenario.KindResponseReset, scenario.KindOriginReset,
+		scenario.KindResponseEndless, scenario.KindResponseError: // the share is of all responses
 		fault.Share = logUniform(random, 0.005, 0.3)
-	case "ways_camps":
+	case scenario.KindPeerPartition:
 		fault.Strength = choose(random, 2, 3.0)
 	}
 	if kind.Strength != 0 && fault.Strength == 0 {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/policy"
 )
 
-func TestFaultsAreNamedByKeyAndLine(t *testing.T) {
+func TestParseErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"length_s: 0\n":          "f:1: length_s: 0 is not within",
 		"settle_s: 50\n":         "f:1: settle_s",
@@ -33,25 +33,29 @@
 	}
 	for _, name := range FaultNames() {
 		s, err := Parse("f", []byte("troubles:\n- {kind: "+name+", at: 1, for: 2}\n"))
-		if k := FaultKinds[name]; err != nil || s.Faults[0].Strength != k.Strength || k.Recurring && s.Faults[0].Every == 0 {
+		kind := FaultKinds[name]
+		if err != nil || s.Faults[0].Strength != kind.Strength || kind.Recurring && s.Faults[0].Every == 0 {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 	}
 }
 
-// What a script asks for is what routers are told.
-func TestSettingsAreTheScripts(t *testing.T) {
+func TestSettingsFollowTheScenario(t *testing.T) {
 	s := Default()
 	s.Load.PageFreshS = 12
 	set := s.Settings(2, 2)
-	l := set.PolicySettings()
-	if l.Zone != "office-3" || len(l.Zones) != 3 || l.Routers != 3 || l.Hierarchy.OriginKind != 2 || l.Hierarchy.ParentKind != 1 {
-		t.Fatalf("%+v", l)
+	got := set.PolicySettings()
+	if got.Zone != "office-3" || len(got.Zones) != 3 || got.Routers != 3 ||
+		got.Hierarchy.OriginKind != 2 || got.Hierarchy.ParentKind != 1 {
+		t.Fatalf("%+v", got)
 	}
-	if r := l.Classes[ClassPage]; r.FreshFor != 12_000_000 || r.StaleGrace != 12_000_000 || l.Classes[ClassAccept].Effect != policy.EffectUnsafe || !l.Classes[ClassAccept].Write {
-		t.Fatalf("%+v", l.Classes)
+	page, accept := got.Classes[ClassPage], got.Classes[ClassAccept]
+	if page.FreshFor != 12_000_000 || page.StaleGrace != 12_000_000 ||
+		accept.Effect != policy.EffectUnsafe || !accept.Write {
+		t.Fatalf("%+v", got.Classes)
 	}
-	if l.Contract.SlowStartFrom != s.Fleet.SlowStartFrom || l.Contract.OverloadMultiple != s.Fleet.OverloadMultiple || l.Hierarchy.ParentSlowStartFrom != s.Fleet.ParentSlowStartFrom {
-		t.Fatalf("%+v", l.Contract)
+	if got.Contract.SlowStartFrom != s.Fleet.SlowStartFrom || got.Contract.OverloadMultiple != s.Fleet.OverloadMultiple ||
+		got.Hierarchy.ParentSlowStartFrom != s.Fleet.ParentSlowStartFrom {
+		t.Fatalf("%+v", got.Contract)
 	}
 }
--- /dev/null
+++ b/internal/scenario/settings.go
@@ -0,0 +1,177 @@
+package scenario
+
+import (
+	"cmp"
+	"slices"
+
+	"quilldoor/internal/policy"
+	"quilldoor/internal/settings"
+)
+
+// Traffic classes of the emulated deployment, as indices into the settings' classes.
+const (
+	ClassVideo = iota
+	ClassPage
+	ClassAccept
+	classCount
+)
+
+// trafficClass is what the settings say of a class.
+type trafficClass struct {
+	name           string
+	effect         string
+	objectiveMS    float64 // latency objective
+	deadlineMS     float64
+	stretch        float64 // multiple of the transfer time by which the objective grows
+	priorityWeight float64
+	lateShare      float64 // of the weight, for a response after the objective
+	staleShare     float64 // of the weight, for a stale response
+	multipart      bool
+	writesThrough  bool
+}
+
+var trafficClasses = [classCount]trafficClass{
+	ClassVideo: {
+		name: "demo-video", effect: "safe", objectiveMS: 600, deadlineMS: 5000, stretch: 2,
+		priorityWeight: 2, lateShare: 0.2, staleShare: 0.5, multipart: true,
+	},
+	ClassPage: {
+		name: "quote-page", effect: "safe", objectiveMS: 300, deadlineMS: 2500, stretch: 2,
+		priorityWeight: 1, lateShare: 0.2, staleShare: 0.5,
+	},
+	ClassAccept: {
+		name: "quote-accept", effect: "unsafe", objectiveMS: 600, deadlineMS: 3000, stretch: 1,
+		priorityWeight: 6, lateShare: 0.3, writesThrough: true,
+	},
+}
+
+// Kinds of endpoints, as indices into the settings' kinds.
+const (
+	endpointCache = iota
+	endpointParent
+	endpointOrigin
+)
+
+// endpointKinds are the names of the kinds in the settings.
+var endpointKinds = []string{endpointCache: "box", endpointParent: "hub", endpointOrigin: "ledger"}
+
+const (
+	// untilPurgedMS is how the settings say that an object is fresh until it is purged: a day.
+	untilPurgedMS = 24 * 3600 * 1000
+
+	linkPrice          = 0.02
+	originOverloadMS   = 3000
+	answerSlackMS      = 8
+	maxAttempts        = 6
+	streamsPerConn     = 32
+	maxRetryAfterMS    = 500
+	connectTimeoutMS   = 400
+	connIdleTimeoutMS  = 15_000
+	loadReportEncoding = "inline"
+)
+
+// Settings are the platform's settings for a router of an office. The rank is the router's number
+// among all routers of the fleet.
+func (s *Scenario) Settings(office, rank int) settings.Setup {
+	var set settings.Setup
+	set.Rank = rank
+	set.Siblings = s.Fleet.Offices * s.Fleet.Routers
+	set.Zone = Zone(office)
+	set.Kinds = slices.Clone(endpointKinds)
+	set.Discovery = "push"
+	set.WeightKind = "rough"
+	set.Callers.MarksRetry = true
+	set.LoadReport.Fields = []string{"util", "x0", "x1"}
+	set.LoadReport.How = loadReportEncoding
+	s.setZones(&set)
+	s.setClasses(&set)
+	s.setHierarchy(&set)
+	s.setContract(&set)
+	s.setLimits(&set)
+	return set
+}
+
+// Classes are the traffic classes as the policy gets them.
+func (s *Scenario) Classes() []policy.TrafficClass {
+	set := s.Settings(0, 0)
+	return set.PolicySettings().Classes
+}
+
+func (s *Scenario) setZones(set *settings.Setup) {
+	f, family := &s.Fleet, &set.FamilyInfo
+	for office := range f.Offices {
+		set.Zones = append(set.Zones, Zone(office))
+		family.HubByZone = append(family.HubByZone, f.Trunk(office))
+		family.ZoneBalancers = append(family.ZoneBalancers, f.Routers)
+		family.FeedKbPerS = append(family.FeedKbPerS, f.OfficeLinkKBPerS())
+	}
+}
+
+func (s *Scenario) setClasses(set *settings.Setup) {
+	family := &set.FamilyInfo
+	for _, class := range trafficClasses {
+		set.Classes = append(set.Classes, settings.Class{
+			Name:       class.name,
+			Effect:     class.effect,
+			TargetMs:   class.objectiveMS,
+			GiveUpMs:   class.deadlineMS,
+			AimStretch: class.stretch,
+			LateShare:  class.lateShare,
+			Value:      class.priorityWeight,
+		})
+		family.WorthWhenOld = append(family.WorthWhenOld, class.staleShare)
+		family.GoesThrough = append(family.GoesThrough, class.writesThrough)
+		family.MultiPart = append(family.MultiPart, class.multipart)
+	}
+	pageFreshMS := s.Load.PageFreshS * 1000
+	family.GoodForMs = []float64{untilPurgedMS, cmp.Or(pageFreshMS, untilPurgedMS), 0}
+	family.ClassGraceMs = []float64{0, 0, 0}
+	if s.Load.PageFreshS > 0 {
+		family.ClassGraceMs[ClassPage] = pageFreshMS
+	}
+}
+
+// setHierarchy sets what is known of parents and the origin, and of purges.
+func (s *Scenario) setHierarchy(set *settings.Setup) {
+	f, family := &s.Fleet, &set.FamilyInfo
+	family.BypassAllowed = true
+	family.MasterKind = endpointOrigin
+	if f.Parents > 0 {
+		parent := endpointParent
+		family.SecondTierKind = &parent
+	}
+	family.ClearedWithinMs = f.PurgeCompleteMS
+	family.PurgeGraceMs = f.PurgeGraceMS
+	family.FlowKbPerS = f.FlowKBPerS
+	family.LinkPrice = linkPrice
+	family.NotesGiven = "all"
+	family.Sideways = "none"
+	family.OriginFallMs = originOverloadMS
+	family.OriginFallMultiple = f.OriginStopMultiple
+	family.ParentColdFrom = f.ParentSlowStartFrom
+	family.ParentRampMs = f.ParentSlowStartS * 1000
+	family.UpperFallMultiple = f.OverloadMultiple
+}
+
+func (s *Scenario) setContract(set *settings.Setup) {
+	f, contract := &s.Fleet, &set.Contract
+	contract.AnswerSlackMs = answerSlackMS
+	contract.DrainGraceMs = f.DrainGraceMS
+	contract.ColdFrom = f.SlowStartFrom
+	contract.ColdMs = f.SlowStartS * 1000
+	contract.FallMs = f.OverloadMS
+	contract.FallMultiple = f.OverloadMultiple
+}
+
+func (s *Scenario) setLimits(set *settings.Setup) {
+	limits := &set.Limits
+	limits.PeerMessages = s.Fleet.Membership
+	limits.Cancel = true
+	limits.RetryAfter = true
+	limits.SecondCopies = s.Fleet.Hedging
+	limits.MostTries = maxAttempts
+	limits.StreamsPerConn = streamsPerConn
+	limits.MaxRetryAfterMs = maxRetryAfterMS
+	limits.ConnectTimeoutMs = connectTimeoutMS
+	limits.ConnIdleMs = connIdleTimeoutMS
+}
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,10 +1,9 @@
-// Package scenarios holds the library of scripted incidents.
+// Package scenarios is the library of scenarios, embedded in the programs that play them.
 package scenarios
 
 import (
 	"embed"
 	"fmt"
-	"io/fs"
 	"os"
 	"strings"
 
@@ -14,24 +13,30 @@
 //go:embed *.yaml
 var files embed.FS
 
-// Names are those of the library, in order.
-func Names() (names []string) {
-	list, _ := fs.Glob(files, "*.yaml")
-	for _, n := range list {
-		names = append(names, strings.TrimSuffix(n, ".yaml"))
+const extension = ".yaml"
+
+// Names returns the names of the library's scenarios in order.
+func Names() []string {
+	entries, err := files.ReadDir(".")
+	if err != nil {
+		panic(err) // the root of an embedded file system can be read
+	}
+	var names []string
+	for _, entry := range entries {
+		names = append(names, strings.TrimSuffix(entry.Name(), extension))
 	}
 	return names
 }
 
-// Load reads a rehearsal of the library by its name, or a file.
+// Load parses a scenario of the library by its name or, if there is none, the file of that path.
 func Load(name string) (*scenario.Scenario, error) {
-	text, err := files.ReadFile(name + ".yaml")
+	text, err := files.ReadFile(name + extension)
 	if err == nil {
 		return scenario.Parse(name, text)
 	}
 	text, err = os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("%s is no rehearsal of the library, and: %w", name, err)
+		return nil, fmt.Errorf("%s is not in the library, and: %w", name, err)
 	}
 	return scenario.Parse(name, text)
 }
