--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -83,7 +83,9 @@
 func printWelcome(to io.Writer, s *scenario.Scenario, addresses []string) {
 	const page = "o1" // objects with even numbers are videos
 	_, group, _, _ := simulation.New(s, s.Seed, nil).Object(page, 0)
-	fmt.Fprintf(to, "A router serves at %s, before %d caches, their parents and an origin, all emulated. Send it a request:\n\n"+
-		"  curl -si -H 'X-Txn: 00000000000000aa' -H 'X-Ttl-Ms: 2500' -H 'X-Shard: %d' http://%s/rpc/quote-page/%s | head -c 300\n\n"+
+	fmt.Fprintf(to, "A router serves at %s, before %d caches, their parents and an origin, all emulated. "+
+		"Send it a request:\n\n"+
+		"  curl -si -H 'X-Txn: 00000000000000aa' -H 'X-Ttl-Ms: 2500' -H 'X-Shard: %d' "+
+		"http://%s/rpc/quote-page/%s | head -c 300\n\n"+
 		"Interrupt to end.\n", addresses[0], s.Fleet.Offices*s.Fleet.Caches, group, addresses[0], page)
 }
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -100,7 +100,9 @@
 }
 
 // reduce shrinks the first scenarios of each kind of violation.
-func (o *huntOptions) reduce(ctx context.Context, byViolation map[string][]*faultsearch.Finding) ([]*faultsearch.Finding, error) {
+func (o *huntOptions) reduce(
+	ctx context.Context, byViolation map[string][]*faultsearch.Finding,
+) ([]*faultsearch.Finding, error) {
 	var chosen []*faultsearch.Finding
 	for _, violation := range slices.Sorted(maps.Keys(byViolation)) {
 		findings := byViolation[violation]
--- a/cmd/quilldoor-lab/membership.go
+++ b/cmd/quilldoor-lab/membership.go
@@ -60,7 +60,8 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
 	fmt.Fprintln(table, "routers\tdetector\tdeath detected ms: p50\tp99\tmissed\thalf dead ms\trejoined ms\t"+
-		"partition detected ms\tconverged ms\tbaseline B/s\tafter healing\tunder stress: suspected\tdeclared dead\tsent B/s\treceived\t")
+		"partition detected ms\tconverged ms\tbaseline B/s\tafter healing\t"+
+		"under stress: suspected\tdeclared dead\tsent B/s\treceived\t")
 	for _, routers := range o.sizes {
 		for _, detector := range detectors {
 			if o.detectors != detector.name && o.detectors != "swim,beats" {
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -84,7 +84,10 @@
 	return fmt.Sprintf("%.4f\t%.4f\t%d\t%d", stat.Mean(f.earned, nil), slices.Min(f.earned), f.violations, f.overloaded)
 }
 
-func playSeeds(ctx context.Context, name string, killedShare float64, seeds int, membership bool) (*seedFigures, error) {
+// playSeeds plays a scenario once with each seed, on all cores but one.
+func playSeeds(
+	ctx context.Context, name string, killedShare float64, seeds int, membership bool,
+) (*seedFigures, error) {
 	results := make([]*emulator.Result, seeds)
 	err := parallel(seeds, runtime.NumCPU()-1, func(i int) error {
 		s, err := scenarios.Load(name)
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -80,7 +80,9 @@
 }
 
 // playRow plays a run, writes a line of the table and returns the share of the weight earned.
-func (o *rolloutCostOptions) playRow(ctx context.Context, to io.Writer, seed uint64, name string, rolls bool) (float64, error) {
+func (o *rolloutCostOptions) playRow(
+	ctx context.Context, to io.Writer, seed uint64, name string, rolls bool,
+) (float64, error) {
 	r, took, err := o.play(ctx, seed, rolls)
 	if err != nil {
 		return 0, fmt.Errorf("%s, seed %d: %w", name, seed, err)
@@ -91,7 +93,9 @@
 }
 
 // play plays one run, again if it was undecided, and returns how long the rollout took.
-func (o *rolloutCostOptions) play(ctx context.Context, seed uint64, rolls bool) (*emulator.Result, time.Duration, error) {
+func (o *rolloutCostOptions) play(
+	ctx context.Context, seed uint64, rolls bool,
+) (*emulator.Result, time.Duration, error) {
 	for range rolloutCostTries {
 		s, err := scenario.Parse("rollout", fmt.Appendf(nil, rolloutCostScenario, o.lengthS, o.requestsPerS))
 		if err != nil {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -23,7 +23,7 @@
 
 	// Network.
 	FlowKBPerS float64 `yaml:"flow_kb_per_s"` // to a client, from a core
-	LinkShare  float64 `yaml:"link_share"`    // an office's link in, as a share of what its caches send at full load
+	LinkShare  float64 `yaml:"link_share"`    // capacity of an office's link in; 1: what its caches send at full load
 	FillSpeed  float64 `yaml:"fill_speed"`    // of a fill from the office's own trunk, as a multiple of FlowKBPerS
 	LocalMS    float64 `yaml:"home_ms"`       // round trip within an office
 	TrunkMS    float64 `yaml:"trunk_ms"`      // round trip to the office's own trunk
@@ -31,7 +31,7 @@
 	ClientMS   float64 `yaml:"client_ms"`     // round trip between a client and its router
 
 	// Parents.
-	ParentLink       float64 `yaml:"parent_link"`  // a parent's link out, as a share of the links into its offices
+	ParentLink       float64 `yaml:"parent_link"`  // capacity of a parent's link out; 1: of the links into its offices
 	ParentCacheShare float64 `yaml:"parent_keeps"` // of the catalogue
 	ParentCoalesces  bool    `yaml:"parent_joins"` // concurrent requests for an object share one fill
 
@@ -40,7 +40,7 @@
 	OriginServiceMS    float64 `yaml:"ledger_ms"`
 	OriginLinkKBPerS   float64 `yaml:"ledger_link_kb_per_s"` // 0: the sum of the offices' links
 	OriginRejectShare  float64 `yaml:"ledger_refuse"`        // it rejects when this share of its slots is taken
-	OriginStopMultiple float64 `yaml:"ledger_stops"`         // it stops if arrivals in three seconds exceed this multiple of its capacity
+	OriginStopMultiple float64 `yaml:"ledger_stops"`         // it stops if arrivals of 3 s exceed this multiple of its capacity
 	OriginStopS        float64 `yaml:"ledger_stop_s"`        // how long it stops
 
 	// Slow start, and collapse under overload during it.
