--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -22,7 +22,7 @@
 // Acquire takes the place of another generation, or begins from nothing where state is
 // nil. With own the state is this process's, which gets its place back; with
 // holdSlowStart the earlier process may have spent this router's slow-start budgets.
-func (g *generation) Acquire(state *handoff.State, own, holdSlowStart bool) error {
+func (g *generation) Acquire(state *handoff.State, own, budgetsMaybeSpent bool) error {
 	g.stopWatching()
 	defer g.watchDiscovery(g.ctx)
 	if state == nil {
@@ -32,13 +32,13 @@
 		state.Membership.Reclaim()
 	}
 	g.slowStartHoldUntil = 0
-	if holdSlowStart {
+	if budgetsMaybeSpent {
 		g.slowStartHoldUntil = clock() + g.policy.Contract.OverloadWindow
 	}
 	if err := g.openExclusive(state.Membership); err != nil {
 		return err
 	}
-	g.watcher.Resume(state.Revision, handedEndpoints(state.Servers))
+	g.watcher.Resume(state.Revision, handedEndpoints(state.Endpoints))
 	if g.gatewayHost != nil {
 		for _, purge := range state.Purges {
 			g.gatewayHost.purges.add(purge.Object, purge.Group, purge.At)
@@ -81,26 +81,26 @@
 	state.Membership = g.handOffExclusive()
 	revision, list := g.watcher.Snapshot()
 	state.Revision = revision
-	state.Servers = endpointsToHand(list)
+	state.Endpoints = endpointsToHand(list)
 	return state
 }
 
-func handedEndpoints(list []handoff.Server) []engine.Endpoint {
+func handedEndpoints(list []handoff.Endpoint) []engine.Endpoint {
 	endpoints := make([]engine.Endpoint, len(list))
 	for i, s := range list {
-		endpoints[i] = engine.Endpoint{Address: s.Endpoint, Endpoint: policy.Endpoint{
-			ID: s.Server, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
+		endpoints[i] = engine.Endpoint{Address: s.Address, Endpoint: policy.Endpoint{
+			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
 			State: s.State, Weight: s.Weight, StartedAt: s.Born,
 		}}
 	}
 	return endpoints
 }
 
-func endpointsToHand(list []engine.Endpoint) (servers []handoff.Server) {
+func endpointsToHand(list []engine.Endpoint) (servers []handoff.Endpoint) {
 	for _, endpoint := range list {
-		servers = append(servers, handoff.Server{
-			Server: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell, State: endpoint.State,
-			Weight: endpoint.Weight, Born: endpoint.StartedAt, Endpoint: endpoint.Address,
+		servers = append(servers, handoff.Endpoint{
+			ID: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell, State: endpoint.State,
+			Weight: endpoint.Weight, Born: endpoint.StartedAt, Address: endpoint.Address,
 		})
 	}
 	return servers
@@ -118,7 +118,7 @@
 
 // SetOtherAttempts takes the attempts that the other generation has in flight, by
 // endpoint and kind: concurrency limits are for both together.
-func (g *generation) SetOtherAttempts(inFlight map[string][3]float64) {
+func (g *generation) SetOtherAttempts(inFlight map[string]policy.AttemptCounts) {
 	g.engine.SetOtherGeneration(clock(), inFlight)
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -71,7 +71,7 @@
 	scope := policy.ScopeDiff
 	switch {
 	case !w.listed:
-		scope = policy.ScopeDisk
+		scope = policy.ScopeInitial
 	case change.Whole:
 		scope = policy.ScopeSnapshot
 	}
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// discardRest ends the reading of a request's mailbox.
+// discardRest ends the reading of a request's command queue.
 func discardRest(open *engine.Request) {
 	for _, command := range open.Detach() {
 		discard(command)
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -70,7 +70,7 @@
 		r.replica = gossip.New(gossip.Settings{PurgeRetention: int64(v.scenario.Fleet.PurgeCompleteMS*1000) + maxRequestMicros})
 		r.engine.HoldSlowStart(v.now(), v.now()+settings.Contract.OverloadWindow)
 	}
-	r.engine.UpdateEndpoints(v.now(), policy.ScopeDisk, v.mergeEndpoints(r, true, routerEndpoints(known)))
+	r.engine.UpdateEndpoints(v.now(), policy.ScopeInitial, v.mergeEndpoints(r, true, routerEndpoints(known)))
 	v.runTimers(r)
 }
 
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -43,33 +43,33 @@
 // Response is what a request is answered with; the engine only hands it on.
 type Response interface{ Release() }
 
-// post puts a command into the request's mailbox, or leaves it to the caller of
-// Run once nobody reads the mailbox.
+// post puts a command into the request's command queue, or leaves it to the caller of
+// Run once nobody reads the command queue.
 func (r *Request) post(command Command) {
 	if r.wake == nil {
 		r.engine.postBackground(command)
 		return
 	}
-	r.mailbox = append(r.mailbox, command)
+	r.commandQueue = append(r.commandQueue, command)
 	r.wake()
 }
 
-// TakeCommands empties the mailbox.
+// TakeCommands empties the command queue.
 func (r *Request) TakeCommands() []Command {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
-	commands := r.mailbox
-	r.mailbox = nil
+	commands := r.commandQueue
+	r.commandQueue = nil
 	return commands
 }
 
-// Detach says that the mailbox is read no more: wake is not called again, and
+// Detach says that the command queue is read no more: wake is not called again, and
 // later commands become background commands. It returns what is left.
 func (r *Request) Detach() []Command {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
-	commands := r.mailbox
-	r.mailbox = nil
+	commands := r.commandQueue
+	r.commandQueue = nil
 	r.wake = nil
 	return commands
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -5,11 +5,11 @@
 //
 // # Flow
 //
-// Downstream opens a Request and reads its mailbox of Commands in order.
+// Downstream opens a Request and reads its queue of Commands in order.
 // Upstream carries out attempts and reports each with AttemptEnded. Discovery,
 // health checks and peers report through the other methods of Engine. Each of
 // them becomes a policy.Event; the policy.Actions that follow become Commands.
-// A Command that belongs to no request, or to one whose mailbox is no longer
+// A Command that belongs to no request, or to one whose queue is no longer
 // read, is a background command: Run hands it to its caller.
 //
 // # Locking
@@ -24,7 +24,7 @@
 //   - Attempt.state is atomic. Begin and Withdraw exclude each other without
 //     the lock, so that upstream can claim an attempt at the moment of writing.
 //   - The other exported fields of an Attempt are constant once its CommandSend
-//     is in the mailbox. Transport is set by the reader of the mailbox before
+//     is in the queue. Transport is set by the reader of the queue before
 //     it sends the attempt, and read by the reader of its CommandDrop, which
 //     comes later.
 //
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -116,7 +116,7 @@
 }
 
 // InFlight returns how many attempts are in flight, by endpoint and kind.
-func (e *Engine) InFlight() map[string][3]float64 {
+func (e *Engine) InFlight() map[string]policy.AttemptCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.policy.InFlight()
@@ -124,7 +124,7 @@
 
 // SetOtherGeneration takes the attempts that the other generation of this router
 // has in flight.
-func (e *Engine) SetOtherGeneration(now int64, inFlight map[string][3]float64) {
+func (e *Engine) SetOtherGeneration(now int64, inFlight map[string]policy.AttemptCounts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.handle(now, policy.Event{Kind: policy.EventOtherGeneration, InFlight: inFlight})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -32,7 +32,7 @@
 		change(&set)
 	}
 	e := &testEngine{Engine: New(&set, 1, func() {})}
-	e.UpdateEndpoints(start, policy.ScopeDisk, []Endpoint{
+	e.UpdateEndpoints(start, policy.ScopeInitial, []Endpoint{
 		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "a:1"},
 		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "b:1"},
 		{Endpoint: policy.Endpoint{ID: "o", Zone: "z", Kind: "origin", State: policy.EndpointActive, Weight: 1}, Address: "o:1"},
@@ -52,7 +52,7 @@
 	return request
 }
 
-// next returns the one command in the mailbox, and fails the test if it is of
+// next returns the one command in the command queue, and fails the test if it is of
 // another kind.
 func next(t *testing.T, request *Request, kind CommandKind) Command {
 	t.Helper()
@@ -189,7 +189,7 @@
 	}
 }
 
-// Commands that came once nobody read the mailbox were once lost.
+// Commands that came once nobody read the command queue were once lost.
 func TestCommandsAfterDetachAreBackground(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request := e.open(t, "read")
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -23,13 +23,13 @@
 	attempts        []*Attempt
 	pendingAttempts int  // attempts that have not ended
 	maybeExecuted   bool // an attempt that ended may have run
-	mailbox         []Command
-	wake            func() // nil once nobody reads the mailbox
+	commandQueue    []Command
+	wake            func() // nil once nobody reads the command queue
 }
 
 // Open takes a request; event holds what the client sent, with Remaining, the
 // microseconds until its deadline. Wake is called, with the lock held, when the
-// mailbox has something new. The error is ErrFull or ErrDuplicate.
+// command queue has something new. The error is ErrFull or ErrDuplicate.
 func (e *Engine) Open(now int64, event policy.Event, wake func()) (*Request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -34,10 +34,10 @@
 	return &Message{
 		Kind: KindReleased, Format: Format, Generation: 9,
 		State: &State{
-			Revision: 10, Servers: []Server{{Server: "c1", Endpoint: "127.0.0.1:1", State: "active"}},
+			Revision: 10, Endpoints: []Endpoint{{ID: "c1", Address: "127.0.0.1:1", State: "active"}},
 			Learned: &learned, Membership: member, Purges: []Purge{{Object: "o", Group: 1, At: 2}},
 		},
-		Requests: upgrade.RequestCounts{Completed: 15}, OutstandingAttempts: map[string][3]float64{"c1": {1, 2, 3}},
+		Requests: upgrade.RequestCounts{Completed: 15}, OutstandingAttempts: map[string]policy.AttemptCounts{"c1": {1, 2, 3}},
 	}
 }
 
@@ -55,7 +55,7 @@
 	s := sample()
 	if m.Generation != s.Generation || m.State.Learned.Endpoints[0].CachedObjects[0] != 8 ||
 		m.State.Membership.Sequence != 14 || m.OutstandingAttempts["c1"] != s.OutstandingAttempts["c1"] ||
-		m.State.Purges[0] != s.State.Purges[0] || m.State.Servers[0] != s.State.Servers[0] {
+		m.State.Purges[0] != s.State.Purges[0] || m.State.Endpoints[0] != s.State.Endpoints[0] {
 		t.Errorf("%+v", m)
 	}
 	// Unknown keys are ignored, missing ones are zero.
--- a/internal/handoff/state.go
+++ b/internal/handoff/state.go
@@ -8,22 +8,22 @@
 // State is what a router process knows that its successor needs.
 type State struct {
 	Revision   int64                    `cbor:"1,keyasint,omitempty"` // of the endpoint list, as discovery counts
-	Servers    []Server                 `cbor:"2,keyasint,omitempty"`
+	Endpoints  []Endpoint               `cbor:"2,keyasint,omitempty"`
 	Learned    *policy.Snapshot         `cbor:"3,keyasint,omitempty"`
 	Membership *membership.HandoffState `cbor:"4,keyasint,omitempty"`
 	Purges     []Purge                  `cbor:"5,keyasint,omitempty"` // that gateways of other sites are still to be told
 }
 
-// Server is an entry of the endpoint list, in discovery's terms.
-type Server struct {
-	Server   string               `cbor:"1,keyasint"`
-	Zone     string               `cbor:"2,keyasint,omitempty"`
-	Kind     string               `cbor:"3,keyasint,omitempty"`
-	Cell     int                  `cbor:"4,keyasint,omitempty"`
-	State    policy.EndpointState `cbor:"5,keyasint"`
-	Weight   float64              `cbor:"6,keyasint,omitempty"`
-	Born     int64                `cbor:"7,keyasint,omitempty"`
-	Endpoint string               `cbor:"8,keyasint"` // address
+// Endpoint is an entry of the endpoint list, in discovery's terms.
+type Endpoint struct {
+	ID      string               `cbor:"1,keyasint"`
+	Zone    string               `cbor:"2,keyasint,omitempty"`
+	Kind    string               `cbor:"3,keyasint,omitempty"`
+	Cell    int                  `cbor:"4,keyasint,omitempty"`
+	State   policy.EndpointState `cbor:"5,keyasint"`
+	Weight  float64              `cbor:"6,keyasint,omitempty"`
+	Born    int64                `cbor:"7,keyasint,omitempty"` // when its process started, microseconds
+	Address string               `cbor:"8,keyasint"`
 }
 
 // Purge of an object, or of a group of objects.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,7 +7,7 @@
 
 const (
 	// suspicionBase and suspicionPerDoubling make the least suspicion timeout: time for a refutation to spread, which
-	// grows with the logarithm of the members, after a pause of half a second.
+	// grows with the logarithm of the members, after a pause of half a second and some.
 	suspicionBase        = 600 * millisecond
 	suspicionPerDoubling = 60 * millisecond
 	// suspicionMaxFactor is the longest timeout, while one member alone suspects, as a multiple of the least.
--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -6,18 +6,18 @@
 	r := newRouter(nil)
 	s := r.endpoints[cacheA]
 	for i := range maxCachedObjects {
-		if r.cachePriority(s, uint64(i)) != 2 {
+		if r.chooseCachePriority(s, uint64(i)) != 2 {
 			t.Fatal("not admitted although there is room")
 		}
 	}
-	if r.cachePriority(s, 1000) != 0 || len(s.cached) != maxCachedObjects {
+	if r.chooseCachePriority(s, 1000) != 0 || len(s.cached) != maxCachedObjects {
 		t.Fatal("admitted although its estimate is no higher than that of the least recent object")
 	}
 	recordSample(r.popularity, 1000)
-	if r.cachePriority(s, 1000) != 2 || s.cached[0] != 1 || s.cached[maxCachedObjects-1] != 1000 {
+	if r.chooseCachePriority(s, 1000) != 2 || s.cached[0] != 1 || s.cached[maxCachedObjects-1] != 1000 {
 		t.Fatal("not admitted although its estimate is higher than that of the least recent object")
 	}
-	if r.cachePriority(s, 5) != 2 || s.cached[maxCachedObjects-1] != 5 || len(s.cached) != maxCachedObjects {
+	if r.chooseCachePriority(s, 5) != 2 || s.cached[maxCachedObjects-1] != 5 || len(s.cached) != maxCachedObjects {
 		t.Fatal("an object that is kept does not become the most recent")
 	}
 }
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -10,6 +10,9 @@
 	attemptKinds                         // how many there are
 )
 
+// AttemptCounts holds numbers of attempts by their kind: fills, cache-only, parent-only.
+type AttemptCounts [attemptKinds]float64
+
 // attempt is one sending of a request to an endpoint.
 type attempt struct {
 	endpoint *endpoint
@@ -89,7 +92,7 @@
 // planFill says how a read's target shall fill, and whether it shall keep the copy.
 func (r *Router) planFill(req *request, p *plan) {
 	if p.target.role == roleCache && p.kind != attemptCacheOnly {
-		p.cachePriority = r.cachePriority(p.target, req.key)
+		p.cachePriority = r.chooseCachePriority(p.target, req.key)
 		if req.class.freshFor > 0 {
 			p.mode |= FillBackground
 		}
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -12,7 +12,7 @@
 	case ScopeError:
 		r.subscribeAt = r.now + fetchRetry
 		return
-	case ScopeDisk:
+	case ScopeInitial:
 		// An earlier run of the router may have used its share of slow-start budgets.
 		r.slowStartHoldUntil = max(r.slowStartHoldUntil, r.now+r.config.overloadWindow)
 		if r.config.pollDiscovery {
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -77,19 +77,19 @@
 	}
 }
 
+// maxBackoffDoublings bounds the exponent of the ejection time; its maximum is reached before.
+const maxBackoffDoublings = 8
+
 // eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted.
 func (r *Router) eject(ep *endpoint) {
 	const ejectionTime, maxEjectionTime = 1 * second, 4 * second
 	ep.fillSamples = nil
 	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
 	ep.healthDue = r.now + backoff
-	ep.ejections = min(ep.ejections+1, maxEjections)
+	ep.ejections = min(ep.ejections+1, maxBackoffDoublings)
 	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: ep.id, Backoff: backoff})
 }
 
-// maxEjections bounds the count from which the ejection time is shifted.
-const maxEjections = 8
-
 // checkHealth sends a health check where that is allowed; else the next attempt decides.
 func (r *Router) checkHealth(ep *endpoint) {
 	if r.config.healthChecks {
@@ -114,7 +114,7 @@
 
 // observeFill takes in whether a fill from a source came in time. A parent is ejected when half of its last fills
 // were late and that is twice the share of another source: a slow origin makes those of all late alike. Where
-// health checks are allowed a late fill brings one.
+// health checks are allowed a late fill brings one, as silence would.
 func (r *Router) observeFill(source *endpoint, timely bool) {
 	source.fillSamples = addSample(source.fillSamples, r.now, !timely)
 	if source.role != roleParent || timely {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -32,7 +32,7 @@
 	r := New(set, 1)
 	list := testEndpoints()
 	list[0].StartedAt, list[1].State = begin-second, EndpointGone
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDisk, Endpoints: list}, nil)
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeInitial, Endpoints: list}, nil)
 	if a := onlyAction(t, r.Handle(begin+second/2, newRequest("read"), nil), ActionSend); a.Endpoint == cacheA {
 		t.Error("a cache in slow start is sent to within the window")
 	}
--- a/internal/policy/slowstartsearch_test.go
+++ b/internal/policy/slowstartsearch_test.go
@@ -63,7 +63,7 @@
 	z.starts++
 	r := New(slowStartZoneSettings(), z.starts)
 	z.routers[i], z.stopped[i] = r, false
-	r.Handle(z.now, Event{Kind: EventEndpoints, Scope: ScopeDisk, Endpoints: []Endpoint{
+	r.Handle(z.now, Event{Kind: EventEndpoints, Scope: ScopeInitial, Endpoints: []Endpoint{
 		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: searchWeight, StartedAt: 10 * second},
 		{ID: "o", Zone: "z", Kind: "ledger", State: EndpointActive, Weight: 1},
 	}}, nil)
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -183,7 +183,7 @@
 		ep.health = h
 	}
 	ep.healthDue = from.DueAt
-	ep.ejections = min(max(from.Ejections, 0), maxEjections)
+	ep.ejections = min(max(from.Ejections, 0), maxBackoffDoublings)
 	ep.linkUse = from.LinkUse
 	ep.fillSamples = restoreSamples(from.SourceSamples)
 	ep.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
@@ -217,14 +217,14 @@
 func last[T any](list []T, most int) []T { return list[max(len(list)-most, 0):] }
 
 // InFlight returns the attempts in flight, by endpoint and kind. Those that pass the caches stand under "".
-func (r *Router) InFlight() map[string][attemptKinds]float64 {
-	out := map[string][attemptKinds]float64{}
+func (r *Router) InFlight() map[string]AttemptCounts {
+	out := map[string]AttemptCounts{}
 	add := func(id string, limiters *[attemptKinds]limiter) {
-		var counts [attemptKinds]float64
+		var counts AttemptCounts
 		for i := range limiters {
 			counts[i] = limiters[i].inFlight
 		}
-		if counts != [attemptKinds]float64{} {
+		if counts != (AttemptCounts{}) {
 			out[id] = counts
 		}
 	}
@@ -237,7 +237,7 @@
 
 // setOtherInFlight takes in the attempts that the other process of this router has in flight, while one takes the
 // other's place: the limits are for both together.
-func (r *Router) setOtherInFlight(counts map[string][attemptKinds]float64) {
+func (r *Router) setOtherInFlight(counts map[string]AttemptCounts) {
 	for i := range r.bypassLimiters {
 		r.bypassLimiters[i].otherInFlight = counts[""][i]
 	}
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -157,10 +157,10 @@
 	OriginWait int64              // how long the cache waited for the origin
 	Load       map[string]float64 // the endpoint's load report
 
-	Token     int64                            // of a timer
-	Age       int64                            // of a purge: how long ago it was made
-	InFlight  map[string][attemptKinds]float64 // of the other process: attempts by endpoint and kind
-	HoldUntil int64                            // until then endpoints in slow start get nothing
+	Token     int64                    // of a timer
+	Age       int64                    // of a purge: how long ago it was made
+	InFlight  map[string]AttemptCounts // of the other process: attempts by endpoint and kind
+	HoldUntil int64                    // until then endpoints in slow start get nothing
 }
 
 // UpdateScope says what an update of the endpoint list covers.
@@ -170,7 +170,7 @@
 const (
 	ScopeDiff     UpdateScope = "diff"     // the endpoints that changed
 	ScopeSnapshot UpdateScope = "snapshot" // all endpoints
-	ScopeDisk     UpdateScope = "disk"     // all endpoints, at the router's start
+	ScopeInitial  UpdateScope = "disk"     // all endpoints, at the router's start
 	ScopeError    UpdateScope = "error"    // none: the list could not be had
 )
 
--- a/internal/supervisor/messages.go
+++ b/internal/supervisor/messages.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"quilldoor/internal/handoff"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/upgrade"
 )
 
@@ -103,7 +104,7 @@
 	if !serves {
 		return
 	}
-	sum := map[string][3]float64{}
+	sum := map[string]policy.AttemptCounts{}
 	for _, other := range s.processes() {
 		if other == p {
 			continue
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"quilldoor/internal/handoff"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/upgrade"
 	"quilldoor/internal/upgradeagent"
 )
@@ -35,7 +36,7 @@
 	// What it has reported.
 	agentState          upgrade.AgentState
 	requests            upgrade.RequestCounts
-	outstandingAttempts map[string][3]float64 // by endpoint
+	outstandingAttempts map[string]policy.AttemptCounts // by endpoint
 	heardAt             time.Time
 
 	killAt time.Time // while it drains
--- a/internal/upgradeagent/agent.go
+++ b/internal/upgradeagent/agent.go
@@ -8,6 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"quilldoor/internal/handoff"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/upgrade"
 )
 
@@ -24,7 +25,7 @@
 	SetLimits(upgrade.Resources)
 	// SetOtherAttempts sets the attempts that other processes of this router have
 	// outstanding, by endpoint.
-	SetOtherAttempts(attempts map[string][3]float64)
+	SetOtherAttempts(attempts map[string]policy.AttemptCounts)
 	Reload()
 	// Heartbeat returns a message with Requests, OutstandingAttempts, OpenRequests and
 	// Activity.
--- a/internal/upgradeagent/agent_test.go
+++ b/internal/upgradeagent/agent_test.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"quilldoor/internal/handoff"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/upgrade"
 )
 
@@ -39,12 +40,12 @@
 	return h.known
 }
 
-func (h *fakeHost) SetLimits(upgrade.Resources)            {}
-func (h *fakeHost) SetOtherAttempts(map[string][3]float64) {}
-func (h *fakeHost) Reload()                                {}
-func (h *fakeHost) Heartbeat() *handoff.Message            { return new(handoff.Message) }
-func (h *fakeHost) Ready() bool                            { return true }
-func (h *fakeHost) SendToPeer(string, []byte)              {}
+func (h *fakeHost) SetLimits(upgrade.Resources)                      {}
+func (h *fakeHost) SetOtherAttempts(map[string]policy.AttemptCounts) {}
+func (h *fakeHost) Reload()                                          {}
+func (h *fakeHost) Heartbeat() *handoff.Message                      { return new(handoff.Message) }
+func (h *fakeHost) Ready() bool                                      { return true }
+func (h *fakeHost) SendToPeer(string, []byte)                        {}
 
 // newTestAgent returns an Agent as Inherit makes it, and the supervisor's end of its connection.
 func newTestAgent(t *testing.T, folder string) (*Agent, *handoff.Conn) {
