--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -256,7 +256,7 @@
 func (f *Fault) validateRanges(s *Scenario, kind FaultKind, key string) error {
 	switch {
 	case !(f.At >= 0 && f.At <= s.LengthS):
-		return yamlfile.Errorf(key+"at", "%g is not within the script's %g s", f.At, s.LengthS)
+		return yamlfile.Errorf(key+"at", "%g is not within the scenario's %g s", f.At, s.LengthS)
 	case !(f.For >= 0 && f.For <= maxFaultS):
 		return yamlfile.Errorf(key+"for", "%g is not within 0 and a day", f.For)
 	case !(f.Share >= 0 && f.Share <= 1):
