--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,87 +13,103 @@
 func Micros(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
 // Setup is the settings object. Its fields have the names of the object's keys; names that end in Ms are
-// milliseconds. Some are accepted for sites that give them and decide nothing.
+// milliseconds. Fields marked unused are accepted for sites that give them, and decide nothing.
 type Setup struct {
-	Rank, Siblings int      // index of this router, and how many there are
+	Rank           int      // index of this router; unused
+	Siblings       int      // how many routers there are
 	Zone           string   // of this router
 	Zones, Kinds   []string // of the site: zones, kinds of endpoints
 	Classes        []Class
-	Tenants        []struct {
-		Name      string
-		QuotaPerS float64
-		Portion   float64
+	Tenants        []Tenant // refused: requests on sockets name none
+	OverShareWorth float64  // unused
+	Callers        struct {
+		MarksRetry bool // unused
 	}
-	OverShareWorth float64
-	Callers        struct{ MarksRetry bool }
-	Discovery      string // push or ask
-	Contract       struct {
-		AnswerSlackMs float64 // past a request's time limit, for its answer
-		AskEveryMs    float64
-		ColdFrom      float64 // slow start of caches: the part of their capacity at the start ...
-		ColdMs        float64 // ... and the duration
-		DrainGraceMs  float64
-		FallMs        float64 // overload: the window ...
-		FallMultiple  float64 // ... and the multiple of the capacity that a cache bears in it
-	}
-	Limits struct {
-		Cancel           bool // attempts may be withdrawn
-		PeerMessages     bool // routers may talk to each other
-		Probes           bool // health checks are allowed
-		RetryAfter       bool // rejected clients may be sent Retry-After
-		SecondCopies     bool // hedged requests are allowed
-		MostTries        int  // attempts of a request
-		MaxOpen          int  // open requests
-		StreamsPerConn   int
-		MaxRetryAfterMs  float64
-		ConnectTimeoutMs float64
-		ConnIdleMs       float64
-	}
-	FamilyInfo struct {
-		BypassAllowed      bool      // requests may go past the caches
-		Collapses          bool      // caches coalesce fills
-		ClassGraceMs       []float64 // of each class: by which a stale copy may be older
-		GoodForMs          []float64 // of each class: freshness time
-		WorthWhenOld       []float64 // of each class: the part of its value for a stale copy
-		GoesThrough        []bool    // of each class: it is written through to the origin
-		MultiPart          []bool
-		ClearedWithinMs    float64 // within which a purge reaches all caches
-		PurgeGraceMs       float64
-		FeedKbPerS         []float64
-		FlowKbPerS         float64 // transfer rate of a request
-		LinkPrice          float64
-		HubByZone          []int
-		ZoneBalancers      []int // routers of each zone
-		MasterKind         int   // index of the origin's kind
-		SecondTierKind     *int  // index of the parents' kind; nil: there are none
-		NotesGiven         string
-		Sideways           string
-		OriginFallMs       float64
-		OriginFallMultiple float64
-		ParentColdFrom     float64 // slow start of parents
-		ParentRampMs       float64
-		UpperFallMultiple  float64 // overload of parents
-	}
-	LoadReport struct {
+	Discovery  string // push or ask
+	Contract   Contract
+	Limits     Limits
+	FamilyInfo FamilyInfo
+	LoadReport struct { // unused
 		Fields []string
 		How    string
 	}
-	WeightKind string
-	RoundMs    float64
+	WeightKind string  // what an endpoint's weight counts
+	RoundMs    float64 // unused
+}
+
+// Tenant is one of those who share the site.
+type Tenant struct {
+	Name      string
+	QuotaPerS float64 // requests
+	Portion   float64
+}
+
+// Contract is what the site's endpoints and clients are promised, and promise.
+type Contract struct {
+	AnswerSlackMs float64 // past a request's timeout, for its answer
+	AskEveryMs    float64 // unused
+	ColdFrom      float64 // slow start of caches: the part of their capacity at the start ...
+	ColdMs        float64 // ... and the duration
+	DrainGraceMs  float64 // after a drain was told, in which attempts may still begin
+	FallMs        float64 // overload: the window ...
+	FallMultiple  float64 // ... and the multiple of the capacity that a cache bears in it
+}
+
+// Limits say what a router may do.
+type Limits struct {
+	Cancel           bool    // attempts may be withdrawn
+	PeerMessages     bool    // routers may talk to each other
+	Probes           bool    // health checks are allowed
+	RetryAfter       bool    // rejected clients may be sent a time to wait
+	SecondCopies     bool    // hedged requests are allowed
+	MostTries        int     // attempts of a request
+	MaxOpen          int     // open requests
+	StreamsPerConn   int     // attempts at once on a connection to an endpoint
+	MaxRetryAfterMs  float64 // the time that rejected clients are told to wait
+	ConnectTimeoutMs float64
+	ConnIdleMs       float64 // after which endpoints close idle connections
+}
+
+// FamilyInfo describes the hierarchy of caches, and what its classes of objects are like. Lists for each class are
+// parallel to Classes.
+type FamilyInfo struct {
+	BypassAllowed      bool      // requests may go past the caches
+	Collapses          bool      // caches coalesce fills
+	ClassGraceMs       []float64 // of each class: by which a stale copy may be older
+	GoodForMs          []float64 // of each class: freshness time
+	WorthWhenOld       []float64 // of each class: the part of its value for a stale copy
+	GoesThrough        []bool    // of each class: it is written through to the origin
+	MultiPart          []bool    // unused
+	ClearedWithinMs    float64   // within which a purge reaches all caches; older ones have no effect
+	PurgeGraceMs       float64   // after a purge was told, in which older copies may be sent
+	FeedKbPerS         []float64 // unused
+	FlowKbPerS         float64   // transfer rate of a request
+	LinkPrice          float64   // unused
+	HubByZone          []int     // unused
+	ZoneBalancers      []int     // routers of each zone
+	MasterKind         int       // index of the origin's kind
+	SecondTierKind     *int      // index of the parents' kind; nil: there are none
+	NotesGiven         string    // the responses that give a reason
+	Sideways           string    // unused
+	OriginFallMs       float64   // unused
+	OriginFallMultiple float64   // unused
+	ParentColdFrom     float64   // slow start of parents: the part of their capacity at the start ...
+	ParentRampMs       float64   // ... and the duration
+	UpperFallMultiple  float64   // overload of parents: the multiple of the capacity that one bears
 }
 
 // Class is one traffic class.
 type Class struct {
 	Name          string
-	Effect        string // safe, keyed or unsafe
-	Group         string // of endpoints that share idempotency keys: all, zone or cell
-	DedupWindowMs float64
+	Effect        string  // safe, keyed or unsafe
+	Group         string  // of endpoints that share idempotency keys: all, zone or cell
+	DedupWindowMs float64 // in which repeats with one key are recognized
 	TargetMs      float64 // latency objective
 	GiveUpMs      float64 // after which clients give up
 	AimStretch    float64 // multiple of the transfer time by which the latency objective grows
 	LateShare     float64 // part of Value for a late response
-	Value         float64 // of a response in time
-	Streamed      bool
+	Value         float64 // priority weight: of a response in time
+	Streamed      bool    // refused: the protocol on sockets has no streams
 }
 
 var effects = map[string]policy.Effect{
