--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -15,15 +15,15 @@
 type serverConn struct {
 	net.Conn
 	server   *serverListener
-	attempts map[string]*serverAttempt // the loop's
+	attempts map[string]*serverAttempt // open attempts by request; only the loop uses it
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	queue  [][]byte
 	queued chan struct{}
 	closed bool
 }
 
-// serverAttempt is a hop on a connection.
+// serverAttempt is an attempt on a connection.
 type serverAttempt struct {
 	conn      *serverConn
 	requestID string
@@ -31,13 +31,19 @@
 	body      []byte // of a write
 }
 
-var (
-	statusByOutcome   = map[policy.Outcome]cacheproto.Status{policy.OutcomeDone: cacheproto.StatusOK, policy.OutcomeBusy: cacheproto.StatusBusy, policy.OutcomeMiss: cacheproto.StatusMiss, policy.OutcomeError: cacheproto.StatusError}
-	malformedResponse = []byte("%% ACK entity\r\n")
-	recordedPrefix    = "recorded "
-)
+// statusByOutcome is how a server words the end of an attempt. An outcome that is not
+// listed resets the connection.
+var statusByOutcome = map[policy.Outcome]cacheproto.Status{
+	policy.OutcomeDone:  cacheproto.StatusOK,
+	policy.OutcomeBusy:  cacheproto.StatusBusy,
+	policy.OutcomeMiss:  cacheproto.StatusMiss,
+	policy.OutcomeError: cacheproto.StatusError,
+}
+
+// malformedResponse is a line that is not in the protocol.
+var malformedResponse = []byte("%% ACK entity\r\n")
 
-// finish writes the world's end of a hop.
+// finish writes a server's response, as the world has it.
 func (h *serverAttempt) finish(hop *simulation.Hop, end simulation.End) {
 	conn := h.conn
 	if conn.attempts[h.requestID] != h {
@@ -45,29 +51,32 @@
 	}
 	delete(conn.attempts, h.requestID)
 	status, known := statusByOutcome[end.Outcome]
-	if !known || end.Spoilt { // a reset, or what can't be read and then the end
+	if !known || end.Spoilt {
 		if end.Spoilt {
 			conn.enqueue(malformedResponse)
 		}
 		conn.reset()
 		return
 	}
-	response := cacheproto.Response{ID: h.requestID, Status: status, Reason: end.Reason, DelayMillis: float64(end.Waited) / 1000, Load: end.Load}
+	response := cacheproto.Response{
+		ID: h.requestID, Status: status, Reason: end.Reason, DelayMillis: float64(end.Waited) / 1000, Load: end.Load,
+	}
 	var body []byte
-	if status == cacheproto.StatusOK {
-		if hop.Rule == scenario.ClassAccept {
-			body = append([]byte(recordedPrefix), h.body...)
-		} else {
-			body = responseBody(hop.Object, hop.Part, end.Issued, hop.SizeKB)
-			response.IssuedMillis = max(conn.server.unixMS(end.Issued), 1)
-			response.Tag = fmt.Sprintf("%s.%d.%d", hop.Object, hop.Part, end.Issued)
-		}
+	switch {
+	case status != cacheproto.StatusOK:
+	case hop.Rule == scenario.ClassAccept:
+		body = append([]byte(recordedPrefix), h.body...)
+	default:
+		body = responseBody(hop.Object, hop.Part, end.Issued, hop.SizeKB)
+		response.IssuedMillis = max(conn.server.unixMS(end.Issued), 1)
+		response.Tag = fmt.Sprintf("%s.%d.%d", hop.Object, hop.Part, end.Issued)
 	}
 	response.Length = len(body)
 	conn.enqueue(append(append(cacheproto.AppendResponse(nil, &response), body...), "\r\n"...))
 }
 
-// enqueue queues bytes. What a connection may have waiting is bounded by its streams.
+// enqueue queues bytes to be written. The router's limit on open attempts of a connection
+// bounds the queue.
 func (c *serverConn) enqueue(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,6 +90,7 @@
 	}
 }
 
+// closeQueue ends writeQueue once it has written what is queued.
 func (c *serverConn) closeQueue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,6 +100,7 @@
 	}
 }
 
+// writeQueue writes what is queued until the queue is closed or the connection fails.
 func (c *serverConn) writeQueue() {
 	for range c.queued {
 		c.mu.Lock()
@@ -102,10 +113,10 @@
 	}
 }
 
-// reset ends the connection as a dying process does.
+// reset ends the connection with RST, as the death of a process does.
 func (c *serverConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // else it ends by FIN
+		_ = tcp.SetLinger(0) // without it the connection ends with FIN
 	}
 	c.Close()
 	c.closeQueue()
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -13,7 +13,10 @@
 	"quilldoor/internal/simulation"
 )
 
-// serverListener is where one router finds one server. Its books are the loop's.
+// commandBufferBytes is the size of a connection's read buffer.
+const commandBufferBytes = 16 << 10
+
+// serverListener is where one router reaches one server. Only the loop uses its fields.
 type serverListener struct {
 	*routerProcess
 	serverID string
@@ -22,7 +25,7 @@
 	conns    map[*serverConn]struct{}
 }
 
-// listenerFor finds a server's place, or makes it.
+// listenerFor returns the listener of a server, and opens it at the first call.
 func (r *routerProcess) listenerFor(server string) (*serverListener, error) {
 	if listener := r.servers[server]; listener != nil {
 		return listener, nil
@@ -37,6 +40,7 @@
 	return listener, listener.open()
 }
 
+// open listens at the server's address and serves its connections.
 func (p *serverListener) open() error {
 	listener, err := net.Listen("tcp", p.addr)
 	if err != nil {
@@ -59,8 +63,8 @@
 	return nil
 }
 
-// setState follows the server's life: a dead one resets its connections and refuses
-// new ones; a silent one keeps them and says nothing.
+// setState follows the server: one that is down resets its connections and refuses new
+// ones; one that is silent keeps them and does not answer.
 func (p *serverListener) setState(up, silent bool) {
 	if up || !silent {
 		for c := range p.conns {
@@ -78,7 +82,7 @@
 	}
 }
 
-// serve reads a router's commands.
+// serve reads a router's commands until its connection ends.
 func (p *serverListener) serve(socket net.Conn, listener net.Listener) {
 	conn := &serverConn{Conn: socket, server: p, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
 	defer socket.Close()
@@ -103,31 +107,39 @@
 		conn.closeQueue()
 		p.runInLoop(func() { p.forgetConn(conn) })
 	}()
-	reader := bufio.NewReaderSize(socket, 16<<10)
+	reader := bufio.NewReaderSize(socket, commandBufferBytes)
 	for {
-		cmd, err := cacheproto.ReadCommand(reader)
-		if err != nil {
+		if err := p.serveCommand(conn, reader); err != nil {
 			return
 		}
-		switch {
-		case cmd.Get != nil:
-			body := make([]byte, cmd.Get.Length)
-			if _, err := io.ReadFull(reader, body); err != nil {
-				return
-			}
-			if err := cacheproto.ReadBodyEnd(reader); err != nil {
-				return
-			}
-			p.runInLoop(func() { p.startAttempt(conn, cmd.Get, body) })
-		case cmd.DropID != "":
-			p.runInLoop(func() { p.cancelAttempt(conn, cmd.DropID) })
-		default:
-			conn.enqueue([]byte(cmd.PingID + " READY\r\n"))
+	}
+}
+
+// serveCommand reads a command and carries it out. An error ends the connection.
+func (p *serverListener) serveCommand(conn *serverConn, reader *bufio.Reader) error {
+	command, err := cacheproto.ReadCommand(reader)
+	if err != nil {
+		return err
+	}
+	switch {
+	case command.Get != nil:
+		body := make([]byte, command.Get.Length)
+		if _, err := io.ReadFull(reader, body); err != nil {
+			return err
+		}
+		if err := cacheproto.ReadBodyEnd(reader); err != nil {
+			return err
 		}
+		p.runInLoop(func() { p.startAttempt(conn, command.Get, body) })
+	case command.DropID != "":
+		p.runInLoop(func() { p.cancelAttempt(conn, command.DropID) })
+	default:
+		conn.enqueue([]byte(command.PingID + " READY\r\n"))
 	}
+	return nil
 }
 
-// startAttempt hands a hop to the world.
+// startAttempt hands an attempt to the world. A request that nobody waits for is skipped.
 func (p *serverListener) startAttempt(conn *serverConn, get *cacheproto.GetCommand, body []byte) {
 	request := p.requests[get.ID]
 	if request == nil {
@@ -136,7 +148,7 @@
 	if request == nil && p.config.Guests {
 		request = p.admitGuest(get)
 	}
-	if request == nil { // its client has just left, or the id is none of ours
+	if request == nil { // its client has just left, or the request is not the scenario's
 		conn.enqueue(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}))
 		conn.enqueue([]byte("\r\n"))
 		return
@@ -145,37 +157,45 @@
 	request.attempts++
 	conn.attempts[get.ID] = attempt
 	p.world.Hop(&simulation.Hop{
-		Router: p.id, Txn: get.ID, N: attempt.number, Server: p.serverID, Source: get.Source, Rank: get.Priority, FillMode: get.FillMode,
-		Within: get.MaxAgeMillis * 1000, Rule: request.Rule, Object: request.Object, Part: request.Part, Group: request.Group, SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
+		Router: p.id, Txn: get.ID, N: attempt.number, Server: p.serverID,
+		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, Within: get.MaxAgeMillis * 1000,
+		Rule: request.Rule, Object: request.Object, Part: request.Part, Group: request.Group,
+		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
 	})
 }
 
-// admitGuest makes a txn of somebody else's request, such as a person's by curl. The
-// record has it as given up when its time is over.
+// admitGuest admits a request that is not the scenario's own, such as one by curl. The
+// event log has it as aborted when its time is over.
 func (p *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
 	class, group, sizeKB, known := p.world.Object(get.Object, get.Part)
 	if !known || p.world.RuleOf(class).Name != get.Class {
 		return nil
 	}
-	ask := &simulation.Ask{Router: p.id, Txn: get.ID, Rule: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB}
+	ask := &simulation.Ask{
+		Router: p.id, Txn: get.ID, Rule: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
+	}
 	request := &clientRequest{Ask: ask, cancel: func() {}}
 	p.requests[get.ID] = request
 	now := p.world.Now()
 	p.Note(&eventlog.Entry{
-		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: get.ID, Class: get.Class, Object: get.Object, Group: group,
-		Deadline: now + get.BudgetMillis*1000,
+		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: get.ID,
+		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*1000,
 	})
 	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
 		p.runInLoop(func() {
-			if p.requests[get.ID] == request {
-				delete(p.requests, get.ID)
-				p.Note(&eventlog.Entry{Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: get.ID, Outcome: "aborted"})
+			if p.requests[get.ID] != request {
+				return
 			}
+			delete(p.requests, get.ID)
+			p.Note(&eventlog.Entry{
+				Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: get.ID, Outcome: outcomeAborted,
+			})
 		})
 	})
 	return request
 }
 
+// cancelAttempt tells the world that a router no longer waits for an attempt.
 func (p *serverListener) cancelAttempt(conn *serverConn, requestID string) {
 	if attempt := conn.attempts[requestID]; attempt != nil {
 		delete(conn.attempts, requestID)
@@ -183,7 +203,7 @@
 	}
 }
 
-// forgetConn gives up all that is open on a connection that has ended.
+// forgetConn cancels all attempts that are open on a connection that has ended.
 func (p *serverListener) forgetConn(conn *serverConn) {
 	delete(p.conns, conn)
 	for requestID := range conn.attempts {
--- a/internal/emulator/process_addresses.go
+++ b/internal/emulator/process_addresses.go
@@ -7,20 +7,19 @@
 	"quilldoor/internal/loopback"
 )
 
-// reserveAddresses reserves what the router's process listens at: it binds them itself,
-// and again when it is started after a death.
+// reserveAddresses reserves the addresses that the router's process listens at. It binds
+// them itself, and again when it is started after a crash.
 func (r *routerProcess) reserveAddresses() error {
-	listen, err := r.reserveClientAddress()
-	if err != nil {
+	var err error
+	if r.clientAddr, err = r.reserveClientAddress(); err != nil {
 		return err
 	}
-	r.clientAddr = listen
 	if r.scenario.Fleet.Sites >= 2 {
-		gate, err := loopback.Reserve()
+		address, err := loopback.Reserve()
 		if err != nil {
 			return err
 		}
-		r.gatewayAddr = gate.String()
+		r.gatewayAddr = address.String()
 	}
 	if r.scenario.Fleet.Membership {
 		if r.membershipAddr, err = loopback.Reserve(); err != nil {
@@ -30,8 +29,8 @@
 	return nil
 }
 
-// reserveClientAddress is where the router hears clients: the address that the run's options
-// name for the first router, or a reserved one.
+// reserveClientAddress is where the router listens for clients: the address that the run's
+// options name for the first router, or a reserved one.
 func (r *routerProcess) reserveClientAddress() (string, error) {
 	named := r.config.Listen
 	if r.id != 0 || named == "" || strings.HasSuffix(named, ":0") {
@@ -39,10 +38,10 @@
 		return address.String(), err
 	}
 	// A port that somebody named can't be reserved. That it is in use shows here already.
-	l, err := net.Listen("tcp", named)
+	listener, err := net.Listen("tcp", named)
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -13,7 +13,17 @@
 	"quilldoor/internal/simulation"
 )
 
-// start starts the process with the list as it is.
+// Limits that the platform's configuration gives each router process.
+const (
+	processCores    = 1
+	processMemoryMB = 192
+	processSockets  = 1024
+	// A router's link carries four flows at full rate; flows are in kB.
+	linkBytesPerFlowKB = 4000
+)
+
+// start writes the platform's configuration, with the endpoint list as it is, and starts the
+// process.
 func (r *routerProcess) start(known []simulation.Server) error {
 	r.startCount++
 	r.discoveryEvents = []string{r.endpointListEvent(1, known, true)}
@@ -23,10 +33,15 @@
 	}
 	fleet := &r.scenario.Fleet
 	text, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", r.id+1), "listen": r.clientAddr, "seed": fmt.Sprintf("%x", r.id+1+r.startCount<<16),
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "board": r.discoveryListener.Addr().String(),
-		"flow_bytes_per_s": fleet.FlowKBPerS * 1000, "link_bytes_per_s": fleet.FlowKBPerS * 4000,
-		"known": json.RawMessage(`{"rev":1,"notices":[` + r.discoveryEvents[0] + `]}`), "settings": setup,
+		"name":             fmt.Sprint("n", r.id+1),
+		"listen":           r.clientAddr,
+		"seed":             fmt.Sprintf("%x", r.id+1+r.startCount<<16),
+		"limits":           map[string]any{"cores": processCores, "memory_mb": processMemoryMB, "sockets": processSockets},
+		"board":            r.discoveryListener.Addr().String(),
+		"flow_bytes_per_s": fleet.FlowKBPerS * 1000,
+		"link_bytes_per_s": fleet.FlowKBPerS * linkBytesPerFlowKB,
+		"known":            json.RawMessage(`{"rev":1,"notices":[` + r.discoveryEvents[0] + `]}`),
+		"settings":         setup,
 	})
 	if err != nil {
 		return err
@@ -37,12 +52,9 @@
 	return r.launch()
 }
 
-// writeOperatorConfig writes a router's own file: its gateway, with peers behind relays that
-// are as far away as the script says and are cut with the sites, and its part among
-// the routers of the site.
+// writeOperatorConfig writes a router's own file, which its operator would write: the sections
+// that the scenario needs.
 func (r *routerProcess) writeOperatorConfig() (err error) {
-	site := func(peer *routerProcess) string { return scenario.Zone(r.scenario.Fleet.Site(r.world.Office(peer.id))) }
-	file := func(name string) string { return filepath.Join(r.dir, name) }
 	var config operatorconfig.Config
 	if r.scenario.Fleet.Membership {
 		if config.Membership, err = r.membershipConfig(); err != nil {
@@ -50,36 +62,74 @@
 		}
 	}
 	if r.gatewayAddr != "" {
-		config.Gateway = &operatorconfig.Gateway{
-			Name: routerName(r.id), Site: site(r), Listen: r.gatewayAddr, LocalReserve: siteLocalReserve,
-			MaxRequests: maxForwarded, HeartbeatMS: heartbeatMicros / 1000, CertFile: file(routerName(r.id) + ".pem"), KeyFile: file(routerName(r.id) + ".key"), CAFile: file("ca.pem"),
-		}
-	}
-	for _, peer := range r.routers {
-		if r.gatewayAddr == "" || site(peer) == site(r) {
-			continue
-		}
-		addr, err := r.startRelay(peer.gatewayAddr)
-		if err != nil {
+		if config.Gateway, err = r.gatewayConfig(); err != nil {
 			return err
 		}
-		config.Gateway.Peers = append(config.Gateway.Peers, operatorconfig.GatewayPeer{Name: routerName(peer.id), Site: site(peer), Addr: addr})
 	}
-	if n := r.scenario.Fleet.DiskMB; n > 0 {
-		config.DiskCache = &operatorconfig.DiskCache{Path: file(routerName(r.id) + ".disk"), SizeMB: n}
+	if size := r.scenario.Fleet.DiskMB; size > 0 {
+		config.DiskCache = &operatorconfig.DiskCache{Path: r.file(".disk"), SizeMB: size}
 		if err := os.MkdirAll(config.DiskCache.Path, 0o700); err != nil {
 			return err
 		}
 	}
-	if f := &r.scenario.Fleet; f.Supervised && !r.runsEarlier() {
-		config.Supervisor = &operatorconfig.Supervisor{Dir: (&Kept{r.socketRun}).Folder(r.id), ReadyTimeoutS: readyTimeoutSeconds, TrialS: f.TrialS}
-		if f.Membership {
-			config.Supervisor.RolloutPlan = (&Kept{r.socketRun}).Plan()
-		}
+	if r.scenario.Fleet.Supervised && !r.runsEarlier() {
+		config.Supervisor = r.supervisorConfig()
 	}
 	text, err := yaml.Marshal(config)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(file(routerName(r.id)+".yaml"), text, 0o600)
+	return os.WriteFile((&Kept{r.socketRun}).Operator(r.id), text, 0o600)
+}
+
+// gatewayConfig is a router's gateway. It reaches each peer by a relay that is as far away as
+// the scenario says, and that is cut with the sites.
+func (r *routerProcess) gatewayConfig() (*operatorconfig.Gateway, error) {
+	config := &operatorconfig.Gateway{
+		Name:         routerName(r.id),
+		Site:         r.site(),
+		Listen:       r.gatewayAddr,
+		LocalReserve: siteLocalReserve,
+		MaxRequests:  maxForwarded,
+		HeartbeatMS:  heartbeatMicros / 1000,
+		CertFile:     r.file(".pem"),
+		KeyFile:      r.file(".key"),
+		CAFile:       filepath.Join(r.dir, "ca.pem"),
+	}
+	for _, peer := range r.routers {
+		if peer.site() == r.site() {
+			continue
+		}
+		addr, err := r.startRelay(peer.gatewayAddr)
+		if err != nil {
+			return nil, err
+		}
+		config.Peers = append(config.Peers, operatorconfig.GatewayPeer{
+			Name: routerName(peer.id), Site: peer.site(), Addr: addr,
+		})
+	}
+	return config, nil
+}
+
+func (r *routerProcess) supervisorConfig() *operatorconfig.Supervisor {
+	routers := &Kept{r.socketRun}
+	config := &operatorconfig.Supervisor{
+		Dir:           routers.Folder(r.id),
+		ReadyTimeoutS: readyTimeoutSeconds,
+		TrialS:        r.scenario.Fleet.TrialS,
+	}
+	if r.scenario.Fleet.Membership {
+		config.RolloutPlan = routers.Plan()
+	}
+	return config
+}
+
+// site is the name of the router's site.
+func (r *routerProcess) site() string {
+	return scenario.Zone(r.scenario.Fleet.Site(r.world.Office(r.id)))
+}
+
+// file is a file of the router's own in the run's folder.
+func (r *routerProcess) file(suffix string) string {
+	return filepath.Join(r.dir, routerName(r.id)+suffix)
 }
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -14,11 +14,11 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-// membershipKey is that of a run's routers.
+// membershipKey is the key that a run's routers sign their membership messages with.
 const membershipKey = "of rehearsals on loopback only"
 
-// membershipConfig is a router's part of the operator's file: it reaches every other one
-// by a way of its own.
+// membershipConfig is a router's membership section. It reaches each other router by a
+// datagram relay of its own, so that the scenario can cut and delay each direction.
 func (r *routerProcess) membershipConfig() (*operatorconfig.Membership, error) {
 	path := filepath.Join(r.dir, "members.key")
 	if err := os.WriteFile(path, []byte(membershipKey), 0o600); err != nil {
@@ -38,7 +38,8 @@
 	return config, nil
 }
 
-// startDatagramRelay passes datagrams from a router to another, as the world's ways say.
+// startDatagramRelay passes datagrams from this router to another one, delayed, lost or
+// repeated as the simulated network says.
 func (r *routerProcess) startDatagramRelay(to *routerProcess) (addr string, err error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -61,68 +62,32 @@
 			now := r.now()
 			for _, at := range r.world.Ways.Transmit(now, r.id, to.id, n) {
 				datagram := slices.Clone(buffer[:n])
-				time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() { _, _ = conn.WriteToUDPAddrPort(datagram, to.membershipAddr) })
+				delay := time.Duration(at-now) * time.Microsecond
+				time.AfterFunc(delay, func() {
+					_, _ = conn.WriteToUDPAddrPort(datagram, to.membershipAddr) // a datagram may be lost
+				})
 			}
 		}
 	})
 	return conn.LocalAddr().String(), nil
 }
 
-// watchMembership looks at all views time and again, as a person would with the router's own
-// command.
+// viewTarget is a router whose membership view is asked for.
+type viewTarget struct {
+	name string
+	addr netip.AddrPort
+}
+
+// watchMembership compares the routers' membership views time and again. It asks for them
+// with the query that the router's own command uses.
 func (v *socketRun) watchMembership() {
-	type target struct {
-		id   int
-		name string
-		addr netip.AddrPort
-	}
 	for v.ctx.Err() == nil {
-		var up []string
-		var targets []target
-		done := make(chan struct{})
-		v.runInLoop(func() {
-			defer close(done)
-			for _, r := range v.routers {
-				v.membership.recordReachable(v.world.Now(), routerName(r.id), reachable(v.world, r.id))
-				if v.world.Up(r.id) {
-					up = append(up, routerName(r.id))
-					if !v.world.Stopped(r.id) {
-						targets = append(targets, target{r.id, routerName(r.id), r.membershipAddr})
-					}
-				}
-			}
-		})
-		select {
-		case <-done:
-		case <-v.ctx.Done():
+		up, targets, ok := v.viewTargets()
+		if !ok {
 			return
 		}
-		type answer struct {
-			name string
-			view *membership.View
-		}
-		answers := make(chan answer, len(targets))
-		for _, t := range targets {
-			go func() {
-				view, _ := transport.Query([]byte(membershipKey), t.name, t.addr)
-				answers <- answer{t.name, view}
-			}()
-		}
-		views := map[string]*membership.View{}
-		for range targets {
-			if answered := <-answers; answered.view != nil {
-				views[answered.name] = answered.view
-			}
-		}
-		v.runInLoop(func() {
-			// Who was killed or started while it was asked is looked at next time.
-			for _, name := range up {
-				if !v.world.Up(v.routerByName(name)) {
-					return
-				}
-			}
-			v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
-		})
+		views := queryViews(targets)
+		v.runInLoop(func() { v.compareViews(up, views) })
 		select {
 		case <-time.After(viewIntervalMicros * time.Microsecond):
 		case <-v.ctx.Done():
@@ -130,6 +95,65 @@
 	}
 }
 
+// viewTargets asks the loop which routers are up, and which of them can answer. Not ok: the
+// run is over.
+func (v *socketRun) viewTargets() (up []string, targets []viewTarget, ok bool) {
+	done := make(chan struct{})
+	v.runInLoop(func() {
+		defer close(done)
+		for _, r := range v.routers {
+			name := routerName(r.id)
+			v.membership.recordReachable(v.world.Now(), name, reachable(v.world, r.id))
+			if !v.world.Up(r.id) {
+				continue
+			}
+			up = append(up, name)
+			if !v.world.Stopped(r.id) {
+				targets = append(targets, viewTarget{name, r.membershipAddr})
+			}
+		}
+	})
+	select {
+	case <-done:
+		return up, targets, true
+	case <-v.ctx.Done():
+		return nil, nil, false
+	}
+}
+
+// queryViews asks routers for their views, all at once. Who doesn't answer is left out.
+func queryViews(targets []viewTarget) map[string]*membership.View {
+	type answer struct {
+		name string
+		view *membership.View
+	}
+	answers := make(chan answer, len(targets))
+	for _, target := range targets {
+		go func() {
+			view, _ := transport.Query([]byte(membershipKey), target.name, target.addr) // nil where it fails
+			answers <- answer{target.name, view}
+		}()
+	}
+	views := map[string]*membership.View{}
+	for range targets {
+		if answered := <-answers; answered.view != nil {
+			views[answered.name] = answered.view
+		}
+	}
+	return views
+}
+
+// compareViews judges views, unless a router was killed while they were asked for.
+func (v *socketRun) compareViews(up []string, views map[string]*membership.View) {
+	for _, name := range up {
+		if !v.world.Up(v.routerByName(name)) {
+			return
+		}
+	}
+	v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
+}
+
+// routerByName is the reverse of routerName.
 func (v *socketRun) routerByName(name string) (router int) {
 	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
 	return router
--- a/internal/emulator/site_relay.go
+++ b/internal/emulator/site_relay.go
@@ -5,8 +5,17 @@
 	"time"
 )
 
-// startRelay passes connections on, late by the way between sites. While they are cut
-// bytes wait, as they do with TCP.
+const (
+	// relayBufferBytes is how much a relay reads at once.
+	relayBufferBytes = 16 << 10
+	// relayQueueLength is how many reads may be under way on a relay.
+	relayQueueLength = 1024
+	// cutPollInterval is how often a relay looks whether a cut is over.
+	cutPollInterval = 5 * time.Millisecond
+)
+
+// startRelay passes connections on to an address, delayed by the latency between sites.
+// While the sites are cut, bytes wait, as they do with TCP.
 func (v *socketRun) startRelay(to string) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,47 +43,56 @@
 	return listener.Addr().String(), nil
 }
 
+// relayChunk is bytes on their way, and when they were read.
+type relayChunk struct {
+	readAt time.Time
+	bytes  []byte
+}
+
+// relayDelayed passes one direction of a connection on, until either end closes.
 func (v *socketRun) relayDelayed(from, to net.Conn) {
 	defer to.Close()
 	defer from.Close()
-	delay := time.Duration(v.scenario.Fleet.SiteMS * float64(time.Millisecond))
-	type chunk struct {
-		at time.Time
-		b  []byte
-	}
-	chunks := make(chan chunk, 1024)
+	chunks := make(chan relayChunk, relayQueueLength)
 	v.goroutines.Go(func() {
 		defer to.Close()
 		defer from.Close()
-		for {
-			select {
-			case <-v.ctx.Done():
-				return
-			case p, open := <-chunks:
-				if !open {
-					return
-				}
-				time.Sleep(time.Until(p.at.Add(delay)))
-				for v.sitesCut.Load() && v.ctx.Err() == nil {
-					time.Sleep(5 * time.Millisecond)
-				}
-				if _, err := to.Write(p.b); err != nil {
-					return
-				}
-			}
-		}
+		v.writeDelayed(to, chunks)
 	})
 	defer close(chunks)
 	for {
-		b := make([]byte, 16<<10)
-		n, err := from.Read(b)
+		buffer := make([]byte, relayBufferBytes)
+		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
 		select {
-		case chunks <- chunk{time.Now(), b[:n]}:
+		case chunks <- relayChunk{time.Now(), buffer[:n]}:
+		case <-v.ctx.Done():
+			return
+		}
+	}
+}
+
+// writeDelayed writes each chunk once the latency between sites has passed and the sites
+// are not cut.
+func (v *socketRun) writeDelayed(to net.Conn, chunks <-chan relayChunk) {
+	latency := time.Duration(v.scenario.Fleet.SiteMS * float64(time.Millisecond))
+	for {
+		select {
 		case <-v.ctx.Done():
 			return
+		case chunk, open := <-chunks:
+			if !open {
+				return
+			}
+			time.Sleep(time.Until(chunk.readAt.Add(latency)))
+			for v.sitesCut.Load() && v.ctx.Err() == nil {
+				time.Sleep(cutPollInterval)
+			}
+			if _, err := to.Write(chunk.bytes); err != nil {
+				return
+			}
 		}
 	}
 }
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -17,33 +17,42 @@
 	"quilldoor/internal/simulation"
 )
 
-// Routers are the processes to play against.
+// Routers are the processes that a run on sockets plays against.
 type Routers struct {
-	Program string         // "": quilldoor beside the running program
-	Listen  string         // of the first router; "" or port 0: any address on loopback
-	Ready   func([]string) // told the routers' addresses once all are ready
-	Log     io.Writer      // what routers log; nil: kept only for the report of a death
-	Guests  bool           // requests that are none of the world's are served, too
-	// Earlier is the program of every second router, an earlier text of this
-	// repository that knows no keeper; "": Program.
+	Program string         // the router's program; "": quilldoor beside the running program
+	Listen  string         // the first router's address for clients; "" or port 0: any address on loopback
+	Ready   func([]string) // called with the routers' addresses once all are ready
+	Log     io.Writer      // receives what routers log; nil: only the end is kept, for the report of a crash
+	Guests  bool           // also serve requests that are not the scenario's own
+	// Earlier is the program of every second router: an earlier version, which has no
+	// supervisor. "": Program.
 	Earlier string
-	// Drive is called beside the run where the script's routers are kept, once all are
-	// ready. The run goes on until it returns. Its error ends it.
+	// Drive is called beside the run where the scenario's routers are supervised, once all
+	// are ready. The run goes on until it returns. Its error ends the run.
 	Drive func(context.Context, *Kept) error
-	// EndWithDrive lets no more clients come once it has returned.
+	// EndWithDrive stops the arrival of clients once Drive has returned.
 	EndWithDrive bool
 }
 
-// socketAnswerSlackMicros is how much longer answers may take: the platform's 50 ms and the
-// module's 8.
-const socketAnswerSlackMicros = 58_000
-
-// maxListeners bounds the descriptors: each router has an address of its own for
-// each server.
-const maxListeners = 3000
+const (
+	// socketAnswerSlackMicros is how much later than its deadline an answer may come on
+	// sockets: 50 ms that the platform allows and 8 ms that the policy allows.
+	socketAnswerSlackMicros = 58_000
+	// maxListeners bounds the file descriptors: each router has its own address for each server.
+	maxListeners = 3000
+	// taskQueueLength is how many tasks may wait for the loop before senders block.
+	taskQueueLength = 4096
+	// maxLoopWaitMicros is how long the loop sleeps at most when the world has nothing due.
+	maxLoopWaitMicros = 100_000
+	// clientIdleConns and clientIdleTimeout bound the idle connections of the emulated clients.
+	clientIdleConns   = 200
+	clientIdleTimeout = 4 * time.Second
+	// gatewayKeyLifetime is how long the certificates of a run's gateways are valid.
+	gatewayKeyLifetime = 24 * time.Hour
+)
 
-// socketRun is a run on loopback. Its loop is the one goroutine that touches the
-// world and what is below it; all others send it what comes in.
+// socketRun is a run on loopback. Its loop is the one goroutine that touches the world
+// and the routers' state; all other goroutines hand it tasks by runInLoop.
 type socketRun struct {
 	options      Options
 	scenario     *scenario.Scenario
@@ -59,27 +68,20 @@
 	ctx          context.Context
 	goroutines   sync.WaitGroup
 	config       Routers
-	driverDone   chan error  // nil: nobody drives, or it is over
+	driverDone   chan error  // nil: there is no Drive, or it has returned
 	sitesCut     atomic.Bool // sites can't reach each other
-	maxLate      int64       // how late the loop did something, at most
-	membership   Members     // what was seen of the routers' knowledge of each other
+	maxLate      int64       // the longest delay of a due event, in microseconds
+	membership   Members     // what was seen of the routers' membership views
 	cost         Cost
 	brokenConns  int // connections that ended without an answer, not by their client
 	refusedConns int
 }
 
-// Sockets plays a script in real time: it listens on loopback for all that routers
-// talk to, and starts a router process for each.
+// Sockets plays a scenario in real time: it listens on loopback for all that routers
+// talk to, and starts a router process for each router.
 func Sockets(ctx context.Context, s *scenario.Scenario, opt Options, conf Routers) (*Result, error) {
-	fleet := &s.Fleet
-	routers := fleet.Offices * fleet.Routers
-	listeners := routers * (fleet.Offices*fleet.Caches + fleet.Trunks*fleet.Parents + 1)
-	if fleet.Membership {
-		listeners += routers * routers // a way each
-	}
-	if listeners > maxListeners {
-		return nil, fmt.Errorf("%s: %d routers and their servers take %d listeners, %d at most: play it on the virtual clock",
-			s.Name, routers, listeners, maxListeners)
+	if err := checkListenerCount(s); err != nil {
+		return nil, err
 	}
 	program, err := findProgram(conf.Program)
 	if err != nil {
@@ -92,86 +94,171 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
+	v := newSocketRun(ctx, cancel, s, opt, conf, dir)
+	defer v.close()
+	if err := v.prepareRouters(); err != nil {
+		return nil, err
+	}
+	if err := v.startRouters(); err != nil {
+		return nil, err
+	}
+	v.startedAt = time.Now()
+	v.startWatchers()
+	if err := v.loop(); err != nil {
+		return nil, err
+	}
+	v.killRouters()
+	return v.result(), nil
+}
+
+// checkListenerCount refuses scenarios that take more listeners than a run may open.
+func checkListenerCount(s *scenario.Scenario) error {
+	fleet := &s.Fleet
+	routers := fleet.Offices * fleet.Routers
+	listeners := routers * (fleet.Offices*fleet.Caches + fleet.Trunks*fleet.Parents + 1)
+	if fleet.Membership {
+		listeners += routers * routers // a datagram relay for each pair
+	}
+	if listeners > maxListeners {
+		return fmt.Errorf("%s: %d routers and their servers take %d listeners, %d at most: play it on the virtual clock",
+			s.Name, routers, listeners, maxListeners)
+	}
+	return nil
+}
+
+func newSocketRun(
+	ctx context.Context, cancel context.CancelFunc, s *scenario.Scenario, opt Options, conf Routers, dir string,
+) *socketRun {
 	v := &socketRun{
-		options: opt, scenario: s, checker: checker.New(Figures(s, socketAnswerSlackMicros)), tasks: make(chan func(), 4096), dir: dir,
-		failures: make(chan error, 1), ctx: ctx, cancel: cancel, config: conf,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200, IdleConnTimeout: 4 * time.Second, DisableCompression: true}},
+		options:  opt,
+		scenario: s,
+		checker:  checker.New(Figures(s, socketAnswerSlackMicros)),
+		tasks:    make(chan func(), taskQueueLength),
+		dir:      dir,
+		failures: make(chan error, 1),
+		ctx:      ctx,
+		cancel:   cancel,
+		config:   conf,
+		client: &http.Client{Transport: &http.Transport{
+			MaxIdleConnsPerHost: clientIdleConns,
+			IdleConnTimeout:     clientIdleTimeout,
+			DisableCompression:  true,
+		}},
 	}
-	defer func() {
-		cancel()
-		for _, r := range v.routers {
-			r.kill()
-		}
-		v.client.CloseIdleConnections()
-		v.goroutines.Wait()
-	}()
 	v.world = simulation.New(s, opt.Seed, v)
 	v.world.Slack = socketAnswerSlackMicros
+	return v
+}
+
+// prepareRouters opens what the routers talk to and writes their operators' files.
+func (v *socketRun) prepareRouters() error {
+	fleet := &v.scenario.Fleet
 	if fleet.Sites >= 2 {
-		var names []string
-		for i := range v.world.Routers() {
-			names = append(names, routerName(i))
-		}
-		if err := gateway.MakeKeys(dir, names, 24*time.Hour); err != nil {
-			return nil, err
+		if err := v.makeGatewayKeys(); err != nil {
+			return err
 		}
 	}
 	for i := range v.world.Routers() {
-		r := &routerProcess{socketRun: v, id: i, servers: map[string]*serverListener{}, requests: map[string]*clientRequest{}, eventPosted: make(chan struct{})}
+		r := &routerProcess{
+			socketRun:   v,
+			id:          i,
+			servers:     map[string]*serverListener{},
+			requests:    map[string]*clientRequest{},
+			eventPosted: make(chan struct{}),
+		}
 		v.routers = append(v.routers, r)
 		if err := r.prepare(); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	if fleet.Sites >= 2 || fleet.Membership || fleet.Supervised || fleet.DiskMB > 0 {
-		for _, r := range v.routers {
-			if err := r.writeOperatorConfig(); err != nil {
-				return nil, err
-			}
+	if fleet.Sites < 2 && !fleet.Membership && !fleet.Supervised && fleet.DiskMB <= 0 {
+		return nil
+	}
+	for _, r := range v.routers { // after all have addresses: a file names the peers'
+		if err := r.writeOperatorConfig(); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func (v *socketRun) makeGatewayKeys() error {
+	var names []string
+	for i := range v.world.Routers() {
+		names = append(names, routerName(i))
+	}
+	return gateway.MakeKeys(v.dir, names, gatewayKeyLifetime)
+}
+
+// startRouters starts one router after another, as a start takes CPU that the others need,
+// and reports their addresses once all are ready.
+func (v *socketRun) startRouters() error {
 	v.startedAt = time.Now()
 	var addrs []string
-	for _, r := range v.routers { // one by one: a start takes CPU, and others may be judged meanwhile
+	for _, r := range v.routers {
 		if err := r.start(v.world.Known()); err != nil {
-			return nil, err
+			return err
 		}
 		if err := r.waitReady(); err != nil {
-			return nil, err
+			return err
 		}
 		addrs = append(addrs, r.clientAddr)
 	}
-	if conf.Ready != nil {
-		conf.Ready(addrs)
+	if v.config.Ready != nil {
+		v.config.Ready(addrs)
 	}
-	v.startedAt = time.Now()
-	if fleet.Membership {
+	return nil
+}
+
+// startWatchers starts what goes on beside the loop: polls of the membership views, and Drive.
+func (v *socketRun) startWatchers() {
+	if v.scenario.Fleet.Membership {
 		v.goroutines.Go(v.watchMembership)
 	}
-	if conf.Drive != nil {
-		v.driverDone = make(chan error, 1)
-		v.goroutines.Go(func() { v.driverDone <- conf.Drive(ctx, &Kept{v}) })
-	}
-	if err := v.loop(); err != nil {
-		return nil, err
+	if v.config.Drive != nil {
+		done := make(chan error, 1)
+		v.driverDone = done
+		v.goroutines.Go(func() { done <- v.config.Drive(v.ctx, &Kept{v}) })
 	}
+}
+
+func (v *socketRun) killRouters() {
 	for _, r := range v.routers {
 		r.kill()
 	}
+}
+
+// close ends the routers and all goroutines of the run.
+func (v *socketRun) close() {
+	v.cancel()
+	v.killRouters()
+	v.client.CloseIdleConnections()
+	v.goroutines.Wait()
+}
+
+func (v *socketRun) result() *Result {
 	r := &Result{
-		Result: v.world.Result, Breaks: v.checker.Violations, Count: v.checker.CountByRule, Judged: v.checker.Checked, Late: v.maxLate,
-		Excused: v.checker.Excused, Cost: v.cost, Broke: v.brokenConns, Refused: v.refusedConns,
+		Result:  v.world.Result,
+		Breaks:  v.checker.Violations,
+		Count:   v.checker.CountByRule,
+		Judged:  v.checker.Checked,
+		Late:    v.maxLate,
+		Excused: v.checker.Excused,
+		Cost:    v.cost,
+		Broke:   v.brokenConns,
+		Refused: v.refusedConns,
 	}
-	if fleet.Membership {
+	if v.scenario.Fleet.Membership {
 		r.Members = &v.membership
 	}
-	return r, nil
+	return r
 }
 
+// now is the time of the run in microseconds.
 func (v *socketRun) now() int64 { return time.Since(v.startedAt).Microseconds() }
 
-// unixMS is the world's time as the platform tells times; births before the run
-// are 0.
+// unixMS is a time of the run as milliseconds since 1970, the form in which the platform
+// tells times.
 func (v *socketRun) unixMS(at int64) int64 { return v.startedAt.UnixMilli() + at/1000 }
 
 // loop plays the world by the real clock until it is over.
@@ -180,7 +267,8 @@
 	defer timer.Stop()
 	reported := int64(0)
 	for {
-		now, end := v.now(), v.world.Length()
+		now := v.now()
+		end := v.world.Length()
 		if v.world.Over() || now > end {
 			if v.driverDone != nil {
 				return <-v.driverDone
@@ -190,33 +278,44 @@
 		for at := v.world.Next(); at <= now && v.world.Step(now); at = v.world.Next() {
 			v.maxLate = max(v.maxLate, v.now()-at)
 		}
-		if at := now / 1_000_000; at > reported && v.options.Progress != nil {
-			reported = at
+		if second := now / 1_000_000; second > reported && v.options.Progress != nil {
+			reported = second
 			v.options.Progress(float64(now)/float64(end), v.world.Result.Timeline)
 		}
-		timer.Reset(time.Duration(max(min(v.world.Next()-v.now(), 100_000), 0)) * time.Microsecond)
-		select {
-		case task := <-v.tasks:
-			v.world.At(v.now())
-			task()
-		case <-timer.C:
-		case err := <-v.failures:
+		wait := max(min(v.world.Next()-v.now(), maxLoopWaitMicros), 0)
+		timer.Reset(time.Duration(wait) * time.Microsecond)
+		if err := v.waitForEvent(timer.C); err != nil {
 			return err
-		case err := <-v.driverDone:
-			if v.driverDone = nil; err != nil {
-				return err
-			}
-			if v.config.EndWithDrive {
-				v.world.At(v.now())
-				v.world.Close()
-			}
-		case <-v.ctx.Done():
-			return v.ctx.Err()
 		}
 	}
 }
 
-// runInLoop gives the loop something to do, unless the run is over.
+// waitForEvent waits for a task, the timer, the end of Drive, a failure or the end of the
+// run's context, and handles it.
+func (v *socketRun) waitForEvent(timer <-chan time.Time) error {
+	select {
+	case task := <-v.tasks:
+		v.world.At(v.now())
+		task()
+	case <-timer:
+	case err := <-v.failures:
+		return err
+	case err := <-v.driverDone:
+		v.driverDone = nil
+		if err != nil {
+			return err
+		}
+		if v.config.EndWithDrive {
+			v.world.At(v.now())
+			v.world.Close()
+		}
+	case <-v.ctx.Done():
+		return v.ctx.Err()
+	}
+	return nil
+}
+
+// runInLoop hands the loop a task. Once the run is over the task is dropped.
 func (v *socketRun) runInLoop(task func()) {
 	select {
 	case v.tasks <- task:
@@ -224,13 +323,13 @@
 	}
 }
 
-// End answers a hop.
+// End answers an attempt.
 func (v *socketRun) End(_ int, h *simulation.Hop, e simulation.End) {
 	h.Tag.(*serverAttempt).finish(h, e)
 }
 
-// Note passes a line of the record on; what becomes of servers moves their
-// listeners.
+// Note passes an entry of the event log on to the checker and the record. Where a server
+// starts or goes down, its listeners follow.
 func (v *socketRun) Note(e *eventlog.Entry) {
 	v.sitesCut.Store(v.world != nil && v.world.SitesCut())
 	switch e.Kind {
@@ -247,9 +346,10 @@
 	}
 }
 
+// fail ends the run with an error. Only the first error counts.
 func (v *socketRun) fail(err error) {
 	select {
 	case v.failures <- err:
-	default: // the first one counts
+	default:
 	}
 }
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -15,12 +15,36 @@
 	"quilldoor/internal/simulation"
 )
 
-// clientRequest is a txn that the router has, with its hops so far.
+// Outcomes of a request, as the world and the event log name them. Clients on sockets may
+// also get none: their connection ended without an answer.
+const (
+	outcomeCompleted = "completed"
+	outcomeRejected  = "rejected"
+	outcomeAborted   = "aborted"
+	outcomeRefused   = "refused" // on sockets: the router didn't accept the connection
+	outcomeNone      = ""
+)
+
+// The bodies of a write: what the client sends, and what the origin puts before it in its answer.
+const (
+	writePrefix    = "accepted "
+	recordedPrefix = "recorded "
+)
+
+// clientRequest is a request that a router works on, with the number of its attempts so far.
 type clientRequest struct {
 	*simulation.Ask
 	attempts  int
 	cancel    context.CancelFunc
-	forwarded bool // for a router of another site
+	forwarded bool // it came from a router of another site
+}
+
+// clientResponse is what a client made of an answer.
+type clientResponse struct {
+	outcome          string
+	issuedMicros     int64  // when the copy was issued
+	retryAfterMicros int64  // how long the client is to wait with a retry
+	mismatch         string // what is wrong with the body; "": nothing
 }
 
 // Ask sends a client's request.
@@ -29,31 +53,42 @@
 	ctx, cancel := context.WithCancel(v.ctx)
 	request := &clientRequest{Ask: ask, cancel: cancel}
 	r.requests[ask.Txn] = request
-	listen := r.clientAddr
+	addr := r.clientAddr
 	v.goroutines.Go(func() {
-		outcome, issued, retryAfter, mismatch := v.sendRequest(ctx, listen, ask)
+		response := v.sendRequest(ctx, addr, ask)
 		v.runInLoop(func() {
 			cancel()
-			if mismatch != "" {
-				v.Note(&eventlog.Entry{Kind: eventlog.KindWrong, At: v.world.Now(), Router: ask.Router, Request: ask.Txn, State: mismatch})
-			}
-			v.forgetForwarded(ask.Txn)
-			if outcome == "" && r.requests[ask.Txn] == request {
-				v.brokenConns++
-			}
-			if outcome == "refused" && r.requests[ask.Txn] == request {
-				v.refusedConns++
-				delete(r.requests, ask.Txn)
-				v.world.Refused(ask.Router, ask.Txn)
-			} else if outcome != "" && r.requests[ask.Txn] == request {
-				delete(r.requests, ask.Txn)
-				v.world.Final(ask.Router, ask.Txn, outcome, issued, retryAfter)
-			}
+			v.finishRequest(r, request, response)
 		})
 	})
 }
 
-// forgetForwarded forgets a txn at routers that carried it for another.
+// finishRequest tells the world what a client got, unless the client has left by now.
+func (v *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
+	ask := request.Ask
+	if response.mismatch != "" {
+		v.Note(&eventlog.Entry{
+			Kind: eventlog.KindWrong, At: v.world.Now(), Router: ask.Router, Request: ask.Txn, State: response.mismatch,
+		})
+	}
+	v.forgetForwarded(ask.Txn)
+	if r.requests[ask.Txn] != request {
+		return
+	}
+	switch response.outcome {
+	case outcomeNone:
+		v.brokenConns++
+	case outcomeRefused:
+		v.refusedConns++
+		delete(r.requests, ask.Txn)
+		v.world.Refused(ask.Router, ask.Txn)
+	default:
+		delete(r.requests, ask.Txn)
+		v.world.Final(ask.Router, ask.Txn, response.outcome, response.issuedMicros, response.retryAfterMicros)
+	}
+}
+
+// forgetForwarded forgets a request at the routers that it was forwarded to.
 func (v *socketRun) forgetForwarded(requestID string) {
 	for _, r := range v.routers {
 		if request := r.requests[requestID]; request != nil && request.forwarded {
@@ -62,35 +97,67 @@
 	}
 }
 
-// findForwarded finds a txn that another site's router has handed over.
+// findForwarded finds a request that another site's router has forwarded to this one, and
+// notes it here. Nil: there is none.
 func (r *routerProcess) findForwarded(requestID string) *clientRequest {
 	for _, home := range r.routers {
-		if request := home.requests[requestID]; request != nil && !request.forwarded && r.gatewayAddr != "" && home.gatewayAddr != "" {
-			ask := *request.Ask
-			ask.Router = r.id
-			forwarded := &clientRequest{Ask: &ask, cancel: func() {}, forwarded: true}
-			r.requests[requestID] = forwarded
-			r.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: requestID, Attempt: home.id})
-			return forwarded
+		request := home.requests[requestID]
+		if request == nil || request.forwarded || r.gatewayAddr == "" || home.gatewayAddr == "" {
+			continue
 		}
+		ask := *request.Ask
+		ask.Router = r.id
+		forwarded := &clientRequest{Ask: &ask, cancel: func() {}, forwarded: true}
+		r.requests[requestID] = forwarded
+		r.Note(&eventlog.Entry{
+			Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: requestID, Attempt: home.id,
+		})
+		return forwarded
 	}
 	return nil
 }
 
-// sendRequest is a try over HTTP. No outcome: there was no answer.
-func (v *socketRun) sendRequest(ctx context.Context, listen string, ask *simulation.Ask) (outcome string, issued, retryAfter int64, mismatch string) {
-	method, body := "GET", []byte(nil)
+// sendRequest sends a request over HTTP and reads the answer.
+func (v *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Ask) clientResponse {
+	request, err := v.newRequest(ctx, addr, ask)
+	if err != nil {
+		return clientResponse{outcome: outcomeNone}
+	}
+	response, err := v.client.Do(request)
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		return clientResponse{outcome: outcomeRefused}
+	}
+	if err != nil {
+		return clientResponse{outcome: outcomeNone}
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return clientResponse{outcome: outcomeNone}
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+		return completedResponse(body, ask)
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		retryAfterMillis, _ := strconv.ParseInt(response.Header.Get("X-Throttle-Ms"), 10, 32)
+		return clientResponse{outcome: outcomeRejected, retryAfterMicros: retryAfterMillis * 1000}
+	}
+	return clientResponse{outcome: outcomeAborted}
+}
+
+// newRequest is a client's request in the platform's form.
+func (v *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Ask) (*http.Request, error) {
+	method, body := http.MethodGet, []byte(nil)
 	if ask.Write {
-		method, body = "PUT", []byte("accepted "+ask.Txn)
+		method, body = http.MethodPut, []byte(writePrefix+ask.Txn)
 	}
-	name := v.world.RuleOf(ask.Rule).Name
-	url := "http://" + listen + "/rpc/" + name + "/" + ask.Object
+	url := "http://" + addr + "/rpc/" + v.world.RuleOf(ask.Rule).Name + "/" + ask.Object
 	if ask.Rule == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(ask.Part, 10)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return
+		return nil, err
 	}
 	request.Header.Set("X-Txn", ask.Txn)
 	request.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(ask.Limit/1000, 1), 10))
@@ -98,36 +165,24 @@
 	if ask.Again {
 		request.Header.Set("X-Second-Try", "1")
 	}
-	response, err := v.client.Do(request)
-	if errors.Is(err, syscall.ECONNREFUSED) {
-		return "refused", 0, 0, ""
-	}
-	if err != nil {
-		return
-	}
-	defer response.Body.Close()
-	received, err := io.ReadAll(response.Body)
-	if err != nil {
-		return
+	return request, nil
+}
+
+// completedResponse checks the body of a complete answer.
+func completedResponse(body []byte, ask *simulation.Ask) clientResponse {
+	response := clientResponse{outcome: outcomeCompleted}
+	if !ask.Write {
+		response.issuedMicros, response.mismatch = checkBody(body, ask)
+		return response
 	}
-	switch response.StatusCode {
-	case 200:
-		if ask.Write {
-			if string(received) != "recorded accepted "+ask.Txn {
-				mismatch = fmt.Sprintf("%.40q for an acceptance", received)
-			}
-			return "completed", 0, 0, mismatch
-		}
-		issued, mismatch = checkBody(received, ask)
-		return "completed", issued, 0, mismatch
-	case 429, 503:
-		retryAfterMillis, _ := strconv.ParseInt(response.Header.Get("X-Throttle-Ms"), 10, 32)
-		return "rejected", 0, retryAfterMillis * 1000, ""
+	if string(body) != recordedPrefix+writePrefix+ask.Txn {
+		response.mismatch = fmt.Sprintf("%.40q for an acceptance", body)
 	}
-	return "aborted", 0, 0, ""
+	return response
 }
 
-// responseBody is a copy's bytes: they tell what it is and when it was given out.
+// responseBody is the bytes of a copy. They say which object it is and when it was issued,
+// in microseconds, so that a client can tell a stale or mixed-up copy.
 func responseBody(object string, part, issued int64, sizeKB float64) []byte {
 	header := fmt.Appendf(nil, "%s/%d@%d;", object, part, issued)
 	size := max(int(sizeKB*1000), len(header))
@@ -135,6 +190,7 @@
 	return repeated[:size]
 }
 
+// checkBody reads when a copy was issued, and compares each byte with what the copy should be.
 func checkBody(body []byte, ask *simulation.Ask) (issued int64, mismatch string) {
 	header, _, _ := bytes.Cut(body, []byte(";"))
 	separator := bytes.LastIndexByte(header, '@')
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -18,43 +18,43 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// readyTimeoutSeconds is how long a generation may take to get ready, seconds.
+// readyTimeoutSeconds is how long a generation may take to get ready.
 const readyTimeoutSeconds = 3
 
-// Kept are the routers of a run on sockets whose script has them kept, for whoever
-// changes them or does them harm. Its calls may come from any goroutine but the
-// run's own.
+// Kept gives access to the router processes of a run on sockets: upgrades, rollouts and faults
+// go through it. Its methods may be called from any goroutine but the run's loop.
 type Kept struct{ *socketRun }
 
-// Count is how many there are.
+// Count is the number of routers.
 func (k *Kept) Count() int { return len(k.routers) }
 
-// Folder of a router's keeper.
+// Folder is the folder of a router's supervisor.
 func (k *Kept) Folder(i int) string { return filepath.Join(k.dir, fmt.Sprintf("k%d", i+1)) }
 
-// Operator is the router's operator's file.
+// Operator is the file of a router's operator configuration.
 func (k *Kept) Operator(i int) string { return filepath.Join(k.dir, routerName(i)+".yaml") }
 
-// Log is what the router's processes have logged, in a file.
+// Log is the file that a supervised router's processes log to.
 func (k *Kept) Log(i int) string { return filepath.Join(k.dir, routerName(i)+".log") }
 
-// View is what a router holds of the others, by its own protocol.
+// View asks a router for its membership view.
 func (k *Kept) View(i int) (*membership.View, error) {
 	return transport.Query([]byte(membershipKey), routerName(i), k.routers[i].membershipAddr)
 }
 
-// Config is the platform's configuration of a router.
+// Config is the file of the platform's configuration of a router.
 func (k *Kept) Config(i int) string { return k.routers[i].configPath() }
 
-// Plan is where the routers look for a rollout's; it is not there at first.
+// Plan is the file where the routers look for a rollout plan. The run doesn't create it.
 func (k *Kept) Plan() string { return filepath.Join(k.dir, "plan.yaml") }
 
-// Name of a router among members, and its office.
+// Name is a router's member name and its office.
 func (k *Kept) Name(i int) (name, office string) {
 	return routerName(i), scenario.Zone(k.world.Office(i))
 }
 
-// Rollout says a word on it to a router, 0: only asks.
+// Rollout gives a router a command on the rollout and returns the rollout's status. 0: only
+// the status.
 func (k *Kept) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
 	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
@@ -66,15 +66,15 @@
 	return reply.Rollout, nil
 }
 
-// Listen is where clients reach it.
+// Listen is the address where clients reach a router.
 func (k *Kept) Listen(i int) string { return k.routers[i].clientAddr }
 
-// Ask says a word to a keeper and waits for its last report.
+// Ask sends a message to a router's supervisor and returns its last reply.
 func (k *Kept) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
 	return handoff.Request(filepath.Join(k.Folder(i), upgradeagent.SocketName), message, nil)
 }
 
-// Standing is what a keeper tells of itself.
+// Standing is the status of a router's supervisor.
 func (k *Kept) Standing(i int) (*handoff.Status, error) {
 	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
@@ -86,7 +86,7 @@
 	return reply.Status, nil
 }
 
-// Until asks a keeper time and again until it stands as wanted.
+// Until polls a router's supervisor until its status satisfies reached, or time is over.
 func (k *Kept) Until(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
 	var last *handoff.Status
@@ -105,38 +105,44 @@
 	return last, errors.Join(fmt.Errorf("router %d does not stand as wanted after %v: %+v", i, within, last), err)
 }
 
-// signalKinds are the event log's kinds of what a signal does to a process.
+// signalKinds are the event log's entries for signals that change what is expected of a router.
 var signalKinds = map[syscall.Signal]eventlog.Kind{
 	syscall.SIGKILL: eventlog.KindCrashed,
 	syscall.SIGSTOP: eventlog.KindRouterStopped,
 	syscall.SIGCONT: eventlog.KindRouterWoken,
 }
 
-// Signal sends one to a process of a router. What it held when it was killed is no
-// longer its duty; what fell due while it stood still is told apart.
+// Signal sends a signal to a process of a router and notes it in the event log: a killed
+// process owes no answers, and what fell due while one was stopped is counted apart.
 func (k *Kept) Signal(i, pid int, s syscall.Signal) error {
-	done := make(chan error, 1)
-	k.runInLoop(func() {
-		kind := signalKinds[s]
-		if kind != "" {
+	err := k.callInLoop(func() error {
+		if kind := signalKinds[s]; kind != "" {
 			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
 		}
-		done <- syscall.Kill(pid, s)
+		return syscall.Kill(pid, s)
 	})
+	if err == nil && s == syscall.SIGKILL {
+		k.waitGone(i, pid)
+	}
+	return err
+}
+
+// callInLoop calls a function in the run's loop and returns its error, or the context's if
+// the run is over.
+func (k *Kept) callInLoop(call func() error) error {
+	done := make(chan error, 1)
+	k.runInLoop(func() { done <- call() })
 	select {
 	case err := <-done:
-		if err == nil && s == syscall.SIGKILL {
-			k.waitGone(i, pid)
-		}
 		return err
 	case <-k.ctx.Done():
 		return k.ctx.Err()
 	}
 }
 
-// waitGone waits until a process that was killed has ended. On a busy machine that takes
-// milliseconds, in which the system goes on accepting connections for it: what it held
-// by then was never its duty either.
+// waitGone waits until a killed process has ended, and notes the crash again. On a busy
+// machine that takes milliseconds, in which the system still accepts connections for it:
+// it owes no answers on these either.
 func (k *Kept) waitGone(i, pid int) {
 	for k.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -151,67 +157,49 @@
 	k.Crashed(i)
 }
 
-// Crashed notes that a process of a router has been, or will be, killed by its
-// keeper: what it holds is no longer its duty.
+// Crashed notes that a process of a router has been, or will be, killed by its supervisor:
+// it owes no answers.
 func (k *Kept) Crashed(i int) {
 	k.runInLoop(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
 }
 
-// KillKeeper kills a router's keeper alone; its generations run on.
+// KillKeeper kills a router's supervisor alone. Its generations run on.
 func (k *Kept) KillKeeper(i int) error {
 	r := k.routers[i]
-	done := make(chan error, 1)
-	k.runInLoop(func() {
-		r.killed, r.orphanGroups = true, append(r.orphanGroups, r.cmd.Process.Pid)
-		done <- r.cmd.Process.Kill()
+	var exited <-chan struct{}
+	err := k.callInLoop(func() error {
+		r.killed = true
+		r.orphanGroups = append(r.orphanGroups, r.cmd.Process.Pid)
+		exited = r.exited
+		return r.cmd.Process.Kill()
 	})
-	select {
-	case err := <-done:
-		<-r.exited
+	if k.ctx.Err() != nil {
 		return err
-	case <-k.ctx.Done():
-		return k.ctx.Err()
 	}
+	<-exited
+	return err
 }
 
-// StartKeeper starts it again, on the same machine.
+// StartKeeper starts a router's supervisor again, on the same machine.
 func (k *Kept) StartKeeper(i int) error {
-	r := k.routers[i]
-	done := make(chan error, 1)
-	k.runInLoop(func() { done <- r.launch() })
-	select {
-	case err := <-done:
-		return err
-	case <-k.ctx.Done():
-		return k.ctx.Err()
-	}
+	return k.callInLoop(k.routers[i].launch)
 }
 
-// Restart ends a router that nobody keeps by SIGTERM, as a planned restart does, and
+// Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
 func (k *Kept) Restart(i int) error {
 	r := k.routers[i]
-	done := make(chan error, 1)
-	wait := func() error {
-		select {
-		case err := <-done:
-			return err
-		case <-k.ctx.Done():
-			return k.ctx.Err()
-		}
-	}
-	k.runInLoop(func() {
+	err := k.callInLoop(func() error {
 		r.killed = true
-		done <- r.cmd.Process.Signal(syscall.SIGTERM)
+		return r.cmd.Process.Signal(syscall.SIGTERM)
 	})
-	if err := wait(); err != nil {
+	if err != nil {
 		return err
 	}
 	<-r.exited
-	k.runInLoop(func() {
+	return k.callInLoop(func() error {
 		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: k.world.Now(), Router: i})
 		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: k.world.Now(), Router: i})
-		done <- r.start(k.world.Known())
+		return r.start(k.world.Known())
 	})
-	return wait()
 }
