--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -7,34 +7,93 @@
 	"quilldoor/internal/policy"
 )
 
-// Hop takes a hop that a router sends at its time. It comes to the server after
-// the way there.
+// Hop is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
+type Hop struct {
+	Router   int    // index of the router that sends it
+	Txn      string // ID of the request
+	N        int    // number of the attempt within the request
+	Server   string // ID of the server it goes to
+	Source   string // ID of the server that a miss is filled from; "": a miss is not filled
+	Rank     int    // retention rank of a filled copy; 0: it is not stored
+	FillMode policy.FillMode
+	Within   int64 // maximum age of an acceptable copy, microseconds; 0: the traffic class's freshness time
+	Rule     int   // index of the traffic class
+	Object   string
+	Part     int64
+	Group    int64 // purge group of the object
+	SizeKB   float64
+	Write    bool
+	Tag      any // the driver's own, not read here
+
+	target     *server // nil: no such server
+	fillSource *server // nil: no fill
+	objectID   int64
+	state      attemptState
+	index      int   // in target.attempts
+	job        *job  // the work under way for it, if any
+	fill       *fill // the fill it waits for, if any
+	latency    int64 // one way between router and server, microseconds
+}
+
+// attemptState is how far an attempt has come at its server.
+type attemptState uint8
+
+const (
+	attemptInTransit attemptState = iota
+	attemptQueued                 // waits for a slot
+	attemptWorking                // has a slot
+	attemptEnded                  // was answered, cancelled or lost
+)
+
+// attemptKey identifies an attempt among those that routers still wait for.
+type attemptKey struct {
+	router    int
+	requestID string
+	attempt   int
+}
+
+func (h *Hop) key() attemptKey { return attemptKey{h.Router, h.Txn, h.N} }
+
+// entry is an event log entry about the attempt.
+func (h *Hop) entry(kind eventlog.Kind) Entry {
+	return Entry{Kind: kind, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server}
+}
+
+// Hop accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
 func (w *World) Hop(attempt *Hop) {
 	w.Result.Hops++
 	attempt.target = w.servers[attempt.Server]
 	attempt.fillSource = w.servers[attempt.Source]
 	attempt.objectID = w.catalogue.id(attempt.Object)
-	w.record(Entry{
-		Kind: eventlog.KindSent, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: attempt.Server, Source: attempt.Source, Object: attempt.Object,
-		Group: attempt.Group, Class: w.classes[attempt.Rule].Name,
-	})
+	entry := attempt.entry(eventlog.KindSent)
+	entry.Source = attempt.Source
+	entry.Object = attempt.Object
+	entry.Group = attempt.Group
+	entry.Class = w.classes[attempt.Rule].Name
+	w.record(entry)
 	if attempt.target == nil {
-		return // a server that never was: nothing answers
+		return // an address without a host: nothing answers
 	}
 	attempt.latency = w.oneWayDelay(w.routers[attempt.Router].office, attempt.target)
-	w.attempts[attemptKey{attempt.Router, attempt.Txn, attempt.N}] = attempt
+	w.attempts[attempt.key()] = attempt
 	w.schedule(attempt.latency, func() { w.attemptArrived(attempt) })
 }
 
-// Cancel takes that a router gives a hop up; the server hears of it later.
+// Cancel accepts that a router cancels an attempt. The server hears of it one network latency later.
 func (w *World) Cancel(router int, requestID string, number int) {
 	key := attemptKey{router, requestID, number}
 	if attempt := w.attempts[key]; attempt != nil {
 		delete(w.attempts, key)
-		w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
+		w.detachLater(attempt)
 	}
 }
 
+func (w *World) detachLater(attempt *Hop) {
+	w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
+}
+
+// attemptArrived hands an attempt to its server. A server that is down refuses the connection, a silent one does
+// not even do that.
 func (w *World) attemptArrived(attempt *Hop) {
 	server := attempt.target
 	switch {
@@ -46,11 +105,10 @@
 		server.finish(attempt, End{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
-	w.record(Entry{Kind: eventlog.KindArrived, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: server.id})
+	w.record(attempt.entry(eventlog.KindArrived))
 	attempt.index = len(server.attempts)
 	server.attempts = append(server.attempts, attempt)
-	work := attempt.SizeKB / w.scenario.Fleet.FlowKBPerS * 1e6
-	if server.recordWork(work) {
+	if server.recordWork(w.flowTime(attempt.SizeKB)) {
 		server.collapse()
 		return
 	}
@@ -64,8 +122,7 @@
 	}
 }
 
-// finish answers a hop. What the router gets takes the way back, and a trouble may
-// get between.
+// finish answers an attempt. The answer takes one network latency to its router, and a fault may change or lose it.
 func (s *server) finish(attempt *Hop, end End) {
 	if attempt.state == attemptEnded {
 		return
@@ -74,48 +131,63 @@
 	end.Load = s.visibleLoad
 	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
 		s.world.Result.Ends[end.Outcome.String()]++
-		if end = s.world.applyAnswerFaults(s, end); end.Outcome == policy.OutcomeUnknown {
-			return // it never comes
+		end = s.world.applyAnswerFaults(s, end)
+		if end.Outcome == policy.OutcomeUnknown {
+			return // the answer is lost
 		}
 	}
 	s.world.schedule(attempt.latency, func() { s.world.deliver(attempt, end) })
 }
 
+// deliver brings an answer to the router, unless the router has cancelled the attempt.
 func (w *World) deliver(attempt *Hop, end End) {
-	key := attemptKey{attempt.Router, attempt.Txn, attempt.N}
+	key := attempt.key()
 	if w.attempts[key] != attempt {
-		return // the router has given it up
+		return
 	}
 	delete(w.attempts, key)
-	w.record(Entry{Kind: eventlog.KindEnded, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: attempt.Server, Outcome: end.Outcome.String(), Issued: end.Issued})
+	entry := attempt.entry(eventlog.KindEnded)
+	entry.Outcome = end.Outcome.String()
+	entry.Issued = end.Issued
+	w.record(entry)
 	w.driver.End(attempt.Router, attempt, end)
 }
 
-// detach takes a hop off its server: it has ended, or was given up.
+// detach removes an attempt that was answered or cancelled from its server and stops the work for it.
 func (s *server) detach(attempt *Hop) {
 	if attempt.state == attemptEnded {
 		return
 	}
 	previous := attempt.state
 	attempt.state = attemptEnded
-	if attempt.index < len(s.attempts) && s.attempts[attempt.index] == attempt {
-		last := len(s.attempts) - 1
-		s.attempts[attempt.index] = s.attempts[last]
-		s.attempts[attempt.index].index = attempt.index
-		s.attempts[last] = nil
-		s.attempts = s.attempts[:last]
-	}
-	if inFlight := attempt.fill; inFlight != nil {
+	s.forgetAttempt(attempt)
+	if fill := attempt.fill; fill != nil {
 		attempt.fill = nil
-		inFlight.removeAttempt(attempt)
+		fill.removeAttempt(attempt)
 	}
 	if attempt.job != nil {
 		attempt.job.resource.remove(attempt.job)
 		attempt.job = nil
 	}
-	if s.kind != kindCache {
+	if s.kind == kindCache {
+		s.releaseSlot(attempt, previous)
+	}
+}
+
+// forgetAttempt takes an attempt off the server's list; the last one of the list moves to its place.
+func (s *server) forgetAttempt(attempt *Hop) {
+	if attempt.index >= len(s.attempts) || s.attempts[attempt.index] != attempt {
 		return
 	}
+	last := len(s.attempts) - 1
+	s.attempts[attempt.index] = s.attempts[last]
+	s.attempts[attempt.index].index = attempt.index
+	s.attempts[last] = nil
+	s.attempts = s.attempts[:last]
+}
+
+// releaseSlot frees the place in the queue or the slot that an attempt had at a cache.
+func (s *server) releaseSlot(attempt *Hop, previous attemptState) {
 	switch previous {
 	case attemptQueued:
 		if i := slices.Index(s.queue, attempt); i >= 0 {
@@ -128,49 +200,20 @@
 	}
 }
 
-// recordExecuted notes that a hop's work was done in part at least.
+// recordExecuted logs that the work of an attempt has begun: from here on it may have its effect.
 func (w *World) recordExecuted(attempt *Hop) {
-	w.record(Entry{Kind: eventlog.KindRan, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: attempt.target.id, Class: w.classes[attempt.Rule].Name})
+	entry := attempt.entry(eventlog.KindRan)
+	entry.Class = w.classes[attempt.Rule].Name
+	w.record(entry)
 }
 
-// Hop is what a router sends to a server.
-type Hop struct {
-	Router         int
-	Txn            string
-	N              int
-	Server, Source string // Source "": a miss is not filled
-	Rank           int
-	FillMode       policy.FillMode
-	Within         int64 // the oldest copy that will do; 0: the rule's
-	Rule           int
-	Object         string
-	Part           int64
-	Group          int64
-	SizeKB         float64
-	Write          bool
-	Tag            any // the driver's own
-
-	target     *server
-	fillSource *server
-	objectID   int64
-	state      attemptState
-	index      int // in the server's list
-	job        *job
-	fill       *fill
-	latency    int64 // one way
+// maxAge is the age, in microseconds, up to which a copy satisfies an attempt.
+func (w *World) maxAge(attempt *Hop) int64 {
+	if attempt.Within != 0 {
+		return attempt.Within
+	}
+	return w.classes[attempt.Rule].FreshFor
 }
 
-type attemptState uint8
-
-const (
-	attemptInTransit attemptState = iota
-	attemptQueued                 // in the server's waiting room
-	attemptWorking                // has a slot
-	attemptEnded
-)
-
-type attemptKey struct {
-	router    int
-	requestID string
-	attempt   int
-}
+// flowTime is how long one client flow takes for a number of kilobytes, in microseconds.
+func (w *World) flowTime(kb float64) float64 { return kb / w.scenario.Fleet.FlowKBPerS * second }
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -6,21 +6,34 @@
 	"quilldoor/internal/policy"
 )
 
-func (w *World) newCache(office int, uid string) *server {
+const (
+	// prewarmedIssuedAt is the issue time of copies that stood in a cache before the run.
+	prewarmedIssuedAt = 1
+	// defaultRank is the retention rank of prewarmed copies and of those that a parent fetches.
+	defaultRank = 1
+)
+
+// prewarmKey is a part of an object at an office, or at a trunk (-1 - trunk).
+type prewarmKey struct {
+	location int
+	key      int64
+}
+
+func (w *World) newCache(office int, id string) *server {
 	fleet := &w.scenario.Fleet
 	s := &server{
-		world: w, id: uid, kind: kindCache, office: office, trunk: fleet.Trunk(office), weight: float64(fleet.Cores), up: true,
-		listed: policy.EndpointActive, slowdown: 1, fills: map[int64]*fill{},
+		world: w, id: id, kind: kindCache, up: true, listed: policy.EndpointActive, slowdown: 1,
+		office: office, trunk: fleet.Trunk(office), weight: float64(fleet.Cores), fills: map[int64]*fill{},
 	}
-	// Work is told in core-microseconds; a core sends one flow.
+	// A core sends one flow, so work is counted in core-microseconds.
 	s.cpu = &sharedResource{world: w, totalRate: float64(fleet.Cores), maxJobRate: 1}
 	s.store = newCopyStore(fleet.CacheShare * w.catalogue.officeKB / float64(fleet.Caches))
-	w.servers[uid] = s
-	w.schedule(w.jitter(fleet.ReportMS*1000), s.reportLoad)
+	w.servers[id] = s
+	w.schedule(w.jitter(fleet.ReportMS*millisecond), s.reportLoad)
 	return s
 }
 
-// admit takes a hop in at a cache: to work, to the waiting room, or not.
+// admit gives an attempt a slot of the cache or a place in its queue, or rejects it.
 func (s *server) admit(attempt *Hop) {
 	fleet := &s.world.scenario.Fleet
 	switch {
@@ -34,6 +47,7 @@
 	}
 }
 
+// startQueued serves queued attempts, first come first served, while slots are free.
 func (s *server) startQueued() {
 	fleet := &s.world.scenario.Fleet
 	for s.up && len(s.queue) > 0 && s.busySlots < fleet.SlotsPerCore*fleet.Cores {
@@ -43,52 +57,48 @@
 	}
 }
 
-// serve looks for a copy, or begins a fill.
+// serve takes a slot and answers an attempt from the cache, or by a fill.
 func (s *server) serve(attempt *Hop) {
-	w, fleet := s.world, &s.world.scenario.Fleet
+	w := s.world
 	attempt.state = attemptWorking
 	s.busySlots++
 	key := partKey(attempt.objectID, attempt.Part)
-	maxAge := attempt.Within
-	if maxAge == 0 {
-		maxAge = w.classes[attempt.Rule].FreshFor
-	}
+	maxAge := w.maxAge(attempt)
 	s.reportServed++
-	if copied := s.lookup(attempt, key); copied != nil && w.now-copied.issuedAt <= maxAge {
-		s.reportHits++
-		reason := policy.ReasonHit
-		if w.now-copied.issuedAt > w.classes[attempt.Rule].FreshFor {
-			reason = policy.ReasonStale
-		}
-		s.sendCopy(attempt, reason, copied.issuedAt, 0)
+	cached := s.lookup(attempt, key)
+	if cached == nil || w.now-cached.issuedAt > maxAge {
+		s.serveMiss(attempt, key)
 		return
 	}
+	s.reportHits++
+	reason := policy.ReasonHit
+	if w.now-cached.issuedAt > w.classes[attempt.Rule].FreshFor {
+		reason = policy.ReasonStale
+	}
+	s.sendCopy(attempt, reason, cached.issuedAt, 0)
+}
+
+// serveMiss lets an attempt join a fill or begin one; it is answered at once where neither is possible.
+func (s *server) serveMiss(attempt *Hop, key int64) {
+	fleet := &s.world.scenario.Fleet
 	switch {
 	case attempt.fillSource == nil || attempt.fillSource == s:
 		s.finish(attempt, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
 	case attempt.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
-		inFlight := s.fills[key]
-		inFlight.rank = max(inFlight.rank, attempt.Rank)
-		inFlight.attempts = append(inFlight.attempts, attempt)
-		attempt.fill = inFlight
+		s.fills[key].join(attempt)
 	case s.fillCount >= fleet.FillsPerCore*fleet.Cores:
 		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
 	default:
-		inFlight := &fill{server: s, key: key, attempts: []*Hop{attempt}, rank: attempt.Rank, startedAt: w.now, incarnation: s.incarnation, reason: policy.ReasonMiss}
-		attempt.fill = inFlight
-		s.fillCount++
-		if s.fills[key] == nil {
-			s.fills[key] = inFlight
-		}
-		inFlight.start(attempt)
+		s.beginFill(attempt, key)
 	}
 }
 
-// lookup finds a copy. Where the run begins warm, what was popular then counts as
-// kept by the server that is asked for it first: which one that is, is the
-// routers' to choose.
+// lookup finds a copy. In a prewarmed fleet a popular object counts as cached at the first server of its office or
+// trunk that is asked for it, because the routers choose which server that is.
 func (s *server) lookup(attempt *Hop, key int64) *cachedCopy {
-	if cached := s.store.get(key); cached != nil || attempt.objectID >= s.world.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
+	w := s.world
+	cached := s.store.get(key)
+	if cached != nil || attempt.objectID >= w.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
 		return cached
 	}
 	location := s.office
@@ -96,27 +106,24 @@
 		location = -1 - s.trunk
 	}
 	prewarm := prewarmKey{location, key}
-	if s.world.prewarmed[prewarm] || s.world.purgedAt(attempt.objectID, attempt.Group) > 0 {
+	if w.prewarmed[prewarm] || w.purgedAt(attempt.objectID, attempt.Group) > 0 {
 		return nil
 	}
-	s.world.prewarmed[prewarm] = true
-	s.store.put(key, attempt.SizeKB, 1, attempt.Group, 1)
+	w.prewarmed[prewarm] = true
+	s.store.put(key, attempt.SizeKB, prewarmedIssuedAt, attempt.Group, defaultRank)
 	return s.store.get(key)
 }
 
-// sendCopy sends a copy from the cache: the core is taken for the time of sending.
+// sendCopy sends a copy to the router. It takes a core's time for as long as one flow takes.
 func (s *server) sendCopy(attempt *Hop, reason policy.Reason, issuedAt, waited int64) {
-	work := attempt.SizeKB / s.world.scenario.Fleet.FlowKBPerS * 1e6
+	work := s.world.flowTime(attempt.SizeKB)
 	s.world.recordExecuted(attempt)
 	attempt.job = s.cpu.add(work, func() {
 		attempt.job = nil
-		s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, Waited: waited, SizeKB: attempt.SizeKB})
+		s.finish(attempt, End{
+			Outcome: policy.OutcomeDone, Reason: reason,
+			Issued: issuedAt, Waited: waited, SizeKB: attempt.SizeKB,
+		})
 	})
 	s.updateRate()
 }
-
-// prewarmKey is a part at an office, or at a trunk (below 0).
-type prewarmKey struct {
-	location int
-	key      int64
-}
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -6,142 +6,189 @@
 	"quilldoor/internal/policy"
 )
 
-// fill is a fetch that is under way; hops that join it wait for it as well.
+// fill is a fetch of one part into a server. At a cache, attempts wait for it; at a parent, the callers of
+// serveFill do.
 type fill struct {
-	server       *server
+	server       *server // that is filled
+	incarnation  int64   // of the server, when the fill began
 	key          int64
+	rank         int // retention rank of the copy; 0: it is not stored
 	attempts     []*Hop
-	rank         int
-	jobs         []*job
-	pendingParts int // parts of the transfer that are not over
+	waiters      []func() // at a parent: those who joined
+	transfers    []*job
+	pendingParts int // parts of the transfer that are not finished
 	startedAt    int64
 	issuedAt     int64
 	reason       policy.Reason
-	incarnation  int64
-	closed       bool
+	closed       bool // completed or cancelled
 }
 
-// start sends a fill to its source.
-func (x *fill) start(attempt *Hop) {
-	w, source := x.server.world, attempt.fillSource
-	delay := w.oneWayDelay(x.server.office, source)
-	snapshot := *attempt // the hop may leave while the fill runs on
-	w.schedule(delay, func() {
-		if x.closed {
-			return
+// fillDone receives what a source has for a fill: the issue time of its copy, or a reason for which fillFailed holds.
+type fillDone func(issuedAt int64, reason policy.Reason)
+
+// fillFailed tells whether a source's reason means that there is no copy.
+func fillFailed(reason policy.Reason) bool { return reason >= policy.ReasonUpstreamBusy }
+
+// beginFill starts a fill for an attempt. Later attempts may join it unless another one for the part is under way.
+func (s *server) beginFill(attempt *Hop, key int64) {
+	f := &fill{
+		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Hop{attempt},
+		startedAt: s.world.now, reason: policy.ReasonMiss,
+	}
+	attempt.fill = f
+	s.fillCount++
+	if s.fills[key] == nil {
+		s.fills[key] = f
+	}
+	f.start(attempt)
+}
+
+// join lets an attempt wait for a fill that is under way.
+func (f *fill) join(attempt *Hop) {
+	f.rank = max(f.rank, attempt.Rank)
+	f.attempts = append(f.attempts, attempt)
+	attempt.fill = f
+}
+
+// start sends the fill's request to its source.
+func (f *fill) start(attempt *Hop) {
+	source := attempt.fillSource
+	delay := f.server.world.oneWayDelay(f.server.office, source)
+	snapshot := *attempt // the attempt may be cancelled while the fill runs on
+	f.server.world.schedule(delay, func() {
+		if !f.closed {
+			f.requestArrived(&snapshot, source, delay)
 		}
-		work := snapshot.SizeKB / w.scenario.Fleet.FlowKBPerS * 1e6
-		switch {
-		case !source.up && source.silent:
-			return // until the hop is given up
-		case !source.up:
-			w.schedule(delay, func() { x.fail(policy.ReasonUpstreamDown) })
-			return
-		case source.kind != kindOrigin && source.recordWork(work):
-			source.collapse()
-			w.schedule(delay, func() { x.fail(policy.ReasonUpstreamDown) })
+	})
+}
+
+// requestArrived lets the source supply the fill. Its answer takes delay microseconds back.
+func (f *fill) requestArrived(attempt *Hop, source *server, delay int64) {
+	w := f.server.world
+	failLater := func(reason policy.Reason) {
+		w.schedule(delay, func() { f.fail(reason) })
+	}
+	switch {
+	case !source.up && source.silent:
+		return // the fill waits until its attempts are cancelled
+	case !source.up:
+		failLater(policy.ReasonUpstreamDown)
+		return
+	case source.kind != kindOrigin && source.recordWork(w.flowTime(attempt.SizeKB)):
+		source.collapse()
+		failLater(policy.ReasonUpstreamDown)
+		return
+	}
+	source.serveFill(attempt, func(issuedAt int64, reason policy.Reason) {
+		if fillFailed(reason) {
+			failLater(reason)
 			return
 		}
-		source.serveFill(&snapshot, func(issuedAt int64, reason policy.Reason) {
-			if reason >= policy.ReasonUpstreamBusy {
-				w.schedule(delay, func() { x.fail(reason) })
-				return
-			}
-			x.issuedAt, x.reason = issuedAt, reason
-			w.schedule(delay, func() { x.transfer(&snapshot, source) })
-		})
+		f.issuedAt = issuedAt
+		f.reason = reason
+		w.schedule(delay, func() { f.transfer(attempt, source) })
 	})
 }
 
-// transfer takes a fill's bytes over the source's link out, the office's link in,
-// and no faster than its pace; it is over when all three are.
-func (x *fill) transfer(attempt *Hop, source *server) {
-	w, fleet := x.server.world, &x.server.world.scenario.Fleet
-	if x.closed || x.incarnation != x.server.incarnation {
+// transfer moves the fill's bytes over the source's link out and the office's link in, no faster than its pace. It
+// is finished when all three are.
+func (f *fill) transfer(attempt *Hop, source *server) {
+	w := f.server.world
+	fleet := &w.scenario.Fleet
+	if f.closed || f.incarnation != f.server.incarnation {
 		return
 	}
-	pace := fleet.FillSpeed * fleet.FlowKBPerS / 1e6 / float64(1+w.trunkDistance(x.server.office, source))
+	pace := fleet.FillSpeed * fleet.FlowKBPerS / second / float64(1+w.trunkDistance(f.server.office, source))
 	partDone := func() {
-		if x.pendingParts--; x.pendingParts == 0 && !x.closed {
-			x.complete(attempt)
+		f.pendingParts--
+		if f.pendingParts == 0 && !f.closed {
+			f.complete(attempt)
 		}
 	}
 	w.Result.countFill(w, attempt.SizeKB, source.kind == kindOrigin)
-	x.pendingParts = 2
+	f.pendingParts = 2 // the office's link and the pace
 	if source.egress != nil {
-		x.pendingParts++
-		x.jobs = append(x.jobs, source.egress.add(attempt.SizeKB, partDone))
+		f.pendingParts++
+		f.transfers = append(f.transfers, source.egress.add(attempt.SizeKB, partDone))
 	}
-	x.jobs = append(x.jobs, w.links[x.server.office].add(attempt.SizeKB, partDone))
+	f.transfers = append(f.transfers, w.links[f.server.office].add(attempt.SizeKB, partDone))
 	w.schedule(int64(attempt.SizeKB/pace), partDone)
 }
 
-func (x *fill) unregister() {
-	x.server.fillCount--
-	if x.server.fills[x.key] == x {
-		delete(x.server.fills, x.key)
+// unregister takes the fill off its server's books.
+func (f *fill) unregister() {
+	f.server.fillCount--
+	if f.server.fills[f.key] == f {
+		delete(f.server.fills, f.key)
 	}
 }
 
-func (x *fill) complete(attempt *Hop) {
-	s := x.server
-	x.closed = true
-	x.unregister()
-	if x.rank > 0 && x.issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
-		s.store.put(x.key, attempt.SizeKB, x.issuedAt, attempt.Group, x.rank)
+// complete stores the copy, unless it was purged meanwhile, and answers the attempts that wait for it.
+func (f *fill) complete(request *Hop) {
+	s := f.server
+	f.closed = true
+	f.unregister()
+	if f.rank > 0 && f.issuedAt > s.world.purgedAt(request.objectID, request.Group) {
+		s.store.put(f.key, request.SizeKB, f.issuedAt, request.Group, f.rank)
 	}
-	for i, attempt := range x.attempts {
+	for i, attempt := range f.attempts {
 		attempt.fill = nil
-		reason := x.reason
+		reason := f.reason
 		if i > 0 {
 			reason = policy.ReasonCoalesced
 		}
-		s.sendCopy(attempt, reason, x.issuedAt, s.world.now-x.startedAt)
+		s.sendCopy(attempt, reason, f.issuedAt, s.world.now-f.startedAt)
 	}
-	x.attempts = nil
+	f.attempts = nil
 }
 
-func (x *fill) fail(reason policy.Reason) {
-	if x.closed || x.incarnation != x.server.incarnation {
+// fail answers all attempts that wait for the fill with an error.
+func (f *fill) fail(reason policy.Reason) {
+	if f.closed || f.incarnation != f.server.incarnation {
 		return
 	}
-	x.cancel()
-	x.unregister()
-	attempts := x.attempts
-	x.attempts = nil
+	f.cancel()
+	f.unregister()
+	attempts := f.attempts
+	f.attempts = nil
 	for _, attempt := range attempts {
 		attempt.fill = nil
-		x.server.finish(attempt, End{Outcome: policy.OutcomeError, Reason: reason, Waited: x.server.world.now - x.startedAt})
+		f.server.finish(attempt, End{
+			Outcome: policy.OutcomeError, Reason: reason,
+			Waited: f.server.world.now - f.startedAt,
+		})
 	}
 }
 
-// cancel ends a fill's transfers.
-func (x *fill) cancel() {
-	x.closed = true
-	for _, j := range x.jobs {
-		j.resource.remove(j)
+// cancel ends the fill's transfers. Nobody who waits is told.
+func (f *fill) cancel() {
+	f.closed = true
+	for _, transfer := range f.transfers {
+		transfer.resource.remove(transfer)
 	}
-	x.jobs = nil
+	f.transfers = nil
+	f.waiters = nil
 }
 
-// removeAttempt takes a hop from a fill; one that nobody waits for is dropped, or runs on.
-func (x *fill) removeAttempt(attempt *Hop) {
-	x.attempts = slices.DeleteFunc(x.attempts, func(o *Hop) bool { return o == attempt })
-	if len(x.attempts) == 0 && !x.closed && !x.server.world.scenario.Fleet.OrphanFills {
-		x.cancel()
-		x.unregister()
+// removeAttempt lets an attempt leave the fill. A fill that nobody waits for is cancelled, or runs on if the
+// scenario says so.
+func (f *fill) removeAttempt(attempt *Hop) {
+	f.attempts = slices.DeleteFunc(f.attempts, func(other *Hop) bool { return other == attempt })
+	if len(f.attempts) == 0 && !f.closed && !f.server.world.scenario.Fleet.OrphanFills {
+		f.cancel()
+		f.unregister()
 	}
 }
 
-// serveFill is what a source does for a fill: a parent or another cache gives what
-// it holds, or fetches it; the ledger makes it.
-func (s *server) serveFill(attempt *Hop, done func(issuedAt int64, reason policy.Reason)) {
-	w := s.world
+// serveFill is what a source does for a fill: another cache gives what it holds, a parent may fetch it first, the
+// origin generates it.
+func (s *server) serveFill(attempt *Hop, done fillDone) {
 	switch s.kind {
 	case kindOrigin:
 		s.originRead(done)
-	case kindCache: // another office's: only what it holds
-		if cached := s.store.get(partKey(attempt.objectID, attempt.Part)); cached != nil && cached.issuedAt > w.purgedAt(attempt.objectID, attempt.Group) {
+	case kindCache:
+		cached := s.store.get(partKey(attempt.objectID, attempt.Part))
+		if cached != nil && cached.issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
 			done(cached.issuedAt, policy.ReasonMiss)
 		} else {
 			done(0, policy.ReasonUpstreamMiss)
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -2,32 +2,58 @@
 
 import "quilldoor/internal/policy"
 
-// reportLoad works out a server's load; it is seen in answers after its delay.
+// Keys of a load report as routers read them.
+const (
+	loadUtilization = "util"
+	loadHitShare    = "x0"
+	loadLink        = "x1" // of a cache: utilization of the office's link; of a parent: fills in flight
+)
+
+// reportLoad measures a server's load since its last report and schedules the next one. Answers carry the report
+// after its delay.
 func (s *server) reportLoad() {
-	w, fleet := s.world, &s.world.scenario.Fleet
-	every := w.jitter(fleet.ReportMS * 1000)
+	w := s.world
+	fleet := &w.scenario.Fleet
+	interval := w.jitter(fleet.ReportMS * millisecond)
 	if s.listed == policy.EndpointGone && !s.up && s.collapsed {
 		return
 	}
-	noise := func(v float64) float64 { return max(0, v*(1+fleet.ReportNoise*w.random.NormFloat64())) }
 	load := map[string]float64{}
 	if s.cpu != nil {
-		s.cpu.advance()
-		load["util"] = noise(min(1, (s.cpu.served-s.reportedCPU)/float64(every)/s.weight))
-		s.reportedCPU = s.cpu.served
+		load[loadUtilization] = s.reportUtilization(interval)
 	}
 	if s.reportServed > 0 {
-		load["x0"] = float64(s.reportHits) / float64(s.reportServed)
+		load[loadHitShare] = float64(s.reportHits) / float64(s.reportServed)
 	}
-	s.reportServed, s.reportHits = 0, 0
+	s.reportServed = 0
+	s.reportHits = 0
 	if s.office >= 0 {
-		link := w.links[s.office]
-		link.advance()
-		load["x1"] = noise(min(1, (link.served-s.reportedLink)/float64(every)/link.totalRate))
-		s.reportedLink = link.served
+		load[loadLink] = s.reportLinkUse(interval)
 	} else {
-		load["x1"] = float64(s.fillCount)
+		load[loadLink] = float64(s.fillCount)
 	}
-	w.schedule(int64(fleet.ReportDelayMS*1000)+w.reportDelay, func() { s.visibleLoad = load })
-	w.schedule(every, s.reportLoad)
+	w.schedule(int64(fleet.ReportDelayMS*millisecond)+w.reportDelay, func() { s.visibleLoad = load })
+	w.schedule(interval, s.reportLoad)
+}
+
+// reportUtilization is the share of the processor that was used in an interval, with noise.
+func (s *server) reportUtilization(interval int64) float64 {
+	s.cpu.advance()
+	use := min(1, (s.cpu.served-s.reportedCPU)/float64(interval)/s.weight)
+	s.reportedCPU = s.cpu.served
+	return s.world.reportNoise(use)
+}
+
+// reportLinkUse is the share of the office's link that was used in an interval, with noise.
+func (s *server) reportLinkUse(interval int64) float64 {
+	link := s.world.links[s.office]
+	link.advance()
+	use := min(1, (link.served-s.reportedLink)/float64(interval)/link.totalRate)
+	s.reportedLink = link.served
+	return s.world.reportNoise(use)
+}
+
+// reportNoise adds normally distributed relative noise to a reported value.
+func (w *World) reportNoise(value float64) float64 {
+	return max(0, value*(1+w.scenario.Fleet.ReportNoise*w.random.NormFloat64()))
 }
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -5,6 +5,25 @@
 	"quilldoor/internal/policy"
 )
 
+const (
+	originID = "ledger"
+
+	// originSlotsPerWorker is how many requests per worker the origin holds, at work and queued.
+	originSlotsPerWorker = 4
+
+	// Arrivals of this span tell whether the origin is pushed over.
+	originArrivalWindowS = 3
+	originArrivalWindow  = originArrivalWindowS * second
+
+	// originCrowding is the share by which a full origin works longer on a request than an empty one.
+	originCrowding = 0.5
+	// The service time is half fixed and half exponentially distributed.
+	originFixedShare  = 0.5
+	originRandomShare = 0.5
+
+	writeAnswerKB = 1
+)
+
 func (w *World) newOrigin() *server {
 	fleet := &w.scenario.Fleet
 	egressKBPerS := fleet.OriginLinkKBPerS
@@ -12,47 +31,59 @@
 		egressKBPerS = fleet.OfficeLinkKBPerS() * float64(fleet.Offices)
 	}
 	s := &server{
-		world: w, id: "ledger", kind: kindOrigin, office: -1, trunk: 0, weight: float64(fleet.OriginWorkers), up: true,
-		listed: policy.EndpointActive, slowdown: 1, egress: w.newLink(egressKBPerS),
+		world: w, id: originID, kind: kindOrigin, up: true, listed: policy.EndpointActive, slowdown: 1,
+		office: noOffice, trunk: 0, weight: float64(fleet.OriginWorkers), egress: w.newLink(egressKBPerS),
 	}
 	s.cpu = &sharedResource{world: w, totalRate: float64(fleet.OriginWorkers), maxJobRate: 1}
 	w.servers[s.id] = s
 	return s
 }
 
-// originAccepts tells whether the ledger takes one thing more; pushed over, it stops.
+// originAccepts counts an arrival at the origin and tells whether it is accepted. Too many arrivals make the origin
+// stop for a while.
 func (s *server) originAccepts() bool {
-	w, fleet := s.world, &s.world.scenario.Fleet
-	const window = 3 * second
-	for len(s.arrivals) > 0 && s.arrivals[0] <= w.now-window {
+	fleet := &s.world.scenario.Fleet
+	s.countOriginArrival()
+	capacity := float64(fleet.OriginWorkers) / (fleet.OriginServiceMS / 1000) / s.slowdown // requests a second
+	if !s.stopped && float64(len(s.arrivals)) > fleet.OriginStopMultiple*capacity*originArrivalWindowS {
+		s.stopOrigin()
+	}
+	slots := originSlotsPerWorker * fleet.OriginWorkers
+	return !s.stopped && float64(len(s.cpu.jobs)) < fleet.OriginRejectShare*float64(slots)
+}
+
+func (s *server) countOriginArrival() {
+	now := s.world.now
+	for len(s.arrivals) > 0 && s.arrivals[0] <= now-originArrivalWindow {
 		s.arrivals = s.arrivals[1:]
 	}
-	s.arrivals = append(s.arrivals, w.now)
-	capacity := float64(fleet.OriginWorkers) / (fleet.OriginServiceMS / 1000) / s.slowdown
-	if !s.stopped && float64(len(s.arrivals)) > fleet.OriginStopMultiple*capacity*3 {
-		s.stopped = true
-		w.Result.LedgerStops++
-		w.record(Entry{Kind: eventlog.KindStopped, Endpoint: s.id})
+	s.arrivals = append(s.arrivals, now)
+}
+
+// stopOrigin stops the origin for the scenario's time. Work that has begun goes on afterwards.
+func (s *server) stopOrigin() {
+	w := s.world
+	s.stopped = true
+	w.Result.LedgerStops++
+	w.record(Entry{Kind: eventlog.KindStopped, Endpoint: s.id})
+	s.updateRate()
+	w.schedule(int64(w.scenario.Fleet.OriginStopS*second), func() {
+		s.stopped = false
+		s.arrivals = nil
 		s.updateRate()
-		w.schedule(int64(fleet.OriginStopS*1e6), func() {
-			s.stopped = false
-			s.arrivals = nil
-			s.updateRate()
-		})
-	}
-	slots := 4 * fleet.OriginWorkers // at work and waiting
-	return !s.stopped && float64(len(s.cpu.jobs)) < fleet.OriginRejectShare*float64(slots)
+	})
 }
 
-// crowd makes the ledger's work longer the fuller it is.
+// originServiceTime draws the work of one request in worker-microseconds. It is longer the fuller the origin is.
 func (s *server) originServiceTime() float64 {
 	fleet := &s.world.scenario.Fleet
-	occupancy := float64(len(s.cpu.jobs)) / float64(4*fleet.OriginWorkers)
-	return fleet.OriginServiceMS * 1000 * (1 + 0.5*occupancy) * (0.5 + s.world.random.ExpFloat64()*0.5)
+	occupancy := float64(len(s.cpu.jobs)) / float64(originSlotsPerWorker*fleet.OriginWorkers)
+	mean := fleet.OriginServiceMS * millisecond * (1 + originCrowding*occupancy)
+	return mean * (originFixedShare + s.world.random.ExpFloat64()*originRandomShare)
 }
 
-// originRead makes an object for a fill.
-func (s *server) originRead(done func(issuedAt int64, reason policy.Reason)) {
+// originRead generates an object for a fill.
+func (s *server) originRead(done fillDone) {
 	if !s.up || !s.originAccepts() {
 		done(0, policy.ReasonUpstreamBusy)
 		return
@@ -60,24 +91,39 @@
 	s.cpu.add(s.originServiceTime(), func() { done(s.world.now, policy.ReasonMissOrigin) })
 }
 
-// serveFromOrigin is a hop straight to the ledger: a write, or a read past the caches.
+// serveFromOrigin answers an attempt that a router sent straight to the origin: a write, or a read past the caches.
 func (s *server) serveFromOrigin(attempt *Hop) {
 	attempt.state = attemptWorking
 	if !s.originAccepts() {
 		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
 		return
 	}
-	s.world.recordExecuted(attempt) // from here on a write may have its effect
+	s.world.recordExecuted(attempt)
 	attempt.job = s.cpu.add(s.originServiceTime(), func() {
 		attempt.job = nil
-		issuedAt := s.world.now
 		if attempt.Write {
-			s.world.record(Entry{Kind: eventlog.KindEffect, Router: attempt.Router, Request: attempt.Txn, Attempt: attempt.N, Endpoint: s.id, Class: s.world.classes[attempt.Rule].Name})
-			s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: 1})
-			return
+			s.finishWrite(attempt)
+		} else {
+			s.finishRead(attempt)
 		}
-		s.sendToOffice(attempt, func() {
-			s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, Issued: issuedAt, SizeKB: attempt.SizeKB})
+	})
+}
+
+// finishWrite lets a write have its effect and answers it.
+func (s *server) finishWrite(attempt *Hop) {
+	entry := attempt.entry(eventlog.KindEffect)
+	entry.Class = s.world.classes[attempt.Rule].Name
+	s.world.record(entry)
+	s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: writeAnswerKB})
+}
+
+// finishRead sends a generated object to the router.
+func (s *server) finishRead(attempt *Hop) {
+	issuedAt := s.world.now
+	s.sendToOffice(attempt, func() {
+		s.finish(attempt, End{
+			Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin,
+			Issued: issuedAt, SizeKB: attempt.SizeKB,
 		})
 	})
 }
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -2,28 +2,26 @@
 
 import "quilldoor/internal/policy"
 
-func (w *World) newParent(trunk int, uid string) *server {
+func (w *World) newParent(trunk int, id string) *server {
 	fleet := &w.scenario.Fleet
 	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
 	egressKBPerS := fleet.ParentLink * fleet.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(fleet.Parents, 1))
 	s := &server{
-		world: w, id: uid, kind: kindParent, office: -1, trunk: trunk, weight: egressKBPerS / fleet.FlowKBPerS, up: true,
-		listed: policy.EndpointActive, slowdown: 1, fills: map[int64]*fill{}, egress: w.newLink(egressKBPerS),
+		world: w, id: id, kind: kindParent, up: true, listed: policy.EndpointActive, slowdown: 1,
+		office: noOffice, trunk: trunk, weight: egressKBPerS / fleet.FlowKBPerS, fills: map[int64]*fill{},
+		egress: w.newLink(egressKBPerS),
 	}
 	s.store = newCopyStore(fleet.ParentCacheShare * w.catalogue.totalKB)
-	w.servers[uid] = s
-	w.schedule(w.jitter(fleet.ReportMS*1000), s.reportLoad)
+	w.servers[id] = s
+	w.schedule(w.jitter(fleet.ReportMS*millisecond), s.reportLoad)
 	return s
 }
 
-// fetch gives a parent's copy, or has it from the ledger first.
-func (s *server) fetch(attempt *Hop, done func(issuedAt int64, reason policy.Reason)) {
-	w, fleet := s.world, &s.world.scenario.Fleet
-	key, incarnation := partKey(attempt.objectID, attempt.Part), s.incarnation
-	maxAge := attempt.Within
-	if maxAge == 0 {
-		maxAge = w.classes[attempt.Rule].FreshFor
-	}
+// fetch gives the parent's copy of a part, or gets it from the origin first.
+func (s *server) fetch(attempt *Hop, done fillDone) {
+	w := s.world
+	key := partKey(attempt.objectID, attempt.Part)
+	maxAge := w.maxAge(attempt)
 	s.reportServed++
 	if cached := s.lookup(attempt, key); cached != nil && w.now-cached.issuedAt <= maxAge {
 		s.reportHits++
@@ -34,57 +32,66 @@
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if inFlight := s.fills[key]; inFlight != nil && fleet.ParentCoalesces {
-		inFlight.addWaiter(func() { done(inFlight.issuedAt, inFlight.reason) })
+	if f := s.fills[key]; f != nil && w.scenario.Fleet.ParentCoalesces {
+		f.waiters = append(f.waiters, func() { done(f.issuedAt, f.reason) })
 		return
 	}
-	inFlight := &fill{server: s, key: key, startedAt: w.now, incarnation: incarnation}
-	s.fills[key] = inFlight
+	s.fetchFromOrigin(attempt, key, done)
+}
+
+// fetchFromOrigin fills a parent from the origin.
+func (s *server) fetchFromOrigin(attempt *Hop, key int64, done fillDone) {
+	w := s.world
+	f := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: w.now}
+	s.fills[key] = f
 	s.fillCount++
-	delay := w.oneWayDelay(0, w.origin) + int64(fleet.FarMS*500*float64(abs(s.trunk-w.origin.trunk)))
+	delay := s.originDelay()
 	finish := func(issuedAt int64, reason policy.Reason) {
-		if s.incarnation != incarnation { // it died meanwhile
-			done(0, policy.ReasonUpstreamDown)
-			return
-		}
-		inFlight.unregister()
-		inFlight.issuedAt, inFlight.reason = issuedAt, reason
-		if reason < policy.ReasonUpstreamBusy && attempt.FillMode&policy.FillNoKeep == 0 && issuedAt > w.purgedAt(attempt.objectID, attempt.Group) {
-			s.store.put(key, attempt.SizeKB, issuedAt, attempt.Group, 1)
-		}
-		done(issuedAt, reason)
-		for _, waiter := range inFlight.takeWaiters() {
-			waiter()
-		}
+		w.schedule(delay, func() { f.finishFetch(attempt, issuedAt, reason, done) })
 	}
 	w.schedule(delay, func() {
 		w.origin.originRead(func(issuedAt int64, reason policy.Reason) {
-			if reason >= policy.ReasonUpstreamBusy {
-				w.schedule(delay, func() { finish(0, reason) })
+			if fillFailed(reason) {
+				finish(0, reason)
 				return
 			}
-			if w.currentPhase() != "settle" {
-				w.Result.LedgerKB += attempt.SizeKB
-			}
-			w.origin.egress.add(attempt.SizeKB, func() { w.schedule(delay, func() { finish(issuedAt, policy.ReasonMissOrigin) }) })
+			w.Result.countParentFill(w, attempt.SizeKB)
+			w.origin.egress.add(attempt.SizeKB, func() { finish(issuedAt, policy.ReasonMissOrigin) })
 		})
 	})
 }
 
-// waiters of a parent's fetch stand as jobs without a share.
-func (x *fill) addWaiter(waiter func()) { x.jobs = append(x.jobs, &job{index: -1, done: waiter}) }
+// originDelay is the network latency from a parent to the origin, one way, in microseconds.
+func (s *server) originDelay() int64 {
+	w := s.world
+	distance := s.trunk - w.origin.trunk
+	return w.oneWayDelay(0, w.origin) + int64(w.scenario.Fleet.FarMS*oneWay*float64(max(distance, -distance)))
+}
 
-func (x *fill) takeWaiters() (waiters []func()) {
-	for _, j := range x.jobs {
-		waiters = append(waiters, j.done)
+// finishFetch stores what the origin supplied, if it may be kept and was not purged meanwhile, and passes it on to
+// those who wait for it.
+func (f *fill) finishFetch(attempt *Hop, issuedAt int64, reason policy.Reason, done fillDone) {
+	s := f.server
+	if s.incarnation != f.incarnation { // it crashed meanwhile
+		done(0, policy.ReasonUpstreamDown)
+		return
+	}
+	f.unregister()
+	f.issuedAt = issuedAt
+	f.reason = reason
+	mayStore := !fillFailed(reason) && attempt.FillMode&policy.FillNoKeep == 0
+	if mayStore && issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
+		s.store.put(f.key, attempt.SizeKB, issuedAt, attempt.Group, defaultRank)
+	}
+	done(issuedAt, reason)
+	waiters := f.waiters
+	f.waiters = nil
+	for _, waiter := range waiters {
+		waiter()
 	}
-	x.jobs = nil
-	return waiters
 }
 
-func abs(i int) int { return max(i, -i) }
-
-// serveFromParent is a hop straight to a parent.
+// serveFromParent answers an attempt that a router sent straight to a parent.
 func (s *server) serveFromParent(attempt *Hop) {
 	attempt.state = attemptWorking
 	incarnation := s.incarnation
@@ -92,7 +99,7 @@
 		if attempt.state == attemptEnded || s.incarnation != incarnation {
 			return
 		}
-		if reason >= policy.ReasonUpstreamBusy {
+		if fillFailed(reason) {
 			outcome := policy.OutcomeError
 			if reason == policy.ReasonUpstreamMiss {
 				outcome = policy.OutcomeMiss
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -99,6 +99,13 @@
 	}
 }
 
+// countParentFill counts bytes that a parent gets from the origin.
+func (r *Result) countParentFill(w *World, kb float64) {
+	if w.currentPhase() != "settle" {
+		r.LedgerKB += kb
+	}
+}
+
 // countCompleted counts an answer by how long the client waited from its first try.
 func (r *Result) countCompleted(w *World, client *client, issuedAt int64) {
 	class := &w.classes[client.rule]
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -7,6 +7,7 @@
 	"quilldoor/internal/policy"
 )
 
+// serverKind is what a server stands for in the hierarchy of caches.
 type serverKind uint8
 
 const (
@@ -15,59 +16,83 @@
 	kindOrigin
 )
 
-var serverKindNames = [...]string{"box", "hub", "ledger"}
+// serverKindNames are the kinds as the endpoint list words them.
+var serverKindNames = [...]string{kindCache: "box", kindParent: "hub", kindOrigin: "ledger"}
 
-// server is a cache, a parent or the ledger.
+func (k serverKind) String() string { return serverKindNames[k] }
+
+// noOffice is the office of a server that stands at a trunk.
+const noOffice = -1
+
+const (
+	// A cache with more jobs per core than this loses power to crowding, down to a minimum share.
+	crowdingFromJobsPerCore = 4
+	crowdingMinShare        = 0.3
+
+	// warmUpStep is the interval at which a starting server's rates are raised.
+	warmUpStep = 250 * millisecond
+)
+
+// server is a cache, a parent or the origin.
 type server struct {
 	world  *World
 	id     string
 	kind   serverKind
-	office int // -1: at a trunk
-	trunk  int
+	office int     // noOffice: at a trunk
+	trunk  int     // its own, or that of its office
 	weight float64 // flows that it can send at once when it is warm
 
-	up, silent, collapsed bool
-	listed                policy.EndpointState // as the board will tell
-	startedAt             int64                // 0: long past
-	activePauses          int                  // in force
-	incarnation           int64                // counts starts: what began in an earlier one is void
-
-	cpu             *sharedResource // of a cache or the ledger: its cores or workers
-	egress          *sharedResource // of a parent or the ledger: its link out
-	store           *copyStore
-	attempts        []*Hop // that have come and not ended
-	queue           []*Hop
-	busySlots       int // taken
-	fills           map[int64]*fill
-	fillCount       int
-	recentWork      []workSample
+	up           bool
+	silent       bool                 // while down: it does not even reset connections
+	collapsed    bool                 // was overloaded while it warmed up and stays down
+	listed       policy.EndpointState // as discovery will tell it
+	startedAt    int64                // 0: before the run
+	activePauses int                  // pauses in force
+	incarnation  int64                // counts starts and crashes: what began in an earlier one is void
+
+	cpu             *sharedResource // of a cache or the origin: its cores or workers
+	egress          *sharedResource // of a parent or the origin: its link out
+	store           *copyStore      // of a cache or a parent
+	attempts        []*Hop          // that have arrived and not ended
+	queue           []*Hop          // of a cache: those that wait for a slot
+	busySlots       int             // of a cache
+	fills           map[int64]*fill // by part: those that others may join
+	fillCount       int             // all fills in flight
+	recentWork      []workSample    // of the overload window
 	recentWorkTotal float64
-	slowdown        float64 // the ledger: times slower
-	stopped         bool
-	arrivals        []int64 // the ledger: arrivals of the last three seconds
-
-	visibleLoad              map[string]float64 // the report that is visible
-	reportServed, reportHits int                // since the last report
-	reportedCPU              float64
-	reportedLink             float64
+
+	// Of the origin.
+	slowdown float64 // factor by which it works slower
+	stopped  bool    // by too many arrivals
+	arrivals []int64 // times within the arrival window
+
+	visibleLoad  map[string]float64 // the load report that answers carry
+	reportServed int                // lookups since the last report
+	reportHits   int                // of these
+	reportedCPU  float64            // cpu.served at the last report
+	reportedLink float64            // served by the office's link at the last report
 }
 
+// workSample is work that arrived at one time, in microseconds of a flow.
 type workSample struct {
 	at   int64
 	work float64
 }
 
+// endpoint is the server as discovery lists it.
 func (s *server) endpoint() Server {
-	endpoint := Server{policy.Endpoint{ID: s.id, Kind: serverKindNames[s.kind], State: s.listed, Weight: s.weight, StartedAt: s.startedAt}}
+	endpoint := policy.Endpoint{
+		ID: s.id, Kind: s.kind.String(), State: s.listed, Weight: s.weight, StartedAt: s.startedAt,
+	}
 	if s.office >= 0 {
 		endpoint.Zone = zoneName(s.office)
 	} else {
 		endpoint.Zone = trunkName(s.trunk)
 	}
-	return endpoint
+	return Server{endpoint}
 }
 
-// capacityShare is the share of its power that a server has now, by warmth.
+// capacityShare is the share of its full capacity that a server has now. It rises linearly after a start.
 func (s *server) capacityShare() float64 {
 	fleet := &s.world.scenario.Fleet
 	initial, duration := fleet.SlowStartFrom, fleet.SlowStartS
@@ -77,10 +102,10 @@
 	if s.startedAt == 0 || s.kind == kindOrigin {
 		return 1
 	}
-	return min(1, initial+(1-initial)*float64(s.world.now-s.startedAt)/(duration*1e6))
+	return min(1, initial+(1-initial)*float64(s.world.now-s.startedAt)/(duration*second))
 }
 
-// updateRate sets the cores' rate by warmth, crowd, pauses and slowness.
+// updateRate sets the rates of the server's processor or link after anything that they depend on has changed.
 func (s *server) updateRate() {
 	fleet := &s.world.scenario.Fleet
 	rate := s.capacityShare()
@@ -89,36 +114,35 @@
 	}
 	switch s.kind {
 	case kindCache:
-		crowding := float64(len(s.cpu.jobs))/float64(fleet.Cores) - 4
+		crowding := float64(len(s.cpu.jobs))/float64(fleet.Cores) - crowdingFromJobsPerCore
 		if crowding > 0 {
-			rate *= max(1-fleet.Thrash*crowding, 0.3)
+			rate *= max(1-fleet.Thrash*crowding, crowdingMinShare)
 		}
 		s.cpu.setRates(rate*float64(fleet.Cores), rate)
 	case kindParent:
-		egressRate := s.weight * fleet.FlowKBPerS / 1e6
+		egressRate := s.weight * fleet.FlowKBPerS / second
 		s.egress.setRates(rate*egressRate, rate*egressRate)
 	case kindOrigin:
 		s.cpu.setRates(rate*float64(fleet.OriginWorkers)/s.slowdown, rate/s.slowdown)
 	}
 }
 
-// warmUp moves a started server's power up in steps.
+// warmUp raises a started server's rates in steps until it has its full capacity.
 func (s *server) warmUp(incarnation int64) {
 	if s.incarnation != incarnation || !s.up {
 		return
 	}
 	s.updateRate()
 	if s.capacityShare() < 1 {
-		s.world.schedule(250*millisecond, func() { s.warmUp(incarnation) })
+		s.world.schedule(warmUpStep, func() { s.warmUp(incarnation) })
 	}
 }
 
-// recordWork adds work that was sent to a server, in its own units (microseconds of a
-// flow), and tells whether it falls over: sent more than a multiple of what it can
-// do now over the window, by all routers together.
-func (s *server) recordWork(work float64) bool {
+// recordWork adds work that was sent to the server, in microseconds of a flow, and tells whether the server
+// collapses: while it warms up, all routers together sent more than a multiple of what it can do in the window.
+func (s *server) recordWork(work float64) (overloaded bool) {
 	fleet := &s.world.scenario.Fleet
-	window := int64(fleet.OverloadMS * 1000)
+	window := int64(fleet.OverloadMS * millisecond)
 	s.recentWork = append(s.recentWork, workSample{s.world.now, work})
 	s.recentWorkTotal += work
 	expired := 0
@@ -129,39 +153,33 @@
 	if expired > 0 {
 		s.recentWork = slices.Delete(s.recentWork, 0, expired)
 	}
-	return s.capacityShare() < 1 && s.recentWorkTotal > fleet.OverloadMultiple*s.capacityShare()*s.weight*float64(window)
+	capacity := s.capacityShare()
+	return capacity < 1 && s.recentWorkTotal > fleet.OverloadMultiple*capacity*s.weight*float64(window)
 }
 
-// collapse is what becomes of a server that was pushed over: it stays down.
+// collapse crashes a server that was overloaded while it warmed up. It stays down.
 func (s *server) collapse() {
+	w := s.world
 	s.collapsed = true
-	s.world.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / 1e6})
-	s.world.Result.Fallen++
+	w.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / second})
+	w.Result.Fallen++
 	s.crash(false)
-	s.world.setListed(s, policy.EndpointGone, s.world.jitter(s.world.scenario.Fleet.DeathDetectionMS*1000))
+	w.setListed(s, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*millisecond))
 }
 
-// crash ends a server's process. Reset tells its routers; a silent one tells nobody.
+// crash ends the server's process; what it held in memory is lost. Routers see their connections reset, unless the
+// server goes silent.
 func (s *server) crash(silent bool) {
-	s.up, s.silent = false, silent
+	s.up = false
+	s.silent = silent
 	s.incarnation++
 	s.world.record(Entry{Kind: eventlog.KindDown, Endpoint: s.id})
-	attempts := slices.Clone(s.attempts)
-	for _, attempt := range attempts {
-		if silent {
-			s.detach(attempt)
-		} else {
-			s.finish(attempt, End{Outcome: policy.OutcomeConnectionReset})
-		}
-	}
-	for _, attempt := range s.attempts {
-		attempt.state = attemptEnded
-	}
-	s.attempts, s.queue, s.busySlots = nil, nil, 0
+	s.dropAttempts(silent)
 	for _, key := range sortedKeys(s.fills) {
 		s.fills[key].cancel()
 	}
-	s.fills, s.fillCount = map[int64]*fill{}, 0
+	s.fills = map[int64]*fill{}
+	s.fillCount = 0
 	if s.store != nil {
 		s.store.clear()
 	}
@@ -170,9 +188,29 @@
 		s.cpu.jobs = nil
 		s.cpu.scheduleNext()
 	}
-	s.recentWork, s.recentWorkTotal, s.activePauses = nil, 0, 0
+	s.recentWork = nil
+	s.recentWorkTotal = 0
+	s.activePauses = 0
+}
+
+// dropAttempts ends all attempts at a server that has crashed.
+func (s *server) dropAttempts(silent bool) {
+	for _, attempt := range slices.Clone(s.attempts) {
+		if silent {
+			s.detach(attempt)
+		} else {
+			s.finish(attempt, End{Outcome: policy.OutcomeConnectionReset})
+		}
+	}
+	for _, attempt := range s.attempts {
+		attempt.state = attemptEnded
+	}
+	s.attempts = nil
+	s.queue = nil
+	s.busySlots = 0
 }
 
+// sortedKeys gives the fills a fixed order: that of a map would differ between runs.
 func sortedKeys(m map[int64]*fill) (keys []int64) {
 	for k := range m {
 		keys = append(keys, k)
@@ -181,14 +219,15 @@
 	return keys
 }
 
-// start brings a server back, cold and empty.
+// start brings a server back, cold and with an empty cache. One that collapsed stays down.
 func (s *server) start() {
 	if s.collapsed || s.up {
 		return
 	}
-	s.up, s.silent = true, false
+	s.up = true
+	s.silent = false
 	s.incarnation++
-	s.startedAt = max(s.world.now, 1)
+	s.startedAt = max(s.world.now, 1) // 0 would mean before the run
 	s.world.record(Entry{Kind: eventlog.KindStarted, Endpoint: s.id})
 	s.warmUp(s.incarnation)
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -9,8 +9,6 @@
 	"quilldoor/internal/scenario"
 )
 
-const millisecond, second = int64(1000), int64(1_000_000)
-
 // World is the state of one run: the clock and its events, the fleet, the clients and the faults in force.
 type World struct {
 	clientsUntil int64 // clients come until then
