--- /dev/null
+++ b/internal/simulation/answer_faults.go
@@ -0,0 +1,55 @@
+package simulation
+
+import (
+	"slices"
+
+	"quilldoor/internal/policy"
+	"quilldoor/internal/scenario"
+)
+
+// answerFault spoils a share of the answers of caches, or of the origin.
+type answerFault struct {
+	kind   string
+	office int // from 1; 0: all
+	share  float64
+}
+
+func (w *World) startAnswerFault(fault *scenario.Fault) (endFault func()) {
+	started := &answerFault{fault.Kind, fault.Office, fault.Share}
+	w.answerFaults = append(w.answerFaults, started)
+	return func() {
+		w.answerFaults = slices.DeleteFunc(w.answerFaults, func(other *answerFault) bool { return other == started })
+	}
+}
+
+// hits tells whether the fault applies to answers of a server at all.
+func (f *answerFault) hits(server *server) bool {
+	if f.kind == faultOriginReset {
+		return server.kind == kindOrigin
+	}
+	return server.kind == kindCache && (f.office == 0 || server.office == f.office-1)
+}
+
+// applyAnswerFaults draws which fault, if any, changes a server's answer. An answer of policy.OutcomeUnknown is lost.
+func (w *World) applyAnswerFaults(server *server, end End) End {
+	errorShare := w.scenario.Fleet.ErrorShare
+	if server.kind == kindCache && errorShare > 0 && w.random.Float64() < errorShare {
+		return End{Outcome: policy.OutcomeError, Load: end.Load}
+	}
+	for _, fault := range w.answerFaults {
+		if !fault.hits(server) || w.random.Float64() >= fault.share {
+			continue
+		}
+		switch fault.kind {
+		case faultAnswerReset, faultOriginReset:
+			return End{Outcome: policy.OutcomeConnectionReset}
+		case faultAnswerCorrupt:
+			return End{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
+		case faultAnswerLost:
+			return End{Outcome: policy.OutcomeUnknown}
+		case faultAnswerError:
+			return End{Outcome: policy.OutcomeError, Load: end.Load}
+		}
+	}
+	return end
+}
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -6,62 +6,73 @@
 	"quilldoor/internal/scenario"
 )
 
-// clientPopulation is how requests come about: pages and acceptances one by one, videos
-// as viewers who ask for part after part.
+const (
+	// stopProbability is that of a viewer to stop after a part, meanPartsWatched the mean number of parts that
+	// follows from it and from the lengths of videos.
+	stopProbability  = 0.1
+	meanPartsWatched = 7.2
+
+	// A viewer asks for the next part after a uniformly distributed time.
+	minPartInterval    = 400 * millisecond
+	partIntervalSpread = 350 * millisecond
+)
+
+// clientPopulation creates the clients: pages and writes one by one, videos as viewers who ask for part after part.
 type clientPopulation struct {
 	requestCount uint64
-	interarrival distuv.Exponential
+	interarrival distuv.Exponential // with mean 1
 }
 
+// viewer is a client that watches a video from its start.
 type viewer struct {
 	office int
 	object int64
-	part   int64
+	part   int64 // the next one
 }
 
+// startClients begins each office's arrivals and the drift of the objects' popularity.
 func (w *World) startClients() {
 	w.clients.interarrival = distuv.Exponential{Rate: 1, Src: w.random}
 	for office := range w.scenario.Fleet.Offices {
 		w.schedule(0, func() { w.clientArrival(office) })
 	}
-	if interval := w.scenario.Load.DriftS; interval > 0 {
-		var drift func()
-		drift = func() {
-			w.catalogue.drift(w.random)
-			w.schedule(int64(interval*1e6), drift)
-		}
-		w.schedule(int64(interval*1e6), drift)
+	if w.scenario.Load.DriftS > 0 {
+		w.scheduleDrift()
 	}
 }
 
-// meanPartsWatched is what a viewer asks for on average, with a chance of a tenth to
-// stop after each.
-const (
-	meanPartsWatched = 7.2
-	stopProbability  = 0.1
-)
+func (w *World) scheduleDrift() {
+	w.schedule(int64(w.scenario.Load.DriftS*second), func() {
+		w.catalogue.drift(w.random)
+		w.scheduleDrift()
+	})
+}
 
-// clientArrival is one office's clients: the next comes by chance.
+// clientArrival schedules an office's next arrival, a Poisson process, and begins the request of this one.
 func (w *World) clientArrival(office int) {
 	load := &w.scenario.Load
 	if w.now >= w.clientsUntil {
 		return
 	}
-	rate := load.RequestsPerS / float64(w.scenario.Fleet.Offices) * w.loadFactor * load.Weight(office, w.scenario.Fleet.Offices)
-	page, video := 1-load.VideoShare-load.WriteShare, load.VideoShare/meanPartsWatched
+	offices := w.scenario.Fleet.Offices
+	rate := load.RequestsPerS / float64(offices) * w.loadFactor * load.Weight(office, offices)
+	page := 1 - load.VideoShare - load.WriteShare
+	video := load.VideoShare / meanPartsWatched
 	total := page + video + load.WriteShare
-	w.schedule(int64(w.clients.interarrival.Rand()*1e6/(rate*total))+1, func() { w.clientArrival(office) })
+	w.schedule(int64(w.clients.interarrival.Rand()*second/(rate*total))+1, func() { w.clientArrival(office) })
 	switch draw := w.random.Float64() * total; {
 	case draw < load.WriteShare:
-		w.beginRequest(&client{office: office, rule: scenario.ClassAccept, object: w.catalogue.newOneTimeObject(scenario.ClassPage)})
+		object := w.catalogue.newOneTimeObject(scenario.ClassPage)
+		w.beginRequest(&client{office: office, rule: scenario.ClassAccept, object: object})
 	case draw < load.WriteShare+page:
-		w.beginRequest(&client{office: office, rule: scenario.ClassPage, object: w.pickObject(scenario.ClassPage, office)})
+		object := w.pickObject(scenario.ClassPage, office)
+		w.beginRequest(&client{office: office, rule: scenario.ClassPage, object: object})
 	default:
-		viewer := &viewer{office: office, object: w.pickObject(scenario.ClassVideo, office)}
-		w.watchVideo(viewer)
+		w.watchVideo(&viewer{office: office, object: w.pickObject(scenario.ClassVideo, office)})
 	}
 }
 
+// pickObject draws the object of a request: by popularity, or one that is wanted once while that fault is in force.
 func (w *World) pickObject(class, office int) int64 {
 	if w.oneTimeShare > 0 && w.random.Float64() < w.oneTimeShare {
 		return w.catalogue.newOneTimeObject(class)
@@ -69,31 +80,27 @@
 	return w.catalogue.draw(class, office)
 }
 
-// watchVideo asks for a video's next part, and for the one after it some time later.
+// watchVideo requests a video's next part, and schedules the one after it unless the viewer stops.
 func (w *World) watchVideo(viewer *viewer) {
-	w.beginRequest(&client{office: viewer.office, rule: scenario.ClassVideo, object: viewer.object, part: viewer.part, viewer: viewer})
-	if viewer.part++; w.now < w.clientsUntil && viewer.part < w.catalogue.parts(viewer.object) && w.random.Float64() > stopProbability {
-		w.schedule(int64(4e5+w.random.Float64()*3.5e5), func() { w.watchVideo(viewer) })
+	w.beginRequest(&client{
+		office: viewer.office, rule: scenario.ClassVideo, object: viewer.object, part: viewer.part,
+	})
+	viewer.part++
+	more := w.now < w.clientsUntil && viewer.part < w.catalogue.parts(viewer.object)
+	if more && w.random.Float64() > stopProbability {
+		interval := int64(minPartInterval + w.random.Float64()*partIntervalSpread)
+		w.schedule(interval, func() { w.watchVideo(viewer) })
 	}
 }
 
+// beginRequest starts a client's request with its first attempt.
 func (w *World) beginRequest(client *client) {
 	load := &w.scenario.Load
-	client.startedAt, client.honoursRetryAfter = w.now, w.random.Float64() < load.HonourShare
+	client.startedAt = w.now
+	client.honoursRetryAfter = w.random.Float64() < load.HonourShare
 	client.timeLimit = int64(float64(w.classes[client.rule].Timeout) * load.Patience)
 	client.phase = w.currentPhase()
 	w.Result.countRequest(w, client)
 	w.openRequests++
 	w.sendRequest(client)
 }
-
-// currentPhase names the part of the run for the counts.
-func (w *World) currentPhase() string {
-	switch {
-	case w.now < int64(w.scenario.WarmUpS*1e6):
-		return "settle"
-	case w.activeFaults > 0:
-		return "trouble"
-	}
-	return "calm"
-}
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -7,10 +7,23 @@
 	"quilldoor/internal/policy"
 )
 
-// heldNotice waits at a board that can't be reached.
-type heldNotice struct{ n Notice }
+// Known is the endpoint list as it is, in a fixed order.
+func (w *World) Known() (servers []Server) {
+	add := func(server *server) {
+		if server.listed != policy.EndpointGone {
+			servers = append(servers, server.endpoint())
+		}
+	}
+	for _, group := range slices.Concat(w.caches, w.parents) {
+		for _, server := range group {
+			add(server)
+		}
+	}
+	add(w.origin)
+	return servers
+}
 
-// setListed changes what the board tells of a server, some time from now.
+// setListed changes a server's state in the endpoint list. Routers are notified after a delay.
 func (w *World) setListed(server *server, state policy.EndpointState, delay int64) {
 	server.listed = state
 	endpoint := server.endpoint()
@@ -18,34 +31,41 @@
 	w.schedule(delay, func() { w.announce(Notice{Servers: []Server{endpoint}}) })
 }
 
-// announce puts an event on the board. Each router has it a little later, in order.
+// announce sends a notice to all routers. Each gets it a little later, after those announced before.
 func (w *World) announce(notice Notice) {
-	fleet := &w.scenario.Fleet
 	for _, router := range w.routers {
-		due := max(router.notifiedAt, w.now+w.jitter(fleet.DiscoveryDelayMS*1000)+w.discoveryDelay)
+		delay := w.jitter(w.scenario.Fleet.DiscoveryDelayMS * millisecond)
+		due := max(router.notifiedAt, w.now+delay+w.discoveryDelay)
 		router.notifiedAt = due
 		w.schedule(due-w.now, func() { w.notify(router, notice) })
 	}
 }
 
+// notify delivers a notice to a router. While the router cannot reach the discovery service, the notice is held.
 func (w *World) notify(router *router, notice Notice) {
 	if !router.up {
-		return // it has the list as it is when it starts
+		return // it gets the list as it is when it starts
 	}
 	if w.discoveryCut || router.discoveryCut {
-		router.heldNotices = append(router.heldNotices, heldNotice{notice})
+		router.heldNotices = append(router.heldNotices, notice)
 		return
 	}
 	for _, server := range notice.Servers {
-		w.record(Entry{Kind: eventlog.KindNotified, Router: router.id, Endpoint: server.ID, State: string(server.State)})
+		w.record(Entry{
+			Kind: eventlog.KindNotified, Router: router.id,
+			Endpoint: server.ID, State: string(server.State),
+		})
 	}
 	if notice.Purge {
-		w.record(Entry{Kind: eventlog.KindPurgeNotified, Router: router.id, Object: notice.Object, Group: notice.Group, Until: notice.At})
+		w.record(Entry{
+			Kind: eventlog.KindPurgeNotified, Router: router.id,
+			Object: notice.Object, Group: notice.Group, Until: notice.At,
+		})
 	}
 	w.driver.Told(router.id, notice)
 }
 
-// restoreDiscovery lets a board that was cut be reached again.
+// restoreDiscovery ends a partition of the discovery service and delivers the notices that were held.
 func (w *World) restoreDiscovery() {
 	w.discoveryCut = false
 	for _, router := range w.routers {
@@ -55,23 +75,7 @@
 		held := router.heldNotices
 		router.heldNotices = nil
 		for _, notice := range held {
-			w.notify(router, notice.n)
+			w.notify(router, notice)
 		}
 	}
 }
-
-// Known is the list as it is, in order.
-func (w *World) Known() (servers []Server) {
-	add := func(server *server) {
-		if server.listed != policy.EndpointGone {
-			servers = append(servers, server.endpoint())
-		}
-	}
-	for _, group := range slices.Concat(w.caches, w.parents) {
-		for _, server := range group {
-			add(server)
-		}
-	}
-	add(w.origin)
-	return servers
-}
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -5,44 +5,55 @@
 	"quilldoor/internal/policy"
 )
 
-// Driver carries out what the world says. Calls come from Step, in order.
+// Driver carries out what the World reports, for instance on routers in the same process or on real sockets. All
+// calls come from within World.Step, in order.
 type Driver interface {
-	Ask(a *Ask)                    // a client's request comes whole to its router
-	Leave(router int, txn string)  // its client has gone
-	End(router int, h *Hop, e End) // a hop's end comes to its router
-	Told(router int, n Notice)     // the notice board tells
-	Down(router int)               // killed outright
-	Up(router int, known []Server) // started from nothing, with the list as it is
-	Stop(router int)               // stands still; Wake: goes on as it was
+	// Ask delivers a client's complete request to its router.
+	Ask(a *Ask)
+	// Leave reports that a request's client has gone.
+	Leave(router int, txn string)
+	// End delivers the end of an attempt to its router.
+	End(router int, h *Hop, e End)
+	// Told delivers a discovery event to a router.
+	Told(router int, n Notice)
+	// Down kills a router's process.
+	Down(router int)
+	// Up starts a router's process with the endpoint list as it is.
+	Up(router int, known []Server)
+	// Stop suspends a router's process; Wake resumes it with its state.
+	Stop(router int)
+	// Wake resumes a router's process that Stop suspended.
 	Wake(router int)
-	Starve(router int, share float64) // of its CPU that others take; 0: none
-	Note(e *Entry)                    // for the record: what the referee judges by
+	// Starve lets other processes take a share of a router's CPU; 0: none.
+	Starve(router int, share float64)
+	// Note appends an entry to the event log, which the checker reads.
+	Note(e *Entry)
 }
 
-// Server is a line of the list.
+// Server is an entry of the endpoint list.
 type Server struct {
 	policy.Endpoint
 }
 
-// Notice is one event of the board: servers, or a purge.
+// Notice is one discovery event: changed servers, or a purge.
 type Notice struct {
 	Servers []Server
 	Purge   bool
-	Object  string // "": the group
+	Object  string // that is purged; "": the whole group
 	Group   int64
-	At      int64 // of the purge
+	At      int64 // time of the purge, microseconds
 }
 
-// End is how a hop ended, as the module words it.
+// End is how an attempt ended, in the policy's terms.
 type End struct {
 	Outcome policy.Outcome
 	Reason  policy.Reason
-	Waited  int64
-	Load    map[string]float64
-	Issued  int64 // of the copy; 0: none
+	Waited  int64              // for a fill, microseconds
+	Load    map[string]float64 // the server's last load report
+	Issued  int64              // issue time of the copy; 0: none
 	SizeKB  float64
-	Spoilt  bool // on sockets: an answer that can't be read
+	Spoilt  bool // on sockets: an answer that cannot be parsed
 }
 
-// Entry is one line of the record.
+// Entry is one line of the event log.
 type Entry = eventlog.Entry
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,43 +2,63 @@
 
 import (
 	"fmt"
-	"math"
-	"slices"
 
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/scenario"
 )
 
-// drawServers draws a share of the servers at a trouble's place, in a stated order: the
-// draw is made when the trouble begins.
-func (w *World) drawServers(fault *scenario.Fault, groups [][]*server) (servers []*server) {
-	for i, group := range groups {
-		if fault.Office > 0 && i != fault.Office-1 || fault.Trunk > 0 && w.scenario.Fleet.Trunk(i) != fault.Trunk-1 {
-			continue
-		}
-		for _, server := range group {
-			if server.up {
-				servers = append(servers, server)
-			}
-		}
-	}
-	return w.drawShare(servers, fault.Share)
-}
+// Kinds of faults as scenarios name them.
+const (
+	faultCacheCrash       = "die"
+	faultCacheSilent      = "silent"
+	faultCachePause       = "pause"
+	faultCacheDeploy      = "deploy"
+	faultCachePreempt     = "preempt"
+	faultOfficeLost       = "office_lost"
+	faultParentsLost      = "parents_lost"
+	faultPurgeGroups      = "purge"
+	faultPurgeObjects     = "purge_object"
+	faultOriginSlow       = "ledger_slow"
+	faultOriginStop       = "ledger_stop"
+	faultReportDelay      = "late_reports"
+	faultDiscoveryDelay   = "late_board"
+	faultDiscoveryCut     = "cut_board"
+	faultSitesCut         = "site_cut"
+	faultOneTimeObjects   = "once"
+	faultLoadBurst        = "burst"
+	faultRouterCrash      = "router_dies"
+	faultRouterSuspend    = "router_stops"
+	faultRouterStarve     = "router_starves"
+	faultNetworkDelay     = "ways_delay"
+	faultNetworkJitter    = "ways_jitter"
+	faultNetworkLoss      = "ways_loss"
+	faultNetworkDuplicate = "ways_double"
+	faultNetworkReorder   = "ways_reorder"
+	faultNetworkSlow      = "ways_slow"
+	faultNetworkCut       = "ways_cut"
+	faultNetworkOneWay    = "ways_one_way"
+	faultNetworkSplit     = "ways_camps"
+	faultNetworkChain     = "ways_chain"
+	faultAnswerReset      = "resets"
+	faultOriginReset      = "ledger_resets"
+	faultAnswerLost       = "endless"
+	faultAnswerCorrupt    = "spoilt"
+	faultAnswerError      = "errors"
+)
 
-func (w *World) drawShare(servers []*server, share float64) []*server {
-	w.random.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
-	return servers[:min(len(servers), int(math.Ceil(share*float64(len(servers)))))]
-}
+// wholeGroup in place of an object makes a purge that of its group.
+const wholeGroup = -1
 
-// scheduleFault sets a trouble's beginning and end.
+// scheduleFault schedules a fault's beginning and end.
 func (w *World) scheduleFault(fault *scenario.Fault) {
-	w.schedule(int64(fault.At*1e6), func() {
+	duration := int64(fault.For * second)
+	w.schedule(int64(fault.At*second), func() {
 		w.activeFaults++
 		w.lastFaultChange = w.now
-		w.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: w.now + int64(fault.For*1e6)})
-		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/1e6, fault.Kind))
+		w.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: w.now + duration})
+		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/second, fault.Kind))
 		endFault := w.startFault(fault)
-		w.schedule(int64(fault.For*1e6), func() {
+		w.schedule(duration, func() {
 			w.activeFaults--
 			w.lastFaultChange = w.now
 			w.record(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: fault.Kind})
@@ -49,101 +69,84 @@
 	})
 }
 
-// startFault starts a trouble and returns what ends it.
+// startFault starts a fault and returns what ends it; nil: it ends by itself. What it hits is drawn now.
 func (w *World) startFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
-	case "die", "silent":
-		return w.takeDown(w.drawServers(fault, w.caches), fault.Kind == "silent")
-	case "office_lost":
-		target := *fault
-		if target.Office == 0 {
-			target.Office = 1 + w.random.IntN(len(w.caches))
-		}
-		return w.takeDown(w.drawServers(&target, w.caches), false)
-	case "parents_lost":
-		trunk := fault.Trunk
-		if trunk == 0 {
-			trunk = 1 + w.random.IntN(len(w.parents))
-		}
-		return w.takeDown(w.drawShare(slices.Clone(w.parents[trunk-1]), fault.Share), false)
-	case "pause":
-		return w.pauseRepeatedly(w.drawServers(fault, w.caches), fault)
-	case "deploy":
-		w.deploy(w.drawServers(fault, w.caches), fault)
-	case "preempt":
-		return w.preempt(w.drawServers(fault, w.caches), int64(fault.Strength*1e6))
-	case "purge":
-		for group := range int64(groupCount) {
-			if w.random.Float64() < fault.Share {
-				w.purge(-1, group)
-			}
-		}
-	case "purge_object":
-		for i := range min(int(fault.Strength), len(w.catalogue.byPopularity[0])) {
-			w.purge(w.catalogue.byPopularity[i%2][i/2], 0)
-		}
-	case "ledger_slow":
-		w.origin.slowdown *= fault.Strength
-		w.origin.updateRate()
-		return func() { w.origin.slowdown /= fault.Strength; w.origin.updateRate() }
-	case "ledger_stop":
-		w.origin.activePauses++
-		w.origin.updateRate()
-		return func() { w.origin.activePauses--; w.origin.updateRate() }
-	case "late_reports":
-		w.reportDelay += int64(fault.Strength * 1e6)
-		return func() { w.reportDelay -= int64(fault.Strength * 1e6) }
-	case "late_board":
-		w.discoveryDelay += int64(fault.Strength * 1e6)
-		return func() { w.discoveryDelay -= int64(fault.Strength * 1e6) }
-	case "site_cut":
+	case faultCacheCrash, faultCacheSilent, faultCachePause, faultCacheDeploy, faultCachePreempt, faultOfficeLost,
+		faultParentsLost:
+		return w.startServerFault(fault)
+	case faultOriginSlow, faultOriginStop:
+		return w.startOriginFault(fault)
+	case faultPurgeGroups, faultPurgeObjects:
+		w.startPurges(fault)
+		return nil
+	case faultReportDelay, faultDiscoveryDelay, faultDiscoveryCut:
+		return w.startDiscoveryFault(fault)
+	case faultRouterCrash, faultRouterSuspend, faultRouterStarve:
+		return w.startRouterFault(fault)
+	case faultNetworkDelay, faultNetworkJitter, faultNetworkLoss, faultNetworkDuplicate, faultNetworkReorder,
+		faultNetworkSlow, faultNetworkCut, faultNetworkOneWay, faultNetworkSplit, faultNetworkChain:
+		return w.startNetworkFault(fault)
+	case faultOneTimeObjects, faultLoadBurst:
+		return w.startLoadFault(fault)
+	case faultSitesCut:
 		w.sitesCut = true
 		return func() { w.sitesCut = false }
-	case "cut_board":
-		if fault.Share >= 1 && fault.Office == 0 {
-			w.discoveryCut = true
-			return w.restoreDiscovery
-		}
-		routers := w.drawRouters(fault)
-		for _, router := range routers {
-			router.discoveryCut = true
-		}
-		return func() {
-			for _, router := range routers {
-				router.discoveryCut = false
-			}
-			if !w.discoveryCut {
-				w.restoreDiscovery()
+	default:
+		return w.startAnswerFault(fault)
+	}
+}
+
+// startPurges purges a share of the groups, or the most popular objects of the two cached classes in turn.
+func (w *World) startPurges(fault *scenario.Fault) {
+	if fault.Kind == faultPurgeGroups {
+		for group := range int64(groupCount) {
+			if w.random.Float64() < fault.Share {
+				w.purge(wholeGroup, group)
 			}
 		}
-	case "router_stops":
-		return w.suspendRouters(fault)
-	case "router_starves":
-		routers := w.drawRouters(fault)
+		return
+	}
+	for i := range min(int(fault.Strength), len(w.catalogue.byPopularity[0])) {
+		w.purge(w.catalogue.byPopularity[i%2][i/2], 0)
+	}
+}
+
+// startDiscoveryFault delays load reports or notices, or cuts routers off from the discovery service.
+func (w *World) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
+	delay := int64(fault.Strength * second)
+	switch fault.Kind {
+	case faultReportDelay:
+		w.reportDelay += delay
+		return func() { w.reportDelay -= delay }
+	case faultDiscoveryDelay:
+		w.discoveryDelay += delay
+		return func() { w.discoveryDelay -= delay }
+	}
+	if fault.Share >= 1 && fault.Office == 0 {
+		w.discoveryCut = true
+		return w.restoreDiscovery
+	}
+	routers := w.drawRouters(fault)
+	for _, router := range routers {
+		router.discoveryCut = true
+	}
+	return func() {
 		for _, router := range routers {
-			w.driver.Starve(router.id, fault.Strength)
+			router.discoveryCut = false
 		}
-		return func() {
-			for _, router := range routers {
-				w.driver.Starve(router.id, 0)
-			}
+		if !w.discoveryCut {
+			w.restoreDiscovery()
 		}
-	case "ways_delay", "ways_jitter", "ways_loss", "ways_double", "ways_reorder", "ways_slow", "ways_cut", "ways_one_way", "ways_camps", "ways_chain":
-		return w.startNetworkFault(fault)
-	case "once":
+	}
+}
+
+// startLoadFault changes what clients ask for, or how often.
+func (w *World) startLoadFault(fault *scenario.Fault) (endFault func()) {
+	if fault.Kind == faultOneTimeObjects {
 		w.oneTimeShare = fault.Share
 		return func() { w.oneTimeShare = 0 }
-	case "burst":
-		w.loadFactor *= fault.Strength
-		return func() { w.loadFactor /= fault.Strength }
-	case "router_dies":
-		return w.killRouters(fault)
-	default: // resets, endless, spoilt, errors
-		answers := &answerFault{fault.Kind, fault.Office, fault.Share}
-		w.answerFaults = append(w.answerFaults, answers)
-		return func() {
-			w.answerFaults = slices.DeleteFunc(w.answerFaults, func(o *answerFault) bool { return o == answers })
-		}
 	}
-	return nil
+	w.loadFactor *= fault.Strength
+	return func() { w.loadFactor /= fault.Strength }
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,36 +1,37 @@
 package simulation
 
-// sendToOffice brings an answer from a trunk into the office of its router, at a
-// client's flow at the most.
+// sendToOffice brings an answer from a trunk into the office of its router: over the server's link out, over the
+// office's link in, and no faster than one client flow. done is called when all three are finished.
 func (s *server) sendToOffice(attempt *Hop, done func()) {
 	w := s.world
 	w.Result.countFill(w, attempt.SizeKB, s.kind == kindOrigin)
 	pendingParts := 3
 	partDone := func() {
-		if pendingParts--; pendingParts == 0 && attempt.state != attemptEnded {
+		pendingParts--
+		if pendingParts == 0 && attempt.state != attemptEnded {
 			done()
 		}
 	}
-	w.schedule(int64(attempt.SizeKB/w.scenario.Fleet.FlowKBPerS*1e6), partDone)
+	w.schedule(int64(w.flowTime(attempt.SizeKB)), partDone)
 	s.egress.add(attempt.SizeKB, partDone)
 	w.links[w.routers[attempt.Router].office].add(attempt.SizeKB, partDone)
 }
 
-// newLink makes a link of so many KB a second.
+// newLink makes a link, which its transfers share equally; one alone may use all of it.
 func (w *World) newLink(kbPerS float64) *sharedResource {
-	return &sharedResource{world: w, totalRate: kbPerS / 1e6, maxJobRate: kbPerS / 1e6}
+	return &sharedResource{world: w, totalRate: kbPerS / second, maxJobRate: kbPerS / second}
 }
 
-// oneWayDelay is the way from an office to a server, one way, in microseconds.
+// oneWayDelay is the network latency between an office and a server, one way, in microseconds.
 func (w *World) oneWayDelay(office int, server *server) int64 {
 	fleet := &w.scenario.Fleet
 	if server.office >= 0 {
-		return int64(fleet.LocalMS * 500)
+		return int64(fleet.LocalMS * oneWay)
 	}
-	return int64((fleet.TrunkMS + fleet.FarMS*float64(w.trunkDistance(office, server))) * 500)
+	return int64((fleet.TrunkMS + fleet.FarMS*float64(w.trunkDistance(office, server))) * oneWay)
 }
 
-// trunkDistance is how many further trunks lie between an office and a parent or the ledger.
+// trunkDistance is how many trunks beyond its own lie between an office and a parent or the origin.
 func (w *World) trunkDistance(office int, server *server) int {
 	distance := w.scenario.Fleet.Trunk(office) - server.trunk
 	return max(distance, -distance)
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/scenario"
 )
 
-// startNetworkFault puts a trouble on the ways between routers.
+// startNetworkFault starts a fault of the network between routers.
 func (w *World) startNetworkFault(fault *scenario.Fault) (endFault func()) {
 	var ids []int
 	for _, router := range w.routers {
@@ -15,41 +15,57 @@
 			ids = append(ids, router.id)
 		}
 	}
-	w.networkRandom.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	chosen := ids[:min(len(ids), int(math.Ceil(fault.Share*float64(len(ids)))))]
-	networkFault := &netsim.Fault{From: chosen, Bidirectional: true}
+	chosen := drawShare(w.networkRandom, ids, fault.Share)
 	switch fault.Kind {
-	case "ways_delay":
-		networkFault.Delay = int64(fault.Strength * 1000)
-	case "ways_jitter":
-		networkFault.Jitter = int64(fault.Strength * 1000)
-	case "ways_loss":
-		networkFault.Loss = fault.Strength
-	case "ways_double":
-		networkFault.Duplicate = fault.Strength
-	case "ways_reorder":
-		networkFault.Reorder = fault.Strength
-	case "ways_slow":
-		networkFault.BytesPerSecond = fault.Strength * 1000
-	case "ways_cut":
-		networkFault.Partitioned = true
-	case "ways_one_way":
-		networkFault.Partitioned, networkFault.Bidirectional = true, false
-	case "ways_chain":
+	case faultNetworkChain:
 		third := len(ids) / 3
 		return w.Ways.Partition(ids[:third], ids[third:2*third])
-	default: // ways_camps
-		parts := int(fault.Strength)
-		firstSize := int(math.Ceil(fault.Share * float64(len(ids))))
-		if fault.Share == 0 {
-			firstSize = len(ids) / parts
-		}
-		groups, rest := [][]int{ids[:firstSize]}, ids[firstSize:]
-		for i := 1; i < parts; i++ {
-			size := len(rest) / (parts - i)
-			groups, rest = append(groups, rest[:size]), rest[size:]
-		}
-		return w.Ways.Partition(groups...)
+	case faultNetworkSplit:
+		return w.Ways.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
+	default:
+		return w.Ways.AddFault(networkFault(fault, chosen))
+	}
+}
+
+// networkFault is a fault on the paths from the given routers, and back unless it is one-way.
+func networkFault(fault *scenario.Fault, from []int) *netsim.Fault {
+	f := &netsim.Fault{From: from, Bidirectional: true}
+	switch fault.Kind {
+	case faultNetworkDelay:
+		f.Delay = int64(fault.Strength * millisecond)
+	case faultNetworkJitter:
+		f.Jitter = int64(fault.Strength * millisecond)
+	case faultNetworkLoss:
+		f.Loss = fault.Strength
+	case faultNetworkDuplicate:
+		f.Duplicate = fault.Strength
+	case faultNetworkReorder:
+		f.Reorder = fault.Strength
+	case faultNetworkSlow:
+		const bytesPerKB = 1000
+		f.BytesPerSecond = fault.Strength * bytesPerKB
+	case faultNetworkCut:
+		f.Partitioned = true
+	case faultNetworkOneWay:
+		f.Partitioned = true
+		f.Bidirectional = false
+	}
+	return f
+}
+
+// splitRouters splits routers into a number of groups. The first one has a share of them, the others are of about
+// equal size; share 0: all are.
+func splitRouters(ids []int, count int, share float64) [][]int {
+	firstSize := int(math.Ceil(share * float64(len(ids))))
+	if share == 0 {
+		firstSize = len(ids) / count
+	}
+	groups := [][]int{ids[:firstSize]}
+	rest := ids[firstSize:]
+	for i := 1; i < count; i++ {
+		size := len(rest) / (count - i)
+		groups = append(groups, rest[:size])
+		rest = rest[size:]
 	}
-	return w.Ways.AddFault(networkFault)
+	return groups
 }
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -6,7 +6,10 @@
 	"quilldoor/internal/eventlog"
 )
 
-// purgedAt is when an object was purged last, by itself or with its group.
+// purgeSpread is the share of the time for a complete purge within which all servers have carried it out.
+const purgeSpread = 0.9
+
+// purgedAt is when an object was purged last, by itself or with its group; 0: never.
 func (w *World) purgedAt(object, group int64) int64 {
 	at := w.groupPurges[group%groupCount]
 	if objectPurge, known := w.objectPurges[object]; known {
@@ -15,20 +18,23 @@
 	return at
 }
 
-// purge is an editor's: servers drop what it names within their time.
+// purge purges an object or, if object is wholeGroup, a group. Each server drops its copies a random time later;
+// routers are notified.
 func (w *World) purge(object, group int64) {
 	now := w.now
 	notice := Notice{Purge: true, Group: group, At: now}
 	if object >= 0 {
 		w.objectPurges[object] = now
-		notice.Object, notice.Group = w.catalogue.name(object), 0
+		notice.Object = w.catalogue.name(object)
+		notice.Group = 0
 	} else {
 		w.groupPurges[group] = now
 	}
 	w.record(Entry{Kind: eventlog.KindPurged, Object: notice.Object, Group: notice.Group, Until: now})
 	for _, servers := range slices.Concat(w.caches, w.parents) {
 		for _, server := range servers {
-			w.schedule(int64(w.random.Float64()*0.9*w.scenario.Fleet.PurgeCompleteMS*1000), func() { server.store.purge(object, group, now) })
+			delay := w.random.Float64() * purgeSpread * w.scenario.Fleet.PurgeCompleteMS * millisecond
+			w.schedule(int64(delay), func() { server.store.purge(object, group, now) })
 		}
 	}
 	w.announce(notice)
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -8,155 +8,206 @@
 	"quilldoor/internal/scenario"
 )
 
-// Ask is one try of a client.
+const (
+	// A router that was killed is still given requests for so long, until its machine is known to be down.
+	routerDeathNoticed = 1 * second
+
+	// lateTolerance is how long after its time limit an answer still reaches the client in time.
+	lateTolerance = 50 * millisecond
+
+	// maxBackoffDoublings bounds the growth of a client's wait between its attempts.
+	maxBackoffDoublings = 6
+
+	writeRequestKB = 1
+)
+
+// Outcomes of a request as Final takes them.
+const (
+	answerCompleted = "completed"
+	answerRejected  = "rejected"
+	answerLate      = "late" // completed too late to be of use
+)
+
+// Ask is one attempt of a client at a request, as it reaches a router.
 type Ask struct {
-	Router   int
-	Txn      string
-	Rule     int
-	Object   string
-	Group    int64
-	Part     int64
-	SizeKB   float64
-	Limit    int64 // how long the client waits
-	Again    bool  // marked as a client's retry
-	Write    bool
+	Router int
+	Txn    string // ID of the request, new for each of the client's attempts
+	Rule   int    // index of the traffic class
+	Object string
+	Group  int64 // purge group of the object
+	Part   int64
+	SizeKB float64
+	Limit  int64 // how long the client still waits, microseconds
+	Again  bool  // marked as a client's retry
+	Write  bool
+
 	client   *client
 	deadline int64
-	open     bool
+	open     bool // the router has it and has not answered
 }
 
-// Deadline is when the client's time is over.
+// Deadline is when the client stops waiting.
 func (a *Ask) Deadline() int64 { return a.deadline }
 
-// client is one request with all its tries.
+// client is a client with one request, over all its attempts.
 type client struct {
 	office, rule      int
 	object, part      int64
 	attempts          int
-	startedAt         int64
-	viewer            *viewer // of which it is a part
-	phase             string
-	timeLimit         int64
+	startedAt         int64  // first attempt
+	phase             string // of the run, at the first attempt
+	timeLimit         int64  // of each attempt, microseconds
 	honoursRetryAfter bool
 }
 
-// sendRequest sends a request to one of the office's routers that the front knows as up.
+// sendRequest sends a client's next attempt to a router of its office that is not known to be down.
 func (w *World) sendRequest(client *client) {
-	const noticed = 1 * second // a dead router gets clients for so long
-	fleet := &w.scenario.Fleet
-	var up []*router
-	for _, router := range w.routers[client.office*fleet.Routers : (client.office+1)*fleet.Routers] {
-		if router.up || w.now-router.downAt < noticed {
-			up = append(up, router)
-		}
-	}
+	candidates := w.routersInService(client.office)
 	client.attempts++
-	if len(up) == 0 {
+	if len(candidates) == 0 {
 		w.retryOrFail(client, 0, true)
 		return
 	}
-	router := up[w.random.IntN(len(up))]
-	w.clients.requestCount++
-	request := &Ask{
-		Router: router.id, Txn: fmt.Sprintf("%016x", w.clients.requestCount), Rule: client.rule, Object: w.catalogue.name(client.object),
-		Group: w.catalogue.group(client.object), Part: client.part, SizeKB: w.catalogue.size(client.object, client.part), Limit: client.timeLimit,
-		Again: client.attempts > 1, Write: w.classes[client.rule].Write, client: client, deadline: w.now + client.timeLimit,
-	}
-	if request.Write {
-		request.SizeKB = 1
-	}
-	delay := w.jitter(fleet.ClientMS * 500)
+	router := candidates[w.random.IntN(len(candidates))]
+	request := w.newRequest(router, client)
+	delay := w.clientDelay()
 	w.schedule(delay, func() {
-		if !router.up { // refused: it never ran
+		if !router.up { // the connection is refused, so the request has not been executed
 			w.schedule(delay, func() { w.retryOrFail(client, 0, true) })
 			return
 		}
-		request.open = true
-		router.openRequests[request.Txn] = request
-		router.arrivalOrder = append(router.arrivalOrder, request.Txn)
-		if len(router.arrivalOrder) > 64 && len(router.arrivalOrder) > 2*len(router.openRequests) {
-			router.compactArrivalOrder()
-		}
-		w.Result.Taken++
-		w.record(Entry{
-			Kind: eventlog.KindTaken, Router: router.id, Request: request.Txn, Class: w.classes[request.Rule].Name, Object: request.Object, Group: request.Group,
-			Deadline: request.deadline,
-		})
-		// What the router is told is how long the client waits from when it sent.
-		request.Limit = request.deadline - w.now
-		w.driver.Ask(request)
+		w.requestArrived(router, request)
 	})
 	w.schedule(client.timeLimit+2*delay+w.Slack, func() { w.clientTimedOut(router, request) })
 }
 
-// clientTimedOut is a client whose time is over without an answer.
+// routersInService are the routers of an office that clients are sent to.
+func (w *World) routersInService(office int) (candidates []*router) {
+	perOffice := w.scenario.Fleet.Routers
+	for _, router := range w.routers[office*perOffice : (office+1)*perOffice] {
+		if router.up || w.now-router.downAt < routerDeathNoticed {
+			candidates = append(candidates, router)
+		}
+	}
+	return candidates
+}
+
+func (w *World) newRequest(router *router, client *client) *Ask {
+	w.clients.requestCount++
+	request := &Ask{
+		Router:   router.id,
+		Txn:      fmt.Sprintf("%016x", w.clients.requestCount),
+		Rule:     client.rule,
+		Object:   w.catalogue.name(client.object),
+		Group:    w.catalogue.group(client.object),
+		Part:     client.part,
+		SizeKB:   w.catalogue.size(client.object, client.part),
+		Limit:    client.timeLimit,
+		Again:    client.attempts > 1,
+		Write:    w.classes[client.rule].Write,
+		client:   client,
+		deadline: w.now + client.timeLimit,
+	}
+	if request.Write {
+		request.SizeKB = writeRequestKB
+	}
+	return request
+}
+
+// clientDelay draws the network latency between a client and its router, one way, in microseconds.
+func (w *World) clientDelay() int64 { return w.jitter(w.scenario.Fleet.ClientMS * oneWay) }
+
+// requestArrived hands a request to its router.
+func (w *World) requestArrived(router *router, request *Ask) {
+	router.addRequest(request)
+	w.Result.Taken++
+	entry := w.requestEntry(eventlog.KindTaken, request)
+	w.record(entry)
+	request.Limit = request.deadline - w.now
+	w.driver.Ask(request)
+}
+
+// requestEntry is an event log entry that describes a request.
+func (w *World) requestEntry(kind eventlog.Kind, request *Ask) Entry {
+	return Entry{
+		Kind: kind, Router: request.Router, Request: request.Txn, Class: w.classes[request.Rule].Name,
+		Object: request.Object, Group: request.Group, Deadline: request.deadline,
+	}
+}
+
+// clientTimedOut makes a client leave whose time is over without an answer.
 func (w *World) clientTimedOut(router *router, request *Ask) {
 	if !request.open {
 		return
 	}
-	request.open = false
-	delete(router.openRequests, request.Txn)
+	router.closeRequest(request)
 	w.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.Txn})
 	w.Result.Lost++
 	w.driver.Leave(router.id, request.Txn)
 	w.retryOrFail(request.client, 0, request.client.rule != scenario.ClassAccept)
 }
 
-// Refused takes that a router's machine refused the connection: it has taken
-// nothing. Only sockets can tell; here a router that is up takes all.
+// Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
+// a driver on real sockets can tell; in the model a router that is up accepts every connection.
 func (w *World) Refused(routerID int, requestID string) {
 	router := w.routers[routerID]
 	request := router.openRequests[requestID]
 	if request == nil {
 		return
 	}
-	request.open = false
-	delete(router.openRequests, requestID)
+	router.closeRequest(request)
 	w.record(Entry{Kind: eventlog.KindRefused, Router: routerID, Request: requestID})
 	w.retryOrFail(request.client, 0, true)
 }
 
-// Final takes a router's answer to a txn: "completed", "rejected" or "aborted".
-// Issued is that of the copy.
+// Final accepts a router's answer to a request: "completed", "rejected" or "aborted". issuedAt is the issue time of
+// the copy it was answered with, retryAfter the wait in microseconds that the router asks of the client.
 func (w *World) Final(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
 	router := w.routers[routerID]
 	request := router.openRequests[requestID]
-	entry := Entry{Kind: eventlog.KindAnswered, Router: routerID, Request: requestID, Outcome: outcome, Issued: issuedAt}
-	if request != nil {
-		entry.Class, entry.Object, entry.Group, entry.Deadline = w.classes[request.Rule].Name, request.Object, request.Group, request.deadline
-	}
-	w.record(entry)
 	if request == nil {
+		w.record(Entry{
+			Kind: eventlog.KindAnswered, Router: routerID, Request: requestID,
+			Outcome: outcome, Issued: issuedAt,
+		})
 		return
 	}
-	request.open = false
-	delete(router.openRequests, requestID)
+	entry := w.requestEntry(eventlog.KindAnswered, request)
+	entry.Outcome = outcome
+	entry.Issued = issuedAt
+	w.record(entry)
+	router.closeRequest(request)
+	w.schedule(w.clientDelay(), func() { w.answerArrived(request, outcome, issuedAt, retryAfter) })
+}
+
+// answerArrived is a router's answer at its client.
+func (w *World) answerArrived(request *Ask, outcome string, issuedAt, retryAfter int64) {
+	if w.now > request.deadline+lateTolerance+w.Slack {
+		outcome = answerLate
+	}
 	client := request.client
-	w.schedule(w.jitter(w.scenario.Fleet.ClientMS*500), func() {
-		if w.now > request.deadline+50*millisecond+w.Slack {
-			outcome = "late"
-		}
-		if outcome == "completed" {
-			w.openRequests--
-			w.Result.countCompleted(w, client, issuedAt)
-			return
-		}
-		w.retryOrFail(client, retryAfter, outcome == "rejected" || w.classes[client.rule].Effect == policy.EffectIdempotent)
-	})
+	if outcome == answerCompleted {
+		w.openRequests--
+		w.Result.countCompleted(w, client, issuedAt)
+		return
+	}
+	idempotent := w.classes[client.rule].Effect == policy.EffectIdempotent
+	w.retryOrFail(client, retryAfter, outcome == answerRejected || idempotent)
 }
 
-// retryOrFail is a client that got no answer it can use. It tries again where that is
-// harmless, after a wait.
+// retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
+// it has attempts left.
 func (w *World) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
 	load := &w.scenario.Load
 	if !retrySafe || client.attempts > load.Retries {
 		w.openRequests--
-		w.Result.countFailed(w, client, retrySafe)
+		w.Result.countFailed(client, retrySafe)
 		return
 	}
 	wait := int64(0)
 	if load.RetryWaitMS > 0 {
-		wait = w.jitter(load.RetryWaitMS * 1000 * float64(int64(1)<<min(client.attempts-1, 6)))
+		factor := int64(1) << min(client.attempts-1, maxBackoffDoublings)
+		wait = w.jitter(load.RetryWaitMS * millisecond * float64(factor))
 	}
 	if client.honoursRetryAfter {
 		wait = max(wait, retryAfter)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -6,6 +6,16 @@
 	"quilldoor/internal/scenario"
 )
 
+// Phases of a run as results name them.
+const (
+	phaseWarmUp = "settle" // its requests don't count
+	phaseCalm   = "calm"
+	phaseFault  = "trouble" // at least one fault is in force
+)
+
+// Phases are the phases of a run, in order.
+var Phases = []string{phaseWarmUp, phaseCalm, phaseFault}
+
 // Result is what came of a run. Counts leave out requests that began while the
 // run settled, but for those of servers and links.
 type Result struct {
@@ -83,14 +93,14 @@
 	outcomes := r.outcomes(client)
 	outcomes.Asked++
 	outcomes.WorthMost += w.classes[client.rule].PriorityWeight
-	if client.phase != "settle" && client.rule != scenario.ClassAccept {
+	if client.phase != phaseWarmUp && client.rule != scenario.ClassAccept {
 		r.AskedKB += w.catalogue.size(client.object, client.part)
 	}
 }
 
 // countFill counts bytes that come into an office, and those from the ledger.
 func (r *Result) countFill(w *World, kb float64, ledger bool) {
-	if w.currentPhase() == "settle" {
+	if w.currentPhase() == phaseWarmUp {
 		return
 	}
 	r.FilledKB += kb
@@ -101,7 +111,7 @@
 
 // countParentFill counts bytes that a parent gets from the origin.
 func (r *Result) countParentFill(w *World, kb float64) {
-	if w.currentPhase() != "settle" {
+	if w.currentPhase() != phaseWarmUp {
 		r.LedgerKB += kb
 	}
 }
@@ -131,7 +141,7 @@
 	outcomes.Worth += weight
 }
 
-func (r *Result) countFailed(_ *World, client *client, harmless bool) {
+func (r *Result) countFailed(client *client, harmless bool) {
 	r.current.None++
 	if outcomes := r.outcomes(client); harmless {
 		outcomes.Refused++
@@ -162,9 +172,6 @@
 	r.current = Second{filledKB: finished.filledKB}
 }
 
-// Phases of a run, in order.
-var Phases = []string{"settle", "calm", "trouble"}
-
 // Worth is the share of the importance asked for that was earned, past settling.
 func (r *Result) Worth() float64 {
 	earned, possible := 0.0, 0.0
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -1,36 +1,78 @@
 package simulation
 
 import (
+	"cmp"
 	"slices"
 
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/policy"
 )
 
-// killRouter kills a router: its hops' connections end, its clients see a reset.
+// router is what the World knows of a router: its process and the requests it has not answered. The router's own
+// state belongs to the driver.
+type router struct {
+	id           int
+	office       int
+	up           bool
+	incarnation  int  // counts deaths
+	suspensions  int  // faults that suspend it
+	discoveryCut bool // it cannot reach the discovery service
+	downAt       int64
+	notifiedAt   int64    // when the last notice arrives; later ones arrive after it
+	heldNotices  []Notice // that it gets once it reaches the discovery service again
+	openRequests map[string]*Ask
+	arrivalOrder []string // of requests, open ones among them: gives a router's death a fixed order
+}
+
+// minCompactedArrivals keeps short lists of arrivals from being compacted.
+const minCompactedArrivals = 64
+
+func (r *router) addRequest(request *Ask) {
+	request.open = true
+	r.openRequests[request.Txn] = request
+	r.arrivalOrder = append(r.arrivalOrder, request.Txn)
+	if len(r.arrivalOrder) > minCompactedArrivals && len(r.arrivalOrder) > 2*len(r.openRequests) {
+		r.compactArrivalOrder()
+	}
+}
+
+func (r *router) closeRequest(request *Ask) {
+	request.open = false
+	delete(r.openRequests, request.Txn)
+}
+
+// compactArrivalOrder drops requests that are closed.
+func (r *router) compactArrivalOrder() {
+	r.arrivalOrder = slices.DeleteFunc(r.arrivalOrder, func(id string) bool { return r.openRequests[id] == nil })
+}
+
+// killRouter ends a router's process: connections of its attempts end, and its clients see a reset.
 func (w *World) killRouter(router *router) {
-	router.up, router.downAt, router.heldNotices, router.suspensions = false, w.now, nil, 0
+	router.up = false
+	router.downAt = w.now
+	router.heldNotices = nil
+	router.suspensions = 0
 	router.incarnation++
 	w.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
 	w.driver.Down(router.id)
 	for _, attempt := range w.attemptsOf(router.id) {
-		delete(w.attempts, attemptKey{attempt.Router, attempt.Txn, attempt.N})
-		w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
+		delete(w.attempts, attempt.key())
+		w.detachLater(attempt)
 	}
 	for _, id := range router.arrivalOrder {
 		request := router.openRequests[id]
 		if request == nil {
 			continue
 		}
-		request.open = false
-		delete(router.openRequests, id)
-		w.schedule(w.jitter(w.scenario.Fleet.ClientMS*500), func() {
+		router.closeRequest(request)
+		w.schedule(w.clientDelay(), func() {
 			w.retryOrFail(request.client, 0, w.classes[request.Rule].Effect == policy.EffectIdempotent)
 		})
 	}
 	router.arrivalOrder = nil
 }
 
+// attemptsOf are the attempts that a router waits for, in a fixed order.
 func (w *World) attemptsOf(routerID int) (attempts []*Hop) {
 	for key, attempt := range w.attempts {
 		if key.router == routerID {
@@ -38,44 +80,18 @@
 		}
 	}
 	slices.SortFunc(attempts, func(a, b *Hop) int {
-		switch {
-		case a.Txn != b.Txn && a.Txn < b.Txn, a.Txn == b.Txn && a.N < b.N:
-			return -1
-		}
-		return 1
+		return cmp.Or(cmp.Compare(a.Txn, b.Txn), cmp.Compare(a.N, b.N))
 	})
 	return attempts
 }
 
+// startRouter starts a router's process with the endpoint list as it is.
 func (w *World) startRouter(router *router) {
 	if router.up {
 		return
 	}
-	router.up, router.notifiedAt = true, w.now
+	router.up = true
+	router.notifiedAt = w.now
 	w.record(Entry{Kind: eventlog.KindRouterUp, Router: router.id})
 	w.driver.Up(router.id, w.Known())
 }
-
-type router struct {
-	id           int
-	office       int
-	up           bool
-	incarnation  int
-	suspensions  int  // troubles that hold it
-	discoveryCut bool // it can't reach the board
-	downAt       int64
-	notifiedAt   int64 // the last notice; later ones come behind it
-	heldNotices  []heldNotice
-	openRequests map[string]*Ask
-	arrivalOrder []string // in the order of arrival, for a router's death
-}
-
-func (r *router) compactArrivalOrder() {
-	list := r.arrivalOrder[:0]
-	for _, id := range r.arrivalOrder {
-		if r.openRequests[id] != nil {
-			list = append(list, id)
-		}
-	}
-	r.arrivalOrder = list
-}
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -1,30 +1,42 @@
 package simulation
 
 import (
-	"math"
-
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/scenario"
 )
 
-// drawRouters draws a share of the routers at a trouble's place.
-func (w *World) drawRouters(fault *scenario.Fault) (routers []*router) {
+// startRouterFault kills, suspends or starves a share of the routers.
+func (w *World) startRouterFault(fault *scenario.Fault) (endFault func()) {
+	routers := w.drawRouters(fault)
+	switch fault.Kind {
+	case faultRouterSuspend:
+		return w.suspendRouters(routers)
+	case faultRouterStarve:
+		return w.starveRouters(routers, fault.Strength)
+	default:
+		return w.killRouters(routers)
+	}
+}
+
+// drawRouters draws a share of the routers that are up at a fault's place.
+func (w *World) drawRouters(fault *scenario.Fault) []*router {
+	var candidates []*router
 	for _, router := range w.routers {
 		if router.up && (fault.Office == 0 || router.office == fault.Office-1) {
-			routers = append(routers, router)
+			candidates = append(candidates, router)
 		}
 	}
-	w.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
-	return routers[:min(len(routers), int(math.Ceil(fault.Share*float64(len(routers)))))]
+	return drawShare(w.random, candidates, fault.Share)
 }
 
-// suspendRouters lets routers stand still for a trouble's time.
-func (w *World) suspendRouters(fault *scenario.Fault) (endFault func()) {
-	routers := w.drawRouters(fault)
+// suspendRouters suspends routers until the fault ends. Where several such faults overlap, the last one to end
+// resumes a router.
+func (w *World) suspendRouters(routers []*router) (endFault func()) {
 	incarnations := map[*router]int{}
 	for _, router := range routers {
 		incarnations[router] = router.incarnation
-		if router.suspensions++; router.suspensions == 1 {
+		router.suspensions++
+		if router.suspensions == 1 {
 			w.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
 			w.driver.Stop(router.id)
 		}
@@ -34,7 +46,8 @@
 			if !router.up || router.incarnation != incarnations[router] {
 				continue // it was killed meanwhile
 			}
-			if router.suspensions--; router.suspensions == 0 {
+			router.suspensions--
+			if router.suspensions == 0 {
 				w.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
 				w.driver.Wake(router.id)
 			}
@@ -42,8 +55,20 @@
 	}
 }
 
-func (w *World) killRouters(fault *scenario.Fault) (endFault func()) {
-	routers := w.drawRouters(fault)
+// starveRouters takes a share of the routers' CPU until the fault ends.
+func (w *World) starveRouters(routers []*router, share float64) (endFault func()) {
+	for _, router := range routers {
+		w.driver.Starve(router.id, share)
+	}
+	return func() {
+		for _, router := range routers {
+			w.driver.Starve(router.id, 0)
+		}
+	}
+}
+
+// killRouters kills routers, which start again when the fault ends.
+func (w *World) killRouters(routers []*router) (endFault func()) {
 	for _, router := range routers {
 		w.killRouter(router)
 	}
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -8,48 +8,84 @@
 	"quilldoor/internal/scenario"
 )
 
-// answerFault is a share of answers that goes wrong at some caches.
-type answerFault struct {
-	kind   string
-	office int // from 1; 0: all
-	share  float64
+// deployDrainTime is how long a cache that is replaced may finish its requests.
+const deployDrainTime = 3 * second
+
+// startServerFault starts a fault of caches or parents.
+func (w *World) startServerFault(fault *scenario.Fault) (endFault func()) {
+	switch fault.Kind {
+	case faultOfficeLost:
+		target := *fault
+		if target.Office == 0 {
+			target.Office = 1 + w.random.IntN(len(w.caches))
+		}
+		return w.takeDown(w.drawCaches(&target), false)
+	case faultParentsLost:
+		trunk := fault.Trunk
+		if trunk == 0 {
+			trunk = 1 + w.random.IntN(len(w.parents))
+		}
+		return w.takeDown(drawShare(w.random, slices.Clone(w.parents[trunk-1]), fault.Share), false)
+	case faultCachePause:
+		return w.pauseRepeatedly(w.drawCaches(fault), fault)
+	case faultCacheDeploy:
+		w.deploy(w.drawCaches(fault), fault)
+		return nil
+	case faultCachePreempt:
+		return w.preempt(w.drawCaches(fault), int64(fault.Strength*second))
+	default:
+		return w.takeDown(w.drawCaches(fault), fault.Kind == faultCacheSilent)
+	}
 }
 
-// applyAnswerFaults lets troubles get between a server and its answer; no code: it never comes.
-func (w *World) applyAnswerFaults(server *server, end End) End {
-	if server.kind == kindCache && w.scenario.Fleet.ErrorShare > 0 && w.random.Float64() < w.scenario.Fleet.ErrorShare {
-		return End{Outcome: policy.OutcomeError, Load: end.Load}
+// startOriginFault slows the origin down or stops it.
+func (w *World) startOriginFault(fault *scenario.Fault) (endFault func()) {
+	origin := w.origin
+	if fault.Kind == faultOriginSlow {
+		origin.slowdown *= fault.Strength
+		origin.updateRate()
+		return func() {
+			origin.slowdown /= fault.Strength
+			origin.updateRate()
+		}
+	}
+	origin.activePauses++
+	origin.updateRate()
+	return func() {
+		origin.activePauses--
+		origin.updateRate()
 	}
-	for _, fault := range w.answerFaults {
-		if fault.kind == "ledger_resets" && server.kind == kindOrigin && w.random.Float64() < fault.share {
-			return End{Outcome: policy.OutcomeConnectionReset}
+}
+
+// drawCaches draws a share of the caches that are up at a fault's place.
+func (w *World) drawCaches(fault *scenario.Fault) []*server {
+	var candidates []*server
+	for office, caches := range w.caches {
+		if fault.Office > 0 && office != fault.Office-1 {
+			continue
 		}
-		if server.kind != kindCache || fault.kind == "ledger_resets" || fault.office > 0 && server.office != fault.office-1 || w.random.Float64() >= fault.share {
+		if fault.Trunk > 0 && w.scenario.Fleet.Trunk(office) != fault.Trunk-1 {
 			continue
 		}
-		switch fault.kind {
-		case "resets":
-			return End{Outcome: policy.OutcomeConnectionReset}
-		case "spoilt":
-			return End{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
-		case "endless":
-			return End{}
-		case "errors":
-			return End{Outcome: policy.OutcomeError, Load: end.Load}
+		for _, cache := range caches {
+			if cache.up {
+				candidates = append(candidates, cache)
+			}
 		}
 	}
-	return end
+	return drawShare(w.random, candidates, fault.Share)
 }
 
-// takeDown takes servers away; the board hears of it late, and of their return.
+// takeDown crashes servers, which come back when the fault ends. Discovery notices each crash only after a while.
 func (w *World) takeDown(servers []*server, silent bool) (endFault func()) {
 	for _, server := range servers {
 		server.crash(silent)
-		w.setListed(server, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*1000))
+		w.setListed(server, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*millisecond))
 	}
 	return func() { w.bringBack(servers) }
 }
 
+// bringBack starts servers that are down, except those that collapsed.
 func (w *World) bringBack(servers []*server) {
 	for _, server := range servers {
 		if server.up || server.collapsed {
@@ -60,48 +96,58 @@
 	}
 }
 
+// pauseRepeatedly pauses each server for the fault's strength in milliseconds, again and again until the fault ends
+// or the server crashes.
 func (w *World) pauseRepeatedly(servers []*server, fault *scenario.Fault) (endFault func()) {
 	active := true
 	for _, server := range servers {
-		var pause func()
 		incarnation := server.incarnation
+		var pause func()
 		pause = func() {
 			if !active || server.incarnation != incarnation {
 				return
 			}
-			server.activePauses++
-			server.updateRate()
-			w.schedule(int64(fault.Strength*1000), func() {
-				if server.incarnation == incarnation {
-					server.activePauses--
-					server.updateRate()
-				}
-			})
-			w.schedule(w.jitter(fault.Every*1e6), pause)
+			w.pauseOnce(server, int64(fault.Strength*millisecond))
+			w.schedule(w.jitter(fault.Every*second), pause)
 		}
-		w.schedule(int64(w.random.Float64()*fault.Every*1e6), pause)
+		w.schedule(int64(w.random.Float64()*fault.Every*second), pause)
 	}
 	return func() { active = false }
 }
 
-// deploy drains servers some at a time; a successor with a name of its own starts
-// cold in the place of each.
+// pauseOnce lets a server make no progress for a while. Pauses may overlap.
+func (w *World) pauseOnce(server *server, duration int64) {
+	incarnation := server.incarnation
+	server.activePauses++
+	server.updateRate()
+	w.schedule(duration, func() {
+		if server.incarnation == incarnation {
+			server.activePauses--
+			server.updateRate()
+		}
+	})
+}
+
+// deploy drains and replaces servers in waves; the fault's strength is the size of a wave.
 func (w *World) deploy(servers []*server, fault *scenario.Fault) {
-	const drained = 3 * second // what a drained one has left to finish
-	for i := 0; i < len(servers); i += int(fault.Strength) {
-		wave := servers[i:min(i+int(fault.Strength), len(servers))]
-		w.schedule(int64(float64(i)/fault.Strength*fault.Every*1e6), func() {
-			for _, server := range wave {
-				if !server.up {
-					continue
-				}
-				w.setListed(server, policy.EndpointDraining, 0)
-				w.schedule(drained, func() { w.replace(server) })
-			}
-		})
+	size := int(fault.Strength)
+	for i := 0; i < len(servers); i += size {
+		wave := servers[i:min(i+size, len(servers))]
+		w.schedule(int64(float64(i)/fault.Strength*fault.Every*second), func() { w.replaceWave(wave) })
+	}
+}
+
+func (w *World) replaceWave(wave []*server) {
+	for _, server := range wave {
+		if !server.up {
+			continue
+		}
+		w.setListed(server, policy.EndpointDraining, 0)
+		w.schedule(deployDrainTime, func() { w.replace(server) })
 	}
 }
 
+// replace ends a cache and starts a successor with an ID of its own in its place, cold and empty.
 func (w *World) replace(server *server) {
 	if server.up {
 		server.crash(false)
@@ -109,7 +155,7 @@
 	w.setListed(server, policy.EndpointGone, 0)
 	index := slices.Index(w.caches[server.office], server)
 	if index < 0 {
-		return
+		return // it was replaced meanwhile
 	}
 	successor := w.newCache(server.office, fmt.Sprintf("%s.%d", server.id, w.sequence))
 	successor.up = false
@@ -118,7 +164,7 @@
 	w.setListed(successor, policy.EndpointActive, 0)
 }
 
-// preempt drains servers, and takes them away a moment later; they come back.
+// preempt drains servers and crashes them after a short notice. They come back when the fault ends.
 func (w *World) preempt(servers []*server, notice int64) (endFault func()) {
 	for _, server := range servers {
 		w.setListed(server, policy.EndpointDraining, 0)
