--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -7,171 +7,213 @@
 	"quilldoor/internal/policy"
 )
 
-// Hop takes a hop that a router sends at its time. It comes to the server after
-// the way there.
-func (w *World) Hop(h *Hop) {
+// Hop is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
+type Hop struct {
+	Router   int    // index of the router that sends it
+	Txn      string // ID of the request
+	N        int    // number of the attempt within the request
+	Server   string // ID of the server it goes to
+	Source   string // ID of the server that a miss is filled from; "": a miss is not filled
+	Rank     int    // retention rank of a filled copy; 0: it is not stored
+	FillMode policy.FillMode
+	Within   int64 // maximum age of an acceptable copy, microseconds; 0: the traffic class's freshness time
+	Rule     int   // index of the traffic class
+	Object   string
+	Part     int64
+	Group    int64 // purge group of the object
+	SizeKB   float64
+	Write    bool
+	Tag      any // the driver's own, not read here
+
+	target     *server // nil: no such server
+	fillSource *server // nil: no fill
+	objectID   int64
+	state      attemptState
+	index      int   // in target.attempts
+	job        *job  // the work under way for it, if any
+	fill       *fill // the fill it waits for, if any
+	latency    int64 // one way between router and server, microseconds
+}
+
+// attemptState is how far an attempt has come at its server.
+type attemptState uint8
+
+const (
+	attemptInTransit attemptState = iota
+	attemptQueued                 // waits for a slot
+	attemptWorking                // has a slot
+	attemptEnded                  // was answered, cancelled or lost
+)
+
+// attemptKey identifies an attempt among those that routers still wait for.
+type attemptKey struct {
+	router    int
+	requestID string
+	attempt   int
+}
+
+func (h *Hop) key() attemptKey { return attemptKey{h.Router, h.Txn, h.N} }
+
+// entry is an event log entry about the attempt.
+func (h *Hop) entry(kind eventlog.Kind) Entry {
+	return Entry{Kind: kind, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server}
+}
+
+// Hop accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
+func (w *World) Hop(attempt *Hop) {
 	w.Result.Hops++
-	h.at, h.sent = w.servers[h.Server], w.now
-	h.from = w.servers[h.Source]
-	h.obj = w.cat.id(h.Object)
-	w.note(Entry{
-		Kind: eventlog.KindSent, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server, Source: h.Source, Object: h.Object,
-		Group: h.Group, Class: w.rules[h.Rule].Name,
-	})
-	if h.at == nil {
-		return // a server that never was: nothing answers
+	attempt.target = w.servers[attempt.Server]
+	attempt.fillSource = w.servers[attempt.Source]
+	attempt.objectID = w.catalogue.id(attempt.Object)
+	entry := attempt.entry(eventlog.KindSent)
+	entry.Source = attempt.Source
+	entry.Object = attempt.Object
+	entry.Group = attempt.Group
+	entry.Class = w.classes[attempt.Rule].Name
+	w.record(entry)
+	if attempt.target == nil {
+		return // an address without a host: nothing answers
 	}
-	h.latent = w.away(w.routers[h.Router].office, h.at)
-	w.hops[hopKey{h.Router, h.Txn, h.N}] = h
-	w.after(h.latent, func() { w.come(h) })
+	attempt.latency = w.oneWayDelay(w.routers[attempt.Router].office, attempt.target)
+	w.attempts[attempt.key()] = attempt
+	w.schedule(attempt.latency, func() { w.attemptArrived(attempt) })
 }
 
-// Cancel takes that a router gives a hop up; the server hears of it later.
-func (w *World) Cancel(router int, txn string, n int) {
-	key := hopKey{router, txn, n}
-	if h := w.hops[key]; h != nil {
-		delete(w.hops, key)
-		w.after(h.latent, func() { h.at.stop(h) })
+// Cancel accepts that a router cancels an attempt. The server hears of it one network latency later.
+func (w *World) Cancel(router int, requestID string, number int) {
+	key := attemptKey{router, requestID, number}
+	if attempt := w.attempts[key]; attempt != nil {
+		delete(w.attempts, key)
+		w.detachLater(attempt)
 	}
 }
 
-func (w *World) come(h *Hop) {
-	s := h.at
+func (w *World) detachLater(attempt *Hop) {
+	w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
+}
+
+// attemptArrived hands an attempt to its server. A server that is down refuses the connection, a silent one does
+// not even do that.
+func (w *World) attemptArrived(attempt *Hop) {
+	server := attempt.target
 	switch {
-	case h.state == ended:
+	case attempt.state == attemptEnded:
 		return
-	case !s.up && s.silent:
+	case !server.up && server.silent:
 		return
-	case !s.up:
-		s.end(h, End{Outcome: policy.OutcomeConnectionRefused})
+	case !server.up:
+		server.finish(attempt, End{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
-	w.note(Entry{Kind: eventlog.KindArrived, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: s.uid})
-	h.place = len(s.hops)
-	s.hops = append(s.hops, h)
-	work := h.SizeKB / w.set.Fleet.FlowKBPerS * 1e6
-	if s.charge(work) {
-		s.fall()
+	w.record(attempt.entry(eventlog.KindArrived))
+	attempt.index = len(server.attempts)
+	server.attempts = append(server.attempts, attempt)
+	if server.recordWork(w.flowTime(attempt.SizeKB)) {
+		server.collapse()
 		return
 	}
-	switch s.kind {
-	case cache:
-		s.admit(h)
-	case parent:
-		s.fetchFor(h)
-	case ledger:
-		s.ledgerWork(h)
+	switch server.kind {
+	case kindCache:
+		server.admit(attempt)
+	case kindParent:
+		server.serveFromParent(attempt)
+	case kindOrigin:
+		server.serveFromOrigin(attempt)
 	}
 }
 
-// end answers a hop. What the router gets takes the way back, and a trouble may
-// get between.
-func (s *server) end(h *Hop, e End) {
-	if h.state == ended {
+// finish answers an attempt. The answer takes one network latency to its router, and a fault may change or lose it.
+func (s *server) finish(attempt *Hop, end End) {
+	if attempt.state == attemptEnded {
 		return
 	}
-	s.stop(h)
-	e.Load = s.load
-	if e.Outcome != policy.OutcomeConnectionReset && e.Outcome != policy.OutcomeConnectionRefused {
-		s.w.Result.Ends[e.Outcome.String()]++
-		if e = s.w.spoil(s, e); e.Outcome == policy.OutcomeUnknown {
-			return // it never comes
+	s.detach(attempt)
+	end.Load = s.visibleLoad
+	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
+		s.world.Result.Ends[end.Outcome.String()]++
+		end = s.world.applyAnswerFaults(s, end)
+		if end.Outcome == policy.OutcomeUnknown {
+			return // the answer is lost
 		}
 	}
-	s.w.after(h.latent, func() { s.w.deliver(h, e) })
+	s.world.schedule(attempt.latency, func() { s.world.deliver(attempt, end) })
 }
 
-func (w *World) deliver(h *Hop, e End) {
-	key := hopKey{h.Router, h.Txn, h.N}
-	if w.hops[key] != h {
-		return // the router has given it up
+// deliver brings an answer to the router, unless the router has cancelled the attempt.
+func (w *World) deliver(attempt *Hop, end End) {
+	key := attempt.key()
+	if w.attempts[key] != attempt {
+		return
 	}
-	delete(w.hops, key)
-	w.note(Entry{Kind: eventlog.KindEnded, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server, Outcome: e.Outcome.String(), Issued: e.Issued})
-	w.driver.End(h.Router, h, e)
+	delete(w.attempts, key)
+	entry := attempt.entry(eventlog.KindEnded)
+	entry.Outcome = end.Outcome.String()
+	entry.Issued = end.Issued
+	w.record(entry)
+	w.driver.End(attempt.Router, attempt, end)
 }
 
-// stop takes a hop off its server: it has ended, or was given up.
-func (s *server) stop(h *Hop) {
-	if h.state == ended {
+// detach removes an attempt that was answered or cancelled from its server and stops the work for it.
+func (s *server) detach(attempt *Hop) {
+	if attempt.state == attemptEnded {
 		return
 	}
-	was := h.state
-	h.state = ended
-	if h.place < len(s.hops) && s.hops[h.place] == h {
-		last := len(s.hops) - 1
-		s.hops[h.place] = s.hops[last]
-		s.hops[h.place].place = h.place
-		s.hops[last] = nil
-		s.hops = s.hops[:last]
+	previous := attempt.state
+	attempt.state = attemptEnded
+	s.forgetAttempt(attempt)
+	if fill := attempt.fill; fill != nil {
+		attempt.fill = nil
+		fill.removeAttempt(attempt)
 	}
-	if f := h.fill; f != nil {
-		h.fill = nil
-		f.leave(h)
+	if attempt.job != nil {
+		attempt.job.resource.remove(attempt.job)
+		attempt.job = nil
 	}
-	if h.job != nil {
-		h.job.of.remove(h.job)
-		h.job = nil
+	if s.kind == kindCache {
+		s.releaseSlot(attempt, previous)
 	}
-	if s.kind != cache {
+}
+
+// forgetAttempt takes an attempt off the server's list; the last one of the list moves to its place.
+func (s *server) forgetAttempt(attempt *Hop) {
+	if attempt.index >= len(s.attempts) || s.attempts[attempt.index] != attempt {
 		return
 	}
-	switch was {
-	case waiting:
-		if i := slices.Index(s.queue, h); i >= 0 {
+	last := len(s.attempts) - 1
+	s.attempts[attempt.index] = s.attempts[last]
+	s.attempts[attempt.index].index = attempt.index
+	s.attempts[last] = nil
+	s.attempts = s.attempts[:last]
+}
+
+// releaseSlot frees the place in the queue or the slot that an attempt had at a cache.
+func (s *server) releaseSlot(attempt *Hop, previous attemptState) {
+	switch previous {
+	case attemptQueued:
+		if i := slices.Index(s.queue, attempt); i >= 0 {
 			s.queue = slices.Delete(s.queue, i, i+1)
 		}
-	case working:
-		s.slots--
-		s.power()
-		s.next()
+	case attemptWorking:
+		s.busySlots--
+		s.updateRate()
+		s.startQueued()
 	}
 }
 
-// ran notes that a hop's work was done in part at least.
-func (w *World) ran(h *Hop) {
-	w.note(Entry{Kind: eventlog.KindRan, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.at.uid, Class: w.rules[h.Rule].Name})
+// recordExecuted logs that the work of an attempt has begun: from here on it may have its effect.
+func (w *World) recordExecuted(attempt *Hop) {
+	entry := attempt.entry(eventlog.KindRan)
+	entry.Class = w.classes[attempt.Rule].Name
+	w.record(entry)
 }
 
-// Hop is what a router sends to a server.
-type Hop struct {
-	Router         int
-	Txn            string
-	N              int
-	Server, Source string // Source "": a miss is not filled
-	Rank           int
-	FillMode       policy.FillMode
-	Within         int64 // the oldest copy that will do; 0: the rule's
-	Rule           int
-	Object         string
-	Part           int64
-	Group          int64
-	SizeKB         float64
-	Write          bool
-	Tag            any // the driver's own
-
-	at     *server
-	from   *server
-	obj    int64
-	state  hopState
-	place  int // in the server's list
-	job    *job
-	fill   *fill
-	sent   int64
-	latent int64 // one way
+// maxAge is the age, in microseconds, up to which a copy satisfies an attempt.
+func (w *World) maxAge(attempt *Hop) int64 {
+	if attempt.Within != 0 {
+		return attempt.Within
+	}
+	return w.classes[attempt.Rule].FreshFor
 }
 
-type hopState uint8
-
-const (
-	onTheWay hopState = iota
-	waiting           // in the server's waiting room
-	working           // has a slot
-	ended
-)
-
-type hopKey struct {
-	router int
-	txn    string
-	n      int
-}
+// flowTime is how long one client flow takes for a number of kilobytes, in microseconds.
+func (w *World) flowTime(kb float64) float64 { return kb / w.scenario.Fleet.FlowKBPerS * second }
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -6,117 +6,124 @@
 	"quilldoor/internal/policy"
 )
 
-func (w *World) newCache(office int, uid string) *server {
-	f := &w.set.Fleet
+const (
+	// prewarmedIssuedAt is the issue time of copies that stood in a cache before the run.
+	prewarmedIssuedAt = 1
+	// defaultRank is the retention rank of prewarmed copies and of those that a parent fetches.
+	defaultRank = 1
+)
+
+// prewarmKey is a part of an object at an office, or at a trunk (-1 - trunk).
+type prewarmKey struct {
+	location int
+	key      int64
+}
+
+func (w *World) newCache(office int, id string) *server {
+	fleet := &w.scenario.Fleet
 	s := &server{
-		w: w, uid: uid, kind: cache, office: office, trunk: f.Trunk(office), weight: float64(f.Cores), up: true,
-		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{},
+		world: w, id: id, kind: kindCache, up: true, listed: policy.EndpointActive, slowdown: 1,
+		office: office, trunk: fleet.Trunk(office), weight: float64(fleet.Cores), fills: map[int64]*fill{},
 	}
-	// Work is told in core-microseconds; a core sends one flow.
-	s.cpu = &share{w: w, total: float64(f.Cores), most: 1}
-	s.store = newStore(f.CacheShare * w.cat.officeKB / float64(f.Caches))
-	w.servers[uid] = s
-	w.after(w.jitter(f.ReportMS*1000), s.report)
+	// A core sends one flow, so work is counted in core-microseconds.
+	s.cpu = &sharedResource{world: w, totalRate: float64(fleet.Cores), maxJobRate: 1}
+	s.store = newCopyStore(fleet.CacheShare * w.catalogue.officeKB / float64(fleet.Caches))
+	w.servers[id] = s
+	w.schedule(w.jitter(fleet.ReportMS*millisecond), s.reportLoad)
 	return s
 }
 
-// admit takes a hop in at a cache: to work, to the waiting room, or not.
-func (s *server) admit(h *Hop) {
-	f := &s.w.set.Fleet
+// admit gives an attempt a slot of the cache or a place in its queue, or rejects it.
+func (s *server) admit(attempt *Hop) {
+	fleet := &s.world.scenario.Fleet
 	switch {
-	case s.slots < f.SlotsPerCore*f.Cores:
-		s.work(h)
-	case len(s.queue) < f.QueuePerCore*f.Cores:
-		h.state = waiting
-		s.queue = append(s.queue, h)
+	case s.busySlots < fleet.SlotsPerCore*fleet.Cores:
+		s.serve(attempt)
+	case len(s.queue) < fleet.QueuePerCore*fleet.Cores:
+		attempt.state = attemptQueued
+		s.queue = append(s.queue, attempt)
 	default:
-		s.end(h, End{Outcome: policy.OutcomeBusy})
+		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
 	}
 }
 
-func (s *server) next() {
-	f := &s.w.set.Fleet
-	for s.up && len(s.queue) > 0 && s.slots < f.SlotsPerCore*f.Cores {
-		h := s.queue[0]
+// startQueued serves queued attempts, first come first served, while slots are free.
+func (s *server) startQueued() {
+	fleet := &s.world.scenario.Fleet
+	for s.up && len(s.queue) > 0 && s.busySlots < fleet.SlotsPerCore*fleet.Cores {
+		attempt := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
-		s.work(h)
+		s.serve(attempt)
 	}
 }
 
-// work looks for a copy, or begins a fill.
-func (s *server) work(h *Hop) {
-	w, f := s.w, &s.w.set.Fleet
-	h.state = working
-	s.slots++
-	key := keyOf(h.obj, h.Part)
-	within := h.Within
-	if within == 0 {
-		within = w.rules[h.Rule].FreshFor
-	}
-	s.served++
-	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
-		s.hits++
-		note := policy.ReasonHit
-		if w.now-c.issued > w.rules[h.Rule].FreshFor {
-			note = policy.ReasonStale
-		}
-		s.send(h, note, c.issued, 0)
+// serve takes a slot and answers an attempt from the cache, or by a fill.
+func (s *server) serve(attempt *Hop) {
+	w := s.world
+	attempt.state = attemptWorking
+	s.busySlots++
+	key := partKey(attempt.objectID, attempt.Part)
+	maxAge := w.maxAge(attempt)
+	s.reportServed++
+	cached := s.lookup(attempt, key)
+	if cached == nil || w.now-cached.issuedAt > maxAge {
+		s.serveMiss(attempt, key)
 		return
 	}
+	s.reportHits++
+	reason := policy.ReasonHit
+	if w.now-cached.issuedAt > w.classes[attempt.Rule].FreshFor {
+		reason = policy.ReasonStale
+	}
+	s.sendCopy(attempt, reason, cached.issuedAt, 0)
+}
+
+// serveMiss lets an attempt join a fill or begin one; it is answered at once where neither is possible.
+func (s *server) serveMiss(attempt *Hop, key int64) {
+	fleet := &s.world.scenario.Fleet
 	switch {
-	case h.from == nil || h.from == s:
-		s.end(h, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
-	case h.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
-		x := s.fills[key]
-		x.rank = max(x.rank, h.Rank)
-		x.hops = append(x.hops, h)
-		h.fill = x
-	case s.fillsN >= f.FillsPerCore*f.Cores:
-		s.end(h, End{Outcome: policy.OutcomeBusy})
+	case attempt.fillSource == nil || attempt.fillSource == s:
+		s.finish(attempt, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
+	case attempt.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
+		s.fills[key].join(attempt)
+	case s.fillCount >= fleet.FillsPerCore*fleet.Cores:
+		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
 	default:
-		x := &fill{at: s, key: key, hops: []*Hop{h}, rank: h.Rank, begun: w.now, life: s.life, note: policy.ReasonMiss}
-		h.fill = x
-		s.fillsN++
-		if s.fills[key] == nil {
-			s.fills[key] = x
-		}
-		x.ask(h)
+		s.beginFill(attempt, key)
 	}
 }
 
-// lookup finds a copy. Where the run begins warm, what was popular then counts as
-// kept by the server that is asked for it first: which one that is, is the
-// routers' to choose.
-func (s *server) lookup(h *Hop, key int64) *kept {
-	if c := s.store.get(key); c != nil || h.obj >= s.w.cat.warm[s.kind] || s.life > 0 || s.born > 0 {
-		return c
+// lookup finds a copy. In a prewarmed fleet a popular object counts as cached at the first server of its office or
+// trunk that is asked for it, because the routers choose which server that is.
+func (s *server) lookup(attempt *Hop, key int64) *cachedCopy {
+	w := s.world
+	cached := s.store.get(key)
+	if cached != nil || attempt.objectID >= w.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
+		return cached
 	}
-	place := s.office
-	if s.kind == parent {
-		place = -1 - s.trunk
+	location := s.office
+	if s.kind == kindParent {
+		location = -1 - s.trunk
 	}
-	mark := warmKey{place, key}
-	if s.w.warmed[mark] || s.w.purgedAt(h.obj, h.Group) > 0 {
+	prewarm := prewarmKey{location, key}
+	if w.prewarmed[prewarm] || w.purgedAt(attempt.objectID, attempt.Group) > 0 {
 		return nil
 	}
-	s.w.warmed[mark] = true
-	s.store.put(key, h.SizeKB, 1, h.Group, 1)
+	w.prewarmed[prewarm] = true
+	s.store.put(key, attempt.SizeKB, prewarmedIssuedAt, attempt.Group, defaultRank)
 	return s.store.get(key)
 }
 
-// send sends a copy from the cache: the core is taken for the time of sending.
-func (s *server) send(h *Hop, note policy.Reason, issued, waited int64) {
-	work := h.SizeKB / s.w.set.Fleet.FlowKBPerS * 1e6
-	s.w.ran(h)
-	h.job = s.cpu.add(work, func() {
-		h.job = nil
-		s.end(h, End{Outcome: policy.OutcomeDone, Reason: note, Issued: issued, Waited: waited, SizeKB: h.SizeKB})
+// sendCopy sends a copy to the router. It takes a core's time for as long as one flow takes.
+func (s *server) sendCopy(attempt *Hop, reason policy.Reason, issuedAt, waited int64) {
+	work := s.world.flowTime(attempt.SizeKB)
+	s.world.recordExecuted(attempt)
+	attempt.job = s.cpu.add(work, func() {
+		attempt.job = nil
+		s.finish(attempt, End{
+			Outcome: policy.OutcomeDone, Reason: reason,
+			Issued: issuedAt, Waited: waited, SizeKB: attempt.SizeKB,
+		})
 	})
-	s.power()
-}
-
-// warmKey is a part at an office, or at a trunk (below 0).
-type warmKey struct {
-	place int
-	key   int64
+	s.updateRate()
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,146 +2,151 @@
 
 import (
 	"fmt"
-	"math"
-	"slices"
 
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/scenario"
 )
 
-// some draws a share of the servers at a trouble's place, in a stated order: the
-// draw is made when the trouble begins.
-func (w *World) some(t *scenario.Fault, of [][]*server) (out []*server) {
-	for i, l := range of {
-		if t.Office > 0 && i != t.Office-1 || t.Trunk > 0 && w.set.Fleet.Trunk(i) != t.Trunk-1 {
-			continue
-		}
-		for _, s := range l {
-			if s.up {
-				out = append(out, s)
-			}
-		}
-	}
-	return w.part(out, t.Share)
-}
+// Kinds of faults as scenarios name them.
+const (
+	faultCacheCrash       = "die"
+	faultCacheSilent      = "silent"
+	faultCachePause       = "pause"
+	faultCacheDeploy      = "deploy"
+	faultCachePreempt     = "preempt"
+	faultOfficeLost       = "office_lost"
+	faultParentsLost      = "parents_lost"
+	faultPurgeGroups      = "purge"
+	faultPurgeObjects     = "purge_object"
+	faultOriginSlow       = "ledger_slow"
+	faultOriginStop       = "ledger_stop"
+	faultReportDelay      = "late_reports"
+	faultDiscoveryDelay   = "late_board"
+	faultDiscoveryCut     = "cut_board"
+	faultSitesCut         = "site_cut"
+	faultOneTimeObjects   = "once"
+	faultLoadBurst        = "burst"
+	faultRouterCrash      = "router_dies"
+	faultRouterSuspend    = "router_stops"
+	faultRouterStarve     = "router_starves"
+	faultNetworkDelay     = "ways_delay"
+	faultNetworkJitter    = "ways_jitter"
+	faultNetworkLoss      = "ways_loss"
+	faultNetworkDuplicate = "ways_double"
+	faultNetworkReorder   = "ways_reorder"
+	faultNetworkSlow      = "ways_slow"
+	faultNetworkCut       = "ways_cut"
+	faultNetworkOneWay    = "ways_one_way"
+	faultNetworkSplit     = "ways_camps"
+	faultNetworkChain     = "ways_chain"
+	faultAnswerReset      = "resets"
+	faultOriginReset      = "ledger_resets"
+	faultAnswerLost       = "endless"
+	faultAnswerCorrupt    = "spoilt"
+	faultAnswerError      = "errors"
+)
 
-func (w *World) part(list []*server, share float64) []*server {
-	w.dice.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), int(math.Ceil(share*float64(len(list)))))]
-}
+// wholeGroup in place of an object makes a purge that of its group.
+const wholeGroup = -1
 
-// plan sets a trouble's beginning and end.
-func (w *World) plan(t *scenario.Fault) {
-	w.after(int64(t.At*1e6), func() {
-		w.troubled++
-		w.lastTurn = w.now
-		w.note(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: t.Kind, Until: w.now + int64(t.For*1e6)})
-		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/1e6, t.Kind))
-		over := w.begins(t)
-		w.after(int64(t.For*1e6), func() {
-			w.troubled--
-			w.lastTurn = w.now
-			w.note(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: t.Kind})
-			if over != nil {
-				over()
+// scheduleFault schedules a fault's beginning and end.
+func (w *World) scheduleFault(fault *scenario.Fault) {
+	duration := int64(fault.For * second)
+	w.schedule(int64(fault.At*second), func() {
+		w.activeFaults++
+		w.lastFaultChange = w.now
+		w.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: w.now + duration})
+		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/second, fault.Kind))
+		endFault := w.startFault(fault)
+		w.schedule(duration, func() {
+			w.activeFaults--
+			w.lastFaultChange = w.now
+			w.record(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: fault.Kind})
+			if endFault != nil {
+				endFault()
 			}
 		})
 	})
 }
 
-// begins starts a trouble and returns what ends it.
-func (w *World) begins(t *scenario.Fault) (over func()) {
-	switch t.Kind {
-	case "die", "silent":
-		return w.lose(w.some(t, w.caches), t.Kind == "silent")
-	case "office_lost":
-		one := *t
-		if one.Office == 0 {
-			one.Office = 1 + w.dice.IntN(len(w.caches))
-		}
-		return w.lose(w.some(&one, w.caches), false)
-	case "parents_lost":
-		trunk := t.Trunk
-		if trunk == 0 {
-			trunk = 1 + w.dice.IntN(len(w.parents))
-		}
-		return w.lose(w.part(slices.Clone(w.parents[trunk-1]), t.Share), false)
-	case "pause":
-		return w.pauses(w.some(t, w.caches), t)
-	case "deploy":
-		w.deploy(w.some(t, w.caches), t)
-	case "preempt":
-		return w.preempt(w.some(t, w.caches), int64(t.Strength*1e6))
-	case "purge":
-		for g := range int64(groupCount) {
-			if w.dice.Float64() < t.Share {
-				w.purge(-1, g)
-			}
-		}
-	case "purge_object":
-		for i := range min(int(t.Strength), len(w.cat.ranks[0])) {
-			w.purge(w.cat.ranks[i%2][i/2], 0)
-		}
-	case "ledger_slow":
-		w.ledger.slow *= t.Strength
-		w.ledger.power()
-		return func() { w.ledger.slow /= t.Strength; w.ledger.power() }
-	case "ledger_stop":
-		w.ledger.pauses++
-		w.ledger.power()
-		return func() { w.ledger.pauses--; w.ledger.power() }
-	case "late_reports":
-		w.reportLag += int64(t.Strength * 1e6)
-		return func() { w.reportLag -= int64(t.Strength * 1e6) }
-	case "late_board":
-		w.late += int64(t.Strength * 1e6)
-		return func() { w.late -= int64(t.Strength * 1e6) }
-	case "site_cut":
+// startFault starts a fault and returns what ends it; nil: it ends by itself. What it hits is drawn now.
+func (w *World) startFault(fault *scenario.Fault) (endFault func()) {
+	switch fault.Kind {
+	case faultCacheCrash, faultCacheSilent, faultCachePause, faultCacheDeploy, faultCachePreempt, faultOfficeLost,
+		faultParentsLost:
+		return w.startServerFault(fault)
+	case faultOriginSlow, faultOriginStop:
+		return w.startOriginFault(fault)
+	case faultPurgeGroups, faultPurgeObjects:
+		w.startPurges(fault)
+		return nil
+	case faultReportDelay, faultDiscoveryDelay, faultDiscoveryCut:
+		return w.startDiscoveryFault(fault)
+	case faultRouterCrash, faultRouterSuspend, faultRouterStarve:
+		return w.startRouterFault(fault)
+	case faultNetworkDelay, faultNetworkJitter, faultNetworkLoss, faultNetworkDuplicate, faultNetworkReorder,
+		faultNetworkSlow, faultNetworkCut, faultNetworkOneWay, faultNetworkSplit, faultNetworkChain:
+		return w.startNetworkFault(fault)
+	case faultOneTimeObjects, faultLoadBurst:
+		return w.startLoadFault(fault)
+	case faultSitesCut:
 		w.sitesCut = true
 		return func() { w.sitesCut = false }
-	case "cut_board":
-		if t.Share >= 1 && t.Office == 0 {
-			w.cut = true
-			return w.mend
-		}
-		list := w.someRouters(t)
-		for _, r := range list {
-			r.cut = true
-		}
-		return func() {
-			for _, r := range list {
-				r.cut = false
-			}
-			if !w.cut {
-				w.mend()
+	default:
+		return w.startAnswerFault(fault)
+	}
+}
+
+// startPurges purges a share of the groups, or the most popular objects of the two cached classes in turn.
+func (w *World) startPurges(fault *scenario.Fault) {
+	if fault.Kind == faultPurgeGroups {
+		for group := range int64(groupCount) {
+			if w.random.Float64() < fault.Share {
+				w.purge(wholeGroup, group)
 			}
 		}
-	case "router_stops":
-		return w.stopRouters(t)
-	case "router_starves":
-		list := w.someRouters(t)
-		for _, r := range list {
-			w.driver.Starve(r.id, t.Strength)
+		return
+	}
+	for i := range min(int(fault.Strength), len(w.catalogue.byPopularity[0])) {
+		w.purge(w.catalogue.byPopularity[i%2][i/2], 0)
+	}
+}
+
+// startDiscoveryFault delays load reports or notices, or cuts routers off from the discovery service.
+func (w *World) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
+	delay := int64(fault.Strength * second)
+	switch fault.Kind {
+	case faultReportDelay:
+		w.reportDelay += delay
+		return func() { w.reportDelay -= delay }
+	case faultDiscoveryDelay:
+		w.discoveryDelay += delay
+		return func() { w.discoveryDelay -= delay }
+	}
+	if fault.Share >= 1 && fault.Office == 0 {
+		w.discoveryCut = true
+		return w.restoreDiscovery
+	}
+	routers := w.drawRouters(fault)
+	for _, router := range routers {
+		router.discoveryCut = true
+	}
+	return func() {
+		for _, router := range routers {
+			router.discoveryCut = false
 		}
-		return func() {
-			for _, r := range list {
-				w.driver.Starve(r.id, 0)
-			}
+		if !w.discoveryCut {
+			w.restoreDiscovery()
 		}
-	case "ways_delay", "ways_jitter", "ways_loss", "ways_double", "ways_reorder", "ways_slow", "ways_cut", "ways_one_way", "ways_camps", "ways_chain":
-		return w.spoilWays(t)
-	case "once":
-		w.onceShare = t.Share
-		return func() { w.onceShare = 0 }
-	case "burst":
-		w.burst *= t.Strength
-		return func() { w.burst /= t.Strength }
-	case "router_dies":
-		return w.loseRouters(t)
-	default: // resets, endless, spoilt, errors
-		x := &spell{t.Kind, t.Office, t.Share}
-		w.spells = append(w.spells, x)
-		return func() { w.spells = slices.DeleteFunc(w.spells, func(o *spell) bool { return o == x }) }
 	}
-	return nil
+}
+
+// startLoadFault changes what clients ask for, or how often.
+func (w *World) startLoadFault(fault *scenario.Fault) (endFault func()) {
+	if fault.Kind == faultOneTimeObjects {
+		w.oneTimeShare = fault.Share
+		return func() { w.oneTimeShare = 0 }
+	}
+	w.loadFactor *= fault.Strength
+	return func() { w.loadFactor /= fault.Strength }
 }
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -6,147 +6,194 @@
 	"quilldoor/internal/policy"
 )
 
-// fill is a fetch that is under way; hops that join it wait for it as well.
+// fill is a fetch of one part into a server. At a cache, attempts wait for it; at a parent, the callers of
+// serveFill do.
 type fill struct {
-	at      *server
-	key     int64
-	hops    []*Hop
-	rank    int
-	jobs    []*job
-	left    int // parts of the transfer that are not over
-	begun   int64
-	issued  int64
-	note    policy.Reason
-	life    int64
-	dropped bool
+	server       *server // that is filled
+	incarnation  int64   // of the server, when the fill began
+	key          int64
+	rank         int // retention rank of the copy; 0: it is not stored
+	attempts     []*Hop
+	waiters      []func() // at a parent: those who joined
+	transfers    []*job
+	pendingParts int // parts of the transfer that are not finished
+	startedAt    int64
+	issuedAt     int64
+	reason       policy.Reason
+	closed       bool // completed or cancelled
 }
 
-// ask sends a fill to its source.
-func (x *fill) ask(h *Hop) {
-	w, from := x.at.w, h.from
-	way := w.away(x.at.office, from)
-	ask := *h // the hop may leave while the fill runs on
-	w.after(way, func() {
-		if x.dropped {
-			return
+// fillDone receives what a source has for a fill: the issue time of its copy, or a reason for which fillFailed holds.
+type fillDone func(issuedAt int64, reason policy.Reason)
+
+// fillFailed tells whether a source's reason means that there is no copy.
+func fillFailed(reason policy.Reason) bool { return reason >= policy.ReasonUpstreamBusy }
+
+// beginFill starts a fill for an attempt. Later attempts may join it unless another one for the part is under way.
+func (s *server) beginFill(attempt *Hop, key int64) {
+	f := &fill{
+		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Hop{attempt},
+		startedAt: s.world.now, reason: policy.ReasonMiss,
+	}
+	attempt.fill = f
+	s.fillCount++
+	if s.fills[key] == nil {
+		s.fills[key] = f
+	}
+	f.start(attempt)
+}
+
+// join lets an attempt wait for a fill that is under way.
+func (f *fill) join(attempt *Hop) {
+	f.rank = max(f.rank, attempt.Rank)
+	f.attempts = append(f.attempts, attempt)
+	attempt.fill = f
+}
+
+// start sends the fill's request to its source.
+func (f *fill) start(attempt *Hop) {
+	source := attempt.fillSource
+	delay := f.server.world.oneWayDelay(f.server.office, source)
+	snapshot := *attempt // the attempt may be cancelled while the fill runs on
+	f.server.world.schedule(delay, func() {
+		if !f.closed {
+			f.requestArrived(&snapshot, source, delay)
 		}
-		work := ask.SizeKB / w.set.Fleet.FlowKBPerS * 1e6
-		switch {
-		case !from.up && from.silent:
-			return // until the hop is given up
-		case !from.up:
-			w.after(way, func() { x.fail(policy.ReasonUpstreamDown) })
-			return
-		case from.kind != ledger && from.charge(work):
-			from.fall()
-			w.after(way, func() { x.fail(policy.ReasonUpstreamDown) })
+	})
+}
+
+// requestArrived lets the source supply the fill. Its answer takes delay microseconds back.
+func (f *fill) requestArrived(attempt *Hop, source *server, delay int64) {
+	w := f.server.world
+	failLater := func(reason policy.Reason) {
+		w.schedule(delay, func() { f.fail(reason) })
+	}
+	switch {
+	case !source.up && source.silent:
+		return // the fill waits until its attempts are cancelled
+	case !source.up:
+		failLater(policy.ReasonUpstreamDown)
+		return
+	case source.kind != kindOrigin && source.recordWork(w.flowTime(attempt.SizeKB)):
+		source.collapse()
+		failLater(policy.ReasonUpstreamDown)
+		return
+	}
+	source.serveFill(attempt, func(issuedAt int64, reason policy.Reason) {
+		if fillFailed(reason) {
+			failLater(reason)
 			return
 		}
-		from.supply(&ask, func(issued int64, note policy.Reason) {
-			if note >= policy.ReasonUpstreamBusy {
-				w.after(way, func() { x.fail(note) })
-				return
-			}
-			x.issued, x.note = issued, note
-			w.after(way, func() { x.transfer(&ask, from) })
-		})
+		f.issuedAt = issuedAt
+		f.reason = reason
+		w.schedule(delay, func() { f.transfer(attempt, source) })
 	})
 }
 
-// transfer takes a fill's bytes over the source's link out, the office's link in,
-// and no faster than its pace; it is over when all three are.
-func (x *fill) transfer(h *Hop, from *server) {
-	w, f := x.at.w, &x.at.w.set.Fleet
-	if x.dropped || x.life != x.at.life {
+// transfer moves the fill's bytes over the source's link out and the office's link in, no faster than its pace. It
+// is finished when all three are.
+func (f *fill) transfer(attempt *Hop, source *server) {
+	w := f.server.world
+	fleet := &w.scenario.Fleet
+	if f.closed || f.incarnation != f.server.incarnation {
 		return
 	}
-	pace := f.FillSpeed * f.FlowKBPerS / 1e6 / float64(1+w.trunks(x.at.office, from))
-	part := func() {
-		if x.left--; x.left == 0 && !x.dropped {
-			x.done(h)
+	pace := fleet.FillSpeed * fleet.FlowKBPerS / second / float64(1+w.trunkDistance(f.server.office, source))
+	partDone := func() {
+		f.pendingParts--
+		if f.pendingParts == 0 && !f.closed {
+			f.complete(attempt)
 		}
 	}
-	w.Result.filled(w, h.SizeKB, from.kind == ledger)
-	x.left = 2
-	if from.out != nil {
-		x.left++
-		x.jobs = append(x.jobs, from.out.add(h.SizeKB, part))
+	w.Result.countFill(w, attempt.SizeKB, source.kind == kindOrigin)
+	f.pendingParts = 2 // the office's link and the pace
+	if source.egress != nil {
+		f.pendingParts++
+		f.transfers = append(f.transfers, source.egress.add(attempt.SizeKB, partDone))
 	}
-	x.jobs = append(x.jobs, w.links[x.at.office].add(h.SizeKB, part))
-	w.after(int64(h.SizeKB/pace), part)
+	f.transfers = append(f.transfers, w.links[f.server.office].add(attempt.SizeKB, partDone))
+	w.schedule(int64(attempt.SizeKB/pace), partDone)
 }
 
-func (x *fill) over() {
-	x.at.fillsN--
-	if x.at.fills[x.key] == x {
-		delete(x.at.fills, x.key)
+// unregister takes the fill off its server's books.
+func (f *fill) unregister() {
+	f.server.fillCount--
+	if f.server.fills[f.key] == f {
+		delete(f.server.fills, f.key)
 	}
 }
 
-func (x *fill) done(h *Hop) {
-	s := x.at
-	x.dropped = true
-	x.over()
-	if x.rank > 0 && x.issued > s.w.purgedAt(h.obj, h.Group) {
-		s.store.put(x.key, h.SizeKB, x.issued, h.Group, x.rank)
+// complete stores the copy, unless it was purged meanwhile, and answers the attempts that wait for it.
+func (f *fill) complete(request *Hop) {
+	s := f.server
+	f.closed = true
+	f.unregister()
+	if f.rank > 0 && f.issuedAt > s.world.purgedAt(request.objectID, request.Group) {
+		s.store.put(f.key, request.SizeKB, f.issuedAt, request.Group, f.rank)
 	}
-	for i, h := range x.hops {
-		h.fill = nil
-		note := x.note
+	for i, attempt := range f.attempts {
+		attempt.fill = nil
+		reason := f.reason
 		if i > 0 {
-			note = policy.ReasonCoalesced
+			reason = policy.ReasonCoalesced
 		}
-		s.send(h, note, x.issued, s.w.now-x.begun)
+		s.sendCopy(attempt, reason, f.issuedAt, s.world.now-f.startedAt)
 	}
-	x.hops = nil
+	f.attempts = nil
 }
 
-func (x *fill) fail(note policy.Reason) {
-	if x.dropped || x.life != x.at.life {
+// fail answers all attempts that wait for the fill with an error.
+func (f *fill) fail(reason policy.Reason) {
+	if f.closed || f.incarnation != f.server.incarnation {
 		return
 	}
-	x.drop()
-	x.over()
-	hops := x.hops
-	x.hops = nil
-	for _, h := range hops {
-		h.fill = nil
-		x.at.end(h, End{Outcome: policy.OutcomeError, Reason: note, Waited: x.at.w.now - x.begun})
+	f.cancel()
+	f.unregister()
+	attempts := f.attempts
+	f.attempts = nil
+	for _, attempt := range attempts {
+		attempt.fill = nil
+		f.server.finish(attempt, End{
+			Outcome: policy.OutcomeError, Reason: reason,
+			Waited: f.server.world.now - f.startedAt,
+		})
 	}
 }
 
-// drop ends a fill's transfers.
-func (x *fill) drop() {
-	x.dropped = true
-	for _, j := range x.jobs {
-		j.of.remove(j)
+// cancel ends the fill's transfers. Nobody who waits is told.
+func (f *fill) cancel() {
+	f.closed = true
+	for _, transfer := range f.transfers {
+		transfer.resource.remove(transfer)
 	}
-	x.jobs = nil
+	f.transfers = nil
+	f.waiters = nil
 }
 
-// leave takes a hop from a fill; one that nobody waits for is dropped, or runs on.
-func (x *fill) leave(h *Hop) {
-	x.hops = slices.DeleteFunc(x.hops, func(o *Hop) bool { return o == h })
-	if len(x.hops) == 0 && !x.dropped && !x.at.w.set.Fleet.OrphanFills {
-		x.drop()
-		x.over()
+// removeAttempt lets an attempt leave the fill. A fill that nobody waits for is cancelled, or runs on if the
+// scenario says so.
+func (f *fill) removeAttempt(attempt *Hop) {
+	f.attempts = slices.DeleteFunc(f.attempts, func(other *Hop) bool { return other == attempt })
+	if len(f.attempts) == 0 && !f.closed && !f.server.world.scenario.Fleet.OrphanFills {
+		f.cancel()
+		f.unregister()
 	}
 }
 
-// supply is what a source does for a fill: a parent or another cache gives what
-// it holds, or fetches it; the ledger makes it.
-func (s *server) supply(h *Hop, done func(issued int64, note policy.Reason)) {
-	w := s.w
+// serveFill is what a source does for a fill: another cache gives what it holds, a parent may fetch it first, the
+// origin generates it.
+func (s *server) serveFill(attempt *Hop, done fillDone) {
 	switch s.kind {
-	case ledger:
-		s.read(done)
-	case cache: // another office's: only what it holds
-		if c := s.store.get(keyOf(h.obj, h.Part)); c != nil && c.issued > w.purgedAt(h.obj, h.Group) {
-			done(c.issued, policy.ReasonMiss)
+	case kindOrigin:
+		s.originRead(done)
+	case kindCache:
+		cached := s.store.get(partKey(attempt.objectID, attempt.Part))
+		if cached != nil && cached.issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
+			done(cached.issuedAt, policy.ReasonMiss)
 		} else {
 			done(0, policy.ReasonUpstreamMiss)
 		}
 	default:
-		s.fetch(h, done)
+		s.fetch(attempt, done)
 	}
 }
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -7,49 +7,65 @@
 	"quilldoor/internal/scenario"
 )
 
-// spoilWays puts a trouble on the ways between routers.
-func (w *World) spoilWays(t *scenario.Fault) (over func()) {
-	var all []int
-	for _, r := range w.routers {
-		if t.Office == 0 || r.office == t.Office-1 {
-			all = append(all, r.id)
+// startNetworkFault starts a fault of the network between routers.
+func (w *World) startNetworkFault(fault *scenario.Fault) (endFault func()) {
+	var ids []int
+	for _, router := range w.routers {
+		if fault.Office == 0 || router.office == fault.Office-1 {
+			ids = append(ids, router.id)
 		}
 	}
-	w.wayDice.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	some := all[:min(len(all), int(math.Ceil(t.Share*float64(len(all)))))]
-	x := &netsim.Fault{From: some, Bidirectional: true}
-	switch t.Kind {
-	case "ways_delay":
-		x.Delay = int64(t.Strength * 1000)
-	case "ways_jitter":
-		x.Jitter = int64(t.Strength * 1000)
-	case "ways_loss":
-		x.Loss = t.Strength
-	case "ways_double":
-		x.Duplicate = t.Strength
-	case "ways_reorder":
-		x.Reorder = t.Strength
-	case "ways_slow":
-		x.BytesPerSecond = t.Strength * 1000
-	case "ways_cut":
-		x.Partitioned = true
-	case "ways_one_way":
-		x.Partitioned, x.Bidirectional = true, false
-	case "ways_chain":
-		third := len(all) / 3
-		return w.Ways.Partition(all[:third], all[third:2*third])
-	default: // ways_camps
-		parts := int(t.Strength)
-		first := int(math.Ceil(t.Share * float64(len(all))))
-		if t.Share == 0 {
-			first = len(all) / parts
-		}
-		camps, rest := [][]int{all[:first]}, all[first:]
-		for i := 1; i < parts; i++ {
-			n := len(rest) / (parts - i)
-			camps, rest = append(camps, rest[:n]), rest[n:]
-		}
-		return w.Ways.Partition(camps...)
+	chosen := drawShare(w.networkRandom, ids, fault.Share)
+	switch fault.Kind {
+	case faultNetworkChain:
+		third := len(ids) / 3
+		return w.Ways.Partition(ids[:third], ids[third:2*third])
+	case faultNetworkSplit:
+		return w.Ways.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
+	default:
+		return w.Ways.AddFault(networkFault(fault, chosen))
+	}
+}
+
+// networkFault is a fault on the paths from the given routers, and back unless it is one-way.
+func networkFault(fault *scenario.Fault, from []int) *netsim.Fault {
+	f := &netsim.Fault{From: from, Bidirectional: true}
+	switch fault.Kind {
+	case faultNetworkDelay:
+		f.Delay = int64(fault.Strength * millisecond)
+	case faultNetworkJitter:
+		f.Jitter = int64(fault.Strength * millisecond)
+	case faultNetworkLoss:
+		f.Loss = fault.Strength
+	case faultNetworkDuplicate:
+		f.Duplicate = fault.Strength
+	case faultNetworkReorder:
+		f.Reorder = fault.Strength
+	case faultNetworkSlow:
+		const bytesPerKB = 1000
+		f.BytesPerSecond = fault.Strength * bytesPerKB
+	case faultNetworkCut:
+		f.Partitioned = true
+	case faultNetworkOneWay:
+		f.Partitioned = true
+		f.Bidirectional = false
+	}
+	return f
+}
+
+// splitRouters splits routers into a number of groups. The first one has a share of them, the others are of about
+// equal size; share 0: all are.
+func splitRouters(ids []int, count int, share float64) [][]int {
+	firstSize := int(math.Ceil(share * float64(len(ids))))
+	if share == 0 {
+		firstSize = len(ids) / count
+	}
+	groups := [][]int{ids[:firstSize]}
+	rest := ids[firstSize:]
+	for i := 1; i < count; i++ {
+		size := len(rest) / (count - i)
+		groups = append(groups, rest[:size])
+		rest = rest[size:]
 	}
-	return w.Ways.AddFault(x)
+	return groups
 }
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -2,105 +2,114 @@
 
 import "quilldoor/internal/policy"
 
-func (w *World) newParent(trunk int, uid string) *server {
-	f := &w.set.Fleet
-	offices := (f.Offices + f.Trunks - 1 - trunk) / f.Trunks
-	kb := f.ParentLink * f.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(f.Parents, 1))
+func (w *World) newParent(trunk int, id string) *server {
+	fleet := &w.scenario.Fleet
+	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
+	egressKBPerS := fleet.ParentLink * fleet.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(fleet.Parents, 1))
 	s := &server{
-		w: w, uid: uid, kind: parent, office: -1, trunk: trunk, weight: kb / f.FlowKBPerS, up: true,
-		listed: policy.EndpointActive, slow: 1, fills: map[int64]*fill{}, out: w.link(kb),
+		world: w, id: id, kind: kindParent, up: true, listed: policy.EndpointActive, slowdown: 1,
+		office: noOffice, trunk: trunk, weight: egressKBPerS / fleet.FlowKBPerS, fills: map[int64]*fill{},
+		egress: w.newLink(egressKBPerS),
 	}
-	s.store = newStore(f.ParentCacheShare * w.cat.allKB)
-	w.servers[uid] = s
-	w.after(w.jitter(f.ReportMS*1000), s.report)
+	s.store = newCopyStore(fleet.ParentCacheShare * w.catalogue.totalKB)
+	w.servers[id] = s
+	w.schedule(w.jitter(fleet.ReportMS*millisecond), s.reportLoad)
 	return s
 }
 
-// fetch gives a parent's copy, or has it from the ledger first.
-func (s *server) fetch(h *Hop, done func(issued int64, note policy.Reason)) {
-	w, f := s.w, &s.w.set.Fleet
-	key, life := keyOf(h.obj, h.Part), s.life
-	within := h.Within
-	if within == 0 {
-		within = w.rules[h.Rule].FreshFor
-	}
-	s.served++
-	if c := s.lookup(h, key); c != nil && w.now-c.issued <= within {
-		s.hits++
-		done(c.issued, policy.ReasonMiss)
+// fetch gives the parent's copy of a part, or gets it from the origin first.
+func (s *server) fetch(attempt *Hop, done fillDone) {
+	w := s.world
+	key := partKey(attempt.objectID, attempt.Part)
+	maxAge := w.maxAge(attempt)
+	s.reportServed++
+	if cached := s.lookup(attempt, key); cached != nil && w.now-cached.issuedAt <= maxAge {
+		s.reportHits++
+		done(cached.issuedAt, policy.ReasonMiss)
 		return
 	}
-	if h.FillMode&policy.FillNoFetch != 0 {
+	if attempt.FillMode&policy.FillNoFetch != 0 {
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if x := s.fills[key]; x != nil && f.ParentCoalesces {
-		x.waits(func() { done(x.issued, x.note) })
+	if f := s.fills[key]; f != nil && w.scenario.Fleet.ParentCoalesces {
+		f.waiters = append(f.waiters, func() { done(f.issuedAt, f.reason) })
 		return
 	}
-	x := &fill{at: s, key: key, begun: w.now, life: life}
-	s.fills[key] = x
-	s.fillsN++
-	way := w.away(0, w.ledger) + int64(f.FarMS*500*float64(abs(s.trunk-w.ledger.trunk)))
-	finish := func(issued int64, note policy.Reason) {
-		if s.life != life { // it died meanwhile
-			done(0, policy.ReasonUpstreamDown)
-			return
-		}
-		x.over()
-		x.issued, x.note = issued, note
-		if note < policy.ReasonUpstreamBusy && h.FillMode&policy.FillNoKeep == 0 && issued > w.purgedAt(h.obj, h.Group) {
-			s.store.put(key, h.SizeKB, issued, h.Group, 1)
-		}
-		done(issued, note)
-		for _, j := range x.joined() {
-			j()
-		}
+	s.fetchFromOrigin(attempt, key, done)
+}
+
+// fetchFromOrigin fills a parent from the origin.
+func (s *server) fetchFromOrigin(attempt *Hop, key int64, done fillDone) {
+	w := s.world
+	f := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: w.now}
+	s.fills[key] = f
+	s.fillCount++
+	delay := s.originDelay()
+	finish := func(issuedAt int64, reason policy.Reason) {
+		w.schedule(delay, func() { f.finishFetch(attempt, issuedAt, reason, done) })
 	}
-	w.after(way, func() {
-		w.ledger.read(func(issued int64, note policy.Reason) {
-			if note >= policy.ReasonUpstreamBusy {
-				w.after(way, func() { finish(0, note) })
+	w.schedule(delay, func() {
+		w.origin.originRead(func(issuedAt int64, reason policy.Reason) {
+			if fillFailed(reason) {
+				finish(0, reason)
 				return
 			}
-			if w.phase() != "settle" {
-				w.Result.LedgerKB += h.SizeKB
-			}
-			w.ledger.out.add(h.SizeKB, func() { w.after(way, func() { finish(issued, policy.ReasonMissOrigin) }) })
+			w.Result.countParentFill(w, attempt.SizeKB)
+			w.origin.egress.add(attempt.SizeKB, func() { finish(issuedAt, policy.ReasonMissOrigin) })
 		})
 	})
 }
 
-// waiters of a parent's fetch stand as jobs without a share.
-func (x *fill) waits(do func()) { x.jobs = append(x.jobs, &job{place: -1, done: do}) }
+// originDelay is the network latency from a parent to the origin, one way, in microseconds.
+func (s *server) originDelay() int64 {
+	w := s.world
+	distance := s.trunk - w.origin.trunk
+	return w.oneWayDelay(0, w.origin) + int64(w.scenario.Fleet.FarMS*oneWay*float64(max(distance, -distance)))
+}
 
-func (x *fill) joined() (out []func()) {
-	for _, j := range x.jobs {
-		out = append(out, j.done)
+// finishFetch stores what the origin supplied, if it may be kept and was not purged meanwhile, and passes it on to
+// those who wait for it.
+func (f *fill) finishFetch(attempt *Hop, issuedAt int64, reason policy.Reason, done fillDone) {
+	s := f.server
+	if s.incarnation != f.incarnation { // it crashed meanwhile
+		done(0, policy.ReasonUpstreamDown)
+		return
+	}
+	f.unregister()
+	f.issuedAt = issuedAt
+	f.reason = reason
+	mayStore := !fillFailed(reason) && attempt.FillMode&policy.FillNoKeep == 0
+	if mayStore && issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
+		s.store.put(f.key, attempt.SizeKB, issuedAt, attempt.Group, defaultRank)
+	}
+	done(issuedAt, reason)
+	waiters := f.waiters
+	f.waiters = nil
+	for _, waiter := range waiters {
+		waiter()
 	}
-	x.jobs = nil
-	return out
 }
 
-func abs(i int) int { return max(i, -i) }
-
-// fetchFor is a hop straight to a parent.
-func (s *server) fetchFor(h *Hop) {
-	h.state = working
-	life := s.life
-	s.fetch(h, func(issued int64, note policy.Reason) {
-		if h.state == ended || s.life != life {
+// serveFromParent answers an attempt that a router sent straight to a parent.
+func (s *server) serveFromParent(attempt *Hop) {
+	attempt.state = attemptWorking
+	incarnation := s.incarnation
+	s.fetch(attempt, func(issuedAt int64, reason policy.Reason) {
+		if attempt.state == attemptEnded || s.incarnation != incarnation {
 			return
 		}
-		if note >= policy.ReasonUpstreamBusy {
+		if fillFailed(reason) {
 			outcome := policy.OutcomeError
-			if note == policy.ReasonUpstreamMiss {
+			if reason == policy.ReasonUpstreamMiss {
 				outcome = policy.OutcomeMiss
 			}
-			s.end(h, End{Outcome: outcome, Reason: note})
+			s.finish(attempt, End{Outcome: outcome, Reason: reason})
 			return
 		}
-		s.w.ran(h)
-		s.crossing(h, func() { s.end(h, End{Outcome: policy.OutcomeDone, Reason: note, Issued: issued, SizeKB: h.SizeKB}) })
+		s.world.recordExecuted(attempt)
+		s.sendToOffice(attempt, func() {
+			s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, SizeKB: attempt.SizeKB})
+		})
 	})
 }
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -6,30 +6,36 @@
 	"quilldoor/internal/eventlog"
 )
 
-// purgedAt is when an object was purged last, by itself or with its group.
+// purgeSpread is the share of the time for a complete purge within which all servers have carried it out.
+const purgeSpread = 0.9
+
+// purgedAt is when an object was purged last, by itself or with its group; 0: never.
 func (w *World) purgedAt(object, group int64) int64 {
-	at := w.groups[group%groupCount]
-	if o, ever := w.purged[object]; ever {
-		at = max(at, o)
+	at := w.groupPurges[group%groupCount]
+	if objectPurge, known := w.objectPurges[object]; known {
+		at = max(at, objectPurge)
 	}
 	return at
 }
 
-// purge is an editor's: servers drop what it names within their time.
+// purge purges an object or, if object is wholeGroup, a group. Each server drops its copies a random time later;
+// routers are notified.
 func (w *World) purge(object, group int64) {
-	at := w.now
-	n := Notice{Purge: true, Group: group, At: at}
+	now := w.now
+	notice := Notice{Purge: true, Group: group, At: now}
 	if object >= 0 {
-		w.purged[object] = at
-		n.Object, n.Group = w.cat.name(object), 0
+		w.objectPurges[object] = now
+		notice.Object = w.catalogue.name(object)
+		notice.Group = 0
 	} else {
-		w.groups[group] = at
+		w.groupPurges[group] = now
 	}
-	w.note(Entry{Kind: eventlog.KindPurged, Object: n.Object, Group: n.Group, Until: at})
-	for _, l := range slices.Concat(w.caches, w.parents) {
-		for _, s := range l {
-			w.after(int64(w.dice.Float64()*0.9*w.set.Fleet.PurgeCompleteMS*1000), func() { s.store.purge(object, group, at) })
+	w.record(Entry{Kind: eventlog.KindPurged, Object: notice.Object, Group: notice.Group, Until: now})
+	for _, servers := range slices.Concat(w.caches, w.parents) {
+		for _, server := range servers {
+			delay := w.random.Float64() * purgeSpread * w.scenario.Fleet.PurgeCompleteMS * millisecond
+			w.schedule(int64(delay), func() { server.store.purge(object, group, now) })
 		}
 	}
-	w.announce(n)
+	w.announce(notice)
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -1,81 +1,97 @@
 package simulation
 
 import (
+	"cmp"
 	"slices"
 
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/policy"
 )
 
-// routerDown kills a router: its hops' connections end, its clients see a reset.
-func (w *World) routerDown(r *router) {
-	r.up, r.downAt, r.held, r.stopped = false, w.now, nil, 0
-	r.life++
-	w.note(Entry{Kind: eventlog.KindRouterDown, Router: r.id})
-	w.driver.Down(r.id)
-	for _, h := range w.hopsOf(r.id) {
-		delete(w.hops, hopKey{h.Router, h.Txn, h.N})
-		w.after(h.latent, func() { h.at.stop(h) })
+// router is what the World knows of a router: its process and the requests it has not answered. The router's own
+// state belongs to the driver.
+type router struct {
+	id           int
+	office       int
+	up           bool
+	incarnation  int  // counts deaths
+	suspensions  int  // faults that suspend it
+	discoveryCut bool // it cannot reach the discovery service
+	downAt       int64
+	notifiedAt   int64    // when the last notice arrives; later ones arrive after it
+	heldNotices  []Notice // that it gets once it reaches the discovery service again
+	openRequests map[string]*Ask
+	arrivalOrder []string // of requests, open ones among them: gives a router's death a fixed order
+}
+
+// minCompactedArrivals keeps short lists of arrivals from being compacted.
+const minCompactedArrivals = 64
+
+func (r *router) addRequest(request *Ask) {
+	request.open = true
+	r.openRequests[request.Txn] = request
+	r.arrivalOrder = append(r.arrivalOrder, request.Txn)
+	if len(r.arrivalOrder) > minCompactedArrivals && len(r.arrivalOrder) > 2*len(r.openRequests) {
+		r.compactArrivalOrder()
 	}
-	for _, id := range r.openSeq {
-		a := r.open[id]
-		if a == nil {
+}
+
+func (r *router) closeRequest(request *Ask) {
+	request.open = false
+	delete(r.openRequests, request.Txn)
+}
+
+// compactArrivalOrder drops requests that are closed.
+func (r *router) compactArrivalOrder() {
+	r.arrivalOrder = slices.DeleteFunc(r.arrivalOrder, func(id string) bool { return r.openRequests[id] == nil })
+}
+
+// killRouter ends a router's process: connections of its attempts end, and its clients see a reset.
+func (w *World) killRouter(router *router) {
+	router.up = false
+	router.downAt = w.now
+	router.heldNotices = nil
+	router.suspensions = 0
+	router.incarnation++
+	w.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
+	w.driver.Down(router.id)
+	for _, attempt := range w.attemptsOf(router.id) {
+		delete(w.attempts, attempt.key())
+		w.detachLater(attempt)
+	}
+	for _, id := range router.arrivalOrder {
+		request := router.openRequests[id]
+		if request == nil {
 			continue
 		}
-		a.open = false
-		delete(r.open, id)
-		w.after(w.jitter(w.set.Fleet.ClientMS*500), func() {
-			w.again(a.client, 0, w.rules[a.Rule].Effect == policy.EffectIdempotent)
+		router.closeRequest(request)
+		w.schedule(w.clientDelay(), func() {
+			w.retryOrFail(request.client, 0, w.classes[request.Rule].Effect == policy.EffectIdempotent)
 		})
 	}
-	r.openSeq = nil
+	router.arrivalOrder = nil
 }
 
-func (w *World) hopsOf(router int) (out []*Hop) {
-	for k, h := range w.hops {
-		if k.router == router {
-			out = append(out, h)
+// attemptsOf are the attempts that a router waits for, in a fixed order.
+func (w *World) attemptsOf(routerID int) (attempts []*Hop) {
+	for key, attempt := range w.attempts {
+		if key.router == routerID {
+			attempts = append(attempts, attempt)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Hop) int {
-		switch {
-		case a.Txn != b.Txn && a.Txn < b.Txn, a.Txn == b.Txn && a.N < b.N:
-			return -1
-		}
-		return 1
+	slices.SortFunc(attempts, func(a, b *Hop) int {
+		return cmp.Or(cmp.Compare(a.Txn, b.Txn), cmp.Compare(a.N, b.N))
 	})
-	return out
+	return attempts
 }
 
-func (w *World) routerUp(r *router) {
-	if r.up {
+// startRouter starts a router's process with the endpoint list as it is.
+func (w *World) startRouter(router *router) {
+	if router.up {
 		return
 	}
-	r.up, r.toldAt = true, w.now
-	w.note(Entry{Kind: eventlog.KindRouterUp, Router: r.id})
-	w.driver.Up(r.id, w.Known())
-}
-
-type router struct {
-	id      int
-	office  int
-	up      bool
-	life    int
-	stopped int  // troubles that hold it
-	cut     bool // it can't reach the board
-	downAt  int64
-	toldAt  int64 // the last notice; later ones come behind it
-	held    []heldNotice
-	open    map[string]*Ask
-	openSeq []string // in the order of arrival, for a router's death
-}
-
-func (r *router) compact() {
-	list := r.openSeq[:0]
-	for _, id := range r.openSeq {
-		if r.open[id] != nil {
-			list = append(list, id)
-		}
-	}
-	r.openSeq = list
+	router.up = true
+	router.notifiedAt = w.now
+	w.record(Entry{Kind: eventlog.KindRouterUp, Router: router.id})
+	w.driver.Up(router.id, w.Known())
 }
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -1,55 +1,80 @@
 package simulation
 
 import (
-	"math"
-
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/scenario"
 )
 
-// someRouters draws a share of the routers at a trouble's place.
-func (w *World) someRouters(t *scenario.Fault) (list []*router) {
-	for _, r := range w.routers {
-		if r.up && (t.Office == 0 || r.office == t.Office-1) {
-			list = append(list, r)
+// startRouterFault kills, suspends or starves a share of the routers.
+func (w *World) startRouterFault(fault *scenario.Fault) (endFault func()) {
+	routers := w.drawRouters(fault)
+	switch fault.Kind {
+	case faultRouterSuspend:
+		return w.suspendRouters(routers)
+	case faultRouterStarve:
+		return w.starveRouters(routers, fault.Strength)
+	default:
+		return w.killRouters(routers)
+	}
+}
+
+// drawRouters draws a share of the routers that are up at a fault's place.
+func (w *World) drawRouters(fault *scenario.Fault) []*router {
+	var candidates []*router
+	for _, router := range w.routers {
+		if router.up && (fault.Office == 0 || router.office == fault.Office-1) {
+			candidates = append(candidates, router)
 		}
 	}
-	w.dice.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), int(math.Ceil(t.Share*float64(len(list)))))]
+	return drawShare(w.random, candidates, fault.Share)
 }
 
-// stopRouters lets routers stand still for a trouble's time.
-func (w *World) stopRouters(t *scenario.Fault) (over func()) {
-	list := w.someRouters(t)
-	lives := map[*router]int{}
-	for _, r := range list {
-		lives[r] = r.life
-		if r.stopped++; r.stopped == 1 {
-			w.note(Entry{Kind: eventlog.KindRouterStopped, Router: r.id})
-			w.driver.Stop(r.id)
+// suspendRouters suspends routers until the fault ends. Where several such faults overlap, the last one to end
+// resumes a router.
+func (w *World) suspendRouters(routers []*router) (endFault func()) {
+	incarnations := map[*router]int{}
+	for _, router := range routers {
+		incarnations[router] = router.incarnation
+		router.suspensions++
+		if router.suspensions == 1 {
+			w.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
+			w.driver.Stop(router.id)
 		}
 	}
 	return func() {
-		for _, r := range list {
-			if !r.up || r.life != lives[r] {
+		for _, router := range routers {
+			if !router.up || router.incarnation != incarnations[router] {
 				continue // it was killed meanwhile
 			}
-			if r.stopped--; r.stopped == 0 {
-				w.note(Entry{Kind: eventlog.KindRouterWoken, Router: r.id})
-				w.driver.Wake(r.id)
+			router.suspensions--
+			if router.suspensions == 0 {
+				w.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
+				w.driver.Wake(router.id)
 			}
 		}
 	}
 }
 
-func (w *World) loseRouters(t *scenario.Fault) (over func()) {
-	list := w.someRouters(t)
-	for _, r := range list {
-		w.routerDown(r)
+// starveRouters takes a share of the routers' CPU until the fault ends.
+func (w *World) starveRouters(routers []*router, share float64) (endFault func()) {
+	for _, router := range routers {
+		w.driver.Starve(router.id, share)
+	}
+	return func() {
+		for _, router := range routers {
+			w.driver.Starve(router.id, 0)
+		}
+	}
+}
+
+// killRouters kills routers, which start again when the fault ends.
+func (w *World) killRouters(routers []*router) (endFault func()) {
+	for _, router := range routers {
+		w.killRouter(router)
 	}
 	return func() {
-		for _, r := range list {
-			w.routerUp(r)
+		for _, router := range routers {
+			w.startRouter(router)
 		}
 	}
 }
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -8,126 +8,172 @@
 	"quilldoor/internal/scenario"
 )
 
-// spell is a share of answers that goes wrong at some caches.
-type spell struct {
-	kind   string
-	office int // from 1; 0: all
-	share  float64
+// deployDrainTime is how long a cache that is replaced may finish its requests.
+const deployDrainTime = 3 * second
+
+// startServerFault starts a fault of caches or parents.
+func (w *World) startServerFault(fault *scenario.Fault) (endFault func()) {
+	switch fault.Kind {
+	case faultOfficeLost:
+		target := *fault
+		if target.Office == 0 {
+			target.Office = 1 + w.random.IntN(len(w.caches))
+		}
+		return w.takeDown(w.drawCaches(&target), false)
+	case faultParentsLost:
+		trunk := fault.Trunk
+		if trunk == 0 {
+			trunk = 1 + w.random.IntN(len(w.parents))
+		}
+		return w.takeDown(drawShare(w.random, slices.Clone(w.parents[trunk-1]), fault.Share), false)
+	case faultCachePause:
+		return w.pauseRepeatedly(w.drawCaches(fault), fault)
+	case faultCacheDeploy:
+		w.deploy(w.drawCaches(fault), fault)
+		return nil
+	case faultCachePreempt:
+		return w.preempt(w.drawCaches(fault), int64(fault.Strength*second))
+	default:
+		return w.takeDown(w.drawCaches(fault), fault.Kind == faultCacheSilent)
+	}
 }
 
-// spoil lets troubles get between a server and its answer; no code: it never comes.
-func (w *World) spoil(s *server, e End) End {
-	if s.kind == cache && w.set.Fleet.ErrorShare > 0 && w.dice.Float64() < w.set.Fleet.ErrorShare {
-		return End{Outcome: policy.OutcomeError, Load: e.Load}
+// startOriginFault slows the origin down or stops it.
+func (w *World) startOriginFault(fault *scenario.Fault) (endFault func()) {
+	origin := w.origin
+	if fault.Kind == faultOriginSlow {
+		origin.slowdown *= fault.Strength
+		origin.updateRate()
+		return func() {
+			origin.slowdown /= fault.Strength
+			origin.updateRate()
+		}
 	}
-	for _, x := range w.spells {
-		if x.kind == "ledger_resets" && s.kind == ledger && w.dice.Float64() < x.share {
-			return End{Outcome: policy.OutcomeConnectionReset}
+	origin.activePauses++
+	origin.updateRate()
+	return func() {
+		origin.activePauses--
+		origin.updateRate()
+	}
+}
+
+// drawCaches draws a share of the caches that are up at a fault's place.
+func (w *World) drawCaches(fault *scenario.Fault) []*server {
+	var candidates []*server
+	for office, caches := range w.caches {
+		if fault.Office > 0 && office != fault.Office-1 {
+			continue
 		}
-		if s.kind != cache || x.kind == "ledger_resets" || x.office > 0 && s.office != x.office-1 || w.dice.Float64() >= x.share {
+		if fault.Trunk > 0 && w.scenario.Fleet.Trunk(office) != fault.Trunk-1 {
 			continue
 		}
-		switch x.kind {
-		case "resets":
-			return End{Outcome: policy.OutcomeConnectionReset}
-		case "spoilt":
-			return End{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
-		case "endless":
-			return End{}
-		case "errors":
-			return End{Outcome: policy.OutcomeError, Load: e.Load}
+		for _, cache := range caches {
+			if cache.up {
+				candidates = append(candidates, cache)
+			}
 		}
 	}
-	return e
+	return drawShare(w.random, candidates, fault.Share)
 }
 
-// lose takes servers away; the board hears of it late, and of their return.
-func (w *World) lose(list []*server, silent bool) (over func()) {
-	for _, s := range list {
-		s.die(silent)
-		w.list(s, policy.EndpointGone, w.jitter(w.set.Fleet.DeathDetectionMS*1000))
+// takeDown crashes servers, which come back when the fault ends. Discovery notices each crash only after a while.
+func (w *World) takeDown(servers []*server, silent bool) (endFault func()) {
+	for _, server := range servers {
+		server.crash(silent)
+		w.setListed(server, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*millisecond))
 	}
-	return func() { w.back(list) }
+	return func() { w.bringBack(servers) }
 }
 
-func (w *World) back(list []*server) {
-	for _, s := range list {
-		if s.up || s.fell {
+// bringBack starts servers that are down, except those that collapsed.
+func (w *World) bringBack(servers []*server) {
+	for _, server := range servers {
+		if server.up || server.collapsed {
 			continue
 		}
-		s.start()
-		w.list(s, policy.EndpointActive, 0)
+		server.start()
+		w.setListed(server, policy.EndpointActive, 0)
 	}
 }
 
-func (w *World) pauses(list []*server, t *scenario.Fault) (over func()) {
-	going := true
-	for _, s := range list {
-		var again func()
-		life := s.life
-		again = func() {
-			if !going || s.life != life {
+// pauseRepeatedly pauses each server for the fault's strength in milliseconds, again and again until the fault ends
+// or the server crashes.
+func (w *World) pauseRepeatedly(servers []*server, fault *scenario.Fault) (endFault func()) {
+	active := true
+	for _, server := range servers {
+		incarnation := server.incarnation
+		var pause func()
+		pause = func() {
+			if !active || server.incarnation != incarnation {
 				return
 			}
-			s.pauses++
-			s.power()
-			w.after(int64(t.Strength*1000), func() {
-				if s.life == life {
-					s.pauses--
-					s.power()
-				}
-			})
-			w.after(w.jitter(t.Every*1e6), again)
+			w.pauseOnce(server, int64(fault.Strength*millisecond))
+			w.schedule(w.jitter(fault.Every*second), pause)
 		}
-		w.after(int64(w.dice.Float64()*t.Every*1e6), again)
+		w.schedule(int64(w.random.Float64()*fault.Every*second), pause)
 	}
-	return func() { going = false }
+	return func() { active = false }
 }
 
-// deploy drains servers some at a time; a successor with a name of its own starts
-// cold in the place of each.
-func (w *World) deploy(list []*server, t *scenario.Fault) {
-	const drained = 3 * second // what a drained one has left to finish
-	for i := 0; i < len(list); i += int(t.Strength) {
-		wave := list[i:min(i+int(t.Strength), len(list))]
-		w.after(int64(float64(i)/t.Strength*t.Every*1e6), func() {
-			for _, s := range wave {
-				if !s.up {
-					continue
-				}
-				w.list(s, policy.EndpointDraining, 0)
-				w.after(drained, func() { w.replace(s) })
-			}
-		})
+// pauseOnce lets a server make no progress for a while. Pauses may overlap.
+func (w *World) pauseOnce(server *server, duration int64) {
+	incarnation := server.incarnation
+	server.activePauses++
+	server.updateRate()
+	w.schedule(duration, func() {
+		if server.incarnation == incarnation {
+			server.activePauses--
+			server.updateRate()
+		}
+	})
+}
+
+// deploy drains and replaces servers in waves; the fault's strength is the size of a wave.
+func (w *World) deploy(servers []*server, fault *scenario.Fault) {
+	size := int(fault.Strength)
+	for i := 0; i < len(servers); i += size {
+		wave := servers[i:min(i+size, len(servers))]
+		w.schedule(int64(float64(i)/fault.Strength*fault.Every*second), func() { w.replaceWave(wave) })
+	}
+}
+
+func (w *World) replaceWave(wave []*server) {
+	for _, server := range wave {
+		if !server.up {
+			continue
+		}
+		w.setListed(server, policy.EndpointDraining, 0)
+		w.schedule(deployDrainTime, func() { w.replace(server) })
 	}
 }
 
-func (w *World) replace(s *server) {
-	if s.up {
-		s.die(false)
+// replace ends a cache and starts a successor with an ID of its own in its place, cold and empty.
+func (w *World) replace(server *server) {
+	if server.up {
+		server.crash(false)
 	}
-	w.list(s, policy.EndpointGone, 0)
-	place := slices.Index(w.caches[s.office], s)
-	if place < 0 {
-		return
+	w.setListed(server, policy.EndpointGone, 0)
+	index := slices.Index(w.caches[server.office], server)
+	if index < 0 {
+		return // it was replaced meanwhile
 	}
-	next := w.newCache(s.office, fmt.Sprintf("%s.%d", s.uid, w.seq))
-	next.up = false
-	w.caches[s.office][place] = next
-	next.start()
-	w.list(next, policy.EndpointActive, 0)
+	successor := w.newCache(server.office, fmt.Sprintf("%s.%d", server.id, w.sequence))
+	successor.up = false
+	w.caches[server.office][index] = successor
+	successor.start()
+	w.setListed(successor, policy.EndpointActive, 0)
 }
 
-// preempt drains servers, and takes them away a moment later; they come back.
-func (w *World) preempt(list []*server, notice int64) (over func()) {
-	for _, s := range list {
-		w.list(s, policy.EndpointDraining, 0)
-		w.after(notice, func() {
-			if s.up {
-				s.die(false)
+// preempt drains servers and crashes them after a short notice. They come back when the fault ends.
+func (w *World) preempt(servers []*server, notice int64) (endFault func()) {
+	for _, server := range servers {
+		w.setListed(server, policy.EndpointDraining, 0)
+		w.schedule(notice, func() {
+			if server.up {
+				server.crash(false)
 			}
-			w.list(s, policy.EndpointGone, 0)
+			w.setListed(server, policy.EndpointGone, 0)
 		})
 	}
-	return func() { w.back(list) }
+	return func() { w.bringBack(servers) }
 }
