--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -10,7 +10,19 @@
 	"quilldoor/internal/simulation"
 )
 
-// virtualRun is a run on a virtual clock.
+const (
+	// virtualAnswerSlackMicros is how much later than its deadline an answer may come on the
+	// virtual clock.
+	virtualAnswerSlackMicros = 8_000
+	// tickMicros is how often Options.Each is called.
+	tickMicros = 100_000
+	// progressSteps is after how many steps the context and the progress are looked at.
+	progressSteps = 1024
+	// never is a time after the end of every run, in microseconds.
+	never = 1 << 62
+)
+
+// virtualRun is a run on a virtual clock. Everything in it happens in one goroutine.
 type virtualRun struct {
 	options       Options
 	scenario      *scenario.Scenario
@@ -18,86 +30,132 @@
 	checker       *checker.Checker
 	routers       []*virtualRouter
 	timers        timerHeap
-	woken         []*virtualRouter
-	readyRequests []*virtualRequest
-	seenPurges    map[int][]simulation.Notice // that routers were told of, where sites are joined
-	fleet         *simfleet.Fleet             // what routers know of each other; nil: nothing
+	woken         []*virtualRouter            // whose timers have changed
+	readyRequests []*virtualRequest           // whose engine has commands for them
+	seenPurges    map[int][]simulation.Notice // by router, where there are several sites
+	fleet         *simfleet.Fleet             // the routers' membership; nil: they don't know each other
 	membership    Members
 }
 
-// Virtual plays a script on a virtual clock. The same script and seed give the
+// Virtual plays a scenario on a virtual clock. The same scenario and seed give the
 // same result, whatever the machine.
 func Virtual(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
-	v := &virtualRun{options: opt, scenario: s, checker: checker.New(Figures(s, 8_000)), seenPurges: map[int][]simulation.Notice{}}
+	v := newVirtualRun(s, opt)
+	if opt.onStart != nil {
+		opt.onStart(v)
+	}
+	if opt.Each != nil {
+		v.scheduleTick()
+	}
+	if err := v.play(ctx); err != nil {
+		return nil, err
+	}
+	return v.result(), nil
+}
+
+func newVirtualRun(s *scenario.Scenario, opt Options) *virtualRun {
+	v := &virtualRun{
+		options:    opt,
+		scenario:   s,
+		checker:    checker.New(Figures(s, virtualAnswerSlackMicros)),
+		seenPurges: map[int][]simulation.Notice{},
+	}
 	v.world = simulation.New(s, opt.Seed, v)
 	for i := range v.world.Routers() {
-		r := &virtualRouter{id: i, nextTimer: 1 << 62, heapIndex: -1}
+		r := &virtualRouter{id: i, nextTimer: never, heapIndex: -1}
 		v.routers = append(v.routers, r)
 		v.startRouter(r, v.world.Known())
 	}
 	v.settle()
 	v.startMembership()
-	if opt.onStart != nil {
-		opt.onStart(v)
-	}
-	if opt.Each != nil {
-		var tick func()
-		tick = func() {
-			opt.Each(v.world.Now())
-			v.world.After(100_000, tick)
-		}
-		v.world.After(100_000, tick)
-	}
+	return v
+}
+
+// scheduleTick calls Options.Each after each tick.
+func (v *virtualRun) scheduleTick() {
+	v.world.After(tickMicros, func() {
+		v.options.Each(v.world.Now())
+		v.scheduleTick()
+	})
+}
+
+// play carries out one event after another until the world is over.
+func (v *virtualRun) play(ctx context.Context) error {
 	end, reported := v.world.Length(), int64(0)
 	for steps := 0; !v.world.Over(); steps++ {
-		now := v.world.Next()
-		if v.fleet != nil {
-			if at := v.fleet.NextEvent(); at <= now && (len(v.timers) == 0 || at <= v.timers[0].nextTimer) {
-				if at > end {
-					break
-				}
-				v.world.At(at)
-				v.fleet.RunUntil(at)
-				continue
-			}
+		source, now := v.nextEvent()
+		if now > end {
+			return nil
 		}
-		if len(v.timers) > 0 && v.timers[0].nextTimer < now {
-			now = v.timers[0].nextTimer
-			if now > end {
-				break
-			}
+		switch source {
+		case sourceMembership:
+			v.world.At(now)
+			v.fleet.RunUntil(now)
+			continue
+		case sourceTimer:
 			v.world.At(now)
 			v.runTimers(v.timers[0])
-		} else if now > end {
-			break
-		} else {
+		case sourceWorld:
 			v.world.Step(now)
 		}
 		v.settle()
-		if steps%1024 == 0 {
-			if err := ctx.Err(); err != nil {
-				return nil, err
-			}
-			if at := now / 1_000_000; at > reported && opt.Progress != nil {
-				reported = at
-				opt.Progress(float64(now)/float64(end), v.world.Result.Timeline)
-			}
+		if steps%progressSteps != 0 {
+			continue
+		}
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		if second := now / 1_000_000; second > reported && v.options.Progress != nil {
+			reported = second
+			v.options.Progress(float64(now)/float64(end), v.world.Result.Timeline)
 		}
 	}
-	return v.result(), nil
+	return nil
+}
+
+// eventSource is where the next event of a run comes from.
+type eventSource int
+
+const (
+	sourceWorld eventSource = iota
+	sourceTimer
+	sourceMembership
+)
+
+// nextEvent is the next event's source and time. Of events at the same time, those of the
+// membership come first, then those of the world, then the routers' timers.
+func (v *virtualRun) nextEvent() (eventSource, int64) {
+	now := v.world.Next()
+	if v.fleet != nil {
+		if at := v.fleet.NextEvent(); at <= now && (len(v.timers) == 0 || at <= v.timers[0].nextTimer) {
+			return sourceMembership, at
+		}
+	}
+	if len(v.timers) > 0 && v.timers[0].nextTimer < now {
+		return sourceTimer, v.timers[0].nextTimer
+	}
+	return sourceWorld, now
 }
 
 func (v *virtualRun) result() *Result {
-	r := &Result{Result: v.world.Result, Breaks: v.checker.Violations, Count: v.checker.CountByRule, Judged: v.checker.Checked, Excused: v.checker.Excused}
+	r := &Result{
+		Result:  v.world.Result,
+		Breaks:  v.checker.Violations,
+		Count:   v.checker.CountByRule,
+		Judged:  v.checker.Checked,
+		Excused: v.checker.Excused,
+	}
 	if v.fleet != nil {
 		r.Members = &v.membership
 	}
 	return r
 }
 
+// now is the routers' time in microseconds.
 func (v *virtualRun) now() int64 { return v.world.Now() + epochMicros }
 
-// settle carries out what routers have decided, until nothing is left.
+// settle carries out what the routers have decided, until nothing is left. Lists may grow
+// while they are walked.
 func (v *virtualRun) settle() {
 	for len(v.readyRequests) > 0 || len(v.woken) > 0 {
 		for i := 0; i < len(v.readyRequests); i++ {
@@ -117,7 +175,7 @@
 	}
 }
 
-// Note passes a line of the record on.
+// Note passes an entry of the event log on to the checker and the record.
 func (v *virtualRun) Note(e *eventlog.Entry) {
 	v.checker.Observe(e)
 	if v.options.Record != nil {
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -6,11 +6,12 @@
 	"quilldoor/internal/simulation"
 )
 
-// Told tells a router of servers, or of a purge.
+// Told delivers a discovery notice to a router: a change of the endpoint list, or a purge.
 func (v *virtualRun) Told(router int, n simulation.Notice) {
 	v.routers[router].whenRunning(func() { v.notify(router, n) })
 }
 
+// notify applies a notice to a router, unless the router is to miss it.
 func (v *virtualRun) notify(router int, notice simulation.Notice) {
 	r := v.routers[router]
 	if v.options.observer != nil {
@@ -23,15 +24,17 @@
 	if v.options.Deaf != nil && v.options.Deaf(router, notice) {
 		return
 	}
-	if notice.Purge {
-		if r.gateway != nil {
-			v.seenPurges[router] = append(v.seenPurges[router], notice)
-		}
-		if r.replica != nil {
-			r.replica.ApplyLocalPurge(v.now(), gossip.Purge{Object: notice.Object, Group: notice.Group, At: notice.At + epochMicros})
-		}
-		r.engine.Purge(v.now(), notice.Object, notice.Group, notice.At+epochMicros)
+	if !notice.Purge {
+		endpoints := v.mergeEndpoints(r, false, routerEndpoints(notice.Servers))
+		r.engine.UpdateEndpoints(v.now(), policy.ScopeDiff, endpoints)
 		return
 	}
-	r.engine.UpdateEndpoints(v.now(), policy.ScopeDiff, v.mergeEndpoints(r, false, routerEndpoints(notice.Servers)))
+	at := notice.At + epochMicros
+	if r.gateway != nil {
+		v.seenPurges[router] = append(v.seenPurges[router], notice)
+	}
+	if r.replica != nil {
+		r.replica.ApplyLocalPurge(v.now(), gossip.Purge{Object: notice.Object, Group: notice.Group, At: at})
+	}
+	r.engine.Purge(v.now(), notice.Object, notice.Group, at)
 }
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -8,7 +8,7 @@
 	"quilldoor/internal/simulation"
 )
 
-// withdraw ends a txn that another site's router has given up.
+// withdraw ends a request that another site's router no longer waits for.
 func (v *virtualRun) withdraw(r *virtualRouter, request *virtualRequest) {
 	request.finished = true
 	request.engine.ClientGone(v.now(), request.request)
@@ -16,18 +16,26 @@
 	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, false)
 }
 
+// forwardedRetryAfterMicros is the Retry-After of an answer that a gateway gives.
+const forwardedRetryAfterMicros = 500_000
+
+// peerEffects is how the gateways' protocol words the effect of a repeated request.
 var peerEffects = map[policy.Effect]peerpolicy.Effect{
 	policy.EffectIdempotent:     peerpolicy.EffectIdempotent,
 	policy.EffectIdempotencyKey: peerpolicy.EffectIdempotencyKey,
 	policy.EffectUnsafe:         peerpolicy.EffectUnsafe,
 }
 
-// forward hands over a txn that the module has refused; false: it stays.
+// forward forwards a request that this site has rejected to another one. False: no site takes it.
 func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
-	r, ask, now := request.router, request.ask, v.now()
+	r := request.router
+	ask := request.ask
+	now := v.now()
 	class := v.world.RuleOf(ask.Rule)
 	remaining := ask.Deadline() - v.world.Now()
-	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{RequestID: ask.Txn, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining})
+	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
+		RequestID: ask.Txn, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
+	})
 	if reason != peerpolicy.ReasonOK {
 		return false
 	}
@@ -36,72 +44,74 @@
 	r.forwarded[ask.Txn] = request
 	request.finished = true
 	v.world.Result.Crossed++
-	var far *virtualRouter
+	far := v.routerByName(peer.Name)
+	budget := r.gateway.Budget(now, ask.Txn) // the other site counts it from when the request arrives
+	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
+	return true
+}
+
+// routerByName is the reverse of routerName.
+func (v *virtualRun) routerByName(name string) (found *virtualRouter) {
 	for _, router := range v.routers {
-		if routerName(router.id) == peer.Name {
-			far = router
+		if routerName(router.id) == name {
+			found = router
 		}
 	}
-	budget := r.gateway.Budget(now, ask.Txn) // counted there from when it comes
-	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
-	return true
+	return found
 }
 
-// receiveForwarded is a txn at the other site.
+// receiveForwarded opens a forwarded request at the other site.
 func (v *virtualRun) receiveForwarded(far *virtualRouter, original *virtualRequest, remaining int64) {
-	home, ask := original.router, original.ask
+	home := original.router
+	ask := original.ask
+	rejected := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	if far.gateway == nil || far.engine == nil {
-		return // no process: the gate hears of it by silence
+		return // it is down: the home gateway learns that by its silence
 	}
-	if far.gateway.Admit(v.now(), routerName(home.id), ask.Txn, []string{routerName(home.id)}, 0) != peerpolicy.ReasonOK || far.requests[ask.Txn] != nil {
-		v.sendAnswerHome(far, home, original, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
+	homeName := routerName(home.id)
+	reason := far.gateway.Admit(v.now(), homeName, ask.Txn, []string{homeName}, 0)
+	if reason != peerpolicy.ReasonOK || far.requests[ask.Txn] != nil {
+		v.sendAnswerHome(far, home, original, rejected, 0)
 		return
 	}
 	forwardedAsk := *ask
 	forwardedAsk.Router = far.id
-	v.Note(&eventlog.Entry{Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: ask.Txn, Attempt: home.id})
-	request := &virtualRequest{router: far, engine: far.engine, ask: &forwardedAsk, forwardedBy: home}
-	opened, err := far.engine.Open(v.now(), policy.Event{
-		Request: ask.Txn, Class: v.world.RuleOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
-		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Again, Write: ask.Write,
-	}, func() {
-		if !request.queued && !request.finished {
-			request.queued = true
-			v.readyRequests = append(v.readyRequests, request)
-		}
+	v.Note(&eventlog.Entry{
+		Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: ask.Txn, Attempt: home.id,
 	})
-	if err != nil {
-		far.gateway.FinishInbound(v.now(), routerName(home.id), ask.Txn, false)
-		v.sendAnswerHome(far, home, original, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}, 0)
-		return
+	request := &virtualRequest{router: far, engine: far.engine, ask: &forwardedAsk, forwardedBy: home}
+	if err := v.open(request, remaining); err != nil {
+		far.gateway.FinishInbound(v.now(), homeName, ask.Txn, false)
+		v.sendAnswerHome(far, home, original, rejected, 0)
 	}
-	request.request = opened
-	far.requests[ask.Txn] = request
 }
 
-// answerForwarded is the far side's end of a txn.
+// answerForwarded answers a request that another site forwarded here.
 func (v *virtualRun) answerForwarded(request *virtualRequest, outcome string, issued int64, command engine.Command) {
 	request.finished = true
 	v.detach(request)
 	far := request.router
-	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, outcome == "completed")
+	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, outcome == outcomeCompleted)
 	answer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
 	sizeKB := 0.0
 	switch outcome {
-	case "completed":
+	case outcomeCompleted:
 		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: issued}
 		sizeKB = request.ask.SizeKB
 		if request.ask.Write {
 			answer.IssuedMillis = 0
 		}
-	case "rejected":
+	case outcomeRejected:
 		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !command.MaybeExecuted}
 	}
 	v.sendAnswerHome(far, request.forwardedBy, &virtualRequest{ask: request.ask}, answer, sizeKB)
 }
 
-// sendAnswerHome takes an answer home.
-func (v *virtualRun) sendAnswerHome(far, home *virtualRouter, request *virtualRequest, answer peerpolicy.PeerAnswer, sizeKB float64) {
+// sendAnswerHome takes an answer to the site that forwarded the request, after the time that
+// its bytes take.
+func (v *virtualRun) sendAnswerHome(
+	far, home *virtualRouter, request *virtualRequest, answer peerpolicy.PeerAnswer, sizeKB float64,
+) {
 	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * 1e6)
 	v.world.After(transferMicros, func() {
 		v.acrossSites(func() {
@@ -109,7 +119,7 @@
 				return
 			}
 			home.recordIssued(request.ask.Txn, answer.IssuedMillis)
-			// Issues are the world's microseconds here; so are purges.
+			// On the virtual clock the times of issue and of purges are the world's microseconds.
 			answer.LatestPurgeMillis = v.latestPurge(home, request.ask)
 			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ask.Txn, answer)
 			v.runGatewayActions(home)
@@ -117,14 +127,14 @@
 	})
 }
 
-// recordIssued keeps the issue for the answer that the gate may give.
+// recordIssued keeps when a copy was issued, for the answer that the gateway may give.
 func (r *virtualRouter) recordIssued(requestID string, issued int64) {
 	if request := r.forwarded[requestID]; request != nil {
 		request.issued = issued
 	}
 }
 
-// latestPurge is the youngest purge that a router was told of and that binds a txn.
+// latestPurge is the latest purge of a request's object that a router has heard of.
 func (v *virtualRun) latestPurge(r *virtualRouter, ask *simulation.Ask) (at int64) {
 	for _, purge := range v.seenPurges[r.id] {
 		if purge.Object != "" && purge.Object == ask.Object || purge.Object == "" && purge.Group == ask.Group {
@@ -134,32 +144,49 @@
 	return at
 }
 
-// runGatewayActions carries out what a gate has decided.
+// forwardedOutcomes is the client's outcome for an answer of the gateway.
+var forwardedOutcomes = map[peerpolicy.Outcome]string{
+	peerpolicy.OutcomeCompleted: outcomeCompleted,
+	peerpolicy.OutcomeRejected:  outcomeRejected,
+	peerpolicy.OutcomeAborted:   outcomeAborted,
+}
+
+// runGatewayActions carries out what a gateway has decided.
 func (v *virtualRun) runGatewayActions(r *virtualRouter) {
 	for _, action := range r.gateway.Actions() {
 		switch action.Kind {
 		case peerpolicy.ActionAnswer:
-			request := r.forwarded[action.RequestID]
-			if request == nil {
-				continue
-			}
-			delete(r.forwarded, action.RequestID)
-			outcome := map[peerpolicy.Outcome]string{peerpolicy.OutcomeCompleted: "completed", peerpolicy.OutcomeRejected: "rejected", peerpolicy.OutcomeAborted: "aborted"}[action.Outcome]
-			if outcome == "completed" {
-				v.world.Result.CrossedDone++
-			}
-			v.world.Final(r.id, action.RequestID, outcome, request.issued, 500_000)
+			v.respondForwarded(r, action.RequestID, forwardedOutcomes[action.Outcome])
 		case peerpolicy.ActionWithdraw:
-			for _, peer := range v.peers(r) {
-				if routerName(peer.id) != action.Peer {
-					continue
-				}
-				v.acrossSites(func() {
-					if request := peer.requests[action.RequestID]; request != nil && request.forwardedBy == r && peer.gateway != nil {
-						v.withdraw(peer, request)
-					}
-				})
-			}
+			v.withdrawAtPeer(r, action.Peer, action.RequestID)
+		}
+	}
+}
+
+// respondForwarded answers the client of a forwarded request, unless it has left.
+func (v *virtualRun) respondForwarded(r *virtualRouter, requestID, outcome string) {
+	request := r.forwarded[requestID]
+	if request == nil {
+		return
+	}
+	delete(r.forwarded, requestID)
+	if outcome == outcomeCompleted {
+		v.world.Result.CrossedDone++
+	}
+	v.world.Final(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
+}
+
+// withdrawAtPeer tells a peer that a forwarded request is no longer waited for.
+func (v *virtualRun) withdrawAtPeer(r *virtualRouter, peerName, requestID string) {
+	for _, peer := range v.peers(r) {
+		if routerName(peer.id) != peerName {
+			continue
 		}
+		v.acrossSites(func() {
+			request := peer.requests[requestID]
+			if request != nil && request.forwardedBy == r && peer.gateway != nil {
+				v.withdraw(peer, request)
+			}
+		})
 	}
 }
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -7,24 +7,29 @@
 	"quilldoor/internal/stall"
 )
 
-// virtualRequest is a request that a router of the virtual clock works on.
+// virtualRequest is a request that a router on the virtual clock works on.
 type virtualRequest struct {
 	router      *virtualRouter
-	engine      *engine.Engine // the router may have been started again since
+	engine      *engine.Engine // the one that opened it; the router may have been restarted since
 	request     *engine.Request
 	ask         *simulation.Ask
-	queued      bool
-	finished    bool
-	issued      int64
-	forwardedBy *virtualRouter // that handed it over; nil: it came from a client
+	queued      bool           // it is in virtualRun.readyRequests
+	finished    bool           // it has been answered, forwarded or left
+	issued      int64          // when the copy that another site answered with was issued
+	forwardedBy *virtualRouter // the router of another site that forwarded it; nil: it came from a client
 }
 
-// virtualResponse is a response of the virtual clock: it has no bytes, only the time it was issued at.
+// originKind is the platform's name for the kind of server that is the origin.
+const originKind = "ledger"
+
+// virtualResponse is a response on the virtual clock. It has no bytes, only the time when the
+// copy was issued.
 type virtualResponse struct{ issued int64 }
 
 // Release does nothing: there is no buffer to give back.
 func (virtualResponse) Release() {}
 
+// runCommands carries out what the engine has decided for a request.
 func (v *virtualRun) runCommands(request *virtualRequest, commands []engine.Command) {
 	for _, command := range commands {
 		switch command.Kind {
@@ -33,18 +38,20 @@
 		case engine.CommandDrop:
 			v.world.Cancel(request.router.id, request.ask.Txn, command.Attempt.Number)
 		case engine.CommandRespond:
+			issued := command.Response.(virtualResponse).issued
 			if v.options.observer != nil && command.Attempt != nil && !request.finished {
-				v.options.observer.responded(request.router.id, request.ask, command.Attempt, command.Response.(virtualResponse).issued)
+				v.options.observer.responded(request.router.id, request.ask, command.Attempt, issued)
 			}
-			v.finish(request, "completed", command.Response.(virtualResponse).issued, command)
+			v.finish(request, outcomeCompleted, issued, command)
 		case engine.CommandReject:
-			v.finish(request, "rejected", 0, command)
+			v.finish(request, outcomeRejected, 0, command)
 		case engine.CommandFail:
-			v.finish(request, "aborted", 0, command)
+			v.finish(request, outcomeAborted, 0, command)
 		}
 	}
 }
 
+// startAttempt hands an attempt to the world.
 func (v *virtualRun) startAttempt(request *virtualRequest, attempt *engine.Attempt) {
 	if request.finished || !attempt.Begin() {
 		return
@@ -54,26 +61,27 @@
 		v.options.observer.attemptSent(request.router.id, v.world.RuleOf(ask.Rule).Name, attempt)
 	}
 	hop := &simulation.Hop{
-		Router: request.router.id, Txn: ask.Txn, N: attempt.Number, Server: attempt.Endpoint.ID, Source: attempt.Source, Rank: attempt.CachePriority,
-		FillMode: attempt.FillMode, Within: attempt.MaxAge, Rule: ask.Rule, Object: ask.Object, Part: ask.Part, Group: ask.Group, SizeKB: ask.SizeKB,
-		Write: ask.Write, Tag: attempt,
+		Router: request.router.id, Txn: ask.Txn, N: attempt.Number, Server: attempt.Endpoint.ID,
+		Source: attempt.Source, Rank: attempt.CachePriority, FillMode: attempt.FillMode, Within: attempt.MaxAge,
+		Rule: ask.Rule, Object: ask.Object, Part: ask.Part, Group: ask.Group,
+		SizeKB: ask.SizeKB, Write: ask.Write, Tag: attempt,
 	}
-	if hop.Source == "" && attempt.Endpoint.Kind == "ledger" {
+	if hop.Source == "" && attempt.Endpoint.Kind == originKind {
 		hop.Source = attempt.Endpoint.ID
 	}
 	v.world.Hop(hop)
 }
 
-// finish takes the module's final order: it is the answer, unless another site has
-// handed the txn over, or takes it.
+// finish takes the engine's final command. It is the client's answer, unless another site
+// forwarded the request here, or takes it over as this one rejects it.
 func (v *virtualRun) finish(request *virtualRequest, outcome string, issued int64, command engine.Command) {
 	switch {
 	case request.finished:
 	case request.forwardedBy != nil:
 		v.answerForwarded(request, outcome, issued, command)
 	case request.router.gateway != nil:
-		request.router.gateway.ObserveLocal(v.now(), outcome == "rejected")
-		if outcome != "rejected" || !v.forward(request, command) {
+		request.router.gateway.ObserveLocal(v.now(), outcome == outcomeRejected)
+		if outcome != outcomeRejected || !v.forward(request, command) {
 			v.respond(request, outcome, issued, command.RetryAfter)
 		}
 	default:
@@ -81,12 +89,13 @@
 	}
 }
 
+// respond answers the client.
 func (v *virtualRun) respond(request *virtualRequest, outcome string, issued, retryAfter int64) {
 	if request.finished {
 		return
 	}
 	request.finished = true
-	times := 1
+	times := 1 // a faulty router answers not at all, or twice
 	if v.options.Answer != nil {
 		times = v.options.Answer(request.ask.Txn, 1)
 	}
@@ -96,7 +105,7 @@
 	v.detach(request)
 }
 
-// detach ends the reading of a mailbox, as front does.
+// detach ends a request at its router, as the downstream server does once it has answered.
 func (v *virtualRun) detach(request *virtualRequest) {
 	delete(request.router.requests, request.ask.Txn)
 	for _, command := range request.request.Detach() {
@@ -106,24 +115,36 @@
 	}
 }
 
-// Ask opens a txn.
+// Ask hands a client's request to its router.
 func (v *virtualRun) Ask(a *simulation.Ask) {
 	v.routers[a.Router].whenRunning(func() { v.openRequest(a) })
 }
 
+// openRequest opens a client's request, with the time that is left for it.
 func (v *virtualRun) openRequest(ask *simulation.Ask) {
 	r := v.routers[ask.Router]
 	request := &virtualRequest{router: r, engine: r.engine, ask: ask}
-	// What is read as it wakes may have waited all the time, as front has it.
 	remaining := ask.Limit
+	// A request that is read just after a pause may have waited through all of it.
 	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - r.stoppedAt
 	}
 	if remaining <= 0 || v.options.Refuse != nil && v.options.Refuse(r.id, v.world.RuleOf(ask.Rule).Name) {
-		v.world.Final(r.id, ask.Txn, "rejected", 0, 0)
+		v.world.Final(r.id, ask.Txn, outcomeRejected, 0, 0)
 		return
 	}
-	opened, err := r.engine.Open(v.now(), policy.Event{
+	if err := v.open(request, remaining); err != nil {
+		v.world.Final(r.id, ask.Txn, outcomeRejected, 0, 0)
+		request.finished = true
+		request.queued = true
+	}
+}
+
+// open hands a request to its router's engine. The engine puts it among those that are ready
+// when it has commands for it.
+func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
+	ask := request.ask
+	opened, err := request.engine.Open(v.now(), policy.Event{
 		Request: ask.Txn, Class: v.world.RuleOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
 		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Again, Write: ask.Write,
 	}, func() {
@@ -133,48 +154,51 @@
 		}
 	})
 	if err != nil {
-		v.world.Final(r.id, ask.Txn, "rejected", 0, 0)
-		request.finished, request.queued = true, true
-		return
+		return err
 	}
 	request.request = opened
-	r.requests[ask.Txn] = request
+	request.router.requests[ask.Txn] = request
+	return nil
 }
 
-// Leave says that a client has gone.
+// Leave tells a router that a client has gone.
 func (v *virtualRun) Leave(router int, requestID string) {
 	v.routers[router].whenRunning(func() { v.clientLeft(router, requestID) })
 }
 
+// clientLeft ends a request where it is: at the gateway if it was forwarded, else at the engine.
 func (v *virtualRun) clientLeft(router int, requestID string) {
-	if r := v.routers[router]; r.forwarded[requestID] != nil {
+	r := v.routers[router]
+	if r.forwarded[requestID] != nil {
 		delete(r.forwarded, requestID)
 		r.gateway.ClientGone(requestID)
 		v.runGatewayActions(r)
 		return
 	}
-	if request := v.routers[router].requests[requestID]; request != nil {
+	if request := r.requests[requestID]; request != nil {
 		request.finished = true
 		request.engine.ClientGone(v.now(), request.request)
 		v.detach(request)
 	}
 }
 
-// End ends a hop.
+// End tells a router that an attempt has ended.
 func (v *virtualRun) End(router int, h *simulation.Hop, e simulation.End) {
 	v.routers[router].whenRunning(func() { v.attemptEnded(router, h, e) })
 }
 
+// attemptEnded hands the result to the engine, later if the router is to appear slower.
 func (v *virtualRun) attemptEnded(router int, hop *simulation.Hop, end simulation.End) {
 	r := v.routers[router]
+	if r.engine == nil {
+		return
+	}
 	result := engine.Result{Outcome: end.Outcome, Reason: end.Reason, OriginWait: end.Waited, Load: end.Load}
 	if end.Outcome == policy.OutcomeDone {
 		result.Response = virtualResponse{end.Issued}
 	}
-	if r.engine == nil {
-		return
-	}
-	current, attempt := r.engine, hop.Tag.(*engine.Attempt)
+	current := r.engine
+	attempt := hop.Tag.(*engine.Attempt)
 	if v.options.Lag != nil {
 		if delay := int64(v.options.Lag(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
 			v.world.After(delay, func() {
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -10,31 +10,33 @@
 	"quilldoor/internal/simulation"
 )
 
-// epochMicros is the routers' time at the world's zero: births before are told as 0.
+// epochMicros is the routers' time when a run begins, in microseconds. A server that had
+// started by then is reported with the start time 0.
 const epochMicros = int64(1_000_000_000_000)
 
-// virtualRouter is a router: its core, and the time of its next timer.
+// virtualRouter is a router on the virtual clock.
 type virtualRouter struct {
 	id          int
-	engine      *engine.Engine
-	incarnation uint64
-	nextTimer   int64
-	heapIndex   int
-	wakePending bool
+	engine      *engine.Engine // nil: it is down
+	incarnation uint64         // how often it has been started
+	nextTimer   int64          // when the engine's next timer is due
+	heapIndex   int            // its place in virtualRun.timers; -1: none
+	wakePending bool           // it is in virtualRun.woken
 	requests    map[string]*virtualRequest
-	gateway     *peerpolicy.Controller     // nil: its site is alone
-	forwarded   map[string]*virtualRequest // txns that it has handed over
-	heartbeats  map[*virtualRouter]int64   // when peers were heard
 
-	replica *gossip.Replica // nil: routers don't know each other
+	gateway    *peerpolicy.Controller     // nil: its site is alone
+	forwarded  map[string]*virtualRequest // requests that it has forwarded, by id
+	heartbeats map[*virtualRouter]int64   // when it last heard of each peer
+
+	replica *gossip.Replica // endpoint state shared with other routers; nil: not shared
 
 	stopped   bool
-	deferred  []func() // what waits for it to go on
+	deferred  []func() // what happened to it while it was stopped
 	stoppedAt int64
-	resumedAt int64 // 0: it never stood still
+	resumedAt int64 // 0: it was never stopped
 }
 
-// whenRunning does something at a router, or keeps it until the router has woken.
+// whenRunning runs a task at once, or when the router goes on if it is stopped.
 func (r *virtualRouter) whenRunning(task func()) {
 	if r.stopped {
 		r.deferred = append(r.deferred, task)
@@ -43,7 +45,7 @@
 	task()
 }
 
-// startRouter makes a router's core from nothing.
+// startRouter gives a router a new engine with the endpoint list as it is.
 func (v *virtualRun) startRouter(r *virtualRouter, known []simulation.Server) {
 	setup := v.scenario.Settings(v.world.Office(r.id), r.id)
 	if v.options.Settings != nil {
@@ -52,9 +54,10 @@
 	settings := setup.PolicySettings()
 	r.incarnation++
 	r.requests = map[string]*virtualRequest{}
-	// A core of before may still call its kick; it must not wake the new one.
-	var current *engine.Engine
 	r.wakePending = false
+	// The engine of an earlier incarnation may still call its wake function. It must not wake
+	// this one.
+	var current *engine.Engine
 	current = engine.New(&settings, v.options.Seed*1000+uint64(r.id)+r.incarnation<<32, func() {
 		if r.engine == current && !r.wakePending {
 			r.wakePending = true
@@ -67,13 +70,15 @@
 		v.options.observer.endpointsChanged(r.id, v.now(), true, routerEndpoints(known))
 	}
 	if v.scenario.Fleet.Membership {
-		r.replica = gossip.New(gossip.Settings{PurgeRetention: int64(v.scenario.Fleet.PurgeCompleteMS*1000) + maxRequestMicros})
+		retention := int64(v.scenario.Fleet.PurgeCompleteMS*1000) + maxRequestMicros
+		r.replica = gossip.New(gossip.Settings{PurgeRetention: retention})
 		r.engine.HoldSlowStart(v.now(), v.now()+settings.Contract.OverloadWindow)
 	}
 	r.engine.UpdateEndpoints(v.now(), policy.ScopeInitial, v.mergeEndpoints(r, true, routerEndpoints(known)))
 	v.runTimers(r)
 }
 
+// routerEndpoints is the world's servers as routers get them, in the routers' time.
 func routerEndpoints(list []simulation.Server) (out []engine.Endpoint) {
 	for _, server := range list {
 		endpoint := server.Endpoint
@@ -85,10 +90,10 @@
 	return out
 }
 
-// runTimers does what has fallen due at a router, and sets its next time.
+// runTimers runs a router's due timers, and moves it to its next one.
 func (v *virtualRun) runTimers(r *virtualRouter) {
 	if r.stopped {
-		r.nextTimer = 1 << 62
+		r.nextTimer = never
 		heap.Fix(&v.timers, r.heapIndex)
 		return
 	}
@@ -112,8 +117,11 @@
 	for _, request := range r.requests {
 		request.finished = true
 	}
-	r.engine, r.requests = nil, map[string]*virtualRequest{}
-	r.stopped, r.deferred, r.resumedAt = false, nil, 0
+	r.engine = nil
+	r.requests = map[string]*virtualRequest{}
+	r.stopped = false
+	r.deferred = nil
+	r.resumedAt = 0
 	if v.fleet != nil {
 		v.fleet.Kill(router)
 	}
@@ -123,7 +131,7 @@
 	}
 }
 
-// Up starts it from nothing.
+// Up starts a router that was down.
 func (v *virtualRun) Up(router int, known []simulation.Server) {
 	v.startRouter(v.routers[router], known)
 	if v.fleet != nil {
@@ -131,22 +139,24 @@
 	}
 }
 
-// Stop lets a router stand still: what comes waits for it.
+// Stop pauses a router: what happens to it waits until it goes on.
 func (v *virtualRun) Stop(router int) {
 	r := v.routers[router]
-	r.stopped, r.stoppedAt = true, v.now()
+	r.stopped = true
+	r.stoppedAt = v.now()
 	if v.fleet != nil {
 		v.fleet.Pause(router)
 	}
 }
 
-// Wake lets it go on as it was.
+// Wake lets a paused router go on.
 func (v *virtualRun) Wake(router int) {
 	r := v.routers[router]
-	r.stopped, r.resumedAt = false, v.now()
-	held := r.deferred
+	r.stopped = false
+	r.resumedAt = v.now()
+	deferred := r.deferred
 	r.deferred = nil
-	for _, task := range held {
+	for _, task := range deferred {
 		task()
 	}
 	if r.engine != nil {
@@ -157,7 +167,7 @@
 	}
 }
 
-// Starve takes CPU from what the router knows of the others; txns cost none here.
+// Starve takes CPU from a router's membership. Requests take no CPU on the virtual clock.
 func (v *virtualRun) Starve(router int, share float64) {
 	if v.fleet != nil {
 		v.fleet.Throttle(router, share)
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -5,24 +5,33 @@
 	"slices"
 	"strings"
 
+	"quilldoor/internal/engine"
 	"quilldoor/internal/gateway/peerpolicy"
 )
 
-// Sites joined on the virtual clock: the gates are the router's, the wire between
-// them is written out here: a way of some milliseconds, and bytes at ten flows.
-
+// The gateways' settings. On the virtual clock the gateways are the router's own, and the
+// network between them is in this file: a latency, and bytes at the rate of some flows.
 const (
-	heartbeatMicros  = 250_000
-	siteFlows        = 10 // flows that one txn's bytes cross at
+	// heartbeatMicros is how often a gateway tells its peers of its capacity.
+	heartbeatMicros = 250_000
+	// ticksPerHeartbeat is how often a gateway's timers run between heartbeats.
+	ticksPerHeartbeat = 4
+	// heartbeatPhases is over how many moments of an interval the routers' heartbeats are spread.
+	heartbeatPhases = 8
+	// siteFlows is how many times a flow's rate a forwarded response crosses at.
+	siteFlows = 10
+	// siteLocalReserve is the share of a router's capacity that is kept for its own site.
 	siteLocalReserve = 0.5
-	maxForwarded     = 256
+	// maxForwarded is how many forwarded requests a router has open at most.
+	maxForwarded = 256
 )
 
+// routerName is a router's name among members and gateways.
 func routerName(router int) string { return fmt.Sprint("n", router) }
 
 func (v *virtualRun) siteOf(r *virtualRouter) int { return v.scenario.Fleet.Site(v.world.Office(r.id)) }
 
-// joinSites gives a starting router its gate.
+// joinSites gives a starting router its gateway, where there are several sites.
 func (v *virtualRun) joinSites(r *virtualRouter) {
 	site := v.siteOf(r)
 	if site < 0 {
@@ -34,15 +43,19 @@
 			peers[routerName(i)] = fmt.Sprint(s)
 		}
 	}
-	r.forwarded, r.heartbeats = map[string]*virtualRequest{}, map[*virtualRouter]int64{}
+	r.forwarded = map[string]*virtualRequest{}
+	r.heartbeats = map[*virtualRouter]int64{}
 	r.gateway = peerpolicy.New(peerpolicy.Settings{
 		Name: routerName(r.id), Site: fmt.Sprint(site), MaxRequests: maxForwarded, LocalReserve: siteLocalReserve,
 		HeartbeatInterval: heartbeatMicros,
 	}, peers)
-	current := r.engine
-	var heartbeat func()
-	ticks := 0
-	heartbeat = func() {
+	v.scheduleGatewayTick(int64(r.id%heartbeatPhases)*heartbeatMicros/heartbeatPhases, r, r.engine, 1)
+}
+
+// scheduleGatewayTick runs a gateway's timers after a delay, in microseconds. The engine tells
+// whether the router has been restarted by then.
+func (v *virtualRun) scheduleGatewayTick(delay int64, r *virtualRouter, current *engine.Engine, tick int) {
+	v.world.After(delay, func() {
 		if r.engine != current {
 			return
 		}
@@ -50,34 +63,42 @@
 		r.gateway.Tick(now)
 		v.runGatewayActions(r)
 		v.withdrawSilent(r, now)
-		v.world.After(heartbeatMicros/4, heartbeat)
-		if ticks++; ticks%4 != 0 {
-			return
-		}
-		offer := r.gateway.OfferedCapacity(now)
-		for _, peer := range v.peers(r) {
-			v.acrossSites(func() {
-				if peer.gateway == nil || peer.engine == nil || r.engine != current {
-					return
-				}
-				if link := peer.gateway.Peer(routerName(r.id)); link.State == peerpolicy.StateDisconnected || link.Incarnation < r.incarnation {
-					peer.gateway.Connected(v.now(), routerName(r.id), r.incarnation)
-				}
-				peer.gateway.Heartbeat(v.now(), routerName(r.id), offer, false, int64(2*v.scenario.Fleet.SiteMS*1000))
-				peer.heartbeats[r] = v.now()
-				v.runGatewayActions(peer)
-			})
+		v.scheduleGatewayTick(heartbeatMicros/ticksPerHeartbeat, r, current, tick+1)
+		if tick%ticksPerHeartbeat == 0 {
+			v.sendHeartbeats(r, now)
 		}
+	})
+}
+
+// sendHeartbeats tells all peers of a router's capacity.
+func (v *virtualRun) sendHeartbeats(r *virtualRouter, now int64) {
+	current := r.engine
+	offer := r.gateway.OfferedCapacity(now)
+	name := routerName(r.id)
+	roundTrip := int64(2 * v.scenario.Fleet.SiteMS * 1000)
+	for _, peer := range v.peers(r) {
+		v.acrossSites(func() {
+			if peer.gateway == nil || peer.engine == nil || r.engine != current {
+				return
+			}
+			link := peer.gateway.Peer(name)
+			if link.State == peerpolicy.StateDisconnected || link.Incarnation < r.incarnation {
+				peer.gateway.Connected(v.now(), name, r.incarnation)
+			}
+			peer.gateway.Heartbeat(v.now(), name, offer, false, roundTrip)
+			peer.heartbeats[r] = v.now()
+			v.runGatewayActions(peer)
+		})
 	}
-	v.world.After(int64(r.id%8)*heartbeatMicros/8, heartbeat)
 }
 
-// withdrawSilent gives up what came from a peer that has said nothing for long, as the end of
-// its connection does.
+// withdrawSilent withdraws what came from a peer that has been silent for long, as the end of
+// its connection would. They are sorted, as the order of a map would not repeat.
 func (v *virtualRun) withdrawSilent(r *virtualRouter, now int64) {
 	var silent []*virtualRequest
 	for _, request := range r.requests {
-		if request.forwardedBy != nil && now-r.heartbeats[request.forwardedBy] > peerpolicy.MaxSilentHeartbeats*heartbeatMicros {
+		peer := request.forwardedBy
+		if peer != nil && now-r.heartbeats[peer] > peerpolicy.MaxSilentHeartbeats*heartbeatMicros {
 			silent = append(silent, request)
 		}
 	}
@@ -87,8 +108,8 @@
 	}
 }
 
-// acrossSites takes something to the other site, unless the way is cut when it begins or
-// ends.
+// acrossSites runs a task at the other site after the latency between sites, unless they are
+// cut when the message leaves or arrives.
 func (v *virtualRun) acrossSites(task func()) {
 	if v.world.SitesCut() {
 		return
@@ -100,6 +121,7 @@
 	})
 }
 
+// peers are the routers of other sites that are up.
 func (v *virtualRun) peers(r *virtualRouter) (out []*virtualRouter) {
 	for _, peer := range v.routers {
 		if peer.gateway != nil && peer.engine != nil && v.siteOf(peer) != v.siteOf(r) {
@@ -109,7 +131,7 @@
 	return out
 }
 
-// leaveSites is a router's death: peers lose its connection.
+// leaveSites ends the gateway of a router that goes down: its peers lose the connection.
 func (v *virtualRun) leaveSites(r *virtualRouter) {
 	if r.gateway == nil {
 		return
