--- a/cmd/quilldoor/earlier_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -16,9 +16,9 @@
 	"quilldoor/internal/membership"
 )
 
-// earlierText is the landing before keepers: its routers know each other, and know
+// earlierCommit is the landing before keepers: its routers know each other, and know
 // nothing of generations.
-const earlierText = "4908419758da4242638886f5b5b86827d6656c20"
+const earlierCommit = "4908419758da4242638886f5b5b86827d6656c20"
 
 // earlierProgram builds it, where the repository's history is at hand.
 func earlierProgram(t *testing.T) string {
@@ -28,13 +28,13 @@
 		t.Skip("not decided: no history at hand")
 	}
 	root := strings.TrimSpace(string(top))
-	if exec.Command("git", "-C", root, "cat-file", "-e", earlierText+"^{commit}").Run() != nil {
-		t.Skip("not decided: the history does not reach back to", earlierText)
+	if exec.Command("git", "-C", root, "cat-file", "-e", earlierCommit+"^{commit}").Run() != nil {
+		t.Skip("not decided: the history does not reach back to", earlierCommit)
 	}
 	dir := t.TempDir()
 	text := filepath.Join(dir, "text.tar")
 	for _, c := range [][]string{
-		{"git", "-C", root, "archive", "-o", text, earlierText},
+		{"git", "-C", root, "archive", "-o", text, earlierCommit},
 		{"tar", "-xf", text, "-C", dir},
 		{"go", "build", "-C", dir, "-buildvcs=false", "-o", filepath.Join(dir, "quilldoor"), "./cmd/quilldoor"},
 	} {
@@ -61,51 +61,51 @@
   - {kind: cut_board, at: 4, for: 3, share: 0.5}
   - {kind: ways_camps, at: 6, for: 1}
 `
-	drive := func(_ context.Context, k *emulator.Kept) error {
+	drive := func(_ context.Context, fleet *emulator.Kept) error {
 		time.Sleep(2 * time.Second)
 		for _, i := range []int{0, 2} {
 			for range 2 {
-				if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply}); err != nil {
+				if reply, err := fleet.Ask(i, &handoff.Message{Kind: handoff.KindApply}); err != nil {
 					return fmt.Errorf("router %d: %w", i, err)
-				} else if !w.OK {
-					return fmt.Errorf("router %d: %+v", i, w)
+				} else if !reply.OK {
+					return fmt.Errorf("router %d: %+v", i, reply)
 				}
 			}
-			if w, err := k.Ask(i, &handoff.Message{Kind: handoff.KindApply, Program: program}); err != nil {
+			if reply, err := fleet.Ask(i, &handoff.Message{Kind: handoff.KindApply, Program: program}); err != nil {
 				return fmt.Errorf("router %d, to the earlier text: %w", i, err)
-			} else if w.OK || !strings.Contains(w.Note, "json") {
-				return fmt.Errorf("router %d, to the earlier text: %+v", i, w)
+			} else if reply.OK || !strings.Contains(reply.Note, "json") {
+				return fmt.Errorf("router %d, to the earlier text: %+v", i, reply)
 			}
 		}
 		// All agree once the camps are over.
-		for i := range k.Count() {
-			var v *membership.View
+		for i := range fleet.Count() {
+			var view *membership.View
 			var err error
-			for end, odd := time.Now().Add(10*time.Second), true; odd && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-				if v, err = k.View(i); err != nil {
+			for end, diverged := time.Now().Add(10*time.Second), true; diverged && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+				if view, err = fleet.View(i); err != nil {
 					return err
 				}
-				odd = len(v.Members) < k.Count()-1 || slices.ContainsFunc(v.Members, func(x membership.MemberStatus) bool { return x.State != membership.StateAlive })
+				diverged = len(view.Members) < fleet.Count()-1 || slices.ContainsFunc(view.Members, func(member membership.MemberStatus) bool { return member.State != membership.StateAlive })
 			}
-			for _, x := range v.Members {
-				if x.State != membership.StateAlive {
-					t.Errorf("router %d holds %s %v", i, x.Name, x.State)
+			for _, member := range view.Members {
+				if member.State != membership.StateAlive {
+					t.Errorf("router %d holds %s %v", i, member.Name, member.State)
 				}
 			}
-			if kept := i%2 == 0; kept != (v.Self.Process != nil && v.Self.Process.Generation == 3) {
-				t.Errorf("router %d says it runs %+v", i, v.Self.Process)
+			if supervised := i%2 == 0; supervised != (view.Self.Process != nil && view.Self.Process.Generation == 3) {
+				t.Errorf("router %d says it runs %+v", i, view.Self.Process)
 			}
 		}
 		return nil
 	}
-	r, err := play(t, text, emulator.Options{}, emulator.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
+	result, err := playScenario(t, text, emulator.Options{}, emulator.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range result.Breaks {
 		t.Error(b)
 	}
-	if t.Logf("%d judged, agreed after %d ms", r.Judged, r.Members.AgreedAfter/1000); r.Members.AgreedAfter < 0 || r.Members.AgreedAfter > 4e6 {
-		t.Errorf("views agreed after %d us", r.Members.AgreedAfter)
+	if t.Logf("%d judged, agreed after %d ms", result.Judged, result.Members.AgreedAfter/1000); result.Members.AgreedAfter < 0 || result.Members.AgreedAfter > 4e6 {
+		t.Errorf("views agreed after %d us", result.Members.AgreedAfter)
 	}
 }
--- /dev/null
+++ b/cmd/quilldoor/emulation_test.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/settings"
+)
+
+// Real routers before an emulated fleet with all kinds of trouble keep the rules.
+func TestEmulatedFaults(t *testing.T) {
+	t.Parallel()
+	result, err := playWithOwnProgram(t, `
+length_s: 7
+settle_s: 1
+fleet: {offices: 2, routers: 1, caches: 3, cold_s: 2, death_ms: 500, board_ms: 200}
+load: {txns_per_s: 60, objects: 500}
+troubles:
+  - {kind: die, at: 1.5, for: 1.5, office: 1, share: 0.34}
+  - {kind: silent, at: 2, for: 2, office: 2, share: 0.34}
+  - {kind: purge, at: 2.5, share: 0.5}
+  - {kind: spoilt, at: 1, for: 3, share: 0.02}
+  - {kind: resets, at: 1, for: 3, share: 0.02}
+  - {kind: endless, at: 1, for: 3, share: 0.02}
+  - {kind: ledger_resets, at: 3, for: 2, share: 0.1}
+  - {kind: router_dies, at: 4, for: 0.7, share: 0.5}
+  - {kind: deploy, at: 4.5, for: 1, every: 0.5, strength: 1, office: 2}
+`, emulator.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, violation := range result.Breaks {
+		t.Error(violation)
+	}
+	answered := 0
+	for _, class := range result.Rules {
+		for phase, outcomes := range class.Phases {
+			answered += outcomes.InTime + outcomes.Late
+			if outcomes.InTime+outcomes.Late+outcomes.Refused+outcomes.Failed != outcomes.Asked {
+				t.Errorf("%s in %s: %+v", class.Name, phase, *outcomes)
+			}
+		}
+	}
+	if answered < 200 || result.Fallen > 0 || result.Judged < answered {
+		t.Errorf("%d answered, %d judged, %d pushed over", answered, result.Judged, result.Fallen)
+	}
+}
+
+// A router process that dies is told of, with what it said last.
+func TestDeadRouterEndsTheRun(t *testing.T) {
+	began := time.Now()
+	_, err := playWithOwnProgram(t, "length_s: 60\nfleet: {offices: 1, trunks: 1}\n", emulator.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }})
+	if err == nil || !strings.Contains(err.Error(), "settings.Classes[0].Effect") || time.Since(began) > 30*time.Second {
+		t.Fatalf("after %v: %v", time.Since(began), err)
+	}
+	if _, err := playWithOwnProgram(t, "fleet: {offices: 100, routers: 5, caches: 10}\nload: {txns_per_s: 10}\n", emulator.Options{}); err == nil ||
+		!strings.Contains(err.Error(), "listeners") {
+		t.Fatalf("more than the machine has: %v", err)
+	}
+}
+
+// Two and four real routers at two sites, joined by TLS, the way between them cut
+// for long and for short, one of them killed, purges told on both sides: each txn
+// one end, no effect twice, no copy older than a purge.
+func TestEmulatedSites(t *testing.T) {
+	for name, text := range map[string]string{"two": `
+length_s: 9
+settle_s: 1
+fleet: {offices: 2, trunks: 2, caches: 2, cores: 3, sites: 2, site_ms: 5, board_ms: 200, link_share: 0.2}
+load: {txns_per_s: 70, objects: 2000, weights: [3, 0.3]}
+troubles:
+  - {kind: purge, at: 3, share: 0.4}
+  - {kind: site_cut, at: 4, for: 0.4}
+  - {kind: site_cut, at: 5.5, for: 1.8}
+`, "four": `
+length_s: 9
+settle_s: 1
+fleet: {offices: 4, trunks: 2, caches: 2, cores: 3, sites: 2, site_ms: 5, board_ms: 200, death_ms: 500, link_share: 0.2}
+load: {txns_per_s: 110, objects: 2000, weights: [2, 0.3, 2, 0.3]}
+troubles:
+  - {kind: ledger_resets, at: 2, for: 5, share: 0.1}
+  - {kind: site_cut, at: 3, for: 1.5}
+  - {kind: router_dies, at: 5, for: 0.8, share: 0.25}
+  - {kind: resets, at: 2, for: 5, share: 0.02}
+`} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			forwarded := 0
+			result, err := playWithOwnProgram(t, text, emulator.Options{Record: func(e *eventlog.Entry) {
+				if e.Kind == eventlog.KindForwarded {
+					forwarded++
+				}
+			}})
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, violation := range result.Breaks {
+				t.Error(violation)
+			}
+			t.Logf("%d tries, %d carried to another site", result.Judged, forwarded)
+			if forwarded < 3 {
+				t.Errorf("%d txns carried: too few to tell anything", forwarded)
+			}
+		})
+	}
+}
--- a/cmd/quilldoor/members_test.go
+++ b/cmd/quilldoor/membership_test.go
@@ -95,26 +95,26 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r, err := rehearse(t, fleet+c.text, emulator.Options{})
+			result, err := playWithOwnProgram(t, fleet+c.text, emulator.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Breaks {
-				t.Error(b)
+			for _, violation := range result.Breaks {
+				t.Error(violation)
 			}
-			m := r.Members
-			t.Logf("worth %.3f, %d judged, %d excused; %d looks, agreed after %d ms", r.Worth(), r.Judged, r.Excused, m.Looks, m.AgreedAfter/1000)
-			if m.Looks < 10 || r.Judged < 400 {
-				t.Errorf("%d looks, %d txns: too few to tell anything", m.Looks, r.Judged)
+			members := result.Members
+			t.Logf("worth %.3f, %d judged, %d excused; %d looks, agreed after %d ms", result.Worth(), result.Judged, result.Excused, members.Looks, members.AgreedAfter/1000)
+			if members.Looks < 10 || result.Judged < 400 {
+				t.Errorf("%d looks, %d txns: too few to tell anything", members.Looks, result.Judged)
 			}
-			if m.AgreedAfter < 0 || m.AgreedAfter > c.agreed*1000 {
-				t.Errorf("views agreed %d ms after the last trouble", m.AgreedAfter/1000)
+			if members.AgreedAfter < 0 || members.AgreedAfter > c.agreed*1000 {
+				t.Errorf("views agreed %d ms after the last trouble", members.AgreedAfter/1000)
 			}
-			if len(m.DeadByAll) > 0 {
-				t.Errorf("called dead by all while alive: %v", m.DeadByAll)
+			if len(members.DeadByAll) > 0 {
+				t.Errorf("called dead by all while alive: %v", members.DeadByAll)
 			}
-			if c.excused != (r.Excused > 0) && c.excused {
-				t.Errorf("%d txns fell due while their router stood still", r.Excused)
+			if c.excused != (result.Excused > 0) && c.excused {
+				t.Errorf("%d txns fell due while their router stood still", result.Excused)
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 // proves what it says.
 func TestDiscoveryCutBesideStarvedRouters(t *testing.T) {
 	t.Parallel()
-	r, err := rehearse(t, `
+	result, err := playWithOwnProgram(t, `
 settle_s: 1
 fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3, board_ms: 200, death_ms: 500, cold_s: 2}
 load: {txns_per_s: 90, objects: 800}
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("%d breaks of rule 3", r.Count[3]); r.Count[3] == 0 {
+	if t.Logf("%d breaks of rule 3", result.Count[3]); result.Count[3] == 0 {
 		t.Error("no rule is broken by routers that know nobody")
 	}
 }
@@ -156,21 +156,21 @@
 	dir := t.TempDir()
 	key := filepath.Join(dir, "key")
 	writeFile(t, key, []byte("a key of sixteen bytes"))
-	var procs []*exec.Cmd
+	var processes []*exec.Cmd
 	var files []string
-	addrs := []string{reserveAddress(t), reserveAddress(t)} // for clients by TCP, and for members by UDP
-	start := func(i int, permit bool) (*exec.Cmd, *strings.Builder) {
+	addresses := []string{reserveAddress(t), reserveAddress(t)} // for clients by TCP, and for members by UDP
+	start := func(i int, permitted bool) (*exec.Cmd, *strings.Builder) {
 		s := scenario.Default()
-		s.Fleet.Membership = permit
+		s.Fleet.Membership = permitted
 		text, _ := json.Marshal(map[string]any{
-			"name": fmt.Sprint("n", i), "listen": addrs[i], "seed": "1", "board": "127.0.0.1:1",
+			"name": fmt.Sprint("n", i), "listen": addresses[i], "seed": "1", "board": "127.0.0.1:1",
 			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0), "known": json.RawMessage(`{"rev":0,"notices":[]}`),
 		})
 		config := filepath.Join(dir, fmt.Sprint("n", i, ".json"))
 		writeFile(t, config, text)
-		own := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n", i, addrs[i], key, addrs[0], addrs[1])
+		operatorText := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n", i, addresses[i], key, addresses[0], addresses[1])
 		file := filepath.Join(dir, fmt.Sprint("n", i, ".yaml"))
-		writeFile(t, file, []byte(own))
+		writeFile(t, file, []byte(operatorText))
 		files = append(files, file)
 		cmd := exec.Command(os.Args[0], "serve", "--config", config, "--operator", file)
 		cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
@@ -188,7 +188,7 @@
 	files = nil
 	for i := range 2 {
 		cmd, _ := start(i, true)
-		procs = append(procs, cmd)
+		processes = append(processes, cmd)
 		defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	}
 	ask := func(args ...string) string {
@@ -197,7 +197,7 @@
 		out, _ := cmd.CombinedOutput()
 		return string(out)
 	}
-	wait := func(what string, args ...string) {
+	waitFor := func(what string, args ...string) {
 		t.Helper()
 		last := ""
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -207,13 +207,13 @@
 		}
 		t.Fatalf("%v: no %q in\n%s", args, what, last)
 	}
-	wait("2 of 2 routers reachable")
-	wait("all that answered agree", "--matrix")
+	waitFor("2 of 2 routers reachable")
+	waitFor("all that answered agree", "--matrix")
 	if text := ask("--json"); !json.Valid([]byte(text)) {
 		t.Errorf("no JSON: %s", text)
 	}
 	// A planned end is told, and is no failure.
-	procs[1].Process.Signal(syscall.SIGTERM)
-	wait("leaving")
-	wait(" left ")
+	processes[1].Process.Signal(syscall.SIGTERM)
+	waitFor("leaving")
+	waitFor(" left ")
 }
--- /dev/null
+++ b/cmd/quilldoor/requests_test.go
@@ -0,0 +1,244 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+)
+
+func TestConversation(t *testing.T) {
+	long := strings.Repeat("0123456789", 24_000)
+	origin := newFakeEndpoint(t, func(id, _, body string) string {
+		return strings.Replace(ack(id, "signed "+body), "entity=e1,issued=7,", "", 1)
+	})
+	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
+		if strings.Contains(fields, "mine=e1") {
+			return id + " NOMOD entity=e1,issued=7 0\r\n\r\n"
+		}
+		return ack(id, long)
+	})
+	addr := startRouter(t, cache.Addr().String(), origin.Addr().String()).addr
+	c := dial(t, addr)
+	io.WriteString(c, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
+	c.expectStatus(t, "200")
+	c.sendRequest("GET", "/rpc/page/ab/n-3", "", "")
+	if head, body := c.expectStatus(t, "200"); body != long || !strings.Contains(head, "ETag: \"e1\"") {
+		t.Fatalf("%d bytes behind %q", len(body), head)
+	}
+	line := <-cache.received
+	if want := fmt.Sprintf("GET %016x queue=page,path=ab,blk=3,budget=", lastRequestID); !strings.HasPrefix(line, want) ||
+		!strings.Contains(line, ",miss=o,prio=2") {
+		t.Fatal(line)
+	}
+	c.sendRequest("GET", "/rpc/page/ab/n-3", "If-None-Match: \"e1\"\r\n", "")
+	if _, body := c.expectStatus(t, "304"); body != "" {
+		t.Fatal(body)
+	}
+	c.sendRequest("PUT", "/rpc/sign/cd", "X-Second-Try: 1\r\n", "name")
+	if _, body := c.expectStatus(t, "200"); body != "signed name" {
+		t.Fatal(body)
+	}
+	if line := <-origin.received; strings.Contains(line, "miss=") || !strings.HasSuffix(line, " 4") {
+		t.Fatal(line)
+	}
+}
+
+func TestBadRequestsAreAnswered(t *testing.T) {
+	none := newFakeEndpoint(t, func(string, string, string) string { return "" })
+	addr := startRouter(t, none.Addr().String(), none.Addr().String()).addr
+	c := dial(t, addr)
+	for target, status := range map[string]string{
+		"/rpc/none/x": "404", "/other": "404", "/rpc/page/a,b": "400",
+		"/rpc/page/a/n--1": "400", "/rpc/page/a/3": "400", "/rpc/sign/x": "405", "/rpc/page/" + strings.Repeat("x", 200): "400",
+	} {
+		c.sendRequest("GET", target, "", "")
+		c.expectStatus(t, status)
+	}
+	// What doesn't fit a cache server's line once closed it over other hops.
+	for _, header := range []string{
+		"X-Txn: 12", "X-Ttl-Ms: -5", "X-Ttl-Ms: soon", "X-Ttl-Ms: 9000000", "X-Ttl-Ms: NaN",
+		"X-Shard: 256", "X-Shard: 1\r\nX-Shard: 1", "X-Shard: 01", "X-Shard: 1\r\nContent-Length: 2\r\n",
+		"X-Shard: 1\r\nIf-None-Match: " + strings.Repeat("x", 200),
+	} {
+		name, _, _ := strings.Cut(header, ":")
+		text := "GET /rpc/page/x HTTP/1.1\r\nHost: x\r\nX-Txn: 00000000000000aa\r\nX-Ttl-Ms: 5\r\nX-Shard: 1\r\n\r\n"
+		at := strings.Index(text, name)
+		io.WriteString(c, text[:at]+header+text[at+strings.Index(text[at:], "\r"):])
+		c.expectStatus(t, "400")
+	}
+	for text, status := range map[string]string{
+		"nonsense\r\n\r\n": "400", "GET /" + strings.Repeat("x", 20_000): "431",
+		"PUT / HTTP/1.1\r\nContent-Length: 48001\r\n\r\n":                                      "413",
+		"GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n": "501",
+		"GET / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n": "501",
+	} {
+		c := dial(t, addr)
+		io.WriteString(c, text)
+		c.expectStatus(t, status)
+		if _, err := c.reader.ReadByte(); err == nil {
+			t.Errorf("%.20q: the connection goes on", text)
+		}
+	}
+	if len(none.received) > 0 {
+		t.Errorf("a hop went out: %s", <-none.received)
+	}
+}
+
+// A wait for a hop once didn't see that its client had gone.
+func TestLeavingClientCancelsItsAttempt(t *testing.T) {
+	silent := newFakeEndpoint(t, func(string, string, string) string { return "" })
+	addr := startRouter(t, silent.Addr().String(), silent.Addr().String()).addr
+	c := dial(t, addr)
+	c.sendRequest("GET", "/rpc/page/x", "", "")
+	id := strings.Fields(<-silent.received)[1]
+	c.Close()
+	if line := <-silent.received; line != "DROP "+id {
+		t.Fatal(line)
+	}
+}
+
+func TestSilentEndpointDelaysNoOtherAttempt(t *testing.T) {
+	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
+		if strings.Contains(fields, "path=slow,") {
+			return ""
+		}
+		return ack(id, "quick")
+	})
+	addr := startRouter(t, cache.Addr().String(), cache.Addr().String()).addr
+	slow, quick := dial(t, addr), dial(t, addr)
+	slow.sendRequest("GET", "/rpc/page/slow", "", "")
+	<-cache.received
+	quick.sendRequest("GET", "/rpc/page/x", "", "")
+	quick.expectStatus(t, "200")
+	// The slow one is answered in its time, too, and its connection goes on.
+	if status, _, _ := slow.readResponse(t); status != "503" && status != "504" {
+		t.Fatal(status)
+	}
+	slow.sendRequest("GET", "/rpc/page/x", "", "")
+	slow.expectStatus(t, "200")
+}
+
+// What broke off, or broke the protocol, was answered whole by the next try.
+func TestBrokenResponsesAreRetried(t *testing.T) {
+	for _, first := range []string{"CLOSE", "%s ACK entity=e,issued=7 10\r\n01234CLOSE", "%s ACK - -1\r\n", "%s ACK - 0\r\n\r\n", "x\r\n"} {
+		tries := 0
+		server := newFakeEndpoint(t, func(id, _, _ string) string {
+			if tries++; tries == 1 {
+				return strings.Replace(first, "%s", id, 1)
+			}
+			return ack(id, "whole")
+		})
+		addr := startRouter(t, server.Addr().String(), server.Addr().String()).addr
+		c := dial(t, addr)
+		c.sendRequest("GET", "/rpc/page/x", "", "")
+		if _, body := c.expectStatus(t, "200"); body != "whole" {
+			t.Errorf("%q: %q", first, body)
+		}
+	}
+}
+
+// An unrepeatable txn that may have run is aborted; where it is proven that it
+// has not, it goes again and may be rejected.
+func TestUnsafeRequestsAreNotRetried(t *testing.T) {
+	for answer, want := range map[string]string{"%s EIO - 0\r\n\r\n": "504", "CLOSE": "504", "%s AGAIN - 0\r\n\r\n": "503"} {
+		origin := newFakeEndpoint(t, func(id, _, _ string) string { return strings.Replace(answer, "%s", id, 1) })
+		addr := startRouter(t, origin.Addr().String(), origin.Addr().String()).addr
+		c := dial(t, addr)
+		c.sendRequest("PUT", "/rpc/sign/x", "", "name")
+		head, _ := c.expectStatus(t, want)
+		if tries := len(origin.received); (tries > 1) != (want == "503") {
+			t.Errorf("%q: %d tries", answer, tries)
+		}
+		if strings.Contains(head, "X-Throttle-Ms: 500") != (want == "503") {
+			t.Errorf("%q: %s", answer, head)
+		}
+	}
+}
+
+func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
+	gone := reserveAddress(t) // nobody listens there
+	addr := startRouter(t, gone, gone).addr
+	c := dial(t, addr)
+	c.sendRequest("PUT", "/rpc/sign/x", "", "name")
+	c.expectStatus(t, "503")
+}
+
+// A keyed txn's mark once stayed behind, so that no cache server could have told a
+// repeat; one without a mark is no request.
+func TestKeyedRequestCarriesItsIdempotencyKey(t *testing.T) {
+	origin := newFakeEndpoint(t, func(id, _, _ string) string { return id + " ACK - 2\r\nok\r\n" })
+	keyed := strings.NewReplacer(`"Effect":"unsafe"`, `"Effect":"keyed","Group":"all","DedupWindowMs":700`)
+	addr := startRouterWith(t, origin.Addr().String(), origin.Addr().String(), "", keyed).addr
+	c := dial(t, addr)
+	c.sendRequest("PUT", "/rpc/sign/x", "X-Txn-Key: k-17\r\n", "name")
+	c.expectStatus(t, "200")
+	if line := <-origin.received; !strings.Contains(line, ",uniq=k-17 ") {
+		t.Errorf("the mark is missing: %s", line)
+	}
+	for _, mark := range []string{"", "X-Txn-Key: a,b\r\n", "X-Txn-Key: k\r\nX-Txn-Key: k\r\n", "X-Txn-Key: " + strings.Repeat("k", 200) + "\r\n"} {
+		c.sendRequest("PUT", "/rpc/sign/x", mark, "name")
+		c.expectStatus(t, "400")
+	}
+}
+
+// An answer that names another copy than the client's once made it a 304.
+func TestCopyIsCurrentOnlyByItsOwnTag(t *testing.T) {
+	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
+		if strings.Contains(fields, "mine=") {
+			return id + " NOMOD entity=e2,issued=7 0\r\n\r\n"
+		}
+		return ack(id, "bytes")
+	})
+	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
+	c.sendRequest("GET", "/rpc/page/x", "If-None-Match: \"e1\"\r\n", "")
+	if status, head, _ := c.readResponse(t); status == "304" {
+		t.Errorf("called current: %s", head)
+	}
+	c.sendRequest("GET", "/rpc/page/x", "", "")
+	c.expectStatus(t, "200")
+}
+
+// What a client sent ahead ends with it: neither another hop of the txn in hand nor
+// the next txn begins.
+func TestNoAttemptBeginsForAClientThatLeft(t *testing.T) {
+	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
+		if strings.Contains(fields, "path=held,") {
+			return ""
+		}
+		return ack(id, "there")
+	})
+	addr := startRouter(t, cache.Addr().String(), cache.Addr().String()).addr
+	c := dial(t, addr)
+	c.sendRequest("GET", "/rpc/page/held", "", "")
+	id := strings.Fields(<-cache.received)[1]
+	c.sendRequest("GET", "/rpc/page/next", "", "")
+	io.WriteString(c, "GET /rpc/pa")
+	c.Close()
+	if line := <-cache.received; line != "DROP "+id {
+		t.Fatal(line)
+	}
+	other := dial(t, addr)
+	other.sendRequest("GET", "/rpc/page/other", "", "")
+	other.expectStatus(t, "200")
+	if line := <-cache.received; !strings.Contains(line, "path=other,") {
+		t.Errorf("begun for nobody: %s", line)
+	}
+}
+
+// Many commands at once are answered one by one, each once and in order.
+func TestManyCommandsAtOnce(t *testing.T) {
+	const most = 200 // more than the buffer holds
+	cache := newFakeEndpoint(t, func(id, fields, _ string) string { return ack(id, fields[:strings.Index(fields, ",blk")]) })
+	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
+	go func() {
+		for n := range most {
+			fmt.Fprintf(c, "GET /rpc/page/p%d HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n", n, 1<<40+n)
+		}
+	}()
+	for n := range most {
+		if _, body := c.expectStatus(t, "200"); body != fmt.Sprintf("queue=page,path=p%d", n) {
+			t.Fatalf("answer %d: %q", n, body)
+		}
+	}
+}
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -22,35 +22,35 @@
 load: {txns_per_s: 240, objects: 800}
 `
 
-// putPlan writes a plan for the program: one router, one of each office, all. Stages may
+// writePlan writes a plan for the program: one router, one of each office, all. Stages may
 // be given in place of these.
-func putPlan(k *emulator.Kept, program string, stages ...string) error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "name: trial\nprogram: %s\nsilent_s: 15\nguards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n", program)
-	for i := range k.Count() {
-		name, office := k.Name(i)
-		fmt.Fprintf(&b, "  - {name: %s, office: %s}\n", name, office)
+func writePlan(fleet *emulator.Kept, program string, stages ...string) error {
+	var plan strings.Builder
+	fmt.Fprintf(&plan, "name: trial\nprogram: %s\nsilent_s: 15\nguards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n", program)
+	for i := range fleet.Count() {
+		name, office := fleet.Name(i)
+		fmt.Fprintf(&plan, "  - {name: %s, office: %s}\n", name, office)
 	}
-	first, _ := k.Name(0)
+	first, _ := fleet.Name(0)
 	if len(stages) > 0 {
-		fmt.Fprintf(&b, "stages:\n  - %s\n", strings.Join(stages, "\n  - "))
-		return os.WriteFile(k.Plan(), []byte(b.String()), 0o600)
+		fmt.Fprintf(&plan, "stages:\n  - %s\n", strings.Join(stages, "\n  - "))
+		return os.WriteFile(fleet.Plan(), []byte(plan.String()), 0o600)
 	}
-	fmt.Fprintf(&b, "stages:\n  - {routers: [%s], watch_s: 40, least_s: 2}\n  - {share: 0.5, watch_s: 30, least_s: 2}\n  - {share: 1, watch_s: 2, least_s: 2}\n", first)
-	return os.WriteFile(k.Plan(), []byte(b.String()), 0o600)
+	fmt.Fprintf(&plan, "stages:\n  - {routers: [%s], watch_s: 40, least_s: 2}\n  - {share: 0.5, watch_s: 30, least_s: 2}\n  - {share: 1, watch_s: 2, least_s: 2}\n", first)
+	return os.WriteFile(fleet.Plan(), []byte(plan.String()), 0o600)
 }
 
-// ended waits for the end of a rollout, as those who know it newest tell.
-func ended(k *emulator.Kept, within time.Duration, at ...int) (last *rollout.Status, err error) {
+// waitForRolloutEnd waits for the end of a rollout, as those who know it newest tell.
+func waitForRolloutEnd(fleet *emulator.Kept, within time.Duration, routers ...int) (last *rollout.Status, err error) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for _, i := range at {
-			s, e := k.Rollout(i, 0)
+		for _, i := range routers {
+			status, e := fleet.Rollout(i, 0)
 			if e != nil {
 				err = e
 				continue
 			}
-			if last == nil || s.Seq >= last.Seq && s.AgeMS >= 0 {
-				last = s
+			if last == nil || status.Seq >= last.Seq && status.AgeMS >= 0 {
+				last = status
 			}
 		}
 		if last != nil && (last.Phase == "done" || last.Phase == "undone") {
@@ -60,37 +60,37 @@
 	return last, errors.Join(fmt.Errorf("no end after %v: %+v", within, last), err)
 }
 
-// begin starts the rollout at a router, once all have read the plan.
-func begin(k *emulator.Kept, i int) error {
+// startRollout starts the rollout at a router, once all have read the plan.
+func startRollout(fleet *emulator.Kept, i int) error {
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
-		for j := range k.Count() {
-			if s, err := k.Rollout(j, 0); err == nil && !s.Recovering {
+		for j := range fleet.Count() {
+			if status, err := fleet.Rollout(j, 0); err == nil && !status.Recovering {
 				ready++
 			}
 		}
-		if ready == k.Count() {
+		if ready == fleet.Count() {
 			break
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d routers have the plan", ready, k.Count())
+			return fmt.Errorf("%d of %d routers have the plan", ready, fleet.Count())
 		}
 	}
-	_, err := k.Rollout(i, rollout.CommandStart)
+	_, err := fleet.Rollout(i, rollout.CommandStart)
 	return err
 }
 
-// generations of the routers, as their keepers have them settled and serving.
-func generations(k *emulator.Kept) (list []uint64, err error) {
-	for i := range k.Count() {
-		s, err := k.Standing(i)
+// servingGenerations of the routers, as their keepers have them settled and serving.
+func servingGenerations(fleet *emulator.Kept) (list []uint64, err error) {
+	for i := range fleet.Count() {
+		status, err := fleet.Standing(i)
 		if err != nil {
 			return nil, fmt.Errorf("router %d: %w", i, err)
 		}
-		if s.Serving == nil {
-			return nil, fmt.Errorf("router %d: %+v", i, s)
+		if status.Serving == nil {
+			return nil, fmt.Errorf("router %d: %+v", i, status)
 		}
-		list = append(list, s.Serving.Generation)
+		list = append(list, status.Serving.Generation)
 	}
 	return list, nil
 }
@@ -99,19 +99,19 @@
 // stopped for some seconds, and cut off, and caches are lost and come back cold.
 func TestRolloutOfTheSameProgram(t *testing.T) {
 	t.Parallel()
-	r := changesBut(t, rolloutFleet+"length_s: 150\ntroubles:\n  - {kind: office_lost, at: 22, for: 3, office: 2}\n  - {kind: ways_camps, at: 30, for: 4, share: 0.25}\n  - {kind: cut_board, at: 34, for: 3, share: 0.5}\n", played{ends: true},
-		func(k *emulator.Kept) error {
-			if err := putPlan(k, os.Args[0]); err != nil {
+	result := playUpgradesWith(t, rolloutFleet+"length_s: 150\ntroubles:\n  - {kind: office_lost, at: 22, for: 3, office: 2}\n  - {kind: ways_camps, at: 30, for: 4, share: 0.25}\n  - {kind: cut_board, at: 34, for: 3, share: 0.5}\n", playOptions{endWithDrive: true},
+		func(fleet *emulator.Kept) error {
+			if err := writePlan(fleet, os.Args[0]); err != nil {
 				return err
 			}
-			if err := begin(k, 3); err != nil {
+			if err := startRollout(fleet, 3); err != nil {
 				return err
 			}
 			all := []int{0, 1, 2, 3, 4, 5, 6, 7}
 			leader := func() (int, error) {
 				for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 					for _, i := range all {
-						if s, err := k.Rollout(i, 0); err == nil && s.IsLeader && s.Phase == "forward" {
+						if s, err := fleet.Rollout(i, 0); err == nil && s.IsLeader && s.Phase == "forward" {
 							return i, nil
 						}
 					}
@@ -124,29 +124,29 @@
 			}
 			time.Sleep(3 * time.Second)
 			// Its keeper is killed, and started again; then the next one's stands still.
-			if err := k.KillKeeper(i); err != nil {
+			if err := fleet.KillKeeper(i); err != nil {
 				return err
 			}
 			time.Sleep(time.Second)
-			if err := k.StartKeeper(i); err != nil {
+			if err := fleet.StartKeeper(i); err != nil {
 				return err
 			}
 			time.Sleep(2 * time.Second)
 			if i, err = leader(); err != nil {
 				return err
 			}
-			s, err := k.Standing(i)
+			s, err := fleet.Standing(i)
 			if err != nil {
 				return err
 			}
 			syscall.Kill(s.SupervisorPID, syscall.SIGSTOP)
 			time.Sleep(7 * time.Second)
 			syscall.Kill(s.SupervisorPID, syscall.SIGCONT)
-			got, err := ended(k, 80*time.Second, all...)
+			got, err := waitForRolloutEnd(fleet, 80*time.Second, all...)
 			if err != nil {
 				return err
 			}
-			list, err := generations(k)
+			list, err := servingGenerations(fleet)
 			if err != nil {
 				return err
 			}
@@ -161,8 +161,8 @@
 			}
 			return nil
 		})
-	if r.Refused > 0 || r.Broke > 0 {
-		t.Errorf("%d connections refused, %d broken off", r.Refused, r.Broke)
+	if result.Refused > 0 || result.Broke > 0 {
+		t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
 	}
 }
 
@@ -191,11 +191,11 @@
 			if c.half {
 				stages = []string{"{share: 0.5, watch_s: 80, least_s: 5}", "{share: 1, watch_s: 2, least_s: 2}"}
 			}
-			changesBut(t, rolloutFleet+"length_s: 130\n", played{ends: true}, func(k *emulator.Kept) error {
-				if err := putPlan(k, variant(t, c.fault), stages...); err != nil {
+			playUpgradesWith(t, rolloutFleet+"length_s: 130\n", playOptions{endWithDrive: true}, func(fleet *emulator.Kept) error {
+				if err := writePlan(fleet, faultyProgram(t, c.fault), stages...); err != nil {
 					return err
 				}
-				if err := begin(k, 5); err != nil {
+				if err := startRollout(fleet, 5); err != nil {
 					return err
 				}
 				stop := make(chan struct{})
@@ -206,12 +206,12 @@
 						case <-stop:
 							return
 						case <-time.After(50 * time.Millisecond):
-							k.Crashed(0)
+							fleet.Crashed(0)
 						}
 					}
 				}()
 				began := time.Now()
-				got, err := ended(k, 110*time.Second, 1, 2, 3, 4, 5, 6, 7)
+				got, err := waitForRolloutEnd(fleet, 110*time.Second, 1, 2, 3, 4, 5, 6, 7)
 				if err != nil {
 					return err
 				}
@@ -219,7 +219,7 @@
 				if got.Phase != "undone" || !strings.Contains(got.Reason, c.says) {
 					t.Errorf("%+v", got)
 				}
-				list, err := generations(k)
+				list, err := servingGenerations(fleet)
 				if err != nil {
 					return err
 				}
@@ -228,14 +228,14 @@
 						t.Errorf("router %d has had generation %d", i, g)
 					}
 				}
-				s, err := k.Until(0, 20*time.Second, func(s *handoff.Status) bool {
+				s, err := fleet.Until(0, 20*time.Second, func(s *handoff.Status) bool {
 					return s.State == "steady" && s.Serving != nil && strings.HasSuffix(s.Settled.Program, "quilldoor.test")
 				})
 				if err != nil {
 					return err
 				}
 				t.Logf("router 0 is back at generation %d", s.Serving.Generation)
-				return serves(k.Listen(0))
+				return checkHealth(fleet.Listen(0))
 			})
 		})
 	}
@@ -259,8 +259,8 @@
 			}
 			t.Parallel()
 			broken := 0
-			may := func(b checker.Violation) bool {
-				if b.Rule == c.rule && (b.Router == 0 || c.rule == 4) {
+			allowed := func(violation checker.Violation) bool {
+				if violation.Rule == c.rule && (violation.Router == 0 || c.rule == 4) {
 					broken++
 					return true
 				}
@@ -270,16 +270,16 @@
 			if c.rule == 4 { // enough comes that a cold server could be pushed over
 				text = strings.Replace(text, "txns_per_s: 240", "txns_per_s: 240, weights: [1.4, 0.8, 0.9, 0.9]", 1)
 			}
-			changesBut(t, text, played{may, true}, func(k *emulator.Kept) error {
-				first, _ := k.Name(0)
-				if err := putPlan(k, variant(t, c.fault), "{routers: ["+first+"], watch_s: 60, least_s: 45}", "{share: 1, watch_s: 2, least_s: 2}"); err != nil {
+			playUpgradesWith(t, text, playOptions{allowed, true}, func(fleet *emulator.Kept) error {
+				first, _ := fleet.Name(0)
+				if err := writePlan(fleet, faultyProgram(t, c.fault), "{routers: ["+first+"], watch_s: 60, least_s: 45}", "{share: 1, watch_s: 2, least_s: 2}"); err != nil {
 					return err
 				}
-				if err := begin(k, 5); err != nil {
+				if err := startRollout(fleet, 5); err != nil {
 					return err
 				}
 				began := time.Now()
-				got, err := ended(k, 80*time.Second, 1, 2, 3, 4, 5, 6, 7)
+				got, err := waitForRolloutEnd(fleet, 80*time.Second, 1, 2, 3, 4, 5, 6, 7)
 				if err != nil {
 					return err
 				}
@@ -287,7 +287,7 @@
 				if got.Phase != "undone" || !strings.Contains(got.Reason, fmt.Sprintf("breaks rule %d", c.rule)) {
 					t.Errorf("%+v", got)
 				}
-				list, err := generations(k)
+				list, err := servingGenerations(fleet)
 				if err != nil {
 					return err
 				}
