--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -20,7 +20,7 @@
 // nothing of generations.
 const earlierCommit = "4908419758da4242638886f5b5b86827d6656c20"
 
-// earlierProgram builds it, where the repository's history is at hand.
+// earlierProgram builds the earlier commit, where the repository's history is at hand.
 func earlierProgram(t *testing.T) string {
 	t.Helper()
 	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
@@ -32,22 +32,22 @@
 		t.Skip("not decided: the history does not reach back to", earlierCommit)
 	}
 	dir := t.TempDir()
-	text := filepath.Join(dir, "text.tar")
-	for _, c := range [][]string{
-		{"git", "-C", root, "archive", "-o", text, earlierCommit},
-		{"tar", "-xf", text, "-C", dir},
+	archive := filepath.Join(dir, "text.tar")
+	for _, command := range [][]string{
+		{"git", "-C", root, "archive", "-o", archive, earlierCommit},
+		{"tar", "-xf", archive, "-C", dir},
 		{"go", "build", "-C", dir, "-buildvcs=false", "-o", filepath.Join(dir, "quilldoor"), "./cmd/quilldoor"},
 	} {
-		if out, err := exec.Command(c[0], c[1:]...).CombinedOutput(); err != nil {
-			t.Fatalf("%v: %v, %s", c, err, out)
+		if out, err := exec.Command(command[0], command[1:]...).CombinedOutput(); err != nil {
+			t.Fatalf("%v: %v, %s", command, err, out)
 		}
 	}
 	return filepath.Join(dir, "quilldoor")
 }
 
-// Two routers of the landing before and two of this text, kept, know each other, while
-// those of this text are changed and one of the others dies. The earlier program can't
-// be kept, and is refused with a reason.
+// Guards against an upgrade that the routers of the earlier program can't live beside:
+// two of them, without a supervisor, and two of this program, supervised and upgraded,
+// agree on the members. The earlier program can't be supervised and is refused.
 func TestEarlierProgramBesideThis(t *testing.T) {
 	t.Parallel()
 	program := earlierProgram(t)
@@ -63,49 +63,70 @@
 `
 	drive := func(_ context.Context, fleet *emulator.Kept) error {
 		time.Sleep(2 * time.Second)
-		for _, i := range []int{0, 2} {
-			for range 2 {
-				if reply, err := fleet.Ask(i, &handoff.Message{Kind: handoff.KindApply}); err != nil {
-					return fmt.Errorf("router %d: %w", i, err)
-				} else if !reply.OK {
-					return fmt.Errorf("router %d: %+v", i, reply)
-				}
+		for _, router := range []int{0, 2} {
+			if err := upgradeRepeatedly(fleet, router, 2); err != nil {
+				return err
 			}
-			if reply, err := fleet.Ask(i, &handoff.Message{Kind: handoff.KindApply, Program: program}); err != nil {
-				return fmt.Errorf("router %d, to the earlier text: %w", i, err)
-			} else if reply.OK || !strings.Contains(reply.Note, "json") {
-				return fmt.Errorf("router %d, to the earlier text: %+v", i, reply)
+			if err := expectEarlierProgramRefused(fleet, router, program); err != nil {
+				return err
 			}
 		}
-		// All agree once the camps are over.
+		// All agree once the partition is over.
 		for i := range fleet.Count() {
-			var view *membership.View
-			var err error
-			for end, diverged := time.Now().Add(10*time.Second), true; diverged && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-				if view, err = fleet.View(i); err != nil {
-					return err
-				}
-				diverged = len(view.Members) < fleet.Count()-1 || slices.ContainsFunc(view.Members, func(member membership.MemberStatus) bool { return member.State != membership.StateAlive })
-			}
-			for _, member := range view.Members {
-				if member.State != membership.StateAlive {
-					t.Errorf("router %d holds %s %v", i, member.Name, member.State)
-				}
-			}
-			if supervised := i%2 == 0; supervised != (view.Self.Process != nil && view.Self.Process.Generation == 3) {
-				t.Errorf("router %d says it runs %+v", i, view.Self.Process)
+			if err := checkAgreement(t, fleet, i); err != nil {
+				return err
 			}
 		}
 		return nil
 	}
-	result, err := playScenario(t, text, emulator.Options{}, emulator.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
+	result, err := playScenario(t, text, emulator.Options{},
+		emulator.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range result.Breaks {
-		t.Error(b)
+	for _, violation := range result.Breaks {
+		t.Error(violation)
+	}
+	agreedAfter := result.Members.AgreedAfter
+	t.Logf("%d judged, agreed after %d ms", result.Judged, agreedAfter/1000)
+	if agreedAfter < 0 || agreedAfter > 4e6 {
+		t.Errorf("views agreed after %d us", agreedAfter)
+	}
+}
+
+// expectEarlierProgramRefused asks a supervised router for an upgrade to the earlier program.
+func expectEarlierProgramRefused(fleet *emulator.Kept, router int, program string) error {
+	reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
+	if err != nil {
+		return fmt.Errorf("router %d, to the earlier program: %w", router, err)
+	}
+	if reply.OK || !strings.Contains(reply.Note, "json") {
+		return fmt.Errorf("router %d, to the earlier program: %+v", router, reply)
+	}
+	return nil
+}
+
+// checkAgreement waits for a router to see all members alive, and checks that it tells
+// its generation if it is a supervised one.
+func checkAgreement(t *testing.T, fleet *emulator.Kept, router int) error {
+	notAlive := func(member membership.MemberStatus) bool { return member.State != membership.StateAlive }
+	var view *membership.View
+	diverged := true
+	for end := time.Now().Add(10 * time.Second); diverged && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		var err error
+		if view, err = fleet.View(router); err != nil {
+			return err
+		}
+		diverged = len(view.Members) < fleet.Count()-1 || slices.ContainsFunc(view.Members, notAlive)
+	}
+	for _, member := range view.Members {
+		if notAlive(member) {
+			t.Errorf("router %d sees %s %v", router, member.Name, member.State)
+		}
 	}
-	if t.Logf("%d judged, agreed after %d ms", result.Judged, result.Members.AgreedAfter/1000); result.Members.AgreedAfter < 0 || result.Members.AgreedAfter > 4e6 {
-		t.Errorf("views agreed after %d us", result.Members.AgreedAfter)
+	supervised := router%2 == 0
+	if supervised != (view.Self.Process != nil && view.Self.Process.Generation == 3) {
+		t.Errorf("router %d says it runs %+v", router, view.Self.Process)
 	}
+	return nil
 }
--- a/cmd/quilldoor/faultyprogram_test.go
+++ b/cmd/quilldoor/faultyprogram_test.go
@@ -13,12 +13,12 @@
 	"quilldoor/internal/upstream"
 )
 
-// faultyRouter are those of a faulty variant of the program, by QUILLDOOR_FAULT; the shipped
-// binary has none.
+// faultyRouter injects the fault that QUILLDOOR_FAULT names into the test binary; the
+// shipped binary has none.
 type faultyRouter struct {
 	name    string
 	serving atomic.Bool
-	memory  [][]byte   // held for ever
+	memory  [][]byte   // never released
 	files   []*os.File // never closed
 }
 
@@ -68,9 +68,9 @@
 	case "no start":
 		fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
 		os.Exit(3)
-	case "narrow": // rejects what it could do
+	case "narrow": // rejects requests that it has capacity for
 		r.policy.Limits.MaxOpenRequests = 1
-	case "greedy": // takes warming endpoints for warm
+	case "greedy": // skips the slow start of endpoints
 		r.policy.Contract.SlowStartFor, r.policy.Hierarchy.ParentSlowStartFor = 1, 1
 	case "refuses":
 		r.policy.Zone, r.policy.Hierarchy.CacheBypass = "nowhere", false
@@ -81,7 +81,7 @@
 	switch f.name {
 	case "silent", "memory":
 		f.serving.Store(true)
-	case "mute": // it does not report what it was told
+	case "mute": // does not confirm that it serves
 		time.Sleep(time.Minute)
 	case "crash":
 		time.AfterFunc(time.Second, func() { os.Exit(3) })
@@ -123,7 +123,7 @@
 	}
 }
 
-// allocate takes memory that is really used.
+// allocate holds memory, written to so that it is resident.
 func (f *faultyRouter) allocate(bytes int) {
 	b := make([]byte, bytes)
 	for i := range b {
@@ -132,7 +132,7 @@
 	f.memory = append(f.memory, b)
 }
 
-// faultyProgram is a program that is wrong in one way.
+// faultyProgram is a program with one fault.
 func faultyProgram(t *testing.T, fault string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), strings.ReplaceAll(fault, " ", "-"))
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -15,119 +15,162 @@
 	"quilldoor/internal/handoff"
 )
 
-// What a change is asked for and can't be, is live, or finds the folder harmed: it
-// says why, and the router serves on.
+// Guards against an upgrade that can't be done, runs already or finds its folder
+// damaged, and ends without a reason or takes the router down.
 func TestRefusedUpgrades(t *testing.T) {
 	t.Parallel()
-	edit := func(path string, old, replacement string) (string, error) {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			return "", err
-		}
-		if !strings.Contains(string(text), old) {
-			return "", fmt.Errorf("no %s in %s", old, path)
-		}
-		to := filepath.Join(t.TempDir(), "changed")
-		return to, os.WriteFile(to, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600)
-	}
 	playUpgrades(t, supervisedFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(fleet *emulator.Kept) error {
-		for _, c := range []struct {
-			what     string
-			config   bool
-			old, new string
-			ok       bool
-			says     string
-			settled  uint64
-		}{
-			{"unknown key", false, "folder:", "colour: red\n  folder:", false, "colour", 1},
-			{"folder", false, "folder:", "folder: /nowhere/at/all #", false, "keep.folder", 1},
-			{"broken", true, `"settings"`, `"settings`, false, "", 1},
-			{"value", true, `"TargetMs":`, `"TargetMs":-`, false, "TargetMs", 1},
-			{"flow", true, `"flow_bytes_per_s":`, `"flow_bytes_per_s":1`, true, "is settled", 6},
-			{"new name", true, `"name":"n1"`, `"name":"n9"`, true, "", 7}, // the platform's counts: nothing differs
-		} {
-			w := &handoff.Message{Kind: handoff.KindApply}
-			from, to := fleet.Operator(0), &w.Operator
-			if c.config {
-				from, to = fleet.Config(0), &w.Config
-			}
-			path, err := edit(from, c.old, c.new)
-			if err != nil {
-				return err
-			}
-			*to = path
-			got, err := fleet.Ask(0, w)
-			if err != nil {
-				return fmt.Errorf("%s: %w", c.what, err)
-			}
-			if got.OK != c.ok || !strings.Contains(got.Note, c.says) {
-				t.Errorf("%s: %+v", c.what, got)
-			}
-			if s, err := fleet.Standing(0); err != nil || s.Settled.Generation != c.settled {
-				t.Errorf("%s: %v, %+v", c.what, err, s)
-			}
-		}
-		// Two at once: one goes on, the other is refused.
-		first := make(chan *handoff.Message, 1)
-		go func() {
-			w, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
-			first <- w
-		}()
-		if _, err := fleet.Until(0, 3*time.Second, func(s *handoff.Status) bool { return s.State != "steady" }); err != nil {
+		if err := checkEditedFiles(t, fleet); err != nil {
 			return err
 		}
-		if w, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || w.OK || !strings.Contains(w.Note, "refused") {
-			t.Errorf("the second: %v, %+v", err, w)
-		}
-		// Back while it is on trial.
-		if _, err := fleet.Until(0, 3*time.Second, func(s *handoff.Status) bool { return s.State == "on trial" }); err != nil {
+		if err := checkConcurrentUpgrades(t, fleet); err != nil {
 			return err
 		}
-		if w, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !w.FellBack {
-			t.Errorf("back: %v, %+v", err, w)
-		}
-		if w := <-first; w == nil || !w.FellBack {
-			t.Errorf("the first: %+v", w)
-		}
-		// A second keeper; a folder that takes no copies; a state file that can't be put.
-		cmd := exec.Command(os.Args[0], "keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
-		cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
-		if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another keeper") {
-			t.Errorf("a second keeper: %v, %s", err, out)
-		}
-		if err := os.WriteFile(filepath.Join(fleet.Folder(0), "9"), nil, 0o600); err != nil {
+		checkSecondSupervisor(t, fleet)
+		if err := checkUnwritableFolder(t, fleet); err != nil {
 			return err
 		}
-		if w, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || w.OK || w.FellBack {
-			t.Errorf("no room for copies: %v, %+v", err, w)
+		if err := checkReloadReachesGeneration(fleet); err != nil {
+			return err
 		}
-		state := filepath.Join(fleet.Folder(0), "state.json")
-		if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
+		return checkHealth(fleet.Listen(0))
+	})
+}
+
+// editedCopy writes a copy of a file with the first occurrence of old replaced.
+func editedCopy(t *testing.T, path, old, replacement string) (string, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return "", err
+	}
+	if !strings.Contains(string(text), old) {
+		return "", fmt.Errorf("no %s in %s", old, path)
+	}
+	edited := filepath.Join(t.TempDir(), "changed")
+	return edited, os.WriteFile(edited, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600)
+}
+
+// checkEditedFiles asks for upgrades to edited configurations and operator files.
+func checkEditedFiles(t *testing.T, fleet *emulator.Kept) error {
+	for _, tc := range []struct {
+		name     string
+		config   bool // the edited file is the configuration, else the operator's
+		old, new string
+		ok       bool
+		note     string
+		settled  uint64 // generation afterwards
+	}{
+		{"unknown key", false, "folder:", "colour: red\n  folder:", false, "colour", 1},
+		{"folder", false, "folder:", "folder: /nowhere/at/all #", false, "keep.folder", 1},
+		{"broken", true, `"settings"`, `"settings`, false, "", 1},
+		{"value", true, `"TargetMs":`, `"TargetMs":-`, false, "TargetMs", 1},
+		{"flow", true, `"flow_bytes_per_s":`, `"flow_bytes_per_s":1`, true, "is settled", 6},
+		// The platform's counts do not differ between the two.
+		{"new name", true, `"name":"n1"`, `"name":"n9"`, true, "", 7},
+	} {
+		request := &handoff.Message{Kind: handoff.KindApply}
+		original, edited := fleet.Operator(0), &request.Operator
+		if tc.config {
+			original, edited = fleet.Config(0), &request.Config
+		}
+		path, err := editedCopy(t, original, tc.old, tc.new)
+		if err != nil {
 			return err
 		}
-		if w, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || !w.OK || !strings.Contains(w.Note, "could not be written") {
-			t.Errorf("no state file: %v, %+v", err, w)
+		*edited = path
+		reply, err := fleet.Ask(0, request)
+		if err != nil {
+			return fmt.Errorf("%s: %w", tc.name, err)
+		}
+		if reply.OK != tc.ok || !strings.Contains(reply.Note, tc.note) {
+			t.Errorf("%s: %+v", tc.name, reply)
 		}
-		s, err := fleet.Standing(0)
-		if err != nil || s.Persistent || s.Settled.Generation != 10 {
-			t.Errorf("%v, %+v", err, s)
+		if status, err := fleet.Standing(0); err != nil || status.Settled.Generation != tc.settled {
+			t.Errorf("%s: %v, %+v", tc.name, err, status)
 		}
-		// SIGHUP to the keeper reaches the generation.
-		if err := syscall.Kill(s.SupervisorPID, syscall.SIGHUP); err != nil {
+	}
+	return nil
+}
+
+// checkConcurrentUpgrades asks for an upgrade while another runs, which is refused, and
+// for a rollback during the trial of the first.
+func checkConcurrentUpgrades(t *testing.T, fleet *emulator.Kept) error {
+	first := make(chan *handoff.Message, 1)
+	go func() {
+		reply, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+		first <- reply
+	}()
+	if _, err := fleet.Until(0, 3*time.Second, func(status *handoff.Status) bool { return status.State != "steady" }); err != nil {
+		return err
+	}
+	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+	if err != nil || reply.OK || !strings.Contains(reply.Note, "refused") {
+		t.Errorf("second upgrade: %v, %+v", err, reply)
+	}
+	if _, err := fleet.Until(0, 3*time.Second, func(status *handoff.Status) bool { return status.State == "on trial" }); err != nil {
+		return err
+	}
+	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !reply.FellBack {
+		t.Errorf("rollback on trial: %v, %+v", err, reply)
+	}
+	if reply := <-first; reply == nil || !reply.FellBack {
+		t.Errorf("first upgrade: %+v", reply)
+	}
+	return nil
+}
+
+// checkSecondSupervisor starts a second supervisor with the same folder.
+func checkSecondSupervisor(t *testing.T, fleet *emulator.Kept) {
+	cmd := exec.Command(os.Args[0], "keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
+	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
+	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another keeper") {
+		t.Errorf("second supervisor: %v, %s", err, out)
+	}
+}
+
+// checkUnwritableFolder upgrades where the copies of a generation, and then the state
+// file, can't be written.
+func checkUnwritableFolder(t *testing.T, fleet *emulator.Kept) error {
+	if err := os.WriteFile(filepath.Join(fleet.Folder(0), "9"), nil, 0o600); err != nil {
+		return err
+	}
+	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || reply.OK || reply.FellBack {
+		t.Errorf("copies can't be written: %v, %+v", err, reply)
+	}
+	state := filepath.Join(fleet.Folder(0), "state.json")
+	if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
+		return err
+	}
+	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+	if err != nil || !reply.OK || !strings.Contains(reply.Note, "could not be written") {
+		t.Errorf("state file can't be written: %v, %+v", err, reply)
+	}
+	status, err := fleet.Standing(0)
+	if err != nil || status.Persistent || status.Settled.Generation != 10 {
+		t.Errorf("state file can't be written: %v, %+v", err, status)
+	}
+	return nil
+}
+
+// checkReloadReachesGeneration sends SIGHUP to the supervisor, which passes it on.
+func checkReloadReachesGeneration(fleet *emulator.Kept) error {
+	status, err := fleet.Standing(0)
+	if err != nil {
+		return err
+	}
+	if err := syscall.Kill(status.SupervisorPID, syscall.SIGHUP); err != nil {
+		return err
+	}
+	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		text, err := os.ReadFile(fleet.Log(0))
+		if err != nil {
 			return err
 		}
-		for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-			text, err := os.ReadFile(fleet.Log(0))
-			if err != nil {
-				return err
-			}
-			if strings.Contains(string(text), "new configuration in force") {
-				break
-			}
-			if time.Now().After(end) {
-				return errors.New("no new configuration after SIGHUP")
-			}
+		if strings.Contains(string(text), "new configuration in force") {
+			return nil
 		}
-		return checkHealth(fleet.Listen(0))
-	})
+		if time.Now().After(end) {
+			return errors.New("no new configuration after SIGHUP")
+		}
+	}
 }
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -7,48 +7,61 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"quilldoor/internal/emulator"
 	"quilldoor/internal/handoff"
 	"quilldoor/internal/membership"
 )
 
-// Changes in a row under load: no connection is refused or broken off, each txn has
-// one end, no rule is broken, one generation serves in the end.
+// upgradeRepeatedly upgrades a router to its own program, again and again.
+func upgradeRepeatedly(fleet *emulator.Kept, router, upgrades int) error {
+	for i := range upgrades {
+		reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply})
+		if err != nil {
+			return fmt.Errorf("router %d, upgrade %d: %w", router, i, err)
+		}
+		if !reply.OK {
+			return fmt.Errorf("router %d, upgrade %d: %+v", router, i, reply)
+		}
+	}
+	return nil
+}
+
+// Guards against connections that are refused or broken off, and requests that end
+// twice or never, while generations follow each other under load.
 func TestUpgradesInARow(t *testing.T) {
 	t.Parallel()
 	const upgrades = 15
-	result := playUpgrades(t, supervisedFleet+"load: {txns_per_s: 200, objects: 800}\nlength_s: 14\ntroubles:\n  - {kind: deploy, at: 3, for: 1, every: 1, strength: 1}\n  - {kind: purge, at: 5, share: 1}\n  - {kind: cut_board, at: 7, for: 2}\n  - {kind: die, at: 9, for: 1.5, share: 0.25}\n",
-		func(fleet *emulator.Kept) error {
-			for i := range upgrades {
-				reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
-				if err != nil {
-					return fmt.Errorf("change %d: %w", i, err)
-				}
-				if !reply.OK {
-					return fmt.Errorf("change %d: %+v", i, reply)
-				}
-			}
-			status, err := fleet.Until(0, 5*time.Second, func(status *handoff.Status) bool {
-				return status.Serving != nil && status.Serving.AgentState == "serving"
-			})
-			if err != nil {
-				return err
-			}
-			if status.Settled.Generation != upgrades+1 || status.Restarts != 0 {
-				return fmt.Errorf("status %+v", status)
-			}
-			t.Logf("%d MB and %d descriptors of all processes at the most", status.PeakMB, status.PeakDescriptors)
-			return nil
+	text := supervisedFleet + "load: {txns_per_s: 200, objects: 800}\nlength_s: 14\ntroubles:\n" +
+		"  - {kind: deploy, at: 3, for: 1, every: 1, strength: 1}\n" +
+		"  - {kind: purge, at: 5, share: 1}\n" +
+		"  - {kind: cut_board, at: 7, for: 2}\n" +
+		"  - {kind: die, at: 9, for: 1.5, share: 0.25}\n"
+	result := playUpgrades(t, text, func(fleet *emulator.Kept) error {
+		if err := upgradeRepeatedly(fleet, 0, upgrades); err != nil {
+			return err
+		}
+		status, err := fleet.Until(0, 5*time.Second, func(status *handoff.Status) bool {
+			return status.Serving != nil && status.Serving.AgentState == "serving"
 		})
+		if err != nil {
+			return err
+		}
+		if status.Settled.Generation != upgrades+1 || status.Restarts != 0 {
+			return fmt.Errorf("status %+v", status)
+		}
+		t.Logf("at most %d MB and %d descriptors in all processes", status.PeakMB, status.PeakDescriptors)
+		return nil
+	})
 	if result.Refused > 0 || result.Broke > 0 {
 		t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
 	}
 }
 
-// Four routers of two sites with all that one process of a router owns: members, a
-// gateway, a disk tier, a metrics file. Each is changed three times, all at once,
-// while a purge comes and the sites are cut: the others hold each for one member that
-// never went, the folder is nobody's twice, every txn has one end.
+// Guards against an upgrade that loses or shares what one process of a router owns: its
+// membership, its gateway, its disk cache and its metrics file. Four routers of two
+// sites are upgraded three times, all at once, during a purge and a cut between sites.
 func TestUpgradeHandsEverythingOver(t *testing.T) {
 	t.Parallel()
 	result := playUpgrades(t, `
@@ -61,62 +74,28 @@
   - {kind: site_cut, at: 6, for: 0.7}
   - {kind: cut_board, at: 4, for: 2, share: 0.5}
 `, func(fleet *emulator.Kept) error {
-		time.Sleep(2 * time.Second) // they know each other
-		before := make([]*membership.View, fleet.Count())
-		for i := range before {
-			var err error
-			if before[i], err = fleet.View(i); err != nil {
-				return err
-			}
+		time.Sleep(2 * time.Second) // the routers join each other
+		before, err := membershipViews(fleet)
+		if err != nil {
+			return err
 		}
-		results := make(chan error, fleet.Count())
+		var upgrades errgroup.Group
 		for i := range fleet.Count() {
-			go func() {
-				for upgrade := range 3 {
-					reply, err := fleet.Ask(i, &handoff.Message{Kind: handoff.KindApply})
-					if err != nil {
-						results <- fmt.Errorf("router %d, change %d: %w", i, upgrade, err)
-						return
-					}
-					if !reply.OK {
-						results <- fmt.Errorf("router %d, change %d: %+v", i, upgrade, reply)
-						return
-					}
-				}
-				results <- nil
-			}()
+			upgrades.Go(func() error { return upgradeRepeatedly(fleet, i, 3) })
 		}
-		for range fleet.Count() {
-			if err := <-results; err != nil {
-				return err
-			}
+		if err := upgrades.Wait(); err != nil {
+			return err
 		}
 		time.Sleep(time.Second)
-		for i := range before {
-			view, err := fleet.View(i)
-			if err != nil {
-				return err
-			}
-			if view.Self.ID != before[i].Self.ID || view.Self.Process == nil || view.Self.Process.Generation != 4 {
-				t.Errorf("router %d was life %v and is %v, %+v", i, before[i].Self.ID, view.Self.ID, view.Self.Process)
-			}
-			for _, s := range view.Members {
-				if s.State != membership.StateAlive || s.Process == nil || s.Process.Generation != 4 || s.Process.Settings != view.Self.Process.Settings {
-					t.Errorf("router %d holds %s %v, %+v", i, s.Name, s.State, s.Process)
-				}
-			}
-			text, err := os.ReadFile(fleet.Log(i))
-			if err != nil {
+		after, err := membershipViews(fleet)
+		if err != nil {
+			return err
+		}
+		for i := range after {
+			checkUpgradedView(t, i, before[i], after[i])
+			if err := checkUpgradedLog(t, fleet, i); err != nil {
 				return err
 			}
-			for _, bad := range []string{"disk cache off", "member dead", "member left", "this one keeps quiet", "level=error"} {
-				if strings.Contains(string(text), bad) {
-					t.Errorf("router %d has logged %q", i, bad)
-				}
-			}
-			if got := strings.Count(string(text), "disk cache recovered"); got != 4 {
-				t.Errorf("router %d: its folder was opened %d times", i, got)
-			}
 		}
 		return nil
 	})
@@ -127,3 +106,52 @@
 		t.Errorf("called dead: %v", result.Members.DeadByAll)
 	}
 }
+
+// membershipViews returns each router's view of the members.
+func membershipViews(fleet *emulator.Kept) ([]*membership.View, error) {
+	views := make([]*membership.View, fleet.Count())
+	for i := range views {
+		var err error
+		if views[i], err = fleet.View(i); err != nil {
+			return nil, err
+		}
+	}
+	return views, nil
+}
+
+// checkUpgradedView checks that a router kept its identity over the upgrades and sees
+// all members alive, upgraded and with its own settings.
+func checkUpgradedView(t *testing.T, router int, before, after *membership.View) {
+	t.Helper()
+	self := after.Self
+	if self.ID != before.Self.ID || self.Process == nil || self.Process.Generation != 4 {
+		t.Errorf("router %d was %v and is %v, %+v", router, before.Self.ID, self.ID, self.Process)
+	}
+	for _, member := range after.Members {
+		if member.State != membership.StateAlive || member.Process == nil ||
+			member.Process.Generation != 4 || member.Process.Settings != self.Process.Settings {
+			t.Errorf("router %d sees %s %v, %+v", router, member.Name, member.State, member.Process)
+		}
+	}
+}
+
+// checkUpgradedLog checks that nothing in a router's log tells of a lost resource, and
+// that each of its generations opened the disk cache once.
+func checkUpgradedLog(t *testing.T, fleet *emulator.Kept, router int) error {
+	t.Helper()
+	text, err := os.ReadFile(fleet.Log(router))
+	if err != nil {
+		return err
+	}
+	for _, unwanted := range []string{
+		"disk cache off", "member dead", "member left", "this one keeps quiet", "level=error",
+	} {
+		if strings.Contains(string(text), unwanted) {
+			t.Errorf("router %d has logged %q", router, unwanted)
+		}
+	}
+	if got := strings.Count(string(text), "disk cache recovered"); got != 4 {
+		t.Errorf("router %d: its disk cache was opened %d times", router, got)
+	}
+	return nil
+}
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -12,14 +12,21 @@
 	"quilldoor/internal/handoff"
 )
 
-// A new generation that is wrong in any way is refused or falls back; the old one
-// serves in the end, and says why.
+// faultyGeneration is an upgrade to a faulty program and how it has to end.
+type faultyGeneration struct {
+	fault     string
+	reason    string // in the reply
+	fallsBack bool   // after it has served; else it is refused before
+	dies      bool   // the new process ends or is killed while it holds connections
+}
+
+// Guards against a faulty new generation that stays: it is refused or falls back with
+// a reason, and the old one serves in the end.
 func TestFaultyGenerations(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
-		fault, says string
-		back, dies  bool
-	}{
+	text := strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 4", 1) +
+		"load: {txns_per_s: 120, objects: 500}\nlength_s: 5\n"
+	for _, tc := range []faultyGeneration{
 		{"no start", "has ended", false, false},
 		{"never ready", "", false, false},
 		{"silent", "has said nothing for", true, true},
@@ -29,74 +36,96 @@
 		{"descriptors", "descriptors:", true, true},
 		{"refuses", "does worse", true, false},
 	} {
-		t.Run(c.fault, func(t *testing.T) {
+		t.Run(tc.fault, func(t *testing.T) {
 			t.Parallel()
 			var recoveryMS int64
-			result := playUpgrades(t, strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 4", 1)+"load: {txns_per_s: 120, objects: 500}\nlength_s: 5\n", func(fleet *emulator.Kept) error {
-				done := make(chan struct{})
-				go func() { // who is killed on trial: what it holds is not its duty
-					defer close(done)
-					if !c.dies {
-						return
-					}
-					if _, err := fleet.Until(0, 4*time.Second, func(status *handoff.Status) bool { return status.State == "on trial" || status.State == "handing over" }); err == nil {
-						// That it did not settle shows in what the test looks at next.
-						_, _ = fleet.Until(0, 4*time.Second, func(status *handoff.Status) bool { fleet.Crashed(0); return status.State == "steady" })
-					}
-				}()
-				reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply, Program: faultyProgram(t, c.fault)})
-				if err != nil {
-					return err
-				}
-				if reply.OK || reply.FellBack != c.back || !strings.Contains(reply.Note, c.says) {
-					return fmt.Errorf("%+v", reply)
-				}
-				status, err := fleet.Until(0, 2*time.Second, func(status *handoff.Status) bool {
-					return status.Serving != nil && status.Serving.AgentState == "serving" && status.Next == nil
-				})
-				if err != nil {
-					return err
-				}
-				if status.Serving.Generation != 1 || status.Settled.Generation != 1 {
-					return fmt.Errorf("status %+v", status)
-				}
-				recoveryMS = status.LastCrashMS
-				<-done
-				// It can be changed again, and by a good one.
-				if reply, err = fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil {
-					return fmt.Errorf("back to nothing: %w", err)
-				}
-				if reply.OK {
-					return fmt.Errorf("back to nothing: %+v", reply)
-				}
-				return nil
+			result := playUpgrades(t, text, func(fleet *emulator.Kept) (err error) {
+				recoveryMS, err = tc.upgrade(t, fleet)
+				return err
 			})
-			t.Logf("back after %d ms", recoveryMS)
-			if result.Refused > 0 || !c.dies && result.Broke > 0 {
+			t.Logf("old generation served again after %d ms", recoveryMS)
+			if result.Refused > 0 || !tc.dies && result.Broke > 0 {
 				t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
 			}
-			if c.back && recoveryMS > 500 {
+			if tc.fallsBack && recoveryMS > 500 {
 				t.Errorf("served again %d ms after the end of the new one", recoveryMS)
 			}
 		})
 	}
 }
 
-// Processes killed and stopped at each step of a change: one generation serves in
-// the end, the old one unless the new one was settled.
+// upgrade asks for the faulty program and checks the reply, the generation that serves
+// afterwards and that the supervisor still takes commands. It returns how long the
+// router was without a serving generation.
+func (tc faultyGeneration) upgrade(t *testing.T, fleet *emulator.Kept) (recoveryMS int64, err error) {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		if tc.dies {
+			excuseCrashOnTrial(fleet)
+		}
+	}()
+	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply, Program: faultyProgram(t, tc.fault)})
+	if err != nil {
+		return 0, err
+	}
+	if reply.OK || reply.FellBack != tc.fallsBack || !strings.Contains(reply.Note, tc.reason) {
+		return 0, fmt.Errorf("%+v", reply)
+	}
+	status, err := fleet.Until(0, 2*time.Second, func(status *handoff.Status) bool {
+		return status.Serving != nil && status.Serving.AgentState == "serving" && status.Next == nil
+	})
+	if err != nil {
+		return 0, err
+	}
+	if status.Serving.Generation != 1 || status.Settled.Generation != 1 {
+		return 0, fmt.Errorf("status %+v", status)
+	}
+	<-done
+	// The supervisor still takes commands: there is no earlier generation to roll back to.
+	reply, err = fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack})
+	if err != nil {
+		return 0, fmt.Errorf("rollback without an earlier generation: %w", err)
+	}
+	if reply.OK {
+		return 0, fmt.Errorf("rollback without an earlier generation: %+v", reply)
+	}
+	return status.LastCrashMS, nil
+}
+
+// excuseCrashOnTrial excuses the requests that a new generation holds when it dies on
+// trial.
+func excuseCrashOnTrial(fleet *emulator.Kept) {
+	onTrial := func(status *handoff.Status) bool {
+		return status.State == "on trial" || status.State == "handing over"
+	}
+	if _, err := fleet.Until(0, 4*time.Second, onTrial); err != nil {
+		return
+	}
+	// That it did not settle shows in what the test checks next.
+	_, _ = fleet.Until(0, 4*time.Second, func(status *handoff.Status) bool {
+		fleet.Crashed(0)
+		return status.State == "steady"
+	})
+}
+
+// Guards against a router without a serving generation, or with two, after processes
+// were killed or stopped at a step of an upgrade: the old generation serves in the end
+// unless the new one was settled.
 func TestProcessKilledAtEachUpgradeStep(t *testing.T) {
 	t.Parallel()
-	text := strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 1.5", 1) + "load: {txns_per_s: 100, objects: 500}\nlength_s: 12\n"
+	text := strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 1.5", 1) +
+		"load: {txns_per_s: 100, objects: 500}\nlength_s: 12\n"
 	for _, step := range []string{"warming", "on trial", "steady"} {
 		for _, target := range []string{"old", "new", "keeper", "keeper and new", "stop keeper", "stop new", "all"} {
 			if step == "steady" && strings.Contains(target, "new") {
-				continue // there is none
+				continue // there is no new process
 			}
 			t.Run(step+", "+target, func(t *testing.T) {
 				t.Parallel()
 				playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Kept) error {
-					minLoadTime := time.After(3 * time.Second) // of load
-					err := injectFault(t, fleet, step, target)
+					minLoadTime := time.After(3 * time.Second)
+					err := injectFault(fleet, step, target)
 					<-minLoadTime
 					return err
 				})
@@ -105,78 +134,104 @@
 	}
 }
 
-func injectFault(_ *testing.T, fleet *emulator.Kept, step, target string) error {
-	asked := make(chan *handoff.Message, 1)
+// injectFault kills or stops the target's processes at a step of an upgrade and checks
+// which generation serves in the end.
+func injectFault(fleet *emulator.Kept, step, target string) error {
 	if step != "steady" {
-		go func() {
-			w, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
-			asked <- w
-		}()
+		// The reply may never come; the generation that serves in the end shows the outcome.
+		go func() { _, _ = fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}) }()
 	}
-	s, err := fleet.Until(0, 4*time.Second, func(s *handoff.Status) bool {
-		return s.State == step && s.Serving != nil && (step == "steady" || s.Next != nil)
+	status, err := fleet.Until(0, 4*time.Second, func(status *handoff.Status) bool {
+		return status.State == step && status.Serving != nil && (step == "steady" || status.Next != nil)
 	})
 	if err != nil {
 		return err
 	}
-	var next int
-	if s.Next != nil {
-		next = s.Next.PID
+	if err := killOrStop(fleet, status, target); err != nil {
+		return err
+	}
+	supervisorKilled := strings.Contains(target, "keeper") && !strings.Contains(target, "stop") || target == "all"
+	if supervisorKilled {
+		if err := restartSupervisor(fleet, target != "all"); err != nil {
+			return err
+		}
+	}
+	if err := expectSettledGeneration(fleet, generationAfterFault(step, target)); err != nil {
+		return err
 	}
+	return checkHealth(fleet.Listen(0))
+}
+
+// killOrStop sends the signals of an injected fault.
+func killOrStop(fleet *emulator.Kept, status *handoff.Status, target string) error {
 	kill := func(pid int) error { return fleet.Signal(0, pid, syscall.SIGKILL) }
-	keeperGone := strings.Contains(target, "keeper") && !strings.Contains(target, "stop") || target == "all"
+	var next int
+	if status.Next != nil {
+		next = status.Next.PID
+	}
 	switch target {
 	case "old":
-		err = kill(s.Serving.PID)
+		return kill(status.Serving.PID)
 	case "new":
-		err = kill(next)
+		return kill(next)
 	case "keeper":
-		err = fleet.KillKeeper(0)
+		return fleet.KillKeeper(0)
 	case "keeper and new":
-		err = errors.Join(fleet.KillKeeper(0), kill(next))
+		return errors.Join(fleet.KillKeeper(0), kill(next))
 	case "all":
-		err = errors.Join(fleet.KillKeeper(0), kill(s.Serving.PID))
+		err := errors.Join(fleet.KillKeeper(0), kill(status.Serving.PID))
 		if next != 0 {
 			err = errors.Join(err, kill(next))
 		}
+		return err
 	case "stop keeper":
-		if err = syscall.Kill(s.SupervisorPID, syscall.SIGSTOP); err == nil {
-			time.Sleep(2 * time.Second)
-			err = syscall.Kill(s.SupervisorPID, syscall.SIGCONT)
+		if err := syscall.Kill(status.SupervisorPID, syscall.SIGSTOP); err != nil {
+			return err
 		}
+		time.Sleep(2 * time.Second)
+		return syscall.Kill(status.SupervisorPID, syscall.SIGCONT)
 	case "stop new":
-		fleet.Crashed(0) // it may hold some, and is killed for its silence
-		err = syscall.Kill(next, syscall.SIGSTOP)
+		fleet.Crashed(0) // it may hold requests, and is killed for its missing heartbeats
+		return syscall.Kill(next, syscall.SIGSTOP)
 	}
-	if err != nil {
-		return err
-	}
-	if keeperGone {
-		time.Sleep(700 * time.Millisecond) // longer than a generation yields
-		if target != "all" {
-			if err := checkHealth(fleet.Listen(0)); err != nil {
-				return fmt.Errorf("without a keeper: %w", err)
-			}
-		}
-		if err := fleet.StartKeeper(0); err != nil {
-			return err
+	return nil
+}
+
+// restartSupervisor starts a killed supervisor again, after it was missing for longer
+// than a generation waits before it yields.
+func restartSupervisor(fleet *emulator.Kept, generationServes bool) error {
+	time.Sleep(700 * time.Millisecond)
+	if generationServes {
+		if err := checkHealth(fleet.Listen(0)); err != nil {
+			return fmt.Errorf("without a supervisor: %w", err)
 		}
 	}
-	s, err = fleet.Until(0, 5*time.Second, func(s *handoff.Status) bool {
-		return s.State == "steady" && s.Serving != nil && s.Serving.AgentState == "serving" && s.Next == nil
+	return fleet.StartKeeper(0)
+}
+
+// generationAfterFault is the generation that has to serve in the end.
+func generationAfterFault(step, target string) uint64 {
+	switch {
+	case step == "on trial" && (target == "old" || target == "stop keeper"): // the new one passes its trial
+		return 2
+	case step == "warming" && target == "stop keeper": // the upgrade goes on when the supervisor does
+		return 2
+	}
+	return 1
+}
+
+// expectSettledGeneration waits for a steady router and checks its generation.
+func expectSettledGeneration(fleet *emulator.Kept, want uint64) error {
+	status, err := fleet.Until(0, 5*time.Second, func(status *handoff.Status) bool {
+		return status.State == "steady" && status.Serving != nil &&
+			status.Serving.AgentState == "serving" && status.Next == nil
 	})
 	if err != nil {
 		return err
 	}
-	want := uint64(1)
-	switch {
-	case step == "on trial" && (target == "old" || target == "stop keeper"): // the new one does well
-		want = 2
-	case step == "warming" && target == "stop keeper":
-		want = 2 // it goes on when it wakes
-	}
-	if s.Serving.Generation != want || s.Settled.Generation != want {
-		return fmt.Errorf("generation %d serves and %d is settled, %d was to: last %q", s.Serving.Generation, s.Settled.Generation, want, s.LastOutcome)
+	if status.Serving.Generation != want || status.Settled.Generation != want {
+		return fmt.Errorf("generation %d serves and %d is settled, want %d: last outcome %q",
+			status.Serving.Generation, status.Settled.Generation, want, status.LastOutcome)
 	}
-	return checkHealth(fleet.Listen(0))
+	return nil
 }
--- /dev/null
+++ b/cmd/quilldoor/upgradeharness_test.go
@@ -0,0 +1,79 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"quilldoor/internal/checker"
+	"quilldoor/internal/emulator"
+)
+
+// supervisedFleet is one supervised router before caches and an origin.
+const supervisedFleet = `
+settle_s: 0.5
+fleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2, keep: true, trial_s: 0.4, board_ms: 200, death_ms: 500, cold_s: 2}
+`
+
+// playUpgrades plays a scenario with supervised routers while drive upgrades them.
+func playUpgrades(t *testing.T, text string, drive func(*emulator.Kept) error) *emulator.Result {
+	t.Helper()
+	return playUpgradesWith(t, text, playOptions{}, drive)
+}
+
+// playOptions are options of a scenario with supervised routers.
+type playOptions struct {
+	allowed      func(checker.Violation) bool // violations that the program under test is meant to cause
+	endWithDrive bool                         // the load ends when drive returns
+}
+
+// playUpgradesWith is playUpgrades with options.
+func playUpgradesWith(
+	t *testing.T, text string, options playOptions, drive func(*emulator.Kept) error,
+) *emulator.Result {
+	t.Helper()
+	result, err := playScenario(t, text, emulator.Options{}, emulator.Routers{
+		Program: os.Args[0], EndWithDrive: options.endWithDrive,
+		Drive: func(_ context.Context, fleet *emulator.Kept) error { return drive(fleet) },
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, violation := range result.Breaks {
+		if options.allowed == nil || !options.allowed(violation) {
+			t.Error(violation)
+		}
+	}
+	t.Logf("score %.4f, %d judged, %d excused, %d refused, %d broken off",
+		result.Worth(), result.Judged, result.Excused, result.Refused, result.Broke)
+	if result.Judged < 150 {
+		t.Errorf("%d requests: too few to tell anything", result.Judged)
+	}
+	return result
+}
+
+// checkHealth fails unless a router's health endpoint answers with 200.
+func checkHealth(listen string) error {
+	status, err := healthStatus(listen)
+	if err != nil {
+		return err
+	}
+	if status != 200 {
+		return fmt.Errorf("health: status %d", status)
+	}
+	return nil
+}
+
+// healthStatus is the status of a router's health endpoint, asked by a new connection.
+func healthStatus(listen string) (int, error) {
+	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	res, err := client.Get("http://" + listen + "/health")
+	if err != nil {
+		return 0, err
+	}
+	res.Body.Close()
+	return res.StatusCode, nil
+}
