--- /dev/null
+++ b/internal/emulator/virtual_discovery.go
@@ -0,0 +1,37 @@
+package emulator
+
+import (
+	"quilldoor/internal/gossip"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/simulation"
+)
+
+// Told tells a router of servers, or of a purge.
+func (v *virtualRun) Told(router int, n simulation.Notice) {
+	v.routers[router].whenRunning(func() { v.notify(router, n) })
+}
+
+func (v *virtualRun) notify(router int, notice simulation.Notice) {
+	r := v.routers[router]
+	if v.options.observer != nil {
+		if notice.Purge {
+			v.options.observer.purged(router, v.now(), notice.Object, notice.Group, notice.At+epochMicros)
+		} else {
+			v.options.observer.endpointsChanged(router, v.now(), false, routerEndpoints(notice.Servers))
+		}
+	}
+	if v.options.Deaf != nil && v.options.Deaf(router, notice) {
+		return
+	}
+	if notice.Purge {
+		if r.gateway != nil {
+			v.seenPurges[router] = append(v.seenPurges[router], notice)
+		}
+		if r.replica != nil {
+			r.replica.ApplyLocalPurge(v.now(), gossip.Purge{Object: notice.Object, Group: notice.Group, At: notice.At + epochMicros})
+		}
+		r.engine.Purge(v.now(), notice.Object, notice.Group, notice.At+epochMicros)
+		return
+	}
+	r.engine.UpdateEndpoints(v.now(), policy.ScopeDiff, v.mergeEndpoints(r, false, routerEndpoints(notice.Servers)))
+}
