--- a/cmd/quilldoor/fakeplatform_test.go
+++ b/cmd/quilldoor/fakeplatform_test.go
@@ -15,48 +15,57 @@
 	"time"
 )
 
-// fakePlatform is a stand-in for all that a router talks to: a cache that always has
-// the latest version of each object, the origin, and a notice board whose events
-// are numbered from 1 at each start of the router.
+// fakePlatform stands for all that a router talks to: a cache that always has the latest
+// version of each object, the origin, and discovery, whose events are numbered from 1 at
+// each start of the router.
 type fakePlatform struct {
 	cache     *fakeEndpoint
 	discovery net.Listener
 
 	mu            sync.Mutex
-	versions      map[string]int // of an object, now
-	minVersions   map[string]int // that an answer to a request sent now must have
-	asked         map[string]int // hops by object
-	events        []string       // of the board since the router's start; the first is no purge
-	lastPolled    int            // last event that the router has
+	versions      map[string]int // current version by object
+	minVersions   map[string]int // the oldest that a request sent now may get
+	events        []string       // of discovery since the router's start; the first is no purge
+	lastPolled    int            // number of the last event that the router has
 	revalidations int
 	attempts      int
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
-	o := &fakePlatform{versions: map[string]int{}, minVersions: map[string]int{}, asked: map[string]int{}}
-	o.cache = newFakeEndpoint(t, o.respond)
-	go func() { // nobody reads the lines
-		for range o.cache.received {
+	p := &fakePlatform{versions: map[string]int{}, minVersions: map[string]int{}}
+	p.cache = newFakeEndpoint(t, p.respond)
+	go func() { // no test reads the received lines
+		for range p.cache.received {
 		}
 	}()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.discovery = l
-	go func() { _ = http.Serve(l, http.HandlerFunc(o.servePoll)) }() // until the listener is closed
-	t.Cleanup(func() { l.Close() })
-	return o
+	p.discovery = listener
+	go func() { _ = http.Serve(listener, http.HandlerFunc(p.servePoll)) }() // until the listener is closed
+	t.Cleanup(func() { listener.Close() })
+	return p
 }
 
+// restartDiscovery forgets all events but the first, for a new process of the router.
+func (p *fakePlatform) restartDiscovery(first string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.events = []string{first}
+	p.lastPolled = 0
+}
+
+// objectBody is the content of one part of an object at a version.
 func objectBody(object, part string, version int) string {
 	return strings.Repeat(fmt.Sprintf("%s/%s version %d;", object, part, version), 150)
 }
 
-func (o *fakePlatform) respond(id, fields, body string) string {
+// respond answers an attempt as the cache or the origin.
+func (p *fakePlatform) respond(id, fields, body string) string {
 	field := map[string]string{}
-	for f := range strings.SplitSeq(fields, ",") {
-		name, value, _ := strings.Cut(f, "=")
+	for pair := range strings.SplitSeq(fields, ",") {
+		name, value, _ := strings.Cut(pair, "=")
 		field[name] = value
 	}
 	if field["queue"] == "sign" {
@@ -65,71 +74,83 @@
 	if field["queue"] == "draw" {
 		return fmt.Sprintf("%s ACK entity=e,issued=%d 12\r\nSECRET-DRAWN\r\n", id, time.Now().UnixMilli())
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	object := field["path"]
-	current := o.versions[object]
+	current := p.versions[object]
 	tag := fmt.Sprintf("%s.%s.%d", object, field["blk"], current)
-	o.attempts++
+	p.attempts++
 	if field["mine"] == tag {
-		o.revalidations++
+		p.revalidations++
 		return fmt.Sprintf("%s NOMOD entity=%s,issued=%d 0\r\n\r\n", id, tag, time.Now().UnixMilli())
 	}
 	text := objectBody(object, field["blk"], current)
-	return fmt.Sprintf("%s ACK entity=%s,issued=%d,detail=HIT %d\r\n%s\r\n", id, tag, time.Now().UnixMilli(), len(text), text)
+	return fmt.Sprintf("%s ACK entity=%s,issued=%d,detail=HIT %d\r\n%s\r\n",
+		id, tag, time.Now().UnixMilli(), len(text), text)
 }
 
-func (o *fakePlatform) servePoll(w http.ResponseWriter, r *http.Request) {
+// servePoll answers a poll of discovery, which waits for a new event for a while.
+func (p *fakePlatform) servePoll(w http.ResponseWriter, r *http.Request) {
 	watch, _ := strconv.Atoi(r.URL.Query().Get("watch"))
-	o.mu.Lock()
-	o.lastPolled = max(o.lastPolled, watch) // once: the poll of a router that was killed goes on for a while
-	o.mu.Unlock()
+	p.mu.Lock()
+	// Not at each turn below: the poll of a killed router goes on for a while.
+	p.lastPolled = max(p.lastPolled, watch)
+	p.mu.Unlock()
 	for until := time.Now().Add(200 * time.Millisecond); ; time.Sleep(time.Millisecond) {
-		o.mu.Lock()
-		if watch < len(o.events) || time.Now().After(until) {
-			text := fmt.Sprintf(`{"rev":%d,"notices":[%s]}`, len(o.events), strings.Join(o.events[min(watch, len(o.events)):], ","))
-			o.mu.Unlock()
+		p.mu.Lock()
+		if watch < len(p.events) || time.Now().After(until) {
+			unseen := strings.Join(p.events[min(watch, len(p.events)):], ",")
+			text := fmt.Sprintf(`{"rev":%d,"notices":[%s]}`, len(p.events), unseen)
+			p.mu.Unlock()
 			io.WriteString(w, text)
 			return
 		}
-		o.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
 
-// purge makes new versions; told says that the board has it, and returns once
-// the router has it from there.
-func (o *fakePlatform) purge(objects []string, collection int, announced bool) {
-	o.mu.Lock()
+// purge makes new versions of objects. An announced purge is an event of discovery, for
+// a collection if one is given, and purge returns once the router has polled it.
+func (p *fakePlatform) purge(objects []string, collection int, announced bool) {
+	p.mu.Lock()
 	for _, object := range objects {
-		o.versions[object]++
+		p.versions[object]++
 	}
-	at := time.Now().UnixMilli()
-	rev := len(o.events) + 1
+	purgedAt := time.Now().UnixMilli()
+	rev := len(p.events) + 1
 	scope := fmt.Sprintf(`"asset":%q`, objects[0])
 	if collection > 0 {
 		scope = fmt.Sprintf(`"collection":%d`, collection)
 	}
 	if announced {
-		o.events = append(o.events, fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, rev, scope, at))
+		p.events = append(p.events, fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, rev, scope, purgedAt))
 	}
-	o.mu.Unlock()
-	for until := time.Now().Add(5 * time.Second); announced && time.Now().Before(until); time.Sleep(time.Millisecond) {
-		o.mu.Lock()
-		delivered := o.lastPolled >= rev
-		o.mu.Unlock()
-		if delivered {
-			break
-		}
+	p.mu.Unlock()
+	if announced {
+		p.waitForPoll(rev)
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, object := range objects {
-		o.minVersions[object] = o.versions[object]
+		p.minVersions[object] = p.versions[object]
 	}
 }
 
-// loadUntilKilled asks for objects until the router is gone, and judges each answer.
-func (o *fakePlatform) loadUntilKilled(addr string, seed uint64, served, wrongResponses *atomic.Int64, report func(string)) {
+// waitForPoll waits until the router has polled an event, for 5 s at most.
+func (p *fakePlatform) waitForPoll(event int) {
+	for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		p.mu.Lock()
+		delivered := p.lastPolled >= event
+		p.mu.Unlock()
+		if delivered {
+			return
+		}
+	}
+}
+
+// loadUntilKilled sends requests until the router is gone, counts the pages served and
+// reports each wrong response.
+func (p *fakePlatform) loadUntilKilled(addr string, seed uint64, served *atomic.Int64, report func(string)) {
 	random := rand.New(rand.NewPCG(seed, 9))
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -140,41 +161,47 @@
 	for {
 		object := fmt.Sprintf("o%d", int(random.ExpFloat64()*4)%40)
 		part := strconv.Itoa(random.IntN(3))
-		method, target, body := "GET", "/rpc/page/"+object+"/n-"+part, ""
-		switch random.IntN(40) {
-		case 0: // read, but not to be repeated, so not to be kept
-			target = "/rpc/draw/" + object
-		case 1:
-			method, target, body = "PUT", "/rpc/sign/"+object, "SECRET-ACCEPTANCE"
-		}
-		o.mu.Lock()
-		minVersion := o.minVersions[object]
-		o.mu.Unlock()
-		fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 1500\r\nX-Shard: %d\r\nContent-Length: %d\r\n\r\n%s",
+		method, target, body := randomRequest(random, object, part)
+		p.mu.Lock()
+		minVersion := p.minVersions[object]
+		p.mu.Unlock()
+		fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 1500\r\n"+
+			"X-Shard: %d\r\nContent-Length: %d\r\n\r\n%s",
 			method, target, random.Uint64(), collectionOf(object), len(body), body)
-		res, err := http.ReadResponse(reader, nil)
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return
 		}
-		got, err := io.ReadAll(res.Body)
+		got, err := io.ReadAll(response.Body)
 		if err != nil {
-			return // killed within its answer
+			return // killed within its response
 		}
-		if res.StatusCode == 304 {
-			wrongResponses.Add(1)
+		if response.StatusCode == 304 {
 			report("304 to a client without a copy")
 		}
-		if method == "PUT" || strings.HasPrefix(target, "/rpc/draw/") || res.StatusCode != 200 {
+		if method == "PUT" || strings.HasPrefix(target, "/rpc/draw/") || response.StatusCode != 200 {
 			continue
 		}
 		served.Add(1)
-		gotVersion := -1
-		_, _ = fmt.Sscanf(string(got), object+"/"+part+" version %d;", &gotVersion) // -1 where it is no such body
+		gotVersion := -1 // stays so where the body has another form
+		_, _ = fmt.Sscanf(string(got), object+"/"+part+" version %d;", &gotVersion)
 		if gotVersion < minVersion || string(got) != objectBody(object, part, gotVersion) {
-			wrongResponses.Add(1)
 			report(fmt.Sprintf("%s/%s: %.40q, version %d at least", object, part, got, minVersion))
 		}
 	}
 }
 
+// randomRequest is most often a page, which may be cached, else one of the two classes
+// that may not.
+func randomRequest(random *rand.Rand, object, part string) (method, target, body string) {
+	switch random.IntN(40) {
+	case 0: // read, but unsafe to repeat
+		return "GET", "/rpc/draw/" + object, ""
+	case 1:
+		return "PUT", "/rpc/sign/" + object, "SECRET-ACCEPTANCE"
+	}
+	return "GET", "/rpc/page/" + object + "/n-" + part, ""
+}
+
+// collectionOf is the collection that an object belongs to.
 func collectionOf(object string) int { return 1 + len(object)%2 }
--- a/cmd/quilldoor/killedrouter_test.go
+++ b/cmd/quilldoor/killedrouter_test.go
@@ -17,26 +17,35 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// A router under load is killed outright, mid-write, again and again. Nothing
-// torn, nothing older than a purge, nothing forbidden comes from its disk.
-func TestKilledRouterServesNothingStale(t *testing.T) {
-	const rounds = 20
-	platform := newFakePlatform(t)
+// killedRouter is a router with a disk cache that is started and killed again and again.
+type killedRouter struct {
+	platform *fakePlatform
+	addr     string // bound again after each death
+	folder   string // of the disk cache
+	config   string
+	operator string
+	metrics  string
+	pool     string // the first event of discovery
+}
+
+// newKilledRouter writes the files of a router before a fake platform.
+func newKilledRouter(t *testing.T) *killedRouter {
+	t.Helper()
 	dir := t.TempDir()
-	folder := filepath.Join(dir, "tier")
-	if err := os.Mkdir(folder, 0o700); err != nil {
-		t.Fatal(err)
-	}
-	addr := reserveAddress(t) // the router binds it again after each death
+	platform := newFakePlatform(t)
 	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
-	pool := `{"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", platform.cache.Addr(), "box") + "," +
-		fmt.Sprintf(target, "o", platform.cache.Addr(), "origin") + `]}}`
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
+	router := &killedRouter{
+		platform: platform,
+		addr:     reserveAddress(t),
+		folder:   filepath.Join(dir, "tier"),
+		config:   filepath.Join(dir, "config.json"),
+		operator: filepath.Join(dir, "quilldoor.yaml"),
+		metrics:  filepath.Join(dir, "figures"),
+		pool: `{"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", platform.cache.Addr(), "box") + "," +
+			fmt.Sprintf(target, "o", platform.cache.Addr(), "origin") + `]}}`,
+	}
+	if err := os.Mkdir(router.folder, 0o700); err != nil {
+		t.Fatal(err)
 	}
 	settings := `"settings":{"Zone":"z","Zones":["z"],"Kinds":["box","origin"],"Siblings":1,
 	  "FamilyInfo":{"MasterKind":1,"BypassAllowed":true,"GoesThrough":[false,true,false],"NotesGiven":"all",
@@ -45,80 +54,115 @@
 	  "Classes":[{"Name":"page","Effect":"safe","TargetMs":500,"GiveUpMs":2000,"Value":1},
 	   {"Name":"sign","Effect":"unsafe","TargetMs":500,"GiveUpMs":2000,"Value":1},
 	   {"Name":"draw","Effect":"unsafe","TargetMs":500,"GiveUpMs":2000,"Value":1}]}}`
-	config := write("config.json", `{"name":"t","listen":"`+addr+`","seed":"1","board":"`+platform.discovery.Addr().String()+
-		`","known":{"rev":1,"notices":[`+pool+`]},`+settings)
-	operatorFile := write("quilldoor.yaml", "disk:\n  path: "+folder+"\n  size_mb: 16\n  slot_kb: 1\n  sync_ms: 10\n  write_mb_per_s: 2\n"+
-		"metrics:\n  file: "+filepath.Join(dir, "figures")+"\n  every_s: 1\n")
-	var served, wrongResponses atomic.Int64
-	parts, unannounced := 0, 0
-	random := rand.New(rand.NewPCG(4, 4))
-	for round := range rounds {
-		platform.mu.Lock()
-		platform.events, platform.lastPolled = []string{pool}, 0
-		platform.mu.Unlock()
-		var log bytes.Buffer
-		router := exec.Command(os.Args[0], "serve", "--config", config, "--operator", operatorFile, "--log-format", "json")
-		router.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1", "LB_CONFIG=", "LB_NAME=", "LB_LISTEN=", "LB_OPERATOR=")
-		router.Stderr = &log
-		if err := router.Start(); err != nil {
-			t.Fatal(err)
-		}
-		ready := false
-		for until := time.Now().Add(10 * time.Second); !ready && time.Now().Before(until); time.Sleep(time.Millisecond) {
-			if res, err := http.Get("http://" + addr + "/health"); err == nil {
-				res.Body.Close()
-				ready = res.StatusCode == 200
-			}
+	writeFile(t, router.config, []byte(`{"name":"t","listen":"`+router.addr+
+		`","seed":"1","board":"`+platform.discovery.Addr().String()+
+		`","known":{"rev":1,"notices":[`+router.pool+`]},`+settings))
+	writeFile(t, router.operator, []byte("disk:\n  path: "+router.folder+
+		"\n  size_mb: 16\n  slot_kb: 1\n  sync_ms: 10\n  write_mb_per_s: 2\n"+
+		"metrics:\n  file: "+router.metrics+"\n  every_s: 1\n"))
+	return router
+}
+
+// start starts the router's process with a new discovery and waits until it is healthy.
+func (k *killedRouter) start(t *testing.T, round int, log *bytes.Buffer) *exec.Cmd {
+	t.Helper()
+	k.platform.restartDiscovery(k.pool)
+	process := exec.Command(os.Args[0], "serve", "--config", k.config, "--operator", k.operator, "--log-format", "json")
+	process.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1", "LB_CONFIG=", "LB_NAME=", "LB_LISTEN=", "LB_OPERATOR=")
+	process.Stderr = log
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
+	}
+	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		response, err := http.Get("http://" + k.addr + "/health")
+		if err != nil {
+			continue
 		}
-		if !ready {
-			router.Process.Kill()
-			router.Wait()
-			t.Fatalf("round %d: the router isn't ready: %s", round, log.String())
+		response.Body.Close()
+		if response.StatusCode == 200 {
+			return process
 		}
-		var clients sync.WaitGroup
-		for i := range 4 {
-			clients.Go(func() {
-				platform.loadUntilKilled(addr, uint64(round*10+i), &served, &wrongResponses, func(what string) { t.Errorf("round %d: %s", round, what) })
+	}
+	process.Process.Kill()
+	process.Wait()
+	t.Fatalf("round %d: the router isn't ready: %s", round, log.String())
+	return nil
+}
+
+// loadAndKill starts the router, purges objects under load, kills it in the middle of
+// its writes and checks its log.
+func (k *killedRouter) loadAndKill(t *testing.T, round int, random *rand.Rand, served *atomic.Int64) {
+	t.Helper()
+	var log bytes.Buffer
+	process := k.start(t, round, &log)
+	var clients sync.WaitGroup
+	for i := range 4 {
+		clients.Go(func() {
+			k.platform.loadUntilKilled(k.addr, uint64(round*10+i), served, func(what string) {
+				t.Errorf("round %d: %s", round, what)
 			})
-		}
-		time.Sleep(time.Duration(120+random.IntN(60)) * time.Millisecond)
-		platform.purge([]string{fmt.Sprintf("o%d", random.IntN(8))}, 0, true)
-		if round%3 == 0 {
-			platform.purge([]string{"o1", "o2", "o3", "o5"}, collectionOf("o1"), true)
-		}
-		time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
-		router.Process.Kill()
-		router.Wait()
-		clients.Wait()
-		if strings.Contains(log.String(), `"level":"error"`) || strings.Contains(log.String(), "panic") {
-			t.Fatalf("round %d: %s", round, log.String())
-		}
-		report, err := diskstore.Inspect(diskstore.Dir{Path: folder, ReadOnly: true}, true)
+		})
+	}
+	time.Sleep(time.Duration(120+random.IntN(60)) * time.Millisecond)
+	k.platform.purge([]string{fmt.Sprintf("o%d", random.IntN(8))}, 0, true)
+	if round%3 == 0 {
+		k.platform.purge([]string{"o1", "o2", "o3", "o5"}, collectionOf("o1"), true)
+	}
+	time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
+	process.Process.Kill()
+	process.Wait()
+	clients.Wait()
+	if strings.Contains(log.String(), `"level":"error"`) || strings.Contains(log.String(), "panic") {
+		t.Fatalf("round %d: %s", round, log.String())
+	}
+}
+
+// Guards against a disk cache that serves torn, purged or forbidden content after its
+// router was killed in the middle of a write.
+func TestKilledRouterServesNothingStale(t *testing.T) {
+	const rounds = 20
+	router := newKilledRouter(t)
+	platform := router.platform
+	var served atomic.Int64
+	parts, unannounced := 0, 0
+	random := rand.New(rand.NewPCG(4, 4))
+	for round := range rounds {
+		router.loadAndKill(t, round, random, &served)
+		report, err := diskstore.Inspect(diskstore.Dir{Path: router.folder, ReadOnly: true}, true)
 		if err != nil || !report.Intact() {
 			t.Fatalf("round %d: %+v, %v", round, report, err)
 		}
 		parts = report.Parts
-		// Nobody tells the next router of these.
+		// The next process is not told of these: its copies need a revalidation.
 		purged := []string{fmt.Sprintf("o%d", random.IntN(4)), fmt.Sprintf("o%d", random.IntN(20))}
 		platform.purge(purged, 0, false)
 		unannounced += len(purged)
 	}
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	t.Logf("%d rounds: %d txns served, %d hops, %d copies proven, %d parts at the end, %d purges untold",
+	t.Logf("%d rounds: %d requests served, %d attempts, %d revalidations, %d parts at the end, %d purges unannounced",
 		rounds, served.Load(), platform.attempts, platform.revalidations, parts, unannounced)
 	if int(served.Load()) < platform.attempts+500 || platform.revalidations < rounds || parts < 30 {
 		t.Error("the disk did too little for this test to tell anything")
 	}
-	if err := filepath.WalkDir(folder, func(path string, _ os.DirEntry, _ error) error {
-		if b, _ := os.ReadFile(path); bytes.Contains(b, []byte("SECRET")) {
-			t.Errorf("%s holds an acceptance", path)
+	router.checkNoSecretOnDisk(t)
+	figures, err := os.ReadFile(router.metrics)
+	if err != nil || !strings.Contains(string(figures), `quilldoor_disk_looks_total{reason="good"}`) {
+		t.Errorf("metrics: %v, %.200s", err, figures)
+	}
+}
+
+// checkNoSecretOnDisk checks that no content of the classes that may not be cached is
+// in a file of the disk cache.
+func (k *killedRouter) checkNoSecretOnDisk(t *testing.T) {
+	t.Helper()
+	err := filepath.WalkDir(k.folder, func(path string, _ os.DirEntry, _ error) error {
+		if content, _ := os.ReadFile(path); bytes.Contains(content, []byte("SECRET")) {
+			t.Errorf("%s holds content that may not be cached", path)
 		}
 		return nil
-	}); err != nil {
+	})
+	if err != nil {
 		t.Error(err)
 	}
-	if figures, err := os.ReadFile(filepath.Join(dir, "figures")); err != nil || !strings.Contains(string(figures), `quilldoor_disk_looks_total{reason="good"}`) {
-		t.Errorf("figures: %v, %.200s", err, figures)
-	}
 }
