--- a/cmd/quilldoor/asyncwriter_test.go
+++ b/cmd/quilldoor/asyncwriter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A log that nobody read could hold up what time brings, time-outs among it.
+// Guards against a log that nobody reads and that delays the router, its timeouts included.
 func TestBlockedLogDelaysNobody(t *testing.T) {
 	r, w := io.Pipe() // a write waits for a read
 	o := newAsyncWriter(w)
--- a/cmd/quilldoor/build_test.go
+++ b/cmd/quilldoor/build_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The operators' bench loads a library into the router's process: the program that the
-// deploy file builds must name the C library as one that it needs.
+// Guards against a static build: a library that is preloaded into the router's process
+// takes effect only where the built program needs the C library.
 func TestBuiltRouterNeedsTheCLibrary(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/quilldoor/emulation_test.go
+++ b/cmd/quilldoor/emulation_test.go
@@ -10,7 +10,7 @@
 	"quilldoor/internal/settings"
 )
 
-// Real routers before an emulated fleet with all kinds of trouble keep the rules.
+// Guards against invariants broken by real routers before a fleet with all kinds of faults.
 func TestEmulatedFaults(t *testing.T) {
 	t.Parallel()
 	result, err := playWithOwnProgram(t, `
@@ -45,11 +45,11 @@
 		}
 	}
 	if answered < 200 || result.Fallen > 0 || result.Judged < answered {
-		t.Errorf("%d answered, %d judged, %d pushed over", answered, result.Judged, result.Fallen)
+		t.Errorf("%d answered, %d judged, %d overloaded", answered, result.Judged, result.Fallen)
 	}
 }
 
-// A router process that dies is told of, with what it said last.
+// Guards against a run that goes on, or hides the reason, when a router process ends.
 func TestDeadRouterEndsTheRun(t *testing.T) {
 	began := time.Now()
 	_, err := playWithOwnProgram(t, "length_s: 60\nfleet: {offices: 1, trunks: 1}\n", emulator.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }})
@@ -62,9 +62,8 @@
 	}
 }
 
-// Two and four real routers at two sites, joined by TLS, the way between them cut
-// for long and for short, one of them killed, purges told on both sides: each txn
-// one end, no effect twice, no copy older than a purge.
+// Guards against requests lost or executed twice, and copies older than a purge, between
+// the gateways of two sites while the link is cut and a router is killed.
 func TestEmulatedSites(t *testing.T) {
 	for name, text := range map[string]string{"two": `
 length_s: 9
@@ -100,9 +99,9 @@
 			for _, violation := range result.Breaks {
 				t.Error(violation)
 			}
-			t.Logf("%d tries, %d carried to another site", result.Judged, forwarded)
+			t.Logf("%d judged, %d forwarded to another site", result.Judged, forwarded)
 			if forwarded < 3 {
-				t.Errorf("%d txns carried: too few to tell anything", forwarded)
+				t.Errorf("%d requests forwarded: too few to tell anything", forwarded)
 			}
 		})
 	}
--- a/cmd/quilldoor/fakeendpoint_test.go
+++ b/cmd/quilldoor/fakeendpoint_test.go
@@ -10,62 +10,66 @@
 	"testing"
 )
 
-// fakeEndpoint is a cache server of the test's own: it passes the lines it gets to
-// got and writes what answer makes of a GET. An answer of "CLOSE" ends the
-// connection behind what stands before it; an empty one leaves the hop open.
+// fakeEndpoint is a cache or origin of a test.
 type fakeEndpoint struct {
 	net.Listener
-	received chan string
-	respond  func(id, fields, body string) string
+	received chan string // the lines that it got
+	// respond makes the response to a GET. A response that ends in "CLOSE" closes the
+	// connection after what stands before; an empty one leaves the attempt open.
+	respond func(id, fields, body string) string
 }
 
-func newFakeEndpoint(t *testing.T, answer func(id, fields, body string) string) *fakeEndpoint {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newFakeEndpoint starts an endpoint on loopback that serves until the end of the test.
+func newFakeEndpoint(t *testing.T, respond func(id, fields, body string) string) *fakeEndpoint {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	s := &fakeEndpoint{l, make(chan string, 1000), answer}
+	t.Cleanup(func() { listener.Close() })
+	e := &fakeEndpoint{listener, make(chan string, 1000), respond}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go s.serve(c)
+			go e.serve(conn)
 		}
 	}()
-	return s
+	return e
 }
 
-func (s *fakeEndpoint) serve(c net.Conn) {
-	defer c.Close()
-	r := bufio.NewReader(c)
+// serve reads lines and answers each GET until the connection ends.
+func (e *fakeEndpoint) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		line, err := r.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
 		line = strings.TrimSpace(line)
 		words := strings.Fields(line)
 		if words[0] != "GET" {
-			s.received <- line
+			e.received <- line
 			continue
 		}
-		n, _ := strconv.Atoi(words[3])
-		body := make([]byte, n+2)
-		if _, err := io.ReadFull(r, body); err != nil {
+		length, _ := strconv.Atoi(words[3])
+		body := make([]byte, length+2) // and a line end
+		if _, err := io.ReadFull(reader, body); err != nil {
 			return
 		}
-		s.received <- line
-		text, end := strings.CutSuffix(s.respond(words[1], words[2], string(body[:n])), "CLOSE")
-		c.Write([]byte(text))
-		if end {
+		e.received <- line
+		response, closes := strings.CutSuffix(e.respond(words[1], words[2], string(body[:length])), "CLOSE")
+		conn.Write([]byte(response))
+		if closes {
 			return
 		}
 	}
 }
 
+// ack is a response with a body, of a cache that had it.
 func ack(id, body string) string {
 	return fmt.Sprintf("%s ACK entity=e1,issued=7,detail=HIT %d\r\n%s\r\n", id, len(body), body)
 }
--- a/cmd/quilldoor/main_test.go
+++ b/cmd/quilldoor/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The test's own binary is the router where a test starts one to kill it.
+// TestMain makes the test binary the router where a test starts one as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("QUILLDOOR_TEST_MAIN") != "" {
 		main()
--- a/cmd/quilldoor/membership_test.go
+++ b/cmd/quilldoor/membership_test.go
@@ -15,21 +15,20 @@
 	"quilldoor/internal/scenario"
 )
 
-// Six real routers that know each other, under load, while some of them fail or are
-// cut off: each txn one end, no rule broken, no live router called dead by all the
-// others, and every view right soon after the last trouble.
+// Guards against live routers called dead by all others, and views that stay wrong after
+// the last fault, while routers under load fail or are cut off.
 func TestMembershipAmongProcesses(t *testing.T) {
 	const fleet = `
 settle_s: 1
 fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3, members: true, board_ms: 200, death_ms: 500, cold_s: 2}
 load: {txns_per_s: 90, objects: 800}
 `
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name, text string
-		agreed     int64 // milliseconds after the last turn
+		agreed     int64 // milliseconds after the last fault
 		excused    bool
 	}{
-		// Half die in one instant and come back from nothing, while a purge and a dead cache go on.
+		// Half crash at once and restart without state, during a purge and a cache outage.
 		{"half die", `
 length_s: 11
 troubles:
@@ -37,12 +36,12 @@
   - {kind: purge, at: 3, share: 0.9}
   - {kind: die, at: 3, for: 2, share: 0.3}
 `, 4000, false},
-		// All are started again together: nobody is there to ask.
+		// All restart together: there is no peer to get state from.
 		{"all restart", `
 length_s: 9
 troubles: [{kind: router_dies, at: 3, for: 0.5}]
 `, 4000, false},
-		// Stopped for longer than suspicion takes, and woken into a changed world.
+		// Stopped for longer than the suspicion timeout, while the endpoints change.
 		{"stopped", `
 length_s: 17
 troubles:
@@ -50,7 +49,7 @@
   - {kind: purge, at: 4, share: 0.9}
   - {kind: deploy, at: 4, for: 1, every: 0.5, strength: 1, office: 2}
 `, 4000, true},
-		// Words late, lost, doubled, overtaken; routers short of CPU; one stop that is no death.
+		// Messages late, lost, doubled, reordered; routers short of CPU; one pause without a crash.
 		{"poor ways", `
 length_s: 12
 troubles:
@@ -61,7 +60,7 @@
   - {kind: router_starves, at: 2, for: 6, share: 0.17, strength: 0.5}
   - {kind: router_stops, at: 4, for: 0.5, share: 0.17}
 `, 4000, false},
-		// Cut one way, into a chain, into halves, into three; then healed.
+		// Partitions: one way, a chain, halves, three parts; each heals.
 		{"cuts", `
 length_s: 18
 troubles:
@@ -72,7 +71,7 @@
   - {kind: cut_board, at: 7, for: 2, share: 0.34}
   - {kind: purge, at: 8, share: 0.5}
 `, 5000, false},
-		// A third has no board while caches drain, die and come back cold: the others tell it.
+		// A third has no discovery while caches drain, fail and warm up: gossip tells it.
 		{"board cut", `
 length_s: 16
 troubles:
@@ -82,7 +81,7 @@
   - {kind: preempt, at: 2.5, for: 14, share: 0.5, office: 3, strength: 12}
   - {kind: purge, at: 5, share: 0.5}
 `, 4000, false},
-		// Three camps, while a purge, a drain and a cold office come.
+		// Three partitions during a purge, a drain and the loss of a zone.
 		{"camps", `
 length_s: 14
 troubles:
@@ -93,9 +92,9 @@
   - {kind: ways_delay, at: 10, for: 2, share: 0.17, strength: 300}
 `, 4000, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			result, err := playWithOwnProgram(t, fleet+c.text, emulator.Options{})
+			result, err := playWithOwnProgram(t, fleet+tc.text, emulator.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -103,25 +102,26 @@
 				t.Error(violation)
 			}
 			members := result.Members
-			t.Logf("worth %.3f, %d judged, %d excused; %d looks, agreed after %d ms", result.Worth(), result.Judged, result.Excused, members.Looks, members.AgreedAfter/1000)
+			t.Logf("score %.3f, %d judged, %d excused; %d samples, agreed after %d ms",
+				result.Worth(), result.Judged, result.Excused, members.Looks, members.AgreedAfter/1000)
 			if members.Looks < 10 || result.Judged < 400 {
-				t.Errorf("%d looks, %d txns: too few to tell anything", members.Looks, result.Judged)
+				t.Errorf("%d samples, %d requests: too few to tell anything", members.Looks, result.Judged)
 			}
-			if members.AgreedAfter < 0 || members.AgreedAfter > c.agreed*1000 {
-				t.Errorf("views agreed %d ms after the last trouble", members.AgreedAfter/1000)
+			if members.AgreedAfter < 0 || members.AgreedAfter > tc.agreed*1000 {
+				t.Errorf("views agreed %d ms after the last fault", members.AgreedAfter/1000)
 			}
 			if len(members.DeadByAll) > 0 {
 				t.Errorf("called dead by all while alive: %v", members.DeadByAll)
 			}
-			if c.excused != (result.Excused > 0) && c.excused {
-				t.Errorf("%d txns fell due while their router stood still", result.Excused)
+			if tc.excused != (result.Excused > 0) && tc.excused {
+				t.Errorf("%d requests excused for a stopped router", result.Excused)
 			}
 		})
 	}
 }
 
-// The same cut of the board breaks rules where routers know nobody: the test above
-// proves what it says.
+// Guards against a scenario "board cut" that would pass without gossip: routers without
+// membership break an invariant in it.
 func TestDiscoveryCutBesideStarvedRouters(t *testing.T) {
 	t.Parallel()
 	result, err := playWithOwnProgram(t, `
@@ -138,82 +138,120 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("%d breaks of rule 3", result.Count[3]); result.Count[3] == 0 {
-		t.Error("no rule is broken by routers that know nobody")
+	t.Logf("%d violations of rule 3", result.Count[3])
+	if result.Count[3] == 0 {
+		t.Error("no violation by routers without membership")
 	}
 }
 
-// Membership is refused where the settings forbid talk among routers, and a person
-// asks a running router with its own command.
-func writeFile(t *testing.T, path string, content []byte) {
+// membershipFleet is two router processes that are members of one group.
+type membershipFleet struct {
+	dir       string
+	key       string
+	addresses []string // for clients by TCP, and for members by UDP
+}
+
+func newMembershipFleet(t *testing.T) *membershipFleet {
+	t.Helper()
+	dir := t.TempDir()
+	fleet := &membershipFleet{
+		dir:       dir,
+		key:       filepath.Join(dir, "key"),
+		addresses: []string{reserveAddress(t), reserveAddress(t)},
+	}
+	writeFile(t, fleet.key, []byte("a key of sixteen bytes"))
+	return fleet
+}
+
+func (f *membershipFleet) configPath(i int) string {
+	return filepath.Join(f.dir, fmt.Sprint("n", i, ".json"))
+}
+
+func (f *membershipFleet) operatorPath(i int) string {
+	return filepath.Join(f.dir, fmt.Sprint("n", i, ".yaml"))
+}
+
+// writeFiles writes a router's configuration, whose settings may forbid membership, and
+// its operator's file.
+func (f *membershipFleet) writeFiles(t *testing.T, i int, permitted bool) {
 	t.Helper()
-	if err := os.WriteFile(path, content, 0o600); err != nil {
+	defaults := scenario.Default()
+	defaults.Fleet.Membership = permitted
+	text, err := json.Marshal(map[string]any{
+		"name":     fmt.Sprint("n", i),
+		"listen":   f.addresses[i],
+		"seed":     "1",
+		"board":    "127.0.0.1:1",
+		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
+		"settings": defaults.Settings(0, 0),
+		"known":    json.RawMessage(`{"rev":0,"notices":[]}`),
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
+	writeFile(t, f.configPath(i), text)
+	operator := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n"+
+		"  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n",
+		i, f.addresses[i], f.key, f.addresses[0], f.addresses[1])
+	writeFile(t, f.operatorPath(i), []byte(operator))
 }
 
-func TestMembershipCommand(t *testing.T) {
-	dir := t.TempDir()
-	key := filepath.Join(dir, "key")
-	writeFile(t, key, []byte("a key of sixteen bytes"))
-	var processes []*exec.Cmd
-	var files []string
-	addresses := []string{reserveAddress(t), reserveAddress(t)} // for clients by TCP, and for members by UDP
-	start := func(i int, permitted bool) (*exec.Cmd, *strings.Builder) {
-		s := scenario.Default()
-		s.Fleet.Membership = permitted
-		text, _ := json.Marshal(map[string]any{
-			"name": fmt.Sprint("n", i), "listen": addresses[i], "seed": "1", "board": "127.0.0.1:1",
-			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": s.Settings(0, 0), "known": json.RawMessage(`{"rev":0,"notices":[]}`),
-		})
-		config := filepath.Join(dir, fmt.Sprint("n", i, ".json"))
-		writeFile(t, config, text)
-		operatorText := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n", i, addresses[i], key, addresses[0], addresses[1])
-		file := filepath.Join(dir, fmt.Sprint("n", i, ".yaml"))
-		writeFile(t, file, []byte(operatorText))
-		files = append(files, file)
-		cmd := exec.Command(os.Args[0], "serve", "--config", config, "--operator", file)
-		cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
-		out := new(strings.Builder)
-		cmd.Stderr = out
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
+// start starts a router process and returns what it writes to its standard error.
+func (f *membershipFleet) start(t *testing.T, i int, permitted bool) (*exec.Cmd, *strings.Builder) {
+	t.Helper()
+	f.writeFiles(t, i, permitted)
+	cmd := exec.Command(os.Args[0], "serve", "--config", f.configPath(i), "--operator", f.operatorPath(i))
+	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
+	stderr := new(strings.Builder)
+	cmd.Stderr = stderr
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	return cmd, stderr
+}
+
+// members runs the members command at the first router.
+func (f *membershipFleet) members(args ...string) string {
+	cmd := exec.Command(os.Args[0], append([]string{"members", "--operator", f.operatorPath(0)}, args...)...)
+	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
+	out, _ := cmd.CombinedOutput()
+	return string(out)
+}
+
+// waitFor repeats the members command until its output has the text.
+func (f *membershipFleet) waitFor(t *testing.T, text string, args ...string) {
+	t.Helper()
+	last := ""
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		last = f.members(args...)
+		if strings.Contains(last, text) {
+			return
 		}
-		return cmd, out
 	}
-	cmd, out := start(0, false)
-	if err := cmd.Wait(); err == nil || !strings.Contains(out.String(), "settings.Limits.PeerMessages") {
-		t.Fatalf("forbidden, and it runs: %v, %s", err, out)
+	t.Fatalf("%v: no %q in\n%s", args, text, last)
+}
+
+// Guards against membership where the settings forbid messages between routers, and a
+// command that does not show a running router's view.
+func TestMembershipCommand(t *testing.T) {
+	fleet := newMembershipFleet(t)
+	forbidden, stderr := fleet.start(t, 0, false)
+	if err := forbidden.Wait(); err == nil || !strings.Contains(stderr.String(), "settings.Limits.PeerMessages") {
+		t.Fatalf("forbidden, and it runs: %v, %s", err, stderr)
 	}
-	files = nil
+	var processes []*exec.Cmd
 	for i := range 2 {
-		cmd, _ := start(i, true)
+		cmd, _ := fleet.start(t, i, true)
 		processes = append(processes, cmd)
 		defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	}
-	ask := func(args ...string) string {
-		cmd := exec.Command(os.Args[0], append([]string{"members", "--operator", files[0]}, args...)...)
-		cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
-		out, _ := cmd.CombinedOutput()
-		return string(out)
-	}
-	waitFor := func(what string, args ...string) {
-		t.Helper()
-		last := ""
-		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			if last = ask(args...); strings.Contains(last, what) {
-				return
-			}
-		}
-		t.Fatalf("%v: no %q in\n%s", args, what, last)
-	}
-	waitFor("2 of 2 routers reachable")
-	waitFor("all that answered agree", "--matrix")
-	if text := ask("--json"); !json.Valid([]byte(text)) {
+	fleet.waitFor(t, "2 of 2 routers reachable")
+	fleet.waitFor(t, "all that answered agree", "--matrix")
+	if text := fleet.members("--json"); !json.Valid([]byte(text)) {
 		t.Errorf("no JSON: %s", text)
 	}
-	// A planned end is told, and is no failure.
+	// A planned end is gossiped and is no failure.
 	processes[1].Process.Signal(syscall.SIGTERM)
-	waitFor("leaving")
-	waitFor(" left ")
+	fleet.waitFor(t, "leaving")
+	fleet.waitFor(t, " left ")
 }
--- a/cmd/quilldoor/requests_test.go
+++ b/cmd/quilldoor/requests_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Guards against requests and responses that are translated wrongly in either direction.
 func TestConversation(t *testing.T) {
 	long := strings.Repeat("0123456789", 24_000)
 	origin := newFakeEndpoint(t, func(id, _, body string) string {
@@ -44,6 +45,7 @@
 	}
 }
 
+// Guards against bad requests that get no response, another status, or an attempt.
 func TestBadRequestsAreAnswered(t *testing.T) {
 	none := newFakeEndpoint(t, func(string, string, string) string { return "" })
 	addr := startRouter(t, none.Addr().String(), none.Addr().String()).addr
@@ -55,7 +57,7 @@
 		c.sendRequest("GET", target, "", "")
 		c.expectStatus(t, status)
 	}
-	// What doesn't fit a cache server's line once closed it over other hops.
+	// A header that broke the cache's line protocol closed its connection under other attempts.
 	for _, header := range []string{
 		"X-Txn: 12", "X-Ttl-Ms: -5", "X-Ttl-Ms: soon", "X-Ttl-Ms: 9000000", "X-Ttl-Ms: NaN",
 		"X-Shard: 256", "X-Shard: 1\r\nX-Shard: 1", "X-Shard: 01", "X-Shard: 1\r\nContent-Length: 2\r\n",
@@ -77,15 +79,15 @@
 		io.WriteString(c, text)
 		c.expectStatus(t, status)
 		if _, err := c.reader.ReadByte(); err == nil {
-			t.Errorf("%.20q: the connection goes on", text)
+			t.Errorf("%.20q: the connection stays open", text)
 		}
 	}
 	if len(none.received) > 0 {
-		t.Errorf("a hop went out: %s", <-none.received)
+		t.Errorf("an attempt was made: %s", <-none.received)
 	}
 }
 
-// A wait for a hop once didn't see that its client had gone.
+// Guards against an attempt that runs on after its client has left.
 func TestLeavingClientCancelsItsAttempt(t *testing.T) {
 	silent := newFakeEndpoint(t, func(string, string, string) string { return "" })
 	addr := startRouter(t, silent.Addr().String(), silent.Addr().String()).addr
@@ -98,6 +100,7 @@
 	}
 }
 
+// Guards against an endpoint that does not respond and delays requests beside it.
 func TestSilentEndpointDelaysNoOtherAttempt(t *testing.T) {
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "path=slow,") {
@@ -111,7 +114,7 @@
 	<-cache.received
 	quick.sendRequest("GET", "/rpc/page/x", "", "")
 	quick.expectStatus(t, "200")
-	// The slow one is answered in its time, too, and its connection goes on.
+	// The slow request is answered by its deadline, too, and its connection stays open.
 	if status, _, _ := slow.readResponse(t); status != "503" && status != "504" {
 		t.Fatal(status)
 	}
@@ -119,7 +122,7 @@
 	slow.expectStatus(t, "200")
 }
 
-// What broke off, or broke the protocol, was answered whole by the next try.
+// Guards against a broken response that reaches the client, or ends its request.
 func TestBrokenResponsesAreRetried(t *testing.T) {
 	for _, first := range []string{"CLOSE", "%s ACK entity=e,issued=7 10\r\n01234CLOSE", "%s ACK - -1\r\n", "%s ACK - 0\r\n\r\n", "x\r\n"} {
 		tries := 0
@@ -138,8 +141,8 @@
 	}
 }
 
-// An unrepeatable txn that may have run is aborted; where it is proven that it
-// has not, it goes again and may be rejected.
+// Guards against an unsafe request that is executed twice: it is retried only where it is
+// proven that it was not executed.
 func TestUnsafeRequestsAreNotRetried(t *testing.T) {
 	for answer, want := range map[string]string{"%s EIO - 0\r\n\r\n": "504", "CLOSE": "504", "%s AGAIN - 0\r\n\r\n": "503"} {
 		origin := newFakeEndpoint(t, func(id, _, _ string) string { return strings.Replace(answer, "%s", id, 1) })
@@ -156,6 +159,7 @@
 	}
 }
 
+// Guards against an unsafe request taken for maybe executed though no connection was made.
 func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	gone := reserveAddress(t) // nobody listens there
 	addr := startRouter(t, gone, gone).addr
@@ -164,8 +168,8 @@
 	c.expectStatus(t, "503")
 }
 
-// A keyed txn's mark once stayed behind, so that no cache server could have told a
-// repeat; one without a mark is no request.
+// Guards against an idempotency key that is not forwarded, without which no endpoint can
+// tell a retry; a request without a valid key is rejected.
 func TestKeyedRequestCarriesItsIdempotencyKey(t *testing.T) {
 	origin := newFakeEndpoint(t, func(id, _, _ string) string { return id + " ACK - 2\r\nok\r\n" })
 	keyed := strings.NewReplacer(`"Effect":"unsafe"`, `"Effect":"keyed","Group":"all","DedupWindowMs":700`)
@@ -174,7 +178,7 @@
 	c.sendRequest("PUT", "/rpc/sign/x", "X-Txn-Key: k-17\r\n", "name")
 	c.expectStatus(t, "200")
 	if line := <-origin.received; !strings.Contains(line, ",uniq=k-17 ") {
-		t.Errorf("the mark is missing: %s", line)
+		t.Errorf("the key is missing: %s", line)
 	}
 	for _, mark := range []string{"", "X-Txn-Key: a,b\r\n", "X-Txn-Key: k\r\nX-Txn-Key: k\r\n", "X-Txn-Key: " + strings.Repeat("k", 200) + "\r\n"} {
 		c.sendRequest("PUT", "/rpc/sign/x", mark, "name")
@@ -182,7 +186,7 @@
 	}
 }
 
-// An answer that names another copy than the client's once made it a 304.
+// Guards against a 304 made of a response that names another copy than the client's.
 func TestCopyIsCurrentOnlyByItsOwnTag(t *testing.T) {
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "mine=") {
@@ -193,14 +197,14 @@
 	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
 	c.sendRequest("GET", "/rpc/page/x", "If-None-Match: \"e1\"\r\n", "")
 	if status, head, _ := c.readResponse(t); status == "304" {
-		t.Errorf("called current: %s", head)
+		t.Errorf("answered 304: %s", head)
 	}
 	c.sendRequest("GET", "/rpc/page/x", "", "")
 	c.expectStatus(t, "200")
 }
 
-// What a client sent ahead ends with it: neither another hop of the txn in hand nor
-// the next txn begins.
+// Guards against work for a client that has left: neither another attempt at its open
+// request nor its next, pipelined request begins.
 func TestNoAttemptBeginsForAClientThatLeft(t *testing.T) {
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "path=held,") {
@@ -222,23 +226,23 @@
 	other.sendRequest("GET", "/rpc/page/other", "", "")
 	other.expectStatus(t, "200")
 	if line := <-cache.received; !strings.Contains(line, "path=other,") {
-		t.Errorf("begun for nobody: %s", line)
+		t.Errorf("begun for a client that left: %s", line)
 	}
 }
 
-// Many commands at once are answered one by one, each once and in order.
+// Guards against pipelined requests whose responses are lost, doubled or out of order.
 func TestManyCommandsAtOnce(t *testing.T) {
-	const most = 200 // more than the buffer holds
+	const requests = 200 // more than the buffer holds
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string { return ack(id, fields[:strings.Index(fields, ",blk")]) })
 	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
 	go func() {
-		for n := range most {
+		for n := range requests {
 			fmt.Fprintf(c, "GET /rpc/page/p%d HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n", n, 1<<40+n)
 		}
 	}()
-	for n := range most {
+	for n := range requests {
 		if _, body := c.expectStatus(t, "200"); body != fmt.Sprintf("queue=page,path=p%d", n) {
-			t.Fatalf("answer %d: %q", n, body)
+			t.Fatalf("response %d: %q", n, body)
 		}
 	}
 }
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// A router stood still for fifteen seconds while its table of descriptors grew.
+// Guards against a router that stalls while the kernel grows its descriptor table.
 func TestDescriptorTableIsGrownAtTheStart(t *testing.T) {
 	if err := growDescriptorTable(900); err != nil {
 		t.Fatal(err)
@@ -23,11 +23,11 @@
 	}
 	_, size, _ := strings.Cut(string(status), "FDSize:")
 	if n, _ := strconv.Atoi(strings.Fields(size)[0]); n < 900 {
-		t.Fatalf("room for %d descriptors", n)
+		t.Fatalf("the table has %d descriptors", n)
 	}
 }
 
-// What was taken before and shortly after the signal is answered.
+// Guards against a shutdown that drops requests accepted before or shortly after its signal.
 func TestShutdownAnswersAll(t *testing.T) {
 	release := make(chan bool)
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
@@ -37,28 +37,26 @@
 		return ack(id, "there")
 	})
 	r := startRouter(t, cache.Addr().String(), cache.Addr().String())
-	addr, term, end := r.addr, r.terminate, r.done
-	held := dial(t, addr)
+	held := dial(t, r.addr)
 	held.sendRequest("GET", "/rpc/page/held", "", "")
 	<-cache.received
-	term <- syscall.SIGTERM
-	late := dial(t, addr)
+	r.terminate <- syscall.SIGTERM
+	late := dial(t, r.addr)
 	late.sendRequest("GET", "/rpc/page/x", "", "")
 	late.expectStatus(t, "200")
 	close(release)
 	held.expectStatus(t, "200")
-	err := <-end
-	if err != nil {
+	if err := <-r.done; err != nil {
 		t.Fatal(err)
 	}
-	if _, err := net.Dial("tcp", addr); err == nil {
+	if _, err := net.Dial("tcp", r.addr); err == nil {
 		t.Fatal("still listening")
 	}
-	end <- nil
+	r.done <- nil // for the cleanup
 }
 
-// SIGHUP once ended the router. A bad file changes nothing; a good one moves the
-// follower, which goes on behind the last event, and open txns don't notice.
+// Guards against a reload that ends the router, takes a bad file, forgets the last event
+// of discovery or disturbs open requests.
 func TestReload(t *testing.T) {
 	release := make(chan bool)
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
@@ -67,11 +65,11 @@
 		}
 		return ack(id, "there")
 	})
-	other, err := net.Listen("tcp", "127.0.0.1:0")
+	discovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
+	defer discovery.Close()
 	r := startRouter(t, cache.Addr().String(), cache.Addr().String())
 	held := dial(t, r.addr)
 	held.sendRequest("GET", "/rpc/page/held", "", "")
@@ -81,20 +79,20 @@
 		r.reload <- syscall.SIGHUP
 		r.waitForLog(t, "the old one stays")
 	}
-	// Its first event is known already; the second takes the cache away.
-	text := strings.Replace(r.config, "127.0.0.1:1\"", other.Addr().String()+"\"", 1)
+	// The first event is known already; the second drains the cache.
+	text := strings.Replace(r.config, "127.0.0.1:1\"", discovery.Addr().String()+"\"", 1)
 	text = strings.Replace(text, `}]}}]}`, `}]}},{"rev":2,"pool":{"targets":[{"uid":"c","state":"draining"}]}}]}`, 1)
 	r.writeConfig(t, strings.Replace(text, `"seed":"1"`, `"seed":"2"`, 1))
 	r.reload <- syscall.SIGHUP
 	r.waitForLog(t, "key=seed")
 	r.waitForLog(t, "scope=diff")
-	for range 2 { // the second reload comes while the first one's poll is out
-		c, err := other.Accept()
+	for range 2 { // the second reload comes during the poll of the first
+		conn, err := discovery.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		line, _ := bufio.NewReader(c).ReadString('\n')
+		defer conn.Close()
+		line, _ := bufio.NewReader(conn).ReadString('\n')
 		if !strings.HasPrefix(line, "GET /board/poll?watch=2&") {
 			t.Fatal(line)
 		}
@@ -104,16 +102,16 @@
 	held.expectStatus(t, "200")
 }
 
-// Once the listener is shut, answers say that their connections end, so that clients
-// come back elsewhere before theirs are shut.
+// Guards against clients that send on connections about to be closed: once the listener
+// is closed, each response announces the end of its connection.
 func TestResponsesSayCloseOnceTheListenerIsShut(t *testing.T) {
 	shutdownServeTime = 5 * time.Second
 	defer func() { shutdownServeTime = 50 * time.Millisecond }()
 	cache := newFakeEndpoint(t, func(id, _, _ string) string { return ack(id, "there") })
 	r := startRouter(t, cache.Addr().String(), cache.Addr().String())
-	c, resting := dial(t, r.addr), dial(t, r.addr)
-	resting.sendRequest("GET", "/rpc/page/x", "", "")
-	resting.expectStatus(t, "200")
+	c, idle := dial(t, r.addr), dial(t, r.addr)
+	idle.sendRequest("GET", "/rpc/page/x", "", "")
+	idle.expectStatus(t, "200")
 	r.terminate <- syscall.SIGTERM
 	r.terminate <- syscall.SIGTERM // a second one changes nothing
 	for closing := false; !closing; {
@@ -123,16 +121,16 @@
 		closing = strings.Contains(head, "Connection: close")
 	}
 	if _, err := c.reader.ReadByte(); err != io.EOF {
-		t.Errorf("behind the last answer: %v", err)
+		t.Errorf("after the last response: %v", err)
 	}
-	// One that rests until it is let go sees a plain end, no reset.
-	if _, err := resting.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the resting client: %v", err)
+	// An idle client sees an orderly end, no reset.
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
+		t.Errorf("the idle client: %v", err)
 	}
-	resting.Close()
+	idle.Close()
 	if err := <-r.done; err != nil {
 		t.Error(err)
 	}
-	<-r.terminate // the cleanup's place
+	<-r.terminate // makes room for the cleanup's signal
 	r.done <- nil
 }
--- a/cmd/quilldoor/testrouter_test.go
+++ b/cmd/quilldoor/testrouter_test.go
@@ -17,7 +17,7 @@
 	"quilldoor/internal/loopback"
 )
 
-// shutdownServeTime is how long routers under test serve on behind their listeners.
+// shutdownServeTime is how long a router under test serves after its listener is closed.
 var shutdownServeTime = 50 * time.Millisecond
 
 // reserveAddress is an address on loopback that only this test binds.
@@ -30,59 +30,77 @@
 	return address.String()
 }
 
-// testRouter is a router under test.
+// testRouter is a router that runs inside the test process.
 type testRouter struct {
-	addr, configPath, config string // of its configuration, board at 127.0.0.1:1
-	terminate, reload        chan os.Signal
-	done                     chan error
-	log                      chan string // messages from info up
+	addr       string
+	config     string // the JSON that it started with
+	configPath string
+	terminate  chan os.Signal
+	reload     chan os.Signal
+	done       chan error
+	log        chan string // messages from info up
 }
 
+// Levels has the router's messages from info up.
 func (r *testRouter) Levels() []logrus.Level { return logrus.AllLevels[:logrus.InfoLevel+1] }
-func (r *testRouter) Fire(e *logrus.Entry) error {
-	text, err := e.String()
+
+// Fire passes a log message on to the test, which need not read it.
+func (r *testRouter) Fire(entry *logrus.Entry) error {
+	text, err := entry.String()
 	select {
 	case r.log <- text:
-	default: // no test reads so many
+	default:
 	}
 	return err
 }
 
-// startRouter starts one with a cache and an origin.
+// testRouterConfig is the configuration of a router before one cache and one origin;
+// nothing listens at its discovery address.
+func testRouterConfig(addr, cache, origin string) string {
+	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
+	return `{"name":"t","listen":"` + addr + `","seed":"1","board":"127.0.0.1:1","known":{"rev":1,"notices":[
+	 {"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", cache, "box") + "," +
+		fmt.Sprintf(target, "o", origin, "origin") + `]}}]},
+	 "settings":{"Zone":"z","Zones":["z"],"Kinds":["box","origin"],"Siblings":1,
+	  "FamilyInfo":{"MasterKind":1,"BypassAllowed":true,"GoesThrough":[false,true],"NotesGiven":"all"},
+	  "Limits":{"MostTries":6,"Cancel":true,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfterMs":500,"StreamsPerConn":32},
+	  "Classes":[{"Name":"page","Effect":"safe","TargetMs":500,"GiveUpMs":2000,"Value":1},
+	   {"Name":"sign","Effect":"unsafe","TargetMs":500,"GiveUpMs":2000,"Value":1}]}}`
+}
+
+// startRouter starts a router before a cache and an origin.
 func startRouter(t *testing.T, cache, origin string) *testRouter {
 	t.Helper()
 	return startRouterWith(t, cache, origin, "", strings.NewReplacer())
 }
 
-// startRouterWith starts one with an operator's file, and its configuration edited.
+// startRouterWith starts a router with an operator's file and an edited configuration,
+// and stops it at the end of the test.
 func startRouterWith(t *testing.T, cache, origin, operatorFile string, edit *strings.Replacer) *testRouter {
 	t.Helper()
+	addr := reserveAddress(t)
 	r := &testRouter{
-		addr: reserveAddress(t), configPath: filepath.Join(t.TempDir(), "config.json"),
-		terminate: make(chan os.Signal, 1), reload: make(chan os.Signal, 1), done: make(chan error, 1), log: make(chan string, 1000),
+		addr:       addr,
+		config:     edit.Replace(testRouterConfig(addr, cache, origin)),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		terminate:  make(chan os.Signal, 1),
+		reload:     make(chan os.Signal, 1),
+		done:       make(chan error, 1),
+		log:        make(chan string, 1000),
 	}
-	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
-	r.config = `{"name":"t","listen":"` + r.addr + `","seed":"1","board":"127.0.0.1:1","known":{"rev":1,"notices":[
-	 {"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", cache, "box") + "," +
-		fmt.Sprintf(target, "o", origin, "origin") + `]}}]},
-	 "settings":{"Zone":"z","Zones":["z"],"Kinds":["box","origin"],"Siblings":1,
-	  "FamilyInfo":{"MasterKind":1,"BypassAllowed":true,"GoesThrough":[false,true],"NotesGiven":"all"},
-	  "Limits":{"MostTries":6,"Cancel":true,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfterMs":500,"StreamsPerConn":32},
-	  "Classes":[{"Name":"page","Effect":"safe","TargetMs":500,"GiveUpMs":2000,"Value":1},
-	   {"Name":"sign","Effect":"unsafe","TargetMs":500,"GiveUpMs":2000,"Value":1}]}}`
-	r.config = edit.Replace(r.config)
 	r.writeConfig(t, r.config)
-	f := &flags{overrides: config.Overrides{File: r.configPath}, operatorFile: operatorFile}
-	c, err := f.load()
+	flags := &flags{overrides: config.Overrides{File: r.configPath}, operatorFile: operatorFile}
+	startConfig, err := flags.load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Limits.ShutdownAcceptTime, c.Limits.ShutdownServeTime = 300*time.Millisecond, shutdownServeTime
+	startConfig.Limits.ShutdownAcceptTime = 300 * time.Millisecond
+	startConfig.Limits.ShutdownServeTime = shutdownServeTime
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.AddHook(r)
 	go func() {
-		r.done <- serve(c, log, r.terminate, r.reload, f.load)
+		r.done <- serve(startConfig, log, r.terminate, r.reload, flags.load)
 	}()
 	t.Cleanup(func() {
 		r.terminate <- syscall.SIGTERM
@@ -90,20 +108,33 @@
 			t.Error(err)
 		}
 	})
+	r.waitUntilListening(t)
+	return r
+}
+
+// waitUntilListening waits until the router accepts connections.
+func (r *testRouter) waitUntilListening(t *testing.T) {
+	t.Helper()
 	for range 1000 {
-		if c, err := net.Dial("tcp", r.addr); err == nil {
-			c.Close()
-			return r
+		if conn, err := net.Dial("tcp", r.addr); err == nil {
+			conn.Close()
+			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 	t.Fatal("the router doesn't listen")
-	return nil
 }
 
+// writeConfig replaces the configuration file.
 func (r *testRouter) writeConfig(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(r.configPath, []byte(text), 0o600); err != nil {
+	writeFile(t, r.configPath, []byte(text))
+}
+
+// writeFile writes a file that only this user reads.
+func writeFile(t *testing.T, path string, content []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -111,14 +142,14 @@
 // waitForLog waits for a line of the log with the text.
 func (r *testRouter) waitForLog(t *testing.T, text string) {
 	t.Helper()
-	over := time.After(10 * time.Second)
+	timeout := time.After(10 * time.Second)
 	for {
 		select {
 		case line := <-r.log:
 			if strings.Contains(line, text) {
 				return
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatalf("nothing logged with %q", text)
 		}
 	}
