--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -16,8 +16,8 @@
 	"quilldoor/internal/membership"
 )
 
-// earlierCommit is the landing before keepers: its routers know each other, and know
-// nothing of generations.
+// earlierCommit is the last one before supervisors: its routers have membership but no
+// generations.
 const earlierCommit = "4908419758da4242638886f5b5b86827d6656c20"
 
 // earlierProgram builds the earlier commit, where the repository's history is at hand.
--- a/cmd/quilldoor/emulation_test.go
+++ b/cmd/quilldoor/emulation_test.go
@@ -52,12 +52,14 @@
 // Guards against a run that goes on, or hides the reason, when a router process ends.
 func TestDeadRouterEndsTheRun(t *testing.T) {
 	began := time.Now()
-	_, err := playWithOwnProgram(t, "length_s: 60\nfleet: {offices: 1, trunks: 1}\n", emulator.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }})
+	invalid := emulator.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }}
+	_, err := playWithOwnProgram(t, "length_s: 60\nfleet: {offices: 1, trunks: 1}\n", invalid)
 	if err == nil || !strings.Contains(err.Error(), "settings.Classes[0].Effect") || time.Since(began) > 30*time.Second {
 		t.Fatalf("after %v: %v", time.Since(began), err)
 	}
-	if _, err := playWithOwnProgram(t, "fleet: {offices: 100, routers: 5, caches: 10}\nload: {txns_per_s: 10}\n", emulator.Options{}); err == nil ||
-		!strings.Contains(err.Error(), "listeners") {
+	tooLarge := "fleet: {offices: 100, routers: 5, caches: 10}\nload: {txns_per_s: 10}\n"
+	_, err = playWithOwnProgram(t, tooLarge, emulator.Options{})
+	if err == nil || !strings.Contains(err.Error(), "listeners") {
 		t.Fatalf("more than the machine has: %v", err)
 	}
 }
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -100,14 +100,16 @@
 		reply, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 		first <- reply
 	}()
-	if _, err := fleet.Until(0, 3*time.Second, func(status *handoff.Status) bool { return status.State != "steady" }); err != nil {
+	upgrading := func(status *handoff.Status) bool { return status.State != "steady" }
+	if _, err := fleet.Until(0, 3*time.Second, upgrading); err != nil {
 		return err
 	}
 	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil || reply.OK || !strings.Contains(reply.Note, "refused") {
 		t.Errorf("second upgrade: %v, %+v", err, reply)
 	}
-	if _, err := fleet.Until(0, 3*time.Second, func(status *handoff.Status) bool { return status.State == "on trial" }); err != nil {
+	onTrial := func(status *handoff.Status) bool { return status.State == "on trial" }
+	if _, err := fleet.Until(0, 3*time.Second, onTrial); err != nil {
 		return err
 	}
 	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !reply.FellBack {
--- a/cmd/quilldoor/requests_test.go
+++ b/cmd/quilldoor/requests_test.go
@@ -124,10 +124,16 @@
 
 // Guards against a broken response that reaches the client, or ends its request.
 func TestBrokenResponsesAreRetried(t *testing.T) {
-	for _, first := range []string{"CLOSE", "%s ACK entity=e,issued=7 10\r\n01234CLOSE", "%s ACK - -1\r\n", "%s ACK - 0\r\n\r\n", "x\r\n"} {
-		tries := 0
+	for _, first := range []string{
+		"CLOSE",
+		"%s ACK entity=e,issued=7 10\r\n01234CLOSE",
+		"%s ACK - -1\r\n",
+		"%s ACK - 0\r\n\r\n",
+		"x\r\n",
+	} {
+		attempts := 0
 		server := newFakeEndpoint(t, func(id, _, _ string) string {
-			if tries++; tries == 1 {
+			if attempts++; attempts == 1 {
 				return strings.Replace(first, "%s", id, 1)
 			}
 			return ack(id, "whole")
@@ -150,8 +156,8 @@
 		c := dial(t, addr)
 		c.sendRequest("PUT", "/rpc/sign/x", "", "name")
 		head, _ := c.expectStatus(t, want)
-		if tries := len(origin.received); (tries > 1) != (want == "503") {
-			t.Errorf("%q: %d tries", answer, tries)
+		if attempts := len(origin.received); (attempts > 1) != (want == "503") {
+			t.Errorf("%q: %d attempts", answer, attempts)
 		}
 		if strings.Contains(head, "X-Throttle-Ms: 500") != (want == "503") {
 			t.Errorf("%q: %s", answer, head)
@@ -180,8 +186,13 @@
 	if line := <-origin.received; !strings.Contains(line, ",uniq=k-17 ") {
 		t.Errorf("the key is missing: %s", line)
 	}
-	for _, mark := range []string{"", "X-Txn-Key: a,b\r\n", "X-Txn-Key: k\r\nX-Txn-Key: k\r\n", "X-Txn-Key: " + strings.Repeat("k", 200) + "\r\n"} {
-		c.sendRequest("PUT", "/rpc/sign/x", mark, "name")
+	for _, key := range []string{
+		"",
+		"X-Txn-Key: a,b\r\n",
+		"X-Txn-Key: k\r\nX-Txn-Key: k\r\n",
+		"X-Txn-Key: " + strings.Repeat("k", 200) + "\r\n",
+	} {
+		c.sendRequest("PUT", "/rpc/sign/x", key, "name")
 		c.expectStatus(t, "400")
 	}
 }
@@ -233,7 +244,9 @@
 // Guards against pipelined requests whose responses are lost, doubled or out of order.
 func TestManyCommandsAtOnce(t *testing.T) {
 	const requests = 200 // more than the buffer holds
-	cache := newFakeEndpoint(t, func(id, fields, _ string) string { return ack(id, fields[:strings.Index(fields, ",blk")]) })
+	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
+		return ack(id, fields[:strings.Index(fields, ",blk")])
+	})
 	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
 	go func() {
 		for n := range requests {
