--- a/internal/simulation/catalogue.go
+++ b/internal/simulation/catalogue.go
@@ -12,71 +12,117 @@
 )
 
 const (
-	groupCount  = 256
-	partBits    = 8 // of a key: the part
+	groupCount = 256 // purge groups
+
+	// partBits is the width of the part's number in a key.
+	partBits = 8
+
+	// oneTimeFrom is the number from which objects are wanted only once.
 	oneTimeFrom = int64(1) << 40
+
+	cachedClasses = 2 // videos and pages: the classes with objects in the catalogue
+
+	// maxDraws is how often a client of one office draws again for an object that is local to another one.
+	maxDraws = 8
+
+	// driftShare is the part of the objects of a class that change places at each drift: one in so many.
+	driftShare = 100
+)
+
+// Videos have minVideoParts to minVideoParts+videoPartsSpread-1 parts.
+const (
+	minVideoParts    = 9
+	videoPartsSpread = 11
+)
+
+// Sizes are log-uniformly distributed from a minimum to a multiple of it. The last part of a video is shorter.
+const (
+	minPageKB          = 6
+	pageKBRatio        = 10
+	minVideoPartKB     = 40
+	videoPartKBRatio   = 5.8
+	lastPartMinShare   = 0.3
+	lastPartShareRange = 0.6
+)
+
+// Purposes of a hash: each property of an object is drawn independently of the others.
+const (
+	hashGroup      = 1
+	hashParts      = 2
+	hashSize       = 3
+	hashLastPart   = 4
+	hashLocal      = 5
+	hashHomeOffice = 6
 )
 
-// catalogue is what clients ask for: videos of several parts and pages, some of
-// them wanted at one office only. An object is a number; its figures follow from
-// that and the seed.
+// catalogue is the set of objects that clients ask for: videos of several parts and pages, some of them wanted at one
+// office only. An object is a number; its properties follow from the number and the seed.
 type catalogue struct {
 	scenario       *scenario.Scenario
 	salt           uint64
 	objects        int64
-	byPopularity   [2][]int64 // by rule: the objects by popularity
-	popularity     [2]distuv.Categorical
-	oneTimeCount   int64
+	byPopularity   [cachedClasses][]int64            // the objects of each class, most popular first
+	popularity     [cachedClasses]distuv.Categorical // of the places in byPopularity
+	oneTimeCount   int64                             // one-time objects that were made
 	totalKB        float64
-	officeKB       float64  // what one office can want
-	prewarmedBelow [2]int64 // by kind of server: objects up to there are kept at the start
+	officeKB       float64  // that clients of one office can want
+	prewarmedBelow [2]int64 // by kind of server: smaller object numbers are cached at the start
 }
 
+// partKey identifies a part of an object.
 func partKey(object, part int64) int64 { return object<<partBits | part&(1<<partBits-1) }
 
-func newCatalogue(s *scenario.Scenario, dice *rand.Rand) *catalogue {
-	c := &catalogue{scenario: s, salt: dice.Uint64(), objects: int64(s.Load.Objects)}
+func newCatalogue(s *scenario.Scenario, random *rand.Rand) *catalogue {
+	c := &catalogue{scenario: s, salt: random.Uint64(), objects: int64(s.Load.Objects)}
 	for class := range c.byPopularity {
 		var weights []float64
-		for i := range int(c.objects) / 2 {
-			c.byPopularity[class] = append(c.byPopularity[class], int64(i)*2+int64(class))
-			weights = append(weights, math.Pow(float64(i+1), -s.Load.Skew))
+		for i := range int(c.objects) / cachedClasses {
+			c.byPopularity[class] = append(c.byPopularity[class], int64(i)*cachedClasses+int64(class))
+			weights = append(weights, math.Pow(float64(i+1), -s.Load.Skew)) // Zipf's law
 		}
-		c.popularity[class] = distuv.NewCategorical(weights, dice)
+		c.popularity[class] = distuv.NewCategorical(weights, random)
 	}
+	c.measure()
+	if s.Fleet.PreWarmed {
+		c.prewarmedBelow = [2]int64{
+			kindCache:  c.objectsWithin(s.Fleet.CacheShare),
+			kindParent: c.objectsWithin(s.Fleet.ParentCacheShare),
+		}
+	}
+	return c
+}
+
+// measure adds up the sizes of all objects.
+func (c *catalogue) measure() {
 	localKB := 0.0
-	for i := range c.objects / 2 * 2 {
-		for p := range c.parts(i) {
-			kb := c.size(i, p)
+	for object := range c.objects / cachedClasses * cachedClasses {
+		for part := range c.parts(object) {
+			kb := c.size(object, part)
 			c.totalKB += kb
-			if c.home(i) >= 0 {
+			if c.home(object) >= 0 {
 				localKB += kb
 			}
 		}
 	}
-	c.officeKB = c.totalKB - localKB + localKB/float64(s.Fleet.Offices)
-	if s.Fleet.PreWarmed {
-		c.prewarmedBelow = [2]int64{kindCache: c.objectsWithin(s.Fleet.CacheShare), kindParent: c.objectsWithin(s.Fleet.ParentCacheShare)}
-	}
-	return c
+	c.officeKB = c.totalKB - localKB + localKB/float64(c.scenario.Fleet.Offices)
 }
 
-// objectsWithin gives the number under which objects make up a share of the catalogue's
-// bytes: at the start numbers are by popularity.
+// objectsWithin is the number below which objects make up a share of the catalogue's bytes. At the start objects are
+// numbered by popularity.
 func (c *catalogue) objectsWithin(share float64) int64 {
 	kb := 0.0
-	for i := range c.objects {
-		for p := range c.parts(i) {
-			kb += c.size(i, p)
+	for object := range c.objects {
+		for part := range c.parts(object) {
+			kb += c.size(object, part)
 		}
 		if kb > share*c.totalKB {
-			return i
+			return object
 		}
 	}
 	return c.objects
 }
 
-// hash is a hash of an object's number and a purpose (SplitMix64's finish).
+// hash mixes an object's number and a purpose (the finalizer of SplitMix64).
 func (c *catalogue) hash(object int64, purpose uint64) uint64 {
 	z := uint64(object)*0x9e3779b97f4a7c15 + c.salt + purpose*0xbf58476d1ce4e5b9
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -84,45 +130,47 @@
 	return z ^ z>>31
 }
 
+// uniform is a hash as a number from 0 up to 1.
 func (c *catalogue) uniform(object int64, purpose uint64) float64 {
 	return float64(c.hash(object, purpose)>>11) / (1 << 53)
 }
 
-// class of an object: even numbers are videos, odd ones pages.
+// class is the index of an object's traffic class: even numbers are videos, odd ones pages.
 func (c *catalogue) class(object int64) int { return int(object & 1) }
 
-func (c *catalogue) group(object int64) int64 { return int64(c.hash(object, 1) % groupCount) }
+// group is an object's purge group.
+func (c *catalogue) group(object int64) int64 { return int64(c.hash(object, hashGroup) % groupCount) }
 
+// parts is the number of an object's parts.
 func (c *catalogue) parts(object int64) int64 {
 	if c.class(object) == scenario.ClassPage {
 		return 1
 	}
-	return 9 + int64(c.hash(object, 2)%11)
+	return minVideoParts + int64(c.hash(object, hashParts)%videoPartsSpread)
 }
 
-// size of a part in KB: even in its logarithm, the last part of a video shorter.
+// size is that of a part in KB.
 func (c *catalogue) size(object, part int64) float64 {
 	if c.class(object) == scenario.ClassPage {
-		return 6 * math.Pow(10, c.uniform(object, 3))
+		return minPageKB * math.Pow(pageKBRatio, c.uniform(object, hashSize))
 	}
-	kb := 40 * math.Pow(5.8, c.uniform(object, 3))
+	kb := minVideoPartKB * math.Pow(videoPartKBRatio, c.uniform(object, hashSize))
 	if part == c.parts(object)-1 {
-		kb *= 0.3 + 0.6*c.uniform(object, 4)
+		kb *= lastPartMinShare + lastPartShareRange*c.uniform(object, hashLastPart)
 	}
 	return kb
 }
 
-// home is the one office at which an object is wanted, or -1.
+// home is the only office at which an object is wanted; -1: it is wanted at all of them.
 func (c *catalogue) home(object int64) int {
-	if object < oneTimeFrom && c.uniform(object, 5) < c.scenario.Load.LocalShare {
-		return int(c.hash(object, 6) % uint64(c.scenario.Fleet.Offices))
+	if object < oneTimeFrom && c.uniform(object, hashLocal) < c.scenario.Load.LocalShare {
+		return int(c.hash(object, hashHomeOffice) % uint64(c.scenario.Fleet.Offices))
 	}
 	return -1
 }
 
 // draw picks an object for an office by popularity.
 func (c *catalogue) draw(class, office int) int64 {
-	const maxDraws = 8 // an object at home elsewhere is drawn again
 	for range maxDraws {
 		object := c.byPopularity[class][int(c.popularity[class].Rand())]
 		if home := c.home(object); home < 0 || home == office {
@@ -135,24 +183,30 @@
 // newOneTimeObject makes an object that nobody wants again.
 func (c *catalogue) newOneTimeObject(class int) int64 {
 	c.oneTimeCount++
-	return oneTimeFrom + c.oneTimeCount*2 + int64(class)
+	return oneTimeFrom + c.oneTimeCount*cachedClasses + int64(class)
 }
 
-// drift lets one object in a hundred change its place with another.
-func (c *catalogue) drift(dice *rand.Rand) {
+// drift changes the popularity of some objects: each changes places with another one of its class.
+func (c *catalogue) drift(random *rand.Rand) {
 	for _, objects := range c.byPopularity {
-		for range len(objects)/100 + 1 {
-			a, b := dice.IntN(len(objects)), dice.IntN(len(objects))
+		for range len(objects)/driftShare + 1 {
+			a := random.IntN(len(objects))
+			b := random.IntN(len(objects))
 			objects[a], objects[b] = objects[b], objects[a]
 		}
 	}
 }
 
-func (c *catalogue) name(object int64) string { return "o" + strconv.FormatInt(object, 36) }
+// objectNamePrefix precedes an object's number, in base 36, in its name.
+const objectNamePrefix = "o"
 
-// id of a name that a router sends; -1: it is none of ours.
+func (c *catalogue) name(object int64) string {
+	return objectNamePrefix + strconv.FormatInt(object, 36)
+}
+
+// id is the number of an object by its name; -1: it is not a name of the catalogue's form.
 func (c *catalogue) id(name string) int64 {
-	text, ok := strings.CutPrefix(name, "o")
+	text, ok := strings.CutPrefix(name, objectNamePrefix)
 	if !ok {
 		return -1
 	}
@@ -162,6 +216,3 @@
 	}
 	return id
 }
-
-func zoneName(office int) string { return scenario.Zone(office) }
-func trunkName(trunk int) string { return "trunk-" + strconv.Itoa(trunk+1) }
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -1,50 +1,34 @@
 package simulation
 
-// event is one thing that is to happen.
+// event is an action that is scheduled for a time.
 type event struct {
 	at, sequence int64
 	action       func()
 }
 
-// eventQueue is a heap by time; what falls on one instant comes in the order in which
-// it was set.
+// eventQueue is a binary heap of events by time. Events of the same time run in the order in which they were
+// scheduled.
 type eventQueue []event
 
-func (h eventQueue) less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
+func (q eventQueue) less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
-func (h *eventQueue) push(e event) {
-	*h = append(*h, e)
-	s := *h
-	for i := len(s) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !s.less(i, up) {
-			break
-		}
-		s[i], s[up] = s[up], s[i]
-		i = up
-	}
+func (q eventQueue) swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) push(e event) {
+	*q = append(*q, e)
+	siftUp(*q, len(*q)-1)
 }
 
-func (h *eventQueue) pop() event {
-	s := *h
-	first, last := s[0], len(s)-1
-	s[0], s[last] = s[last], event{}
-	s = s[:last]
-	for i := 0; ; {
-		least := i
-		for _, c := range [2]int{2*i + 1, 2*i + 2} {
-			if c < len(s) && s.less(c, least) {
-				least = c
-			}
-		}
-		if least == i {
-			break
-		}
-		s[i], s[least] = s[least], s[i]
-		i = least
-	}
-	*h = s
+// pop removes the first event. The queue must not be empty.
+func (q *eventQueue) pop() event {
+	queue := *q
+	first := queue[0]
+	last := len(queue) - 1
+	queue[0] = queue[last]
+	queue[last] = event{} // lets the action be collected
+	*q = queue[:last]
+	siftDown(*q, 0)
 	return first
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -108,7 +108,7 @@
 		return
 	}
 	for i := range min(int(fault.Strength), len(w.catalogue.byPopularity[0])) {
-		w.purge(w.catalogue.byPopularity[i%2][i/2], 0)
+		w.purge(w.catalogue.byPopularity[i%cachedClasses][i/cachedClasses], 0)
 	}
 }
 
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -16,55 +16,67 @@
 // Phases are the phases of a run, in order.
 var Phases = []string{phaseWarmUp, phaseCalm, phaseFault}
 
-// Result is what came of a run. Counts leave out requests that began while the
-// run settled, but for those of servers and links.
+// Bounds of the latency histograms.
+const (
+	minLatency         = 100 // microseconds
+	maxLatency         = 60 * second
+	latencySignificant = 3 // significant decimal digits
+)
+
+// Result is the outcome of a run. Its field names are the keys of its JSON form. Counts leave out requests that
+// began while the run warmed up, except for those of servers and links.
 type Result struct {
-	Rules    []*RuleResult
+	Rules    []*RuleResult // by traffic class
 	Timeline []Second
-	Troubles []string
-
-	Taken       int // tries that came to routers
-	Hops        int
-	Lost        int // tries whose time was over without an answer
-	Ends        map[string]int
-	Fallen      int // servers pushed over
-	LedgerStops int
-	Crossed     int     // txns handed over to another site
-	CrossedDone int     // of those: completed there
-	FilledKB    float64 // into offices
-	LedgerKB    float64 // from the ledger
-	AskedKB     float64 // all three past settling
-
-	current Second
+	Troubles []string // faults that began, with their times
+
+	Taken       int            // attempts of clients that reached routers
+	Hops        int            // attempts that routers sent to servers
+	Lost        int            // attempts of clients that timed out without an answer
+	Ends        map[string]int // answers of servers by outcome
+	Fallen      int            // servers that collapsed while they warmed up
+	LedgerStops int            // of the origin, by too many arrivals
+	Crossed     int            // requests that were forwarded to another site
+	CrossedDone int            // of these: completed there
+	FilledKB    float64        // that came into offices, after the warm-up
+	LedgerKB    float64        // that the origin sent, after the warm-up
+	AskedKB     float64        // that clients asked for, after the warm-up
+
+	current Second // not closed yet
 }
 
-// RuleResult is that of a remap rule, by phase.
+// RuleResult is the outcome of a traffic class.
 type RuleResult struct {
 	Name      string
 	Phases    map[string]*Outcomes
-	latencies *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram // microseconds, from a client's first attempt
 }
 
-// Outcomes counts requests, a client's retries as part of the first try.
+// Outcomes counts requests. A client's attempts at one request count as one.
 type Outcomes struct {
 	Asked     int
-	InTime    int // completed within the SLA time
-	Late      int // completed after it
-	Stale     int // of both: with a copy past its fresh time
-	Refused   int // no answer, and trying again is harmless
-	Failed    int // no answer, and it may have run
-	Worth     float64
-	WorthMost float64
+	InTime    int     // completed within the latency objective
+	Late      int     // completed after it
+	Stale     int     // of both: with a copy past its freshness time
+	Refused   int     // not completed, and a retry would be safe
+	Failed    int     // not completed, and it may have been executed
+	Worth     float64 // priority weight that was earned
+	WorthMost float64 // priority weight if all had completed in time
 }
 
-// Second is a line of the timeline.
+// Second is one second of the timeline.
 type Second struct {
-	At                              int
-	Asked, InTime, Late, None, Hops int
-	Troubles                        int
-	Servers                         int // caches up
-	LinkUse                         float64
-	filledKB                        float64
+	At       int // seconds from the start
+	Asked    int
+	InTime   int
+	Late     int
+	None     int     // requests without a usable answer
+	Hops     int     // attempts in flight at its end
+	Troubles int     // faults in force at its end
+	Servers  int     // caches that are up at its end
+	LinkUse  float64 // utilization of the offices' links
+
+	filledKB float64 // over all offices' links from the start
 }
 
 func newResult(s *scenario.Scenario) *Result {
@@ -72,12 +84,13 @@
 	for _, class := range s.Classes() {
 		r.Rules = append(r.Rules, &RuleResult{
 			Name: class.Name, Phases: map[string]*Outcomes{},
-			latencies: hdrhistogram.New(100, 60_000_000, 3),
+			latencies: hdrhistogram.New(minLatency, maxLatency, latencySignificant),
 		})
 	}
 	return r
 }
 
+// outcomes are the counts of a client's traffic class and phase.
 func (r *Result) outcomes(client *client) *Outcomes {
 	rule := r.Rules[client.rule]
 	outcomes := rule.Phases[client.phase]
@@ -88,6 +101,7 @@
 	return outcomes
 }
 
+// countRequest counts a client's new request.
 func (r *Result) countRequest(w *World, client *client) {
 	r.current.Asked++
 	outcomes := r.outcomes(client)
@@ -98,13 +112,13 @@
 	}
 }
 
-// countFill counts bytes that come into an office, and those from the ledger.
-func (r *Result) countFill(w *World, kb float64, ledger bool) {
+// countFill counts bytes that come into an office.
+func (r *Result) countFill(w *World, kb float64, fromOrigin bool) {
 	if w.currentPhase() == phaseWarmUp {
 		return
 	}
 	r.FilledKB += kb
-	if ledger {
+	if fromOrigin {
 		r.LedgerKB += kb
 	}
 }
@@ -116,16 +130,17 @@
 	}
 }
 
-// countCompleted counts an answer by how long the client waited from its first try.
+// countCompleted counts a usable answer by its latency from the client's first attempt.
 func (r *Result) countCompleted(w *World, client *client, issuedAt int64) {
 	class := &w.classes[client.rule]
 	latency := w.now - client.startedAt
-	r.Rules[client.rule].latencies.RecordValue(latency)
-	work := w.catalogue.size(client.object, client.part) / w.scenario.Fleet.FlowKBPerS * 1e6
+	r.Rules[client.rule].latencies.RecordValue(latency) // a latency beyond the bounds is left out
+	work := w.flowTime(w.catalogue.size(client.object, client.part))
 	if class.Write {
 		work = 0
 	}
-	outcomes, weight := r.outcomes(client), class.PriorityWeight
+	outcomes := r.outcomes(client)
+	weight := class.PriorityWeight
 	if latency <= class.LatencyObjective+int64(class.ObjectiveStretch*work) {
 		outcomes.InTime++
 		r.current.InTime++
@@ -141,44 +156,56 @@
 	outcomes.Worth += weight
 }
 
-func (r *Result) countFailed(client *client, harmless bool) {
+// countFailed counts a request without a usable answer.
+func (r *Result) countFailed(client *client, retrySafe bool) {
 	r.current.None++
-	if outcomes := r.outcomes(client); harmless {
+	outcomes := r.outcomes(client)
+	if retrySafe {
 		outcomes.Refused++
 	} else {
 		outcomes.Failed++
 	}
 }
 
+// closeSecond ends a second of the timeline and begins the next one.
 func (r *Result) closeSecond(w *World) {
-	finished := r.current
-	finished.At, finished.Troubles, finished.Hops = int(w.now/second), w.activeFaults, len(w.attempts)
-	for _, servers := range w.caches {
-		for _, server := range servers {
-			if server.up {
-				finished.Servers++
-			}
-		}
-	}
-	finished.filledKB = 0
-	total := 0.0
+	closed := r.current
+	closed.At = int(w.now / second)
+	closed.Troubles = w.activeFaults
+	closed.Hops = len(w.attempts)
+	closed.Servers = w.cachesUp()
+	closed.filledKB = 0
+	totalKBPerS := 0.0
 	for _, link := range w.links {
 		link.advance()
-		finished.filledKB += link.served
-		total += link.totalRate * 1e6
+		closed.filledKB += link.served
+		totalKBPerS += link.totalRate * second
+	}
+	closed.LinkUse = (closed.filledKB - r.current.filledKB) / totalKBPerS
+	r.Timeline = append(r.Timeline, closed)
+	r.current = Second{filledKB: closed.filledKB}
+}
+
+func (w *World) cachesUp() (count int) {
+	for _, caches := range w.caches {
+		for _, cache := range caches {
+			if cache.up {
+				count++
+			}
+		}
 	}
-	finished.LinkUse = (finished.filledKB - r.current.filledKB) / total
-	r.Timeline = append(r.Timeline, finished)
-	r.current = Second{filledKB: finished.filledKB}
+	return count
 }
 
-// Worth is the share of the importance asked for that was earned, past settling.
+// Worth is the share of the priority weight of all requests that was earned, after the warm-up.
 func (r *Result) Worth() float64 {
-	earned, possible := 0.0, 0.0
+	earned := 0.0
+	possible := 0.0
 	for _, class := range r.Rules {
 		for _, phase := range Phases[1:] {
 			if outcomes := class.Phases[phase]; outcomes != nil {
-				earned, possible = earned+outcomes.Worth, possible+outcomes.WorthMost
+				earned += outcomes.Worth
+				possible += outcomes.WorthMost
 			}
 		}
 	}
@@ -188,6 +215,6 @@
 	return earned / possible
 }
 
-// Quantile of the time that clients of a rule waited for what they got, from
-// their first try, in microseconds; the settling time counts too.
+// Quantile is a quantile of the latency of completed requests in microseconds, from the client's first attempt.
+// Requests of the warm-up count too.
 func (k *RuleResult) Quantile(q float64) int64 { return k.latencies.ValueAtQuantile(q) }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -1,10 +1,12 @@
 package simulation
 
 import (
+	"fmt"
 	"slices"
 
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/policy"
+	"quilldoor/internal/scenario"
 )
 
 // serverKind is what a server stands for in the hierarchy of caches.
@@ -85,9 +87,9 @@
 		ID: s.id, Kind: s.kind.String(), State: s.listed, Weight: s.weight, StartedAt: s.startedAt,
 	}
 	if s.office >= 0 {
-		endpoint.Zone = zoneName(s.office)
+		endpoint.Zone = scenario.Zone(s.office)
 	} else {
-		endpoint.Zone = trunkName(s.trunk)
+		endpoint.Zone = fmt.Sprintf("trunk-%d", s.trunk+1)
 	}
 	return Server{endpoint}
 }
