--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -101,8 +101,9 @@
 	// leave covers the listener, discovery and connections that are being closed.
 	// At 16 kB to 20 kB each, all connections fill three eighths of the memory at
 	// most; bodies fill half of that.
-	l.MaxClients = min(sockets*2/5, int(memory>>16))
-	l.MaxUpstreamConns = min(sockets*2/5, int(memory>>17))
+	const bytesPerClient, bytesPerUpstreamConn = 64 << 10, 128 << 10
+	l.MaxClients = min(sockets*2/5, int(memory/bytesPerClient))
+	l.MaxUpstreamConns = min(sockets*2/5, int(memory/bytesPerUpstreamConn))
 	l.MaxBufferedBytes = memory * 3 / 16
 	l.MaxDiscoveryBody = int(min(4<<20, memory/16))
 }
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -128,7 +128,8 @@
 // finish counts the final command and answers with it, or with a cached copy.
 func (x *exchange) finish(open *engine.Request, final *engine.Command) bool {
 	s := x.server
-	if time.Since(x.deadline) > s.limits.ResponseGrace/2 {
+	const lateShare = 2 // of the grace: half of it is for the way to the client
+	if time.Since(x.deadline) > s.limits.ResponseGrace/lateShare {
 		s.stats.late.Add(1)
 		s.stats.lateCollected.Add(1)
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -82,7 +82,8 @@
 	if n.probeCount < probeSamples || n.resumedAt > 0 {
 		return false
 	}
-	return 4*n.acknowledgedProbes() <= 3*probeSamples
+	const failedOneIn = 4
+	return failedOneIn*(probeSamples-n.acknowledgedProbes()) >= probeSamples
 }
 
 // acknowledgedProbes counts the probes with an acknowledgement among the last ones.
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -28,10 +28,11 @@
 		raiseOneIn  = 4 // of the floor, for a round of timely responses
 		floorWeight = 8 // the floor is the weight divided by this ...
 		leastFloor  = 2 // ... and at least this
+		fewest      = 4 // samples that are judged, however small this router's share
 	)
 	share := r.config.zoneShare
 	floor := max(leastFloor, lim.weight/floorWeight)
-	least := max(int(minSamples*share), 4)
+	least := max(int(minSamples*share), fewest)
 	lim.samples = addSample(lim.samples, r.now, !timely)
 	late, all := countBad(lim.samples, r.now, least)
 	switch {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -105,7 +105,7 @@
 	const pause = 60 * millisecond // lets an overloaded origin recover
 	req.retryAt = r.now + pause
 	barred := req.maybeExecuted() && !retryRules[req.class.idempotency].retry
-	late := req.retryAt+2*timerInterval >= req.deadline
+	late := req.retryAt+2*timerInterval >= req.deadline // the sweep that sends it, and one to answer in
 	if barred || late || len(req.attempts) >= r.config.maxAttempts {
 		r.rejectOrFail(req)
 	}
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -5,13 +5,16 @@
 // timerInterval is the time between two sweeps: well under any latency objective, and cheap.
 const timerInterval = 25 * millisecond
 
+// sweepToken names the timer of the sweep, the only one there is.
+const sweepToken = 1
+
 // setTimer keeps one timer running.
 func (r *Router) setTimer() {
 	if r.timerSet {
 		return
 	}
 	r.timerSet = true
-	r.do(Action{Kind: ActionSetTimer, Due: r.now + timerInterval, Token: 1})
+	r.do(Action{Kind: ActionSetTimer, Due: r.now + timerInterval, Token: sweepToken})
 }
 
 // sweep does what time brings.
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -78,7 +78,7 @@
 func (n *Node) Command(now int64, c Command) {
 	n.advance(now)
 	if c == CommandStart {
-		// There may be no leader yet: this router becomes a candidate before all others.
+		// There may be no leader yet: this router need not wait for its silence before it becomes a candidate.
 		n.candidateSince = n.now - second
 		n.leaderHeardAt = n.now - electionTimeout - int64(len(n.plan.Routers))*electionStagger
 	}
