--- /dev/null
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -0,0 +1,178 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/handoff"
+)
+
+// Guards against an upgrade that can't be done, runs already or finds its folder
+// damaged, and ends without a reason or takes the router down.
+func TestRefusedUpgrades(t *testing.T) {
+	t.Parallel()
+	playUpgrades(t, supervisedFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(fleet *emulator.Kept) error {
+		if err := checkEditedFiles(t, fleet); err != nil {
+			return err
+		}
+		if err := checkConcurrentUpgrades(t, fleet); err != nil {
+			return err
+		}
+		checkSecondSupervisor(t, fleet)
+		if err := checkUnwritableFolder(t, fleet); err != nil {
+			return err
+		}
+		if err := checkReloadReachesGeneration(fleet); err != nil {
+			return err
+		}
+		return checkHealth(fleet.Listen(0))
+	})
+}
+
+// editedCopy writes a copy of a file with the first occurrence of old replaced.
+func editedCopy(t *testing.T, path, old, replacement string) (string, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return "", err
+	}
+	if !strings.Contains(string(text), old) {
+		return "", fmt.Errorf("no %s in %s", old, path)
+	}
+	edited := filepath.Join(t.TempDir(), "changed")
+	return edited, os.WriteFile(edited, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600)
+}
+
+// checkEditedFiles asks for upgrades to edited configurations and operator files.
+func checkEditedFiles(t *testing.T, fleet *emulator.Kept) error {
+	for _, tc := range []struct {
+		name     string
+		config   bool // the edited file is the configuration, else the operator's
+		old, new string
+		ok       bool
+		note     string
+		settled  uint64 // generation afterwards
+	}{
+		{"unknown key", false, "folder:", "colour: red\n  folder:", false, "colour", 1},
+		{"folder", false, "folder:", "folder: /nowhere/at/all #", false, "keep.folder", 1},
+		{"broken", true, `"settings"`, `"settings`, false, "", 1},
+		{"value", true, `"TargetMs":`, `"TargetMs":-`, false, "TargetMs", 1},
+		{"flow", true, `"flow_bytes_per_s":`, `"flow_bytes_per_s":1`, true, "is settled", 6},
+		// The platform's counts do not differ between the two.
+		{"new name", true, `"name":"n1"`, `"name":"n9"`, true, "", 7},
+	} {
+		request := &handoff.Message{Kind: handoff.KindApply}
+		original, edited := fleet.Operator(0), &request.Operator
+		if tc.config {
+			original, edited = fleet.Config(0), &request.Config
+		}
+		path, err := editedCopy(t, original, tc.old, tc.new)
+		if err != nil {
+			return err
+		}
+		*edited = path
+		reply, err := fleet.Ask(0, request)
+		if err != nil {
+			return fmt.Errorf("%s: %w", tc.name, err)
+		}
+		if reply.OK != tc.ok || !strings.Contains(reply.Note, tc.note) {
+			t.Errorf("%s: %+v", tc.name, reply)
+		}
+		if status, err := fleet.Standing(0); err != nil || status.Settled.Generation != tc.settled {
+			t.Errorf("%s: %v, %+v", tc.name, err, status)
+		}
+	}
+	return nil
+}
+
+// checkConcurrentUpgrades asks for an upgrade while another runs, which is refused, and
+// for a rollback during the trial of the first.
+func checkConcurrentUpgrades(t *testing.T, fleet *emulator.Kept) error {
+	first := make(chan *handoff.Message, 1)
+	go func() {
+		reply, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+		first <- reply
+	}()
+	upgrading := func(status *handoff.Status) bool { return status.State != "steady" }
+	if _, err := fleet.Until(0, 3*time.Second, upgrading); err != nil {
+		return err
+	}
+	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+	if err != nil || reply.OK || !strings.Contains(reply.Note, "refused") {
+		t.Errorf("second upgrade: %v, %+v", err, reply)
+	}
+	onTrial := func(status *handoff.Status) bool { return status.State == "on trial" }
+	if _, err := fleet.Until(0, 3*time.Second, onTrial); err != nil {
+		return err
+	}
+	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !reply.FellBack {
+		t.Errorf("rollback on trial: %v, %+v", err, reply)
+	}
+	if reply := <-first; reply == nil || !reply.FellBack {
+		t.Errorf("first upgrade: %+v", reply)
+	}
+	return nil
+}
+
+// checkSecondSupervisor starts a second supervisor with the same folder.
+func checkSecondSupervisor(t *testing.T, fleet *emulator.Kept) {
+	cmd := exec.Command(os.Args[0], "keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
+	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
+	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another keeper") {
+		t.Errorf("second supervisor: %v, %s", err, out)
+	}
+}
+
+// checkUnwritableFolder upgrades where the copies of a generation, and then the state
+// file, can't be written.
+func checkUnwritableFolder(t *testing.T, fleet *emulator.Kept) error {
+	if err := os.WriteFile(filepath.Join(fleet.Folder(0), "9"), nil, 0o600); err != nil {
+		return err
+	}
+	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || reply.OK || reply.FellBack {
+		t.Errorf("copies can't be written: %v, %+v", err, reply)
+	}
+	state := filepath.Join(fleet.Folder(0), "state.json")
+	if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
+		return err
+	}
+	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+	if err != nil || !reply.OK || !strings.Contains(reply.Note, "could not be written") {
+		t.Errorf("state file can't be written: %v, %+v", err, reply)
+	}
+	status, err := fleet.Standing(0)
+	if err != nil || status.Persistent || status.Settled.Generation != 10 {
+		t.Errorf("state file can't be written: %v, %+v", err, status)
+	}
+	return nil
+}
+
+// checkReloadReachesGeneration sends SIGHUP to the supervisor, which passes it on.
+func checkReloadReachesGeneration(fleet *emulator.Kept) error {
+	status, err := fleet.Standing(0)
+	if err != nil {
+		return err
+	}
+	if err := syscall.Kill(status.SupervisorPID, syscall.SIGHUP); err != nil {
+		return err
+	}
+	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		text, err := os.ReadFile(fleet.Log(0))
+		if err != nil {
+			return err
+		}
+		if strings.Contains(string(text), "new configuration in force") {
+			return nil
+		}
+		if time.Now().After(end) {
+			return errors.New("no new configuration after SIGHUP")
+		}
+	}
+}
