--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -9,9 +9,8 @@
 	"quilldoor/internal/scenario"
 )
 
-// Simulated txns a second of wall time by size, on one core's worth of goroutine:
-// the load grows with the caches, sixteen txns a second for each and, at the
-// largest size, twenty.
+// BenchmarkVirtual gives the simulated requests a second of wall time by size. The load grows
+// with the number of caches.
 func BenchmarkVirtual(b *testing.B) {
 	for _, size := range []struct{ offices, caches int }{{2, 5}, {10, 10}, {100, 10}} {
 		n := size.offices * size.caches
--- a/internal/emulator/virtual_membership_test.go
+++ b/internal/emulator/virtual_membership_test.go
@@ -7,23 +7,23 @@
 	"quilldoor/scenarios"
 )
 
-// Routers whose board is cut break rules when they know nobody, and none when the
-// others tell them: what is played is the same but for that.
-func TestNewsOfOthersKeepTheRules(t *testing.T) {
+// Routers whose discovery service is cut violate rules when they know no other routers, and
+// none when they gossip. The runs are the same but for that.
+func TestGossipKeepsTheRulesWhileDiscoveryIsCut(t *testing.T) {
 	alone := 0
 	for seed := range uint64(4) {
-		for _, know := range []bool{false, true} {
+		for _, membership := range []bool{false, true} {
 			s, err := scenarios.Load("board-cut-third")
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Fleet.Membership = know
+			s.Fleet.Membership = membership
 			r, err := Virtual(context.Background(), s, Options{Seed: seed + 1})
 			if err != nil {
 				t.Fatal(err)
 			}
 			broken := r.Count[3] + r.Count[4]
-			if !know {
+			if !membership {
 				alone += broken
 				continue
 			}
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -35,9 +35,9 @@
 	return s
 }
 
-// Each rehearsal twice: the same to the byte, record included, and today's router
-// breaks no rule.
-func TestRehearsalsAreRepeatable(t *testing.T) {
+// Each scenario is played twice: the same to the byte, event log included, and the router
+// violates no rule.
+func TestScenariosAreRepeatable(t *testing.T) {
 	names := scenarios.Names()
 	if len(names) < 12 {
 		t.Fatalf("%d rehearsals", len(names))
@@ -70,9 +70,8 @@
 	}
 }
 
-// Routers that ignore a rule are caught by it; that the right one is not, the
-// rehearsals tell.
-func TestWrongRoutersAreCaught(t *testing.T) {
+// A router that ignores a rule violates this one and no other.
+func TestFaultyRoutersAreCaught(t *testing.T) {
 	for name, c := range map[string]struct {
 		script string
 		opt    Options
@@ -111,8 +110,8 @@
 	}
 }
 
-// coldStart is a fleet of which all but one cache of an office come back cold
-// under a load that the office can bear when it is warm.
+// coldStart is a fleet in which caches of an office come back cold under a load that the
+// office can serve when it is warm.
 func coldStart() *scenario.Scenario {
 	s := scenario.Default()
 	s.LengthS = 40
@@ -123,8 +122,8 @@
 	return &s
 }
 
-// A router that takes cold caches for warm ones topples some; the right one none.
-func TestColdCachesFallUnderARouterThatIgnoresThem(t *testing.T) {
+// A router without slow start overloads cold caches until they fall; the real one does not.
+func TestColdCachesFallUnderRoutersWithoutSlowStart(t *testing.T) {
 	right := play(t, coldStart(), Options{})
 	if right.Fallen > 0 || right.Count[4] > 0 {
 		t.Fatalf("the right router pushed %d over: %v", right.Fallen, right.Breaks)
@@ -140,8 +139,9 @@
 	}
 }
 
-// Every txn has one end, no bytes come faster than a link, nothing dead works.
-func TestConservation(t *testing.T) {
+// Every request ends once, no link carries more than its rate, and no server works while it
+// is down.
+func TestRequestsEndOnceAndLinksHold(t *testing.T) {
 	for _, name := range []string{"all-at-once", "rude-answers", "deploy-waves"} {
 		s := load(t, name)
 		up := map[string]bool{}
