--- a/internal/emulator/rollout_canary.go
+++ b/internal/emulator/rollout_canary.go
@@ -7,12 +7,13 @@
 	"quilldoor/internal/simulation"
 )
 
-// routerMonitor is a router's witness, and what it has gathered.
+// routerMonitor is a router's invariant monitor, and what it is to judge next. The methods
+// below implement routerObserver.
 type routerMonitor struct {
 	monitor   *invariant.Monitor
 	recorder  *invariant.Recorder
 	processID uint64
-	accused   bool
+	accused   bool // it was seen to break a rule
 }
 
 func (r *rolloutRun) endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint) {
@@ -37,13 +38,20 @@
 		return
 	}
 	kbPerMicro := r.scenario.Fleet.FlowKBPerS / 1e6
-	r.monitors[router].recorder.RecordResponse(class.Name, ask.Object, ask.Group, attempt.DecidedAt, issued+epochMicros, ask.SizeKB/kbPerMicro)
+	r.monitors[router].recorder.RecordResponse(
+		class.Name, ask.Object, ask.Group, attempt.DecidedAt, issued+epochMicros, ask.SizeKB/kbPerMicro,
+	)
 }
 
-// observe lets a router's witness judge; each change is another process.
+// observe lets a router's monitor judge what has gathered. After each change of the program
+// it is another process to the monitor.
 func (r *rolloutRun) observe(now int64, i int) invariant.Violations {
 	monitor, state := r.monitors[i], &r.states[i]
-	if processID := state.runID<<1 | uint64(map[bool]int{true: 1}[r.servesNew(i)]); processID != monitor.processID {
+	processID := state.runID << 1
+	if r.servesNew(i) {
+		processID |= 1
+	}
+	if processID != monitor.processID {
 		monitor.monitor.ProcessEnded(monitor.processID)
 		monitor.processID = processID
 		monitor.recorder.Take()
