--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"cmp"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,7 +10,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
 	"sync"
 	"time"
 
@@ -23,10 +21,55 @@
 	"quilldoor/internal/scenario"
 )
 
-// Detection starts so many router processes that know each other, kills one after
-// another, and takes the time, in microseconds, until the last of the others has
-// logged that it holds it dead. Missed are those of whom that did not happen.
-func Detection(ctx context.Context, program string, routers, kills int, seed uint64) (times *hdrhistogram.Histogram, missed int, err error) {
+const (
+	// detectionMemoryMB and detectionSockets are the limits of each router process.
+	detectionMemoryMB = 64
+	detectionSockets  = 256
+	// detectionSeeds is how many routers the others know from the start.
+	detectionSeeds = 3
+	// detectionRandomStream sets the draws of Detection apart from others of the same seed.
+	detectionRandomStream = 5
+	// joinTime is how long the routers have to find each other.
+	joinTime = 15 * time.Second
+	// detectTimeout and rejoinTimeout are how long a death, and a return, are waited for.
+	detectTimeout = 15 * time.Second
+	rejoinTimeout = 10 * time.Second
+	// restTime is the pause between two kills; up to maxExtraRestMillis come on top.
+	restTime           = time.Second
+	maxExtraRestMillis = 500
+	// Bounds of the histogram, in microseconds, and its significant digits.
+	detectMinMicros = 1000
+	detectMaxMicros = 60_000_000
+	detectDigits    = 3
+)
+
+// memberEvent is a line about a member in a router's log.
+type memberEvent struct {
+	router  int // that logged it
+	message string
+	member  string
+	at      time.Time
+}
+
+// detectionRun is a number of router processes that know each other, and what they log.
+type detectionRun struct {
+	ctx        context.Context
+	goroutines sync.WaitGroup
+	program    string
+	dir        string
+	keyFile    string
+	peers      []operatorconfig.MembershipPeer
+	scenario   scenario.Scenario
+	commands   []*exec.Cmd
+	events     chan memberEvent
+}
+
+// Detection starts router processes that know each other, kills one after another, and
+// measures the time, in microseconds, until the last of the others has logged the death.
+// Missed is the number of kills that not all others logged in time.
+func Detection(
+	ctx context.Context, program string, routers, kills int, seed uint64,
+) (times *hdrhistogram.Histogram, missed int, err error) {
 	if program, err = findProgram(program); err != nil {
 		return nil, 0, err
 	}
@@ -36,121 +79,158 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	var goroutines sync.WaitGroup
-	defer goroutines.Wait()
-	defer cancel()
-	type line struct {
-		by     int
-		msg    string
-		member string
-		at     time.Time
-	}
-	lines := make(chan line, 4096)
-	var peers []operatorconfig.MembershipPeer
-	var listens []string
-	for i := range routers {
-		addr, err := loopback.Reserve()
-		if err != nil {
-			return nil, 0, err
-		}
-		peers = append(peers, operatorconfig.MembershipPeer{Name: routerName(i), Addr: addr.String()})
-		listens = append(listens, addr.String()) // reserved for TCP as well
+	d := &detectionRun{
+		ctx: ctx, program: program, dir: dir, keyFile: filepath.Join(dir, "members.key"),
+		scenario: scenario.Default(), events: make(chan memberEvent, 4096),
 	}
-	key := filepath.Join(dir, "members.key")
-	if err := os.WriteFile(key, []byte(membershipKey), 0o600); err != nil {
+	d.scenario.Fleet.Membership = true
+	defer d.goroutines.Wait()
+	defer cancel()
+	if err := d.startAll(routers); err != nil {
 		return nil, 0, err
 	}
-	defaults := scenario.Default()
-	defaults.Fleet.Membership = true
-	start := func(i int) (*exec.Cmd, error) {
-		operator, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{Name: routerName(i), Listen: peers[i].Addr, KeyFile: key, Peers: peers[:min(routers, 3)]}})
-		if err != nil {
-			return nil, err
-		}
-		text, err := json.Marshal(map[string]any{
-			"name": routerName(i), "listen": listens[i], "seed": fmt.Sprint(i + 1), "board": "127.0.0.1:1",
-			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": defaults.Settings(0, 0),
-			"known": json.RawMessage(`{"rev":0,"notices":[]}`),
-		})
-		if err != nil {
-			return nil, err
-		}
-		config, yamlPath := filepath.Join(dir, routerName(i)+".json"), filepath.Join(dir, routerName(i)+".yaml")
-		if err := cmp.Or(os.WriteFile(config, text, 0o600), os.WriteFile(yamlPath, operator, 0o600)); err != nil {
-			return nil, err
+	d.rest(joinTime)
+	random := rand.New(rand.NewPCG(seed, detectionRandomStream))
+	times = hdrhistogram.New(detectMinMicros, detectMaxMicros, detectDigits)
+	for range kills {
+		killed := random.IntN(routers)
+		began := time.Now()
+		if err := d.commands[killed].Process.Kill(); err != nil {
+			return nil, 0, err
 		}
-		cmd := exec.CommandContext(ctx, program, "serve", "--config", config, "--operator", yamlPath, "--log-format", "json")
-		for _, variable := range os.Environ() {
-			if !strings.HasPrefix(variable, "LB_") {
-				cmd.Env = append(cmd.Env, variable)
-			}
+		if last, ok := d.waitLogged("member dead", routerName(killed), routers-1, detectTimeout); ok {
+			_ = times.RecordValue(last.Sub(began).Microseconds()) // detectTimeout is within the bounds
+		} else {
+			missed++
 		}
-		cmd.Env = append(cmd.Env, "QUILLDOOR_TEST_MAIN=1")
-		r, w := io.Pipe()
-		cmd.Stderr = w
-		if err := cmd.Start(); err != nil {
-			return nil, err
+		if err := d.start(killed); err != nil {
+			return nil, 0, err
 		}
-		goroutines.Go(func() {
-			scan := bufio.NewScanner(r)
-			for scan.Scan() {
-				var parsed struct{ Msg, Member string }
-				if json.Unmarshal(scan.Bytes(), &parsed) == nil && parsed.Member != "" {
-					select {
-					case lines <- line{i, parsed.Msg, parsed.Member, time.Now()}:
-					case <-ctx.Done():
-					}
-				}
-			}
-			_, _ = io.Copy(io.Discard, r) // until the process ends
-		})
-		goroutines.Go(func() { _ = cmd.Wait(); w.Close() })
-		return cmd, nil
+		d.waitLogged("member alive", routerName(killed), routers-1, rejoinTimeout)
+		d.rest(restTime + time.Duration(random.IntN(maxExtraRestMillis))*time.Millisecond)
 	}
-	var cmds []*exec.Cmd
+	return times, missed, ctx.Err()
+}
+
+// startAll reserves addresses for the routers and starts them.
+func (d *detectionRun) startAll(routers int) error {
 	for i := range routers {
-		cmd, err := start(i)
+		addr, err := loopback.Reserve() // for UDP and TCP
 		if err != nil {
-			return nil, 0, err
+			return err
 		}
-		cmds = append(cmds, cmd)
-	}
-	// until collects lines of a kind about one until so many routers have logged them.
-	collect := func(msg, member string, want int, within time.Duration) (last time.Time, ok bool) {
-		seen, timer := map[int]bool{}, time.After(within)
-		for len(seen) < want {
-			select {
-			case parsed := <-lines:
-				if parsed.msg == msg && (parsed.member == member || member == "") {
-					seen[parsed.by], last = true, parsed.at
-				}
-			case <-timer:
-				return last, false
-			case <-ctx.Done():
-				return last, false
-			}
+		d.peers = append(d.peers, operatorconfig.MembershipPeer{Name: routerName(i), Addr: addr.String()})
+	}
+	if err := os.WriteFile(d.keyFile, []byte(membershipKey), 0o600); err != nil {
+		return err
+	}
+	d.commands = make([]*exec.Cmd, routers)
+	for i := range routers {
+		if err := d.start(i); err != nil {
+			return err
 		}
-		return last, true
 	}
-	collect("", "", 1, 15*time.Second) // all that they say while they find each other
-	random := rand.New(rand.NewPCG(seed, 5))
-	times = hdrhistogram.New(1000, 60_000_000, 3)
-	for range kills {
-		i := random.IntN(routers)
-		began := time.Now()
-		if err := cmds[i].Process.Kill(); err != nil {
-			return nil, 0, err
+	return nil
+}
+
+// start starts a router process and follows its log.
+func (d *detectionRun) start(i int) error {
+	config, operator, err := d.writeConfig(i)
+	if err != nil {
+		return err
+	}
+	cmd := exec.CommandContext(d.ctx, d.program, "serve", "--config", config, "--operator", operator, "--log-format", "json")
+	cmd.Env = routerEnvironment()
+	reader, writer := io.Pipe()
+	cmd.Stderr = writer
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	d.goroutines.Go(func() { d.followLog(i, reader) })
+	d.goroutines.Go(func() {
+		_ = cmd.Wait() // it is killed
+		writer.Close()
+	})
+	d.commands[i] = cmd
+	return nil
+}
+
+// writeConfig writes a router's two configuration files: the platform's and the operator's.
+func (d *detectionRun) writeConfig(i int) (config, operator string, err error) {
+	name := routerName(i)
+	operatorText, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{
+		Name: name, Listen: d.peers[i].Addr, KeyFile: d.keyFile, Peers: d.peers[:min(len(d.peers), detectionSeeds)],
+	}})
+	if err != nil {
+		return "", "", err
+	}
+	configText, err := json.Marshal(map[string]any{
+		"name":     name,
+		"listen":   d.peers[i].Addr,
+		"seed":     fmt.Sprint(i + 1),
+		"board":    "127.0.0.1:1", // nobody listens there
+		"limits":   map[string]any{"cores": 1, "memory_mb": detectionMemoryMB, "sockets": detectionSockets},
+		"settings": d.scenario.Settings(0, 0),
+		"known":    json.RawMessage(`{"rev":0,"notices":[]}`),
+	})
+	if err != nil {
+		return "", "", err
+	}
+	config = filepath.Join(d.dir, name+".json")
+	if err := os.WriteFile(config, configText, 0o600); err != nil {
+		return "", "", err
+	}
+	operator = filepath.Join(d.dir, name+".yaml")
+	return config, operator, os.WriteFile(operator, operatorText, 0o600)
+}
+
+// followLog passes on what a router logs about members, until its process ends.
+func (d *detectionRun) followLog(router int, log io.Reader) {
+	scanner := bufio.NewScanner(log)
+	for scanner.Scan() {
+		var line struct{ Msg, Member string }
+		if json.Unmarshal(scanner.Bytes(), &line) != nil || line.Member == "" {
+			continue
 		}
-		if last, ok := collect("member dead", routerName(i), routers-1, 15*time.Second); ok {
-			times.RecordValue(last.Sub(began).Microseconds())
-		} else {
-			missed++
+		select {
+		case d.events <- memberEvent{router, line.Msg, line.Member, time.Now()}:
+		case <-d.ctx.Done():
 		}
-		if cmds[i], err = start(i); err != nil {
-			return nil, 0, err
+	}
+	_, _ = io.Copy(io.Discard, log) // a line that is too long ends the scan, not the process
+}
+
+// waitLogged waits until so many routers have logged a message about a member, and returns
+// when the last of them did.
+func (d *detectionRun) waitLogged(message, member string, want int, within time.Duration) (last time.Time, ok bool) {
+	seen := map[int]bool{}
+	timeout := time.After(within)
+	for len(seen) < want {
+		select {
+		case event := <-d.events:
+			if event.message == message && event.member == member {
+				seen[event.router] = true
+				last = event.at
+			}
+		case <-timeout:
+			return last, false
+		case <-d.ctx.Done():
+			return last, false
+		}
+	}
+	return last, true
+}
+
+// rest drops what routers log for some time.
+func (d *detectionRun) rest(duration time.Duration) {
+	timeout := time.After(duration)
+	for {
+		select {
+		case <-d.events:
+		case <-timeout:
+			return
+		case <-d.ctx.Done():
+			return
 		}
-		collect("member alive", routerName(i), routers-1, 10*time.Second)
-		collect("", "", 1, time.Second+time.Duration(random.IntN(500))*time.Millisecond)
 	}
-	return times, missed, ctx.Err()
 }
--- a/internal/emulator/log_tail.go
+++ b/internal/emulator/log_tail.go
@@ -9,11 +9,11 @@
 }
 
 func (t *logTail) Write(b []byte) (int, error) {
-	const most = 4 << 10
+	const maxBytes = 4 << 10
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	if over := len(t.text) - most; over > 0 {
+	if over := len(t.text) - maxBytes; over > 0 {
 		t.text = append(t.text[:0], t.text[over:]...)
 	}
 	return len(b), nil
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -7,22 +7,22 @@
 	"quilldoor/internal/simulation"
 )
 
-// Members is what was seen of the routers' knowledge of each other.
+// Members is what the routers' membership views showed while a run went on.
 type Members struct {
-	Looks       int   // at all views, while the run went on
-	AgreedAfter int64 // microseconds from the last trouble's beginning or end; -1: they did not agree again
-	CalledDead  int   // looks at which all the others that answered held a live router dead
-	DeadByAll   []string
+	Looks       int      // how often all views were compared
+	AgreedAfter int64    // microseconds from the last beginning or end of a fault; -1: they did not agree again
+	CalledDead  int      // comparisons in which all others that answered held a live router dead
+	DeadByAll   []string // the routers that this happened to
 
-	faultTurn      int64            // the trouble's turn that the agreement is counted from
-	reachableSince map[string]int64 // since when a router runs and somebody can both hear it and be heard
+	faultTurn      int64            // the beginning or end of a fault that AgreedAfter counts from
+	reachableSince map[string]int64 // since when a router is up and exchanges messages with another one
 }
 
-// deadGraceMicros is how long a router that runs must have been able to talk with another
-// one, until all others holding it dead counts against them.
+// deadGraceMicros is how long a router must have been reachable until it counts against the
+// others that all of them hold it dead.
 const deadGraceMicros = 3_000_000
 
-// recordReachable follows which routers could be known to live.
+// recordReachable follows since when a router has been reachable.
 func (m *Members) recordReachable(now int64, name string, reachable bool) {
 	if m.reachableSince == nil {
 		m.reachableSince = map[string]int64{}
@@ -34,59 +34,45 @@
 	}
 }
 
-// reachable tells whether a router runs and some other one can hear it and be heard.
+// reachable tells whether a router is up and exchanges messages with another one.
 func reachable(w *simulation.World, id int) bool {
-	if !w.Up(id) || w.Stopped(id) {
+	runs := func(router int) bool { return w.Up(router) && !w.Stopped(router) }
+	if !runs(id) {
 		return false
 	}
-	for x := range w.Routers() {
-		if x != id && w.Up(x) && !w.Stopped(x) && w.Ways.Reachable(id, x) && w.Ways.Reachable(x, id) {
+	for other := range w.Routers() {
+		if other != id && runs(other) && w.Ways.Reachable(id, other) && w.Ways.Reachable(other, id) {
 			return true
 		}
 	}
 	return false
 }
 
-// viewIntervalMicros is how often views are looked at.
+// viewIntervalMicros is how often views are compared.
 const viewIntervalMicros = 200_000
 
-// observe judges views: of routers that run, by name, those that could be asked.
+// observe compares the views of the routers that are up. Views has those that could be asked,
+// by the router's name. Turn is the time of the last beginning or end of a fault.
 func (m *Members) observe(now, turn int64, up []string, views map[string]*membership.View) {
 	m.Looks++
 	if turn != m.faultTurn || m.Looks == 1 {
-		m.faultTurn, m.AgreedAfter = turn, -1
+		m.faultTurn = turn
+		m.AgreedAfter = -1
 	}
-	agreed := len(views) == len(up)
+	agreed := len(views) == len(up) && onlyAlive(up, views)
 	for _, name := range up {
-		dead, others := 0, 0
-		for observer, view := range views {
-			if observer == name {
-				continue
-			}
-			others++
-			i := slices.IndexFunc(view.Members, func(member membership.MemberStatus) bool { return member.Name == name })
-			switch {
-			case i < 0 || view.Members[i].State != membership.StateAlive:
-				agreed = false
-				if i >= 0 && view.Members[i].State == membership.StateDead {
-					dead++
-				}
-			}
+		alive, dead, others := opinions(name, views)
+		if alive < others {
+			agreed = false
 		}
-		if since, can := m.reachableSince[name]; can && now-since >= deadGraceMicros && others >= 2 && dead == others {
+		since, isReachable := m.reachableSince[name]
+		if isReachable && now-since >= deadGraceMicros && others >= 2 && dead == others {
 			m.CalledDead++
 			if !slices.Contains(m.DeadByAll, name) {
 				m.DeadByAll = append(m.DeadByAll, name)
 			}
 		}
 	}
-	for _, view := range views {
-		for _, member := range view.Members {
-			if member.State == membership.StateAlive && !slices.Contains(up, member.Name) {
-				agreed = false
-			}
-		}
-	}
 	switch {
 	case !agreed:
 		m.AgreedAfter = -1
@@ -94,3 +80,36 @@
 		m.AgreedAfter = now - turn
 	}
 }
+
+// opinions counts the other routers' views in which a router is alive, and dead.
+func opinions(name string, views map[string]*membership.View) (alive, dead, others int) {
+	for observer, view := range views {
+		if observer == name {
+			continue
+		}
+		others++
+		i := slices.IndexFunc(view.Members, func(member membership.MemberStatus) bool { return member.Name == name })
+		if i < 0 {
+			continue
+		}
+		switch view.Members[i].State {
+		case membership.StateAlive:
+			alive++
+		case membership.StateDead:
+			dead++
+		}
+	}
+	return alive, dead, others
+}
+
+// onlyAlive tells whether no view holds a router alive that is not up.
+func onlyAlive(up []string, views map[string]*membership.View) bool {
+	for _, view := range views {
+		for _, member := range view.Members {
+			if member.State == membership.StateAlive && !slices.Contains(up, member.Name) {
+				return false
+			}
+		}
+	}
+	return true
+}
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -7,28 +7,29 @@
 	"quilldoor/internal/simulation"
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
 	Seed     uint64
-	Record   func(*eventlog.Entry)                           // each line of the record, valid during the call; nil: none
-	Progress func(done float64, seconds []simulation.Second) // about once a simulated second
+	Record   func(*eventlog.Entry)                           // gets each entry of the event log, valid during the call
+	Progress func(done float64, seconds []simulation.Second) // called about once a simulated second
 
-	// Of wrong routers, for tests of the referee and of the model.
-	Settings func(*settings.Setup)                      // changes what routers are handed
-	Deaf     func(router int, n simulation.Notice) bool // notices that it doesn't hear
-	Answer   func(txn string, n int) int                // how often they give an answer; nil: once
-	Refuse   func(router int, rule string) bool         // txns that it refuses as they come; nil: none
-	Lag      func(router int) float64                   // how much longer its hops take, as a share; nil: no longer
+	// Faults of the routers, for tests of the checker and of rollouts.
+	Settings func(*settings.Setup)                      // changes the settings that routers get
+	Deaf     func(router int, n simulation.Notice) bool // tells which discovery notices a router misses
+	Answer   func(txn string, n int) int                // how often a request is answered; nil: once
+	Refuse   func(router int, rule string) bool         // tells which new requests a router rejects; nil: none
+	Lag      func(router int) float64                   // how much longer a router's attempts take, as a share
 
-	Each     func(now int64) // ten times a second; on the virtual clock
-	onStart  func(*virtualRun)
-	observer routerObserver // nil: nobody looks on
+	Each     func(now int64)   // called ten times a second; on the virtual clock
+	onStart  func(*virtualRun) // called before the first event; nil: not
+	observer routerObserver    // nil: none
 }
 
-// routerObserver hears what a keeper would beside a router. Times are the routers'.
+// routerObserver follows what the routers of a virtual run learn and do. Times are the
+// routers' microseconds.
 type routerObserver interface {
-	endpointsChanged(router int, now int64, whole bool, list []engine.Endpoint)
-	purged(router int, now int64, object string, group, made int64)
-	attemptSent(router int, rule string, h *engine.Attempt)
-	responded(router int, a *simulation.Ask, h *engine.Attempt, issued int64)
+	endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint)
+	purged(router int, now int64, object string, group, at int64)
+	attemptSent(router int, class string, attempt *engine.Attempt)
+	responded(router int, ask *simulation.Ask, attempt *engine.Attempt, issued int64)
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -8,37 +8,42 @@
 	"quilldoor/internal/simulation"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	*simulation.Result
 	Breaks []checker.Violation
-	Count  [6]int // broken, by rule
-	Judged int
-	Late   int64 // on sockets: how late the model was at most, in microseconds
+	Count  [6]int // violations by rule
+	Judged int    // requests that the checker judged
+	Late   int64  // on sockets: the emulator's longest delay, in microseconds
 
-	Cost    Cost     // on sockets: of all router processes
-	Excused int      // txns that fell due while their router stood still, or whose process was killed
+	Cost    Cost     // on sockets: what the router processes used
+	Excused int      // requests that fell due while their router was stopped, or whose process was killed
 	Broke   int      // on sockets: connections that ended without an answer, not by their client
-	Refused int      // on sockets: connections
+	Refused int      // on sockets: connections that routers did not accept
 	Members *Members // nil: routers don't know each other
 }
 
-// Cost is what processes used: CPU of all together, memory of the largest.
+// Cost is what processes used: the CPU time of all together, the memory of the largest.
 type Cost struct {
 	CPU    time.Duration
 	MostKB int64
 }
 
-// TooLate is when a run on sockets tells nothing: the model itself broke the
-// graces that routers are judged by.
+// TooLate is the delay of the emulator, in microseconds, beyond which a run on sockets proves
+// nothing: the emulator itself used up the time that routers are allowed.
 const TooLate = 100_000
 
-// Figures of the rules for a script.
+// Figures are the checker's settings for a scenario. Slack is how much later than its deadline
+// an answer may come, in microseconds.
 func Figures(s *scenario.Scenario, slack int64) checker.Settings {
-	const toldBy = 7_000_000 // the platform's page: what the board has counts as told 7 s later
-	f := &s.Fleet
+	// The platform counts a discovery event as known to a router 7 s after it was posted.
+	const notificationMicros = 7_000_000
+	fleet := &s.Fleet
 	return checker.Settings{
-		Classes: s.Classes(), AnswerSlack: slack, DrainGrace: int64(f.DrainGraceMS * 1000),
-		PurgeGrace: int64(f.PurgeGraceMS * 1000), NotificationDeadline: toldBy,
+		Classes:              s.Classes(),
+		AnswerSlack:          slack,
+		DrainGrace:           int64(fleet.DrainGraceMS * 1000),
+		PurgeGrace:           int64(fleet.PurgeGraceMS * 1000),
+		NotificationDeadline: notificationMicros,
 	}
 }
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -12,55 +12,75 @@
 	"quilldoor/internal/simfleet"
 )
 
-// startMembership gives the routers of the virtual clock their knowledge of each other.
+// startMembership starts the routers' membership, where the scenario has one, and compares
+// their views at intervals.
 func (v *virtualRun) startMembership() {
 	if !v.scenario.Fleet.Membership {
 		return
 	}
 	count := v.world.Routers()
 	v.fleet = simfleet.New(count, v.options.Seed, v.world.Ways, func(host *simfleet.Host, now int64) simfleet.Detector {
-		r := v.routers[host.ID]
+		router := v.routers[host.ID]
+		random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
 		return membership.New(membership.Settings{
 			Name: host.Name, Zone: scenario.Zone(v.world.Office(host.ID)), Addr: simfleet.Addr(host.ID),
 			Seeds: simfleet.Seeds(count), Epoch: 1,
-		}, rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|r.incarnation)), now)
+		}, random, now)
 	})
 	v.fleet.Payloads = payloadHandler{v}
 	for i := range count {
 		v.fleet.Start(i)
 	}
-	var observe func()
-	observe = func() {
-		views := map[string]*membership.View{}
-		var up []string
-		for _, host := range v.fleet.Hosts {
-			v.membership.recordReachable(v.world.Now(), host.Name, reachable(v.world, host.ID))
-			if host.Detector != nil {
-				up = append(up, host.Name)
-				if !v.routers[host.ID].stopped {
-					views[host.Name] = host.Detector.(*membership.Node).View()
-				}
-			}
+	v.scheduleComparison()
+}
+
+// scheduleComparison compares the routers' views after each interval.
+func (v *virtualRun) scheduleComparison() {
+	v.world.After(viewIntervalMicros, func() {
+		v.compareViews()
+		v.scheduleComparison()
+	})
+}
+
+// compareViews compares the views of the routers that are up. A stopped one can't be asked.
+func (v *virtualRun) compareViews() {
+	views := map[string]*membership.View{}
+	var up []string
+	for _, host := range v.fleet.Hosts {
+		v.membership.recordReachable(v.world.Now(), host.Name, reachable(v.world, host.ID))
+		if host.Detector == nil {
+			continue
+		}
+		up = append(up, host.Name)
+		if !v.routers[host.ID].stopped {
+			views[host.Name] = host.Detector.(*membership.Node).View()
 		}
-		v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
-		v.world.After(viewIntervalMicros, observe)
 	}
-	v.world.After(viewIntervalMicros, observe)
+	v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
 }
 
-// maxRequestMicros is the longest time limit of the rules.
+// membersForConfirmation is how many members a router must know of until reports of
+// endpoints need a second source.
+const membersForConfirmation = 3
+
+// maxRequestMicros is the longest time limit of the traffic classes.
 const maxRequestMicros = 5_000_000
 
-// payloadHandler is what virtual routers do with what they know, as the router does it.
+// payloadHandler exchanges endpoint state between the routers' replicas, in the payloads of
+// membership messages. It implements the fleet's interface for payloads.
 type payloadHandler struct{ *virtualRun }
 
+// Digest is the digest of a router's replica.
 func (m payloadHandler) Digest(host *simfleet.Host) uint32 {
 	return m.routers[host.ID].replica.Digest()
 }
 
+// HandlePayload applies a payload to a router and returns the replies.
 func (m payloadHandler) HandlePayload(host *simfleet.Host, payload membership.Payload) [][]byte {
 	router := m.routers[host.ID]
-	result := router.replica.HandlePayload(m.now(), m.now(), payload.From, payload.Digest, payload.Body, transport.MaxPayloadBytes)
+	result := router.replica.HandlePayload(
+		m.now(), m.now(), payload.From, payload.Digest, payload.Body, transport.MaxPayloadBytes,
+	)
 	m.applyEndpoints(router, result.Endpoints)
 	for _, purge := range result.Purges {
 		router.engine.Purge(m.now(), purge.Object, purge.Group, purge.At)
@@ -75,14 +95,17 @@
 	}
 }
 
+// Tick runs the timers of a router's replica.
 func (m payloadHandler) Tick(host *simfleet.Host) {
-	router, node := m.routers[host.ID], host.Detector.(*membership.Node)
-	router.replica.SetSingleConfirmation(node.Connectivity().Known < 3)
+	router := m.routers[host.ID]
+	node := host.Detector.(*membership.Node)
+	router.replica.SetSingleConfirmation(node.Connectivity().Known < membersForConfirmation)
 	m.applyEndpoints(router, router.replica.Tick(m.now(), m.now()))
 	m.settle()
 }
 
-// mergeEndpoints passes what the board tells, with what other routers know better.
+// mergeEndpoints is an update by the discovery service, merged with what other routers know
+// of later changes.
 func (v *virtualRun) mergeEndpoints(r *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
 	if r.replica == nil {
 		return list
@@ -94,6 +117,7 @@
 	return engineEndpoints(r.replica.ApplyLocal(v.now(), complete, out))
 }
 
+// engineEndpoints is a replica's endpoints in the engine's type.
 func engineEndpoints(list []gossip.Endpoint) (out []engine.Endpoint) {
 	for _, endpoint := range list {
 		out = append(out, engine.Endpoint{Endpoint: endpoint.Endpoint, Address: endpoint.Address})
