--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -35,15 +35,15 @@
 }
 
 // Told posts an event to a router's discovery service.
-func (v *socketRun) Told(router int, n simulation.Notice) {
-	r := v.routers[router]
+func (run *socketRun) Told(router int, n simulation.Notice) {
+	r := run.routers[router]
 	revision := len(r.discoveryEvents) + 1
 	if n.Purge {
 		selector := fmt.Sprintf(`"collection":%d`, n.Group)
 		if n.Object != "" {
 			selector = fmt.Sprintf(`"asset":%q`, n.Object)
 		}
-		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, v.unixMS(n.At)))
+		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, run.unixMS(n.At)))
 		return
 	}
 	r.postEvent(r.endpointListEvent(revision, n.Servers, false))
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -11,8 +11,8 @@
 )
 
 // Down kills a router outright.
-func (v *socketRun) Down(router int) {
-	r := v.routers[router]
+func (run *socketRun) Down(router int) {
+	r := run.routers[router]
 	for _, request := range r.requests {
 		request.cancel()
 	}
@@ -21,17 +21,17 @@
 }
 
 // Up starts a router again, with the endpoint list as it is.
-func (v *socketRun) Up(router int, known []simulation.Server) {
-	if err := v.routers[router].start(known); err != nil {
-		v.fail(err)
+func (run *socketRun) Up(router int, known []simulation.Server) {
+	if err := run.routers[router].start(known); err != nil {
+		run.fail(err)
 	}
 }
 
 // Stop pauses a router. Its machine still accepts connections and buffers what comes.
-func (v *socketRun) Stop(router int) { v.routers[router].signal(syscall.SIGSTOP) }
+func (run *socketRun) Stop(router int) { run.routers[router].signal(syscall.SIGSTOP) }
 
 // Wake lets a paused router go on.
-func (v *socketRun) Wake(router int) { v.routers[router].signal(syscall.SIGCONT) }
+func (run *socketRun) Wake(router int) { run.routers[router].signal(syscall.SIGCONT) }
 
 // signal sends a signal to the router's process, if it has not been killed.
 func (r *routerProcess) signal(s os.Signal) {
@@ -45,8 +45,8 @@
 
 // Starve takes a share of a router's CPU away, some milliseconds at a time, as a
 // busy neighbour on its core does. Share 0 ends it.
-func (v *socketRun) Starve(router int, share float64) {
-	r := v.routers[router]
+func (run *socketRun) Starve(router int, share float64) {
+	r := run.routers[router]
 	r.stopStarving()
 	if share == 0 {
 		return
@@ -55,14 +55,14 @@
 	r.starveTicker = ticker
 	cmd := r.cmd
 	pause := time.Duration(share * float64(starveSlice))
-	v.goroutines.Go(func() {
+	run.goroutines.Go(func() {
 		for {
 			select {
 			case <-ticker.C:
-			case <-v.ctx.Done():
+			case <-run.ctx.Done():
 				return
 			}
-			v.runInLoop(func() {
+			run.runInLoop(func() {
 				if r.starveTicker == ticker {
 					r.pauseFor(cmd, pause)
 				}
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -80,35 +80,35 @@
 
 // watchMembership compares the routers' membership views time and again. It asks for them
 // with the query that the router's own command uses.
-func (v *socketRun) watchMembership() {
-	for v.ctx.Err() == nil {
-		up, targets, ok := v.viewTargets()
+func (run *socketRun) watchMembership() {
+	for run.ctx.Err() == nil {
+		up, targets, ok := run.viewTargets()
 		if !ok {
 			return
 		}
 		views := queryViews(targets)
-		v.runInLoop(func() { v.compareViews(up, views) })
+		run.runInLoop(func() { run.compareViews(up, views) })
 		select {
 		case <-time.After(viewIntervalMicros * time.Microsecond):
-		case <-v.ctx.Done():
+		case <-run.ctx.Done():
 		}
 	}
 }
 
 // viewTargets asks the loop which routers are up, and which of them can answer. Not ok: the
 // run is over.
-func (v *socketRun) viewTargets() (up []string, targets []viewTarget, ok bool) {
+func (run *socketRun) viewTargets() (up []string, targets []viewTarget, ok bool) {
 	done := make(chan struct{})
-	v.runInLoop(func() {
+	run.runInLoop(func() {
 		defer close(done)
-		for _, r := range v.routers {
+		for _, r := range run.routers {
 			name := routerName(r.id)
-			v.membership.recordReachable(v.world.Now(), name, reachable(v.world, r.id))
-			if !v.world.Up(r.id) {
+			run.membership.recordReachable(run.world.Now(), name, reachable(run.world, r.id))
+			if !run.world.Up(r.id) {
 				continue
 			}
 			up = append(up, name)
-			if !v.world.Stopped(r.id) {
+			if !run.world.Stopped(r.id) {
 				targets = append(targets, viewTarget{name, r.membershipAddr})
 			}
 		}
@@ -116,7 +116,7 @@
 	select {
 	case <-done:
 		return up, targets, true
-	case <-v.ctx.Done():
+	case <-run.ctx.Done():
 		return nil, nil, false
 	}
 }
@@ -144,17 +144,17 @@
 }
 
 // compareViews judges views, unless a router was killed while they were asked for.
-func (v *socketRun) compareViews(up []string, views map[string]*membership.View) {
+func (run *socketRun) compareViews(up []string, views map[string]*membership.View) {
 	for _, name := range up {
-		if !v.world.Up(v.routerByName(name)) {
+		if !run.world.Up(run.routerByName(name)) {
 			return
 		}
 	}
-	v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
+	run.membership.observe(run.world.Now(), run.world.LastTurn(), up, views)
 }
 
 // routerByName is the reverse of routerName.
-func (v *socketRun) routerByName(name string) (router int) {
+func (run *socketRun) routerByName(name string) (router int) {
 	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
 	return router
 }
--- a/internal/emulator/site_relay.go
+++ b/internal/emulator/site_relay.go
@@ -16,16 +16,16 @@
 
 // startRelay passes connections on to an address, delayed by the latency between sites.
 // While the sites are cut, bytes wait, as they do with TCP.
-func (v *socketRun) startRelay(to string) (addr string, err error) {
+func (run *socketRun) startRelay(to string) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	v.goroutines.Go(func() {
-		<-v.ctx.Done()
+	run.goroutines.Go(func() {
+		<-run.ctx.Done()
 		listener.Close()
 	})
-	v.goroutines.Go(func() {
+	run.goroutines.Go(func() {
 		for {
 			client, err := listener.Accept()
 			if err != nil {
@@ -36,8 +36,8 @@
 				client.Close()
 				continue
 			}
-			v.goroutines.Go(func() { v.relayDelayed(client, server) })
-			v.goroutines.Go(func() { v.relayDelayed(server, client) })
+			run.goroutines.Go(func() { run.relayDelayed(client, server) })
+			run.goroutines.Go(func() { run.relayDelayed(server, client) })
 		}
 	})
 	return listener.Addr().String(), nil
@@ -50,14 +50,14 @@
 }
 
 // relayDelayed passes one direction of a connection on, until either end closes.
-func (v *socketRun) relayDelayed(from, to net.Conn) {
+func (run *socketRun) relayDelayed(from, to net.Conn) {
 	defer to.Close()
 	defer from.Close()
 	chunks := make(chan relayChunk, relayQueueLength)
-	v.goroutines.Go(func() {
+	run.goroutines.Go(func() {
 		defer to.Close()
 		defer from.Close()
-		v.writeDelayed(to, chunks)
+		run.writeDelayed(to, chunks)
 	})
 	defer close(chunks)
 	for {
@@ -68,7 +68,7 @@
 		}
 		select {
 		case chunks <- relayChunk{time.Now(), buffer[:n]}:
-		case <-v.ctx.Done():
+		case <-run.ctx.Done():
 			return
 		}
 	}
@@ -76,18 +76,18 @@
 
 // writeDelayed writes each chunk once the latency between sites has passed and the sites
 // are not cut.
-func (v *socketRun) writeDelayed(to net.Conn, chunks <-chan relayChunk) {
-	latency := time.Duration(v.scenario.Fleet.SiteMS * float64(time.Millisecond))
+func (run *socketRun) writeDelayed(to net.Conn, chunks <-chan relayChunk) {
+	latency := time.Duration(run.scenario.Fleet.SiteMS * float64(time.Millisecond))
 	for {
 		select {
-		case <-v.ctx.Done():
+		case <-run.ctx.Done():
 			return
 		case chunk, open := <-chunks:
 			if !open {
 				return
 			}
 			time.Sleep(time.Until(chunk.readAt.Add(latency)))
-			for v.sitesCut.Load() && v.ctx.Err() == nil {
+			for run.sitesCut.Load() && run.ctx.Err() == nil {
 				time.Sleep(cutPollInterval)
 			}
 			if _, err := to.Write(chunk.bytes); err != nil {
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -94,21 +94,21 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	v := newSocketRun(ctx, cancel, s, opt, conf, dir)
-	defer v.close()
-	if err := v.prepareRouters(); err != nil {
+	run := newSocketRun(ctx, cancel, s, opt, conf, dir)
+	defer run.close()
+	if err := run.prepareRouters(); err != nil {
 		return nil, err
 	}
-	if err := v.startRouters(); err != nil {
+	if err := run.startRouters(); err != nil {
 		return nil, err
 	}
-	v.startedAt = time.Now()
-	v.startWatchers()
-	if err := v.loop(); err != nil {
+	run.startedAt = time.Now()
+	run.startWatchers()
+	if err := run.loop(); err != nil {
 		return nil, err
 	}
-	v.killRouters()
-	return v.result(), nil
+	run.killRouters()
+	return run.result(), nil
 }
 
 // checkListenerCount refuses scenarios that take more listeners than a run may open.
@@ -129,7 +129,7 @@
 func newSocketRun(
 	ctx context.Context, cancel context.CancelFunc, s *scenario.Scenario, opt Options, conf Routers, dir string,
 ) *socketRun {
-	v := &socketRun{
+	run := &socketRun{
 		options:  opt,
 		scenario: s,
 		checker:  checker.New(Figures(s, socketAnswerSlackMicros)),
@@ -145,28 +145,28 @@
 			DisableCompression:  true,
 		}},
 	}
-	v.world = simulation.New(s, opt.Seed, v)
-	v.world.Slack = socketAnswerSlackMicros
-	return v
+	run.world = simulation.New(s, opt.Seed, run)
+	run.world.Slack = socketAnswerSlackMicros
+	return run
 }
 
 // prepareRouters opens what the routers talk to and writes their operators' files.
-func (v *socketRun) prepareRouters() error {
-	fleet := &v.scenario.Fleet
+func (run *socketRun) prepareRouters() error {
+	fleet := &run.scenario.Fleet
 	if fleet.Sites >= 2 {
-		if err := v.makeGatewayKeys(); err != nil {
+		if err := run.makeGatewayKeys(); err != nil {
 			return err
 		}
 	}
-	for i := range v.world.Routers() {
+	for i := range run.world.Routers() {
 		r := &routerProcess{
-			socketRun:   v,
+			socketRun:   run,
 			id:          i,
 			servers:     map[string]*serverListener{},
 			requests:    map[string]*clientRequest{},
 			eventPosted: make(chan struct{}),
 		}
-		v.routers = append(v.routers, r)
+		run.routers = append(run.routers, r)
 		if err := r.prepare(); err != nil {
 			return err
 		}
@@ -174,7 +174,7 @@
 	if fleet.Sites < 2 && !fleet.Membership && !fleet.Supervised && fleet.DiskMB <= 0 {
 		return nil
 	}
-	for _, r := range v.routers { // after all have addresses: a file names the peers'
+	for _, r := range run.routers { // after all have addresses: a file names the peers'
 		if err := r.writeOperatorConfig(); err != nil {
 			return err
 		}
@@ -182,21 +182,21 @@
 	return nil
 }
 
-func (v *socketRun) makeGatewayKeys() error {
+func (run *socketRun) makeGatewayKeys() error {
 	var names []string
-	for i := range v.world.Routers() {
+	for i := range run.world.Routers() {
 		names = append(names, routerName(i))
 	}
-	return gateway.MakeKeys(v.dir, names, gatewayKeyLifetime)
+	return gateway.MakeKeys(run.dir, names, gatewayKeyLifetime)
 }
 
 // startRouters starts one router after another, as a start takes CPU that the others need,
 // and reports their addresses once all are ready.
-func (v *socketRun) startRouters() error {
-	v.startedAt = time.Now()
+func (run *socketRun) startRouters() error {
+	run.startedAt = time.Now()
 	var addrs []string
-	for _, r := range v.routers {
-		if err := r.start(v.world.Known()); err != nil {
+	for _, r := range run.routers {
+		if err := r.start(run.world.Known()); err != nil {
 			return err
 		}
 		if err := r.waitReady(); err != nil {
@@ -204,87 +204,87 @@
 		}
 		addrs = append(addrs, r.clientAddr)
 	}
-	if v.config.Ready != nil {
-		v.config.Ready(addrs)
+	if run.config.Ready != nil {
+		run.config.Ready(addrs)
 	}
 	return nil
 }
 
 // startWatchers starts what goes on beside the loop: polls of the membership views, and Drive.
-func (v *socketRun) startWatchers() {
-	if v.scenario.Fleet.Membership {
-		v.goroutines.Go(v.watchMembership)
+func (run *socketRun) startWatchers() {
+	if run.scenario.Fleet.Membership {
+		run.goroutines.Go(run.watchMembership)
 	}
-	if v.config.Drive != nil {
+	if run.config.Drive != nil {
 		done := make(chan error, 1)
-		v.driverDone = done
-		v.goroutines.Go(func() { done <- v.config.Drive(v.ctx, &Kept{v}) })
+		run.driverDone = done
+		run.goroutines.Go(func() { done <- run.config.Drive(run.ctx, &Kept{run}) })
 	}
 }
 
-func (v *socketRun) killRouters() {
-	for _, r := range v.routers {
+func (run *socketRun) killRouters() {
+	for _, r := range run.routers {
 		r.kill()
 	}
 }
 
 // close ends the routers and all goroutines of the run.
-func (v *socketRun) close() {
-	v.cancel()
-	v.killRouters()
-	v.client.CloseIdleConnections()
-	v.goroutines.Wait()
+func (run *socketRun) close() {
+	run.cancel()
+	run.killRouters()
+	run.client.CloseIdleConnections()
+	run.goroutines.Wait()
 }
 
-func (v *socketRun) result() *Result {
+func (run *socketRun) result() *Result {
 	r := &Result{
-		Result:  v.world.Result,
-		Breaks:  v.checker.Violations,
-		Count:   v.checker.CountByRule,
-		Judged:  v.checker.Checked,
-		Late:    v.maxLate,
-		Excused: v.checker.Excused,
-		Cost:    v.cost,
-		Broke:   v.brokenConns,
-		Refused: v.refusedConns,
+		Result:  run.world.Result,
+		Breaks:  run.checker.Violations,
+		Count:   run.checker.CountByRule,
+		Judged:  run.checker.Checked,
+		Late:    run.maxLate,
+		Excused: run.checker.Excused,
+		Cost:    run.cost,
+		Broke:   run.brokenConns,
+		Refused: run.refusedConns,
 	}
-	if v.scenario.Fleet.Membership {
-		r.Members = &v.membership
+	if run.scenario.Fleet.Membership {
+		r.Members = &run.membership
 	}
 	return r
 }
 
 // now is the time of the run in microseconds.
-func (v *socketRun) now() int64 { return time.Since(v.startedAt).Microseconds() }
+func (run *socketRun) now() int64 { return time.Since(run.startedAt).Microseconds() }
 
 // unixMS is a time of the run as milliseconds since 1970, the form in which the platform
 // tells times.
-func (v *socketRun) unixMS(at int64) int64 { return v.startedAt.UnixMilli() + at/1000 }
+func (run *socketRun) unixMS(at int64) int64 { return run.startedAt.UnixMilli() + at/1000 }
 
 // loop plays the world by the real clock until it is over.
-func (v *socketRun) loop() error {
+func (run *socketRun) loop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	reported := int64(0)
 	for {
-		now := v.now()
-		end := v.world.Length()
-		if v.world.Over() || now > end {
-			if v.driverDone != nil {
-				return <-v.driverDone
+		now := run.now()
+		end := run.world.Length()
+		if run.world.Over() || now > end {
+			if run.driverDone != nil {
+				return <-run.driverDone
 			}
 			return nil
 		}
-		for at := v.world.Next(); at <= now && v.world.Step(now); at = v.world.Next() {
-			v.maxLate = max(v.maxLate, v.now()-at)
+		for at := run.world.Next(); at <= now && run.world.Step(now); at = run.world.Next() {
+			run.maxLate = max(run.maxLate, run.now()-at)
 		}
-		if second := now / 1_000_000; second > reported && v.options.Progress != nil {
+		if second := now / 1_000_000; second > reported && run.options.Progress != nil {
 			reported = second
-			v.options.Progress(float64(now)/float64(end), v.world.Result.Timeline)
+			run.options.Progress(float64(now)/float64(end), run.world.Result.Timeline)
 		}
-		wait := max(min(v.world.Next()-v.now(), maxLoopWaitMicros), 0)
+		wait := max(min(run.world.Next()-run.now(), maxLoopWaitMicros), 0)
 		timer.Reset(time.Duration(wait) * time.Microsecond)
-		if err := v.waitForEvent(timer.C); err != nil {
+		if err := run.waitForEvent(timer.C); err != nil {
 			return err
 		}
 	}
@@ -292,64 +292,64 @@
 
 // waitForEvent waits for a task, the timer, the end of Drive, a failure or the end of the
 // run's context, and handles it.
-func (v *socketRun) waitForEvent(timer <-chan time.Time) error {
+func (run *socketRun) waitForEvent(timer <-chan time.Time) error {
 	select {
-	case task := <-v.tasks:
-		v.world.At(v.now())
+	case task := <-run.tasks:
+		run.world.At(run.now())
 		task()
 	case <-timer:
-	case err := <-v.failures:
+	case err := <-run.failures:
 		return err
-	case err := <-v.driverDone:
-		v.driverDone = nil
+	case err := <-run.driverDone:
+		run.driverDone = nil
 		if err != nil {
 			return err
 		}
-		if v.config.EndWithDrive {
-			v.world.At(v.now())
-			v.world.Close()
+		if run.config.EndWithDrive {
+			run.world.At(run.now())
+			run.world.Close()
 		}
-	case <-v.ctx.Done():
-		return v.ctx.Err()
+	case <-run.ctx.Done():
+		return run.ctx.Err()
 	}
 	return nil
 }
 
 // runInLoop hands the loop a task. Once the run is over the task is dropped.
-func (v *socketRun) runInLoop(task func()) {
+func (run *socketRun) runInLoop(task func()) {
 	select {
-	case v.tasks <- task:
-	case <-v.ctx.Done():
+	case run.tasks <- task:
+	case <-run.ctx.Done():
 	}
 }
 
 // End answers an attempt.
-func (v *socketRun) End(_ int, h *simulation.Hop, e simulation.End) {
+func (run *socketRun) End(_ int, h *simulation.Hop, e simulation.End) {
 	h.Tag.(*serverAttempt).finish(h, e)
 }
 
 // Note passes an entry of the event log on to the checker and the record. Where a server
 // starts or goes down, its listeners follow.
-func (v *socketRun) Note(e *eventlog.Entry) {
-	v.sitesCut.Store(v.world != nil && v.world.SitesCut())
+func (run *socketRun) Note(e *eventlog.Entry) {
+	run.sitesCut.Store(run.world != nil && run.world.SitesCut())
 	switch e.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
-		for _, r := range v.routers {
+		for _, r := range run.routers {
 			if p := r.servers[e.Endpoint]; p != nil {
-				p.setState(e.Kind == eventlog.KindStarted, v.world.Silent(e.Endpoint))
+				p.setState(e.Kind == eventlog.KindStarted, run.world.Silent(e.Endpoint))
 			}
 		}
 	}
-	v.checker.Observe(e)
-	if v.options.Record != nil {
-		v.options.Record(e)
+	run.checker.Observe(e)
+	if run.options.Record != nil {
+		run.options.Record(e)
 	}
 }
 
 // fail ends the run with an error. Only the first error counts.
-func (v *socketRun) fail(err error) {
+func (run *socketRun) fail(err error) {
 	select {
-	case v.failures <- err:
+	case run.failures <- err:
 	default:
 	}
 }
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -48,49 +48,49 @@
 }
 
 // Ask sends a client's request.
-func (v *socketRun) Ask(ask *simulation.Ask) {
-	r := v.routers[ask.Router]
-	ctx, cancel := context.WithCancel(v.ctx)
+func (run *socketRun) Ask(ask *simulation.Ask) {
+	r := run.routers[ask.Router]
+	ctx, cancel := context.WithCancel(run.ctx)
 	request := &clientRequest{Ask: ask, cancel: cancel}
 	r.requests[ask.Txn] = request
 	addr := r.clientAddr
-	v.goroutines.Go(func() {
-		response := v.sendRequest(ctx, addr, ask)
-		v.runInLoop(func() {
+	run.goroutines.Go(func() {
+		response := run.sendRequest(ctx, addr, ask)
+		run.runInLoop(func() {
 			cancel()
-			v.finishRequest(r, request, response)
+			run.finishRequest(r, request, response)
 		})
 	})
 }
 
 // finishRequest tells the world what a client got, unless the client has left by now.
-func (v *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
+func (run *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
 	ask := request.Ask
 	if response.mismatch != "" {
-		v.Note(&eventlog.Entry{
-			Kind: eventlog.KindWrong, At: v.world.Now(), Router: ask.Router, Request: ask.Txn, State: response.mismatch,
+		run.Note(&eventlog.Entry{
+			Kind: eventlog.KindWrong, At: run.world.Now(), Router: ask.Router, Request: ask.Txn, State: response.mismatch,
 		})
 	}
-	v.forgetForwarded(ask.Txn)
+	run.forgetForwarded(ask.Txn)
 	if r.requests[ask.Txn] != request {
 		return
 	}
 	switch response.outcome {
 	case outcomeNone:
-		v.brokenConns++
+		run.brokenConns++
 	case outcomeRefused:
-		v.refusedConns++
+		run.refusedConns++
 		delete(r.requests, ask.Txn)
-		v.world.Refused(ask.Router, ask.Txn)
+		run.world.Refused(ask.Router, ask.Txn)
 	default:
 		delete(r.requests, ask.Txn)
-		v.world.Final(ask.Router, ask.Txn, response.outcome, response.issuedMicros, response.retryAfterMicros)
+		run.world.Final(ask.Router, ask.Txn, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
 // forgetForwarded forgets a request at the routers that it was forwarded to.
-func (v *socketRun) forgetForwarded(requestID string) {
-	for _, r := range v.routers {
+func (run *socketRun) forgetForwarded(requestID string) {
+	for _, r := range run.routers {
 		if request := r.requests[requestID]; request != nil && request.forwarded {
 			delete(r.requests, requestID)
 		}
@@ -118,12 +118,12 @@
 }
 
 // sendRequest sends a request over HTTP and reads the answer.
-func (v *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Ask) clientResponse {
-	request, err := v.newRequest(ctx, addr, ask)
+func (run *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Ask) clientResponse {
+	request, err := run.newRequest(ctx, addr, ask)
 	if err != nil {
 		return clientResponse{outcome: outcomeNone}
 	}
-	response, err := v.client.Do(request)
+	response, err := run.client.Do(request)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return clientResponse{outcome: outcomeRefused}
 	}
@@ -146,12 +146,12 @@
 }
 
 // newRequest is a client's request in the platform's form.
-func (v *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Ask) (*http.Request, error) {
+func (run *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Ask) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
 	if ask.Write {
 		method, body = http.MethodPut, []byte(writePrefix+ask.Txn)
 	}
-	url := "http://" + addr + "/rpc/" + v.world.RuleOf(ask.Rule).Name + "/" + ask.Object
+	url := "http://" + addr + "/rpc/" + run.world.RuleOf(ask.Rule).Name + "/" + ask.Object
 	if ask.Rule == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(ask.Part, 10)
 	}
@@ -205,10 +205,10 @@
 }
 
 // Leave ends a client's wait: it closes its connection.
-func (v *socketRun) Leave(router int, requestID string) {
-	if request := v.routers[router].requests[requestID]; request != nil {
-		delete(v.routers[router].requests, requestID)
-		v.forgetForwarded(requestID)
+func (run *socketRun) Leave(router int, requestID string) {
+	if request := run.routers[router].requests[requestID]; request != nil {
+		delete(run.routers[router].requests, requestID)
+		run.forgetForwarded(requestID)
 		request.cancel()
 	}
 }
