--- a/internal/simulation/answer_faults.go
+++ b/internal/simulation/answer_faults.go
@@ -14,6 +14,7 @@
 	share  float64
 }
 
+// startAnswerFault lets a fault change a share of the answers until it ends.
 func (w *World) startAnswerFault(fault *scenario.Fault) (endFault func()) {
 	started := &answerFault{fault.Kind, fault.Office, fault.Share}
 	w.answerFaults = append(w.answerFaults, started)
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// detachLater removes an attempt from its server one network latency later.
 func (w *World) detachLater(attempt *Hop) {
 	w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
 }
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -19,6 +19,7 @@
 	key      int64
 }
 
+// newCache adds a cache to an office. It is up, warm and listed as active.
 func (w *World) newCache(office int, id string) *server {
 	fleet := &w.scenario.Fleet
 	s := &server{
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -41,6 +41,7 @@
 	}
 }
 
+// scheduleDrift changes the objects' popularity at regular intervals.
 func (w *World) scheduleDrift() {
 	w.schedule(int64(w.scenario.Load.DriftS*second), func() {
 		w.catalogue.drift(w.random)
@@ -63,10 +64,10 @@
 	switch draw := w.random.Float64() * total; {
 	case draw < load.WriteShare:
 		object := w.catalogue.newOneTimeObject(scenario.ClassPage)
-		w.beginRequest(&client{office: office, rule: scenario.ClassAccept, object: object})
+		w.beginRequest(&client{office: office, class: scenario.ClassAccept, object: object})
 	case draw < load.WriteShare+page:
 		object := w.pickObject(scenario.ClassPage, office)
-		w.beginRequest(&client{office: office, rule: scenario.ClassPage, object: object})
+		w.beginRequest(&client{office: office, class: scenario.ClassPage, object: object})
 	default:
 		w.watchVideo(&viewer{office: office, object: w.pickObject(scenario.ClassVideo, office)})
 	}
@@ -83,7 +84,7 @@
 // watchVideo requests a video's next part, and schedules the one after it unless the viewer stops.
 func (w *World) watchVideo(viewer *viewer) {
 	w.beginRequest(&client{
-		office: viewer.office, rule: scenario.ClassVideo, object: viewer.object, part: viewer.part,
+		office: viewer.office, class: scenario.ClassVideo, object: viewer.object, part: viewer.part,
 	})
 	viewer.part++
 	more := w.now < w.clientsUntil && viewer.part < w.catalogue.parts(viewer.object)
@@ -98,7 +99,7 @@
 	load := &w.scenario.Load
 	client.startedAt = w.now
 	client.honoursRetryAfter = w.random.Float64() < load.HonourShare
-	client.timeLimit = int64(float64(w.classes[client.rule].Timeout) * load.Patience)
+	client.timeLimit = int64(float64(w.classes[client.class].Timeout) * load.Patience)
 	client.phase = w.currentPhase()
 	w.Result.countRequest(w, client)
 	w.openRequests++
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -9,25 +9,25 @@
 // calls come from within World.Step, in order.
 type Driver interface {
 	// Ask delivers a client's complete request to its router.
-	Ask(a *Ask)
+	Ask(request *Ask)
 	// Leave reports that a request's client has gone.
-	Leave(router int, txn string)
+	Leave(router int, requestID string)
 	// End delivers the end of an attempt to its router.
-	End(router int, h *Hop, e End)
+	End(router int, attempt *Hop, end End)
 	// Told delivers a discovery event to a router.
-	Told(router int, n Notice)
+	Told(router int, notice Notice)
 	// Down kills a router's process.
 	Down(router int)
 	// Up starts a router's process with the endpoint list as it is.
 	Up(router int, known []Server)
-	// Stop suspends a router's process; Wake resumes it with its state.
+	// Stop suspends a router's process; it keeps its state.
 	Stop(router int)
 	// Wake resumes a router's process that Stop suspended.
 	Wake(router int)
 	// Starve lets other processes take a share of a router's CPU; 0: none.
 	Starve(router int, share float64)
 	// Note appends an entry to the event log, which the checker reads.
-	Note(e *Entry)
+	Note(entry *Entry)
 }
 
 // Server is an entry of the endpoint list.
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -115,7 +115,7 @@
 	w.schedule(int64(attempt.SizeKB/pace), partDone)
 }
 
-// unregister takes the fill off its server's books.
+// unregister removes the fill from its server.
 func (f *fill) unregister() {
 	f.server.fillCount--
 	if f.server.fills[f.key] == f {
@@ -160,7 +160,7 @@
 	}
 }
 
-// cancel ends the fill's transfers. Nobody who waits is told.
+// cancel ends the fill's transfers. Those who wait for it are not notified.
 func (f *fill) cancel() {
 	f.closed = true
 	for _, transfer := range f.transfers {
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -16,7 +16,7 @@
 	fleet := &w.scenario.Fleet
 	interval := w.jitter(fleet.ReportMS * millisecond)
 	if s.listed == policy.EndpointGone && !s.up && s.collapsed {
-		return
+		return // it never comes back
 	}
 	load := map[string]float64{}
 	if s.cpu != nil {
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -24,6 +24,7 @@
 	writeAnswerKB = 1
 )
 
+// newOrigin makes the origin, which stands at the first trunk.
 func (w *World) newOrigin() *server {
 	fleet := &w.scenario.Fleet
 	egressKBPerS := fleet.OriginLinkKBPerS
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -2,6 +2,7 @@
 
 import "quilldoor/internal/policy"
 
+// newParent adds a parent to a trunk. Its link out is in proportion to the links into the trunk's offices.
 func (w *World) newParent(trunk int, id string) *server {
 	fleet := &w.scenario.Fleet
 	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -51,7 +51,7 @@
 
 // client is a client with one request, over all its attempts.
 type client struct {
-	office, rule      int
+	office, class     int
 	object, part      int64
 	attempts          int
 	startedAt         int64  // first attempt
@@ -92,19 +92,20 @@
 	return candidates
 }
 
+// newRequest makes a client's next attempt, for a router.
 func (w *World) newRequest(router *router, client *client) *Ask {
 	w.clients.requestCount++
 	request := &Ask{
 		Router:   router.id,
 		Txn:      fmt.Sprintf("%016x", w.clients.requestCount),
-		Rule:     client.rule,
+		Rule:     client.class,
 		Object:   w.catalogue.name(client.object),
 		Group:    w.catalogue.group(client.object),
 		Part:     client.part,
 		SizeKB:   w.catalogue.size(client.object, client.part),
 		Limit:    client.timeLimit,
 		Again:    client.attempts > 1,
-		Write:    w.classes[client.rule].Write,
+		Write:    w.classes[client.class].Write,
 		client:   client,
 		deadline: w.now + client.timeLimit,
 	}
@@ -121,8 +122,7 @@
 func (w *World) requestArrived(router *router, request *Ask) {
 	router.addRequest(request)
 	w.Result.Taken++
-	entry := w.requestEntry(eventlog.KindTaken, request)
-	w.record(entry)
+	w.record(w.requestEntry(eventlog.KindTaken, request))
 	request.Limit = request.deadline - w.now
 	w.driver.Ask(request)
 }
@@ -144,7 +144,7 @@
 	w.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.Txn})
 	w.Result.Lost++
 	w.driver.Leave(router.id, request.Txn)
-	w.retryOrFail(request.client, 0, request.client.rule != scenario.ClassAccept)
+	w.retryOrFail(request.client, 0, request.client.class != scenario.ClassAccept)
 }
 
 // Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
@@ -191,7 +191,7 @@
 		w.Result.countCompleted(w, client, issuedAt)
 		return
 	}
-	idempotent := w.classes[client.rule].Effect == policy.EffectIdempotent
+	idempotent := w.classes[client.class].Effect == policy.EffectIdempotent
 	w.retryOrFail(client, retryAfter, outcome == answerRejected || idempotent)
 }
 
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -92,7 +92,7 @@
 
 // outcomes are the counts of a client's traffic class and phase.
 func (r *Result) outcomes(client *client) *Outcomes {
-	rule := r.Rules[client.rule]
+	rule := r.Rules[client.class]
 	outcomes := rule.Phases[client.phase]
 	if outcomes == nil {
 		outcomes = &Outcomes{}
@@ -106,8 +106,8 @@
 	r.current.Asked++
 	outcomes := r.outcomes(client)
 	outcomes.Asked++
-	outcomes.WorthMost += w.classes[client.rule].PriorityWeight
-	if client.phase != phaseWarmUp && client.rule != scenario.ClassAccept {
+	outcomes.WorthMost += w.classes[client.class].PriorityWeight
+	if client.phase != phaseWarmUp && client.class != scenario.ClassAccept {
 		r.AskedKB += w.catalogue.size(client.object, client.part)
 	}
 }
@@ -132,9 +132,9 @@
 
 // countCompleted counts a usable answer by its latency from the client's first attempt.
 func (r *Result) countCompleted(w *World, client *client, issuedAt int64) {
-	class := &w.classes[client.rule]
+	class := &w.classes[client.class]
 	latency := w.now - client.startedAt
-	r.Rules[client.rule].latencies.RecordValue(latency) // a latency beyond the bounds is left out
+	r.Rules[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
 	work := w.flowTime(w.catalogue.size(client.object, client.part))
 	if class.Write {
 		work = 0
@@ -217,4 +217,4 @@
 
 // Quantile is a quantile of the latency of completed requests in microseconds, from the client's first attempt.
 // Requests of the warm-up count too.
-func (k *RuleResult) Quantile(q float64) int64 { return k.latencies.ValueAtQuantile(q) }
+func (r *RuleResult) Quantile(q float64) int64 { return r.latencies.ValueAtQuantile(q) }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -27,6 +27,7 @@
 // minCompactedArrivals keeps short lists of arrivals from being compacted.
 const minCompactedArrivals = 64
 
+// addRequest adds a request that has arrived.
 func (r *router) addRequest(request *Ask) {
 	request.open = true
 	r.openRequests[request.Txn] = request
@@ -36,6 +37,7 @@
 	}
 }
 
+// closeRequest removes a request that was answered or whose client has gone.
 func (r *router) closeRequest(request *Ask) {
 	request.open = false
 	delete(r.openRequests, request.Txn)
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -213,9 +213,9 @@
 }
 
 // sortedKeys gives the fills a fixed order: that of a map would differ between runs.
-func sortedKeys(m map[int64]*fill) (keys []int64) {
-	for k := range m {
-		keys = append(keys, k)
+func sortedKeys(fills map[int64]*fill) (keys []int64) {
+	for key := range fills {
+		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	return keys
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -201,6 +201,7 @@
 // After schedules an action of the driver after a delay, among the World's own events.
 func (w *World) After(delay int64, action func()) { w.schedule(delay, action) }
 
+// schedule runs an action after a delay in microseconds; a negative delay counts as none.
 func (w *World) schedule(delay int64, action func()) {
 	w.sequence++
 	w.events.push(event{w.now + max(delay, 0), w.sequence, action})
@@ -229,6 +230,7 @@
 // At advances the clock to now without running events, before a router's input.
 func (w *World) At(now int64) { w.now = max(w.now, now) }
 
+// record appends an entry to the event log at the current time.
 func (w *World) record(entry Entry) {
 	entry.At = w.now
 	w.driver.Note(&entry)
