--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -54,7 +54,7 @@
 	if o.showRouter {
 		routers.Log = os.Stderr
 	}
-	result, err := emulator.Sockets(ctx, s, emulator.Options{Seed: s.Seed, Progress: showSeconds()}, routers)
+	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: s.Seed, Progress: showSeconds()}, routers)
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	switch {
-	case result.Late > emulator.TooLate:
+	case result.Late > emulator.MaxLateMicros:
 		return fmt.Errorf("undecided: the machine was too busy and the model %d ms late, which may itself "+
 			"have caused violations; play it again", result.Late/1000)
 	case len(result.Breaks) > 0:
@@ -90,9 +90,9 @@
 		options.Record = log.write
 	}
 	if o.sockets {
-		return emulator.Sockets(ctx, s, options, emulator.Routers{Program: o.routerBin})
+		return emulator.RunOnSockets(ctx, s, options, emulator.Routers{Program: o.routerBin})
 	}
-	return emulator.Virtual(ctx, s, options)
+	return emulator.RunVirtual(ctx, s, options)
 }
 
 func (o *emulateOptions) print(s *scenario.Scenario, result *emulator.Result) error {
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -168,7 +168,7 @@
 			violation = fmt.Sprintf("panic: %v", r)
 		}
 	}()
-	result, err := emulator.Virtual(ctx, s, emulator.Options{Seed: s.Seed})
+	result, err := emulator.RunVirtual(ctx, s, emulator.Options{Seed: s.Seed})
 	if err != nil {
 		return "error: " + err.Error(), 0
 	}
--- a/cmd/quilldoor-lab/membership.go
+++ b/cmd/quilldoor-lab/membership.go
@@ -161,7 +161,7 @@
 	f.Uint64Var(&seed, "seed", 1, "of the choice of processes and times")
 	f.StringVar(&routerBin, "router", "", routerFlagHelp)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		times, missed, err := emulator.Detection(c.Context(), routerBin, routers, kills, seed)
+		times, missed, err := emulator.MeasureFailureDetection(c.Context(), routerBin, routers, kills, seed)
 		if err != nil {
 			return err
 		}
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -98,7 +98,7 @@
 		if killedShare >= 0 {
 			setKilledShare(s, killedShare)
 		}
-		results[i], err = emulator.Virtual(ctx, s, emulator.Options{Seed: uint64(i + 1)})
+		results[i], err = emulator.RunVirtual(ctx, s, emulator.Options{Seed: uint64(i + 1)})
 		return err
 	})
 	if err != nil {
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -102,7 +102,7 @@
 			return nil, 0, err
 		}
 		var took time.Duration
-		drive := func(ctx context.Context, routers *emulator.Kept) error {
+		drive := func(ctx context.Context, routers *emulator.Supervised) error {
 			if !rolls {
 				return nil
 			}
@@ -110,9 +110,9 @@
 			defer func() { took = time.Since(began) }()
 			return driveRollout(ctx, routers, time.Duration(o.lengthS)*time.Second)
 		}
-		result, err := emulator.Sockets(ctx, s, emulator.Options{Seed: seed},
+		result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: seed},
 			emulator.Routers{Program: o.routerBin, Drive: drive})
-		if result == nil || result.Late <= emulator.TooLate {
+		if result == nil || result.Late <= emulator.MaxLateMicros {
 			return result, took, err
 		}
 	}
@@ -120,8 +120,8 @@
 }
 
 // driveRollout rolls the program that runs out to all routers once more.
-func driveRollout(ctx context.Context, routers *emulator.Kept, limit time.Duration) error {
-	status, err := routers.Standing(0)
+func driveRollout(ctx context.Context, routers *emulator.Supervised, limit time.Duration) error {
+	status, err := routers.Status(0)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	last  string // phase and reason of the last router that answered
 }
 
-func pollRollout(routers *emulator.Kept) rolloutPoll {
+func pollRollout(routers *emulator.Supervised) rolloutPoll {
 	var poll rolloutPoll
 	for router := range routers.Count() {
 		status, err := routers.Rollout(router, 0)
@@ -171,7 +171,7 @@
 }
 
 // sameProgramPlan is a rollout plan in YAML: one router, half of them, all.
-func sameProgramPlan(routers *emulator.Kept, program string) string {
+func sameProgramPlan(routers *emulator.Supervised, program string) string {
 	var plan strings.Builder
 	fmt.Fprintf(&plan, "name: cost\nprogram: %s\nsilent_s: 15\n", program)
 	fmt.Fprintf(&plan, "guards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n")
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -79,26 +79,26 @@
 	program string
 	day     string // empty: all days that are not explicit
 	mode    string
-	rolling emulator.Rolling
+	rolling emulator.RolloutOptions
 }
 
 var rolloutCases = []rolloutCase{
-	{sameProgram, "", modeJudged, emulator.Rolling{}},
-	{"refuses 0.02", "", modeJudged, emulator.Rolling{Refuses: 0.02}},
-	{"refuses 0.05", "", modeJudged, emulator.Rolling{Refuses: 0.05}},
-	{"refuses 0.1", "", modeJudged, emulator.Rolling{Refuses: 0.1}},
-	{"refuses 0.3", "", modeJudged, emulator.Rolling{Refuses: 0.3}},
-	{"refuses 0.5 of acceptances", "", modeJudged, emulator.Rolling{Refuses: 0.5, Of: "quote-accept"}},
-	{"refuses 0.2 once all have it", "", modeJudged, emulator.Rolling{Refuses: 0.2, OnlyAll: true}},
-	{"a tenth slower", "", modeJudged, emulator.Rolling{Slower: 0.1}},
-	{"a fifth slower", "", modeJudged, emulator.Rolling{Slower: 0.2}},
-	{"half slower", "", modeJudged, emulator.Rolling{Slower: 0.5}},
-	{"refuses 0.1", "", modeNoJudge, emulator.Rolling{Refuses: 0.1, NoJudge: true}},
-	{"refuses 0.1", "", modeAtOnce, emulator.Rolling{Refuses: 0.1, AtOnce: true}},
-	{sameProgram, "", modeNoRollout, emulator.Rolling{StartS: 1e9}},
-	{sameProgram, "purges and drains", modeJudged, emulator.Rolling{}},
-	{"deaf to purges", "purges and drains", modeJudged, emulator.Rolling{DeafPurges: true}},
-	{"deaf to drains", "purges and drains", modeJudged, emulator.Rolling{DeafDrains: true}},
+	{sameProgram, "", modeJudged, emulator.RolloutOptions{}},
+	{"refuses 0.02", "", modeJudged, emulator.RolloutOptions{Refuses: 0.02}},
+	{"refuses 0.05", "", modeJudged, emulator.RolloutOptions{Refuses: 0.05}},
+	{"refuses 0.1", "", modeJudged, emulator.RolloutOptions{Refuses: 0.1}},
+	{"refuses 0.3", "", modeJudged, emulator.RolloutOptions{Refuses: 0.3}},
+	{"refuses 0.5 of acceptances", "", modeJudged, emulator.RolloutOptions{Refuses: 0.5, Of: "quote-accept"}},
+	{"refuses 0.2 once all have it", "", modeJudged, emulator.RolloutOptions{Refuses: 0.2, OnlyAll: true}},
+	{"a tenth slower", "", modeJudged, emulator.RolloutOptions{Slower: 0.1}},
+	{"a fifth slower", "", modeJudged, emulator.RolloutOptions{Slower: 0.2}},
+	{"half slower", "", modeJudged, emulator.RolloutOptions{Slower: 0.5}},
+	{"refuses 0.1", "", modeNoJudge, emulator.RolloutOptions{Refuses: 0.1, NoJudge: true}},
+	{"refuses 0.1", "", modeAtOnce, emulator.RolloutOptions{Refuses: 0.1, AtOnce: true}},
+	{sameProgram, "", modeNoRollout, emulator.RolloutOptions{StartS: 1e9}},
+	{sameProgram, "purges and drains", modeJudged, emulator.RolloutOptions{}},
+	{"deaf to purges", "purges and drains", modeJudged, emulator.RolloutOptions{DeafPurges: true}},
+	{"deaf to drains", "purges and drains", modeJudged, emulator.RolloutOptions{DeafDrains: true}},
 }
 
 // on reports whether the case is played on a day.
@@ -189,14 +189,14 @@
 // playRollouts plays a case once with each seed.
 func playRollouts(
 	ctx context.Context, day rolloutDay, c *rolloutCase, plan *rollout.Plan, lengthS float64, runs int,
-) ([]*emulator.Rolled, error) {
+) ([]*emulator.RolloutResult, error) {
 	rolling := c.rolling
 	rolling.Plan = plan
 	rolling.TrialS = rolloutTrialS
 	if rolling.StartS == 0 {
 		rolling.StartS = rolloutStartS
 	}
-	results := make([]*emulator.Rolled, runs)
+	results := make([]*emulator.RolloutResult, runs)
 	err := parallel(runs, runtime.NumCPU(), func(i int) error {
 		s, err := scenario.Parse(day.name, fmt.Appendf(nil, rolloutScenario, lengthS, day.faults))
 		if err != nil {
@@ -221,7 +221,7 @@
 	accused                        int                     // routers
 }
 
-func summarize(results []*emulator.Rolled) *rolloutFigures {
+func summarize(results []*emulator.RolloutResult) *rolloutFigures {
 	f := &rolloutFigures{runs: len(results)}
 	for _, result := range results {
 		f.add(result)
@@ -230,7 +230,7 @@
 }
 
 // add counts a run.
-func (f *rolloutFigures) add(result *emulator.Rolled) {
+func (f *rolloutFigures) add(result *emulator.RolloutResult) {
 	f.earned = append(f.earned, result.Worth())
 	f.harmed += float64(result.Harmed) / float64(f.runs)
 	f.accused += result.Accused
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -51,19 +51,19 @@
 type upgradeCase struct {
 	name       string
 	supervised bool
-	act        func(routers *emulator.Kept, router int) error
+	act        func(routers *emulator.Supervised, router int) error
 }
 
 // upgradeCases begin with the baseline that the others are compared with.
 var upgradeCases = []upgradeCase{
-	{"calm", true, func(*emulator.Kept, int) error { return nil }},
+	{"calm", true, func(*emulator.Supervised, int) error { return nil }},
 	{"change", true, applyUpgrade},
 	{"crash on trial", true, crashOnTrial},
-	{"restart", false, func(routers *emulator.Kept, router int) error { return routers.Restart(router) }},
+	{"restart", false, func(routers *emulator.Supervised, router int) error { return routers.Restart(router) }},
 }
 
 // applyUpgrade asks a router's supervisor for a new generation.
-func applyUpgrade(routers *emulator.Kept, router int) error {
+func applyUpgrade(routers *emulator.Supervised, router int) error {
 	reply, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil {
 		return err
@@ -75,13 +75,13 @@
 }
 
 // crashOnTrial kills the new generation while it is on trial.
-func crashOnTrial(routers *emulator.Kept, router int) error {
+func crashOnTrial(routers *emulator.Supervised, router int) error {
 	applied := make(chan error, 1)
 	go func() {
 		_, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
 		applied <- err
 	}()
-	status, err := routers.Until(router, upgradeSettleTime, func(s *handoff.Status) bool {
+	status, err := routers.WaitStatus(router, upgradeSettleTime, func(s *handoff.Status) bool {
 		return s.State == "on trial" && s.Next != nil
 	})
 	if err != nil {
@@ -204,10 +204,10 @@
 		figures := newUpgradeFigures()
 		window := newWindowRecorder(s, figures.latency)
 		driver := &upgradeDriver{upgrade: upgrade, figures: figures}
-		result, err := emulator.Sockets(ctx, s,
+		result, err := emulator.RunOnSockets(ctx, s,
 			emulator.Options{Seed: seed, Record: window.record},
 			emulator.Routers{Program: o.routerBin, Drive: driver.drive})
-		if result != nil && result.Late > emulator.TooLate {
+		if result != nil && result.Late > emulator.MaxLateMicros {
 			continue
 		}
 		if err != nil {
@@ -272,7 +272,7 @@
 }
 
 // drive acts on all routers at once and waits until they are steady again.
-func (d *upgradeDriver) drive(_ context.Context, routers *emulator.Kept) error {
+func (d *upgradeDriver) drive(_ context.Context, routers *emulator.Supervised) error {
 	time.Sleep(upgradeAt)
 	began := time.Now()
 	done := make(chan error, routers.Count())
@@ -287,14 +287,14 @@
 	return nil
 }
 
-func (d *upgradeDriver) upgradeOne(routers *emulator.Kept, router int, began time.Time) error {
+func (d *upgradeDriver) upgradeOne(routers *emulator.Supervised, router int, began time.Time) error {
 	if err := d.upgrade.act(routers, router); err != nil {
 		return err
 	}
 	if !d.upgrade.supervised {
 		return nil
 	}
-	status, err := routers.Until(router, upgradeSettleTime, func(s *handoff.Status) bool {
+	status, err := routers.WaitStatus(router, upgradeSettleTime, func(s *handoff.Status) bool {
 		return s.State == "steady" && s.DrainingProcesses == 0
 	})
 	if err != nil {
@@ -323,7 +323,7 @@
 	}
 	latency := hdrhistogram.New(1, maxLatencyUS, latencyDigits)
 	var last *handoff.Status
-	drive := func(_ context.Context, routers *emulator.Kept) error {
+	drive := func(_ context.Context, routers *emulator.Supervised) error {
 		for i := range o.row {
 			began := time.Now()
 			if err := applyUpgrade(routers, 0); err != nil {
@@ -332,10 +332,10 @@
 			latency.RecordValue(time.Since(began).Microseconds())
 		}
 		var err error
-		last, err = routers.Standing(0)
+		last, err = routers.Status(0)
 		return err
 	}
-	r, err := emulator.Sockets(ctx, s, emulator.Options{Seed: 1}, emulator.Routers{Program: o.routerBin, Drive: drive})
+	r, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: 1}, emulator.Routers{Program: o.routerBin, Drive: drive})
 	if err != nil {
 		return err
 	}
--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -61,7 +61,7 @@
   - {kind: cut_board, at: 4, for: 3, share: 0.5}
   - {kind: ways_camps, at: 6, for: 1}
 `
-	drive := func(_ context.Context, fleet *emulator.Kept) error {
+	drive := func(_ context.Context, fleet *emulator.Supervised) error {
 		time.Sleep(2 * time.Second)
 		for _, router := range []int{0, 2} {
 			if err := upgradeRepeatedly(fleet, router, 2); err != nil {
@@ -95,7 +95,7 @@
 }
 
 // expectEarlierProgramRefused asks a supervised router for an upgrade to the earlier program.
-func expectEarlierProgramRefused(fleet *emulator.Kept, router int, program string) error {
+func expectEarlierProgramRefused(fleet *emulator.Supervised, router int, program string) error {
 	reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
 	if err != nil {
 		return fmt.Errorf("router %d, to the earlier program: %w", router, err)
@@ -108,7 +108,7 @@
 
 // checkAgreement waits for a router to see all members alive, and checks that it tells
 // its generation if it is a supervised one.
-func checkAgreement(t *testing.T, fleet *emulator.Kept, router int) error {
+func checkAgreement(t *testing.T, fleet *emulator.Supervised, router int) error {
 	notAlive := func(member membership.MemberStatus) bool { return member.State != membership.StateAlive }
 	var view *membership.View
 	diverged := true
--- a/cmd/quilldoor/harness_test.go
+++ b/cmd/quilldoor/harness_test.go
@@ -62,10 +62,10 @@
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithTimeout(context.Background(), attemptTimeout)
-		result, err := emulator.Sockets(ctx, parsed, options, routers)
+		result, err := emulator.RunOnSockets(ctx, parsed, options, routers)
 		stop()
 		playCapacity.Release(weight)
-		if result == nil || result.Late <= emulator.TooLate {
+		if result == nil || result.Late <= emulator.MaxLateMicros {
 			decidedRuns.Add(1)
 			return result, err
 		}
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -19,7 +19,7 @@
 // damaged, and ends without a reason or takes the router down.
 func TestRefusedUpgrades(t *testing.T) {
 	t.Parallel()
-	playUpgrades(t, supervisedFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(fleet *emulator.Kept) error {
+	playUpgrades(t, supervisedFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(fleet *emulator.Supervised) error {
 		if err := checkEditedFiles(t, fleet); err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 }
 
 // checkEditedFiles asks for upgrades to edited configurations and operator files.
-func checkEditedFiles(t *testing.T, fleet *emulator.Kept) error {
+func checkEditedFiles(t *testing.T, fleet *emulator.Supervised) error {
 	for _, tc := range []struct {
 		name     string
 		config   bool // the edited file is the configuration, else the operator's
@@ -85,7 +85,7 @@
 		if reply.OK != tc.ok || !strings.Contains(reply.Note, tc.note) {
 			t.Errorf("%s: %+v", tc.name, reply)
 		}
-		if status, err := fleet.Standing(0); err != nil || status.Settled.Generation != tc.settled {
+		if status, err := fleet.Status(0); err != nil || status.Settled.Generation != tc.settled {
 			t.Errorf("%s: %v, %+v", tc.name, err, status)
 		}
 	}
@@ -94,14 +94,14 @@
 
 // checkConcurrentUpgrades asks for an upgrade while another runs, which is refused, and
 // for a rollback during the trial of the first.
-func checkConcurrentUpgrades(t *testing.T, fleet *emulator.Kept) error {
+func checkConcurrentUpgrades(t *testing.T, fleet *emulator.Supervised) error {
 	first := make(chan *handoff.Message, 1)
 	go func() {
 		reply, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
 		first <- reply
 	}()
 	upgrading := func(status *handoff.Status) bool { return status.State != "steady" }
-	if _, err := fleet.Until(0, 3*time.Second, upgrading); err != nil {
+	if _, err := fleet.WaitStatus(0, 3*time.Second, upgrading); err != nil {
 		return err
 	}
 	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
@@ -109,7 +109,7 @@
 		t.Errorf("second upgrade: %v, %+v", err, reply)
 	}
 	onTrial := func(status *handoff.Status) bool { return status.State == "on trial" }
-	if _, err := fleet.Until(0, 3*time.Second, onTrial); err != nil {
+	if _, err := fleet.WaitStatus(0, 3*time.Second, onTrial); err != nil {
 		return err
 	}
 	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !reply.FellBack {
@@ -122,7 +122,7 @@
 }
 
 // checkSecondSupervisor starts a second supervisor with the same folder.
-func checkSecondSupervisor(t *testing.T, fleet *emulator.Kept) {
+func checkSecondSupervisor(t *testing.T, fleet *emulator.Supervised) {
 	cmd := exec.Command(os.Args[0], "keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
 	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another keeper") {
@@ -132,14 +132,14 @@
 
 // checkUnwritableFolder upgrades where the copies of a generation, and then the state
 // file, can't be written.
-func checkUnwritableFolder(t *testing.T, fleet *emulator.Kept) error {
-	if err := os.WriteFile(filepath.Join(fleet.Folder(0), "9"), nil, 0o600); err != nil {
+func checkUnwritableFolder(t *testing.T, fleet *emulator.Supervised) error {
+	if err := os.WriteFile(filepath.Join(fleet.SupervisorDir(0), "9"), nil, 0o600); err != nil {
 		return err
 	}
 	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || reply.OK || reply.FellBack {
 		t.Errorf("copies can't be written: %v, %+v", err, reply)
 	}
-	state := filepath.Join(fleet.Folder(0), "state.json")
+	state := filepath.Join(fleet.SupervisorDir(0), "state.json")
 	if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 	if err != nil || !reply.OK || !strings.Contains(reply.Note, "could not be written") {
 		t.Errorf("state file can't be written: %v, %+v", err, reply)
 	}
-	status, err := fleet.Standing(0)
+	status, err := fleet.Status(0)
 	if err != nil || status.Persistent || status.Settled.Generation != 10 {
 		t.Errorf("state file can't be written: %v, %+v", err, status)
 	}
@@ -155,8 +155,8 @@
 }
 
 // checkReloadReachesGeneration sends SIGHUP to the supervisor, which passes it on.
-func checkReloadReachesGeneration(fleet *emulator.Kept) error {
-	status, err := fleet.Standing(0)
+func checkReloadReachesGeneration(fleet *emulator.Supervised) error {
+	status, err := fleet.Status(0)
 	if err != nil {
 		return err
 	}
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -24,7 +24,7 @@
 
 // writePlan writes a rollout plan for the program with the given stages, or by default
 // with three: one router, half of the routers, all.
-func writePlan(fleet *emulator.Kept, program string, stages ...string) error {
+func writePlan(fleet *emulator.Supervised, program string, stages ...string) error {
 	var plan strings.Builder
 	fmt.Fprintf(&plan, "name: trial\nprogram: %s\nsilent_s: 15\n", program)
 	plan.WriteString("guards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n")
@@ -46,7 +46,7 @@
 
 // waitForRolloutEnd waits for the end of a rollout. Of the routers' answers the one with
 // the newest state counts.
-func waitForRolloutEnd(fleet *emulator.Kept, within time.Duration, routers ...int) (*rollout.Status, error) {
+func waitForRolloutEnd(fleet *emulator.Supervised, within time.Duration, routers ...int) (*rollout.Status, error) {
 	var last *rollout.Status
 	var lastErr error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -68,7 +68,7 @@
 }
 
 // startRollout starts the rollout at a router, once all have read the plan.
-func startRollout(fleet *emulator.Kept, router int) error {
+func startRollout(fleet *emulator.Supervised, router int) error {
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
 		for i := range fleet.Count() {
@@ -88,7 +88,7 @@
 }
 
 // waitForLeader waits until one of the routers leads the rollout forward.
-func waitForLeader(fleet *emulator.Kept, routers []int) (int, error) {
+func waitForLeader(fleet *emulator.Supervised, routers []int) (int, error) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, router := range routers {
 			if status, err := fleet.Rollout(router, 0); err == nil && status.IsLeader && status.Phase == "forward" {
@@ -100,10 +100,10 @@
 }
 
 // servingGenerations returns the generation that serves at each router.
-func servingGenerations(fleet *emulator.Kept) ([]uint64, error) {
+func servingGenerations(fleet *emulator.Supervised) ([]uint64, error) {
 	var generations []uint64
 	for i := range fleet.Count() {
-		status, err := fleet.Standing(i)
+		status, err := fleet.Status(i)
 		if err != nil {
 			return nil, fmt.Errorf("router %d: %w", i, err)
 		}
@@ -124,7 +124,7 @@
 		"  - {kind: office_lost, at: 22, for: 3, office: 2}\n" +
 		"  - {kind: ways_camps, at: 30, for: 4, share: 0.25}\n" +
 		"  - {kind: cut_board, at: 34, for: 3, share: 0.5}\n"
-	result := playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Kept) error {
+	result := playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
 		if err := writePlan(fleet, os.Args[0]); err != nil {
 			return err
 		}
@@ -161,24 +161,24 @@
 
 // disturbLeaders kills the supervisor of the rollout's leader and starts it again, then
 // stops the supervisor of the next leader for some seconds.
-func disturbLeaders(fleet *emulator.Kept, routers []int) error {
+func disturbLeaders(fleet *emulator.Supervised, routers []int) error {
 	leader, err := waitForLeader(fleet, routers)
 	if err != nil {
 		return err
 	}
 	time.Sleep(3 * time.Second)
-	if err := fleet.KillKeeper(leader); err != nil {
+	if err := fleet.KillSupervisor(leader); err != nil {
 		return err
 	}
 	time.Sleep(time.Second)
-	if err := fleet.StartKeeper(leader); err != nil {
+	if err := fleet.StartSupervisor(leader); err != nil {
 		return err
 	}
 	time.Sleep(2 * time.Second)
 	if leader, err = waitForLeader(fleet, routers); err != nil {
 		return err
 	}
-	status, err := fleet.Standing(leader)
+	status, err := fleet.Status(leader)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 }
 
 // expectRolledBack waits for the end of a rollout, which has to be undone for the reason.
-func expectRolledBack(t *testing.T, fleet *emulator.Kept, within time.Duration, reason string) error {
+func expectRolledBack(t *testing.T, fleet *emulator.Supervised, within time.Duration, reason string) error {
 	began := time.Now()
 	status, err := waitForRolloutEnd(fleet, within, 1, 2, 3, 4, 5, 6, 7)
 	if err != nil {
@@ -211,7 +211,7 @@
 }
 
 // expectFirstGeneration checks that no router but those of the first stage was upgraded.
-func expectFirstGeneration(t *testing.T, fleet *emulator.Kept, inFirstStage func(router int) bool) error {
+func expectFirstGeneration(t *testing.T, fleet *emulator.Supervised, inFirstStage func(router int) bool) error {
 	generations, err := servingGenerations(fleet)
 	if err != nil {
 		return err
@@ -248,7 +248,7 @@
 			skipLong(t, tc.long)
 			t.Parallel()
 			text := rolloutFleet + "length_s: 130\n"
-			playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Kept) error {
+			playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
 				return tc.rollOut(t, fleet)
 			})
 		})
@@ -256,7 +256,7 @@
 }
 
 // rollOut starts the rollout and checks its rollback.
-func (tc worseProgram) rollOut(t *testing.T, fleet *emulator.Kept) error {
+func (tc worseProgram) rollOut(t *testing.T, fleet *emulator.Supervised) error {
 	var stages []string
 	if tc.half {
 		stages = []string{"{share: 0.5, watch_s: 80, least_s: 5}", "{share: 1, watch_s: 2, least_s: 2}"}
@@ -277,7 +277,7 @@
 	if err := expectFirstGeneration(t, fleet, inFirstStage); err != nil {
 		return err
 	}
-	status, err := fleet.Until(0, 20*time.Second, func(status *handoff.Status) bool {
+	status, err := fleet.WaitStatus(0, 20*time.Second, func(status *handoff.Status) bool {
 		return status.State == "steady" && status.Serving != nil &&
 			strings.HasSuffix(status.Settled.Program, "quilldoor.test")
 	})
@@ -290,13 +290,13 @@
 
 // excuseCrashes excuses, until stop is closed, the requests that router 0 holds when its
 // process dies of a fault.
-func excuseCrashes(fleet *emulator.Kept, stop <-chan struct{}) {
+func excuseCrashes(fleet *emulator.Supervised, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(50 * time.Millisecond):
-			fleet.Crashed(0)
+			fleet.ExcuseCrash(0)
 		}
 	}
 }
@@ -339,7 +339,7 @@
 				}
 				return false
 			}
-			playUpgradesWith(t, tc.scenario(), playOptions{allowed, true}, func(fleet *emulator.Kept) error {
+			playUpgradesWith(t, tc.scenario(), playOptions{allowed, true}, func(fleet *emulator.Supervised) error {
 				return tc.rollOut(t, fleet)
 			})
 			t.Logf("the checker saw %d violations", violations)
@@ -359,7 +359,7 @@
 }
 
 // rollOut starts the rollout and checks that it is undone for the broken invariant.
-func (tc invariantBreaker) rollOut(t *testing.T, fleet *emulator.Kept) error {
+func (tc invariantBreaker) rollOut(t *testing.T, fleet *emulator.Supervised) error {
 	first, _ := fleet.Name(0)
 	err := writePlan(fleet, faultyProgram(t, tc.fault),
 		"{routers: ["+first+"], watch_s: 60, least_s: 45}", "{share: 1, watch_s: 2, least_s: 2}")
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -39,7 +39,7 @@
 		t.Run(tc.fault, func(t *testing.T) {
 			t.Parallel()
 			var recoveryMS int64
-			result := playUpgrades(t, text, func(fleet *emulator.Kept) (err error) {
+			result := playUpgrades(t, text, func(fleet *emulator.Supervised) (err error) {
 				recoveryMS, err = tc.upgrade(t, fleet)
 				return err
 			})
@@ -57,7 +57,7 @@
 // upgrade asks for the faulty program and checks the reply, the generation that serves
 // afterwards and that the supervisor still takes commands. It returns how long the
 // router was without a serving generation.
-func (tc faultyGeneration) upgrade(t *testing.T, fleet *emulator.Kept) (recoveryMS int64, err error) {
+func (tc faultyGeneration) upgrade(t *testing.T, fleet *emulator.Supervised) (recoveryMS int64, err error) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -72,7 +72,7 @@
 	if reply.OK || reply.FellBack != tc.fallsBack || !strings.Contains(reply.Note, tc.reason) {
 		return 0, fmt.Errorf("%+v", reply)
 	}
-	status, err := fleet.Until(0, 2*time.Second, func(status *handoff.Status) bool {
+	status, err := fleet.WaitStatus(0, 2*time.Second, func(status *handoff.Status) bool {
 		return status.Serving != nil && status.Serving.AgentState == "serving" && status.Next == nil
 	})
 	if err != nil {
@@ -95,16 +95,16 @@
 
 // excuseCrashOnTrial excuses the requests that a new generation holds when it dies on
 // trial.
-func excuseCrashOnTrial(fleet *emulator.Kept) {
+func excuseCrashOnTrial(fleet *emulator.Supervised) {
 	onTrial := func(status *handoff.Status) bool {
 		return status.State == "on trial" || status.State == "handing over"
 	}
-	if _, err := fleet.Until(0, 4*time.Second, onTrial); err != nil {
+	if _, err := fleet.WaitStatus(0, 4*time.Second, onTrial); err != nil {
 		return
 	}
 	// That it did not settle shows in what the test checks next.
-	_, _ = fleet.Until(0, 4*time.Second, func(status *handoff.Status) bool {
-		fleet.Crashed(0)
+	_, _ = fleet.WaitStatus(0, 4*time.Second, func(status *handoff.Status) bool {
+		fleet.ExcuseCrash(0)
 		return status.State == "steady"
 	})
 }
@@ -123,7 +123,7 @@
 			}
 			t.Run(step+", "+target, func(t *testing.T) {
 				t.Parallel()
-				playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Kept) error {
+				playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
 					minLoadTime := time.After(3 * time.Second)
 					err := injectFault(fleet, step, target)
 					<-minLoadTime
@@ -136,12 +136,12 @@
 
 // injectFault kills or stops the target's processes at a step of an upgrade and checks
 // which generation serves in the end.
-func injectFault(fleet *emulator.Kept, step, target string) error {
+func injectFault(fleet *emulator.Supervised, step, target string) error {
 	if step != "steady" {
 		// The reply may never come; the generation that serves in the end shows the outcome.
 		go func() { _, _ = fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}) }()
 	}
-	status, err := fleet.Until(0, 4*time.Second, func(status *handoff.Status) bool {
+	status, err := fleet.WaitStatus(0, 4*time.Second, func(status *handoff.Status) bool {
 		return status.State == step && status.Serving != nil && (step == "steady" || status.Next != nil)
 	})
 	if err != nil {
@@ -163,7 +163,7 @@
 }
 
 // killOrStop sends the signals of an injected fault.
-func killOrStop(fleet *emulator.Kept, status *handoff.Status, target string) error {
+func killOrStop(fleet *emulator.Supervised, status *handoff.Status, target string) error {
 	kill := func(pid int) error { return fleet.Signal(0, pid, syscall.SIGKILL) }
 	var next int
 	if status.Next != nil {
@@ -175,11 +175,11 @@
 	case "new":
 		return kill(next)
 	case "keeper":
-		return fleet.KillKeeper(0)
+		return fleet.KillSupervisor(0)
 	case "keeper and new":
-		return errors.Join(fleet.KillKeeper(0), kill(next))
+		return errors.Join(fleet.KillSupervisor(0), kill(next))
 	case "all":
-		err := errors.Join(fleet.KillKeeper(0), kill(status.Serving.PID))
+		err := errors.Join(fleet.KillSupervisor(0), kill(status.Serving.PID))
 		if next != 0 {
 			err = errors.Join(err, kill(next))
 		}
@@ -191,7 +191,7 @@
 		time.Sleep(2 * time.Second)
 		return syscall.Kill(status.SupervisorPID, syscall.SIGCONT)
 	case "stop new":
-		fleet.Crashed(0) // it may hold requests, and is killed for its missing heartbeats
+		fleet.ExcuseCrash(0) // it may hold requests, and is killed for its missing heartbeats
 		return syscall.Kill(next, syscall.SIGSTOP)
 	}
 	return nil
@@ -199,14 +199,14 @@
 
 // restartSupervisor starts a killed supervisor again, after it was missing for longer
 // than a generation waits before it yields.
-func restartSupervisor(fleet *emulator.Kept, generationServes bool) error {
+func restartSupervisor(fleet *emulator.Supervised, generationServes bool) error {
 	time.Sleep(700 * time.Millisecond)
 	if generationServes {
 		if err := checkHealth(fleet.Listen(0)); err != nil {
 			return fmt.Errorf("without a supervisor: %w", err)
 		}
 	}
-	return fleet.StartKeeper(0)
+	return fleet.StartSupervisor(0)
 }
 
 // generationAfterFault is the generation that has to serve in the end.
@@ -221,8 +221,8 @@
 }
 
 // expectSettledGeneration waits for a steady router and checks its generation.
-func expectSettledGeneration(fleet *emulator.Kept, want uint64) error {
-	status, err := fleet.Until(0, 5*time.Second, func(status *handoff.Status) bool {
+func expectSettledGeneration(fleet *emulator.Supervised, want uint64) error {
+	status, err := fleet.WaitStatus(0, 5*time.Second, func(status *handoff.Status) bool {
 		return status.State == "steady" && status.Serving != nil &&
 			status.Serving.AgentState == "serving" && status.Next == nil
 	})
--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -28,7 +28,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for b.Loop() {
-				r, err := Virtual(context.Background(), &s, Options{Seed: 1})
+				r, err := RunVirtual(context.Background(), &s, Options{Seed: 1})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -64,10 +64,10 @@
 	events     chan memberEvent
 }
 
-// Detection starts router processes that know each other, kills one after another, and
+// MeasureFailureDetection starts router processes that know each other, kills one after another, and
 // measures the time, in microseconds, until the last of the others has logged the death.
 // Missed is the number of kills that not all others logged in time.
-func Detection(
+func MeasureFailureDetection(
 	ctx context.Context, program string, routers, kills int, seed uint64,
 ) (times *hdrhistogram.Histogram, missed int, err error) {
 	if program, err = findProgram(program); err != nil {
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -104,7 +104,7 @@
 	cmd := r.command()
 	cmd.Stderr = io.MultiWriter(&r.log, cmp.Or[io.Writer](r.config.Log, io.Discard))
 	if r.scenario.Fleet.Supervised { // a pipe would end with the supervisor, and take its generations along
-		file, err := os.OpenFile((&Kept{r.socketRun}).Log(r.id), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		file, err := os.OpenFile((&Supervised{r.socketRun}).Log(r.id), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.WaitDelay = logPipeWait
 	if r.gatewayAddr != "" || r.membershipAddr.IsValid() || r.scenario.Fleet.Supervised || r.scenario.Fleet.DiskMB > 0 {
-		cmd.Args = append(cmd.Args, "--operator", (&Kept{r.socketRun}).Operator(r.id))
+		cmd.Args = append(cmd.Args, "--operator", (&Supervised{r.socketRun}).Operator(r.id))
 	}
 	cmd.Env = routerEnvironment()
 	cmd.Dir = r.dir
@@ -164,7 +164,7 @@
 
 // recentLog is the end of what the router has logged.
 func (r *routerProcess) recentLog() string {
-	if text, err := os.ReadFile((&Kept{r.socketRun}).Log(r.id)); err == nil {
+	if text, err := os.ReadFile((&Supervised{r.socketRun}).Log(r.id)); err == nil {
 		_, _ = r.log.Write(text) // to memory
 	}
 	return r.log.String()
@@ -201,7 +201,7 @@
 	if !r.scenario.Fleet.Supervised || r.runsEarlier() {
 		return true
 	}
-	status, err := (&Kept{r.socketRun}).Standing(r.id)
+	status, err := (&Supervised{r.socketRun}).Status(r.id)
 	return err == nil && status.State == "steady"
 }
 
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile((&Kept{r.socketRun}).Operator(r.id), text, 0o600)
+	return os.WriteFile((&Supervised{r.socketRun}).Operator(r.id), text, 0o600)
 }
 
 // gatewayConfig is a router's gateway. It reaches each peer by a relay that is as far away as
@@ -112,9 +112,9 @@
 }
 
 func (r *routerProcess) supervisorConfig() *operatorconfig.Supervisor {
-	routers := &Kept{r.socketRun}
+	routers := &Supervised{r.socketRun}
 	config := &operatorconfig.Supervisor{
-		Dir:           routers.Folder(r.id),
+		Dir:           routers.SupervisorDir(r.id),
 		ReadyTimeoutS: readyTimeoutSeconds,
 		TrialS:        r.scenario.Fleet.TrialS,
 	}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -29,13 +29,13 @@
 	MostKB int64
 }
 
-// TooLate is the delay of the emulator, in microseconds, beyond which a run on sockets proves
+// MaxLateMicros is the delay of the emulator, in microseconds, beyond which a run on sockets proves
 // nothing: the emulator itself used up the time that routers are allowed.
-const TooLate = 100_000
+const MaxLateMicros = 100_000
 
-// Figures are the checker's settings for a scenario. Slack is how much later than its deadline
+// CheckerSettings are the checker's settings for a scenario. Slack is how much later than its deadline
 // an answer may come, in microseconds.
-func Figures(s *scenario.Scenario, slack int64) checker.Settings {
+func CheckerSettings(s *scenario.Scenario, slack int64) checker.Settings {
 	// The platform counts a discovery event as known to a router 7 s after it was posted.
 	const notificationMicros = 7_000_000
 	fleet := &s.Fleet
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -29,7 +29,7 @@
 	Earlier string
 	// Drive is called beside the run where the scenario's routers are supervised, once all
 	// are ready. The run goes on until it returns. Its error ends the run.
-	Drive func(context.Context, *Kept) error
+	Drive func(context.Context, *Supervised) error
 	// EndWithDrive stops the arrival of clients once Drive has returned.
 	EndWithDrive bool
 }
@@ -77,9 +77,9 @@
 	refusedConns int
 }
 
-// Sockets plays a scenario in real time: it listens on loopback for all that routers
+// RunOnSockets plays a scenario in real time: it listens on loopback for all that routers
 // talk to, and starts a router process for each router.
-func Sockets(ctx context.Context, s *scenario.Scenario, opt Options, conf Routers) (*Result, error) {
+func RunOnSockets(ctx context.Context, s *scenario.Scenario, opt Options, conf Routers) (*Result, error) {
 	if err := checkListenerCount(s); err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 	run := &socketRun{
 		options:  opt,
 		scenario: s,
-		checker:  checker.New(Figures(s, socketAnswerSlackMicros)),
+		checker:  checker.New(CheckerSettings(s, socketAnswerSlackMicros)),
 		tasks:    make(chan func(), taskQueueLength),
 		dir:      dir,
 		failures: make(chan error, 1),
@@ -218,7 +218,7 @@
 	if run.config.Drive != nil {
 		done := make(chan error, 1)
 		run.driverDone = done
-		run.goroutines.Go(func() { done <- run.config.Drive(run.ctx, &Kept{run}) })
+		run.goroutines.Go(func() { done <- run.config.Drive(run.ctx, &Supervised{run}) })
 	}
 }
 
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -21,41 +21,43 @@
 // readyTimeoutSeconds is how long a generation may take to get ready.
 const readyTimeoutSeconds = 3
 
-// Kept gives access to the router processes of a run on sockets: upgrades, rollouts and faults
+// Supervised gives access to the router processes of a run on sockets: upgrades, rollouts and faults
 // go through it. Its methods may be called from any goroutine but the run's loop.
-type Kept struct{ *socketRun }
+type Supervised struct{ *socketRun }
 
 // Count is the number of routers.
-func (k *Kept) Count() int { return len(k.routers) }
+func (k *Supervised) Count() int { return len(k.routers) }
 
-// Folder is the folder of a router's supervisor.
-func (k *Kept) Folder(i int) string { return filepath.Join(k.dir, fmt.Sprintf("k%d", i+1)) }
+// SupervisorDir is the folder of a router's supervisor.
+func (k *Supervised) SupervisorDir(i int) string {
+	return filepath.Join(k.dir, fmt.Sprintf("k%d", i+1))
+}
 
 // Operator is the file of a router's operator configuration.
-func (k *Kept) Operator(i int) string { return filepath.Join(k.dir, routerName(i)+".yaml") }
+func (k *Supervised) Operator(i int) string { return filepath.Join(k.dir, routerName(i)+".yaml") }
 
 // Log is the file that a supervised router's processes log to.
-func (k *Kept) Log(i int) string { return filepath.Join(k.dir, routerName(i)+".log") }
+func (k *Supervised) Log(i int) string { return filepath.Join(k.dir, routerName(i)+".log") }
 
 // View asks a router for its membership view.
-func (k *Kept) View(i int) (*membership.View, error) {
+func (k *Supervised) View(i int) (*membership.View, error) {
 	return transport.Query([]byte(membershipKey), routerName(i), k.routers[i].membershipAddr)
 }
 
 // Config is the file of the platform's configuration of a router.
-func (k *Kept) Config(i int) string { return k.routers[i].configPath() }
+func (k *Supervised) Config(i int) string { return k.routers[i].configPath() }
 
 // Plan is the file where the routers look for a rollout plan. The run doesn't create it.
-func (k *Kept) Plan() string { return filepath.Join(k.dir, "plan.yaml") }
+func (k *Supervised) Plan() string { return filepath.Join(k.dir, "plan.yaml") }
 
 // Name is a router's member name and its office.
-func (k *Kept) Name(i int) (name, office string) {
+func (k *Supervised) Name(i int) (name, office string) {
 	return routerName(i), scenario.Zone(k.world.Office(i))
 }
 
 // Rollout gives a router a command on the rollout and returns the rollout's status. 0: only
 // the status.
-func (k *Kept) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
+func (k *Supervised) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
 	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
 		return nil, err
@@ -67,15 +69,15 @@
 }
 
 // Listen is the address where clients reach a router.
-func (k *Kept) Listen(i int) string { return k.routers[i].clientAddr }
+func (k *Supervised) Listen(i int) string { return k.routers[i].clientAddr }
 
 // Ask sends a message to a router's supervisor and returns its last reply.
-func (k *Kept) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
-	return handoff.Request(filepath.Join(k.Folder(i), upgradeagent.SocketName), message, nil)
+func (k *Supervised) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
+	return handoff.Request(filepath.Join(k.SupervisorDir(i), upgradeagent.SocketName), message, nil)
 }
 
-// Standing is the status of a router's supervisor.
-func (k *Kept) Standing(i int) (*handoff.Status, error) {
+// Status is the status of a router's supervisor.
+func (k *Supervised) Status(i int) (*handoff.Status, error) {
 	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
 		return nil, err
@@ -86,8 +88,8 @@
 	return reply.Status, nil
 }
 
-// Until polls a router's supervisor until its status satisfies reached, or time is over.
-func (k *Kept) Until(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
+// WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
+func (k *Supervised) WaitStatus(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
 	var last *handoff.Status
 	var err error
@@ -96,7 +98,7 @@
 			return last, k.ctx.Err()
 		}
 		var status *handoff.Status
-		if status, err = k.Standing(i); err == nil {
+		if status, err = k.Status(i); err == nil {
 			if last = status; reached(status) {
 				return status, nil
 			}
@@ -114,7 +116,7 @@
 
 // Signal sends a signal to a process of a router and notes it in the event log: a killed
 // process owes no answers, and what fell due while one was stopped is counted apart.
-func (k *Kept) Signal(i, pid int, s syscall.Signal) error {
+func (k *Supervised) Signal(i, pid int, s syscall.Signal) error {
 	err := k.callInLoop(func() error {
 		if kind := signalKinds[s]; kind != "" {
 			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
@@ -129,7 +131,7 @@
 
 // callInLoop calls a function in the run's loop and returns its error, or the context's if
 // the run is over.
-func (k *Kept) callInLoop(call func() error) error {
+func (k *Supervised) callInLoop(call func() error) error {
 	done := make(chan error, 1)
 	k.runInLoop(func() { done <- call() })
 	select {
@@ -143,7 +145,7 @@
 // waitGone waits until a killed process has ended, and notes the crash again. On a busy
 // machine that takes milliseconds, in which the system still accepts connections for it:
 // it owes no answers on these either.
-func (k *Kept) waitGone(i, pid int) {
+func (k *Supervised) waitGone(i, pid int) {
 	for k.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, ok := strings.Cut(string(stat), ") ")
@@ -154,17 +156,17 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	k.Crashed(i)
+	k.ExcuseCrash(i)
 }
 
-// Crashed notes that a process of a router has been, or will be, killed by its supervisor:
+// ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
 // it owes no answers.
-func (k *Kept) Crashed(i int) {
+func (k *Supervised) ExcuseCrash(i int) {
 	k.runInLoop(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
 }
 
-// KillKeeper kills a router's supervisor alone. Its generations run on.
-func (k *Kept) KillKeeper(i int) error {
+// KillSupervisor kills a router's supervisor alone. Its generations run on.
+func (k *Supervised) KillSupervisor(i int) error {
 	r := k.routers[i]
 	var exited <-chan struct{}
 	err := k.callInLoop(func() error {
@@ -180,14 +182,14 @@
 	return err
 }
 
-// StartKeeper starts a router's supervisor again, on the same machine.
-func (k *Kept) StartKeeper(i int) error {
+// StartSupervisor starts a router's supervisor again, on the same machine.
+func (k *Supervised) StartSupervisor(i int) error {
 	return k.callInLoop(k.routers[i].launch)
 }
 
 // Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
-func (k *Kept) Restart(i int) error {
+func (k *Supervised) Restart(i int) error {
 	r := k.routers[i]
 	err := k.callInLoop(func() error {
 		r.killed = true
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -37,9 +37,9 @@
 	membership    Members
 }
 
-// Virtual plays a scenario on a virtual clock. The same scenario and seed give the
+// RunVirtual plays a scenario on a virtual clock. The same scenario and seed give the
 // same result, whatever the machine.
-func Virtual(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
+func RunVirtual(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
 	v := newVirtualRun(s, opt)
 	if opt.onStart != nil {
 		opt.onStart(v)
@@ -57,7 +57,7 @@
 	v := &virtualRun{
 		options:    opt,
 		scenario:   s,
-		checker:    checker.New(Figures(s, virtualAnswerSlackMicros)),
+		checker:    checker.New(CheckerSettings(s, virtualAnswerSlackMicros)),
 		seenPurges: map[int][]simulation.Notice{},
 	}
 	v.world = simulation.New(s, opt.Seed, v)
--- a/internal/emulator/virtual_membership_test.go
+++ b/internal/emulator/virtual_membership_test.go
@@ -18,7 +18,7 @@
 				t.Fatal(err)
 			}
 			s.Fleet.Membership = membership
-			r, err := Virtual(context.Background(), s, Options{Seed: seed + 1})
+			r, err := RunVirtual(context.Background(), s, Options{Seed: seed + 1})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -15,10 +15,10 @@
 	"quilldoor/internal/simulation"
 )
 
-// Rolling is a rollout on the virtual clock. Rollout nodes and invariant monitors are the
+// RolloutOptions is a rollout on the virtual clock. Rollout nodes and invariant monitors are the
 // routers' own; messages arrive at the next step, upgrades take TrialS, and the new program
 // differs from the old one as set here.
-type Rolling struct {
+type RolloutOptions struct {
 	Plan   *rollout.Plan
 	StartS float64
 	TrialS float64
@@ -33,8 +33,8 @@
 	NoJudge, AtOnce bool
 }
 
-// Rolled is the result of a rollout.
-type Rolled struct {
+// RolloutResult is the result of a rollout.
+type RolloutResult struct {
 	*Result
 	Way     rollout.Phase
 	Stage   int
@@ -50,8 +50,8 @@
 // rolloutRun is the state of a rollout run: a rollout node and a simulated upgrade for each router.
 type rolloutRun struct {
 	*virtualRun
-	config     *Rolling
-	outcome    Rolled
+	config     *RolloutOptions
+	outcome    RolloutResult
 	nodes      []*rollout.Node
 	states     []rolloutState
 	deliveries []rolloutDelivery
@@ -96,12 +96,12 @@
 }
 
 // VirtualRollout plays a scenario with a rollout in it.
-func VirtualRollout(ctx context.Context, s *scenario.Scenario, seed uint64, set Rolling) (*Rolled, error) {
+func VirtualRollout(ctx context.Context, s *scenario.Scenario, seed uint64, set RolloutOptions) (*RolloutResult, error) {
 	if count := s.Fleet.Offices * s.Fleet.Routers; count != len(set.Plan.Routers) {
 		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, count, len(set.Plan.Routers))
 	}
 	r := newRolloutRun(s, seed, &set)
-	result, err := Virtual(ctx, s, Options{
+	result, err := RunVirtual(ctx, s, Options{
 		Seed:     seed,
 		Refuse:   r.rejects,
 		Deaf:     r.misses,
@@ -126,7 +126,7 @@
 	return &r.outcome, nil
 }
 
-func newRolloutRun(s *scenario.Scenario, seed uint64, set *Rolling) *rolloutRun {
+func newRolloutRun(s *scenario.Scenario, seed uint64, set *RolloutOptions) *rolloutRun {
 	r := &rolloutRun{
 		config:     set,
 		random:     rand.New(rand.NewPCG(seed, rolloutSeed)),
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -19,7 +19,7 @@
 	if opt.Seed == 0 {
 		opt.Seed = 1
 	}
-	r, err := Virtual(context.Background(), s, opt)
+	r, err := RunVirtual(context.Background(), s, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
