--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -44,7 +44,7 @@
 var malformedResponse = []byte("%% ACK entity\r\n")
 
 // finish writes a server's response, as the world has it.
-func (h *serverAttempt) finish(hop *simulation.Hop, end simulation.End) {
+func (h *serverAttempt) finish(hop *simulation.Attempt, end simulation.AttemptResult) {
 	conn := h.conn
 	if conn.attempts[h.requestID] != h {
 		return
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -156,7 +156,7 @@
 	attempt := &serverAttempt{conn: conn, requestID: get.ID, number: request.attempts, body: body}
 	request.attempts++
 	conn.attempts[get.ID] = attempt
-	p.world.Hop(&simulation.Hop{
+	p.world.SendAttempt(&simulation.Attempt{
 		Router: p.id, Txn: get.ID, N: attempt.number, Server: p.serverID,
 		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, Within: get.MaxAgeMillis * 1000,
 		Rule: request.Rule, Object: request.Object, Part: request.Part, Group: request.Group,
@@ -168,13 +168,13 @@
 // event log has it as aborted when its time is over.
 func (p *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
 	class, group, sizeKB, known := p.world.Object(get.Object, get.Part)
-	if !known || p.world.RuleOf(class).Name != get.Class {
+	if !known || p.world.ClassOf(class).Name != get.Class {
 		return nil
 	}
-	ask := &simulation.Ask{
+	ask := &simulation.Request{
 		Router: p.id, Txn: get.ID, Rule: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
 	}
-	request := &clientRequest{Ask: ask, cancel: func() {}}
+	request := &clientRequest{Request: ask, cancel: func() {}}
 	p.requests[get.ID] = request
 	now := p.world.Now()
 	p.Note(&eventlog.Entry{
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -35,7 +35,7 @@
 }
 
 // reachable tells whether a router is up and exchanges messages with another one.
-func reachable(w *simulation.World, id int) bool {
+func reachable(w *simulation.Simulation, id int) bool {
 	runs := func(router int) bool { return w.Up(router) && !w.Stopped(router) }
 	if !runs(id) {
 		return false
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -14,11 +14,11 @@
 	Progress func(done float64, seconds []simulation.Second) // called about once a simulated second
 
 	// Faults of the routers, for tests of the checker and of rollouts.
-	Settings func(*settings.Setup)                      // changes the settings that routers get
-	Deaf     func(router int, n simulation.Notice) bool // tells which discovery notices a router misses
-	Answer   func(txn string, n int) int                // how often a request is answered; nil: once
-	Refuse   func(router int, rule string) bool         // tells which new requests a router rejects; nil: none
-	Lag      func(router int) float64                   // how much longer a router's attempts take, as a share
+	Settings func(*settings.Setup)                              // changes the settings that routers get
+	Deaf     func(router int, n simulation.DiscoveryEvent) bool // tells which discovery notices a router misses
+	Answer   func(txn string, n int) int                        // how often a request is answered; nil: once
+	Refuse   func(router int, rule string) bool                 // tells which new requests a router rejects; nil: none
+	Lag      func(router int) float64                           // how much longer a router's attempts take, as a share
 
 	Each     func(now int64)   // called ten times a second; on the virtual clock
 	onStart  func(*virtualRun) // called before the first event; nil: not
@@ -31,5 +31,5 @@
 	endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint)
 	purged(router int, now int64, object string, group, at int64)
 	attemptSent(router int, class string, attempt *engine.Attempt)
-	responded(router int, ask *simulation.Ask, attempt *engine.Attempt, issued int64)
+	responded(router int, ask *simulation.Request, attempt *engine.Attempt, issued int64)
 }
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -34,8 +34,8 @@
 	BootMS       int64   `json:"boot_ms"`
 }
 
-// Told posts an event to a router's discovery service.
-func (run *socketRun) Told(router int, n simulation.Notice) {
+// Notify posts an event to a router's discovery service.
+func (run *socketRun) Notify(router int, n simulation.DiscoveryEvent) {
 	r := run.routers[router]
 	revision := len(r.discoveryEvents) + 1
 	if n.Purge {
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -150,7 +150,7 @@
 			return
 		}
 	}
-	run.membership.observe(run.world.Now(), run.world.LastTurn(), up, views)
+	run.membership.observe(run.world.Now(), run.world.LastFaultChange(), up, views)
 }
 
 // routerByName is the reverse of routerName.
--- a/internal/emulator/rollout_canary.go
+++ b/internal/emulator/rollout_canary.go
@@ -32,8 +32,8 @@
 	r.monitors[router].recorder.RecordAttempt(attempt.DecidedAt, attempt.Endpoint.ID, attempt.Source, class, attempt.Unsafe)
 }
 
-func (r *rolloutRun) responded(router int, ask *simulation.Ask, attempt *engine.Attempt, issued int64) {
-	class := r.world.RuleOf(ask.Rule)
+func (r *rolloutRun) responded(router int, ask *simulation.Request, attempt *engine.Attempt, issued int64) {
+	class := r.world.ClassOf(ask.Rule)
 	if class.Write {
 		return
 	}
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -56,7 +56,7 @@
 type socketRun struct {
 	options      Options
 	scenario     *scenario.Scenario
-	world        *simulation.World
+	world        *simulation.Simulation
 	checker      *checker.Checker
 	routers      []*routerProcess
 	client       *http.Client
@@ -323,8 +323,8 @@
 	}
 }
 
-// End answers an attempt.
-func (run *socketRun) End(_ int, h *simulation.Hop, e simulation.End) {
+// AttemptEnded answers an attempt.
+func (run *socketRun) AttemptEnded(_ int, h *simulation.Attempt, e simulation.AttemptResult) {
 	h.Tag.(*serverAttempt).finish(h, e)
 }
 
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -33,7 +33,7 @@
 
 // clientRequest is a request that a router works on, with the number of its attempts so far.
 type clientRequest struct {
-	*simulation.Ask
+	*simulation.Request
 	attempts  int
 	cancel    context.CancelFunc
 	forwarded bool // it came from a router of another site
@@ -47,11 +47,11 @@
 	mismatch         string // what is wrong with the body; "": nothing
 }
 
-// Ask sends a client's request.
-func (run *socketRun) Ask(ask *simulation.Ask) {
+// Request sends a client's request.
+func (run *socketRun) Request(ask *simulation.Request) {
 	r := run.routers[ask.Router]
 	ctx, cancel := context.WithCancel(run.ctx)
-	request := &clientRequest{Ask: ask, cancel: cancel}
+	request := &clientRequest{Request: ask, cancel: cancel}
 	r.requests[ask.Txn] = request
 	addr := r.clientAddr
 	run.goroutines.Go(func() {
@@ -65,7 +65,7 @@
 
 // finishRequest tells the world what a client got, unless the client has left by now.
 func (run *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
-	ask := request.Ask
+	ask := request.Request
 	if response.mismatch != "" {
 		run.Note(&eventlog.Entry{
 			Kind: eventlog.KindWrong, At: run.world.Now(), Router: ask.Router, Request: ask.Txn, State: response.mismatch,
@@ -84,7 +84,7 @@
 		run.world.Refused(ask.Router, ask.Txn)
 	default:
 		delete(r.requests, ask.Txn)
-		run.world.Final(ask.Router, ask.Txn, response.outcome, response.issuedMicros, response.retryAfterMicros)
+		run.world.Answered(ask.Router, ask.Txn, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
@@ -105,9 +105,9 @@
 		if request == nil || request.forwarded || r.gatewayAddr == "" || home.gatewayAddr == "" {
 			continue
 		}
-		ask := *request.Ask
+		ask := *request.Request
 		ask.Router = r.id
-		forwarded := &clientRequest{Ask: &ask, cancel: func() {}, forwarded: true}
+		forwarded := &clientRequest{Request: &ask, cancel: func() {}, forwarded: true}
 		r.requests[requestID] = forwarded
 		r.Note(&eventlog.Entry{
 			Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: requestID, Attempt: home.id,
@@ -118,7 +118,7 @@
 }
 
 // sendRequest sends a request over HTTP and reads the answer.
-func (run *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Ask) clientResponse {
+func (run *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Request) clientResponse {
 	request, err := run.newRequest(ctx, addr, ask)
 	if err != nil {
 		return clientResponse{outcome: outcomeNone}
@@ -146,12 +146,12 @@
 }
 
 // newRequest is a client's request in the platform's form.
-func (run *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Ask) (*http.Request, error) {
+func (run *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Request) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
 	if ask.Write {
 		method, body = http.MethodPut, []byte(writePrefix+ask.Txn)
 	}
-	url := "http://" + addr + "/rpc/" + run.world.RuleOf(ask.Rule).Name + "/" + ask.Object
+	url := "http://" + addr + "/rpc/" + run.world.ClassOf(ask.Rule).Name + "/" + ask.Object
 	if ask.Rule == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(ask.Part, 10)
 	}
@@ -169,7 +169,7 @@
 }
 
 // completedResponse checks the body of a complete answer.
-func completedResponse(body []byte, ask *simulation.Ask) clientResponse {
+func completedResponse(body []byte, ask *simulation.Request) clientResponse {
 	response := clientResponse{outcome: outcomeCompleted}
 	if !ask.Write {
 		response.issuedMicros, response.mismatch = checkBody(body, ask)
@@ -191,7 +191,7 @@
 }
 
 // checkBody reads when a copy was issued, and compares each byte with what the copy should be.
-func checkBody(body []byte, ask *simulation.Ask) (issued int64, mismatch string) {
+func checkBody(body []byte, ask *simulation.Request) (issued int64, mismatch string) {
 	header, _, _ := bytes.Cut(body, []byte(";"))
 	separator := bytes.LastIndexByte(header, '@')
 	if separator < 0 {
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -26,14 +26,14 @@
 type virtualRun struct {
 	options       Options
 	scenario      *scenario.Scenario
-	world         *simulation.World
+	world         *simulation.Simulation
 	checker       *checker.Checker
 	routers       []*virtualRouter
 	timers        timerHeap
-	woken         []*virtualRouter            // whose timers have changed
-	readyRequests []*virtualRequest           // whose engine has commands for them
-	seenPurges    map[int][]simulation.Notice // by router, where there are several sites
-	fleet         *simfleet.Fleet             // the routers' membership; nil: they don't know each other
+	woken         []*virtualRouter                    // whose timers have changed
+	readyRequests []*virtualRequest                   // whose engine has commands for them
+	seenPurges    map[int][]simulation.DiscoveryEvent // by router, where there are several sites
+	fleet         *simfleet.Fleet                     // the routers' membership; nil: they don't know each other
 	membership    Members
 }
 
@@ -58,7 +58,7 @@
 		options:    opt,
 		scenario:   s,
 		checker:    checker.New(CheckerSettings(s, virtualAnswerSlackMicros)),
-		seenPurges: map[int][]simulation.Notice{},
+		seenPurges: map[int][]simulation.DiscoveryEvent{},
 	}
 	v.world = simulation.New(s, opt.Seed, v)
 	for i := range v.world.Routers() {
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -6,13 +6,13 @@
 	"quilldoor/internal/simulation"
 )
 
-// Told delivers a discovery notice to a router: a change of the endpoint list, or a purge.
-func (v *virtualRun) Told(router int, n simulation.Notice) {
+// Notify delivers a discovery notice to a router: a change of the endpoint list, or a purge.
+func (v *virtualRun) Notify(router int, n simulation.DiscoveryEvent) {
 	v.routers[router].whenRunning(func() { v.notify(router, n) })
 }
 
 // notify applies a notice to a router, unless the router is to miss it.
-func (v *virtualRun) notify(router int, notice simulation.Notice) {
+func (v *virtualRun) notify(router int, notice simulation.DiscoveryEvent) {
 	r := v.routers[router]
 	if v.options.observer != nil {
 		if notice.Purge {
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -31,7 +31,7 @@
 	r := request.router
 	ask := request.ask
 	now := v.now()
-	class := v.world.RuleOf(ask.Rule)
+	class := v.world.ClassOf(ask.Rule)
 	remaining := ask.Deadline() - v.world.Now()
 	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
 		RequestID: ask.Txn, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
@@ -135,7 +135,7 @@
 }
 
 // latestPurge is the latest purge of a request's object that a router has heard of.
-func (v *virtualRun) latestPurge(r *virtualRouter, ask *simulation.Ask) (at int64) {
+func (v *virtualRun) latestPurge(r *virtualRouter, ask *simulation.Request) (at int64) {
 	for _, purge := range v.seenPurges[r.id] {
 		if purge.Object != "" && purge.Object == ask.Object || purge.Object == "" && purge.Group == ask.Group {
 			at = max(at, purge.At)
@@ -173,7 +173,7 @@
 	if outcome == outcomeCompleted {
 		v.world.Result.CrossedDone++
 	}
-	v.world.Final(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
+	v.world.Answered(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
 }
 
 // withdrawAtPeer tells a peer that a forwarded request is no longer waited for.
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -56,7 +56,7 @@
 			views[host.Name] = host.Detector.(*membership.Node).View()
 		}
 	}
-	v.membership.observe(v.world.Now(), v.world.LastTurn(), up, views)
+	v.membership.observe(v.world.Now(), v.world.LastFaultChange(), up, views)
 }
 
 // membersForConfirmation is how many members a router must know of until reports of
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -12,7 +12,7 @@
 	router      *virtualRouter
 	engine      *engine.Engine // the one that opened it; the router may have been restarted since
 	request     *engine.Request
-	ask         *simulation.Ask
+	ask         *simulation.Request
 	queued      bool           // it is in virtualRun.readyRequests
 	finished    bool           // it has been answered, forwarded or left
 	issued      int64          // when the copy that another site answered with was issued
@@ -58,9 +58,9 @@
 	}
 	ask := request.ask
 	if v.options.observer != nil {
-		v.options.observer.attemptSent(request.router.id, v.world.RuleOf(ask.Rule).Name, attempt)
+		v.options.observer.attemptSent(request.router.id, v.world.ClassOf(ask.Rule).Name, attempt)
 	}
-	hop := &simulation.Hop{
+	hop := &simulation.Attempt{
 		Router: request.router.id, Txn: ask.Txn, N: attempt.Number, Server: attempt.Endpoint.ID,
 		Source: attempt.Source, Rank: attempt.CachePriority, FillMode: attempt.FillMode, Within: attempt.MaxAge,
 		Rule: ask.Rule, Object: ask.Object, Part: ask.Part, Group: ask.Group,
@@ -69,7 +69,7 @@
 	if hop.Source == "" && attempt.Endpoint.Kind == originKind {
 		hop.Source = attempt.Endpoint.ID
 	}
-	v.world.Hop(hop)
+	v.world.SendAttempt(hop)
 }
 
 // finish takes the engine's final command. It is the client's answer, unless another site
@@ -100,7 +100,7 @@
 		times = v.options.Answer(request.ask.Txn, 1)
 	}
 	for range times {
-		v.world.Final(request.router.id, request.ask.Txn, outcome, issued, retryAfter)
+		v.world.Answered(request.router.id, request.ask.Txn, outcome, issued, retryAfter)
 	}
 	v.detach(request)
 }
@@ -115,13 +115,13 @@
 	}
 }
 
-// Ask hands a client's request to its router.
-func (v *virtualRun) Ask(a *simulation.Ask) {
+// Request hands a client's request to its router.
+func (v *virtualRun) Request(a *simulation.Request) {
 	v.routers[a.Router].whenRunning(func() { v.openRequest(a) })
 }
 
 // openRequest opens a client's request, with the time that is left for it.
-func (v *virtualRun) openRequest(ask *simulation.Ask) {
+func (v *virtualRun) openRequest(ask *simulation.Request) {
 	r := v.routers[ask.Router]
 	request := &virtualRequest{router: r, engine: r.engine, ask: ask}
 	remaining := ask.Limit
@@ -129,12 +129,12 @@
 	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - r.stoppedAt
 	}
-	if remaining <= 0 || v.options.Refuse != nil && v.options.Refuse(r.id, v.world.RuleOf(ask.Rule).Name) {
-		v.world.Final(r.id, ask.Txn, outcomeRejected, 0, 0)
+	if remaining <= 0 || v.options.Refuse != nil && v.options.Refuse(r.id, v.world.ClassOf(ask.Rule).Name) {
+		v.world.Answered(r.id, ask.Txn, outcomeRejected, 0, 0)
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
-		v.world.Final(r.id, ask.Txn, outcomeRejected, 0, 0)
+		v.world.Answered(r.id, ask.Txn, outcomeRejected, 0, 0)
 		request.finished = true
 		request.queued = true
 	}
@@ -145,7 +145,7 @@
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
 	ask := request.ask
 	opened, err := request.engine.Open(v.now(), policy.Event{
-		Request: ask.Txn, Class: v.world.RuleOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
+		Request: ask.Txn, Class: v.world.ClassOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
 		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Again, Write: ask.Write,
 	}, func() {
 		if !request.queued && !request.finished {
@@ -182,13 +182,13 @@
 	}
 }
 
-// End tells a router that an attempt has ended.
-func (v *virtualRun) End(router int, h *simulation.Hop, e simulation.End) {
+// AttemptEnded tells a router that an attempt has ended.
+func (v *virtualRun) AttemptEnded(router int, h *simulation.Attempt, e simulation.AttemptResult) {
 	v.routers[router].whenRunning(func() { v.attemptEnded(router, h, e) })
 }
 
 // attemptEnded hands the result to the engine, later if the router is to appear slower.
-func (v *virtualRun) attemptEnded(router int, hop *simulation.Hop, end simulation.End) {
+func (v *virtualRun) attemptEnded(router int, hop *simulation.Attempt, end simulation.AttemptResult) {
 	r := v.routers[router]
 	if r.engine == nil {
 		return
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -167,7 +167,7 @@
 
 // misses tells whether a router's new program misses a discovery notice. The checker counts
 // what it violates by that.
-func (r *rolloutRun) misses(router int, notice simulation.Notice) bool {
+func (r *rolloutRun) misses(router int, notice simulation.DiscoveryEvent) bool {
 	missed := r.servesNew(router) && (notice.Purge && r.config.DeafPurges || !notice.Purge && r.config.DeafDrains)
 	if missed {
 		r.noteHarm()
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -92,10 +92,10 @@
 		"repeats acceptances": {"rude-answers", Options{Settings: func(s *settings.Setup) {
 			s.Classes[scenario.ClassAccept].Effect = "safe"
 		}}, 2},
-		"deaf to drains": {"deploy-waves", Options{Deaf: func(_ int, n simulation.Notice) bool {
+		"deaf to drains": {"deploy-waves", Options{Deaf: func(_ int, n simulation.DiscoveryEvent) bool {
 			return !n.Purge && n.Servers[0].State != "active"
 		}}, 3},
-		"deaf to purges": {"blind-purge", Options{Deaf: func(_ int, n simulation.Notice) bool { return n.Purge }}, 5},
+		"deaf to purges": {"blind-purge", Options{Deaf: func(_ int, n simulation.DiscoveryEvent) bool { return n.Purge }}, 5},
 	} {
 		s := load(t, c.script)
 		r := play(t, s, c.opt)
--- a/internal/simulation/answer_faults.go
+++ b/internal/simulation/answer_faults.go
@@ -15,7 +15,7 @@
 }
 
 // startAnswerFault lets a fault change a share of the answers until it ends.
-func (w *World) startAnswerFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startAnswerFault(fault *scenario.Fault) (endFault func()) {
 	started := &answerFault{fault.Kind, fault.Office, fault.Share}
 	w.answerFaults = append(w.answerFaults, started)
 	return func() {
@@ -32,10 +32,10 @@
 }
 
 // applyAnswerFaults draws which fault, if any, changes a server's answer. An answer of policy.OutcomeUnknown is lost.
-func (w *World) applyAnswerFaults(server *server, end End) End {
+func (w *Simulation) applyAnswerFaults(server *server, end AttemptResult) AttemptResult {
 	errorShare := w.scenario.Fleet.ErrorShare
 	if server.kind == kindCache && errorShare > 0 && w.random.Float64() < errorShare {
-		return End{Outcome: policy.OutcomeError, Load: end.Load}
+		return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
 	}
 	for _, fault := range w.answerFaults {
 		if !fault.hits(server) || w.random.Float64() >= fault.share {
@@ -43,13 +43,13 @@
 		}
 		switch fault.kind {
 		case faultAnswerReset, faultOriginReset:
-			return End{Outcome: policy.OutcomeConnectionReset}
+			return AttemptResult{Outcome: policy.OutcomeConnectionReset}
 		case faultAnswerCorrupt:
-			return End{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
+			return AttemptResult{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
 		case faultAnswerLost:
-			return End{Outcome: policy.OutcomeUnknown}
+			return AttemptResult{Outcome: policy.OutcomeUnknown}
 		case faultAnswerError:
-			return End{Outcome: policy.OutcomeError, Load: end.Load}
+			return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
 		}
 	}
 	return end
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/policy"
 )
 
-// Hop is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
-type Hop struct {
+// Attempt is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
+type Attempt struct {
 	Router   int    // index of the router that sends it
 	Txn      string // ID of the request
 	N        int    // number of the attempt within the request
@@ -52,15 +52,15 @@
 	attempt   int
 }
 
-func (h *Hop) key() attemptKey { return attemptKey{h.Router, h.Txn, h.N} }
+func (h *Attempt) key() attemptKey { return attemptKey{h.Router, h.Txn, h.N} }
 
 // entry is an event log entry about the attempt.
-func (h *Hop) entry(kind eventlog.Kind) Entry {
+func (h *Attempt) entry(kind eventlog.Kind) Entry {
 	return Entry{Kind: kind, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server}
 }
 
-// Hop accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
-func (w *World) Hop(attempt *Hop) {
+// SendAttempt accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
+func (w *Simulation) SendAttempt(attempt *Attempt) {
 	w.Result.Hops++
 	attempt.target = w.servers[attempt.Server]
 	attempt.fillSource = w.servers[attempt.Source]
@@ -80,7 +80,7 @@
 }
 
 // Cancel accepts that a router cancels an attempt. The server hears of it one network latency later.
-func (w *World) Cancel(router int, requestID string, number int) {
+func (w *Simulation) Cancel(router int, requestID string, number int) {
 	key := attemptKey{router, requestID, number}
 	if attempt := w.attempts[key]; attempt != nil {
 		delete(w.attempts, key)
@@ -89,13 +89,13 @@
 }
 
 // detachLater removes an attempt from its server one network latency later.
-func (w *World) detachLater(attempt *Hop) {
+func (w *Simulation) detachLater(attempt *Attempt) {
 	w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
 }
 
 // attemptArrived hands an attempt to its server. A server that is down refuses the connection, a silent one does
 // not even do that.
-func (w *World) attemptArrived(attempt *Hop) {
+func (w *Simulation) attemptArrived(attempt *Attempt) {
 	server := attempt.target
 	switch {
 	case attempt.state == attemptEnded:
@@ -103,7 +103,7 @@
 	case !server.up && server.silent:
 		return
 	case !server.up:
-		server.finish(attempt, End{Outcome: policy.OutcomeConnectionRefused})
+		server.finish(attempt, AttemptResult{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
 	w.record(attempt.entry(eventlog.KindArrived))
@@ -124,7 +124,7 @@
 }
 
 // finish answers an attempt. The answer takes one network latency to its router, and a fault may change or lose it.
-func (s *server) finish(attempt *Hop, end End) {
+func (s *server) finish(attempt *Attempt, end AttemptResult) {
 	if attempt.state == attemptEnded {
 		return
 	}
@@ -141,7 +141,7 @@
 }
 
 // deliver brings an answer to the router, unless the router has cancelled the attempt.
-func (w *World) deliver(attempt *Hop, end End) {
+func (w *Simulation) deliver(attempt *Attempt, end AttemptResult) {
 	key := attempt.key()
 	if w.attempts[key] != attempt {
 		return
@@ -151,11 +151,11 @@
 	entry.Outcome = end.Outcome.String()
 	entry.Issued = end.Issued
 	w.record(entry)
-	w.driver.End(attempt.Router, attempt, end)
+	w.driver.AttemptEnded(attempt.Router, attempt, end)
 }
 
 // detach removes an attempt that was answered or cancelled from its server and stops the work for it.
-func (s *server) detach(attempt *Hop) {
+func (s *server) detach(attempt *Attempt) {
 	if attempt.state == attemptEnded {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 // forgetAttempt takes an attempt off the server's list; the last one of the list moves to its place.
-func (s *server) forgetAttempt(attempt *Hop) {
+func (s *server) forgetAttempt(attempt *Attempt) {
 	if attempt.index >= len(s.attempts) || s.attempts[attempt.index] != attempt {
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 // releaseSlot frees the place in the queue or the slot that an attempt had at a cache.
-func (s *server) releaseSlot(attempt *Hop, previous attemptState) {
+func (s *server) releaseSlot(attempt *Attempt, previous attemptState) {
 	switch previous {
 	case attemptQueued:
 		if i := slices.Index(s.queue, attempt); i >= 0 {
@@ -202,14 +202,14 @@
 }
 
 // recordExecuted logs that the work of an attempt has begun: from here on it may have its effect.
-func (w *World) recordExecuted(attempt *Hop) {
+func (w *Simulation) recordExecuted(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindRan)
 	entry.Class = w.classes[attempt.Rule].Name
 	w.record(entry)
 }
 
 // maxAge is the age, in microseconds, up to which a copy satisfies an attempt.
-func (w *World) maxAge(attempt *Hop) int64 {
+func (w *Simulation) maxAge(attempt *Attempt) int64 {
 	if attempt.Within != 0 {
 		return attempt.Within
 	}
@@ -217,4 +217,4 @@
 }
 
 // flowTime is how long one client flow takes for a number of kilobytes, in microseconds.
-func (w *World) flowTime(kb float64) float64 { return kb / w.scenario.Fleet.FlowKBPerS * second }
+func (w *Simulation) flowTime(kb float64) float64 { return kb / w.scenario.Fleet.FlowKBPerS * second }
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -20,7 +20,7 @@
 }
 
 // newCache adds a cache to an office. It is up, warm and listed as active.
-func (w *World) newCache(office int, id string) *server {
+func (w *Simulation) newCache(office int, id string) *server {
 	fleet := &w.scenario.Fleet
 	s := &server{
 		world: w, id: id, kind: kindCache, up: true, listed: policy.EndpointActive, slowdown: 1,
@@ -35,7 +35,7 @@
 }
 
 // admit gives an attempt a slot of the cache or a place in its queue, or rejects it.
-func (s *server) admit(attempt *Hop) {
+func (s *server) admit(attempt *Attempt) {
 	fleet := &s.world.scenario.Fleet
 	switch {
 	case s.busySlots < fleet.SlotsPerCore*fleet.Cores:
@@ -44,7 +44,7 @@
 		attempt.state = attemptQueued
 		s.queue = append(s.queue, attempt)
 	default:
-		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
+		s.finish(attempt, AttemptResult{Outcome: policy.OutcomeBusy})
 	}
 }
 
@@ -59,7 +59,7 @@
 }
 
 // serve takes a slot and answers an attempt from the cache, or by a fill.
-func (s *server) serve(attempt *Hop) {
+func (s *server) serve(attempt *Attempt) {
 	w := s.world
 	attempt.state = attemptWorking
 	s.busySlots++
@@ -80,15 +80,15 @@
 }
 
 // serveMiss lets an attempt join a fill or begin one; it is answered at once where neither is possible.
-func (s *server) serveMiss(attempt *Hop, key int64) {
+func (s *server) serveMiss(attempt *Attempt, key int64) {
 	fleet := &s.world.scenario.Fleet
 	switch {
 	case attempt.fillSource == nil || attempt.fillSource == s:
-		s.finish(attempt, End{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
+		s.finish(attempt, AttemptResult{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
 	case attempt.FillMode&policy.FillWaitFor != 0 && s.fills[key] != nil:
 		s.fills[key].join(attempt)
 	case s.fillCount >= fleet.FillsPerCore*fleet.Cores:
-		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
+		s.finish(attempt, AttemptResult{Outcome: policy.OutcomeBusy})
 	default:
 		s.beginFill(attempt, key)
 	}
@@ -96,7 +96,7 @@
 
 // lookup finds a copy. In a prewarmed fleet a popular object counts as cached at the first server of its office or
 // trunk that is asked for it, because the routers choose which server that is.
-func (s *server) lookup(attempt *Hop, key int64) *cachedCopy {
+func (s *server) lookup(attempt *Attempt, key int64) *cachedCopy {
 	w := s.world
 	cached := s.store.get(key)
 	if cached != nil || attempt.objectID >= w.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
@@ -116,12 +116,12 @@
 }
 
 // sendCopy sends a copy to the router. It takes a core's time for as long as one flow takes.
-func (s *server) sendCopy(attempt *Hop, reason policy.Reason, issuedAt, waited int64) {
+func (s *server) sendCopy(attempt *Attempt, reason policy.Reason, issuedAt, waited int64) {
 	work := s.world.flowTime(attempt.SizeKB)
 	s.world.recordExecuted(attempt)
 	attempt.job = s.cpu.add(work, func() {
 		attempt.job = nil
-		s.finish(attempt, End{
+		s.finish(attempt, AttemptResult{
 			Outcome: policy.OutcomeDone, Reason: reason,
 			Issued: issuedAt, Waited: waited, SizeKB: attempt.SizeKB,
 		})
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -31,7 +31,7 @@
 }
 
 // startClients begins each office's arrivals and the drift of the objects' popularity.
-func (w *World) startClients() {
+func (w *Simulation) startClients() {
 	w.clients.interarrival = distuv.Exponential{Rate: 1, Src: w.random}
 	for office := range w.scenario.Fleet.Offices {
 		w.schedule(0, func() { w.clientArrival(office) })
@@ -42,7 +42,7 @@
 }
 
 // scheduleDrift changes the objects' popularity at regular intervals.
-func (w *World) scheduleDrift() {
+func (w *Simulation) scheduleDrift() {
 	w.schedule(int64(w.scenario.Load.DriftS*second), func() {
 		w.catalogue.drift(w.random)
 		w.scheduleDrift()
@@ -50,7 +50,7 @@
 }
 
 // clientArrival schedules an office's next arrival, a Poisson process, and begins the request of this one.
-func (w *World) clientArrival(office int) {
+func (w *Simulation) clientArrival(office int) {
 	load := &w.scenario.Load
 	if w.now >= w.clientsUntil {
 		return
@@ -74,7 +74,7 @@
 }
 
 // pickObject draws the object of a request: by popularity, or one that is wanted once while that fault is in force.
-func (w *World) pickObject(class, office int) int64 {
+func (w *Simulation) pickObject(class, office int) int64 {
 	if w.oneTimeShare > 0 && w.random.Float64() < w.oneTimeShare {
 		return w.catalogue.newOneTimeObject(class)
 	}
@@ -82,7 +82,7 @@
 }
 
 // watchVideo requests a video's next part, and schedules the one after it unless the viewer stops.
-func (w *World) watchVideo(viewer *viewer) {
+func (w *Simulation) watchVideo(viewer *viewer) {
 	w.beginRequest(&client{
 		office: viewer.office, class: scenario.ClassVideo, object: viewer.object, part: viewer.part,
 	})
@@ -95,7 +95,7 @@
 }
 
 // beginRequest starts a client's request with its first attempt.
-func (w *World) beginRequest(client *client) {
+func (w *Simulation) beginRequest(client *client) {
 	load := &w.scenario.Load
 	client.startedAt = w.now
 	client.honoursRetryAfter = w.random.Float64() < load.HonourShare
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -8,7 +8,7 @@
 )
 
 // Known is the endpoint list as it is, in a fixed order.
-func (w *World) Known() (servers []Server) {
+func (w *Simulation) Known() (servers []Server) {
 	add := func(server *server) {
 		if server.listed != policy.EndpointGone {
 			servers = append(servers, server.endpoint())
@@ -24,15 +24,15 @@
 }
 
 // setListed changes a server's state in the endpoint list. Routers are notified after a delay.
-func (w *World) setListed(server *server, state policy.EndpointState, delay int64) {
+func (w *Simulation) setListed(server *server, state policy.EndpointState, delay int64) {
 	server.listed = state
 	endpoint := server.endpoint()
 	w.record(Entry{Kind: eventlog.KindListed, Endpoint: server.id, State: string(state), Until: w.now + delay})
-	w.schedule(delay, func() { w.announce(Notice{Servers: []Server{endpoint}}) })
+	w.schedule(delay, func() { w.announce(DiscoveryEvent{Servers: []Server{endpoint}}) })
 }
 
 // announce sends a notice to all routers. Each gets it a little later, after those announced before.
-func (w *World) announce(notice Notice) {
+func (w *Simulation) announce(notice DiscoveryEvent) {
 	for _, router := range w.routers {
 		delay := w.jitter(w.scenario.Fleet.DiscoveryDelayMS * millisecond)
 		due := max(router.notifiedAt, w.now+delay+w.discoveryDelay)
@@ -42,7 +42,7 @@
 }
 
 // notify delivers a notice to a router. While the router cannot reach the discovery service, the notice is held.
-func (w *World) notify(router *router, notice Notice) {
+func (w *Simulation) notify(router *router, notice DiscoveryEvent) {
 	if !router.up {
 		return // it gets the list as it is when it starts
 	}
@@ -62,11 +62,11 @@
 			Object: notice.Object, Group: notice.Group, Until: notice.At,
 		})
 	}
-	w.driver.Told(router.id, notice)
+	w.driver.Notify(router.id, notice)
 }
 
 // restoreDiscovery ends a partition of the discovery service and delivers the notices that were held.
-func (w *World) restoreDiscovery() {
+func (w *Simulation) restoreDiscovery() {
 	w.discoveryCut = false
 	for _, router := range w.routers {
 		if router.discoveryCut {
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -5,17 +5,17 @@
 	"quilldoor/internal/policy"
 )
 
-// Driver carries out what the World reports, for instance on routers in the same process or on real sockets. All
-// calls come from within World.Step, in order.
+// Driver carries out what the simulation reports, for instance on routers in the same process or on real sockets. All
+// calls come from within Simulation.Step, in order.
 type Driver interface {
-	// Ask delivers a client's complete request to its router.
-	Ask(request *Ask)
+	// Request delivers a client's complete request to its router.
+	Request(request *Request)
 	// Leave reports that a request's client has gone.
 	Leave(router int, requestID string)
-	// End delivers the end of an attempt to its router.
-	End(router int, attempt *Hop, end End)
-	// Told delivers a discovery event to a router.
-	Told(router int, notice Notice)
+	// AttemptEnded delivers the end of an attempt to its router.
+	AttemptEnded(router int, attempt *Attempt, end AttemptResult)
+	// Notify delivers a discovery event to a router.
+	Notify(router int, notice DiscoveryEvent)
 	// Down kills a router's process.
 	Down(router int)
 	// Up starts a router's process with the endpoint list as it is.
@@ -35,8 +35,8 @@
 	policy.Endpoint
 }
 
-// Notice is one discovery event: changed servers, or a purge.
-type Notice struct {
+// DiscoveryEvent is one discovery event: changed servers, or a purge.
+type DiscoveryEvent struct {
 	Servers []Server
 	Purge   bool
 	Object  string // that is purged; "": the whole group
@@ -44,8 +44,8 @@
 	At      int64 // time of the purge, microseconds
 }
 
-// End is how an attempt ended, in the policy's terms.
-type End struct {
+// AttemptResult is how an attempt ended, in the policy's terms.
+type AttemptResult struct {
 	Outcome policy.Outcome
 	Reason  policy.Reason
 	Waited  int64              // for a fill, microseconds
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -50,7 +50,7 @@
 const wholeGroup = -1
 
 // scheduleFault schedules a fault's beginning and end.
-func (w *World) scheduleFault(fault *scenario.Fault) {
+func (w *Simulation) scheduleFault(fault *scenario.Fault) {
 	duration := int64(fault.For * second)
 	w.schedule(int64(fault.At*second), func() {
 		w.activeFaults++
@@ -70,7 +70,7 @@
 }
 
 // startFault starts a fault and returns what ends it; nil: it ends by itself. What it hits is drawn now.
-func (w *World) startFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
 	case faultCacheCrash, faultCacheSilent, faultCachePause, faultCacheDeploy, faultCachePreempt, faultOfficeLost,
 		faultParentsLost:
@@ -98,7 +98,7 @@
 }
 
 // startPurges purges a share of the groups, or the most popular objects of the two cached classes in turn.
-func (w *World) startPurges(fault *scenario.Fault) {
+func (w *Simulation) startPurges(fault *scenario.Fault) {
 	if fault.Kind == faultPurgeGroups {
 		for group := range int64(groupCount) {
 			if w.random.Float64() < fault.Share {
@@ -113,7 +113,7 @@
 }
 
 // startDiscoveryFault delays load reports or notices, or cuts routers off from the discovery service.
-func (w *World) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
 	delay := int64(fault.Strength * second)
 	switch fault.Kind {
 	case faultReportDelay:
@@ -142,7 +142,7 @@
 }
 
 // startLoadFault changes what clients ask for, or how often.
-func (w *World) startLoadFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startLoadFault(fault *scenario.Fault) (endFault func()) {
 	if fault.Kind == faultOneTimeObjects {
 		w.oneTimeShare = fault.Share
 		return func() { w.oneTimeShare = 0 }
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -13,7 +13,7 @@
 	incarnation  int64   // of the server, when the fill began
 	key          int64
 	rank         int // retention rank of the copy; 0: it is not stored
-	attempts     []*Hop
+	attempts     []*Attempt
 	waiters      []func() // at a parent: those who joined
 	transfers    []*job
 	pendingParts int // parts of the transfer that are not finished
@@ -30,9 +30,9 @@
 func fillFailed(reason policy.Reason) bool { return reason >= policy.ReasonUpstreamBusy }
 
 // beginFill starts a fill for an attempt. Later attempts may join it unless another one for the part is under way.
-func (s *server) beginFill(attempt *Hop, key int64) {
+func (s *server) beginFill(attempt *Attempt, key int64) {
 	f := &fill{
-		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Hop{attempt},
+		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Attempt{attempt},
 		startedAt: s.world.now, reason: policy.ReasonMiss,
 	}
 	attempt.fill = f
@@ -44,14 +44,14 @@
 }
 
 // join lets an attempt wait for a fill that is under way.
-func (f *fill) join(attempt *Hop) {
+func (f *fill) join(attempt *Attempt) {
 	f.rank = max(f.rank, attempt.Rank)
 	f.attempts = append(f.attempts, attempt)
 	attempt.fill = f
 }
 
 // start sends the fill's request to its source.
-func (f *fill) start(attempt *Hop) {
+func (f *fill) start(attempt *Attempt) {
 	source := attempt.fillSource
 	delay := f.server.world.oneWayDelay(f.server.office, source)
 	snapshot := *attempt // the attempt may be cancelled while the fill runs on
@@ -63,7 +63,7 @@
 }
 
 // requestArrived lets the source supply the fill. Its answer takes delay microseconds back.
-func (f *fill) requestArrived(attempt *Hop, source *server, delay int64) {
+func (f *fill) requestArrived(attempt *Attempt, source *server, delay int64) {
 	w := f.server.world
 	failLater := func(reason policy.Reason) {
 		w.schedule(delay, func() { f.fail(reason) })
@@ -92,7 +92,7 @@
 
 // transfer moves the fill's bytes over the source's link out and the office's link in, no faster than its pace. It
 // is finished when all three are.
-func (f *fill) transfer(attempt *Hop, source *server) {
+func (f *fill) transfer(attempt *Attempt, source *server) {
 	w := f.server.world
 	fleet := &w.scenario.Fleet
 	if f.closed || f.incarnation != f.server.incarnation {
@@ -124,7 +124,7 @@
 }
 
 // complete stores the copy, unless it was purged meanwhile, and answers the attempts that wait for it.
-func (f *fill) complete(request *Hop) {
+func (f *fill) complete(request *Attempt) {
 	s := f.server
 	f.closed = true
 	f.unregister()
@@ -153,7 +153,7 @@
 	f.attempts = nil
 	for _, attempt := range attempts {
 		attempt.fill = nil
-		f.server.finish(attempt, End{
+		f.server.finish(attempt, AttemptResult{
 			Outcome: policy.OutcomeError, Reason: reason,
 			Waited: f.server.world.now - f.startedAt,
 		})
@@ -172,8 +172,8 @@
 
 // removeAttempt lets an attempt leave the fill. A fill that nobody waits for is cancelled, or runs on if the
 // scenario says so.
-func (f *fill) removeAttempt(attempt *Hop) {
-	f.attempts = slices.DeleteFunc(f.attempts, func(other *Hop) bool { return other == attempt })
+func (f *fill) removeAttempt(attempt *Attempt) {
+	f.attempts = slices.DeleteFunc(f.attempts, func(other *Attempt) bool { return other == attempt })
 	if len(f.attempts) == 0 && !f.closed && !f.server.world.scenario.Fleet.OrphanFills {
 		f.cancel()
 		f.unregister()
@@ -182,7 +182,7 @@
 
 // serveFill is what a source does for a fill: another cache gives what it holds, a parent may fetch it first, the
 // origin generates it.
-func (s *server) serveFill(attempt *Hop, done fillDone) {
+func (s *server) serveFill(attempt *Attempt, done fillDone) {
 	switch s.kind {
 	case kindOrigin:
 		s.originRead(done)
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -54,6 +54,6 @@
 }
 
 // reportNoise adds normally distributed relative noise to a reported value.
-func (w *World) reportNoise(value float64) float64 {
+func (w *Simulation) reportNoise(value float64) float64 {
 	return max(0, value*(1+w.scenario.Fleet.ReportNoise*w.random.NormFloat64()))
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,7 +2,7 @@
 
 // sendToOffice brings an answer from a trunk into the office of its router: over the server's link out, over the
 // office's link in, and no faster than one client flow. done is called when all three are finished.
-func (s *server) sendToOffice(attempt *Hop, done func()) {
+func (s *server) sendToOffice(attempt *Attempt, done func()) {
 	w := s.world
 	w.Result.countFill(w, attempt.SizeKB, s.kind == kindOrigin)
 	pendingParts := 3
@@ -18,12 +18,12 @@
 }
 
 // newLink makes a link, which its transfers share equally; one alone may use all of it.
-func (w *World) newLink(kbPerS float64) *sharedResource {
+func (w *Simulation) newLink(kbPerS float64) *sharedResource {
 	return &sharedResource{world: w, totalRate: kbPerS / second, maxJobRate: kbPerS / second}
 }
 
 // oneWayDelay is the network latency between an office and a server, one way, in microseconds.
-func (w *World) oneWayDelay(office int, server *server) int64 {
+func (w *Simulation) oneWayDelay(office int, server *server) int64 {
 	fleet := &w.scenario.Fleet
 	if server.office >= 0 {
 		return int64(fleet.LocalMS * oneWay)
@@ -32,7 +32,7 @@
 }
 
 // trunkDistance is how many trunks beyond its own lie between an office and a parent or the origin.
-func (w *World) trunkDistance(office int, server *server) int {
+func (w *Simulation) trunkDistance(office int, server *server) int {
 	distance := w.scenario.Fleet.Trunk(office) - server.trunk
 	return max(distance, -distance)
 }
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -8,7 +8,7 @@
 )
 
 // startNetworkFault starts a fault of the network between routers.
-func (w *World) startNetworkFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startNetworkFault(fault *scenario.Fault) (endFault func()) {
 	var ids []int
 	for _, router := range w.routers {
 		if fault.Office == 0 || router.office == fault.Office-1 {
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -25,7 +25,7 @@
 )
 
 // newOrigin makes the origin, which stands at the first trunk.
-func (w *World) newOrigin() *server {
+func (w *Simulation) newOrigin() *server {
 	fleet := &w.scenario.Fleet
 	egressKBPerS := fleet.OriginLinkKBPerS
 	if egressKBPerS == 0 { // what all offices' links could ask for, if half of it is at parents
@@ -93,10 +93,10 @@
 }
 
 // serveFromOrigin answers an attempt that a router sent straight to the origin: a write, or a read past the caches.
-func (s *server) serveFromOrigin(attempt *Hop) {
+func (s *server) serveFromOrigin(attempt *Attempt) {
 	attempt.state = attemptWorking
 	if !s.originAccepts() {
-		s.finish(attempt, End{Outcome: policy.OutcomeBusy})
+		s.finish(attempt, AttemptResult{Outcome: policy.OutcomeBusy})
 		return
 	}
 	s.world.recordExecuted(attempt)
@@ -111,18 +111,18 @@
 }
 
 // finishWrite lets a write have its effect and answers it.
-func (s *server) finishWrite(attempt *Hop) {
+func (s *server) finishWrite(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindEffect)
 	entry.Class = s.world.classes[attempt.Rule].Name
 	s.world.record(entry)
-	s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: writeAnswerKB})
+	s.finish(attempt, AttemptResult{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: writeAnswerKB})
 }
 
 // finishRead sends a generated object to the router.
-func (s *server) finishRead(attempt *Hop) {
+func (s *server) finishRead(attempt *Attempt) {
 	issuedAt := s.world.now
 	s.sendToOffice(attempt, func() {
-		s.finish(attempt, End{
+		s.finish(attempt, AttemptResult{
 			Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin,
 			Issued: issuedAt, SizeKB: attempt.SizeKB,
 		})
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -3,7 +3,7 @@
 import "quilldoor/internal/policy"
 
 // newParent adds a parent to a trunk. Its link out is in proportion to the links into the trunk's offices.
-func (w *World) newParent(trunk int, id string) *server {
+func (w *Simulation) newParent(trunk int, id string) *server {
 	fleet := &w.scenario.Fleet
 	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
 	egressKBPerS := fleet.ParentLink * fleet.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(fleet.Parents, 1))
@@ -19,7 +19,7 @@
 }
 
 // fetch gives the parent's copy of a part, or gets it from the origin first.
-func (s *server) fetch(attempt *Hop, done fillDone) {
+func (s *server) fetch(attempt *Attempt, done fillDone) {
 	w := s.world
 	key := partKey(attempt.objectID, attempt.Part)
 	maxAge := w.maxAge(attempt)
@@ -41,7 +41,7 @@
 }
 
 // fetchFromOrigin fills a parent from the origin.
-func (s *server) fetchFromOrigin(attempt *Hop, key int64, done fillDone) {
+func (s *server) fetchFromOrigin(attempt *Attempt, key int64, done fillDone) {
 	w := s.world
 	f := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: w.now}
 	s.fills[key] = f
@@ -71,7 +71,7 @@
 
 // finishFetch stores what the origin supplied, if it may be kept and was not purged meanwhile, and passes it on to
 // those who wait for it.
-func (f *fill) finishFetch(attempt *Hop, issuedAt int64, reason policy.Reason, done fillDone) {
+func (f *fill) finishFetch(attempt *Attempt, issuedAt int64, reason policy.Reason, done fillDone) {
 	s := f.server
 	if s.incarnation != f.incarnation { // it crashed meanwhile
 		done(0, policy.ReasonUpstreamDown)
@@ -93,7 +93,7 @@
 }
 
 // serveFromParent answers an attempt that a router sent straight to a parent.
-func (s *server) serveFromParent(attempt *Hop) {
+func (s *server) serveFromParent(attempt *Attempt) {
 	attempt.state = attemptWorking
 	incarnation := s.incarnation
 	s.fetch(attempt, func(issuedAt int64, reason policy.Reason) {
@@ -105,12 +105,12 @@
 			if reason == policy.ReasonUpstreamMiss {
 				outcome = policy.OutcomeMiss
 			}
-			s.finish(attempt, End{Outcome: outcome, Reason: reason})
+			s.finish(attempt, AttemptResult{Outcome: outcome, Reason: reason})
 			return
 		}
 		s.world.recordExecuted(attempt)
 		s.sendToOffice(attempt, func() {
-			s.finish(attempt, End{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, SizeKB: attempt.SizeKB})
+			s.finish(attempt, AttemptResult{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, SizeKB: attempt.SizeKB})
 		})
 	})
 }
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -10,7 +10,7 @@
 const purgeSpread = 0.9
 
 // purgedAt is when an object was purged last, by itself or with its group; 0: never.
-func (w *World) purgedAt(object, group int64) int64 {
+func (w *Simulation) purgedAt(object, group int64) int64 {
 	at := w.groupPurges[group%groupCount]
 	if objectPurge, known := w.objectPurges[object]; known {
 		at = max(at, objectPurge)
@@ -20,9 +20,9 @@
 
 // purge purges an object or, if object is wholeGroup, a group. Each server drops its copies a random time later;
 // routers are notified.
-func (w *World) purge(object, group int64) {
+func (w *Simulation) purge(object, group int64) {
 	now := w.now
-	notice := Notice{Purge: true, Group: group, At: now}
+	notice := DiscoveryEvent{Purge: true, Group: group, At: now}
 	if object >= 0 {
 		w.objectPurges[object] = now
 		notice.Object = w.catalogue.name(object)
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -28,8 +28,8 @@
 	answerLate      = "late" // completed too late to be of use
 )
 
-// Ask is one attempt of a client at a request, as it reaches a router.
-type Ask struct {
+// Request is one attempt of a client at a request, as it reaches a router.
+type Request struct {
 	Router int
 	Txn    string // ID of the request, new for each of the client's attempts
 	Rule   int    // index of the traffic class
@@ -47,7 +47,7 @@
 }
 
 // Deadline is when the client stops waiting.
-func (a *Ask) Deadline() int64 { return a.deadline }
+func (a *Request) Deadline() int64 { return a.deadline }
 
 // client is a client with one request, over all its attempts.
 type client struct {
@@ -61,7 +61,7 @@
 }
 
 // sendRequest sends a client's next attempt to a router of its office that is not known to be down.
-func (w *World) sendRequest(client *client) {
+func (w *Simulation) sendRequest(client *client) {
 	candidates := w.routersInService(client.office)
 	client.attempts++
 	if len(candidates) == 0 {
@@ -82,7 +82,7 @@
 }
 
 // routersInService are the routers of an office that clients are sent to.
-func (w *World) routersInService(office int) (candidates []*router) {
+func (w *Simulation) routersInService(office int) (candidates []*router) {
 	perOffice := w.scenario.Fleet.Routers
 	for _, router := range w.routers[office*perOffice : (office+1)*perOffice] {
 		if router.up || w.now-router.downAt < routerDeathNoticed {
@@ -93,9 +93,9 @@
 }
 
 // newRequest makes a client's next attempt, for a router.
-func (w *World) newRequest(router *router, client *client) *Ask {
+func (w *Simulation) newRequest(router *router, client *client) *Request {
 	w.clients.requestCount++
-	request := &Ask{
+	request := &Request{
 		Router:   router.id,
 		Txn:      fmt.Sprintf("%016x", w.clients.requestCount),
 		Rule:     client.class,
@@ -116,19 +116,19 @@
 }
 
 // clientDelay draws the network latency between a client and its router, one way, in microseconds.
-func (w *World) clientDelay() int64 { return w.jitter(w.scenario.Fleet.ClientMS * oneWay) }
+func (w *Simulation) clientDelay() int64 { return w.jitter(w.scenario.Fleet.ClientMS * oneWay) }
 
 // requestArrived hands a request to its router.
-func (w *World) requestArrived(router *router, request *Ask) {
+func (w *Simulation) requestArrived(router *router, request *Request) {
 	router.addRequest(request)
 	w.Result.Taken++
 	w.record(w.requestEntry(eventlog.KindTaken, request))
 	request.Limit = request.deadline - w.now
-	w.driver.Ask(request)
+	w.driver.Request(request)
 }
 
 // requestEntry is an event log entry that describes a request.
-func (w *World) requestEntry(kind eventlog.Kind, request *Ask) Entry {
+func (w *Simulation) requestEntry(kind eventlog.Kind, request *Request) Entry {
 	return Entry{
 		Kind: kind, Router: request.Router, Request: request.Txn, Class: w.classes[request.Rule].Name,
 		Object: request.Object, Group: request.Group, Deadline: request.deadline,
@@ -136,7 +136,7 @@
 }
 
 // clientTimedOut makes a client leave whose time is over without an answer.
-func (w *World) clientTimedOut(router *router, request *Ask) {
+func (w *Simulation) clientTimedOut(router *router, request *Request) {
 	if !request.open {
 		return
 	}
@@ -149,7 +149,7 @@
 
 // Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
 // a driver on real sockets can tell; in the model a router that is up accepts every connection.
-func (w *World) Refused(routerID int, requestID string) {
+func (w *Simulation) Refused(routerID int, requestID string) {
 	router := w.routers[routerID]
 	request := router.openRequests[requestID]
 	if request == nil {
@@ -160,9 +160,9 @@
 	w.retryOrFail(request.client, 0, true)
 }
 
-// Final accepts a router's answer to a request: "completed", "rejected" or "aborted". issuedAt is the issue time of
+// Answered accepts a router's answer to a request: "completed", "rejected" or "aborted". issuedAt is the issue time of
 // the copy it was answered with, retryAfter the wait in microseconds that the router asks of the client.
-func (w *World) Final(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
+func (w *Simulation) Answered(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
 	router := w.routers[routerID]
 	request := router.openRequests[requestID]
 	if request == nil {
@@ -181,7 +181,7 @@
 }
 
 // answerArrived is a router's answer at its client.
-func (w *World) answerArrived(request *Ask, outcome string, issuedAt, retryAfter int64) {
+func (w *Simulation) answerArrived(request *Request, outcome string, issuedAt, retryAfter int64) {
 	if w.now > request.deadline+lateTolerance+w.Slack {
 		outcome = answerLate
 	}
@@ -197,7 +197,7 @@
 
 // retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
 // it has attempts left.
-func (w *World) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
+func (w *Simulation) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
 	load := &w.scenario.Load
 	if !retrySafe || client.attempts > load.Retries {
 		w.openRequests--
--- a/internal/simulation/resource.go
+++ b/internal/simulation/resource.go
@@ -5,7 +5,7 @@
 // start, and each job ends when it reaches the job's mark. An arrival therefore costs the logarithm of the number of
 // jobs. Work and rates are in a unit of the user's, such as core-microseconds or kilobytes.
 type sharedResource struct {
-	world           *World
+	world           *Simulation
 	totalRate       float64 // per microsecond, over all jobs
 	maxJobRate      float64 // per microsecond, of one job
 	virtualService  float64
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -26,7 +26,7 @@
 // Result is the outcome of a run. Its field names are the keys of its JSON form. Counts leave out requests that
 // began while the run warmed up, except for those of servers and links.
 type Result struct {
-	Rules    []*RuleResult // by traffic class
+	Rules    []*ClassResult // by traffic class
 	Timeline []Second
 	Troubles []string // faults that began, with their times
 
@@ -45,8 +45,8 @@
 	current Second // not closed yet
 }
 
-// RuleResult is the outcome of a traffic class.
-type RuleResult struct {
+// ClassResult is the outcome of a traffic class.
+type ClassResult struct {
 	Name      string
 	Phases    map[string]*Outcomes
 	latencies *hdrhistogram.Histogram // microseconds, from a client's first attempt
@@ -82,7 +82,7 @@
 func newResult(s *scenario.Scenario) *Result {
 	r := &Result{Ends: map[string]int{}}
 	for _, class := range s.Classes() {
-		r.Rules = append(r.Rules, &RuleResult{
+		r.Rules = append(r.Rules, &ClassResult{
 			Name: class.Name, Phases: map[string]*Outcomes{},
 			latencies: hdrhistogram.New(minLatency, maxLatency, latencySignificant),
 		})
@@ -102,7 +102,7 @@
 }
 
 // countRequest counts a client's new request.
-func (r *Result) countRequest(w *World, client *client) {
+func (r *Result) countRequest(w *Simulation, client *client) {
 	r.current.Asked++
 	outcomes := r.outcomes(client)
 	outcomes.Asked++
@@ -113,7 +113,7 @@
 }
 
 // countFill counts bytes that come into an office.
-func (r *Result) countFill(w *World, kb float64, fromOrigin bool) {
+func (r *Result) countFill(w *Simulation, kb float64, fromOrigin bool) {
 	if w.currentPhase() == phaseWarmUp {
 		return
 	}
@@ -124,14 +124,14 @@
 }
 
 // countParentFill counts bytes that a parent gets from the origin.
-func (r *Result) countParentFill(w *World, kb float64) {
+func (r *Result) countParentFill(w *Simulation, kb float64) {
 	if w.currentPhase() != phaseWarmUp {
 		r.LedgerKB += kb
 	}
 }
 
 // countCompleted counts a usable answer by its latency from the client's first attempt.
-func (r *Result) countCompleted(w *World, client *client, issuedAt int64) {
+func (r *Result) countCompleted(w *Simulation, client *client, issuedAt int64) {
 	class := &w.classes[client.class]
 	latency := w.now - client.startedAt
 	r.Rules[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
@@ -168,7 +168,7 @@
 }
 
 // closeSecond ends a second of the timeline and begins the next one.
-func (r *Result) closeSecond(w *World) {
+func (r *Result) closeSecond(w *Simulation) {
 	closed := r.current
 	closed.At = int(w.now / second)
 	closed.Troubles = w.activeFaults
@@ -186,7 +186,7 @@
 	r.current = Second{filledKB: closed.filledKB}
 }
 
-func (w *World) cachesUp() (count int) {
+func (w *Simulation) cachesUp() (count int) {
 	for _, caches := range w.caches {
 		for _, cache := range caches {
 			if cache.up {
@@ -217,4 +217,4 @@
 
 // Quantile is a quantile of the latency of completed requests in microseconds, from the client's first attempt.
 // Requests of the warm-up count too.
-func (r *RuleResult) Quantile(q float64) int64 { return r.latencies.ValueAtQuantile(q) }
+func (r *ClassResult) Quantile(q float64) int64 { return r.latencies.ValueAtQuantile(q) }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -8,7 +8,7 @@
 	"quilldoor/internal/policy"
 )
 
-// router is what the World knows of a router: its process and the requests it has not answered. The router's own
+// router is what the simulation knows of a router: its process and the requests it has not answered. The router's own
 // state belongs to the driver.
 type router struct {
 	id           int
@@ -18,9 +18,9 @@
 	suspensions  int  // faults that suspend it
 	discoveryCut bool // it cannot reach the discovery service
 	downAt       int64
-	notifiedAt   int64    // when the last notice arrives; later ones arrive after it
-	heldNotices  []Notice // that it gets once it reaches the discovery service again
-	openRequests map[string]*Ask
+	notifiedAt   int64            // when the last notice arrives; later ones arrive after it
+	heldNotices  []DiscoveryEvent // that it gets once it reaches the discovery service again
+	openRequests map[string]*Request
 	arrivalOrder []string // of requests, open ones among them: gives a router's death a fixed order
 }
 
@@ -28,7 +28,7 @@
 const minCompactedArrivals = 64
 
 // addRequest adds a request that has arrived.
-func (r *router) addRequest(request *Ask) {
+func (r *router) addRequest(request *Request) {
 	request.open = true
 	r.openRequests[request.Txn] = request
 	r.arrivalOrder = append(r.arrivalOrder, request.Txn)
@@ -38,7 +38,7 @@
 }
 
 // closeRequest removes a request that was answered or whose client has gone.
-func (r *router) closeRequest(request *Ask) {
+func (r *router) closeRequest(request *Request) {
 	request.open = false
 	delete(r.openRequests, request.Txn)
 }
@@ -49,7 +49,7 @@
 }
 
 // killRouter ends a router's process: connections of its attempts end, and its clients see a reset.
-func (w *World) killRouter(router *router) {
+func (w *Simulation) killRouter(router *router) {
 	router.up = false
 	router.downAt = w.now
 	router.heldNotices = nil
@@ -75,20 +75,20 @@
 }
 
 // attemptsOf are the attempts that a router waits for, in a fixed order.
-func (w *World) attemptsOf(routerID int) (attempts []*Hop) {
+func (w *Simulation) attemptsOf(routerID int) (attempts []*Attempt) {
 	for key, attempt := range w.attempts {
 		if key.router == routerID {
 			attempts = append(attempts, attempt)
 		}
 	}
-	slices.SortFunc(attempts, func(a, b *Hop) int {
+	slices.SortFunc(attempts, func(a, b *Attempt) int {
 		return cmp.Or(cmp.Compare(a.Txn, b.Txn), cmp.Compare(a.N, b.N))
 	})
 	return attempts
 }
 
 // startRouter starts a router's process with the endpoint list as it is.
-func (w *World) startRouter(router *router) {
+func (w *Simulation) startRouter(router *router) {
 	if router.up {
 		return
 	}
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -6,7 +6,7 @@
 )
 
 // startRouterFault kills, suspends or starves a share of the routers.
-func (w *World) startRouterFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startRouterFault(fault *scenario.Fault) (endFault func()) {
 	routers := w.drawRouters(fault)
 	switch fault.Kind {
 	case faultRouterSuspend:
@@ -19,7 +19,7 @@
 }
 
 // drawRouters draws a share of the routers that are up at a fault's place.
-func (w *World) drawRouters(fault *scenario.Fault) []*router {
+func (w *Simulation) drawRouters(fault *scenario.Fault) []*router {
 	var candidates []*router
 	for _, router := range w.routers {
 		if router.up && (fault.Office == 0 || router.office == fault.Office-1) {
@@ -31,7 +31,7 @@
 
 // suspendRouters suspends routers until the fault ends. Where several such faults overlap, the last one to end
 // resumes a router.
-func (w *World) suspendRouters(routers []*router) (endFault func()) {
+func (w *Simulation) suspendRouters(routers []*router) (endFault func()) {
 	incarnations := map[*router]int{}
 	for _, router := range routers {
 		incarnations[router] = router.incarnation
@@ -56,7 +56,7 @@
 }
 
 // starveRouters takes a share of the routers' CPU until the fault ends.
-func (w *World) starveRouters(routers []*router, share float64) (endFault func()) {
+func (w *Simulation) starveRouters(routers []*router, share float64) (endFault func()) {
 	for _, router := range routers {
 		w.driver.Starve(router.id, share)
 	}
@@ -68,7 +68,7 @@
 }
 
 // killRouters kills routers, which start again when the fault ends.
-func (w *World) killRouters(routers []*router) (endFault func()) {
+func (w *Simulation) killRouters(routers []*router) (endFault func()) {
 	for _, router := range routers {
 		w.killRouter(router)
 	}
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -37,7 +37,7 @@
 
 // server is a cache, a parent or the origin.
 type server struct {
-	world  *World
+	world  *Simulation
 	id     string
 	kind   serverKind
 	office int     // noOffice: at a trunk
@@ -55,8 +55,8 @@
 	cpu             *sharedResource // of a cache or the origin: its cores or workers
 	egress          *sharedResource // of a parent or the origin: its link out
 	store           *copyStore      // of a cache or a parent
-	attempts        []*Hop          // that have arrived and not ended
-	queue           []*Hop          // of a cache: those that wait for a slot
+	attempts        []*Attempt      // that have arrived and not ended
+	queue           []*Attempt      // of a cache: those that wait for a slot
 	busySlots       int             // of a cache
 	fills           map[int64]*fill // by part: those that others may join
 	fillCount       int             // all fills in flight
@@ -201,7 +201,7 @@
 		if silent {
 			s.detach(attempt)
 		} else {
-			s.finish(attempt, End{Outcome: policy.OutcomeConnectionReset})
+			s.finish(attempt, AttemptResult{Outcome: policy.OutcomeConnectionReset})
 		}
 	}
 	for _, attempt := range s.attempts {
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -12,7 +12,7 @@
 const deployDrainTime = 3 * second
 
 // startServerFault starts a fault of caches or parents.
-func (w *World) startServerFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startServerFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
 	case faultOfficeLost:
 		target := *fault
@@ -39,7 +39,7 @@
 }
 
 // startOriginFault slows the origin down or stops it.
-func (w *World) startOriginFault(fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) startOriginFault(fault *scenario.Fault) (endFault func()) {
 	origin := w.origin
 	if fault.Kind == faultOriginSlow {
 		origin.slowdown *= fault.Strength
@@ -58,7 +58,7 @@
 }
 
 // drawCaches draws a share of the caches that are up at a fault's place.
-func (w *World) drawCaches(fault *scenario.Fault) []*server {
+func (w *Simulation) drawCaches(fault *scenario.Fault) []*server {
 	var candidates []*server
 	for office, caches := range w.caches {
 		if fault.Office > 0 && office != fault.Office-1 {
@@ -77,7 +77,7 @@
 }
 
 // takeDown crashes servers, which come back when the fault ends. Discovery notices each crash only after a while.
-func (w *World) takeDown(servers []*server, silent bool) (endFault func()) {
+func (w *Simulation) takeDown(servers []*server, silent bool) (endFault func()) {
 	for _, server := range servers {
 		server.crash(silent)
 		w.setListed(server, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*millisecond))
@@ -86,7 +86,7 @@
 }
 
 // bringBack starts servers that are down, except those that collapsed.
-func (w *World) bringBack(servers []*server) {
+func (w *Simulation) bringBack(servers []*server) {
 	for _, server := range servers {
 		if server.up || server.collapsed {
 			continue
@@ -98,7 +98,7 @@
 
 // pauseRepeatedly pauses each server for the fault's strength in milliseconds, again and again until the fault ends
 // or the server crashes.
-func (w *World) pauseRepeatedly(servers []*server, fault *scenario.Fault) (endFault func()) {
+func (w *Simulation) pauseRepeatedly(servers []*server, fault *scenario.Fault) (endFault func()) {
 	active := true
 	for _, server := range servers {
 		incarnation := server.incarnation
@@ -116,7 +116,7 @@
 }
 
 // pauseOnce lets a server make no progress for a while. Pauses may overlap.
-func (w *World) pauseOnce(server *server, duration int64) {
+func (w *Simulation) pauseOnce(server *server, duration int64) {
 	incarnation := server.incarnation
 	server.activePauses++
 	server.updateRate()
@@ -129,7 +129,7 @@
 }
 
 // deploy drains and replaces servers in waves; the fault's strength is the size of a wave.
-func (w *World) deploy(servers []*server, fault *scenario.Fault) {
+func (w *Simulation) deploy(servers []*server, fault *scenario.Fault) {
 	size := int(fault.Strength)
 	for i := 0; i < len(servers); i += size {
 		wave := servers[i:min(i+size, len(servers))]
@@ -137,7 +137,7 @@
 	}
 }
 
-func (w *World) replaceWave(wave []*server) {
+func (w *Simulation) replaceWave(wave []*server) {
 	for _, server := range wave {
 		if !server.up {
 			continue
@@ -148,7 +148,7 @@
 }
 
 // replace ends a cache and starts a successor with an ID of its own in its place, cold and empty.
-func (w *World) replace(server *server) {
+func (w *Simulation) replace(server *server) {
 	if server.up {
 		server.crash(false)
 	}
@@ -165,7 +165,7 @@
 }
 
 // preempt drains servers and crashes them after a short notice. They come back when the fault ends.
-func (w *World) preempt(servers []*server, notice int64) (endFault func()) {
+func (w *Simulation) preempt(servers []*server, notice int64) (endFault func()) {
 	for _, server := range servers {
 		w.setListed(server, policy.EndpointDraining, 0)
 		w.schedule(notice, func() {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -27,8 +27,8 @@
 	never = 1 << 62
 )
 
-// World is the state of one run: the clock and its events, the fleet, the clients and the faults in force.
-type World struct {
+// Simulation is the state of one run: the clock and its events, the fleet, the clients and the faults in force.
+type Simulation struct {
 	scenario     *scenario.Scenario
 	driver       Driver
 	classes      []policy.TrafficClass
@@ -49,7 +49,7 @@
 
 	clients      clientPopulation
 	openRequests int // of clients, without an outcome yet
-	attempts     map[attemptKey]*Hop
+	attempts     map[attemptKey]*Attempt
 	objectPurges map[int64]int64     // time of each object's last purge
 	groupPurges  [groupCount]int64   // time of each group's last purge
 	prewarmed    map[prewarmKey]bool // popular parts that were placed in a prewarmed fleet's caches
@@ -75,16 +75,16 @@
 	lastFaultChange int64 // when a fault began or ended last
 }
 
-// New makes a World at time 0. The driver's methods are called from Step.
-func New(s *scenario.Scenario, seed uint64, driver Driver) *World {
-	w := &World{
+// New makes a simulation at time 0. The driver's methods are called from Step.
+func New(s *scenario.Scenario, seed uint64, driver Driver) *Simulation {
+	w := &Simulation{
 		scenario:     s,
 		driver:       driver,
 		classes:      s.Classes(),
 		clientsUntil: int64(s.LengthS * second),
 		random:       rand.New(rand.NewPCG(seed, fleetStream)),
 		servers:      map[string]*server{},
-		attempts:     map[attemptKey]*Hop{},
+		attempts:     map[attemptKey]*Attempt{},
 		objectPurges: map[int64]int64{},
 		prewarmed:    map[prewarmKey]bool{},
 		loadFactor:   1,
@@ -100,7 +100,7 @@
 	w.addServers()
 	for i := range fleet.Offices * fleet.Routers {
 		w.routers = append(w.routers, &router{
-			id: i, office: i / fleet.Routers, up: true, openRequests: map[string]*Ask{},
+			id: i, office: i / fleet.Routers, up: true, openRequests: map[string]*Request{},
 		})
 	}
 	w.startClients()
@@ -112,7 +112,7 @@
 }
 
 // addServers makes the fleet's servers and the links into its offices.
-func (w *World) addServers() {
+func (w *Simulation) addServers() {
 	fleet := &w.scenario.Fleet
 	for office := range fleet.Offices {
 		w.links = append(w.links, w.newLink(fleet.OfficeLinkKBPerS()))
@@ -133,13 +133,13 @@
 }
 
 // tick closes a second of the timeline.
-func (w *World) tick() {
+func (w *Simulation) tick() {
 	w.Result.closeSecond(w)
 	w.schedule(second, w.tick)
 }
 
 // currentPhase is the part of the run for the counts of requests.
-func (w *World) currentPhase() string {
+func (w *Simulation) currentPhase() string {
 	switch {
 	case w.now < int64(w.scenario.WarmUpS*second):
 		return phaseWarmUp
@@ -149,30 +149,30 @@
 	return phaseCalm
 }
 
-// LastTurn is when a fault began or ended last.
-func (w *World) LastTurn() int64 { return w.lastFaultChange }
+// LastFaultChange is when a fault began or ended last.
+func (w *Simulation) LastFaultChange() int64 { return w.lastFaultChange }
 
 // Routers is the number of routers.
-func (w *World) Routers() int { return len(w.routers) }
+func (w *Simulation) Routers() int { return len(w.routers) }
 
 // Office is the office of a router.
-func (w *World) Office(router int) int { return w.routers[router].office }
+func (w *Simulation) Office(router int) int { return w.routers[router].office }
 
 // Up tells whether a router's process runs.
-func (w *World) Up(router int) bool { return w.routers[router].up }
+func (w *Simulation) Up(router int) bool { return w.routers[router].up }
 
 // Stopped tells whether a router's process is suspended: it keeps its state but makes no progress.
-func (w *World) Stopped(router int) bool { return w.routers[router].suspensions > 0 }
+func (w *Simulation) Stopped(router int) bool { return w.routers[router].suspensions > 0 }
 
 // Silent tells whether a server is down and does not even reset connections.
-func (w *World) Silent(server string) bool {
+func (w *Simulation) Silent(server string) bool {
 	s := w.servers[server]
 	return s != nil && s.silent
 }
 
 // Object looks up an object of the catalogue by its name: the index of its traffic class, its purge group and the
 // size of a part. known is false if there is no such object or part.
-func (w *World) Object(name string, part int64) (class int, group int64, kb float64, known bool) {
+func (w *Simulation) Object(name string, part int64) (class int, group int64, kb float64, known bool) {
 	id := w.catalogue.id(name)
 	if id < 0 || id >= w.catalogue.objects || part < 0 || part >= w.catalogue.parts(id) {
 		return 0, 0, 0, false
@@ -180,35 +180,35 @@
 	return w.catalogue.class(id), w.catalogue.group(id), w.catalogue.size(id, part), true
 }
 
-// RuleOf is a traffic class by its index in the settings.
-func (w *World) RuleOf(i int) policy.TrafficClass { return w.classes[i] }
+// ClassOf is a traffic class by its index in the settings.
+func (w *Simulation) ClassOf(i int) policy.TrafficClass { return w.classes[i] }
 
 // Length is when the run ends: clients stop at the scenario's length, and requests that are open then get some time.
-func (w *World) Length() int64 { return w.clientsUntil + drainTime }
+func (w *Simulation) Length() int64 { return w.clientsUntil + drainTime }
 
 // SitesCut tells whether sites cannot reach each other now.
-func (w *World) SitesCut() bool { return w.sitesCut }
+func (w *Simulation) SitesCut() bool { return w.sitesCut }
 
 // Over tells whether clients have stopped and all requests have their outcomes.
-func (w *World) Over() bool { return w.openRequests == 0 && w.now > w.clientsUntil }
+func (w *Simulation) Over() bool { return w.openRequests == 0 && w.now > w.clientsUntil }
 
 // Close lets no more clients arrive. Requests that are open are still answered.
-func (w *World) Close() { w.clientsUntil = min(w.clientsUntil, w.now) }
+func (w *Simulation) Close() { w.clientsUntil = min(w.clientsUntil, w.now) }
 
 // Now is the time of the run.
-func (w *World) Now() int64 { return w.now }
+func (w *Simulation) Now() int64 { return w.now }
 
-// After schedules an action of the driver after a delay, among the World's own events.
-func (w *World) After(delay int64, action func()) { w.schedule(delay, action) }
+// After schedules an action of the driver after a delay, among the simulation's own events.
+func (w *Simulation) After(delay int64, action func()) { w.schedule(delay, action) }
 
 // schedule runs an action after a delay in microseconds; a negative delay counts as none.
-func (w *World) schedule(delay int64, action func()) {
+func (w *Simulation) schedule(delay int64, action func()) {
 	w.sequence++
 	w.events.push(event{w.now + max(delay, 0), w.sequence, action})
 }
 
 // Next is the time of the next event.
-func (w *World) Next() int64 {
+func (w *Simulation) Next() int64 {
 	if len(w.events) == 0 {
 		return never
 	}
@@ -216,7 +216,7 @@
 }
 
 // Step advances the clock to now and runs the first event that is due. It returns false if none is.
-func (w *World) Step(now int64) bool {
+func (w *Simulation) Step(now int64) bool {
 	if len(w.events) == 0 || w.events[0].at > now {
 		w.now = max(w.now, now)
 		return false
@@ -228,16 +228,16 @@
 }
 
 // At advances the clock to now without running events, before a router's input.
-func (w *World) At(now int64) { w.now = max(w.now, now) }
+func (w *Simulation) At(now int64) { w.now = max(w.now, now) }
 
 // record appends an entry to the event log at the current time.
-func (w *World) record(entry Entry) {
+func (w *Simulation) record(entry Entry) {
 	entry.At = w.now
 	w.driver.Note(&entry)
 }
 
 // jitter draws a time in microseconds around a mean.
-func (w *World) jitter(mean float64) int64 {
+func (w *Simulation) jitter(mean float64) int64 {
 	return int64(mean * (jitterFrom + jitterSpread*w.random.Float64()))
 }
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -23,19 +23,19 @@
 // silentDriver is a driver whose routers never answer.
 type silentDriver struct{}
 
-func (silentDriver) Ask(*Ask)            {}
-func (silentDriver) Leave(int, string)   {}
-func (silentDriver) End(int, *Hop, End)  {}
-func (silentDriver) Told(int, Notice)    {}
-func (silentDriver) Down(int)            {}
-func (silentDriver) Up(int, []Server)    {}
-func (silentDriver) Stop(int)            {}
-func (silentDriver) Wake(int)            {}
-func (silentDriver) Starve(int, float64) {}
-func (silentDriver) Note(*Entry)         {}
+func (silentDriver) Request(*Request)                          {}
+func (silentDriver) Leave(int, string)                         {}
+func (silentDriver) AttemptEnded(int, *Attempt, AttemptResult) {}
+func (silentDriver) Notify(int, DiscoveryEvent)                {}
+func (silentDriver) Down(int)                                  {}
+func (silentDriver) Up(int, []Server)                          {}
+func (silentDriver) Stop(int)                                  {}
+func (silentDriver) Wake(int)                                  {}
+func (silentDriver) Starve(int, float64)                       {}
+func (silentDriver) Note(*Entry)                               {}
 
 // newBareWorld is a world without servers, clients or faults.
-func newBareWorld() *World {
+func newBareWorld() *Simulation {
 	s := scenario.Default()
-	return &World{scenario: &s, driver: silentDriver{}, random: rand.New(rand.NewPCG(1, 1))}
+	return &Simulation{scenario: &s, driver: silentDriver{}, random: rand.New(rand.NewPCG(1, 1))}
 }
