--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -73,8 +73,8 @@
 			second := seconds[shown]
 			fmt.Printf("%4d s: %4d requests, %4d in time, %3d late, %3d without a response; "+
 				"%2d caches up, links %3.0f%% full, %3d attempts open\n",
-				second.At, second.Asked, second.InTime, second.Late, second.None,
-				second.Servers, 100*second.LinkUse, second.Hops)
+				second.At, second.Requests, second.InTime, second.Late, second.NotCompleted,
+				second.Servers, 100*second.LinkUtilization, second.Attempts)
 		}
 	}
 }
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -66,10 +66,10 @@
 		return err
 	}
 	switch {
-	case result.Late > emulator.MaxLateMicros:
+	case result.MaxDelay > emulator.MaxLateMicros:
 		return fmt.Errorf("undecided: the machine was too busy and the model %d ms late, which may itself "+
-			"have caused violations; play it again", result.Late/1000)
-	case len(result.Breaks) > 0:
+			"have caused violations; play it again", result.MaxDelay/1000)
+	case len(result.Violations) > 0:
 		return errViolation
 	}
 	return nil
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -173,12 +173,12 @@
 		return "error: " + err.Error(), 0
 	}
 	var rules []string
-	for rule, n := range result.Count {
+	for rule, n := range result.CountByRule {
 		if n > 0 {
 			rules = append(rules, fmt.Sprint("rule ", rule))
 		}
 	}
-	return strings.Join(rules, ", "), result.Worth()
+	return strings.Join(rules, ", "), result.EarnedShare()
 }
 
 // numbersOf lists the numbers of the first findings.
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -106,9 +106,9 @@
 	}
 	figures := new(seedFigures)
 	for _, result := range results {
-		figures.earned = append(figures.earned, result.Worth())
-		figures.violations += len(result.Breaks)
-		figures.overloaded += result.Fallen
+		figures.earned = append(figures.earned, result.EarnedShare())
+		figures.violations += len(result.Violations)
+		figures.overloaded += result.Collapsed
 	}
 	return figures, nil
 }
--- a/cmd/quilldoor-lab/result.go
+++ b/cmd/quilldoor-lab/result.go
@@ -19,7 +19,7 @@
 // printResult writes a result as text.
 func printResult(to io.Writer, s *scenario.Scenario, r *emulator.Result) {
 	fmt.Fprintf(to, "%s: %s\n", s.Name, s.About)
-	for _, fault := range r.Troubles {
+	for _, fault := range r.Faults {
 		fmt.Fprintln(to, "  ", fault)
 	}
 	printClasses(to, r)
@@ -33,15 +33,15 @@
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
 	fmt.Fprintln(table, "class\tphase\trequests\tin time\tlate\tstale\trejected\tfailed\tweight earned\tp50 ms\tp99 ms\t")
-	for _, class := range r.Rules {
+	for _, class := range r.Classes {
 		for _, phase := range simulation.Phases {
 			o := class.Phases[phase]
 			if o == nil {
 				continue
 			}
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t\n",
-				class.Name, phase, o.Asked, o.InTime, o.Late, o.Stale, o.Refused, o.Failed,
-				o.Worth/o.WorthMost, class.Quantile(50)/1000, class.Quantile(99)/1000)
+				class.Name, phase, o.Requests, o.InTime, o.Late, o.Stale, o.Rejected, o.Failed,
+				o.EarnedWeight/o.PossibleWeight, class.Quantile(50)/1000, class.Quantile(99)/1000)
 		}
 	}
 }
@@ -50,15 +50,15 @@
 func printTotals(to io.Writer, r *emulator.Result) {
 	fmt.Fprintf(to, "weight earned after warm-up %.4f; %d requests with retries, %d attempts, %d requests unanswered; "+
 		"%d servers overloaded, the origin stopped %d times\n",
-		r.Worth(), r.Taken, r.Hops, r.Lost, r.Fallen, r.LedgerStops)
+		r.EarnedShare(), r.ClientAttempts, r.Attempts, r.TimedOut, r.Collapsed, r.OriginStops)
 	fmt.Fprintf(to, "bytes into offices %.2f of those requested, from the origin %.2f; ends of attempts %v\n",
-		r.FilledKB/r.AskedKB, r.LedgerKB/r.AskedKB, r.Ends)
-	if r.Crossed > 0 {
-		fmt.Fprintf(to, "forwarded to another site %d, completed there %d\n", r.Crossed, r.CrossedDone)
+		r.FilledKB/r.RequestedKB, r.OriginKB/r.RequestedKB, r.AttemptOutcomes)
+	if r.Forwarded > 0 {
+		fmt.Fprintf(to, "forwarded to another site %d, completed there %d\n", r.Forwarded, r.ForwardedCompleted)
 	}
 	if r.Cost.CPU > 0 {
 		fmt.Fprintf(to, "router processes: %.2f s of CPU, %.0f us a request; the largest %.1f MB\n", r.Cost.CPU.Seconds(),
-			float64(r.Cost.CPU.Microseconds())/float64(max(r.Taken, 1)), float64(r.Cost.MostKB)/1024)
+			float64(r.Cost.CPU.Microseconds())/float64(max(r.ClientAttempts, 1)), float64(r.Cost.MaxMemoryKB)/1024)
 	}
 	if r.Excused > 0 {
 		fmt.Fprintf(to, "due while their router was stopped: %d requests, counted apart\n", r.Excused)
@@ -66,18 +66,18 @@
 	if m := r.Members; m != nil {
 		fmt.Fprintf(to, "membership views: sampled %d times; converged %d ms after the last change of a fault (-1: not); "+
 			"live routers declared dead by all: %v\n",
-			m.Looks, m.AgreedAfter/1000, m.DeadByAll)
+			m.Comparisons, m.AgreedAfter/1000, m.DeadByAll)
 	}
 }
 
 // printViolations writes the checker's findings.
 func printViolations(to io.Writer, r *emulator.Result) {
-	if len(r.Breaks) == 0 {
+	if len(r.Violations) == 0 {
 		fmt.Fprintf(to, "the checker judged %d requests: no rule violated\n", r.Judged)
 		return
 	}
-	fmt.Fprintf(to, "rules violated, by rule: %v\n", r.Count[1:])
-	for i, violation := range r.Breaks {
+	fmt.Fprintf(to, "rules violated, by rule: %v\n", r.CountByRule[1:])
+	for i, violation := range r.Violations {
 		if i == maxViolationsShown {
 			fmt.Fprintln(to, "   ...")
 			break
@@ -90,7 +90,7 @@
 func printTimeline(to io.Writer, r *emulator.Result) {
 	busiest := 1
 	for _, second := range r.Timeline {
-		busiest = max(busiest, second.InTime+second.Late+second.None)
+		busiest = max(busiest, second.InTime+second.Late+second.NotCompleted)
 	}
 	bar := func(n int, symbol string) string {
 		return strings.Repeat(symbol, (n*timelineWidth+busiest/2)/busiest)
@@ -98,10 +98,10 @@
 	fmt.Fprintln(to, "    s  caches  link  responses: # in time, ~ late, . none; ! a fault is active")
 	for _, second := range r.Timeline {
 		mark := " "
-		if second.Troubles > 0 {
+		if second.ActiveFaults > 0 {
 			mark = "!"
 		}
-		fmt.Fprintf(to, "%s%4d %6d  %3.0f%%  %s%s%s\n", mark, second.At, second.Servers, 100*second.LinkUse,
-			bar(second.InTime, "#"), bar(second.Late, "~"), bar(second.None, "."))
+		fmt.Fprintf(to, "%s%4d %6d  %3.0f%%  %s%s%s\n", mark, second.At, second.Servers, 100*second.LinkUtilization,
+			bar(second.InTime, "#"), bar(second.Late, "~"), bar(second.NotCompleted, "."))
 	}
 }
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -87,9 +87,9 @@
 	if err != nil {
 		return 0, fmt.Errorf("%s, seed %d: %w", name, seed, err)
 	}
-	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n", seed, name, r.Worth(), r.Judged,
-		r.Refused, r.Broke, len(r.Breaks), took.Seconds(), r.Cost.CPU.Seconds())
-	return r.Worth(), nil
+	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n", seed, name, r.EarnedShare(), r.Judged,
+		r.RefusedConnections, r.BrokenConnections, len(r.Violations), took.Seconds(), r.Cost.CPU.Seconds())
+	return r.EarnedShare(), nil
 }
 
 // play plays one run, again if it was undecided, and returns how long the rollout took.
@@ -112,7 +112,7 @@
 		}
 		result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: seed},
 			emulator.Routers{Program: o.routerBin, Drive: drive})
-		if result == nil || result.Late <= emulator.MaxLateMicros {
+		if result == nil || result.MaxDelay <= emulator.MaxLateMicros {
 			return result, took, err
 		}
 	}
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -231,10 +231,10 @@
 
 // add counts a run.
 func (f *rolloutFigures) add(result *emulator.RolloutResult) {
-	f.earned = append(f.earned, result.Worth())
+	f.earned = append(f.earned, result.EarnedShare())
 	f.harmed += float64(result.Harmed) / float64(f.runs)
 	f.accused += result.Accused
-	for rule, n := range result.Count {
+	for rule, n := range result.CountByRule {
 		f.violations[rule] += n
 	}
 	switch result.Way {
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -207,7 +207,7 @@
 		result, err := emulator.RunOnSockets(ctx, s,
 			emulator.Options{Seed: seed, Record: window.record},
 			emulator.Routers{Program: o.routerBin, Drive: driver.drive})
-		if result != nil && result.Late > emulator.MaxLateMicros {
+		if result != nil && result.MaxDelay > emulator.MaxLateMicros {
 			continue
 		}
 		if err != nil {
@@ -215,9 +215,9 @@
 		}
 		figures.earned = []float64{window.earned / max(window.offered, 1)}
 		figures.peakMB = []float64{driver.peakMB}
-		figures.refused = result.Refused
-		figures.brokenOff = result.Broke
-		figures.violations = len(result.Breaks)
+		figures.refused = result.RefusedConnections
+		figures.brokenOff = result.BrokenConnections
+		figures.violations = len(result.Violations)
 		return figures, nil
 	}
 	return nil, errBusy
@@ -343,7 +343,7 @@
 		"%d requests judged, %d connections refused, %d broken off, rules violated: %v; weight earned %.4f; "+
 		"%d MB and %d descriptors of all processes at the most; the model was %d ms late\n",
 		o.row, latency.ValueAtQuantile(50)/1000, latency.Max()/1000,
-		r.Judged, r.Refused, r.Broke, r.Breaks, r.Worth(),
-		last.PeakMB, last.PeakDescriptors, r.Late/1000)
+		r.Judged, r.RefusedConnections, r.BrokenConnections, r.Violations, r.EarnedShare(),
+		last.PeakMB, last.PeakDescriptors, r.MaxDelay/1000)
 	return nil
 }
--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, violation := range result.Breaks {
+	for _, violation := range result.Violations {
 		t.Error(violation)
 	}
 	agreedAfter := result.Members.AgreedAfter
--- a/cmd/quilldoor/emulation_test.go
+++ b/cmd/quilldoor/emulation_test.go
@@ -32,20 +32,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, violation := range result.Breaks {
+	for _, violation := range result.Violations {
 		t.Error(violation)
 	}
 	answered := 0
-	for _, class := range result.Rules {
+	for _, class := range result.Classes {
 		for phase, outcomes := range class.Phases {
 			answered += outcomes.InTime + outcomes.Late
-			if outcomes.InTime+outcomes.Late+outcomes.Refused+outcomes.Failed != outcomes.Asked {
+			if outcomes.InTime+outcomes.Late+outcomes.Rejected+outcomes.Failed != outcomes.Requests {
 				t.Errorf("%s in %s: %+v", class.Name, phase, *outcomes)
 			}
 		}
 	}
-	if answered < 200 || result.Fallen > 0 || result.Judged < answered {
-		t.Errorf("%d answered, %d judged, %d overloaded", answered, result.Judged, result.Fallen)
+	if answered < 200 || result.Collapsed > 0 || result.Judged < answered {
+		t.Errorf("%d answered, %d judged, %d overloaded", answered, result.Judged, result.Collapsed)
 	}
 }
 
@@ -98,7 +98,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, violation := range result.Breaks {
+			for _, violation := range result.Violations {
 				t.Error(violation)
 			}
 			t.Logf("%d judged, %d forwarded to another site", result.Judged, forwarded)
--- a/cmd/quilldoor/harness_test.go
+++ b/cmd/quilldoor/harness_test.go
@@ -65,11 +65,11 @@
 		result, err := emulator.RunOnSockets(ctx, parsed, options, routers)
 		stop()
 		playCapacity.Release(weight)
-		if result == nil || result.Late <= emulator.MaxLateMicros {
+		if result == nil || result.MaxDelay <= emulator.MaxLateMicros {
 			decidedRuns.Add(1)
 			return result, err
 		}
-		t.Logf("the model was %d ms late", result.Late/1000)
+		t.Logf("the model was %d ms late", result.MaxDelay/1000)
 	}
 	undecidedRuns.Add(1)
 	t.Skipf("not decided in %d runs: the machine is too busy", maxAttempts)
--- a/cmd/quilldoor/membership_test.go
+++ b/cmd/quilldoor/membership_test.go
@@ -98,14 +98,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, violation := range result.Breaks {
+			for _, violation := range result.Violations {
 				t.Error(violation)
 			}
 			members := result.Members
 			t.Logf("score %.3f, %d judged, %d excused; %d samples, agreed after %d ms",
-				result.Worth(), result.Judged, result.Excused, members.Looks, members.AgreedAfter/1000)
-			if members.Looks < 10 || result.Judged < 400 {
-				t.Errorf("%d samples, %d requests: too few to tell anything", members.Looks, result.Judged)
+				result.EarnedShare(), result.Judged, result.Excused, members.Comparisons, members.AgreedAfter/1000)
+			if members.Comparisons < 10 || result.Judged < 400 {
+				t.Errorf("%d samples, %d requests: too few to tell anything", members.Comparisons, result.Judged)
 			}
 			if members.AgreedAfter < 0 || members.AgreedAfter > tc.agreed*1000 {
 				t.Errorf("views agreed %d ms after the last fault", members.AgreedAfter/1000)
@@ -138,8 +138,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d violations of rule 3", result.Count[3])
-	if result.Count[3] == 0 {
+	t.Logf("%d violations of rule 3", result.CountByRule[3])
+	if result.CountByRule[3] == 0 {
 		t.Error("no violation by routers without membership")
 	}
 }
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -154,8 +154,8 @@
 		}
 		return nil
 	})
-	if result.Refused > 0 || result.Broke > 0 {
-		t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
+	if result.RefusedConnections > 0 || result.BrokenConnections > 0 {
+		t.Errorf("%d connections refused, %d broken off", result.RefusedConnections, result.BrokenConnections)
 	}
 }
 
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -54,8 +54,8 @@
 		t.Logf("at most %d MB and %d descriptors in all processes", status.PeakMB, status.PeakDescriptors)
 		return nil
 	})
-	if result.Refused > 0 || result.Broke > 0 {
-		t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
+	if result.RefusedConnections > 0 || result.BrokenConnections > 0 {
+		t.Errorf("%d connections refused, %d broken off", result.RefusedConnections, result.BrokenConnections)
 	}
 }
 
@@ -99,8 +99,8 @@
 		}
 		return nil
 	})
-	if result.Refused > 0 || result.Broke > 0 {
-		t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
+	if result.RefusedConnections > 0 || result.BrokenConnections > 0 {
+		t.Errorf("%d connections refused, %d broken off", result.RefusedConnections, result.BrokenConnections)
 	}
 	if result.Members.CalledDead > 0 {
 		t.Errorf("called dead: %v", result.Members.DeadByAll)
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -44,8 +44,8 @@
 				return err
 			})
 			t.Logf("old generation served again after %d ms", recoveryMS)
-			if result.Refused > 0 || !tc.dies && result.Broke > 0 {
-				t.Errorf("%d connections refused, %d broken off", result.Refused, result.Broke)
+			if result.RefusedConnections > 0 || !tc.dies && result.BrokenConnections > 0 {
+				t.Errorf("%d connections refused, %d broken off", result.RefusedConnections, result.BrokenConnections)
 			}
 			if tc.fallsBack && recoveryMS > 500 {
 				t.Errorf("served again %d ms after the end of the new one", recoveryMS)
--- a/cmd/quilldoor/upgradeharness_test.go
+++ b/cmd/quilldoor/upgradeharness_test.go
@@ -42,13 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, violation := range result.Breaks {
+	for _, violation := range result.Violations {
 		if options.allowed == nil || !options.allowed(violation) {
 			t.Error(violation)
 		}
 	}
 	t.Logf("score %.4f, %d judged, %d excused, %d refused, %d broken off",
-		result.Worth(), result.Judged, result.Excused, result.Refused, result.Broke)
+		result.EarnedShare(), result.Judged, result.Excused, result.RefusedConnections, result.BrokenConnections)
 	if result.Judged < 150 {
 		t.Errorf("%d requests: too few to tell anything", result.Judged)
 	}
--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -32,9 +32,9 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				txns, hops = txns+r.Taken, hops+r.Hops
-				if len(r.Breaks) > 0 {
-					b.Fatal(r.Breaks[0])
+				txns, hops = txns+r.ClientAttempts, hops+r.Attempts
+				if len(r.Violations) > 0 {
+					b.Fatal(r.Violations[0])
 				}
 			}
 			runtime.ReadMemStats(&after)
--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -51,8 +51,8 @@
 	}
 	delete(conn.attempts, h.requestID)
 	status, known := statusByOutcome[end.Outcome]
-	if !known || end.Spoilt {
-		if end.Spoilt {
+	if !known || end.Unparsable {
+		if end.Unparsable {
 			conn.enqueue(malformedResponse)
 		}
 		conn.reset()
@@ -64,7 +64,7 @@
 	var body []byte
 	switch {
 	case status != cacheproto.StatusOK:
-	case hop.Rule == scenario.ClassAccept:
+	case hop.Class == scenario.ClassAccept:
 		body = append([]byte(recordedPrefix), h.body...)
 	default:
 		body = responseBody(hop.Object, hop.Part, end.Issued, hop.SizeKB)
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -157,9 +157,9 @@
 	request.attempts++
 	conn.attempts[get.ID] = attempt
 	p.world.SendAttempt(&simulation.Attempt{
-		Router: p.id, Txn: get.ID, N: attempt.number, Server: p.serverID,
-		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, Within: get.MaxAgeMillis * 1000,
-		Rule: request.Rule, Object: request.Object, Part: request.Part, Group: request.Group,
+		Router: p.id, RequestID: get.ID, Number: attempt.number, Server: p.serverID,
+		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, MaxAge: get.MaxAgeMillis * 1000,
+		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
 		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
 	})
 }
@@ -172,7 +172,7 @@
 		return nil
 	}
 	ask := &simulation.Request{
-		Router: p.id, Txn: get.ID, Rule: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
+		Router: p.id, ID: get.ID, Class: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
 	}
 	request := &clientRequest{Request: ask, cancel: func() {}}
 	p.requests[get.ID] = request
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -9,7 +9,7 @@
 
 // Members is what the routers' membership views showed while a run went on.
 type Members struct {
-	Looks       int      // how often all views were compared
+	Comparisons int      `json:"Looks"` // how often all views were compared
 	AgreedAfter int64    // microseconds from the last beginning or end of a fault; -1: they did not agree again
 	CalledDead  int      // comparisons in which all others that answered held a live router dead
 	DeadByAll   []string // the routers that this happened to
@@ -41,7 +41,7 @@
 		return false
 	}
 	for other := range w.Routers() {
-		if other != id && runs(other) && w.Ways.Reachable(id, other) && w.Ways.Reachable(other, id) {
+		if other != id && runs(other) && w.Network.Reachable(id, other) && w.Network.Reachable(other, id) {
 			return true
 		}
 	}
@@ -54,8 +54,8 @@
 // observe compares the views of the routers that are up. Views has those that could be asked,
 // by the router's name. Turn is the time of the last beginning or end of a fault.
 func (m *Members) observe(now, turn int64, up []string, views map[string]*membership.View) {
-	m.Looks++
-	if turn != m.faultTurn || m.Looks == 1 {
+	m.Comparisons++
+	if turn != m.faultTurn || m.Comparisons == 1 {
 		m.faultTurn = turn
 		m.AgreedAfter = -1
 	}
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -14,13 +14,13 @@
 	Progress func(done float64, seconds []simulation.Second) // called about once a simulated second
 
 	// Faults of the routers, for tests of the checker and of rollouts.
-	Settings func(*settings.Setup)                              // changes the settings that routers get
-	Deaf     func(router int, n simulation.DiscoveryEvent) bool // tells which discovery notices a router misses
-	Answer   func(txn string, n int) int                        // how often a request is answered; nil: once
-	Refuse   func(router int, rule string) bool                 // tells which new requests a router rejects; nil: none
-	Lag      func(router int) float64                           // how much longer a router's attempts take, as a share
+	Settings      func(*settings.Setup)                              // changes the settings that routers get
+	MissesUpdate  func(router int, n simulation.DiscoveryEvent) bool // tells which discovery notices a router misses
+	AnswerCount   func(txn string, n int) int                        // how often a request is answered; nil: once
+	RejectRequest func(router int, rule string) bool                 // tells which new requests a router rejects; nil: none
+	Slowdown      func(router int) float64                           // how much longer a router's attempts take, as a share
 
-	Each     func(now int64)   // called ten times a second; on the virtual clock
+	OnTick   func(now int64)   // called ten times a second; on the virtual clock
 	onStart  func(*virtualRun) // called before the first event; nil: not
 	observer routerObserver    // nil: none
 }
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -229,6 +229,6 @@
 	state := r.cmd.ProcessState
 	r.cost.CPU += state.UserTime() + state.SystemTime()
 	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
-		r.cost.MostKB = max(r.cost.MostKB, usage.Maxrss)
+		r.cost.MaxMemoryKB = max(r.cost.MaxMemoryKB, usage.Maxrss)
 	}
 }
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -60,7 +60,7 @@
 				continue
 			}
 			now := r.now()
-			for _, at := range r.world.Ways.Transmit(now, r.id, to.id, n) {
+			for _, at := range r.world.Network.Transmit(now, r.id, to.id, n) {
 				datagram := slices.Clone(buffer[:n])
 				delay := time.Duration(at-now) * time.Microsecond
 				time.AfterFunc(delay, func() {
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -11,22 +11,22 @@
 // Result is the result of a run.
 type Result struct {
 	*simulation.Result
-	Breaks []checker.Violation
-	Count  [6]int // violations by rule
-	Judged int    // requests that the checker judged
-	Late   int64  // on sockets: the emulator's longest delay, in microseconds
+	Violations  []checker.Violation `json:"Breaks"`
+	CountByRule [6]int              `json:"Count"` // violations by rule
+	Judged      int                 // requests that the checker judged
+	MaxDelay    int64               `json:"Late"` // on sockets: the emulator's longest delay, in microseconds
 
-	Cost    Cost     // on sockets: what the router processes used
-	Excused int      // requests that fell due while their router was stopped, or whose process was killed
-	Broke   int      // on sockets: connections that ended without an answer, not by their client
-	Refused int      // on sockets: connections that routers did not accept
-	Members *Members // nil: routers don't know each other
+	Cost               Cost     // on sockets: what the router processes used
+	Excused            int      // requests that fell due while their router was stopped, or whose process was killed
+	BrokenConnections  int      `json:"Broke"`   // on sockets: connections that ended without an answer, not by their client
+	RefusedConnections int      `json:"Refused"` // on sockets: connections that routers did not accept
+	Members            *Members // nil: routers don't know each other
 }
 
 // Cost is what processes used: the CPU time of all together, the memory of the largest.
 type Cost struct {
-	CPU    time.Duration
-	MostKB int64
+	CPU         time.Duration
+	MaxMemoryKB int64 `json:"MostKB"`
 }
 
 // MaxLateMicros is the delay of the emulator, in microseconds, beyond which a run on sockets proves
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -238,15 +238,15 @@
 
 func (run *socketRun) result() *Result {
 	r := &Result{
-		Result:  run.world.Result,
-		Breaks:  run.checker.Violations,
-		Count:   run.checker.CountByRule,
-		Judged:  run.checker.Checked,
-		Late:    run.maxLate,
-		Excused: run.checker.Excused,
-		Cost:    run.cost,
-		Broke:   run.brokenConns,
-		Refused: run.refusedConns,
+		Result:             run.world.Result,
+		Violations:         run.checker.Violations,
+		CountByRule:        run.checker.CountByRule,
+		Judged:             run.checker.Checked,
+		MaxDelay:           run.maxLate,
+		Excused:            run.checker.Excused,
+		Cost:               run.cost,
+		BrokenConnections:  run.brokenConns,
+		RefusedConnections: run.refusedConns,
 	}
 	if run.scenario.Fleet.Membership {
 		r.Members = &run.membership
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -52,7 +52,7 @@
 	r := run.routers[ask.Router]
 	ctx, cancel := context.WithCancel(run.ctx)
 	request := &clientRequest{Request: ask, cancel: cancel}
-	r.requests[ask.Txn] = request
+	r.requests[ask.ID] = request
 	addr := r.clientAddr
 	run.goroutines.Go(func() {
 		response := run.sendRequest(ctx, addr, ask)
@@ -68,11 +68,11 @@
 	ask := request.Request
 	if response.mismatch != "" {
 		run.Note(&eventlog.Entry{
-			Kind: eventlog.KindWrong, At: run.world.Now(), Router: ask.Router, Request: ask.Txn, State: response.mismatch,
+			Kind: eventlog.KindWrong, At: run.world.Now(), Router: ask.Router, Request: ask.ID, State: response.mismatch,
 		})
 	}
-	run.forgetForwarded(ask.Txn)
-	if r.requests[ask.Txn] != request {
+	run.forgetForwarded(ask.ID)
+	if r.requests[ask.ID] != request {
 		return
 	}
 	switch response.outcome {
@@ -80,11 +80,11 @@
 		run.brokenConns++
 	case outcomeRefused:
 		run.refusedConns++
-		delete(r.requests, ask.Txn)
-		run.world.Refused(ask.Router, ask.Txn)
+		delete(r.requests, ask.ID)
+		run.world.Refused(ask.Router, ask.ID)
 	default:
-		delete(r.requests, ask.Txn)
-		run.world.Answered(ask.Router, ask.Txn, response.outcome, response.issuedMicros, response.retryAfterMicros)
+		delete(r.requests, ask.ID)
+		run.world.Answered(ask.Router, ask.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
@@ -149,20 +149,20 @@
 func (run *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Request) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
 	if ask.Write {
-		method, body = http.MethodPut, []byte(writePrefix+ask.Txn)
+		method, body = http.MethodPut, []byte(writePrefix+ask.ID)
 	}
-	url := "http://" + addr + "/rpc/" + run.world.ClassOf(ask.Rule).Name + "/" + ask.Object
-	if ask.Rule == scenario.ClassVideo {
+	url := "http://" + addr + "/rpc/" + run.world.ClassOf(ask.Class).Name + "/" + ask.Object
+	if ask.Class == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(ask.Part, 10)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("X-Txn", ask.Txn)
+	request.Header.Set("X-Txn", ask.ID)
 	request.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(ask.Limit/1000, 1), 10))
 	request.Header.Set("X-Shard", strconv.FormatInt(ask.Group, 10))
-	if ask.Again {
+	if ask.Retry {
 		request.Header.Set("X-Second-Try", "1")
 	}
 	return request, nil
@@ -175,7 +175,7 @@
 		response.issuedMicros, response.mismatch = checkBody(body, ask)
 		return response
 	}
-	if string(body) != recordedPrefix+writePrefix+ask.Txn {
+	if string(body) != recordedPrefix+writePrefix+ask.ID {
 		response.mismatch = fmt.Sprintf("%.40q for an acceptance", body)
 	}
 	return response
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -44,7 +44,7 @@
 	if opt.onStart != nil {
 		opt.onStart(v)
 	}
-	if opt.Each != nil {
+	if opt.OnTick != nil {
 		v.scheduleTick()
 	}
 	if err := v.play(ctx); err != nil {
@@ -74,7 +74,7 @@
 // scheduleTick calls Options.Each after each tick.
 func (v *virtualRun) scheduleTick() {
 	v.world.After(tickMicros, func() {
-		v.options.Each(v.world.Now())
+		v.options.OnTick(v.world.Now())
 		v.scheduleTick()
 	})
 }
@@ -139,11 +139,11 @@
 
 func (v *virtualRun) result() *Result {
 	r := &Result{
-		Result:  v.world.Result,
-		Breaks:  v.checker.Violations,
-		Count:   v.checker.CountByRule,
-		Judged:  v.checker.Checked,
-		Excused: v.checker.Excused,
+		Result:      v.world.Result,
+		Violations:  v.checker.Violations,
+		CountByRule: v.checker.CountByRule,
+		Judged:      v.checker.Checked,
+		Excused:     v.checker.Excused,
 	}
 	if v.fleet != nil {
 		r.Members = &v.membership
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -21,7 +21,7 @@
 			v.options.observer.endpointsChanged(router, v.now(), false, routerEndpoints(notice.Servers))
 		}
 	}
-	if v.options.Deaf != nil && v.options.Deaf(router, notice) {
+	if v.options.MissesUpdate != nil && v.options.MissesUpdate(router, notice) {
 		return
 	}
 	if !notice.Purge {
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -13,7 +13,7 @@
 	request.finished = true
 	request.engine.ClientGone(v.now(), request.request)
 	v.detach(request)
-	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, false)
+	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.ID, false)
 }
 
 // forwardedRetryAfterMicros is the Retry-After of an answer that a gateway gives.
@@ -31,21 +31,21 @@
 	r := request.router
 	ask := request.ask
 	now := v.now()
-	class := v.world.ClassOf(ask.Rule)
+	class := v.world.ClassOf(ask.Class)
 	remaining := ask.Deadline() - v.world.Now()
 	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
-		RequestID: ask.Txn, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
+		RequestID: ask.ID, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
 	})
 	if reason != peerpolicy.ReasonOK {
 		return false
 	}
-	r.gateway.MarkSent(ask.Txn)
+	r.gateway.MarkSent(ask.ID)
 	v.detach(request)
-	r.forwarded[ask.Txn] = request
+	r.forwarded[ask.ID] = request
 	request.finished = true
-	v.world.Result.Crossed++
+	v.world.Result.Forwarded++
 	far := v.routerByName(peer.Name)
-	budget := r.gateway.Budget(now, ask.Txn) // the other site counts it from when the request arrives
+	budget := r.gateway.Budget(now, ask.ID) // the other site counts it from when the request arrives
 	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
 	return true
 }
@@ -69,19 +69,19 @@
 		return // it is down: the home gateway learns that by its silence
 	}
 	homeName := routerName(home.id)
-	reason := far.gateway.Admit(v.now(), homeName, ask.Txn, []string{homeName}, 0)
-	if reason != peerpolicy.ReasonOK || far.requests[ask.Txn] != nil {
+	reason := far.gateway.Admit(v.now(), homeName, ask.ID, []string{homeName}, 0)
+	if reason != peerpolicy.ReasonOK || far.requests[ask.ID] != nil {
 		v.sendAnswerHome(far, home, original, rejected, 0)
 		return
 	}
 	forwardedAsk := *ask
 	forwardedAsk.Router = far.id
 	v.Note(&eventlog.Entry{
-		Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: ask.Txn, Attempt: home.id,
+		Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: ask.ID, Attempt: home.id,
 	})
 	request := &virtualRequest{router: far, engine: far.engine, ask: &forwardedAsk, forwardedBy: home}
 	if err := v.open(request, remaining); err != nil {
-		far.gateway.FinishInbound(v.now(), homeName, ask.Txn, false)
+		far.gateway.FinishInbound(v.now(), homeName, ask.ID, false)
 		v.sendAnswerHome(far, home, original, rejected, 0)
 	}
 }
@@ -91,7 +91,7 @@
 	request.finished = true
 	v.detach(request)
 	far := request.router
-	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.Txn, outcome == outcomeCompleted)
+	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.ID, outcome == outcomeCompleted)
 	answer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
 	sizeKB := 0.0
 	switch outcome {
@@ -118,10 +118,10 @@
 			if home.gateway == nil {
 				return
 			}
-			home.recordIssued(request.ask.Txn, answer.IssuedMillis)
+			home.recordIssued(request.ask.ID, answer.IssuedMillis)
 			// On the virtual clock the times of issue and of purges are the world's microseconds.
 			answer.LatestPurgeMillis = v.latestPurge(home, request.ask)
-			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ask.Txn, answer)
+			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ask.ID, answer)
 			v.runGatewayActions(home)
 		})
 	})
@@ -171,7 +171,7 @@
 	}
 	delete(r.forwarded, requestID)
 	if outcome == outcomeCompleted {
-		v.world.Result.CrossedDone++
+		v.world.Result.ForwardedCompleted++
 	}
 	v.world.Answered(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
 }
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -19,7 +19,7 @@
 		return
 	}
 	count := v.world.Routers()
-	v.fleet = simfleet.New(count, v.options.Seed, v.world.Ways, func(host *simfleet.Host, now int64) simfleet.Detector {
+	v.fleet = simfleet.New(count, v.options.Seed, v.world.Network, func(host *simfleet.Host, now int64) simfleet.Detector {
 		router := v.routers[host.ID]
 		random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
 		return membership.New(membership.Settings{
--- a/internal/emulator/virtual_membership_test.go
+++ b/internal/emulator/virtual_membership_test.go
@@ -22,16 +22,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken := r.Count[3] + r.Count[4]
+			broken := r.CountByRule[3] + r.CountByRule[4]
 			if !membership {
 				alone += broken
 				continue
 			}
-			for _, b := range r.Breaks {
+			for _, b := range r.Violations {
 				t.Errorf("seed %d: %v", seed+1, b)
 			}
-			if r.Fallen > 0 || r.Members.AgreedAfter < 0 || len(r.Members.DeadByAll) > 0 {
-				t.Errorf("seed %d: %d pushed over, agreed %d, called dead %v", seed+1, r.Fallen, r.Members.AgreedAfter, r.Members.DeadByAll)
+			if r.Collapsed > 0 || r.Members.AgreedAfter < 0 || len(r.Members.DeadByAll) > 0 {
+				t.Errorf("seed %d: %d pushed over, agreed %d, called dead %v", seed+1, r.Collapsed, r.Members.AgreedAfter, r.Members.DeadByAll)
 			}
 		}
 	}
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -36,7 +36,7 @@
 		case engine.CommandSend:
 			v.startAttempt(request, command.Attempt)
 		case engine.CommandDrop:
-			v.world.Cancel(request.router.id, request.ask.Txn, command.Attempt.Number)
+			v.world.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
 		case engine.CommandRespond:
 			issued := command.Response.(virtualResponse).issued
 			if v.options.observer != nil && command.Attempt != nil && !request.finished {
@@ -58,12 +58,12 @@
 	}
 	ask := request.ask
 	if v.options.observer != nil {
-		v.options.observer.attemptSent(request.router.id, v.world.ClassOf(ask.Rule).Name, attempt)
+		v.options.observer.attemptSent(request.router.id, v.world.ClassOf(ask.Class).Name, attempt)
 	}
 	hop := &simulation.Attempt{
-		Router: request.router.id, Txn: ask.Txn, N: attempt.Number, Server: attempt.Endpoint.ID,
-		Source: attempt.Source, Rank: attempt.CachePriority, FillMode: attempt.FillMode, Within: attempt.MaxAge,
-		Rule: ask.Rule, Object: ask.Object, Part: ask.Part, Group: ask.Group,
+		Router: request.router.id, RequestID: ask.ID, Number: attempt.Number, Server: attempt.Endpoint.ID,
+		Source: attempt.Source, Rank: attempt.CachePriority, FillMode: attempt.FillMode, MaxAge: attempt.MaxAge,
+		Class: ask.Class, Object: ask.Object, Part: ask.Part, Group: ask.Group,
 		SizeKB: ask.SizeKB, Write: ask.Write, Tag: attempt,
 	}
 	if hop.Source == "" && attempt.Endpoint.Kind == originKind {
@@ -96,21 +96,21 @@
 	}
 	request.finished = true
 	times := 1 // a faulty router answers not at all, or twice
-	if v.options.Answer != nil {
-		times = v.options.Answer(request.ask.Txn, 1)
+	if v.options.AnswerCount != nil {
+		times = v.options.AnswerCount(request.ask.ID, 1)
 	}
 	for range times {
-		v.world.Answered(request.router.id, request.ask.Txn, outcome, issued, retryAfter)
+		v.world.Answered(request.router.id, request.ask.ID, outcome, issued, retryAfter)
 	}
 	v.detach(request)
 }
 
 // detach ends a request at its router, as the downstream server does once it has answered.
 func (v *virtualRun) detach(request *virtualRequest) {
-	delete(request.router.requests, request.ask.Txn)
+	delete(request.router.requests, request.ask.ID)
 	for _, command := range request.request.Detach() {
 		if command.Kind == engine.CommandDrop {
-			v.world.Cancel(request.router.id, request.ask.Txn, command.Attempt.Number)
+			v.world.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
 		}
 	}
 }
@@ -129,12 +129,12 @@
 	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - r.stoppedAt
 	}
-	if remaining <= 0 || v.options.Refuse != nil && v.options.Refuse(r.id, v.world.ClassOf(ask.Rule).Name) {
-		v.world.Answered(r.id, ask.Txn, outcomeRejected, 0, 0)
+	if remaining <= 0 || v.options.RejectRequest != nil && v.options.RejectRequest(r.id, v.world.ClassOf(ask.Class).Name) {
+		v.world.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
-		v.world.Answered(r.id, ask.Txn, outcomeRejected, 0, 0)
+		v.world.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
 		request.finished = true
 		request.queued = true
 	}
@@ -145,8 +145,8 @@
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
 	ask := request.ask
 	opened, err := request.engine.Open(v.now(), policy.Event{
-		Request: ask.Txn, Class: v.world.ClassOf(ask.Rule).Name, Object: ask.Object, Group: ask.Group,
-		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Again, Write: ask.Write,
+		Request: ask.ID, Class: v.world.ClassOf(ask.Class).Name, Object: ask.Object, Group: ask.Group,
+		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Retry, Write: ask.Write,
 	}, func() {
 		if !request.queued && !request.finished {
 			request.queued = true
@@ -157,7 +157,7 @@
 		return err
 	}
 	request.request = opened
-	request.router.requests[ask.Txn] = request
+	request.router.requests[ask.ID] = request
 	return nil
 }
 
@@ -199,8 +199,8 @@
 	}
 	current := r.engine
 	attempt := hop.Tag.(*engine.Attempt)
-	if v.options.Lag != nil {
-		if delay := int64(v.options.Lag(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
+	if v.options.Slowdown != nil {
+		if delay := int64(v.options.Slowdown(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
 			v.world.After(delay, func() {
 				if r.engine == current {
 					current.AttemptEnded(v.now(), attempt, result)
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -102,14 +102,14 @@
 	}
 	r := newRolloutRun(s, seed, &set)
 	result, err := RunVirtual(ctx, s, Options{
-		Seed:     seed,
-		Refuse:   r.rejects,
-		Deaf:     r.misses,
-		Lag:      r.slowdown,
-		Record:   r.record,
-		Each:     r.step,
-		observer: r,
-		onStart:  func(v *virtualRun) { r.virtualRun = v },
+		Seed:          seed,
+		RejectRequest: r.rejects,
+		MissesUpdate:  r.misses,
+		Slowdown:      r.slowdown,
+		Record:        r.record,
+		OnTick:        r.step,
+		observer:      r,
+		onStart:       func(v *virtualRun) { r.virtualRun = v },
 	})
 	if err != nil {
 		return nil, err
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -102,7 +102,7 @@
 			silent = append(silent, request)
 		}
 	}
-	slices.SortFunc(silent, func(a, b *virtualRequest) int { return strings.Compare(a.ask.Txn, b.ask.Txn) })
+	slices.SortFunc(silent, func(a, b *virtualRequest) int { return strings.Compare(a.ask.ID, b.ask.ID) })
 	for _, request := range silent {
 		v.withdraw(r, request)
 	}
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -59,11 +59,11 @@
 				} else if !bytes.Equal(first, all.Bytes()) {
 					t.Fatal("two runs of one script and seed differ")
 				}
-				for _, b := range r.Breaks {
+				for _, b := range r.Violations {
 					t.Error(b)
 				}
-				if r.Judged < 3000 || r.Worth() < 0.6 {
-					t.Errorf("%d tries judged, worth %.3f", r.Judged, r.Worth())
+				if r.Judged < 3000 || r.EarnedShare() < 0.6 {
+					t.Errorf("%d tries judged, worth %.3f", r.Judged, r.EarnedShare())
 				}
 			}
 		})
@@ -77,13 +77,13 @@
 		opt    Options
 		rule   int
 	}{
-		"loses answers": {"calm", Options{Answer: func(txn string, _ int) int {
+		"loses answers": {"calm", Options{AnswerCount: func(txn string, _ int) int {
 			if strings.HasSuffix(txn, "77") {
 				return 0
 			}
 			return 1
 		}}, 1},
-		"answers twice": {"calm", Options{Answer: func(txn string, _ int) int {
+		"answers twice": {"calm", Options{AnswerCount: func(txn string, _ int) int {
 			if strings.HasSuffix(txn, "77") {
 				return 2
 			}
@@ -92,19 +92,19 @@
 		"repeats acceptances": {"rude-answers", Options{Settings: func(s *settings.Setup) {
 			s.Classes[scenario.ClassAccept].Effect = "safe"
 		}}, 2},
-		"deaf to drains": {"deploy-waves", Options{Deaf: func(_ int, n simulation.DiscoveryEvent) bool {
+		"deaf to drains": {"deploy-waves", Options{MissesUpdate: func(_ int, n simulation.DiscoveryEvent) bool {
 			return !n.Purge && n.Servers[0].State != "active"
 		}}, 3},
-		"deaf to purges": {"blind-purge", Options{Deaf: func(_ int, n simulation.DiscoveryEvent) bool { return n.Purge }}, 5},
+		"deaf to purges": {"blind-purge", Options{MissesUpdate: func(_ int, n simulation.DiscoveryEvent) bool { return n.Purge }}, 5},
 	} {
 		s := load(t, c.script)
 		r := play(t, s, c.opt)
-		if r.Count[c.rule] == 0 {
-			t.Errorf("%s: rule %d is kept, %v broken", name, c.rule, r.Count)
+		if r.CountByRule[c.rule] == 0 {
+			t.Errorf("%s: rule %d is kept, %v broken", name, c.rule, r.CountByRule)
 		}
-		for i, n := range r.Count {
+		for i, n := range r.CountByRule {
 			if i != c.rule && n > 0 {
-				t.Errorf("%s: rule %d broken %d times: %v", name, i, n, r.Breaks[0])
+				t.Errorf("%s: rule %d broken %d times: %v", name, i, n, r.Violations[0])
 			}
 		}
 	}
@@ -125,17 +125,17 @@
 // A router without slow start overloads cold caches until they fall; the real one does not.
 func TestColdCachesFallUnderRoutersWithoutSlowStart(t *testing.T) {
 	right := play(t, coldStart(), Options{})
-	if right.Fallen > 0 || right.Count[4] > 0 {
-		t.Fatalf("the right router pushed %d over: %v", right.Fallen, right.Breaks)
+	if right.Collapsed > 0 || right.CountByRule[4] > 0 {
+		t.Fatalf("the right router pushed %d over: %v", right.Collapsed, right.Violations)
 	}
 	wrong := play(t, coldStart(), Options{Settings: func(s *settings.Setup) {
 		s.Contract.ColdFrom, s.Contract.FallMultiple = 1, 1000
 	}})
-	if wrong.Fallen == 0 || wrong.Count[4] != wrong.Fallen {
-		t.Fatalf("%d fell, %d told", wrong.Fallen, wrong.Count[4])
+	if wrong.Collapsed == 0 || wrong.CountByRule[4] != wrong.Collapsed {
+		t.Fatalf("%d fell, %d told", wrong.Collapsed, wrong.CountByRule[4])
 	}
-	if wrong.Worth() >= right.Worth() {
-		t.Errorf("worth %.3f with fallen caches, %.3f without", wrong.Worth(), right.Worth())
+	if wrong.EarnedShare() >= right.EarnedShare() {
+		t.Errorf("worth %.3f with fallen caches, %.3f without", wrong.EarnedShare(), right.EarnedShare())
 	}
 }
 
@@ -161,16 +161,16 @@
 		if dead > 0 {
 			t.Errorf("%s: %d times a dead server worked", name, dead)
 		}
-		for _, k := range r.Rules {
+		for _, k := range r.Classes {
 			for p, o := range k.Phases {
-				if ends := o.InTime + o.Late + o.Refused + o.Failed; ends != o.Asked {
-					t.Errorf("%s: %s in %s: %d asked, %d ends", name, k.Name, p, o.Asked, ends)
+				if ends := o.InTime + o.Late + o.Rejected + o.Failed; ends != o.Requests {
+					t.Errorf("%s: %s in %s: %d asked, %d ends", name, k.Name, p, o.Requests, ends)
 				}
 			}
 		}
 		for _, second := range r.Timeline {
-			if second.LinkUse > 1.0001 {
-				t.Errorf("%s: a link at %.3f of its room", name, second.LinkUse)
+			if second.LinkUtilization > 1.0001 {
+				t.Errorf("%s: a link at %.3f of its room", name, second.LinkUtilization)
 			}
 		}
 	}
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -113,15 +113,15 @@
 		t.Fatal(err)
 	}
 	f.WriteString("handed down")
-	go func() {
-		if err := a.Send(sample(), f); err != nil {
-			t.Error(err)
-		}
-	}()
+	sent := make(chan error, 1)
+	go func(sender *Conn) { sent <- sender.Send(sample(), f) }(a) // a itself is assigned anew below
 	m, err := b.Receive()
 	if err != nil || m.Generation != 9 {
 		t.Fatalf("%v, %+v", err, m)
 	}
+	if err := <-sent; err != nil {
+		t.Error(err)
+	}
 	got := b.Sockets([]string{"listen"})["listen"]
 	text := make([]byte, 20)
 	if n, _ := got.ReadAt(text, 0); string(text[:n]) != "handed down" {
--- a/internal/simulation/answer_faults.go
+++ b/internal/simulation/answer_faults.go
@@ -45,7 +45,7 @@
 		case faultAnswerReset, faultOriginReset:
 			return AttemptResult{Outcome: policy.OutcomeConnectionReset}
 		case faultAnswerCorrupt:
-			return AttemptResult{Outcome: policy.OutcomeConnectionReset, Spoilt: true}
+			return AttemptResult{Outcome: policy.OutcomeConnectionReset, Unparsable: true}
 		case faultAnswerLost:
 			return AttemptResult{Outcome: policy.OutcomeUnknown}
 		case faultAnswerError:
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -9,21 +9,21 @@
 
 // Attempt is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
 type Attempt struct {
-	Router   int    // index of the router that sends it
-	Txn      string // ID of the request
-	N        int    // number of the attempt within the request
-	Server   string // ID of the server it goes to
-	Source   string // ID of the server that a miss is filled from; "": a miss is not filled
-	Rank     int    // retention rank of a filled copy; 0: it is not stored
-	FillMode policy.FillMode
-	Within   int64 // maximum age of an acceptable copy, microseconds; 0: the traffic class's freshness time
-	Rule     int   // index of the traffic class
-	Object   string
-	Part     int64
-	Group    int64 // purge group of the object
-	SizeKB   float64
-	Write    bool
-	Tag      any // the driver's own, not read here
+	Router    int    // index of the router that sends it
+	RequestID string // ID of the request
+	Number    int    // number of the attempt within the request
+	Server    string // ID of the server it goes to
+	Source    string // ID of the server that a miss is filled from; "": a miss is not filled
+	Rank      int    // retention rank of a filled copy; 0: it is not stored
+	FillMode  policy.FillMode
+	MaxAge    int64 // maximum age of an acceptable copy, microseconds; 0: the traffic class's freshness time
+	Class     int   // index of the traffic class
+	Object    string
+	Part      int64
+	Group     int64 // purge group of the object
+	SizeKB    float64
+	Write     bool
+	Tag       any // the driver's own, not read here
 
 	target     *server // nil: no such server
 	fillSource *server // nil: no fill
@@ -52,16 +52,16 @@
 	attempt   int
 }
 
-func (h *Attempt) key() attemptKey { return attemptKey{h.Router, h.Txn, h.N} }
+func (h *Attempt) key() attemptKey { return attemptKey{h.Router, h.RequestID, h.Number} }
 
 // entry is an event log entry about the attempt.
 func (h *Attempt) entry(kind eventlog.Kind) Entry {
-	return Entry{Kind: kind, Router: h.Router, Request: h.Txn, Attempt: h.N, Endpoint: h.Server}
+	return Entry{Kind: kind, Router: h.Router, Request: h.RequestID, Attempt: h.Number, Endpoint: h.Server}
 }
 
 // SendAttempt accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
 func (w *Simulation) SendAttempt(attempt *Attempt) {
-	w.Result.Hops++
+	w.Result.Attempts++
 	attempt.target = w.servers[attempt.Server]
 	attempt.fillSource = w.servers[attempt.Source]
 	attempt.objectID = w.catalogue.id(attempt.Object)
@@ -69,7 +69,7 @@
 	entry.Source = attempt.Source
 	entry.Object = attempt.Object
 	entry.Group = attempt.Group
-	entry.Class = w.classes[attempt.Rule].Name
+	entry.Class = w.classes[attempt.Class].Name
 	w.record(entry)
 	if attempt.target == nil {
 		return // an address without a host: nothing answers
@@ -131,7 +131,7 @@
 	s.detach(attempt)
 	end.Load = s.visibleLoad
 	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
-		s.world.Result.Ends[end.Outcome.String()]++
+		s.world.Result.AttemptOutcomes[end.Outcome.String()]++
 		end = s.world.applyAnswerFaults(s, end)
 		if end.Outcome == policy.OutcomeUnknown {
 			return // the answer is lost
@@ -204,16 +204,16 @@
 // recordExecuted logs that the work of an attempt has begun: from here on it may have its effect.
 func (w *Simulation) recordExecuted(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindRan)
-	entry.Class = w.classes[attempt.Rule].Name
+	entry.Class = w.classes[attempt.Class].Name
 	w.record(entry)
 }
 
 // maxAge is the age, in microseconds, up to which a copy satisfies an attempt.
 func (w *Simulation) maxAge(attempt *Attempt) int64 {
-	if attempt.Within != 0 {
-		return attempt.Within
+	if attempt.MaxAge != 0 {
+		return attempt.MaxAge
 	}
-	return w.classes[attempt.Rule].FreshFor
+	return w.classes[attempt.Class].FreshFor
 }
 
 // flowTime is how long one client flow takes for a number of kilobytes, in microseconds.
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -73,7 +73,7 @@
 	}
 	s.reportHits++
 	reason := policy.ReasonHit
-	if w.now-cached.issuedAt > w.classes[attempt.Rule].FreshFor {
+	if w.now-cached.issuedAt > w.classes[attempt.Class].FreshFor {
 		reason = policy.ReasonStale
 	}
 	s.sendCopy(attempt, reason, cached.issuedAt, 0)
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -46,13 +46,13 @@
 
 // AttemptResult is how an attempt ended, in the policy's terms.
 type AttemptResult struct {
-	Outcome policy.Outcome
-	Reason  policy.Reason
-	Waited  int64              // for a fill, microseconds
-	Load    map[string]float64 // the server's last load report
-	Issued  int64              // issue time of the copy; 0: none
-	SizeKB  float64
-	Spoilt  bool // on sockets: an answer that cannot be parsed
+	Outcome    policy.Outcome
+	Reason     policy.Reason
+	Waited     int64              // for a fill, microseconds
+	Load       map[string]float64 // the server's last load report
+	Issued     int64              // issue time of the copy; 0: none
+	SizeKB     float64
+	Unparsable bool // on sockets: an answer that cannot be parsed
 }
 
 // Entry is one line of the event log.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -56,7 +56,7 @@
 		w.activeFaults++
 		w.lastFaultChange = w.now
 		w.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: w.now + duration})
-		w.Result.Troubles = append(w.Result.Troubles, fmt.Sprintf("%.1f s: %s", float64(w.now)/second, fault.Kind))
+		w.Result.Faults = append(w.Result.Faults, fmt.Sprintf("%.1f s: %s", float64(w.now)/second, fault.Kind))
 		endFault := w.startFault(fault)
 		w.schedule(duration, func() {
 			w.activeFaults--
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -19,11 +19,11 @@
 	switch fault.Kind {
 	case faultNetworkChain:
 		third := len(ids) / 3
-		return w.Ways.Partition(ids[:third], ids[third:2*third])
+		return w.Network.Partition(ids[:third], ids[third:2*third])
 	case faultNetworkSplit:
-		return w.Ways.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
+		return w.Network.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
 	default:
-		return w.Ways.AddFault(networkFault(fault, chosen))
+		return w.Network.AddFault(networkFault(fault, chosen))
 	}
 }
 
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -65,7 +65,7 @@
 func (s *server) stopOrigin() {
 	w := s.world
 	s.stopped = true
-	w.Result.LedgerStops++
+	w.Result.OriginStops++
 	w.record(Entry{Kind: eventlog.KindStopped, Endpoint: s.id})
 	s.updateRate()
 	w.schedule(int64(w.scenario.Fleet.OriginStopS*second), func() {
@@ -113,7 +113,7 @@
 // finishWrite lets a write have its effect and answers it.
 func (s *server) finishWrite(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindEffect)
-	entry.Class = s.world.classes[attempt.Rule].Name
+	entry.Class = s.world.classes[attempt.Class].Name
 	s.world.record(entry)
 	s.finish(attempt, AttemptResult{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: writeAnswerKB})
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -31,14 +31,14 @@
 // Request is one attempt of a client at a request, as it reaches a router.
 type Request struct {
 	Router int
-	Txn    string // ID of the request, new for each of the client's attempts
-	Rule   int    // index of the traffic class
+	ID     string // ID of the request, new for each of the client's attempts
+	Class  int    // index of the traffic class
 	Object string
 	Group  int64 // purge group of the object
 	Part   int64
 	SizeKB float64
 	Limit  int64 // how long the client still waits, microseconds
-	Again  bool  // marked as a client's retry
+	Retry  bool  // marked as a client's retry
 	Write  bool
 
 	client   *client
@@ -97,14 +97,14 @@
 	w.clients.requestCount++
 	request := &Request{
 		Router:   router.id,
-		Txn:      fmt.Sprintf("%016x", w.clients.requestCount),
-		Rule:     client.class,
+		ID:       fmt.Sprintf("%016x", w.clients.requestCount),
+		Class:    client.class,
 		Object:   w.catalogue.name(client.object),
 		Group:    w.catalogue.group(client.object),
 		Part:     client.part,
 		SizeKB:   w.catalogue.size(client.object, client.part),
 		Limit:    client.timeLimit,
-		Again:    client.attempts > 1,
+		Retry:    client.attempts > 1,
 		Write:    w.classes[client.class].Write,
 		client:   client,
 		deadline: w.now + client.timeLimit,
@@ -121,7 +121,7 @@
 // requestArrived hands a request to its router.
 func (w *Simulation) requestArrived(router *router, request *Request) {
 	router.addRequest(request)
-	w.Result.Taken++
+	w.Result.ClientAttempts++
 	w.record(w.requestEntry(eventlog.KindTaken, request))
 	request.Limit = request.deadline - w.now
 	w.driver.Request(request)
@@ -130,7 +130,7 @@
 // requestEntry is an event log entry that describes a request.
 func (w *Simulation) requestEntry(kind eventlog.Kind, request *Request) Entry {
 	return Entry{
-		Kind: kind, Router: request.Router, Request: request.Txn, Class: w.classes[request.Rule].Name,
+		Kind: kind, Router: request.Router, Request: request.ID, Class: w.classes[request.Class].Name,
 		Object: request.Object, Group: request.Group, Deadline: request.deadline,
 	}
 }
@@ -141,9 +141,9 @@
 		return
 	}
 	router.closeRequest(request)
-	w.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.Txn})
-	w.Result.Lost++
-	w.driver.Leave(router.id, request.Txn)
+	w.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
+	w.Result.TimedOut++
+	w.driver.Leave(router.id, request.ID)
 	w.retryOrFail(request.client, 0, request.client.class != scenario.ClassAccept)
 }
 
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -23,24 +23,24 @@
 	latencySignificant = 3 // significant decimal digits
 )
 
-// Result is the outcome of a run. Its field names are the keys of its JSON form. Counts leave out requests that
+// Result is the outcome of a run. Its JSON keys are older than its field names and stay. Counts leave out requests that
 // began while the run warmed up, except for those of servers and links.
 type Result struct {
-	Rules    []*ClassResult // by traffic class
+	Classes  []*ClassResult `json:"Rules"` // by traffic class
 	Timeline []Second
-	Troubles []string // faults that began, with their times
-
-	Taken       int            // attempts of clients that reached routers
-	Hops        int            // attempts that routers sent to servers
-	Lost        int            // attempts of clients that timed out without an answer
-	Ends        map[string]int // answers of servers by outcome
-	Fallen      int            // servers that collapsed while they warmed up
-	LedgerStops int            // of the origin, by too many arrivals
-	Crossed     int            // requests that were forwarded to another site
-	CrossedDone int            // of these: completed there
-	FilledKB    float64        // that came into offices, after the warm-up
-	LedgerKB    float64        // that the origin sent, after the warm-up
-	AskedKB     float64        // that clients asked for, after the warm-up
+	Faults   []string `json:"Troubles"` // faults that began, with their times
+
+	ClientAttempts     int            `json:"Taken"`       // attempts of clients that reached routers
+	Attempts           int            `json:"Hops"`        // attempts that routers sent to servers
+	TimedOut           int            `json:"Lost"`        // attempts of clients that timed out without an answer
+	AttemptOutcomes    map[string]int `json:"Ends"`        // answers of servers by outcome
+	Collapsed          int            `json:"Fallen"`      // servers that collapsed while they warmed up
+	OriginStops        int            `json:"LedgerStops"` // of the origin, by too many arrivals
+	Forwarded          int            `json:"Crossed"`     // requests that were forwarded to another site
+	ForwardedCompleted int            `json:"CrossedDone"` // of these: completed there
+	FilledKB           float64        // that came into offices, after the warm-up
+	OriginKB           float64        `json:"LedgerKB"` // that the origin sent, after the warm-up
+	RequestedKB        float64        `json:"AskedKB"`  // that clients asked for, after the warm-up
 
 	current Second // not closed yet
 }
@@ -54,35 +54,35 @@
 
 // Outcomes counts requests. A client's attempts at one request count as one.
 type Outcomes struct {
-	Asked     int
-	InTime    int     // completed within the latency objective
-	Late      int     // completed after it
-	Stale     int     // of both: with a copy past its freshness time
-	Refused   int     // not completed, and a retry would be safe
-	Failed    int     // not completed, and it may have been executed
-	Worth     float64 // priority weight that was earned
-	WorthMost float64 // priority weight if all had completed in time
+	Requests       int     `json:"Asked"`
+	InTime         int     // completed within the latency objective
+	Late           int     // completed after it
+	Stale          int     // of both: with a copy past its freshness time
+	Rejected       int     `json:"Refused"` // not completed, and a retry would be safe
+	Failed         int     // not completed, and it may have been executed
+	EarnedWeight   float64 `json:"Worth"`     // priority weight that was earned
+	PossibleWeight float64 `json:"WorthMost"` // priority weight if all had completed in time
 }
 
 // Second is one second of the timeline.
 type Second struct {
-	At       int // seconds from the start
-	Asked    int
-	InTime   int
-	Late     int
-	None     int     // requests without a usable answer
-	Hops     int     // attempts in flight at its end
-	Troubles int     // faults in force at its end
-	Servers  int     // caches that are up at its end
-	LinkUse  float64 // utilization of the offices' links
+	At              int // seconds from the start
+	Requests        int `json:"Asked"`
+	InTime          int
+	Late            int
+	NotCompleted    int     `json:"None"`     // requests without a usable answer
+	Attempts        int     `json:"Hops"`     // attempts in flight at its end
+	ActiveFaults    int     `json:"Troubles"` // faults in force at its end
+	Servers         int     // caches that are up at its end
+	LinkUtilization float64 `json:"LinkUse"` // utilization of the offices' links
 
 	filledKB float64 // over all offices' links from the start
 }
 
 func newResult(s *scenario.Scenario) *Result {
-	r := &Result{Ends: map[string]int{}}
+	r := &Result{AttemptOutcomes: map[string]int{}}
 	for _, class := range s.Classes() {
-		r.Rules = append(r.Rules, &ClassResult{
+		r.Classes = append(r.Classes, &ClassResult{
 			Name: class.Name, Phases: map[string]*Outcomes{},
 			latencies: hdrhistogram.New(minLatency, maxLatency, latencySignificant),
 		})
@@ -92,7 +92,7 @@
 
 // outcomes are the counts of a client's traffic class and phase.
 func (r *Result) outcomes(client *client) *Outcomes {
-	rule := r.Rules[client.class]
+	rule := r.Classes[client.class]
 	outcomes := rule.Phases[client.phase]
 	if outcomes == nil {
 		outcomes = &Outcomes{}
@@ -103,12 +103,12 @@
 
 // countRequest counts a client's new request.
 func (r *Result) countRequest(w *Simulation, client *client) {
-	r.current.Asked++
+	r.current.Requests++
 	outcomes := r.outcomes(client)
-	outcomes.Asked++
-	outcomes.WorthMost += w.classes[client.class].PriorityWeight
+	outcomes.Requests++
+	outcomes.PossibleWeight += w.classes[client.class].PriorityWeight
 	if client.phase != phaseWarmUp && client.class != scenario.ClassAccept {
-		r.AskedKB += w.catalogue.size(client.object, client.part)
+		r.RequestedKB += w.catalogue.size(client.object, client.part)
 	}
 }
 
@@ -119,14 +119,14 @@
 	}
 	r.FilledKB += kb
 	if fromOrigin {
-		r.LedgerKB += kb
+		r.OriginKB += kb
 	}
 }
 
 // countParentFill counts bytes that a parent gets from the origin.
 func (r *Result) countParentFill(w *Simulation, kb float64) {
 	if w.currentPhase() != phaseWarmUp {
-		r.LedgerKB += kb
+		r.OriginKB += kb
 	}
 }
 
@@ -134,7 +134,7 @@
 func (r *Result) countCompleted(w *Simulation, client *client, issuedAt int64) {
 	class := &w.classes[client.class]
 	latency := w.now - client.startedAt
-	r.Rules[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
+	r.Classes[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
 	work := w.flowTime(w.catalogue.size(client.object, client.part))
 	if class.Write {
 		work = 0
@@ -153,15 +153,15 @@
 		outcomes.Stale++
 		weight *= class.StaleValueShare
 	}
-	outcomes.Worth += weight
+	outcomes.EarnedWeight += weight
 }
 
 // countFailed counts a request without a usable answer.
 func (r *Result) countFailed(client *client, retrySafe bool) {
-	r.current.None++
+	r.current.NotCompleted++
 	outcomes := r.outcomes(client)
 	if retrySafe {
-		outcomes.Refused++
+		outcomes.Rejected++
 	} else {
 		outcomes.Failed++
 	}
@@ -171,8 +171,8 @@
 func (r *Result) closeSecond(w *Simulation) {
 	closed := r.current
 	closed.At = int(w.now / second)
-	closed.Troubles = w.activeFaults
-	closed.Hops = len(w.attempts)
+	closed.ActiveFaults = w.activeFaults
+	closed.Attempts = len(w.attempts)
 	closed.Servers = w.cachesUp()
 	closed.filledKB = 0
 	totalKBPerS := 0.0
@@ -181,7 +181,7 @@
 		closed.filledKB += link.served
 		totalKBPerS += link.totalRate * second
 	}
-	closed.LinkUse = (closed.filledKB - r.current.filledKB) / totalKBPerS
+	closed.LinkUtilization = (closed.filledKB - r.current.filledKB) / totalKBPerS
 	r.Timeline = append(r.Timeline, closed)
 	r.current = Second{filledKB: closed.filledKB}
 }
@@ -197,15 +197,15 @@
 	return count
 }
 
-// Worth is the share of the priority weight of all requests that was earned, after the warm-up.
-func (r *Result) Worth() float64 {
+// EarnedShare is the share of the priority weight of all requests that was earned, after the warm-up.
+func (r *Result) EarnedShare() float64 {
 	earned := 0.0
 	possible := 0.0
-	for _, class := range r.Rules {
+	for _, class := range r.Classes {
 		for _, phase := range Phases[1:] {
 			if outcomes := class.Phases[phase]; outcomes != nil {
-				earned += outcomes.Worth
-				possible += outcomes.WorthMost
+				earned += outcomes.EarnedWeight
+				possible += outcomes.PossibleWeight
 			}
 		}
 	}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -30,8 +30,8 @@
 // addRequest adds a request that has arrived.
 func (r *router) addRequest(request *Request) {
 	request.open = true
-	r.openRequests[request.Txn] = request
-	r.arrivalOrder = append(r.arrivalOrder, request.Txn)
+	r.openRequests[request.ID] = request
+	r.arrivalOrder = append(r.arrivalOrder, request.ID)
 	if len(r.arrivalOrder) > minCompactedArrivals && len(r.arrivalOrder) > 2*len(r.openRequests) {
 		r.compactArrivalOrder()
 	}
@@ -40,7 +40,7 @@
 // closeRequest removes a request that was answered or whose client has gone.
 func (r *router) closeRequest(request *Request) {
 	request.open = false
-	delete(r.openRequests, request.Txn)
+	delete(r.openRequests, request.ID)
 }
 
 // compactArrivalOrder drops requests that are closed.
@@ -68,7 +68,7 @@
 		}
 		router.closeRequest(request)
 		w.schedule(w.clientDelay(), func() {
-			w.retryOrFail(request.client, 0, w.classes[request.Rule].Effect == policy.EffectIdempotent)
+			w.retryOrFail(request.client, 0, w.classes[request.Class].Effect == policy.EffectIdempotent)
 		})
 	}
 	router.arrivalOrder = nil
@@ -82,7 +82,7 @@
 		}
 	}
 	slices.SortFunc(attempts, func(a, b *Attempt) int {
-		return cmp.Or(cmp.Compare(a.Txn, b.Txn), cmp.Compare(a.N, b.N))
+		return cmp.Or(cmp.Compare(a.RequestID, b.RequestID), cmp.Compare(a.Number, b.Number))
 	})
 	return attempts
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -164,7 +164,7 @@
 	w := s.world
 	s.collapsed = true
 	w.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / second})
-	w.Result.Fallen++
+	w.Result.Collapsed++
 	s.crash(false)
 	w.setListed(s, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*millisecond))
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -69,8 +69,8 @@
 	Slack  int64
 	Result *Result
 
-	// Ways is the network between routers. It has random generators of its own.
-	Ways            *netsim.Network
+	// Network is the network between routers. It has random generators of its own.
+	Network         *netsim.Network
 	networkRandom   *rand.Rand
 	lastFaultChange int64 // when a fault began or ended last
 }
@@ -92,7 +92,7 @@
 	}
 	fleet := &s.Fleet
 	w.networkRandom = rand.New(rand.NewPCG(seed, networkFaultStream))
-	w.Ways = netsim.New(
+	w.Network = netsim.New(
 		int64(fleet.RouterDelayMS*millisecond), int64(fleet.RouterJitterMS*millisecond),
 		rand.New(rand.NewPCG(seed, networkStream)),
 	)
