--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -43,13 +43,13 @@
 // malformedResponse is a line that is not in the protocol.
 var malformedResponse = []byte("%% ACK entity\r\n")
 
-// finish writes a server's response, as the world has it.
-func (h *serverAttempt) finish(hop *simulation.Attempt, end simulation.AttemptResult) {
-	conn := h.conn
-	if conn.attempts[h.requestID] != h {
+// finish writes a server's response, as the simulation has it.
+func (a *serverAttempt) finish(hop *simulation.Attempt, end simulation.AttemptResult) {
+	conn := a.conn
+	if conn.attempts[a.requestID] != a {
 		return
 	}
-	delete(conn.attempts, h.requestID)
+	delete(conn.attempts, a.requestID)
 	status, known := statusByOutcome[end.Outcome]
 	if !known || end.Unparsable {
 		if end.Unparsable {
@@ -59,13 +59,13 @@
 		return
 	}
 	response := cacheproto.Response{
-		ID: h.requestID, Status: status, Reason: end.Reason, DelayMillis: float64(end.Waited) / 1000, Load: end.Load,
+		ID: a.requestID, Status: status, Reason: end.Reason, DelayMillis: float64(end.Waited) / 1000, Load: end.Load,
 	}
 	var body []byte
 	switch {
 	case status != cacheproto.StatusOK:
 	case hop.Class == scenario.ClassAccept:
-		body = append([]byte(recordedPrefix), h.body...)
+		body = append([]byte(recordedPrefix), a.body...)
 	default:
 		body = responseBody(hop.Object, hop.Part, end.Issued, hop.SizeKB)
 		response.IssuedMillis = max(conn.server.unixMS(end.Issued), 1)
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -41,23 +41,23 @@
 }
 
 // open listens at the server's address and serves its connections.
-func (p *serverListener) open() error {
-	listener, err := net.Listen("tcp", p.addr)
+func (l *serverListener) open() error {
+	listener, err := net.Listen("tcp", l.addr)
 	if err != nil {
-		return fmt.Errorf("server %s: %w", p.serverID, err)
+		return fmt.Errorf("server %s: %w", l.serverID, err)
 	}
-	p.listener = listener
-	p.goroutines.Go(func() {
+	l.listener = listener
+	l.goroutines.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			p.goroutines.Go(func() { p.serve(conn, listener) })
+			l.goroutines.Go(func() { l.serve(conn, listener) })
 		}
 	})
-	p.goroutines.Go(func() {
-		<-p.ctx.Done()
+	l.goroutines.Go(func() {
+		<-l.ctx.Done()
 		listener.Close()
 	})
 	return nil
@@ -65,58 +65,58 @@
 
 // setState follows the server: one that is down resets its connections and refuses new
 // ones; one that is silent keeps them and does not answer.
-func (p *serverListener) setState(up, silent bool) {
+func (l *serverListener) setState(up, silent bool) {
 	if up || !silent {
-		for c := range p.conns {
+		for c := range l.conns {
 			c.reset()
 		}
 	}
-	if !up && !silent && p.listener != nil {
-		p.listener.Close()
-		p.listener = nil
+	if !up && !silent && l.listener != nil {
+		l.listener.Close()
+		l.listener = nil
 	}
-	if up && p.listener == nil {
-		if err := p.open(); err != nil {
-			p.fail(err)
+	if up && l.listener == nil {
+		if err := l.open(); err != nil {
+			l.fail(err)
 		}
 	}
 }
 
 // serve reads a router's commands until its connection ends.
-func (p *serverListener) serve(socket net.Conn, listener net.Listener) {
-	conn := &serverConn{Conn: socket, server: p, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
+func (l *serverListener) serve(socket net.Conn, listener net.Listener) {
+	conn := &serverConn{Conn: socket, server: l, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
 	defer socket.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	p.goroutines.Go(func() {
+	l.goroutines.Go(func() {
 		select {
-		case <-p.ctx.Done():
+		case <-l.ctx.Done():
 			socket.Close()
 		case <-stop:
 		}
 	})
-	p.runInLoop(func() {
-		if p.listener == listener {
-			p.conns[conn] = struct{}{}
+	l.runInLoop(func() {
+		if l.listener == listener {
+			l.conns[conn] = struct{}{}
 		} else {
 			conn.reset()
 		}
 	})
-	p.goroutines.Go(conn.writeQueue)
+	l.goroutines.Go(conn.writeQueue)
 	defer func() {
 		conn.closeQueue()
-		p.runInLoop(func() { p.forgetConn(conn) })
+		l.runInLoop(func() { l.forgetConn(conn) })
 	}()
 	reader := bufio.NewReaderSize(socket, commandBufferBytes)
 	for {
-		if err := p.serveCommand(conn, reader); err != nil {
+		if err := l.serveCommand(conn, reader); err != nil {
 			return
 		}
 	}
 }
 
 // serveCommand reads a command and carries it out. An error ends the connection.
-func (p *serverListener) serveCommand(conn *serverConn, reader *bufio.Reader) error {
+func (l *serverListener) serveCommand(conn *serverConn, reader *bufio.Reader) error {
 	command, err := cacheproto.ReadCommand(reader)
 	if err != nil {
 		return err
@@ -130,23 +130,23 @@
 		if err := cacheproto.ReadBodyEnd(reader); err != nil {
 			return err
 		}
-		p.runInLoop(func() { p.startAttempt(conn, command.Get, body) })
+		l.runInLoop(func() { l.startAttempt(conn, command.Get, body) })
 	case command.DropID != "":
-		p.runInLoop(func() { p.cancelAttempt(conn, command.DropID) })
+		l.runInLoop(func() { l.cancelAttempt(conn, command.DropID) })
 	default:
 		conn.enqueue([]byte(command.PingID + " READY\r\n"))
 	}
 	return nil
 }
 
-// startAttempt hands an attempt to the world. A request that nobody waits for is skipped.
-func (p *serverListener) startAttempt(conn *serverConn, get *cacheproto.GetCommand, body []byte) {
-	request := p.requests[get.ID]
+// startAttempt hands an attempt to the simulation. A request that nobody waits for is skipped.
+func (l *serverListener) startAttempt(conn *serverConn, get *cacheproto.GetCommand, body []byte) {
+	request := l.requests[get.ID]
 	if request == nil {
-		request = p.findForwarded(get.ID)
+		request = l.findForwarded(get.ID)
 	}
-	if request == nil && p.config.Guests {
-		request = p.admitGuest(get)
+	if request == nil && l.config.Guests {
+		request = l.admitGuest(get)
 	}
 	if request == nil { // its client has just left, or the request is not the scenario's
 		conn.enqueue(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}))
@@ -156,8 +156,8 @@
 	attempt := &serverAttempt{conn: conn, requestID: get.ID, number: request.attempts, body: body}
 	request.attempts++
 	conn.attempts[get.ID] = attempt
-	p.world.SendAttempt(&simulation.Attempt{
-		Router: p.id, RequestID: get.ID, Number: attempt.number, Server: p.serverID,
+	l.simulation.SendAttempt(&simulation.Attempt{
+		Router: l.id, RequestID: get.ID, Number: attempt.number, Server: l.serverID,
 		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, MaxAge: get.MaxAgeMillis * 1000,
 		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
 		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
@@ -166,47 +166,47 @@
 
 // admitGuest admits a request that is not the scenario's own, such as one by curl. The
 // event log has it as aborted when its time is over.
-func (p *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
-	class, group, sizeKB, known := p.world.Object(get.Object, get.Part)
-	if !known || p.world.ClassOf(class).Name != get.Class {
+func (l *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
+	class, group, sizeKB, known := l.simulation.Object(get.Object, get.Part)
+	if !known || l.simulation.ClassOf(class).Name != get.Class {
 		return nil
 	}
 	ask := &simulation.Request{
-		Router: p.id, ID: get.ID, Class: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
+		Router: l.id, ID: get.ID, Class: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
 	}
 	request := &clientRequest{Request: ask, cancel: func() {}}
-	p.requests[get.ID] = request
-	now := p.world.Now()
-	p.Note(&eventlog.Entry{
-		Kind: eventlog.KindTaken, At: now, Router: p.id, Request: get.ID,
+	l.requests[get.ID] = request
+	now := l.simulation.Now()
+	l.Note(&eventlog.Entry{
+		Kind: eventlog.KindTaken, At: now, Router: l.id, Request: get.ID,
 		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*1000,
 	})
 	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
-		p.runInLoop(func() {
-			if p.requests[get.ID] != request {
+		l.runInLoop(func() {
+			if l.requests[get.ID] != request {
 				return
 			}
-			delete(p.requests, get.ID)
-			p.Note(&eventlog.Entry{
-				Kind: eventlog.KindAnswered, At: p.world.Now(), Router: p.id, Request: get.ID, Outcome: outcomeAborted,
+			delete(l.requests, get.ID)
+			l.Note(&eventlog.Entry{
+				Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: get.ID, Outcome: outcomeAborted,
 			})
 		})
 	})
 	return request
 }
 
-// cancelAttempt tells the world that a router no longer waits for an attempt.
-func (p *serverListener) cancelAttempt(conn *serverConn, requestID string) {
+// cancelAttempt tells the simulation that a router no longer waits for an attempt.
+func (l *serverListener) cancelAttempt(conn *serverConn, requestID string) {
 	if attempt := conn.attempts[requestID]; attempt != nil {
 		delete(conn.attempts, requestID)
-		p.world.Cancel(p.id, requestID, attempt.number)
+		l.simulation.Cancel(l.id, requestID, attempt.number)
 	}
 }
 
 // forgetConn cancels all attempts that are open on a connection that has ended.
-func (p *serverListener) forgetConn(conn *serverConn) {
-	delete(p.conns, conn)
+func (l *serverListener) forgetConn(conn *serverConn) {
+	delete(l.conns, conn)
 	for requestID := range conn.attempts {
-		p.cancelAttempt(conn, requestID)
+		l.cancelAttempt(conn, requestID)
 	}
 }
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -35,13 +35,13 @@
 }
 
 // reachable tells whether a router is up and exchanges messages with another one.
-func reachable(w *simulation.Simulation, id int) bool {
-	runs := func(router int) bool { return w.Up(router) && !w.Stopped(router) }
+func reachable(sim *simulation.Simulation, id int) bool {
+	runs := func(router int) bool { return sim.Up(router) && !sim.Stopped(router) }
 	if !runs(id) {
 		return false
 	}
-	for other := range w.Routers() {
-		if other != id && runs(other) && w.Network.Reachable(id, other) && w.Network.Reachable(other, id) {
+	for other := range sim.Routers() {
+		if other != id && runs(other) && sim.Network.Reachable(id, other) && sim.Network.Reachable(other, id) {
 			return true
 		}
 	}
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -83,7 +83,7 @@
 		<-r.ctx.Done()
 		server.Close()
 	})
-	for _, s := range r.world.Known() {
+	for _, s := range r.simulation.Known() {
 		if _, err := r.listenerFor(s.ID); err != nil {
 			return err
 		}
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -27,7 +27,7 @@
 func (r *routerProcess) start(known []simulation.Server) error {
 	r.startCount++
 	r.discoveryEvents = []string{r.endpointListEvent(1, known, true)}
-	setup := r.scenario.Settings(r.world.Office(r.id), r.id)
+	setup := r.scenario.Settings(r.simulation.Office(r.id), r.id)
 	if r.options.Settings != nil {
 		r.options.Settings(&setup)
 	}
@@ -126,7 +126,7 @@
 
 // site is the name of the router's site.
 func (r *routerProcess) site() string {
-	return scenario.Zone(r.scenario.Fleet.Site(r.world.Office(r.id)))
+	return scenario.Zone(r.scenario.Fleet.Site(r.simulation.Office(r.id)))
 }
 
 // file is a file of the router's own in the run's folder.
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -35,15 +35,15 @@
 }
 
 // Notify posts an event to a router's discovery service.
-func (run *socketRun) Notify(router int, n simulation.DiscoveryEvent) {
-	r := run.routers[router]
+func (s *socketRun) Notify(router int, n simulation.DiscoveryEvent) {
+	r := s.routers[router]
 	revision := len(r.discoveryEvents) + 1
 	if n.Purge {
 		selector := fmt.Sprintf(`"collection":%d`, n.Group)
 		if n.Object != "" {
 			selector = fmt.Sprintf(`"asset":%q`, n.Object)
 		}
-		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, run.unixMS(n.At)))
+		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, s.unixMS(n.At)))
 		return
 	}
 	r.postEvent(r.endpointListEvent(revision, n.Servers, false))
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -11,8 +11,8 @@
 )
 
 // Down kills a router outright.
-func (run *socketRun) Down(router int) {
-	r := run.routers[router]
+func (s *socketRun) Down(router int) {
+	r := s.routers[router]
 	for _, request := range r.requests {
 		request.cancel()
 	}
@@ -21,17 +21,17 @@
 }
 
 // Up starts a router again, with the endpoint list as it is.
-func (run *socketRun) Up(router int, known []simulation.Server) {
-	if err := run.routers[router].start(known); err != nil {
-		run.fail(err)
+func (s *socketRun) Up(router int, known []simulation.Server) {
+	if err := s.routers[router].start(known); err != nil {
+		s.fail(err)
 	}
 }
 
 // Stop pauses a router. Its machine still accepts connections and buffers what comes.
-func (run *socketRun) Stop(router int) { run.routers[router].signal(syscall.SIGSTOP) }
+func (s *socketRun) Stop(router int) { s.routers[router].signal(syscall.SIGSTOP) }
 
 // Wake lets a paused router go on.
-func (run *socketRun) Wake(router int) { run.routers[router].signal(syscall.SIGCONT) }
+func (s *socketRun) Wake(router int) { s.routers[router].signal(syscall.SIGCONT) }
 
 // signal sends a signal to the router's process, if it has not been killed.
 func (r *routerProcess) signal(s os.Signal) {
@@ -45,8 +45,8 @@
 
 // Starve takes a share of a router's CPU away, some milliseconds at a time, as a
 // busy neighbour on its core does. Share 0 ends it.
-func (run *socketRun) Starve(router int, share float64) {
-	r := run.routers[router]
+func (s *socketRun) Starve(router int, share float64) {
+	r := s.routers[router]
 	r.stopStarving()
 	if share == 0 {
 		return
@@ -55,14 +55,14 @@
 	r.starveTicker = ticker
 	cmd := r.cmd
 	pause := time.Duration(share * float64(starveSlice))
-	run.goroutines.Go(func() {
+	s.goroutines.Go(func() {
 		for {
 			select {
 			case <-ticker.C:
-			case <-run.ctx.Done():
+			case <-s.ctx.Done():
 				return
 			}
-			run.runInLoop(func() {
+			s.runInLoop(func() {
 				if r.starveTicker == ticker {
 					r.pauseFor(cmd, pause)
 				}
@@ -81,7 +81,7 @@
 // pauseFor stops a process for some time, unless it has been replaced, killed or stopped by
 // the scenario.
 func (r *routerProcess) pauseFor(cmd *exec.Cmd, pause time.Duration) {
-	runs := func() bool { return r.cmd == cmd && !r.killed && !r.world.Stopped(r.id) }
+	runs := func() bool { return r.cmd == cmd && !r.killed && !r.simulation.Stopped(r.id) }
 	if !runs() {
 		return
 	}
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -60,7 +60,7 @@
 				continue
 			}
 			now := r.now()
-			for _, at := range r.world.Network.Transmit(now, r.id, to.id, n) {
+			for _, at := range r.simulation.Network.Transmit(now, r.id, to.id, n) {
 				datagram := slices.Clone(buffer[:n])
 				delay := time.Duration(at-now) * time.Microsecond
 				time.AfterFunc(delay, func() {
@@ -80,35 +80,35 @@
 
 // watchMembership compares the routers' membership views time and again. It asks for them
 // with the query that the router's own command uses.
-func (run *socketRun) watchMembership() {
-	for run.ctx.Err() == nil {
-		up, targets, ok := run.viewTargets()
+func (s *socketRun) watchMembership() {
+	for s.ctx.Err() == nil {
+		up, targets, ok := s.viewTargets()
 		if !ok {
 			return
 		}
 		views := queryViews(targets)
-		run.runInLoop(func() { run.compareViews(up, views) })
+		s.runInLoop(func() { s.compareViews(up, views) })
 		select {
 		case <-time.After(viewIntervalMicros * time.Microsecond):
-		case <-run.ctx.Done():
+		case <-s.ctx.Done():
 		}
 	}
 }
 
 // viewTargets asks the loop which routers are up, and which of them can answer. Not ok: the
 // run is over.
-func (run *socketRun) viewTargets() (up []string, targets []viewTarget, ok bool) {
+func (s *socketRun) viewTargets() (up []string, targets []viewTarget, ok bool) {
 	done := make(chan struct{})
-	run.runInLoop(func() {
+	s.runInLoop(func() {
 		defer close(done)
-		for _, r := range run.routers {
+		for _, r := range s.routers {
 			name := routerName(r.id)
-			run.membership.recordReachable(run.world.Now(), name, reachable(run.world, r.id))
-			if !run.world.Up(r.id) {
+			s.membership.recordReachable(s.simulation.Now(), name, reachable(s.simulation, r.id))
+			if !s.simulation.Up(r.id) {
 				continue
 			}
 			up = append(up, name)
-			if !run.world.Stopped(r.id) {
+			if !s.simulation.Stopped(r.id) {
 				targets = append(targets, viewTarget{name, r.membershipAddr})
 			}
 		}
@@ -116,7 +116,7 @@
 	select {
 	case <-done:
 		return up, targets, true
-	case <-run.ctx.Done():
+	case <-s.ctx.Done():
 		return nil, nil, false
 	}
 }
@@ -144,17 +144,17 @@
 }
 
 // compareViews judges views, unless a router was killed while they were asked for.
-func (run *socketRun) compareViews(up []string, views map[string]*membership.View) {
+func (s *socketRun) compareViews(up []string, views map[string]*membership.View) {
 	for _, name := range up {
-		if !run.world.Up(run.routerByName(name)) {
+		if !s.simulation.Up(s.routerByName(name)) {
 			return
 		}
 	}
-	run.membership.observe(run.world.Now(), run.world.LastFaultChange(), up, views)
+	s.membership.observe(s.simulation.Now(), s.simulation.LastFaultChange(), up, views)
 }
 
 // routerByName is the reverse of routerName.
-func (run *socketRun) routerByName(name string) (router int) {
+func (s *socketRun) routerByName(name string) (router int) {
 	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
 	return router
 }
--- a/internal/emulator/rollout_canary.go
+++ b/internal/emulator/rollout_canary.go
@@ -33,7 +33,7 @@
 }
 
 func (r *rolloutRun) responded(router int, ask *simulation.Request, attempt *engine.Attempt, issued int64) {
-	class := r.world.ClassOf(ask.Class)
+	class := r.simulation.ClassOf(ask.Class)
 	if class.Write {
 		return
 	}
--- a/internal/emulator/site_relay.go
+++ b/internal/emulator/site_relay.go
@@ -16,16 +16,16 @@
 
 // startRelay passes connections on to an address, delayed by the latency between sites.
 // While the sites are cut, bytes wait, as they do with TCP.
-func (run *socketRun) startRelay(to string) (addr string, err error) {
+func (s *socketRun) startRelay(to string) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	run.goroutines.Go(func() {
-		<-run.ctx.Done()
+	s.goroutines.Go(func() {
+		<-s.ctx.Done()
 		listener.Close()
 	})
-	run.goroutines.Go(func() {
+	s.goroutines.Go(func() {
 		for {
 			client, err := listener.Accept()
 			if err != nil {
@@ -36,8 +36,8 @@
 				client.Close()
 				continue
 			}
-			run.goroutines.Go(func() { run.relayDelayed(client, server) })
-			run.goroutines.Go(func() { run.relayDelayed(server, client) })
+			s.goroutines.Go(func() { s.relayDelayed(client, server) })
+			s.goroutines.Go(func() { s.relayDelayed(server, client) })
 		}
 	})
 	return listener.Addr().String(), nil
@@ -50,14 +50,14 @@
 }
 
 // relayDelayed passes one direction of a connection on, until either end closes.
-func (run *socketRun) relayDelayed(from, to net.Conn) {
+func (s *socketRun) relayDelayed(from, to net.Conn) {
 	defer to.Close()
 	defer from.Close()
 	chunks := make(chan relayChunk, relayQueueLength)
-	run.goroutines.Go(func() {
+	s.goroutines.Go(func() {
 		defer to.Close()
 		defer from.Close()
-		run.writeDelayed(to, chunks)
+		s.writeDelayed(to, chunks)
 	})
 	defer close(chunks)
 	for {
@@ -68,7 +68,7 @@
 		}
 		select {
 		case chunks <- relayChunk{time.Now(), buffer[:n]}:
-		case <-run.ctx.Done():
+		case <-s.ctx.Done():
 			return
 		}
 	}
@@ -76,18 +76,18 @@
 
 // writeDelayed writes each chunk once the latency between sites has passed and the sites
 // are not cut.
-func (run *socketRun) writeDelayed(to net.Conn, chunks <-chan relayChunk) {
-	latency := time.Duration(run.scenario.Fleet.SiteMS * float64(time.Millisecond))
+func (s *socketRun) writeDelayed(to net.Conn, chunks <-chan relayChunk) {
+	latency := time.Duration(s.scenario.Fleet.SiteMS * float64(time.Millisecond))
 	for {
 		select {
-		case <-run.ctx.Done():
+		case <-s.ctx.Done():
 			return
 		case chunk, open := <-chunks:
 			if !open {
 				return
 			}
 			time.Sleep(time.Until(chunk.readAt.Add(latency)))
-			for run.sitesCut.Load() && run.ctx.Err() == nil {
+			for s.sitesCut.Load() && s.ctx.Err() == nil {
 				time.Sleep(cutPollInterval)
 			}
 			if _, err := to.Write(chunk.bytes); err != nil {
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -42,7 +42,7 @@
 	maxListeners = 3000
 	// taskQueueLength is how many tasks may wait for the loop before senders block.
 	taskQueueLength = 4096
-	// maxLoopWaitMicros is how long the loop sleeps at most when the world has nothing due.
+	// maxLoopWaitMicros is how long the loop sleeps at most when the simulation has nothing due.
 	maxLoopWaitMicros = 100_000
 	// clientIdleConns and clientIdleTimeout bound the idle connections of the emulated clients.
 	clientIdleConns   = 200
@@ -51,12 +51,12 @@
 	gatewayKeyLifetime = 24 * time.Hour
 )
 
-// socketRun is a run on loopback. Its loop is the one goroutine that touches the world
+// socketRun is a run on loopback. Its loop is the one goroutine that touches the simulation
 // and the routers' state; all other goroutines hand it tasks by runInLoop.
 type socketRun struct {
 	options      Options
 	scenario     *scenario.Scenario
-	world        *simulation.Simulation
+	simulation   *simulation.Simulation
 	checker      *checker.Checker
 	routers      []*routerProcess
 	client       *http.Client
@@ -145,28 +145,28 @@
 			DisableCompression:  true,
 		}},
 	}
-	run.world = simulation.New(s, opt.Seed, run)
-	run.world.Slack = socketAnswerSlackMicros
+	run.simulation = simulation.New(s, opt.Seed, run)
+	run.simulation.Slack = socketAnswerSlackMicros
 	return run
 }
 
 // prepareRouters opens what the routers talk to and writes their operators' files.
-func (run *socketRun) prepareRouters() error {
-	fleet := &run.scenario.Fleet
+func (s *socketRun) prepareRouters() error {
+	fleet := &s.scenario.Fleet
 	if fleet.Sites >= 2 {
-		if err := run.makeGatewayKeys(); err != nil {
+		if err := s.makeGatewayKeys(); err != nil {
 			return err
 		}
 	}
-	for i := range run.world.Routers() {
+	for i := range s.simulation.Routers() {
 		r := &routerProcess{
-			socketRun:   run,
+			socketRun:   s,
 			id:          i,
 			servers:     map[string]*serverListener{},
 			requests:    map[string]*clientRequest{},
 			eventPosted: make(chan struct{}),
 		}
-		run.routers = append(run.routers, r)
+		s.routers = append(s.routers, r)
 		if err := r.prepare(); err != nil {
 			return err
 		}
@@ -174,7 +174,7 @@
 	if fleet.Sites < 2 && !fleet.Membership && !fleet.Supervised && fleet.DiskMB <= 0 {
 		return nil
 	}
-	for _, r := range run.routers { // after all have addresses: a file names the peers'
+	for _, r := range s.routers { // after all have addresses: a file names the peers'
 		if err := r.writeOperatorConfig(); err != nil {
 			return err
 		}
@@ -182,21 +182,21 @@
 	return nil
 }
 
-func (run *socketRun) makeGatewayKeys() error {
+func (s *socketRun) makeGatewayKeys() error {
 	var names []string
-	for i := range run.world.Routers() {
+	for i := range s.simulation.Routers() {
 		names = append(names, routerName(i))
 	}
-	return gateway.MakeKeys(run.dir, names, gatewayKeyLifetime)
+	return gateway.MakeKeys(s.dir, names, gatewayKeyLifetime)
 }
 
 // startRouters starts one router after another, as a start takes CPU that the others need,
 // and reports their addresses once all are ready.
-func (run *socketRun) startRouters() error {
-	run.startedAt = time.Now()
+func (s *socketRun) startRouters() error {
+	s.startedAt = time.Now()
 	var addrs []string
-	for _, r := range run.routers {
-		if err := r.start(run.world.Known()); err != nil {
+	for _, r := range s.routers {
+		if err := r.start(s.simulation.Known()); err != nil {
 			return err
 		}
 		if err := r.waitReady(); err != nil {
@@ -204,87 +204,87 @@
 		}
 		addrs = append(addrs, r.clientAddr)
 	}
-	if run.config.Ready != nil {
-		run.config.Ready(addrs)
+	if s.config.Ready != nil {
+		s.config.Ready(addrs)
 	}
 	return nil
 }
 
 // startWatchers starts what goes on beside the loop: polls of the membership views, and Drive.
-func (run *socketRun) startWatchers() {
-	if run.scenario.Fleet.Membership {
-		run.goroutines.Go(run.watchMembership)
+func (s *socketRun) startWatchers() {
+	if s.scenario.Fleet.Membership {
+		s.goroutines.Go(s.watchMembership)
 	}
-	if run.config.Drive != nil {
+	if s.config.Drive != nil {
 		done := make(chan error, 1)
-		run.driverDone = done
-		run.goroutines.Go(func() { done <- run.config.Drive(run.ctx, &Supervised{run}) })
+		s.driverDone = done
+		s.goroutines.Go(func() { done <- s.config.Drive(s.ctx, &Supervised{s}) })
 	}
 }
 
-func (run *socketRun) killRouters() {
-	for _, r := range run.routers {
+func (s *socketRun) killRouters() {
+	for _, r := range s.routers {
 		r.kill()
 	}
 }
 
 // close ends the routers and all goroutines of the run.
-func (run *socketRun) close() {
-	run.cancel()
-	run.killRouters()
-	run.client.CloseIdleConnections()
-	run.goroutines.Wait()
+func (s *socketRun) close() {
+	s.cancel()
+	s.killRouters()
+	s.client.CloseIdleConnections()
+	s.goroutines.Wait()
 }
 
-func (run *socketRun) result() *Result {
+func (s *socketRun) result() *Result {
 	r := &Result{
-		Result:             run.world.Result,
-		Violations:         run.checker.Violations,
-		CountByRule:        run.checker.CountByRule,
-		Judged:             run.checker.Checked,
-		MaxDelay:           run.maxLate,
-		Excused:            run.checker.Excused,
-		Cost:               run.cost,
-		BrokenConnections:  run.brokenConns,
-		RefusedConnections: run.refusedConns,
+		Result:             s.simulation.Result,
+		Violations:         s.checker.Violations,
+		CountByRule:        s.checker.CountByRule,
+		Judged:             s.checker.Checked,
+		MaxDelay:           s.maxLate,
+		Excused:            s.checker.Excused,
+		Cost:               s.cost,
+		BrokenConnections:  s.brokenConns,
+		RefusedConnections: s.refusedConns,
 	}
-	if run.scenario.Fleet.Membership {
-		r.Members = &run.membership
+	if s.scenario.Fleet.Membership {
+		r.Members = &s.membership
 	}
 	return r
 }
 
 // now is the time of the run in microseconds.
-func (run *socketRun) now() int64 { return time.Since(run.startedAt).Microseconds() }
+func (s *socketRun) now() int64 { return time.Since(s.startedAt).Microseconds() }
 
 // unixMS is a time of the run as milliseconds since 1970, the form in which the platform
 // tells times.
-func (run *socketRun) unixMS(at int64) int64 { return run.startedAt.UnixMilli() + at/1000 }
+func (s *socketRun) unixMS(at int64) int64 { return s.startedAt.UnixMilli() + at/1000 }
 
-// loop plays the world by the real clock until it is over.
-func (run *socketRun) loop() error {
+// loop plays the simulation by the real clock until it is over.
+func (s *socketRun) loop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	reported := int64(0)
 	for {
-		now := run.now()
-		end := run.world.Length()
-		if run.world.Over() || now > end {
-			if run.driverDone != nil {
-				return <-run.driverDone
+		now := s.now()
+		end := s.simulation.Length()
+		if s.simulation.Over() || now > end {
+			if s.driverDone != nil {
+				return <-s.driverDone
 			}
 			return nil
 		}
-		for at := run.world.Next(); at <= now && run.world.Step(now); at = run.world.Next() {
-			run.maxLate = max(run.maxLate, run.now()-at)
+		for at := s.simulation.Next(); at <= now && s.simulation.Step(now); at = s.simulation.Next() {
+			s.maxLate = max(s.maxLate, s.now()-at)
 		}
-		if second := now / 1_000_000; second > reported && run.options.Progress != nil {
+		if second := now / 1_000_000; second > reported && s.options.Progress != nil {
 			reported = second
-			run.options.Progress(float64(now)/float64(end), run.world.Result.Timeline)
+			s.options.Progress(float64(now)/float64(end), s.simulation.Result.Timeline)
 		}
-		wait := max(min(run.world.Next()-run.now(), maxLoopWaitMicros), 0)
+		wait := max(min(s.simulation.Next()-s.now(), maxLoopWaitMicros), 0)
 		timer.Reset(time.Duration(wait) * time.Microsecond)
-		if err := run.waitForEvent(timer.C); err != nil {
+		if err := s.waitForEvent(timer.C); err != nil {
 			return err
 		}
 	}
@@ -292,64 +292,64 @@
 
 // waitForEvent waits for a task, the timer, the end of Drive, a failure or the end of the
 // run's context, and handles it.
-func (run *socketRun) waitForEvent(timer <-chan time.Time) error {
+func (s *socketRun) waitForEvent(timer <-chan time.Time) error {
 	select {
-	case task := <-run.tasks:
-		run.world.At(run.now())
+	case task := <-s.tasks:
+		s.simulation.At(s.now())
 		task()
 	case <-timer:
-	case err := <-run.failures:
+	case err := <-s.failures:
 		return err
-	case err := <-run.driverDone:
-		run.driverDone = nil
+	case err := <-s.driverDone:
+		s.driverDone = nil
 		if err != nil {
 			return err
 		}
-		if run.config.EndWithDrive {
-			run.world.At(run.now())
-			run.world.Close()
+		if s.config.EndWithDrive {
+			s.simulation.At(s.now())
+			s.simulation.Close()
 		}
-	case <-run.ctx.Done():
-		return run.ctx.Err()
+	case <-s.ctx.Done():
+		return s.ctx.Err()
 	}
 	return nil
 }
 
 // runInLoop hands the loop a task. Once the run is over the task is dropped.
-func (run *socketRun) runInLoop(task func()) {
+func (s *socketRun) runInLoop(task func()) {
 	select {
-	case run.tasks <- task:
-	case <-run.ctx.Done():
+	case s.tasks <- task:
+	case <-s.ctx.Done():
 	}
 }
 
 // AttemptEnded answers an attempt.
-func (run *socketRun) AttemptEnded(_ int, h *simulation.Attempt, e simulation.AttemptResult) {
+func (s *socketRun) AttemptEnded(_ int, h *simulation.Attempt, e simulation.AttemptResult) {
 	h.Tag.(*serverAttempt).finish(h, e)
 }
 
 // Note passes an entry of the event log on to the checker and the record. Where a server
 // starts or goes down, its listeners follow.
-func (run *socketRun) Note(e *eventlog.Entry) {
-	run.sitesCut.Store(run.world != nil && run.world.SitesCut())
+func (s *socketRun) Note(e *eventlog.Entry) {
+	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesCut())
 	switch e.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
-		for _, r := range run.routers {
+		for _, r := range s.routers {
 			if p := r.servers[e.Endpoint]; p != nil {
-				p.setState(e.Kind == eventlog.KindStarted, run.world.Silent(e.Endpoint))
+				p.setState(e.Kind == eventlog.KindStarted, s.simulation.Silent(e.Endpoint))
 			}
 		}
 	}
-	run.checker.Observe(e)
-	if run.options.Record != nil {
-		run.options.Record(e)
+	s.checker.Observe(e)
+	if s.options.Record != nil {
+		s.options.Record(e)
 	}
 }
 
 // fail ends the run with an error. Only the first error counts.
-func (run *socketRun) fail(err error) {
+func (s *socketRun) fail(err error) {
 	select {
-	case run.failures <- err:
+	case s.failures <- err:
 	default:
 	}
 }
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -15,7 +15,7 @@
 	"quilldoor/internal/simulation"
 )
 
-// Outcomes of a request, as the world and the event log name them. Clients on sockets may
+// Outcomes of a request, as the simulation and the event log name them. Clients on sockets may
 // also get none: their connection ended without an answer.
 const (
 	outcomeCompleted = "completed"
@@ -48,49 +48,49 @@
 }
 
 // Request sends a client's request.
-func (run *socketRun) Request(ask *simulation.Request) {
-	r := run.routers[ask.Router]
-	ctx, cancel := context.WithCancel(run.ctx)
+func (s *socketRun) Request(ask *simulation.Request) {
+	r := s.routers[ask.Router]
+	ctx, cancel := context.WithCancel(s.ctx)
 	request := &clientRequest{Request: ask, cancel: cancel}
 	r.requests[ask.ID] = request
 	addr := r.clientAddr
-	run.goroutines.Go(func() {
-		response := run.sendRequest(ctx, addr, ask)
-		run.runInLoop(func() {
+	s.goroutines.Go(func() {
+		response := s.sendRequest(ctx, addr, ask)
+		s.runInLoop(func() {
 			cancel()
-			run.finishRequest(r, request, response)
+			s.finishRequest(r, request, response)
 		})
 	})
 }
 
-// finishRequest tells the world what a client got, unless the client has left by now.
-func (run *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
+// finishRequest tells the simulation what a client got, unless the client has left by now.
+func (s *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
 	ask := request.Request
 	if response.mismatch != "" {
-		run.Note(&eventlog.Entry{
-			Kind: eventlog.KindWrong, At: run.world.Now(), Router: ask.Router, Request: ask.ID, State: response.mismatch,
+		s.Note(&eventlog.Entry{
+			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: ask.Router, Request: ask.ID, State: response.mismatch,
 		})
 	}
-	run.forgetForwarded(ask.ID)
+	s.forgetForwarded(ask.ID)
 	if r.requests[ask.ID] != request {
 		return
 	}
 	switch response.outcome {
 	case outcomeNone:
-		run.brokenConns++
+		s.brokenConns++
 	case outcomeRefused:
-		run.refusedConns++
+		s.refusedConns++
 		delete(r.requests, ask.ID)
-		run.world.Refused(ask.Router, ask.ID)
+		s.simulation.Refused(ask.Router, ask.ID)
 	default:
 		delete(r.requests, ask.ID)
-		run.world.Answered(ask.Router, ask.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
+		s.simulation.Answered(ask.Router, ask.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
 // forgetForwarded forgets a request at the routers that it was forwarded to.
-func (run *socketRun) forgetForwarded(requestID string) {
-	for _, r := range run.routers {
+func (s *socketRun) forgetForwarded(requestID string) {
+	for _, r := range s.routers {
 		if request := r.requests[requestID]; request != nil && request.forwarded {
 			delete(r.requests, requestID)
 		}
@@ -110,7 +110,7 @@
 		forwarded := &clientRequest{Request: &ask, cancel: func() {}, forwarded: true}
 		r.requests[requestID] = forwarded
 		r.Note(&eventlog.Entry{
-			Kind: eventlog.KindForwarded, At: r.world.Now(), Router: r.id, Request: requestID, Attempt: home.id,
+			Kind: eventlog.KindForwarded, At: r.simulation.Now(), Router: r.id, Request: requestID, Attempt: home.id,
 		})
 		return forwarded
 	}
@@ -118,12 +118,12 @@
 }
 
 // sendRequest sends a request over HTTP and reads the answer.
-func (run *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Request) clientResponse {
-	request, err := run.newRequest(ctx, addr, ask)
+func (s *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Request) clientResponse {
+	request, err := s.newRequest(ctx, addr, ask)
 	if err != nil {
 		return clientResponse{outcome: outcomeNone}
 	}
-	response, err := run.client.Do(request)
+	response, err := s.client.Do(request)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return clientResponse{outcome: outcomeRefused}
 	}
@@ -146,12 +146,12 @@
 }
 
 // newRequest is a client's request in the platform's form.
-func (run *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Request) (*http.Request, error) {
+func (s *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Request) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
 	if ask.Write {
 		method, body = http.MethodPut, []byte(writePrefix+ask.ID)
 	}
-	url := "http://" + addr + "/rpc/" + run.world.ClassOf(ask.Class).Name + "/" + ask.Object
+	url := "http://" + addr + "/rpc/" + s.simulation.ClassOf(ask.Class).Name + "/" + ask.Object
 	if ask.Class == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(ask.Part, 10)
 	}
@@ -205,10 +205,10 @@
 }
 
 // Leave ends a client's wait: it closes its connection.
-func (run *socketRun) Leave(router int, requestID string) {
-	if request := run.routers[router].requests[requestID]; request != nil {
-		delete(run.routers[router].requests, requestID)
-		run.forgetForwarded(requestID)
+func (s *socketRun) Leave(router int, requestID string) {
+	if request := s.routers[router].requests[requestID]; request != nil {
+		delete(s.routers[router].requests, requestID)
+		s.forgetForwarded(requestID)
 		request.cancel()
 	}
 }
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -26,39 +26,39 @@
 type Supervised struct{ *socketRun }
 
 // Count is the number of routers.
-func (k *Supervised) Count() int { return len(k.routers) }
+func (s *Supervised) Count() int { return len(s.routers) }
 
 // SupervisorDir is the folder of a router's supervisor.
-func (k *Supervised) SupervisorDir(i int) string {
-	return filepath.Join(k.dir, fmt.Sprintf("k%d", i+1))
+func (s *Supervised) SupervisorDir(i int) string {
+	return filepath.Join(s.dir, fmt.Sprintf("k%d", i+1))
 }
 
 // Operator is the file of a router's operator configuration.
-func (k *Supervised) Operator(i int) string { return filepath.Join(k.dir, routerName(i)+".yaml") }
+func (s *Supervised) Operator(i int) string { return filepath.Join(s.dir, routerName(i)+".yaml") }
 
 // Log is the file that a supervised router's processes log to.
-func (k *Supervised) Log(i int) string { return filepath.Join(k.dir, routerName(i)+".log") }
+func (s *Supervised) Log(i int) string { return filepath.Join(s.dir, routerName(i)+".log") }
 
 // View asks a router for its membership view.
-func (k *Supervised) View(i int) (*membership.View, error) {
-	return transport.Query([]byte(membershipKey), routerName(i), k.routers[i].membershipAddr)
+func (s *Supervised) View(i int) (*membership.View, error) {
+	return transport.Query([]byte(membershipKey), routerName(i), s.routers[i].membershipAddr)
 }
 
 // Config is the file of the platform's configuration of a router.
-func (k *Supervised) Config(i int) string { return k.routers[i].configPath() }
+func (s *Supervised) Config(i int) string { return s.routers[i].configPath() }
 
 // Plan is the file where the routers look for a rollout plan. The run doesn't create it.
-func (k *Supervised) Plan() string { return filepath.Join(k.dir, "plan.yaml") }
+func (s *Supervised) Plan() string { return filepath.Join(s.dir, "plan.yaml") }
 
 // Name is a router's member name and its office.
-func (k *Supervised) Name(i int) (name, office string) {
-	return routerName(i), scenario.Zone(k.world.Office(i))
+func (s *Supervised) Name(i int) (name, office string) {
+	return routerName(i), scenario.Zone(s.simulation.Office(i))
 }
 
 // Rollout gives a router a command on the rollout and returns the rollout's status. 0: only
 // the status.
-func (k *Supervised) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
-	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: command})
+func (s *Supervised) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
+	reply, err := s.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
 		return nil, err
 	}
@@ -69,16 +69,16 @@
 }
 
 // Listen is the address where clients reach a router.
-func (k *Supervised) Listen(i int) string { return k.routers[i].clientAddr }
+func (s *Supervised) Listen(i int) string { return s.routers[i].clientAddr }
 
 // Ask sends a message to a router's supervisor and returns its last reply.
-func (k *Supervised) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
-	return handoff.Request(filepath.Join(k.SupervisorDir(i), upgradeagent.SocketName), message, nil)
+func (s *Supervised) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
+	return handoff.Request(filepath.Join(s.SupervisorDir(i), upgradeagent.SocketName), message, nil)
 }
 
 // Status is the status of a router's supervisor.
-func (k *Supervised) Status(i int) (*handoff.Status, error) {
-	reply, err := k.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
+func (s *Supervised) Status(i int) (*handoff.Status, error) {
+	reply, err := s.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
 		return nil, err
 	}
@@ -89,16 +89,16 @@
 }
 
 // WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
-func (k *Supervised) WaitStatus(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
+func (s *Supervised) WaitStatus(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
 	var last *handoff.Status
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(interval) {
-		if k.ctx.Err() != nil {
-			return last, k.ctx.Err()
+		if s.ctx.Err() != nil {
+			return last, s.ctx.Err()
 		}
 		var status *handoff.Status
-		if status, err = k.Status(i); err == nil {
+		if status, err = s.Status(i); err == nil {
 			if last = status; reached(status) {
 				return status, nil
 			}
@@ -116,37 +116,37 @@
 
 // Signal sends a signal to a process of a router and notes it in the event log: a killed
 // process owes no answers, and what fell due while one was stopped is counted apart.
-func (k *Supervised) Signal(i, pid int, s syscall.Signal) error {
-	err := k.callInLoop(func() error {
-		if kind := signalKinds[s]; kind != "" {
-			k.Note(&eventlog.Entry{Kind: kind, At: k.world.Now(), Router: i})
+func (s *Supervised) Signal(i, pid int, signal syscall.Signal) error {
+	err := s.callInLoop(func() error {
+		if kind := signalKinds[signal]; kind != "" {
+			s.Note(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: i})
 		}
-		return syscall.Kill(pid, s)
+		return syscall.Kill(pid, signal)
 	})
-	if err == nil && s == syscall.SIGKILL {
-		k.waitGone(i, pid)
+	if err == nil && signal == syscall.SIGKILL {
+		s.waitGone(i, pid)
 	}
 	return err
 }
 
 // callInLoop calls a function in the run's loop and returns its error, or the context's if
 // the run is over.
-func (k *Supervised) callInLoop(call func() error) error {
+func (s *Supervised) callInLoop(call func() error) error {
 	done := make(chan error, 1)
-	k.runInLoop(func() { done <- call() })
+	s.runInLoop(func() { done <- call() })
 	select {
 	case err := <-done:
 		return err
-	case <-k.ctx.Done():
-		return k.ctx.Err()
+	case <-s.ctx.Done():
+		return s.ctx.Err()
 	}
 }
 
 // waitGone waits until a killed process has ended, and notes the crash again. On a busy
 // machine that takes milliseconds, in which the system still accepts connections for it:
 // it owes no answers on these either.
-func (k *Supervised) waitGone(i, pid int) {
-	for k.ctx.Err() == nil {
+func (s *Supervised) waitGone(i, pid int) {
+	for s.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, ok := strings.Cut(string(stat), ") ")
 		// The first thread may have ended while others still hold the sockets open.
@@ -156,26 +156,26 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	k.ExcuseCrash(i)
+	s.ExcuseCrash(i)
 }
 
 // ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
 // it owes no answers.
-func (k *Supervised) ExcuseCrash(i int) {
-	k.runInLoop(func() { k.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: k.world.Now(), Router: i}) })
+func (s *Supervised) ExcuseCrash(i int) {
+	s.runInLoop(func() { s.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: i}) })
 }
 
 // KillSupervisor kills a router's supervisor alone. Its generations run on.
-func (k *Supervised) KillSupervisor(i int) error {
-	r := k.routers[i]
+func (s *Supervised) KillSupervisor(i int) error {
+	r := s.routers[i]
 	var exited <-chan struct{}
-	err := k.callInLoop(func() error {
+	err := s.callInLoop(func() error {
 		r.killed = true
 		r.orphanGroups = append(r.orphanGroups, r.cmd.Process.Pid)
 		exited = r.exited
 		return r.cmd.Process.Kill()
 	})
-	if k.ctx.Err() != nil {
+	if s.ctx.Err() != nil {
 		return err
 	}
 	<-exited
@@ -183,15 +183,15 @@
 }
 
 // StartSupervisor starts a router's supervisor again, on the same machine.
-func (k *Supervised) StartSupervisor(i int) error {
-	return k.callInLoop(k.routers[i].launch)
+func (s *Supervised) StartSupervisor(i int) error {
+	return s.callInLoop(s.routers[i].launch)
 }
 
 // Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
-func (k *Supervised) Restart(i int) error {
-	r := k.routers[i]
-	err := k.callInLoop(func() error {
+func (s *Supervised) Restart(i int) error {
+	r := s.routers[i]
+	err := s.callInLoop(func() error {
 		r.killed = true
 		return r.cmd.Process.Signal(syscall.SIGTERM)
 	})
@@ -199,9 +199,9 @@
 		return err
 	}
 	<-r.exited
-	return k.callInLoop(func() error {
-		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: k.world.Now(), Router: i})
-		k.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: k.world.Now(), Router: i})
-		return r.start(k.world.Known())
+	return s.callInLoop(func() error {
+		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
+		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
+		return r.start(s.simulation.Known())
 	})
 }
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -14,7 +14,7 @@
 	// virtualAnswerSlackMicros is how much later than its deadline an answer may come on the
 	// virtual clock.
 	virtualAnswerSlackMicros = 8_000
-	// tickMicros is how often Options.Each is called.
+	// tickMicros is how often Options.OnTick is called.
 	tickMicros = 100_000
 	// progressSteps is after how many steps the context and the progress are looked at.
 	progressSteps = 1024
@@ -26,7 +26,7 @@
 type virtualRun struct {
 	options       Options
 	scenario      *scenario.Scenario
-	world         *simulation.Simulation
+	simulation    *simulation.Simulation
 	checker       *checker.Checker
 	routers       []*virtualRouter
 	timers        timerHeap
@@ -60,43 +60,43 @@
 		checker:    checker.New(CheckerSettings(s, virtualAnswerSlackMicros)),
 		seenPurges: map[int][]simulation.DiscoveryEvent{},
 	}
-	v.world = simulation.New(s, opt.Seed, v)
-	for i := range v.world.Routers() {
+	v.simulation = simulation.New(s, opt.Seed, v)
+	for i := range v.simulation.Routers() {
 		r := &virtualRouter{id: i, nextTimer: never, heapIndex: -1}
 		v.routers = append(v.routers, r)
-		v.startRouter(r, v.world.Known())
+		v.startRouter(r, v.simulation.Known())
 	}
 	v.settle()
 	v.startMembership()
 	return v
 }
 
-// scheduleTick calls Options.Each after each tick.
+// scheduleTick calls Options.OnTick after each tick.
 func (v *virtualRun) scheduleTick() {
-	v.world.After(tickMicros, func() {
-		v.options.OnTick(v.world.Now())
+	v.simulation.After(tickMicros, func() {
+		v.options.OnTick(v.simulation.Now())
 		v.scheduleTick()
 	})
 }
 
-// play carries out one event after another until the world is over.
+// play carries out one event after another until the simulation is over.
 func (v *virtualRun) play(ctx context.Context) error {
-	end, reported := v.world.Length(), int64(0)
-	for steps := 0; !v.world.Over(); steps++ {
+	end, reported := v.simulation.Length(), int64(0)
+	for steps := 0; !v.simulation.Over(); steps++ {
 		source, now := v.nextEvent()
 		if now > end {
 			return nil
 		}
 		switch source {
 		case sourceMembership:
-			v.world.At(now)
+			v.simulation.At(now)
 			v.fleet.RunUntil(now)
 			continue
 		case sourceTimer:
-			v.world.At(now)
+			v.simulation.At(now)
 			v.runTimers(v.timers[0])
-		case sourceWorld:
-			v.world.Step(now)
+		case sourceSimulation:
+			v.simulation.Step(now)
 		}
 		v.settle()
 		if steps%progressSteps != 0 {
@@ -107,7 +107,7 @@
 		}
 		if second := now / 1_000_000; second > reported && v.options.Progress != nil {
 			reported = second
-			v.options.Progress(float64(now)/float64(end), v.world.Result.Timeline)
+			v.options.Progress(float64(now)/float64(end), v.simulation.Result.Timeline)
 		}
 	}
 	return nil
@@ -117,15 +117,15 @@
 type eventSource int
 
 const (
-	sourceWorld eventSource = iota
+	sourceSimulation eventSource = iota
 	sourceTimer
 	sourceMembership
 )
 
 // nextEvent is the next event's source and time. Of events at the same time, those of the
-// membership come first, then those of the world, then the routers' timers.
+// membership come first, then those of the simulation, then the routers' timers.
 func (v *virtualRun) nextEvent() (eventSource, int64) {
-	now := v.world.Next()
+	now := v.simulation.Next()
 	if v.fleet != nil {
 		if at := v.fleet.NextEvent(); at <= now && (len(v.timers) == 0 || at <= v.timers[0].nextTimer) {
 			return sourceMembership, at
@@ -134,12 +134,12 @@
 	if len(v.timers) > 0 && v.timers[0].nextTimer < now {
 		return sourceTimer, v.timers[0].nextTimer
 	}
-	return sourceWorld, now
+	return sourceSimulation, now
 }
 
 func (v *virtualRun) result() *Result {
 	r := &Result{
-		Result:      v.world.Result,
+		Result:      v.simulation.Result,
 		Violations:  v.checker.Violations,
 		CountByRule: v.checker.CountByRule,
 		Judged:      v.checker.Checked,
@@ -152,7 +152,7 @@
 }
 
 // now is the routers' time in microseconds.
-func (v *virtualRun) now() int64 { return v.world.Now() + epochMicros }
+func (v *virtualRun) now() int64 { return v.simulation.Now() + epochMicros }
 
 // settle carries out what the routers have decided, until nothing is left. Lists may grow
 // while they are walked.
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -31,8 +31,8 @@
 	r := request.router
 	ask := request.ask
 	now := v.now()
-	class := v.world.ClassOf(ask.Class)
-	remaining := ask.Deadline() - v.world.Now()
+	class := v.simulation.ClassOf(ask.Class)
+	remaining := ask.Deadline() - v.simulation.Now()
 	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
 		RequestID: ask.ID, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
 	})
@@ -43,7 +43,7 @@
 	v.detach(request)
 	r.forwarded[ask.ID] = request
 	request.finished = true
-	v.world.Result.Forwarded++
+	v.simulation.Result.Forwarded++
 	far := v.routerByName(peer.Name)
 	budget := r.gateway.Budget(now, ask.ID) // the other site counts it from when the request arrives
 	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
@@ -77,7 +77,7 @@
 	forwardedAsk := *ask
 	forwardedAsk.Router = far.id
 	v.Note(&eventlog.Entry{
-		Kind: eventlog.KindForwarded, At: v.world.Now(), Router: far.id, Request: ask.ID, Attempt: home.id,
+		Kind: eventlog.KindForwarded, At: v.simulation.Now(), Router: far.id, Request: ask.ID, Attempt: home.id,
 	})
 	request := &virtualRequest{router: far, engine: far.engine, ask: &forwardedAsk, forwardedBy: home}
 	if err := v.open(request, remaining); err != nil {
@@ -113,13 +113,13 @@
 	far, home *virtualRouter, request *virtualRequest, answer peerpolicy.PeerAnswer, sizeKB float64,
 ) {
 	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * 1e6)
-	v.world.After(transferMicros, func() {
+	v.simulation.After(transferMicros, func() {
 		v.acrossSites(func() {
 			if home.gateway == nil {
 				return
 			}
 			home.recordIssued(request.ask.ID, answer.IssuedMillis)
-			// On the virtual clock the times of issue and of purges are the world's microseconds.
+			// On the virtual clock the times of issue and of purges are the simulation's microseconds.
 			answer.LatestPurgeMillis = v.latestPurge(home, request.ask)
 			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ask.ID, answer)
 			v.runGatewayActions(home)
@@ -171,9 +171,9 @@
 	}
 	delete(r.forwarded, requestID)
 	if outcome == outcomeCompleted {
-		v.world.Result.ForwardedCompleted++
+		v.simulation.Result.ForwardedCompleted++
 	}
-	v.world.Answered(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
+	v.simulation.Answered(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
 }
 
 // withdrawAtPeer tells a peer that a forwarded request is no longer waited for.
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -18,12 +18,12 @@
 	if !v.scenario.Fleet.Membership {
 		return
 	}
-	count := v.world.Routers()
-	v.fleet = simfleet.New(count, v.options.Seed, v.world.Network, func(host *simfleet.Host, now int64) simfleet.Detector {
+	count := v.simulation.Routers()
+	v.fleet = simfleet.New(count, v.options.Seed, v.simulation.Network, func(host *simfleet.Host, now int64) simfleet.Detector {
 		router := v.routers[host.ID]
 		random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
 		return membership.New(membership.Settings{
-			Name: host.Name, Zone: scenario.Zone(v.world.Office(host.ID)), Addr: simfleet.Addr(host.ID),
+			Name: host.Name, Zone: scenario.Zone(v.simulation.Office(host.ID)), Addr: simfleet.Addr(host.ID),
 			Seeds: simfleet.Seeds(count), Epoch: 1,
 		}, random, now)
 	})
@@ -36,7 +36,7 @@
 
 // scheduleComparison compares the routers' views after each interval.
 func (v *virtualRun) scheduleComparison() {
-	v.world.After(viewIntervalMicros, func() {
+	v.simulation.After(viewIntervalMicros, func() {
 		v.compareViews()
 		v.scheduleComparison()
 	})
@@ -47,7 +47,7 @@
 	views := map[string]*membership.View{}
 	var up []string
 	for _, host := range v.fleet.Hosts {
-		v.membership.recordReachable(v.world.Now(), host.Name, reachable(v.world, host.ID))
+		v.membership.recordReachable(v.simulation.Now(), host.Name, reachable(v.simulation, host.ID))
 		if host.Detector == nil {
 			continue
 		}
@@ -56,7 +56,7 @@
 			views[host.Name] = host.Detector.(*membership.Node).View()
 		}
 	}
-	v.membership.observe(v.world.Now(), v.world.LastFaultChange(), up, views)
+	v.membership.observe(v.simulation.Now(), v.simulation.LastFaultChange(), up, views)
 }
 
 // membersForConfirmation is how many members a router must know of until reports of
@@ -71,37 +71,37 @@
 type payloadHandler struct{ *virtualRun }
 
 // Digest is the digest of a router's replica.
-func (m payloadHandler) Digest(host *simfleet.Host) uint32 {
-	return m.routers[host.ID].replica.Digest()
+func (p payloadHandler) Digest(host *simfleet.Host) uint32 {
+	return p.routers[host.ID].replica.Digest()
 }
 
 // HandlePayload applies a payload to a router and returns the replies.
-func (m payloadHandler) HandlePayload(host *simfleet.Host, payload membership.Payload) [][]byte {
-	router := m.routers[host.ID]
+func (p payloadHandler) HandlePayload(host *simfleet.Host, payload membership.Payload) [][]byte {
+	router := p.routers[host.ID]
 	result := router.replica.HandlePayload(
-		m.now(), m.now(), payload.From, payload.Digest, payload.Body, transport.MaxPayloadBytes,
+		p.now(), p.now(), payload.From, payload.Digest, payload.Body, transport.MaxPayloadBytes,
 	)
-	m.applyEndpoints(router, result.Endpoints)
+	p.applyEndpoints(router, result.Endpoints)
 	for _, purge := range result.Purges {
-		router.engine.Purge(m.now(), purge.Object, purge.Group, purge.At)
+		router.engine.Purge(p.now(), purge.Object, purge.Group, purge.At)
 	}
-	m.settle()
+	p.settle()
 	return result.Replies
 }
 
-func (m payloadHandler) applyEndpoints(r *virtualRouter, list []gossip.Endpoint) {
+func (p payloadHandler) applyEndpoints(r *virtualRouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.engine.UpdateEndpoints(m.now(), policy.ScopeDiff, engineEndpoints(list))
+		r.engine.UpdateEndpoints(p.now(), policy.ScopeDiff, engineEndpoints(list))
 	}
 }
 
 // Tick runs the timers of a router's replica.
-func (m payloadHandler) Tick(host *simfleet.Host) {
-	router := m.routers[host.ID]
+func (p payloadHandler) Tick(host *simfleet.Host) {
+	router := p.routers[host.ID]
 	node := host.Detector.(*membership.Node)
 	router.replica.SetSingleConfirmation(node.Connectivity().Known < membersForConfirmation)
-	m.applyEndpoints(router, router.replica.Tick(m.now(), m.now()))
-	m.settle()
+	p.applyEndpoints(router, router.replica.Tick(p.now(), p.now()))
+	p.settle()
 }
 
 // mergeEndpoints is an update by the discovery service, merged with what other routers know
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -36,7 +36,7 @@
 		case engine.CommandSend:
 			v.startAttempt(request, command.Attempt)
 		case engine.CommandDrop:
-			v.world.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
+			v.simulation.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
 		case engine.CommandRespond:
 			issued := command.Response.(virtualResponse).issued
 			if v.options.observer != nil && command.Attempt != nil && !request.finished {
@@ -51,14 +51,14 @@
 	}
 }
 
-// startAttempt hands an attempt to the world.
+// startAttempt hands an attempt to the simulation.
 func (v *virtualRun) startAttempt(request *virtualRequest, attempt *engine.Attempt) {
 	if request.finished || !attempt.Begin() {
 		return
 	}
 	ask := request.ask
 	if v.options.observer != nil {
-		v.options.observer.attemptSent(request.router.id, v.world.ClassOf(ask.Class).Name, attempt)
+		v.options.observer.attemptSent(request.router.id, v.simulation.ClassOf(ask.Class).Name, attempt)
 	}
 	hop := &simulation.Attempt{
 		Router: request.router.id, RequestID: ask.ID, Number: attempt.Number, Server: attempt.Endpoint.ID,
@@ -69,7 +69,7 @@
 	if hop.Source == "" && attempt.Endpoint.Kind == originKind {
 		hop.Source = attempt.Endpoint.ID
 	}
-	v.world.SendAttempt(hop)
+	v.simulation.SendAttempt(hop)
 }
 
 // finish takes the engine's final command. It is the client's answer, unless another site
@@ -100,7 +100,7 @@
 		times = v.options.AnswerCount(request.ask.ID, 1)
 	}
 	for range times {
-		v.world.Answered(request.router.id, request.ask.ID, outcome, issued, retryAfter)
+		v.simulation.Answered(request.router.id, request.ask.ID, outcome, issued, retryAfter)
 	}
 	v.detach(request)
 }
@@ -110,7 +110,7 @@
 	delete(request.router.requests, request.ask.ID)
 	for _, command := range request.request.Detach() {
 		if command.Kind == engine.CommandDrop {
-			v.world.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
+			v.simulation.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
 		}
 	}
 }
@@ -129,12 +129,12 @@
 	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - r.stoppedAt
 	}
-	if remaining <= 0 || v.options.RejectRequest != nil && v.options.RejectRequest(r.id, v.world.ClassOf(ask.Class).Name) {
-		v.world.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
+	if remaining <= 0 || v.options.RejectRequest != nil && v.options.RejectRequest(r.id, v.simulation.ClassOf(ask.Class).Name) {
+		v.simulation.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
-		v.world.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
+		v.simulation.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
 		request.finished = true
 		request.queued = true
 	}
@@ -145,7 +145,7 @@
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
 	ask := request.ask
 	opened, err := request.engine.Open(v.now(), policy.Event{
-		Request: ask.ID, Class: v.world.ClassOf(ask.Class).Name, Object: ask.Object, Group: ask.Group,
+		Request: ask.ID, Class: v.simulation.ClassOf(ask.Class).Name, Object: ask.Object, Group: ask.Group,
 		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Retry, Write: ask.Write,
 	}, func() {
 		if !request.queued && !request.finished {
@@ -201,7 +201,7 @@
 	attempt := hop.Tag.(*engine.Attempt)
 	if v.options.Slowdown != nil {
 		if delay := int64(v.options.Slowdown(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
-			v.world.After(delay, func() {
+			v.simulation.After(delay, func() {
 				if r.engine == current {
 					current.AttemptEnded(v.now(), attempt, result)
 				}
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -72,7 +72,7 @@
 }
 
 const (
-	// rolloutSeed sets the rollout's random draws apart from those of the world.
+	// rolloutSeed sets the rollout's random draws apart from those of the simulation.
 	rolloutSeed = 41
 	// minLatencyMicros bounds latencies from below, as their logarithms are summed.
 	minLatencyMicros = 1000
@@ -186,7 +186,7 @@
 // noteHarm notes when the new program first did harm.
 func (r *rolloutRun) noteHarm() {
 	if r.outcome.HarmedS == 0 {
-		r.outcome.HarmedS = float64(r.world.Now()) / microsPerSecond
+		r.outcome.HarmedS = float64(r.simulation.Now()) / microsPerSecond
 	}
 }
 
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -47,7 +47,7 @@
 
 // startRouter gives a router a new engine with the endpoint list as it is.
 func (v *virtualRun) startRouter(r *virtualRouter, known []simulation.Server) {
-	setup := v.scenario.Settings(v.world.Office(r.id), r.id)
+	setup := v.scenario.Settings(v.simulation.Office(r.id), r.id)
 	if v.options.Settings != nil {
 		v.options.Settings(&setup)
 	}
@@ -78,7 +78,7 @@
 	v.runTimers(r)
 }
 
-// routerEndpoints is the world's servers as routers get them, in the routers' time.
+// routerEndpoints is the simulated servers as routers get them, in the routers' time.
 func routerEndpoints(list []simulation.Server) (out []engine.Endpoint) {
 	for _, server := range list {
 		endpoint := server.Endpoint
@@ -100,7 +100,7 @@
 	next, commands := r.engine.Run(v.now())
 	for _, command := range commands {
 		if command.Kind == engine.CommandDrop {
-			v.world.Cancel(r.id, command.Attempt.Request.ID, command.Attempt.Number)
+			v.simulation.Cancel(r.id, command.Attempt.Request.ID, command.Attempt.Number)
 		}
 	}
 	r.nextTimer = next - epochMicros
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -29,7 +29,9 @@
 // routerName is a router's name among members and gateways.
 func routerName(router int) string { return fmt.Sprint("n", router) }
 
-func (v *virtualRun) siteOf(r *virtualRouter) int { return v.scenario.Fleet.Site(v.world.Office(r.id)) }
+func (v *virtualRun) siteOf(r *virtualRouter) int {
+	return v.scenario.Fleet.Site(v.simulation.Office(r.id))
+}
 
 // joinSites gives a starting router its gateway, where there are several sites.
 func (v *virtualRun) joinSites(r *virtualRouter) {
@@ -38,8 +40,8 @@
 		return
 	}
 	peers := map[string]string{}
-	for i := range v.world.Routers() {
-		if s := v.scenario.Fleet.Site(v.world.Office(i)); s != site {
+	for i := range v.simulation.Routers() {
+		if s := v.scenario.Fleet.Site(v.simulation.Office(i)); s != site {
 			peers[routerName(i)] = fmt.Sprint(s)
 		}
 	}
@@ -55,7 +57,7 @@
 // scheduleGatewayTick runs a gateway's timers after a delay, in microseconds. The engine tells
 // whether the router has been restarted by then.
 func (v *virtualRun) scheduleGatewayTick(delay int64, r *virtualRouter, current *engine.Engine, tick int) {
-	v.world.After(delay, func() {
+	v.simulation.After(delay, func() {
 		if r.engine != current {
 			return
 		}
@@ -111,11 +113,11 @@
 // acrossSites runs a task at the other site after the latency between sites, unless they are
 // cut when the message leaves or arrives.
 func (v *virtualRun) acrossSites(task func()) {
-	if v.world.SitesCut() {
+	if v.simulation.SitesCut() {
 		return
 	}
-	v.world.After(int64(v.scenario.Fleet.SiteMS*1000), func() {
-		if !v.world.SitesCut() {
+	v.simulation.After(int64(v.scenario.Fleet.SiteMS*1000), func() {
+		if !v.simulation.SitesCut() {
 			task()
 		}
 	})
--- a/internal/simulation/answer_faults.go
+++ b/internal/simulation/answer_faults.go
@@ -15,11 +15,11 @@
 }
 
 // startAnswerFault lets a fault change a share of the answers until it ends.
-func (w *Simulation) startAnswerFault(fault *scenario.Fault) (endFault func()) {
+func (s *Simulation) startAnswerFault(fault *scenario.Fault) (endFault func()) {
 	started := &answerFault{fault.Kind, fault.Office, fault.Share}
-	w.answerFaults = append(w.answerFaults, started)
+	s.answerFaults = append(s.answerFaults, started)
 	return func() {
-		w.answerFaults = slices.DeleteFunc(w.answerFaults, func(other *answerFault) bool { return other == started })
+		s.answerFaults = slices.DeleteFunc(s.answerFaults, func(other *answerFault) bool { return other == started })
 	}
 }
 
@@ -32,13 +32,13 @@
 }
 
 // applyAnswerFaults draws which fault, if any, changes a server's answer. An answer of policy.OutcomeUnknown is lost.
-func (w *Simulation) applyAnswerFaults(server *server, end AttemptResult) AttemptResult {
-	errorShare := w.scenario.Fleet.ErrorShare
-	if server.kind == kindCache && errorShare > 0 && w.random.Float64() < errorShare {
+func (s *Simulation) applyAnswerFaults(server *server, end AttemptResult) AttemptResult {
+	errorShare := s.scenario.Fleet.ErrorShare
+	if server.kind == kindCache && errorShare > 0 && s.random.Float64() < errorShare {
 		return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
 	}
-	for _, fault := range w.answerFaults {
-		if !fault.hits(server) || w.random.Float64() >= fault.share {
+	for _, fault := range s.answerFaults {
+		if !fault.hits(server) || s.random.Float64() >= fault.share {
 			continue
 		}
 		switch fault.kind {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -52,50 +52,50 @@
 	attempt   int
 }
 
-func (h *Attempt) key() attemptKey { return attemptKey{h.Router, h.RequestID, h.Number} }
+func (a *Attempt) key() attemptKey { return attemptKey{a.Router, a.RequestID, a.Number} }
 
 // entry is an event log entry about the attempt.
-func (h *Attempt) entry(kind eventlog.Kind) Entry {
-	return Entry{Kind: kind, Router: h.Router, Request: h.RequestID, Attempt: h.Number, Endpoint: h.Server}
+func (a *Attempt) entry(kind eventlog.Kind) Entry {
+	return Entry{Kind: kind, Router: a.Router, Request: a.RequestID, Attempt: a.Number, Endpoint: a.Server}
 }
 
 // SendAttempt accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
-func (w *Simulation) SendAttempt(attempt *Attempt) {
-	w.Result.Attempts++
-	attempt.target = w.servers[attempt.Server]
-	attempt.fillSource = w.servers[attempt.Source]
-	attempt.objectID = w.catalogue.id(attempt.Object)
+func (s *Simulation) SendAttempt(attempt *Attempt) {
+	s.Result.Attempts++
+	attempt.target = s.servers[attempt.Server]
+	attempt.fillSource = s.servers[attempt.Source]
+	attempt.objectID = s.catalogue.id(attempt.Object)
 	entry := attempt.entry(eventlog.KindSent)
 	entry.Source = attempt.Source
 	entry.Object = attempt.Object
 	entry.Group = attempt.Group
-	entry.Class = w.classes[attempt.Class].Name
-	w.record(entry)
+	entry.Class = s.classes[attempt.Class].Name
+	s.record(entry)
 	if attempt.target == nil {
 		return // an address without a host: nothing answers
 	}
-	attempt.latency = w.oneWayDelay(w.routers[attempt.Router].office, attempt.target)
-	w.attempts[attempt.key()] = attempt
-	w.schedule(attempt.latency, func() { w.attemptArrived(attempt) })
+	attempt.latency = s.oneWayDelay(s.routers[attempt.Router].office, attempt.target)
+	s.attempts[attempt.key()] = attempt
+	s.schedule(attempt.latency, func() { s.attemptArrived(attempt) })
 }
 
 // Cancel accepts that a router cancels an attempt. The server hears of it one network latency later.
-func (w *Simulation) Cancel(router int, requestID string, number int) {
+func (s *Simulation) Cancel(router int, requestID string, number int) {
 	key := attemptKey{router, requestID, number}
-	if attempt := w.attempts[key]; attempt != nil {
-		delete(w.attempts, key)
-		w.detachLater(attempt)
+	if attempt := s.attempts[key]; attempt != nil {
+		delete(s.attempts, key)
+		s.detachLater(attempt)
 	}
 }
 
 // detachLater removes an attempt from its server one network latency later.
-func (w *Simulation) detachLater(attempt *Attempt) {
-	w.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
+func (s *Simulation) detachLater(attempt *Attempt) {
+	s.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
 }
 
 // attemptArrived hands an attempt to its server. A server that is down refuses the connection, a silent one does
 // not even do that.
-func (w *Simulation) attemptArrived(attempt *Attempt) {
+func (s *Simulation) attemptArrived(attempt *Attempt) {
 	server := attempt.target
 	switch {
 	case attempt.state == attemptEnded:
@@ -106,10 +106,10 @@
 		server.finish(attempt, AttemptResult{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
-	w.record(attempt.entry(eventlog.KindArrived))
+	s.record(attempt.entry(eventlog.KindArrived))
 	attempt.index = len(server.attempts)
 	server.attempts = append(server.attempts, attempt)
-	if server.recordWork(w.flowTime(attempt.SizeKB)) {
+	if server.recordWork(s.flowTime(attempt.SizeKB)) {
 		server.collapse()
 		return
 	}
@@ -131,27 +131,27 @@
 	s.detach(attempt)
 	end.Load = s.visibleLoad
 	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
-		s.world.Result.AttemptOutcomes[end.Outcome.String()]++
-		end = s.world.applyAnswerFaults(s, end)
+		s.simulation.Result.AttemptOutcomes[end.Outcome.String()]++
+		end = s.simulation.applyAnswerFaults(s, end)
 		if end.Outcome == policy.OutcomeUnknown {
 			return // the answer is lost
 		}
 	}
-	s.world.schedule(attempt.latency, func() { s.world.deliver(attempt, end) })
+	s.simulation.schedule(attempt.latency, func() { s.simulation.deliver(attempt, end) })
 }
 
 // deliver brings an answer to the router, unless the router has cancelled the attempt.
-func (w *Simulation) deliver(attempt *Attempt, end AttemptResult) {
+func (s *Simulation) deliver(attempt *Attempt, end AttemptResult) {
 	key := attempt.key()
-	if w.attempts[key] != attempt {
+	if s.attempts[key] != attempt {
 		return
 	}
-	delete(w.attempts, key)
+	delete(s.attempts, key)
 	entry := attempt.entry(eventlog.KindEnded)
 	entry.Outcome = end.Outcome.String()
 	entry.Issued = end.Issued
-	w.record(entry)
-	w.driver.AttemptEnded(attempt.Router, attempt, end)
+	s.record(entry)
+	s.driver.AttemptEnded(attempt.Router, attempt, end)
 }
 
 // detach removes an attempt that was answered or cancelled from its server and stops the work for it.
@@ -202,19 +202,19 @@
 }
 
 // recordExecuted logs that the work of an attempt has begun: from here on it may have its effect.
-func (w *Simulation) recordExecuted(attempt *Attempt) {
+func (s *Simulation) recordExecuted(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindRan)
-	entry.Class = w.classes[attempt.Class].Name
-	w.record(entry)
+	entry.Class = s.classes[attempt.Class].Name
+	s.record(entry)
 }
 
 // maxAge is the age, in microseconds, up to which a copy satisfies an attempt.
-func (w *Simulation) maxAge(attempt *Attempt) int64 {
+func (s *Simulation) maxAge(attempt *Attempt) int64 {
 	if attempt.MaxAge != 0 {
 		return attempt.MaxAge
 	}
-	return w.classes[attempt.Class].FreshFor
+	return s.classes[attempt.Class].FreshFor
 }
 
 // flowTime is how long one client flow takes for a number of kilobytes, in microseconds.
-func (w *Simulation) flowTime(kb float64) float64 { return kb / w.scenario.Fleet.FlowKBPerS * second }
+func (s *Simulation) flowTime(kb float64) float64 { return kb / s.scenario.Fleet.FlowKBPerS * second }
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -20,23 +20,23 @@
 }
 
 // newCache adds a cache to an office. It is up, warm and listed as active.
-func (w *Simulation) newCache(office int, id string) *server {
-	fleet := &w.scenario.Fleet
-	s := &server{
-		world: w, id: id, kind: kindCache, up: true, listed: policy.EndpointActive, slowdown: 1,
+func (s *Simulation) newCache(office int, id string) *server {
+	fleet := &s.scenario.Fleet
+	cache := &server{
+		simulation: s, id: id, kind: kindCache, up: true, listed: policy.EndpointActive, slowdown: 1,
 		office: office, trunk: fleet.Trunk(office), weight: float64(fleet.Cores), fills: map[int64]*fill{},
 	}
 	// A core sends one flow, so work is counted in core-microseconds.
-	s.cpu = &sharedResource{world: w, totalRate: float64(fleet.Cores), maxJobRate: 1}
-	s.store = newCopyStore(fleet.CacheShare * w.catalogue.officeKB / float64(fleet.Caches))
-	w.servers[id] = s
-	w.schedule(w.jitter(fleet.ReportMS*millisecond), s.reportLoad)
-	return s
+	cache.cpu = &sharedResource{simulation: s, totalRate: float64(fleet.Cores), maxJobRate: 1}
+	cache.store = newCopyStore(fleet.CacheShare * s.catalogue.officeKB / float64(fleet.Caches))
+	s.servers[id] = cache
+	s.schedule(s.jitter(fleet.ReportMS*millisecond), cache.reportLoad)
+	return cache
 }
 
 // admit gives an attempt a slot of the cache or a place in its queue, or rejects it.
 func (s *server) admit(attempt *Attempt) {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	switch {
 	case s.busySlots < fleet.SlotsPerCore*fleet.Cores:
 		s.serve(attempt)
@@ -50,7 +50,7 @@
 
 // startQueued serves queued attempts, first come first served, while slots are free.
 func (s *server) startQueued() {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	for s.up && len(s.queue) > 0 && s.busySlots < fleet.SlotsPerCore*fleet.Cores {
 		attempt := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
@@ -60,20 +60,20 @@
 
 // serve takes a slot and answers an attempt from the cache, or by a fill.
 func (s *server) serve(attempt *Attempt) {
-	w := s.world
+	sim := s.simulation
 	attempt.state = attemptWorking
 	s.busySlots++
 	key := partKey(attempt.objectID, attempt.Part)
-	maxAge := w.maxAge(attempt)
+	maxAge := sim.maxAge(attempt)
 	s.reportServed++
 	cached := s.lookup(attempt, key)
-	if cached == nil || w.now-cached.issuedAt > maxAge {
+	if cached == nil || sim.now-cached.issuedAt > maxAge {
 		s.serveMiss(attempt, key)
 		return
 	}
 	s.reportHits++
 	reason := policy.ReasonHit
-	if w.now-cached.issuedAt > w.classes[attempt.Class].FreshFor {
+	if sim.now-cached.issuedAt > sim.classes[attempt.Class].FreshFor {
 		reason = policy.ReasonStale
 	}
 	s.sendCopy(attempt, reason, cached.issuedAt, 0)
@@ -81,7 +81,7 @@
 
 // serveMiss lets an attempt join a fill or begin one; it is answered at once where neither is possible.
 func (s *server) serveMiss(attempt *Attempt, key int64) {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	switch {
 	case attempt.fillSource == nil || attempt.fillSource == s:
 		s.finish(attempt, AttemptResult{Outcome: policy.OutcomeMiss, Reason: policy.ReasonNoFill})
@@ -97,9 +97,9 @@
 // lookup finds a copy. In a prewarmed fleet a popular object counts as cached at the first server of its office or
 // trunk that is asked for it, because the routers choose which server that is.
 func (s *server) lookup(attempt *Attempt, key int64) *cachedCopy {
-	w := s.world
+	sim := s.simulation
 	cached := s.store.get(key)
-	if cached != nil || attempt.objectID >= w.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
+	if cached != nil || attempt.objectID >= sim.catalogue.prewarmedBelow[s.kind] || s.incarnation > 0 || s.startedAt > 0 {
 		return cached
 	}
 	location := s.office
@@ -107,18 +107,18 @@
 		location = -1 - s.trunk
 	}
 	prewarm := prewarmKey{location, key}
-	if w.prewarmed[prewarm] || w.purgedAt(attempt.objectID, attempt.Group) > 0 {
+	if sim.prewarmed[prewarm] || sim.purgedAt(attempt.objectID, attempt.Group) > 0 {
 		return nil
 	}
-	w.prewarmed[prewarm] = true
+	sim.prewarmed[prewarm] = true
 	s.store.put(key, attempt.SizeKB, prewarmedIssuedAt, attempt.Group, defaultRank)
 	return s.store.get(key)
 }
 
 // sendCopy sends a copy to the router. It takes a core's time for as long as one flow takes.
 func (s *server) sendCopy(attempt *Attempt, reason policy.Reason, issuedAt, waited int64) {
-	work := s.world.flowTime(attempt.SizeKB)
-	s.world.recordExecuted(attempt)
+	work := s.simulation.flowTime(attempt.SizeKB)
+	s.simulation.recordExecuted(attempt)
 	attempt.job = s.cpu.add(work, func() {
 		attempt.job = nil
 		s.finish(attempt, AttemptResult{
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -31,77 +31,77 @@
 }
 
 // startClients begins each office's arrivals and the drift of the objects' popularity.
-func (w *Simulation) startClients() {
-	w.clients.interarrival = distuv.Exponential{Rate: 1, Src: w.random}
-	for office := range w.scenario.Fleet.Offices {
-		w.schedule(0, func() { w.clientArrival(office) })
+func (s *Simulation) startClients() {
+	s.clients.interarrival = distuv.Exponential{Rate: 1, Src: s.random}
+	for office := range s.scenario.Fleet.Offices {
+		s.schedule(0, func() { s.clientArrival(office) })
 	}
-	if w.scenario.Load.DriftS > 0 {
-		w.scheduleDrift()
+	if s.scenario.Load.DriftS > 0 {
+		s.scheduleDrift()
 	}
 }
 
 // scheduleDrift changes the objects' popularity at regular intervals.
-func (w *Simulation) scheduleDrift() {
-	w.schedule(int64(w.scenario.Load.DriftS*second), func() {
-		w.catalogue.drift(w.random)
-		w.scheduleDrift()
+func (s *Simulation) scheduleDrift() {
+	s.schedule(int64(s.scenario.Load.DriftS*second), func() {
+		s.catalogue.drift(s.random)
+		s.scheduleDrift()
 	})
 }
 
 // clientArrival schedules an office's next arrival, a Poisson process, and begins the request of this one.
-func (w *Simulation) clientArrival(office int) {
-	load := &w.scenario.Load
-	if w.now >= w.clientsUntil {
+func (s *Simulation) clientArrival(office int) {
+	load := &s.scenario.Load
+	if s.now >= s.clientsUntil {
 		return
 	}
-	offices := w.scenario.Fleet.Offices
-	rate := load.RequestsPerS / float64(offices) * w.loadFactor * load.Weight(office, offices)
+	offices := s.scenario.Fleet.Offices
+	rate := load.RequestsPerS / float64(offices) * s.loadFactor * load.Weight(office, offices)
 	page := 1 - load.VideoShare - load.WriteShare
 	video := load.VideoShare / meanPartsWatched
 	total := page + video + load.WriteShare
-	w.schedule(int64(w.clients.interarrival.Rand()*second/(rate*total))+1, func() { w.clientArrival(office) })
-	switch draw := w.random.Float64() * total; {
+	s.schedule(int64(s.clients.interarrival.Rand()*second/(rate*total))+1, func() { s.clientArrival(office) })
+	switch draw := s.random.Float64() * total; {
 	case draw < load.WriteShare:
-		object := w.catalogue.newOneTimeObject(scenario.ClassPage)
-		w.beginRequest(&client{office: office, class: scenario.ClassAccept, object: object})
+		object := s.catalogue.newOneTimeObject(scenario.ClassPage)
+		s.beginRequest(&client{office: office, class: scenario.ClassAccept, object: object})
 	case draw < load.WriteShare+page:
-		object := w.pickObject(scenario.ClassPage, office)
-		w.beginRequest(&client{office: office, class: scenario.ClassPage, object: object})
+		object := s.pickObject(scenario.ClassPage, office)
+		s.beginRequest(&client{office: office, class: scenario.ClassPage, object: object})
 	default:
-		w.watchVideo(&viewer{office: office, object: w.pickObject(scenario.ClassVideo, office)})
+		s.watchVideo(&viewer{office: office, object: s.pickObject(scenario.ClassVideo, office)})
 	}
 }
 
 // pickObject draws the object of a request: by popularity, or one that is wanted once while that fault is in force.
-func (w *Simulation) pickObject(class, office int) int64 {
-	if w.oneTimeShare > 0 && w.random.Float64() < w.oneTimeShare {
-		return w.catalogue.newOneTimeObject(class)
+func (s *Simulation) pickObject(class, office int) int64 {
+	if s.oneTimeShare > 0 && s.random.Float64() < s.oneTimeShare {
+		return s.catalogue.newOneTimeObject(class)
 	}
-	return w.catalogue.draw(class, office)
+	return s.catalogue.draw(class, office)
 }
 
 // watchVideo requests a video's next part, and schedules the one after it unless the viewer stops.
-func (w *Simulation) watchVideo(viewer *viewer) {
-	w.beginRequest(&client{
+func (s *Simulation) watchVideo(viewer *viewer) {
+	s.beginRequest(&client{
 		office: viewer.office, class: scenario.ClassVideo, object: viewer.object, part: viewer.part,
 	})
 	viewer.part++
-	more := w.now < w.clientsUntil && viewer.part < w.catalogue.parts(viewer.object)
-	if more && w.random.Float64() > stopProbability {
-		interval := int64(minPartInterval + w.random.Float64()*partIntervalSpread)
-		w.schedule(interval, func() { w.watchVideo(viewer) })
+	more := s.now < s.clientsUntil && viewer.part < s.catalogue.parts(viewer.object)
+	if more && s.random.Float64() > stopProbability {
+		interval := int64(minPartInterval + s.random.Float64()*partIntervalSpread)
+		s.schedule(interval, func() { s.watchVideo(viewer) })
 	}
 }
 
 // beginRequest starts a client's request with its first attempt.
-func (w *Simulation) beginRequest(client *client) {
-	load := &w.scenario.Load
-	client.startedAt = w.now
-	client.honoursRetryAfter = w.random.Float64() < load.HonourShare
-	client.timeLimit = int64(float64(w.classes[client.class].Timeout) * load.Patience)
-	client.phase = w.currentPhase()
-	w.Result.countRequest(w, client)
-	w.openRequests++
-	w.sendRequest(client)
+func (s *Simulation) beginRequest(client *client) {
+	load := &s.scenario.Load
+	client.startedAt = s.now
+	client.honoursRetryAfter = s.random.Float64() < load.HonourShare
+	client.timeLimit = int64(float64(s.classes[client.class].Timeout) * load.Patience)
+	client.phase = s.currentPhase()
+	s.Result.countRequest(s, client)
+	s.openRequests++
+	s.sendRequest(client)
 }
--- a/internal/simulation/events_test.go
+++ b/internal/simulation/events_test.go
@@ -7,13 +7,13 @@
 
 // Events of the same time run in the order in which they were scheduled.
 func TestEventsOfTheSameTimeRunInOrder(t *testing.T) {
-	w := newBareWorld()
+	sim := newBareSimulation()
 	var got []int
 	for i := range 100 {
-		w.schedule(int64(i%3)*5, func() { got = append(got, i) })
+		sim.schedule(int64(i%3)*5, func() { got = append(got, i) })
 	}
 	for more := true; more; {
-		more = w.Step(w.Next()) && len(w.events) > 0
+		more = sim.Step(sim.Next()) && len(sim.events) > 0
 	}
 	last := [3]int{-1, -1, -1}
 	for n, i := range got {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -50,18 +50,18 @@
 const wholeGroup = -1
 
 // scheduleFault schedules a fault's beginning and end.
-func (w *Simulation) scheduleFault(fault *scenario.Fault) {
+func (s *Simulation) scheduleFault(fault *scenario.Fault) {
 	duration := int64(fault.For * second)
-	w.schedule(int64(fault.At*second), func() {
-		w.activeFaults++
-		w.lastFaultChange = w.now
-		w.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: w.now + duration})
-		w.Result.Faults = append(w.Result.Faults, fmt.Sprintf("%.1f s: %s", float64(w.now)/second, fault.Kind))
-		endFault := w.startFault(fault)
-		w.schedule(duration, func() {
-			w.activeFaults--
-			w.lastFaultChange = w.now
-			w.record(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: fault.Kind})
+	s.schedule(int64(fault.At*second), func() {
+		s.activeFaults++
+		s.lastFaultChange = s.now
+		s.record(Entry{Kind: eventlog.KindFault, Outcome: "begins", State: fault.Kind, Until: s.now + duration})
+		s.Result.Faults = append(s.Result.Faults, fmt.Sprintf("%.1f s: %s", float64(s.now)/second, fault.Kind))
+		endFault := s.startFault(fault)
+		s.schedule(duration, func() {
+			s.activeFaults--
+			s.lastFaultChange = s.now
+			s.record(Entry{Kind: eventlog.KindFault, Outcome: "ends", State: fault.Kind})
 			if endFault != nil {
 				endFault()
 			}
@@ -70,64 +70,64 @@
 }
 
 // startFault starts a fault and returns what ends it; nil: it ends by itself. What it hits is drawn now.
-func (w *Simulation) startFault(fault *scenario.Fault) (endFault func()) {
+func (s *Simulation) startFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
 	case faultCacheCrash, faultCacheSilent, faultCachePause, faultCacheDeploy, faultCachePreempt, faultOfficeLost,
 		faultParentsLost:
-		return w.startServerFault(fault)
+		return s.startServerFault(fault)
 	case faultOriginSlow, faultOriginStop:
-		return w.startOriginFault(fault)
+		return s.startOriginFault(fault)
 	case faultPurgeGroups, faultPurgeObjects:
-		w.startPurges(fault)
+		s.startPurges(fault)
 		return nil
 	case faultReportDelay, faultDiscoveryDelay, faultDiscoveryCut:
-		return w.startDiscoveryFault(fault)
+		return s.startDiscoveryFault(fault)
 	case faultRouterCrash, faultRouterSuspend, faultRouterStarve:
-		return w.startRouterFault(fault)
+		return s.startRouterFault(fault)
 	case faultNetworkDelay, faultNetworkJitter, faultNetworkLoss, faultNetworkDuplicate, faultNetworkReorder,
 		faultNetworkSlow, faultNetworkCut, faultNetworkOneWay, faultNetworkSplit, faultNetworkChain:
-		return w.startNetworkFault(fault)
+		return s.startNetworkFault(fault)
 	case faultOneTimeObjects, faultLoadBurst:
-		return w.startLoadFault(fault)
+		return s.startLoadFault(fault)
 	case faultSitesCut:
-		w.sitesCut = true
-		return func() { w.sitesCut = false }
+		s.sitesCut = true
+		return func() { s.sitesCut = false }
 	default:
-		return w.startAnswerFault(fault)
+		return s.startAnswerFault(fault)
 	}
 }
 
 // startPurges purges a share of the groups, or the most popular objects of the two cached classes in turn.
-func (w *Simulation) startPurges(fault *scenario.Fault) {
+func (s *Simulation) startPurges(fault *scenario.Fault) {
 	if fault.Kind == faultPurgeGroups {
 		for group := range int64(groupCount) {
-			if w.random.Float64() < fault.Share {
-				w.purge(wholeGroup, group)
+			if s.random.Float64() < fault.Share {
+				s.purge(wholeGroup, group)
 			}
 		}
 		return
 	}
-	for i := range min(int(fault.Strength), len(w.catalogue.byPopularity[0])) {
-		w.purge(w.catalogue.byPopularity[i%cachedClasses][i/cachedClasses], 0)
+	for i := range min(int(fault.Strength), len(s.catalogue.byPopularity[0])) {
+		s.purge(s.catalogue.byPopularity[i%cachedClasses][i/cachedClasses], 0)
 	}
 }
 
 // startDiscoveryFault delays load reports or notices, or cuts routers off from the discovery service.
-func (w *Simulation) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
+func (s *Simulation) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
 	delay := int64(fault.Strength * second)
 	switch fault.Kind {
 	case faultReportDelay:
-		w.reportDelay += delay
-		return func() { w.reportDelay -= delay }
+		s.reportDelay += delay
+		return func() { s.reportDelay -= delay }
 	case faultDiscoveryDelay:
-		w.discoveryDelay += delay
-		return func() { w.discoveryDelay -= delay }
+		s.discoveryDelay += delay
+		return func() { s.discoveryDelay -= delay }
 	}
 	if fault.Share >= 1 && fault.Office == 0 {
-		w.discoveryCut = true
-		return w.restoreDiscovery
+		s.discoveryCut = true
+		return s.restoreDiscovery
 	}
-	routers := w.drawRouters(fault)
+	routers := s.drawRouters(fault)
 	for _, router := range routers {
 		router.discoveryCut = true
 	}
@@ -135,18 +135,18 @@
 		for _, router := range routers {
 			router.discoveryCut = false
 		}
-		if !w.discoveryCut {
-			w.restoreDiscovery()
+		if !s.discoveryCut {
+			s.restoreDiscovery()
 		}
 	}
 }
 
 // startLoadFault changes what clients ask for, or how often.
-func (w *Simulation) startLoadFault(fault *scenario.Fault) (endFault func()) {
+func (s *Simulation) startLoadFault(fault *scenario.Fault) (endFault func()) {
 	if fault.Kind == faultOneTimeObjects {
-		w.oneTimeShare = fault.Share
-		return func() { w.oneTimeShare = 0 }
+		s.oneTimeShare = fault.Share
+		return func() { s.oneTimeShare = 0 }
 	}
-	w.loadFactor *= fault.Strength
-	return func() { w.loadFactor /= fault.Strength }
+	s.loadFactor *= fault.Strength
+	return func() { s.loadFactor /= fault.Strength }
 }
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -33,7 +33,7 @@
 func (s *server) beginFill(attempt *Attempt, key int64) {
 	f := &fill{
 		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Attempt{attempt},
-		startedAt: s.world.now, reason: policy.ReasonMiss,
+		startedAt: s.simulation.now, reason: policy.ReasonMiss,
 	}
 	attempt.fill = f
 	s.fillCount++
@@ -53,9 +53,9 @@
 // start sends the fill's request to its source.
 func (f *fill) start(attempt *Attempt) {
 	source := attempt.fillSource
-	delay := f.server.world.oneWayDelay(f.server.office, source)
+	delay := f.server.simulation.oneWayDelay(f.server.office, source)
 	snapshot := *attempt // the attempt may be cancelled while the fill runs on
-	f.server.world.schedule(delay, func() {
+	f.server.simulation.schedule(delay, func() {
 		if !f.closed {
 			f.requestArrived(&snapshot, source, delay)
 		}
@@ -64,9 +64,9 @@
 
 // requestArrived lets the source supply the fill. Its answer takes delay microseconds back.
 func (f *fill) requestArrived(attempt *Attempt, source *server, delay int64) {
-	w := f.server.world
+	sim := f.server.simulation
 	failLater := func(reason policy.Reason) {
-		w.schedule(delay, func() { f.fail(reason) })
+		sim.schedule(delay, func() { f.fail(reason) })
 	}
 	switch {
 	case !source.up && source.silent:
@@ -74,7 +74,7 @@
 	case !source.up:
 		failLater(policy.ReasonUpstreamDown)
 		return
-	case source.kind != kindOrigin && source.recordWork(w.flowTime(attempt.SizeKB)):
+	case source.kind != kindOrigin && source.recordWork(sim.flowTime(attempt.SizeKB)):
 		source.collapse()
 		failLater(policy.ReasonUpstreamDown)
 		return
@@ -86,33 +86,33 @@
 		}
 		f.issuedAt = issuedAt
 		f.reason = reason
-		w.schedule(delay, func() { f.transfer(attempt, source) })
+		sim.schedule(delay, func() { f.transfer(attempt, source) })
 	})
 }
 
 // transfer moves the fill's bytes over the source's link out and the office's link in, no faster than its pace. It
 // is finished when all three are.
 func (f *fill) transfer(attempt *Attempt, source *server) {
-	w := f.server.world
-	fleet := &w.scenario.Fleet
+	sim := f.server.simulation
+	fleet := &sim.scenario.Fleet
 	if f.closed || f.incarnation != f.server.incarnation {
 		return
 	}
-	pace := fleet.FillSpeed * fleet.FlowKBPerS / second / float64(1+w.trunkDistance(f.server.office, source))
+	pace := fleet.FillSpeed * fleet.FlowKBPerS / second / float64(1+sim.trunkDistance(f.server.office, source))
 	partDone := func() {
 		f.pendingParts--
 		if f.pendingParts == 0 && !f.closed {
 			f.complete(attempt)
 		}
 	}
-	w.Result.countFill(w, attempt.SizeKB, source.kind == kindOrigin)
+	sim.Result.countFill(sim, attempt.SizeKB, source.kind == kindOrigin)
 	f.pendingParts = 2 // the office's link and the pace
 	if source.egress != nil {
 		f.pendingParts++
 		f.transfers = append(f.transfers, source.egress.add(attempt.SizeKB, partDone))
 	}
-	f.transfers = append(f.transfers, w.links[f.server.office].add(attempt.SizeKB, partDone))
-	w.schedule(int64(attempt.SizeKB/pace), partDone)
+	f.transfers = append(f.transfers, sim.links[f.server.office].add(attempt.SizeKB, partDone))
+	sim.schedule(int64(attempt.SizeKB/pace), partDone)
 }
 
 // unregister removes the fill from its server.
@@ -128,7 +128,7 @@
 	s := f.server
 	f.closed = true
 	f.unregister()
-	if f.rank > 0 && f.issuedAt > s.world.purgedAt(request.objectID, request.Group) {
+	if f.rank > 0 && f.issuedAt > s.simulation.purgedAt(request.objectID, request.Group) {
 		s.store.put(f.key, request.SizeKB, f.issuedAt, request.Group, f.rank)
 	}
 	for i, attempt := range f.attempts {
@@ -137,7 +137,7 @@
 		if i > 0 {
 			reason = policy.ReasonCoalesced
 		}
-		s.sendCopy(attempt, reason, f.issuedAt, s.world.now-f.startedAt)
+		s.sendCopy(attempt, reason, f.issuedAt, s.simulation.now-f.startedAt)
 	}
 	f.attempts = nil
 }
@@ -155,7 +155,7 @@
 		attempt.fill = nil
 		f.server.finish(attempt, AttemptResult{
 			Outcome: policy.OutcomeError, Reason: reason,
-			Waited: f.server.world.now - f.startedAt,
+			Waited: f.server.simulation.now - f.startedAt,
 		})
 	}
 }
@@ -174,7 +174,7 @@
 // scenario says so.
 func (f *fill) removeAttempt(attempt *Attempt) {
 	f.attempts = slices.DeleteFunc(f.attempts, func(other *Attempt) bool { return other == attempt })
-	if len(f.attempts) == 0 && !f.closed && !f.server.world.scenario.Fleet.OrphanFills {
+	if len(f.attempts) == 0 && !f.closed && !f.server.simulation.scenario.Fleet.OrphanFills {
 		f.cancel()
 		f.unregister()
 	}
@@ -188,7 +188,7 @@
 		s.originRead(done)
 	case kindCache:
 		cached := s.store.get(partKey(attempt.objectID, attempt.Part))
-		if cached != nil && cached.issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
+		if cached != nil && cached.issuedAt > s.simulation.purgedAt(attempt.objectID, attempt.Group) {
 			done(cached.issuedAt, policy.ReasonMiss)
 		} else {
 			done(0, policy.ReasonUpstreamMiss)
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -12,9 +12,9 @@
 // reportLoad measures a server's load since its last report and schedules the next one. Answers carry the report
 // after its delay.
 func (s *server) reportLoad() {
-	w := s.world
-	fleet := &w.scenario.Fleet
-	interval := w.jitter(fleet.ReportMS * millisecond)
+	sim := s.simulation
+	fleet := &sim.scenario.Fleet
+	interval := sim.jitter(fleet.ReportMS * millisecond)
 	if s.listed == policy.EndpointGone && !s.up && s.collapsed {
 		return // it never comes back
 	}
@@ -32,8 +32,8 @@
 	} else {
 		load[loadLink] = float64(s.fillCount)
 	}
-	w.schedule(int64(fleet.ReportDelayMS*millisecond)+w.reportDelay, func() { s.visibleLoad = load })
-	w.schedule(interval, s.reportLoad)
+	sim.schedule(int64(fleet.ReportDelayMS*millisecond)+sim.reportDelay, func() { s.visibleLoad = load })
+	sim.schedule(interval, s.reportLoad)
 }
 
 // reportUtilization is the share of the processor that was used in an interval, with noise.
@@ -41,19 +41,19 @@
 	s.cpu.advance()
 	use := min(1, (s.cpu.served-s.reportedCPU)/float64(interval)/s.weight)
 	s.reportedCPU = s.cpu.served
-	return s.world.reportNoise(use)
+	return s.simulation.reportNoise(use)
 }
 
 // reportLinkUse is the share of the office's link that was used in an interval, with noise.
 func (s *server) reportLinkUse(interval int64) float64 {
-	link := s.world.links[s.office]
+	link := s.simulation.links[s.office]
 	link.advance()
 	use := min(1, (link.served-s.reportedLink)/float64(interval)/link.totalRate)
 	s.reportedLink = link.served
-	return s.world.reportNoise(use)
+	return s.simulation.reportNoise(use)
 }
 
 // reportNoise adds normally distributed relative noise to a reported value.
-func (w *Simulation) reportNoise(value float64) float64 {
-	return max(0, value*(1+w.scenario.Fleet.ReportNoise*w.random.NormFloat64()))
+func (s *Simulation) reportNoise(value float64) float64 {
+	return max(0, value*(1+s.scenario.Fleet.ReportNoise*s.random.NormFloat64()))
 }
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -8,22 +8,22 @@
 )
 
 // startNetworkFault starts a fault of the network between routers.
-func (w *Simulation) startNetworkFault(fault *scenario.Fault) (endFault func()) {
+func (s *Simulation) startNetworkFault(fault *scenario.Fault) (endFault func()) {
 	var ids []int
-	for _, router := range w.routers {
+	for _, router := range s.routers {
 		if fault.Office == 0 || router.office == fault.Office-1 {
 			ids = append(ids, router.id)
 		}
 	}
-	chosen := drawShare(w.networkRandom, ids, fault.Share)
+	chosen := drawShare(s.networkRandom, ids, fault.Share)
 	switch fault.Kind {
 	case faultNetworkChain:
 		third := len(ids) / 3
-		return w.Network.Partition(ids[:third], ids[third:2*third])
+		return s.Network.Partition(ids[:third], ids[third:2*third])
 	case faultNetworkSplit:
-		return w.Network.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
+		return s.Network.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
 	default:
-		return w.Network.AddFault(networkFault(fault, chosen))
+		return s.Network.AddFault(networkFault(fault, chosen))
 	}
 }
 
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -25,25 +25,25 @@
 )
 
 // newOrigin makes the origin, which stands at the first trunk.
-func (w *Simulation) newOrigin() *server {
-	fleet := &w.scenario.Fleet
+func (s *Simulation) newOrigin() *server {
+	fleet := &s.scenario.Fleet
 	egressKBPerS := fleet.OriginLinkKBPerS
 	if egressKBPerS == 0 { // what all offices' links could ask for, if half of it is at parents
 		egressKBPerS = fleet.OfficeLinkKBPerS() * float64(fleet.Offices)
 	}
-	s := &server{
-		world: w, id: originID, kind: kindOrigin, up: true, listed: policy.EndpointActive, slowdown: 1,
-		office: noOffice, trunk: 0, weight: float64(fleet.OriginWorkers), egress: w.newLink(egressKBPerS),
+	origin := &server{
+		simulation: s, id: originID, kind: kindOrigin, up: true, listed: policy.EndpointActive, slowdown: 1,
+		office: noOffice, trunk: 0, weight: float64(fleet.OriginWorkers), egress: s.newLink(egressKBPerS),
 	}
-	s.cpu = &sharedResource{world: w, totalRate: float64(fleet.OriginWorkers), maxJobRate: 1}
-	w.servers[s.id] = s
-	return s
+	origin.cpu = &sharedResource{simulation: s, totalRate: float64(fleet.OriginWorkers), maxJobRate: 1}
+	s.servers[origin.id] = origin
+	return origin
 }
 
 // originAccepts counts an arrival at the origin and tells whether it is accepted. Too many arrivals make the origin
 // stop for a while.
 func (s *server) originAccepts() bool {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	s.countOriginArrival()
 	capacity := float64(fleet.OriginWorkers) / (fleet.OriginServiceMS / 1000) / s.slowdown // requests a second
 	if !s.stopped && float64(len(s.arrivals)) > fleet.OriginStopMultiple*capacity*originArrivalWindowS {
@@ -54,7 +54,7 @@
 }
 
 func (s *server) countOriginArrival() {
-	now := s.world.now
+	now := s.simulation.now
 	for len(s.arrivals) > 0 && s.arrivals[0] <= now-originArrivalWindow {
 		s.arrivals = s.arrivals[1:]
 	}
@@ -63,12 +63,12 @@
 
 // stopOrigin stops the origin for the scenario's time. Work that has begun goes on afterwards.
 func (s *server) stopOrigin() {
-	w := s.world
+	sim := s.simulation
 	s.stopped = true
-	w.Result.OriginStops++
-	w.record(Entry{Kind: eventlog.KindStopped, Endpoint: s.id})
+	sim.Result.OriginStops++
+	sim.record(Entry{Kind: eventlog.KindStopped, Endpoint: s.id})
 	s.updateRate()
-	w.schedule(int64(w.scenario.Fleet.OriginStopS*second), func() {
+	sim.schedule(int64(sim.scenario.Fleet.OriginStopS*second), func() {
 		s.stopped = false
 		s.arrivals = nil
 		s.updateRate()
@@ -77,10 +77,10 @@
 
 // originServiceTime draws the work of one request in worker-microseconds. It is longer the fuller the origin is.
 func (s *server) originServiceTime() float64 {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	occupancy := float64(len(s.cpu.jobs)) / float64(originSlotsPerWorker*fleet.OriginWorkers)
 	mean := fleet.OriginServiceMS * millisecond * (1 + originCrowding*occupancy)
-	return mean * (originFixedShare + s.world.random.ExpFloat64()*originRandomShare)
+	return mean * (originFixedShare + s.simulation.random.ExpFloat64()*originRandomShare)
 }
 
 // originRead generates an object for a fill.
@@ -89,7 +89,7 @@
 		done(0, policy.ReasonUpstreamBusy)
 		return
 	}
-	s.cpu.add(s.originServiceTime(), func() { done(s.world.now, policy.ReasonMissOrigin) })
+	s.cpu.add(s.originServiceTime(), func() { done(s.simulation.now, policy.ReasonMissOrigin) })
 }
 
 // serveFromOrigin answers an attempt that a router sent straight to the origin: a write, or a read past the caches.
@@ -99,7 +99,7 @@
 		s.finish(attempt, AttemptResult{Outcome: policy.OutcomeBusy})
 		return
 	}
-	s.world.recordExecuted(attempt)
+	s.simulation.recordExecuted(attempt)
 	attempt.job = s.cpu.add(s.originServiceTime(), func() {
 		attempt.job = nil
 		if attempt.Write {
@@ -113,14 +113,14 @@
 // finishWrite lets a write have its effect and answers it.
 func (s *server) finishWrite(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindEffect)
-	entry.Class = s.world.classes[attempt.Class].Name
-	s.world.record(entry)
+	entry.Class = s.simulation.classes[attempt.Class].Name
+	s.simulation.record(entry)
 	s.finish(attempt, AttemptResult{Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin, SizeKB: writeAnswerKB})
 }
 
 // finishRead sends a generated object to the router.
 func (s *server) finishRead(attempt *Attempt) {
-	issuedAt := s.world.now
+	issuedAt := s.simulation.now
 	s.sendToOffice(attempt, func() {
 		s.finish(attempt, AttemptResult{
 			Outcome: policy.OutcomeDone, Reason: policy.ReasonMissOrigin,
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -3,28 +3,28 @@
 import "quilldoor/internal/policy"
 
 // newParent adds a parent to a trunk. Its link out is in proportion to the links into the trunk's offices.
-func (w *Simulation) newParent(trunk int, id string) *server {
-	fleet := &w.scenario.Fleet
+func (s *Simulation) newParent(trunk int, id string) *server {
+	fleet := &s.scenario.Fleet
 	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
 	egressKBPerS := fleet.ParentLink * fleet.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(fleet.Parents, 1))
-	s := &server{
-		world: w, id: id, kind: kindParent, up: true, listed: policy.EndpointActive, slowdown: 1,
+	parent := &server{
+		simulation: s, id: id, kind: kindParent, up: true, listed: policy.EndpointActive, slowdown: 1,
 		office: noOffice, trunk: trunk, weight: egressKBPerS / fleet.FlowKBPerS, fills: map[int64]*fill{},
-		egress: w.newLink(egressKBPerS),
+		egress: s.newLink(egressKBPerS),
 	}
-	s.store = newCopyStore(fleet.ParentCacheShare * w.catalogue.totalKB)
-	w.servers[id] = s
-	w.schedule(w.jitter(fleet.ReportMS*millisecond), s.reportLoad)
-	return s
+	parent.store = newCopyStore(fleet.ParentCacheShare * s.catalogue.totalKB)
+	s.servers[id] = parent
+	s.schedule(s.jitter(fleet.ReportMS*millisecond), parent.reportLoad)
+	return parent
 }
 
 // fetch gives the parent's copy of a part, or gets it from the origin first.
 func (s *server) fetch(attempt *Attempt, done fillDone) {
-	w := s.world
+	sim := s.simulation
 	key := partKey(attempt.objectID, attempt.Part)
-	maxAge := w.maxAge(attempt)
+	maxAge := sim.maxAge(attempt)
 	s.reportServed++
-	if cached := s.lookup(attempt, key); cached != nil && w.now-cached.issuedAt <= maxAge {
+	if cached := s.lookup(attempt, key); cached != nil && sim.now-cached.issuedAt <= maxAge {
 		s.reportHits++
 		done(cached.issuedAt, policy.ReasonMiss)
 		return
@@ -33,7 +33,7 @@
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if f := s.fills[key]; f != nil && w.scenario.Fleet.ParentCoalesces {
+	if f := s.fills[key]; f != nil && sim.scenario.Fleet.ParentCoalesces {
 		f.waiters = append(f.waiters, func() { done(f.issuedAt, f.reason) })
 		return
 	}
@@ -42,31 +42,31 @@
 
 // fetchFromOrigin fills a parent from the origin.
 func (s *server) fetchFromOrigin(attempt *Attempt, key int64, done fillDone) {
-	w := s.world
-	f := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: w.now}
+	sim := s.simulation
+	f := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: sim.now}
 	s.fills[key] = f
 	s.fillCount++
 	delay := s.originDelay()
 	finish := func(issuedAt int64, reason policy.Reason) {
-		w.schedule(delay, func() { f.finishFetch(attempt, issuedAt, reason, done) })
+		sim.schedule(delay, func() { f.finishFetch(attempt, issuedAt, reason, done) })
 	}
-	w.schedule(delay, func() {
-		w.origin.originRead(func(issuedAt int64, reason policy.Reason) {
+	sim.schedule(delay, func() {
+		sim.origin.originRead(func(issuedAt int64, reason policy.Reason) {
 			if fillFailed(reason) {
 				finish(0, reason)
 				return
 			}
-			w.Result.countParentFill(w, attempt.SizeKB)
-			w.origin.egress.add(attempt.SizeKB, func() { finish(issuedAt, policy.ReasonMissOrigin) })
+			sim.Result.countParentFill(sim, attempt.SizeKB)
+			sim.origin.egress.add(attempt.SizeKB, func() { finish(issuedAt, policy.ReasonMissOrigin) })
 		})
 	})
 }
 
 // originDelay is the network latency from a parent to the origin, one way, in microseconds.
 func (s *server) originDelay() int64 {
-	w := s.world
-	distance := s.trunk - w.origin.trunk
-	return w.oneWayDelay(0, w.origin) + int64(w.scenario.Fleet.FarMS*oneWay*float64(max(distance, -distance)))
+	sim := s.simulation
+	distance := s.trunk - sim.origin.trunk
+	return sim.oneWayDelay(0, sim.origin) + int64(sim.scenario.Fleet.FarMS*oneWay*float64(max(distance, -distance)))
 }
 
 // finishFetch stores what the origin supplied, if it may be kept and was not purged meanwhile, and passes it on to
@@ -81,7 +81,7 @@
 	f.issuedAt = issuedAt
 	f.reason = reason
 	mayStore := !fillFailed(reason) && attempt.FillMode&policy.FillNoKeep == 0
-	if mayStore && issuedAt > s.world.purgedAt(attempt.objectID, attempt.Group) {
+	if mayStore && issuedAt > s.simulation.purgedAt(attempt.objectID, attempt.Group) {
 		s.store.put(f.key, attempt.SizeKB, issuedAt, attempt.Group, defaultRank)
 	}
 	done(issuedAt, reason)
@@ -108,7 +108,7 @@
 			s.finish(attempt, AttemptResult{Outcome: outcome, Reason: reason})
 			return
 		}
-		s.world.recordExecuted(attempt)
+		s.simulation.recordExecuted(attempt)
 		s.sendToOffice(attempt, func() {
 			s.finish(attempt, AttemptResult{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, SizeKB: attempt.SizeKB})
 		})
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -10,9 +10,9 @@
 const purgeSpread = 0.9
 
 // purgedAt is when an object was purged last, by itself or with its group; 0: never.
-func (w *Simulation) purgedAt(object, group int64) int64 {
-	at := w.groupPurges[group%groupCount]
-	if objectPurge, known := w.objectPurges[object]; known {
+func (s *Simulation) purgedAt(object, group int64) int64 {
+	at := s.groupPurges[group%groupCount]
+	if objectPurge, known := s.objectPurges[object]; known {
 		at = max(at, objectPurge)
 	}
 	return at
@@ -20,22 +20,22 @@
 
 // purge purges an object or, if object is wholeGroup, a group. Each server drops its copies a random time later;
 // routers are notified.
-func (w *Simulation) purge(object, group int64) {
-	now := w.now
+func (s *Simulation) purge(object, group int64) {
+	now := s.now
 	notice := DiscoveryEvent{Purge: true, Group: group, At: now}
 	if object >= 0 {
-		w.objectPurges[object] = now
-		notice.Object = w.catalogue.name(object)
+		s.objectPurges[object] = now
+		notice.Object = s.catalogue.name(object)
 		notice.Group = 0
 	} else {
-		w.groupPurges[group] = now
+		s.groupPurges[group] = now
 	}
-	w.record(Entry{Kind: eventlog.KindPurged, Object: notice.Object, Group: notice.Group, Until: now})
-	for _, servers := range slices.Concat(w.caches, w.parents) {
+	s.record(Entry{Kind: eventlog.KindPurged, Object: notice.Object, Group: notice.Group, Until: now})
+	for _, servers := range slices.Concat(s.caches, s.parents) {
 		for _, server := range servers {
-			delay := w.random.Float64() * purgeSpread * w.scenario.Fleet.PurgeCompleteMS * millisecond
-			w.schedule(int64(delay), func() { server.store.purge(object, group, now) })
+			delay := s.random.Float64() * purgeSpread * s.scenario.Fleet.PurgeCompleteMS * millisecond
+			s.schedule(int64(delay), func() { server.store.purge(object, group, now) })
 		}
 	}
-	w.announce(notice)
+	s.announce(notice)
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -47,7 +47,7 @@
 }
 
 // Deadline is when the client stops waiting.
-func (a *Request) Deadline() int64 { return a.deadline }
+func (r *Request) Deadline() int64 { return r.deadline }
 
 // client is a client with one request, over all its attempts.
 type client struct {
@@ -61,31 +61,31 @@
 }
 
 // sendRequest sends a client's next attempt to a router of its office that is not known to be down.
-func (w *Simulation) sendRequest(client *client) {
-	candidates := w.routersInService(client.office)
+func (s *Simulation) sendRequest(client *client) {
+	candidates := s.routersInService(client.office)
 	client.attempts++
 	if len(candidates) == 0 {
-		w.retryOrFail(client, 0, true)
+		s.retryOrFail(client, 0, true)
 		return
 	}
-	router := candidates[w.random.IntN(len(candidates))]
-	request := w.newRequest(router, client)
-	delay := w.clientDelay()
-	w.schedule(delay, func() {
+	router := candidates[s.random.IntN(len(candidates))]
+	request := s.newRequest(router, client)
+	delay := s.clientDelay()
+	s.schedule(delay, func() {
 		if !router.up { // the connection is refused, so the request has not been executed
-			w.schedule(delay, func() { w.retryOrFail(client, 0, true) })
+			s.schedule(delay, func() { s.retryOrFail(client, 0, true) })
 			return
 		}
-		w.requestArrived(router, request)
+		s.requestArrived(router, request)
 	})
-	w.schedule(client.timeLimit+2*delay+w.Slack, func() { w.clientTimedOut(router, request) })
+	s.schedule(client.timeLimit+2*delay+s.Slack, func() { s.clientTimedOut(router, request) })
 }
 
 // routersInService are the routers of an office that clients are sent to.
-func (w *Simulation) routersInService(office int) (candidates []*router) {
-	perOffice := w.scenario.Fleet.Routers
-	for _, router := range w.routers[office*perOffice : (office+1)*perOffice] {
-		if router.up || w.now-router.downAt < routerDeathNoticed {
+func (s *Simulation) routersInService(office int) (candidates []*router) {
+	perOffice := s.scenario.Fleet.Routers
+	for _, router := range s.routers[office*perOffice : (office+1)*perOffice] {
+		if router.up || s.now-router.downAt < routerDeathNoticed {
 			candidates = append(candidates, router)
 		}
 	}
@@ -93,21 +93,21 @@
 }
 
 // newRequest makes a client's next attempt, for a router.
-func (w *Simulation) newRequest(router *router, client *client) *Request {
-	w.clients.requestCount++
+func (s *Simulation) newRequest(router *router, client *client) *Request {
+	s.clients.requestCount++
 	request := &Request{
 		Router:   router.id,
-		ID:       fmt.Sprintf("%016x", w.clients.requestCount),
+		ID:       fmt.Sprintf("%016x", s.clients.requestCount),
 		Class:    client.class,
-		Object:   w.catalogue.name(client.object),
-		Group:    w.catalogue.group(client.object),
+		Object:   s.catalogue.name(client.object),
+		Group:    s.catalogue.group(client.object),
 		Part:     client.part,
-		SizeKB:   w.catalogue.size(client.object, client.part),
+		SizeKB:   s.catalogue.size(client.object, client.part),
 		Limit:    client.timeLimit,
 		Retry:    client.attempts > 1,
-		Write:    w.classes[client.class].Write,
+		Write:    s.classes[client.class].Write,
 		client:   client,
-		deadline: w.now + client.timeLimit,
+		deadline: s.now + client.timeLimit,
 	}
 	if request.Write {
 		request.SizeKB = writeRequestKB
@@ -116,101 +116,101 @@
 }
 
 // clientDelay draws the network latency between a client and its router, one way, in microseconds.
-func (w *Simulation) clientDelay() int64 { return w.jitter(w.scenario.Fleet.ClientMS * oneWay) }
+func (s *Simulation) clientDelay() int64 { return s.jitter(s.scenario.Fleet.ClientMS * oneWay) }
 
 // requestArrived hands a request to its router.
-func (w *Simulation) requestArrived(router *router, request *Request) {
+func (s *Simulation) requestArrived(router *router, request *Request) {
 	router.addRequest(request)
-	w.Result.ClientAttempts++
-	w.record(w.requestEntry(eventlog.KindTaken, request))
-	request.Limit = request.deadline - w.now
-	w.driver.Request(request)
+	s.Result.ClientAttempts++
+	s.record(s.requestEntry(eventlog.KindTaken, request))
+	request.Limit = request.deadline - s.now
+	s.driver.Request(request)
 }
 
 // requestEntry is an event log entry that describes a request.
-func (w *Simulation) requestEntry(kind eventlog.Kind, request *Request) Entry {
+func (s *Simulation) requestEntry(kind eventlog.Kind, request *Request) Entry {
 	return Entry{
-		Kind: kind, Router: request.Router, Request: request.ID, Class: w.classes[request.Class].Name,
+		Kind: kind, Router: request.Router, Request: request.ID, Class: s.classes[request.Class].Name,
 		Object: request.Object, Group: request.Group, Deadline: request.deadline,
 	}
 }
 
 // clientTimedOut makes a client leave whose time is over without an answer.
-func (w *Simulation) clientTimedOut(router *router, request *Request) {
+func (s *Simulation) clientTimedOut(router *router, request *Request) {
 	if !request.open {
 		return
 	}
 	router.closeRequest(request)
-	w.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
-	w.Result.TimedOut++
-	w.driver.Leave(router.id, request.ID)
-	w.retryOrFail(request.client, 0, request.client.class != scenario.ClassAccept)
+	s.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
+	s.Result.TimedOut++
+	s.driver.Leave(router.id, request.ID)
+	s.retryOrFail(request.client, 0, request.client.class != scenario.ClassAccept)
 }
 
 // Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
 // a driver on real sockets can tell; in the model a router that is up accepts every connection.
-func (w *Simulation) Refused(routerID int, requestID string) {
-	router := w.routers[routerID]
+func (s *Simulation) Refused(routerID int, requestID string) {
+	router := s.routers[routerID]
 	request := router.openRequests[requestID]
 	if request == nil {
 		return
 	}
 	router.closeRequest(request)
-	w.record(Entry{Kind: eventlog.KindRefused, Router: routerID, Request: requestID})
-	w.retryOrFail(request.client, 0, true)
+	s.record(Entry{Kind: eventlog.KindRefused, Router: routerID, Request: requestID})
+	s.retryOrFail(request.client, 0, true)
 }
 
 // Answered accepts a router's answer to a request: "completed", "rejected" or "aborted". issuedAt is the issue time of
 // the copy it was answered with, retryAfter the wait in microseconds that the router asks of the client.
-func (w *Simulation) Answered(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
-	router := w.routers[routerID]
+func (s *Simulation) Answered(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
+	router := s.routers[routerID]
 	request := router.openRequests[requestID]
 	if request == nil {
-		w.record(Entry{
+		s.record(Entry{
 			Kind: eventlog.KindAnswered, Router: routerID, Request: requestID,
 			Outcome: outcome, Issued: issuedAt,
 		})
 		return
 	}
-	entry := w.requestEntry(eventlog.KindAnswered, request)
+	entry := s.requestEntry(eventlog.KindAnswered, request)
 	entry.Outcome = outcome
 	entry.Issued = issuedAt
-	w.record(entry)
+	s.record(entry)
 	router.closeRequest(request)
-	w.schedule(w.clientDelay(), func() { w.answerArrived(request, outcome, issuedAt, retryAfter) })
+	s.schedule(s.clientDelay(), func() { s.answerArrived(request, outcome, issuedAt, retryAfter) })
 }
 
 // answerArrived is a router's answer at its client.
-func (w *Simulation) answerArrived(request *Request, outcome string, issuedAt, retryAfter int64) {
-	if w.now > request.deadline+lateTolerance+w.Slack {
+func (s *Simulation) answerArrived(request *Request, outcome string, issuedAt, retryAfter int64) {
+	if s.now > request.deadline+lateTolerance+s.Slack {
 		outcome = answerLate
 	}
 	client := request.client
 	if outcome == answerCompleted {
-		w.openRequests--
-		w.Result.countCompleted(w, client, issuedAt)
+		s.openRequests--
+		s.Result.countCompleted(s, client, issuedAt)
 		return
 	}
-	idempotent := w.classes[client.class].Effect == policy.EffectIdempotent
-	w.retryOrFail(client, retryAfter, outcome == answerRejected || idempotent)
+	idempotent := s.classes[client.class].Effect == policy.EffectIdempotent
+	s.retryOrFail(client, retryAfter, outcome == answerRejected || idempotent)
 }
 
 // retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
 // it has attempts left.
-func (w *Simulation) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
-	load := &w.scenario.Load
+func (s *Simulation) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
+	load := &s.scenario.Load
 	if !retrySafe || client.attempts > load.Retries {
-		w.openRequests--
-		w.Result.countFailed(client, retrySafe)
+		s.openRequests--
+		s.Result.countFailed(client, retrySafe)
 		return
 	}
 	wait := int64(0)
 	if load.RetryWaitMS > 0 {
 		factor := int64(1) << min(client.attempts-1, maxBackoffDoublings)
-		wait = w.jitter(load.RetryWaitMS * millisecond * float64(factor))
+		wait = s.jitter(load.RetryWaitMS * millisecond * float64(factor))
 	}
 	if client.honoursRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	w.schedule(wait, func() { w.sendRequest(client) })
+	s.schedule(wait, func() { s.sendRequest(client) })
 }
--- a/internal/simulation/resource.go
+++ b/internal/simulation/resource.go
@@ -5,7 +5,7 @@
 // start, and each job ends when it reaches the job's mark. An arrival therefore costs the logarithm of the number of
 // jobs. Work and rates are in a unit of the user's, such as core-microseconds or kilobytes.
 type sharedResource struct {
-	world           *Simulation
+	simulation      *Simulation
 	totalRate       float64 // per microsecond, over all jobs
 	maxJobRate      float64 // per microsecond, of one job
 	virtualService  float64
@@ -47,7 +47,7 @@
 
 // advance counts the service up to now. It must be called before jobs or rates change.
 func (r *sharedResource) advance() {
-	now := r.world.now
+	now := r.simulation.now
 	if now <= r.updatedAt {
 		return
 	}
@@ -60,9 +60,9 @@
 // add begins a job. done is called when its work is finished.
 func (r *sharedResource) add(work float64, done func()) *job {
 	r.advance()
-	r.world.sequence++
+	r.simulation.sequence++
 	j := &job{
-		resource: r, finishAt: r.virtualService + work, sequence: r.world.sequence, index: len(r.jobs), done: done,
+		resource: r, finishAt: r.virtualService + work, sequence: r.simulation.sequence, index: len(r.jobs), done: done,
 	}
 	r.jobs = append(r.jobs, j)
 	siftUp(r.jobs, j.index)
@@ -110,7 +110,7 @@
 	}
 	remaining := (r.jobs[0].finishAt - r.virtualService) / rate
 	generation := r.timerGeneration
-	r.world.schedule(int64(remaining)+1, func() {
+	r.simulation.schedule(int64(remaining)+1, func() {
 		if generation == r.timerGeneration {
 			r.finishDue()
 		}
--- a/internal/simulation/resource_test.go
+++ b/internal/simulation/resource_test.go
@@ -14,24 +14,24 @@
 		cores int
 		load  float64
 	}{{1, 0.6}, {5, 0.8}, {20, 0.9}} {
-		w := newBareWorld()
-		resource := &sharedResource{world: w, totalRate: float64(tt.cores), maxJobRate: 1}
+		sim := newBareSimulation()
+		resource := &sharedResource{simulation: sim, totalRate: float64(tt.cores), maxJobRate: 1}
 		const work, jobs = 1e5, 200_000
-		wait := distuv.Exponential{Rate: 1, Src: w.random}
+		wait := distuv.Exponential{Rate: 1, Src: sim.random}
 		stayed := 0.0
 		finished := 0
 		var arrive func()
 		arrive = func() {
-			began := w.now
+			began := sim.now
 			resource.add(wait.Rand()*work, func() {
-				stayed += float64(w.now - began)
+				stayed += float64(sim.now - began)
 				finished++
 			})
-			w.schedule(int64(wait.Rand()*work/tt.load/float64(tt.cores)), arrive)
+			sim.schedule(int64(wait.Rand()*work/tt.load/float64(tt.cores)), arrive)
 		}
 		arrive()
 		for finished < jobs {
-			w.Step(w.Next())
+			sim.Step(sim.Next())
 		}
 		offered := tt.load * float64(tt.cores)
 		sum := 0.0
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -102,19 +102,19 @@
 }
 
 // countRequest counts a client's new request.
-func (r *Result) countRequest(w *Simulation, client *client) {
+func (r *Result) countRequest(sim *Simulation, client *client) {
 	r.current.Requests++
 	outcomes := r.outcomes(client)
 	outcomes.Requests++
-	outcomes.PossibleWeight += w.classes[client.class].PriorityWeight
+	outcomes.PossibleWeight += sim.classes[client.class].PriorityWeight
 	if client.phase != phaseWarmUp && client.class != scenario.ClassAccept {
-		r.RequestedKB += w.catalogue.size(client.object, client.part)
+		r.RequestedKB += sim.catalogue.size(client.object, client.part)
 	}
 }
 
 // countFill counts bytes that come into an office.
-func (r *Result) countFill(w *Simulation, kb float64, fromOrigin bool) {
-	if w.currentPhase() == phaseWarmUp {
+func (r *Result) countFill(sim *Simulation, kb float64, fromOrigin bool) {
+	if sim.currentPhase() == phaseWarmUp {
 		return
 	}
 	r.FilledKB += kb
@@ -124,18 +124,18 @@
 }
 
 // countParentFill counts bytes that a parent gets from the origin.
-func (r *Result) countParentFill(w *Simulation, kb float64) {
-	if w.currentPhase() != phaseWarmUp {
+func (r *Result) countParentFill(sim *Simulation, kb float64) {
+	if sim.currentPhase() != phaseWarmUp {
 		r.OriginKB += kb
 	}
 }
 
 // countCompleted counts a usable answer by its latency from the client's first attempt.
-func (r *Result) countCompleted(w *Simulation, client *client, issuedAt int64) {
-	class := &w.classes[client.class]
-	latency := w.now - client.startedAt
+func (r *Result) countCompleted(sim *Simulation, client *client, issuedAt int64) {
+	class := &sim.classes[client.class]
+	latency := sim.now - client.startedAt
 	r.Classes[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
-	work := w.flowTime(w.catalogue.size(client.object, client.part))
+	work := sim.flowTime(sim.catalogue.size(client.object, client.part))
 	if class.Write {
 		work = 0
 	}
@@ -149,7 +149,7 @@
 		r.current.Late++
 		weight *= class.LateValueShare
 	}
-	if !class.Write && class.FreshFor > 0 && w.now-issuedAt > class.FreshFor {
+	if !class.Write && class.FreshFor > 0 && sim.now-issuedAt > class.FreshFor {
 		outcomes.Stale++
 		weight *= class.StaleValueShare
 	}
@@ -168,15 +168,15 @@
 }
 
 // closeSecond ends a second of the timeline and begins the next one.
-func (r *Result) closeSecond(w *Simulation) {
+func (r *Result) closeSecond(sim *Simulation) {
 	closed := r.current
-	closed.At = int(w.now / second)
-	closed.ActiveFaults = w.activeFaults
-	closed.Attempts = len(w.attempts)
-	closed.Servers = w.cachesUp()
+	closed.At = int(sim.now / second)
+	closed.ActiveFaults = sim.activeFaults
+	closed.Attempts = len(sim.attempts)
+	closed.Servers = sim.cachesUp()
 	closed.filledKB = 0
 	totalKBPerS := 0.0
-	for _, link := range w.links {
+	for _, link := range sim.links {
 		link.advance()
 		closed.filledKB += link.served
 		totalKBPerS += link.totalRate * second
@@ -186,8 +186,8 @@
 	r.current = Second{filledKB: closed.filledKB}
 }
 
-func (w *Simulation) cachesUp() (count int) {
-	for _, caches := range w.caches {
+func (s *Simulation) cachesUp() (count int) {
+	for _, caches := range s.caches {
 		for _, cache := range caches {
 			if cache.up {
 				count++
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -49,17 +49,17 @@
 }
 
 // killRouter ends a router's process: connections of its attempts end, and its clients see a reset.
-func (w *Simulation) killRouter(router *router) {
+func (s *Simulation) killRouter(router *router) {
 	router.up = false
-	router.downAt = w.now
+	router.downAt = s.now
 	router.heldNotices = nil
 	router.suspensions = 0
 	router.incarnation++
-	w.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
-	w.driver.Down(router.id)
-	for _, attempt := range w.attemptsOf(router.id) {
-		delete(w.attempts, attempt.key())
-		w.detachLater(attempt)
+	s.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
+	s.driver.Down(router.id)
+	for _, attempt := range s.attemptsOf(router.id) {
+		delete(s.attempts, attempt.key())
+		s.detachLater(attempt)
 	}
 	for _, id := range router.arrivalOrder {
 		request := router.openRequests[id]
@@ -67,16 +67,16 @@
 			continue
 		}
 		router.closeRequest(request)
-		w.schedule(w.clientDelay(), func() {
-			w.retryOrFail(request.client, 0, w.classes[request.Class].Effect == policy.EffectIdempotent)
+		s.schedule(s.clientDelay(), func() {
+			s.retryOrFail(request.client, 0, s.classes[request.Class].Effect == policy.EffectIdempotent)
 		})
 	}
 	router.arrivalOrder = nil
 }
 
 // attemptsOf are the attempts that a router waits for, in a fixed order.
-func (w *Simulation) attemptsOf(routerID int) (attempts []*Attempt) {
-	for key, attempt := range w.attempts {
+func (s *Simulation) attemptsOf(routerID int) (attempts []*Attempt) {
+	for key, attempt := range s.attempts {
 		if key.router == routerID {
 			attempts = append(attempts, attempt)
 		}
@@ -88,12 +88,12 @@
 }
 
 // startRouter starts a router's process with the endpoint list as it is.
-func (w *Simulation) startRouter(router *router) {
+func (s *Simulation) startRouter(router *router) {
 	if router.up {
 		return
 	}
 	router.up = true
-	router.notifiedAt = w.now
-	w.record(Entry{Kind: eventlog.KindRouterUp, Router: router.id})
-	w.driver.Up(router.id, w.Known())
+	router.notifiedAt = s.now
+	s.record(Entry{Kind: eventlog.KindRouterUp, Router: router.id})
+	s.driver.Up(router.id, s.Known())
 }
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -6,39 +6,39 @@
 )
 
 // startRouterFault kills, suspends or starves a share of the routers.
-func (w *Simulation) startRouterFault(fault *scenario.Fault) (endFault func()) {
-	routers := w.drawRouters(fault)
+func (s *Simulation) startRouterFault(fault *scenario.Fault) (endFault func()) {
+	routers := s.drawRouters(fault)
 	switch fault.Kind {
 	case faultRouterSuspend:
-		return w.suspendRouters(routers)
+		return s.suspendRouters(routers)
 	case faultRouterStarve:
-		return w.starveRouters(routers, fault.Strength)
+		return s.starveRouters(routers, fault.Strength)
 	default:
-		return w.killRouters(routers)
+		return s.killRouters(routers)
 	}
 }
 
 // drawRouters draws a share of the routers that are up at a fault's place.
-func (w *Simulation) drawRouters(fault *scenario.Fault) []*router {
+func (s *Simulation) drawRouters(fault *scenario.Fault) []*router {
 	var candidates []*router
-	for _, router := range w.routers {
+	for _, router := range s.routers {
 		if router.up && (fault.Office == 0 || router.office == fault.Office-1) {
 			candidates = append(candidates, router)
 		}
 	}
-	return drawShare(w.random, candidates, fault.Share)
+	return drawShare(s.random, candidates, fault.Share)
 }
 
 // suspendRouters suspends routers until the fault ends. Where several such faults overlap, the last one to end
 // resumes a router.
-func (w *Simulation) suspendRouters(routers []*router) (endFault func()) {
+func (s *Simulation) suspendRouters(routers []*router) (endFault func()) {
 	incarnations := map[*router]int{}
 	for _, router := range routers {
 		incarnations[router] = router.incarnation
 		router.suspensions++
 		if router.suspensions == 1 {
-			w.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
-			w.driver.Stop(router.id)
+			s.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
+			s.driver.Stop(router.id)
 		}
 	}
 	return func() {
@@ -48,33 +48,33 @@
 			}
 			router.suspensions--
 			if router.suspensions == 0 {
-				w.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
-				w.driver.Wake(router.id)
+				s.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
+				s.driver.Wake(router.id)
 			}
 		}
 	}
 }
 
 // starveRouters takes a share of the routers' CPU until the fault ends.
-func (w *Simulation) starveRouters(routers []*router, share float64) (endFault func()) {
+func (s *Simulation) starveRouters(routers []*router, share float64) (endFault func()) {
 	for _, router := range routers {
-		w.driver.Starve(router.id, share)
+		s.driver.Starve(router.id, share)
 	}
 	return func() {
 		for _, router := range routers {
-			w.driver.Starve(router.id, 0)
+			s.driver.Starve(router.id, 0)
 		}
 	}
 }
 
 // killRouters kills routers, which start again when the fault ends.
-func (w *Simulation) killRouters(routers []*router) (endFault func()) {
+func (s *Simulation) killRouters(routers []*router) (endFault func()) {
 	for _, router := range routers {
-		w.killRouter(router)
+		s.killRouter(router)
 	}
 	return func() {
 		for _, router := range routers {
-			w.startRouter(router)
+			s.startRouter(router)
 		}
 	}
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -37,12 +37,12 @@
 
 // server is a cache, a parent or the origin.
 type server struct {
-	world  *Simulation
-	id     string
-	kind   serverKind
-	office int     // noOffice: at a trunk
-	trunk  int     // its own, or that of its office
-	weight float64 // flows that it can send at once when it is warm
+	simulation *Simulation
+	id         string
+	kind       serverKind
+	office     int     // noOffice: at a trunk
+	trunk      int     // its own, or that of its office
+	weight     float64 // flows that it can send at once when it is warm
 
 	up           bool
 	silent       bool                 // while down: it does not even reset connections
@@ -96,7 +96,7 @@
 
 // capacityShare is the share of its full capacity that a server has now. It rises linearly after a start.
 func (s *server) capacityShare() float64 {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	initial, duration := fleet.SlowStartFrom, fleet.SlowStartS
 	if s.kind == kindParent {
 		initial, duration = fleet.ParentSlowStartFrom, fleet.ParentSlowStartS
@@ -104,12 +104,12 @@
 	if s.startedAt == 0 || s.kind == kindOrigin {
 		return 1
 	}
-	return min(1, initial+(1-initial)*float64(s.world.now-s.startedAt)/(duration*second))
+	return min(1, initial+(1-initial)*float64(s.simulation.now-s.startedAt)/(duration*second))
 }
 
 // updateRate sets the rates of the server's processor or link after anything that they depend on has changed.
 func (s *server) updateRate() {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	rate := s.capacityShare()
 	if s.activePauses > 0 || s.stopped {
 		rate = 0
@@ -136,19 +136,19 @@
 	}
 	s.updateRate()
 	if s.capacityShare() < 1 {
-		s.world.schedule(warmUpStep, func() { s.warmUp(incarnation) })
+		s.simulation.schedule(warmUpStep, func() { s.warmUp(incarnation) })
 	}
 }
 
 // recordWork adds work that was sent to the server, in microseconds of a flow, and tells whether the server
 // collapses: while it warms up, all routers together sent more than a multiple of what it can do in the window.
 func (s *server) recordWork(work float64) (overloaded bool) {
-	fleet := &s.world.scenario.Fleet
+	fleet := &s.simulation.scenario.Fleet
 	window := int64(fleet.OverloadMS * millisecond)
-	s.recentWork = append(s.recentWork, workSample{s.world.now, work})
+	s.recentWork = append(s.recentWork, workSample{s.simulation.now, work})
 	s.recentWorkTotal += work
 	expired := 0
-	for s.recentWork[expired].at <= s.world.now-window {
+	for s.recentWork[expired].at <= s.simulation.now-window {
 		s.recentWorkTotal -= s.recentWork[expired].work
 		expired++
 	}
@@ -161,12 +161,12 @@
 
 // collapse crashes a server that was overloaded while it warmed up. It stays down.
 func (s *server) collapse() {
-	w := s.world
+	sim := s.simulation
 	s.collapsed = true
-	w.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / second})
-	w.Result.Collapsed++
+	sim.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / second})
+	sim.Result.Collapsed++
 	s.crash(false)
-	w.setListed(s, policy.EndpointGone, w.jitter(w.scenario.Fleet.DeathDetectionMS*millisecond))
+	sim.setListed(s, policy.EndpointGone, sim.jitter(sim.scenario.Fleet.DeathDetectionMS*millisecond))
 }
 
 // crash ends the server's process; what it held in memory is lost. Routers see their connections reset, unless the
@@ -175,7 +175,7 @@
 	s.up = false
 	s.silent = silent
 	s.incarnation++
-	s.world.record(Entry{Kind: eventlog.KindDown, Endpoint: s.id})
+	s.simulation.record(Entry{Kind: eventlog.KindDown, Endpoint: s.id})
 	s.dropAttempts(silent)
 	for _, key := range sortedKeys(s.fills) {
 		s.fills[key].cancel()
@@ -229,7 +229,7 @@
 	s.up = true
 	s.silent = false
 	s.incarnation++
-	s.startedAt = max(s.world.now, 1) // 0 would mean before the run
-	s.world.record(Entry{Kind: eventlog.KindStarted, Endpoint: s.id})
+	s.startedAt = max(s.simulation.now, 1) // 0 would mean before the run
+	s.simulation.record(Entry{Kind: eventlog.KindStarted, Endpoint: s.id})
 	s.warmUp(s.incarnation)
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -77,7 +77,7 @@
 
 // New makes a simulation at time 0. The driver's methods are called from Step.
 func New(s *scenario.Scenario, seed uint64, driver Driver) *Simulation {
-	w := &Simulation{
+	sim := &Simulation{
 		scenario:     s,
 		driver:       driver,
 		classes:      s.Classes(),
@@ -91,154 +91,154 @@
 		Result:       newResult(s),
 	}
 	fleet := &s.Fleet
-	w.networkRandom = rand.New(rand.NewPCG(seed, networkFaultStream))
-	w.Network = netsim.New(
+	sim.networkRandom = rand.New(rand.NewPCG(seed, networkFaultStream))
+	sim.Network = netsim.New(
 		int64(fleet.RouterDelayMS*millisecond), int64(fleet.RouterJitterMS*millisecond),
 		rand.New(rand.NewPCG(seed, networkStream)),
 	)
-	w.catalogue = newCatalogue(s, w.random)
-	w.addServers()
+	sim.catalogue = newCatalogue(s, sim.random)
+	sim.addServers()
 	for i := range fleet.Offices * fleet.Routers {
-		w.routers = append(w.routers, &router{
+		sim.routers = append(sim.routers, &router{
 			id: i, office: i / fleet.Routers, up: true, openRequests: map[string]*Request{},
 		})
 	}
-	w.startClients()
+	sim.startClients()
 	for i := range s.Faults {
-		w.scheduleFault(&s.Faults[i])
+		sim.scheduleFault(&s.Faults[i])
 	}
-	w.schedule(second, w.tick)
-	return w
+	sim.schedule(second, sim.tick)
+	return sim
 }
 
 // addServers makes the fleet's servers and the links into its offices.
-func (w *Simulation) addServers() {
-	fleet := &w.scenario.Fleet
+func (s *Simulation) addServers() {
+	fleet := &s.scenario.Fleet
 	for office := range fleet.Offices {
-		w.links = append(w.links, w.newLink(fleet.OfficeLinkKBPerS()))
+		s.links = append(s.links, s.newLink(fleet.OfficeLinkKBPerS()))
 		var caches []*server
 		for c := range fleet.Caches {
-			caches = append(caches, w.newCache(office, fmt.Sprintf("c%d-%d", office+1, c+1)))
+			caches = append(caches, s.newCache(office, fmt.Sprintf("c%d-%d", office+1, c+1)))
 		}
-		w.caches = append(w.caches, caches)
+		s.caches = append(s.caches, caches)
 	}
 	for trunk := range fleet.Trunks {
 		var parents []*server
 		for p := range fleet.Parents {
-			parents = append(parents, w.newParent(trunk, fmt.Sprintf("p%d-%d", trunk+1, p+1)))
+			parents = append(parents, s.newParent(trunk, fmt.Sprintf("p%d-%d", trunk+1, p+1)))
 		}
-		w.parents = append(w.parents, parents)
+		s.parents = append(s.parents, parents)
 	}
-	w.origin = w.newOrigin()
+	s.origin = s.newOrigin()
 }
 
 // tick closes a second of the timeline.
-func (w *Simulation) tick() {
-	w.Result.closeSecond(w)
-	w.schedule(second, w.tick)
+func (s *Simulation) tick() {
+	s.Result.closeSecond(s)
+	s.schedule(second, s.tick)
 }
 
 // currentPhase is the part of the run for the counts of requests.
-func (w *Simulation) currentPhase() string {
+func (s *Simulation) currentPhase() string {
 	switch {
-	case w.now < int64(w.scenario.WarmUpS*second):
+	case s.now < int64(s.scenario.WarmUpS*second):
 		return phaseWarmUp
-	case w.activeFaults > 0:
+	case s.activeFaults > 0:
 		return phaseFault
 	}
 	return phaseCalm
 }
 
 // LastFaultChange is when a fault began or ended last.
-func (w *Simulation) LastFaultChange() int64 { return w.lastFaultChange }
+func (s *Simulation) LastFaultChange() int64 { return s.lastFaultChange }
 
 // Routers is the number of routers.
-func (w *Simulation) Routers() int { return len(w.routers) }
+func (s *Simulation) Routers() int { return len(s.routers) }
 
 // Office is the office of a router.
-func (w *Simulation) Office(router int) int { return w.routers[router].office }
+func (s *Simulation) Office(router int) int { return s.routers[router].office }
 
 // Up tells whether a router's process runs.
-func (w *Simulation) Up(router int) bool { return w.routers[router].up }
+func (s *Simulation) Up(router int) bool { return s.routers[router].up }
 
 // Stopped tells whether a router's process is suspended: it keeps its state but makes no progress.
-func (w *Simulation) Stopped(router int) bool { return w.routers[router].suspensions > 0 }
+func (s *Simulation) Stopped(router int) bool { return s.routers[router].suspensions > 0 }
 
 // Silent tells whether a server is down and does not even reset connections.
-func (w *Simulation) Silent(server string) bool {
-	s := w.servers[server]
-	return s != nil && s.silent
+func (s *Simulation) Silent(server string) bool {
+	found := s.servers[server]
+	return found != nil && found.silent
 }
 
 // Object looks up an object of the catalogue by its name: the index of its traffic class, its purge group and the
 // size of a part. known is false if there is no such object or part.
-func (w *Simulation) Object(name string, part int64) (class int, group int64, kb float64, known bool) {
-	id := w.catalogue.id(name)
-	if id < 0 || id >= w.catalogue.objects || part < 0 || part >= w.catalogue.parts(id) {
+func (s *Simulation) Object(name string, part int64) (class int, group int64, kb float64, known bool) {
+	id := s.catalogue.id(name)
+	if id < 0 || id >= s.catalogue.objects || part < 0 || part >= s.catalogue.parts(id) {
 		return 0, 0, 0, false
 	}
-	return w.catalogue.class(id), w.catalogue.group(id), w.catalogue.size(id, part), true
+	return s.catalogue.class(id), s.catalogue.group(id), s.catalogue.size(id, part), true
 }
 
 // ClassOf is a traffic class by its index in the settings.
-func (w *Simulation) ClassOf(i int) policy.TrafficClass { return w.classes[i] }
+func (s *Simulation) ClassOf(i int) policy.TrafficClass { return s.classes[i] }
 
 // Length is when the run ends: clients stop at the scenario's length, and requests that are open then get some time.
-func (w *Simulation) Length() int64 { return w.clientsUntil + drainTime }
+func (s *Simulation) Length() int64 { return s.clientsUntil + drainTime }
 
 // SitesCut tells whether sites cannot reach each other now.
-func (w *Simulation) SitesCut() bool { return w.sitesCut }
+func (s *Simulation) SitesCut() bool { return s.sitesCut }
 
 // Over tells whether clients have stopped and all requests have their outcomes.
-func (w *Simulation) Over() bool { return w.openRequests == 0 && w.now > w.clientsUntil }
+func (s *Simulation) Over() bool { return s.openRequests == 0 && s.now > s.clientsUntil }
 
 // Close lets no more clients arrive. Requests that are open are still answered.
-func (w *Simulation) Close() { w.clientsUntil = min(w.clientsUntil, w.now) }
+func (s *Simulation) Close() { s.clientsUntil = min(s.clientsUntil, s.now) }
 
 // Now is the time of the run.
-func (w *Simulation) Now() int64 { return w.now }
+func (s *Simulation) Now() int64 { return s.now }
 
 // After schedules an action of the driver after a delay, among the simulation's own events.
-func (w *Simulation) After(delay int64, action func()) { w.schedule(delay, action) }
+func (s *Simulation) After(delay int64, action func()) { s.schedule(delay, action) }
 
 // schedule runs an action after a delay in microseconds; a negative delay counts as none.
-func (w *Simulation) schedule(delay int64, action func()) {
-	w.sequence++
-	w.events.push(event{w.now + max(delay, 0), w.sequence, action})
+func (s *Simulation) schedule(delay int64, action func()) {
+	s.sequence++
+	s.events.push(event{s.now + max(delay, 0), s.sequence, action})
 }
 
 // Next is the time of the next event.
-func (w *Simulation) Next() int64 {
-	if len(w.events) == 0 {
+func (s *Simulation) Next() int64 {
+	if len(s.events) == 0 {
 		return never
 	}
-	return w.events[0].at
+	return s.events[0].at
 }
 
 // Step advances the clock to now and runs the first event that is due. It returns false if none is.
-func (w *Simulation) Step(now int64) bool {
-	if len(w.events) == 0 || w.events[0].at > now {
-		w.now = max(w.now, now)
+func (s *Simulation) Step(now int64) bool {
+	if len(s.events) == 0 || s.events[0].at > now {
+		s.now = max(s.now, now)
 		return false
 	}
-	e := w.events.pop()
-	w.now = max(w.now, e.at)
+	e := s.events.pop()
+	s.now = max(s.now, e.at)
 	e.action()
 	return true
 }
 
 // At advances the clock to now without running events, before a router's input.
-func (w *Simulation) At(now int64) { w.now = max(w.now, now) }
+func (s *Simulation) At(now int64) { s.now = max(s.now, now) }
 
 // record appends an entry to the event log at the current time.
-func (w *Simulation) record(entry Entry) {
-	entry.At = w.now
-	w.driver.Note(&entry)
+func (s *Simulation) record(entry Entry) {
+	entry.At = s.now
+	s.driver.Note(&entry)
 }
 
 // jitter draws a time in microseconds around a mean.
-func (w *Simulation) jitter(mean float64) int64 {
-	return int64(mean * (jitterFrom + jitterSpread*w.random.Float64()))
+func (s *Simulation) jitter(mean float64) int64 {
+	return int64(mean * (jitterFrom + jitterSpread*s.random.Float64()))
 }
 
 // drawShare draws a share of a list, at least one element unless the share is 0. It shuffles the list in place.
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -34,8 +34,8 @@
 func (silentDriver) Starve(int, float64)                       {}
 func (silentDriver) Note(*Entry)                               {}
 
-// newBareWorld is a world without servers, clients or faults.
-func newBareWorld() *Simulation {
+// newBareSimulation is a simulation without servers, clients or faults.
+func newBareSimulation() *Simulation {
 	s := scenario.Default()
 	return &Simulation{scenario: &s, driver: silentDriver{}, random: rand.New(rand.NewPCG(1, 1))}
 }
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -19,9 +19,9 @@
 		sum += weights[i]
 	}
 	filled := func(at float64) (n, hit float64) {
-		for _, w := range weights {
-			in := 1 - math.Exp(-w/sum*at)
-			n, hit = n+in, hit+w/sum*in
+		for _, weight := range weights {
+			in := 1 - math.Exp(-weight/sum*at)
+			n, hit = n+in, hit+weight/sum*in
 		}
 		return n, hit
 	}
