--- a/internal/downstream/forward.go
+++ b/internal/downstream/forward.go
@@ -8,16 +8,9 @@
 	"quilldoor/internal/engine"
 	"quilldoor/internal/gateway"
 	"quilldoor/internal/gateway/peerpolicy"
-	"quilldoor/internal/policy"
 	"quilldoor/internal/upstream"
 )
 
-var peerEffects = map[policy.Effect]peerpolicy.Effect{
-	policy.EffectIdempotent:     peerpolicy.EffectIdempotent,
-	policy.EffectIdempotencyKey: peerpolicy.EffectIdempotencyKey,
-	policy.EffectUnsafe:         peerpolicy.EffectUnsafe,
-}
-
 // forwardRejected hands a request that the policy has rejected to another site,
 // where there is one, and puts its outcome in the place of the rejection. The
 // gateway's protocol has no field for an idempotency key. False: the client has
@@ -71,7 +64,7 @@
 		Event:    x.request.event,
 		Tag:      x.request.tag,
 		Body:     x.request.body,
-		Effect:   peerEffects[class.Effect],
+		Effect:   gateway.PeerEffect(class.Effect),
 		NeverRan: !final.MaybeExecuted,
 	}
 	request.Event.Remaining = time.Until(x.deadline).Microseconds()
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -3,8 +3,8 @@
 import (
 	"quilldoor/internal/engine"
 	"quilldoor/internal/eventlog"
+	"quilldoor/internal/gateway"
 	"quilldoor/internal/gateway/peerpolicy"
-	"quilldoor/internal/policy"
 	"quilldoor/internal/simulation"
 )
 
@@ -19,13 +19,6 @@
 // forwardedRetryAfterMicros is the Retry-After of an answer that a gateway gives.
 const forwardedRetryAfterMicros = 500_000
 
-// peerEffects is how the gateways' protocol words the effect of a repeated request.
-var peerEffects = map[policy.Effect]peerpolicy.Effect{
-	policy.EffectIdempotent:     peerpolicy.EffectIdempotent,
-	policy.EffectIdempotencyKey: peerpolicy.EffectIdempotencyKey,
-	policy.EffectUnsafe:         peerpolicy.EffectUnsafe,
-}
-
 // forward forwards a request that this site has rejected to another one. False: no site takes it.
 func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
 	r := request.router
@@ -34,7 +27,7 @@
 	class := v.world.ClassOf(ask.Class)
 	remaining := ask.Deadline() - v.world.Now()
 	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
-		RequestID: ask.ID, Effect: peerEffects[class.Effect], NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
+		RequestID: ask.ID, Effect: gateway.PeerEffect(class.Effect), NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
 	})
 	if reason != peerpolicy.ReasonOK {
 		return false
