--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -46,7 +46,7 @@
 	Timeout          int64   // after which clients give up
 	PriorityWeight   float64 // what a response in time is worth
 	LateValueShare   float64 // of that, for one that is late
-	FreshFor         int64   // how old a copy may be; 0: no copies
+	FreshFor         int64   // how old a copy may be; 0: copies do not age, only purges end them
 	StaleGrace       int64   // by which a stale copy may be older
 	StaleValueShare  float64 // of the worth, for a stale copy
 	Write            bool
