--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -23,25 +23,25 @@
 			if n == 1000 {
 				s.Load.RequestsPerS, s.Fleet.Cores = 20_000, 8
 			}
-			txns, hops := 0, 0
+			requests, attempts := 0, 0
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for b.Loop() {
-				r, err := RunVirtual(context.Background(), &s, Options{Seed: 1})
+				result, err := RunVirtual(context.Background(), &s, Options{Seed: 1})
 				if err != nil {
 					b.Fatal(err)
 				}
-				txns, hops = txns+r.ClientAttempts, hops+r.Attempts
-				if len(r.Violations) > 0 {
-					b.Fatal(r.Violations[0])
+				requests, attempts = requests+result.ClientAttempts, attempts+result.Attempts
+				if len(result.Violations) > 0 {
+					b.Fatal(result.Violations[0])
 				}
 			}
 			runtime.ReadMemStats(&after)
-			b.ReportMetric(float64(txns)/b.Elapsed().Seconds(), "txns/s")
-			b.ReportMetric(float64(hops)/float64(txns), "hops/txn")
+			b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "txns/s")
+			b.ReportMetric(float64(attempts)/float64(requests), "hops/txn")
 			b.ReportMetric(float64(after.Sys)/1e6, "MB-sys")
-			b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(txns), "allocs/txn")
+			b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(requests), "allocs/txn")
 		})
 	}
 }
--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -44,7 +44,7 @@
 var malformedResponse = []byte("%% ACK entity\r\n")
 
 // finish writes a server's response, as the simulation has it.
-func (a *serverAttempt) finish(hop *simulation.Attempt, end simulation.AttemptResult) {
+func (a *serverAttempt) finish(attempt *simulation.Attempt, end simulation.AttemptResult) {
 	conn := a.conn
 	if conn.attempts[a.requestID] != a {
 		return
@@ -64,12 +64,12 @@
 	var body []byte
 	switch {
 	case status != cacheproto.StatusOK:
-	case hop.Class == scenario.ClassAccept:
+	case attempt.Class == scenario.ClassAccept:
 		body = append([]byte(recordedPrefix), a.body...)
 	default:
-		body = responseBody(hop.Object, hop.Part, end.Issued, hop.SizeKB)
+		body = responseBody(attempt.Object, attempt.Part, end.Issued, attempt.SizeKB)
 		response.IssuedMillis = max(conn.server.unixMS(end.Issued), 1)
-		response.Tag = fmt.Sprintf("%s.%d.%d", hop.Object, hop.Part, end.Issued)
+		response.Tag = fmt.Sprintf("%s.%d.%d", attempt.Object, attempt.Part, end.Issued)
 	}
 	response.Length = len(body)
 	conn.enqueue(append(append(cacheproto.AppendResponse(nil, &response), body...), "\r\n"...))
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -171,10 +171,10 @@
 	if !known || l.simulation.ClassOf(class).Name != get.Class {
 		return nil
 	}
-	ask := &simulation.Request{
+	guest := &simulation.Request{
 		Router: l.id, ID: get.ID, Class: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
 	}
-	request := &clientRequest{Request: ask, cancel: func() {}}
+	request := &clientRequest{Request: guest, cancel: func() {}}
 	l.requests[get.ID] = request
 	now := l.simulation.Now()
 	l.Note(&eventlog.Entry{
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -14,7 +14,7 @@
 	CalledDead  int      // comparisons in which all others that answered held a live router dead
 	DeadByAll   []string // the routers that this happened to
 
-	faultTurn      int64            // the beginning or end of a fault that AgreedAfter counts from
+	countsFrom     int64            // the beginning or end of a fault that AgreedAfter counts from
 	reachableSince map[string]int64 // since when a router is up and exchanges messages with another one
 }
 
@@ -52,11 +52,11 @@
 const viewIntervalMicros = 200_000
 
 // observe compares the views of the routers that are up. Views has those that could be asked,
-// by the router's name. Turn is the time of the last beginning or end of a fault.
-func (m *Members) observe(now, turn int64, up []string, views map[string]*membership.View) {
+// by the router's name. LastFaultChange is when a fault began or ended last.
+func (m *Members) observe(now, lastFaultChange int64, up []string, views map[string]*membership.View) {
 	m.Comparisons++
-	if turn != m.faultTurn || m.Comparisons == 1 {
-		m.faultTurn = turn
+	if lastFaultChange != m.countsFrom || m.Comparisons == 1 {
+		m.countsFrom = lastFaultChange
 		m.AgreedAfter = -1
 	}
 	agreed := len(views) == len(up) && onlyAlive(up, views)
@@ -77,7 +77,7 @@
 	case !agreed:
 		m.AgreedAfter = -1
 	case m.AgreedAfter < 0:
-		m.AgreedAfter = now - turn
+		m.AgreedAfter = now - lastFaultChange
 	}
 }
 
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -14,11 +14,11 @@
 	Progress func(done float64, seconds []simulation.Second) // called about once a simulated second
 
 	// Faults of the routers, for tests of the checker and of rollouts.
-	Settings      func(*settings.Setup)                              // changes the settings that routers get
-	MissesUpdate  func(router int, n simulation.DiscoveryEvent) bool // tells which discovery notices a router misses
-	AnswerCount   func(txn string, n int) int                        // how often a request is answered; nil: once
-	RejectRequest func(router int, rule string) bool                 // tells which new requests a router rejects; nil: none
-	Slowdown      func(router int) float64                           // how much longer a router's attempts take, as a share
+	Settings      func(*settings.Setup)                                   // changes the settings that routers get
+	MissesUpdate  func(router int, notice simulation.DiscoveryEvent) bool // tells which discovery notices a router misses
+	AnswerCount   func(requestID string, n int) int                       // how often a request is answered; nil: once
+	RejectRequest func(router int, class string) bool                     // tells which new requests a router rejects; nil: none
+	Slowdown      func(router int) float64                                // how much longer a router's attempts take, as a share
 
 	OnTick   func(now int64)   // called ten times a second; on the virtual clock
 	onStart  func(*virtualRun) // called before the first event; nil: not
@@ -31,5 +31,5 @@
 	endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint)
 	purged(router int, now int64, object string, group, at int64)
 	attemptSent(router int, class string, attempt *engine.Attempt)
-	responded(router int, ask *simulation.Request, attempt *engine.Attempt, issued int64)
+	responded(router int, request *simulation.Request, attempt *engine.Attempt, issued int64)
 }
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -35,18 +35,18 @@
 }
 
 // Notify posts an event to a router's discovery service.
-func (s *socketRun) Notify(router int, n simulation.DiscoveryEvent) {
+func (s *socketRun) Notify(router int, notice simulation.DiscoveryEvent) {
 	r := s.routers[router]
 	revision := len(r.discoveryEvents) + 1
-	if n.Purge {
-		selector := fmt.Sprintf(`"collection":%d`, n.Group)
-		if n.Object != "" {
-			selector = fmt.Sprintf(`"asset":%q`, n.Object)
+	if notice.Purge {
+		selector := fmt.Sprintf(`"collection":%d`, notice.Group)
+		if notice.Object != "" {
+			selector = fmt.Sprintf(`"asset":%q`, notice.Object)
 		}
-		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, s.unixMS(n.At)))
+		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, s.unixMS(notice.At)))
 		return
 	}
-	r.postEvent(r.endpointListEvent(revision, n.Servers, false))
+	r.postEvent(r.endpointListEvent(revision, notice.Servers, false))
 }
 
 // endpointListEvent is a change of the endpoint list in the discovery service's words, or the
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -15,7 +15,7 @@
 )
 
 // membershipKey is the key that a run's routers sign their membership messages with.
-const membershipKey = "of rehearsals on loopback only"
+const membershipKey = "of emulated routers on loopback only"
 
 // membershipConfig is a router's membership section. It reaches each other router by a
 // datagram relay of its own, so that the scenario can cut and delay each direction.
--- a/internal/emulator/rollout_canary.go
+++ b/internal/emulator/rollout_canary.go
@@ -32,14 +32,14 @@
 	r.monitors[router].recorder.RecordAttempt(attempt.DecidedAt, attempt.Endpoint.ID, attempt.Source, class, attempt.Unsafe)
 }
 
-func (r *rolloutRun) responded(router int, ask *simulation.Request, attempt *engine.Attempt, issued int64) {
-	class := r.simulation.ClassOf(ask.Class)
+func (r *rolloutRun) responded(router int, request *simulation.Request, attempt *engine.Attempt, issued int64) {
+	class := r.simulation.ClassOf(request.Class)
 	if class.Write {
 		return
 	}
 	kbPerMicro := r.scenario.Fleet.FlowKBPerS / 1e6
 	r.monitors[router].recorder.RecordResponse(
-		class.Name, ask.Object, ask.Group, attempt.DecidedAt, issued+epochMicros, ask.SizeKB/kbPerMicro,
+		class.Name, request.Object, request.Group, attempt.DecidedAt, issued+epochMicros, request.SizeKB/kbPerMicro,
 	)
 }
 
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -324,8 +324,8 @@
 }
 
 // AttemptEnded answers an attempt.
-func (s *socketRun) AttemptEnded(_ int, h *simulation.Attempt, e simulation.AttemptResult) {
-	h.Tag.(*serverAttempt).finish(h, e)
+func (s *socketRun) AttemptEnded(_ int, attempt *simulation.Attempt, end simulation.AttemptResult) {
+	attempt.Tag.(*serverAttempt).finish(attempt, end)
 }
 
 // Note passes an entry of the event log on to the checker and the record. Where a server
@@ -335,8 +335,8 @@
 	switch e.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
 		for _, r := range s.routers {
-			if p := r.servers[e.Endpoint]; p != nil {
-				p.setState(e.Kind == eventlog.KindStarted, s.simulation.Silent(e.Endpoint))
+			if listener := r.servers[e.Endpoint]; listener != nil {
+				listener.setState(e.Kind == eventlog.KindStarted, s.simulation.Silent(e.Endpoint))
 			}
 		}
 	}
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -48,31 +48,30 @@
 }
 
 // Request sends a client's request.
-func (s *socketRun) Request(ask *simulation.Request) {
-	r := s.routers[ask.Router]
+func (s *socketRun) Request(request *simulation.Request) {
+	r := s.routers[request.Router]
 	ctx, cancel := context.WithCancel(s.ctx)
-	request := &clientRequest{Request: ask, cancel: cancel}
-	r.requests[ask.ID] = request
+	open := &clientRequest{Request: request, cancel: cancel}
+	r.requests[request.ID] = open
 	addr := r.clientAddr
 	s.goroutines.Go(func() {
-		response := s.sendRequest(ctx, addr, ask)
+		response := s.sendRequest(ctx, addr, request)
 		s.runInLoop(func() {
 			cancel()
-			s.finishRequest(r, request, response)
+			s.finishRequest(r, open, response)
 		})
 	})
 }
 
 // finishRequest tells the simulation what a client got, unless the client has left by now.
 func (s *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
-	ask := request.Request
 	if response.mismatch != "" {
 		s.Note(&eventlog.Entry{
-			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: ask.Router, Request: ask.ID, State: response.mismatch,
+			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID, State: response.mismatch,
 		})
 	}
-	s.forgetForwarded(ask.ID)
-	if r.requests[ask.ID] != request {
+	s.forgetForwarded(request.ID)
+	if r.requests[request.ID] != request {
 		return
 	}
 	switch response.outcome {
@@ -80,11 +79,11 @@
 		s.brokenConns++
 	case outcomeRefused:
 		s.refusedConns++
-		delete(r.requests, ask.ID)
-		s.simulation.Refused(ask.Router, ask.ID)
+		delete(r.requests, request.ID)
+		s.simulation.Refused(request.Router, request.ID)
 	default:
-		delete(r.requests, ask.ID)
-		s.simulation.Answered(ask.Router, ask.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
+		delete(r.requests, request.ID)
+		s.simulation.Answered(request.Router, request.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
@@ -105,9 +104,9 @@
 		if request == nil || request.forwarded || r.gatewayAddr == "" || home.gatewayAddr == "" {
 			continue
 		}
-		ask := *request.Request
-		ask.Router = r.id
-		forwarded := &clientRequest{Request: &ask, cancel: func() {}, forwarded: true}
+		received := *request.Request
+		received.Router = r.id
+		forwarded := &clientRequest{Request: &received, cancel: func() {}, forwarded: true}
 		r.requests[requestID] = forwarded
 		r.Note(&eventlog.Entry{
 			Kind: eventlog.KindForwarded, At: r.simulation.Now(), Router: r.id, Request: requestID, Attempt: home.id,
@@ -118,12 +117,12 @@
 }
 
 // sendRequest sends a request over HTTP and reads the answer.
-func (s *socketRun) sendRequest(ctx context.Context, addr string, ask *simulation.Request) clientResponse {
-	request, err := s.newRequest(ctx, addr, ask)
+func (s *socketRun) sendRequest(ctx context.Context, addr string, request *simulation.Request) clientResponse {
+	httpRequest, err := s.newRequest(ctx, addr, request)
 	if err != nil {
 		return clientResponse{outcome: outcomeNone}
 	}
-	response, err := s.client.Do(request)
+	response, err := s.client.Do(httpRequest)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return clientResponse{outcome: outcomeRefused}
 	}
@@ -137,7 +136,7 @@
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		return completedResponse(body, ask)
+		return completedResponse(body, request)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		retryAfterMillis, _ := strconv.ParseInt(response.Header.Get("X-Throttle-Ms"), 10, 32)
 		return clientResponse{outcome: outcomeRejected, retryAfterMicros: retryAfterMillis * 1000}
@@ -146,36 +145,36 @@
 }
 
 // newRequest is a client's request in the platform's form.
-func (s *socketRun) newRequest(ctx context.Context, addr string, ask *simulation.Request) (*http.Request, error) {
+func (s *socketRun) newRequest(ctx context.Context, addr string, request *simulation.Request) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
-	if ask.Write {
-		method, body = http.MethodPut, []byte(writePrefix+ask.ID)
+	if request.Write {
+		method, body = http.MethodPut, []byte(writePrefix+request.ID)
 	}
-	url := "http://" + addr + "/rpc/" + s.simulation.ClassOf(ask.Class).Name + "/" + ask.Object
-	if ask.Class == scenario.ClassVideo {
-		url += "/n-" + strconv.FormatInt(ask.Part, 10)
+	url := "http://" + addr + "/rpc/" + s.simulation.ClassOf(request.Class).Name + "/" + request.Object
+	if request.Class == scenario.ClassVideo {
+		url += "/n-" + strconv.FormatInt(request.Part, 10)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("X-Txn", ask.ID)
-	request.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(ask.Limit/1000, 1), 10))
-	request.Header.Set("X-Shard", strconv.FormatInt(ask.Group, 10))
-	if ask.Retry {
-		request.Header.Set("X-Second-Try", "1")
+	httpRequest.Header.Set("X-Txn", request.ID)
+	httpRequest.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(request.Limit/1000, 1), 10))
+	httpRequest.Header.Set("X-Shard", strconv.FormatInt(request.Group, 10))
+	if request.Retry {
+		httpRequest.Header.Set("X-Second-Try", "1")
 	}
-	return request, nil
+	return httpRequest, nil
 }
 
 // completedResponse checks the body of a complete answer.
-func completedResponse(body []byte, ask *simulation.Request) clientResponse {
+func completedResponse(body []byte, request *simulation.Request) clientResponse {
 	response := clientResponse{outcome: outcomeCompleted}
-	if !ask.Write {
-		response.issuedMicros, response.mismatch = checkBody(body, ask)
+	if !request.Write {
+		response.issuedMicros, response.mismatch = checkBody(body, request)
 		return response
 	}
-	if string(body) != recordedPrefix+writePrefix+ask.ID {
+	if string(body) != recordedPrefix+writePrefix+request.ID {
 		response.mismatch = fmt.Sprintf("%.40q for an acceptance", body)
 	}
 	return response
@@ -191,15 +190,15 @@
 }
 
 // checkBody reads when a copy was issued, and compares each byte with what the copy should be.
-func checkBody(body []byte, ask *simulation.Request) (issued int64, mismatch string) {
+func checkBody(body []byte, request *simulation.Request) (issued int64, mismatch string) {
 	header, _, _ := bytes.Cut(body, []byte(";"))
 	separator := bytes.LastIndexByte(header, '@')
 	if separator < 0 {
 		return 0, fmt.Sprintf("%.40q", header)
 	}
 	issued, err := strconv.ParseInt(string(header[separator+1:]), 10, 64)
-	if err != nil || !bytes.Equal(body, responseBody(ask.Object, ask.Part, issued, ask.SizeKB)) {
-		return 0, fmt.Sprintf("%.40q, %d bytes for %s/%d", header, len(body), ask.Object, ask.Part)
+	if err != nil || !bytes.Equal(body, responseBody(request.Object, request.Part, issued, request.SizeKB)) {
+		return 0, fmt.Sprintf("%.40q, %d bytes for %s/%d", header, len(body), request.Object, request.Part)
 	}
 	return issued, ""
 }
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	if reply.Status == nil {
-		return nil, errors.New("a report without a standing")
+		return nil, errors.New("a reply without a status")
 	}
 	return reply.Status, nil
 }
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	return last, errors.Join(fmt.Errorf("router %d does not stand as wanted after %v: %+v", i, within, last), err)
+	return last, errors.Join(fmt.Errorf("router %d has not reached the wanted status after %v: %+v", i, within, last), err)
 }
 
 // signalKinds are the event log's entries for signals that change what is expected of a router.
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -161,7 +161,7 @@
 		for i := 0; i < len(v.readyRequests); i++ {
 			request := v.readyRequests[i]
 			request.queued = false
-			v.runCommands(request, request.request.TakeCommands())
+			v.runCommands(request, request.engineRequest.TakeCommands())
 		}
 		v.readyRequests = v.readyRequests[:0]
 		for i := 0; i < len(v.woken); i++ {
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -7,8 +7,8 @@
 )
 
 // Notify delivers a discovery notice to a router: a change of the endpoint list, or a purge.
-func (v *virtualRun) Notify(router int, n simulation.DiscoveryEvent) {
-	v.routers[router].whenRunning(func() { v.notify(router, n) })
+func (v *virtualRun) Notify(router int, notice simulation.DiscoveryEvent) {
+	v.routers[router].whenRunning(func() { v.notify(router, notice) })
 }
 
 // notify applies a notice to a router, unless the router is to miss it.
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -11,9 +11,9 @@
 // withdraw ends a request that another site's router no longer waits for.
 func (v *virtualRun) withdraw(r *virtualRouter, request *virtualRequest) {
 	request.finished = true
-	request.engine.ClientGone(v.now(), request.request)
+	request.engine.ClientGone(v.now(), request.engineRequest)
 	v.detach(request)
-	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.ID, false)
+	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, false)
 }
 
 // forwardedRetryAfterMicros is the Retry-After of an answer that a gateway gives.
@@ -22,23 +22,22 @@
 // forward forwards a request that this site has rejected to another one. False: no site takes it.
 func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
 	r := request.router
-	ask := request.ask
 	now := v.now()
-	class := v.simulation.ClassOf(ask.Class)
-	remaining := ask.Deadline() - v.simulation.Now()
+	class := v.simulation.ClassOf(request.Class)
+	remaining := request.Deadline() - v.simulation.Now()
 	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
-		RequestID: ask.ID, Effect: gateway.PeerEffect(class.Effect), NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
+		RequestID: request.ID, Effect: gateway.PeerEffect(class.Effect), NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
 	})
 	if reason != peerpolicy.ReasonOK {
 		return false
 	}
-	r.gateway.MarkSent(ask.ID)
+	r.gateway.MarkSent(request.ID)
 	v.detach(request)
-	r.forwarded[ask.ID] = request
+	r.forwarded[request.ID] = request
 	request.finished = true
 	v.simulation.Result.Forwarded++
 	far := v.routerByName(peer.Name)
-	budget := r.gateway.Budget(now, ask.ID) // the other site counts it from when the request arrives
+	budget := r.gateway.Budget(now, request.ID) // the other site counts it from when the request arrives
 	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
 	return true
 }
@@ -56,26 +55,25 @@
 // receiveForwarded opens a forwarded request at the other site.
 func (v *virtualRun) receiveForwarded(far *virtualRouter, original *virtualRequest, remaining int64) {
 	home := original.router
-	ask := original.ask
 	rejected := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	if far.gateway == nil || far.engine == nil {
 		return // it is down: the home gateway learns that by its silence
 	}
 	homeName := routerName(home.id)
-	reason := far.gateway.Admit(v.now(), homeName, ask.ID, []string{homeName}, 0)
-	if reason != peerpolicy.ReasonOK || far.requests[ask.ID] != nil {
-		v.sendAnswerHome(far, home, original, rejected, 0)
+	reason := far.gateway.Admit(v.now(), homeName, original.ID, []string{homeName}, 0)
+	if reason != peerpolicy.ReasonOK || far.requests[original.ID] != nil {
+		v.sendAnswerHome(far, home, original.Request, rejected, 0)
 		return
 	}
-	forwardedAsk := *ask
-	forwardedAsk.Router = far.id
+	forwarded := *original.Request
+	forwarded.Router = far.id
 	v.Note(&eventlog.Entry{
-		Kind: eventlog.KindForwarded, At: v.simulation.Now(), Router: far.id, Request: ask.ID, Attempt: home.id,
+		Kind: eventlog.KindForwarded, At: v.simulation.Now(), Router: far.id, Request: original.ID, Attempt: home.id,
 	})
-	request := &virtualRequest{router: far, engine: far.engine, ask: &forwardedAsk, forwardedBy: home}
+	request := &virtualRequest{Request: &forwarded, router: far, engine: far.engine, forwardedBy: home}
 	if err := v.open(request, remaining); err != nil {
-		far.gateway.FinishInbound(v.now(), homeName, ask.ID, false)
-		v.sendAnswerHome(far, home, original, rejected, 0)
+		far.gateway.FinishInbound(v.now(), homeName, original.ID, false)
+		v.sendAnswerHome(far, home, original.Request, rejected, 0)
 	}
 }
 
@@ -84,26 +82,26 @@
 	request.finished = true
 	v.detach(request)
 	far := request.router
-	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ask.ID, outcome == outcomeCompleted)
+	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, outcome == outcomeCompleted)
 	answer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
 	sizeKB := 0.0
 	switch outcome {
 	case outcomeCompleted:
 		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: issued}
-		sizeKB = request.ask.SizeKB
-		if request.ask.Write {
+		sizeKB = request.SizeKB
+		if request.Write {
 			answer.IssuedMillis = 0
 		}
 	case outcomeRejected:
 		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !command.MaybeExecuted}
 	}
-	v.sendAnswerHome(far, request.forwardedBy, &virtualRequest{ask: request.ask}, answer, sizeKB)
+	v.sendAnswerHome(far, request.forwardedBy, request.Request, answer, sizeKB)
 }
 
 // sendAnswerHome takes an answer to the site that forwarded the request, after the time that
 // its bytes take.
 func (v *virtualRun) sendAnswerHome(
-	far, home *virtualRouter, request *virtualRequest, answer peerpolicy.PeerAnswer, sizeKB float64,
+	far, home *virtualRouter, request *simulation.Request, answer peerpolicy.PeerAnswer, sizeKB float64,
 ) {
 	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * 1e6)
 	v.simulation.After(transferMicros, func() {
@@ -111,10 +109,10 @@
 			if home.gateway == nil {
 				return
 			}
-			home.recordIssued(request.ask.ID, answer.IssuedMillis)
+			home.recordIssued(request.ID, answer.IssuedMillis)
 			// On the virtual clock the times of issue and of purges are the simulation's microseconds.
-			answer.LatestPurgeMillis = v.latestPurge(home, request.ask)
-			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ask.ID, answer)
+			answer.LatestPurgeMillis = v.latestPurge(home, request)
+			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ID, answer)
 			v.runGatewayActions(home)
 		})
 	})
@@ -128,9 +126,9 @@
 }
 
 // latestPurge is the latest purge of a request's object that a router has heard of.
-func (v *virtualRun) latestPurge(r *virtualRouter, ask *simulation.Request) (at int64) {
+func (v *virtualRun) latestPurge(r *virtualRouter, request *simulation.Request) (at int64) {
 	for _, purge := range v.seenPurges[r.id] {
-		if purge.Object != "" && purge.Object == ask.Object || purge.Object == "" && purge.Group == ask.Group {
+		if purge.Object != "" && purge.Object == request.Object || purge.Object == "" && purge.Group == request.Group {
 			at = max(at, purge.At)
 		}
 	}
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -9,14 +9,15 @@
 
 // virtualRequest is a request that a router on the virtual clock works on.
 type virtualRequest struct {
-	router      *virtualRouter
-	engine      *engine.Engine // the one that opened it; the router may have been restarted since
-	request     *engine.Request
-	ask         *simulation.Request
-	queued      bool           // it is in virtualRun.readyRequests
-	finished    bool           // it has been answered, forwarded or left
-	issued      int64          // when the copy that another site answered with was issued
-	forwardedBy *virtualRouter // the router of another site that forwarded it; nil: it came from a client
+	*simulation.Request
+
+	router        *virtualRouter
+	engine        *engine.Engine // the one that opened it; the router may have been restarted since
+	engineRequest *engine.Request
+	queued        bool           // it is in virtualRun.readyRequests
+	finished      bool           // it has been answered, forwarded or left
+	issued        int64          // when the copy that another site answered with was issued
+	forwardedBy   *virtualRouter // the router of another site that forwarded it; nil: it came from a client
 }
 
 // originKind is the platform's name for the kind of server that is the origin.
@@ -36,11 +37,11 @@
 		case engine.CommandSend:
 			v.startAttempt(request, command.Attempt)
 		case engine.CommandDrop:
-			v.simulation.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
+			v.simulation.Cancel(request.router.id, request.ID, command.Attempt.Number)
 		case engine.CommandRespond:
 			issued := command.Response.(virtualResponse).issued
 			if v.options.observer != nil && command.Attempt != nil && !request.finished {
-				v.options.observer.responded(request.router.id, request.ask, command.Attempt, issued)
+				v.options.observer.responded(request.router.id, request.Request, command.Attempt, issued)
 			}
 			v.finish(request, outcomeCompleted, issued, command)
 		case engine.CommandReject:
@@ -56,20 +57,19 @@
 	if request.finished || !attempt.Begin() {
 		return
 	}
-	ask := request.ask
 	if v.options.observer != nil {
-		v.options.observer.attemptSent(request.router.id, v.simulation.ClassOf(ask.Class).Name, attempt)
+		v.options.observer.attemptSent(request.router.id, v.simulation.ClassOf(request.Class).Name, attempt)
 	}
-	hop := &simulation.Attempt{
-		Router: request.router.id, RequestID: ask.ID, Number: attempt.Number, Server: attempt.Endpoint.ID,
+	sent := &simulation.Attempt{
+		Router: request.router.id, RequestID: request.ID, Number: attempt.Number, Server: attempt.Endpoint.ID,
 		Source: attempt.Source, Rank: attempt.CachePriority, FillMode: attempt.FillMode, MaxAge: attempt.MaxAge,
-		Class: ask.Class, Object: ask.Object, Part: ask.Part, Group: ask.Group,
-		SizeKB: ask.SizeKB, Write: ask.Write, Tag: attempt,
+		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
+		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
 	}
-	if hop.Source == "" && attempt.Endpoint.Kind == originKind {
-		hop.Source = attempt.Endpoint.ID
+	if sent.Source == "" && attempt.Endpoint.Kind == originKind {
+		sent.Source = attempt.Endpoint.ID
 	}
-	v.simulation.SendAttempt(hop)
+	v.simulation.SendAttempt(sent)
 }
 
 // finish takes the engine's final command. It is the client's answer, unless another site
@@ -97,44 +97,44 @@
 	request.finished = true
 	times := 1 // a faulty router answers not at all, or twice
 	if v.options.AnswerCount != nil {
-		times = v.options.AnswerCount(request.ask.ID, 1)
+		times = v.options.AnswerCount(request.ID, 1)
 	}
 	for range times {
-		v.simulation.Answered(request.router.id, request.ask.ID, outcome, issued, retryAfter)
+		v.simulation.Answered(request.router.id, request.ID, outcome, issued, retryAfter)
 	}
 	v.detach(request)
 }
 
 // detach ends a request at its router, as the downstream server does once it has answered.
 func (v *virtualRun) detach(request *virtualRequest) {
-	delete(request.router.requests, request.ask.ID)
-	for _, command := range request.request.Detach() {
+	delete(request.router.requests, request.ID)
+	for _, command := range request.engineRequest.Detach() {
 		if command.Kind == engine.CommandDrop {
-			v.simulation.Cancel(request.router.id, request.ask.ID, command.Attempt.Number)
+			v.simulation.Cancel(request.router.id, request.ID, command.Attempt.Number)
 		}
 	}
 }
 
 // Request hands a client's request to its router.
-func (v *virtualRun) Request(a *simulation.Request) {
-	v.routers[a.Router].whenRunning(func() { v.openRequest(a) })
+func (v *virtualRun) Request(request *simulation.Request) {
+	v.routers[request.Router].whenRunning(func() { v.openRequest(request) })
 }
 
 // openRequest opens a client's request, with the time that is left for it.
-func (v *virtualRun) openRequest(ask *simulation.Request) {
-	r := v.routers[ask.Router]
-	request := &virtualRequest{router: r, engine: r.engine, ask: ask}
-	remaining := ask.Limit
+func (v *virtualRun) openRequest(arrived *simulation.Request) {
+	r := v.routers[arrived.Router]
+	request := &virtualRequest{Request: arrived, router: r, engine: r.engine}
+	remaining := request.Limit
 	// A request that is read just after a pause may have waited through all of it.
 	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - r.stoppedAt
 	}
-	if remaining <= 0 || v.options.RejectRequest != nil && v.options.RejectRequest(r.id, v.simulation.ClassOf(ask.Class).Name) {
-		v.simulation.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
+	if remaining <= 0 || v.options.RejectRequest != nil && v.options.RejectRequest(r.id, v.simulation.ClassOf(request.Class).Name) {
+		v.simulation.Answered(r.id, request.ID, outcomeRejected, 0, 0)
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
-		v.simulation.Answered(r.id, ask.ID, outcomeRejected, 0, 0)
+		v.simulation.Answered(r.id, request.ID, outcomeRejected, 0, 0)
 		request.finished = true
 		request.queued = true
 	}
@@ -143,10 +143,9 @@
 // open hands a request to its router's engine. The engine puts it among those that are ready
 // when it has commands for it.
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
-	ask := request.ask
 	opened, err := request.engine.Open(v.now(), policy.Event{
-		Request: ask.ID, Class: v.simulation.ClassOf(ask.Class).Name, Object: ask.Object, Group: ask.Group,
-		Part: ask.Part, Remaining: remaining, ClientRetry: ask.Retry, Write: ask.Write,
+		Request: request.ID, Class: v.simulation.ClassOf(request.Class).Name, Object: request.Object, Group: request.Group,
+		Part: request.Part, Remaining: remaining, ClientRetry: request.Retry, Write: request.Write,
 	}, func() {
 		if !request.queued && !request.finished {
 			request.queued = true
@@ -156,8 +155,8 @@
 	if err != nil {
 		return err
 	}
-	request.request = opened
-	request.router.requests[ask.ID] = request
+	request.engineRequest = opened
+	request.router.requests[request.ID] = request
 	return nil
 }
 
@@ -177,18 +176,18 @@
 	}
 	if request := r.requests[requestID]; request != nil {
 		request.finished = true
-		request.engine.ClientGone(v.now(), request.request)
+		request.engine.ClientGone(v.now(), request.engineRequest)
 		v.detach(request)
 	}
 }
 
 // AttemptEnded tells a router that an attempt has ended.
-func (v *virtualRun) AttemptEnded(router int, h *simulation.Attempt, e simulation.AttemptResult) {
-	v.routers[router].whenRunning(func() { v.attemptEnded(router, h, e) })
+func (v *virtualRun) AttemptEnded(router int, attempt *simulation.Attempt, end simulation.AttemptResult) {
+	v.routers[router].whenRunning(func() { v.attemptEnded(router, attempt, end) })
 }
 
 // attemptEnded hands the result to the engine, later if the router is to appear slower.
-func (v *virtualRun) attemptEnded(router int, hop *simulation.Attempt, end simulation.AttemptResult) {
+func (v *virtualRun) attemptEnded(router int, ended *simulation.Attempt, end simulation.AttemptResult) {
 	r := v.routers[router]
 	if r.engine == nil {
 		return
@@ -198,7 +197,7 @@
 		result.Response = virtualResponse{end.Issued}
 	}
 	current := r.engine
-	attempt := hop.Tag.(*engine.Attempt)
+	attempt := ended.Tag.(*engine.Attempt)
 	if v.options.Slowdown != nil {
 		if delay := int64(v.options.Slowdown(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
 			v.simulation.After(delay, func() {
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -104,7 +104,7 @@
 			silent = append(silent, request)
 		}
 	}
-	slices.SortFunc(silent, func(a, b *virtualRequest) int { return strings.Compare(a.ask.ID, b.ask.ID) })
+	slices.SortFunc(silent, func(a, b *virtualRequest) int { return strings.Compare(a.ID, b.ID) })
 	for _, request := range silent {
 		v.withdraw(r, request)
 	}
