--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -84,21 +84,21 @@
 
 var rolloutCases = []rolloutCase{
 	{sameProgram, "", modeJudged, emulator.RolloutOptions{}},
-	{"refuses 0.02", "", modeJudged, emulator.RolloutOptions{Refuses: 0.02}},
-	{"refuses 0.05", "", modeJudged, emulator.RolloutOptions{Refuses: 0.05}},
-	{"refuses 0.1", "", modeJudged, emulator.RolloutOptions{Refuses: 0.1}},
-	{"refuses 0.3", "", modeJudged, emulator.RolloutOptions{Refuses: 0.3}},
-	{"refuses 0.5 of acceptances", "", modeJudged, emulator.RolloutOptions{Refuses: 0.5, Of: "quote-accept"}},
-	{"refuses 0.2 once all have it", "", modeJudged, emulator.RolloutOptions{Refuses: 0.2, OnlyAll: true}},
-	{"a tenth slower", "", modeJudged, emulator.RolloutOptions{Slower: 0.1}},
-	{"a fifth slower", "", modeJudged, emulator.RolloutOptions{Slower: 0.2}},
-	{"half slower", "", modeJudged, emulator.RolloutOptions{Slower: 0.5}},
-	{"refuses 0.1", "", modeNoJudge, emulator.RolloutOptions{Refuses: 0.1, NoJudge: true}},
-	{"refuses 0.1", "", modeAtOnce, emulator.RolloutOptions{Refuses: 0.1, AtOnce: true}},
+	{"refuses 0.02", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.02}},
+	{"refuses 0.05", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.05}},
+	{"refuses 0.1", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.1}},
+	{"refuses 0.3", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.3}},
+	{"refuses 0.5 of acceptances", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.5, RejectClass: "quote-accept"}},
+	{"refuses 0.2 once all have it", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.2, RejectOnceComplete: true}},
+	{"a tenth slower", "", modeJudged, emulator.RolloutOptions{Slowdown: 0.1}},
+	{"a fifth slower", "", modeJudged, emulator.RolloutOptions{Slowdown: 0.2}},
+	{"half slower", "", modeJudged, emulator.RolloutOptions{Slowdown: 0.5}},
+	{"refuses 0.1", "", modeNoJudge, emulator.RolloutOptions{RejectShare: 0.1, NoAnalysis: true}},
+	{"refuses 0.1", "", modeAtOnce, emulator.RolloutOptions{RejectShare: 0.1, AllAtOnce: true}},
 	{sameProgram, "", modeNoRollout, emulator.RolloutOptions{StartS: 1e9}},
 	{sameProgram, "purges and drains", modeJudged, emulator.RolloutOptions{}},
-	{"deaf to purges", "purges and drains", modeJudged, emulator.RolloutOptions{DeafPurges: true}},
-	{"deaf to drains", "purges and drains", modeJudged, emulator.RolloutOptions{DeafDrains: true}},
+	{"deaf to purges", "purges and drains", modeJudged, emulator.RolloutOptions{MissesPurges: true}},
+	{"deaf to drains", "purges and drains", modeJudged, emulator.RolloutOptions{MissesDrains: true}},
 }
 
 // on reports whether the case is played on a day.
@@ -232,21 +232,21 @@
 // add counts a run.
 func (f *rolloutFigures) add(result *emulator.RolloutResult) {
 	f.earned = append(f.earned, result.EarnedShare())
-	f.harmed += float64(result.Harmed) / float64(f.runs)
-	f.accused += result.Accused
+	f.harmed += float64(result.HarmedRequests) / float64(f.runs)
+	f.accused += result.AccusedRouters
 	for rule, n := range result.CountByRule {
 		f.violations[rule] += n
 	}
-	switch result.Way {
+	switch result.Phase {
 	case rollout.PhaseDone:
 		f.done++
-		f.doneAfterS = append(f.doneAfterS, result.EndedS)
+		f.doneAfterS = append(f.doneAfterS, result.EndS)
 	case rollout.PhaseRolledBack, rollout.PhaseRollingBack:
 		f.rolledBack++
 		f.rolledBackAt[result.Stage]++
-		if result.HarmedS > 0 {
-			f.undecidedS = append(f.undecidedS, result.TurnedS-result.HarmedS)
-			f.harmToEndS = append(f.harmToEndS, result.EndedS-result.HarmedS)
+		if result.FirstHarmS > 0 {
+			f.undecidedS = append(f.undecidedS, result.RollbackStartS-result.FirstHarmS)
+			f.harmToEndS = append(f.harmToEndS, result.EndS-result.FirstHarmS)
 		}
 	case rollout.PhasePaused, rollout.PhaseForward:
 		f.paused++
--- /dev/null
+++ b/internal/emulator/rollout_counts.go
@@ -0,0 +1,84 @@
+package emulator
+
+import (
+	"math"
+
+	"quilldoor/internal/canary"
+	"quilldoor/internal/eventlog"
+)
+
+// rolloutRequest is what the canary analysis needs of a request until it is answered.
+type rolloutRequest struct {
+	takenAt  int64
+	class    string
+	attempts int
+}
+
+// minLatencyMicros bounds latencies from below, as their logarithms are summed.
+const minLatencyMicros = 1000
+
+// record follows the requests in the event log.
+func (r *rolloutRun) record(e *eventlog.Entry) {
+	switch e.Kind {
+	case eventlog.KindTaken:
+		r.pending[e.Request] = &rolloutRequest{takenAt: e.At, class: e.Class}
+	case eventlog.KindSent:
+		if request := r.pending[e.Request]; request != nil {
+			request.attempts++
+		}
+	case eventlog.KindAnswered, eventlog.KindLeft:
+		if request := r.pending[e.Request]; request != nil {
+			delete(r.pending, e.Request)
+			r.count(e, request)
+		}
+	}
+}
+
+// count adds the end of a request to its router's counts, as the router does.
+func (r *rolloutRun) count(e *eventlog.Entry, request *rolloutRequest) {
+	weight := r.weights[request.class]
+	counts := &r.states[e.Router].counts
+	counts.Requests++
+	counts.WeightOffered += weight
+	counts.Attempts += float64(request.attempts)
+	earned := 0.0
+	switch e.Outcome {
+	case outcomeCompleted:
+		earned = r.countCompleted(e, request)
+	case outcomeRejected:
+		counts.Rejected++
+	default:
+		counts.Failed++
+	}
+	counts.WeightEarned += earned
+	countClass(counts, request.class, weight, earned)
+}
+
+// countCompleted counts a completed request and returns the weight that it earned: all if it
+// met its objective, else none.
+func (r *rolloutRun) countCompleted(e *eventlog.Entry, request *rolloutRequest) float64 {
+	counts := &r.states[e.Router].counts
+	objective := r.objectives[request.class]
+	latency := e.At - request.takenAt
+	counts.Completed++
+	counts.LogLatencySum += math.Log(float64(max(latency, minLatencyMicros)) / float64(objective))
+	if r.config.Slowdown > 0 && r.servesNew(e.Router) {
+		r.countHarm()
+	}
+	if latency > objective {
+		return 0
+	}
+	return r.weights[request.class]
+}
+
+// countClass counts a request in the counts of its traffic class.
+func countClass(counts *canary.Counts, name string, offered, earned float64) {
+	if counts.Classes == nil {
+		counts.Classes = map[string]canary.ClassCounts{}
+	}
+	class := counts.Classes[name]
+	class.Requests++
+	class.WeightOffered += offered
+	class.WeightEarned += earned
+	counts.Classes[name] = class
+}
--- a/internal/emulator/virtual_membership_test.go
+++ b/internal/emulator/virtual_membership_test.go
@@ -10,7 +10,7 @@
 // Routers whose discovery service is cut violate rules when they know no other routers, and
 // none when they gossip. The runs are the same but for that.
 func TestGossipKeepsTheRulesWhileDiscoveryIsCut(t *testing.T) {
-	alone := 0
+	violatedAlone := 0
 	for seed := range uint64(4) {
 		for _, membership := range []bool{false, true} {
 			s, err := scenarios.Load("board-cut-third")
@@ -18,25 +18,26 @@
 				t.Fatal(err)
 			}
 			s.Fleet.Membership = membership
-			r, err := RunVirtual(context.Background(), s, Options{Seed: seed + 1})
+			result, err := RunVirtual(context.Background(), s, Options{Seed: seed + 1})
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken := r.CountByRule[3] + r.CountByRule[4]
+			violations := result.CountByRule[3] + result.CountByRule[4]
 			if !membership {
-				alone += broken
+				violatedAlone += violations
 				continue
 			}
-			for _, b := range r.Violations {
-				t.Errorf("seed %d: %v", seed+1, b)
+			for _, violation := range result.Violations {
+				t.Errorf("seed %d: %v", seed+1, violation)
 			}
-			if r.Collapsed > 0 || r.Members.AgreedAfter < 0 || len(r.Members.DeadByAll) > 0 {
-				t.Errorf("seed %d: %d pushed over, agreed %d, called dead %v", seed+1, r.Collapsed, r.Members.AgreedAfter, r.Members.DeadByAll)
+			if result.Collapsed > 0 || result.Members.AgreedAfter < 0 || len(result.Members.DeadByAll) > 0 {
+				t.Errorf("seed %d: %d collapsed, agreed after %d, declared dead %v",
+					seed+1, result.Collapsed, result.Members.AgreedAfter, result.Members.DeadByAll)
 			}
 		}
 	}
-	if alone == 0 {
-		t.Error("no rule is broken by routers that know nobody: the rehearsal proves nothing")
+	if violatedAlone == 0 {
+		t.Error("routers without membership violate no rule: the scenario proves nothing")
 	}
-	t.Logf("alone: %d breaks", alone)
+	t.Logf("without membership: %d violations", violatedAlone)
 }
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -14,16 +14,16 @@
 	"quilldoor/scenarios"
 )
 
-func play(t *testing.T, s *scenario.Scenario, opt Options) *Result {
+func play(t *testing.T, s *scenario.Scenario, options Options) *Result {
 	t.Helper()
-	if opt.Seed == 0 {
-		opt.Seed = 1
+	if options.Seed == 0 {
+		options.Seed = 1
 	}
-	r, err := RunVirtual(context.Background(), s, opt)
+	result, err := RunVirtual(context.Background(), s, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
 func load(t *testing.T, name string) *scenario.Scenario {
@@ -40,7 +40,7 @@
 func TestScenariosAreRepeatable(t *testing.T) {
 	names := scenarios.Names()
 	if len(names) < 12 {
-		t.Fatalf("%d rehearsals", len(names))
+		t.Fatalf("%d scenarios", len(names))
 	}
 	for _, name := range names {
 		if load(t, name).LengthS > 120 { // for people to look at
@@ -50,20 +50,20 @@
 			t.Parallel()
 			var first []byte
 			for range 2 {
-				var all bytes.Buffer
-				enc := json.NewEncoder(&all)
-				r := play(t, load(t, name), Options{Record: func(e *eventlog.Entry) { encode(t, enc, e) }})
-				encode(t, enc, r)
+				var output bytes.Buffer
+				encoder := json.NewEncoder(&output)
+				result := play(t, load(t, name), Options{Record: func(e *eventlog.Entry) { encode(t, encoder, e) }})
+				encode(t, encoder, result)
 				if first == nil {
-					first = all.Bytes()
-				} else if !bytes.Equal(first, all.Bytes()) {
-					t.Fatal("two runs of one script and seed differ")
+					first = output.Bytes()
+				} else if !bytes.Equal(first, output.Bytes()) {
+					t.Fatal("two runs of one scenario and seed differ")
 				}
-				for _, b := range r.Violations {
-					t.Error(b)
+				for _, violation := range result.Violations {
+					t.Error(violation)
 				}
-				if r.Judged < 3000 || r.EarnedShare() < 0.6 {
-					t.Errorf("%d tries judged, worth %.3f", r.Judged, r.EarnedShare())
+				if result.Judged < 3000 || result.EarnedShare() < 0.6 {
+					t.Errorf("%d requests judged, %.3f of the weight earned", result.Judged, result.EarnedShare())
 				}
 			}
 		})
@@ -72,19 +72,19 @@
 
 // A router that ignores a rule violates this one and no other.
 func TestFaultyRoutersAreCaught(t *testing.T) {
-	for name, c := range map[string]struct {
-		script string
-		opt    Options
-		rule   int
+	for name, test := range map[string]struct {
+		scenario string
+		options  Options
+		rule     int
 	}{
-		"loses answers": {"calm", Options{AnswerCount: func(txn string, _ int) int {
-			if strings.HasSuffix(txn, "77") {
+		"loses answers": {"calm", Options{AnswerCount: func(requestID string, _ int) int {
+			if strings.HasSuffix(requestID, "77") {
 				return 0
 			}
 			return 1
 		}}, 1},
-		"answers twice": {"calm", Options{AnswerCount: func(txn string, _ int) int {
-			if strings.HasSuffix(txn, "77") {
+		"answers twice": {"calm", Options{AnswerCount: func(requestID string, _ int) int {
+			if strings.HasSuffix(requestID, "77") {
 				return 2
 			}
 			return 1
@@ -92,19 +92,21 @@
 		"repeats acceptances": {"rude-answers", Options{Settings: func(s *settings.Setup) {
 			s.Classes[scenario.ClassAccept].Effect = "safe"
 		}}, 2},
-		"deaf to drains": {"deploy-waves", Options{MissesUpdate: func(_ int, n simulation.DiscoveryEvent) bool {
-			return !n.Purge && n.Servers[0].State != "active"
+		"misses drains": {"deploy-waves", Options{MissesUpdate: func(_ int, notice simulation.DiscoveryEvent) bool {
+			return !notice.Purge && notice.Servers[0].State != "active"
 		}}, 3},
-		"deaf to purges": {"blind-purge", Options{MissesUpdate: func(_ int, n simulation.DiscoveryEvent) bool { return n.Purge }}, 5},
+		"misses purges": {"blind-purge", Options{MissesUpdate: func(_ int, notice simulation.DiscoveryEvent) bool {
+			return notice.Purge
+		}}, 5},
 	} {
-		s := load(t, c.script)
-		r := play(t, s, c.opt)
-		if r.CountByRule[c.rule] == 0 {
-			t.Errorf("%s: rule %d is kept, %v broken", name, c.rule, r.CountByRule)
+		s := load(t, test.scenario)
+		result := play(t, s, test.options)
+		if result.CountByRule[test.rule] == 0 {
+			t.Errorf("%s: rule %d is kept, %v violated", name, test.rule, result.CountByRule)
 		}
-		for i, n := range r.CountByRule {
-			if i != c.rule && n > 0 {
-				t.Errorf("%s: rule %d broken %d times: %v", name, i, n, r.Violations[0])
+		for rule, count := range result.CountByRule {
+			if rule != test.rule && count > 0 {
+				t.Errorf("%s: rule %d violated %d times: %v", name, rule, count, result.Violations[0])
 			}
 		}
 	}
@@ -122,20 +124,20 @@
 	return &s
 }
 
-// A router without slow start overloads cold caches until they fall; the real one does not.
-func TestColdCachesFallUnderRoutersWithoutSlowStart(t *testing.T) {
-	right := play(t, coldStart(), Options{})
-	if right.Collapsed > 0 || right.CountByRule[4] > 0 {
-		t.Fatalf("the right router pushed %d over: %v", right.Collapsed, right.Violations)
+// A router without slow start overloads cold caches until they collapse; the real one does not.
+func TestColdCachesCollapseUnderRoutersWithoutSlowStart(t *testing.T) {
+	correct := play(t, coldStart(), Options{})
+	if correct.Collapsed > 0 || correct.CountByRule[4] > 0 {
+		t.Fatalf("the correct router made %d collapse: %v", correct.Collapsed, correct.Violations)
 	}
-	wrong := play(t, coldStart(), Options{Settings: func(s *settings.Setup) {
+	faulty := play(t, coldStart(), Options{Settings: func(s *settings.Setup) {
 		s.Contract.ColdFrom, s.Contract.FallMultiple = 1, 1000
 	}})
-	if wrong.Collapsed == 0 || wrong.CountByRule[4] != wrong.Collapsed {
-		t.Fatalf("%d fell, %d told", wrong.Collapsed, wrong.CountByRule[4])
+	if faulty.Collapsed == 0 || faulty.CountByRule[4] != faulty.Collapsed {
+		t.Fatalf("%d collapsed, %d are in the violations", faulty.Collapsed, faulty.CountByRule[4])
 	}
-	if wrong.EarnedShare() >= right.EarnedShare() {
-		t.Errorf("worth %.3f with fallen caches, %.3f without", wrong.EarnedShare(), right.EarnedShare())
+	if faulty.EarnedShare() >= correct.EarnedShare() {
+		t.Errorf("%.3f of the weight earned with collapsed caches, %.3f without", faulty.EarnedShare(), correct.EarnedShare())
 	}
 }
 
@@ -145,32 +147,33 @@
 	for _, name := range []string{"all-at-once", "rude-answers", "deploy-waves"} {
 		s := load(t, name)
 		up := map[string]bool{}
-		dead := 0
-		r := play(t, s, Options{Record: func(e *eventlog.Entry) {
+		workedWhileDown := 0
+		result := play(t, s, Options{Record: func(e *eventlog.Entry) {
 			switch e.Kind {
 			case eventlog.KindDown:
 				up[e.Endpoint] = false
 			case eventlog.KindStarted:
 				up[e.Endpoint] = true
 			case eventlog.KindArrived, eventlog.KindRan, eventlog.KindEffect:
-				if alive, told := up[e.Endpoint]; told && !alive {
-					dead++
+				if alive, known := up[e.Endpoint]; known && !alive {
+					workedWhileDown++
 				}
 			}
 		}})
-		if dead > 0 {
-			t.Errorf("%s: %d times a dead server worked", name, dead)
+		if workedWhileDown > 0 {
+			t.Errorf("%s: %d times a dead server worked", name, workedWhileDown)
 		}
-		for _, k := range r.Classes {
-			for p, o := range k.Phases {
-				if ends := o.InTime + o.Late + o.Rejected + o.Failed; ends != o.Requests {
-					t.Errorf("%s: %s in %s: %d asked, %d ends", name, k.Name, p, o.Requests, ends)
+		for _, class := range result.Classes {
+			for phase, outcomes := range class.Phases {
+				ends := outcomes.InTime + outcomes.Late + outcomes.Rejected + outcomes.Failed
+				if ends != outcomes.Requests {
+					t.Errorf("%s: %s in %s: %d requests, %d ends", name, class.Name, phase, outcomes.Requests, ends)
 				}
 			}
 		}
-		for _, second := range r.Timeline {
+		for _, second := range result.Timeline {
 			if second.LinkUtilization > 1.0001 {
-				t.Errorf("%s: a link at %.3f of its room", name, second.LinkUtilization)
+				t.Errorf("%s: a link at %.3f of its capacity", name, second.LinkUtilization)
 			}
 		}
 	}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -92,11 +92,11 @@
 
 // outcomes are the counts of a client's traffic class and phase.
 func (r *Result) outcomes(client *client) *Outcomes {
-	rule := r.Classes[client.class]
-	outcomes := rule.Phases[client.phase]
+	class := r.Classes[client.class]
+	outcomes := class.Phases[client.phase]
 	if outcomes == nil {
 		outcomes = &Outcomes{}
-		rule.Phases[client.phase] = outcomes
+		class.Phases[client.phase] = outcomes
 	}
 	return outcomes
 }
