--- a/internal/membership/safeguard_test.go
+++ b/internal/membership/safeguard_test.go
@@ -15,9 +15,9 @@
 
 // Each safeguard is needed: a node with all of them passes its trial, a node without it fails.
 func TestEverySafeguardIsNeeded(t *testing.T) {
-	trials := map[string]func(without string) error{
+	trials := map[string]func(t *testing.T, without string) error{
 		// An update from before a member died comes late: the member stays dead.
-		"incarnation order": func(without string) error {
+		"incarnation order": func(_ *testing.T, without string) error {
 			settings := membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}
 			n := membership.New(settings.WithoutSafeguard(without), rand.New(rand.NewPCG(1, 1)), 1)
 			from := membership.Update{
@@ -41,7 +41,7 @@
 			return nil
 		},
 		// A process is paused for less than the suspicion timeout: nobody declares it dead.
-		"refutation": func(without string) error {
+		"refutation": func(_ *testing.T, without string) error {
 			f := newFleet(12, 1, without, 0.05)
 			converge(f, 30*second)
 			dead := 0
@@ -62,7 +62,7 @@
 			return nil
 		},
 		// One node hears all acknowledgements late: alone it must not declare healthy members dead.
-		"confirmations": func(without string) error {
+		"confirmations": func(_ *testing.T, without string) error {
 			f := newFleet(12, 1, without, 0)
 			converge(f, 30*second)
 			dead := 0
@@ -79,7 +79,7 @@
 			return nil
 		},
 		// Ten seconds after the last change no updates are sent.
-		"gossip bound": func(without string) error {
+		"gossip bound": func(_ *testing.T, without string) error {
 			f := newFleet(12, 1, without, 0)
 			converge(f, 30*second)
 			f.Kill(11)
@@ -93,7 +93,7 @@
 		},
 		// A process is paused just after it has sent a probe: no member has failed because it did not hear the
 		// acknowledgement.
-		"pause detection": func(without string) error {
+		"pause detection": func(_ *testing.T, without string) error {
 			f := newFleet(12, 1, without, 0)
 			converge(f, 30*second)
 			for range 10 {
@@ -125,7 +125,7 @@
 			return nil
 		},
 		// Messages of a dead member are replayed: they don't make it alive.
-		"replay window": func(without string) error {
+		"replay window": func(t *testing.T, without string) error {
 			f := newFleet(6, 1, without, 0)
 			var sent []*membership.Message
 			f.BeforeSend = func(h *simfleet.Host, msg *membership.Message) {
@@ -161,10 +161,10 @@
 	}
 	for name, trial := range trials {
 		t.Run(name, func(t *testing.T) {
-			if err := trial(""); err != nil {
+			if err := trial(t, ""); err != nil {
 				t.Errorf("with all safeguards: %v", err)
 			}
-			if err := trial(name); err == nil {
+			if err := trial(t, name); err == nil {
 				t.Error("its absence is not noticed")
 			} else {
 				t.Log(err)
