--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -25,6 +25,7 @@
 }
 
 func newTestServer(t *testing.T, clients int, requestTimeout time.Duration) *testServer {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -33,6 +33,7 @@
 }
 
 func newWire(t *testing.T, to string) *wire {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/membership/transport/agent_test.go
+++ b/internal/membership/transport/agent_test.go
@@ -27,6 +27,7 @@
 
 // reserveAddrs reserves addresses of this test's own.
 func reserveAddrs(t *testing.T, n int) (list []netip.AddrPort) {
+	t.Helper()
 	for range n {
 		address, err := loopback.Reserve()
 		if err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -23,6 +23,7 @@
 }
 
 func newTestPool(t *testing.T, change func(*config.Limits)) *testPool {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
