--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -11,6 +11,8 @@
 	"io"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"quilldoor/internal/cborcodec"
 )
 
 // Version of the protocol. Routers of different versions don't talk.
@@ -100,17 +102,10 @@
 	BodyBytes    int32
 }
 
-// decoding refuses what no router sends, before it costs memory.
-var decoding = func() cbor.DecMode {
-	m, err := cbor.DecOptions{
-		MaxArrayElements: 256, MaxMapPairs: 16, MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options stand above
-	}
-	return m
-}()
+// decoder bounds what a payload may hold.
+var decoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
+	MaxArrayElements: 256, MaxMapPairs: 16, MaxNestedLevels: 4,
+})
 
 // Frame is one as it arrived. Payload is valid until the next one is read.
 type Frame struct {
@@ -196,7 +191,7 @@
 
 // Decode reads a CBOR payload.
 func (f Frame) Decode(into any) error {
-	if err := decoding.Unmarshal(f.Payload, into); err != nil {
+	if err := decoder.Unmarshal(f.Payload, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -5,6 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"quilldoor/internal/cborcodec"
 	"quilldoor/internal/policy"
 )
 
@@ -72,20 +73,10 @@
 
 func (m purgeMessage) purge() Purge { return Purge(m) }
 
-// decoding bounds what a payload may hold.
-var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{
-		MaxArrayElements: 1024,
-		MaxMapPairs:      16,
-		MaxNestedLevels:  6,
-		IndefLength:      cbor.IndefLengthForbidden,
-		TagsMd:           cbor.TagsForbidden,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options above are constant
-	}
-	return mode
-}()
+// decoder bounds what a payload may hold.
+var decoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
+	MaxArrayElements: 1024, MaxMapPairs: 16, MaxNestedLevels: 6,
+})
 
 // Encode returns the payload's bytes.
 func (p *Payload) Encode() []byte {
@@ -99,7 +90,7 @@
 // Decode reads a payload; nil: it is malformed.
 func Decode(b []byte) *Payload {
 	var p Payload
-	if decoding.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
+	if decoder.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
 		return nil
 	}
 	return &p
--- a/internal/membership/transport/datagram.go
+++ b/internal/membership/transport/datagram.go
@@ -8,6 +8,8 @@
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"quilldoor/internal/cborcodec"
 )
 
 // A datagram between routers of a site is a version (1 byte), a CBOR payload and an authentication tag: the first
@@ -37,21 +39,10 @@
 	errPayload        = fmt.Errorf("%w: payload", errMalformed)
 )
 
-// datagramDecoding bounds what a datagram's payload may hold.
-var datagramDecoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{
-		MaxArrayElements: 1024,
-		MaxMapPairs:      64,
-		MaxNestedLevels:  6,
-		IndefLength:      cbor.IndefLengthForbidden,
-		TagsMd:           cbor.TagsForbidden,
-		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
-	}.DecMode()
-	if err != nil {
-		panic(err) // the options above are constant
-	}
-	return mode
-}()
+// datagramDecoder bounds what a datagram's payload may hold.
+var datagramDecoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
+	MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, RejectDuplicateKeys: true,
+})
 
 // sealDatagram encodes a payload and authenticates it with the shared key.
 func sealDatagram(key []byte, payload any) ([]byte, error) {
@@ -81,7 +72,7 @@
 	if subtle.ConstantTimeCompare(tag, authenticationTag(key, signed)) != 1 {
 		return errAuthentication
 	}
-	if err := datagramDecoding.Unmarshal(signed[versionSize:], payload); err != nil {
+	if err := datagramDecoder.Unmarshal(signed[versionSize:], payload); err != nil {
 		return errors.Join(errPayload, err)
 	}
 	return nil
