--- a/internal/simulation/answer_faults.go
+++ b/internal/simulation/answer_faults.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// hits tells whether the fault applies to answers of a server at all.
-func (f *answerFault) hits(server *server) bool {
-	if f.kind == faultOriginReset {
+// affects tells whether the fault applies to answers of a server at all.
+func (f *answerFault) affects(server *server) bool {
+	if f.kind == scenario.KindOriginReset {
 		return server.kind == kindOrigin
 	}
 	return server.kind == kindCache && (f.office == 0 || server.office == f.office-1)
@@ -38,17 +38,17 @@
 		return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
 	}
 	for _, fault := range s.answerFaults {
-		if !fault.hits(server) || s.random.Float64() >= fault.share {
+		if !fault.affects(server) || s.random.Float64() >= fault.share {
 			continue
 		}
 		switch fault.kind {
-		case faultAnswerReset, faultOriginReset:
+		case scenario.KindResponseReset, scenario.KindOriginReset:
 			return AttemptResult{Outcome: policy.OutcomeConnectionReset}
-		case faultAnswerCorrupt:
+		case scenario.KindResponseCorrupt:
 			return AttemptResult{Outcome: policy.OutcomeConnectionReset, Unparsable: true}
-		case faultAnswerLost:
+		case scenario.KindResponseEndless:
 			return AttemptResult{Outcome: policy.OutcomeUnknown}
-		case faultAnswerError:
+		case scenario.KindResponseError:
 			return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
 		}
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,45 +7,6 @@
 	"quilldoor/internal/scenario"
 )
 
-// Kinds of faults as scenarios name them.
-const (
-	faultCacheCrash       = "die"
-	faultCacheSilent      = "silent"
-	faultCachePause       = "pause"
-	faultCacheDeploy      = "deploy"
-	faultCachePreempt     = "preempt"
-	faultOfficeLost       = "office_lost"
-	faultParentsLost      = "parents_lost"
-	faultPurgeGroups      = "purge"
-	faultPurgeObjects     = "purge_object"
-	faultOriginSlow       = "ledger_slow"
-	faultOriginStop       = "ledger_stop"
-	faultReportDelay      = "late_reports"
-	faultDiscoveryDelay   = "late_board"
-	faultDiscoveryCut     = "cut_board"
-	faultSitesCut         = "site_cut"
-	faultOneTimeObjects   = "once"
-	faultLoadBurst        = "burst"
-	faultRouterCrash      = "router_dies"
-	faultRouterSuspend    = "router_stops"
-	faultRouterStarve     = "router_starves"
-	faultNetworkDelay     = "ways_delay"
-	faultNetworkJitter    = "ways_jitter"
-	faultNetworkLoss      = "ways_loss"
-	faultNetworkDuplicate = "ways_double"
-	faultNetworkReorder   = "ways_reorder"
-	faultNetworkSlow      = "ways_slow"
-	faultNetworkCut       = "ways_cut"
-	faultNetworkOneWay    = "ways_one_way"
-	faultNetworkSplit     = "ways_camps"
-	faultNetworkChain     = "ways_chain"
-	faultAnswerReset      = "resets"
-	faultOriginReset      = "ledger_resets"
-	faultAnswerLost       = "endless"
-	faultAnswerCorrupt    = "spoilt"
-	faultAnswerError      = "errors"
-)
-
 // wholeGroup in place of an object makes a purge that of its group.
 const wholeGroup = -1
 
@@ -69,27 +30,28 @@
 	})
 }
 
-// startFault starts a fault and returns what ends it; nil: it ends by itself. What it hits is drawn now.
+// startFault starts a fault and returns what ends it; nil: it ends by itself. Its targets are drawn now.
 func (s *Simulation) startFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
-	case faultCacheCrash, faultCacheSilent, faultCachePause, faultCacheDeploy, faultCachePreempt, faultOfficeLost,
-		faultParentsLost:
+	case scenario.KindCacheDeath, scenario.KindCacheSilence, scenario.KindCachePause, scenario.KindCacheDeploy,
+		scenario.KindCachePreemption, scenario.KindOfficeLoss, scenario.KindParentLoss:
 		return s.startServerFault(fault)
-	case faultOriginSlow, faultOriginStop:
+	case scenario.KindOriginSlow, scenario.KindOriginStop:
 		return s.startOriginFault(fault)
-	case faultPurgeGroups, faultPurgeObjects:
+	case scenario.KindPurge, scenario.KindPurgeObject:
 		s.startPurges(fault)
 		return nil
-	case faultReportDelay, faultDiscoveryDelay, faultDiscoveryCut:
+	case scenario.KindLateReports, scenario.KindLateDiscovery, scenario.KindDiscoveryCut:
 		return s.startDiscoveryFault(fault)
-	case faultRouterCrash, faultRouterSuspend, faultRouterStarve:
+	case scenario.KindRouterDeath, scenario.KindRouterStop, scenario.KindRouterStarvation:
 		return s.startRouterFault(fault)
-	case faultNetworkDelay, faultNetworkJitter, faultNetworkLoss, faultNetworkDuplicate, faultNetworkReorder,
-		faultNetworkSlow, faultNetworkCut, faultNetworkOneWay, faultNetworkSplit, faultNetworkChain:
+	case scenario.KindPeerDelay, scenario.KindPeerJitter, scenario.KindPeerLoss, scenario.KindPeerDuplication,
+		scenario.KindPeerReorder, scenario.KindPeerBandwidth, scenario.KindPeerCut, scenario.KindPeerOneWay,
+		scenario.KindPeerPartition, scenario.KindPeerChain:
 		return s.startNetworkFault(fault)
-	case faultOneTimeObjects, faultLoadBurst:
+	case scenario.KindOneTimeObjects, scenario.KindBurst:
 		return s.startLoadFault(fault)
-	case faultSitesCut:
+	case scenario.KindSiteCut:
 		s.sitesCut = true
 		return func() { s.sitesCut = false }
 	default:
@@ -99,7 +61,7 @@
 
 // startPurges purges a share of the groups, or the most popular objects of the two cached classes in turn.
 func (s *Simulation) startPurges(fault *scenario.Fault) {
-	if fault.Kind == faultPurgeGroups {
+	if fault.Kind == scenario.KindPurge {
 		for group := range int64(groupCount) {
 			if s.random.Float64() < fault.Share {
 				s.purge(wholeGroup, group)
@@ -116,10 +78,10 @@
 func (s *Simulation) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
 	delay := int64(fault.Strength * second)
 	switch fault.Kind {
-	case faultReportDelay:
+	case scenario.KindLateReports:
 		s.reportDelay += delay
 		return func() { s.reportDelay -= delay }
-	case faultDiscoveryDelay:
+	case scenario.KindLateDiscovery:
 		s.discoveryDelay += delay
 		return func() { s.discoveryDelay -= delay }
 	}
@@ -143,7 +105,7 @@
 
 // startLoadFault changes what clients ask for, or how often.
 func (s *Simulation) startLoadFault(fault *scenario.Fault) (endFault func()) {
-	if fault.Kind == faultOneTimeObjects {
+	if fault.Kind == scenario.KindOneTimeObjects {
 		s.oneTimeShare = fault.Share
 		return func() { s.oneTimeShare = 0 }
 	}
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -17,10 +17,10 @@
 	}
 	chosen := drawShare(s.networkRandom, ids, fault.Share)
 	switch fault.Kind {
-	case faultNetworkChain:
+	case scenario.KindPeerChain:
 		third := len(ids) / 3
 		return s.Network.Partition(ids[:third], ids[third:2*third])
-	case faultNetworkSplit:
+	case scenario.KindPeerPartition:
 		return s.Network.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
 	default:
 		return s.Network.AddFault(networkFault(fault, chosen))
@@ -31,22 +31,22 @@
 func networkFault(fault *scenario.Fault, from []int) *netsim.Fault {
 	f := &netsim.Fault{From: from, Bidirectional: true}
 	switch fault.Kind {
-	case faultNetworkDelay:
+	case scenario.KindPeerDelay:
 		f.Delay = int64(fault.Strength * millisecond)
-	case faultNetworkJitter:
+	case scenario.KindPeerJitter:
 		f.Jitter = int64(fault.Strength * millisecond)
-	case faultNetworkLoss:
+	case scenario.KindPeerLoss:
 		f.Loss = fault.Strength
-	case faultNetworkDuplicate:
+	case scenario.KindPeerDuplication:
 		f.Duplicate = fault.Strength
-	case faultNetworkReorder:
+	case scenario.KindPeerReorder:
 		f.Reorder = fault.Strength
-	case faultNetworkSlow:
+	case scenario.KindPeerBandwidth:
 		const bytesPerKB = 1000
 		f.BytesPerSecond = fault.Strength * bytesPerKB
-	case faultNetworkCut:
+	case scenario.KindPeerCut:
 		f.Partitioned = true
-	case faultNetworkOneWay:
+	case scenario.KindPeerOneWay:
 		f.Partitioned = true
 		f.Bidirectional = false
 	}
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -9,9 +9,9 @@
 func (s *Simulation) startRouterFault(fault *scenario.Fault) (endFault func()) {
 	routers := s.drawRouters(fault)
 	switch fault.Kind {
-	case faultRouterSuspend:
+	case scenario.KindRouterStop:
 		return s.suspendRouters(routers)
-	case faultRouterStarve:
+	case scenario.KindRouterStarvation:
 		return s.starveRouters(routers, fault.Strength)
 	default:
 		return s.killRouters(routers)
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -14,34 +14,34 @@
 // startServerFault starts a fault of caches or parents.
 func (s *Simulation) startServerFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
-	case faultOfficeLost:
+	case scenario.KindOfficeLoss:
 		target := *fault
 		if target.Office == 0 {
 			target.Office = 1 + s.random.IntN(len(s.caches))
 		}
 		return s.takeDown(s.drawCaches(&target), false)
-	case faultParentsLost:
+	case scenario.KindParentLoss:
 		trunk := fault.Trunk
 		if trunk == 0 {
 			trunk = 1 + s.random.IntN(len(s.parents))
 		}
 		return s.takeDown(drawShare(s.random, slices.Clone(s.parents[trunk-1]), fault.Share), false)
-	case faultCachePause:
+	case scenario.KindCachePause:
 		return s.pauseRepeatedly(s.drawCaches(fault), fault)
-	case faultCacheDeploy:
+	case scenario.KindCacheDeploy:
 		s.deploy(s.drawCaches(fault), fault)
 		return nil
-	case faultCachePreempt:
+	case scenario.KindCachePreemption:
 		return s.preempt(s.drawCaches(fault), int64(fault.Strength*second))
 	default:
-		return s.takeDown(s.drawCaches(fault), fault.Kind == faultCacheSilent)
+		return s.takeDown(s.drawCaches(fault), fault.Kind == scenario.KindCacheSilence)
 	}
 }
 
 // startOriginFault slows the origin down or stops it.
 func (s *Simulation) startOriginFault(fault *scenario.Fault) (endFault func()) {
 	origin := s.origin
-	if fault.Kind == faultOriginSlow {
+	if fault.Kind == scenario.KindOriginSlow {
 		origin.slowdown *= fault.Strength
 		origin.updateRate()
 		return func() {
