--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -158,7 +158,7 @@
 	conn.attempts[get.ID] = attempt
 	l.simulation.SendAttempt(&simulation.Attempt{
 		Router: l.id, RequestID: get.ID, Number: attempt.number, Server: l.serverID,
-		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, MaxAge: get.MaxAgeMillis * 1000,
+		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, MaxAge: get.MaxAgeMillis * microsPerMilli,
 		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
 		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
 	})
@@ -179,7 +179,7 @@
 	now := l.simulation.Now()
 	l.Note(&eventlog.Entry{
 		Kind: eventlog.KindTaken, At: now, Router: l.id, Request: get.ID,
-		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*1000,
+		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*microsPerMilli,
 	})
 	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
 		l.runInLoop(func() {
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -27,6 +27,8 @@
 	detectionSockets  = 256
 	// detectionSeeds is how many routers the others know from the start.
 	detectionSeeds = 3
+	// detectionEventQueue is how many events may wait until a router's log is read on.
+	detectionEventQueue = 4096
 	// detectionRandomStream sets the draws of Detection apart from others of the same seed.
 	detectionRandomStream = 5
 	// joinTime is how long the routers have to find each other.
@@ -64,9 +66,9 @@
 	events     chan memberEvent
 }
 
-// MeasureFailureDetection starts router processes that know each other, kills one after another, and
-// measures the time, in microseconds, until the last of the others has logged the death.
-// Missed is the number of kills that not all others logged in time.
+// MeasureFailureDetection starts router processes that know each other, kills one after
+// another, and measures the time, in microseconds, until the last of the others has logged the
+// death. Missed is the number of kills that not all others logged in time.
 func MeasureFailureDetection(
 	ctx context.Context, program string, routers, kills int, seed uint64,
 ) (times *hdrhistogram.Histogram, missed int, err error) {
@@ -81,7 +83,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	d := &detectionRun{
 		ctx: ctx, program: program, dir: dir, keyFile: filepath.Join(dir, "members.key"),
-		scenario: scenario.Default(), events: make(chan memberEvent, 4096),
+		scenario: scenario.Default(), events: make(chan memberEvent, detectionEventQueue),
 	}
 	d.scenario.Fleet.Membership = true
 	defer d.goroutines.Wait()
@@ -93,25 +95,37 @@
 	random := rand.New(rand.NewPCG(seed, detectionRandomStream))
 	times = hdrhistogram.New(detectMinMicros, detectMaxMicros, detectDigits)
 	for range kills {
-		killed := random.IntN(routers)
-		began := time.Now()
-		if err := d.commands[killed].Process.Kill(); err != nil {
+		detected, err := d.killOne(random.IntN(routers), times)
+		if err != nil {
 			return nil, 0, err
 		}
-		if last, ok := d.waitLogged("member dead", routerName(killed), routers-1, detectTimeout); ok {
-			_ = times.RecordValue(last.Sub(began).Microseconds()) // detectTimeout is within the bounds
-		} else {
+		if !detected {
 			missed++
 		}
-		if err := d.start(killed); err != nil {
-			return nil, 0, err
-		}
-		d.waitLogged("member alive", routerName(killed), routers-1, rejoinTimeout)
 		d.rest(restTime + time.Duration(random.IntN(maxExtraRestMillis))*time.Millisecond)
 	}
 	return times, missed, ctx.Err()
 }
 
+// killOne kills a router, records when all others have logged its death, and starts it again.
+// Not detected: they did not in time.
+func (d *detectionRun) killOne(killed int, times *hdrhistogram.Histogram) (detected bool, err error) {
+	others := len(d.commands) - 1
+	killedAt := time.Now()
+	if err := d.commands[killed].Process.Kill(); err != nil {
+		return false, err
+	}
+	last, detected := d.waitLogged("member dead", routerName(killed), others, detectTimeout)
+	if detected {
+		_ = times.RecordValue(last.Sub(killedAt).Microseconds()) // detectTimeout is within the bounds
+	}
+	if err := d.start(killed); err != nil {
+		return false, err
+	}
+	d.waitLogged("member alive", routerName(killed), others, rejoinTimeout)
+	return detected, nil
+}
+
 // startAll reserves addresses for the routers and starts them.
 func (d *detectionRun) startAll(routers int) error {
 	for i := range routers {
@@ -139,7 +153,8 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.CommandContext(d.ctx, d.program, "serve", "--config", config, "--operator", operator, "--log-format", "json")
+	cmd := exec.CommandContext(d.ctx, d.program,
+		"serve", "--config", config, "--operator", operator, "--log-format", "json")
 	cmd.Env = routerEnvironment()
 	reader, writer := io.Pipe()
 	cmd.Stderr = writer
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -7,22 +7,31 @@
 	"quilldoor/internal/simulation"
 )
 
-// Options are the options of a run.
+// Options are the options of a run. Its functions may be nil.
 type Options struct {
-	Seed     uint64
-	Record   func(*eventlog.Entry)                           // gets each entry of the event log, valid during the call
-	Progress func(done float64, seconds []simulation.Second) // called about once a simulated second
+	Seed uint64
+	// Record gets each entry of the event log, which is valid during the call only.
+	Record func(*eventlog.Entry)
+	// Progress is called about once a simulated second, with the share of the run that is done.
+	Progress func(done float64, seconds []simulation.Second)
+	// OnTick is called ten times a simulated second, on the virtual clock only.
+	OnTick func(now int64)
 
 	// Faults of the routers, for tests of the checker and of rollouts.
-	Settings      func(*settings.Setup)                                   // changes the settings that routers get
-	MissesUpdate  func(router int, notice simulation.DiscoveryEvent) bool // tells which discovery notices a router misses
-	AnswerCount   func(requestID string, n int) int                       // how often a request is answered; nil: once
-	RejectRequest func(router int, class string) bool                     // tells which new requests a router rejects; nil: none
-	Slowdown      func(router int) float64                                // how much longer a router's attempts take, as a share
 
-	OnTick   func(now int64)   // called ten times a second; on the virtual clock
-	onStart  func(*virtualRun) // called before the first event; nil: not
-	observer routerObserver    // nil: none
+	// Settings changes the settings that routers get.
+	Settings func(*settings.Setup)
+	// MissesUpdate tells which discovery notices a router misses.
+	MissesUpdate func(router int, notice simulation.DiscoveryEvent) bool
+	// AnswerCount is how often a request is answered; nil: once.
+	AnswerCount func(requestID string, n int) int
+	// RejectRequest tells which new requests a router rejects without need.
+	RejectRequest func(router int, class string) bool
+	// Slowdown is how much longer a router's attempts take, as a share.
+	Slowdown func(router int) float64
+
+	onStart  func(*virtualRun) // called before the first event
+	observer routerObserver
 }
 
 // routerObserver follows what the routers of a virtual run learn and do. Times are the
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -17,9 +17,9 @@
 	MaxDelay    int64               `json:"Late"` // on sockets: the emulator's longest delay, in microseconds
 
 	Cost               Cost     // on sockets: what the router processes used
-	Excused            int      // requests that fell due while their router was stopped, or whose process was killed
-	BrokenConnections  int      `json:"Broke"`   // on sockets: connections that ended without an answer, not by their client
-	RefusedConnections int      `json:"Refused"` // on sockets: connections that routers did not accept
+	Excused            int      // requests due while their router was stopped, or whose process was killed
+	BrokenConnections  int      `json:"Broke"`   // on sockets: those that ended without an answer, not by their client
+	RefusedConnections int      `json:"Refused"` // on sockets: those that routers did not accept
 	Members            *Members // nil: routers don't know each other
 }
 
@@ -29,21 +29,21 @@
 	MaxMemoryKB int64 `json:"MostKB"`
 }
 
-// MaxLateMicros is the delay of the emulator, in microseconds, beyond which a run on sockets proves
-// nothing: the emulator itself used up the time that routers are allowed.
+// MaxLateMicros is the delay of the emulator, in microseconds, beyond which a run on sockets
+// proves nothing: the emulator itself used up the time that routers are allowed.
 const MaxLateMicros = 100_000
 
 // CheckerSettings are the checker's settings for a scenario. Slack is how much later than its deadline
 // an answer may come, in microseconds.
 func CheckerSettings(s *scenario.Scenario, slack int64) checker.Settings {
-	// The platform counts a discovery event as known to a router 7 s after it was posted.
-	const notificationMicros = 7_000_000
+	// The platform counts a discovery event as known to a router so long after it was posted.
+	const notificationMicros = 7 * microsPerSecond
 	fleet := &s.Fleet
 	return checker.Settings{
 		Classes:              s.Classes(),
 		AnswerSlack:          slack,
-		DrainGrace:           int64(fleet.DrainGraceMS * 1000),
-		PurgeGrace:           int64(fleet.PurgeGraceMS * 1000),
+		DrainGrace:           int64(fleet.DrainGraceMS * microsPerMilli),
+		PurgeGrace:           int64(fleet.PurgeGraceMS * microsPerMilli),
 		NotificationDeadline: notificationMicros,
 	}
 }
--- a/internal/emulator/rollout_monitor.go
+++ b/internal/emulator/rollout_monitor.go
@@ -29,7 +29,8 @@
 }
 
 func (r *rolloutRun) attemptSent(router int, class string, attempt *engine.Attempt) {
-	r.monitors[router].recorder.RecordAttempt(attempt.DecidedAt, attempt.Endpoint.ID, attempt.Source, class, attempt.Unsafe)
+	recorder := r.monitors[router].recorder
+	recorder.RecordAttempt(attempt.DecidedAt, attempt.Endpoint.ID, attempt.Source, class, attempt.Unsafe)
 }
 
 func (r *rolloutRun) responded(router int, request *simulation.Request, attempt *engine.Attempt, issued int64) {
@@ -37,7 +38,7 @@
 	if class.Write {
 		return
 	}
-	kbPerMicro := r.scenario.Fleet.FlowKBPerS / 1e6
+	kbPerMicro := r.scenario.Fleet.FlowKBPerS / microsPerSecond
 	r.monitors[router].recorder.RecordResponse(
 		class.Name, request.Object, request.Group, attempt.DecidedAt, issued+epochMicros, request.SizeKB/kbPerMicro,
 	)
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -67,7 +67,8 @@
 func (s *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
 	if response.mismatch != "" {
 		s.Note(&eventlog.Entry{
-			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID, State: response.mismatch,
+			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID,
+			State: response.mismatch,
 		})
 	}
 	s.forgetForwarded(request.ID)
@@ -139,7 +140,7 @@
 		return completedResponse(body, request)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		retryAfterMillis, _ := strconv.ParseInt(response.Header.Get("X-Throttle-Ms"), 10, 32)
-		return clientResponse{outcome: outcomeRejected, retryAfterMicros: retryAfterMillis * 1000}
+		return clientResponse{outcome: outcomeRejected, retryAfterMicros: retryAfterMillis * microsPerMilli}
 	}
 	return clientResponse{outcome: outcomeAborted}
 }
@@ -159,7 +160,7 @@
 		return nil, err
 	}
 	httpRequest.Header.Set("X-Txn", request.ID)
-	httpRequest.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(request.Limit/1000, 1), 10))
+	httpRequest.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(request.Limit/microsPerMilli, 1), 10))
 	httpRequest.Header.Set("X-Shard", strconv.FormatInt(request.Group, 10))
 	if request.Retry {
 		httpRequest.Header.Set("X-Second-Try", "1")
@@ -184,7 +185,7 @@
 // in microseconds, so that a client can tell a stale or mixed-up copy.
 func responseBody(object string, part, issued int64, sizeKB float64) []byte {
 	header := fmt.Appendf(nil, "%s/%d@%d;", object, part, issued)
-	size := max(int(sizeKB*1000), len(header))
+	size := max(int(sizeKB*bytesPerKB), len(header))
 	repeated := bytes.Repeat(header, size/len(header)+1)
 	return repeated[:size]
 }
--- /dev/null
+++ b/internal/emulator/sockets_options.go
@@ -0,0 +1,28 @@
+package emulator
+
+import (
+	"context"
+	"io"
+)
+
+// Routers are the processes that a run on sockets plays against.
+type Routers struct {
+	// Program is the router's program; "": quilldoor beside the running program.
+	Program string
+	// Listen is the first router's address for clients; "" or port 0: any address on loopback.
+	Listen string
+	// Ready is called with the routers' addresses once all are ready; nil: nothing is.
+	Ready func([]string)
+	// Log receives what routers log; nil: only the end is kept, for the report of a crash.
+	Log io.Writer
+	// Guests lets the emulated servers also serve requests that are not the scenario's own.
+	Guests bool
+	// Earlier is the program of every second router: an earlier version, which has no
+	// supervisor. "": Program.
+	Earlier string
+	// Drive is called beside the run where the scenario's routers are supervised, once all
+	// are ready. The run goes on until it returns. Its error ends the run.
+	Drive func(context.Context, *Supervised) error
+	// EndWithDrive stops the arrival of clients once Drive has returned.
+	EndWithDrive bool
+}
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -21,8 +21,8 @@
 // readyTimeoutSeconds is how long a generation may take to get ready.
 const readyTimeoutSeconds = 3
 
-// Supervised gives access to the router processes of a run on sockets: upgrades, rollouts and faults
-// go through it. Its methods may be called from any goroutine but the run's loop.
+// Supervised gives access to the router processes of a run on sockets: upgrades, rollouts and
+// faults go through it. Its methods may be called from any goroutine but the run's loop.
 type Supervised struct{ *socketRun }
 
 // Count is the number of routers.
@@ -89,7 +89,9 @@
 }
 
 // WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
-func (s *Supervised) WaitStatus(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
+func (s *Supervised) WaitStatus(
+	i int, within time.Duration, reached func(*handoff.Status) bool,
+) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
 	var last *handoff.Status
 	var err error
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -24,27 +24,28 @@
 
 // virtualRun is a run on a virtual clock. Everything in it happens in one goroutine.
 type virtualRun struct {
-	options       Options
-	scenario      *scenario.Scenario
-	simulation    *simulation.Simulation
-	checker       *checker.Checker
-	routers       []*virtualRouter
-	timers        timerHeap
-	woken         []*virtualRouter                    // whose timers have changed
-	readyRequests []*virtualRequest                   // whose engine has commands for them
-	seenPurges    map[int][]simulation.DiscoveryEvent // by router, where there are several sites
-	fleet         *simfleet.Fleet                     // the routers' membership; nil: they don't know each other
-	membership    Members
+	options        Options
+	scenario       *scenario.Scenario
+	simulation     *simulation.Simulation
+	checker        *checker.Checker
+	routers        []*virtualRouter
+	timers         timerHeap
+	woken          []*virtualRouter                    // whose timers have changed
+	readyRequests  []*virtualRequest                   // whose engine has commands for them
+	seenPurges     map[int][]simulation.DiscoveryEvent // by router, where there are several sites
+	fleet          *simfleet.Fleet                     // the routers' membership; nil: they don't know each other
+	membership     Members
+	reportedSecond int64 // the last one that Options.Progress was called for
 }
 
 // RunVirtual plays a scenario on a virtual clock. The same scenario and seed give the
 // same result, whatever the machine.
-func RunVirtual(ctx context.Context, s *scenario.Scenario, opt Options) (*Result, error) {
-	v := newVirtualRun(s, opt)
-	if opt.onStart != nil {
-		opt.onStart(v)
+func RunVirtual(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
+	v := newVirtualRun(s, options)
+	if options.onStart != nil {
+		options.onStart(v)
 	}
-	if opt.OnTick != nil {
+	if options.OnTick != nil {
 		v.scheduleTick()
 	}
 	if err := v.play(ctx); err != nil {
@@ -53,14 +54,14 @@
 	return v.result(), nil
 }
 
-func newVirtualRun(s *scenario.Scenario, opt Options) *virtualRun {
+func newVirtualRun(s *scenario.Scenario, options Options) *virtualRun {
 	v := &virtualRun{
-		options:    opt,
+		options:    options,
 		scenario:   s,
 		checker:    checker.New(CheckerSettings(s, virtualAnswerSlackMicros)),
 		seenPurges: map[int][]simulation.DiscoveryEvent{},
 	}
-	v.simulation = simulation.New(s, opt.Seed, v)
+	v.simulation = simulation.New(s, options.Seed, v)
 	for i := range v.simulation.Routers() {
 		r := &virtualRouter{id: i, nextTimer: never, heapIndex: -1}
 		v.routers = append(v.routers, r)
@@ -81,38 +82,50 @@
 
 // play carries out one event after another until the simulation is over.
 func (v *virtualRun) play(ctx context.Context) error {
-	end, reported := v.simulation.Length(), int64(0)
+	end := v.simulation.Length()
 	for steps := 0; !v.simulation.Over(); steps++ {
 		source, now := v.nextEvent()
 		if now > end {
 			return nil
 		}
-		switch source {
-		case sourceMembership:
-			v.simulation.At(now)
-			v.fleet.RunUntil(now)
-			continue
-		case sourceTimer:
-			v.simulation.At(now)
-			v.runTimers(v.timers[0])
-		case sourceSimulation:
-			v.simulation.Step(now)
-		}
-		v.settle()
-		if steps%progressSteps != 0 {
+		v.runEvent(source, now)
+		if source == sourceMembership || steps%progressSteps != 0 {
 			continue
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if second := now / 1_000_000; second > reported && v.options.Progress != nil {
-			reported = second
-			v.options.Progress(float64(now)/float64(end), v.simulation.Result.Timeline)
-		}
+		v.reportProgress(now, end)
 	}
 	return nil
 }
 
+// runEvent carries out the next event and what the routers decide on it.
+func (v *virtualRun) runEvent(source eventSource, now int64) {
+	switch source {
+	case sourceMembership:
+		v.simulation.At(now)
+		v.fleet.RunUntil(now) // payloadHandler settles what its messages bring
+		return
+	case sourceTimer:
+		v.simulation.At(now)
+		v.runTimers(v.timers[0])
+	case sourceSimulation:
+		v.simulation.Step(now)
+	}
+	v.settle()
+}
+
+// reportProgress calls Options.Progress if a second has passed since the last call.
+func (v *virtualRun) reportProgress(now, end int64) {
+	second := now / microsPerSecond
+	if second <= v.reportedSecond || v.options.Progress == nil {
+		return
+	}
+	v.reportedSecond = second
+	v.options.Progress(float64(now)/float64(end), v.simulation.Result.Timeline)
+}
+
 // eventSource is where the next event of a run comes from.
 type eventSource int
 
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -26,7 +26,10 @@
 	class := v.simulation.ClassOf(request.Class)
 	remaining := request.Deadline() - v.simulation.Now()
 	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
-		RequestID: request.ID, Effect: gateway.PeerEffect(class.Effect), NeverRan: !command.MaybeExecuted, Deadline: now + remaining,
+		RequestID: request.ID,
+		Effect:    gateway.PeerEffect(class.Effect),
+		NeverRan:  !command.MaybeExecuted,
+		Deadline:  now + remaining,
 	})
 	if reason != peerpolicy.ReasonOK {
 		return false
@@ -103,7 +106,7 @@
 func (v *virtualRun) sendAnswerHome(
 	far, home *virtualRouter, request *simulation.Request, answer peerpolicy.PeerAnswer, sizeKB float64,
 ) {
-	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * 1e6)
+	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * microsPerSecond)
 	v.simulation.After(transferMicros, func() {
 		v.acrossSites(func() {
 			if home.gateway == nil {
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -19,14 +19,7 @@
 		return
 	}
 	count := v.simulation.Routers()
-	v.fleet = simfleet.New(count, v.options.Seed, v.simulation.Network, func(host *simfleet.Host, now int64) simfleet.Detector {
-		router := v.routers[host.ID]
-		random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
-		return membership.New(membership.Settings{
-			Name: host.Name, Zone: scenario.Zone(v.simulation.Office(host.ID)), Addr: simfleet.Addr(host.ID),
-			Seeds: simfleet.Seeds(count), Epoch: 1,
-		}, random, now)
-	})
+	v.fleet = simfleet.New(count, v.options.Seed, v.simulation.Network, v.newDetector)
 	v.fleet.Payloads = payloadHandler{v}
 	for i := range count {
 		v.fleet.Start(i)
@@ -34,6 +27,19 @@
 	v.scheduleComparison()
 }
 
+// newDetector makes the failure detector of a router that starts: it knows all others.
+func (v *virtualRun) newDetector(host *simfleet.Host, now int64) simfleet.Detector {
+	router := v.routers[host.ID]
+	random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
+	return membership.New(membership.Settings{
+		Name:  host.Name,
+		Zone:  scenario.Zone(v.simulation.Office(host.ID)),
+		Addr:  simfleet.Addr(host.ID),
+		Seeds: simfleet.Seeds(v.simulation.Routers()),
+		Epoch: 1,
+	}, random, now)
+}
+
 // scheduleComparison compares the routers' views after each interval.
 func (v *virtualRun) scheduleComparison() {
 	v.simulation.After(viewIntervalMicros, func() {
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -3,6 +3,7 @@
 import (
 	"quilldoor/internal/engine"
 	"quilldoor/internal/policy"
+	"quilldoor/internal/scenario"
 	"quilldoor/internal/simulation"
 	"quilldoor/internal/stall"
 )
@@ -20,9 +21,6 @@
 	forwardedBy   *virtualRouter // the router of another site that forwarded it; nil: it came from a client
 }
 
-// originKind is the platform's name for the kind of server that is the origin.
-const originKind = "ledger"
-
 // virtualResponse is a response on the virtual clock. It has no bytes, only the time when the
 // copy was issued.
 type virtualResponse struct{ issued int64 }
@@ -66,7 +64,7 @@
 		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
 		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
 	}
-	if sent.Source == "" && attempt.Endpoint.Kind == originKind {
+	if sent.Source == "" && attempt.Endpoint.Kind == scenario.EndpointOrigin {
 		sent.Source = attempt.Endpoint.ID
 	}
 	v.simulation.SendAttempt(sent)
@@ -95,11 +93,11 @@
 		return
 	}
 	request.finished = true
-	times := 1 // a faulty router answers not at all, or twice
+	count := 1 // a faulty router answers not at all, or twice
 	if v.options.AnswerCount != nil {
-		times = v.options.AnswerCount(request.ID, 1)
+		count = v.options.AnswerCount(request.ID, 1)
 	}
-	for range times {
+	for range count {
 		v.simulation.Answered(request.router.id, request.ID, outcome, issued, retryAfter)
 	}
 	v.detach(request)
@@ -129,7 +127,7 @@
 	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - r.stoppedAt
 	}
-	if remaining <= 0 || v.options.RejectRequest != nil && v.options.RejectRequest(r.id, v.simulation.ClassOf(request.Class).Name) {
+	if remaining <= 0 || v.rejectsWithoutNeed(request) {
 		v.simulation.Answered(r.id, request.ID, outcomeRejected, 0, 0)
 		return
 	}
@@ -140,6 +138,12 @@
 	}
 }
 
+// rejectsWithoutNeed tells whether the router is to reject a request by a fault of its own.
+func (v *virtualRun) rejectsWithoutNeed(request *virtualRequest) bool {
+	rejects := v.options.RejectRequest
+	return rejects != nil && rejects(request.router.id, v.simulation.ClassOf(request.Class).Name)
+}
+
 // open hands a request to its router's engine. The engine puts it among those that are ready
 // when it has commands for it.
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -32,7 +32,6 @@
 	rolloutSeed = 41
 	// stretchedTransferMicros is the transfer time that all latency objectives allow for.
 	stretchedTransferMicros = 250_000
-	microsPerSecond         = 1e6
 )
 
 // VirtualRollout plays a scenario with a rollout in it.
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -14,6 +14,9 @@
 // started by then is reported with the start time 0.
 const epochMicros = int64(1_000_000_000_000)
 
+// seedSpacing leaves the seeds of different runs room for the routers' numbers.
+const seedSpacing = 1000
+
 // virtualRouter is a router on the virtual clock.
 type virtualRouter struct {
 	id          int
@@ -58,7 +61,7 @@
 	// The engine of an earlier incarnation may still call its wake function. It must not wake
 	// this one.
 	var current *engine.Engine
-	current = engine.New(&settings, v.options.Seed*1000+uint64(r.id)+r.incarnation<<32, func() {
+	current = engine.New(&settings, v.options.Seed*seedSpacing+uint64(r.id)+r.incarnation<<32, func() {
 		if r.engine == current && !r.wakePending {
 			r.wakePending = true
 			v.woken = append(v.woken, r)
@@ -70,7 +73,7 @@
 		v.options.observer.endpointsChanged(r.id, v.now(), true, routerEndpoints(known))
 	}
 	if v.scenario.Fleet.Membership {
-		retention := int64(v.scenario.Fleet.PurgeCompleteMS*1000) + maxRequestMicros
+		retention := int64(v.scenario.Fleet.PurgeCompleteMS*microsPerMilli) + maxRequestMicros
 		r.replica = gossip.New(gossip.Settings{PurgeRetention: retention})
 		r.engine.HoldSlowStart(v.now(), v.now()+settings.Contract.OverloadWindow)
 	}
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -77,7 +77,7 @@
 	current := r.engine
 	offer := r.gateway.OfferedCapacity(now)
 	name := routerName(r.id)
-	roundTrip := int64(2 * v.scenario.Fleet.SiteMS * 1000)
+	roundTrip := int64(2 * v.scenario.Fleet.SiteMS * microsPerMilli)
 	for _, peer := range v.peers(r) {
 		v.acrossSites(func() {
 			if peer.gateway == nil || peer.engine == nil || r.engine != current {
@@ -116,7 +116,7 @@
 	if v.simulation.SitesCut() {
 		return
 	}
-	v.simulation.After(int64(v.scenario.Fleet.SiteMS*1000), func() {
+	v.simulation.After(int64(v.scenario.Fleet.SiteMS*microsPerMilli), func() {
 		if !v.simulation.SitesCut() {
 			task()
 		}
@@ -138,7 +138,8 @@
 	if r.gateway == nil {
 		return
 	}
-	r.gateway, r.forwarded = nil, nil
+	r.gateway = nil
+	r.forwarded = nil
 	for _, peer := range v.peers(r) {
 		v.acrossSites(func() {
 			if peer.gateway != nil {
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -45,15 +45,15 @@
 	},
 }
 
-// Kinds of endpoints, as indices into the settings' kinds.
+// Kinds of endpoints, as the settings and the endpoint list name them.
 const (
-	endpointCache = iota
-	endpointParent
-	endpointOrigin
+	EndpointCache  = "box"
+	EndpointParent = "hub"
+	EndpointOrigin = "ledger"
 )
 
-// endpointKinds are the names of the kinds in the settings.
-var endpointKinds = []string{endpointCache: "box", endpointParent: "hub", endpointOrigin: "ledger"}
+// endpointKinds are all kinds, in the order of the settings.
+var endpointKinds = []string{EndpointCache, EndpointParent, EndpointOrigin}
 
 const (
 	// untilPurgedMS is how the settings say that an object is fresh until it is purged: a day.
@@ -135,9 +135,9 @@
 func (s *Scenario) setHierarchy(set *settings.Setup) {
 	f, family := &s.Fleet, &set.FamilyInfo
 	family.BypassAllowed = true
-	family.MasterKind = endpointOrigin
+	family.MasterKind = slices.Index(endpointKinds, EndpointOrigin)
 	if f.Parents > 0 {
-		parent := endpointParent
+		parent := slices.Index(endpointKinds, EndpointParent)
 		family.SecondTierKind = &parent
 	}
 	family.ClearedWithinMs = f.PurgeCompleteMS
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -19,7 +19,11 @@
 )
 
 // serverKindNames are the kinds as the endpoint list words them.
-var serverKindNames = [...]string{kindCache: "box", kindParent: "hub", kindOrigin: "ledger"}
+var serverKindNames = [...]string{
+	kindCache:  scenario.EndpointCache,
+	kindParent: scenario.EndpointParent,
+	kindOrigin: scenario.EndpointOrigin,
+}
 
 func (k serverKind) String() string { return serverKindNames[k] }
 
