--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -195,25 +195,39 @@
 	return out
 }
 
-func get(t *testing.T, c chan Reply) Reply {
+// awaitReply returns the first end of a request.
+func awaitReply(t *testing.T, replies chan Reply) Reply {
 	t.Helper()
-	if c == nil {
+	if replies == nil {
 		t.Fatal("not forwarded")
 	}
 	select {
-	case r := <-c:
-		select {
-		case again := <-c:
-			t.Fatalf("a second end: %+v", again)
-		case <-time.After(20 * time.Millisecond):
-		}
-		return r
+	case reply := <-replies:
+		return reply
 	case <-time.After(5 * time.Second):
 		t.Fatal("no end")
 	}
 	return Reply{}
 }
 
+// expectNoSecondReply fails the test where a request ends twice.
+func expectNoSecondReply(t *testing.T, replies chan Reply) {
+	t.Helper()
+	select {
+	case again := <-replies:
+		t.Fatalf("a second end: %+v", again)
+	case <-time.After(20 * time.Millisecond):
+	}
+}
+
+// get returns the one end of a request.
+func get(t *testing.T, replies chan Reply) Reply {
+	t.Helper()
+	reply := awaitReply(t, replies)
+	expectNoSecondReply(t, replies)
+	return reply
+}
+
 func TestForwardedRequestIsAnswered(t *testing.T) {
 	north, south, _ := pair(t)
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
@@ -313,13 +327,17 @@
 		return Reply{Outcome: peerpolicy.OutcomeAborted}
 	})
 	for _, effect := range []peerpolicy.Effect{peerpolicy.EffectIdempotent, peerpolicy.EffectIdempotencyKey, peerpolicy.EffectUnsafe} {
+		const timeLimit = 300 * time.Millisecond
 		began := time.Now()
-		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.Outcome != peerpolicy.OutcomeAborted {
-			t.Errorf("effect %d: %v", effect, r.Outcome)
-		}
-		if took := time.Since(began); took > 320*time.Millisecond {
+		replies := north.send(effect, "x", nil, timeLimit)
+		reply := awaitReply(t, replies)
+		if took := time.Since(began); took > timeLimit {
 			t.Errorf("effect %d: told after %v", effect, took)
 		}
+		if reply.Outcome != peerpolicy.OutcomeAborted {
+			t.Errorf("effect %d: %v", effect, reply.Outcome)
+		}
+		expectNoSecondReply(t, replies)
 		<-gone
 	}
 }
