--- a/cmd/quilldoor/background.go
+++ b/cmd/quilldoor/background.go
@@ -109,7 +109,7 @@
 func (r *router) checkHealth(endpoint *engine.Endpoint, tag string) {
 	sent := clock()
 	report := func(outcome policy.Outcome) {
-		r.engine.HealthChecked(clock(), endpoint.ID, outcome, clock()-sent)
+		r.events.HealthChecked(clock(), endpoint.ID, outcome, clock()-sent)
 	}
 	r.upstream.CheckHealth(endpoint, tag, func(ok bool) {
 		if ok {
--- a/cmd/quilldoor/discovery.go
+++ b/cmd/quilldoor/discovery.go
@@ -11,8 +11,8 @@
 )
 
 // watchDiscovery starts to watch discovery at the router's present address.
-func (r *router) watchDiscovery(ctx context.Context) {
-	r.stopWatching = startWatcher(ctx, r.watcher, r.discoveryAddr)
+func (r *router) watchDiscovery() {
+	r.stopWatching = startWatcher(r.ctx, r.watcher, r.discoveryAddr)
 }
 
 // startWatcher runs a watcher until the function it returns is called, which waits for
@@ -40,8 +40,7 @@
 
 // applyEndpoints applies changes that discovery or other routers have told.
 func (r *router) applyEndpoints(scope policy.UpdateScope, list []engine.Endpoint) {
-	testFaults.hearEndpoints(list)
-	r.upstream.Drain(r.engine.UpdateEndpoints(clock(), scope, list))
+	r.upstream.Drain(r.events.UpdateEndpoints(clock(), scope, list))
 	for _, endpoint := range list {
 		r.log.WithFields(logrus.Fields{
 			"endpoint": endpoint.ID, "address": endpoint.Address, "zone": endpoint.Zone, "kind": endpoint.Kind,
@@ -76,10 +75,7 @@
 // purgeCopies forbids older copies here. Unlike applyPurge it does not tell peers of
 // other sites, who may be where the purge comes from.
 func (r *router) purgeCopies(object string, group, at int64) {
-	if testFaults.ignoresPurges() {
-		return
-	}
-	r.engine.Purge(clock(), object, group, at)
+	r.events.Purge(clock(), object, group, at)
 	if cache := r.diskCache.Load(); cache != nil {
 		cache.Purge(object, group, at)
 	}
--- a/cmd/quilldoor/faultyprogram_test.go
+++ b/cmd/quilldoor/faultyprogram_test.go
@@ -9,76 +9,108 @@
 	"testing"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"quilldoor/internal/engine"
-	"quilldoor/internal/upstream"
+	"quilldoor/internal/handoff"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/settings"
+	"quilldoor/internal/upgradeagent"
 )
 
-// faultyRouter injects the fault that QUILLDOOR_FAULT names into the test binary; the
-// shipped binary has none.
-type faultyRouter struct {
-	name    string
-	serving atomic.Bool
-	memory  [][]byte   // never released
-	files   []*os.File // never closed
+// processConstructor is the constructor for routers of this process: that of a router
+// with the fault that QUILLDOOR_FAULT names, else the shipped one.
+func processConstructor() routerConstructor {
+	fault := os.Getenv("QUILLDOOR_FAULT")
+	if fault == "" {
+		return newRouter
+	}
+	return func(config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
+		return newFaultyRouter(fault, config, logger, load)
+	}
+}
+
+// newFaultyRouter makes a router with a fault in its settings, in what it hears, or in
+// how it deals with its supervisor.
+func newFaultyRouter(fault string, config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
+	if fault == "no start" {
+		fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
+		os.Exit(3)
+	}
+	spoilSettings(fault, &config.Settings)
+	r, err := newRouter(config, logger, load)
+	if err != nil {
+		return nil, err
+	}
+	r.events = &faultyEvents{r.engine, fault}
+	r.host = &faultyHost{Host: r.host, router: r, fault: fault}
+	return r, nil
 }
 
-func init() {
-	if name := os.Getenv("QUILLDOOR_FAULT"); name != "" {
-		testFaults = &faultyRouter{name: name}
+func spoilSettings(fault string, s *settings.Setup) {
+	switch fault {
+	case "narrow": // rejects requests that it has capacity for
+		s.Limits.MaxOpen = 1
+	case "greedy": // skips the slow start of endpoints
+		const microsecond = 0.001
+		s.Contract.ColdMs, s.FamilyInfo.ParentRampMs = microsecond, microsecond
+	case "refuses":
+		s.Zone, s.FamilyInfo.BypassAllowed = "nowhere", false
 	}
 }
 
-func (f *faultyRouter) hearEndpoints(list []engine.Endpoint) {
-	if f.name == "deaf to drains" {
+// faultyEvents ignores, changes or delays what the engine is to hear.
+type faultyEvents struct {
+	eventHandler
+	fault string
+}
+
+func (f *faultyEvents) UpdateEndpoints(now int64, scope policy.UpdateScope, list []engine.Endpoint) []*engine.Endpoint {
+	if f.fault == "deaf to drains" {
 		for i := range list {
 			list[i].State = "active"
 		}
 	}
+	return f.eventHandler.UpdateEndpoints(now, scope, list)
 }
 
-func (f *faultyRouter) ignoresPurges() bool { return f.name == "deaf to purges" }
-
-func (f *faultyRouter) wrapResults(handle upstream.ResultFunc) upstream.ResultFunc {
-	if f.name != "a fifth slower" {
-		return handle
-	}
-	return func(attempt *engine.Attempt, result engine.Result) {
-		delay := time.Duration(time.Now().UnixMicro()-attempt.DecidedAt) * time.Microsecond / 5
-		time.AfterFunc(delay, func() { handle(attempt, result) })
+func (f *faultyEvents) Purge(now int64, object string, group, at int64) {
+	if f.fault != "deaf to purges" {
+		f.eventHandler.Purge(now, object, group, at)
 	}
 }
 
-func (f *faultyRouter) at(stage lifecycleStage, r *router) {
-	switch stage {
-	case stageStart:
-		f.atStart(r)
-	case stageReady:
-		if f.name == "never ready" {
-			time.Sleep(time.Minute)
-		}
-	case stageServing:
-		f.atServing(r)
-	case stageHeartbeat:
-		f.atHeartbeat(r)
+func (f *faultyEvents) AttemptEnded(now int64, attempt *engine.Attempt, result engine.Result) {
+	if f.fault != "a fifth slower" {
+		f.eventHandler.AttemptEnded(now, attempt, result)
+		return
 	}
+	delay := time.Duration(now-attempt.DecidedAt) * time.Microsecond / 5
+	time.AfterFunc(delay, func() { f.eventHandler.AttemptEnded(clock(), attempt, result) })
 }
 
-func (f *faultyRouter) atStart(r *router) {
-	switch f.name {
-	case "no start":
-		fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
-		os.Exit(3)
-	case "narrow": // rejects requests that it has capacity for
-		r.policy.Limits.MaxOpenRequests = 1
-	case "greedy": // skips the slow start of endpoints
-		r.policy.Contract.SlowStartFor, r.policy.Hierarchy.ParentSlowStartFor = 1, 1
-	case "refuses":
-		r.policy.Zone, r.policy.Hierarchy.CacheBypass = "nowhere", false
+// faultyHost fails at what its supervisor asks.
+type faultyHost struct {
+	upgradeagent.Host
+	router  *router
+	fault   string
+	serving atomic.Bool
+	memory  [][]byte   // never released
+	files   []*os.File // never closed
+}
+
+func (f *faultyHost) Ready() bool {
+	if f.fault == "never ready" {
+		time.Sleep(time.Minute)
 	}
+	return f.Host.Ready()
 }
 
-func (f *faultyRouter) atServing(r *router) {
-	switch f.name {
+func (f *faultyHost) Acquire(state *handoff.State, own, budgetsMaybeSpent bool) error {
+	if err := f.Host.Acquire(state, own, budgetsMaybeSpent); err != nil {
+		return err
+	}
+	switch f.fault {
 	case "silent", "memory":
 		f.serving.Store(true)
 	case "mute": // does not confirm that it serves
@@ -86,16 +118,30 @@
 	case "crash":
 		time.AfterFunc(time.Second, func() { os.Exit(3) })
 	case "quiet among members":
-		if r.membership != nil {
-			r.membership.Close()
-			r.membership = nil
-		}
+		f.leaveSilently()
 	}
+	return nil
+}
+
+// leaveSilently closes the membership, which changes only while discovery is not watched.
+func (f *faultyHost) leaveSilently() {
+	if f.router.membership == nil {
+		return
+	}
+	f.router.stopWatching()
+	defer f.router.watchDiscovery()
+	f.router.membership.Close()
+	f.router.membership = nil
+}
+
+func (f *faultyHost) Heartbeat() *handoff.Message {
+	f.failAtHeartbeat()
+	return f.Host.Heartbeat()
 }
 
-func (f *faultyRouter) atHeartbeat(r *router) {
-	worked := func() bool { return r.downstream.RequestCounts().Completed > 60 }
-	switch f.name {
+func (f *faultyHost) failAtHeartbeat() {
+	worked := func() bool { return f.router.downstream.RequestCounts().Completed > 60 }
+	switch f.fault {
 	case "silent":
 		if f.serving.Load() {
 			time.Sleep(time.Minute)
@@ -124,7 +170,7 @@
 }
 
 // allocate holds memory, written to so that it is resident.
-func (f *faultyRouter) allocate(bytes int) {
+func (f *faultyHost) allocate(bytes int) {
 	b := make([]byte, bytes)
 	for i := range b {
 		b[i] = 1
--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"runtime/debug"
 	"time"
 
@@ -13,18 +12,14 @@
 
 // generation is the router as its supervisor sees it: a process that takes the place of
 // another one of the same router, and gives it back. It is the agent's host.
-type generation struct {
-	*router
-	ctx  context.Context
-	load func() (*startConfig, error)
-}
+type generation struct{ *router }
 
 // Acquire takes the place of another generation, or begins from nothing where state is
 // nil. With own the state is this process's, which gets its place back; with
-// holdSlowStart the earlier process may have spent this router's slow-start budgets.
+// budgetsMaybeSpent the earlier process may have spent this router's slow-start budgets.
 func (g *generation) Acquire(state *handoff.State, own, budgetsMaybeSpent bool) error {
 	g.stopWatching()
-	defer g.watchDiscovery(g.ctx)
+	defer g.watchDiscovery()
 	if state == nil {
 		state = &handoff.State{}
 	}
@@ -49,7 +44,6 @@
 	}
 	g.engine.HoldSlowStart(clock(), g.slowStartHoldUntil)
 	g.accept()
-	testFaults.at(stageServing, g.router)
 	return nil
 }
 
@@ -70,7 +64,7 @@
 	g.downstream.SetMigrating(true)
 	g.engine.HoldSlowStart(clock(), never)
 	g.stopWatching()
-	defer g.watchDiscovery(g.ctx)
+	defer g.watchDiscovery()
 	state := &handoff.State{Learned: g.engine.Snapshot()}
 	state.Learned.SlowStartHoldUntil = g.slowStartHoldUntil
 	if g.gatewayHost != nil {
@@ -130,17 +124,13 @@
 }
 
 // Reload reads the configuration again.
-func (g *generation) Reload() { g.reload(g.ctx, g.load) }
+func (g *generation) Reload() { g.reload() }
 
 // Ready tells whether a whole endpoint list is known.
-func (g *generation) Ready() bool {
-	testFaults.at(stageReady, g.router)
-	return g.downstream.IsReady()
-}
+func (g *generation) Ready() bool { return g.downstream.IsReady() }
 
 // Heartbeat tells the supervisor what this generation does.
 func (g *generation) Heartbeat() *handoff.Message {
-	testFaults.at(stageHeartbeat, g.router)
 	requests, _ := g.engine.Count()
 	return &handoff.Message{
 		Requests:            upgrade.RequestCounts(g.downstream.RequestCounts()),
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -16,21 +16,25 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-func main() {
+func main() { execute(newRouter) }
+
+// execute runs the command that the arguments name; newRouter makes the router that the
+// command serve runs.
+func execute(newRouter routerConstructor) {
 	// A SIGHUP that comes before the router can reload must not end it, nor a SIGTERM
 	// before it can answer what it may have accepted.
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	if err := command(hup, term).Execute(); err != nil {
+	if err := command(newRouter, hup, term).Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "quilldoor:", err)
 		os.Exit(1)
 	}
 }
 
 // command is the command line. Without a command the router runs.
-func command(hup <-chan os.Signal, term chan os.Signal) *cobra.Command {
+func command(newRouter routerConstructor, hup <-chan os.Signal, term chan os.Signal) *cobra.Command {
 	var f flags
-	run := func(*cobra.Command, []string) error { return f.serve(hup, term) }
+	run := func(*cobra.Command, []string) error { return f.serve(newRouter, hup, term) }
 	root := &cobra.Command{
 		Use:               "quilldoor",
 		Short:             "A request router for edge caches",
@@ -68,7 +72,7 @@
 	all.StringVar(&f.logFormat, "log-format", "text", "form of the log's lines: text or json")
 }
 
-func (f *flags) serve(hup <-chan os.Signal, term chan os.Signal) error {
+func (f *flags) serve(newRouter routerConstructor, hup <-chan os.Signal, term chan os.Signal) error {
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 	out := newAsyncWriter(os.Stderr)
 	defer out.flush(time.Second)
@@ -81,5 +85,9 @@
 	if err != nil {
 		return err
 	}
-	return serve(c, log, term, hup, f.load)
+	r, err := newRouter(c, log, f.load)
+	if err != nil {
+		return err
+	}
+	return r.serve(term, hup)
 }
--- a/cmd/quilldoor/main_test.go
+++ b/cmd/quilldoor/main_test.go
@@ -8,7 +8,7 @@
 // TestMain makes the test binary the router where a test starts one as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("QUILLDOOR_TEST_MAIN") != "" {
-		main()
+		execute(processConstructor())
 		return
 	}
 	code := m.Run()
--- a/cmd/quilldoor/router.go
+++ b/cmd/quilldoor/router.go
@@ -31,10 +31,13 @@
 type router struct {
 	log    *logrus.Entry
 	config *startConfig
+	load   loadConfig // for a reload
 	policy policy.Settings
 	limits *config.Limits
+	ctx    context.Context // of the background work, while the router serves
 
 	engine     *engine.Engine
+	events     eventHandler // the engine
 	upstream   *upstream.Pool
 	downstream *downstream.Server
 	buffers    *bufferpool.Pool
@@ -47,6 +50,7 @@
 	served        chan error // of downstream; nil: it accepts no clients
 
 	agent              *upgradeagent.Agent // nil: no supervisor runs this process
+	host               upgradeagent.Host   // what the agent controls: the router as a generation
 	activity           *invariant.Recorder // for the supervisor; nil: there is none
 	slowStartHoldUntil int64               // microseconds; warming endpoints get nothing before
 
@@ -62,15 +66,27 @@
 	writers     sync.WaitGroup // of the metrics and status files
 }
 
+// eventHandler takes what the router hears of endpoints and objects.
+type eventHandler interface {
+	UpdateEndpoints(now int64, scope policy.UpdateScope, list []engine.Endpoint) (retired []*engine.Endpoint)
+	Purge(now int64, object string, group, at int64)
+	AttemptEnded(now int64, attempt *engine.Attempt, result engine.Result)
+	HealthChecked(now int64, endpoint string, outcome policy.Outcome, rtt int64)
+}
+
+// routerConstructor makes a router, which reads its configuration again with load.
+type routerConstructor func(config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error)
+
 func clock() int64 { return time.Now().UnixMicro() }
 
 // newRouter makes the parts that every process of a router has. It opens nothing.
-func newRouter(config *startConfig, logger *logrus.Logger) (*router, error) {
+func newRouter(config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
 	runtime.GOMAXPROCS(max(int(config.Cores), 1))
 	debug.SetMemoryLimit(config.Limits.MemoryBytes)
 	r := &router{
 		log:           logger.WithField("router", config.Name),
 		config:        config,
+		load:          load,
 		policy:        config.Settings.PolicySettings(),
 		limits:        config.Limits,
 		wake:          make(chan struct{}, 1),
@@ -80,15 +96,16 @@
 	if r.agent, err = upgradeagent.Inherit(os.Getenv); err != nil {
 		return nil, err
 	}
-	testFaults.at(stageStart, r)
 	r.engine = engine.New(&r.policy, config.Seed, r.wakeBackground)
+	r.events = r.engine
 	r.buffers = bufferpool.NewPool(config.Limits.MaxBufferedBytes)
-	r.upstream = upstream.New(config.Limits, r.buffers, testFaults.wrapResults(r.attemptEnded), r.log)
+	r.upstream = upstream.New(config.Limits, r.buffers, r.attemptEnded, r.log)
 	r.downstream = downstream.New(r.engine, r.upstream, r.buffers, config.Limits)
 	r.downstream.SetClientRate(config.ClientBytesPerSecond)
 	if r.agent != nil {
 		r.activity = invariant.NewRecorder()
 		r.downstream.SetRecorder(r.activity)
+		r.host = &generation{r}
 	}
 	r.watcher = discovery.New(config.Limits, r)
 	return r, nil
@@ -102,5 +119,5 @@
 }
 
 func (r *router) attemptEnded(attempt *engine.Attempt, result engine.Result) {
-	r.engine.AttemptEnded(clock(), attempt, result)
+	r.events.AttemptEnded(clock(), attempt, result)
 }
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -13,11 +13,7 @@
 
 // serve runs the router until a signal comes on term. Those on hup make it load the
 // configuration again.
-func serve(config *startConfig, logger *logrus.Logger, term, hup <-chan os.Signal, load func() (*startConfig, error)) error {
-	r, err := newRouter(config, logger)
-	if err != nil {
-		return err
-	}
+func (r *router) serve(term, hup <-chan os.Signal) error {
 	r.logStart()
 	if r.agent == nil { // else the agent opens it, once the generation before has let go
 		defer r.closeExclusive()
@@ -25,22 +21,25 @@
 			return err
 		}
 	}
-	if err := growDescriptorTable(config.Limits.MaxDescriptors); err != nil {
+	if err := growDescriptorTable(r.limits.MaxDescriptors); err != nil {
 		r.log.WithError(err).Warn("descriptor table not grown")
 	}
-	if r.listener, err = r.listen(); err != nil {
+	listener, err := r.listen()
+	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
+	r.listener = listener
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	r.watcher.Apply(config.initialUpdate)
-	r.watchDiscovery(ctx)
+	r.ctx = ctx
+	r.watcher.Apply(r.config.initialUpdate)
+	r.watchDiscovery()
 	go r.runBackground(ctx)
 	go r.downstream.MonitorStalls(ctx.Done())
 	if r.agent != nil {
 		defer r.closeExclusive()
 	}
-	if err := r.run(ctx, term, hup, load); err != nil {
+	if err := r.run(ctx, term, hup); err != nil {
 		return err
 	}
 	r.shutDown()
@@ -62,20 +61,19 @@
 }
 
 // run serves until the router is to end.
-func (r *router) run(ctx context.Context, term, hup <-chan os.Signal, load func() (*startConfig, error)) error {
+func (r *router) run(ctx context.Context, term, hup <-chan os.Signal) error {
 	if r.agent == nil {
 		r.accept()
-		return r.serveUntilSignal(ctx, term, hup, load)
+		return r.serveUntilSignal(term, hup)
 	}
-	g := &generation{router: r, ctx: ctx, load: load}
-	if err := r.agent.Run(ctx, g, term, r.log); err != nil {
+	if err := r.agent.Run(ctx, r.host, term, r.log); err != nil {
 		return err
 	}
-	go r.agent.SendHeartbeats(ctx, g)
+	go r.agent.SendHeartbeats(ctx, r.host)
 	return nil
 }
 
-func (r *router) serveUntilSignal(ctx context.Context, term, hup <-chan os.Signal, load func() (*startConfig, error)) error {
+func (r *router) serveUntilSignal(term, hup <-chan os.Signal) error {
 	for {
 		select {
 		case err := <-r.served:
@@ -84,7 +82,7 @@
 			r.log.WithField("signal", s.String()).Info("shutting down, still accepting")
 			return nil
 		case <-hup:
-			r.reload(ctx, load)
+			r.reload()
 		}
 	}
 }
@@ -122,8 +120,8 @@
 }
 
 // reload reads the configuration again and takes over what can change while it runs.
-func (r *router) reload(ctx context.Context, load func() (*startConfig, error)) {
-	fresh, err := load()
+func (r *router) reload() {
+	fresh, err := r.load()
 	if err != nil {
 		r.log.WithError(err).Error("new configuration refused, the old one stays")
 		return
@@ -137,7 +135,7 @@
 	r.stopWatching()
 	r.watcher.Apply(&discovery.Update{Events: fresh.initialUpdate.Events})
 	r.discoveryAddr = fresh.DiscoveryAddr
-	r.watchDiscovery(ctx)
+	r.watchDiscovery()
 	r.log.WithField("discovery", fresh.DiscoveryAddr).Info("new configuration in force")
 }
 
--- a/cmd/quilldoor/startconfig.go
+++ b/cmd/quilldoor/startconfig.go
@@ -24,6 +24,9 @@
 	settingsDigest uint64 // 0: no supervisor is configured
 }
 
+// loadConfig reads and checks the configuration.
+type loadConfig func() (*startConfig, error)
+
 // flags are those of the commands that read the configuration.
 type flags struct {
 	overrides                         config.Overrides
--- a/cmd/quilldoor/testrouter_test.go
+++ b/cmd/quilldoor/testrouter_test.go
@@ -100,7 +100,12 @@
 	log.SetOutput(io.Discard)
 	log.AddHook(r)
 	go func() {
-		r.done <- serve(startConfig, log, r.terminate, r.reload, flags.load)
+		router, err := newRouter(startConfig, log, flags.load)
+		if err != nil {
+			r.done <- err
+			return
+		}
+		r.done <- router.serve(r.terminate, r.reload)
 	}()
 	t.Cleanup(func() {
 		r.terminate <- syscall.SIGTERM
