--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -14,7 +14,7 @@
 	CalledDead  int      // comparisons in which all others that answered held a live router dead
 	DeadByAll   []string // the routers that this happened to
 
-	faultTurn      int64            // the beginning or end of a fault that AgreedAfter counts from
+	countsFrom     int64            // the beginning or end of a fault that AgreedAfter counts from
 	reachableSince map[string]int64 // since when a router is up and exchanges messages with another one
 }
 
@@ -35,13 +35,13 @@
 }
 
 // reachable tells whether a router is up and exchanges messages with another one.
-func reachable(w *simulation.Simulation, id int) bool {
-	runs := func(router int) bool { return w.Up(router) && !w.Stopped(router) }
+func reachable(sim *simulation.Simulation, id int) bool {
+	runs := func(router int) bool { return sim.Up(router) && !sim.Stopped(router) }
 	if !runs(id) {
 		return false
 	}
-	for other := range w.Routers() {
-		if other != id && runs(other) && w.Network.Reachable(id, other) && w.Network.Reachable(other, id) {
+	for other := range sim.Routers() {
+		if other != id && runs(other) && sim.Network.Reachable(id, other) && sim.Network.Reachable(other, id) {
 			return true
 		}
 	}
@@ -52,11 +52,11 @@
 const viewIntervalMicros = 200_000
 
 // observe compares the views of the routers that are up. Views has those that could be asked,
-// by the router's name. Turn is the time of the last beginning or end of a fault.
-func (m *Members) observe(now, turn int64, up []string, views map[string]*membership.View) {
+// by the router's name. LastFaultChange is when a fault began or ended last.
+func (m *Members) observe(now, lastFaultChange int64, up []string, views map[string]*membership.View) {
 	m.Comparisons++
-	if turn != m.faultTurn || m.Comparisons == 1 {
-		m.faultTurn = turn
+	if lastFaultChange != m.countsFrom || m.Comparisons == 1 {
+		m.countsFrom = lastFaultChange
 		m.AgreedAfter = -1
 	}
 	agreed := len(views) == len(up) && onlyAlive(up, views)
@@ -77,7 +77,7 @@
 	case !agreed:
 		m.AgreedAfter = -1
 	case m.AgreedAfter < 0:
-		m.AgreedAfter = now - turn
+		m.AgreedAfter = now - lastFaultChange
 	}
 }
 
