--- /dev/null
+++ b/cmd/quilldoor-lab/rolloutfigures.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"slices"
+
+	"gonum.org/v1/gonum/stat"
+
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/rollout"
+)
+
+// rolloutFigures are the figures of a case over all runs. Times are in seconds.
+type rolloutFigures struct {
+	runs, done, rolledBack, paused int
+	rolledBackAt                   [rolloutStages]int // by stage
+	earned                         []float64          // share of the offered weight
+	harmed                         float64            // requests, mean over the runs
+	undecidedS                     []float64          // from the first harm until the rollback began
+	harmToEndS                     []float64          // from the first harm until all were back
+	doneAfterS                     []float64
+	violations                     [rolloutRuleNumbers]int // by rule
+	accused                        int                     // routers
+}
+
+func summarize(results []*emulator.RolloutResult) *rolloutFigures {
+	f := &rolloutFigures{runs: len(results)}
+	for _, result := range results {
+		f.add(result)
+	}
+	return f
+}
+
+// add counts a run.
+func (f *rolloutFigures) add(result *emulator.RolloutResult) {
+	f.earned = append(f.earned, result.EarnedShare())
+	f.harmed += float64(result.HarmedRequests) / float64(f.runs)
+	f.accused += result.AccusedRouters
+	for rule, n := range result.CountByRule {
+		f.violations[rule] += n
+	}
+	switch result.Phase {
+	case rollout.PhaseDone:
+		f.done++
+		f.doneAfterS = append(f.doneAfterS, result.EndS)
+	case rollout.PhaseRolledBack, rollout.PhaseRollingBack:
+		f.rolledBack++
+		f.rolledBackAt[result.Stage]++
+		if result.FirstHarmS > 0 {
+			f.undecidedS = append(f.undecidedS, result.RollbackStartS-result.FirstHarmS)
+			f.harmToEndS = append(f.harmToEndS, result.EndS-result.FirstHarmS)
+		}
+	case rollout.PhasePaused, rollout.PhaseForward:
+		f.paused++
+	}
+}
+
+// print writes the figures as the rest of a line of the table.
+func (f *rolloutFigures) print(to io.Writer) {
+	fmt.Fprintf(to, "%d\t%d\t%d\t%d\t", f.runs, f.done, f.rolledBack, f.paused)
+	for _, n := range f.rolledBackAt {
+		fmt.Fprintf(to, "%d\t", n)
+	}
+	fmt.Fprintf(to, "%.4f\t%.0f\t", stat.Mean(f.earned, nil), f.harmed)
+	fmt.Fprintf(to, "%s\t%s\t", quantile(f.undecidedS, 0.5), quantile(f.undecidedS, 1))
+	fmt.Fprintf(to, "%s\t%s\t", quantile(f.harmToEndS, 1), quantile(f.doneAfterS, 0.5))
+	fmt.Fprintf(to, "%v\t%d\t\n", f.violations[1:], f.accused)
+}
+
+// quantile formats a quantile of a list of seconds.
+func quantile(list []float64, q float64) string {
+	if len(list) == 0 {
+		return "-"
+	}
+	sorted := slices.Sorted(slices.Values(list))
+	return fmt.Sprintf("%.0f", stat.Quantile(q, stat.Empirical, sorted, nil))
+}
--- /dev/null
+++ b/cmd/quilldoor-lab/upgradefigures.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"slices"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"gonum.org/v1/gonum/stat"
+)
+
+// upgradeFigures are the figures of one run, or of all runs of a case.
+type upgradeFigures struct {
+	earned     []float64 // share of the offered weight in the window, by run
+	latency    *hdrhistogram.Histogram
+	refused    int // connections
+	brokenOff  int // connections
+	violations int
+	recoveryMS []float64 // of crashed generations
+	drainedMS  []float64 // until the old generation's process was gone
+	peakMB     []float64 // of the largest router, by run
+}
+
+func newUpgradeFigures() *upgradeFigures {
+	return &upgradeFigures{latency: newLatencyHistogram()}
+}
+
+func newLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyUS, maxLatencyUS, latencyDigits)
+}
+
+func (f *upgradeFigures) add(run *upgradeFigures) {
+	f.earned = append(f.earned, run.earned...)
+	f.latency.Merge(run.latency)
+	f.refused += run.refused
+	f.brokenOff += run.brokenOff
+	f.violations += run.violations
+	f.recoveryMS = append(f.recoveryMS, run.recoveryMS...)
+	f.drainedMS = append(f.drainedMS, run.drainedMS...)
+	f.peakMB = append(f.peakMB, run.peakMB...)
+}
+
+// print writes the figures as a line of the table.
+func (f *upgradeFigures) print(to io.Writer, name string, calm []float64) {
+	mean, halfWidth := pairedDifference(calm, f.earned)
+	fmt.Fprintf(to, "%s\t%d\t%.4f\t%+.4f\t%.4f\t", name, len(f.earned), stat.Mean(f.earned, nil), mean, halfWidth)
+	p50, p99 := f.latency.ValueAtQuantile(50), f.latency.ValueAtQuantile(99)
+	fmt.Fprintf(to, "%.1f\t%.1f\t", float64(p50)/1000, float64(p99)/1000)
+	fmt.Fprintf(to, "%d\t%d\t%d\t", f.refused, f.brokenOff, f.violations)
+	fmt.Fprintf(to, "%s\t%s\t%.0f\t\n", largest(f.recoveryMS), largest(f.drainedMS), stat.Mean(f.peakMB, nil))
+}
+
+// largest formats the largest number of a list.
+func largest(list []float64) string {
+	if len(list) == 0 {
+		return "-"
+	}
+	return fmt.Sprintf("%.0f", slices.Max(list))
+}
