--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -1,27 +1,18 @@
 package diskcache
 
 import (
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"quilldoor/internal/testsupport"
 )
 
 const ms, start = int64(1000), 1_000_000 * second
 
-func TestMain(m *testing.M) {
-	flag.Parse()
-	// The same cases at every run.
-	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testsupport.RunRapidWithFixedSeed(m) }
 
 func small(change func(*Settings)) *Policy {
 	set := Settings{
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"os"
 	"testing"
 
 	"github.com/sirupsen/logrus"
@@ -16,6 +14,7 @@
 	"quilldoor/internal/crashfs"
 	"quilldoor/internal/diskcache"
 	"quilldoor/internal/diskcache/diskstore"
+	"quilldoor/internal/testsupport"
 )
 
 // tb is what a test and a check by rapid have in common.
@@ -267,13 +266,4 @@
 	})
 }
 
-// The same cases at every run; a failure is printed, not kept in a file.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testsupport.RunRapidWithFixedSeed(m) }
--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -18,6 +18,7 @@
 	"quilldoor/internal/crashfs"
 	"quilldoor/internal/diskcache"
 	"quilldoor/internal/diskcache/diskstore"
+	"quilldoor/internal/testsupport"
 )
 
 // running starts a shelf with its goroutines and a clock that the test moves.
@@ -45,17 +46,6 @@
 	return s, hook
 }
 
-func until(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for range 5000 {
-		if ok() {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Fatal(what, "has not come")
-}
-
 func ask(object string) *Request {
 	return &Request{Class: "page", Object: object, Part: 1, Remaining: 4 * time.Second}
 }
@@ -63,13 +53,13 @@
 // keep offers a copy until it is kept.
 func keep(t *testing.T, s *Cache, now int64, object, content string) {
 	t.Helper()
-	until(t, "recovery", s.ready.Load)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
 	s.Get(ask(object))
 	s.Get(ask(object))
 	body, _ := s.bodies.ReadBody(strings.NewReader(content), len(content))
 	defer body.Release()
 	s.Offer(ask(object), "tag-"+object, now/ms, body)
-	until(t, "the write of "+object, func() bool { return s.State().Size.QueuedBytes == 0 })
+	testsupport.WaitUntil(t, "the write of "+object, func() bool { return s.State().Size.QueuedBytes == 0 })
 }
 
 func content(c *Copy) string {
@@ -89,7 +79,7 @@
 	now := clockAt(1000 * second)
 	fs := crashfs.New()
 	s, _ := running(t, fs, now, nil)
-	until(t, "recovery", s.ready.Load)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
 	now.Add(second)
 	long := strings.Repeat("0123456789", 300)
 	keep(t, s, now.Load(), "x", long)
@@ -109,7 +99,7 @@
 	s.Close()
 	// Restarted, what is found is proven before it is served, and good after.
 	s, _ = running(t, fs, now, nil)
-	until(t, "recovery", s.ready.Load)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
 	c = s.Get(ask("x"))
 	if content(c) != "second" || c.Fresh || c.Serve(false) || c.ServeStale(false) {
 		t.Fatalf("%q, sure %v", content(c), c != nil && c.Fresh)
@@ -138,7 +128,7 @@
 	s, hook := running(t, crashfs.New(), now, func(c *Config) {
 		c.Clock = func() (int64, int64) { return now.Load(), steady.Load() }
 	})
-	until(t, "recovery", s.ready.Load)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
 	now.Add(second)
 	steady.Add(second)
 	keep(t, s, now.Load(), "x", "old")
@@ -224,7 +214,7 @@
 		now := clockAt(1000 * second)
 		fs := crashfs.New()
 		s, hook := running(t, fs, now, nil)
-		until(t, "recovery", s.ready.Load)
+		testsupport.WaitUntil(t, "recovery", s.ready.Load)
 		now.Add(second)
 		for i := range 10 {
 			keep(t, s, now.Load(), fmt.Sprint("before", i), "whole")
@@ -250,7 +240,7 @@
 			s.Get(ask(fmt.Sprint("before", i))).Release()
 			keep(t, s, now.Load(), fmt.Sprint("after", i), strings.Repeat("x", 200))
 		}
-		until(t, name+": the state", func() bool { return s.State().Health == c.health })
+		testsupport.WaitUntil(t, name+": the state", func() bool { return s.State().Health == c.health })
 		if before := wrote.Load(); c.health != diskcache.HealthOn {
 			keep(t, s, now.Load(), "more", "more")
 			time.Sleep(20 * time.Millisecond)
@@ -276,14 +266,14 @@
 			failing.Store(false)
 			now.Add(31 * second)
 			keep(t, s, now.Load(), "again", "new")
-			until(t, name+": a write", func() bool { got = s.Get(ask("again")); return got != nil })
+			testsupport.WaitUntil(t, name+": a write", func() bool { got = s.Get(ask("again")); return got != nil })
 			got.Release()
 		}
 		kept := s.State().Size.Parts
 		s.Close()
 		fs.SetFail(nil)
 		s, _ = running(t, fs, now, nil) // whatever it was, a restart finds a sound store
-		until(t, "recovery", s.ready.Load)
+		testsupport.WaitUntil(t, "recovery", s.ready.Load)
 		if r, err := diskstore.Inspect(fs, true); err != nil || !r.Intact() || r.Parts < 9 {
 			t.Errorf("%s: %+v, %v", name, r, err)
 		} else if (c.health == diskcache.HealthFull || c.health == diskcache.HealthOn) && r.Parts != kept {
@@ -299,7 +289,7 @@
 	now := clockAt(1000 * second)
 	fs := crashfs.New()
 	s, _ := running(t, fs, now, func(c *Config) { c.ReadTimeout = 10 * time.Millisecond })
-	until(t, "recovery", s.ready.Load)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
 	now.Add(second)
 	keep(t, s, now.Load(), "x", "whole")
 	hang := make(chan struct{})
@@ -323,7 +313,7 @@
 	}
 	fs.SetFail(nil)
 	close(hang)
-	until(t, "the end of the reads", func() bool { return s.State().Size.ActiveReads == 0 })
+	testsupport.WaitUntil(t, "the end of the reads", func() bool { return s.State().Size.ActiveReads == 0 })
 	c := s.Get(ask("x"))
 	if content(c) != "whole" {
 		t.Fatal(content(c))
@@ -419,7 +409,7 @@
 func TestNoBufferIsLost(t *testing.T) {
 	now := clockAt(1000 * second)
 	s, _ := running(t, crashfs.New(), now, func(c *Config) { c.Settings.QueueBytes = 3 << 10 })
-	until(t, "recovery", s.ready.Load)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
 	for i := range 300 {
 		a := ask(fmt.Sprint(i % 7))
 		if c := s.Get(a); c != nil {
--- a/internal/downstream/client_test.go
+++ b/internal/downstream/client_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"quilldoor/internal/bufferpool"
+	"quilldoor/internal/testsupport"
 )
 
 // pair returns a client's end of a connection, and ours as the server has it.
@@ -35,16 +36,13 @@
 	return c.(*net.TCPConn), newClient(socket)
 }
 
-// eventually waits for what the other end does to become visible here.
-func eventually(t *testing.T, visible func() bool) {
+// waitUntilReadable waits for what the other end has sent.
+func (c *client) waitUntilReadable(t *testing.T) {
 	t.Helper()
-	for range 5000 {
-		if visible() {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Fatal("it did not happen")
+	testsupport.WaitUntil(t, "what the client has sent", func() bool {
+		readable, _ := c.pollSocket()
+		return readable
+	})
 }
 
 // A client that had sent early was once not watched any further: its leaving was seen
@@ -105,7 +103,7 @@
 	theirs, ours := pair(t)
 	fmt.Fprintf(theirs, requestText, 1)
 	theirs.Close()
-	eventually(t, func() bool {
+	testsupport.WaitUntil(t, "the client's end", func() bool {
 		_, closed := ours.pollSocket()
 		return closed
 	})
@@ -122,17 +120,12 @@
 func TestNothingBeginsOnAConnectionThatDrainShut(t *testing.T) {
 	s := newTestServer(t, 1, time.Minute)
 	theirs, ours := pair(t)
-	s.mu.Lock()
-	s.clients[ours] = struct{}{}
-	s.mu.Unlock()
+	s.addClient(ours)
 	if left := s.Drain(0); left != 1 {
 		t.Fatalf("%d clients", left)
 	}
 	fmt.Fprintf(theirs, requestText, 1) // it crosses
-	eventually(t, func() bool {
-		readable, _ := ours.pollSocket()
-		return readable
-	})
+	ours.waitUntilReadable(t)
 	if s.awaitRequest(ours) {
 		t.Error("the request is read")
 	}
@@ -143,9 +136,7 @@
 	s := newTestServer(t, 1, time.Minute)
 	_, ours := pair(t)
 	ours.served = true
-	s.mu.Lock()
-	s.clients[ours] = struct{}{}
-	s.mu.Unlock()
+	s.addClient(ours)
 	s.Drain(0) // its wake comes before awaitRequest sets the deadline of an idle client
 	done := make(chan bool, 1)
 	go func() { done <- s.awaitRequest(ours) }()
@@ -163,14 +154,9 @@
 func TestDrainAnswersWhatHasArrived(t *testing.T) {
 	s := newTestServer(t, 1, time.Minute)
 	theirs, ours := pair(t)
-	s.mu.Lock()
-	s.clients[ours] = struct{}{}
-	s.mu.Unlock()
+	s.addClient(ours)
 	fmt.Fprintf(theirs, requestText, 1)
-	eventually(t, func() bool {
-		readable, _ := ours.pollSocket()
-		return readable
-	})
+	ours.waitUntilReadable(t)
 	s.Drain(0)
 	go s.serve(ours)
 	got, err := io.ReadAll(theirs)
@@ -187,7 +173,7 @@
 	if got := client.status(fmt.Sprintf(requestText, 1)); got != "503" {
 		t.Fatal(got)
 	}
-	eventually(t, func() bool {
+	testsupport.WaitUntil(t, "an idle client", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c := range s.clients {
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -53,6 +53,13 @@
 	return s
 }
 
+// addClient adds a client whose goroutine the test stands in for.
+func (s *testServer) addClient(c *client) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.clients[c] = struct{}{}
+}
+
 type testClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -65,8 +72,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return &testClient{c, bufio.NewReader(c)}
+	return newTestClient(c)
+}
+
+func newTestClient(conn net.Conn) *testClient {
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return &testClient{conn, bufio.NewReader(conn)}
 }
 
 // status sends a text and returns the response's status; "" where there is none.
@@ -172,12 +183,9 @@
 // A client beyond the bound once kept Serve from seeing the drain's deadline.
 func TestSuspendedLimitEndsTheWaitForASlot(t *testing.T) {
 	s := newTestServer(t, 1, 10*time.Second)
-	s.mu.Lock()
-	s.clients[&client{state: clientBusy}] = struct{}{}
-	s.mu.Unlock()
+	s.addClient(&client{state: clientBusy})
 	ours, theirs := net.Pipe()
-	client := &testClient{ours, bufio.NewReader(ours)}
-	client.SetDeadline(time.Now().Add(5 * time.Second))
+	client := newTestClient(ours)
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(&lastClientListener{client: theirs}) }()
 	s.SuspendClientLimit(true)
@@ -224,8 +232,7 @@
 func TestTransientAcceptErrorEndsNoListener(t *testing.T) {
 	s := newTestServer(t, 1, 10*time.Second)
 	ours, theirs := net.Pipe()
-	client := &testClient{ours, bufio.NewReader(ours)}
-	client.SetDeadline(time.Now().Add(5 * time.Second))
+	client := newTestClient(ours)
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(&failingListener{left: 3, client: theirs}) }()
 	if got := client.status(fmt.Sprintf(requestText, 1)); got != "503" {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"quilldoor/internal/gateway/peerpolicy"
+	"quilldoor/internal/testsupport"
 )
 
 // A txn handed over and answered with 20 kB, some at once, both sides in this
@@ -31,7 +32,7 @@
 			}
 			far := newSide(b, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, south)
 			home := newSide(b, "n", "north", []Peer{{"s", "south", far.addr}}, north)
-			until(b, "trust", func() bool { return home.isConnected() })
+			testsupport.WaitUntil(b, "trust", func() bool { return home.isConnected() })
 			text := strings.Repeat("x", 20_000)
 			far.executes(func(_ <-chan struct{}, _ *Request) Reply {
 				return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: far.body(text)}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,6 +20,7 @@
 	"quilldoor/internal/gateway/peerpolicy"
 	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/policy"
+	"quilldoor/internal/testsupport"
 )
 
 // wire is a proxy between two sites that can be delayed and cut, each way alone.
@@ -151,17 +152,6 @@
 	return s
 }
 
-func until(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for range 5000 {
-		if ok() {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Fatal(what, "has not come")
-}
-
 func (s *side) isConnected() bool {
 	s.Gateway.mu.Lock()
 	defer s.Gateway.mu.Unlock()
@@ -175,7 +165,7 @@
 	south = newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, nil)
 	w = newWire(t, south.addr)
 	north = newSide(t, "n", "north", []Peer{{"s", "south", w.Addr().String()}}, nil)
-	until(t, "a healthy peer", func() bool { return north.isConnected() })
+	testsupport.WaitUntil(t, "a healthy peer", func() bool { return north.isConnected() })
 	return north, south, w
 }
 
@@ -240,7 +230,7 @@
 			t.Errorf("%v for %+v", r.Outcome, far)
 		}
 	}
-	until(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
 	for _, s := range []*side{north, south} { // all buffers are back
 		for n := 0; n < 512; n++ {
 			if _, err := s.pool.ReadBody(strings.NewReader("x"), 1); err != nil {
@@ -271,7 +261,7 @@
 		"requests lost, unsafe": {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, func() { w.dead[0].Store(true) }},
 		"both lost, safe":       {peerpolicy.EffectIdempotent, peerpolicy.OutcomeRejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
 	} {
-		until(t, name+": a healthy peer", func() bool { return north.isConnected() })
+		testsupport.WaitUntil(t, name+": a healthy peer", func() bool { return north.isConnected() })
 		out := north.send(c.effect, name, nil, 3*time.Second)
 		<-running
 		began := time.Now()
@@ -409,14 +399,14 @@
 		return Reply{Outcome: peerpolicy.OutcomeAborted}
 	})
 	out := north.send(peerpolicy.EffectIdempotent, "x", nil, 3*time.Second)
-	until(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
+	testsupport.WaitUntil(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
 	north.Cancel(fmt.Sprintf("%016x", count.Load()))
 	<-gone
 	if len(out) > 0 {
 		t.Error("an end for a client that had left")
 	}
 	south.Drain()
-	until(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
+	testsupport.WaitUntil(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
 	if north.send(peerpolicy.EffectIdempotent, "x", nil, time.Second) != nil {
 		t.Error("handed over to one that drains")
 	}
@@ -465,7 +455,7 @@
 		t.Fatalf("%v after all that", r.Outcome)
 	}
 	r.Body.Release()
-	until(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
 }
 
 // The clocks of two sites may be hours apart: a frame's delay is counted from the quickest
@@ -503,7 +493,7 @@
 	}
 	logged := func(s *side, what string) {
 		t.Helper()
-		until(t, what, func() bool {
+		testsupport.WaitUntil(t, what, func() bool {
 			for _, e := range s.hook.AllEntries() {
 				if e.Data["reason"] == what {
 					return true
@@ -516,7 +506,7 @@
 	south := newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, own)
 	join := func(k *Keys) *side { return newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, k) }
 	north := join(keys(dir, "n", dir))
-	until(t, "a healthy peer", func() bool { return north.isConnected() })
+	testsupport.WaitUntil(t, "a healthy peer", func() bool { return north.isConnected() })
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
 	if r.Outcome != peerpolicy.OutcomeCompleted {
 		t.Fatal(r.Outcome)
@@ -579,5 +569,5 @@
 		t.Fatalf("%d requests run for it, %d hold a place", n, south.Status().InboundInFlight)
 	}
 	c.Close()
-	until(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
 }
