--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -21,8 +21,8 @@
 // readyTimeoutSeconds is how long a generation may take to get ready.
 const readyTimeoutSeconds = 3
 
-// Supervised gives access to the router processes of a run on sockets: upgrades, rollouts and faults
-// go through it. Its methods may be called from any goroutine but the run's loop.
+// Supervised gives access to the router processes of a run on sockets: upgrades, rollouts and
+// faults go through it. Its methods may be called from any goroutine but the run's loop.
 type Supervised struct{ *socketRun }
 
 // Count is the number of routers.
@@ -83,13 +83,15 @@
 		return nil, err
 	}
 	if reply.Status == nil {
-		return nil, errors.New("a report without a standing")
+		return nil, errors.New("a reply without a status")
 	}
 	return reply.Status, nil
 }
 
 // WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
-func (s *Supervised) WaitStatus(i int, within time.Duration, reached func(*handoff.Status) bool) (*handoff.Status, error) {
+func (s *Supervised) WaitStatus(
+	i int, within time.Duration, reached func(*handoff.Status) bool,
+) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
 	var last *handoff.Status
 	var err error
@@ -104,7 +106,7 @@
 			}
 		}
 	}
-	return last, errors.Join(fmt.Errorf("router %d does not stand as wanted after %v: %+v", i, within, last), err)
+	return last, errors.Join(fmt.Errorf("router %d has not reached the wanted status after %v: %+v", i, within, last), err)
 }
 
 // signalKinds are the event log's entries for signals that change what is expected of a router.
