--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -76,29 +76,24 @@
 	}
 }
 
-// A service that broke off or sent nonsense once made the watcher lose its list.
-func TestRunContinuesAfterFaults(t *testing.T) {
+// runAgainst runs a watcher against a service that gives one answer on each connection,
+// and returns the events and the targets of the polls.
+func runAgainst(t *testing.T, answers ...string) (events recorder, targets <-chan string) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	targets := make(chan string, 10)
+	t.Cleanup(func() { l.Close() })
+	polled := make(chan string, 10)
 	go func() {
-		for _, answer := range []string{
-			"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{",
-			"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{",
-			"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
-			"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
-			"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + `{"rev":8,"notices":[{"rev":8,"flush":{"asset":"x","ms":5}}]}`,
-			"",
-		} {
+		for _, answer := range answers {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
 			line, _ := bufio.NewReader(c).ReadString('\n')
-			targets <- strings.Fields(line + " - -")[1]
+			polled <- strings.Fields(line + " - -")[1]
 			c.Write([]byte(answer))
 			c.Close()
 		}
@@ -107,16 +102,34 @@
 		PollWait: time.Second, PollGrace: time.Second, PollBackoffMin: time.Millisecond,
 		PollBackoffMax: 2 * time.Millisecond, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxDiscoveryBody: 1000,
 	}
-	events := make(recorder, 10)
+	events = make(recorder, 10)
 	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	watcher := New(limits, events)
-	go watcher.Run(ctx, l.Addr().String())
-	for _, want := range []string{"lost", "back", `purge "x" 0 5000`} {
-		if got := <-events; got != want {
+	t.Cleanup(stop)
+	go New(limits, events).Run(ctx, l.Addr().String())
+	return events, polled
+}
+
+// expect fails the test unless exactly these events come next.
+func (r recorder) expect(t *testing.T, events ...string) {
+	t.Helper()
+	for _, want := range events {
+		if got := <-r; got != want {
 			t.Fatalf("%s, want %s", got, want)
 		}
 	}
+}
+
+// A service that broke off or sent nonsense once made the watcher lose its list.
+func TestRunContinuesAfterFaults(t *testing.T) {
+	events, targets := runAgainst(t,
+		"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{",
+		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{",
+		"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+`{"rev":8,"notices":[{"rev":8,"flush":{"asset":"x","ms":5}}]}`,
+		"",
+	)
+	events.expect(t, "lost", "back", `purge "x" 0 5000`)
 	for range 5 {
 		if got := <-targets; got != "/board/poll?watch=0&linger=1000" {
 			t.Fatal(got)
@@ -130,38 +143,13 @@
 // A service that sends long updates in chunks was once lost for good: each poll
 // asked for the same update again. A broken chunk is no update.
 func TestRunReadsChunkedUpdates(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const update = `{"rev":1,"notices":[{"rev":1,"flush":{"asset":"x","ms":5}}]}`
-	go func() {
-		for _, answer := range []string{
-			head + "zz\r\n", head + "5\r\n{\"rev\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n" + head[17:],
-			head + fmt.Sprintf("10\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", update[:16], len(update)-16, update[16:]),
-		} {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			bufio.NewReader(c).ReadString('\n')
-			c.Write([]byte(answer))
-			c.Close()
-		}
-	}()
-	events := make(recorder, 10)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	watcher := New(&config.Limits{
-		PollWait: time.Second, PollGrace: time.Second, PollBackoffMin: time.Millisecond,
-		PollBackoffMax: 2 * time.Millisecond, MaxHeadBytes: 1000, MaxHeaderFields: 10, MaxDiscoveryBody: 1000,
-	}, events)
-	go watcher.Run(ctx, l.Addr().String())
-	for _, want := range []string{"lost", "back", `purge "x" 0 5000`} {
-		if got := <-events; got != want {
-			t.Fatalf("%s, want %s", got, want)
-		}
-	}
+	events, _ := runAgainst(t,
+		head+"zz\r\n",
+		head+"5\r\n{\"rev\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"+head[17:],
+		head+fmt.Sprintf("10\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", update[:16], len(update)-16, update[16:]),
+	)
+	events.expect(t, "lost", "back", `purge "x" 0 5000`)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -52,6 +52,13 @@
 	return request
 }
 
+// openAttempt opens a request and takes its first attempt.
+func (e *testEngine) openAttempt(t *testing.T, class string) (*Request, *Attempt) {
+	t.Helper()
+	request := e.open(t, class)
+	return request, next(t, request, CommandSend).Attempt
+}
+
 // next returns the one command in the command queue, and fails the test if it is of
 // another kind.
 func next(t *testing.T, request *Request, kind CommandKind) Command {
@@ -69,8 +76,7 @@
 
 func TestFirstResponseAnswersAndALaterOneIsReleased(t *testing.T) {
 	e := newTestEngine(nil)
-	request := e.open(t, "read")
-	attempt := next(t, request, CommandSend).Attempt
+	request, attempt := e.openAttempt(t, "read")
 	if e.wakes == 0 || attempt.Source != "o" || attempt.Deadline != start+400*ms && attempt.Deadline != start+1000*ms {
 		t.Fatalf("attempt %+v after %d wakes", attempt, e.wakes)
 	}
@@ -90,8 +96,7 @@
 // A client that had left was once answered, and its attempt went on.
 func TestClientGoneDropsTheAttemptAndNeedsNoAnswer(t *testing.T) {
 	e := newTestEngine(nil)
-	request := e.open(t, "read")
-	attempt := next(t, request, CommandSend).Attempt
+	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
 	e.ClientGone(start+ms, request)
 	if o := next(t, request, CommandDrop); o.Attempt != attempt {
@@ -106,8 +111,7 @@
 
 func TestDeadlineBringsOneAnswer(t *testing.T) {
 	e := newTestEngine(nil)
-	request := e.open(t, "write")
-	attempt := next(t, request, CommandSend).Attempt
+	request, attempt := e.openAttempt(t, "write")
 	attempt.Begin()
 	if e.Run(start + 1000*ms - 1); len(request.TakeCommands()) != 0 {
 		t.Fatal("something happened before the time limit")
@@ -127,8 +131,7 @@
 func TestUnsafeRequestIsRejectedOnlyIfItNeverRan(t *testing.T) {
 	for begun, want := range map[bool]CommandKind{false: CommandReject, true: CommandFail} {
 		e := newTestEngine(nil)
-		request := e.open(t, "write")
-		attempt := next(t, request, CommandSend).Attempt
+		request, attempt := e.openAttempt(t, "write")
 		if begun && !attempt.Begin() {
 			t.Fatal("not begun")
 		}
@@ -153,7 +156,7 @@
 	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, list); len(retired) != 2 {
 		t.Fatalf("retired %v", retired)
 	}
-	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.Endpoint.ID != "o" || attempt.Source != "" {
+	if _, attempt := e.openAttempt(t, "read"); attempt.Endpoint.ID != "o" || attempt.Source != "" {
 		t.Fatalf("sent to %s with source %q", attempt.Endpoint.ID, attempt.Source)
 	}
 	if retired := e.UpdateEndpoints(start, policy.ScopeSnapshot, nil); len(retired) != 3 {
@@ -192,8 +195,7 @@
 // Commands that came once nobody read the command queue were once lost.
 func TestCommandsAfterDetachAreBackground(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
-	request := e.open(t, "read")
-	attempt := next(t, request, CommandSend).Attempt
+	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
 	e.ClientGone(start+ms, request)
 	request.Detach()
@@ -206,12 +208,12 @@
 func TestOldPurgesAreIgnored(t *testing.T) {
 	e := newTestEngine(nil)
 	e.Purge(start, "x", 0, start-7000*ms)
-	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.MaxAge != 0 {
+	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge != 0 {
 		t.Fatalf("age %d by a purge that has no effect any more", attempt.MaxAge)
 	}
 	e = newTestEngine(nil)
 	e.Purge(start, "", 0, start-500*ms)
-	if attempt := next(t, e.open(t, "read"), CommandSend).Attempt; attempt.MaxAge <= 0 || attempt.MaxAge >= 500*ms {
+	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge <= 0 || attempt.MaxAge >= 500*ms {
 		t.Fatalf("age %d by a purge 500 ms ago", attempt.MaxAge)
 	}
 }
@@ -220,8 +222,7 @@
 // the timer of an attempt that has ended does nothing.
 func TestTimersOfEndedAttemptsAreIgnored(t *testing.T) {
 	e := newTestEngine(nil)
-	request := e.open(t, "read")
-	attempt := next(t, request, CommandSend).Attempt
+	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
 	e.AttemptEnded(start+ms, attempt, Result{Outcome: policy.OutcomeMiss})
 	retry := next(t, request, CommandSend).Attempt
@@ -240,8 +241,7 @@
 // once sent for a client that had left or had its answer.
 func TestNothingBeginsForAClosedRequestWithoutCancelling(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
-	request := e.open(t, "read")
-	attempt := next(t, request, CommandSend).Attempt
+	request, attempt := e.openAttempt(t, "read")
 	e.ClientGone(start+ms, request)
 	if attempt.Begin() {
 		t.Error("the attempt begins")
@@ -251,8 +251,7 @@
 		t.Errorf("%d open, %d remembered", open, len(e.requests))
 	}
 	// One that may be on the wire stays in flight until its end.
-	request = e.open(t, "read")
-	attempt = next(t, request, CommandSend).Attempt
+	request, attempt = e.openAttempt(t, "read")
 	attempt.Begin()
 	e.ClientGone(start+ms, request)
 	if len(request.TakeCommands()) != 0 || len(e.requests) != 1 {
@@ -267,8 +266,7 @@
 			Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1,
 		}
 	})
-	request := e.open(t, "read")
-	first := next(t, request, CommandSend).Attempt
+	request, first := e.openAttempt(t, "read")
 	first.Begin()
 	if !first.MayBeSent(start+399*ms, 1e6) {
 		t.Error("the first attempt has no window")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -116,6 +116,18 @@
 	defer s.mu.Unlock()
 	s.execute = carry
 }
+
+// executesUntilGone lets each request run until its client is gone, and tells of each end.
+func (s *side) executesUntilGone() (ended <-chan struct{}) {
+	ends := make(chan struct{}, 9)
+	s.executes(func(left <-chan struct{}, _ *Request) Reply {
+		<-left
+		ends <- struct{}{}
+		return Reply{Outcome: peerpolicy.OutcomeAborted}
+	})
+	return ends
+}
+
 func (s *side) Purges(string, int64) []peerproto.Purge { return s.known }
 func (s *side) Purge(object string, group, at int64) {
 	s.mu.Lock()
@@ -310,12 +322,7 @@
 // that may have been executed, and the peer hears that it was given up.
 func TestSlowPeerIsGivenUpInTime(t *testing.T) {
 	north, south, _ := pair(t)
-	gone := make(chan bool, 9)
-	south.executes(func(left <-chan struct{}, _ *Request) Reply {
-		<-left
-		gone <- true
-		return Reply{Outcome: peerpolicy.OutcomeAborted}
-	})
+	gone := south.executesUntilGone()
 	for _, effect := range []peerpolicy.Effect{peerpolicy.EffectIdempotent, peerpolicy.EffectIdempotencyKey, peerpolicy.EffectUnsafe} {
 		const timeLimit = 300 * time.Millisecond
 		began := time.Now()
@@ -411,12 +418,7 @@
 // A client that leaves, and a router that drains.
 func TestClientGoneAndDrain(t *testing.T) {
 	north, south, _ := pair(t)
-	gone := make(chan bool, 1)
-	south.executes(func(left <-chan struct{}, _ *Request) Reply {
-		<-left
-		gone <- true
-		return Reply{Outcome: peerpolicy.OutcomeAborted}
-	})
+	gone := south.executesUntilGone()
 	out := north.send(peerpolicy.EffectIdempotent, "x", nil, 3*time.Second)
 	testsupport.WaitUntil(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
 	north.Cancel(fmt.Sprintf("%016x", count.Load()))
