--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"testing"
 
@@ -25,25 +26,27 @@
 
 const ms, second = int64(1000), int64(1_000_000)
 
-// bench is a shelf whose goroutines the test stands in for, step by step, and
-// the independent book of what it did.
-type bench struct {
+// steppedCache is a Cache without its goroutines: the test does their work step by step,
+// and keeps a record of its own of what it has written and synced.
+type steppedCache struct {
 	*Cache
 	fs    *crashfs.FS
 	now   int64
 	batch batch
 
-	content map[uint64][]byte // by number of a record: what was written under it
-	version map[string]int64  // by object: issue of the latest copy at the origin
-	synced  []mark
+	written map[uint64][]byte // bodies by the sequence number of their record
+	syncs   []syncPoint
 }
 
-// mark is what was synced when so many steps of the history were done.
-type mark struct {
+// syncPoint is what was synced when so many steps of the file system's history were done.
+type syncPoint struct {
 	steps int
-	kept  map[uint64]bool // by number
+	parts partSet
 }
 
+// partSet has the sequence numbers of cached parts' records.
+type partSet map[uint64]bool
+
 func settings() diskcache.Settings {
 	return diskcache.Settings{
 		Classes: []diskcache.TrafficClass{
@@ -54,176 +57,209 @@
 	}
 }
 
-func newBench(t tb, fs *crashfs.FS, now int64) *bench {
+func newSteppedCache(t tb, fs *crashfs.FS, now int64) *steppedCache {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	b := &bench{fs: fs, now: now, content: map[uint64][]byte{}, version: map[string]int64{}}
-	b.Cache = newCache(Config{
+	c := &steppedCache{fs: fs, now: now, written: map[uint64][]byte{}}
+	c.Cache = newCache(Config{
 		FS: fs, Superblock: diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 7}, Settings: settings(),
-		Clock: func() (int64, int64) { return b.now, b.now },
+		Clock: func() (int64, int64) { return c.now, c.now },
 	}, bufferpool.NewPool(1<<20), log.WithField("t", 1))
-	if !b.recover() {
+	if !c.recover() {
 		t.Fatal("not recovered")
 	}
-	return b
+	return c
 }
 
-// keep offers a copy; it is as good as any other of the object at that issue.
-func (b *bench) keep(object string, part int64, size int) {
-	a := &Request{Class: "page", Object: object, Part: part, Group: uint8(len(object)), Remaining: 1e9}
-	issued := b.now / ms
+// keep offers a copy and writes it; copies of an object of the same issue differ in nothing.
+func (c *steppedCache) keep(object string, part int64, size int) {
+	request := &Request{Class: "page", Object: object, Part: part, Group: uint8(len(object)), Remaining: 1e9}
+	issued := c.now / ms
 	content := bytes.Repeat(fmt.Appendf(nil, "%s/%d@%d ", object, part, issued), size/10+1)[:size]
-	body, _ := b.bodies.ReadBody(bytes.NewReader(content), size)
-	ask, _ := b.policyRequest(a)
-	b.policy.Lookup(b.now, &ask) // wanted twice, so that it is worth a write
-	b.policy.Lookup(b.now, &ask)
-	b.Offer(a, fmt.Sprintf("tag%d", issued), issued, body)
+	body, _ := c.bodies.ReadBody(bytes.NewReader(content), size)
+	lookup, _ := c.policyRequest(request)
+	c.policy.Lookup(c.now, &lookup) // wanted twice, so that it is worth a write
+	c.policy.Lookup(c.now, &lookup)
+	c.Offer(request, fmt.Sprintf("tag%d", issued), issued, body)
 	body.Release()
-	b.version[object] = issued
-	for len(b.writes) > 0 {
-		w := <-b.writes
-		b.content[w.record.Seq] = content
-		b.writePart(w, &b.batch)
+	for len(c.writes) > 0 {
+		w := <-c.writes
+		c.written[w.record.Seq] = content
+		c.writePart(w, &c.batch)
 	}
 }
 
-// sync commits, and notes what lasts from here on.
-func (b *bench) sync() {
-	b.commit(&b.batch)
-	m := mark{steps: b.fs.Steps(), kept: map[uint64]bool{}}
+// sync commits, and notes what must survive a crash from here on.
+func (c *steppedCache) sync() {
+	c.commit(&c.batch)
+	c.syncs = append(c.syncs, syncPoint{steps: c.fs.Steps(), parts: c.cachedParts()})
+}
+
+func (c *steppedCache) eachPart(visit func(diskcache.CachedPart)) {
 	for from := 0; from >= 0; {
-		from = b.policy.Scan(from, func(k diskcache.CachedPart) { m.kept[k.Seq] = true })
+		from = c.policy.Scan(from, visit)
 	}
-	b.synced = append(b.synced, m)
+}
+
+func (c *steppedCache) cachedParts() partSet {
+	parts := partSet{}
+	c.eachPart(func(part diskcache.CachedPart) { parts[part.Seq] = true })
+	return parts
 }
 
 // drive takes random steps.
-func (b *bench) drive(n int, draw func(int) int) {
-	for range n {
-		b.now += int64(draw(1500)) * ms
+func (c *steppedCache) drive(steps int, draw func(int) int) {
+	for range steps {
+		c.now += int64(draw(1500)) * ms
 		object := fmt.Sprintf("%*d", 1+draw(3), draw(6))
 		switch draw(10) {
 		case 0:
-			b.Purge(object, 0, b.now)
+			c.Purge(object, 0, c.now)
 		case 1:
-			b.Purge("", int64(1+draw(3)), b.now)
+			c.Purge("", int64(1+draw(3)), c.now)
 		case 2, 3:
-			b.sync()
+			c.sync()
 		case 4: // an index is written anew long before it would be
-			b.sync()
-			if b.compact() == nil {
-				b.sync()
+			c.sync()
+			if c.compact() == nil {
+				c.sync()
 			}
 		default:
-			b.keep(object, int64(draw(4)), 1+draw(4000))
+			c.keep(object, int64(draw(4)), 1+draw(4000))
 		}
 	}
 }
 
-// broken counts what must never be.
-type broken struct{ torn, stale, lost int }
+// violations counts what must never be: records found torn, copies served unproven, and
+// synced parts lost.
+type violations struct{ torn, stale, lost int }
 
-// judge recovers a state that a crash after so many steps left, and compares it
-// with the book. Dropped names records that gave way by some decision up to then.
-func (b *bench) judge(t tb, fs *crashfs.FS, steps int, later *bench) (out broken) {
+func (v *violations) add(other violations) {
+	v.torn += other.torn
+	v.stale += other.stale
+	v.lost += other.lost
+}
+
+// checkRecovery recovers the state that a crash after so many steps has left, and compares
+// it with what was written and synced.
+func (c *steppedCache) checkRecovery(t tb, fs *crashfs.FS, steps int) (recovered *steppedCache, found violations) {
 	t.Helper()
-	*later = *newBench(t, fs, b.now+1000*ms)
-	found := map[uint64]bool{}
-	for from := 0; from >= 0; {
-		from = later.policy.Scan(from, func(k diskcache.CachedPart) {
-			found[k.Seq] = true
-			rec, r, err := later.store.Read(k.Extents, k.Length)
-			if err == nil {
-				var body []byte
-				body, err = io.ReadAll(r)
-				if err == nil && (!r.Intact() || rec.Seq != k.Seq || !bytes.Equal(body, b.content[k.Seq])) {
-					err = diskstore.ErrCorruptRecord
-				}
-			}
-			if err != nil {
-				out.torn++
-			}
-			// Nothing that was found is served before it is proven.
-			ask := diskcache.Request{ClassIndex: 0, Object: rec.Object, Part: rec.Part, Group: rec.Group, Remaining: second}
-			if v, _ := later.policy.Lookup(later.now, &ask); v == diskcache.VerdictServe {
-				out.stale++
-			} else if v == diskcache.VerdictRevalidate {
-				later.policy.FinishRead(later.now, diskcache.Ref{}, diskcache.ReadUnused)
-			}
-		})
+	recovered = newSteppedCache(t, fs, c.now+1000*ms)
+	parts := partSet{}
+	recovered.eachPart(func(part diskcache.CachedPart) {
+		parts[part.Seq] = true
+		record, err := recovered.readRecord(part, c.written[part.Seq])
+		if err != nil {
+			found.torn++
+		}
+		if recovered.servesUnproven(record) {
+			found.stale++
+		}
+	})
+	found.lost = c.countLost(steps, parts)
+	recovered.syncs = []syncPoint{{parts: parts}}
+	maps.Copy(recovered.written, c.written)
+	return recovered, found
+}
+
+// readRecord reads a part's record, and fails unless it is whole and has this body.
+func (c *steppedCache) readRecord(part diskcache.CachedPart, want []byte) (record diskstore.Record, err error) {
+	record, reader, err := c.store.Read(part.Extents, part.Length)
+	if err != nil {
+		return record, err
+	}
+	body, err := io.ReadAll(reader)
+	if err != nil {
+		return record, err
+	}
+	if !reader.Intact() || record.Seq != part.Seq || !bytes.Equal(body, want) {
+		return record, diskstore.ErrCorruptRecord
 	}
-	// What the last sync before held is there, unless it had given way by the next:
-	// that one's drops may have come to the disk.
-	for i, m := range b.synced {
-		if m.steps > steps || i+1 < len(b.synced) && b.synced[i+1].steps <= steps {
+	return record, nil
+}
+
+// servesUnproven reports whether a part that was just recovered would be served before the
+// origin has confirmed it.
+func (c *steppedCache) servesUnproven(record diskstore.Record) bool {
+	lookup := diskcache.Request{
+		ClassIndex: 0, Object: record.Object, Part: record.Part, Group: record.Group, Remaining: second,
+	}
+	verdict, _ := c.policy.Lookup(c.now, &lookup)
+	if verdict == diskcache.VerdictRevalidate {
+		c.policy.FinishRead(c.now, diskcache.Ref{}, diskcache.ReadUnused)
+	}
+	return verdict == diskcache.VerdictServe
+}
+
+// countLost counts the parts that the last sync within so many steps had and the recovered
+// ones have not. Those that were dropped by the next sync don't count: its drops may have
+// come to the disk.
+func (c *steppedCache) countLost(steps int, recovered partSet) (lost int) {
+	for i, point := range c.syncs {
+		if point.steps > steps || i+1 < len(c.syncs) && c.syncs[i+1].steps <= steps {
 			continue
 		}
-		for seq := range m.kept {
-			if next := b.after(i); !found[seq] && next[seq] {
-				out.lost++
+		next := c.partsAfter(i)
+		for seq := range point.parts {
+			if next[seq] && !recovered[seq] {
+				lost++
 			}
 		}
 	}
-	later.synced = []mark{{kept: found}}
-	for seq := range b.content {
-		later.content[seq] = b.content[seq]
-	}
-	return out
+	return lost
 }
 
-// after is what was kept at the sync behind the i-th, or is now.
-func (b *bench) after(i int) map[uint64]bool {
-	if i+1 < len(b.synced) {
-		return b.synced[i+1].kept
-	}
-	now := map[uint64]bool{}
-	for from := 0; from >= 0; {
-		from = b.policy.Scan(from, func(k diskcache.CachedPart) { now[k.Seq] = true })
+// partsAfter is what was cached at the sync behind the i-th, or is now.
+func (c *steppedCache) partsAfter(i int) partSet {
+	if i+1 < len(c.syncs) {
+		return c.syncs[i+1].parts
 	}
-	return now
+	return c.cachedParts()
 }
 
-// crashes judges every prefix of a history: the process killed there, with the
-// next write cut at several places, and the power lost there, with every subset
-// of few unsynced steps lost, or drawn ones of many, whole and by sectors.
-func (b *bench) crashes(t tb, from int, r *rand.Rand, many int) (states int, out broken) {
+// maxSubsetSteps is up to how many unsynced steps each subset of them is lost once.
+const maxSubsetSteps = 4
+
+// checkCrashes checks the recovery from crashes after each step of the history: the process
+// killed there, with the next write cut at several places, and the power lost there, with
+// every subset of few unsynced steps lost, or with drawn ones of many, whole and by sectors.
+func (c *steppedCache) checkCrashes(t tb, r *rand.Rand, samples int) (states int, found violations) {
 	t.Helper()
-	count := func(fs *crashfs.FS, steps int) {
-		var later bench
-		states++
-		x := b.judge(t, fs, steps, &later)
-		out.torn, out.stale, out.lost = out.torn+x.torn, out.stale+x.stale, out.lost+x.lost
-	}
-	for n := from; n <= b.fs.Steps(); n++ {
+	for steps := range c.fs.Steps() + 1 {
+		check := func(fs *crashfs.FS) {
+			states++
+			_, v := c.checkRecovery(t, fs, steps)
+			found.add(v)
+		}
 		for _, cut := range []int{0, 1, 63, 64, 100, 700} {
-			count(b.fs.AfterKill(n, cut), n)
+			check(c.fs.AfterKill(steps, cut))
 		}
-		open := b.fs.Unsynced(n)
-		if len(open) <= 4 {
-			for mask := 1; mask < 1<<len(open); mask++ {
-				var lost []int
-				for i, at := range open {
-					if mask>>i&1 == 1 {
-						lost = append(lost, at)
-					}
-				}
-				count(b.fs.AfterPowerLoss(n, lost, nil), n)
+		unsynced := c.fs.Unsynced(steps)
+		if len(unsynced) <= maxSubsetSteps {
+			for mask := 1; mask < 1<<len(unsynced); mask++ {
+				lost := filter(unsynced, func(i int) bool { return mask>>i&1 == 1 })
+				check(c.fs.AfterPowerLoss(steps, lost, nil))
 			}
 			continue
 		}
-		for range many {
-			var lost []int
-			for _, at := range open {
-				if r.IntN(2) == 0 {
-					lost = append(lost, at)
-				}
-			}
-			count(b.fs.AfterPowerLoss(n, lost, nil), n)
-			count(b.fs.AfterPowerLoss(n, nil, r), n)
+		for range samples {
+			lost := filter(unsynced, func(int) bool { return r.IntN(2) == 0 })
+			check(c.fs.AfterPowerLoss(steps, lost, nil))
+			check(c.fs.AfterPowerLoss(steps, nil, r))
+		}
+	}
+	return states, found
+}
+
+// filter returns the elements whose index is selected.
+func filter(list []int, selected func(index int) bool) (result []int) {
+	for i, element := range list {
+		if selected(i) {
+			result = append(result, element)
 		}
 	}
-	return states, out
+	return result
 }
 
 func TestCrashAtEveryStepLosesNothingSyncedAndTearsNothing(t *testing.T) {
@@ -231,15 +267,15 @@
 	states := 0
 	for seed := range uint64(histories) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		b := newBench(t, crashfs.New(), 1_000_000*second)
-		b.drive(steps, r.IntN)
-		n, x := b.crashes(t, 0, r, 3)
+		c := newSteppedCache(t, crashfs.New(), 1_000_000*second)
+		c.drive(steps, r.IntN)
+		n, found := c.checkCrashes(t, r, 3)
 		states += n
-		if x != (broken{}) {
-			t.Fatalf("seed %d: %+v in %d states", seed, x, n)
+		if found != (violations{}) {
+			t.Fatalf("seed %d: %+v in %d states", seed, found, n)
 		}
 	}
-	t.Logf("%d states judged, 0 torn, stale or lost", states)
+	t.Logf("%d states checked, 0 torn, stale or lost", states)
 }
 
 // After a crash and recovery the store is as good as before: it goes on, and
@@ -248,20 +284,20 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "n") }
 		r := rand.New(rand.NewPCG(uint64(draw(1<<30)), 2))
-		b := newBench(t, crashfs.New(), 1_000_000*second)
-		b.drive(15, draw)
+		c := newSteppedCache(t, crashfs.New(), 1_000_000*second)
+		c.drive(15, draw)
 		for range 3 {
-			n := draw(b.fs.Steps() + 1)
-			fs := b.fs.AfterKill(n, draw(800))
+			steps := draw(c.fs.Steps() + 1)
+			fs := c.fs.AfterKill(steps, draw(800))
 			if draw(2) == 0 {
-				fs = b.fs.AfterPowerLoss(n, nil, r)
+				fs = c.fs.AfterPowerLoss(steps, nil, r)
 			}
-			var later bench
-			if x := b.judge(rt, fs, n, &later); x != (broken{}) {
-				rt.Fatalf("%+v", x)
+			recovered, found := c.checkRecovery(rt, fs, steps)
+			if found != (violations{}) {
+				rt.Fatalf("%+v", found)
 			}
-			b = &later
-			b.drive(10, draw)
+			c = recovered
+			c.drive(10, draw)
 		}
 	})
 }
--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -21,7 +21,7 @@
 	"quilldoor/internal/testsupport"
 )
 
-// running starts a shelf with its goroutines and a clock that the test moves.
+// running starts a cache with its goroutines and a clock that the test moves.
 func running(t *testing.T, fs diskstore.FS, now *atomic.Int64, change func(*Config)) (*Cache, *logtest.Hook) {
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
@@ -191,16 +191,19 @@
 	}
 }
 
+// diskFault is an operation that fails, and what follows from it.
+type diskFault struct {
+	op           crashfs.Op
+	file         string // prefix of the files' names; "": any
+	bytesWritten int    // of a failed write; 0: none
+	err          error
+	health       diskcache.Health
+	readable     bool // what was written before can still be read
+}
+
 // Faults of the disk: one log line, the right state, and nobody is held up.
 func TestFaultsOfTheDisk(t *testing.T) {
-	for name, c := range map[string]struct {
-		op     crashfs.Op
-		file   string // "": any
-		part   int
-		err    error
-		health diskcache.Health
-		found  bool // what was written before can still be read
-	}{
+	for name, fault := range map[string]diskFault{
 		"no space":               {crashfs.OpWrite, "", 0, syscall.ENOSPC, diskcache.HealthFull, true},
 		"no space within":        {crashfs.OpWrite, "", 100, syscall.ENOSPC, diskcache.HealthFull, true},
 		"no space for the index": {crashfs.OpWrite, "index", 0, syscall.ENOSPC, diskcache.HealthFull, true},
@@ -211,79 +214,127 @@
 		"reads fail":             {crashfs.OpRead, "", 0, syscall.EIO, diskcache.HealthOff, false},
 		"reads and disk is on":   {crashfs.OpSyncDir, "", 0, syscall.EIO, diskcache.HealthOn, true}, // nothing needs one now
 	} {
-		now := clockAt(1000 * second)
-		fs := crashfs.New()
-		s, hook := running(t, fs, now, nil)
-		testsupport.WaitUntil(t, "recovery", s.ready.Load)
-		now.Add(second)
-		for i := range 10 {
-			keep(t, s, now.Load(), fmt.Sprint("before", i), "whole")
-		}
-		time.Sleep(20 * time.Millisecond) // four syncs
-		hook.Reset()
-		var failing atomic.Bool
-		failing.Store(true)
-		var wrote atomic.Int64
-		fs.SetFail(func(op crashfs.Op, file string, _ int) (*int, error) {
-			if op == crashfs.OpWrite {
-				wrote.Add(1)
-			}
-			if op != c.op || !failing.Load() || !strings.HasPrefix(file, c.file) {
-				return nil, nil
-			}
-			if c.part > 0 {
-				return &c.part, c.err
-			}
-			return nil, c.err
-		})
-		for i := range 10 {
-			s.Get(ask(fmt.Sprint("before", i))).Release()
-			keep(t, s, now.Load(), fmt.Sprint("after", i), strings.Repeat("x", 200))
-		}
-		testsupport.WaitUntil(t, name+": the state", func() bool { return s.State().Health == c.health })
-		if before := wrote.Load(); c.health != diskcache.HealthOn {
-			keep(t, s, now.Load(), "more", "more")
-			time.Sleep(20 * time.Millisecond)
-			if n := wrote.Load(); n != before {
-				t.Errorf("%s: %d writes in a state that forbids them", name, n-before)
-			}
-		}
-		errs := 0
-		for _, e := range hook.AllEntries() {
-			if e.Level == logrus.ErrorLevel {
-				errs++
-			}
-		}
-		if want := map[bool]int{true: 1}[c.health != diskcache.HealthOn]; errs != want {
-			t.Errorf("%s: %d error lines, want %d", name, errs, want)
+		t.Run(name, func(t *testing.T) { testDiskFault(t, &fault) })
+	}
+}
+
+const (
+	copiesBeforeFault = 10
+	fourSyncIntervals = 20 * time.Millisecond
+)
+
+func testDiskFault(t *testing.T, fault *diskFault) {
+	t.Helper()
+	now := clockAt(1000 * second)
+	fs := crashfs.New()
+	s, hook := running(t, fs, now, nil)
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
+	now.Add(second)
+	for i := range copiesBeforeFault {
+		keep(t, s, now.Load(), fmt.Sprint("before", i), "whole")
+	}
+	time.Sleep(fourSyncIntervals)
+	hook.Reset()
+	injected := fault.inject(fs)
+	for i := range copiesBeforeFault {
+		s.Get(ask(fmt.Sprint("before", i))).Release()
+		keep(t, s, now.Load(), fmt.Sprint("after", i), strings.Repeat("x", 200))
+	}
+	testsupport.WaitUntil(t, "the state", func() bool { return s.State().Health == fault.health })
+	if fault.health != diskcache.HealthOn {
+		checkNoWrites(t, s, now.Load(), &injected.writes)
+	}
+	checkErrorLines(t, hook, fault.health != diskcache.HealthOn)
+	got := s.Get(ask("before9"))
+	if (content(got) == "whole") != fault.readable {
+		t.Errorf("read %q", content(got))
+	}
+	got.Release()
+	if fault.health == diskcache.HealthFull { // and it comes back with the space
+		injected.failing.Store(false)
+		now.Add(31 * second)
+		keep(t, s, now.Load(), "again", "new")
+		testsupport.WaitUntil(t, "a write", func() bool { got = s.Get(ask("again")); return got != nil })
+		got.Release()
+	}
+	partsKept := s.State().Size.Parts
+	s.Close()
+	fs.SetFail(nil)
+	report := inspectRestarted(t, fs, now)
+	if report.Parts < copiesBeforeFault-1 {
+		t.Errorf("%+v", report)
+	}
+	if (fault.health == diskcache.HealthFull || fault.health == diskcache.HealthOn) && report.Parts != partsKept {
+		t.Errorf("%d parts, %d were kept", report.Parts, partsKept)
+	}
+}
+
+// injectedFault is a diskFault in effect.
+type injectedFault struct {
+	failing atomic.Bool
+	writes  atomic.Int64 // that were tried
+}
+
+func (f *diskFault) inject(fs *crashfs.FS) *injectedFault {
+	injected := &injectedFault{}
+	injected.failing.Store(true)
+	fs.SetFail(func(op crashfs.Op, file string, _ int) (*int, error) {
+		if op == crashfs.OpWrite {
+			injected.writes.Add(1)
 		}
-		got := s.Get(ask("before9"))
-		if (content(got) == "whole") != c.found {
-			t.Errorf("%s: read %q", name, content(got))
+		if op != f.op || !injected.failing.Load() || !strings.HasPrefix(file, f.file) {
+			return nil, nil
 		}
-		got.Release()
-		if c.health == diskcache.HealthFull { // and it comes back with the space
-			failing.Store(false)
-			now.Add(31 * second)
-			keep(t, s, now.Load(), "again", "new")
-			testsupport.WaitUntil(t, name+": a write", func() bool { got = s.Get(ask("again")); return got != nil })
-			got.Release()
+		if f.bytesWritten > 0 {
+			return &f.bytesWritten, f.err
 		}
-		kept := s.State().Size.Parts
-		s.Close()
-		fs.SetFail(nil)
-		s, _ = running(t, fs, now, nil) // whatever it was, a restart finds a sound store
-		testsupport.WaitUntil(t, "recovery", s.ready.Load)
-		if r, err := diskstore.Inspect(fs, true); err != nil || !r.Intact() || r.Parts < 9 {
-			t.Errorf("%s: %+v, %v", name, r, err)
-		} else if (c.health == diskcache.HealthFull || c.health == diskcache.HealthOn) && r.Parts != kept {
-			t.Errorf("%s: %d parts, %d were kept", name, r.Parts, kept)
+		return nil, f.err
+	})
+	return injected
+}
+
+// checkNoWrites fails the test if an offered copy is written.
+func checkNoWrites(t *testing.T, s *Cache, now int64, writes *atomic.Int64) {
+	t.Helper()
+	before := writes.Load()
+	keep(t, s, now, "more", "more")
+	time.Sleep(fourSyncIntervals)
+	if n := writes.Load(); n != before {
+		t.Errorf("%d writes in a state that forbids them", n-before)
+	}
+}
+
+// checkErrorLines fails the test unless the log has one error, or none.
+func checkErrorLines(t *testing.T, hook *logtest.Hook, wantsOne bool) {
+	t.Helper()
+	lines, want := 0, 0
+	for _, e := range hook.AllEntries() {
+		if e.Level == logrus.ErrorLevel {
+			lines++
 		}
-		s.Close()
 	}
+	if wantsOne {
+		want = 1
+	}
+	if lines != want {
+		t.Errorf("%d error lines, want %d", lines, want)
+	}
+}
+
+// inspectRestarted restarts a cache, which must find a sound store whatever has failed before.
+func inspectRestarted(t *testing.T, fs *crashfs.FS, now *atomic.Int64) *diskstore.Report {
+	t.Helper()
+	s, _ := running(t, fs, now, nil)
+	defer s.Close()
+	testsupport.WaitUntil(t, "recovery", s.ready.Load)
+	report, err := diskstore.Inspect(fs, true)
+	if err != nil || !report.Intact() {
+		t.Fatalf("%+v, %v", report, err)
+	}
+	return report
 }
 
-// A disk that hangs holds no txn up for longer than it may wait, and takes no
+// A disk that hangs holds no request up for longer than it may wait, and takes no
 // more than its bounds of memory.
 func TestHangingDisk(t *testing.T) {
 	now := clockAt(1000 * second)
@@ -326,74 +377,102 @@
 // Bytes are flipped, cut and written over at random in the data and the index:
 // what comes back is what was written, or nothing.
 func TestSpoiltStoreServesNothingWrong(t *testing.T) {
+	const stores, minServed, minCaught = 60, 100, 20
 	r := rand.New(rand.NewPCG(3, 3))
 	served, caught := 0, 0
-	for range 60 {
-		b := newBench(t, crashfs.New(), 1000*second)
-		b.drive(20, r.IntN)
-		b.sync()
-		fs := b.fs.AfterKill(b.fs.Steps(), 0)
+	for range stores {
+		c := newSteppedCache(t, crashfs.New(), 1000*second)
+		c.drive(20, r.IntN)
+		c.sync()
+		fs := c.fs.AfterKill(c.fs.Steps(), 0)
 		names, _ := fs.List()
 		for range 1 + r.IntN(4) {
 			name := names[r.IntN(len(names))]
-			if bytes := fs.Content(name); name != "store" && len(bytes) > 0 {
-				switch at := r.IntN(len(bytes)); r.IntN(3) {
-				case 0:
-					bytes[at] ^= 1 << r.IntN(8)
-				case 1:
-					clear(bytes[at:min(at+600, len(bytes))])
-				case 2:
-					f, _ := fs.Open(name, false)
-					if err := f.Truncate(int64(at)); err != nil {
-						t.Fatal(err)
-					}
-				}
+			if name != "store" && len(fs.Content(name)) > 0 {
+				spoil(t, fs, name, r)
 			}
 		}
-		later := newBench(t, fs, b.now+second)
-		for i := range 3 * 6 * 4 { // all that drive may have kept
-			object := fmt.Sprintf("%*d", 1+i/24, i/4%6)
-			a := &Request{Class: "page", Object: object, Part: int64(i % 4), Group: uint8(len(object)), Remaining: time.Second}
-			ask, _ := later.policyRequest(a)
-			v, found := later.policy.Lookup(later.now, &ask)
-			if v == diskcache.VerdictMiss {
+		recovered := newSteppedCache(t, fs, c.now+second)
+		for _, request := range drivenRequests() {
+			read, found := recovered.readCopy(request)
+			if !found {
 				continue
 			}
-			c := later.readPart(&readJob{request: a, found: found})
-			if c == nil {
+			if read == nil {
 				caught++
 				continue
 			}
-			if served++; content(c) != string(b.content[c.ref.Seq()]) {
-				t.Errorf("record %d is not what was written", c.ref.Seq())
+			served++
+			if seq := read.ref.Seq(); content(read) != string(c.written[seq]) {
+				t.Errorf("record %d is not what was written", seq)
 			}
-			c.Release()
+			read.Release()
 		}
-		later.drive(10, r.IntN) // and it goes on
+		recovered.drive(10, r.IntN) // and it goes on
 	}
-	if served < 100 || caught < 20 {
+	if served < minServed || caught < minCaught {
 		t.Fatalf("%d served, %d caught: too few to tell anything", served, caught)
 	}
 }
 
-// Answers of rules that write or may not be repeated never come to the disk.
+// spoil flips a bit of a file, overwrites a part of it, or truncates it.
+func spoil(t *testing.T, fs *crashfs.FS, name string, r *rand.Rand) {
+	t.Helper()
+	const overwrittenBytes = 600
+	bytes := fs.Content(name)
+	switch at := r.IntN(len(bytes)); r.IntN(3) {
+	case 0:
+		bytes[at] ^= 1 << r.IntN(8)
+	case 1:
+		clear(bytes[at:min(at+overwrittenBytes, len(bytes))])
+	case 2:
+		f, _ := fs.Open(name, false)
+		if err := f.Truncate(int64(at)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// drivenRequests are requests for all that steppedCache.drive may have kept.
+func drivenRequests() (requests []*Request) {
+	const widths, objects, parts = 3, 6, 4
+	for i := range widths * objects * parts {
+		object := fmt.Sprintf("%*d", 1+i/(objects*parts), i/parts%objects)
+		requests = append(requests, &Request{
+			Class: "page", Object: object, Part: int64(i % parts), Group: uint8(len(object)), Remaining: time.Second,
+		})
+	}
+	return requests
+}
+
+// readCopy reads the copy that the policy finds; nil: its record is not what was found.
+func (c *steppedCache) readCopy(request *Request) (read *Copy, found bool) {
+	lookup, _ := c.policyRequest(request)
+	verdict, part := c.policy.Lookup(c.now, &lookup)
+	if verdict == diskcache.VerdictMiss {
+		return nil, false
+	}
+	return c.readPart(&readJob{request: request, found: part}), true
+}
+
+// Responses of classes that write or may not be repeated never come to the disk.
 func TestForbiddenAnswersNeverReachTheDisk(t *testing.T) {
 	fs := crashfs.New()
-	b := newBench(t, fs, 1000*second)
+	c := newSteppedCache(t, fs, 1000*second)
 	for range 5 {
-		a := &Request{Class: "sign", Object: "contract", Remaining: time.Second}
-		if b.Get(a) != nil {
+		request := &Request{Class: "sign", Object: "contract", Remaining: time.Second}
+		if c.Get(request) != nil {
 			t.Fatal("found")
 		}
-		body, _ := b.bodies.ReadBody(strings.NewReader("SECRET-ACCEPTANCE"), 17)
-		b.Offer(a, "tag", b.now/ms, body)
-		b.keep("page", 0, 500)
-		b.sync()
+		body, _ := c.bodies.ReadBody(strings.NewReader("SECRET-ACCEPTANCE"), 17)
+		c.Offer(request, "tag", c.now/ms, body)
+		c.keep("page", 0, 500)
+		c.sync()
 	}
 	names, _ := fs.List()
 	all := []byte{}
-	for _, n := range names {
-		all = append(all, fs.Content(n)...)
+	for _, name := range names {
+		all = append(all, fs.Content(name)...)
 	}
 	if !bytes.Contains(all, []byte("page/0@")) {
 		t.Fatal("the page is not there either: the test looks in the wrong place")
@@ -447,42 +526,42 @@
 // a purge while it is read, another name under the same hash.
 func TestBetweenTheSteps(t *testing.T) {
 	fs := crashfs.New()
-	b := newBench(t, fs, 1000*second)
-	b.now += second
-	a := &Request{Class: "page", Object: "x", Group: 1, Remaining: time.Second}
-	ask, _ := b.policyRequest(a)
-	b.policy.Lookup(b.now, &ask)
-	b.policy.Lookup(b.now, &ask)
-	body, _ := b.bodies.ReadBody(strings.NewReader("purged in the queue"), 19)
-	b.Offer(a, "tag", b.now/ms, body)
+	c := newSteppedCache(t, fs, 1000*second)
+	c.now += second
+	request := &Request{Class: "page", Object: "x", Group: 1, Remaining: time.Second}
+	lookup, _ := c.policyRequest(request)
+	c.policy.Lookup(c.now, &lookup)
+	c.policy.Lookup(c.now, &lookup)
+	body, _ := c.bodies.ReadBody(strings.NewReader("purged in the queue"), 19)
+	c.Offer(request, "tag", c.now/ms, body)
 	body.Release()
-	b.Purge("x", 0, b.now)
+	c.Purge("x", 0, c.now)
 	steps := fs.Steps()
-	b.writePart(<-b.writes, &b.batch)
-	if fs.Steps() != steps || len(b.batch.puts) != 0 {
+	c.writePart(<-c.writes, &c.batch)
+	if fs.Steps() != steps || len(c.batch.puts) != 0 {
 		t.Fatal("purged in the queue, yet written")
 	}
-	b.now += second
-	b.keep("x", 0, 100)
-	for name, c := range map[string]struct {
-		ask   *Request
-		purge bool
+	c.now += second
+	c.keep("x", 0, 100)
+	for name, test := range map[string]struct {
+		request *Request
+		purge   bool
 	}{
 		"another name": {&Request{Class: "page", Object: "y", Group: 1}, false}, "another group": {&Request{Class: "page", Object: "x"}, false},
-		"purged": {a, true},
+		"purged": {request, true},
 	} {
-		v, found := b.policy.Lookup(b.now, &ask)
+		v, found := c.policy.Lookup(c.now, &lookup)
 		if v == diskcache.VerdictMiss { // the purge came first
-			b.now += second
-			b.keep("x", 0, 100)
-			_, found = b.policy.Lookup(b.now, &ask)
+			c.now += second
+			c.keep("x", 0, 100)
+			_, found = c.policy.Lookup(c.now, &lookup)
 		}
-		if c.purge {
-			b.Purge("x", 0, b.now)
+		if test.purge {
+			c.Purge("x", 0, c.now)
 		}
-		if b.readPart(&readJob{request: c.ask, found: found}) != nil {
+		if c.readPart(&readJob{request: test.request, found: found}) != nil {
 			t.Errorf("%s: read", name)
 		}
 	}
-	allBuffers(t, b.Cache)
+	allBuffers(t, c.Cache)
 }
