--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -67,8 +67,8 @@
 // ones; one that is silent keeps them and does not answer.
 func (l *serverListener) setState(up, silent bool) {
 	if up || !silent {
-		for c := range l.conns {
-			c.reset()
+		for conn := range l.conns {
+			conn.reset()
 		}
 	}
 	if !up && !silent && l.listener != nil {
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -81,28 +81,28 @@
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	d := &detectionRun{
+	run := &detectionRun{
 		ctx: ctx, program: program, dir: dir, keyFile: filepath.Join(dir, "members.key"),
 		scenario: scenario.Default(), events: make(chan memberEvent, detectionEventQueue),
 	}
-	d.scenario.Fleet.Membership = true
-	defer d.goroutines.Wait()
+	run.scenario.Fleet.Membership = true
+	defer run.goroutines.Wait()
 	defer cancel()
-	if err := d.startAll(routers); err != nil {
+	if err := run.startAll(routers); err != nil {
 		return nil, 0, err
 	}
-	d.rest(joinTime)
+	run.rest(joinTime)
 	random := rand.New(rand.NewPCG(seed, detectionRandomStream))
 	times = hdrhistogram.New(detectMinMicros, detectMaxMicros, detectDigits)
 	for range kills {
-		detected, err := d.killOne(random.IntN(routers), times)
+		detected, err := run.killOne(random.IntN(routers), times)
 		if err != nil {
 			return nil, 0, err
 		}
 		if !detected {
 			missed++
 		}
-		d.rest(restTime + time.Duration(random.IntN(maxExtraRestMillis))*time.Millisecond)
+		run.rest(restTime + time.Duration(random.IntN(maxExtraRestMillis))*time.Millisecond)
 	}
 	return times, missed, ctx.Err()
 }
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -24,7 +24,7 @@
 	// MissesUpdate tells which discovery notices a router misses.
 	MissesUpdate func(router int, notice simulation.DiscoveryEvent) bool
 	// AnswerCount is how often a request is answered; nil: once.
-	AnswerCount func(requestID string, n int) int
+	AnswerCount func(requestID string) int
 	// RejectRequest tells which new requests a router rejects without need.
 	RejectRequest func(router int, class string) bool
 	// Slowdown is how much longer a router's attempts take, as a share.
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -35,18 +35,18 @@
 }
 
 // Notify posts an event to a router's discovery service.
-func (s *socketRun) Notify(router int, notice simulation.DiscoveryEvent) {
-	r := s.routers[router]
-	revision := len(r.discoveryEvents) + 1
+func (s *socketRun) Notify(routerID int, notice simulation.DiscoveryEvent) {
+	process := s.routers[routerID]
+	revision := len(process.discoveryEvents) + 1
 	if notice.Purge {
 		selector := fmt.Sprintf(`"collection":%d`, notice.Group)
 		if notice.Object != "" {
 			selector = fmt.Sprintf(`"asset":%q`, notice.Object)
 		}
-		r.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, s.unixMS(notice.At)))
+		process.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, s.unixMS(notice.At)))
 		return
 	}
-	r.postEvent(r.endpointListEvent(revision, notice.Servers, false))
+	process.postEvent(process.endpointListEvent(revision, notice.Servers, false))
 }
 
 // endpointListEvent is a change of the endpoint list in the discovery service's words, or the
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -11,27 +11,27 @@
 )
 
 // Down kills a router outright.
-func (s *socketRun) Down(router int) {
-	r := s.routers[router]
-	for _, request := range r.requests {
+func (s *socketRun) Down(routerID int) {
+	process := s.routers[routerID]
+	for _, request := range process.requests {
 		request.cancel()
 	}
-	r.requests = map[string]*clientRequest{}
-	r.kill()
+	process.requests = map[string]*clientRequest{}
+	process.kill()
 }
 
 // Up starts a router again, with the endpoint list as it is.
-func (s *socketRun) Up(router int, known []simulation.Server) {
-	if err := s.routers[router].start(known); err != nil {
+func (s *socketRun) Up(routerID int, known []simulation.Server) {
+	if err := s.routers[routerID].start(known); err != nil {
 		s.fail(err)
 	}
 }
 
 // Stop pauses a router. Its machine still accepts connections and buffers what comes.
-func (s *socketRun) Stop(router int) { s.routers[router].signal(syscall.SIGSTOP) }
+func (s *socketRun) Stop(routerID int) { s.routers[routerID].signal(syscall.SIGSTOP) }
 
 // Wake lets a paused router go on.
-func (s *socketRun) Wake(router int) { s.routers[router].signal(syscall.SIGCONT) }
+func (s *socketRun) Wake(routerID int) { s.routers[routerID].signal(syscall.SIGCONT) }
 
 // signal sends a signal to the router's process, if it has not been killed.
 func (r *routerProcess) signal(s os.Signal) {
@@ -45,15 +45,15 @@
 
 // Starve takes a share of a router's CPU away, some milliseconds at a time, as a
 // busy neighbour on its core does. Share 0 ends it.
-func (s *socketRun) Starve(router int, share float64) {
-	r := s.routers[router]
-	r.stopStarving()
+func (s *socketRun) Starve(routerID int, share float64) {
+	process := s.routers[routerID]
+	process.stopStarving()
 	if share == 0 {
 		return
 	}
 	ticker := time.NewTicker(starveSlice)
-	r.starveTicker = ticker
-	cmd := r.cmd
+	process.starveTicker = ticker
+	cmd := process.cmd
 	pause := time.Duration(share * float64(starveSlice))
 	s.goroutines.Go(func() {
 		for {
@@ -63,8 +63,8 @@
 				return
 			}
 			s.runInLoop(func() {
-				if r.starveTicker == ticker {
-					r.pauseFor(cmd, pause)
+				if process.starveTicker == ticker {
+					process.pauseFor(cmd, pause)
 				}
 			})
 		}
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -101,15 +101,15 @@
 	done := make(chan struct{})
 	s.runInLoop(func() {
 		defer close(done)
-		for _, r := range s.routers {
-			name := routerName(r.id)
-			s.membership.recordReachable(s.simulation.Now(), name, reachable(s.simulation, r.id))
-			if !s.simulation.Up(r.id) {
+		for _, process := range s.routers {
+			name := routerName(process.id)
+			s.membership.recordReachable(s.simulation.Now(), name, reachable(s.simulation, process.id))
+			if !s.simulation.Up(process.id) {
 				continue
 			}
 			up = append(up, name)
-			if !s.simulation.Stopped(r.id) {
-				targets = append(targets, viewTarget{name, r.membershipAddr})
+			if !s.simulation.Stopped(process.id) {
+				targets = append(targets, viewTarget{name, process.membershipAddr})
 			}
 		}
 	})
@@ -154,7 +154,7 @@
 }
 
 // routerByName is the reverse of routerName.
-func (s *socketRun) routerByName(name string) (router int) {
-	_, _ = fmt.Sscanf(name, "n%d", &router) // 0 where it is no such name
-	return router
+func (s *socketRun) routerByName(name string) (routerID int) {
+	_, _ = fmt.Sscanf(name, "n%d", &routerID) // 0 where it is no such name
+	return routerID
 }
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -18,33 +18,33 @@
 const minLatencyMicros = 1000
 
 // record follows the requests in the event log.
-func (r *rolloutRun) record(e *eventlog.Entry) {
-	switch e.Kind {
+func (r *rolloutRun) record(entry *eventlog.Entry) {
+	switch entry.Kind {
 	case eventlog.KindTaken:
-		r.pending[e.Request] = &rolloutRequest{takenAt: e.At, class: e.Class}
+		r.pending[entry.Request] = &rolloutRequest{takenAt: entry.At, class: entry.Class}
 	case eventlog.KindSent:
-		if request := r.pending[e.Request]; request != nil {
+		if request := r.pending[entry.Request]; request != nil {
 			request.attempts++
 		}
 	case eventlog.KindAnswered, eventlog.KindLeft:
-		if request := r.pending[e.Request]; request != nil {
-			delete(r.pending, e.Request)
-			r.count(e, request)
+		if request := r.pending[entry.Request]; request != nil {
+			delete(r.pending, entry.Request)
+			r.count(entry, request)
 		}
 	}
 }
 
 // count adds the end of a request to its router's counts, as the router does.
-func (r *rolloutRun) count(e *eventlog.Entry, request *rolloutRequest) {
+func (r *rolloutRun) count(entry *eventlog.Entry, request *rolloutRequest) {
 	weight := r.weights[request.class]
-	counts := &r.states[e.Router].counts
+	counts := &r.states[entry.Router].counts
 	counts.Requests++
 	counts.WeightOffered += weight
 	counts.Attempts += float64(request.attempts)
 	earned := 0.0
-	switch e.Outcome {
+	switch entry.Outcome {
 	case outcomeCompleted:
-		earned = r.countCompleted(e, request)
+		earned = r.countCompleted(entry, request)
 	case outcomeRejected:
 		counts.Rejected++
 	default:
@@ -56,13 +56,13 @@
 
 // countCompleted counts a completed request and returns the weight that it earned: all if it
 // met its objective, else none.
-func (r *rolloutRun) countCompleted(e *eventlog.Entry, request *rolloutRequest) float64 {
-	counts := &r.states[e.Router].counts
+func (r *rolloutRun) countCompleted(entry *eventlog.Entry, request *rolloutRequest) float64 {
+	counts := &r.states[entry.Router].counts
 	objective := r.objectives[request.class]
-	latency := e.At - request.takenAt
+	latency := entry.At - request.takenAt
 	counts.Completed++
 	counts.LogLatencySum += math.Log(float64(max(latency, minLatencyMicros)) / float64(objective))
-	if r.config.Slowdown > 0 && r.servesNew(e.Router) {
+	if r.config.Slowdown > 0 && r.servesNew(entry.Router) {
 		r.countHarm()
 	}
 	if latency > objective {
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -137,23 +137,23 @@
 		}
 	}
 	for i := range s.simulation.Routers() {
-		r := &routerProcess{
+		process := &routerProcess{
 			socketRun:   s,
 			id:          i,
 			servers:     map[string]*serverListener{},
 			requests:    map[string]*clientRequest{},
 			eventPosted: make(chan struct{}),
 		}
-		s.routers = append(s.routers, r)
-		if err := r.prepare(); err != nil {
+		s.routers = append(s.routers, process)
+		if err := process.prepare(); err != nil {
 			return err
 		}
 	}
 	if fleet.Sites < 2 && !fleet.Membership && !fleet.Supervised && fleet.DiskMB <= 0 {
 		return nil
 	}
-	for _, r := range s.routers { // after all have addresses: a file names the peers'
-		if err := r.writeOperatorConfig(); err != nil {
+	for _, process := range s.routers { // after all have addresses: a file names the peers'
+		if err := process.writeOperatorConfig(); err != nil {
 			return err
 		}
 	}
@@ -173,14 +173,14 @@
 func (s *socketRun) startRouters() error {
 	s.startedAt = time.Now()
 	var addrs []string
-	for _, r := range s.routers {
-		if err := r.start(s.simulation.Known()); err != nil {
+	for _, process := range s.routers {
+		if err := process.start(s.simulation.Known()); err != nil {
 			return err
 		}
-		if err := r.waitReady(); err != nil {
+		if err := process.waitReady(); err != nil {
 			return err
 		}
-		addrs = append(addrs, r.clientAddr)
+		addrs = append(addrs, process.clientAddr)
 	}
 	if s.config.Ready != nil {
 		s.config.Ready(addrs)
@@ -201,8 +201,8 @@
 }
 
 func (s *socketRun) killRouters() {
-	for _, r := range s.routers {
-		r.kill()
+	for _, process := range s.routers {
+		process.kill()
 	}
 }
 
@@ -215,7 +215,7 @@
 }
 
 func (s *socketRun) result() *Result {
-	r := &Result{
+	result := &Result{
 		Result:             s.simulation.Result,
 		Violations:         s.checker.Violations,
 		CountByRule:        s.checker.CountByRule,
@@ -227,7 +227,7 @@
 		RefusedConnections: s.refusedConns,
 	}
 	if s.scenario.Fleet.Membership {
-		r.Members = &s.membership
+		result.Members = &s.membership
 	}
-	return r
+	return result
 }
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -49,22 +49,22 @@
 
 // Request sends a client's request.
 func (s *socketRun) Request(request *simulation.Request) {
-	r := s.routers[request.Router]
+	process := s.routers[request.Router]
 	ctx, cancel := context.WithCancel(s.ctx)
 	open := &clientRequest{Request: request, cancel: cancel}
-	r.requests[request.ID] = open
-	addr := r.clientAddr
+	process.requests[request.ID] = open
+	addr := process.clientAddr
 	s.goroutines.Go(func() {
 		response := s.sendRequest(ctx, addr, request)
 		s.runInLoop(func() {
 			cancel()
-			s.finishRequest(r, open, response)
+			s.finishRequest(process, open, response)
 		})
 	})
 }
 
 // finishRequest tells the simulation what a client got, unless the client has left by now.
-func (s *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
+func (s *socketRun) finishRequest(process *routerProcess, request *clientRequest, response clientResponse) {
 	if response.mismatch != "" {
 		s.Note(&eventlog.Entry{
 			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID,
@@ -72,7 +72,7 @@
 		})
 	}
 	s.forgetForwarded(request.ID)
-	if r.requests[request.ID] != request {
+	if process.requests[request.ID] != request {
 		return
 	}
 	switch response.outcome {
@@ -80,19 +80,19 @@
 		s.brokenConns++
 	case outcomeRefused:
 		s.refusedConns++
-		delete(r.requests, request.ID)
+		delete(process.requests, request.ID)
 		s.simulation.Refused(request.Router, request.ID)
 	default:
-		delete(r.requests, request.ID)
+		delete(process.requests, request.ID)
 		s.simulation.Answered(request.Router, request.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
 // forgetForwarded forgets a request at the routers that it was forwarded to.
 func (s *socketRun) forgetForwarded(requestID string) {
-	for _, r := range s.routers {
-		if request := r.requests[requestID]; request != nil && request.forwarded {
-			delete(r.requests, requestID)
+	for _, process := range s.routers {
+		if request := process.requests[requestID]; request != nil && request.forwarded {
+			delete(process.requests, requestID)
 		}
 	}
 }
@@ -205,9 +205,9 @@
 }
 
 // Leave ends a client's wait: it closes its connection.
-func (s *socketRun) Leave(router int, requestID string) {
-	if request := s.routers[router].requests[requestID]; request != nil {
-		delete(s.routers[router].requests, requestID)
+func (s *socketRun) Leave(routerID int, requestID string) {
+	if request := s.routers[routerID].requests[requestID]; request != nil {
+		delete(s.routers[routerID].requests, requestID)
 		s.forgetForwarded(requestID)
 		request.cancel()
 	}
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -93,19 +93,19 @@
 
 // Note passes an entry of the event log on to the checker and the record. Where a server
 // starts or goes down, its listeners follow.
-func (s *socketRun) Note(e *eventlog.Entry) {
+func (s *socketRun) Note(entry *eventlog.Entry) {
 	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesCut())
-	switch e.Kind {
+	switch entry.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
-		for _, r := range s.routers {
-			if listener := r.servers[e.Endpoint]; listener != nil {
-				listener.setState(e.Kind == eventlog.KindStarted, s.simulation.Silent(e.Endpoint))
+		for _, process := range s.routers {
+			if listener := process.servers[entry.Endpoint]; listener != nil {
+				listener.setState(entry.Kind == eventlog.KindStarted, s.simulation.Silent(entry.Endpoint))
 			}
 		}
 	}
-	s.checker.Observe(e)
+	s.checker.Observe(entry)
 	if s.options.Record != nil {
-		s.options.Record(e)
+		s.options.Record(entry)
 	}
 }
 
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -169,13 +169,13 @@
 
 // KillSupervisor kills a router's supervisor alone. Its generations run on.
 func (s *Supervised) KillSupervisor(i int) error {
-	r := s.routers[i]
+	process := s.routers[i]
 	var exited <-chan struct{}
 	err := s.callInLoop(func() error {
-		r.killed = true
-		r.orphanGroups = append(r.orphanGroups, r.cmd.Process.Pid)
-		exited = r.exited
-		return r.cmd.Process.Kill()
+		process.killed = true
+		process.orphanGroups = append(process.orphanGroups, process.cmd.Process.Pid)
+		exited = process.exited
+		return process.cmd.Process.Kill()
 	})
 	if s.ctx.Err() != nil {
 		return err
@@ -192,18 +192,18 @@
 // Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
 func (s *Supervised) Restart(i int) error {
-	r := s.routers[i]
+	process := s.routers[i]
 	err := s.callInLoop(func() error {
-		r.killed = true
-		return r.cmd.Process.Signal(syscall.SIGTERM)
+		process.killed = true
+		return process.cmd.Process.Signal(syscall.SIGTERM)
 	})
 	if err != nil {
 		return err
 	}
-	<-r.exited
+	<-process.exited
 	return s.callInLoop(func() error {
 		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
 		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
-		return r.start(s.simulation.Known())
+		return process.start(s.simulation.Known())
 	})
 }
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -41,35 +41,35 @@
 // RunVirtual plays a scenario on a virtual clock. The same scenario and seed give the
 // same result, whatever the machine.
 func RunVirtual(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
-	v := newVirtualRun(s, options)
+	run := newVirtualRun(s, options)
 	if options.onStart != nil {
-		options.onStart(v)
+		options.onStart(run)
 	}
 	if options.OnTick != nil {
-		v.scheduleTick()
+		run.scheduleTick()
 	}
-	if err := v.play(ctx); err != nil {
+	if err := run.play(ctx); err != nil {
 		return nil, err
 	}
-	return v.result(), nil
+	return run.result(), nil
 }
 
 func newVirtualRun(s *scenario.Scenario, options Options) *virtualRun {
-	v := &virtualRun{
+	run := &virtualRun{
 		options:    options,
 		scenario:   s,
 		checker:    checker.New(CheckerSettings(s, virtualAnswerSlackMicros)),
 		seenPurges: map[int][]simulation.DiscoveryEvent{},
 	}
-	v.simulation = simulation.New(s, options.Seed, v)
-	for i := range v.simulation.Routers() {
-		r := &virtualRouter{id: i, nextTimer: never, heapIndex: -1}
-		v.routers = append(v.routers, r)
-		v.startRouter(r, v.simulation.Known())
+	run.simulation = simulation.New(s, options.Seed, run)
+	for i := range run.simulation.Routers() {
+		router := &virtualRouter{id: i, nextTimer: never, heapIndex: -1}
+		run.routers = append(run.routers, router)
+		run.startRouter(router, run.simulation.Known())
 	}
-	v.settle()
-	v.startMembership()
-	return v
+	run.settle()
+	run.startMembership()
+	return run
 }
 
 // scheduleTick calls Options.OnTick after each tick.
@@ -151,7 +151,7 @@
 }
 
 func (v *virtualRun) result() *Result {
-	r := &Result{
+	result := &Result{
 		Result:      v.simulation.Result,
 		Violations:  v.checker.Violations,
 		CountByRule: v.checker.CountByRule,
@@ -159,9 +159,9 @@
 		Excused:     v.checker.Excused,
 	}
 	if v.fleet != nil {
-		r.Members = &v.membership
+		result.Members = &v.membership
 	}
-	return r
+	return result
 }
 
 // now is the routers' time in microseconds.
@@ -178,10 +178,10 @@
 		}
 		v.readyRequests = v.readyRequests[:0]
 		for i := 0; i < len(v.woken); i++ {
-			r := v.woken[i]
-			r.wakePending = false
-			if r.engine != nil {
-				v.runTimers(r)
+			router := v.woken[i]
+			router.wakePending = false
+			if router.engine != nil {
+				v.runTimers(router)
 			}
 		}
 		v.woken = v.woken[:0]
@@ -189,9 +189,9 @@
 }
 
 // Note passes an entry of the event log on to the checker and the record.
-func (v *virtualRun) Note(e *eventlog.Entry) {
-	v.checker.Observe(e)
+func (v *virtualRun) Note(entry *eventlog.Entry) {
+	v.checker.Observe(entry)
 	if v.options.Record != nil {
-		v.options.Record(e)
+		v.options.Record(entry)
 	}
 }
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -9,11 +9,11 @@
 )
 
 // withdraw ends a request that another site's router no longer waits for.
-func (v *virtualRun) withdraw(r *virtualRouter, request *virtualRequest) {
+func (v *virtualRun) withdraw(router *virtualRouter, request *virtualRequest) {
 	request.finished = true
 	request.engine.ClientGone(v.now(), request.engineRequest)
 	v.detach(request)
-	r.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, false)
+	router.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, false)
 }
 
 // forwardedRetryAfterMicros is the Retry-After of an answer that a gateway gives.
@@ -21,11 +21,11 @@
 
 // forward forwards a request that this site has rejected to another one. False: no site takes it.
 func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
-	r := request.router
+	router := request.router
 	now := v.now()
 	class := v.simulation.ClassOf(request.Class)
 	remaining := request.Deadline() - v.simulation.Now()
-	peer, reason := r.gateway.Forward(now, &peerpolicy.Request{
+	peer, reason := router.gateway.Forward(now, &peerpolicy.Request{
 		RequestID: request.ID,
 		Effect:    gateway.PeerEffect(class.Effect),
 		NeverRan:  !command.MaybeExecuted,
@@ -34,13 +34,13 @@
 	if reason != peerpolicy.ReasonOK {
 		return false
 	}
-	r.gateway.MarkSent(request.ID)
+	router.gateway.MarkSent(request.ID)
 	v.detach(request)
-	r.forwarded[request.ID] = request
+	router.forwarded[request.ID] = request
 	request.finished = true
 	v.simulation.Result.Forwarded++
 	far := v.routerByName(peer.Name)
-	budget := r.gateway.Budget(now, request.ID) // the other site counts it from when the request arrives
+	budget := router.gateway.Budget(now, request.ID) // the other site counts it from when the request arrives
 	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
 	return true
 }
@@ -129,8 +129,8 @@
 }
 
 // latestPurge is the latest purge of a request's object that a router has heard of.
-func (v *virtualRun) latestPurge(r *virtualRouter, request *simulation.Request) (at int64) {
-	for _, purge := range v.seenPurges[r.id] {
+func (v *virtualRun) latestPurge(router *virtualRouter, request *simulation.Request) (at int64) {
+	for _, purge := range v.seenPurges[router.id] {
 		if purge.Object != "" && purge.Object == request.Object || purge.Object == "" && purge.Group == request.Group {
 			at = max(at, purge.At)
 		}
@@ -146,39 +146,39 @@
 }
 
 // runGatewayActions carries out what a gateway has decided.
-func (v *virtualRun) runGatewayActions(r *virtualRouter) {
-	for _, action := range r.gateway.Actions() {
+func (v *virtualRun) runGatewayActions(router *virtualRouter) {
+	for _, action := range router.gateway.Actions() {
 		switch action.Kind {
 		case peerpolicy.ActionAnswer:
-			v.respondForwarded(r, action.RequestID, forwardedOutcomes[action.Outcome])
+			v.respondForwarded(router, action.RequestID, forwardedOutcomes[action.Outcome])
 		case peerpolicy.ActionWithdraw:
-			v.withdrawAtPeer(r, action.Peer, action.RequestID)
+			v.withdrawAtPeer(router, action.Peer, action.RequestID)
 		}
 	}
 }
 
 // respondForwarded answers the client of a forwarded request, unless it has left.
-func (v *virtualRun) respondForwarded(r *virtualRouter, requestID, outcome string) {
-	request := r.forwarded[requestID]
+func (v *virtualRun) respondForwarded(router *virtualRouter, requestID, outcome string) {
+	request := router.forwarded[requestID]
 	if request == nil {
 		return
 	}
-	delete(r.forwarded, requestID)
+	delete(router.forwarded, requestID)
 	if outcome == outcomeCompleted {
 		v.simulation.Result.ForwardedCompleted++
 	}
-	v.simulation.Answered(r.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
+	v.simulation.Answered(router.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
 }
 
 // withdrawAtPeer tells a peer that a forwarded request is no longer waited for.
-func (v *virtualRun) withdrawAtPeer(r *virtualRouter, peerName, requestID string) {
-	for _, peer := range v.peers(r) {
+func (v *virtualRun) withdrawAtPeer(router *virtualRouter, peerName, requestID string) {
+	for _, peer := range v.peers(router) {
 		if routerName(peer.id) != peerName {
 			continue
 		}
 		v.acrossSites(func() {
 			request := peer.requests[requestID]
-			if request != nil && request.forwardedBy == r && peer.gateway != nil {
+			if request != nil && request.forwardedBy == router && peer.gateway != nil {
 				v.withdraw(peer, request)
 			}
 		})
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -95,9 +95,9 @@
 	return result.Replies
 }
 
-func (p payloadHandler) applyEndpoints(r *virtualRouter, list []gossip.Endpoint) {
+func (p payloadHandler) applyEndpoints(router *virtualRouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.engine.UpdateEndpoints(p.now(), policy.ScopeDiff, engineEndpoints(list))
+		router.engine.UpdateEndpoints(p.now(), policy.ScopeDiff, engineEndpoints(list))
 	}
 }
 
@@ -112,15 +112,15 @@
 
 // mergeEndpoints is an update by the discovery service, merged with what other routers know
 // of later changes.
-func (v *virtualRun) mergeEndpoints(r *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
-	if r.replica == nil {
+func (v *virtualRun) mergeEndpoints(router *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
+	if router.replica == nil {
 		return list
 	}
 	out := make([]gossip.Endpoint, len(list))
 	for i, endpoint := range list {
 		out[i] = gossip.Endpoint{Endpoint: endpoint.Endpoint, Address: endpoint.Address}
 	}
-	return engineEndpoints(r.replica.ApplyLocal(v.now(), complete, out))
+	return engineEndpoints(router.replica.ApplyLocal(v.now(), complete, out))
 }
 
 // engineEndpoints is a replica's endpoints in the engine's type.
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -95,7 +95,7 @@
 	request.finished = true
 	count := 1 // a faulty router answers not at all, or twice
 	if v.options.AnswerCount != nil {
-		count = v.options.AnswerCount(request.ID, 1)
+		count = v.options.AnswerCount(request.ID)
 	}
 	for range count {
 		v.simulation.Answered(request.router.id, request.ID, outcome, issued, retryAfter)
@@ -120,19 +120,19 @@
 
 // openRequest opens a client's request, with the time that is left for it.
 func (v *virtualRun) openRequest(arrived *simulation.Request) {
-	r := v.routers[arrived.Router]
-	request := &virtualRequest{Request: arrived, router: r, engine: r.engine}
+	router := v.routers[arrived.Router]
+	request := &virtualRequest{Request: arrived, router: router, engine: router.engine}
 	remaining := request.Limit
 	// A request that is read just after a pause may have waited through all of it.
-	if r.resumedAt > 0 && v.now()-r.resumedAt < stall.BufferDrainMicros {
-		remaining -= v.now() - r.stoppedAt
+	if router.resumedAt > 0 && v.now()-router.resumedAt < stall.BufferDrainMicros {
+		remaining -= v.now() - router.stoppedAt
 	}
 	if remaining <= 0 || v.rejectsWithoutNeed(request) {
-		v.simulation.Answered(r.id, request.ID, outcomeRejected, 0, 0)
+		v.simulation.Answered(router.id, request.ID, outcomeRejected, 0, 0)
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
-		v.simulation.Answered(r.id, request.ID, outcomeRejected, 0, 0)
+		v.simulation.Answered(router.id, request.ID, outcomeRejected, 0, 0)
 		request.finished = true
 		request.queued = true
 	}
@@ -165,20 +165,20 @@
 }
 
 // Leave tells a router that a client has gone.
-func (v *virtualRun) Leave(router int, requestID string) {
-	v.routers[router].whenRunning(func() { v.clientLeft(router, requestID) })
+func (v *virtualRun) Leave(routerID int, requestID string) {
+	v.routers[routerID].whenRunning(func() { v.clientLeft(routerID, requestID) })
 }
 
 // clientLeft ends a request where it is: at the gateway if it was forwarded, else at the engine.
-func (v *virtualRun) clientLeft(router int, requestID string) {
-	r := v.routers[router]
-	if r.forwarded[requestID] != nil {
-		delete(r.forwarded, requestID)
-		r.gateway.ClientGone(requestID)
-		v.runGatewayActions(r)
+func (v *virtualRun) clientLeft(routerID int, requestID string) {
+	router := v.routers[routerID]
+	if router.forwarded[requestID] != nil {
+		delete(router.forwarded, requestID)
+		router.gateway.ClientGone(requestID)
+		v.runGatewayActions(router)
 		return
 	}
-	if request := r.requests[requestID]; request != nil {
+	if request := router.requests[requestID]; request != nil {
 		request.finished = true
 		request.engine.ClientGone(v.now(), request.engineRequest)
 		v.detach(request)
@@ -186,26 +186,26 @@
 }
 
 // AttemptEnded tells a router that an attempt has ended.
-func (v *virtualRun) AttemptEnded(router int, attempt *simulation.Attempt, end simulation.AttemptResult) {
-	v.routers[router].whenRunning(func() { v.attemptEnded(router, attempt, end) })
+func (v *virtualRun) AttemptEnded(routerID int, attempt *simulation.Attempt, end simulation.AttemptResult) {
+	v.routers[routerID].whenRunning(func() { v.attemptEnded(routerID, attempt, end) })
 }
 
 // attemptEnded hands the result to the engine, later if the router is to appear slower.
-func (v *virtualRun) attemptEnded(router int, ended *simulation.Attempt, end simulation.AttemptResult) {
-	r := v.routers[router]
-	if r.engine == nil {
+func (v *virtualRun) attemptEnded(routerID int, ended *simulation.Attempt, end simulation.AttemptResult) {
+	router := v.routers[routerID]
+	if router.engine == nil {
 		return
 	}
 	result := engine.Result{Outcome: end.Outcome, Reason: end.Reason, OriginWait: end.Waited, Load: end.Load}
 	if end.Outcome == policy.OutcomeDone {
 		result.Response = virtualResponse{end.Issued}
 	}
-	current := r.engine
+	current := router.engine
 	attempt := ended.Tag.(*engine.Attempt)
 	if v.options.Slowdown != nil {
-		if delay := int64(v.options.Slowdown(router) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
+		if delay := int64(v.options.Slowdown(routerID) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
 			v.simulation.After(delay, func() {
-				if r.engine == current {
+				if router.engine == current {
 					current.AttemptEnded(v.now(), attempt, result)
 				}
 			})
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -41,34 +41,34 @@
 	if count := s.Fleet.Offices * s.Fleet.Routers; count != len(options.Plan.Routers) {
 		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, count, len(options.Plan.Routers))
 	}
-	r := newRolloutRun(s, seed, &options)
+	run := newRolloutRun(s, seed, &options)
 	result, err := RunVirtual(ctx, s, Options{
 		Seed:          seed,
-		RejectRequest: r.rejects,
-		MissesUpdate:  r.misses,
-		Slowdown:      r.slowdown,
-		Record:        r.record,
-		OnTick:        r.step,
-		observer:      r,
-		onStart:       func(v *virtualRun) { r.virtualRun = v },
+		RejectRequest: run.rejects,
+		MissesUpdate:  run.misses,
+		Slowdown:      run.slowdown,
+		Record:        run.record,
+		OnTick:        run.step,
+		observer:      run,
+		onStart:       func(v *virtualRun) { run.virtualRun = v },
 	})
 	if err != nil {
 		return nil, err
 	}
-	r.outcome.Result = result
-	for i := range r.states {
-		if r.states[i].upgraded {
-			r.outcome.UpgradedRouters++
+	run.outcome.Result = result
+	for i := range run.states {
+		if run.states[i].upgraded {
+			run.outcome.UpgradedRouters++
 		}
-		if r.monitors[i].accused {
-			r.outcome.AccusedRouters++
+		if run.monitors[i].accused {
+			run.outcome.AccusedRouters++
 		}
 	}
-	return &r.outcome, nil
+	return &run.outcome, nil
 }
 
 func newRolloutRun(s *scenario.Scenario, seed uint64, options *RolloutOptions) *rolloutRun {
-	r := &rolloutRun{
+	run := &rolloutRun{
 		config:     options,
 		random:     rand.New(rand.NewPCG(seed, rolloutSeed)),
 		seed:       seed,
@@ -79,15 +79,15 @@
 	}
 	setup := s.Settings(0, 0)
 	settings := setup.PolicySettings()
-	for range r.states {
-		r.monitors = append(r.monitors, &routerMonitor{
+	for range run.states {
+		run.monitors = append(run.monitors, &routerMonitor{
 			monitor:  invariant.New(invariant.SettingsFrom(&settings)),
 			recorder: invariant.NewRecorder(),
 		})
 	}
 	for _, class := range s.Classes() {
-		r.weights[class.Name] = class.PriorityWeight
-		r.objectives[class.Name] = class.LatencyObjective + int64(class.ObjectiveStretch*stretchedTransferMicros)
+		run.weights[class.Name] = class.PriorityWeight
+		run.objectives[class.Name] = class.LatencyObjective + int64(class.ObjectiveStretch*stretchedTransferMicros)
 	}
-	return r
+	return run
 }
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -49,36 +49,36 @@
 }
 
 // startRouter gives a router a new engine with the endpoint list as it is.
-func (v *virtualRun) startRouter(r *virtualRouter, known []simulation.Server) {
-	setup := v.scenario.Settings(v.simulation.Office(r.id), r.id)
+func (v *virtualRun) startRouter(router *virtualRouter, known []simulation.Server) {
+	setup := v.scenario.Settings(v.simulation.Office(router.id), router.id)
 	if v.options.Settings != nil {
 		v.options.Settings(&setup)
 	}
 	settings := setup.PolicySettings()
-	r.incarnation++
-	r.requests = map[string]*virtualRequest{}
-	r.wakePending = false
+	router.incarnation++
+	router.requests = map[string]*virtualRequest{}
+	router.wakePending = false
 	// The engine of an earlier incarnation may still call its wake function. It must not wake
 	// this one.
 	var current *engine.Engine
-	current = engine.New(&settings, v.options.Seed*seedSpacing+uint64(r.id)+r.incarnation<<32, func() {
-		if r.engine == current && !r.wakePending {
-			r.wakePending = true
-			v.woken = append(v.woken, r)
+	current = engine.New(&settings, v.options.Seed*seedSpacing+uint64(router.id)+router.incarnation<<32, func() {
+		if router.engine == current && !router.wakePending {
+			router.wakePending = true
+			v.woken = append(v.woken, router)
 		}
 	})
-	r.engine = current
-	v.joinSites(r)
+	router.engine = current
+	v.joinSites(router)
 	if v.options.observer != nil {
-		v.options.observer.endpointsChanged(r.id, v.now(), true, routerEndpoints(known))
+		v.options.observer.endpointsChanged(router.id, v.now(), true, routerEndpoints(known))
 	}
 	if v.scenario.Fleet.Membership {
 		retention := int64(v.scenario.Fleet.PurgeCompleteMS*microsPerMilli) + maxRequestMicros
-		r.replica = gossip.New(gossip.Settings{PurgeRetention: retention})
-		r.engine.HoldSlowStart(v.now(), v.now()+settings.Contract.OverloadWindow)
+		router.replica = gossip.New(gossip.Settings{PurgeRetention: retention})
+		router.engine.HoldSlowStart(v.now(), v.now()+settings.Contract.OverloadWindow)
 	}
-	r.engine.UpdateEndpoints(v.now(), policy.ScopeInitial, v.mergeEndpoints(r, true, routerEndpoints(known)))
-	v.runTimers(r)
+	router.engine.UpdateEndpoints(v.now(), policy.ScopeInitial, v.mergeEndpoints(router, true, routerEndpoints(known)))
+	v.runTimers(router)
 }
 
 // routerEndpoints is the simulated servers as routers get them, in the routers' time.
@@ -94,85 +94,85 @@
 }
 
 // runTimers runs a router's due timers, and moves it to its next one.
-func (v *virtualRun) runTimers(r *virtualRouter) {
-	if r.stopped {
-		r.nextTimer = never
-		heap.Fix(&v.timers, r.heapIndex)
+func (v *virtualRun) runTimers(router *virtualRouter) {
+	if router.stopped {
+		router.nextTimer = never
+		heap.Fix(&v.timers, router.heapIndex)
 		return
 	}
-	next, commands := r.engine.Run(v.now())
+	next, commands := router.engine.Run(v.now())
 	for _, command := range commands {
 		if command.Kind == engine.CommandDrop {
-			v.simulation.Cancel(r.id, command.Attempt.Request.ID, command.Attempt.Number)
+			v.simulation.Cancel(router.id, command.Attempt.Request.ID, command.Attempt.Number)
 		}
 	}
-	r.nextTimer = next - epochMicros
-	if r.heapIndex < 0 {
-		heap.Push(&v.timers, r)
+	router.nextTimer = next - epochMicros
+	if router.heapIndex < 0 {
+		heap.Push(&v.timers, router)
 	} else {
-		heap.Fix(&v.timers, r.heapIndex)
+		heap.Fix(&v.timers, router.heapIndex)
 	}
 }
 
 // Down kills a router.
-func (v *virtualRun) Down(router int) {
-	r := v.routers[router]
-	for _, request := range r.requests {
+func (v *virtualRun) Down(routerID int) {
+	router := v.routers[routerID]
+	for _, request := range router.requests {
 		request.finished = true
 	}
-	r.engine = nil
-	r.requests = map[string]*virtualRequest{}
-	r.stopped = false
-	r.deferred = nil
-	r.resumedAt = 0
+	router.engine = nil
+	router.requests = map[string]*virtualRequest{}
+	router.stopped = false
+	router.deferred = nil
+	router.resumedAt = 0
 	if v.fleet != nil {
-		v.fleet.Kill(router)
+		v.fleet.Kill(routerID)
 	}
-	v.leaveSites(r)
-	if r.heapIndex >= 0 {
-		heap.Remove(&v.timers, r.heapIndex)
+	v.leaveSites(router)
+	if router.heapIndex >= 0 {
+		heap.Remove(&v.timers, router.heapIndex)
 	}
 }
 
 // Up starts a router that was down.
-func (v *virtualRun) Up(router int, known []simulation.Server) {
-	v.startRouter(v.routers[router], known)
+func (v *virtualRun) Up(routerID int, known []simulation.Server) {
+	v.startRouter(v.routers[routerID], known)
 	if v.fleet != nil {
-		v.fleet.Start(router)
+		v.fleet.Start(routerID)
 	}
 }
 
 // Stop pauses a router: what happens to it waits until it goes on.
-func (v *virtualRun) Stop(router int) {
-	r := v.routers[router]
-	r.stopped = true
-	r.stoppedAt = v.now()
+func (v *virtualRun) Stop(routerID int) {
+	router := v.routers[routerID]
+	router.stopped = true
+	router.stoppedAt = v.now()
 	if v.fleet != nil {
-		v.fleet.Pause(router)
+		v.fleet.Pause(routerID)
 	}
 }
 
 // Wake lets a paused router go on.
-func (v *virtualRun) Wake(router int) {
-	r := v.routers[router]
-	r.stopped = false
-	r.resumedAt = v.now()
-	deferred := r.deferred
-	r.deferred = nil
+func (v *virtualRun) Wake(routerID int) {
+	router := v.routers[routerID]
+	router.stopped = false
+	router.resumedAt = v.now()
+	deferred := router.deferred
+	router.deferred = nil
 	for _, task := range deferred {
 		task()
 	}
-	if r.engine != nil {
-		v.runTimers(r)
+	if router.engine != nil {
+		v.runTimers(router)
 	}
 	if v.fleet != nil {
-		v.fleet.Resume(router)
+		v.fleet.Resume(routerID)
 	}
 }
 
 // Starve takes CPU from a router's membership. Requests take no CPU on the virtual clock.
-func (v *virtualRun) Starve(router int, share float64) {
+func (v *virtualRun) Starve(routerID int, share float64) {
 	if v.fleet != nil {
-		v.fleet.Throttle(router, share)
+		v.fleet.Throttle(routerID, share)
 	}
 }
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -29,13 +29,13 @@
 // routerName is a router's name among members and gateways.
 func routerName(router int) string { return fmt.Sprint("n", router) }
 
-func (v *virtualRun) siteOf(r *virtualRouter) int {
-	return v.scenario.Fleet.Site(v.simulation.Office(r.id))
+func (v *virtualRun) siteOf(router *virtualRouter) int {
+	return v.scenario.Fleet.Site(v.simulation.Office(router.id))
 }
 
 // joinSites gives a starting router its gateway, where there are several sites.
-func (v *virtualRun) joinSites(r *virtualRouter) {
-	site := v.siteOf(r)
+func (v *virtualRun) joinSites(router *virtualRouter) {
+	site := v.siteOf(router)
 	if site < 0 {
 		return
 	}
@@ -45,50 +45,50 @@
 			peers[routerName(i)] = fmt.Sprint(s)
 		}
 	}
-	r.forwarded = map[string]*virtualRequest{}
-	r.heartbeats = map[*virtualRouter]int64{}
-	r.gateway = peerpolicy.New(peerpolicy.Settings{
-		Name: routerName(r.id), Site: fmt.Sprint(site), MaxRequests: maxForwarded, LocalReserve: siteLocalReserve,
+	router.forwarded = map[string]*virtualRequest{}
+	router.heartbeats = map[*virtualRouter]int64{}
+	router.gateway = peerpolicy.New(peerpolicy.Settings{
+		Name: routerName(router.id), Site: fmt.Sprint(site), MaxRequests: maxForwarded, LocalReserve: siteLocalReserve,
 		HeartbeatInterval: heartbeatMicros,
 	}, peers)
-	v.scheduleGatewayTick(int64(r.id%heartbeatPhases)*heartbeatMicros/heartbeatPhases, r, r.engine, 1)
+	v.scheduleGatewayTick(int64(router.id%heartbeatPhases)*heartbeatMicros/heartbeatPhases, router, router.engine, 1)
 }
 
 // scheduleGatewayTick runs a gateway's timers after a delay, in microseconds. The engine tells
 // whether the router has been restarted by then.
-func (v *virtualRun) scheduleGatewayTick(delay int64, r *virtualRouter, current *engine.Engine, tick int) {
+func (v *virtualRun) scheduleGatewayTick(delay int64, router *virtualRouter, current *engine.Engine, tick int) {
 	v.simulation.After(delay, func() {
-		if r.engine != current {
+		if router.engine != current {
 			return
 		}
 		now := v.now()
-		r.gateway.Tick(now)
-		v.runGatewayActions(r)
-		v.withdrawSilent(r, now)
-		v.scheduleGatewayTick(heartbeatMicros/ticksPerHeartbeat, r, current, tick+1)
+		router.gateway.Tick(now)
+		v.runGatewayActions(router)
+		v.withdrawSilent(router, now)
+		v.scheduleGatewayTick(heartbeatMicros/ticksPerHeartbeat, router, current, tick+1)
 		if tick%ticksPerHeartbeat == 0 {
-			v.sendHeartbeats(r, now)
+			v.sendHeartbeats(router, now)
 		}
 	})
 }
 
 // sendHeartbeats tells all peers of a router's capacity.
-func (v *virtualRun) sendHeartbeats(r *virtualRouter, now int64) {
-	current := r.engine
-	offer := r.gateway.OfferedCapacity(now)
-	name := routerName(r.id)
+func (v *virtualRun) sendHeartbeats(router *virtualRouter, now int64) {
+	current := router.engine
+	offer := router.gateway.OfferedCapacity(now)
+	name := routerName(router.id)
 	roundTrip := int64(2 * v.scenario.Fleet.SiteMS * microsPerMilli)
-	for _, peer := range v.peers(r) {
+	for _, peer := range v.peers(router) {
 		v.acrossSites(func() {
-			if peer.gateway == nil || peer.engine == nil || r.engine != current {
+			if peer.gateway == nil || peer.engine == nil || router.engine != current {
 				return
 			}
 			link := peer.gateway.Peer(name)
-			if link.State == peerpolicy.StateDisconnected || link.Incarnation < r.incarnation {
-				peer.gateway.Connected(v.now(), name, r.incarnation)
+			if link.State == peerpolicy.StateDisconnected || link.Incarnation < router.incarnation {
+				peer.gateway.Connected(v.now(), name, router.incarnation)
 			}
 			peer.gateway.Heartbeat(v.now(), name, offer, false, roundTrip)
-			peer.heartbeats[r] = v.now()
+			peer.heartbeats[router] = v.now()
 			v.runGatewayActions(peer)
 		})
 	}
@@ -96,17 +96,17 @@
 
 // withdrawSilent withdraws what came from a peer that has been silent for long, as the end of
 // its connection would. They are sorted, as the order of a map would not repeat.
-func (v *virtualRun) withdrawSilent(r *virtualRouter, now int64) {
+func (v *virtualRun) withdrawSilent(router *virtualRouter, now int64) {
 	var silent []*virtualRequest
-	for _, request := range r.requests {
+	for _, request := range router.requests {
 		peer := request.forwardedBy
-		if peer != nil && now-r.heartbeats[peer] > peerpolicy.MaxSilentHeartbeats*heartbeatMicros {
+		if peer != nil && now-router.heartbeats[peer] > peerpolicy.MaxSilentHeartbeats*heartbeatMicros {
 			silent = append(silent, request)
 		}
 	}
 	slices.SortFunc(silent, func(a, b *virtualRequest) int { return strings.Compare(a.ID, b.ID) })
 	for _, request := range silent {
-		v.withdraw(r, request)
+		v.withdraw(router, request)
 	}
 }
 
@@ -124,9 +124,9 @@
 }
 
 // peers are the routers of other sites that are up.
-func (v *virtualRun) peers(r *virtualRouter) (out []*virtualRouter) {
+func (v *virtualRun) peers(router *virtualRouter) (out []*virtualRouter) {
 	for _, peer := range v.routers {
-		if peer.gateway != nil && peer.engine != nil && v.siteOf(peer) != v.siteOf(r) {
+		if peer.gateway != nil && peer.engine != nil && v.siteOf(peer) != v.siteOf(router) {
 			out = append(out, peer)
 		}
 	}
@@ -134,16 +134,16 @@
 }
 
 // leaveSites ends the gateway of a router that goes down: its peers lose the connection.
-func (v *virtualRun) leaveSites(r *virtualRouter) {
-	if r.gateway == nil {
+func (v *virtualRun) leaveSites(router *virtualRouter) {
+	if router.gateway == nil {
 		return
 	}
-	r.gateway = nil
-	r.forwarded = nil
-	for _, peer := range v.peers(r) {
+	router.gateway = nil
+	router.forwarded = nil
+	for _, peer := range v.peers(router) {
 		v.acrossSites(func() {
 			if peer.gateway != nil {
-				peer.gateway.Disconnected(routerName(r.id))
+				peer.gateway.Disconnected(routerName(router.id))
 				v.runGatewayActions(peer)
 			}
 		})
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -52,7 +52,7 @@
 			for range 2 {
 				var output bytes.Buffer
 				encoder := json.NewEncoder(&output)
-				result := play(t, load(t, name), Options{Record: func(e *eventlog.Entry) { encode(t, encoder, e) }})
+				result := play(t, load(t, name), Options{Record: func(entry *eventlog.Entry) { encode(t, encoder, entry) }})
 				encode(t, encoder, result)
 				if first == nil {
 					first = output.Bytes()
@@ -77,13 +77,13 @@
 		options  Options
 		rule     int
 	}{
-		"loses answers": {"calm", Options{AnswerCount: func(requestID string, _ int) int {
+		"loses answers": {"calm", Options{AnswerCount: func(requestID string) int {
 			if strings.HasSuffix(requestID, "77") {
 				return 0
 			}
 			return 1
 		}}, 1},
-		"answers twice": {"calm", Options{AnswerCount: func(requestID string, _ int) int {
+		"answers twice": {"calm", Options{AnswerCount: func(requestID string) int {
 			if strings.HasSuffix(requestID, "77") {
 				return 2
 			}
@@ -148,14 +148,14 @@
 		s := load(t, name)
 		up := map[string]bool{}
 		workedWhileDown := 0
-		result := play(t, s, Options{Record: func(e *eventlog.Entry) {
-			switch e.Kind {
+		result := play(t, s, Options{Record: func(entry *eventlog.Entry) {
+			switch entry.Kind {
 			case eventlog.KindDown:
-				up[e.Endpoint] = false
+				up[entry.Endpoint] = false
 			case eventlog.KindStarted:
-				up[e.Endpoint] = true
+				up[entry.Endpoint] = true
 			case eventlog.KindArrived, eventlog.KindRan, eventlog.KindEffect:
-				if alive, known := up[e.Endpoint]; known && !alive {
+				if alive, known := up[entry.Endpoint]; known && !alive {
 					workedWhileDown++
 				}
 			}
