--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -7,7 +7,11 @@
 	"quilldoor/internal/policy"
 )
 
-const ms, second = int64(1000), int64(1_000_000) // microseconds
+// Units of time in microseconds.
+const (
+	ms     = int64(1000)
+	second = 1000 * ms
+)
 
 // Settings are the rules' figures. Times are microseconds.
 type Settings struct {
@@ -15,7 +19,8 @@
 	AnswerSlack int64
 	DrainGrace  int64
 	PurgeGrace  int64
-	// NotificationDeadline is when what discovery tells counts as told at the latest.
+	// NotificationDeadline is how long after a change of the endpoint list a router counts as
+	// notified of it at the latest.
 	NotificationDeadline int64
 }
 
@@ -40,19 +45,19 @@
 }
 
 func (v Violation) String() string {
-	s := fmt.Sprintf("%.6f s: rule %d: router %d", seconds(v.At), v.Rule, v.Router)
+	text := fmt.Sprintf("%.6f s: rule %d: router %d", seconds(v.At), v.Rule, v.Router)
 	if v.Request != "" {
-		s += ", request " + v.Request
+		text += ", request " + v.Request
 	}
 	if v.Endpoint != "" {
-		s += ", endpoint " + v.Endpoint
+		text += ", endpoint " + v.Endpoint
 	}
-	return s + ": " + v.Text
+	return text + ": " + v.Text
 }
 
 func seconds(micros int64) float64 { return float64(micros) / float64(second) }
 
-// Checker takes the lines of an event log in their order.
+// Checker takes the entries of an event log in their order.
 type Checker struct {
 	settings Settings
 	classes  map[string]policy.TrafficClass
@@ -96,12 +101,13 @@
 	return c
 }
 
-func (c *Checker) violate(rule int, e *eventlog.Entry, format string, args ...any) {
+func (c *Checker) violate(rule int, entry *eventlog.Entry, format string, args ...any) {
 	const maxViolations = 100
 	c.CountByRule[rule]++
 	if len(c.Violations) < maxViolations {
 		c.Violations = append(c.Violations, Violation{
-			Rule: rule, At: e.At, Router: e.Router, Request: e.Request, Endpoint: e.Endpoint, Text: fmt.Sprintf(format, args...),
+			Rule: rule, At: entry.At, Router: entry.Router, Request: entry.Request, Endpoint: entry.Endpoint,
+			Text: fmt.Sprintf(format, args...),
 		})
 	}
 }
@@ -109,46 +115,66 @@
 // HasViolations tells whether any rule was broken.
 func (c *Checker) HasViolations() bool { return len(c.Violations) > 0 }
 
-// Observe takes a line.
-func (c *Checker) Observe(e *eventlog.Entry) {
-	c.now = e.At
-	switch e.Kind {
+// Observe takes the next entry of the log.
+func (c *Checker) Observe(entry *eventlog.Entry) {
+	c.now = entry.At
+	c.observeRequest(entry)
+	c.observeEndpoint(entry)
+	c.observeRouter(entry)
+	c.forgetEnded()
+}
+
+// observeRequest takes an entry about a request or one of its attempts, and passes over others.
+func (c *Checker) observeRequest(entry *eventlog.Entry) {
+	switch entry.Kind {
 	case eventlog.KindTaken:
-		c.requestTaken(e)
+		c.requestTaken(entry)
 	case eventlog.KindRefused:
-		delete(c.requests, requestID{e.Router, e.Request})
+		delete(c.requests, requestID{entry.Router, entry.Request})
 	case eventlog.KindForwarded:
-		c.requestForwarded(e)
+		c.requestForwarded(entry)
 	case eventlog.KindSent:
-		c.attemptSent(e)
+		c.attemptSent(entry)
 	case eventlog.KindRan:
-		c.attemptRan(e)
+		c.attemptRan(entry)
 	case eventlog.KindEnded:
-		c.attemptEnded(e)
+		c.attemptEnded(entry)
 	case eventlog.KindAnswered:
-		c.requestAnswered(e)
+		c.requestAnswered(entry)
 	case eventlog.KindLeft:
-		c.clientLeft(e)
+		c.clientLeft(entry)
 	case eventlog.KindWrong:
-		c.violate(ruleOneAnswer, e, "served what no endpoint made for it: %s", e.State)
+		c.violate(ruleOneAnswer, entry, "served what no endpoint made for it: %s", entry.State)
+	}
+}
+
+// observeEndpoint takes an entry about the endpoint list or a purge, and passes over others.
+func (c *Checker) observeEndpoint(entry *eventlog.Entry) {
+	switch entry.Kind {
 	case eventlog.KindListed:
-		c.endpointListed(e)
+		c.endpointListed(entry)
 	case eventlog.KindNotified:
-		c.endpointNotified(e)
+		c.endpointNotified(entry)
 	case eventlog.KindOverloaded:
-		c.violate(ruleSlowStart, e, "sent %.2f s of work within the window while it was warming up: it fell over", e.Work)
+		c.violate(ruleSlowStart, entry,
+			"sent %.2f s of work within the window while it was warming up: it fell over", entry.Work)
 	case eventlog.KindPurgeNotified:
-		c.purgeNotified(e)
+		c.purgeNotified(entry)
+	}
+}
+
+// observeRouter takes an entry about a router's process, and passes over others.
+func (c *Checker) observeRouter(entry *eventlog.Entry) {
+	switch entry.Kind {
 	case eventlog.KindRouterDown:
-		c.routerDown(e)
+		c.routerDown(entry)
 	case eventlog.KindRouterUp:
-		c.routerUp(e)
+		c.routerUp(entry)
 	case eventlog.KindRouterStopped:
-		c.stalls[e.Router] = stall{from: e.At}
+		c.stalls[entry.Router] = stall{from: entry.At}
 	case eventlog.KindRouterWoken:
-		c.routerWoken(e)
+		c.routerWoken(entry)
 	case eventlog.KindCrashed:
-		c.excuseRequestsOf(e.Router)
+		c.excuseRequestsOf(entry.Router)
 	}
-	c.forgetEnded()
 }
--- a/internal/checker/endpoints.go
+++ b/internal/checker/endpoints.go
@@ -7,51 +7,55 @@
 
 // listing is an endpoint's state as discovery tells it.
 type listing struct {
-	state    policy.EndpointState
-	notified int64 // counts as told to every router then
+	state      policy.EndpointState
+	notifiedBy int64 // every router counts as notified then
 }
 
-// notification is an endpoint's state as a router was told it.
+// notification is an endpoint's state as a router was notified of it.
 type notification struct {
 	state policy.EndpointState
 	at    int64
 }
 
-func (c *Checker) endpointListed(e *eventlog.Entry) {
-	c.listed[e.Endpoint] = listing{policy.EndpointState(e.State), max(e.Until, e.At) + c.settings.NotificationDeadline}
+func (c *Checker) endpointListed(entry *eventlog.Entry) {
+	c.listed[entry.Endpoint] = listing{
+		state:      policy.EndpointState(entry.State),
+		notifiedBy: max(entry.Until, entry.At) + c.settings.NotificationDeadline,
+	}
 }
 
-func (c *Checker) endpointNotified(e *eventlog.Entry) {
-	if c.notified[e.Router] == nil {
-		c.notified[e.Router] = map[string]notification{}
+func (c *Checker) endpointNotified(entry *eventlog.Entry) {
+	if c.notified[entry.Router] == nil {
+		c.notified[entry.Router] = map[string]notification{}
 	}
-	state := policy.EndpointState(e.State)
-	before, known := c.notified[e.Router][e.Endpoint]
+	state := policy.EndpointState(entry.State)
+	before, known := c.notified[entry.Router][entry.Endpoint]
 	if known && before.state != policy.EndpointActive && state != policy.EndpointActive {
-		return // told that it drains already: the earlier time counts
+		return // it knew already that it drains: the earlier time counts
 	}
-	c.notified[e.Router][e.Endpoint] = notification{state, e.At}
+	c.notified[entry.Router][entry.Endpoint] = notification{state, entry.At}
 }
 
 // checkDraining judges rule 3.
-func (c *Checker) checkDraining(e *eventlog.Entry, endpoint, what string) {
+func (c *Checker) checkDraining(entry *eventlog.Entry, endpoint, what string) {
 	if endpoint == "" {
 		return
 	}
-	if s := c.stalls[e.Router]; s.until == 0 && s.from > 0 {
+	if last := c.stalls[entry.Router]; last.until == 0 && last.from > 0 {
 		return // it stands still: what arrives now was sent before
 	}
-	told, known := c.notified[e.Router][endpoint]
+	notified, known := c.notified[entry.Router][endpoint]
 	listed := c.listed[endpoint]
-	toldAt, listedBy := c.knownAt(e.Router, told.at), c.knownAt(e.Router, listed.notified)
+	notifiedAt := c.knownAt(entry.Router, notified.at)
+	listedBy := c.knownAt(entry.Router, listed.notifiedBy)
 	grace := c.settings.DrainGrace
 	switch {
-	case known && told.state != policy.EndpointActive && e.At > toldAt+grace:
-		c.violate(ruleNothingToDraining, e, "%s %s %d ms after it was told that this is %s",
-			what, endpoint, (e.At-toldAt)/ms, told.state)
+	case known && notified.state != policy.EndpointActive && entry.At > notifiedAt+grace:
+		c.violate(ruleNothingToDraining, entry, "%s %s %d ms after it was told that this is %s",
+			what, endpoint, (entry.At-notifiedAt)/ms, notified.state)
 	case listed.state != "" && listed.state != policy.EndpointActive &&
-		(!known || told.state == policy.EndpointActive) && e.At > listedBy+grace:
-		c.violate(ruleNothingToDraining, e, "%s %s %d ms after it counts as told that this is %s",
-			what, endpoint, (e.At-listedBy)/ms, listed.state)
+		(!known || notified.state == policy.EndpointActive) && entry.At > listedBy+grace:
+		c.violate(ruleNothingToDraining, entry, "%s %s %d ms after it counts as told that this is %s",
+			what, endpoint, (entry.At-listedBy)/ms, listed.state)
 	}
 }
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -45,179 +45,197 @@
 	attemptDone      = "done"
 )
 
-// provesNeverRan has the outcomes which prove that an attempt was not executed.
+// provesNeverRan holds the outcomes that prove that an attempt was not executed.
 var provesNeverRan = map[string]bool{"busy": true, "enoent": true, "econnrefused": true, "skipped": true}
 
-func (r *request) attempt(e *eventlog.Entry) *attempt {
+func (r *request) attempt(entry *eventlog.Entry) *attempt {
 	for i := range r.attempts {
-		if r.attempts[i].router == e.Router && r.attempts[i].number == e.Attempt {
+		if r.attempts[i].router == entry.Router && r.attempts[i].number == entry.Attempt {
 			return &r.attempts[i]
 		}
 	}
 	return nil
 }
 
-func (c *Checker) requestTaken(e *eventlog.Entry) {
-	id := requestID{e.Router, e.Request}
+// completedAttemptSentAt is when the attempt that brought the answer was sent; -1: there is none.
+func (r *request) completedAttemptSentAt() int64 {
+	for i := range r.attempts {
+		if r.attempts[i].outcome == attemptDone {
+			return r.attempts[i].sentAt
+		}
+	}
+	return -1
+}
+
+func (c *Checker) requestTaken(entry *eventlog.Entry) {
+	id := requestID{entry.Router, entry.Request}
 	if c.requests[id] != nil {
 		return // the client's mistake
 	}
 	c.Checked++
-	c.requests[id] = &request{class: c.classes[e.Class], object: e.Object, group: e.Group, deadline: e.Deadline}
+	c.requests[id] = &request{
+		class: c.classes[entry.Class], object: entry.Object, group: entry.Group, deadline: entry.Deadline,
+	}
 }
 
-// requestForwarded makes a request that another router took, and that runs here, one with
-// the first. The first router may have died meanwhile.
-func (c *Checker) requestForwarded(e *eventlog.Entry) {
-	from := requestID{e.Attempt, e.Request}
-	r := c.requests[from]
-	if r == nil {
-		r = c.ofDeadRouters[from]
+// requestForwarded notes that another router has forwarded its request here: both work on the
+// same one. The first router may have died meanwhile.
+func (c *Checker) requestForwarded(entry *eventlog.Entry) {
+	from := requestID{entry.Attempt, entry.Request}
+	request := c.requests[from]
+	if request == nil {
+		request = c.ofDeadRouters[from]
 	}
-	if r != nil {
-		c.requests[requestID{e.Router, e.Request}] = r
-		r.forwardedTo = append(r.forwardedTo, e.Router)
+	if request != nil {
+		c.requests[requestID{entry.Router, entry.Request}] = request
+		request.forwardedTo = append(request.forwardedTo, entry.Router)
 	}
 }
 
-func (c *Checker) attemptSent(e *eventlog.Entry) {
-	r := c.requests[requestID{e.Router, e.Request}]
-	if r == nil {
-		c.violate(ruleOneAnswer, e, "an attempt for a request that it has not taken")
+func (c *Checker) attemptSent(entry *eventlog.Entry) {
+	request := c.requests[requestID{entry.Router, entry.Request}]
+	if request == nil {
+		c.violate(ruleOneAnswer, entry, "an attempt for a request that it has not taken")
 		return
 	}
-	if r.outcome != "" {
-		c.violate(ruleOneAnswer, e, "an attempt after the final answer")
+	if request.outcome != "" {
+		c.violate(ruleOneAnswer, entry, "an attempt after the final answer")
 	}
-	c.checkDraining(e, e.Endpoint, "sent to")
-	if e.Source != e.Endpoint {
-		c.checkDraining(e, e.Source, "named as source")
+	c.checkDraining(entry, entry.Endpoint, "sent to")
+	if entry.Source != entry.Endpoint {
+		c.checkDraining(entry, entry.Source, "named as source")
 	}
-	c.checkRetry(e, r)
-	r.attempts = append(r.attempts, attempt{router: e.Router, number: e.Attempt, sentAt: e.At, endpoint: e.Endpoint})
+	c.checkRetry(entry, request)
+	request.attempts = append(request.attempts, attempt{
+		router: entry.Router, number: entry.Attempt, sentAt: entry.At, endpoint: entry.Endpoint,
+	})
 }
 
 // checkRetry judges rule 2 where an attempt follows others.
-func (c *Checker) checkRetry(e *eventlog.Entry, r *request) {
-	if r.class.Effect == policy.EffectIdempotent {
+func (c *Checker) checkRetry(entry *eventlog.Entry, request *request) {
+	if request.class.Effect == policy.EffectIdempotent {
 		return
 	}
-	window := r.class.DedupWindow
-	for _, earlier := range r.attempts {
+	window := request.class.DedupWindow
+	for _, earlier := range request.attempts {
 		if provesNeverRan[earlier.outcome] {
 			continue
 		}
 		switch {
-		case r.class.Effect == policy.EffectUnsafe:
-			c.violate(ruleNoDuplicateEffect, e, "sent again while attempt %d (%q) may have run", earlier.number, earlier.outcome)
-		case window > 0 && e.At-earlier.sentAt >= window:
-			c.violate(ruleNoDuplicateEffect, e, "a keyed request sent again %d ms after attempt %d, past the window",
-				(e.At-earlier.sentAt)/ms, earlier.number)
+		case request.class.Effect == policy.EffectUnsafe:
+			c.violate(ruleNoDuplicateEffect, entry, "sent again while attempt %d (%q) may have run",
+				earlier.number, earlier.outcome)
+		case window > 0 && entry.At-earlier.sentAt >= window:
+			c.violate(ruleNoDuplicateEffect, entry, "a keyed request sent again %d ms after attempt %d, past the window",
+				(entry.At-earlier.sentAt)/ms, earlier.number)
 		}
 	}
 }
 
-func (c *Checker) attemptRan(e *eventlog.Entry) {
-	r := c.requests[requestID{e.Router, e.Request}]
-	if r == nil {
+func (c *Checker) attemptRan(entry *eventlog.Entry) {
+	request := c.requests[requestID{entry.Router, entry.Request}]
+	if request == nil {
 		return
 	}
-	r.executions++
-	if a := r.attempt(e); a != nil {
-		a.ran = true
+	request.executions++
+	if attempt := request.attempt(entry); attempt != nil {
+		attempt.ran = true
 	}
-	if r.class.Effect != policy.EffectUnsafe {
+	if request.class.Effect != policy.EffectUnsafe {
 		return
 	}
-	if r.executions > 1 {
-		c.violate(ruleNoDuplicateEffect, e, "run %d times", r.executions)
+	if request.executions > 1 {
+		c.violate(ruleNoDuplicateEffect, entry, "run %d times", request.executions)
 	}
-	if r.outcome == requestRejected {
-		c.violate(ruleNoDuplicateEffect, e, "run after it was rejected")
+	if request.outcome == requestRejected {
+		c.violate(ruleNoDuplicateEffect, entry, "run after it was rejected")
 	}
 }
 
-func (c *Checker) attemptEnded(e *eventlog.Entry) {
-	r := c.requests[requestID{e.Router, e.Request}]
-	if r == nil {
+func (c *Checker) attemptEnded(entry *eventlog.Entry) {
+	request := c.requests[requestID{entry.Router, entry.Request}]
+	if request == nil {
 		return
 	}
-	if a := r.attempt(e); a != nil && a.outcome == "" {
-		a.outcome = e.Outcome
+	if attempt := request.attempt(entry); attempt != nil && attempt.outcome == "" {
+		attempt.outcome = entry.Outcome
 	}
 }
 
-func (c *Checker) requestAnswered(e *eventlog.Entry) {
-	id := requestID{e.Router, e.Request}
-	r := c.requests[id]
+func (c *Checker) requestAnswered(entry *eventlog.Entry) {
+	id := requestID{entry.Router, entry.Request}
+	request := c.requests[id]
 	switch {
-	case r == nil:
-		c.violate(ruleOneAnswer, e, "an answer to nothing that was taken")
+	case request == nil:
+		c.violate(ruleOneAnswer, entry, "an answer to nothing that was taken")
 		return
-	case r.outcome != "":
-		c.violate(ruleOneAnswer, e, "a second answer, %s after %s", e.Outcome, r.outcome)
+	case request.outcome != "":
+		c.violate(ruleOneAnswer, entry, "a second answer, %s after %s", entry.Outcome, request.outcome)
 		return
-	case r.left:
+	case request.left:
 		return // judged as unanswered already
 	}
-	c.checkAnswerTime(e, r)
-	r.outcome = e.Outcome
-	c.ended = append(c.ended, endedRequest{id, e.At})
-	if e.Outcome == requestRejected && r.class.Effect == policy.EffectUnsafe {
-		c.checkRejection(e, r)
+	c.checkAnswerTime(entry, request)
+	request.outcome = entry.Outcome
+	c.ended = append(c.ended, endedRequest{id, entry.At})
+	if entry.Outcome == requestRejected && request.class.Effect == policy.EffectUnsafe {
+		c.checkRejection(entry, request)
 	}
-	if e.Outcome == requestCompleted && !r.class.Write {
-		c.checkFreshness(e, r)
+	if entry.Outcome == requestCompleted && !request.class.Write {
+		c.checkFreshness(entry, request)
 	}
 }
 
-func (c *Checker) checkAnswerTime(e *eventlog.Entry, r *request) {
+func (c *Checker) checkAnswerTime(entry *eventlog.Entry, request *request) {
 	switch {
-	case e.At <= r.deadline+c.settings.AnswerSlack:
-	case c.stalledAt(e.Router, r.deadline) && c.stalledAt(e.Router, e.At):
+	case entry.At <= request.deadline+c.settings.AnswerSlack:
+	case c.stalledAt(entry.Router, request.deadline) && c.stalledAt(entry.Router, entry.At):
 		c.Excused++
 	default:
-		c.violate(ruleOneAnswer, e, "answered %d ms too late", (e.At-r.deadline)/ms)
+		c.violate(ruleOneAnswer, entry, "answered %d ms too late", (entry.At-request.deadline)/ms)
 	}
 }
 
 // checkRejection judges rule 2 where a request is rejected, which promises that it did not
 // run.
-func (c *Checker) checkRejection(e *eventlog.Entry, r *request) {
-	for _, a := range r.attempts {
-		if a.ran || !provesNeverRan[a.outcome] {
-			c.violate(ruleNoDuplicateEffect, e, "rejected while attempt %d (%q) may have run", a.number, a.outcome)
+func (c *Checker) checkRejection(entry *eventlog.Entry, request *request) {
+	for _, attempt := range request.attempts {
+		if attempt.ran || !provesNeverRan[attempt.outcome] {
+			c.violate(ruleNoDuplicateEffect, entry, "rejected while attempt %d (%q) may have run",
+				attempt.number, attempt.outcome)
 		}
 	}
 }
 
-func (c *Checker) clientLeft(e *eventlog.Entry) {
-	id := requestID{e.Router, e.Request}
-	r := c.requests[id]
-	if r == nil || r.outcome != "" {
+func (c *Checker) clientLeft(entry *eventlog.Entry) {
+	id := requestID{entry.Router, entry.Request}
+	request := c.requests[id]
+	if request == nil || request.outcome != "" {
 		return
 	}
-	r.left = true
-	if r.excused || c.stalledAt(e.Router, r.deadline) {
+	request.left = true
+	if request.excused || c.stalledAt(entry.Router, request.deadline) {
 		c.Excused++
 	} else {
-		c.violate(ruleOneAnswer, e, "no answer before the client's time was over")
+		c.violate(ruleOneAnswer, entry, "no answer before the client's time was over")
 	}
-	c.ended = append(c.ended, endedRequest{id, e.At})
+	c.ended = append(c.ended, endedRequest{id, entry.At})
 }
 
-// forgetEnded forgets requests that ended some time ago. Until then a second answer may
-// come, or work that begins after the first.
+// endedRetention is how long a request is kept after its end: a second answer may come, or work
+// that begins after the first.
+const endedRetention = 10 * second
+
+// forgetEnded forgets requests that ended some time ago.
 func (c *Checker) forgetEnded() {
-	const remembered = 10 * second
-	for len(c.ended) > 0 && c.ended[0].at < c.now-remembered {
+	for len(c.ended) > 0 && c.ended[0].at < c.now-endedRetention {
 		id := c.ended[0].id
-		r := c.requests[id]
-		if r == nil {
-			r = c.ofDeadRouters[id]
+		request := c.requests[id]
+		if request == nil {
+			request = c.ofDeadRouters[id]
 		}
-		if r != nil {
-			for _, other := range r.forwardedTo {
+		if request != nil {
+			for _, other := range request.forwardedTo {
 				delete(c.requests, requestID{other, id.request})
 			}
 		}
--- a/internal/checker/routers.go
+++ b/internal/checker/routers.go
@@ -4,7 +4,7 @@
 
 // stall is a time in which a router's process stood still.
 type stall struct {
-	from, until int64 // until 0: it still does
+	from, until int64 // until 0: it still stands still
 }
 
 // wakeUpGrace is how long a router that has stood still may take to answer what was due
@@ -13,56 +13,56 @@
 
 // stalledAt tells whether a router could not run at a time, or had just woken up.
 func (c *Checker) stalledAt(router int, at int64) bool {
-	s, ever := c.stalls[router]
-	return ever && at >= s.from && (s.until == 0 || at <= s.until+wakeUpGrace)
+	last, known := c.stalls[router]
+	return known && at >= last.from && (last.until == 0 || at <= last.until+wakeUpGrace)
 }
 
 // knownAt is when a router could know what came at a time: what came while it stood still
 // is known once it has woken up.
 func (c *Checker) knownAt(router int, at int64) int64 {
-	if s, ever := c.stalls[router]; ever && at >= s.from && at < s.until {
-		return s.until
+	if last, known := c.stalls[router]; known && at >= last.from && at < last.until {
+		return last.until
 	}
 	return at
 }
 
-func (c *Checker) routerWoken(e *eventlog.Entry) {
-	if s := c.stalls[e.Router]; s.until == 0 {
-		c.stalls[e.Router] = stall{s.from, e.At}
+func (c *Checker) routerWoken(entry *eventlog.Entry) {
+	if last := c.stalls[entry.Router]; last.until == 0 {
+		c.stalls[entry.Router] = stall{last.from, entry.At}
 	}
 }
 
 // excuseRequestsOf excuses the requests of a router of which a process was killed while
 // another one goes on.
 func (c *Checker) excuseRequestsOf(router int) {
-	for id, r := range c.requests {
+	for id, request := range c.requests {
 		if id.router == router {
-			r.excused = true
+			request.excused = true
 		}
 	}
 }
 
 // routerDown releases a router from what it had taken.
-func (c *Checker) routerDown(e *eventlog.Entry) {
-	for id, r := range c.requests {
-		if id.router != e.Router {
+func (c *Checker) routerDown(entry *eventlog.Entry) {
+	for id, request := range c.requests {
+		if id.router != entry.Router {
 			continue
 		}
 		delete(c.requests, id)
 		if _, known := c.ofDeadRouters[id]; !known {
-			c.ofDeadRouters[id] = r
-			c.ended = append(c.ended, endedRequest{id, e.At})
+			c.ofDeadRouters[id] = request
+			c.ended = append(c.ended, endedRequest{id, entry.At})
 		}
 	}
-	delete(c.notified, e.Router)
-	delete(c.purges, e.Router)
-	delete(c.stalls, e.Router)
+	delete(c.notified, entry.Router)
+	delete(c.purges, entry.Router)
+	delete(c.stalls, entry.Router)
 }
 
 // routerUp notifies a router of the endpoint list as it is.
-func (c *Checker) routerUp(e *eventlog.Entry) {
-	c.notified[e.Router] = map[string]notification{}
+func (c *Checker) routerUp(entry *eventlog.Entry) {
+	c.notified[entry.Router] = map[string]notification{}
 	for endpoint, listed := range c.listed {
-		c.notified[e.Router][endpoint] = notification{listed.state, e.At}
+		c.notified[entry.Router][endpoint] = notification{listed.state, entry.At}
 	}
 }
