--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -27,7 +27,7 @@
 func (r *routerProcess) start(known []simulation.Server) error {
 	r.startCount++
 	r.discoveryEvents = []string{r.endpointListEvent(1, known, true)}
-	setup := r.scenario.Settings(r.world.Office(r.id), r.id)
+	setup := r.scenario.Settings(r.simulation.Office(r.id), r.id)
 	if r.options.Settings != nil {
 		r.options.Settings(&setup)
 	}
@@ -38,7 +38,7 @@
 		"seed":             fmt.Sprintf("%x", r.id+1+r.startCount<<16),
 		"limits":           map[string]any{"cores": processCores, "memory_mb": processMemoryMB, "sockets": processSockets},
 		"board":            r.discoveryListener.Addr().String(),
-		"flow_bytes_per_s": fleet.FlowKBPerS * 1000,
+		"flow_bytes_per_s": fleet.FlowKBPerS * bytesPerKB,
 		"link_bytes_per_s": fleet.FlowKBPerS * linkBytesPerFlowKB,
 		"known":            json.RawMessage(`{"rev":1,"notices":[` + r.discoveryEvents[0] + `]}`),
 		"settings":         setup,
@@ -91,7 +91,7 @@
 		Listen:       r.gatewayAddr,
 		LocalReserve: siteLocalReserve,
 		MaxRequests:  maxForwarded,
-		HeartbeatMS:  heartbeatMicros / 1000,
+		HeartbeatMS:  heartbeatMicros / microsPerMilli,
 		CertFile:     r.file(".pem"),
 		KeyFile:      r.file(".key"),
 		CAFile:       filepath.Join(r.dir, "ca.pem"),
@@ -126,7 +126,7 @@
 
 // site is the name of the router's site.
 func (r *routerProcess) site() string {
-	return scenario.Zone(r.scenario.Fleet.Site(r.world.Office(r.id)))
+	return scenario.Zone(r.scenario.Fleet.Site(r.simulation.Office(r.id)))
 }
 
 // file is a file of the router's own in the run's folder.
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"sync"
@@ -11,39 +10,17 @@
 	"time"
 
 	"quilldoor/internal/checker"
-	"quilldoor/internal/eventlog"
 	"quilldoor/internal/gateway"
 	"quilldoor/internal/scenario"
 	"quilldoor/internal/simulation"
 )
 
-// Routers are the processes that a run on sockets plays against.
-type Routers struct {
-	Program string         // the router's program; "": quilldoor beside the running program
-	Listen  string         // the first router's address for clients; "" or port 0: any address on loopback
-	Ready   func([]string) // called with the routers' addresses once all are ready
-	Log     io.Writer      // receives what routers log; nil: only the end is kept, for the report of a crash
-	Guests  bool           // also serve requests that are not the scenario's own
-	// Earlier is the program of every second router: an earlier version, which has no
-	// supervisor. "": Program.
-	Earlier string
-	// Drive is called beside the run where the scenario's routers are supervised, once all
-	// are ready. The run goes on until it returns. Its error ends the run.
-	Drive func(context.Context, *Supervised) error
-	// EndWithDrive stops the arrival of clients once Drive has returned.
-	EndWithDrive bool
-}
-
 const (
 	// socketAnswerSlackMicros is how much later than its deadline an answer may come on
 	// sockets: 50 ms that the platform allows and 8 ms that the policy allows.
 	socketAnswerSlackMicros = 58_000
 	// maxListeners bounds the file descriptors: each router has its own address for each server.
 	maxListeners = 3000
-	// taskQueueLength is how many tasks may wait for the loop before senders block.
-	taskQueueLength = 4096
-	// maxLoopWaitMicros is how long the loop sleeps at most when the world has nothing due.
-	maxLoopWaitMicros = 100_000
 	// clientIdleConns and clientIdleTimeout bound the idle connections of the emulated clients.
 	clientIdleConns   = 200
 	clientIdleTimeout = 4 * time.Second
@@ -51,50 +28,51 @@
 	gatewayKeyLifetime = 24 * time.Hour
 )
 
-// socketRun is a run on loopback. Its loop is the one goroutine that touches the world
+// socketRun is a run on loopback. Its loop is the one goroutine that touches the simulation
 // and the routers' state; all other goroutines hand it tasks by runInLoop.
 type socketRun struct {
-	options      Options
-	scenario     *scenario.Scenario
-	world        *simulation.Simulation
-	checker      *checker.Checker
-	routers      []*routerProcess
-	client       *http.Client
-	startedAt    time.Time
-	tasks        chan func()
-	dir          string
-	failures     chan error
-	cancel       context.CancelFunc
-	ctx          context.Context
-	goroutines   sync.WaitGroup
-	config       Routers
-	driverDone   chan error  // nil: there is no Drive, or it has returned
-	sitesCut     atomic.Bool // sites can't reach each other
-	maxLate      int64       // the longest delay of a due event, in microseconds
-	membership   Members     // what was seen of the routers' membership views
-	cost         Cost
-	brokenConns  int // connections that ended without an answer, not by their client
-	refusedConns int
+	options        Options
+	scenario       *scenario.Scenario
+	simulation     *simulation.Simulation
+	checker        *checker.Checker
+	routers        []*routerProcess
+	client         *http.Client
+	startedAt      time.Time
+	tasks          chan func()
+	dir            string
+	failures       chan error
+	cancel         context.CancelFunc
+	ctx            context.Context
+	goroutines     sync.WaitGroup
+	config         Routers
+	driverDone     chan error  // nil: there is no Drive, or it has returned
+	sitesCut       atomic.Bool // sites can't reach each other
+	reportedSecond int64       // the last one that Options.Progress was called for
+	maxLate        int64       // the longest delay of a due event, in microseconds
+	membership     Members     // what was seen of the routers' membership views
+	cost           Cost
+	brokenConns    int // connections that ended without an answer, not by their client
+	refusedConns   int
 }
 
 // RunOnSockets plays a scenario in real time: it listens on loopback for all that routers
 // talk to, and starts a router process for each router.
-func RunOnSockets(ctx context.Context, s *scenario.Scenario, opt Options, conf Routers) (*Result, error) {
+func RunOnSockets(ctx context.Context, s *scenario.Scenario, options Options, config Routers) (*Result, error) {
 	if err := checkListenerCount(s); err != nil {
 		return nil, err
 	}
-	program, err := findProgram(conf.Program)
+	program, err := findProgram(config.Program)
 	if err != nil {
 		return nil, err
 	}
-	conf.Program = program
+	config.Program = program
 	dir, err := os.MkdirTemp("", "quilldoor-lab-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	ctx, cancel := context.WithCancel(ctx)
-	run := newSocketRun(ctx, cancel, s, opt, conf, dir)
+	run := newSocketRun(ctx, cancel, s, options, config, dir)
 	defer run.close()
 	if err := run.prepareRouters(); err != nil {
 		return nil, err
@@ -127,10 +105,10 @@
 }
 
 func newSocketRun(
-	ctx context.Context, cancel context.CancelFunc, s *scenario.Scenario, opt Options, conf Routers, dir string,
+	ctx context.Context, cancel context.CancelFunc, s *scenario.Scenario, options Options, config Routers, dir string,
 ) *socketRun {
 	run := &socketRun{
-		options:  opt,
+		options:  options,
 		scenario: s,
 		checker:  checker.New(CheckerSettings(s, socketAnswerSlackMicros)),
 		tasks:    make(chan func(), taskQueueLength),
@@ -138,35 +116,35 @@
 		failures: make(chan error, 1),
 		ctx:      ctx,
 		cancel:   cancel,
-		config:   conf,
+		config:   config,
 		client: &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: clientIdleConns,
 			IdleConnTimeout:     clientIdleTimeout,
 			DisableCompression:  true,
 		}},
 	}
-	run.world = simulation.New(s, opt.Seed, run)
-	run.world.Slack = socketAnswerSlackMicros
+	run.simulation = simulation.New(s, options.Seed, run)
+	run.simulation.Slack = socketAnswerSlackMicros
 	return run
 }
 
 // prepareRouters opens what the routers talk to and writes their operators' files.
-func (run *socketRun) prepareRouters() error {
-	fleet := &run.scenario.Fleet
+func (s *socketRun) prepareRouters() error {
+	fleet := &s.scenario.Fleet
 	if fleet.Sites >= 2 {
-		if err := run.makeGatewayKeys(); err != nil {
+		if err := s.makeGatewayKeys(); err != nil {
 			return err
 		}
 	}
-	for i := range run.world.Routers() {
+	for i := range s.simulation.Routers() {
 		r := &routerProcess{
-			socketRun:   run,
+			socketRun:   s,
 			id:          i,
 			servers:     map[string]*serverListener{},
 			requests:    map[string]*clientRequest{},
 			eventPosted: make(chan struct{}),
 		}
-		run.routers = append(run.routers, r)
+		s.routers = append(s.routers, r)
 		if err := r.prepare(); err != nil {
 			return err
 		}
@@ -174,7 +152,7 @@
 	if fleet.Sites < 2 && !fleet.Membership && !fleet.Supervised && fleet.DiskMB <= 0 {
 		return nil
 	}
-	for _, r := range run.routers { // after all have addresses: a file names the peers'
+	for _, r := range s.routers { // after all have addresses: a file names the peers'
 		if err := r.writeOperatorConfig(); err != nil {
 			return err
 		}
@@ -182,21 +160,21 @@
 	return nil
 }
 
-func (run *socketRun) makeGatewayKeys() error {
+func (s *socketRun) makeGatewayKeys() error {
 	var names []string
-	for i := range run.world.Routers() {
+	for i := range s.simulation.Routers() {
 		names = append(names, routerName(i))
 	}
-	return gateway.MakeKeys(run.dir, names, gatewayKeyLifetime)
+	return gateway.MakeKeys(s.dir, names, gatewayKeyLifetime)
 }
 
 // startRouters starts one router after another, as a start takes CPU that the others need,
 // and reports their addresses once all are ready.
-func (run *socketRun) startRouters() error {
-	run.startedAt = time.Now()
+func (s *socketRun) startRouters() error {
+	s.startedAt = time.Now()
 	var addrs []string
-	for _, r := range run.routers {
-		if err := r.start(run.world.Known()); err != nil {
+	for _, r := range s.routers {
+		if err := r.start(s.simulation.Known()); err != nil {
 			return err
 		}
 		if err := r.waitReady(); err != nil {
@@ -204,152 +182,52 @@
 		}
 		addrs = append(addrs, r.clientAddr)
 	}
-	if run.config.Ready != nil {
-		run.config.Ready(addrs)
+	if s.config.Ready != nil {
+		s.config.Ready(addrs)
 	}
 	return nil
 }
 
 // startWatchers starts what goes on beside the loop: polls of the membership views, and Drive.
-func (run *socketRun) startWatchers() {
-	if run.scenario.Fleet.Membership {
-		run.goroutines.Go(run.watchMembership)
+func (s *socketRun) startWatchers() {
+	if s.scenario.Fleet.Membership {
+		s.goroutines.Go(s.watchMembership)
 	}
-	if run.config.Drive != nil {
+	if s.config.Drive != nil {
 		done := make(chan error, 1)
-		run.driverDone = done
-		run.goroutines.Go(func() { done <- run.config.Drive(run.ctx, &Supervised{run}) })
+		s.driverDone = done
+		s.goroutines.Go(func() { done <- s.config.Drive(s.ctx, &Supervised{s}) })
 	}
 }
 
-func (run *socketRun) killRouters() {
-	for _, r := range run.routers {
+func (s *socketRun) killRouters() {
+	for _, r := range s.routers {
 		r.kill()
 	}
 }
 
 // close ends the routers and all goroutines of the run.
-func (run *socketRun) close() {
-	run.cancel()
-	run.killRouters()
-	run.client.CloseIdleConnections()
-	run.goroutines.Wait()
+func (s *socketRun) close() {
+	s.cancel()
+	s.killRouters()
+	s.client.CloseIdleConnections()
+	s.goroutines.Wait()
 }
 
-func (run *socketRun) result() *Result {
+func (s *socketRun) result() *Result {
 	r := &Result{
-		Result:             run.world.Result,
-		Violations:         run.checker.Violations,
-		CountByRule:        run.checker.CountByRule,
-		Judged:             run.checker.Checked,
-		MaxDelay:           run.maxLate,
-		Excused:            run.checker.Excused,
-		Cost:               run.cost,
-		BrokenConnections:  run.brokenConns,
-		RefusedConnections: run.refusedConns,
-	}
-	if run.scenario.Fleet.Membership {
-		r.Members = &run.membership
+		Result:             s.simulation.Result,
+		Violations:         s.checker.Violations,
+		CountByRule:        s.checker.CountByRule,
+		Judged:             s.checker.Checked,
+		MaxDelay:           s.maxLate,
+		Excused:            s.checker.Excused,
+		Cost:               s.cost,
+		BrokenConnections:  s.brokenConns,
+		RefusedConnections: s.refusedConns,
+	}
+	if s.scenario.Fleet.Membership {
+		r.Members = &s.membership
 	}
 	return r
 }
-
-// now is the time of the run in microseconds.
-func (run *socketRun) now() int64 { return time.Since(run.startedAt).Microseconds() }
-
-// unixMS is a time of the run as milliseconds since 1970, the form in which the platform
-// tells times.
-func (run *socketRun) unixMS(at int64) int64 { return run.startedAt.UnixMilli() + at/1000 }
-
-// loop plays the world by the real clock until it is over.
-func (run *socketRun) loop() error {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	reported := int64(0)
-	for {
-		now := run.now()
-		end := run.world.Length()
-		if run.world.Over() || now > end {
-			if run.driverDone != nil {
-				return <-run.driverDone
-			}
-			return nil
-		}
-		for at := run.world.Next(); at <= now && run.world.Step(now); at = run.world.Next() {
-			run.maxLate = max(run.maxLate, run.now()-at)
-		}
-		if second := now / 1_000_000; second > reported && run.options.Progress != nil {
-			reported = second
-			run.options.Progress(float64(now)/float64(end), run.world.Result.Timeline)
-		}
-		wait := max(min(run.world.Next()-run.now(), maxLoopWaitMicros), 0)
-		timer.Reset(time.Duration(wait) * time.Microsecond)
-		if err := run.waitForEvent(timer.C); err != nil {
-			return err
-		}
-	}
-}
-
-// waitForEvent waits for a task, the timer, the end of Drive, a failure or the end of the
-// run's context, and handles it.
-func (run *socketRun) waitForEvent(timer <-chan time.Time) error {
-	select {
-	case task := <-run.tasks:
-		run.world.At(run.now())
-		task()
-	case <-timer:
-	case err := <-run.failures:
-		return err
-	case err := <-run.driverDone:
-		run.driverDone = nil
-		if err != nil {
-			return err
-		}
-		if run.config.EndWithDrive {
-			run.world.At(run.now())
-			run.world.Close()
-		}
-	case <-run.ctx.Done():
-		return run.ctx.Err()
-	}
-	return nil
-}
-
-// runInLoop hands the loop a task. Once the run is over the task is dropped.
-func (run *socketRun) runInLoop(task func()) {
-	select {
-	case run.tasks <- task:
-	case <-run.ctx.Done():
-	}
-}
-
-// AttemptEnded answers an attempt.
-func (run *socketRun) AttemptEnded(_ int, h *simulation.Attempt, e simulation.AttemptResult) {
-	h.Tag.(*serverAttempt).finish(h, e)
-}
-
-// Note passes an entry of the event log on to the checker and the record. Where a server
-// starts or goes down, its listeners follow.
-func (run *socketRun) Note(e *eventlog.Entry) {
-	run.sitesCut.Store(run.world != nil && run.world.SitesCut())
-	switch e.Kind {
-	case eventlog.KindDown, eventlog.KindStarted:
-		for _, r := range run.routers {
-			if p := r.servers[e.Endpoint]; p != nil {
-				p.setState(e.Kind == eventlog.KindStarted, run.world.Silent(e.Endpoint))
-			}
-		}
-	}
-	run.checker.Observe(e)
-	if run.options.Record != nil {
-		run.options.Record(e)
-	}
-}
-
-// fail ends the run with an error. Only the first error counts.
-func (run *socketRun) fail(err error) {
-	select {
-	case run.failures <- err:
-	default:
-	}
-}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,6 +20,7 @@
 	"quilldoor/internal/gateway/peerpolicy"
 	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/policy"
+	"quilldoor/internal/testsupport"
 )
 
 // wire is a proxy between two sites that can be delayed and cut, each way alone.
@@ -33,6 +34,7 @@
 }
 
 func newWire(t *testing.T, to string) *wire {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -114,6 +116,18 @@
 	defer s.mu.Unlock()
 	s.execute = carry
 }
+
+// executesUntilGone lets each request run until its client is gone, and tells of each end.
+func (s *side) executesUntilGone() (ended <-chan struct{}) {
+	ends := make(chan struct{}, 9)
+	s.executes(func(left <-chan struct{}, _ *Request) Reply {
+		<-left
+		ends <- struct{}{}
+		return Reply{Outcome: peerpolicy.OutcomeAborted}
+	})
+	return ends
+}
+
 func (s *side) Purges(string, int64) []peerproto.Purge { return s.known }
 func (s *side) Purge(object string, group, at int64) {
 	s.mu.Lock()
@@ -151,17 +165,6 @@
 	return s
 }
 
-func until(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for range 5000 {
-		if ok() {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Fatal(what, "has not come")
-}
-
 func (s *side) isConnected() bool {
 	s.Gateway.mu.Lock()
 	defer s.Gateway.mu.Unlock()
@@ -175,7 +178,7 @@
 	south = newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, nil)
 	w = newWire(t, south.addr)
 	north = newSide(t, "n", "north", []Peer{{"s", "south", w.Addr().String()}}, nil)
-	until(t, "a healthy peer", func() bool { return north.isConnected() })
+	testsupport.WaitUntil(t, "a healthy peer", func() bool { return north.isConnected() })
 	return north, south, w
 }
 
@@ -194,25 +197,39 @@
 	return out
 }
 
-func get(t *testing.T, c chan Reply) Reply {
+// awaitReply returns the first end of a request.
+func awaitReply(t *testing.T, replies chan Reply) Reply {
 	t.Helper()
-	if c == nil {
+	if replies == nil {
 		t.Fatal("not forwarded")
 	}
 	select {
-	case r := <-c:
-		select {
-		case again := <-c:
-			t.Fatalf("a second end: %+v", again)
-		case <-time.After(20 * time.Millisecond):
-		}
-		return r
+	case reply := <-replies:
+		return reply
 	case <-time.After(5 * time.Second):
 		t.Fatal("no end")
 	}
 	return Reply{}
 }
 
+// expectNoSecondReply fails the test where a request ends twice.
+func expectNoSecondReply(t *testing.T, replies chan Reply) {
+	t.Helper()
+	select {
+	case again := <-replies:
+		t.Fatalf("a second end: %+v", again)
+	case <-time.After(20 * time.Millisecond):
+	}
+}
+
+// get returns the one end of a request.
+func get(t *testing.T, replies chan Reply) Reply {
+	t.Helper()
+	reply := awaitReply(t, replies)
+	expectNoSecondReply(t, replies)
+	return reply
+}
+
 func TestForwardedRequestIsAnswered(t *testing.T) {
 	north, south, _ := pair(t)
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
@@ -240,7 +257,7 @@
 			t.Errorf("%v for %+v", r.Outcome, far)
 		}
 	}
-	until(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
 	for _, s := range []*side{north, south} { // all buffers are back
 		for n := 0; n < 512; n++ {
 			if _, err := s.pool.ReadBody(strings.NewReader("x"), 1); err != nil {
@@ -271,7 +288,7 @@
 		"requests lost, unsafe": {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, func() { w.dead[0].Store(true) }},
 		"both lost, safe":       {peerpolicy.EffectIdempotent, peerpolicy.OutcomeRejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
 	} {
-		until(t, name+": a healthy peer", func() bool { return north.isConnected() })
+		testsupport.WaitUntil(t, name+": a healthy peer", func() bool { return north.isConnected() })
 		out := north.send(c.effect, name, nil, 3*time.Second)
 		<-running
 		began := time.Now()
@@ -305,20 +322,19 @@
 // that may have been executed, and the peer hears that it was given up.
 func TestSlowPeerIsGivenUpInTime(t *testing.T) {
 	north, south, _ := pair(t)
-	gone := make(chan bool, 9)
-	south.executes(func(left <-chan struct{}, _ *Request) Reply {
-		<-left
-		gone <- true
-		return Reply{Outcome: peerpolicy.OutcomeAborted}
-	})
+	gone := south.executesUntilGone()
 	for _, effect := range []peerpolicy.Effect{peerpolicy.EffectIdempotent, peerpolicy.EffectIdempotencyKey, peerpolicy.EffectUnsafe} {
+		const timeLimit = 300 * time.Millisecond
 		began := time.Now()
-		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.Outcome != peerpolicy.OutcomeAborted {
-			t.Errorf("effect %d: %v", effect, r.Outcome)
-		}
-		if took := time.Since(began); took > 320*time.Millisecond {
+		replies := north.send(effect, "x", nil, timeLimit)
+		reply := awaitReply(t, replies)
+		if took := time.Since(began); took > timeLimit {
 			t.Errorf("effect %d: told after %v", effect, took)
 		}
+		if reply.Outcome != peerpolicy.OutcomeAborted {
+			t.Errorf("effect %d: %v", effect, reply.Outcome)
+		}
+		expectNoSecondReply(t, replies)
 		<-gone
 	}
 }
@@ -402,21 +418,16 @@
 // A client that leaves, and a router that drains.
 func TestClientGoneAndDrain(t *testing.T) {
 	north, south, _ := pair(t)
-	gone := make(chan bool, 1)
-	south.executes(func(left <-chan struct{}, _ *Request) Reply {
-		<-left
-		gone <- true
-		return Reply{Outcome: peerpolicy.OutcomeAborted}
-	})
+	gone := south.executesUntilGone()
 	out := north.send(peerpolicy.EffectIdempotent, "x", nil, 3*time.Second)
-	until(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
+	testsupport.WaitUntil(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
 	north.Cancel(fmt.Sprintf("%016x", count.Load()))
 	<-gone
 	if len(out) > 0 {
 		t.Error("an end for a client that had left")
 	}
 	south.Drain()
-	until(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
+	testsupport.WaitUntil(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
 	if north.send(peerpolicy.EffectIdempotent, "x", nil, time.Second) != nil {
 		t.Error("handed over to one that drains")
 	}
@@ -465,7 +476,7 @@
 		t.Fatalf("%v after all that", r.Outcome)
 	}
 	r.Body.Release()
-	until(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
 }
 
 // The clocks of two sites may be hours apart: a frame's delay is counted from the quickest
@@ -503,7 +514,7 @@
 	}
 	logged := func(s *side, what string) {
 		t.Helper()
-		until(t, what, func() bool {
+		testsupport.WaitUntil(t, what, func() bool {
 			for _, e := range s.hook.AllEntries() {
 				if e.Data["reason"] == what {
 					return true
@@ -516,7 +527,7 @@
 	south := newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, own)
 	join := func(k *Keys) *side { return newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, k) }
 	north := join(keys(dir, "n", dir))
-	until(t, "a healthy peer", func() bool { return north.isConnected() })
+	testsupport.WaitUntil(t, "a healthy peer", func() bool { return north.isConnected() })
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
 	if r.Outcome != peerpolicy.OutcomeCompleted {
 		t.Fatal(r.Outcome)
@@ -579,5 +590,5 @@
 		t.Fatalf("%d requests run for it, %d hold a place", n, south.Status().InboundInFlight)
 	}
 	c.Close()
-	until(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
 }
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -8,22 +8,22 @@
 )
 
 // startNetworkFault starts a fault of the network between routers.
-func (w *Simulation) startNetworkFault(fault *scenario.Fault) (endFault func()) {
+func (s *Simulation) startNetworkFault(fault *scenario.Fault) (endFault func()) {
 	var ids []int
-	for _, router := range w.routers {
+	for _, router := range s.routers {
 		if fault.Office == 0 || router.office == fault.Office-1 {
 			ids = append(ids, router.id)
 		}
 	}
-	chosen := drawShare(w.networkRandom, ids, fault.Share)
+	chosen := drawShare(s.networkRandom, ids, fault.Share)
 	switch fault.Kind {
-	case faultNetworkChain:
+	case scenario.KindPeerChain:
 		third := len(ids) / 3
-		return w.Network.Partition(ids[:third], ids[third:2*third])
-	case faultNetworkSplit:
-		return w.Network.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
+		return s.Network.Partition(ids[:third], ids[third:2*third])
+	case scenario.KindPeerPartition:
+		return s.Network.Partition(splitRouters(ids, int(fault.Strength), fault.Share)...)
 	default:
-		return w.Network.AddFault(networkFault(fault, chosen))
+		return s.Network.AddFault(networkFault(fault, chosen))
 	}
 }
 
@@ -31,22 +31,22 @@
 func networkFault(fault *scenario.Fault, from []int) *netsim.Fault {
 	f := &netsim.Fault{From: from, Bidirectional: true}
 	switch fault.Kind {
-	case faultNetworkDelay:
+	case scenario.KindPeerDelay:
 		f.Delay = int64(fault.Strength * millisecond)
-	case faultNetworkJitter:
+	case scenario.KindPeerJitter:
 		f.Jitter = int64(fault.Strength * millisecond)
-	case faultNetworkLoss:
+	case scenario.KindPeerLoss:
 		f.Loss = fault.Strength
-	case faultNetworkDuplicate:
+	case scenario.KindPeerDuplication:
 		f.Duplicate = fault.Strength
-	case faultNetworkReorder:
+	case scenario.KindPeerReorder:
 		f.Reorder = fault.Strength
-	case faultNetworkSlow:
+	case scenario.KindPeerBandwidth:
 		const bytesPerKB = 1000
 		f.BytesPerSecond = fault.Strength * bytesPerKB
-	case faultNetworkCut:
+	case scenario.KindPeerCut:
 		f.Partitioned = true
-	case faultNetworkOneWay:
+	case scenario.KindPeerOneWay:
 		f.Partitioned = true
 		f.Bidirectional = false
 	}
