--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -10,7 +10,8 @@
 	attemptKinds                         // how many there are
 )
 
-// AttemptCounts holds numbers of attempts by their kind: fills, cache-only, parent-only.
+// AttemptCounts holds numbers of attempts by their kind: fills, cache-only, parent-only. They are whole; floats, since
+// they are compared with limits that are not.
 type AttemptCounts [attemptKinds]float64
 
 // attempt is one sending of a request to an endpoint.
@@ -20,7 +21,7 @@
 	sentAt   int64
 	kind     attemptKind
 	inFlight bool
-	lost     bool // the endpoint failed meanwhile, and the request has gone on
+	lost     bool // the endpoint or the source was ejected meanwhile, and the request has gone on
 	late     bool // counted as overdue
 }
 
@@ -47,7 +48,7 @@
 	var p plan
 	p.target, p.source = r.route(req)
 	if p.target == nil || p.source == nil || req.deadline <= r.now || len(req.attempts) >= r.maxAttempts(req) ||
-		!r.retryPermitted(req, p.target) {
+		!r.attemptPermitted(req, p.target) {
 		r.rejectOrFail(req)
 		return
 	}
@@ -62,7 +63,9 @@
 }
 
 // avoidOverload changes the plan of a read that the origin or its target has no capacity for: to another cache
-// that is idle, then to what the cache holds, then to what the parent holds. False: nothing is left to try.
+// that is idle, else to what the cache holds, else to what the parent holds. The last two are tried once for each
+// request: one attempt without capacity looks at the first, the next one at the second, whatever came of the first.
+// False: nothing is left to try.
 func (r *Router) avoidOverload(req *request, p *plan) bool {
 	// Above this use of the link from the parents, transfers from there are late themselves.
 	const maxLinkUse = 0.5
@@ -76,7 +79,7 @@
 			return true
 		}
 	}
-	req.fallback++
+	req.fallback++ // attemptFill, then attemptCacheOnly, then attemptParentOnly
 	switch {
 	case req.fallback == attemptCacheOnly && !r.saturated(req, &p.target.limiters[attemptCacheOnly]):
 		p.kind, p.source, p.staleGrace = attemptCacheOnly, p.target, req.class.staleGrace
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -26,11 +26,11 @@
 	inFlight    int   // attempts
 	silentSince int64 // since when nothing has come, while attempts are in flight
 
-	health       health
-	healthDue    int64 // suspect: when a failure counts again; ejected: when probation begins
-	ejections    int64 // since it was last readmitted
-	readmittedAt int64 // 0: not ejected since it started
-	fillSamples  []sample
+	health          health
+	healthHeldUntil int64 // suspect: no failure counts before; ejected: nothing is sent before, then probation begins
+	ejections       int64 // since it was last readmitted
+	readmittedAt    int64 // 0: not ejected since it started
+	fillSamples     []sample
 
 	reservations []reservation // work sent to it in slow start
 	cached       []uint64      // hashes of the objects that it was asked to keep, by recency, latest last
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -45,7 +45,7 @@
 	bestFailed := true
 	restricted := role == roleCache && req.maybeExecuted()
 	for _, ep := range r.ordered {
-		if ep.role != role || restricted && !r.retryPermitted(req, ep) || !r.usable(ep, req) ||
+		if ep.role != role || restricted && !r.attemptPermitted(req, ep) || !r.usable(ep, req) ||
 			filter != nil && !filter(ep) {
 			continue
 		}
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The texts of ActionLog.
+// The texts of ActionLog. LogEjected comes with Action.Backoff.
 const (
 	LogEjected    = "endpoint ejected"
 	LogReadmitted = "endpoint readmitted"
@@ -55,12 +55,12 @@
 func (r *Router) observe(ep *endpoint, signal signal) {
 	// Attempts that fail together, as those of one connection do, are one failure.
 	const failuresApart = 100 * millisecond
-	if ep == nil || signal == signalFailed && ep.health == suspect && r.now < ep.healthDue {
+	if ep == nil || signal == signalFailed && ep.health == suspect && r.now < ep.healthHeldUntil {
 		return
 	}
 	switch {
 	case signal == signalFailed && ep.health == healthy:
-		ep.healthDue = r.now + failuresApart
+		ep.healthHeldUntil = r.now + failuresApart
 	case signal == signalAnswered:
 		ep.silentSince = r.now
 	}
@@ -80,12 +80,16 @@
 // maxBackoffDoublings bounds the exponent of the ejection time; its maximum is reached before.
 const maxBackoffDoublings = 8
 
-// eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted.
+// eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted. An answer that
+// comes meanwhile, even an error or a late one, readmits it at once.
 func (r *Router) eject(ep *endpoint) {
-	const ejectionTime, maxEjectionTime = 1 * second, 4 * second
+	const (
+		ejectionTime    = 1 * second // a process that was restarted is back within seconds
+		maxEjectionTime = 4 * second // a silent machine costs one attempt or health check in that time
+	)
 	ep.fillSamples = nil
 	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
-	ep.healthDue = r.now + backoff
+	ep.healthHeldUntil = r.now + backoff
 	ep.ejections = min(ep.ejections+1, maxBackoffDoublings)
 	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: ep.id, Backoff: backoff})
 }
@@ -97,7 +101,8 @@
 	}
 }
 
-// readmit takes an ejected endpoint in again and drops what counted against it.
+// readmit takes an ejected endpoint in again and drops what counted against it, the doubling of its ejection time
+// included.
 func (r *Router) readmit(ep *endpoint) {
 	ep.ejections, ep.fillSamples, ep.readmittedAt = 0, nil, r.now
 	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
@@ -144,7 +149,7 @@
 func (r *Router) updateHealth() {
 	const minUnanswered = 3 // attempts: a single one may just be slow
 	for _, ep := range r.ordered {
-		if ep.health == ejected && r.now >= ep.healthDue {
+		if ep.health == ejected && r.now >= ep.healthHeldUntil {
 			r.observe(ep, signalEjectionOver)
 		}
 		if ep.inFlight >= minUnanswered && r.now-ep.silentSince > r.config.silenceLimit {
--- a/internal/policy/outlierejection_test.go
+++ b/internal/policy/outlierejection_test.go
@@ -33,7 +33,7 @@
 	if r.observe(s, signalFailed); s.health != ejected || r.usable(s, &request{cost: 1}) {
 		t.Fatal("two failures do not eject an endpoint")
 	}
-	r.now = s.healthDue
+	r.now = s.healthHeldUntil
 	if r.observe(s, signalEjectionOver); s.health != probation || !r.usable(s, &request{cost: 1}) {
 		t.Fatal("no probation after the ejection")
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -32,7 +32,7 @@
 
 	state         requestState
 	retryAt       int64       // when the next attempt is due; 0: none is
-	fallback      attemptKind // the last kind without the origin that it has come to
+	fallback      attemptKind // the kind that spares the origin which avoidOverload tried last; attemptFill: none yet
 	admissionDraw float64     // drawn once, against load shedding; 0: not yet
 	firstSentAt   int64       // when the first attempt that may have been executed was sent
 	attempts      []attempt
@@ -57,7 +57,7 @@
 	inputArrived       input = iota
 	inputNotExecuted         // an attempt ended, proven not to have been executed
 	inputMaybeExecuted       // an attempt ended that may have been executed
-	inputEndpointLost        // an attempt is in flight to an endpoint that failed
+	inputEndpointLost        // an attempt is in flight to an endpoint that was ejected, or fills from one
 	inputRetryDue            // the pause before the next attempt is over
 	inputStarted             // the response begins
 	inputFinal               // it is answered, or its client has gone
@@ -79,7 +79,7 @@
 		{stateNotExecuted, inputArrived, 0, (*Router).startAttempt},
 		{stateUndecided, inputNotExecuted, 0, (*Router).retry},
 		{stateUndecided, inputMaybeExecuted, stateMaybeExecuted, (*Router).retry},
-		{stateUndecided, inputEndpointLost, 0, (*Router).hedge},
+		{stateUndecided, inputEndpointLost, 0, (*Router).replaceLostAttempt},
 		{stateUndecided, inputRetryDue, 0, (*Router).startAttempt},
 		{stateUndecided, inputStarted, stateStreaming, nil},
 		{stateUndecided | stateStreaming, inputFinal, stateClosed, (*Router).closeRequest},
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -43,8 +43,9 @@
 	notIdempotent: {},
 }
 
-// retryPermitted reports whether the request may be sent to an endpoint without the danger of a second effect.
-func (r *Router) retryPermitted(req *request, ep *endpoint) bool {
+// attemptPermitted reports whether the request may be sent to an endpoint without the danger of a second effect. The
+// first attempt always may.
+func (r *Router) attemptPermitted(req *request, ep *endpoint) bool {
 	if !req.maybeExecuted() {
 		return true
 	}
@@ -119,14 +120,22 @@
 	return failedOneIn*failed >= max(all, minSamples)
 }
 
-// hedge sends a second attempt while the first is in flight; or, where the site does not allow that, withdraws
-// the first, whose end brings another.
-func (r *Router) hedge(req *request) {
+// replaceLostAttempt goes on from an attempt that is in flight to an endpoint that was ejected, or that fills from
+// one. Time in flight alone never leads here. Where the site allows no second attempt beside the first, that is
+// withdrawn, and its end brings a retry.
+func (r *Router) replaceLostAttempt(req *request) {
 	switch {
 	case req.class.idempotency != idempotent:
-	case !r.config.hedging && r.config.cancel:
+	case r.config.hedging:
+		r.hedge(req)
+	case r.config.cancel:
 		r.do(Action{Kind: ActionCancel, Request: req.id, Attempt: len(req.attempts) - 1})
-	case r.config.hedging && len(req.attempts) < r.config.maxAttempts && r.selectEndpoint(req, roleCache, nil) != nil:
+	}
+}
+
+// hedge sends another attempt beside the one in flight, if a cache is left for it.
+func (r *Router) hedge(req *request) {
+	if len(req.attempts) < r.config.maxAttempts && r.selectEndpoint(req, roleCache, nil) != nil {
 		r.startAttempt(req)
 	}
 }
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -12,7 +12,7 @@
 	second      = 1000 * millisecond
 )
 
-// Router is one instance of the decisions.
+// Router is one instance of the decisions. It is used by one goroutine at a time.
 type Router struct {
 	config  config
 	now     int64    // of the event in hand
@@ -66,7 +66,8 @@
 	reasonsGiven  bool // every answer of a cache gives its reason
 }
 
-// New starts a Router from its settings and the seed of its random draws.
+// New starts a Router from its settings and the seed of its random draws. Routers with equal settings, seeds and
+// events decide alike.
 func New(settings Settings, seed uint64) *Router {
 	r := &Router{
 		config:     newConfig(&settings),
@@ -166,7 +167,8 @@
 	return limit
 }
 
-// Handle takes one event at the given time and appends the actions that it leads to.
+// Handle takes one event at the given time, in microseconds from any start that all calls share, and appends the
+// actions that it leads to. Times must not go back.
 func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
 	r.now, r.actions = now, actions
 	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -9,9 +9,10 @@
 )
 
 // Snapshot is what a Router has learned, for one that takes its place at once: how popular objects are, what
-// caches keep, limits, ejections, slow-start reservations and purges. Open requests are not in it. Times are those
-// of Handle. Routers of different versions exchange it: fields are only added, and those that the writer does not
-// know are zero.
+// caches keep, limits, ejections, slow-start reservations and purges. Left out are open requests, when endpoints were
+// readmitted, the delay of the origin, and a subscription that is to be repeated: these the next Router learns anew.
+// Times are those of Handle, in microseconds. Routers of different versions exchange it: fields are only added, and
+// those that the writer does not know are zero.
 type Snapshot struct {
 	SketchRows         [4][]uint64                   `cbor:"1,keyasint"`
 	SketchDoorkeeper   []uint64                      `cbor:"2,keyasint"`
@@ -27,10 +28,12 @@
 	Extra              map[string][]byte             `cbor:"12,keyasint,omitempty"` // of later versions
 }
 
-// TransferTimes are those of a traffic class's last requests.
+// TransferTimes are the transfer times of a traffic class's last requests in microseconds, 32 at most.
 type TransferTimes []int64
 
-// EndpointSnapshot is what is known of an endpoint.
+// EndpointSnapshot is what is known of an endpoint. Health is a value of the unexported type health; DueAt is the time
+// until which a failure does not count or the ejection lasts; Ejections counts those since it was last readmitted;
+// LinkUse is from 0 to 1.
 type EndpointSnapshot struct {
 	ID               string                        `cbor:"1,keyasint"`
 	StartedAt        int64                         `cbor:"2,keyasint,omitempty"`
@@ -46,21 +49,21 @@
 	Limiters         [attemptKinds]LimiterSnapshot `cbor:"11,keyasint"`
 }
 
-// LimiterSnapshot is a concurrency limit with its last attempts.
+// LimiterSnapshot is a concurrency limit, in attempts of one kind at once, with the last attempts that moved it.
 type LimiterSnapshot struct {
 	Limit     float64          `cbor:"1,keyasint"`
 	ReducedAt int64            `cbor:"2,keyasint,omitempty"`
 	Samples   []SampleSnapshot `cbor:"3,keyasint,omitempty"`
 }
 
-// SampleSnapshot is how an attempt ended.
+// SampleSnapshot is when an attempt ended, and whether it counted against its endpoint.
 type SampleSnapshot struct {
 	_   struct{} `cbor:",toarray"`
 	At  int64
 	Bad bool
 }
 
-// PurgeSnapshot is a purge that some caches may not have seen.
+// PurgeSnapshot is a purge that some caches may not have seen: of Object, or of Group where Object is empty.
 type PurgeSnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Object string
@@ -75,10 +78,11 @@
 	maxSnapshotPurges    = 65_536
 )
 
-// ErrSnapshot says that a snapshot has another shape, and that nothing of it was taken over.
-var ErrSnapshot = errors.New("learned state of another shape")
+// ErrSnapshot says that a snapshot has another shape, and that nothing of it was taken over: its popularity counts are
+// of another size, or it names more than 20,000 endpoints or 65,536 purges.
+var ErrSnapshot = errors.New("snapshot of the learned state has another shape")
 
-// Snapshot returns what the Router has learned. It shares no memory with it.
+// Snapshot returns what the Router has learned. The two share no memory.
 func (r *Router) Snapshot() *Snapshot {
 	sketch := r.popularity.State()
 	s := &Snapshot{
@@ -113,7 +117,7 @@
 		ID:            ep.id,
 		StartedAt:     ep.startedAt,
 		Health:        uint8(ep.health),
-		DueAt:         ep.healthDue,
+		DueAt:         ep.healthHeldUntil,
 		Ejections:     ep.ejections,
 		LinkUse:       ep.linkUse,
 		SourceSamples: snapshotSamples(ep.fillSamples),
@@ -143,7 +147,7 @@
 
 // Restore takes over what another Router has learned. It is called after the first endpoint list and before the
 // first request. Endpoints that are not listed here, or have started again since, are passed over. A snapshot of
-// another shape gives ErrSnapshot.
+// another shape gives an error that wraps ErrSnapshot.
 func (r *Router) Restore(s *Snapshot) error {
 	if len(s.Endpoints) > maxSnapshotEndpoints || len(s.Purges) > maxSnapshotPurges {
 		return ErrSnapshot
@@ -182,7 +186,7 @@
 	case healthy, suspect, ejected, probation:
 		ep.health = h
 	}
-	ep.healthDue = from.DueAt
+	ep.healthHeldUntil = from.DueAt
 	ep.ejections = min(max(from.Ejections, 0), maxBackoffDoublings)
 	ep.linkUse = from.LinkUse
 	ep.fillSamples = restoreSamples(from.SourceSamples)
@@ -216,7 +220,8 @@
 // last returns the last elements of a list, at most so many.
 func last[T any](list []T, most int) []T { return list[max(len(list)-most, 0):] }
 
-// InFlight returns the attempts in flight, by endpoint and kind. Those that pass the caches stand under "".
+// InFlight returns the attempts in flight, by endpoint id and kind. Those past the caches, to parents and the origin,
+// are summed under "".
 func (r *Router) InFlight() map[string]AttemptCounts {
 	out := map[string]AttemptCounts{}
 	add := func(id string, limiters *[attemptKinds]limiter) {
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -39,8 +39,7 @@
 	}
 }
 
-// sweepRequest sends an attempt that is due, takes in those that are overdue, and goes on from one whose endpoint
-// failed.
+// sweepRequest sends an attempt that is due, takes in those that are overdue, and goes on from one that is lost.
 func (r *Router) sweepRequest(req *request) {
 	if req.retryAt > 0 && r.now >= req.retryAt {
 		r.advance(req, inputRetryDue)
@@ -59,8 +58,12 @@
 	}
 }
 
-// lost reports whether an attempt's endpoint failed meanwhile, or the source of its fill some time ago.
+// lost reports whether an attempt's endpoint is ejected; or the source of its fill, and half the latency objective
+// is over. Until then the cache may still answer, from its own copies or with what the source had begun to send; the
+// other half is left for another attempt.
 func (r *Router) lost(req *request, a *attempt) bool {
-	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > req.class.latencyObjective/2
+	const sourceWaitDivisor = 2 // of the class's latency objective
+	sourceWait := req.class.latencyObjective / sourceWaitDivisor
+	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > sourceWait
 	return stuck || a.endpoint.health == ejected
 }
