--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -58,9 +58,7 @@
 func (r *Request) TakeCommands() []Command {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
-	commands := r.commandQueue
-	r.commandQueue = nil
-	return commands
+	return r.emptyCommandQueue()
 }
 
 // Detach says that the command queue is read no more: wake is not called again, and
@@ -68,8 +66,13 @@
 func (r *Request) Detach() []Command {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
+	r.wake = nil
+	return r.emptyCommandQueue()
+}
+
+// emptyCommandQueue is called with the engine's lock.
+func (r *Request) emptyCommandQueue() []Command {
 	commands := r.commandQueue
 	r.commandQueue = nil
-	r.wake = nil
 	return commands
 }
--- a/internal/http1/read.go
+++ b/internal/http1/read.go
@@ -97,27 +97,33 @@
 			return err
 		}
 		if len(line) == 0 {
-			if h.Chunked && h.ContentLength >= 0 {
-				return &Error{http.StatusBadGateway, "chunks and a length"}
-			}
-			return nil
+			break
 		}
-		name, value, ok := strings.Cut(string(line), ":")
-		if !ok || !isToken(name) {
-			return &Error{http.StatusBadRequest, "malformed header"}
-		}
-		if len(h.Fields) >= limits.MaxFields {
-			return &Error{http.StatusRequestHeaderFieldsTooLarge, "too many headers"}
-		}
-		field := Field{strings.ToLower(name), strings.Trim(value, " \t")}
-		if strings.ContainsFunc(field.Value, isForbiddenInValue) {
-			return &Error{http.StatusBadRequest, "malformed header"}
-		}
-		h.Fields = append(h.Fields, field)
-		if err := h.applyFraming(field, limits.MaxBody); err != nil {
+		if err := h.addField(string(line), limits); err != nil {
 			return err
 		}
 	}
+	if h.Chunked && h.ContentLength >= 0 {
+		return &Error{http.StatusBadGateway, "chunks and a length"}
+	}
+	return nil
+}
+
+// addField parses a header line, and takes in what it says of the message.
+func (h *Head) addField(line string, limits Limits) error {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || !isToken(name) {
+		return &Error{http.StatusBadRequest, "malformed header"}
+	}
+	if len(h.Fields) >= limits.MaxFields {
+		return &Error{http.StatusRequestHeaderFieldsTooLarge, "too many headers"}
+	}
+	field := Field{strings.ToLower(name), strings.Trim(value, " \t")}
+	if strings.ContainsFunc(field.Value, isForbiddenInValue) {
+		return &Error{http.StatusBadRequest, "malformed header"}
+	}
+	h.Fields = append(h.Fields, field)
+	return h.applyFraming(field, limits.MaxBody)
 }
 
 func isForbiddenInValue(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
