--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -168,7 +168,7 @@
 // event log has it as aborted when its time is over.
 func (l *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
 	class, group, sizeKB, known := l.simulation.Object(get.Object, get.Part)
-	if !known || l.simulation.ClassOf(class).Name != get.Class {
+	if !known || l.simulation.Class(class).Name != get.Class {
 		return nil
 	}
 	guest := &simulation.Request{
@@ -177,7 +177,7 @@
 	request := &clientRequest{Request: guest, cancel: func() {}}
 	l.requests[get.ID] = request
 	now := l.simulation.Now()
-	l.Note(&eventlog.Entry{
+	l.Record(&eventlog.Entry{
 		Kind: eventlog.KindTaken, At: now, Router: l.id, Request: get.ID,
 		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*microsPerMilli,
 	})
@@ -187,7 +187,7 @@
 				return
 			}
 			delete(l.requests, get.ID)
-			l.Note(&eventlog.Entry{
+			l.Record(&eventlog.Entry{
 				Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: get.ID, Outcome: outcomeAborted,
 			})
 		})
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -10,8 +10,8 @@
 	"quilldoor/internal/simulation"
 )
 
-// Down kills a router outright.
-func (s *socketRun) Down(routerID int) {
+// KillRouter kills a router outright.
+func (s *socketRun) KillRouter(routerID int) {
 	process := s.routers[routerID]
 	for _, request := range process.requests {
 		request.cancel()
@@ -20,18 +20,18 @@
 	process.kill()
 }
 
-// Up starts a router again, with the endpoint list as it is.
-func (s *socketRun) Up(routerID int, known []simulation.Server) {
+// StartRouter starts a router again, with the endpoint list as it is.
+func (s *socketRun) StartRouter(routerID int, known []simulation.Server) {
 	if err := s.routers[routerID].start(known); err != nil {
 		s.fail(err)
 	}
 }
 
-// Stop pauses a router. Its machine still accepts connections and buffers what comes.
-func (s *socketRun) Stop(routerID int) { s.routers[routerID].signal(syscall.SIGSTOP) }
+// SuspendRouter pauses a router. Its machine still accepts connections and buffers what comes.
+func (s *socketRun) SuspendRouter(routerID int) { s.routers[routerID].signal(syscall.SIGSTOP) }
 
-// Wake lets a paused router go on.
-func (s *socketRun) Wake(routerID int) { s.routers[routerID].signal(syscall.SIGCONT) }
+// ResumeRouter lets a paused router go on.
+func (s *socketRun) ResumeRouter(routerID int) { s.routers[routerID].signal(syscall.SIGCONT) }
 
 // signal sends a signal to the router's process, if it has not been killed.
 func (r *routerProcess) signal(s os.Signal) {
@@ -43,9 +43,9 @@
 // starveSlice is how often a starved router is paused.
 const starveSlice = 20 * time.Millisecond
 
-// Starve takes a share of a router's CPU away, some milliseconds at a time, as a
+// StarveRouter takes a share of a router's CPU away, some milliseconds at a time, as a
 // busy neighbour on its core does. Share 0 ends it.
-func (s *socketRun) Starve(routerID int, share float64) {
+func (s *socketRun) StarveRouter(routerID int, share float64) {
 	process := s.routers[routerID]
 	process.stopStarving()
 	if share == 0 {
--- a/internal/emulator/rollout_monitor.go
+++ b/internal/emulator/rollout_monitor.go
@@ -34,7 +34,7 @@
 }
 
 func (r *rolloutRun) responded(router int, request *simulation.Request, attempt *engine.Attempt, issued int64) {
-	class := r.simulation.ClassOf(request.Class)
+	class := r.simulation.Class(request.Class)
 	if class.Write {
 		return
 	}
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -174,7 +174,7 @@
 	s.startedAt = time.Now()
 	var addrs []string
 	for _, process := range s.routers {
-		if err := process.start(s.simulation.Known()); err != nil {
+		if err := process.start(s.simulation.EndpointList()); err != nil {
 			return err
 		}
 		if err := process.waitReady(); err != nil {
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -47,8 +47,8 @@
 	mismatch         string // what is wrong with the body; "": nothing
 }
 
-// Request sends a client's request.
-func (s *socketRun) Request(request *simulation.Request) {
+// RequestArrived sends a client's request.
+func (s *socketRun) RequestArrived(request *simulation.Request) {
 	process := s.routers[request.Router]
 	ctx, cancel := context.WithCancel(s.ctx)
 	open := &clientRequest{Request: request, cancel: cancel}
@@ -66,7 +66,7 @@
 // finishRequest tells the simulation what a client got, unless the client has left by now.
 func (s *socketRun) finishRequest(process *routerProcess, request *clientRequest, response clientResponse) {
 	if response.mismatch != "" {
-		s.Note(&eventlog.Entry{
+		s.Record(&eventlog.Entry{
 			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID,
 			State: response.mismatch,
 		})
@@ -109,7 +109,7 @@
 		received.Router = r.id
 		forwarded := &clientRequest{Request: &received, cancel: func() {}, forwarded: true}
 		r.requests[requestID] = forwarded
-		r.Note(&eventlog.Entry{
+		r.Record(&eventlog.Entry{
 			Kind: eventlog.KindForwarded, At: r.simulation.Now(), Router: r.id, Request: requestID, Attempt: home.id,
 		})
 		return forwarded
@@ -151,7 +151,7 @@
 	if request.Write {
 		method, body = http.MethodPut, []byte(writePrefix+request.ID)
 	}
-	url := "http://" + addr + "/rpc/" + s.simulation.ClassOf(request.Class).Name + "/" + request.Object
+	url := "http://" + addr + "/rpc/" + s.simulation.Class(request.Class).Name + "/" + request.Object
 	if request.Class == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(request.Part, 10)
 	}
@@ -204,8 +204,8 @@
 	return issued, ""
 }
 
-// Leave ends a client's wait: it closes its connection.
-func (s *socketRun) Leave(routerID int, requestID string) {
+// ClientGone ends a client's wait: it closes its connection.
+func (s *socketRun) ClientGone(routerID int, requestID string) {
 	if request := s.routers[routerID].requests[requestID]; request != nil {
 		delete(s.routers[routerID].requests, requestID)
 		s.forgetForwarded(requestID)
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -58,7 +58,7 @@
 func (s *socketRun) waitForEvent(timer <-chan time.Time) error {
 	select {
 	case task := <-s.tasks:
-		s.simulation.At(s.now())
+		s.simulation.AdvanceTo(s.now())
 		task()
 	case <-timer:
 	case err := <-s.failures:
@@ -69,7 +69,7 @@
 			return err
 		}
 		if s.config.EndWithDrive {
-			s.simulation.At(s.now())
+			s.simulation.AdvanceTo(s.now())
 			s.simulation.Close()
 		}
 	case <-s.ctx.Done():
@@ -91,9 +91,9 @@
 	attempt.Tag.(*serverAttempt).finish(attempt, end)
 }
 
-// Note passes an entry of the event log on to the checker and the record. Where a server
+// Record passes an entry of the event log on to the checker and the record. Where a server
 // starts or goes down, its listeners follow.
-func (s *socketRun) Note(entry *eventlog.Entry) {
+func (s *socketRun) Record(entry *eventlog.Entry) {
 	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesCut())
 	switch entry.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -121,7 +121,7 @@
 func (s *Supervised) Signal(i, pid int, signal syscall.Signal) error {
 	err := s.callInLoop(func() error {
 		if kind := signalKinds[signal]; kind != "" {
-			s.Note(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: i})
+			s.Record(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: i})
 		}
 		return syscall.Kill(pid, signal)
 	})
@@ -164,7 +164,7 @@
 // ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
 // it owes no answers.
 func (s *Supervised) ExcuseCrash(i int) {
-	s.runInLoop(func() { s.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: i}) })
+	s.runInLoop(func() { s.Record(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: i}) })
 }
 
 // KillSupervisor kills a router's supervisor alone. Its generations run on.
@@ -202,8 +202,8 @@
 	}
 	<-process.exited
 	return s.callInLoop(func() error {
-		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
-		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
-		return process.start(s.simulation.Known())
+		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
+		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
+		return process.start(s.simulation.EndpointList())
 	})
 }
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -65,7 +65,7 @@
 	for i := range run.simulation.Routers() {
 		router := &virtualRouter{id: i, nextTimer: never, heapIndex: -1}
 		run.routers = append(run.routers, router)
-		run.startRouter(router, run.simulation.Known())
+		run.startEngine(router, run.simulation.EndpointList())
 	}
 	run.settle()
 	run.startMembership()
@@ -104,11 +104,11 @@
 func (v *virtualRun) runEvent(source eventSource, now int64) {
 	switch source {
 	case sourceMembership:
-		v.simulation.At(now)
+		v.simulation.AdvanceTo(now)
 		v.fleet.RunUntil(now) // payloadHandler settles what its messages bring
 		return
 	case sourceTimer:
-		v.simulation.At(now)
+		v.simulation.AdvanceTo(now)
 		v.runTimers(v.timers[0])
 	case sourceSimulation:
 		v.simulation.Step(now)
@@ -188,8 +188,8 @@
 	}
 }
 
-// Note passes an entry of the event log on to the checker and the record.
-func (v *virtualRun) Note(entry *eventlog.Entry) {
+// Record passes an entry of the event log on to the checker and the record.
+func (v *virtualRun) Record(entry *eventlog.Entry) {
 	v.checker.Observe(entry)
 	if v.options.Record != nil {
 		v.options.Record(entry)
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -23,7 +23,7 @@
 func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
 	router := request.router
 	now := v.now()
-	class := v.simulation.ClassOf(request.Class)
+	class := v.simulation.Class(request.Class)
 	remaining := request.Deadline() - v.simulation.Now()
 	peer, reason := router.gateway.Forward(now, &peerpolicy.Request{
 		RequestID: request.ID,
@@ -70,7 +70,7 @@
 	}
 	forwarded := *original.Request
 	forwarded.Router = far.id
-	v.Note(&eventlog.Entry{
+	v.Record(&eventlog.Entry{
 		Kind: eventlog.KindForwarded, At: v.simulation.Now(), Router: far.id, Request: original.ID, Attempt: home.id,
 	})
 	request := &virtualRequest{Request: &forwarded, router: far, engine: far.engine, forwardedBy: home}
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if v.options.observer != nil {
-		v.options.observer.attemptSent(request.router.id, v.simulation.ClassOf(request.Class).Name, attempt)
+		v.options.observer.attemptSent(request.router.id, v.simulation.Class(request.Class).Name, attempt)
 	}
 	sent := &simulation.Attempt{
 		Router: request.router.id, RequestID: request.ID, Number: attempt.Number, Server: attempt.Endpoint.ID,
@@ -113,8 +113,8 @@
 	}
 }
 
-// Request hands a client's request to its router.
-func (v *virtualRun) Request(request *simulation.Request) {
+// RequestArrived hands a client's request to its router.
+func (v *virtualRun) RequestArrived(request *simulation.Request) {
 	v.routers[request.Router].whenRunning(func() { v.openRequest(request) })
 }
 
@@ -141,14 +141,14 @@
 // rejectsWithoutNeed tells whether the router is to reject a request by a fault of its own.
 func (v *virtualRun) rejectsWithoutNeed(request *virtualRequest) bool {
 	rejects := v.options.RejectRequest
-	return rejects != nil && rejects(request.router.id, v.simulation.ClassOf(request.Class).Name)
+	return rejects != nil && rejects(request.router.id, v.simulation.Class(request.Class).Name)
 }
 
 // open hands a request to its router's engine. The engine puts it among those that are ready
 // when it has commands for it.
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
 	opened, err := request.engine.Open(v.now(), policy.Event{
-		Request: request.ID, Class: v.simulation.ClassOf(request.Class).Name, Object: request.Object, Group: request.Group,
+		Request: request.ID, Class: v.simulation.Class(request.Class).Name, Object: request.Object, Group: request.Group,
 		Part: request.Part, Remaining: remaining, ClientRetry: request.Retry, Write: request.Write,
 	}, func() {
 		if !request.queued && !request.finished {
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// Leave tells a router that a client has gone.
-func (v *virtualRun) Leave(routerID int, requestID string) {
+// ClientGone tells a router that a client has gone.
+func (v *virtualRun) ClientGone(routerID int, requestID string) {
 	v.routers[routerID].whenRunning(func() { v.clientLeft(routerID, requestID) })
 }
 
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -48,8 +48,8 @@
 	task()
 }
 
-// startRouter gives a router a new engine with the endpoint list as it is.
-func (v *virtualRun) startRouter(router *virtualRouter, known []simulation.Server) {
+// startEngine gives a router a new engine with the endpoint list as it is.
+func (v *virtualRun) startEngine(router *virtualRouter, known []simulation.Server) {
 	setup := v.scenario.Settings(v.simulation.Office(router.id), router.id)
 	if v.options.Settings != nil {
 		v.options.Settings(&setup)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Down kills a router.
-func (v *virtualRun) Down(routerID int) {
+// KillRouter kills a router.
+func (v *virtualRun) KillRouter(routerID int) {
 	router := v.routers[routerID]
 	for _, request := range router.requests {
 		request.finished = true
@@ -134,16 +134,16 @@
 	}
 }
 
-// Up starts a router that was down.
-func (v *virtualRun) Up(routerID int, known []simulation.Server) {
-	v.startRouter(v.routers[routerID], known)
+// StartRouter starts a router that was down.
+func (v *virtualRun) StartRouter(routerID int, known []simulation.Server) {
+	v.startEngine(v.routers[routerID], known)
 	if v.fleet != nil {
 		v.fleet.Start(routerID)
 	}
 }
 
-// Stop pauses a router: what happens to it waits until it goes on.
-func (v *virtualRun) Stop(routerID int) {
+// SuspendRouter pauses a router: what happens to it waits until it goes on.
+func (v *virtualRun) SuspendRouter(routerID int) {
 	router := v.routers[routerID]
 	router.stopped = true
 	router.stoppedAt = v.now()
@@ -152,8 +152,8 @@
 	}
 }
 
-// Wake lets a paused router go on.
-func (v *virtualRun) Wake(routerID int) {
+// ResumeRouter lets a paused router go on.
+func (v *virtualRun) ResumeRouter(routerID int) {
 	router := v.routers[routerID]
 	router.stopped = false
 	router.resumedAt = v.now()
@@ -170,8 +170,8 @@
 	}
 }
 
-// Starve takes CPU from a router's membership. Requests take no CPU on the virtual clock.
-func (v *virtualRun) Starve(routerID int, share float64) {
+// StarveRouter takes CPU from a router's membership. Requests take no CPU on the virtual clock.
+func (v *virtualRun) StarveRouter(routerID int, share float64) {
 	if v.fleet != nil {
 		v.fleet.Throttle(routerID, share)
 	}
--- /dev/null
+++ b/internal/simulation/answer.go
@@ -0,0 +1,102 @@
+package simulation
+
+import (
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/policy"
+	"quilldoor/internal/scenario"
+)
+
+const (
+	// lateTolerance is how long after its time limit an answer still reaches the client in time.
+	lateTolerance = 50 * millisecond
+
+	// maxBackoffDoublings bounds the growth of a client's wait between its attempts.
+	maxBackoffDoublings = 6
+)
+
+// Outcomes of a request as Answered takes them.
+const (
+	answerCompleted = "completed"
+	answerRejected  = "rejected"
+	answerLate      = "late" // completed too late to be of use
+)
+
+// Answered accepts a router's answer to a request: "completed", "rejected" or "aborted". issuedAt is the issue time of
+// the copy it was answered with, retryAfter the wait in microseconds that the router asks of the client.
+func (s *Simulation) Answered(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
+	router := s.routers[routerID]
+	request := router.openRequests[requestID]
+	if request == nil {
+		s.record(Entry{
+			Kind: eventlog.KindAnswered, Router: routerID, Request: requestID,
+			Outcome: outcome, Issued: issuedAt,
+		})
+		return
+	}
+	entry := s.requestEntry(eventlog.KindAnswered, request)
+	entry.Outcome = outcome
+	entry.Issued = issuedAt
+	s.record(entry)
+	router.closeRequest(request)
+	s.schedule(s.clientDelay(), func() { s.answerArrived(request, outcome, issuedAt, retryAfter) })
+}
+
+// Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
+// a driver on real sockets can tell; in the model a router that is up accepts every connection.
+func (s *Simulation) Refused(routerID int, requestID string) {
+	router := s.routers[routerID]
+	request := router.openRequests[requestID]
+	if request == nil {
+		return
+	}
+	router.closeRequest(request)
+	s.record(Entry{Kind: eventlog.KindRefused, Router: routerID, Request: requestID})
+	s.retryOrFail(request.client, 0, true)
+}
+
+// answerArrived is a router's answer at its client.
+func (s *Simulation) answerArrived(request *Request, outcome string, issuedAt, retryAfter int64) {
+	if s.now > request.deadline+lateTolerance+s.Slack {
+		outcome = answerLate
+	}
+	client := request.client
+	if outcome == answerCompleted {
+		s.openRequests--
+		s.Result.countCompleted(s, client, issuedAt)
+		return
+	}
+	idempotent := s.classes[client.class].Effect == policy.EffectIdempotent
+	s.retryOrFail(client, retryAfter, outcome == answerRejected || idempotent)
+}
+
+// clientTimedOut makes a client leave whose time is over without an answer.
+func (s *Simulation) clientTimedOut(router *router, request *Request) {
+	if !request.open {
+		return
+	}
+	router.closeRequest(request)
+	s.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
+	s.Result.TimedOut++
+	s.driver.ClientGone(router.id, request.ID)
+	s.retryOrFail(request.client, 0, request.client.class != scenario.ClassAccept)
+}
+
+// retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
+// it has attempts left.
+func (s *Simulation) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
+	load := &s.scenario.Load
+	if !retrySafe || client.attempts > load.Retries {
+		s.openRequests--
+		s.Result.countFailed(client, retrySafe)
+		return
+	}
+	wait := int64(0)
+	if load.RetryWaitMS > 0 {
+		factor := int64(1) << min(client.attempts-1, maxBackoffDoublings)
+		wait = s.jitter(load.RetryWaitMS * millisecond * float64(factor))
+	}
+	if client.honoursRetryAfter {
+		wait = max(wait, retryAfter)
+	}
+	s.schedule(wait, func() { s.sendRequest(client) })
+}
--- /dev/null
+++ b/internal/simulation/counts.go
@@ -0,0 +1,110 @@
+package simulation
+
+import "quilldoor/internal/scenario"
+
+// outcomes are the counts of a client's traffic class and phase.
+func (r *Result) outcomes(client *client) *Outcomes {
+	class := r.Classes[client.class]
+	outcomes := class.Phases[client.phase]
+	if outcomes == nil {
+		outcomes = &Outcomes{}
+		class.Phases[client.phase] = outcomes
+	}
+	return outcomes
+}
+
+// countRequest counts a client's new request.
+func (r *Result) countRequest(sim *Simulation, client *client) {
+	r.current.Requests++
+	outcomes := r.outcomes(client)
+	outcomes.Requests++
+	outcomes.PossibleWeight += sim.classes[client.class].PriorityWeight
+	if client.phase != phaseWarmUp && client.class != scenario.ClassAccept {
+		r.RequestedKB += sim.catalogue.size(client.object, client.part)
+	}
+}
+
+// countFill counts bytes that come into an office.
+func (r *Result) countFill(sim *Simulation, kb float64, fromOrigin bool) {
+	if sim.currentPhase() == phaseWarmUp {
+		return
+	}
+	r.FilledKB += kb
+	if fromOrigin {
+		r.OriginKB += kb
+	}
+}
+
+// countParentFill counts bytes that a parent gets from the origin.
+func (r *Result) countParentFill(sim *Simulation, kb float64) {
+	if sim.currentPhase() != phaseWarmUp {
+		r.OriginKB += kb
+	}
+}
+
+// countCompleted counts a usable answer by its latency from the client's first attempt.
+func (r *Result) countCompleted(sim *Simulation, client *client, issuedAt int64) {
+	class := &sim.classes[client.class]
+	latency := sim.now - client.startedAt
+	r.Classes[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
+	work := sim.flowTime(sim.catalogue.size(client.object, client.part))
+	if class.Write {
+		work = 0
+	}
+	outcomes := r.outcomes(client)
+	weight := class.PriorityWeight
+	if latency <= class.LatencyObjective+int64(class.ObjectiveStretch*work) {
+		outcomes.InTime++
+		r.current.InTime++
+	} else {
+		outcomes.Late++
+		r.current.Late++
+		weight *= class.LateValueShare
+	}
+	if !class.Write && class.FreshFor > 0 && sim.now-issuedAt > class.FreshFor {
+		outcomes.Stale++
+		weight *= class.StaleValueShare
+	}
+	outcomes.EarnedWeight += weight
+}
+
+// countFailed counts a request without a usable answer.
+func (r *Result) countFailed(client *client, retrySafe bool) {
+	r.current.NotCompleted++
+	outcomes := r.outcomes(client)
+	if retrySafe {
+		outcomes.Rejected++
+	} else {
+		outcomes.Failed++
+	}
+}
+
+// closeSecond ends a second of the timeline and begins the next one.
+func (r *Result) closeSecond(sim *Simulation) {
+	closed := r.current
+	closed.At = int(sim.now / second)
+	closed.ActiveFaults = sim.activeFaults
+	closed.Attempts = len(sim.attempts)
+	closed.Servers = sim.cachesUp()
+	closed.filledKB = 0
+	totalKBPerS := 0.0
+	for _, link := range sim.links {
+		link.advance()
+		closed.filledKB += link.served
+		totalKBPerS += link.totalRate * second
+	}
+	closed.LinkUtilization = (closed.filledKB - r.current.filledKB) / totalKBPerS
+	r.Timeline = append(r.Timeline, closed)
+	r.current = Second{filledKB: closed.filledKB}
+}
+
+func (s *Simulation) cachesUp() (count int) {
+	for _, caches := range s.caches {
+		for _, cache := range caches {
+			if cache.up {
+				count++
+			}
+		}
+	}
+	return count
+}
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/policy"
 )
 
-// Known is the endpoint list as it is, in a fixed order.
-func (s *Simulation) Known() (servers []Server) {
+// EndpointList is the endpoint list as it is, in a fixed order.
+func (s *Simulation) EndpointList() (servers []Server) {
 	add := func(server *server) {
 		if server.listed != policy.EndpointGone {
 			servers = append(servers, server.endpoint())
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -8,26 +8,26 @@
 // Driver carries out what the simulation reports, for instance on routers in the same process or on real sockets. All
 // calls come from within Simulation.Step, in order.
 type Driver interface {
-	// Request delivers a client's complete request to its router.
-	Request(request *Request)
-	// Leave reports that a request's client has gone.
-	Leave(router int, requestID string)
+	// RequestArrived delivers a client's complete request to its router.
+	RequestArrived(request *Request)
+	// ClientGone reports that a request's client has gone.
+	ClientGone(router int, requestID string)
 	// AttemptEnded delivers the end of an attempt to its router.
 	AttemptEnded(router int, attempt *Attempt, end AttemptResult)
 	// Notify delivers a discovery event to a router.
 	Notify(router int, notice DiscoveryEvent)
-	// Down kills a router's process.
-	Down(router int)
-	// Up starts a router's process with the endpoint list as it is.
-	Up(router int, known []Server)
-	// Stop suspends a router's process; it keeps its state.
-	Stop(router int)
-	// Wake resumes a router's process that Stop suspended.
-	Wake(router int)
-	// Starve lets other processes take a share of a router's CPU; 0: none.
-	Starve(router int, share float64)
-	// Note appends an entry to the event log, which the checker reads.
-	Note(entry *Entry)
+	// KillRouter kills a router's process.
+	KillRouter(router int)
+	// StartRouter starts a router's process with the endpoint list as it is.
+	StartRouter(router int, known []Server)
+	// SuspendRouter suspends a router's process; it keeps its state.
+	SuspendRouter(router int)
+	// ResumeRouter resumes a router's process that Stop suspended.
+	ResumeRouter(router int)
+	// StarveRouter lets other processes take a share of a router's CPU; 0: none.
+	StarveRouter(router int, share float64)
+	// Record appends an entry to the event log, which the checker reads.
+	Record(entry *Entry)
 }
 
 // Server is an entry of the endpoint list.
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -110,7 +110,10 @@
 		}
 		s.simulation.recordExecuted(attempt)
 		s.sendToOffice(attempt, func() {
-			s.finish(attempt, AttemptResult{Outcome: policy.OutcomeDone, Reason: reason, Issued: issuedAt, SizeKB: attempt.SizeKB})
+			s.finish(attempt, AttemptResult{
+				Outcome: policy.OutcomeDone, Reason: reason,
+				Issued: issuedAt, SizeKB: attempt.SizeKB,
+			})
 		})
 	})
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -56,7 +56,7 @@
 	router.suspensions = 0
 	router.incarnation++
 	s.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
-	s.driver.Down(router.id)
+	s.driver.KillRouter(router.id)
 	for _, attempt := range s.attemptsOf(router.id) {
 		delete(s.attempts, attempt.key())
 		s.detachLater(attempt)
@@ -95,5 +95,5 @@
 	router.up = true
 	router.notifiedAt = s.now
 	s.record(Entry{Kind: eventlog.KindRouterUp, Router: router.id})
-	s.driver.Up(router.id, s.Known())
+	s.driver.StartRouter(router.id, s.EndpointList())
 }
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -38,7 +38,7 @@
 		router.suspensions++
 		if router.suspensions == 1 {
 			s.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
-			s.driver.Stop(router.id)
+			s.driver.SuspendRouter(router.id)
 		}
 	}
 	return func() {
@@ -49,7 +49,7 @@
 			router.suspensions--
 			if router.suspensions == 0 {
 				s.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
-				s.driver.Wake(router.id)
+				s.driver.ResumeRouter(router.id)
 			}
 		}
 	}
@@ -58,11 +58,11 @@
 // starveRouters takes a share of the routers' CPU until the fault ends.
 func (s *Simulation) starveRouters(routers []*router, share float64) (endFault func()) {
 	for _, router := range routers {
-		s.driver.Starve(router.id, share)
+		s.driver.StarveRouter(router.id, share)
 	}
 	return func() {
 		for _, router := range routers {
-			s.driver.Starve(router.id, 0)
+			s.driver.StarveRouter(router.id, 0)
 		}
 	}
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
 
 	"quilldoor/internal/netsim"
@@ -10,21 +9,11 @@
 	"quilldoor/internal/scenario"
 )
 
+// Streams of the run's seed: one for the fleet and its clients, two for the network between routers.
 const (
-	// Streams of the run's seed: one for the fleet and its clients, two for the network between routers.
 	fleetStream        = 0x9e3779b97f4a7c15
 	networkFaultStream = 0x7761797773
 	networkStream      = 0x77617973
-
-	// drainTime is how long the run goes on after the last client has come, so that open requests can end.
-	drainTime = 8 * second
-
-	// jitter draws from jitterFrom to jitterFrom+jitterSpread times a value.
-	jitterFrom   = 0.8
-	jitterSpread = 0.4
-
-	// never is later than any event.
-	never = 1 << 62
 )
 
 // Simulation is the state of one run: the clock and its events, the fleet, the clients and the faults in force.
@@ -132,12 +121,6 @@
 	s.origin = s.newOrigin()
 }
 
-// tick closes a second of the timeline.
-func (s *Simulation) tick() {
-	s.Result.closeSecond(s)
-	s.schedule(second, s.tick)
-}
-
 // currentPhase is the part of the run for the counts of requests.
 func (s *Simulation) currentPhase() string {
 	switch {
@@ -170,6 +153,9 @@
 	return found != nil && found.silent
 }
 
+// SitesCut tells whether sites cannot reach each other now.
+func (s *Simulation) SitesCut() bool { return s.sitesCut }
+
 // Object looks up an object of the catalogue by its name: the index of its traffic class, its purge group and the
 // size of a part. known is false if there is no such object or part.
 func (s *Simulation) Object(name string, part int64) (class int, group int64, kb float64, known bool) {
@@ -180,69 +166,11 @@
 	return s.catalogue.class(id), s.catalogue.group(id), s.catalogue.size(id, part), true
 }
 
-// ClassOf is a traffic class by its index in the settings.
-func (s *Simulation) ClassOf(i int) policy.TrafficClass { return s.classes[i] }
-
-// Length is when the run ends: clients stop at the scenario's length, and requests that are open then get some time.
-func (s *Simulation) Length() int64 { return s.clientsUntil + drainTime }
-
-// SitesCut tells whether sites cannot reach each other now.
-func (s *Simulation) SitesCut() bool { return s.sitesCut }
-
-// Over tells whether clients have stopped and all requests have their outcomes.
-func (s *Simulation) Over() bool { return s.openRequests == 0 && s.now > s.clientsUntil }
-
-// Close lets no more clients arrive. Requests that are open are still answered.
-func (s *Simulation) Close() { s.clientsUntil = min(s.clientsUntil, s.now) }
-
-// Now is the time of the run.
-func (s *Simulation) Now() int64 { return s.now }
-
-// After schedules an action of the driver after a delay, among the simulation's own events.
-func (s *Simulation) After(delay int64, action func()) { s.schedule(delay, action) }
-
-// schedule runs an action after a delay in microseconds; a negative delay counts as none.
-func (s *Simulation) schedule(delay int64, action func()) {
-	s.sequence++
-	s.events.push(event{s.now + max(delay, 0), s.sequence, action})
-}
-
-// Next is the time of the next event.
-func (s *Simulation) Next() int64 {
-	if len(s.events) == 0 {
-		return never
-	}
-	return s.events[0].at
-}
-
-// Step advances the clock to now and runs the first event that is due. It returns false if none is.
-func (s *Simulation) Step(now int64) bool {
-	if len(s.events) == 0 || s.events[0].at > now {
-		s.now = max(s.now, now)
-		return false
-	}
-	e := s.events.pop()
-	s.now = max(s.now, e.at)
-	e.action()
-	return true
-}
-
-// At advances the clock to now without running events, before a router's input.
-func (s *Simulation) At(now int64) { s.now = max(s.now, now) }
+// Class is a traffic class by its index in the settings.
+func (s *Simulation) Class(i int) policy.TrafficClass { return s.classes[i] }
 
 // record appends an entry to the event log at the current time.
 func (s *Simulation) record(entry Entry) {
 	entry.At = s.now
-	s.driver.Note(&entry)
-}
-
-// jitter draws a time in microseconds around a mean.
-func (s *Simulation) jitter(mean float64) int64 {
-	return int64(mean * (jitterFrom + jitterSpread*s.random.Float64()))
-}
-
-// drawShare draws a share of a list, at least one element unless the share is 0. It shuffles the list in place.
-func drawShare[T any](random *rand.Rand, list []T, share float64) []T {
-	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), int(math.Ceil(share*float64(len(list)))))]
+	s.driver.Record(&entry)
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -23,16 +23,16 @@
 // silentDriver is a driver whose routers never answer.
 type silentDriver struct{}
 
-func (silentDriver) Request(*Request)                          {}
-func (silentDriver) Leave(int, string)                         {}
+func (silentDriver) RequestArrived(*Request)                   {}
+func (silentDriver) ClientGone(int, string)                    {}
 func (silentDriver) AttemptEnded(int, *Attempt, AttemptResult) {}
 func (silentDriver) Notify(int, DiscoveryEvent)                {}
-func (silentDriver) Down(int)                                  {}
-func (silentDriver) Up(int, []Server)                          {}
-func (silentDriver) Stop(int)                                  {}
-func (silentDriver) Wake(int)                                  {}
-func (silentDriver) Starve(int, float64)                       {}
-func (silentDriver) Note(*Entry)                               {}
+func (silentDriver) KillRouter(int)                            {}
+func (silentDriver) StartRouter(int, []Server)                 {}
+func (silentDriver) SuspendRouter(int)                         {}
+func (silentDriver) ResumeRouter(int)                          {}
+func (silentDriver) StarveRouter(int, float64)                 {}
+func (silentDriver) Record(*Entry)                             {}
 
 // newBareSimulation is a simulation without servers, clients or faults.
 func newBareSimulation() *Simulation {
