--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -6,14 +6,15 @@
 	"quilldoor/internal/policy"
 )
 
-// Attempt is one attempt of a request at an endpoint. Times are microseconds.
+// Attempt is one attempt of a request at an endpoint. Times and durations are
+// microseconds.
 type Attempt struct {
 	Request       *Request
 	Number        int // from 0, within the request
 	Endpoint      *Endpoint
 	Source        string // where a miss is filled from; "": it is not filled
-	CachePriority int
-	MaxAge        int64 // of a copy; 0: the class's fresh time
+	CachePriority int    // at which a cache keeps the copy; 0: not at all
+	MaxAge        int64  // greatest age of a copy; 0: the class's freshness time
 	FillMode      policy.FillMode
 	DecidedAt     int64 // when the policy decided on it
 	Deadline      int64 // when the router stops waiting
@@ -57,7 +58,7 @@
 
 // MayBeSent reports whether the decision still holds at the moment of writing:
 // the deadline and the window for a retry have not passed, and the decision is
-// no older than maxAge, so that no drain or purge since then binds it.
+// no older than maxAge microseconds, so that no drain or purge since then binds it.
 func (a *Attempt) MayBeSent(now, maxAge int64) bool {
 	inWindow := a.SendBefore == 0 || now < a.SendBefore
 	return now < a.Deadline && inWindow && now-a.DecidedAt <= maxAge
@@ -67,9 +68,9 @@
 type Result struct {
 	Outcome    policy.Outcome
 	Reason     policy.Reason
-	OriginWait int64 // microseconds that the fill waited for the origin
-	Load       map[string]float64
-	Response   Response // of OutcomeDone
+	OriginWait int64              // microseconds that the fill waited for the origin
+	Load       map[string]float64 // the endpoint's load report by the protocol's keys; see policy.Event
+	Response   Response           // of OutcomeDone
 }
 
 // AttemptEnded takes an attempt's result. The first one counts; the response of
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -8,7 +8,7 @@
 	CommandSend        CommandKind = iota // put the attempt on a connection
 	CommandDrop                           // give the attempt up
 	CommandRespond                        // answer with Response
-	CommandReject                         // answer that retrying is harmless, after RetryAfter
+	CommandReject                         // answer that repeating the request is harmless, after RetryAfter
 	CommandFail                           // answer that the request failed
 	CommandHealthCheck                    // check the endpoint's health
 	CommandLog                            // write Text to the log, with EndpointID and Backoff
@@ -24,23 +24,25 @@
 	CommandLog:         "log",
 }
 
+// String returns the command's name for logs and tests.
 func (k CommandKind) String() string { return commandNames[k] }
 
 // Command is one thing to do on the sockets.
 type Command struct {
 	Kind          CommandKind
-	Attempt       *Attempt // of CommandSend, CommandDrop and CommandRespond
-	Silent        bool     // of CommandDrop: the attempt timed out without an answer
-	Response      Response // of CommandRespond
-	RetryAfter    int64    // of CommandReject: microseconds from now; 0: not given
-	MaybeExecuted bool     // of CommandReject and CommandFail: an attempt may have run
-	Endpoint      *Endpoint
-	Text          string
-	EndpointID    string // of CommandLog
-	Backoff       int64  // of CommandLog: microseconds; 0: none
+	Attempt       *Attempt  // of CommandSend, CommandDrop and CommandRespond
+	Silent        bool      // of CommandDrop: the attempt timed out without an answer
+	Response      Response  // of CommandRespond
+	RetryAfter    int64     // of CommandReject: microseconds from now; 0: not given
+	MaybeExecuted bool      // of CommandReject and CommandFail: an attempt may have run
+	Endpoint      *Endpoint // of CommandHealthCheck
+	Text          string    // of CommandLog: policy.LogEjected or policy.LogReadmitted
+	EndpointID    string    // of CommandLog
+	Backoff       int64     // of CommandLog: microseconds; 0: none
 }
 
-// Response is what a request is answered with; the engine only hands it on.
+// Response is what a request is answered with; the engine only hands it on, or
+// calls Release where nobody waits for it.
 type Response interface{ Release() }
 
 // post puts a command into the request's command queue, or leaves it to the caller of
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -2,7 +2,7 @@
 
 import "quilldoor/internal/policy"
 
-// Endpoint is an entry of the endpoint list with its address.
+// Endpoint is an entry of the endpoint list with its address, host:port.
 type Endpoint struct {
 	policy.Endpoint
 	Address string
@@ -12,7 +12,7 @@
 func (s *Endpoint) Active() bool { return s.State == policy.EndpointActive }
 
 // UpdateEndpoints takes changes of the endpoint list (ScopeDiff) or a whole one
-// (ScopeDisk at the start, else ScopeSnapshot). It returns the endpoints, as they were
+// (ScopeInitial at the start, else ScopeSnapshot). It returns the endpoints, as they were
 // listed before, that take no new work at their addresses any more.
 func (e *Engine) UpdateEndpoints(now int64, scope policy.UpdateScope, list []Endpoint) (retired []*Endpoint) {
 	e.mu.Lock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -28,8 +28,9 @@
 	kick         func()
 }
 
-// New starts a policy instance. Kick is called, with the lock held, when Run is
-// wanted sooner than it last said, or has background commands.
+// New starts a policy instance; seed is that of its random draws. Kick is called,
+// with the lock held, when Run is wanted sooner than it last said, or has
+// background commands.
 func New(set *policy.Settings, seed uint64, kick func()) *Engine {
 	e := &Engine{
 		policy:      policy.New(*set, seed),
@@ -66,7 +67,7 @@
 }
 
 // LocalHit counts a request that the router answers from its own disk cache. It
-// is never opened.
+// is never opened. Of event Object and Part count; Kind is set here.
 func (e *Engine) LocalHit(now int64, event policy.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,8 +75,9 @@
 	e.handle(now, event)
 }
 
-// HoldSlowStart says that the routers know each other. Endpoints that warm up
-// are sent nothing before hold, a time in microseconds.
+// HoldSlowStart has endpoints in slow start sent nothing before hold, a time in
+// microseconds: an earlier process may have spent this router's share of their
+// budgets, or another process is about to. It replaces what held before.
 func (e *Engine) HoldSlowStart(now, hold int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +85,8 @@
 }
 
 // Purge takes the purge of an object, or of a group where object is "", made at
-// the given time.
+// the given time in microseconds. One older than Hierarchy.PurgeSettleTime is
+// dropped: it has reached all caches.
 func (e *Engine) Purge(now int64, object string, group, at int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,14 +111,16 @@
 }
 
 // Restore takes over a snapshot, after the first endpoints and before the first
-// request.
+// request. Where the snapshot has another shape, the error wraps
+// policy.ErrSnapshot and nothing is taken over.
 func (e *Engine) Restore(snapshot *policy.Snapshot) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.policy.Restore(snapshot)
 }
 
-// InFlight returns how many attempts are in flight, by endpoint and kind.
+// InFlight returns how many attempts are in flight, by endpoint id and kind;
+// those past the caches, to parents and the origin, are summed under "".
 func (e *Engine) InFlight() map[string]policy.AttemptCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -123,15 +128,16 @@
 }
 
 // SetOtherGeneration takes the attempts that the other generation of this router
-// has in flight.
+// has in flight, as its InFlight returned them: the limits are for both together.
 func (e *Engine) SetOtherGeneration(now int64, inFlight map[string]policy.AttemptCounts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.handle(now, policy.Event{Kind: policy.EventOtherGeneration, InFlight: inFlight})
 }
 
-// Run fires the timers that are due. It returns when to call again at the latest
-// and the background commands, which the caller carries out.
+// Run fires the timers that are due. It returns the time, in microseconds, at
+// which to call again at the latest, and the background commands, which the
+// caller carries out.
 func (e *Engine) Run(now int64) (next int64, background []Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -6,7 +6,7 @@
 	"quilldoor/internal/policy"
 )
 
-// Errors of Open.
+// Errors of Open. The request was not opened.
 var (
 	ErrFull      = errors.New("too many open requests")
 	ErrDuplicate = errors.New("a request with this id is open already")
@@ -27,9 +27,10 @@
 	wake            func() // nil once nobody reads the command queue
 }
 
-// Open takes a request; event holds what the client sent, with Remaining, the
-// microseconds until its deadline. Wake is called, with the lock held, when the
-// command queue has something new. The error is ErrFull or ErrDuplicate.
+// Open takes a request; event has the fields of a policy.EventRequest, with
+// Remaining, the microseconds until its deadline; Kind is set here. Wake is
+// called, with the lock held, when the command queue has something new. The
+// error is ErrFull (Limits.MaxOpenRequests) or ErrDuplicate (event.Request).
 func (e *Engine) Open(now int64, event policy.Event, wake func()) (*Request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,7 +55,8 @@
 	return request, nil
 }
 
-// ClientGone says that the client left without an answer.
+// ClientGone says that the client left without an answer. It changes nothing for
+// a request that has been answered.
 func (e *Engine) ClientGone(now int64, request *Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -137,8 +137,8 @@
 	// EventClientGone says that a client left, or was answered without the Router: Request.
 	EventClientGone
 	// EventSlowStartHold sets until when endpoints in slow start get nothing: HoldUntil. It replaces the time that held
-	// before, be that later or earlier; a time that has passed ends the hold. It is sent when the routers of the site
-	// have found each other, and when this process takes or gives up the place of another generation.
+	// before, be that later or earlier; a time that has passed ends the hold. It is sent where an earlier process may
+	// have spent this router's share of their budgets, and where another process is about to spend it.
 	EventSlowStartHold
 	// EventLocalHit counts a request that the router answered from copies of its own: Object, Part.
 	EventLocalHit
