--- a/internal/gossip/claim.go
+++ b/internal/gossip/claim.go
@@ -15,7 +15,8 @@
 	requiredConfirmations = 2
 )
 
-// claim is what other routers report of an endpoint that goes beyond what the own source has announced. The zero value is no claim.
+// claim is what other routers report of an endpoint that goes beyond what the own source has announced. The zero value
+// is no claim.
 type claim struct {
 	Endpoint
 	confirmedBy [requiredConfirmations]string // routers; "": none yet
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -8,6 +8,13 @@
 // join of all reports (a state-based CRDT; Shapiro and others 2011): in any order, late or repeated they give the same
 // state, and it never goes backwards.
 //
+// What others report of an endpoint beyond the own source is a claim. It is applied once two other routers report the
+// same (one, where fewer than two others are known), and holds for 7 s after the last report of it, or until the own
+// source catches up. Purges are applied at once, on one report.
+//
+// Replicas compare digests. The state is split into 16 buckets by a hash of the endpoint ids and purge keys, each with
+// a digest of its own; a replica whose digest differs asks for the buckets that differ and gets their content.
+//
 // The files:
 //
 //   - gossip.go: the replica, what its own source has announced, and its ticks
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Digest returns the digest of the whole state, which all messages of package membership carry.
+// Digest returns the digest of the whole state, which all messages of package membership carry. Equal states have the
+// same.
 func (r *Replica) Digest() (digest uint32) {
 	for i, d := range r.digests {
 		digest ^= d * uint32(2*i+1)
@@ -128,8 +129,9 @@
 	return request
 }
 
-// Respond returns what the own source has announced in the buckets that differ, in chunks of up to chunkBytes. Claims are
-// not passed on, else routers without a source would confirm each other's. Purges are, whoever announced them.
+// Respond returns what the own source has announced in the buckets that differ, in chunks of up to chunkBytes, 12 at
+// most: the next request brings the rest. Claims are not passed on, else routers without a source would confirm each
+// other's. Purges are, whoever announced them.
 func (r *Replica) Respond(request *DigestRequest, chunkBytes int) []StateExchange {
 	if len(request.Digests) != digestBuckets {
 		r.Counts.Rejected++
@@ -171,26 +173,26 @@
 func (c *chunkedExchange) addEndpoint(e Endpoint) {
 	const fixedBytes = 40 // beside the texts
 	c.reserve(fixedBytes + len(e.ID) + len(e.Address) + len(e.Zone) + len(e.Kind))
-	c.current.Endpoints = append(c.current.Endpoints, newEndpointMessage(e))
+	c.current.Endpoints = append(c.current.Endpoints, newEndpointReport(e))
 }
 
 func (c *chunkedExchange) addPurge(key purgeKey, at int64) {
 	const fixedBytes = 20 // beside the text
 	c.reserve(fixedBytes + len(key.object))
-	c.current.Purges = append(c.current.Purges, purgeMessage{Object: key.object, Group: key.group, At: at})
+	c.current.Purges = append(c.current.Purges, PurgeReport{Object: key.object, Group: key.group, At: at})
 }
 
 func (c *chunkedExchange) finish() []StateExchange { return append(c.chunks, c.current) }
 
-// Result is what a payload brings: payloads for its sender, and what is to be applied.
+// Result is what a payload brings.
 type Result struct {
-	Replies   [][]byte
-	Endpoints []Endpoint
-	Purges    []Purge
+	Replies   [][]byte   // encoded Payloads to be sent to its sender
+	Endpoints []Endpoint // accepted claims, to be applied to the endpoint list
+	Purges    []Purge    // to be applied
 }
 
 // HandlePayload handles what a message of another router carries: its digest alone where body is nil, or a request or
-// a response. Replies have up to about chunkBytes.
+// a response. Replies are 12 at most and have up to about chunkBytes each.
 func (r *Replica) HandlePayload(now, wall int64, from string, digest uint32, body []byte, chunkBytes int) Result {
 	if body == nil {
 		if !r.ShouldRequest(now, digest) {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -18,7 +18,7 @@
 	maxEndpoints = 20_000
 )
 
-// Endpoint is an entry of the endpoint list with its address.
+// Endpoint is an entry of the endpoint list with its address, host:port.
 type Endpoint struct {
 	policy.Endpoint
 	Address string
@@ -48,9 +48,9 @@
 // Counts are totals since the start.
 type Counts struct {
 	Requests       int64 // sent
-	Responses      int64
+	Responses      int64 // sent, whatever their number of messages
 	ClaimsAccepted int64 // applied over what the own source has announced
-	ClaimsExpired  int64
+	ClaimsExpired  int64 // accepted ones that nobody reported again
 	Purges         int64 // of other routers, applied
 	Rejected       int64 // reports and messages that can't be true or can't be read
 }
@@ -97,7 +97,8 @@
 // SetSingleConfirmation sets whether one router's report is enough, as fewer than two others are known.
 func (r *Replica) SetSingleConfirmation(single bool) { r.singleConfirmation = single }
 
-// stateRank orders the states within one start of an endpoint: another router's report never goes back to an earlier one.
+// stateRank orders the states within one start of an endpoint: another router's report never goes back to an earlier
+// one.
 func stateRank(s policy.EndpointState) uint8 {
 	switch s {
 	case policy.EndpointActive:
@@ -114,7 +115,8 @@
 }
 
 // ApplyLocal takes endpoints that the own source announces. complete says that the list names all that exist. It
-// returns what is to be applied for each: what others claim stays in force over it.
+// returns what is to be applied for each: what others claim stays in force over it. More than 20,000 endpoints are
+// applied but not replicated.
 func (r *Replica) ApplyLocal(now int64, complete bool, list []Endpoint) []Endpoint {
 	r.changedAt = now
 	if complete {
@@ -164,8 +166,9 @@
 	return rec.effective()
 }
 
-// Tick expires claims that nobody has reported again, and forgets old purges and endpoints. It returns the endpoints
-// whose claims have expired, as they are to be applied now.
+// Tick drops claims that nobody has reported for 7 s, purges older than Settings.PurgeRetention, and endpoints that
+// have been gone for 120 s. It is called several times a second. It returns the endpoints whose accepted claims have
+// expired, as they are to be applied now.
 func (r *Replica) Tick(now, wall int64) (endpoints []Endpoint) {
 	for _, id := range r.sortedIDs() {
 		rec := r.endpoints[id]
@@ -190,7 +193,8 @@
 	return ids
 }
 
-// Merge takes what another router reports, and returns what is to be applied.
+// Merge takes what another router reports, and returns what is to be applied. Endpoints that the own source has not
+// announced are passed over.
 func (r *Replica) Merge(now, wall int64, from string, report *StateExchange) (endpoints []Endpoint, purges []Purge) {
 	for _, p := range report.Purges {
 		if purge := p.purge(); r.applyReportedPurge(wall, purge) {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -9,7 +9,7 @@
 	"quilldoor/internal/policy"
 )
 
-// Payload is what one replica sends another: a request or a part of the response.
+// Payload is what one replica sends another: a request or a part of the response. One of the two is set.
 type Payload struct {
 	Request       *DigestRequest `cbor:"1,keyasint,omitempty"`
 	StateExchange *StateExchange `cbor:"2,keyasint,omitempty"`
@@ -17,16 +17,17 @@
 
 // DigestRequest asks for the state of the buckets whose digests differ from these.
 type DigestRequest struct {
-	Digests []uint32 `cbor:"1,keyasint"`
+	Digests []uint32 `cbor:"1,keyasint"` // one for each bucket; another number of them is rejected
 }
 
 // StateExchange is a part of a response.
 type StateExchange struct {
-	Endpoints []endpointMessage `cbor:"1,keyasint,omitempty"`
-	Purges    []purgeMessage    `cbor:"2,keyasint,omitempty"`
+	Endpoints []EndpointReport `cbor:"1,keyasint,omitempty"`
+	Purges    []PurgeReport    `cbor:"2,keyasint,omitempty"`
 }
 
-type endpointMessage struct {
+// EndpointReport is an endpoint as the source of the sender has announced it.
+type EndpointReport struct {
 	ID        string               `cbor:"1,keyasint"`
 	Address   string               `cbor:"2,keyasint,omitempty"`
 	Zone      string               `cbor:"3,keyasint,omitempty"`
@@ -37,14 +38,15 @@
 	StartedAt int64                `cbor:"8,keyasint,omitempty"` // Unix microseconds
 }
 
-type purgeMessage struct {
-	Object string `cbor:"1,keyasint,omitempty"`
+// PurgeReport is a purge in a message.
+type PurgeReport struct {
+	Object string `cbor:"1,keyasint,omitempty"` // "": the whole group
 	Group  int64  `cbor:"2,keyasint,omitempty"`
-	At     int64  `cbor:"3,keyasint"`
+	At     int64  `cbor:"3,keyasint"` // Unix microseconds
 }
 
-func newEndpointMessage(e Endpoint) endpointMessage {
-	return endpointMessage{
+func newEndpointReport(e Endpoint) EndpointReport {
+	return EndpointReport{
 		ID:        e.ID,
 		Address:   e.Address,
 		Zone:      e.Zone,
@@ -56,7 +58,7 @@
 	}
 }
 
-func (m *endpointMessage) endpoint() Endpoint {
+func (m *EndpointReport) endpoint() Endpoint {
 	return Endpoint{
 		Endpoint: policy.Endpoint{
 			ID:        m.ID,
@@ -71,7 +73,7 @@
 	}
 }
 
-func (m purgeMessage) purge() Purge { return Purge(m) }
+func (m PurgeReport) purge() Purge { return Purge(m) }
 
 // decoder bounds what a payload may hold.
 var decoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
@@ -87,7 +89,7 @@
 	return b
 }
 
-// Decode reads a payload; nil: it is malformed.
+// Decode reads a payload; nil: it is malformed, has neither a request nor a response, or a list of more than 1024.
 func Decode(b []byte) *Payload {
 	var p Payload
 	if decoder.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -1,7 +1,8 @@
 package membership
 
 // Connectivity is what a node knows of its own part of the site. Other subsystems decide by it whether this router may
-// count on its view. Ages and times are microseconds.
+// count on its view. Durations are microseconds. The field Since of its JSON form is a time on the steady clock of the
+// router's process, and means nothing elsewhere: tools read Age.
 type Connectivity struct {
 	// State is the node's own.
 	State State `cbor:"1,keyasint,omitempty"`
@@ -16,11 +17,12 @@
 	// acknowledged, while the node is neither silenced, resuming, joining nor in a name conflict. In a partition into
 	// equal halves neither side has it.
 	Majority bool `cbor:"6,keyasint,omitempty"`
-	// MajoritySince is when Majority changed last.
+	// MajoritySince is when Majority changed last, in microseconds on the clock of Tick; the time of New where it has
+	// not changed.
 	MajoritySince int64 `cbor:"7,keyasint,omitempty" json:"Since"`
 	// Silence is how long no message was accepted.
 	Silence int64 `cbor:"8,keyasint,omitempty"`
-	// Resuming says that the process was paused and has not heard of another member since.
+	// Resuming says that the process was paused and has not heard of another member since; for 2 s at most.
 	Resuming bool `cbor:"9,keyasint,omitempty" json:"Waking"`
 	// MajorityAge is how long ago Majority changed last.
 	MajorityAge int64 `cbor:"11,keyasint,omitempty" json:"Age"`
--- a/internal/membership/handoff.go
+++ b/internal/membership/handoff.go
@@ -10,7 +10,7 @@
 	Sequence         uint64     `cbor:"3,keyasint"` // of its last message
 	State            State      `cbor:"4,keyasint"`
 	Updates          []Update   `cbor:"5,keyasint,omitempty"` // of the present members
-	HighestSequences []uint64   `cbor:"6,keyasint,omitempty"` // of the messages from them, in the order of Updates
+	HighestSequences []uint64   `cbor:"6,keyasint,omitempty"` // of accepted messages from them, in the order of Updates
 }
 
 // Numbers left unused between two processes: one that takes its state back, since its successor failed, can't know how
@@ -32,7 +32,8 @@
 	return h
 }
 
-// Reclaim readies the state for the process that has handed it over, where the successor has used it and failed.
+// Reclaim readies the state for the process that has handed it over, where the successor has used it and failed: it
+// raises Incarnation and Sequence above whatever the successor can have reached.
 func (h *HandoffState) Reclaim() {
 	h.Incarnation += 2 * incarnationGap
 	h.Sequence += 2 * sequenceGap
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// Outbound is a message to be sent.
+// Outbound is a message to be sent to the member named To, at Addr.
 type Outbound struct {
 	To      string
 	Addr    netip.AddrPort
@@ -14,7 +14,7 @@
 
 // Change is a state transition of a member, or of the node itself on a name conflict.
 type Change struct {
-	At   int64
+	At   int64 // microseconds, on the clock of Tick
 	Name string
 	From State
 	To   State
@@ -34,8 +34,8 @@
 	Resumes        int64 `cbor:"9,keyasint,omitempty" json:"Wakings"`    // pauses of the process that were detected
 	Relayed        int64 `cbor:"10,keyasint,omitempty"`                  // indirect pings for others
 	StateExchanges int64 `cbor:"11,keyasint,omitempty" json:"Compared"`  // started by this node
-	RejectedFull   int64 `cbor:"12,keyasint,omitempty" json:"TooMany"`   // new members not taken: maxMembers are held
-	NameReclaims   int64 `cbor:"13,keyasint,omitempty" json:"Outbidden"` // of the own name from another instance
+	RejectedFull   int64 `cbor:"12,keyasint,omitempty" json:"TooMany"`   // new members not taken: 512 are held
+	NameReclaims   int64 `cbor:"13,keyasint,omitempty" json:"Outbidden"` // times that the own name was taken back
 }
 
 // Node is one router's replica of the membership. It is not safe for concurrent use.
@@ -100,7 +100,8 @@
 	connectivity   Connectivity
 }
 
-// New makes the node of a router that starts. It owns random from then on.
+// New makes the node of a router that starts. It owns random from then on. now is the time of a steady clock in
+// microseconds; all later calls must use the same clock.
 func New(settings Settings, random *rand.Rand, now int64) *Node {
 	settings = settings.withDefaults()
 	n := &Node{
@@ -151,8 +152,9 @@
 	return StateUnknown
 }
 
-// Tick does what has fallen due and returns when it wants to be called next, the messages to send and the state
-// transitions since the last call.
+// Tick does what has fallen due and returns the time at which it wants to be called next, the messages to send and the
+// state transitions since the last call. A call that comes more than 60 ms after that time counts against the node's
+// local health; from 300 ms on the process counts as paused.
 func (n *Node) Tick(now int64) (next int64, out []Outbound, changes []Change) {
 	n.advanceClock(now)
 	switch n.self.State {
@@ -225,11 +227,12 @@
 	return nil
 }
 
-// SetGossipDigest sets the digest of package gossip's replica, which all messages carry.
+// SetGossipDigest sets the digest of package gossip's replica, which all messages carry from then on.
 func (n *Node) SetGossipDigest(digest uint32) { n.gossipDigest = digest }
 
 // SendPayload returns the message with a payload for another subsystem at a member; nothing where the member is not
-// present, the node itself is not, or the body is too long.
+// present, the node itself is not, or the body is longer than Settings.MaxMessageBytes less the 110 bytes that are kept
+// for the rest of the message.
 func (n *Node) SendPayload(to string, body []byte) []Outbound {
 	m := n.members[to]
 	if m == nil || m.state.absent() || len(body) > n.settings.MaxMessageBytes-messageOverheadBytes {
@@ -249,7 +252,7 @@
 	return list
 }
 
-// Leave announces that the router will go. It still answers until Depart.
+// Leave announces, with the next messages, that the router will go. It still answers until Depart.
 func (n *Node) Leave(now int64) {
 	n.advanceClock(now)
 	if n.self.State == StateAlive || n.self.State == StateJoining {
@@ -258,7 +261,8 @@
 	}
 }
 
-// Depart announces to some members that the router goes now; they spread it.
+// Depart returns messages that announce to some members that the router goes now; they spread it. From then on the node
+// sends nothing of its own.
 func (n *Node) Depart(now int64) []Outbound {
 	n.advanceClock(now)
 	if n.self.State == StateNameConflict {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,11 +2,12 @@
 
 import "net/netip"
 
-// Kind of a message.
+// Kind of a message. It says which fields are set beside Kind, Sequence, Sender, To and the digests.
 type Kind uint8
 
 // Kinds of messages; their numbers are sent. KindHello and KindQuery are for a name, whatever its instance: as they
-// could be replays, they carry no updates and nothing that they say is applied.
+// could be replays, they carry no updates and nothing that they say is applied. A bucket is one of the 16 parts into
+// which a view is split by a hash of the members' names, so that only parts which differ are sent.
 const (
 	KindHello          Kind = 1 + iota // asks to be admitted; answered by KindWelcome
 	KindWelcome                        // RequestID is that of the hello
@@ -41,9 +42,9 @@
 	Sequence      uint64     `cbor:"2,keyasint,omitempty"` // numbers the sender's messages to anybody, from 1
 	RequestID     uint32     `cbor:"3,keyasint,omitempty"` // the same in a request and its answer
 	Sender        Update     `cbor:"4,keyasint"`           // what the sender says of itself
-	To            string     `cbor:"5,keyasint"`
+	To            string     `cbor:"5,keyasint"`           // name of the receiver
 	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"` // the receiver's, in all kinds but those for a name
-	Target        string     `cbor:"7,keyasint,omitempty"`
+	Target        string     `cbor:"7,keyasint,omitempty"` // name of the member that an indirect ping is for
 	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"` // of the sender's view
 	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`
 	Updates       []Update   `cbor:"10,keyasint,omitempty"`
@@ -52,14 +53,15 @@
 	Body          []byte     `cbor:"13,keyasint,omitempty"`
 }
 
-// Payload is what a message carries for another subsystem: the sender's gossip digest, and a body or none.
+// Payload is what a message carries for another subsystem.
 type Payload struct {
-	From   string
-	Digest uint32
-	Body   []byte
+	From   string // name of the sender
+	Digest uint32 // of the sender's replica in package gossip, as its SetGossipDigest set it
+	Body   []byte // as given to its SendPayload; nil: the message, a ping or an acknowledgement, has the digest alone
 }
 
-// Update is what is said of one router.
+// Update is what is said of one router. Fields that are empty say nothing: most messages leave out what the receiver
+// knows.
 type Update struct {
 	Name        string         `cbor:"1,keyasint"`
 	Zone        string         `cbor:"2,keyasint,omitempty"`
@@ -71,11 +73,11 @@
 	Process     *ProcessInfo   `cbor:"8,keyasint,omitempty"` // nil: not told, as by earlier versions
 }
 
-// ProcessInfo describes a router's process. Program and Settings are digests: routers with the same program and the
-// same settings, apart from their names and addresses, have the same.
+// ProcessInfo describes the process of a router that runs under a supervisor. Program and Settings are digests: routers
+// with the same program and the same settings, apart from their names and addresses, have the same.
 type ProcessInfo struct {
 	_          struct{} `cbor:",toarray"`
-	Generation uint32
+	Generation uint32   // its supervisor's number of the process, from 1; each change and each restart takes a new one
 	Program    uint32
 	Settings   uint32
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -24,6 +24,8 @@
 
 var stateNames = [...]string{"unknown", "joining", "alive", "suspected", "dead", "leaving", "left", "doubled"}
 
+// String returns the state's word in logs and tools: unknown, joining, alive, suspected, dead, leaving, left, or
+// doubled for a name conflict.
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
 // absent reports states of members that are not probed and not counted as present.
@@ -41,7 +43,7 @@
 	Nonce uint32
 }
 
-// Compare orders instances of one name.
+// Compare orders instances of one name: negative where id is the earlier one, 0 where both are the same.
 func (id InstanceID) Compare(other InstanceID) int {
 	return cmp.Or(cmp.Compare(id.Epoch, other.Epoch), cmp.Compare(id.Nonce, other.Nonce))
 }
@@ -51,14 +53,15 @@
 
 // Ways in which a member was reached.
 const (
-	ReachReported Reach = iota // never: others say that it is there
-	ReachDirect                // by itself
-	ReachRelayed               // by an indirect ping
+	ReachReported Reach = iota // not yet by this node: others say that it is there
+	ReachDirect                // a message came from it, or it acknowledged a ping
+	ReachRelayed               // it acknowledged an indirect ping, by way of another member
 	ReachNone                  // the last probe failed
 )
 
 var reachNames = [...]string{"told", "direct", "relayed", "none"}
 
+// String returns the word for it in logs and tools: told (reported), direct, relayed or none.
 func (r Reach) String() string { return reachNames[min(int(r), len(reachNames)-1)] }
 
 // maxMembers bounds the members that are held, absent ones included.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// MemberStatus is what a node holds of one member, or of itself. Ages are microseconds.
+// MemberStatus is what a node holds of one member, or of itself. Durations are microseconds. Of a seed that was not
+// heard of yet only Name, Addr and LastHeardAge are set; of the node itself nothing below Incarnation but Process.
 type MemberStatus struct {
 	Name          string         `cbor:"1,keyasint"`
 	Zone          string         `cbor:"2,keyasint,omitempty" json:"Place"`
@@ -15,11 +16,11 @@
 	ID            InstanceID     `cbor:"5,keyasint,omitempty"`
 	Incarnation   uint32         `cbor:"6,keyasint,omitempty" json:"Inc"`
 	Reach         Reach          `cbor:"7,keyasint,omitempty"`
-	StateAge      int64          `cbor:"8,keyasint,omitempty" json:"Since"`
-	LastHeardAge  int64          `cbor:"9,keyasint,omitempty" json:"Heard"`      // of the last message of its own; -1: none
-	Confirmations int            `cbor:"10,keyasint,omitempty" json:"Witnesses"` // members that suspect it
-	RTT           int64          `cbor:"11,keyasint,omitempty"`                  // of its last direct acknowledgement
-	Process       *ProcessInfo   `cbor:"12,keyasint,omitempty" json:"Runs"`
+	StateAge      int64          `cbor:"8,keyasint,omitempty" json:"Since"`      // how long it has been in State
+	LastHeardAge  int64          `cbor:"9,keyasint,omitempty" json:"Heard"`      // of its last own message; -1: none
+	Confirmations int            `cbor:"10,keyasint,omitempty" json:"Witnesses"` // members that suspect it, 3 at most
+	RTT           int64          `cbor:"11,keyasint,omitempty"`                  // of its last acknowledged direct ping; 0: none
+	Process       *ProcessInfo   `cbor:"12,keyasint,omitempty" json:"Runs"`      // nil: it has told nothing
 }
 
 // View is a snapshot of a node for people and tests, or one page of it.
@@ -27,10 +28,10 @@
 	Self         MemberStatus   `cbor:"1,keyasint"`
 	Connectivity Connectivity   `cbor:"2,keyasint" json:"Standing"`
 	Counts       Counts         `cbor:"3,keyasint"`
-	Digest       uint64         `cbor:"4,keyasint"`
+	Digest       uint64         `cbor:"4,keyasint"` // of the present members: equal views have the same
 	Members      []MemberStatus `cbor:"5,keyasint,omitempty" json:"Seen"`
 	Offset       int            `cbor:"6,keyasint,omitempty" json:"From"` // index of the page's first member among all
-	Total        int            `cbor:"7,keyasint,omitempty"`
+	Total        int            `cbor:"7,keyasint,omitempty"`             // members in all pages
 }
 
 // View returns a snapshot of all members, sorted by name.
