--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -26,18 +26,18 @@
 // demoCommand starts an emulated fleet for a first look.
 func demoCommand() *cobra.Command {
 	var options demoOptions
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "demo",
 		Short: "Start a small emulated fleet with a router before it, until interrupted",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
-	f := c.Flags()
-	f.StringVar(&options.listen, "listen", "127.0.0.1:8080", "address of the router")
-	f.StringVar(&options.scenario, "script", "demo", "scenario to play")
-	f.StringVar(&options.routerBin, "router", "", routerFlagHelp)
-	f.BoolVar(&options.showRouter, "logs", false, "show the router's log")
-	return c
+	flags := command.Flags()
+	flags.StringVar(&options.listen, "listen", "127.0.0.1:8080", "address of the router")
+	flags.StringVar(&options.scenario, "script", "demo", "scenario to play")
+	flags.StringVar(&options.routerBin, "router", "", routerFlagHelp)
+	flags.BoolVar(&options.showRouter, "logs", false, "show the router's log")
+	return command
 }
 
 func (o *demoOptions) run(ctx context.Context) error {
--- a/cmd/quilldoor-lab/diskcache.go
+++ b/cmd/quilldoor-lab/diskcache.go
@@ -41,17 +41,17 @@
 func diskTrialCommand() *cobra.Command {
 	workload := diskbench.Workload{Objects: 20_000, Skew: 0.9, MultipartShare: 0.2}
 	var seeds int
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "disk-trial",
 		Short: "Compare variants of the disk cache's policy on a simulated workload",
 		Args:  cobra.NoArgs,
 	}
-	f := c.Flags()
-	f.IntVar(&workload.Requests, "txns", 1_500_000, "requests; the first third is warm-up")
-	f.Float64Var(&workload.DiskShare, "disk", 0.05, "size of the disk, as a share of the catalogue's bytes")
-	f.IntVar(&workload.DriftInterval, "drift", 200, "requests after which two objects swap their popularity; 0: never")
-	f.IntVar(&seeds, "seeds", 3, "runs of each, of which the mean is printed")
-	c.RunE = func(*cobra.Command, []string) error {
+	flags := command.Flags()
+	flags.IntVar(&workload.Requests, "txns", 1_500_000, "requests; the first third is warm-up")
+	flags.Float64Var(&workload.DiskShare, "disk", 0.05, "size of the disk, as a share of the catalogue's bytes")
+	flags.IntVar(&workload.DriftInterval, "drift", 200, "requests after which two objects swap their popularity; 0: never")
+	flags.IntVar(&seeds, "seeds", 3, "runs of each, of which the mean is printed")
+	command.RunE = func(*cobra.Command, []string) error {
 		if seeds < 1 || workload.Requests < 3 || workload.DiskShare <= 0 {
 			return errors.New("--seeds, --txns and --disk: too small")
 		}
@@ -67,7 +67,7 @@
 		}
 		return nil
 	}
-	return c
+	return command
 }
 
 // runDiskTrial returns results by one-time share, variant and seed.
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -34,23 +34,23 @@
 func emulateCommand() *cobra.Command {
 	var options emulateOptions
 	var virtual bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "emulate SCENARIO",
 		Short: "Play a scenario; exit code 2: a rule was violated",
 		Args:  cobra.ExactArgs(1),
 		Long: "Plays a scenario of the library or a file: on a virtual clock against the router's engine and policy in\n" +
 			"this process, or in real time against router processes on loopback.",
-		RunE: func(c *cobra.Command, args []string) error { return options.run(c.Context(), args[0]) },
+		RunE: func(command *cobra.Command, args []string) error { return options.run(command.Context(), args[0]) },
 	}
-	f := c.Flags()
-	f.Uint64Var(&options.seed, "seed", 0, "of all random draws; 0: the scenario's")
-	f.BoolVar(&virtual, "virtual", false, "on a virtual clock (the default)")
-	f.BoolVar(&options.sockets, "sockets", false, "on loopback, in real time, against router processes")
-	f.BoolVar(&options.json, "json", false, "print the result as JSON")
-	f.StringVar(&options.recordTo, "record", "", "write the event log, a JSON line each, to this file")
-	f.StringVar(&options.routerBin, "router", "", "with --sockets: "+routerFlagHelp)
-	c.MarkFlagsMutuallyExclusive("virtual", "sockets")
-	return c
+	flags := command.Flags()
+	flags.Uint64Var(&options.seed, "seed", 0, "of all random draws; 0: the scenario's")
+	flags.BoolVar(&virtual, "virtual", false, "on a virtual clock (the default)")
+	flags.BoolVar(&options.sockets, "sockets", false, "on loopback, in real time, against router processes")
+	flags.BoolVar(&options.json, "json", false, "print the result as JSON")
+	flags.StringVar(&options.recordTo, "record", "", "write the event log, a JSON line each, to this file")
+	flags.StringVar(&options.routerBin, "router", "", "with --sockets: "+routerFlagHelp)
+	command.MarkFlagsMutuallyExclusive("virtual", "sockets")
+	return command
 }
 
 func (o *emulateOptions) run(ctx context.Context, name string) error {
--- a/cmd/quilldoor-lab/explain.go
+++ b/cmd/quilldoor-lab/explain.go
@@ -17,17 +17,17 @@
 func explainCommand() *cobra.Command {
 	const requestFlag = "txn"
 	var request string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "explain FILE",
 		Short: "Print the events of one request, attempt by attempt, from an event log",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return explain(args[0], request) },
 	}
-	c.Flags().StringVar(&request, requestFlag, "", "id of the request")
-	if err := c.MarkFlagRequired(requestFlag); err != nil {
+	command.Flags().StringVar(&request, requestFlag, "", "id of the request")
+	if err := command.MarkFlagRequired(requestFlag); err != nil {
 		panic(err) // only if the flag were not defined
 	}
-	return c
+	return command
 }
 
 func explain(path, request string) error {
@@ -64,29 +64,29 @@
 }
 
 // describe is an event in words.
-func describe(e *eventlog.Entry) string {
-	switch e.Kind {
+func describe(entry *eventlog.Entry) string {
+	switch entry.Kind {
 	case eventlog.KindTaken:
 		return fmt.Sprintf("router %d accepts it: %s of %s, group %d, %d ms left",
-			e.Router, e.Class, e.Object, e.Group, (e.Deadline-e.At)/1000)
+			entry.Router, entry.Class, entry.Object, entry.Group, (entry.Deadline-entry.At)/1000)
 	case eventlog.KindSent:
-		text := fmt.Sprintf("attempt %d is sent to %s", e.Attempt, e.Endpoint)
-		if e.Source != "" && e.Source != e.Endpoint {
-			text += ", filled from " + e.Source
+		text := fmt.Sprintf("attempt %d is sent to %s", entry.Attempt, entry.Endpoint)
+		if entry.Source != "" && entry.Source != entry.Endpoint {
+			text += ", filled from " + entry.Source
 		}
 		return text
 	case eventlog.KindArrived:
-		return fmt.Sprintf("attempt %d arrives at %s", e.Attempt, e.Endpoint)
+		return fmt.Sprintf("attempt %d arrives at %s", entry.Attempt, entry.Endpoint)
 	case eventlog.KindRan:
-		return fmt.Sprintf("attempt %d runs at %s", e.Attempt, e.Endpoint)
+		return fmt.Sprintf("attempt %d runs at %s", entry.Attempt, entry.Endpoint)
 	case eventlog.KindEffect:
-		return fmt.Sprintf("attempt %d has taken effect at %s", e.Attempt, e.Endpoint)
+		return fmt.Sprintf("attempt %d has taken effect at %s", entry.Attempt, entry.Endpoint)
 	case eventlog.KindEnded:
-		return fmt.Sprintf("attempt %d ends: %s", e.Attempt, e.Outcome)
+		return fmt.Sprintf("attempt %d ends: %s", entry.Attempt, entry.Outcome)
 	case eventlog.KindAnswered:
-		return "answered: " + e.Outcome
+		return "answered: " + entry.Outcome
 	case eventlog.KindLeft:
 		return "the client's deadline has passed"
 	}
-	return string(e.Kind)
+	return string(entry.Kind)
 }
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -34,25 +34,26 @@
 // huntCommand searches for scenarios that violate a rule.
 func huntCommand() *cobra.Command {
 	options := huntOptions{space: faultsearch.DefaultSpace()}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "hunt",
 		Short: "Search random scenarios for violated rules and reduce what is found; simulated",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
-	}
-	f, space := c.Flags(), &options.space
-	f.IntVar(&options.draws, "days", 500, "scenarios to draw")
-	f.Uint64Var(&options.seed, "seed", 1, "of the draw")
-	f.IntVar(&options.jobs, "jobs", runtime.NumCPU(), "scenarios played at once")
-	f.IntVar(&options.shrink, "shrink", 2, "scenarios to reduce of each kind of violation")
-	f.IntVar(&options.maxPlays, "plays", 300, "runs to reduce one, at most")
-	f.StringVar(&options.outFolder, "out", "", "a folder for the reduced scenarios; default: print them")
-	f.BoolVar(&space.Membership, "members", space.Membership, "draw fleets with membership, too")
-	f.BoolVar(&space.Sites, "sites", space.Sites, "draw fleets of two sites, too")
-	f.IntVar(&space.MaxFaults, "most", space.MaxFaults, "faults of a scenario, at most")
-	f.Float64Var(&space.LengthS, "length", space.LengthS, "seconds of a scenario")
-	f.StringSliceVar(&space.FaultKinds, "kinds", nil, "of faults; default: all")
-	return c
+		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
+	}
+	flags := command.Flags()
+	space := &options.space
+	flags.IntVar(&options.draws, "days", 500, "scenarios to draw")
+	flags.Uint64Var(&options.seed, "seed", 1, "of the draw")
+	flags.IntVar(&options.jobs, "jobs", runtime.NumCPU(), "scenarios played at once")
+	flags.IntVar(&options.shrink, "shrink", 2, "scenarios to reduce of each kind of violation")
+	flags.IntVar(&options.maxPlays, "plays", 300, "runs to reduce one, at most")
+	flags.StringVar(&options.outFolder, "out", "", "a folder for the reduced scenarios; default: print them")
+	flags.BoolVar(&space.Membership, "members", space.Membership, "draw fleets with membership, too")
+	flags.BoolVar(&space.Sites, "sites", space.Sites, "draw fleets of two sites, too")
+	flags.IntVar(&space.MaxFaults, "most", space.MaxFaults, "faults of a scenario, at most")
+	flags.Float64Var(&space.LengthS, "length", space.LengthS, "seconds of a scenario")
+	flags.StringSliceVar(&space.FaultKinds, "kinds", nil, "of faults; default: all")
+	return command
 }
 
 func (o *huntOptions) run(ctx context.Context) error {
@@ -173,8 +174,8 @@
 		return "error: " + err.Error(), 0
 	}
 	var rules []string
-	for rule, n := range result.CountByRule {
-		if n > 0 {
+	for rule, count := range result.CountByRule {
+		if count > 0 {
 			rules = append(rules, fmt.Sprint("rule ", rule))
 		}
 	}
--- a/cmd/quilldoor-lab/membership.go
+++ b/cmd/quilldoor-lab/membership.go
@@ -40,20 +40,20 @@
 // membersTrialCommand plays membership on a virtual clock, beside all-to-all heartbeats.
 func membersTrialCommand() *cobra.Command {
 	var options membersTrialOptions
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "members-trial",
 		Short: "How soon and how reliably routers detect failures; simulated",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
-	f := c.Flags()
-	f.IntSliceVar(&options.sizes, "routers", []int{4, 24, 60, 222}, "numbers of routers to play")
-	f.IntVar(&options.seeds, "seeds", 3, "seeds of each")
-	f.IntVar(&options.kills, "kills", 20, "routers killed one after another, for each seed")
-	f.DurationVar(&options.hold, "hold", time.Minute, "duration with stopped and CPU-starved routers")
-	f.Float64Var(&options.loss, "loss", 0.05, "share of messages lost during that time")
-	f.StringVar(&options.detectors, "with", "swim,beats", "failure detectors: swim, beats")
-	return c
+	flags := command.Flags()
+	flags.IntSliceVar(&options.sizes, "routers", []int{4, 24, 60, 222}, "numbers of routers to play")
+	flags.IntVar(&options.seeds, "seeds", 3, "seeds of each")
+	flags.IntVar(&options.kills, "kills", 20, "routers killed one after another, for each seed")
+	flags.DurationVar(&options.hold, "hold", time.Minute, "duration with stopped and CPU-starved routers")
+	flags.Float64Var(&options.loss, "loss", 0.05, "share of messages lost during that time")
+	flags.StringVar(&options.detectors, "with", "swim,beats", "failure detectors: swim, beats")
+	return command
 }
 
 func (o *membersTrialOptions) run(ctx context.Context) error {
@@ -109,11 +109,12 @@
 	mergeDurations(m.detection, other.detection)
 	mergeDurations(m.halfDetection, other.halfDetection)
 	mergeDurations(m.rejoin, other.rejoin)
-	p, q := &m.partition, &other.partition
-	p.DetectedAfter = max(p.DetectedAfter, q.DetectedAfter)
-	p.ConvergedAfter = max(p.ConvergedAfter, q.ConvergedAfter)
-	p.BaselineBytesPerSecond = max(p.BaselineBytesPerSecond, q.BaselineBytesPerSecond)
-	p.RecoveryBytesPerSecond = max(p.RecoveryBytesPerSecond, q.RecoveryBytesPerSecond)
+	worst := &m.partition
+	partition := &other.partition
+	worst.DetectedAfter = max(worst.DetectedAfter, partition.DetectedAfter)
+	worst.ConvergedAfter = max(worst.ConvergedAfter, partition.ConvergedAfter)
+	worst.BaselineBytesPerSecond = max(worst.BaselineBytesPerSecond, partition.BaselineBytesPerSecond)
+	worst.RecoveryBytesPerSecond = max(worst.RecoveryBytesPerSecond, partition.RecoveryBytesPerSecond)
 	m.stability.Suspicions += other.stability.Suspicions
 	m.stability.Deaths += other.stability.Deaths
 }
@@ -150,18 +151,18 @@
 	var routers, kills int
 	var seed uint64
 	var routerBin string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "members-processes",
 		Short: "How soon all routers detect the death of a router process",
 		Args:  cobra.NoArgs,
 	}
-	f := c.Flags()
-	f.IntVar(&routers, "routers", 24, "processes")
-	f.IntVar(&kills, "kills", 30, "processes killed one after another")
-	f.Uint64Var(&seed, "seed", 1, "of the choice of processes and times")
-	f.StringVar(&routerBin, "router", "", routerFlagHelp)
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		times, missed, err := emulator.MeasureFailureDetection(c.Context(), routerBin, routers, kills, seed)
+	flags := command.Flags()
+	flags.IntVar(&routers, "routers", 24, "processes")
+	flags.IntVar(&kills, "kills", 30, "processes killed one after another")
+	flags.Uint64Var(&seed, "seed", 1, "of the choice of processes and times")
+	flags.StringVar(&routerBin, "router", "", routerFlagHelp)
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		times, missed, err := emulator.MeasureFailureDetection(command.Context(), routerBin, routers, kills, seed)
 		if err != nil {
 			return err
 		}
@@ -170,5 +171,5 @@
 			times.ValueAtQuantile(99)/1000, times.Max()/1000, missed)
 		return nil
 	}
-	return c
+	return command
 }
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -24,15 +24,15 @@
 func pairsCommand() *cobra.Command {
 	var seeds int
 	var killedShares []float64
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "pairs SCENARIO...",
 		Short: "Scenarios without and with membership, paired by seed; simulated",
 		Args:  cobra.MinimumNArgs(1),
 	}
-	c.Flags().IntVar(&seeds, "seeds", 16, "of each")
-	c.Flags().Float64SliceVar(&killedShares, "killed", nil,
+	command.Flags().IntVar(&seeds, "seeds", 16, "of each")
+	command.Flags().Float64SliceVar(&killedShares, "killed", nil,
 		"play each with these shares of the routers killed by its first router_dies")
-	c.RunE = func(c *cobra.Command, names []string) error {
+	command.RunE = func(command *cobra.Command, names []string) error {
 		if len(killedShares) == 0 {
 			killedShares = []float64{unchangedShare}
 		}
@@ -42,7 +42,7 @@
 			"on: mean\tworst\tviolations\toverloaded\tdifference\t95%\t")
 		for _, name := range names {
 			for _, share := range killedShares {
-				if err := comparePair(c.Context(), table, name, share, seeds); err != nil {
+				if err := comparePair(command.Context(), table, name, share, seeds); err != nil {
 					return err
 				}
 				table.Flush()
@@ -50,7 +50,7 @@
 		}
 		return nil
 	}
-	return c
+	return command
 }
 
 // comparePair plays a scenario without and with membership and writes a line of the table.
--- a/cmd/quilldoor-lab/result.go
+++ b/cmd/quilldoor-lab/result.go
@@ -17,67 +17,67 @@
 )
 
 // printResult writes a result as text.
-func printResult(to io.Writer, s *scenario.Scenario, r *emulator.Result) {
+func printResult(to io.Writer, s *scenario.Scenario, result *emulator.Result) {
 	fmt.Fprintf(to, "%s: %s\n", s.Name, s.About)
-	for _, fault := range r.Faults {
+	for _, fault := range result.Faults {
 		fmt.Fprintln(to, "  ", fault)
 	}
-	printClasses(to, r)
-	printTotals(to, r)
-	printTimeline(to, r)
-	printViolations(to, r)
+	printClasses(to, result)
+	printTotals(to, result)
+	printTimeline(to, result)
+	printViolations(to, result)
 }
 
 // printClasses writes a line for each traffic class and phase.
-func printClasses(to io.Writer, r *emulator.Result) {
+func printClasses(to io.Writer, result *emulator.Result) {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
 	fmt.Fprintln(table, "class\tphase\trequests\tin time\tlate\tstale\trejected\tfailed\tweight earned\tp50 ms\tp99 ms\t")
-	for _, class := range r.Classes {
+	for _, class := range result.Classes {
 		for _, phase := range simulation.Phases {
-			o := class.Phases[phase]
-			if o == nil {
+			outcomes := class.Phases[phase]
+			if outcomes == nil {
 				continue
 			}
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t\n",
-				class.Name, phase, o.Requests, o.InTime, o.Late, o.Stale, o.Rejected, o.Failed,
-				o.EarnedWeight/o.PossibleWeight, class.Quantile(50)/1000, class.Quantile(99)/1000)
+				class.Name, phase, outcomes.Requests, outcomes.InTime, outcomes.Late, outcomes.Stale, outcomes.Rejected, outcomes.Failed,
+				outcomes.EarnedWeight/outcomes.PossibleWeight, class.Quantile(50)/1000, class.Quantile(99)/1000)
 		}
 	}
 }
 
 // printTotals writes the figures of the whole run.
-func printTotals(to io.Writer, r *emulator.Result) {
+func printTotals(to io.Writer, result *emulator.Result) {
 	fmt.Fprintf(to, "weight earned after warm-up %.4f; %d requests with retries, %d attempts, %d requests unanswered; "+
 		"%d servers overloaded, the origin stopped %d times\n",
-		r.EarnedShare(), r.ClientAttempts, r.Attempts, r.TimedOut, r.Collapsed, r.OriginStops)
+		result.EarnedShare(), result.ClientAttempts, result.Attempts, result.TimedOut, result.Collapsed, result.OriginStops)
 	fmt.Fprintf(to, "bytes into offices %.2f of those requested, from the origin %.2f; ends of attempts %v\n",
-		r.FilledKB/r.RequestedKB, r.OriginKB/r.RequestedKB, r.AttemptOutcomes)
-	if r.Forwarded > 0 {
-		fmt.Fprintf(to, "forwarded to another site %d, completed there %d\n", r.Forwarded, r.ForwardedCompleted)
+		result.FilledKB/result.RequestedKB, result.OriginKB/result.RequestedKB, result.AttemptOutcomes)
+	if result.Forwarded > 0 {
+		fmt.Fprintf(to, "forwarded to another site %d, completed there %d\n", result.Forwarded, result.ForwardedCompleted)
 	}
-	if r.Cost.CPU > 0 {
-		fmt.Fprintf(to, "router processes: %.2f s of CPU, %.0f us a request; the largest %.1f MB\n", r.Cost.CPU.Seconds(),
-			float64(r.Cost.CPU.Microseconds())/float64(max(r.ClientAttempts, 1)), float64(r.Cost.MaxMemoryKB)/1024)
+	if result.Cost.CPU > 0 {
+		fmt.Fprintf(to, "router processes: %.2f s of CPU, %.0f us a request; the largest %.1f MB\n", result.Cost.CPU.Seconds(),
+			float64(result.Cost.CPU.Microseconds())/float64(max(result.ClientAttempts, 1)), float64(result.Cost.MaxMemoryKB)/1024)
 	}
-	if r.Excused > 0 {
-		fmt.Fprintf(to, "due while their router was stopped: %d requests, counted apart\n", r.Excused)
+	if result.Excused > 0 {
+		fmt.Fprintf(to, "due while their router was stopped: %d requests, counted apart\n", result.Excused)
 	}
-	if m := r.Members; m != nil {
+	if members := result.Members; members != nil {
 		fmt.Fprintf(to, "membership views: sampled %d times; converged %d ms after the last change of a fault (-1: not); "+
 			"live routers declared dead by all: %v\n",
-			m.Comparisons, m.AgreedAfter/1000, m.DeadByAll)
+			members.Comparisons, members.AgreedAfter/1000, members.DeadByAll)
 	}
 }
 
 // printViolations writes the checker's findings.
-func printViolations(to io.Writer, r *emulator.Result) {
-	if len(r.Violations) == 0 {
-		fmt.Fprintf(to, "the checker judged %d requests: no rule violated\n", r.Judged)
+func printViolations(to io.Writer, result *emulator.Result) {
+	if len(result.Violations) == 0 {
+		fmt.Fprintf(to, "the checker judged %d requests: no rule violated\n", result.Judged)
 		return
 	}
-	fmt.Fprintf(to, "rules violated, by rule: %v\n", r.CountByRule[1:])
-	for i, violation := range r.Violations {
+	fmt.Fprintf(to, "rules violated, by rule: %v\n", result.CountByRule[1:])
+	for i, violation := range result.Violations {
 		if i == maxViolationsShown {
 			fmt.Fprintln(to, "   ...")
 			break
@@ -87,16 +87,16 @@
 }
 
 // printTimeline draws a bar for each second: responses in time, late, and none.
-func printTimeline(to io.Writer, r *emulator.Result) {
+func printTimeline(to io.Writer, result *emulator.Result) {
 	busiest := 1
-	for _, second := range r.Timeline {
+	for _, second := range result.Timeline {
 		busiest = max(busiest, second.InTime+second.Late+second.NotCompleted)
 	}
 	bar := func(n int, symbol string) string {
 		return strings.Repeat(symbol, (n*timelineWidth+busiest/2)/busiest)
 	}
 	fmt.Fprintln(to, "    s  caches  link  responses: # in time, ~ late, . none; ! a fault is active")
-	for _, second := range r.Timeline {
+	for _, second := range result.Timeline {
 		mark := " "
 		if second.ActiveFaults > 0 {
 			mark = "!"
--- a/cmd/quilldoor-lab/rolloutchart.go
+++ b/cmd/quilldoor-lab/rolloutchart.go
@@ -27,22 +27,22 @@
 )
 
 // drawBound plots a metric's samples, their running mean, its current interval and the tolerance.
-func drawBound(b *rollout.MetricInterval) (template.HTML, error) {
+func drawBound(bound *rollout.MetricInterval) (template.HTML, error) {
 	chart := plot.New()
 	chart.X.Label.Text = "sample"
 	chart.Y.Label.Text = "new less old"
-	if err := addSamples(chart, b.Samples); err != nil {
+	if err := addSamples(chart, bound.Samples); err != nil {
 		return "", err
 	}
-	lastX := float64(max(len(b.Samples), 2))
+	lastX := float64(max(len(bound.Samples), 2))
 	for _, line := range []struct {
 		name  string // empty: not in the legend
 		y     float64
 		color color.Color
 	}{
-		{"interval", b.Low, intervalColor},
-		{"", b.High, intervalColor},
-		{"tolerance", b.Tolerance, toleranceColor},
+		{"interval", bound.Low, intervalColor},
+		{"", bound.High, intervalColor},
+		{"tolerance", bound.Tolerance, toleranceColor},
 	} {
 		if err := addLevel(chart, line.name, line.y, lastX, line.color); err != nil {
 			return "", err
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -43,17 +43,17 @@
 // calm runs with the same seeds.
 func rolloutCostCommand() *cobra.Command {
 	var options rolloutCostOptions
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "rollout-cost",
 		Short: "What a rollout of the same program costs eight router processes on loopback, beside calm runs",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
-	c.Flags().IntVar(&options.seeds, "seeds", 4, "of each")
-	c.Flags().Float64Var(&options.requestsPerS, "txns", 240, "requests a second, over all routers")
-	c.Flags().Float64Var(&options.lengthS, "length", 100, "seconds of a run")
-	c.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
-	return c
+	command.Flags().IntVar(&options.seeds, "seeds", 4, "of each")
+	command.Flags().Float64Var(&options.requestsPerS, "txns", 240, "requests a second, over all routers")
+	command.Flags().Float64Var(&options.lengthS, "length", 100, "seconds of a run")
+	command.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
+	return command
 }
 
 func (o *rolloutCostOptions) run(ctx context.Context) error {
@@ -83,13 +83,13 @@
 func (o *rolloutCostOptions) playRow(
 	ctx context.Context, to io.Writer, seed uint64, name string, rolls bool,
 ) (float64, error) {
-	r, took, err := o.play(ctx, seed, rolls)
+	result, took, err := o.play(ctx, seed, rolls)
 	if err != nil {
 		return 0, fmt.Errorf("%s, seed %d: %w", name, seed, err)
 	}
-	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n", seed, name, r.EarnedShare(), r.Judged,
-		r.RefusedConnections, r.BrokenConnections, len(r.Violations), took.Seconds(), r.Cost.CPU.Seconds())
-	return r.EarnedShare(), nil
+	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n", seed, name, result.EarnedShare(), result.Judged,
+		result.RefusedConnections, result.BrokenConnections, len(result.Violations), took.Seconds(), result.Cost.CPU.Seconds())
+	return result.EarnedShare(), nil
 }
 
 // play plays one run, again if it was undecided, and returns how long the rollout took.
--- a/cmd/quilldoor-lab/rolloutfigures.go
+++ b/cmd/quilldoor-lab/rolloutfigures.go
@@ -25,11 +25,11 @@
 }
 
 func summarize(results []*emulator.RolloutResult) *rolloutFigures {
-	f := &rolloutFigures{runs: len(results)}
+	figures := &rolloutFigures{runs: len(results)}
 	for _, result := range results {
-		f.add(result)
+		figures.add(result)
 	}
-	return f
+	return figures
 }
 
 // add counts a run.
@@ -37,8 +37,8 @@
 	f.earned = append(f.earned, result.EarnedShare())
 	f.harmed += float64(result.HarmedRequests) / float64(f.runs)
 	f.accused += result.AccusedRouters
-	for rule, n := range result.CountByRule {
-		f.violations[rule] += n
+	for rule, count := range result.CountByRule {
+		f.violations[rule] += count
 	}
 	switch result.Phase {
 	case rollout.PhaseDone:
@@ -59,8 +59,8 @@
 // print writes the figures as the rest of a line of the table.
 func (f *rolloutFigures) print(to io.Writer) {
 	fmt.Fprintf(to, "%d\t%d\t%d\t%d\t", f.runs, f.done, f.rolledBack, f.paused)
-	for _, n := range f.rolledBackAt {
-		fmt.Fprintf(to, "%d\t", n)
+	for _, count := range f.rolledBackAt {
+		fmt.Fprintf(to, "%d\t", count)
 	}
 	fmt.Fprintf(to, "%.4f\t%.0f\t", stat.Mean(f.earned, nil), f.harmed)
 	fmt.Fprintf(to, "%s\t%s\t", quantile(f.undecidedS, 0.5), quantile(f.undecidedS, 1))
--- a/cmd/quilldoor-lab/rolloutreport.go
+++ b/cmd/quilldoor-lab/rolloutreport.go
@@ -26,17 +26,17 @@
 // rolloutReportCommand renders a rollout's status as one page without external resources.
 func rolloutReportCommand() *cobra.Command {
 	var folder, jsonFile, out string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "rollout-report",
 		Short: "Render a rollout's status as one HTML page",
 		Args:  cobra.NoArgs,
 		Long: "Asks the supervisor of a folder, or reads what 'quilldoor rollout status --json' has printed. The leader's\n" +
 			"status has the figures of all routers.",
 	}
-	c.Flags().StringVar(&folder, "folder", "", "a supervisor's folder")
-	c.Flags().StringVar(&jsonFile, "json", "", "a status in JSON")
-	c.Flags().StringVar(&out, "out", "rollout.html", "the page")
-	c.RunE = func(*cobra.Command, []string) error {
+	command.Flags().StringVar(&folder, "folder", "", "a supervisor's folder")
+	command.Flags().StringVar(&jsonFile, "json", "", "a status in JSON")
+	command.Flags().StringVar(&out, "out", "rollout.html", "the page")
+	command.RunE = func(*cobra.Command, []string) error {
 		status, err := loadRolloutStatus(folder, jsonFile)
 		if err != nil {
 			return err
@@ -47,7 +47,7 @@
 		}
 		return os.WriteFile(out, page, 0o644)
 	}
-	return c
+	return command
 }
 
 // loadRolloutStatus gets the status from a supervisor or from a file; one of them is named.
@@ -128,12 +128,12 @@
 	return out.Bytes(), err
 }
 
-func newBoundChart(b *rollout.MetricInterval) (boundChart, error) {
-	svg, err := drawBound(b)
+func newBoundChart(bound *rollout.MetricInterval) (boundChart, error) {
+	svg, err := drawBound(bound)
 	if err != nil {
-		return boundChart{}, fmt.Errorf("chart of %s: %w", b.Metric, err)
+		return boundChart{}, fmt.Errorf("chart of %s: %w", bound.Metric, err)
 	}
 	title := fmt.Sprintf("%s, new less old: %+.4f, from %+.4f to %+.4f; %g is tolerated",
-		b.Metric, b.Mean, b.Low, b.High, b.Tolerance)
+		bound.Metric, bound.Mean, bound.Low, bound.High, bound.Tolerance)
 	return boundChart{Title: title, SVG: svg}, nil
 }
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -44,20 +44,20 @@
 // rolloutsCommand plays rollouts of good and of worse programs.
 func rolloutsCommand() *cobra.Command {
 	var options rolloutsOptions
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "rollouts",
 		Short: "Rollouts of the same and of worse programs through 24 routers; simulated",
 		Args:  cobra.NoArgs,
-		RunE:  func(c *cobra.Command, _ []string) error { return options.run(c.Context()) },
+		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
-	f := c.Flags()
-	f.IntVar(&options.runs, "runs", 40, "of each row")
-	f.StringVar(&options.day, "day", "", "one of the days; default: all")
-	f.StringVar(&options.program, "variant", "", "one of the programs; default: all")
-	f.IntVar(&options.sameRuns, "same", 200, "runs of each row with the same program, judged")
-	f.Float64Var(&options.watchS, "watch", 240, "seconds that the first stage is watched at most; the second: half of it")
-	f.Float64Var(&options.lengthS, "length", 600, "simulated seconds")
-	return c
+	flags := command.Flags()
+	flags.IntVar(&options.runs, "runs", 40, "of each row")
+	flags.StringVar(&options.day, "day", "", "one of the days; default: all")
+	flags.StringVar(&options.program, "variant", "", "one of the programs; default: all")
+	flags.IntVar(&options.sameRuns, "same", 200, "runs of each row with the same program, judged")
+	flags.Float64Var(&options.watchS, "watch", 240, "seconds that the first stage is watched at most; the second: half of it")
+	flags.Float64Var(&options.lengthS, "length", 600, "simulated seconds")
+	return command
 }
 
 func (o *rolloutsOptions) run(ctx context.Context) error {
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -49,24 +49,24 @@
 // changesCommand compares upgrades of router processes with calm runs and restarts.
 func changesCommand() *cobra.Command {
 	var options changesOptions
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "changes",
 		Short: "What an upgrade of all routers costs, on loopback against router processes",
 		Args:  cobra.NoArgs,
 		Long: "All routers of three offices are upgraded at once, beside calm runs, plain restarts and new generations\n" +
 			"that crash; the same seeds on all sides. --row N: one router is upgraded N times in a row instead.",
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(command *cobra.Command, _ []string) error {
 			if options.row > 0 {
-				return options.upgradeInARow(c.Context())
+				return options.upgradeInARow(command.Context())
 			}
-			return options.compareCases(c.Context())
+			return options.compareCases(command.Context())
 		},
 	}
-	c.Flags().IntVar(&options.seeds, "seeds", 6, "of each")
-	c.Flags().Float64Var(&options.requestsPerS, "txns", 200, "requests a second, over all routers")
-	c.Flags().IntVar(&options.row, "row", 0, "upgrades of one router, one after another")
-	c.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
-	return c
+	command.Flags().IntVar(&options.seeds, "seeds", 6, "of each")
+	command.Flags().Float64Var(&options.requestsPerS, "txns", 200, "requests a second, over all routers")
+	command.Flags().IntVar(&options.row, "row", 0, "upgrades of one router, one after another")
+	command.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
+	return command
 }
 
 func (o *changesOptions) compareCases(ctx context.Context) error {
--- a/cmd/quilldoor-lab/upgradewindow.go
+++ b/cmd/quilldoor-lab/upgradewindow.go
@@ -30,17 +30,17 @@
 }
 
 // record takes the events of the run in order.
-func (w *windowRecorder) record(e *eventlog.Entry) {
+func (w *windowRecorder) record(entry *eventlog.Entry) {
 	from, to := upgradeAt.Microseconds(), (upgradeAt + upgradeWindow).Microseconds()
-	switch e.Kind {
+	switch entry.Kind {
 	case eventlog.KindTaken:
-		if e.At >= from && e.At < to {
-			w.open[e.Request] = openRequest{at: e.At, class: e.Class}
-			w.offered += w.weights[e.Class]
+		if entry.At >= from && entry.At < to {
+			w.open[entry.Request] = openRequest{at: entry.At, class: entry.Class}
+			w.offered += w.weights[entry.Class]
 		}
 	case eventlog.KindAnswered:
-		if request, ok := w.open[e.Request]; ok && e.Outcome == "completed" {
-			w.latency.RecordValue(e.At - request.at)
+		if request, ok := w.open[entry.Request]; ok && entry.Outcome == "completed" {
+			w.latency.RecordValue(entry.At - request.at)
 			w.earned += w.weights[request.class]
 		}
 	}
--- a/internal/faultsearch/draw.go
+++ b/internal/faultsearch/draw.go
@@ -56,46 +56,47 @@
 }
 
 // drawFleet draws the sizes, capacities and delays.
-func drawFleet(random *rand.Rand, f *scenario.Fleet) {
-	f.Trunks = 1 + random.IntN(3)
-	f.Offices = 1 + random.IntN(4)
-	f.Routers = 1 + random.IntN(3)
-	f.Caches = 2 + random.IntN(4)
-	f.Parents = choose(random, 1, 1, 2)
-	f.Cores = 2 + random.IntN(5)
-	f.LinkShare = logUniform(random, 0.2, 0.8)
-	f.ParentLink = logUniform(random, 0.8, 1.8)
-	f.SlowStartFrom = logUniform(random, 0.15, 0.5)
-	f.SlowStartS = logUniform(random, 3, 15)
-	f.OverloadMultiple = logUniform(random, 1.5, 4)
-	f.ParentSlowStartFrom = logUniform(random, 0.06, 0.4)
-	f.ParentSlowStartS = logUniform(random, 3, 20)
-	f.DiscoveryDelayMS = logUniform(random, 100, 2500)
-	f.DeathDetectionMS = logUniform(random, 300, 4000)
-	f.CacheShare = logUniform(random, 0.1, 0.5)
-	f.PreWarmed = random.IntN(4) > 0
-	f.ParentCoalesces = random.IntN(2) == 0
-	f.OrphanFills = random.IntN(2) == 0
-	f.Hedging = random.IntN(2) == 0
-	f.OriginRejectShare = logUniform(random, 0.5, 1)
+func drawFleet(random *rand.Rand, fleet *scenario.Fleet) {
+	fleet.Trunks = 1 + random.IntN(3)
+	fleet.Offices = 1 + random.IntN(4)
+	fleet.Routers = 1 + random.IntN(3)
+	fleet.Caches = 2 + random.IntN(4)
+	fleet.Parents = choose(random, 1, 1, 2)
+	fleet.Cores = 2 + random.IntN(5)
+	fleet.LinkShare = logUniform(random, 0.2, 0.8)
+	fleet.ParentLink = logUniform(random, 0.8, 1.8)
+	fleet.SlowStartFrom = logUniform(random, 0.15, 0.5)
+	fleet.SlowStartS = logUniform(random, 3, 15)
+	fleet.OverloadMultiple = logUniform(random, 1.5, 4)
+	fleet.ParentSlowStartFrom = logUniform(random, 0.06, 0.4)
+	fleet.ParentSlowStartS = logUniform(random, 3, 20)
+	fleet.DiscoveryDelayMS = logUniform(random, 100, 2500)
+	fleet.DeathDetectionMS = logUniform(random, 300, 4000)
+	fleet.CacheShare = logUniform(random, 0.1, 0.5)
+	fleet.PreWarmed = random.IntN(4) > 0
+	fleet.ParentCoalesces = random.IntN(2) == 0
+	fleet.OrphanFills = random.IntN(2) == 0
+	fleet.Hedging = random.IntN(2) == 0
+	fleet.OriginRejectShare = logUniform(random, 0.5, 1)
 }
 
 // drawLoad draws the clients' behaviour and a request rate that suits the drawn fleet.
 func drawLoad(random *rand.Rand, s *scenario.Scenario, space Space) {
-	f, l := &s.Fleet, &s.Load
-	l.Retries = random.IntN(4)
-	l.RetryWaitMS = choose(random, 0, 150, 600.0)
-	l.HonourShare = choose(random, 0, 0.5, 1)
-	l.WriteShare = choose(random, 0.034, 0.034, 0.2)
+	fleet := &s.Fleet
+	load := &s.Load
+	load.Retries = random.IntN(4)
+	load.RetryWaitMS = choose(random, 0, 150, 600.0)
+	load.HonourShare = choose(random, 0, 0.5, 1)
+	load.WriteShare = choose(random, 0.034, 0.034, 0.2)
 	loadShare := logUniform(random, space.MinLoadShare, space.MaxLoadShare)
-	l.RequestsPerS = roundDigits(loadShare * float64(f.Offices*f.Caches*f.Cores) / meanServiceS)
+	load.RequestsPerS = roundDigits(loadShare * float64(fleet.Offices*fleet.Caches*fleet.Cores) / meanServiceS)
 }
 
 // drawTopology draws how the routers know each other and whether they span sites.
-func drawTopology(random *rand.Rand, f *scenario.Fleet, space Space) {
-	f.Membership = space.Membership && f.Offices*f.Routers > 1 && random.IntN(2) == 0
-	if space.Sites && f.Offices > 1 && random.IntN(4) == 0 {
-		f.Sites = 2
+func drawTopology(random *rand.Rand, fleet *scenario.Fleet, space Space) {
+	fleet.Membership = space.Membership && fleet.Offices*fleet.Routers > 1 && random.IntN(2) == 0
+	if space.Sites && fleet.Offices > 1 && random.IntN(4) == 0 {
+		fleet.Sites = 2
 	}
 }
 
@@ -111,14 +112,14 @@
 }
 
 // possibleKinds returns those of the kinds, or of all if there are none, that the fleet can have.
-func possibleKinds(f *scenario.Fleet, kinds []string) []string {
+func possibleKinds(fleet *scenario.Fleet, kinds []string) []string {
 	if len(kinds) == 0 {
 		kinds = scenario.FaultNames()
 	}
 	return slices.DeleteFunc(slices.Clone(kinds), func(kind string) bool {
 		needsMembership := strings.HasPrefix(kind, scenario.PeerKindPrefix)
 		needsSites := kind == scenario.KindSiteCut
-		return needsMembership && !f.Membership || needsSites && f.Sites < 2
+		return needsMembership && !fleet.Membership || needsSites && fleet.Sites < 2
 	})
 }
 
@@ -162,12 +163,12 @@
 }
 
 // roundDigits rounds to three significant digits, so that a scenario's YAML stays short.
-func roundDigits(v float64) float64 {
-	if v == 0 {
+func roundDigits(value float64) float64 {
+	if value == 0 {
 		return 0
 	}
-	scale := math.Pow(10, 2-math.Floor(math.Log10(math.Abs(v))))
-	return math.Round(v*scale) / scale
+	scale := math.Pow(10, 2-math.Floor(math.Log10(math.Abs(value))))
+	return math.Round(value*scale) / scale
 }
 
 // choose draws one of the list.
--- a/internal/faultsearch/marshal.go
+++ b/internal/faultsearch/marshal.go
@@ -55,8 +55,8 @@
 }
 
 // asMap converts a value to a map by its YAML keys.
-func asMap(v any) (map[string]any, error) {
-	text, err := yaml.Marshal(v)
+func asMap(value any) (map[string]any, error) {
+	text, err := yaml.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faultsearch/shrink.go
+++ b/internal/faultsearch/shrink.go
@@ -78,10 +78,10 @@
 
 // Copy returns a deep copy.
 func Copy(s *scenario.Scenario) *scenario.Scenario {
-	c := *s
-	c.Faults = slices.Clone(s.Faults)
-	c.Load.OfficeWeights = slices.Clone(s.Load.OfficeWeights)
-	return &c
+	copied := *s
+	copied.Faults = slices.Clone(s.Faults)
+	copied.Load.OfficeWeights = slices.Clone(s.Load.OfficeWeights)
+	return &copied
 }
 
 // edits returns the single simplifications of a scenario.
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -98,12 +98,13 @@
 }
 
 func (s *Scenario) setZones(set *settings.Setup) {
-	f, family := &s.Fleet, &set.FamilyInfo
-	for office := range f.Offices {
+	fleet := &s.Fleet
+	family := &set.FamilyInfo
+	for office := range fleet.Offices {
 		set.Zones = append(set.Zones, Zone(office))
-		family.HubByZone = append(family.HubByZone, f.Trunk(office))
-		family.ZoneBalancers = append(family.ZoneBalancers, f.Routers)
-		family.FeedKbPerS = append(family.FeedKbPerS, f.OfficeLinkKBPerS())
+		family.HubByZone = append(family.HubByZone, fleet.Trunk(office))
+		family.ZoneBalancers = append(family.ZoneBalancers, fleet.Routers)
+		family.FeedKbPerS = append(family.FeedKbPerS, fleet.OfficeLinkKBPerS())
 	}
 }
 
@@ -133,34 +134,36 @@
 
 // setHierarchy sets what is known of parents and the origin, and of purges.
 func (s *Scenario) setHierarchy(set *settings.Setup) {
-	f, family := &s.Fleet, &set.FamilyInfo
+	fleet := &s.Fleet
+	family := &set.FamilyInfo
 	family.BypassAllowed = true
 	family.MasterKind = slices.Index(endpointKinds, EndpointOrigin)
-	if f.Parents > 0 {
+	if fleet.Parents > 0 {
 		parent := slices.Index(endpointKinds, EndpointParent)
 		family.SecondTierKind = &parent
 	}
-	family.ClearedWithinMs = f.PurgeCompleteMS
-	family.PurgeGraceMs = f.PurgeGraceMS
-	family.FlowKbPerS = f.FlowKBPerS
+	family.ClearedWithinMs = fleet.PurgeCompleteMS
+	family.PurgeGraceMs = fleet.PurgeGraceMS
+	family.FlowKbPerS = fleet.FlowKBPerS
 	family.LinkPrice = linkPrice
 	family.NotesGiven = "all"
 	family.Sideways = "none"
 	family.OriginFallMs = originOverloadMS
-	family.OriginFallMultiple = f.OriginStopMultiple
-	family.ParentColdFrom = f.ParentSlowStartFrom
-	family.ParentRampMs = f.ParentSlowStartS * 1000
-	family.UpperFallMultiple = f.OverloadMultiple
+	family.OriginFallMultiple = fleet.OriginStopMultiple
+	family.ParentColdFrom = fleet.ParentSlowStartFrom
+	family.ParentRampMs = fleet.ParentSlowStartS * 1000
+	family.UpperFallMultiple = fleet.OverloadMultiple
 }
 
 func (s *Scenario) setContract(set *settings.Setup) {
-	f, contract := &s.Fleet, &set.Contract
+	fleet := &s.Fleet
+	contract := &set.Contract
 	contract.AnswerSlackMs = answerSlackMS
-	contract.DrainGraceMs = f.DrainGraceMS
-	contract.ColdFrom = f.SlowStartFrom
-	contract.ColdMs = f.SlowStartS * 1000
-	contract.FallMs = f.OverloadMS
-	contract.FallMultiple = f.OverloadMultiple
+	contract.DrainGraceMs = fleet.DrainGraceMS
+	contract.ColdFrom = fleet.SlowStartFrom
+	contract.ColdMs = fleet.SlowStartS * 1000
+	contract.FallMs = fleet.OverloadMS
+	contract.FallMultiple = fleet.OverloadMultiple
 }
 
 func (s *Scenario) setLimits(set *settings.Setup) {
--- a/internal/scenario/validate.go
+++ b/internal/scenario/validate.go
@@ -53,14 +53,14 @@
 
 // validateSize bounds what a run needs in all.
 func (s *Scenario) validateSize() error {
-	f := &s.Fleet
+	fleet := &s.Fleet
 	if requests := s.Load.RequestsPerS * s.LengthS; requests > maxRequests {
 		return yamlfile.Errorf("load.txns_per_s", "%.0f txns in all are more than a run should take (200,000,000)", requests)
 	}
-	if caches := f.Offices * f.Caches; caches > maxCaches {
+	if caches := fleet.Offices * fleet.Caches; caches > maxCaches {
 		return yamlfile.Errorf("fleet.caches", "%d caches in all are more than %d", caches, maxCaches)
 	}
-	if routers := f.Offices * f.Routers; routers > maxRouters {
+	if routers := fleet.Offices * fleet.Routers; routers > maxRouters {
 		return yamlfile.Errorf("fleet.routers", "%d routers in all are more than %d", routers, maxRouters)
 	}
 	return nil
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -11,114 +11,151 @@
 
 // The hit share of a store under independent requests follows Che's approximation (Che, Tung and Wang, 2002).
 func TestStoreHitShareMatchesChe(t *testing.T) {
-	const objects, capacity = 5000, 500
+	const (
+		objects     = 5000
+		capacity    = 500
+		skew        = 0.8
+		requests    = 300_000
+		warmUp      = 50_000
+		maxDistance = 0.01
+	)
 	var weights []float64
 	sum := 0.0
 	for i := range objects {
-		weights = append(weights, math.Pow(float64(i+1), -0.8))
+		weights = append(weights, math.Pow(float64(i+1), -skew))
 		sum += weights[i]
 	}
-	filled := func(at float64) (n, hit float64) {
-		for _, weight := range weights {
-			in := 1 - math.Exp(-weight/sum*at)
-			n, hit = n+in, hit+weight/sum*in
-		}
-		return n, hit
-	}
-	low, high := 0.0, 1e9
-	for range 200 {
-		if mid := (low + high) / 2; true {
-			if n, _ := filled(mid); n < capacity {
-				low = mid
-			} else {
-				high = mid
-			}
-		}
-	}
-	_, want := filled(low)
-	r := rand.New(rand.NewPCG(3, 3))
-	popular := distuv.NewCategorical(weights, r)
-	s := newCopyStore(capacity)
-	hits, all := 0, 0
-	for i := range 300_000 {
-		key := int64(popular.Rand())
-		hit := s.get(key) != nil
+	want := cheHitShare(weights, sum, capacity)
+	random := rand.New(rand.NewPCG(3, 3))
+	popularity := distuv.NewCategorical(weights, random)
+	store := newCopyStore(capacity)
+	hits, counted := 0, 0
+	for i := range requests {
+		key := int64(popularity.Rand())
+		hit := store.get(key) != nil
 		if !hit {
-			s.put(key, 1, 1, 0, 1)
+			store.put(key, 1, 1, 0, 1)
 		}
-		if i > 50_000 {
-			all++
+		if i > warmUp {
+			counted++
 			if hit {
 				hits++
 			}
 		}
 	}
-	if got := float64(hits) / float64(all); math.Abs(got-want) > 0.01 {
+	if got := float64(hits) / float64(counted); math.Abs(got-want) > maxDistance {
 		t.Fatalf("hit share %.4f, %.4f by Che", got, want)
 	} else {
 		t.Logf("hit share %.4f, %.4f by Che", got, want)
 	}
 }
 
+// cheHitShare is the hit share by Che's approximation: that at the characteristic time, after which as many distinct
+// objects were requested as the store holds. The time is found by bisection.
+func cheHitShare(weights []float64, sum float64, capacity int) float64 {
+	storedAndHits := func(time float64) (stored, hitShare float64) {
+		for _, weight := range weights {
+			present := 1 - math.Exp(-weight/sum*time)
+			stored += present
+			hitShare += weight / sum * present
+		}
+		return stored, hitShare
+	}
+	low, high := 0.0, 1e9
+	for range 200 {
+		mid := (low + high) / 2
+		if stored, _ := storedAndHits(mid); stored < float64(capacity) {
+			low = mid
+		} else {
+			high = mid
+		}
+	}
+	_, hitShare := storedAndHits(low)
+	return hitShare
+}
+
 // A store never holds more than its capacity and evicts copies of lower ranks first. Its rings and its map hold the
 // same copies.
 func TestStoreStaysWithinCapacityAndEvictsLowRanksFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		s := newCopyStore(50)
+		store := newCopyStore(testCapacityKB)
 		for range 80 {
 			switch key := int64(draw(30)); draw(5) {
 			case 0:
-				s.get(key)
+				store.get(key)
 			case 1:
-				s.purge(key>>partBits, 0, int64(draw(100)))
+				store.purge(key>>partBits, 0, int64(draw(100)))
 			case 2:
-				s.purge(wholeGroup, int64(draw(3)), int64(draw(100)))
+				store.purge(wholeGroup, int64(draw(3)), int64(draw(100)))
 			default:
-				lowest := rankCount
-				for _, cached := range s.copies {
-					lowest = min(lowest, cached.rank)
-				}
-				before, rank := len(s.copies), draw(rankCount)
-				kb := float64(1 + draw(20))
-				_, had := s.copies[key]
-				s.put(key, kb, int64(draw(100)), int64(draw(3)), rank)
-				if !had && s.copies[key] == nil && before > 0 && rank > lowest && kb <= 50 {
-					higher := 0.0
-					for _, cached := range s.copies {
-						if cached.rank > rank {
-							higher += cached.sizeKB
-						}
-					}
-					if higher+kb <= 50 {
-						t.Fatalf("rank %d found no space above rank %d", rank, lowest)
-					}
-				}
-			}
-			used, n := 0.0, 0
-			for rank := range s.rankRings {
-				for c := s.rankRings[rank].newer; c != &s.rankRings[rank]; c = c.newer {
-					if used, n = used+c.sizeKB, n+1; s.copies[c.key] != c || c.rank != rank {
-						t.Fatal("a ring and the map disagree")
-					}
-				}
-			}
-			if n != len(s.copies) {
-				t.Fatalf("%d in rings, %d in the map", n, len(s.copies))
-			}
-			for g := range s.groupRings {
-				for c := s.groupRings[g].next; c != &s.groupRings[g]; c = c.next {
-					if n--; s.copies[c.key] != c || c.group != int64(g) {
-						t.Fatal("a group's ring and the map disagree")
-					}
-				}
+				checkPut(t, store, key, draw)
 			}
-			if n != 0 {
-				t.Fatalf("%d copies are in no group's ring", n)
+			checkRings(t, store)
+		}
+	})
+}
+
+// testCapacityKB is the capacity of the stores in the property test.
+const testCapacityKB = 50
+
+// checkPut stores a random copy. It must find space where copies of lower ranks could be evicted for it.
+func checkPut(t *rapid.T, store *copyStore, key int64, draw func(n int) int) {
+	t.Helper()
+	lowest := rankCount
+	for _, cached := range store.copies {
+		lowest = min(lowest, cached.rank)
+	}
+	before := len(store.copies)
+	rank := draw(rankCount)
+	kb := float64(1 + draw(20))
+	_, had := store.copies[key]
+	store.put(key, kb, int64(draw(100)), int64(draw(3)), rank)
+	if had || store.copies[key] != nil || before == 0 || rank <= lowest || kb > testCapacityKB {
+		return
+	}
+	higherKB := 0.0
+	for _, cached := range store.copies {
+		if cached.rank > rank {
+			higherKB += cached.sizeKB
+		}
+	}
+	if higherKB+kb <= testCapacityKB {
+		t.Fatalf("rank %d found no space above rank %d", rank, lowest)
+	}
+}
+
+// checkRings checks that the rings of ranks and of groups hold just the copies of the map, within the capacity.
+func checkRings(t *rapid.T, store *copyStore) {
+	t.Helper()
+	usedKB := 0.0
+	count := 0
+	for rank := range store.rankRings {
+		head := &store.rankRings[rank]
+		for cached := head.newer; cached != head; cached = cached.newer {
+			usedKB += cached.sizeKB
+			count++
+			if store.copies[cached.key] != cached || cached.rank != rank {
+				t.Fatal("a ring and the map disagree")
 			}
-			if math.Abs(used-s.usedKB) > 1e-9 || used > 50 {
-				t.Fatalf("%.1f of 50 used, counted %.1f", used, s.usedKB)
+		}
+	}
+	if count != len(store.copies) {
+		t.Fatalf("%d in rings, %d in the map", count, len(store.copies))
+	}
+	for group := range store.groupRings {
+		head := &store.groupRings[group]
+		for cached := head.next; cached != head; cached = cached.next {
+			count--
+			if store.copies[cached.key] != cached || cached.group != int64(group) {
+				t.Fatal("a group's ring and the map disagree")
 			}
 		}
-	})
+	}
+	if count != 0 {
+		t.Fatalf("%d copies are in no group's ring", count)
+	}
+	if math.Abs(usedKB-store.usedKB) > 1e-9 || usedKB > testCapacityKB {
+		t.Fatalf("%.1f of %d used, counted %.1f", usedKB, testCapacityKB, store.usedKB)
+	}
 }
