--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -67,8 +67,8 @@
 // ones; one that is silent keeps them and does not answer.
 func (l *serverListener) setState(up, silent bool) {
 	if up || !silent {
-		for c := range l.conns {
-			c.reset()
+		for conn := range l.conns {
+			conn.reset()
 		}
 	}
 	if !up && !silent && l.listener != nil {
@@ -168,7 +168,7 @@
 // event log has it as aborted when its time is over.
 func (l *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
 	class, group, sizeKB, known := l.simulation.Object(get.Object, get.Part)
-	if !known || l.simulation.ClassOf(class).Name != get.Class {
+	if !known || l.simulation.Class(class).Name != get.Class {
 		return nil
 	}
 	guest := &simulation.Request{
@@ -177,7 +177,7 @@
 	request := &clientRequest{Request: guest, cancel: func() {}}
 	l.requests[get.ID] = request
 	now := l.simulation.Now()
-	l.Note(&eventlog.Entry{
+	l.Record(&eventlog.Entry{
 		Kind: eventlog.KindTaken, At: now, Router: l.id, Request: get.ID,
 		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*microsPerMilli,
 	})
@@ -187,7 +187,7 @@
 				return
 			}
 			delete(l.requests, get.ID)
-			l.Note(&eventlog.Entry{
+			l.Record(&eventlog.Entry{
 				Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: get.ID, Outcome: outcomeAborted,
 			})
 		})
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -121,7 +121,7 @@
 func (s *Supervised) Signal(i, pid int, signal syscall.Signal) error {
 	err := s.callInLoop(func() error {
 		if kind := signalKinds[signal]; kind != "" {
-			s.Note(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: i})
+			s.Record(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: i})
 		}
 		return syscall.Kill(pid, signal)
 	})
@@ -164,18 +164,18 @@
 // ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
 // it owes no answers.
 func (s *Supervised) ExcuseCrash(i int) {
-	s.runInLoop(func() { s.Note(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: i}) })
+	s.runInLoop(func() { s.Record(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: i}) })
 }
 
 // KillSupervisor kills a router's supervisor alone. Its generations run on.
 func (s *Supervised) KillSupervisor(i int) error {
-	r := s.routers[i]
+	process := s.routers[i]
 	var exited <-chan struct{}
 	err := s.callInLoop(func() error {
-		r.killed = true
-		r.orphanGroups = append(r.orphanGroups, r.cmd.Process.Pid)
-		exited = r.exited
-		return r.cmd.Process.Kill()
+		process.killed = true
+		process.orphanGroups = append(process.orphanGroups, process.cmd.Process.Pid)
+		exited = process.exited
+		return process.cmd.Process.Kill()
 	})
 	if s.ctx.Err() != nil {
 		return err
@@ -192,18 +192,18 @@
 // Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
 func (s *Supervised) Restart(i int) error {
-	r := s.routers[i]
+	process := s.routers[i]
 	err := s.callInLoop(func() error {
-		r.killed = true
-		return r.cmd.Process.Signal(syscall.SIGTERM)
+		process.killed = true
+		return process.cmd.Process.Signal(syscall.SIGTERM)
 	})
 	if err != nil {
 		return err
 	}
-	<-r.exited
+	<-process.exited
 	return s.callInLoop(func() error {
-		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
-		s.Note(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
-		return r.start(s.simulation.Known())
+		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
+		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
+		return process.start(s.simulation.EndpointList())
 	})
 }
