--- a/cmd/quilldoor-lab/result.go
+++ b/cmd/quilldoor-lab/result.go
@@ -40,8 +40,8 @@
 				continue
 			}
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t\n",
-				class.Name, phase, outcomes.Requests, outcomes.InTime, outcomes.Late, outcomes.Stale, outcomes.Rejected, outcomes.Failed,
-				outcomes.EarnedWeight/outcomes.PossibleWeight, class.Quantile(50)/1000, class.Quantile(99)/1000)
+				class.Name, phase, outcomes.Requests, outcomes.InTime, outcomes.Late, outcomes.Stale,
+				outcomes.Rejected, outcomes.Failed, outcomes.EarnedWeight/outcomes.PossibleWeight, class.Quantile(50)/1000, class.Quantile(99)/1000)
 		}
 	}
 }
@@ -57,8 +57,10 @@
 		fmt.Fprintf(to, "forwarded to another site %d, completed there %d\n", result.Forwarded, result.ForwardedCompleted)
 	}
 	if result.Cost.CPU > 0 {
-		fmt.Fprintf(to, "router processes: %.2f s of CPU, %.0f us a request; the largest %.1f MB\n", result.Cost.CPU.Seconds(),
-			float64(result.Cost.CPU.Microseconds())/float64(max(result.ClientAttempts, 1)), float64(result.Cost.MaxMemoryKB)/1024)
+		cpu := result.Cost.CPU
+		fmt.Fprintf(to, "router processes: %.2f s of CPU, %.0f us a request; the largest %.1f MB\n",
+			cpu.Seconds(), float64(cpu.Microseconds())/float64(max(result.ClientAttempts, 1)),
+			float64(result.Cost.MaxMemoryKB)/1024)
 	}
 	if result.Excused > 0 {
 		fmt.Fprintf(to, "due while their router was stopped: %d requests, counted apart\n", result.Excused)
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -87,8 +87,9 @@
 	if err != nil {
 		return 0, fmt.Errorf("%s, seed %d: %w", name, seed, err)
 	}
-	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n", seed, name, result.EarnedShare(), result.Judged,
-		result.RefusedConnections, result.BrokenConnections, len(result.Violations), took.Seconds(), result.Cost.CPU.Seconds())
+	fmt.Fprintf(to, "%d\t%s\t%.4f\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t\n",
+		seed, name, result.EarnedShare(), result.Judged, result.RefusedConnections, result.BrokenConnections,
+		len(result.Violations), took.Seconds(), result.Cost.CPU.Seconds())
 	return result.EarnedShare(), nil
 }
 
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -55,7 +55,8 @@
 	flags.StringVar(&options.day, "day", "", "one of the days; default: all")
 	flags.StringVar(&options.program, "variant", "", "one of the programs; default: all")
 	flags.IntVar(&options.sameRuns, "same", 200, "runs of each row with the same program, judged")
-	flags.Float64Var(&options.watchS, "watch", 240, "seconds that the first stage is watched at most; the second: half of it")
+	flags.Float64Var(&options.watchS, "watch", 240,
+		"seconds that the first stage is watched at most; the second: half of it")
 	flags.Float64Var(&options.lengthS, "length", 600, "simulated seconds")
 	return command
 }
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -179,14 +179,14 @@
 	if err != nil {
 		return "", "", err
 	}
-	configText, err := json.Marshal(map[string]any{
-		"name":     name,
-		"listen":   d.peers[i].Addr,
-		"seed":     fmt.Sprint(i + 1),
-		"board":    "127.0.0.1:1", // nobody listens there
-		"limits":   map[string]any{"cores": 1, "memory_mb": detectionMemoryMB, "sockets": detectionSockets},
-		"settings": d.scenario.Settings(0, 0),
-		"known":    json.RawMessage(`{"rev":0,"notices":[]}`),
+	configText, err := json.Marshal(platformConfig{
+		Name:      name,
+		Listen:    d.peers[i].Addr,
+		Seed:      fmt.Sprint(i + 1),
+		Discovery: "127.0.0.1:1", // nobody listens there
+		Limits:    processLimits{Cores: processCores, MemoryMB: detectionMemoryMB, Sockets: detectionSockets},
+		Settings:  d.scenario.Settings(0, 0),
+		Known:     discoveryUpdate{Events: []json.RawMessage{}},
 	})
 	if err != nil {
 		return "", "", err
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
@@ -31,7 +32,7 @@
 	starveTicker *time.Ticker // times the pauses that take its CPU; nil: none
 
 	discoveryListener net.Listener
-	discoveryEvents   []string                   // revisions from 1, anew at each start
+	discoveryEvents   []json.RawMessage          // revisions from 1, anew at each start
 	eventPosted       chan struct{}              // closed at the next discovery event
 	servers           map[string]*serverListener // by server
 	requests          map[string]*clientRequest  // by request, the forwarded ones too
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -26,22 +26,22 @@
 // process.
 func (r *routerProcess) start(known []simulation.Server) error {
 	r.startCount++
-	r.discoveryEvents = []string{r.endpointListEvent(1, known, true)}
+	r.discoveryEvents = []json.RawMessage{r.encodeEvent(r.newEndpointListEvent(1, known, true))}
 	setup := r.scenario.Settings(r.simulation.Office(r.id), r.id)
 	if r.options.Settings != nil {
 		r.options.Settings(&setup)
 	}
 	fleet := &r.scenario.Fleet
-	text, err := json.Marshal(map[string]any{
-		"name":             fmt.Sprint("n", r.id+1),
-		"listen":           r.clientAddr,
-		"seed":             fmt.Sprintf("%x", r.id+1+r.startCount<<16),
-		"limits":           map[string]any{"cores": processCores, "memory_mb": processMemoryMB, "sockets": processSockets},
-		"board":            r.discoveryListener.Addr().String(),
-		"flow_bytes_per_s": fleet.FlowKBPerS * bytesPerKB,
-		"link_bytes_per_s": fleet.FlowKBPerS * linkBytesPerFlowKB,
-		"known":            json.RawMessage(`{"rev":1,"notices":[` + r.discoveryEvents[0] + `]}`),
-		"settings":         setup,
+	text, err := json.Marshal(platformConfig{
+		Name:          fmt.Sprint("n", r.id+1),
+		Listen:        r.clientAddr,
+		Seed:          fmt.Sprintf("%x", r.id+1+r.startCount<<16),
+		Limits:        processLimits{Cores: processCores, MemoryMB: processMemoryMB, Sockets: processSockets},
+		Discovery:     r.discoveryListener.Addr().String(),
+		FlowBytesPerS: fleet.FlowKBPerS * bytesPerKB,
+		LinkBytesPerS: fleet.FlowKBPerS * linkBytesPerFlowKB,
+		Known:         discoveryUpdate{Revision: 1, Events: r.discoveryEvents},
+		Settings:      setup,
 	})
 	if err != nil {
 		return err
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"quilldoor/internal/policy"
@@ -34,26 +34,53 @@
 	BootMS       int64   `json:"boot_ms"`
 }
 
+// endpointListEvent is a change of the endpoint list, or the complete list.
+type endpointListEvent struct {
+	Pool     endpointPool `json:"pool"`
+	Revision int          `json:"rev"`
+}
+
+// endpointPool is a number of endpoints.
+type endpointPool struct {
+	Complete bool              `json:"all"` // all that there are; false: those that have changed
+	Targets  []discoveryTarget `json:"targets"`
+}
+
+// purgeEvent is a purge of an object or of a group.
+type purgeEvent struct {
+	Revision int       `json:"rev"`
+	Purge    purgeBody `json:"flush"`
+}
+
+// purgeBody is what is purged, by one of Object and Group, and when.
+type purgeBody struct {
+	Object string `json:"asset,omitempty"`
+	Group  *int64 `json:"collection,omitempty"`
+	UnixMS int64  `json:"ms"`
+}
+
 // Notify posts an event to a router's discovery service.
 func (s *socketRun) Notify(routerID int, notice simulation.DiscoveryEvent) {
 	process := s.routers[routerID]
 	revision := len(process.discoveryEvents) + 1
-	if notice.Purge {
-		selector := fmt.Sprintf(`"collection":%d`, notice.Group)
-		if notice.Object != "" {
-			selector = fmt.Sprintf(`"asset":%q`, notice.Object)
-		}
-		process.postEvent(fmt.Sprintf(`{"rev":%d,"flush":{%s,"ms":%d}}`, revision, selector, s.unixMS(notice.At)))
+	if !notice.Purge {
+		process.postEvent(process.newEndpointListEvent(revision, notice.Servers, false))
 		return
 	}
-	process.postEvent(process.endpointListEvent(revision, notice.Servers, false))
+	event := purgeEvent{Revision: revision, Purge: purgeBody{Object: notice.Object, UnixMS: s.unixMS(notice.At)}}
+	if notice.Object == "" {
+		event.Purge.Group = &notice.Group
+	}
+	process.postEvent(event)
 }
 
-// endpointListEvent is a change of the endpoint list in the discovery service's words, or the
-// complete list.
-func (r *routerProcess) endpointListEvent(revision int, list []simulation.Server, complete bool) string {
+// newEndpointListEvent describes a change of the endpoint list, or the complete list. It opens the
+// listeners of servers that are new.
+func (r *routerProcess) newEndpointListEvent(
+	revision int, servers []simulation.Server, complete bool,
+) endpointListEvent {
 	targets := []discoveryTarget{}
-	for _, server := range list {
+	for _, server := range servers {
 		listener, err := r.listenerFor(server.ID)
 		if err != nil {
 			r.fail(err)
@@ -72,17 +99,21 @@
 		}
 		targets = append(targets, target)
 	}
-	pool := map[string]any{"all": complete, "targets": targets}
-	text, err := json.Marshal(map[string]any{"rev": revision, "pool": pool})
+	return endpointListEvent{Pool: endpointPool{Complete: complete, Targets: targets}, Revision: revision}
+}
+
+// encodeEvent encodes an event. An error ends the run.
+func (r *routerProcess) encodeEvent(event any) json.RawMessage {
+	text, err := json.Marshal(event)
 	if err != nil {
-		r.fail(fmt.Errorf("endpoint list of router n%d: %w", r.id+1, err))
+		r.fail(fmt.Errorf("discovery event for router n%d: %w", r.id+1, err))
 	}
-	return string(text)
+	return text
 }
 
 // postEvent adds an event and answers the polls that wait for one.
-func (r *routerProcess) postEvent(event string) {
-	r.discoveryEvents = append(r.discoveryEvents, event)
+func (r *routerProcess) postEvent(event any) {
+	r.discoveryEvents = append(r.discoveryEvents, r.encodeEvent(event))
 	close(r.eventPosted)
 	r.eventPosted = make(chan struct{})
 }
@@ -96,18 +127,18 @@
 	linger := time.Duration(min(max(lingerMillis, 0), maxLingerMillis)) * time.Millisecond
 	timeout := time.After(linger)
 	for {
-		events, posted := r.eventsSince(since)
+		update, posted := r.updateSince(since)
 		if posted == nil {
 			return // the run is over
 		}
-		if !strings.HasSuffix(events, "[]}") {
-			_, _ = io.WriteString(w, events) // a poller that is gone asks again
+		if len(update.Events) > 0 {
+			writeUpdate(w, update)
 			return
 		}
 		select {
 		case <-posted:
 		case <-timeout:
-			_, _ = io.WriteString(w, events) // a poller that is gone asks again
+			writeUpdate(w, update)
 			return
 		case <-request.Context().Done():
 			return
@@ -117,23 +148,32 @@
 	}
 }
 
-// eventsSince asks the loop for the answer to a poll, and for the channel that is closed at
-// the next event. Nil: the run is over.
-func (r *routerProcess) eventsSince(since int) (answer string, posted <-chan struct{}) {
+// writeUpdate answers a poll. Its errors are left out: a poller that is gone asks again.
+func writeUpdate(w io.Writer, update discoveryUpdate) {
+	text, err := json.Marshal(update)
+	if err != nil {
+		return // encodeEvent has ended the run
+	}
+	_, _ = w.Write(text)
+}
+
+// updateSince asks the loop for the events after a revision, and for the channel that is closed
+// at the next event. Nil: the run is over.
+func (r *routerProcess) updateSince(revision int) (update discoveryUpdate, posted <-chan struct{}) {
 	done := make(chan struct{})
 	r.runInLoop(func() {
 		defer close(done)
 		posted = r.eventPosted
-		events := ""
-		if since < len(r.discoveryEvents) {
-			events = strings.Join(r.discoveryEvents[max(since, 0):], ",")
+		update.Revision = len(r.discoveryEvents)
+		update.Events = []json.RawMessage{}
+		if revision < len(r.discoveryEvents) {
+			update.Events = slices.Clone(r.discoveryEvents[max(revision, 0):])
 		}
-		answer = fmt.Sprintf(`{"rev":%d,"notices":[%s]}`, len(r.discoveryEvents), events)
 	})
 	select {
 	case <-done:
-		return answer, posted
+		return update, posted
 	case <-r.ctx.Done():
-		return "", nil
+		return discoveryUpdate{}, nil
 	}
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -40,13 +40,13 @@
 	OriginServiceMS    float64 `yaml:"ledger_ms"`
 	OriginLinkKBPerS   float64 `yaml:"ledger_link_kb_per_s"` // 0: the sum of the offices' links
 	OriginRejectShare  float64 `yaml:"ledger_refuse"`        // it rejects when this share of its slots is taken
-	OriginStopMultiple float64 `yaml:"ledger_stops"`         // it stops if arrivals of 3 s exceed this multiple of its capacity
+	OriginStopMultiple float64 `yaml:"ledger_stops"`         // of its capacity; it stops if arrivals of 3 s exceed it
 	OriginStopS        float64 `yaml:"ledger_stop_s"`        // how long it stops
 
 	// Slow start, and collapse under overload during it.
 	SlowStartFrom       float64 `yaml:"cold_from"`        // share of a cache's capacity at its start
 	SlowStartS          float64 `yaml:"cold_s"`           // until it has all of it
-	OverloadMultiple    float64 `yaml:"fall_multiple"`    // of the capacity of the moment; work above it makes a server collapse
+	OverloadMultiple    float64 `yaml:"fall_multiple"`    // of the capacity now; work above it makes a server collapse
 	OverloadMS          float64 `yaml:"fall_ms"`          // the window over which that work is summed
 	ParentSlowStartFrom float64 `yaml:"parent_cold_from"` // as SlowStartFrom
 	ParentSlowStartS    float64 `yaml:"parent_cold_s"`    // as SlowStartS
--- a/internal/simfleet/heartbeat.go
+++ b/internal/simfleet/heartbeat.go
@@ -21,7 +21,9 @@
 
 // NewHeartbeatDetector makes the detector of one router, which sends its first heartbeat at start. The interval and
 // the longest silence are microseconds.
-func NewHeartbeatDetector(name string, members []membership.Seed, interval, maxSilence, start int64) *HeartbeatDetector {
+func NewHeartbeatDetector(
+	name string, members []membership.Seed, interval, maxSilence, start int64,
+) *HeartbeatDetector {
 	return &HeartbeatDetector{
 		self:       membership.Update{Name: name, State: membership.StateAlive, Incarnation: 1},
 		members:    members,
--- a/internal/simulation/attempt_end.go
+++ b/internal/simulation/attempt_end.go
@@ -16,7 +16,7 @@
 	end.Load = s.visibleLoad
 	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
 		s.simulation.Result.AttemptOutcomes[end.Outcome.String()]++
-		end = s.simulation.applyAnswerFaults(s, end)
+		end = s.simulation.applyResponseFaults(s, end)
 		if end.Outcome == policy.OutcomeUnknown {
 			return // the answer is lost
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -55,7 +55,7 @@
 		s.sitesCut = true
 		return func() { s.sitesCut = false }
 	default:
-		return s.startAnswerFault(fault)
+		return s.startResponseFault(fault)
 	}
 }
 
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -50,7 +50,7 @@
 	oneTimeShare   float64
 	loadFactor     float64 // of the clients' arrival rate
 	sitesCut       bool
-	answerFaults   []*answerFault
+	responseFaults []*responseFault
 	activeFaults   int
 
 	// Slack is how long past its time limit an answer still counts, in microseconds: what real sockets and clocks
