--- a/cmd/quilldoor/faultyprogram_test.go
+++ b/cmd/quilldoor/faultyprogram_test.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	r.events = &faultyEvents{r.engine, fault}
-	r.host = &faultyHost{Host: r.host, router: r, fault: fault}
+	r.host = &faultyHost{Host: r.host, router: r, fault: fault, started: time.Now()}
 	return r, nil
 }
 
@@ -94,14 +94,21 @@
 	upgradeagent.Host
 	router  *router
 	fault   string
+	started time.Time
 	serving atomic.Bool
 	memory  [][]byte   // never released
 	files   []*os.File // never closed
 }
 
 func (f *faultyHost) Ready() bool {
-	if f.fault == "never ready" {
+	switch f.fault {
+	case "never ready":
 		time.Sleep(time.Minute)
+	case "late to get ready":
+		const lateness = 500 * time.Millisecond
+		if time.Since(f.started) < lateness {
+			return false
+		}
 	}
 	return f.Host.Ready()
 }
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -125,7 +125,7 @@
 				t.Parallel()
 				playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
 					minLoadTime := time.After(3 * time.Second)
-					err := injectFault(fleet, step, target)
+					err := injectFault(t, fleet, step, target)
 					<-minLoadTime
 					return err
 				})
@@ -136,10 +136,15 @@
 
 // injectFault kills or stops the target's processes at a step of an upgrade and checks
 // which generation serves in the end.
-func injectFault(fleet *emulator.Supervised, step, target string) error {
+func injectFault(t *testing.T, fleet *emulator.Supervised, step, target string) error {
+	t.Helper()
+	upgrade := &handoff.Message{Kind: handoff.KindApply}
+	if step == "warming" { // it lasts for some 20 ms else, and a busy test may not see it
+		upgrade.Program = faultyProgram(t, "late to get ready")
+	}
 	if step != "steady" {
 		// The reply may never come; the generation that serves in the end shows the outcome.
-		go func() { _, _ = fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}) }()
+		go func() { _, _ = fleet.Ask(0, upgrade) }()
 	}
 	status, err := fleet.WaitStatus(0, 4*time.Second, func(status *handoff.Status) bool {
 		return status.State == step && status.Serving != nil && (step == "steady" || status.Next != nil)
