--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -125,7 +125,7 @@
 func checkSecondSupervisor(t *testing.T, fleet *emulator.Supervised) {
 	cmd := exec.Command(os.Args[0], "keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
 	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
-	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another keeper") {
+	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another supervisor uses this folder") {
 		t.Errorf("second supervisor: %v, %s", err, out)
 	}
 }
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("%v, %+v", err, f)
 	}
 	for text, want := range map[string]string{
-		`{"format": 2, "settled": {}}`: "later text",
+		`{"format": 2, "settled": {}}`: "written by a later version",
 		`{}`:                           "settled",
 		`{"format":`:                   "JSON",
 	} {
--- a/internal/handoff/message.go
+++ b/internal/handoff/message.go
@@ -46,7 +46,7 @@
 	KindApply    Kind = 17 + iota // change to Program, Config, Operator
 	KindRollBack                  // return to the previous generation, or cancel the change
 	KindStatus                    // ask for Status
-	KindReport                    // the answer: Note; with Final it is the last one
+	KindReport                    // the answer: Note; with Final it is the last one: OK, FellBack, Status or Rollout
 )
 
 // Kinds of messages that came later.
@@ -65,6 +65,7 @@
 	"report", "peer message", "rollout",
 }
 
+// String returns the kind's name in logs and errors.
 func (k Kind) String() string {
 	if k >= kindEnd {
 		return fmt.Sprintf("kind(%d)", uint8(k))
@@ -89,9 +90,9 @@
 	Config              string                          `cbor:"13,keyasint,omitempty"`
 	Operator            string                          `cbor:"14,keyasint,omitempty"`
 	Note                string                          `cbor:"15,keyasint,omitempty"` // for people
-	Final               bool                            `cbor:"16,keyasint,omitempty"`
-	OK                  bool                            `cbor:"17,keyasint,omitempty"`
-	FellBack            bool                            `cbor:"18,keyasint,omitempty"`
+	Final               bool                            `cbor:"16,keyasint,omitempty"` // no other report follows
+	OK                  bool                            `cbor:"17,keyasint,omitempty"` // what was asked for is done
+	FellBack            bool                            `cbor:"18,keyasint,omitempty"` // the change failed, the old generation serves
 	Status              *Status                         `cbor:"19,keyasint,omitempty"`
 	OpenRequests        int                             `cbor:"20,keyasint,omitempty"`
 	To                  string                          `cbor:"22,keyasint,omitempty"` // names of routers
--- a/internal/handoff/state.go
+++ b/internal/handoff/state.go
@@ -22,14 +22,14 @@
 	Cell    int                  `cbor:"4,keyasint,omitempty"`
 	State   policy.EndpointState `cbor:"5,keyasint"`
 	Weight  float64              `cbor:"6,keyasint,omitempty"`
-	Born    int64                `cbor:"7,keyasint,omitempty"` // when its process started, microseconds
-	Address string               `cbor:"8,keyasint"`
+	Born    int64                `cbor:"7,keyasint,omitempty"` // when its process started, Unix microseconds
+	Address string               `cbor:"8,keyasint"`           // host:port
 }
 
 // Purge of an object, or of a group of objects.
 type Purge struct {
 	_      struct{} `cbor:",toarray"`
-	Object string
+	Object string   // "": the whole group
 	Group  int64
-	At     int64
+	At     int64 // when it was made, Unix microseconds
 }
--- a/internal/handoff/statefile.go
+++ b/internal/handoff/statefile.go
@@ -33,9 +33,9 @@
 // RolloutRecord is what a rollout has made of this router.
 type RolloutRecord struct {
 	RunID         uint64    `json:"run,string"`
-	NewGeneration uint64    `json:"new,omitempty"` // 0: this router does not run the rollout's generation
-	Previous      *Manifest `json:"before,omitempty"`
-	FailureReason string    `json:"failed,omitempty"`
+	NewGeneration uint64    `json:"new,omitempty"`    // 0: this router does not run the rollout's generation
+	Previous      *Manifest `json:"before,omitempty"` // the generation to go back to
+	FailureReason string    `json:"failed,omitempty"` // why this router's change failed; "": it has not
 }
 
 // Running is a process of a generation. Its start time tells it from a later process
@@ -50,10 +50,10 @@
 const FileFormat = 1
 
 // ErrNewerFormat says that a later version has written the file.
-var ErrNewerFormat = errors.New("written by a later text")
+var ErrNewerFormat = errors.New("written by a later version")
 
-// ReadFile reads the state file; nil when there is none. A broken file is an error: it
-// is replaced atomically, so something else has damaged it.
+// ReadFile reads the state file; nil when there is none. A broken file is an error, see
+// ParseFile: it is replaced atomically, so something else has damaged it.
 func ReadFile(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -66,7 +66,8 @@
 }
 
 // ParseFile parses the state file's text. Unknown keys are ignored. The path is for
-// errors.
+// errors: of JSON, of a file without a settled generation, or one that wraps
+// ErrNewerFormat.
 func ParseFile(path string, text []byte) (*File, error) {
 	f := new(File)
 	if err := json.Unmarshal(text, f); err != nil {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -77,7 +77,7 @@
 // with the same program and the same settings, apart from their names and addresses, have the same.
 type ProcessInfo struct {
 	_          struct{} `cbor:",toarray"`
-	Generation uint32   // its supervisor's number of the process, from 1; each change and each restart takes a new one
+	Generation uint32   // from 1: each change of program or settings takes a new number, a restart keeps it
 	Program    uint32
 	Settings   uint32
 }
--- a/internal/supervisor/check.go
+++ b/internal/supervisor/check.go
@@ -18,13 +18,13 @@
 // CheckResult is what `check --json` of a program says of its settings. Unknown keys of
 // a later version are ignored.
 type CheckResult struct {
-	Format      int
-	Version     string
-	Name        string
-	MemoryMB    int // of the machine
-	Descriptors int
+	Format      int               // handoff.Format of the program: 1 so far; less is rejected, more is taken
+	Version     string            // of the program, for people
+	Name        string            // of the router
+	MemoryMB    int               // of the machine, in units of 2^20 bytes
+	Descriptors int               // of the machine: open files and sockets
 	LongestMS   int64             // the longest time limit of a request
-	Sockets     map[string]string // addresses by name
+	Sockets     map[string]string // listening addresses, host:port, by name; "listen", that of clients, must be there
 	Flat        map[string]string // the settings, see upgrade.Flatten
 	Digest      uint64            `json:",string"` // upgrade.Digest of them
 }
--- a/internal/supervisor/folder.go
+++ b/internal/supervisor/folder.go
@@ -38,7 +38,7 @@
 )
 
 // ErrFolderLocked says that another supervisor uses the folder.
-var ErrFolderLocked = errors.New("another keeper has this folder")
+var ErrFolderLocked = errors.New("another supervisor uses this folder")
 
 func (s *Supervisor) path(parts ...string) string {
 	return filepath.Join(append([]string{s.config.Folder}, parts...)...)
@@ -121,7 +121,10 @@
 	return needed
 }
 
-// SettledSettings are the flat settings of the settled generation of a supervisor's folder.
+// SettledSettings are the flat settings of the settled generation of a supervisor's folder,
+// see upgrade.Flatten. It is an error where no supervisor has used the folder, where its
+// state file can't be read, is broken or of a later version (handoff.ErrNewerFormat), and
+// where the generation's file of settings is missing or broken.
 func SettledSettings(folder string) (map[string]string, error) {
 	f, err := handoff.ReadFile(filepath.Join(folder, stateFile))
 	if err != nil {
--- a/internal/supervisor/observer.go
+++ b/internal/supervisor/observer.go
@@ -15,12 +15,12 @@
 )
 
 // Observer lets the supervisor check by discovery whether its processes keep the
-// invariants.
+// invariants. All fields must be set.
 type Observer struct {
 	Invariants invariant.Settings
 	Limits     *config.Limits
 	// Discovery reads the platform's file: the address of discovery, and the endpoints
-	// that the file has.
+	// that the file has. It is called at the start and at each reload.
 	Discovery func() (address string, known *discovery.Update, err error)
 }
 
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -14,13 +14,15 @@
 
 // Config of a supervisor.
 type Config struct {
-	Folder     string
-	Times      upgrade.Timeouts
-	Program    string    // path, of the first generation
-	Platform   string    // path of the platform's configuration, from which platformKeys are always taken
+	Folder  string // path; made where it is missing
+	Times   upgrade.Timeouts
+	Program string // path, of the first generation
+	// Platform is the path of the platform's configuration. Every process gets its keys name, listen, seed, board, known
+	// and limits from there, whatever the configuration of its generation says.
+	Platform   string
 	Operator   string    // path of the operator's file, of the first generation; "": none
 	Plan       string    // path of the rollout plan; "": none
-	MemberName string    // the router's name among members
+	MemberName string    // the router's name among members; "": it has none
 	Observer   *Observer // nil: invariants are not monitored
 	Log        *logrus.Entry
 }
@@ -36,7 +38,7 @@
 	maxQueuedEvents = 256
 )
 
-// Supervisor of one router.
+// Supervisor of one router: the state of Run, which makes it and is its only caller.
 type Supervisor struct {
 	config    Config
 	log       *logrus.Entry
@@ -90,7 +92,9 @@
 func (s *Supervisor) now() int64 { return time.Since(s.startedAt).Microseconds() }
 
 // Run runs the router until a signal on term asks to end, and has it reload its
-// configuration on a signal on hup. It returns an error when it can't begin.
+// configuration on a signal on hup. It returns an error when it can't begin: one that
+// wraps ErrFolderLocked or handoff.ErrNewerFormat, or says what else is wrong with the
+// folder, the settings, the machine or the addresses.
 func Run(config Config, term, hup <-chan os.Signal) error {
 	s := &Supervisor{
 		config:     config,
--- a/internal/upgrade/adoption.go
+++ b/internal/upgrade/adoption.go
@@ -21,6 +21,7 @@
 
 var dispositionNames = [dispositionCount]string{"keep", "retry trial", "resume", "end"}
 
+// String returns the disposition's name in logs.
 func (d Disposition) String() string { return nameOf(dispositionNames[:], int(d), "disposition") }
 
 // orphanRank orders orphans by how fit they are to serve.
--- a/internal/upgrade/agentstates.go
+++ b/internal/upgrade/agentstates.go
@@ -4,7 +4,9 @@
 // the supervisor.
 type AgentState uint8
 
-// States of a router process. Their names are part of the status report.
+// States of a router process. Their names are part of the status report: waiting, taking
+// (AgentAcquiring), trial, serving, quiet (AgentQuiesced), standby, retaking
+// (AgentReacquiring), yielding and ending.
 const (
 	AgentWaiting     AgentState = iota // not yet commanded to serve
 	AgentAcquiring                     // commanded to serve, tries to get the serving lock
@@ -52,6 +54,7 @@
 	"serve", "quiesce", "successor serves", "settle", "resume", "end", "supervisor lost", "lock acquired", "timeout",
 }
 
+// String returns the input's name in logs.
 func (i AgentInput) String() string { return nameOf(agentInputNames[:], int(i), "agent input") }
 
 // AgentEffect is an action that a router process carries out for its Agent.
@@ -75,4 +78,5 @@
 	"release lock", "drain",
 }
 
+// String returns the effect's name in logs.
 func (e AgentEffect) String() string { return nameOf(agentEffectNames[:], int(e), "agent effect") }
--- a/internal/upgrade/requestcounts.go
+++ b/internal/upgrade/requestcounts.go
@@ -3,18 +3,19 @@
 import "maps"
 
 // RequestCounts counts how requests ended since a process began. It goes over the wire
-// to the supervisor, and as JSON into the status report.
+// to the supervisor, and as JSON into the status report. Completed, Rejected, Aborted and
+// ClientGone add up to all requests that ended.
 type RequestCounts struct {
-	Completed     int64   `cbor:"1,keyasint,omitempty"`
-	Rejected      int64   `cbor:"2,keyasint,omitempty"`
-	Aborted       int64   `cbor:"3,keyasint,omitempty"`
+	Completed     int64   `cbor:"1,keyasint,omitempty"`               // answered with a response
+	Rejected      int64   `cbor:"2,keyasint,omitempty"`               // answered that repeating it is harmless
+	Aborted       int64   `cbor:"3,keyasint,omitempty"`               // answered that it failed: it may have been executed
 	ClientGone    int64   `cbor:"4,keyasint,omitempty" json:"Left"`   // the client went before it had an answer
 	Late          int64   `cbor:"5,keyasint,omitempty"`               // of the completed
 	WeightOffered float64 `cbor:"6,keyasint,omitempty" json:"Asked"`  // sum of the requests' priority weights
 	WeightEarned  float64 `cbor:"7,keyasint,omitempty" json:"Earned"` // the part of it that latency objectives grant
 	LogLatencySum float64 `cbor:"8,keyasint,omitempty" json:"Time"`   // sum of ln(latency / objective) of the completed
 	Attempts      int64   `cbor:"9,keyasint,omitempty" json:"Hops"`   // of all requests
-	// Classes has requests, weight offered and weight earned by traffic class.
+	// Classes has the number of requests, the weight offered and the weight earned, in this order, by traffic class.
 	Classes map[string][3]float64 `cbor:"10,keyasint,omitempty" json:"Rules"`
 }
 
--- a/internal/upgrade/resources.go
+++ b/internal/upgrade/resources.go
@@ -2,12 +2,13 @@
 
 import "fmt"
 
-// Resources of a machine, or the part of them that a process has or may have.
+// Resources of a machine, or the part of them that a process has or may have. MemoryMB is in units of 2^20 bytes,
+// Descriptors a number of open files and sockets.
 type Resources struct {
 	MemoryMB, Descriptors int
 }
 
-// Reserved for the supervisor itself.
+// Reserved for the supervisor itself: memory in units of 2^20 bytes, and descriptors.
 const (
 	SupervisorMB = 16
 	// SupervisorFDs covers its sockets, connections to processes and tools, and files.
@@ -25,8 +26,8 @@
 	memoryOvershootDivisor = 5
 )
 
-// SoleBudget is what a generation may use while it is the only one. It is an error
-// when the machine is too small.
+// SoleBudget is what a generation may use while it is the only one. It is an error, with
+// the figures, when that is less than 24 MB or 64 descriptors.
 func SoleBudget(machine Resources) (Resources, error) {
 	budget := Resources{
 		MemoryMB:    machine.MemoryMB - SupervisorMB,
@@ -41,7 +42,8 @@
 }
 
 // ShareBudget is what a new generation may use beside the supervisor and what the
-// present processes use. It is an error, with the figures, when that is too little.
+// present processes use, of which it takes a tenth more. It is an error, with the
+// figures, when that is less than 24 MB or 64 descriptors.
 func ShareBudget(machine, present Resources) (Resources, error) {
 	budget := Resources{
 		MemoryMB:    machine.MemoryMB - SupervisorMB - int(drainGrowth*float64(present.MemoryMB)+1),
@@ -61,7 +63,8 @@
 	return budget, nil
 }
 
-// CheckUsage returns an error when a process uses more than its budget.
+// CheckUsage returns an error, with the figures, when a process uses more descriptors than
+// its budget, or more than 1.2 times its memory.
 func CheckUsage(budget, usage Resources) error {
 	switch {
 	case usage.MemoryMB > budget.MemoryMB+budget.MemoryMB/memoryOvershootDivisor:
--- a/internal/upgrade/settingsdiff.go
+++ b/internal/upgrade/settingsdiff.go
@@ -10,13 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChangeMode is how a changed key takes effect. Modes are ordered: a later one is harder.
+// ChangeMode is how a changed key takes effect. Modes are ordered: the larger value is the harder one.
 type ChangeMode uint8
 
-// Modes of change. Their names are part of the check command's output.
+// Modes of change. The names of the first three are part of the output of `quilldoor change check`; Diff leaves out
+// changes of the last one.
 const (
 	ModeLive    ChangeMode = iota // while the router runs, on SIGHUP
-	ModeHandoff                   // by a new generation
+	ModeHandoff                   // by a new generation; every key that is not listed has this mode
 	ModeNever                     // not on this router: it would be a different one
 	ModeIgnored                   // differs at each start and is no change
 	changeModeCount
@@ -24,6 +25,7 @@
 
 var changeModeNames = [changeModeCount]string{"live", "hand-over", "not at all", "at each start"}
 
+// String returns the mode's name: live, hand-over, not at all, or at each start.
 func (m ChangeMode) String() string { return nameOf(changeModeNames[:], int(m), "change mode") }
 
 // keyModes has modes by prefix of the key; the first that fits counts. Other keys
@@ -45,7 +47,7 @@
 	{"operator.gateway.listen", ModeNever},
 }
 
-// ModeOf is how a flat key changes.
+// ModeOf is how a flat key, as Flatten makes them, changes.
 func ModeOf(key string) ChangeMode {
 	for _, k := range keyModes {
 		if strings.HasPrefix(key, k.prefix) {
@@ -61,6 +63,7 @@
 	Mode          ChangeMode
 }
 
+// String returns the change as reports show it: key, new and old value, and the mode's name.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %s, was %s (%v)", c.Key, cmp.Or(c.New, "not set"), cmp.Or(c.Old, "not set"), c.Mode)
 }
@@ -85,8 +88,9 @@
 	return changes
 }
 
-// HardestMode is the hardest mode among changes. It reports false when that is
-// ModeNever, so that they can't be applied to this router.
+// HardestMode is the hardest mode among changes that Diff returned; ModeLive where there
+// are none. It reports false when that is ModeNever, so that they can't be applied to
+// this router.
 func HardestMode(changes []Change) (hardest ChangeMode, possible bool) {
 	for _, c := range changes {
 		hardest = max(hardest, c.Mode)
@@ -129,8 +133,9 @@
 // maxFlatKeys bounds the settings of a program that may not be this one.
 const maxFlatKeys = 50_000
 
-// Flatten writes nested settings into out, as keys of the form prefix.key[index]. It
-// fails when there are more than maxFlatKeys.
+// Flatten writes nested settings, as encoding/json decodes them into an any, into out, as
+// keys of the form prefix.key[index]. What is null is left out. It fails when there are
+// more than 50,000 keys; out has a part of them then.
 func Flatten(prefix string, value any, out map[string]string) error {
 	if len(out) > maxFlatKeys {
 		return fmt.Errorf("%s: more than %d keys", prefix, maxFlatKeys)
--- a/internal/upgrade/states.go
+++ b/internal/upgrade/states.go
@@ -6,7 +6,8 @@
 // one that may replace it.
 type State uint8
 
-// States of the supervisor. Their names are part of the status report.
+// States of the supervisor. Their names are part of the status report: StateQuiescing is
+// "quieting", the others are worded as their constants.
 const (
 	StateDown        State = iota // nobody serves; the settled generation is started at the deadline
 	StateStarting                 // the settled generation's process starts
@@ -29,6 +30,7 @@
 	"writing", "falling back", "stopping", "stopped",
 }
 
+// String returns the state's name in reports and logs.
 func (s State) String() string { return nameOf(stateNames[:], int(s), "state") }
 
 // Input is an event that the supervisor's Machine reacts to.
@@ -66,6 +68,7 @@
 	"timeout", "shutdown", "all gone",
 }
 
+// String returns the input's name in logs.
 func (i Input) String() string { return nameOf(inputNames[:], int(i), "input") }
 
 // Effect is an action that the supervisor carries out for its Machine.
@@ -102,6 +105,7 @@
 	"report fell back", "report done", "report not persisted",
 }
 
+// String returns the effect's name in logs.
 func (e Effect) String() string { return nameOf(effectNames[:], int(e), "effect") }
 
 // nameOf returns the name of an enumeration's value, also of one out of range.
--- a/internal/upgrade/trial.go
+++ b/internal/upgrade/trial.go
@@ -27,16 +27,17 @@
 	counts RequestCounts
 }
 
-// TrialMonitor compares a generation on trial with the old one before it. It stops only
-// what is plainly broken on one router: small regressions need the canary analysis of
-// a rollout over many routers.
+// TrialMonitor compares the share of failed requests (rejected, aborted, late, or the
+// client gone) of a generation on trial with that of the old one in the 30 s before. It
+// stops only what is plainly broken on one router: small regressions need the canary
+// analysis of a rollout over many routers. The zero value is ready for use.
 type TrialMonitor struct {
 	baseline []trialSample // of baselineWindow, counted on over generations
 	previous RequestCounts // of the generations before the old one
 	old      RequestCounts // of the old one by now
 }
 
-// ObserveOld records what the old generation has done by now.
+// ObserveOld records what the old generation has done by now, since its process began.
 func (m *TrialMonitor) ObserveOld(now int64, counts RequestCounts) {
 	m.old = counts
 	if n := len(m.baseline); n > 0 && now-m.baseline[n-1].at < baselineInterval {
@@ -48,14 +49,17 @@
 	}
 }
 
-// Promote makes the generation on trial the old one. The baseline goes on over both.
+// Promote makes the generation on trial the old one: what ObserveOld gets from now on are
+// the counts of its process. The baseline goes on over both.
 func (m *TrialMonitor) Promote() {
 	m.previous = m.previous.Add(m.old)
 	m.old = RequestCounts{}
 }
 
-// ObserveNew takes what the generation on trial has done by now. It returns an error
-// with the figures when that is worse than the baseline.
+// ObserveNew takes what the generation on trial has done by now, since its process began.
+// It returns an error with the figures when that is worse than the baseline: from 30
+// requests on, a share that is larger by more than 0.2 and by more than six standard
+// errors.
 func (m *TrialMonitor) ObserveNew(counts RequestCounts) error {
 	requests, failed := float64(counts.ended()), float64(counts.failed())
 	if requests < minTrialRequests {
