--- a/internal/membership/handoff_test.go
+++ b/internal/membership/handoff_test.go
@@ -3,108 +3,144 @@
 import (
 	"math/rand/v2"
 	"net/netip"
+	"slices"
 	"testing"
 )
 
-// A successor continues its predecessor's instance: the others hold it alive throughout, accept its messages and learn
-// its process; replayed messages are not accepted. A predecessor that goes on after its successor failed counts over it.
-func TestSuccessorContinuesInstance(t *testing.T) {
-	addr := func(i int) netip.AddrPort {
-		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
+// handoffFleet runs the routers a, b and c, of which a is replaced by its successors. Its messages arrive at once.
+type handoffFleet struct {
+	t     *testing.T
+	now   int64
+	nodes []*Node
+	sent  []*Message // by a
+}
+
+var handoffNames = []string{"a", "b", "c"}
+
+func handoffAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 1)
+}
+
+func newHandoffFleet(t *testing.T) *handoffFleet {
+	f := &handoffFleet{t: t, now: 1}
+	for i := range handoffNames {
+		f.nodes = append(f.nodes, f.newNode(i, 1, nil))
 	}
-	names := []string{"a", "b", "c"}
+	return f
+}
+
+// newNode starts a router's process of a generation; a predecessor's state may be nil.
+func (f *handoffFleet) newNode(i int, generation uint32, predecessor *HandoffState) *Node {
 	var seeds []Seed
-	for i, n := range names {
-		seeds = append(seeds, Seed{n, addr(i)})
+	for j, name := range handoffNames {
+		seeds = append(seeds, Seed{name, handoffAddr(j)})
 	}
-	start := func(i int, now int64, generation uint32, b *HandoffState) *Node {
-		settings := Settings{
-			Name: names[i], Addr: addr(i), Seeds: seeds, Epoch: 1,
-			Process: &ProcessInfo{Generation: generation}, Handoff: b,
+	settings := Settings{
+		Name: handoffNames[i], Addr: handoffAddr(i), Seeds: seeds, Epoch: 1,
+		Process: &ProcessInfo{Generation: generation}, Handoff: predecessor,
+	}
+	return New(settings, rand.New(rand.NewPCG(uint64(i), uint64(generation))), f.now)
+}
+
+// settle lets some seconds pass, and fails the test if b or c hold a anything but alive or joining in that time.
+func (f *handoffFleet) settle() {
+	f.t.Helper()
+	for end := f.now + 3*second; f.now < end; f.now += 10 * millisecond {
+		var out []Outbound
+		for i, n := range f.nodes {
+			_, sent, changes := n.Tick(f.now)
+			if i > 0 {
+				f.checkChanges(handoffNames[i], changes)
+			}
+			out = append(out, sent...)
 		}
-		return New(settings, rand.New(rand.NewPCG(uint64(i), uint64(generation))), now)
+		f.deliver(out)
 	}
-	var nodes []*Node
-	for i := range names {
-		nodes = append(nodes, start(i, 1, 1, nil))
+}
+
+func (f *handoffFleet) checkChanges(by string, changes []Change) {
+	f.t.Helper()
+	for _, c := range changes {
+		if c.Name == "a" && c.To != StateAlive && c.To != StateJoining {
+			f.t.Errorf("%s holds a %v at %d ms", by, c.To, f.now/millisecond)
+		}
 	}
-	now := int64(1)
-	var sentByA []*Message
-	runFor := func(length int64) {
-		for end := now + length; now < end; now += 10 * millisecond {
-			var out []Outbound
-			for i, n := range nodes {
-				_, o, changes := n.Tick(now)
-				for _, c := range changes {
-					if i > 0 && c.Name == "a" && c.To != StateAlive && c.To != StateJoining {
-						t.Errorf("%s holds a %v at %d ms", names[i], c.To, now/millisecond)
-					}
-				}
-				out = append(out, o...)
+}
+
+// deliver delivers messages and what is sent in reply, until nothing more is sent.
+func (f *handoffFleet) deliver(out []Outbound) {
+	for len(out) > 0 {
+		next := out[0]
+		out = out[1:]
+		sender := next.Message.Sender.Name
+		for i, n := range f.nodes {
+			if handoffAddr(i) != next.Addr {
+				continue
 			}
-			for len(out) > 0 {
-				o := out[0]
-				out = out[1:]
-				for i, n := range nodes {
-					if addr(i) == o.Addr {
-						if o.Message.Sender.Name == "a" {
-							sentByA = append(sentByA, o.Message)
-						}
-						from := 0
-						for j, name := range names {
-							if name == o.Message.Sender.Name {
-								from = j
-							}
-						}
-						out = append(out, n.Receive(now, addr(from), o.Message)...)
-					}
-				}
+			if sender == "a" {
+				f.sent = append(f.sent, next.Message)
 			}
+			from := max(slices.Index(handoffNames, sender), 0)
+			out = append(out, n.Receive(f.now, handoffAddr(from), next.Message)...)
 		}
 	}
-	expectGeneration := func(generation uint32) {
-		t.Helper()
-		for i := 1; i < 3; i++ {
-			for _, s := range nodes[i].View().Members {
-				if s.Name != "a" {
-					continue
-				}
-				if s.Process == nil || s.Process.Generation != generation || s.ID != nodes[0].Self().ID || s.State != StateAlive {
-					t.Errorf("%s holds a %v in instance %v, %+v, want generation %d", names[i], s.State, s.ID, s.Process, generation)
-				}
+}
+
+// expectGeneration fails the test unless b and c hold a alive, in its instance and of that generation.
+func (f *handoffFleet) expectGeneration(generation uint32) {
+	f.t.Helper()
+	for i := 1; i < len(f.nodes); i++ {
+		for _, m := range f.nodes[i].View().Members {
+			if m.Name != "a" {
+				continue
+			}
+			if m.Process == nil || m.Process.Generation != generation || m.ID != f.nodes[0].Self().ID || m.State != StateAlive {
+				f.t.Errorf("%s holds a %v in instance %v, %+v, want generation %d",
+					handoffNames[i], m.State, m.ID, m.Process, generation)
 			}
 		}
 	}
-	runFor(3 * second)
-	instance := nodes[0].Self().ID
-	first := nodes[0].Handoff()
-	nodes[0] = start(0, now, 2, first)
-	if s := nodes[0].Connectivity(); s.State == StateAlive {
+}
+
+// A successor continues its predecessor's instance: the others hold it alive throughout, accept its messages and learn
+// its process; replayed messages are not accepted. A predecessor that goes on after its successor failed counts over it.
+func TestSuccessorContinuesInstance(t *testing.T) {
+	f := newHandoffFleet(t)
+	f.settle()
+	instance := f.nodes[0].Self().ID
+	first := f.nodes[0].Handoff()
+	f.nodes[0] = f.newNode(0, 2, first)
+	if s := f.nodes[0].Connectivity(); s.State == StateAlive {
 		t.Error("connectivity before the first tick")
 	}
-	old := sentByA
-	runFor(3 * second)
-	expectGeneration(2)
+	sentBefore := f.sent
+	f.settle()
+	f.expectGeneration(2)
 	// The successor fails, and the predecessor goes on with what it had handed over.
 	first.Reclaim()
-	nodes[0] = start(0, now, 1, first)
-	runFor(3 * second)
-	expectGeneration(1)
-	if nodes[0].Self().ID != instance {
-		t.Errorf("instance %v, was %v", nodes[0].Self().ID, instance)
+	f.nodes[0] = f.newNode(0, 1, first)
+	f.settle()
+	f.expectGeneration(1)
+	if f.nodes[0].Self().ID != instance {
+		t.Errorf("instance %v, was %v", f.nodes[0].Self().ID, instance)
 	}
-	received := nodes[1].Counts.Received
-	for _, msg := range old[len(old)-5:] {
+	received := f.nodes[1].Counts.Received
+	for _, msg := range sentBefore[len(sentBefore)-5:] {
 		if msg.To == "b" && msg.Kind != KindHello {
-			nodes[1].Receive(now, addr(0), msg)
+			f.nodes[1].Receive(f.now, handoffAddr(0), msg)
 		}
 	}
-	if nodes[1].Counts.Received != received {
+	if f.nodes[1].Counts.Received != received {
 		t.Error("replayed messages of the instance are accepted")
 	}
-	// An instance that lost its name or has left is not continued.
+}
+
+func TestLostOrLeftInstanceIsNotContinued(t *testing.T) {
+	f := newHandoffFleet(t)
+	f.settle()
 	for _, s := range []State{StateNameConflict, StateLeft, StateLeaving} {
-		if n := start(0, now, 3, &HandoffState{ID: InstanceID{Epoch: 99, Nonce: 1}, State: s}); n.Self().ID.Epoch == 99 {
+		n := f.newNode(0, 3, &HandoffState{ID: InstanceID{Epoch: 99, Nonce: 1}, State: s})
+		if n.Self().ID.Epoch == 99 {
 			t.Errorf("continues an instance that is %v", s)
 		}
 	}
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -100,6 +100,16 @@
 	x.nodes[i] = membership.New(settings, rand.New(rand.NewPCG(7, x.instances)), x.now)
 }
 
+// killOrStart kills a node that runs, paused or not, and starts one that is dead.
+func (x *testNetwork) killOrStart(i int) {
+	x.paused[i] = false
+	if x.nodes[i] != nil {
+		x.nodes[i] = nil
+	} else {
+		x.start(i)
+	}
+}
+
 func (x *testNetwork) enqueue(from int, out []membership.Outbound) {
 	const most = 40
 	for _, o := range out {
@@ -160,25 +170,34 @@
 		if n == nil {
 			continue
 		}
-		for j, o := range x.nodes {
-			s := n.State(x.names[j])
-			othersRun := slices.ContainsFunc(x.nodes, func(o *membership.Node) bool { return o != nil && o != n })
-			if i == j && s == membership.StateJoining && !othersRun {
-				continue // it has been alone since its start
-			}
-			if (s == membership.StateAlive) != (o != nil) {
-				return fmt.Sprintf("%s holds %s %v", x.names[i], x.names[j], s)
-			}
-			for _, seen := range n.View().Members {
-				if o != nil && seen.Name == x.names[j] && seen.ID != o.Self().ID {
-					return fmt.Sprintf("%s holds an earlier instance of %s", x.names[i], x.names[j])
-				}
+		for j := range x.nodes {
+			if why := x.disagreementOn(i, j); why != "" {
+				return why
 			}
 		}
 	}
 	return ""
 }
 
+// disagreementOn says what is wrong in a node's view of another one, or of itself; "": nothing.
+func (x *testNetwork) disagreementOn(viewer, member int) string {
+	node, other := x.nodes[viewer], x.nodes[member]
+	state := node.State(x.names[member])
+	othersRun := slices.ContainsFunc(x.nodes, func(n *membership.Node) bool { return n != nil && n != node })
+	if viewer == member && state == membership.StateJoining && !othersRun {
+		return "" // it has been alone since its start
+	}
+	if (state == membership.StateAlive) != (other != nil) {
+		return fmt.Sprintf("%s holds %s %v", x.names[viewer], x.names[member], state)
+	}
+	for _, seen := range node.View().Members {
+		if other != nil && seen.Name == x.names[member] && seen.ID != other.Self().ID {
+			return fmt.Sprintf("%s holds an earlier instance of %s", x.names[viewer], x.names[member])
+		}
+	}
+	return ""
+}
+
 func (x *testNetwork) fingerprint() string {
 	var b strings.Builder
 	for i, n := range x.nodes {
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -1,107 +1,153 @@
 package membership_test
 
 import (
+	"maps"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"quilldoor/internal/membership"
 	"quilldoor/internal/netsim"
+	"quilldoor/internal/simfleet"
 )
 
+const randomFleetSize = 20
+
+// faultyFleet is a fleet with the faults that a test has caused and not yet ended.
+type faultyFleet struct {
+	*simfleet.Fleet
+	paused map[int]bool
+	heals  []func() // end the faults of the network
+}
+
+// fault causes a fault around a host, or ends those of the network.
+func (f *faultyFleet) fault(kind string, host int) {
+	switch kind {
+	case "process":
+		f.killOrStart(host)
+	case "pause":
+		f.pauseOrResume(host)
+	case "loss":
+		f.heals = append(f.heals, f.Network.AddFault(&netsim.Fault{Loss: 0.2, Jitter: 50 * millisecond}))
+	case "one way":
+		f.heals = append(f.heals, f.Network.AddFault(&netsim.Fault{From: []int{host}, Partitioned: true}))
+	case "partition":
+		f.partition(host)
+	case "heal":
+		f.heal()
+	case "flap":
+		f.flap(host)
+	case "mass failure":
+		for i := range randomFleetSize / 2 {
+			f.Kill(i)
+			delete(f.paused, i)
+		}
+	}
+}
+
+func (f *faultyFleet) killOrStart(host int) {
+	if f.Hosts[host].Detector == nil {
+		f.Start(host)
+		return
+	}
+	f.Kill(host)
+	delete(f.paused, host)
+}
+
+func (f *faultyFleet) pauseOrResume(host int) {
+	if f.paused[host] {
+		f.Resume(host)
+	} else {
+		f.Pause(host)
+	}
+	f.paused[host] = !f.paused[host]
+}
+
+// partition cuts eight hosts, which the offset selects, from the other twelve.
+func (f *faultyFleet) partition(offset int) {
+	var smaller, larger []int
+	for i := range randomFleetSize {
+		if (i*7+offset)%randomFleetSize < 8 {
+			smaller = append(smaller, i)
+		} else {
+			larger = append(larger, i)
+		}
+	}
+	f.heals = append(f.heals, f.Network.Partition(smaller, larger))
+}
+
+func (f *faultyFleet) heal() {
+	for _, end := range f.heals {
+		end()
+	}
+	f.heals = nil
+}
+
+// flap restarts a host again and again.
+func (f *faultyFleet) flap(host int) {
+	for range 4 {
+		f.Kill(host)
+		f.RunUntil(f.Now + 300*millisecond)
+		f.Start(host)
+		f.RunUntil(f.Now + 300*millisecond)
+	}
+	delete(f.paused, host)
+}
+
+// endFaults ends all faults but those of the processes that are dead.
+func (f *faultyFleet) endFaults() {
+	f.heal()
+	for _, host := range slices.Sorted(maps.Keys(f.paused)) { // in order, so that a seed replays the same
+		f.Resume(host)
+	}
+	for i := range 3 { // where no router that knew the others runs, seeds bring them together
+		f.Start(i)
+	}
+}
+
+// checkSteadyState fails the test if a node sends or keeps much while nothing changes.
+func (f *faultyFleet) checkSteadyState(t *rapid.T) {
+	f.RunUntil(f.Now + 5*second)
+	sentBefore := make([]int64, randomFleetSize)
+	for i, h := range f.Hosts {
+		sentBefore[i] = h.SentMessages
+	}
+	f.RunUntil(f.Now + 5*second)
+	for _, h := range f.Hosts {
+		if h.Detector == nil {
+			continue
+		}
+		if rate := (h.SentMessages - sentBefore[h.ID]) / 5; rate > 40 {
+			t.Fatalf("%s sends %d messages a second without a change", h.Name, rate)
+		}
+		known, pending, relayed, queued, exchanged := h.Detector.(*membership.Node).ListSizes()
+		if known > 20 || pending > 64 || relayed > 64 || queued > 20 || exchanged > 20 {
+			t.Fatalf("%s keeps %d members, %d pending and %d relayed probes, %d queued updates, %d in exchange",
+				h.Name, known, pending, relayed, queued, exchanged)
+		}
+	}
+}
+
 // After any sequence of faults in a fleet of twenty all agree once the faults are over, and all lists stay bounded.
 func TestConvergesAfterRandomFaults(t *testing.T) {
-	events := []string{"process", "process", "pause", "loss", "one way", "partition", "heal", "flap", "mass failure"}
+	kinds := []string{"process", "process", "pause", "loss", "one way", "partition", "heal", "flap", "mass failure"}
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(20, rapid.Uint64().Draw(t, "seed"), "", 0)
-		if _, why := converge(f, 20*second); why != "" {
+		fleet := newFleet(randomFleetSize, rapid.Uint64().Draw(t, "seed"), "", 0)
+		f := &faultyFleet{Fleet: fleet, paused: map[int]bool{}}
+		if _, why := converge(fleet, 20*second); why != "" {
 			t.Fatalf("at the start: %s", why)
 		}
-		paused := map[int]bool{}
-		var over []func()
 		for range rapid.IntRange(5, 25).Draw(t, "events") {
-			i := rapid.IntRange(0, 19).Draw(t, "router")
-			switch rapid.SampledFrom(events).Draw(t, "event") {
-			case "process":
-				if f.Hosts[i].Detector != nil {
-					f.Kill(i)
-					delete(paused, i)
-				} else {
-					f.Start(i)
-				}
-			case "pause":
-				if paused[i] {
-					f.Resume(i)
-				} else {
-					f.Pause(i)
-				}
-				paused[i] = !paused[i]
-			case "loss":
-				over = append(over, f.Network.AddFault(&netsim.Fault{Loss: 0.2, Jitter: 50 * millisecond}))
-			case "one way":
-				over = append(over, f.Network.AddFault(&netsim.Fault{From: []int{i}, Partitioned: true}))
-			case "partition":
-				var a, b []int
-				for x := range 20 {
-					if (x*7+i)%20 < 8 {
-						a = append(a, x)
-					} else {
-						b = append(b, x)
-					}
-				}
-				over = append(over, f.Network.Partition(a, b))
-			case "heal":
-				for _, end := range over {
-					end()
-				}
-				over = nil
-			case "flap":
-				for range 4 {
-					f.Kill(i)
-					f.RunUntil(f.Now + 300*millisecond)
-					f.Start(i)
-					f.RunUntil(f.Now + 300*millisecond)
-				}
-				delete(paused, i)
-			case "mass failure":
-				for x := range 10 {
-					f.Kill(x)
-					delete(paused, x)
-				}
-			}
+			host := rapid.IntRange(0, randomFleetSize-1).Draw(t, "router")
+			f.fault(rapid.SampledFrom(kinds).Draw(t, "event"), host)
 			f.RunUntil(f.Now + int64(rapid.IntRange(0, 6000).Draw(t, "ms"))*millisecond)
 		}
-		for _, end := range over {
-			end()
-		}
-		for i := range paused {
-			f.Resume(i)
-		}
-		for i := range 3 { // where no router that knew the others runs, seeds bring them together
-			f.Start(i)
-		}
-		took, why := converge(f, 40*second)
+		f.endFaults()
+		took, why := converge(fleet, 40*second)
 		if why != "" {
 			t.Fatalf("no agreement after %d s: %s", took/second, why)
 		}
-		f.RunUntil(f.Now + 5*second)
-		sentBefore := make([]int64, 20)
-		for i, h := range f.Hosts {
-			sentBefore[i] = h.SentMessages
-		}
-		f.RunUntil(f.Now + 5*second)
-		for _, h := range f.Hosts {
-			if h.Detector == nil {
-				continue
-			}
-			if rate := (h.SentMessages - sentBefore[h.ID]) / 5; rate > 40 {
-				t.Fatalf("%s sends %d messages a second without a change", h.Name, rate)
-			}
-			known, pending, relayed, queued, exchanged := h.Detector.(*membership.Node).ListSizes()
-			if known > 20 || pending > 64 || relayed > 64 || queued > 20 || exchanged > 20 {
-				t.Fatalf("%s keeps %d members, %d pending and %d relayed probes, %d queued updates, %d in exchange",
-					h.Name, known, pending, relayed, queued, exchanged)
-			}
-		}
+		f.checkSteadyState(t)
 	})
 }
