--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -47,32 +47,32 @@
 	mismatch         string // what is wrong with the body; "": nothing
 }
 
-// Request sends a client's request.
-func (s *socketRun) Request(request *simulation.Request) {
-	r := s.routers[request.Router]
+// RequestArrived sends a client's request.
+func (s *socketRun) RequestArrived(request *simulation.Request) {
+	process := s.routers[request.Router]
 	ctx, cancel := context.WithCancel(s.ctx)
 	open := &clientRequest{Request: request, cancel: cancel}
-	r.requests[request.ID] = open
-	addr := r.clientAddr
+	process.requests[request.ID] = open
+	addr := process.clientAddr
 	s.goroutines.Go(func() {
 		response := s.sendRequest(ctx, addr, request)
 		s.runInLoop(func() {
 			cancel()
-			s.finishRequest(r, open, response)
+			s.finishRequest(process, open, response)
 		})
 	})
 }
 
 // finishRequest tells the simulation what a client got, unless the client has left by now.
-func (s *socketRun) finishRequest(r *routerProcess, request *clientRequest, response clientResponse) {
+func (s *socketRun) finishRequest(process *routerProcess, request *clientRequest, response clientResponse) {
 	if response.mismatch != "" {
-		s.Note(&eventlog.Entry{
+		s.Record(&eventlog.Entry{
 			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID,
 			State: response.mismatch,
 		})
 	}
 	s.forgetForwarded(request.ID)
-	if r.requests[request.ID] != request {
+	if process.requests[request.ID] != request {
 		return
 	}
 	switch response.outcome {
@@ -80,19 +80,19 @@
 		s.brokenConns++
 	case outcomeRefused:
 		s.refusedConns++
-		delete(r.requests, request.ID)
+		delete(process.requests, request.ID)
 		s.simulation.Refused(request.Router, request.ID)
 	default:
-		delete(r.requests, request.ID)
+		delete(process.requests, request.ID)
 		s.simulation.Answered(request.Router, request.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
 	}
 }
 
 // forgetForwarded forgets a request at the routers that it was forwarded to.
 func (s *socketRun) forgetForwarded(requestID string) {
-	for _, r := range s.routers {
-		if request := r.requests[requestID]; request != nil && request.forwarded {
-			delete(r.requests, requestID)
+	for _, process := range s.routers {
+		if request := process.requests[requestID]; request != nil && request.forwarded {
+			delete(process.requests, requestID)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		received.Router = r.id
 		forwarded := &clientRequest{Request: &received, cancel: func() {}, forwarded: true}
 		r.requests[requestID] = forwarded
-		r.Note(&eventlog.Entry{
+		r.Record(&eventlog.Entry{
 			Kind: eventlog.KindForwarded, At: r.simulation.Now(), Router: r.id, Request: requestID, Attempt: home.id,
 		})
 		return forwarded
@@ -151,7 +151,7 @@
 	if request.Write {
 		method, body = http.MethodPut, []byte(writePrefix+request.ID)
 	}
-	url := "http://" + addr + "/rpc/" + s.simulation.ClassOf(request.Class).Name + "/" + request.Object
+	url := "http://" + addr + "/rpc/" + s.simulation.Class(request.Class).Name + "/" + request.Object
 	if request.Class == scenario.ClassVideo {
 		url += "/n-" + strconv.FormatInt(request.Part, 10)
 	}
@@ -204,10 +204,10 @@
 	return issued, ""
 }
 
-// Leave ends a client's wait: it closes its connection.
-func (s *socketRun) Leave(router int, requestID string) {
-	if request := s.routers[router].requests[requestID]; request != nil {
-		delete(s.routers[router].requests, requestID)
+// ClientGone ends a client's wait: it closes its connection.
+func (s *socketRun) ClientGone(routerID int, requestID string) {
+	if request := s.routers[routerID].requests[requestID]; request != nil {
+		delete(s.routers[routerID].requests, requestID)
 		s.forgetForwarded(requestID)
 		request.cancel()
 	}
