--- a/internal/gateway/peerpolicy/controller_test.go
+++ b/internal/gateway/peerpolicy/controller_test.go
@@ -231,294 +231,97 @@
 	}
 }
 
-// exchange is one request and all that can happen to it between the two ends: the home end
-// is the gate, the far end and the wire are written out here.
-type exchange struct {
-	g        *Controller
-	effect   Effect
-	onWire   bool        // the request
-	coming   *PeerAnswer // an answer on the wire
-	up       bool
-	far      string // "", "has" it, "ran" it
-	runs     int
-	answers  []Outcome
-	now      int64
-	crossed  bool
-	left     bool
-	restarts int
+// randomForwards forwards requests to two peers while anything happens to them.
+type randomForwards struct {
+	controller *Controller
+	random     *rand.Rand
+	now        int64
+	count      int             // of requests
+	open       map[string]bool // forwarded, and not answered yet
+	answers    map[string]int
 }
 
-// moves are what can happen; each tells whether it could.
-var moves = []struct {
-	name string
-	do   func(x *exchange) bool
-}{
-	{"cross", func(x *exchange) bool {
-		if x.crossed {
-			return false
-		}
-		x.crossed = true
-		_, r := x.g.Forward(x.now, &Request{RequestID: "t", Effect: x.effect, NeverRan: true, Deadline: x.now + second})
-		return r == ReasonOK
-	}},
-	{"write", func(x *exchange) bool {
-		if !x.up || x.onWire || x.far != "" || !x.g.MarkSent("t") {
-			return false
-		}
-		x.onWire = true
-		return true
-	}},
-	{"write again", func(x *exchange) bool { // as a careless writer would
-		if !x.up || x.onWire || !x.g.IsForwarded("t") || x.far == "" {
-			return false
-		}
-		if _, r := x.g.Forward(x.now, &Request{RequestID: "t", Effect: x.effect, NeverRan: true, Deadline: x.now + second}); r == ReasonOK {
-			x.onWire = true
-			return true
-		}
-		return false
-	}},
-	{"come", func(x *exchange) bool {
-		if !x.onWire {
-			return false
-		}
-		x.onWire, x.far = false, "has"
-		return true
-	}},
-	{"run", func(x *exchange) bool { // also once its asker is gone: a far side that wakes up late
-		if x.far != "has" {
-			return false
-		}
-		x.far = "ran"
-		x.runs++
-		return true
-	}},
-	{"turn away", func(x *exchange) bool {
-		if x.far != "has" || !x.up || x.coming != nil {
-			return false
-		}
-		x.far, x.coming = "", &PeerAnswer{Outcome: OutcomeRejected, NeverRan: true}
-		return true
-	}},
-	{"answer", func(x *exchange) bool {
-		if x.far != "ran" || !x.up || x.coming != nil {
-			return false
-		}
-		x.coming = &PeerAnswer{Outcome: OutcomeCompleted}
-		return true
-	}},
-	{"fail", func(x *exchange) bool {
-		if x.far != "ran" || !x.up || x.coming != nil {
-			return false
-		}
-		x.coming = &PeerAnswer{Outcome: OutcomeAborted}
-		return true
-	}},
-	{"refuse after it ran", func(x *exchange) bool { // a repeatable one may be refused though it ran
-		if x.far != "ran" || !x.up || x.coming != nil {
-			return false
-		}
-		x.coming = &PeerAnswer{Outcome: OutcomeRejected}
-		return true
-	}},
-	{"deliver", func(x *exchange) bool {
-		if x.coming == nil {
-			return false
-		}
-		x.g.HandleAnswer(x.now, "a", "t", *x.coming)
-		x.coming = nil
-		return true
-	}},
-	{"deliver twice", func(x *exchange) bool {
-		if x.coming == nil {
-			return false
-		}
-		x.g.HandleAnswer(x.now, "a", "t", *x.coming)
-		return true
-	}},
-	{"cut", func(x *exchange) bool { // bytes on the wire may still come, or not
-		if !x.up {
-			return false
-		}
-		x.up, x.coming = false, nil
-		x.g.Disconnected("a")
-		return true
-	}},
-	{"lose the wire", func(x *exchange) bool {
-		if x.up || !x.onWire {
-			return false
-		}
-		x.onWire = false
-		return true
-	}},
-	{"join", func(x *exchange) bool {
-		if x.up || x.restarts > 1 {
-			return false
-		}
-		x.restarts++
-		x.up = true
-		x.g.Connected(x.now, "a", uint64(1+x.restarts))
-		x.g.Heartbeat(x.now, "a", 9, false, ms)
-		return true
-	}},
-	{"time is over", func(x *exchange) bool {
-		if x.now > start+second {
-			return false
-		}
-		x.now += 2 * second
-		x.g.Heartbeat(x.now, "a", 9, false, ms)
-		x.g.Tick(x.now)
-		return true
-	}},
-	{"client leaves", func(x *exchange) bool {
-		if x.left || !x.g.IsForwarded("t") {
-			return false
-		}
-		x.left = true
-		x.g.ClientGone("t")
-		return true
-	}},
-}
-
-func newExchange(effect Effect) *exchange {
-	x := &exchange{g: newController("a"), effect: effect, up: true, now: start}
-	makeHealthy(x.g, "a", 9)
-	return x
+// step lets one thing happen.
+func (f *randomForwards) step() {
+	f.now += f.random.Int64N(100 * ms)
+	peer := []string{"a", "b"}[f.random.IntN(2)]
+	var id string
+	if ids := slices.Sorted(maps.Keys(f.open)); len(ids) > 0 {
+		id = ids[f.random.IntN(len(ids))]
+	}
+	c := f.controller
+	switch f.random.IntN(9) {
+	case 0:
+		c.Connected(f.now, peer, uint64(f.random.IntN(5)))
+	case 1:
+		c.Disconnected(peer)
+	case 2, 3:
+		c.Heartbeat(f.now, peer, f.random.IntN(20), f.random.IntN(40) == 0, int64(f.random.IntN(1000)))
+	case 4:
+		c.Tick(f.now)
+	case 5:
+		c.HandleAnswer(f.now, peer, id, PeerAnswer{Outcome: Outcome(1 + f.random.IntN(3)), NeverRan: f.random.IntN(2) == 0})
+	case 6:
+		c.MarkSent(id)
+	default:
+		f.forward()
+	}
 }
 
-// step makes a move and judges the rules at once.
-func (x *exchange) step(i int) (could bool, broken string) {
-	could = moves[i].do(x)
-	for _, a := range x.g.Actions() {
-		if a.Kind == ActionAnswer {
-			x.answers = append(x.answers, a.Outcome)
-		}
+func (f *randomForwards) forward() {
+	f.count++
+	request := &Request{
+		RequestID: fmt.Sprint(f.count), Effect: Effect(f.random.IntN(3)), NeverRan: true,
+		Deadline: f.now + f.random.Int64N(second),
+	}
+	if _, reason := f.controller.Forward(f.now, request); reason == ReasonOK {
+		f.open[request.RequestID] = true
 	}
-	switch {
-	case len(x.answers) > 1:
-		broken = "two answers"
-	case x.left && len(x.answers) > 0:
-		broken = "an answer to a client that had left"
-	case x.effect != EffectIdempotent && x.runs > 1:
-		broken = "run twice"
-	case x.effect != EffectIdempotent && x.runs > 0 && len(x.answers) > 0 && x.answers[0] == OutcomeRejected:
-		broken = "rejected, and it ran"
-	}
-	return could, broken
 }
 
-func (x *exchange) key() string {
-	state := forwardState(0)
-	if c := x.g.forwarded["t"]; c != nil {
-		state = c.state
+// takeAnswers fails the test if a request is answered that is not open.
+func (f *randomForwards) takeAnswers(t *testing.T) {
+	t.Helper()
+	for _, action := range f.controller.Actions() {
+		if action.Kind != ActionAnswer {
+			continue
+		}
+		f.answers[action.RequestID]++
+		if !f.open[action.RequestID] || f.answers[action.RequestID] > 1 {
+			t.Fatalf("request %s answered %d times", action.RequestID, f.answers[action.RequestID])
+		}
+		delete(f.open, action.RequestID)
 	}
-	return fmt.Sprint(x.effect, x.onWire, x.coming, x.up, x.far, x.runs, string(x.answers), x.now, x.crossed, x.left, x.restarts, state, x.g.Peer("a").State)
 }
 
-// Every order of what can happen to one request, from the first move to the last: no
-// state that can be reached breaks a rule, and each ends with one outcome.
-func TestOneOutcomeInEveryOrderOfEvents(t *testing.T) {
-	for _, effect := range []Effect{EffectIdempotent, EffectIdempotencyKey, EffectUnsafe} {
-		seen := map[string]bool{}
-		edges := 0
-		type path []int
-		queue := []path{{}}
-		for len(queue) > 0 {
-			p := queue[0]
-			queue = queue[1:]
-			for i := range moves {
-				x := newExchange(effect)
-				for _, j := range p {
-					x.step(j)
-				}
-				could, broken := x.step(i)
-				if broken != "" {
-					var names []string
-					for _, j := range append(p, i) {
-						names = append(names, moves[j].name)
-					}
-					t.Fatalf("effect %d: %s after %q", effect, broken, names)
-				}
-				edges++
-				if k := x.key(); could && !seen[k] {
-					seen[k] = true
-					queue = append(queue, append(p[:len(p):len(p)], i))
-					// Whatever the state, time brings an end.
-					if x.now += 10 * second; x.g.IsForwarded("t") {
-						x.g.Tick(x.now)
-						for _, a := range x.g.Actions() {
-							if a.Kind == ActionAnswer {
-								x.answers = append(x.answers, a.Outcome)
-							}
-						}
-						if x.g.IsForwarded("t") || len(x.answers) != 1 {
-							t.Fatalf("effect %d: %d answers at the end of time", effect, len(x.answers))
-						}
-					}
-				}
-			}
+// checkInFlight fails the test if the counts of requests in flight disagree.
+func (f *randomForwards) checkInFlight(t *testing.T) {
+	t.Helper()
+	inFlight := 0
+	for _, peer := range f.controller.Peers() {
+		if peer.InFlight < 0 || peer.State == StateDisconnected && peer.InFlight > 0 {
+			t.Fatalf("%d in flight at a peer that is %v", peer.InFlight, peer.State)
 		}
-		if len(seen) < 100 {
-			t.Fatalf("%d states: too few to tell anything", len(seen))
-		}
-		t.Logf("effect %d: %d states, %d moves tried", effect, len(seen), edges)
+		inFlight += peer.InFlight
+	}
+	if total := f.controller.ForwardedInFlight(); inFlight != total || len(f.open) != inFlight {
+		t.Fatalf("%d in flight by peers, %d in total, %d open", inFlight, total, len(f.open))
 	}
 }
 
-// Long random lives of many requests: as many answers as were handed over, and the
-// books agree.
+// Long random lives of many requests: each that is forwarded is answered once at most, and
+// the counts agree.
 func TestEachForwardedRequestIsAnsweredOnce(t *testing.T) {
-	r := rand.New(rand.NewPCG(5, 5))
+	random := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		g := newController("a", "b")
-		now, n := start, 0
-		open, answers := map[string]bool{}, map[string]int{}
+		forwards := &randomForwards{
+			controller: newController("a", "b"), random: random, now: start,
+			open: map[string]bool{}, answers: map[string]int{},
+		}
 		for range 400 {
-			now += r.Int64N(100 * ms)
-			name := []string{"a", "b"}[r.IntN(2)]
-			var id string
-			if ids := slices.Sorted(maps.Keys(open)); len(ids) > 0 {
-				id = ids[r.IntN(len(ids))]
-			}
-			switch r.IntN(9) {
-			case 0:
-				g.Connected(now, name, uint64(r.IntN(5)))
-			case 1:
-				g.Disconnected(name)
-			case 2, 3:
-				g.Heartbeat(now, name, r.IntN(20), r.IntN(40) == 0, int64(r.IntN(1000)))
-			case 4:
-				g.Tick(now)
-			case 5:
-				g.HandleAnswer(now, name, id, PeerAnswer{Outcome: Outcome(1 + r.IntN(3)), NeverRan: r.IntN(2) == 0})
-			case 6:
-				g.MarkSent(id)
-			default:
-				n++
-				id := fmt.Sprint(n)
-				if _, why := g.Forward(now, &Request{RequestID: id, Effect: Effect(r.IntN(3)), NeverRan: true, Deadline: now + r.Int64N(second)}); why == ReasonOK {
-					open[id] = true
-				}
-			}
-			for _, a := range g.Actions() {
-				if a.Kind == ActionAnswer {
-					answers[a.RequestID]++
-					if !open[a.RequestID] || answers[a.RequestID] > 1 {
-						t.Fatalf("request %s answered %d times", a.RequestID, answers[a.RequestID])
-					}
-					delete(open, a.RequestID)
-				}
-			}
-			out := 0
-			for _, p := range g.Peers() {
-				if p.InFlight < 0 || p.State == StateDisconnected && p.InFlight > 0 {
-					t.Fatalf("%d out at %v peer", p.InFlight, p.State)
-				}
-				out += p.InFlight
-			}
-			if out != g.ForwardedInFlight() || len(open) != out {
-				t.Fatalf("%d out by peers, %d by the gate, %d open", out, g.ForwardedInFlight(), len(open))
-			}
+			forwards.step()
+			forwards.takeAnswers(t)
+			forwards.checkInFlight(t)
 		}
 	}
 }
