--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -201,47 +201,9 @@
 // Each safeguard is needed: a site with all of them passes its trial, a site without it fails.
 func TestEverySafeguardIsNeeded(t *testing.T) {
 	for name, trial := range map[string]func(without string) error{
-		// One faulty router holds all endpoints gone: it empties no other's list.
-		"confirmations": func(without string) error {
-			s := newCutSite(without)
-			s.announce(0b0001, false, endpoint("a", gone, 0), endpoint("b", gone, 0), endpoint("c", gone, 0))
-			s.advance(20 * second)
-			for i := 1; i < 4; i++ {
-				if s.applied[i]["a"].State != active {
-					return fmt.Errorf("%d applies one router's report: %+v", i, s.applied[i]["a"])
-				}
-			}
-			return nil
-		},
-		// Two routers whose sources are late report an earlier state.
-		"order": func(without string) error {
-			s := newCutSite(without)
-			s.announce(0b0011, false, endpoint("a", gone, 0), endpoint("a", active, wall+s.now))
-			s.advance(20 * second)
-			for i := range 2 {
-				if s.applied[i]["a"].StartedAt == 0 {
-					return fmt.Errorf("%d goes back: %+v", i, s.applied[i]["a"])
-				}
-			}
-			return nil
-		},
-		// Two routers have reported a draining that the other sources never announced, and are gone.
-		"expiry": func(without string) error {
-			s := newCutSite(without)
-			s.announce(0b0011, false, endpoint("a", draining, 0))
-			s.advance(5 * second)
-			if s.applied[3]["a"].State != draining {
-				return fmt.Errorf("the claim is not accepted at all")
-			}
-			s.replicas = slices.Delete(s.replicas, 0, 2)
-			s.applied = slices.Delete(s.applied, 0, 2)
-			s.purges = slices.Delete(s.purges, 0, 2)
-			s.advance(20 * second)
-			if s.applied[1]["a"].State != active {
-				return fmt.Errorf("the claim outlasts the routers that reported it: %+v", s.applied[1]["a"])
-			}
-			return nil
-		},
+		"confirmations": playFaultyReport,
+		"order":         playLateSources,
+		"expiry":        playGoneReporters,
 	} {
 		if err := trial(""); err != nil {
 			t.Errorf("%s: with all safeguards: %v", name, err)
@@ -254,6 +216,50 @@
 	}
 }
 
+// One faulty router holds all endpoints gone: it empties no other's list.
+func playFaultyReport(without string) error {
+	s := newCutSite(without)
+	s.announce(0b0001, false, endpoint("a", gone, 0), endpoint("b", gone, 0), endpoint("c", gone, 0))
+	s.advance(20 * second)
+	for i := 1; i < 4; i++ {
+		if s.applied[i]["a"].State != active {
+			return fmt.Errorf("%d applies one router's report: %+v", i, s.applied[i]["a"])
+		}
+	}
+	return nil
+}
+
+// Two routers whose sources are late report an earlier state.
+func playLateSources(without string) error {
+	s := newCutSite(without)
+	s.announce(0b0011, false, endpoint("a", gone, 0), endpoint("a", active, wall+s.now))
+	s.advance(20 * second)
+	for i := range 2 {
+		if s.applied[i]["a"].StartedAt == 0 {
+			return fmt.Errorf("%d goes back: %+v", i, s.applied[i]["a"])
+		}
+	}
+	return nil
+}
+
+// Two routers have reported a draining that the other sources never announced, and are gone.
+func playGoneReporters(without string) error {
+	s := newCutSite(without)
+	s.announce(0b0011, false, endpoint("a", draining, 0))
+	s.advance(5 * second)
+	if s.applied[3]["a"].State != draining {
+		return fmt.Errorf("the claim is not accepted at all")
+	}
+	s.replicas = slices.Delete(s.replicas, 0, 2)
+	s.applied = slices.Delete(s.applied, 0, 2)
+	s.purges = slices.Delete(s.purges, 0, 2)
+	s.advance(20 * second)
+	if s.applied[1]["a"].State != active {
+		return fmt.Errorf("the claim outlasts the routers that reported it: %+v", s.applied[1]["a"])
+	}
+	return nil
+}
+
 // Reports that can't be true are rejected: purges of the future or of long ago, starts in the future, unknown states,
 // requests of the wrong length.
 func TestImplausibleReportsAreRejected(t *testing.T) {
@@ -307,86 +313,125 @@
 	})
 }
 
-// Sources that announce the same at different times, restarts and exchanges in any order: no replica goes backwards, and
-// when all sources have caught up all hold the same.
-func TestConvergesInAnyOrder(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		const n = 5
-		s := newTestSite(n, "")
-		seed := rapid.Uint64().Draw(t, "seed")
-		random := rand.New(rand.NewPCG(seed, 1))
-		log := [][]gossip.Endpoint{{endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0)}}
-		announced := make([]int, n)
-		now, starts := map[string]gossip.Endpoint{}, int64(0)
-		for _, x := range log[0] {
-			now[x.ID] = x
+// randomSite is a site whose sources announce the same changes of three endpoints, each at its own pace.
+type randomSite struct {
+	*testSite
+	random    *rand.Rand
+	log       [][]gossip.Endpoint        // all changes, in order
+	announced []int                      // by router: so many of them its source has announced
+	current   map[string]gossip.Endpoint // after all changes
+	starts    int64
+	last      []map[string]gossip.Endpoint // by router: what it had applied at the last check
+}
+
+func newRandomSite(routers int, seed uint64) *randomSite {
+	s := &randomSite{
+		testSite:  newTestSite(routers, ""),
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		log:       [][]gossip.Endpoint{{endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0)}},
+		announced: make([]int, routers),
+		current:   map[string]gossip.Endpoint{},
+	}
+	for _, x := range s.log[0] {
+		s.current[x.ID] = x
+	}
+	for i := range routers {
+		s.catchUp(i)
+		s.last = append(s.last, map[string]gossip.Endpoint{})
+	}
+	return s
+}
+
+// catchUp announces all that a router's source has not announced yet.
+func (s *randomSite) catchUp(i int) {
+	for ; s.announced[i] < len(s.log); s.announced[i]++ {
+		s.announce(1<<i, s.announced[i] == 0, s.log[s.announced[i]]...)
+	}
+}
+
+// step lets one thing happen.
+func (s *randomSite) step() {
+	switch s.random.IntN(6) {
+	case 0, 1:
+		s.changeEndpoint()
+	case 2, 3:
+		s.catchUp(s.random.IntN(len(s.replicas)))
+	case 4:
+		s.restartReplica(s.random.IntN(len(s.replicas)))
+	case 5:
+		s.advance(int64(s.random.IntN(30)) * 100 * millisecond)
+	}
+}
+
+func (s *randomSite) changeEndpoint() {
+	x := s.current[string(rune('a'+s.random.IntN(3)))]
+	switch x.State {
+	case active:
+		x.State = []policy.EndpointState{draining, gone}[s.random.IntN(2)]
+	case draining:
+		x.State = gone
+	default:
+		s.starts++ // no two at the same time
+		x.State, x.StartedAt = active, wall+s.now+s.starts
+	}
+	s.current[x.ID] = x
+	s.log = append(s.log, []gossip.Endpoint{x})
+}
+
+// restartReplica starts a replica anew, with the current list.
+func (s *randomSite) restartReplica(i int) {
+	s.replicas[i] = newReplica("")
+	s.applied[i], s.last[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}
+	s.announced[i] = len(s.log)
+	var list []gossip.Endpoint
+	for _, x := range s.current {
+		if x.State != gone {
+			list = append(list, x)
 		}
-		catchUp := func(i int) {
-			for ; announced[i] < len(log); announced[i]++ {
-				s.announce(1<<i, announced[i] == 0, log[announced[i]]...)
+	}
+	s.announce(1<<i, true, list...)
+}
+
+// checkOrder fails the test if a router has gone back to an earlier state of an endpoint since the last check.
+func (s *randomSite) checkOrder(t *rapid.T) {
+	for i := range s.replicas {
+		for id, x := range s.applied[i] {
+			was, known := s.last[i][id]
+			backInStart := x.StartedAt < was.StartedAt
+			reactivated := x.StartedAt == was.StartedAt && was.State == gone && x.State != gone
+			if known && (backInStart || reactivated && s.announced[i] == len(s.log)) {
+				t.Fatalf("%d goes from %+v to %+v", i, was, x)
 			}
+			s.last[i][id] = x
 		}
-		for i := range n {
-			catchUp(i)
-		}
-		last := make([]map[string]gossip.Endpoint, n)
-		for i := range last {
-			last[i] = map[string]gossip.Endpoint{}
+	}
+}
+
+// checkAgreement fails the test unless each router has applied the current state of all endpoints.
+func (s *randomSite) checkAgreement(t *rapid.T) {
+	for i := range s.replicas {
+		for id, x := range s.current {
+			got, known := s.applied[i][id]
+			if (x.State != gone || known) && (got.State != x.State || got.StartedAt != x.StartedAt) {
+				t.Fatalf("%d holds %+v, it is %+v", i, got, x)
+			}
 		}
+	}
+}
+
+// Sources that announce the same at different times, restarts and exchanges in any order: no replica goes backwards, and
+// when all sources have caught up all hold the same.
+func TestConvergesInAnyOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newRandomSite(5, rapid.Uint64().Draw(t, "seed"))
 		for range rapid.IntRange(5, 60).Draw(t, "events") {
-			switch random.IntN(6) {
-			case 0, 1: // an endpoint changes
-				x := now[string(rune('a'+random.IntN(3)))]
-				switch x.State {
-				case active:
-					x.State = []policy.EndpointState{draining, gone}[random.IntN(2)]
-				case draining:
-					x.State = gone
-				default:
-					starts++ // no two at the same time
-					x.State, x.StartedAt = active, wall+s.now+starts
-				}
-				now[x.ID] = x
-				log = append(log, []gossip.Endpoint{x})
-			case 2, 3:
-				catchUp(random.IntN(n))
-			case 4: // a replica starts anew, with the present list
-				i := random.IntN(n)
-				s.replicas[i] = newReplica("")
-				s.applied[i], last[i], announced[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}, len(log)
-				var list []gossip.Endpoint
-				for _, x := range now {
-					if x.State != gone {
-						list = append(list, x)
-					}
-				}
-				s.announce(1<<i, true, list...)
-			case 5:
-				s.advance(int64(random.IntN(30)) * 100 * millisecond)
-			}
-			for i := range n {
-				for id, x := range s.applied[i] {
-					was, known := last[i][id]
-					backInStart := x.StartedAt < was.StartedAt
-					reactivated := x.StartedAt == was.StartedAt && was.State == gone && x.State != gone && announced[i] == len(log)
-					if known && (backInStart || reactivated) {
-						t.Fatalf("%d goes from %+v to %+v", i, was, x)
-					}
-					last[i][id] = x
-				}
-			}
+			s.step()
+			s.checkOrder(t)
 		}
-		for i := range n {
-			catchUp(i)
+		for i := range s.replicas {
+			s.catchUp(i)
 		}
 		s.advance(10 * second)
-		for i := range n {
-			for id, x := range now {
-				got, known := s.applied[i][id]
-				if (x.State != gone || known) && (got.State != x.State || got.StartedAt != x.StartedAt) {
-					t.Fatalf("%d holds %+v, it is %+v", i, got, x)
-				}
-			}
-		}
+		s.checkAgreement(t)
 	})
 }
