--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -188,7 +188,8 @@
 			}
 			delete(l.requests, get.ID)
 			l.Record(&eventlog.Entry{
-				Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: get.ID, Outcome: outcomeAborted,
+				Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: get.ID,
+				Outcome: string(simulation.AnswerAborted),
 			})
 		})
 	})
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -5,6 +5,7 @@
 
 	"quilldoor/internal/canary"
 	"quilldoor/internal/eventlog"
+	"quilldoor/internal/simulation"
 )
 
 // rolloutRequest is what the canary analysis needs of a request until it is answered.
@@ -42,10 +43,10 @@
 	counts.WeightOffered += weight
 	counts.Attempts += float64(request.attempts)
 	earned := 0.0
-	switch entry.Outcome {
-	case outcomeCompleted:
+	switch simulation.AnswerOutcome(entry.Outcome) {
+	case simulation.AnswerCompleted:
 		earned = r.countCompleted(entry, request)
-	case outcomeRejected:
+	case simulation.AnswerRejected:
 		counts.Rejected++
 	default:
 		counts.Failed++
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -15,14 +15,13 @@
 	"quilldoor/internal/simulation"
 )
 
-// Outcomes of a request, as the simulation and the event log name them. Clients on sockets may
-// also get none: their connection ended without an answer.
+// connectionFailure is why a client got no answer.
+type connectionFailure int
+
 const (
-	outcomeCompleted = "completed"
-	outcomeRejected  = "rejected"
-	outcomeAborted   = "aborted"
-	outcomeRefused   = "refused" // on sockets: the router didn't accept the connection
-	outcomeNone      = ""
+	failureNone    connectionFailure = iota // it got an answer
+	failureRefused                          // the router didn't accept the connection
+	failureBroken                           // the connection ended without an answer
 )
 
 // The bodies of a write: what the client sends, and what the origin puts before it in its answer.
@@ -41,10 +40,9 @@
 
 // clientResponse is what a client made of an answer.
 type clientResponse struct {
-	outcome          string
-	issuedMicros     int64  // when the copy was issued
-	retryAfterMicros int64  // how long the client is to wait with a retry
-	mismatch         string // what is wrong with the body; "": nothing
+	failure  connectionFailure
+	answer   simulation.Answer
+	mismatch string // what is wrong with the body; "": nothing
 }
 
 // RequestArrived sends a client's request.
@@ -75,16 +73,16 @@
 	if process.requests[request.ID] != request {
 		return
 	}
-	switch response.outcome {
-	case outcomeNone:
+	switch response.failure {
+	case failureBroken:
 		s.brokenConns++
-	case outcomeRefused:
+	case failureRefused:
 		s.refusedConns++
 		delete(process.requests, request.ID)
 		s.simulation.Refused(request.Router, request.ID)
-	default:
+	case failureNone:
 		delete(process.requests, request.ID)
-		s.simulation.Answered(request.Router, request.ID, response.outcome, response.issuedMicros, response.retryAfterMicros)
+		s.simulation.Answered(request.Router, request.ID, response.answer)
 	}
 }
 
@@ -121,28 +119,30 @@
 func (s *socketRun) sendRequest(ctx context.Context, addr string, request *simulation.Request) clientResponse {
 	httpRequest, err := s.newRequest(ctx, addr, request)
 	if err != nil {
-		return clientResponse{outcome: outcomeNone}
+		return clientResponse{failure: failureBroken}
 	}
 	response, err := s.client.Do(httpRequest)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return clientResponse{outcome: outcomeRefused}
+		return clientResponse{failure: failureRefused}
 	}
 	if err != nil {
-		return clientResponse{outcome: outcomeNone}
+		return clientResponse{failure: failureBroken}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return clientResponse{outcome: outcomeNone}
+		return clientResponse{failure: failureBroken}
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
 		return completedResponse(body, request)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		retryAfterMillis, _ := strconv.ParseInt(response.Header.Get("X-Throttle-Ms"), 10, 32)
-		return clientResponse{outcome: outcomeRejected, retryAfterMicros: retryAfterMillis * microsPerMilli}
+		return clientResponse{answer: simulation.Answer{
+			Outcome: simulation.AnswerRejected, RetryAfter: retryAfterMillis * microsPerMilli,
+		}}
 	}
-	return clientResponse{outcome: outcomeAborted}
+	return clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerAborted}}
 }
 
 // newRequest is a client's request in the platform's form.
@@ -170,9 +170,9 @@
 
 // completedResponse checks the body of a complete answer.
 func completedResponse(body []byte, request *simulation.Request) clientResponse {
-	response := clientResponse{outcome: outcomeCompleted}
+	response := clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerCompleted}}
 	if !request.Write {
-		response.issuedMicros, response.mismatch = checkBody(body, request)
+		response.answer.IssuedAt, response.mismatch = checkBody(body, request)
 		return response
 	}
 	if string(body) != recordedPrefix+writePrefix+request.ID {
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"quilldoor/internal/engine"
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/gateway"
 	"quilldoor/internal/gateway/peerpolicy"
@@ -20,7 +19,7 @@
 const forwardedRetryAfterMicros = 500_000
 
 // forward forwards a request that this site has rejected to another one. False: no site takes it.
-func (v *virtualRun) forward(request *virtualRequest, command engine.Command) bool {
+func (v *virtualRun) forward(request *virtualRequest, maybeExecuted bool) bool {
 	router := request.router
 	now := v.now()
 	class := v.simulation.Class(request.Class)
@@ -28,7 +27,7 @@
 	peer, reason := router.gateway.Forward(now, &peerpolicy.Request{
 		RequestID: request.ID,
 		Effect:    gateway.PeerEffect(class.Effect),
-		NeverRan:  !command.MaybeExecuted,
+		NeverRan:  !maybeExecuted,
 		Deadline:  now + remaining,
 	})
 	if reason != peerpolicy.ReasonOK {
@@ -81,24 +80,25 @@
 }
 
 // answerForwarded answers a request that another site forwarded here.
-func (v *virtualRun) answerForwarded(request *virtualRequest, outcome string, issued int64, command engine.Command) {
+func (v *virtualRun) answerForwarded(request *virtualRequest, answer simulation.Answer, maybeExecuted bool) {
 	request.finished = true
 	v.detach(request)
 	far := request.router
-	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, outcome == outcomeCompleted)
-	answer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
+	completed := answer.Outcome == simulation.AnswerCompleted
+	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, completed)
+	peerAnswer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
 	sizeKB := 0.0
-	switch outcome {
-	case outcomeCompleted:
-		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: issued}
+	switch answer.Outcome {
+	case simulation.AnswerCompleted:
+		peerAnswer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: answer.IssuedAt}
 		sizeKB = request.SizeKB
 		if request.Write {
-			answer.IssuedMillis = 0
+			peerAnswer.IssuedMillis = 0
 		}
-	case outcomeRejected:
-		answer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !command.MaybeExecuted}
+	case simulation.AnswerRejected:
+		peerAnswer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !maybeExecuted}
 	}
-	v.sendAnswerHome(far, request.forwardedBy, request.Request, answer, sizeKB)
+	v.sendAnswerHome(far, request.forwardedBy, request.Request, peerAnswer, sizeKB)
 }
 
 // sendAnswerHome takes an answer to the site that forwarded the request, after the time that
@@ -139,10 +139,10 @@
 }
 
 // forwardedOutcomes is the client's outcome for an answer of the gateway.
-var forwardedOutcomes = map[peerpolicy.Outcome]string{
-	peerpolicy.OutcomeCompleted: outcomeCompleted,
-	peerpolicy.OutcomeRejected:  outcomeRejected,
-	peerpolicy.OutcomeAborted:   outcomeAborted,
+var forwardedOutcomes = map[peerpolicy.Outcome]simulation.AnswerOutcome{
+	peerpolicy.OutcomeCompleted: simulation.AnswerCompleted,
+	peerpolicy.OutcomeRejected:  simulation.AnswerRejected,
+	peerpolicy.OutcomeAborted:   simulation.AnswerAborted,
 }
 
 // runGatewayActions carries out what a gateway has decided.
@@ -158,16 +158,18 @@
 }
 
 // respondForwarded answers the client of a forwarded request, unless it has left.
-func (v *virtualRun) respondForwarded(router *virtualRouter, requestID, outcome string) {
+func (v *virtualRun) respondForwarded(router *virtualRouter, requestID string, outcome simulation.AnswerOutcome) {
 	request := router.forwarded[requestID]
 	if request == nil {
 		return
 	}
 	delete(router.forwarded, requestID)
-	if outcome == outcomeCompleted {
+	if outcome == simulation.AnswerCompleted {
 		v.simulation.Result.ForwardedCompleted++
 	}
-	v.simulation.Answered(router.id, requestID, outcome, request.issued, forwardedRetryAfterMicros)
+	v.simulation.Answered(router.id, requestID, simulation.Answer{
+		Outcome: outcome, IssuedAt: request.issued, RetryAfter: forwardedRetryAfterMicros,
+	})
 }
 
 // withdrawAtPeer tells a peer that a forwarded request is no longer waited for.
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -41,15 +41,20 @@
 			if v.options.observer != nil && command.Attempt != nil && !request.finished {
 				v.options.observer.responded(request.router.id, request.Request, command.Attempt, issued)
 			}
-			v.finish(request, outcomeCompleted, issued, command)
+			v.finish(request, answerOf(simulation.AnswerCompleted, issued, &command), command.MaybeExecuted)
 		case engine.CommandReject:
-			v.finish(request, outcomeRejected, 0, command)
+			v.finish(request, answerOf(simulation.AnswerRejected, 0, &command), command.MaybeExecuted)
 		case engine.CommandFail:
-			v.finish(request, outcomeAborted, 0, command)
+			v.finish(request, answerOf(simulation.AnswerAborted, 0, &command), command.MaybeExecuted)
 		}
 	}
 }
 
+// answerOf is the answer to the client that an engine's final command stands for.
+func answerOf(outcome simulation.AnswerOutcome, issued int64, command *engine.Command) simulation.Answer {
+	return simulation.Answer{Outcome: outcome, IssuedAt: issued, RetryAfter: command.RetryAfter}
+}
+
 // startAttempt hands an attempt to the simulation.
 func (v *virtualRun) startAttempt(request *virtualRequest, attempt *engine.Attempt) {
 	if request.finished || !attempt.Begin() {
@@ -70,25 +75,26 @@
 	v.simulation.SendAttempt(sent)
 }
 
-// finish takes the engine's final command. It is the client's answer, unless another site
-// forwarded the request here, or takes it over as this one rejects it.
-func (v *virtualRun) finish(request *virtualRequest, outcome string, issued int64, command engine.Command) {
+// finish takes the engine's final answer. It is the client's, unless another site forwarded the
+// request here, or takes it over as this one rejects it.
+func (v *virtualRun) finish(request *virtualRequest, answer simulation.Answer, maybeExecuted bool) {
 	switch {
 	case request.finished:
 	case request.forwardedBy != nil:
-		v.answerForwarded(request, outcome, issued, command)
+		v.answerForwarded(request, answer, maybeExecuted)
 	case request.router.gateway != nil:
-		request.router.gateway.ObserveLocal(v.now(), outcome == outcomeRejected)
-		if outcome != outcomeRejected || !v.forward(request, command) {
-			v.respond(request, outcome, issued, command.RetryAfter)
+		rejected := answer.Outcome == simulation.AnswerRejected
+		request.router.gateway.ObserveLocal(v.now(), rejected)
+		if !rejected || !v.forward(request, maybeExecuted) {
+			v.respond(request, answer)
 		}
 	default:
-		v.respond(request, outcome, issued, command.RetryAfter)
+		v.respond(request, answer)
 	}
 }
 
 // respond answers the client.
-func (v *virtualRun) respond(request *virtualRequest, outcome string, issued, retryAfter int64) {
+func (v *virtualRun) respond(request *virtualRequest, answer simulation.Answer) {
 	if request.finished {
 		return
 	}
@@ -98,7 +104,7 @@
 		count = v.options.AnswerCount(request.ID)
 	}
 	for range count {
-		v.simulation.Answered(request.router.id, request.ID, outcome, issued, retryAfter)
+		v.simulation.Answered(request.router.id, request.ID, answer)
 	}
 	v.detach(request)
 }
@@ -128,11 +134,11 @@
 		remaining -= v.now() - router.stoppedAt
 	}
 	if remaining <= 0 || v.rejectsWithoutNeed(request) {
-		v.simulation.Answered(router.id, request.ID, outcomeRejected, 0, 0)
+		v.simulation.Answered(router.id, request.ID, simulation.Answer{Outcome: simulation.AnswerRejected})
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
-		v.simulation.Answered(router.id, request.ID, outcomeRejected, 0, 0)
+		v.simulation.Answered(router.id, request.ID, simulation.Answer{Outcome: simulation.AnswerRejected})
 		request.finished = true
 		request.queued = true
 	}
--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -14,31 +14,41 @@
 	maxBackoffDoublings = 6
 )
 
-// Outcomes of a request as Answered takes them.
+// Answer is a router's final answer to a request. Times are microseconds.
+type Answer struct {
+	Outcome    AnswerOutcome
+	IssuedAt   int64 // issue time of the copy it was answered with; 0: none
+	RetryAfter int64 // how long the router asks the client to wait before a retry
+}
+
+// AnswerOutcome is how a router answered a request, as the event log names it.
+type AnswerOutcome string
+
+// The outcomes of an answer.
 const (
-	answerCompleted = "completed"
-	answerRejected  = "rejected"
-	answerLate      = "late" // completed too late to be of use
+	AnswerCompleted AnswerOutcome = "completed"
+	AnswerRejected  AnswerOutcome = "rejected" // it was not executed
+	AnswerAborted   AnswerOutcome = "aborted"  // it may have been executed
+	answerLate      AnswerOutcome = "late"     // an answer that reaches the client too late to be of use
 )
 
-// Answered accepts a router's answer to a request: "completed", "rejected" or "aborted". issuedAt is the issue time of
-// the copy it was answered with, retryAfter the wait in microseconds that the router asks of the client.
-func (s *Simulation) Answered(routerID int, requestID, outcome string, issuedAt, retryAfter int64) {
+// Answered accepts a router's answer to a request.
+func (s *Simulation) Answered(routerID int, requestID string, answer Answer) {
 	router := s.routers[routerID]
 	request := router.openRequests[requestID]
 	if request == nil {
 		s.record(Entry{
 			Kind: eventlog.KindAnswered, Router: routerID, Request: requestID,
-			Outcome: outcome, Issued: issuedAt,
+			Outcome: string(answer.Outcome), Issued: answer.IssuedAt,
 		})
 		return
 	}
 	entry := s.requestEntry(eventlog.KindAnswered, request)
-	entry.Outcome = outcome
-	entry.Issued = issuedAt
+	entry.Outcome = string(answer.Outcome)
+	entry.Issued = answer.IssuedAt
 	s.record(entry)
 	router.closeRequest(request)
-	s.schedule(s.clientDelay(), func() { s.answerArrived(request, outcome, issuedAt, retryAfter) })
+	s.schedule(s.clientDelay(), func() { s.answerArrived(request, answer) })
 }
 
 // Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
@@ -55,18 +65,18 @@
 }
 
 // answerArrived is a router's answer at its client.
-func (s *Simulation) answerArrived(request *Request, outcome string, issuedAt, retryAfter int64) {
+func (s *Simulation) answerArrived(request *Request, answer Answer) {
 	if s.now > request.deadline+lateTolerance+s.Slack {
-		outcome = answerLate
+		answer.Outcome = answerLate
 	}
 	client := request.client
-	if outcome == answerCompleted {
+	if answer.Outcome == AnswerCompleted {
 		s.openRequests--
-		s.Result.countCompleted(s, client, issuedAt)
+		s.Result.countCompleted(s, client, answer.IssuedAt)
 		return
 	}
 	idempotent := s.classes[client.class].Effect == policy.EffectIdempotent
-	s.retryOrFail(client, retryAfter, outcome == answerRejected || idempotent)
+	s.retryOrFail(client, answer.RetryAfter, answer.Outcome == AnswerRejected || idempotent)
 }
 
 // clientTimedOut makes a client leave whose time is over without an answer.
