--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -118,10 +118,10 @@
 	}{
 		{"the same", func(*Counts) {}, ""},
 		{"a fifth slower", func(c *Counts) { c.LogLatencySum += 0.18 * c.Completed }, "slowness"},
-		{"an attempt more for one in five", func(c *Counts) { c.Attempts += 0.2 * c.Requests }, "hops a txn"},
+		{"an attempt more for one in five", func(c *Counts) { c.Attempts += 0.2 * c.Requests }, "attempts per request"},
 		{"a class that fails", func(c *Counts) {
 			c.Classes["accept"] = ClassCounts{Requests: 30, WeightOffered: 30, WeightEarned: 24}
-		}, "loss of worth of accept"},
+		}, "lost weight of accept"},
 		{"an earlier generation", func(c *Counts) {
 			c.Completed, c.LogLatencySum, c.Attempts, c.Classes = 0, 0, 0, nil
 		}, ""},
--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -11,8 +11,8 @@
 	WeightOffered float64 `cbor:"2,keyasint,omitempty" json:"Asked"`
 	WeightEarned  float64 `cbor:"3,keyasint,omitempty" json:"Earned"`
 	Rejected      float64 `cbor:"4,keyasint,omitempty" json:"Refused"`
-	Failed        float64 `cbor:"5,keyasint,omitempty"` // aborted, or the client left without a response
-	Completed     float64 `cbor:"6,keyasint,omitempty" json:"Answered"`
+	Failed        float64 `cbor:"5,keyasint,omitempty"`                 // aborted, or the client left without a response
+	Completed     float64 `cbor:"6,keyasint,omitempty" json:"Answered"` // answered with a response
 	// LogLatencySum is the sum of ln(latency / objective) of completed requests.
 	LogLatencySum float64                `cbor:"7,keyasint,omitempty" json:"Time"`
 	Attempts      float64                `cbor:"8,keyasint,omitempty" json:"Hops"`
--- a/internal/canary/metrics.go
+++ b/internal/canary/metrics.go
@@ -6,14 +6,14 @@
 // Metrics.
 const (
 	MetricLoss       Metric = iota // share of the weight offered that was not earned
-	MetricRejections               // share of requests
-	MetricFailures                 // share of requests
+	MetricRejections               // share of requests that were rejected
+	MetricFailures                 // share of requests that failed or whose client left
 	MetricSlowness                 // mean ln(latency / objective) of completed requests: 0.18 is a fifth slower
-	MetricAttempts                 // for each request
-	MetricCount
+	MetricAttempts                 // attempts per request
+	MetricCount                    // how many there are
 )
 
-var metricNames = [MetricCount]string{"loss of worth", "refusals", "failures", "slowness", "hops a txn"}
+var metricNames = [MetricCount]string{"lost weight", "rejections", "failures", "slowness", "attempts per request"}
 
 // String returns the name that verdicts and status pages show.
 func (m Metric) String() string { return metricNames[m] }
--- a/internal/canary/settings.go
+++ b/internal/canary/settings.go
@@ -3,16 +3,19 @@
 // Settings of an analysis.
 type Settings struct {
 	// FalseStopProbability is that of stopping a generation that is the same, over all
-	// metrics, stages and looks. A smaller one takes more samples to stop a worse one.
+	// metrics, stages and looks, 0 to 1. A smaller one takes more samples to stop a worse
+	// one.
 	FalseStopProbability float64
-	// Tolerance are differences that do not stop a stage: two routers of an office never
-	// see quite the same.
+	// Tolerance are differences, new less old, in the unit of each metric, that do not
+	// stop a stage: two routers of an office never see quite the same.
 	Tolerance [MetricCount]float64
-	// ClassTolerance is the tolerated loss of a single traffic class.
+	// ClassTolerance is the same of MetricLoss in a single traffic class.
 	ClassTolerance float64
-	// MaxLoss is the loss that must be ruled out for a pass.
+	// MaxLoss is the difference of MetricLoss that must be ruled out for a pass, at least
+	// Tolerance[MetricLoss]: a stage passes once the whole interval is below MaxLoss, and
+	// stops once it is above the tolerance.
 	MaxLoss float64
-	// MinRequests of each arm make a sample.
+	// MinRequests is how many requests each arm of an office must have for a sample.
 	MinRequests float64
 	// SkipMicros is the time after a router's change that is left out, microseconds.
 	SkipMicros int64
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -18,26 +18,27 @@
 
 var verdictNames = [...]string{"can't tell", "good", "worse"}
 
-// String returns the name that status pages show.
+// String returns the name that status pages show: can't tell (inconclusive), good (pass) or worse.
 func (v Verdict) String() string { return verdictNames[v] }
 
 // minSamples come before any verdict: the sequence is asymptotic.
 const minSamples = 15
 
-// Verdict returns the verdict on the samples so far, and a reason that names the metric.
+// Verdict returns the verdict on the samples so far, and a reason for people that names the
+// metric and its interval. Below 15 samples it is VerdictInconclusive.
 func (a *Analyzer) Verdict() (v Verdict, reason string) {
 	if count := len(a.samples[MetricLoss]); count < minSamples {
-		return VerdictInconclusive, fmt.Sprintf("%d moments, %d are wanted", count, minSamples)
+		return VerdictInconclusive, fmt.Sprintf("%d samples, %d are needed", count, minSamples)
 	}
 	if reason := a.worse(); reason != "" {
 		return VerdictWorse, reason
 	}
 	loss := a.Interval(MetricLoss)
 	if loss.High < a.settings.MaxLoss {
-		return VerdictPass, fmt.Sprintf("%v: %+.4f, at most %+.4f (%d moments)",
+		return VerdictPass, fmt.Sprintf("%v: %+.4f, at most %+.4f (%d samples)",
 			MetricLoss, loss.Mean, loss.High, loss.Samples)
 	}
-	return VerdictInconclusive, fmt.Sprintf("%v: %+.4f, from %+.4f to %+.4f (%d moments)",
+	return VerdictInconclusive, fmt.Sprintf("%v: %+.4f, from %+.4f to %+.4f (%d samples)",
 		MetricLoss, loss.Mean, loss.Low, loss.High, loss.Samples)
 }
 
@@ -61,7 +62,7 @@
 }
 
 func (i Interval) worseBy(name string, tolerance float64) string {
-	return fmt.Sprintf("%s: %+.4f, at least %+.4f, %.4f is borne (%d moments)", name, i.Mean, i.Low, tolerance, i.Samples)
+	return fmt.Sprintf("%s: %+.4f, at least %+.4f, %.4f is tolerated (%d samples)", name, i.Mean, i.Low, tolerance, i.Samples)
 }
 
 // FleetRegressed reports whether a whole fleet loses more than before by at least
--- a/internal/invariant/activity.go
+++ b/internal/invariant/activity.go
@@ -17,8 +17,8 @@
 	_                 struct{} `cbor:",toarray"`
 	Endpoint          string
 	LastSentMicros    int64   // last attempt to it, Unix microseconds; 0: none
-	LastSourcedMicros int64   // last attempt that named it as the source of a fill; 0: none
-	WorkMicros        float64 // sending time of all of them
+	LastSourcedMicros int64   // last attempt that named it as the source of a fill, Unix microseconds; 0: none
+	WorkMicros        float64 // time that it takes to send the responses of all of them, as estimated; 0: unknown
 }
 
 // Response is a response to a read.
@@ -26,8 +26,8 @@
 	_            struct{} `cbor:",toarray"`
 	Object       uint64   // hash of its name
 	Group        int64
-	SentMicros   int64 // when its attempt was sent
-	IssuedMicros int64 // when the origin issued the copy
+	SentMicros   int64 // when its attempt was sent, Unix microseconds
+	IssuedMicros int64 // when the origin issued the copy, Unix microseconds
 }
 
 // hashObject is never 0, which stands for a group in a purge.
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -17,7 +17,7 @@
 
 	processes map[uint64]*process
 
-	Dropped int // what did not fit, here or in the processes
+	Dropped int // activities and records that did not fit, here or in the processes
 }
 
 // process is one that reports its activity.
@@ -41,7 +41,8 @@
 	}
 }
 
-// Observe takes the report of a process, by an identifier of the caller's.
+// Observe takes the report of a process, by an identifier of the caller's. It is judged
+// by a later Tick.
 func (m *Monitor) Observe(now int64, processID uint64, a *Activity) {
 	p := m.processes[processID]
 	if p == nil {
@@ -83,7 +84,7 @@
 
 func (m *Monitor) check(now int64, p *process, a *Activity) {
 	for range a.DuplicateAttempts {
-		p.violations[RuleDuplicate].add(now, "a hop beside one that may have run")
+		p.violations[RuleDuplicate].add(now, "an attempt beside one that may have been executed")
 	}
 	for i := range a.Endpoints {
 		m.checkDrained(now, p, &a.Endpoints[i])
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Rule is one that a router must keep, by its number in the operators' list.
+// Rule is one that a router must keep, by its number in docs/architecture.md and in the
+// reports. Those that can't be seen from outside the process are left out.
 type Rule uint8
 
 // Rules that can be checked from outside the process.
@@ -15,10 +16,10 @@
 )
 
 var ruleNames = [ruleCount]string{
-	RuleDuplicate:  "an unrepeatable txn sent twice",
-	RuleDrained:    "sent to servers that drain or have gone",
-	RuleOverBudget: "cold servers' budgets overspent",
-	RuleStale:      "answers older than a purge",
+	RuleDuplicate:  "request that is not idempotent sent twice",
+	RuleDrained:    "sent to endpoints that drain or have gone",
+	RuleOverBudget: "slow-start budgets overspent",
+	RuleStale:      "responses older than a purge",
 }
 
 // String returns the rule's number and name, as reports and pages show it.
--- a/internal/invariant/settings.go
+++ b/internal/invariant/settings.go
@@ -8,18 +8,18 @@
 
 // Settings are the limits of the rules.
 type Settings struct {
-	DrainGraceMicros int64 // attempts to an endpoint that drains are allowed for so long
-	PurgeGraceMicros int64 // older copies are allowed for so long after a purge
-	WindowMicros     int64 // of slow-start budgets
-	SlowStart        map[string]SlowStartBudget
+	DrainGraceMicros int64                      // attempts to an endpoint that drains are allowed for so long
+	PurgeGraceMicros int64                      // older copies are allowed for so long after a purge
+	WindowMicros     int64                      // within which the work of slow-start budgets is summed
+	SlowStart        map[string]SlowStartBudget // by kind of endpoint; a kind that is missing has no slow start
 }
 
 // SlowStartBudget is that of endpoints of a kind after their start.
 type SlowStartBudget struct {
-	From           float64 // capacity at the start, as a share of the full one
-	Multiple       float64 // of the capacity that may be sent within a window
-	DurationMicros int64
-	Routers        float64 // that share the budget
+	From           float64 // capacity at the start, as a share of the full one, 0 to 1
+	Multiple       float64 // of the capacity of the moment, that may be sent within a window
+	DurationMicros int64   // of the slow start
+	Routers        float64 // that share the budget; less than 1 counts as 1
 }
 
 // SettingsFrom takes the limits from a router's settings.
--- a/internal/invariant/violations.go
+++ b/internal/invariant/violations.go
@@ -33,7 +33,8 @@
 // duration is the time from the first to the last violation. There must be one.
 func (l *violationLog) duration() int64 { return l.times[len(l.times)-1] - l.times[0] }
 
-// Violations are those proven of a process.
+// Violations are those proven of a process: at least three of a rule within the last
+// minute, of RuleDrained and RuleStale over 7 s or more, of RuleDuplicate a single one.
 type Violations struct {
 	Rules uint8  // one bit for each, 1<<Rule
 	Text  string // describes the first rule
--- a/internal/rollout/codec.go
+++ b/internal/rollout/codec.go
@@ -31,7 +31,10 @@
 	maxSetBytes = MaxRouters / 8
 )
 
-// Encode returns a message with MessagePrefix, and shortens what would not fit.
+// Encode returns a message with MessagePrefix, and shortens what would not fit: each text
+// for people to 160 bytes; and where the whole would be longer than 1000 bytes, as one
+// datagram of the membership transport carries, it leaves out the report's counts of
+// traffic classes.
 func Encode(m *Message) ([]byte, error) {
 	m = withShortTexts(m)
 	encoded, err := cbor.Marshal(m)
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -2,7 +2,7 @@
 
 // Target is the generation that a router is to have.
 type Target struct {
-	New      bool
+	New      bool // the new generation; else the old one
 	MayStart bool // it may begin to change to that generation now
 }
 
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -22,12 +22,12 @@
 // Message is what routers of a plan send each other.
 type Message struct {
 	Kind         Kind    `cbor:"1,keyasint"`
-	Plan         uint64  `cbor:"2,keyasint"` // Plan.Digest; messages of another plan are dropped
-	Term         uint64  `cbor:"3,keyasint,omitempty"`
+	Plan         uint64  `cbor:"2,keyasint"`           // Plan.Digest; messages of another plan are dropped
+	Term         uint64  `cbor:"3,keyasint,omitempty"` // of an election; from 1
 	AcceptedTerm uint64  `cbor:"4,keyasint,omitempty"` // term in which State was accepted
 	State        *State  `cbor:"5,keyasint,omitempty"`
-	Round        uint64  `cbor:"6,keyasint,omitempty"`
-	Nonce        uint64  `cbor:"7,keyasint,omitempty"`
+	Round        uint64  `cbor:"6,keyasint,omitempty"` // of the leader's accepts, to tell which one an answer is for
+	Nonce        uint64  `cbor:"7,keyasint,omitempty"` // the same in a question and its answer
 	Report       *Report `cbor:"8,keyasint,omitempty"`
 	Command      Command `cbor:"9,keyasint,omitempty"`
 }
@@ -46,23 +46,23 @@
 	Capable       bool          `cbor:"4,keyasint,omitempty" json:"Able"`   // has the plan and the files that it names
 	Counts        canary.Counts `cbor:"5,keyasint,omitempty"`               // since its first generation, across changes
 	Restarts      int           `cbor:"6,keyasint,omitempty"`               // unplanned ones
-	MemoryMB      float64       `cbor:"7,keyasint,omitempty"`
-	RunID         uint64        `cbor:"8,keyasint,omitempty" json:"Run"` // run that Upgraded and FailureReason belong to
+	MemoryMB      float64       `cbor:"7,keyasint,omitempty"`               // of its serving process; 2^20 bytes each
+	RunID         uint64        `cbor:"8,keyasint,omitempty" json:"Run"`    // run that Upgraded and FailureReason belong to
 	// ViolatedRules are invariants that its supervisor saw it violate within the last
 	// minute, one bit for each invariant.Rule.
 	ViolatedRules  uint8  `cbor:"9,keyasint,omitempty" json:"Broken"`
-	FirstViolation string `cbor:"10,keyasint,omitempty" json:"Broke"`
+	FirstViolation string `cbor:"10,keyasint,omitempty" json:"Broke"`  // text about the first of them
 	DrainsSeen     int    `cbor:"11,keyasint,omitempty" json:"Drains"` // drains its supervisor was notified of
 	PurgesSeen     int    `cbor:"12,keyasint,omitempty" json:"Purges"` // purges its supervisor was notified of
 }
 
-// Command is an operator's.
+// Command is what an operator commands of a rollout. Its number goes over the wire; 0 is none.
 type Command uint8
 
-// Commands of an operator.
+// Commands of an operator. One that does not fit the phase changes nothing.
 const (
-	CommandStart Command = 1 + iota
-	CommandPause
-	CommandResume
-	CommandRollBack
+	CommandStart    Command = 1 + iota // begin a rollout of the plan, from its first stage
+	CommandPause                       // change no further router until CommandResume
+	CommandResume                      // go on from a pause, with a new watch of the stage
+	CommandRollBack                    // return all changed routers to the old generation
 )
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("%+v, %v", f.begun, f.violations)
 	}
 	v, _ := f.nodes[3].View()
-	if !strings.Contains(v.Reason, "loss of worth") {
+	if !strings.Contains(v.Reason, "lost weight") {
 		t.Error(v.Reason)
 	}
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -15,7 +15,8 @@
 
 var phaseNames = [...]string{"none", "forward", "holding", "back", "done", "undone"}
 
-// String returns the name that status files and pages show.
+// String returns the name that logs, status files and pages show: none, forward, holding
+// (paused), back (rolling back), done or undone (rolled back).
 func (p Phase) String() string { return phaseNames[min(int(p), len(phaseNames)-1)] }
 
 // State is the value that a majority decides on. A later one has a higher Seq.
@@ -23,11 +24,11 @@
 	Seq     uint64 `cbor:"1,keyasint"`
 	Plan    uint64 `cbor:"2,keyasint,omitempty"` // Plan.Digest
 	Phase   Phase  `cbor:"3,keyasint,omitempty" json:"Way"`
-	Stage   int    `cbor:"4,keyasint,omitempty"` // from 0
-	Batch   Set    `cbor:"5,keyasint,omitempty"` // routers that change now, in the phase's direction
-	Changed Set    `cbor:"6,keyasint,omitempty"` // routers with the new generation
-	Skipped Set    `cbor:"7,keyasint,omitempty"` // routers passed over after Plan.SilentSeconds of silence
-	Reason  string `cbor:"8,keyasint,omitempty" json:"Why"`
+	Stage   int    `cbor:"4,keyasint,omitempty"`            // from 0
+	Batch   Set    `cbor:"5,keyasint,omitempty"`            // routers that change now, in the phase's direction
+	Changed Set    `cbor:"6,keyasint,omitempty"`            // routers with the new generation
+	Skipped Set    `cbor:"7,keyasint,omitempty"`            // routers passed over after Plan.SilentSeconds of silence
+	Reason  string `cbor:"8,keyasint,omitempty" json:"Why"` // why the phase or stage is what it is, for people
 	RunID   uint64 `cbor:"9,keyasint,omitempty" json:"Run"` // tells two rollouts of one plan apart
 }
 
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,7 +6,7 @@
 type Status struct {
 	Plan   string `cbor:"1,keyasint,omitempty" json:"plan"`
 	Digest uint64 `cbor:"2,keyasint,omitempty" json:"digest,string"`
-	Phase  string `cbor:"3,keyasint,omitempty" json:"way"`
+	Phase  string `cbor:"3,keyasint,omitempty" json:"way"`   // Phase.String
 	Stage  int    `cbor:"4,keyasint,omitempty" json:"stage"` // from 1
 	Stages int    `cbor:"5,keyasint,omitempty" json:"stages"`
 	Reason string `cbor:"6,keyasint,omitempty" json:"why,omitempty"`
@@ -14,7 +14,8 @@
 	Seq    uint64 `cbor:"8,keyasint,omitempty" json:"seq"`
 	Leader string `cbor:"9,keyasint,omitempty" json:"leader,omitempty"`
 	// IsLeader: this router leads now. Only a leader knows the reports of the routers and
-	// the fields from Verdict to Bounds.
+	// the fields from Verdict to Bounds, and those only while it watches a stage. Verdict
+	// is a canary.Verdict's name, a colon and its reason; WatchMS how long it has watched.
 	IsLeader   bool             `cbor:"10,keyasint,omitempty" json:"leads"`
 	Routers    []RouterStatus   `cbor:"11,keyasint,omitempty" json:"routers"`
 	Verdict    string           `cbor:"12,keyasint,omitempty" json:"say,omitempty"`
@@ -27,9 +28,9 @@
 type RouterStatus struct {
 	Name     string `cbor:"1,keyasint" json:"name"`
 	Office   string `cbor:"2,keyasint" json:"office"`
-	Activity string `cbor:"3,keyasint,omitempty" json:"does"`
-	HeardMS  int64  `cbor:"4,keyasint,omitempty" json:"heard_ms"` // since its last report
-	Report   Report `cbor:"5,keyasint,omitempty" json:"report"`
+	Activity string `cbor:"3,keyasint,omitempty" json:"does"`     // old, changes, silent (passed over) or new
+	HeardMS  int64  `cbor:"4,keyasint,omitempty" json:"heard_ms"` // since its last report; set by a leader
+	Report   Report `cbor:"5,keyasint,omitempty" json:"report"`   // set by a leader
 }
 
 // Values of RouterStatus.Activity.
@@ -40,14 +41,15 @@
 	activityNew      = "new"     // it has the new generation
 )
 
-// MetricInterval is the confidence interval of a metric's difference, with its samples.
+// MetricInterval is the confidence interval of a metric's difference, new less old, with
+// its samples.
 type MetricInterval struct {
-	Metric    string    `cbor:"1,keyasint" json:"figure"`
-	Tolerance float64   `cbor:"2,keyasint" json:"bears"`
+	Metric    string    `cbor:"1,keyasint" json:"figure"` // a canary.Metric's name, or MetricLoss's of a class
+	Tolerance float64   `cbor:"2,keyasint" json:"bears"`  // the stage stops once Low is above it
 	Mean      float64   `cbor:"3,keyasint" json:"mean"`
 	Low       float64   `cbor:"4,keyasint" json:"low"`
 	High      float64   `cbor:"5,keyasint" json:"high"`
-	Samples   []float64 `cbor:"6,keyasint,omitempty" json:"moments,omitempty"` // the latest ones
+	Samples   []float64 `cbor:"6,keyasint,omitempty" json:"moments,omitempty"` // the latest ones, 600 at most
 }
 
 // Status returns what this router knows of the rollout.
