--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -12,10 +12,10 @@
 )
 
 // Update is a response of the discovery service, and the form of what a
-// configuration knows at the start.
+// configuration knows at the start. Parse makes it; Watcher.Apply reads its events.
 type Update struct {
-	Revision int64   `json:"Rev"`
-	Events   []event `json:"Notices"`
+	Revision int64   `json:"Rev"`     // up to which it has all events
+	Events   []event `json:"Notices"` // by revision
 }
 
 type event struct {
@@ -54,8 +54,9 @@
 	"gone":     policy.EndpointGone,
 }
 
-// Parse reads an update and checks that all of it can be used. Its errors name the
-// service's keys.
+// Parse reads an update and checks that all of it can be used: that endpoint ids are plain
+// and states known, and that each purge names an object or a group. Its errors, of JSON or
+// these, name the service's keys and the event's revision.
 func Parse(text []byte) (*Update, error) {
 	var update Update
 	if err := json.Unmarshal(text, &update); err != nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,15 +11,15 @@
 
 // Handler takes the events, in order, on the goroutine that runs the Watcher.
 type Handler interface {
-	// EndpointsChanged takes the first list (ScopeDisk), a whole one
+	// EndpointsChanged takes the first list (ScopeInitial), a whole one
 	// (ScopeSnapshot) or changes of it (ScopeDiff).
 	EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint)
 	// Purge takes the purge of an object, or of a group where object is "", made
 	// at a time in microseconds of Unix time.
 	Purge(object string, group, at int64)
 	DiscoveryLost(err error) // the first failed poll in a row
-	DiscoveryRestored()
-	DiscoveryGap() // events were missed, or are numbered anew
+	DiscoveryRestored()      // the first poll that succeeds after it, before its events
+	DiscoveryGap()           // events were missed, or are numbered anew; after those of the update that shows it
 }
 
 // Watcher knows how far the events were followed. It is not safe for concurrent
@@ -40,7 +40,8 @@
 	return &Watcher{limits: limits, handler: handler, endpoints: map[string]engine.Endpoint{}}
 }
 
-// Apply hands the events that are new in an update to the handler.
+// Apply hands the events that are new in an update to the handler: those whose revision
+// is above the last one.
 func (w *Watcher) Apply(update *Update) {
 	gap := false
 	for _, event := range update.Events {
--- a/internal/diskcache/admission.go
+++ b/internal/diskcache/admission.go
@@ -3,16 +3,16 @@
 // Candidate is a part that a request was answered with.
 type Candidate struct {
 	Request
-	Issued int64 // Unix milliseconds
+	Issued int64 // when the origin gave the copy out, Unix milliseconds
 	Length int   // bytes on disk, record header included
 }
 
 // Placement is where a copy is to be written.
 type Placement struct {
 	Ref     Ref
-	Key     uint64
-	Object  uint64
-	Extents []Extent
+	Key     uint64   // hash of the part's name
+	Object  uint64   // hash of the object's name
+	Extents []Extent // in the order in which the record fills them
 }
 
 // minLargestRecords is how many records of the largest size fit onto the disk.
--- a/internal/diskcache/doc.go
+++ b/internal/diskcache/doc.go
@@ -5,7 +5,8 @@
 //
 // It does no I/O, reads no clock and starts no goroutine. Its caller (diskrunner)
 // hands in the time in Unix microseconds and holds a lock around every call. The bytes
-// themselves are diskstore's.
+// themselves are diskstore's. Times and durations are microseconds, but for those of a
+// copy's issue (Issued, issuedMillis): these are the milliseconds of the protocol.
 //
 // Three invariants hold:
 //
--- a/internal/diskcache/health.go
+++ b/internal/diskcache/health.go
@@ -11,6 +11,7 @@
 	HealthOff             // the disk is not used any more
 )
 
+// String returns the state's name in logs and reports: on, full, reads only or off.
 func (h Health) String() string {
 	switch h {
 	case HealthOn:
@@ -25,7 +26,7 @@
 	return ""
 }
 
-// Event is what the disk's side has to tell.
+// Event is what the disk's side has to tell the Policy.
 type Event uint8
 
 // The events.
@@ -33,8 +34,8 @@
 	EventWriteFailed      Event = iota // a write or sync failed: what the kernel still holds is unknown
 	EventNoSpace                       // the file system is full
 	EventReadFailed                    // a record could not be read, or was corrupt
-	EventManyReadFailures              // maxReadFailures within readFailureWindow
-	EventRetryDue                      // the time to write to a full disk again has come
+	EventManyReadFailures              // made of the eighth EventReadFailed within 60 s: the disk is used no more
+	EventRetryDue                      // made by Sweep and Offer 30 s after EventNoSpace: writes are tried again
 	EventClosed                        // the router ends
 )
 
@@ -61,7 +62,8 @@
 	fullDiskRetryInterval = 30 * second // microseconds
 )
 
-// HandleEvent takes an event and tells the health and whether it has changed.
+// HandleEvent takes an event and tells the health and whether it has changed. An event
+// that does not fit the health changes nothing.
 func (p *Policy) HandleEvent(now int64, event Event) (Health, bool) {
 	if event == EventReadFailed {
 		if !p.countReadFailure(now) {
--- a/internal/diskcache/lookup.go
+++ b/internal/diskcache/lookup.go
@@ -5,7 +5,7 @@
 	ClassIndex int // place in Settings.Classes
 	Object     string
 	Part       int64
-	Group      uint8
+	Group      uint8 // of objects that are purged together
 	Remaining  int64 // microseconds until its timeout
 }
 
@@ -19,13 +19,13 @@
 	VerdictRevalidate                // read the part, and ask a cache by its ETag whether it is current
 )
 
-// LookupResult is a part that may be read.
+// LookupResult is a part that may be read; with VerdictMiss Reason alone is set.
 type LookupResult struct {
-	Reason       Reason
+	Reason       Reason // of the verdict; ReasonOK with VerdictServe
 	Ref          Ref
-	Extents      []Extent
-	Length       int
-	StaleIfError bool // may be served in place of a failure
+	Extents      []Extent // where the record is, in the order in which it fills them
+	Length       int      // of the record in bytes, its header included
+	StaleIfError bool     // with VerdictRevalidate: may be served in place of a failure
 }
 
 // Lookup counts a request and says what may be done. With VerdictServe and
@@ -144,7 +144,8 @@
 
 // ReserveServe tells, at the moment a response is to be written, whether a copy may be
 // served as it is (or, with staleIfError, in place of a failure), and takes the link's
-// time for it. Bytes are the body's.
+// time for it. Bytes are the body's; with notModified the client has it, and gets a header
+// alone.
 func (p *Policy) ReserveServe(now int64, ref Ref, classIndex int, bytes int64, notModified, staleIfError bool) bool {
 	e := p.find(ref)
 	if e == nil || p.purges.covers(e) {
--- a/internal/diskcache/policy.go
+++ b/internal/diskcache/policy.go
@@ -46,7 +46,7 @@
 // Seq is the number under which the record was written.
 func (r Ref) Seq() uint64 { return r.seq }
 
-// Drop is a part that the index on disk is to forget.
+// Drop is a part that the index on disk is to forget, by its Key and Seq as in CachedPart.
 type Drop struct{ Key, Seq uint64 }
 
 // New makes an empty, healthy disk cache. Purges made before now are not known, so that
@@ -120,8 +120,8 @@
 type Size struct {
 	Parts, MaxParts  int
 	Bytes, MaxBytes  int64 // of slots
-	QueuedBytes      int64
-	ActiveReads      int
+	QueuedBytes      int64 // that wait to be written
+	ActiveReads      int   // that FinishRead has not ended
 	MemoryBytes      int64 // of index, slot map and sketch
 	UnsyncedChains   int   // parts whose slots wait for a sync
 	RememberedPurges int
@@ -157,5 +157,6 @@
 	return entries + buckets + slots + sketch
 }
 
-// AdvanceSeq makes the numbers of new records follow one that was given before.
+// AdvanceSeq makes the numbers (Seq) of new records follow one that was given before, such
+// as the last one that recovery has found.
 func (p *Policy) AdvanceSeq(last uint64) { p.seq = max(p.seq, last) }
--- a/internal/diskcache/purge.go
+++ b/internal/diskcache/purge.go
@@ -50,7 +50,8 @@
 }
 
 // Purge takes the purge of an object, or of a group where object is "", made at the given
-// time. Cached copies of the object that it covers are dropped at once.
+// time in Unix microseconds. Cached copies of the object that it covers are dropped at
+// once, those of a group when they are looked up.
 func (p *Policy) Purge(now int64, object string, group uint8, at int64) {
 	atMillis := (at + microsPerMilli - 1) / microsPerMilli
 	if object == "" {
@@ -125,8 +126,9 @@
 	p.epoch = 1
 }
 
-// SetDiscoveryLost tells whether discovery is unreachable. After DiscoveryLossLimit purges
-// count as missed; once it is back they arrive numbered, and none is missing.
+// SetDiscoveryLost says whether discovery is unreachable. After
+// Settings.DiscoveryLossLimit purges count as missed, until it is back: then they arrive
+// numbered, and none is missing.
 func (p *Policy) SetDiscoveryLost(now int64, lost bool) {
 	switch {
 	case !lost:
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -2,11 +2,11 @@
 
 // CachedPart is a part as the index on disk knows it.
 type CachedPart struct {
-	Key, Object uint64
-	Issued      int64 // Unix milliseconds
-	Seq         uint64
-	Length      int // bytes on disk, record header included
-	ClassIndex  int // place in Settings.Classes
+	Key, Object uint64 // hashes of the part's name and its object's
+	Issued      int64  // when the origin gave the copy out, Unix milliseconds
+	Seq         uint64 // number of its record: the later record has the higher one
+	Length      int    // bytes on disk, record header included
+	ClassIndex  int    // place in Settings.Classes
 	Group       uint8
 	Extents     []Extent
 }
--- a/internal/diskcache/settings.go
+++ b/internal/diskcache/settings.go
@@ -7,23 +7,24 @@
 type TrafficClass struct {
 	Name      string
 	FreshTime int64 // a copy may be served as it is for so long after its issue
-	GraceTime int64 // after that, in place of a failure (stale-if-error)
-	SLA       int64 // the latency objective
+	GraceTime int64 // and for so long after that in place of a failure (stale-if-error)
+	SLA       int64 // the latency objective: a copy whose transfer would end later is not served from here
 	Cacheable bool  // idempotent, no write, with a fresh time, and wanted by the operator
 }
 
-// Settings size and bound the disk cache. Sizes are bytes, times microseconds.
+// Settings size and bound the disk cache. Sizes are bytes, times microseconds. There are
+// no defaults.
 type Settings struct {
-	Classes []TrafficClass
+	Classes []TrafficClass // 256 at most
 
-	SlotBytes  int // the unit of space on disk
+	SlotBytes  int // the unit of space on disk: a record takes whole slots
 	Slots      int // on the disk
 	MaxEntries int // cached parts known at most
 
-	WriteBytesPerSecond int64
+	WriteBytesPerSecond int64 // write budget, over time
 	QueueBytes          int64 // bytes that may wait to be written
-	SyncInterval        int64
-	MaxReads            int // reads at the same time, waiting ones included
+	SyncInterval        int64 // after which what was written is made durable
+	MaxReads            int   // reads at the same time, waiting ones included
 
 	FlowBytesPerSecond int64 // one transfer to a client; 0: not limited
 	LinkBytesPerSecond int64 // the router's own link; 0: not limited
@@ -31,7 +32,10 @@
 	PurgeTime          int64 // after a purge, until caches have dropped what it covers
 	MaxRequestTime     int64 // a response may arrive so long after it was requested
 	DiscoveryLossLimit int64 // discovery unreachable for so long: purges may be missed
-	Seed               uint64
+
+	// Seed of the hashes that name parts and objects (Key and Object). It keeps clients from choosing names that collide,
+	// and must be the one that the index on disk was written with.
+	Seed uint64
 
 	Variant Variant
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings object that a router starts with, as the simulator's wire and the router's
-// configuration both give it, and turns it into the settings of package policy. The object's words are mapped here
-// and nowhere else.
+// Package settings has the settings object that a router starts with, as the simulator's wire and the router's
+// configuration both give it, and turns it into the settings of package policy. Package config also reads it: it checks
+// the values, and takes from it what bounds connections and times of the sockets (config.Limits).
 package settings
 
 import (
@@ -9,14 +9,14 @@
 	"quilldoor/internal/policy"
 )
 
-// Micros turns milliseconds into whole microseconds.
+// Micros turns milliseconds into whole microseconds, rounded to the nearest one.
 func Micros(ms float64) int64 { return int64(math.Round(ms * 1000)) }
 
 // Setup is the settings object. Its fields have the names of the object's keys; names that end in Ms are
 // milliseconds. Fields marked unused are accepted for sites that give them, and decide nothing.
 type Setup struct {
 	Rank           int      // index of this router; unused
-	Siblings       int      // how many routers there are
+	Siblings       int      // how many routers there are in all zones; 0 counts as 1
 	Zone           string   // of this router
 	Zones, Kinds   []string // of the site: zones, kinds of endpoints
 	Classes        []Class
@@ -33,23 +33,23 @@
 		Fields []string
 		How    string
 	}
-	WeightKind string  // what an endpoint's weight counts
+	WeightKind string  // what an endpoint's weight counts; "live": its capacity at the moment, else its size
 	RoundMs    float64 // unused
 }
 
 // Tenant is one of those who share the site.
 type Tenant struct {
 	Name      string
-	QuotaPerS float64 // requests
-	Portion   float64
+	QuotaPerS float64 // requests per second
+	Portion   float64 // of the site
 }
 
 // Contract is what the site's endpoints and clients are promised, and promise.
 type Contract struct {
-	AnswerSlackMs float64 // past a request's timeout, for its answer
+	AnswerSlackMs float64 // how long after its timeout a request is answered at the latest
 	AskEveryMs    float64 // unused
-	ColdFrom      float64 // slow start of caches: the part of their capacity at the start ...
-	ColdMs        float64 // ... and the duration
+	ColdFrom      float64 // slow start of caches: the part of their capacity at the start, 0 to 1 ...
+	ColdMs        float64 // ... and the duration; 0: none
 	DrainGraceMs  float64 // after a drain was told, in which attempts may still begin
 	FallMs        float64 // overload: the window ...
 	FallMultiple  float64 // ... and the multiple of the capacity that a cache bears in it
@@ -62,12 +62,12 @@
 	Probes           bool    // health checks are allowed
 	RetryAfter       bool    // rejected clients may be sent a time to wait
 	SecondCopies     bool    // hedged requests are allowed
-	MostTries        int     // attempts of a request
-	MaxOpen          int     // open requests
-	StreamsPerConn   int     // attempts at once on a connection to an endpoint
-	MaxRetryAfterMs  float64 // the time that rejected clients are told to wait
-	ConnectTimeoutMs float64
-	ConnIdleMs       float64 // after which endpoints close idle connections
+	MostTries        int     // attempts of a request; missing or 0: one
+	MaxOpen          int     // open requests; 0: any number
+	StreamsPerConn   int     // attempts at once on a connection to an endpoint; 0: one
+	MaxRetryAfterMs  float64 // the time that rejected clients are told to wait, always in full
+	ConnectTimeoutMs float64 // for opening a connection to an endpoint; 0: 400
+	ConnIdleMs       float64 // after which endpoints close idle connections; 0: 15,000
 }
 
 // FamilyInfo describes the hierarchy of caches, and what its classes of objects are like. Lists for each class are
@@ -83,13 +83,13 @@
 	ClearedWithinMs    float64   // within which a purge reaches all caches; older ones have no effect
 	PurgeGraceMs       float64   // after a purge was told, in which older copies may be sent
 	FeedKbPerS         []float64 // unused
-	FlowKbPerS         float64   // transfer rate of a request
+	FlowKbPerS         float64   // transfer rate of one response, in KB per second; 0: unknown
 	LinkPrice          float64   // unused
 	HubByZone          []int     // unused
 	ZoneBalancers      []int     // routers of each zone
 	MasterKind         int       // index of the origin's kind
 	SecondTierKind     *int      // index of the parents' kind; nil: there are none
-	NotesGiven         string    // the responses that give a reason
+	NotesGiven         string    // the responses that give a reason; "all": every one
 	Sideways           string    // unused
 	OriginFallMs       float64   // unused
 	OriginFallMultiple float64   // unused
@@ -101,13 +101,13 @@
 // Class is one traffic class.
 type Class struct {
 	Name          string
-	Effect        string  // safe, keyed or unsafe
+	Effect        string  // safe (idempotent), keyed (with an idempotency key) or unsafe
 	Group         string  // of endpoints that share idempotency keys: all, zone or cell
 	DedupWindowMs float64 // in which repeats with one key are recognized
 	TargetMs      float64 // latency objective
 	GiveUpMs      float64 // after which clients give up
 	AimStretch    float64 // multiple of the transfer time by which the latency objective grows
-	LateShare     float64 // part of Value for a late response
+	LateShare     float64 // part of Value for a late response, 0 to 1
 	Value         float64 // priority weight: of a response in time
 	Streamed      bool    // refused: the protocol on sockets has no streams
 }
@@ -132,7 +132,8 @@
 	return v
 }
 
-// PolicySettings returns what the decisions use of the settings object.
+// PolicySettings returns the settings of package policy, in microseconds. A Group that is unknown counts as all. An
+// Effect that is unknown would count as safe: package config refuses it before.
 func (s *Setup) PolicySettings() policy.Settings {
 	out := policy.Settings{
 		Routers:       s.Siblings,
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -14,7 +14,7 @@
 	Attempt        *engine.Attempt
 	Class          string
 	Object         string
-	Part           int64
+	Part           int64            // of the object
 	Tag            string           // of the copy that the client or router has; "": none
 	IdempotencyKey string           // "": none
 	Body           *bufferpool.Body // nil: none
@@ -28,7 +28,7 @@
 type Response struct {
 	*bufferpool.Body
 	Tag          string
-	NotModified  bool  // the copy whose tag was sent is the current one
+	NotModified  bool  // the copy whose Call.Tag was sent is the current one
 	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out; 0: no copy
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -54,14 +54,16 @@
 	}
 }
 
-// SetMaxConns bounds the connections; those that are open stay.
+// SetMaxConns bounds the connections to all endpoints together; those that are open stay.
+// New begins with config.Limits.MaxUpstreamConns.
 func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = maxConns
 }
 
-// Send puts an attempt on a connection.
+// Send puts an attempt on a connection, or opens one for it. Where neither is possible, it
+// reports OutcomeConnectionRefused before it returns. A withdrawn attempt is passed over.
 func (p *Pool) Send(call *Call) {
 	if call.Attempt.Withdrawn() { // the client left as it was decided
 		return
@@ -80,8 +82,9 @@
 	conn.enqueueAndUnlock(outgoing{call: call})
 }
 
-// CheckHealth asks an endpoint whether it is ready. Done is called unless the
-// check is cancelled first; ok is false if there was no answer.
+// CheckHealth asks an endpoint whether it is ready. Done is called, from any goroutine or
+// before this returns, unless the check is cancelled first; ok is false if there was no
+// answer. It sets no time limit. id is unique among the requests and checks in flight.
 func (p *Pool) CheckHealth(endpoint *engine.Endpoint, id string, done func(ok bool)) {
 	p.mu.Lock()
 	conn := p.selectConn(p.peer(endpoint), id)
@@ -138,8 +141,9 @@
 	}
 }
 
-// Sweep closes connections that have been idle for long, before the server does,
-// and forgets abandoned attempts whose responses can't come any more.
+// Sweep closes connections that have been idle for config.Limits.UpstreamIdleTimeout,
+// before the server does, and forgets abandoned attempts whose responses can't come any
+// more. It is called at intervals.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
