--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -163,7 +163,7 @@
 	})
 }
 
-// Looks without a read, by parts known: the cost that a txn bears in any case.
+// Looks without a read, by parts known: the cost that a request bears in any case.
 func BenchmarkLook(b *testing.B) {
 	for _, parts := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(parts), func(b *testing.B) {
@@ -192,125 +192,177 @@
 	}
 }
 
+const (
+	indexEntries    = 1_000_000
+	indexChanges    = 100_000
+	indexBatch      = 100
+	bboltFillBatch  = 10_000
+	bboltValueBytes = 48 // about what an entry takes
+)
+
 // The index alone: a million entries, then a hundred thousand puts and drops in
 // batches of a hundred, each batch synced; own frames against bbolt.
 func BenchmarkIndex(b *testing.B) {
-	const entries, changes, batch = 1_000_000, 100_000, 100
 	b.Run("frames", func(b *testing.B) {
 		for b.Loop() {
-			c := benchConfig(b.TempDir(), entries)
-			s := opened(b, c)
-			entry := func(i int) diskstore.Entry {
-				return diskstore.Entry{Key: uint64(i) * 0x9e3779b97f4a7c15, Seq: uint64(i), Length: 1, Extents: []diskcache.Extent{{Start: 1, Count: 1}}}
-			}
-			if err := s.Compact(func(tell func(*diskstore.Entry) error) error {
-				for i := range entries {
-					e := entry(i)
-					if err := tell(&e); err != nil {
-						return err
-					}
-				}
-				return nil
-			}); err != nil {
-				b.Fatal(err)
-			}
-			at, _ := s.Size()
-			began := time.Now()
-			for i := 0; i < changes; i += batch {
-				var puts []diskstore.Entry
-				var drops []diskcache.Drop
-				for j := range batch {
-					puts = append(puts, entry(entries+i+j))
-					drops = append(drops, diskcache.Drop{Key: entry(i + j).Key, Seq: uint64(i + j)})
-				}
-				if err := s.Commit(puts, drops); err != nil {
-					b.Fatal(err)
-				}
-			}
-			b.ReportMetric(time.Since(began).Seconds(), "s-changes")
-			end, _ := s.Size()
-			b.ReportMetric(float64(end-at)/changes, "bytes/change")
-			b.ReportMetric(float64(end)/1e6, "MB-file")
-			s.Close()
-			began = time.Now()
-			s = opened(b, c)
-			b.ReportMetric(time.Since(began).Seconds(), "s-open")
-			s.Close()
+			benchmarkFrames(b)
 		}
 	})
 	b.Run("bbolt", func(b *testing.B) {
 		for b.Loop() {
-			path := filepath.Join(b.TempDir(), "index")
-			db, err := bbolt.Open(path, 0o600, nil)
-			if err != nil {
-				b.Fatal(err)
-			}
-			name := []byte("parts")
-			key := func(i int) []byte {
-				return binary.BigEndian.AppendUint64(nil, uint64(i)*0x9e3779b97f4a7c15)
-			}
-			value := make([]byte, 48)
-			for i := 0; i < entries; i += 10_000 {
-				if err := db.Update(func(tx *bbolt.Tx) error {
-					bucket, _ := tx.CreateBucketIfNotExists(name)
-					for j := range 10_000 {
-						if err := bucket.Put(key(i+j), value); err != nil {
-							return err
-						}
-					}
-					return nil
-				}); err != nil {
-					b.Fatal(err)
-				}
-			}
-			old := db.Stats()
-			pages := old.TxStats.GetPageAlloc()
-			began := time.Now()
-			for i := 0; i < changes; i += batch {
-				if err := db.Update(func(tx *bbolt.Tx) error {
-					bucket := tx.Bucket(name)
-					for j := range batch {
-						if err := bucket.Put(key(entries+i+j), value); err != nil {
-							return err
-						}
-						if err := bucket.Delete(key(i + j)); err != nil {
-							return err
-						}
-					}
-					return nil
-				}); err != nil {
-					b.Fatal(err)
-				}
-			}
-			b.ReportMetric(time.Since(began).Seconds(), "s-changes")
-			st := db.Stats()
-			b.ReportMetric(float64(st.TxStats.GetPageAlloc()-pages)/changes, "bytes/change")
-			if err := db.View(func(tx *bbolt.Tx) error {
-				b.ReportMetric(float64(tx.Size())/1e6, "MB-file")
-				return nil
-			}); err != nil {
-				b.Fatal(err)
-			}
-			db.Close()
-			began = time.Now()
-			db, err = bbolt.Open(path, 0o600, nil)
-			if err != nil {
-				b.Fatal(err)
+			benchmarkBbolt(b)
+		}
+	})
+}
+
+func indexKey(i int) uint64 {
+	const multiplier = 0x9e3779b97f4a7c15 // spreads the numbers over all keys
+	return uint64(i) * multiplier
+}
+
+func indexEntry(i int) diskstore.Entry {
+	return diskstore.Entry{
+		Key: indexKey(i), Seq: uint64(i), Length: 1, Extents: []diskcache.Extent{{Start: 1, Count: 1}},
+	}
+}
+
+func benchmarkFrames(b *testing.B) {
+	b.Helper()
+	c := benchConfig(b.TempDir(), indexEntries)
+	s := opened(b, c)
+	if err := s.Compact(writeIndexEntries); err != nil {
+		b.Fatal(err)
+	}
+	filled, _ := s.Size()
+	began := time.Now()
+	for i := 0; i < indexChanges; i += indexBatch {
+		commitIndexBatch(b, s, i)
+	}
+	b.ReportMetric(time.Since(began).Seconds(), "s-changes")
+	changed, _ := s.Size()
+	b.ReportMetric(float64(changed-filled)/indexChanges, "bytes/change")
+	b.ReportMetric(float64(changed)/1e6, "MB-file")
+	s.Close()
+	began = time.Now()
+	s = opened(b, c)
+	b.ReportMetric(time.Since(began).Seconds(), "s-open")
+	s.Close()
+}
+
+func writeIndexEntries(write func(*diskstore.Entry) error) error {
+	for i := range indexEntries {
+		entry := indexEntry(i)
+		if err := write(&entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// commitIndexBatch puts new entries and drops as many old ones.
+func commitIndexBatch(b *testing.B, s *diskstore.Store, from int) {
+	b.Helper()
+	var puts []diskstore.Entry
+	var drops []diskcache.Drop
+	for i := from; i < from+indexBatch; i++ {
+		puts = append(puts, indexEntry(indexEntries+i))
+		drops = append(drops, diskcache.Drop{Key: indexKey(i), Seq: uint64(i)})
+	}
+	if err := s.Commit(puts, drops); err != nil {
+		b.Fatal(err)
+	}
+}
+
+var bboltBucket = []byte("parts")
+
+func bboltKey(i int) []byte { return binary.BigEndian.AppendUint64(nil, indexKey(i)) }
+
+func openBbolt(b *testing.B, path string) *bbolt.DB {
+	b.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	return db
+}
+
+func benchmarkBbolt(b *testing.B) {
+	b.Helper()
+	path := filepath.Join(b.TempDir(), "index")
+	db := openBbolt(b, path)
+	value := make([]byte, bboltValueBytes)
+	for i := 0; i < indexEntries; i += bboltFillBatch {
+		fillBbolt(b, db, i, value)
+	}
+	before := db.Stats()
+	pageBytesBefore := before.TxStats.GetPageAlloc()
+	began := time.Now()
+	for i := 0; i < indexChanges; i += indexBatch {
+		changeBbolt(b, db, i, value)
+	}
+	b.ReportMetric(time.Since(began).Seconds(), "s-changes")
+	after := db.Stats()
+	b.ReportMetric(float64(after.TxStats.GetPageAlloc()-pageBytesBefore)/indexChanges, "bytes/change")
+	if err := db.View(func(tx *bbolt.Tx) error {
+		b.ReportMetric(float64(tx.Size())/1e6, "MB-file")
+		return nil
+	}); err != nil {
+		b.Fatal(err)
+	}
+	db.Close()
+	began = time.Now()
+	db = openBbolt(b, path)
+	entries := countBbolt(b, db)
+	b.ReportMetric(time.Since(began).Seconds(), "s-open")
+	if entries != indexEntries {
+		b.Fatal(entries)
+	}
+	db.Close()
+}
+
+func fillBbolt(b *testing.B, db *bbolt.DB, from int, value []byte) {
+	b.Helper()
+	if err := db.Update(func(tx *bbolt.Tx) error {
+		bucket, _ := tx.CreateBucketIfNotExists(bboltBucket)
+		for i := from; i < from+bboltFillBatch; i++ {
+			if err := bucket.Put(bboltKey(i), value); err != nil {
+				return err
 			}
-			n := 0
-			if err := db.View(func(tx *bbolt.Tx) error {
-				return tx.Bucket(name).ForEach(func(_, _ []byte) error {
-					n++
-					return nil
-				})
-			}); err != nil {
-				b.Fatal(err)
+		}
+		return nil
+	}); err != nil {
+		b.Fatal(err)
+	}
+}
+
+// changeBbolt does what commitIndexBatch does.
+func changeBbolt(b *testing.B, db *bbolt.DB, from int, value []byte) {
+	b.Helper()
+	if err := db.Update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(bboltBucket)
+		for i := from; i < from+indexBatch; i++ {
+			if err := bucket.Put(bboltKey(indexEntries+i), value); err != nil {
+				return err
 			}
-			b.ReportMetric(time.Since(began).Seconds(), "s-open")
-			if n != entries {
-				b.Fatal(n)
+			if err := bucket.Delete(bboltKey(i)); err != nil {
+				return err
 			}
-			db.Close()
 		}
-	})
+		return nil
+	}); err != nil {
+		b.Fatal(err)
+	}
+}
+
+func countBbolt(b *testing.B, db *bbolt.DB) (entries int) {
+	b.Helper()
+	if err := db.View(func(tx *bbolt.Tx) error {
+		return tx.Bucket(bboltBucket).ForEach(func(_, _ []byte) error {
+			entries++
+			return nil
+		})
+	}); err != nil {
+		b.Fatal(err)
+	}
+	return entries
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -128,6 +128,19 @@
 	return ends
 }
 
+// expectNoneRanTwice fails the test if a request was executed twice, and returns how many were executed.
+func (s *side) expectNoneRanTwice(t *testing.T) (ran int) {
+	t.Helper()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for request, n := range s.ran {
+		if n > 1 {
+			t.Errorf("request %s run %d times", request, n)
+		}
+	}
+	return len(s.ran)
+}
+
 func (s *side) Purges(string, int64) []peerproto.Purge { return s.known }
 func (s *side) Purge(object string, group, at int64) {
 	s.mu.Lock()
@@ -306,15 +319,8 @@
 		w.cut()
 		wake <- true
 	}
-	south.mu.Lock()
-	defer south.mu.Unlock()
-	for request, n := range south.ran {
-		if n > 1 {
-			t.Errorf("request %s run %d times", request, n)
-		}
-	}
-	if len(south.ran) != 5 {
-		t.Errorf("%d requests run", len(south.ran))
+	if ran := south.expectNoneRanTwice(t); ran != 5 {
+		t.Errorf("%d requests run", ran)
 	}
 }
 
@@ -339,60 +345,68 @@
 	}
 }
 
+// forwardingLoad forwards requests to a peer, one after the other, and counts how they end.
+type forwardingLoad struct {
+	north            *side
+	stop             chan struct{}
+	forwarded, ended atomic.Int64
+	mu               sync.Mutex
+	outcomes         map[peerpolicy.Outcome]int
+}
+
+func (l *forwardingLoad) run(t *testing.T) {
+	for i := 0; ; i++ {
+		select {
+		case <-l.stop:
+			return
+		default:
+		}
+		const effects = 3
+		replies := l.north.send(peerpolicy.Effect(i%effects), "x", nil, 300*time.Millisecond)
+		if replies == nil {
+			time.Sleep(time.Millisecond)
+			continue
+		}
+		l.forwarded.Add(1)
+		select {
+		case reply := <-replies:
+			l.count(reply)
+		case <-time.After(2 * time.Second):
+			t.Error("a request without an end")
+			return
+		}
+	}
+}
+
+func (l *forwardingLoad) count(reply Reply) {
+	l.ended.Add(1)
+	reply.Body.Release()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.outcomes[reply.Outcome]++
+}
+
 // A slow link ends a request in its time; one that is cut and joined again and again loses
 // none and duplicates none.
 func TestCutsLoseAndDuplicateNoRequest(t *testing.T) {
 	north, south, w := pair(t)
 	w.delay.Store(int64(2 * time.Millisecond))
-	var ends sync.Map
-	var all sync.WaitGroup
-	over := make(chan bool)
-	var handed, ended atomic.Int64
+	load := &forwardingLoad{north: north, stop: make(chan struct{}), outcomes: map[peerpolicy.Outcome]int{}}
+	var clients sync.WaitGroup
 	for range 4 {
-		all.Go(func() {
-			for i := 0; ; i++ {
-				select {
-				case <-over:
-					return
-				default:
-				}
-				effect := peerpolicy.Effect(i % 3)
-				out := north.send(effect, "x", nil, 300*time.Millisecond)
-				if out == nil {
-					time.Sleep(time.Millisecond)
-					continue
-				}
-				handed.Add(1)
-				select {
-				case r := <-out:
-					ended.Add(1)
-					r.Body.Release()
-					n, _ := ends.LoadOrStore(r.Outcome, new(atomic.Int64))
-					n.(*atomic.Int64).Add(1)
-				case <-time.After(2 * time.Second):
-					t.Error("a request without an end")
-					return
-				}
-			}
-		})
+		clients.Go(func() { load.run(t) })
 	}
 	for range 12 {
 		time.Sleep(120 * time.Millisecond)
 		w.cut()
 	}
-	close(over)
-	all.Wait()
-	south.mu.Lock()
-	defer south.mu.Unlock()
-	for request, n := range south.ran {
-		if n > 1 {
-			t.Errorf("request %s run %d times", request, n)
-		}
-	}
-	if handed.Load() != ended.Load() || handed.Load() < 50 {
-		t.Fatalf("%d handed over, %d ended", handed.Load(), ended.Load())
+	close(load.stop)
+	clients.Wait()
+	south.expectNoneRanTwice(t)
+	if forwarded, ended := load.forwarded.Load(), load.ended.Load(); forwarded != ended || forwarded < 50 {
+		t.Fatalf("%d forwarded, %d ended", forwarded, ended)
 	}
-	ends.Range(func(k, v any) bool { t.Logf("outcome %v: %d", k, v.(*atomic.Int64).Load()); return true })
+	t.Logf("by outcome: %v", load.outcomes)
 }
 
 // The forwarding site's purges travel with a request, and no older copy comes back.
@@ -497,6 +511,18 @@
 	}
 }
 
+// loadKeys loads a router's certificate and the issuer that its peers must have.
+func loadKeys(t testing.TB, dir, name, issuerDir string) *Keys {
+	t.Helper()
+	keys := &Keys{
+		Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(issuerDir, "ca.pem"),
+	}
+	if err := keys.Load(); err != nil {
+		t.Fatal(err)
+	}
+	return keys
+}
+
 // Valid certificates, and each kind of invalid one with its reason.
 func TestKeys(t *testing.T) {
 	dir, other, old := t.TempDir(), t.TempDir(), t.TempDir()
@@ -505,13 +531,7 @@
 			t.Fatal(err)
 		}
 	}
-	keys := func(d, name, ca string) *Keys {
-		k := &Keys{Cert: filepath.Join(d, name+".pem"), Key: filepath.Join(d, name+".key"), CA: filepath.Join(ca, "ca.pem")}
-		if err := k.Load(); err != nil {
-			t.Fatal(err)
-		}
-		return k
-	}
+	keys := func(d, name, ca string) *Keys { return loadKeys(t, d, name, ca) }
 	logged := func(s *side, what string) {
 		t.Helper()
 		testsupport.WaitUntil(t, what, func() bool {
