--- a/internal/upgrade/trial_test.go
+++ b/internal/upgrade/trial_test.go
@@ -5,55 +5,73 @@
 	"testing"
 )
 
-// A monitor that is asked ten times a second for half a minute stops nothing by chance
-// alone, and stops what is plainly worse within some seconds.
-func TestTrialMonitorStopsOnlyWhatIsWorse(t *testing.T) {
-	// play returns when the trial is stopped, plus one; 0: it is not.
-	play := func(seed uint64, perSecond int, failingBefore, failingAfter float64) (stopped int64) {
-		random := rand.New(rand.NewPCG(seed, 1))
-		var monitor TrialMonitor
-		var counts RequestCounts
-		step := func(failing float64) {
-			for range perSecond / 10 {
-				if random.Float64() < failing {
-					counts.Rejected++
-				} else {
-					counts.Completed++
-				}
-			}
-		}
-		for now := int64(0); now < 40*second; now += 100 * millisecond {
-			step(failingBefore)
-			monitor.ObserveOld(now, counts)
+const trialStep = 100 * millisecond // between two observations
+
+// requestSource counts requests of which a share fails.
+type requestSource struct {
+	random  *rand.Rand
+	perStep int
+	counts  RequestCounts
+}
+
+func (s *requestSource) step(failing float64) {
+	for range s.perStep {
+		if s.random.Float64() < failing {
+			s.counts.Rejected++
+		} else {
+			s.counts.Completed++
 		}
-		counts = RequestCounts{}
-		for at := int64(0); at < 30*second; at += 100 * millisecond {
-			step(failingAfter)
-			if monitor.ObserveNew(counts) != nil {
-				return at + 1
-			}
+	}
+}
+
+// playTrial plays a trial whose process is observed for half a minute, and returns when it
+// is stopped.
+func playTrial(seed uint64, perSecond int, failingBefore, failingAfter float64) (stoppedAt int64, stopped bool) {
+	const before, trial = 40 * second, 30 * second
+	source := &requestSource{random: rand.New(rand.NewPCG(seed, 1)), perStep: perSecond / int(second/trialStep)}
+	var monitor TrialMonitor
+	for now := int64(0); now < before; now += trialStep {
+		source.step(failingBefore)
+		monitor.ObserveOld(now, source.counts)
+	}
+	source.counts = RequestCounts{}
+	for at := int64(0); at < trial; at += trialStep {
+		source.step(failingAfter)
+		if monitor.ObserveNew(source.counts) != nil {
+			return at, true
 		}
-		return 0
 	}
-	stops, slowest := 0, int64(0)
+	return 0, false
+}
+
+// A monitor that is asked ten times a second for half a minute stops nothing by chance
+// alone, and stops what is plainly worse within some seconds.
+func TestTrialMonitorStopsOnlyWhatIsWorse(t *testing.T) {
+	const plainlyWorse = 0.4 // more requests fail
+	trials, stops, slowest := 0, 0, int64(0)
 	for seed := range uint64(400) {
 		for _, perSecond := range []int{10, 200} {
 			for _, share := range []float64{0.001, 0.05, 0.4} {
-				if play(seed, perSecond, share, share) != 0 {
+				trials++
+				if _, stopped := playTrial(seed, perSecond, share, share); stopped {
 					stops++
 				}
-				at := play(seed, perSecond, share, share+0.4)
-				if at == 0 {
-					t.Fatalf("seed %d, %d a second, %g: 0.4 more is not found", seed, perSecond, share)
+				at, stopped := playTrial(seed, perSecond, share, share+plainlyWorse)
+				if !stopped {
+					t.Fatalf("seed %d, %d a second, %g: %g more is not found", seed, perSecond, share, plainlyWorse)
 				}
 				slowest = max(slowest, at)
 			}
 		}
 	}
-	if t.Logf("slowest stop after %d ms", slowest/millisecond); stops > 0 {
-		t.Errorf("%d of 2400 stopped without a reason", stops)
+	t.Logf("slowest stop after %d ms", slowest/millisecond)
+	if stops > 0 {
+		t.Errorf("%d of %d stopped without a reason", stops, trials)
 	}
-	// What served before a promotion counts on.
+}
+
+// What served before a promotion counts in the baseline after it.
+func TestBaselineGoesOnAcrossAPromotion(t *testing.T) {
 	var monitor TrialMonitor
 	monitor.ObserveOld(0, RequestCounts{})
 	monitor.ObserveOld(second, RequestCounts{Completed: 50, Rejected: 50})
