--- a/internal/gateway/peerproto/peerproto_test.go
+++ b/internal/gateway/peerproto/peerproto_test.go
@@ -5,8 +5,10 @@
 	"errors"
 	"io"
 	"reflect"
-	"strings"
 	"testing"
+
+	"quilldoor/internal/cborcodec"
+	"quilldoor/internal/cborcodec/cborcodectest"
 )
 
 var ask = Request{
@@ -77,36 +79,15 @@
 	}
 }
 
-// A decoder that accepts more lets a payload cost memory or stack; one that accepts less
-// drops frames of routers of another version.
 func TestPayloadLimits(t *testing.T) {
-	for name, c := range map[string]struct {
-		encoded  string
-		accepted bool
-	}{
-		"array at limit":    {"\x99\x01\x00" + strings.Repeat("\x00", 256), true},
-		"array over limit":  {"\x99\x01\x01" + strings.Repeat("\x00", 257), false},
-		"map at limit":      {"\xb0" + strings.Repeat("\x00\x00", 16), true},
-		"map over limit":    {"\xb1" + strings.Repeat("\x00\x00", 17), false},
-		"nested at limit":   {strings.Repeat("\x81", 4) + "\x00", true},
-		"nested over limit": {strings.Repeat("\x81", 5) + "\x00", false},
-		"duplicate key":     {"\xa2\x00\x00\x00\x01", true},
-		"indefinite array":  {"\x9f\x00\xff", false},
-		"indefinite map":    {"\xbf\x00\x00\xff", false},
-		"indefinite string": {"\x7f\x60\xff", false},
-		"tag":               {"\xc1\x00", false},
-		"trailing byte":     {"\x80\x00", false},
-		"truncated":         {"\x82\x00", false},
-		"empty":             {"", false},
-	} {
-		err := Frame{Payload: []byte(c.encoded)}.Decode(new(any))
-		if (err == nil) != c.accepted {
-			t.Errorf("%s: %v, want accepted %t", name, err, c.accepted)
-		}
+	limits := cborcodec.Limits{MaxArrayElements: 256, MaxMapPairs: 16, MaxNestedLevels: 4}
+	cborcodectest.Check(t, limits, func(encoded []byte) error {
+		err := Frame{Payload: encoded}.Decode(new(any))
 		if err != nil && !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v is no ErrMalformed", name, err)
+			t.Errorf("%v is no ErrMalformed", err)
 		}
-	}
+		return err
+	})
 }
 
 // Whatever comes is read without a panic, in frames of bounded size.
--- a/internal/membership/transport/datagram_test.go
+++ b/internal/membership/transport/datagram_test.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"errors"
-	"strings"
 	"testing"
+
+	"quilldoor/internal/cborcodec"
+	"quilldoor/internal/cborcodec/cborcodectest"
 )
 
 type testPayload struct {
@@ -55,44 +57,19 @@
 	}
 }
 
-// A decoder that accepts more lets a payload cost memory or stack; one that accepts less
-// drops datagrams of routers of another version.
 func TestPayloadLimits(t *testing.T) {
-	mapOf := func(pairs int) (encoded string) {
-		encoded = "\xb8" + string([]byte{byte(pairs)})
-		for key := range pairs {
-			encoded += "\x18" + string([]byte{byte(key)}) + "\x00"
-		}
-		return encoded
+	limits := cborcodec.Limits{
+		MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, RejectDuplicateKeys: true,
 	}
-	for name, c := range map[string]struct {
-		encoded  string
-		accepted bool
-	}{
-		"array at limit":    {"\x99\x04\x00" + strings.Repeat("\x00", 1024), true},
-		"array over limit":  {"\x99\x04\x01" + strings.Repeat("\x00", 1025), false},
-		"map at limit":      {mapOf(64), true},
-		"map over limit":    {mapOf(65), false},
-		"nested at limit":   {strings.Repeat("\x81", 6) + "\x00", true},
-		"nested over limit": {strings.Repeat("\x81", 7) + "\x00", false},
-		"duplicate key":     {"\xa2\x00\x00\x00\x01", false},
-		"indefinite array":  {"\x9f\x00\xff", false},
-		"indefinite map":    {"\xbf\x00\x00\xff", false},
-		"indefinite string": {"\x7f\x60\xff", false},
-		"tag":               {"\xc1\x00", false},
-		"trailing byte":     {"\x80\x00", false},
-		"truncated":         {"\x82\x00", false},
-	} {
-		datagram := append([]byte{datagramVersion}, c.encoded...)
+	cborcodectest.Check(t, limits, func(encoded []byte) error {
+		datagram := append([]byte{datagramVersion}, encoded...)
 		datagram = append(datagram, authenticationTag(sharedKey, datagram)...)
 		err := openDatagram(sharedKey, datagram, new(any))
-		if (err == nil) != c.accepted {
-			t.Errorf("%s: %v, want accepted %t", name, err, c.accepted)
-		}
 		if err != nil && !errors.Is(err, errPayload) {
-			t.Errorf("%s: %v is no errPayload", name, err)
+			t.Errorf("%v is no errPayload", err)
 		}
-	}
+		return err
+	})
 }
 
 func FuzzOpenDatagram(f *testing.F) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -79,13 +79,20 @@
 	return c, r
 }
 
+// sendOnNewConn sends the call a, for which the pool must open a connection, and accepts that.
+func (pool *testPool) sendOnNewConn(t *testing.T) (*Call, net.Conn, *bufio.Reader) {
+	t.Helper()
+	call := pool.call("a")
+	pool.Send(call)
+	c, r := pool.accept(t)
+	return call, c, r
+}
+
 // A machine that has vanished leaves its connections open: each attempt on one
 // timed out, where a new connection is refused at once.
 func TestSuspectConnectionTakesNothingNew(t *testing.T) {
 	pool := newTestPool(t, nil)
-	call := pool.call("a")
-	pool.Send(call)
-	c, r := pool.accept(t)
+	call, c, r := pool.sendOnNewConn(t)
 	call.Drop(true)
 	r.ReadString('\n') // the empty body's end
 	if _, err := r.ReadByte(); err == nil {
@@ -99,9 +106,7 @@
 
 func TestDroppedAttemptLeavesItsConnectionToOthers(t *testing.T) {
 	pool := newTestPool(t, nil)
-	call := pool.call("a")
-	pool.Send(call)
-	c, r := pool.accept(t)
+	call, c, r := pool.sendOnNewConn(t)
 	call.Drop(false)
 	r.ReadString('\n')
 	if line, _ := r.ReadString('\n'); line != "DROP a\r\n" {
@@ -158,8 +163,7 @@
 		"a EIO - 9\r\n1234", "a EIO - 3000000000\r\n",
 	} {
 		pool := newTestPool(t, nil)
-		pool.Send(pool.call("a"))
-		c, _ := pool.accept(t)
+		_, c, _ := pool.sendOnNewConn(t)
 		c.Write([]byte(text))
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Log(err) // the pool may have closed it already
@@ -174,8 +178,7 @@
 // attempts on it; and the second one must not answer the request's next attempt.
 func TestUnexpectedResponsesAreDiscarded(t *testing.T) {
 	pool := newTestPool(t, nil)
-	pool.Send(pool.call("a"))
-	c, r := pool.accept(t)
+	_, c, r := pool.sendOnNewConn(t)
 	r.ReadString('\n')
 	c.Write([]byte("x ACK entity=e,issued=7 2\r\nxx\r\nx READY\r\na NOENT - 0\r\n\r\n"))
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeMiss {
@@ -195,8 +198,7 @@
 // Half a response once held its connection for the longest time limit and more.
 func TestStalledResponseEndsItsConnection(t *testing.T) {
 	pool := newTestPool(t, func(l *config.Limits) { l.ReadStallTimeout = 10 * time.Millisecond })
-	pool.Send(pool.call("a"))
-	c, _ := pool.accept(t)
+	_, c, _ := pool.sendOnNewConn(t)
 	c.Write([]byte("a ACK entity=e,issued=7 9\r\n1234"))
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeConnectionReset {
 		t.Fatal(outcome)
@@ -207,8 +209,7 @@
 // Sweep and Close.
 func TestEvictionForItsOwnPeerKeepsThePeer(t *testing.T) {
 	pool := newTestPool(t, func(l *config.Limits) { l.MaxUpstreamConns = 1 })
-	pool.Send(pool.call("a"))
-	c, _ := pool.accept(t)
+	_, c, _ := pool.sendOnNewConn(t)
 	c.Write([]byte("a NOENT - 0\r\n\r\n"))
 	<-pool.outcomes
 	pool.Send(pool.call("a")) // not on the connection that may still bring a copy
