--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,23 +7,25 @@
 	"quilldoor/internal/settings"
 )
 
-// Limits are the sizes, counts and times that the sockets' side keeps to.
+// Limits are the sizes, counts and times that connections to clients, endpoints and the
+// discovery service keep to. They are derived from the configuration; no key sets one
+// alone.
 type Limits struct {
 	MemoryBytes int64 // that the garbage collector aims to stay under
 
 	MaxDescriptors      int // of the process
-	MaxClients          int // connections
-	MaxUpstreamConns    int
+	MaxClients          int // connections; a new one beyond it takes the place of an idle one
+	MaxUpstreamConns    int // connections to all endpoints
 	MaxConnsPerEndpoint int // before attempts share a connection
 	MaxStreamsPerConn   int // attempts on a connection
 
 	MaxHeadBytes     int   // of a message's head
-	MaxHeaderFields  int   // of a message's head
+	MaxHeaderFields  int   // number of fields in a message's head
 	MaxRequestBody   int   // bytes of a client's body
-	MaxDiscardBytes  int   // read behind a rejection
+	MaxDiscardBytes  int   // of a rejected request, read and thrown away so that the client reads the rejection
 	MaxResponseBody  int   // bytes of a cache server's body
 	MaxDiscoveryBody int   // bytes of the discovery service's response
-	MaxBufferedBytes int64 // of all bodies
+	MaxBufferedBytes int64 // of all bodies in memory
 
 	MaxRequestTimeout     time.Duration // longer timeouts of clients are cut to this
 	RequestReadTimeout    time.Duration // from a request's first byte (the first one's: connection's start) to its last
@@ -48,8 +50,8 @@
 }
 
 const (
-	defaultConnectTimeout      = 400 * time.Millisecond
-	defaultUpstreamIdleTimeout = 15 * time.Second
+	defaultConnectTimeout      = 400 * time.Millisecond // without ConnectTimeoutMs
+	defaultUpstreamIdleTimeout = 15 * time.Second       // without ConnIdleMs
 
 	// responseReadSlack is how much longer than the longest request timeout an endpoint
 	// may take to finish a response.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -14,14 +14,25 @@
 	"quilldoor/internal/settings"
 )
 
+// Environment variables. A flag takes precedence over its variable, a variable over the file.
 const (
-	defaultCores    = 1
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	fileVariable   = "LB_CONFIG"
+	nameVariable   = "LB_NAME"
+	listenVariable = "LB_LISTEN"
+)
+
+// numberRange is what a number in the file may be, and what a missing one counts as.
+type numberRange struct{ low, high, missing float64 }
 
-	maxBytesPerSecond = 1e15
+var (
+	coresRange    = numberRange{low: 0.01, high: 1024, missing: 1}
+	memoryMBRange = numberRange{low: 24, high: 1 << 20, missing: 192}
+	socketsRange  = numberRange{low: 64, high: 1 << 20, missing: 1024}
 )
 
+// maxBytesPerSecond is far above any link, and a whole number of it fits an int64.
+const maxBytesPerSecond = 1e15
+
 // file is the form of the configuration file; nil: the key is missing.
 type file struct {
 	Name   *string `json:"name"`
@@ -39,24 +50,27 @@
 	Settings             *settings.Setup `json:"settings"`
 }
 
-// Load reads the configuration.
+// errNoFile says that nothing names a configuration file.
+var errNoFile = errors.New(fileVariable + ": no configuration file named, here or by --config")
+
+// Load reads the configuration. A key of the file that is not known is ignored: the platform may have more.
 func Load(overrides Overrides, getenv func(string) string) (*Config, error) {
-	path := cmp.Or(overrides.File, getenv("LB_CONFIG"))
+	path := cmp.Or(overrides.File, getenv(fileVariable))
 	if path == "" {
-		return nil, errors.New("LB_CONFIG: no configuration file named, here or by --config")
+		return nil, errNoFile
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("LB_CONFIG: %w", err)
+		return nil, fmt.Errorf("%s: %w", fileVariable, err)
 	}
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, unmarshalError(path, err)
 	}
-	if name := cmp.Or(overrides.Name, getenv("LB_NAME")); name != "" {
+	if name := cmp.Or(overrides.Name, getenv(nameVariable)); name != "" {
 		f.Name = &name
 	}
-	if listen := cmp.Or(overrides.Listen, getenv("LB_LISTEN")); listen != "" {
+	if listen := cmp.Or(overrides.Listen, getenv(listenVariable)); listen != "" {
 		f.Listen = &listen
 	}
 	return f.config()
@@ -95,7 +109,7 @@
 	if err != nil {
 		return nil, keyError{"seed", "not 1 to 16 hex digits"}
 	}
-	cores, memoryMB, sockets, err := f.machineLimits()
+	machine, err := f.machineLimits()
 	if err != nil {
 		return nil, err
 	}
@@ -113,11 +127,11 @@
 		Listen:               *f.Listen,
 		DiscoveryAddr:        *f.DiscoveryAddr,
 		Seed:                 seed,
-		Cores:                cores,
-		MemoryMB:             int(memoryMB),
+		Cores:                machine.cores,
+		MemoryMB:             machine.memoryMB,
 		InitialUpdate:        f.InitialUpdate,
 		Settings:             *f.Settings,
-		Limits:               newLimits(f.Settings, int(memoryMB), int(sockets)),
+		Limits:               newLimits(f.Settings, machine.memoryMB, machine.sockets),
 		ClientBytesPerSecond: int64(f.ClientBytesPerSecond),
 		LinkBytesPerSecond:   int64(f.LinkBytesPerSecond),
 	}, nil
@@ -148,27 +162,36 @@
 	return err == nil
 }
 
-// machineLimits returns what the router may use of the machine.
-func (f *file) machineLimits() (cores, memoryMB, sockets float64, err error) {
-	if cores, err = inRange("limits.cores", f.Limits.Cores, 0.01, 1024, defaultCores); err != nil {
-		return 0, 0, 0, err
+// machineLimits is what the router may use of the machine.
+type machineLimits struct {
+	cores    float64
+	memoryMB int
+	sockets  int // descriptors of the process
+}
+
+func (f *file) machineLimits() (machineLimits, error) {
+	cores, err := coresRange.check("limits.cores", f.Limits.Cores)
+	if err != nil {
+		return machineLimits{}, err
 	}
-	if memoryMB, err = inRange("limits.memory_mb", f.Limits.MemoryMB, 24, 1<<20, defaultMemoryMB); err != nil {
-		return 0, 0, 0, err
+	memoryMB, err := memoryMBRange.check("limits.memory_mb", f.Limits.MemoryMB)
+	if err != nil {
+		return machineLimits{}, err
 	}
-	if sockets, err = inRange("limits.sockets", f.Limits.Sockets, 64, 1<<20, defaultSockets); err != nil {
-		return 0, 0, 0, err
+	sockets, err := socketsRange.check("limits.sockets", f.Limits.Sockets)
+	if err != nil {
+		return machineLimits{}, err
 	}
-	return cores, memoryMB, sockets, nil
+	return machineLimits{cores: cores, memoryMB: int(memoryMB), sockets: int(sockets)}, nil
 }
 
-// inRange returns the value, or the default where the key is missing.
-func inRange(key string, value *float64, least, most, missing float64) (float64, error) {
+// check returns the value, or the default where the key is missing.
+func (r numberRange) check(key string, value *float64) (float64, error) {
 	if value == nil {
-		return missing, nil
+		return r.missing, nil
 	}
-	if *value < least || *value > most || math.IsNaN(*value) {
-		return 0, keyError{key, fmt.Sprintf("%g is not within %g and %g", *value, least, most)}
+	if *value < r.low || *value > r.high || math.IsNaN(*value) {
+		return 0, keyError{key, fmt.Sprintf("%g is not within %g and %g", *value, r.low, r.high)}
 	}
 	return *value, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,9 +7,13 @@
 	"quilldoor/internal/settings"
 )
 
-// maxClassMillis bounds a traffic class's objective and timeout.
+// maxClassMillis bounds a traffic class's objective and timeout: memory is held for as
+// long as a request may take.
 const maxClassMillis = 60e3
 
+// noKind is the index of a kind of endpoints that the site does not have.
+const noKind = -1
+
 // checkSettings rejects what the router can't work with, or what the protocols
 // on sockets have no form for.
 func checkSettings(s *settings.Setup) error {
@@ -40,10 +44,10 @@
 
 func isIndex(i, length int) bool { return i >= 0 && i < length }
 
-func isIndexOrNone(i, length int) bool { return i == -1 || isIndex(i, length) }
+func isIndexOrNone(i, length int) bool { return i == noKind || isIndex(i, length) }
 
 func checkNotNegative(s *settings.Setup) error {
-	for _, item := range []struct {
+	for _, number := range []struct {
 		key   string
 		value float64
 	}{
@@ -61,8 +65,8 @@
 		{"FamilyInfo.PurgeGraceMs", s.FamilyInfo.PurgeGraceMs},
 		{"Siblings", float64(s.Siblings)},
 	} {
-		if item.value < 0 {
-			return keyError{"settings." + item.key, "negative"}
+		if number.value < 0 {
+			return keyError{"settings." + number.key, "negative"}
 		}
 	}
 	return nil
--- a/internal/operatorconfig/config.go
+++ b/internal/operatorconfig/config.go
@@ -21,13 +21,13 @@
 // pathVariable is the environment variable that names the file.
 const pathVariable = "LB_OPERATOR"
 
-// Config is the validated file. A nil part is off.
+// Config is the validated file. A nil part is off. A change of any part takes a restart.
 type Config struct {
-	DiskCache  *DiskCache  `yaml:"disk"`
-	Metrics    *Metrics    `yaml:"metrics"`
-	Gateway    *Gateway    `yaml:"gateway"`
-	Membership *Membership `yaml:"members"`
-	Supervisor *Supervisor `yaml:"keep,omitempty"`
+	DiskCache  *DiskCache  `yaml:"disk"`           // cache of responses on disk
+	Metrics    *Metrics    `yaml:"metrics"`        // file with metrics
+	Gateway    *Gateway    `yaml:"gateway"`        // connections to routers of other sites
+	Membership *Membership `yaml:"members"`        // the other routers of this site
+	Supervisor *Supervisor `yaml:"keep,omitempty"` // upgrades under load
 }
 
 // Load reads the file that the flag names, else the environment variable LB_OPERATOR,
@@ -72,10 +72,7 @@
 		}
 	}
 	if c.Supervisor != nil {
-		if c.Supervisor.RolloutPlan != "" && c.Membership == nil {
-			return yamlfile.Errorf("keep.plan", "rollouts go among routers that know each other: members is missing")
-		}
-		if err := c.Supervisor.validate(); err != nil {
+		if err := c.validateSupervisor(); err != nil {
 			return err
 		}
 	}
@@ -85,6 +82,13 @@
 	return nil
 }
 
+func (c *Config) validateSupervisor() error {
+	if c.Supervisor.RolloutPlan != "" && c.Membership == nil {
+		return yamlfile.Errorf("keep.plan", "rollouts go among routers that know each other: members is missing")
+	}
+	return c.Supervisor.validate()
+}
+
 // ImmutableChanges returns the keys of the parts in which another file differs. All of
 // them take a restart.
 func (c *Config) ImmutableChanges(other *Config) (keys []string) {
--- a/internal/operatorconfig/diskcache.go
+++ b/internal/operatorconfig/diskcache.go
@@ -10,27 +10,64 @@
 	"quilldoor/internal/yamlfile"
 )
 
-// DiskCache is the cache of responses on disk.
+// DiskCache is the cache of responses on disk: the part "disk" of the file.
 type DiskCache struct {
-	Path   string `yaml:"path"`    // its own directory; absolute
-	SizeMB int    `yaml:"size_mb"` // of the slots on disk
-	// SlotKB is the size of a slot in kilobytes (default 16). Smaller slots waste less of
-	// the last one of each entry and take more memory for the same disk.
+	// Path is the cache's own directory; absolute, required. It must exist, empty or made
+	// by a router, and no other router may use it.
+	Path string `yaml:"path"`
+
+	// SizeMB is the size of the data on disk in megabytes, from 16; required. It may grow
+	// from one start to the next; where it shrinks, entries beyond its end are dropped.
+	SizeMB int `yaml:"size_mb"`
+
+	// SlotKB is the size of a slot in kilobytes (default 16), from 1 to 1024: an entry
+	// takes whole slots. Small slots waste less of the last one of each entry and take
+	// more memory for the same disk. A directory made with another value is refused.
 	SlotKB int `yaml:"slot_kb"`
-	// MemoryMB is the memory for the index (default 16), which bounds the entries.
-	MemoryMB         int `yaml:"memory_mb"`
-	WriteMBPerSecond int `yaml:"write_mb_per_s"` // default 8; spares the disk and its readers
-	QueueMB          int `yaml:"queue_mb"`       // memory for entries not written yet (default 4)
-	// SyncIntervalMS is the time between two syncs in milliseconds (default 1000): a crash
-	// loses what was written since.
-	SyncIntervalMS     int `yaml:"sync_ms"`
-	MaxConcurrentReads int `yaml:"reads"` // default 16
+
+	// MemoryMB is the memory for the index in megabytes (default 16). It bounds the number
+	// of entries: with little memory a large disk stays partly unused.
+	MemoryMB int `yaml:"memory_mb"`
+
+	// WriteMBPerSecond bounds what is written in the long run, in megabytes a second
+	// (default 8). A low rate spares the disk and requests that read it; what does not
+	// fit the queue meanwhile is not cached.
+	WriteMBPerSecond int `yaml:"write_mb_per_s"`
+
+	// QueueMB is the memory for entries that are not written yet, in megabytes (default
+	// 4). A long queue takes in bursts, at the cost of memory for bodies; a quarter of
+	// that memory bounds it, too.
+	QueueMB int `yaml:"queue_mb"`
+
+	// SyncIntervalMS is the time between two syncs in milliseconds (default 1000), from 10
+	// to 60000. A crash loses what was written since the last one; frequent syncs slow
+	// the disk down.
+	SyncIntervalMS int `yaml:"sync_ms"`
+
+	// MaxConcurrentReads bounds the reads at the same time, those that wait for the disk
+	// included (default 16). Further requests go on without the disk.
+	MaxConcurrentReads int `yaml:"reads"`
+
 	// ReadWaitMS is how long a request waits for the disk, in milliseconds (default 20),
-	// before it goes on without.
-	ReadWaitMS     int      `yaml:"read_wait_ms"`
-	TrafficClasses []string `yaml:"rules"` // that are cached; empty: all that may be
+	// from 1 to 1000, before it goes on without. A long wait serves more from a slow disk
+	// and adds to the latency of the requests that it does not serve.
+	ReadWaitMS int `yaml:"read_wait_ms"`
+
+	// TrafficClasses are the names of those that are cached (default: all that may be). A
+	// class that writes, is not idempotent or has no freshness time is refused.
+	TrafficClasses []string `yaml:"rules"`
 }
 
+const (
+	defaultSlotKB             = 16
+	defaultMemoryMB           = 16
+	defaultWriteMBPerSecond   = 8
+	defaultQueueMB            = 4
+	defaultSyncIntervalMS     = 1000
+	defaultMaxConcurrentReads = 16
+	defaultReadWaitMS         = 20
+)
+
 func (d *DiskCache) validate() error {
 	if d.Path == "" {
 		return yamlfile.Errorf("disk.path", "missing")
@@ -53,21 +90,23 @@
 	return nil
 }
 
+// validateLimits fills in defaults and checks ranges.
 func (d *DiskCache) validateLimits() error {
+	const noDefault = 0
 	for _, limit := range []struct {
 		key       string
 		value     *int
-		byDefault int // 0: none
+		byDefault int
 		low, high int
 	}{
-		{"size_mb", &d.SizeMB, 0, 16, 16 << 20},
-		{"slot_kb", &d.SlotKB, 16, diskstore.MinSlotBytes >> 10, diskstore.MaxSlotBytes >> 10},
-		{"memory_mb", &d.MemoryMB, 16, 1, 64 << 10},
-		{"write_mb_per_s", &d.WriteMBPerSecond, 8, 1, 10_000},
-		{"queue_mb", &d.QueueMB, 4, 1, 1 << 10},
-		{"sync_ms", &d.SyncIntervalMS, 1000, 10, 60_000},
-		{"reads", &d.MaxConcurrentReads, 16, 1, 4096},
-		{"read_wait_ms", &d.ReadWaitMS, 20, 1, 1000},
+		{"size_mb", &d.SizeMB, noDefault, 16, 16 << 20},
+		{"slot_kb", &d.SlotKB, defaultSlotKB, diskstore.MinSlotBytes / kilobyte, diskstore.MaxSlotBytes / kilobyte},
+		{"memory_mb", &d.MemoryMB, defaultMemoryMB, 1, 64 << 10},
+		{"write_mb_per_s", &d.WriteMBPerSecond, defaultWriteMBPerSecond, 1, 10_000},
+		{"queue_mb", &d.QueueMB, defaultQueueMB, 1, 1 << 10},
+		{"sync_ms", &d.SyncIntervalMS, defaultSyncIntervalMS, 10, 60_000},
+		{"reads", &d.MaxConcurrentReads, defaultMaxConcurrentReads, 1, 4096},
+		{"read_wait_ms", &d.ReadWaitMS, defaultReadWaitMS, 1, 1000},
 	} {
 		*limit.value = cmp.Or(*limit.value, limit.byDefault)
 		if err := yamlfile.CheckRange("disk."+limit.key, *limit.value, limit.low, limit.high); err != nil {
@@ -77,6 +116,11 @@
 	return nil
 }
 
+const (
+	kilobyte = 1 << 10
+	megabyte = 1 << 20
+)
+
 // Memory that the index takes, in bytes.
 const (
 	// bytesPerSlot: a slot's place in its chain, and a bit.
@@ -90,10 +134,10 @@
 const minEntries = 256
 
 // Slots returns how many slots SizeMB gives.
-func (d *DiskCache) Slots() int { return d.SizeMB << 10 / d.SlotKB }
+func (d *DiskCache) Slots() int { return d.SizeMB * (megabyte / kilobyte) / d.SlotKB }
 
 // MaxEntries returns how many entries the memory holds, at most one for each slot.
 func (d *DiskCache) MaxEntries() int {
-	available := float64(d.MemoryMB)*(1<<20) - float64(d.Slots())*bytesPerSlot
+	available := float64(d.MemoryMB)*megabyte - float64(d.Slots())*bytesPerSlot
 	return max(min(d.Slots(), int(available/bytesPerEntry)), 0)
 }
--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -14,18 +14,36 @@
 	maxMembershipPeers     = 512
 	// minMembershipBytesPerSecond: at lower rates a failure takes longer to be passed on
 	// than to be detected.
-	minMembershipBytesPerSecond = 300
+	minMembershipBytesPerSecond     = 300
+	maxMembershipBytesPerSecond     = 1_000_000
+	defaultMembershipBytesPerSecond = 1500
 )
 
-// Membership lets the routers of a site know each other.
+// Membership lets the routers of a site know each other: the part "members" of the file.
+// The platform's settings have to permit messages between routers.
 type Membership struct {
-	Name    string           `yaml:"name"`
-	Zone    string           `yaml:"place"`  // "": the zone of the settings
-	Listen  string           `yaml:"listen"` // UDP address that other routers can reach
-	KeyFile string           `yaml:"key_file"`
-	Peers   []MembershipPeer `yaml:"peers"`
-	// BytesPerSecond bounds what this router sends (default 1500): a low rate passes
-	// changes on slowly.
+	// Name of this router, up to 64 bytes; required. No other router of the site may have
+	// it.
+	Name string `yaml:"name"`
+
+	// Zone that this router tells the others, up to 64 bytes (default: the zone of the
+	// settings).
+	Zone string `yaml:"place"`
+
+	// Listen is the UDP address and port that other routers reach this one at; required.
+	// An address that stands for all of the machine's is refused.
+	Listen string `yaml:"listen"`
+
+	// KeyFile is the absolute path of the key that all routers of the site share;
+	// required. Messages that are not authenticated by it are dropped.
+	KeyFile string `yaml:"key_file"`
+
+	// Peers are the routers to contact first, from 1 to 512. One that is alive is enough to
+	// find all others; this router may be among them.
+	Peers []MembershipPeer `yaml:"peers"`
+
+	// BytesPerSecond bounds what this router sends, in bytes a second (default 1500), from
+	// 300 to 1000000. A low rate spares the network and passes changes on slowly.
 	BytesPerSecond int `yaml:"rate_bytes_per_s"`
 }
 
@@ -50,8 +68,9 @@
 	case len(m.Peers) == 0 || len(m.Peers) > maxMembershipPeers:
 		return yamlfile.Errorf("members.peers", "%d of them, 1 to %d wanted", len(m.Peers), maxMembershipPeers)
 	}
-	m.BytesPerSecond = cmp.Or(m.BytesPerSecond, 1500)
-	err = yamlfile.CheckRange("members.rate_bytes_per_s", m.BytesPerSecond, minMembershipBytesPerSecond, 1_000_000)
+	m.BytesPerSecond = cmp.Or(m.BytesPerSecond, defaultMembershipBytesPerSecond)
+	err = yamlfile.CheckRange("members.rate_bytes_per_s",
+		m.BytesPerSecond, minMembershipBytesPerSecond, maxMembershipBytesPerSecond)
 	if err != nil {
 		return err
 	}
@@ -65,15 +84,15 @@
 
 func (m *Membership) validatePeers() error {
 	seen := map[string]bool{}
-	for i, p := range m.Peers {
+	for i, peer := range m.Peers {
 		key := fmt.Sprintf("members.peers[%d]", i)
-		if !validMembershipName(p.Name) || seen[p.Name] {
-			return yamlfile.Errorf(key+".name", "%q is empty, too long or stands twice", p.Name)
+		if !validMembershipName(peer.Name) || seen[peer.Name] {
+			return yamlfile.Errorf(key+".name", "%q is empty, too long or stands twice", peer.Name)
 		}
-		if _, err := netip.ParseAddrPort(p.Addr); err != nil {
+		if _, err := netip.ParseAddrPort(peer.Addr); err != nil {
 			return yamlfile.Errorf(key+".addr", "not an address with a port")
 		}
-		seen[p.Name] = true
+		seen[peer.Name] = true
 	}
 	return nil
 }
--- a/internal/operatorconfig/supervisor.go
+++ b/internal/operatorconfig/supervisor.go
@@ -11,17 +11,31 @@
 // 108 bytes.
 const maxSupervisorDirBytes = 80
 
+const (
+	defaultReadyTimeoutS = 10
+	defaultTrialS        = 30
+)
+
 // Supervisor lets a supervisor change the router's program and configuration while it
-// serves.
+// serves: the part "keep" of the file. It takes effect where 'quilldoor keep' runs the
+// router.
 type Supervisor struct {
-	Dir string `yaml:"folder"` // the supervisor's own files and socket; absolute
+	// Dir is the directory of the supervisor's own files and socket; absolute, up to 80
+	// bytes, required. No other supervisor may use it.
+	Dir string `yaml:"folder"`
+
 	// ReadyTimeoutS is how long a new process may take to become ready, in seconds
-	// (default 10).
+	// (default 10), from 0.1 to 600. A short time refuses programs that start slowly, a
+	// long one delays the next attempt after a program that never does.
 	ReadyTimeoutS float64 `yaml:"ready_s"`
-	// TrialS is how long a new process is on probation, in seconds (default 30): a short
-	// time misses slow failures, a long one delays the next change.
-	TrialS      float64 `yaml:"trial_s"`
-	RolloutPlan string  `yaml:"plan,omitempty"` // absolute path; "": no rollouts
+
+	// TrialS is how long a new process is on probation, in seconds (default 30), from 0.1
+	// to 3600. A short time misses slow failures, a long one delays the next change.
+	TrialS float64 `yaml:"trial_s"`
+
+	// RolloutPlan is the absolute path of the plan by which an upgrade goes through many
+	// routers (default: no rollouts). It needs the part "members".
+	RolloutPlan string `yaml:"plan,omitempty"`
 }
 
 func (s *Supervisor) validate() error {
@@ -31,8 +45,8 @@
 	if s.RolloutPlan != "" && !filepath.IsAbs(s.RolloutPlan) {
 		return yamlfile.Errorf("keep.plan", "not an absolute path")
 	}
-	s.ReadyTimeoutS = cmp.Or(s.ReadyTimeoutS, 10)
-	s.TrialS = cmp.Or(s.TrialS, 30)
+	s.ReadyTimeoutS = cmp.Or(s.ReadyTimeoutS, defaultReadyTimeoutS)
+	s.TrialS = cmp.Or(s.TrialS, defaultTrialS)
 	if err := yamlfile.CheckRange("keep.ready_s", s.ReadyTimeoutS, 0.1, 600); err != nil {
 		return err
 	}
