--- a/cmd/quilldoor/asyncwriter.go
+++ b/cmd/quilldoor/asyncwriter.go
@@ -33,11 +33,12 @@
 	return len(line), nil
 }
 
-// flush passes on what is left, for at most so long.
-func (w *asyncWriter) flush(within time.Duration) {
+// flush passes on what is left, and gives up after the timeout. Nothing may be written
+// after it.
+func (w *asyncWriter) flush(timeout time.Duration) {
 	close(w.lines)
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
--- a/cmd/quilldoor/background.go
+++ b/cmd/quilldoor/background.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	sweepInterval  = time.Second // of idle upstream connections
-	statusInterval = 10 * time.Second
+	sweepInterval  = time.Second      // between closings of idle upstream connections
+	statusInterval = 10 * time.Second // between lines of status in the log
 )
 
 // background is what runBackground remembers from round to round.
@@ -63,11 +63,12 @@
 func (r *router) logDecision(command engine.Command) {
 	entry := r.log.WithField("endpoint", command.EndpointID)
 	if command.Backoff > 0 {
-		entry = entry.WithField("backoff_ms", command.Backoff/1000)
+		entry = entry.WithField("backoff_ms", command.Backoff/microsPerMilli)
 	}
 	entry.Info(command.Text)
 }
 
+// sweep closes idle upstream connections and logs the status, each at its interval.
 func (r *router) sweep(b *background, now time.Time) {
 	if now.Sub(b.sweptAt) < sweepInterval {
 		return
@@ -95,7 +96,7 @@
 		"late_responses":       late,
 		"upstream_connections": r.upstream.ConnCount(),
 		"goroutines":           runtime.NumGoroutine(),
-		"memory_mb":            samples[0].Value.Uint64() >> 20,
+		"memory_mb":            samples[0].Value.Uint64() / bytesPerMB,
 		"gc_cycles":            samples[1].Value.Uint64(),
 		"max_timer_lag_ms":     maxTimerLag.Milliseconds(),
 	}).Info("status")
--- a/cmd/quilldoor/changecommand.go
+++ b/cmd/quilldoor/changecommand.go
@@ -17,7 +17,7 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// Errors of 'change apply' and 'change back'. What happened has been printed before.
+// Errors of 'change apply' and 'change back'. The reason has been printed before.
 var (
 	errRejected = errors.New("refused")
 	errFellBack = errors.New("fell back")
@@ -86,7 +86,8 @@
 	var program string
 	c := &cobra.Command{
 		Use: "apply", Short: "Change, and wait for what becomes of it", Args: cobra.NoArgs,
-		Long: "--program, --config and --operator name what is new; what is not named stays. Exit code 1: refused, or it fell\nback; the last line says why.",
+		Long: "--program, --config and --operator name what is new; what is not named stays. " +
+			"Exit code 1: refused, or it fell\nback; the last line says why.",
 		RunE: func(*cobra.Command, []string) error {
 			return client.change(&handoff.Message{
 				Kind:     handoff.KindApply,
@@ -185,47 +186,48 @@
 	return encoder.Encode(value)
 }
 
-func printUpgradeStatus(s *handoff.Status) {
-	const millisPerSecond = 1000
+func printUpgradeStatus(status *handoff.Status) {
 	fmt.Printf("%s for %.1f s; supervisor %d, %d restarts\n",
-		s.State, float64(s.SinceMS)/millisPerSecond, s.SupervisorPID, s.Restarts)
-	printProcesses(s)
-	for _, process := range []*handoff.Process{s.Serving, s.Next} {
+		status.State, float64(status.SinceMS)/millisPerSecond, status.SupervisorPID, status.Restarts)
+	printProcesses(status)
+	for _, process := range []*handoff.Process{status.Serving, status.Next} {
 		if process != nil && process.ViolatedRule != "" {
 			fmt.Println("rule violated:", process.ViolatedRule)
 		}
 	}
-	printManifest("settled", s.Settled)
-	printManifest("before", s.Previous)
-	if s.LastOutcome != "" {
-		fmt.Println("last change:", s.LastOutcome)
+	printManifest("settled", status.Settled)
+	printManifest("before", status.Previous)
+	if status.LastOutcome != "" {
+		fmt.Println("last change:", status.LastOutcome)
 	}
-	if !s.Persistent {
+	if !status.Persistent {
 		fmt.Println("the state file can't be written: a cold start begins with what it has")
 	}
 }
 
-func printProcesses(s *handoff.Status) {
+func printProcesses(status *handoff.Status) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintln(w, "generation\twhat\tprocess\tstate\tMB\tdescriptors\tcompleted\trejected\taborted\tclient gone\tlate\theartbeat")
-	printProcess(w, "settled", s.Serving)
-	printProcess(w, "new", s.Next)
+	fmt.Fprintln(w, "generation\twhat\tprocess\tstate\tMB\tdescriptors\t"+
+		"completed\trejected\taborted\tclient gone\tlate\theartbeat")
+	printProcess(w, "settled", status.Serving)
+	printProcess(w, "new", status.Next)
 }
 
-func printProcess(w *tabwriter.Writer, what string, p *handoff.Process) {
-	if p == nil {
+func printProcess(w *tabwriter.Writer, what string, process *handoff.Process) {
+	if process == nil {
 		return
 	}
-	requests := p.Requests
+	requests := process.Requests
 	fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms ago\n",
-		p.Generation, what, p.PID, p.AgentState, p.MemoryMB, p.Descriptors,
-		requests.Completed, requests.Rejected, requests.Aborted, requests.ClientGone, requests.Late, p.HeartbeatAgeMS)
+		process.Generation, what, process.PID, process.AgentState, process.MemoryMB, process.Descriptors,
+		requests.Completed, requests.Rejected, requests.Aborted, requests.ClientGone, requests.Late,
+		process.HeartbeatAgeMS)
 }
 
-func printManifest(what string, m *handoff.Manifest) {
-	if m != nil {
+func printManifest(what string, manifest *handoff.Manifest) {
+	if manifest != nil {
 		fmt.Printf("%s: generation %d, %s (%s, %s), settings %016x\n",
-			what, m.Generation, m.Program, m.Version, m.ProgramSum, m.Settings)
+			what, manifest.Generation, manifest.Program, manifest.Version, manifest.ProgramSum, manifest.Settings)
 	}
 }
--- a/cmd/quilldoor/checkcommand.go
+++ b/cmd/quilldoor/checkcommand.go
@@ -19,7 +19,9 @@
 // program or other settings.
 func checkCommand(f *flags) *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "check", Short: "Read and check the configuration and the operator's file, then end", Args: cobra.NoArgs}
+	c := &cobra.Command{
+		Use: "check", Short: "Read and check the configuration and the operator's file, then end", Args: cobra.NoArgs,
+	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print what a supervisor wants to know")
 	c.RunE = func(*cobra.Command, []string) error {
 		config, err := f.load()
@@ -89,11 +91,10 @@
 	return upgrade.Flatten("config", keys, flat)
 }
 
-// flattenOperator takes an absent file for an empty one.
 func flattenOperator(path string, flat map[string]string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil // an absent file switches everything off
+		return nil // an absent file turns all off; one that can't be read ends the start before
 	}
 	var keys map[string]any
 	if err := yaml.Unmarshal(text, &keys); err != nil {
@@ -102,9 +103,11 @@
 	return upgrade.Flatten("operator", keys, flat)
 }
 
-// programDigest is the program's digest, as the supervisor told it; 0: unknown.
+// programDigest is the lower half of the program's digest, as the supervisor told it; 0:
+// unknown.
 func programDigest() uint32 {
-	sum, err := strconv.ParseUint(os.Getenv(upgradeagent.EnvProgram), 16, 64)
+	const base = 16
+	sum, err := strconv.ParseUint(os.Getenv(upgradeagent.EnvProgram), base, 64)
 	if err != nil {
 		return 0
 	}
--- a/cmd/quilldoor/discovery.go
+++ b/cmd/quilldoor/discovery.go
@@ -44,7 +44,7 @@
 	for _, endpoint := range list {
 		r.log.WithFields(logrus.Fields{
 			"endpoint": endpoint.ID, "address": endpoint.Address, "zone": endpoint.Zone, "kind": endpoint.Kind,
-			"state": endpoint.State, "started_ms": endpoint.StartedAt / 1000,
+			"state": endpoint.State, "started_ms": endpoint.StartedAt / microsPerMilli,
 		}).Debug("endpoint listed")
 	}
 	_, endpoints := r.engine.Count()
@@ -79,7 +79,7 @@
 	if cache := r.diskCache.Load(); cache != nil {
 		cache.Purge(object, group, at)
 	}
-	r.log.WithFields(logrus.Fields{"object": object, "group": group, "age_ms": (clock() - at) / 1000}).Debug("purge")
+	r.log.WithFields(logrus.Fields{"object": object, "group": group, "age_ms": (clock() - at) / microsPerMilli}).Debug("purge")
 }
 
 // DiscoveryLost tells of the first failed poll in a row.
--- a/cmd/quilldoor/diskcache.go
+++ b/cmd/quilldoor/diskcache.go
@@ -36,24 +36,20 @@
 }
 
 func (r *router) diskCacheSettings(file *operatorconfig.DiskCache) (*diskcache.Settings, error) {
-	const (
-		mega           = 1 << 20
-		kilo           = 1 << 10
-		microsPerMilli = 1000
-		// queueShare of the memory for bodies at most: requests need the same buffers.
-		queueShare = 4
-	)
+	// The queue takes a quarter of the memory for bodies at most: requests need the same
+	// buffers.
+	const queueDivisor = 4
 	classes, err := cacheableClasses(r.policy.Classes, file.TrafficClasses)
 	if err != nil {
 		return nil, err
 	}
 	return &diskcache.Settings{
 		Classes:             classes,
-		SlotBytes:           file.SlotKB * kilo,
+		SlotBytes:           file.SlotKB * bytesPerKB,
 		Slots:               file.Slots(),
 		MaxEntries:          file.MaxEntries(),
-		WriteBytesPerSecond: int64(file.WriteMBPerSecond) * mega,
-		QueueBytes:          min(int64(file.QueueMB)*mega, r.limits.MaxBufferedBytes/queueShare),
+		WriteBytesPerSecond: int64(file.WriteMBPerSecond) * bytesPerMB,
+		QueueBytes:          min(int64(file.QueueMB)*bytesPerMB, r.limits.MaxBufferedBytes/queueDivisor),
 		SyncInterval:        int64(file.SyncIntervalMS) * microsPerMilli,
 		MaxReads:            file.MaxConcurrentReads,
 		FlowBytesPerSecond:  r.config.ClientBytesPerSecond,
@@ -69,14 +65,17 @@
 func cacheableClasses(classes []policy.TrafficClass, chosen []string) ([]diskcache.TrafficClass, error) {
 	var list []diskcache.TrafficClass
 	for _, class := range classes {
-		able := class.Effect == policy.EffectIdempotent && !class.Write && class.FreshFor > 0
+		cacheable := class.Effect == policy.EffectIdempotent && !class.Write && class.FreshFor > 0
 		named := slices.Contains(chosen, class.Name)
-		if named && !able {
+		if named && !cacheable {
 			return nil, fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", class.Name)
 		}
 		list = append(list, diskcache.TrafficClass{
-			Name: class.Name, FreshTime: class.FreshFor, GraceTime: class.StaleGrace, SLA: class.LatencyObjective,
-			Cacheable: able && (named || len(chosen) == 0),
+			Name:      class.Name,
+			FreshTime: class.FreshFor,
+			GraceTime: class.StaleGrace,
+			SLA:       class.LatencyObjective,
+			Cacheable: cacheable && (named || len(chosen) == 0),
 		})
 	}
 	for _, name := range chosen {
--- a/cmd/quilldoor/exclusive.go
+++ b/cmd/quilldoor/exclusive.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// closeExclusive closes all of it. Requests that are in flight at other sites end with
-// the gateway.
+// closeExclusive closes what openExclusive opened. Requests that are in flight at other
+// sites end with the gateway.
 func (r *router) closeExclusive() {
 	r.endWriters()
 	if r.membership != nil {
@@ -73,8 +73,9 @@
 	r.closeDiskCache()
 }
 
-// handOffExclusive lets go of it for another generation, of which members and peers
-// notice nothing. Requests that are in flight at other sites come back to this process.
+// handOffExclusive releases what openExclusive opened to another generation: members and
+// peers notice nothing. Requests that are in flight at other sites come back to this
+// process.
 func (r *router) handOffExclusive() (state *membership.HandoffState) {
 	r.endWriters()
 	if r.membership != nil {
@@ -92,9 +93,11 @@
 	return state
 }
 
-func closeWhenIdle(g *gateway.Gateway, within time.Duration) {
+// closeWhenIdle closes a gateway once its requests have ended, at the latest after the
+// timeout.
+func closeWhenIdle(g *gateway.Gateway, timeout time.Duration) {
 	const pollInterval = 20 * time.Millisecond
-	for until := time.Now().Add(within); time.Now().Before(until) && !g.Idle(); {
+	for until := time.Now().Add(timeout); time.Now().Before(until) && !g.Idle(); {
 		time.Sleep(pollInterval)
 	}
 	g.Close()
--- a/cmd/quilldoor/gatewaycommand.go
+++ b/cmd/quilldoor/gatewaycommand.go
@@ -58,17 +58,20 @@
 	return &status, nil
 }
 
-func printGatewayStatus(s *gateway.Status) {
+func printGatewayStatus(status *gateway.Status) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	age := time.Since(time.UnixMilli(s.WrittenAtMS)).Seconds()
-	fmt.Fprintf(w, "%s of %s, %.1f s ago: %d requests in flight at peers, %d of peers here, capacity for %d more; taken %d, rejected %d\n",
-		s.Name, s.Site, age, s.ForwardedInFlight, s.InboundInFlight, s.OfferedCapacity, s.Taken, s.Rejected)
-	fmt.Fprintln(w, "peer\tsite\tstate\tcapacity\tin flight\tlimit\tforwarded\tcompleted\trejected\taborted\tconnection lost\tstale\tlate")
-	for _, p := range s.Peers {
+	age := time.Since(time.UnixMilli(status.WrittenAtMS)).Seconds()
+	fmt.Fprintf(w, "%s of %s, %.1f s ago: %d requests in flight at peers, %d of peers here, "+
+		"capacity for %d more; taken %d, rejected %d\n",
+		status.Name, status.Site, age, status.ForwardedInFlight, status.InboundInFlight,
+		status.OfferedCapacity, status.Taken, status.Rejected)
+	fmt.Fprintln(w, "peer\tsite\tstate\tcapacity\tin flight\tlimit\t"+
+		"forwarded\tcompleted\trejected\taborted\tconnection lost\tstale\tlate")
+	for _, peer := range status.Peers {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n",
-			p.Name, p.Site, p.State, p.Capacity, p.InFlight, p.Limit,
-			p.Forwarded, p.Completed, p.Rejected, p.Aborted, p.ConnectionLost, p.Stale, p.Late)
+			peer.Name, peer.Site, peer.State, peer.Capacity, peer.InFlight, peer.Limit,
+			peer.Forwarded, peer.Completed, peer.Rejected, peer.Aborted, peer.ConnectionLost, peer.Stale, peer.Late)
 	}
 }
 
--- a/cmd/quilldoor/gatewayhost.go
+++ b/cmd/quilldoor/gatewayhost.go
@@ -5,8 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"os"
-	"slices"
-	"sync"
 	"time"
 
 	"quilldoor/internal/gateway"
@@ -42,55 +40,6 @@
 	return list
 }
 
-// purgeLog remembers purges that caches may not have done yet, for peers that may not
-// have heard of them.
-type purgeLog struct {
-	mu        sync.Mutex
-	retention int64 // microseconds
-	list      []purgeEvent
-}
-
-type purgeEvent struct {
-	object string // "": of the group
-	group  int64
-	at     int64 // Unix microseconds
-}
-
-// maxLoggedPurges are remembered; beyond that the oldest are forgotten, which peers have
-// from their own discovery.
-const maxLoggedPurges = 4096
-
-func (l *purgeLog) add(object string, group, at int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	expired := clock() - l.retention
-	for len(l.list) > 0 && (l.list[0].at < expired || len(l.list) >= maxLoggedPurges) {
-		l.list = l.list[1:]
-	}
-	l.list = append(l.list, purgeEvent{object, group, at})
-}
-
-func (l *purgeLog) all() []purgeEvent {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.list)
-}
-
-// latest gives the times of the latest purges of an object and of a group; 0: none.
-func (l *purgeLog) latest(object string, group int64) (ofObject, ofGroup int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, purge := range l.list {
-		switch {
-		case purge.object != "" && purge.object == object:
-			ofObject = max(ofObject, purge.at)
-		case purge.object == "" && purge.group == group:
-			ofGroup = max(ofGroup, purge.at)
-		}
-	}
-	return ofObject, ofGroup
-}
-
 // openGateway starts the gateway as the operator's file has it.
 func (r *router) openGateway(file *operatorconfig.Gateway) error {
 	keys := &gateway.Keys{Cert: file.CertFile, Key: file.KeyFile, CA: file.CAFile}
@@ -110,7 +59,6 @@
 }
 
 func (r *router) gatewayConfig(file *operatorconfig.Gateway, keys *gateway.Keys) gateway.Config {
-	const microsPerMilli = 1000
 	config := gateway.Config{
 		Keys:           keys,
 		MaxUploadBytes: r.limits.MaxRequestBody,
@@ -146,25 +94,3 @@
 		return os.Rename(path+newFileSuffix, path)
 	})
 }
-
-// newFileSuffix is that of a file which is renamed once it is whole.
-const newFileSuffix = ".new"
-
-// writePeriodically calls write until the context ends. A failure is logged once, until
-// it succeeds again.
-func (r *router) writePeriodically(ctx context.Context, interval time.Duration, failure string, write func() error) {
-	ticker := time.NewTicker(interval)
-	defer ticker.Stop()
-	for failed := false; ; {
-		err := write()
-		if err != nil && !failed {
-			r.log.WithError(err).Error(failure)
-		}
-		failed = err != nil
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-		}
-	}
-}
--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -33,7 +33,7 @@
 	if err := g.openExclusive(state.Membership); err != nil {
 		return err
 	}
-	g.watcher.Resume(state.Revision, handedEndpoints(state.Endpoints))
+	g.watcher.Resume(state.Revision, fromHandoff(state.Endpoints))
 	if g.gatewayHost != nil {
 		for _, purge := range state.Purges {
 			g.gatewayHost.purges.add(purge.Object, purge.Group, purge.At)
@@ -57,47 +57,77 @@
 // on this process sends nothing to warming endpoints: their budgets go with the snapshot.
 func (g *generation) Release() *handoff.State {
 	const never = 1 << 62
+	g.stopAccepting()
+	g.engine.HoldSlowStart(clock(), never)
+	g.stopWatching()
+	defer g.watchDiscovery()
+	learned := g.engine.Snapshot()
+	learned.SlowStartHoldUntil = g.slowStartHoldUntil
+	purges := g.purgesToHandOff() // before the gateway, which knows them, is handed off
+	member := g.handOffExclusive()
+	revision, list := g.watcher.Snapshot()
+	return &handoff.State{
+		Learned:    learned,
+		Purges:     purges,
+		Membership: member,
+		Revision:   revision,
+		Endpoints:  toHandoff(list),
+	}
+}
+
+// stopAccepting leaves new connections to another process, which shares the socket, and
+// asks clients of open ones to connect again.
+func (g *generation) stopAccepting() {
 	_ = g.listener.SetDeadline(time.Now())
 	g.downstream.SuspendClientLimit(true)
 	g.awaitServed()
 	g.served = nil
 	g.downstream.SetMigrating(true)
-	g.engine.HoldSlowStart(clock(), never)
-	g.stopWatching()
-	defer g.watchDiscovery()
-	state := &handoff.State{Learned: g.engine.Snapshot()}
-	state.Learned.SlowStartHoldUntil = g.slowStartHoldUntil
-	if g.gatewayHost != nil {
-		for _, purge := range g.gatewayHost.purges.all() {
-			state.Purges = append(state.Purges, handoff.Purge{Object: purge.object, Group: purge.group, At: purge.at})
-		}
+}
+
+func (g *generation) purgesToHandOff() (purges []handoff.Purge) {
+	if g.gatewayHost == nil {
+		return nil
 	}
-	state.Membership = g.handOffExclusive()
-	revision, list := g.watcher.Snapshot()
-	state.Revision = revision
-	state.Endpoints = endpointsToHand(list)
-	return state
+	for _, purge := range g.gatewayHost.purges.all() {
+		purges = append(purges, handoff.Purge{Object: purge.object, Group: purge.group, At: purge.at})
+	}
+	return purges
 }
 
-func handedEndpoints(list []handoff.Endpoint) []engine.Endpoint {
+func fromHandoff(list []handoff.Endpoint) []engine.Endpoint {
 	endpoints := make([]engine.Endpoint, len(list))
-	for i, s := range list {
-		endpoints[i] = engine.Endpoint{Address: s.Address, Endpoint: policy.Endpoint{
-			ID: s.ID, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell,
-			State: s.State, Weight: s.Weight, StartedAt: s.Born,
-		}}
+	for i, endpoint := range list {
+		endpoints[i] = engine.Endpoint{
+			Address: endpoint.Address,
+			Endpoint: policy.Endpoint{
+				ID:        endpoint.ID,
+				Zone:      endpoint.Zone,
+				Kind:      endpoint.Kind,
+				Cell:      endpoint.Cell,
+				State:     endpoint.State,
+				Weight:    endpoint.Weight,
+				StartedAt: endpoint.Born,
+			},
+		}
 	}
 	return endpoints
 }
 
-func endpointsToHand(list []engine.Endpoint) (servers []handoff.Endpoint) {
+func toHandoff(list []engine.Endpoint) (endpoints []handoff.Endpoint) {
 	for _, endpoint := range list {
-		servers = append(servers, handoff.Endpoint{
-			ID: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell, State: endpoint.State,
-			Weight: endpoint.Weight, Born: endpoint.StartedAt, Address: endpoint.Address,
+		endpoints = append(endpoints, handoff.Endpoint{
+			ID:      endpoint.ID,
+			Zone:    endpoint.Zone,
+			Kind:    endpoint.Kind,
+			Cell:    endpoint.Cell,
+			State:   endpoint.State,
+			Weight:  endpoint.Weight,
+			Born:    endpoint.StartedAt,
+			Address: endpoint.Address,
 		})
 	}
-	return servers
+	return endpoints
 }
 
 // SetLimits sets this generation's share of the machine.
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -65,17 +65,21 @@
 
 func (f *flags) define(all *pflag.FlagSet) {
 	all.StringVarP(&f.overrides.File, "config", "c", "", "configuration file (LB_CONFIG)")
-	all.StringVar(&f.operatorFile, "operator", "", "operator's own file (LB_OPERATOR; "+operatorconfig.DefaultPath+" where it is there)")
+	all.StringVar(&f.operatorFile, "operator", "",
+		"operator's own file (LB_OPERATOR; "+operatorconfig.DefaultPath+" where it is there)")
 	all.StringVar(&f.overrides.Name, "name", "", "name of the router (LB_NAME)")
 	all.StringVar(&f.overrides.Listen, "listen", "", "address and port for clients (LB_LISTEN)")
 	all.StringVar(&f.logLevel, "log-level", "info", "least level that is logged: error, warning, info or debug")
 	all.StringVar(&f.logFormat, "log-format", "text", "form of the log's lines: text or json")
 }
 
+// serve runs a router. A SIGTERM before it ends the process at once: there is nothing to
+// answer yet.
 func (f *flags) serve(newRouter routerConstructor, hup <-chan os.Signal, term chan os.Signal) error {
+	const logFlushTimeout = time.Second
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 	out := newAsyncWriter(os.Stderr)
-	defer out.flush(time.Second)
+	defer out.flush(logFlushTimeout)
 	log, err := f.logger()
 	if err != nil {
 		return err
--- a/cmd/quilldoor/membership.go
+++ b/cmd/quilldoor/membership.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"net/netip"
 
 	"quilldoor/internal/membership"
@@ -34,18 +35,21 @@
 
 func (r *router) membershipSettings(file *operatorconfig.Membership, state *membership.HandoffState) membership.Settings {
 	settings := membership.Settings{
-		Name: file.Name, Zone: file.Zone, GossipBytesPerSecond: file.BytesPerSecond, Handoff: state,
-	}
-	if settings.Zone == "" {
-		settings.Zone = r.config.Settings.Zone
+		Name:                 file.Name,
+		Zone:                 cmp.Or(file.Zone, r.config.Settings.Zone),
+		GossipBytesPerSecond: file.BytesPerSecond,
+		Handoff:              state,
 	}
 	if r.agent != nil {
 		settings.Process = &membership.ProcessInfo{
-			Generation: uint32(r.agent.Number), Program: programDigest(), Settings: uint32(r.config.settingsDigest),
+			Generation: uint32(r.agent.Number),
+			Program:    programDigest(),
+			Settings:   uint32(r.config.settingsDigest),
 		}
 	}
 	for _, peer := range file.Peers {
-		settings.Seeds = append(settings.Seeds, membership.Seed{Name: peer.Name, Addr: netip.MustParseAddrPort(peer.Addr)})
+		addr := netip.MustParseAddrPort(peer.Addr) // operatorconfig has checked it
+		settings.Seeds = append(settings.Seeds, membership.Seed{Name: peer.Name, Addr: addr})
 	}
 	return settings
 }
--- a/cmd/quilldoor/membershipcommand.go
+++ b/cmd/quilldoor/membershipcommand.go
@@ -67,37 +67,42 @@
 	return nil
 }
 
-func printMembership(v *membership.View) {
-	c := v.Connectivity
-	part := "a majority"
-	if !c.Majority {
-		part = "isolated or in the minority"
-	}
-	fmt.Printf("%s of %s (epoch %d, incarnation %d) is %v: %d of %d routers reachable, %s for %s; %d of its last %d probes answered\n",
-		v.Self.Name, v.Self.Zone, v.Self.ID.Epoch, v.Self.Incarnation, c.State, c.Reachable, c.Known, part,
-		formatAge(c.MajorityAge), c.ProbesAnswered, c.ProbesSent)
+// printMembership prints how the router itself is, and a line for each member it knows.
+func printMembership(view *membership.View) {
+	printSelf(view)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "router\toffice\tstate\tfor\tknown by\tlast heard\tconfirmations\tround trip\tepoch\taddress")
-	for _, m := range v.Members {
+	for _, member := range view.Members {
 		heard := "never"
-		if m.LastHeardAge >= 0 {
-			heard = formatAge(m.LastHeardAge) + " ago"
+		if member.LastHeardAge >= 0 {
+			heard = formatAge(member.LastHeardAge) + " ago"
 		}
-		const microsPerMilli = 1000
 		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%v\t%s\t%d\t%.1f ms\t%d\t%v\n",
-			m.Name, m.Zone, m.State, formatAge(m.StateAge), m.Reach, heard, m.Confirmations,
-			float64(m.RTT)/microsPerMilli, m.ID.Epoch, m.Addr)
+			member.Name, member.Zone, member.State, formatAge(member.StateAge), member.Reach, heard,
+			member.Confirmations, float64(member.RTT)/microsPerMilli, member.ID.Epoch, member.Addr)
+	}
+}
+
+func printSelf(view *membership.View) {
+	self, connectivity := &view.Self, &view.Connectivity
+	part := "a majority"
+	if !connectivity.Majority {
+		part = "isolated or in the minority"
 	}
+	fmt.Printf("%s of %s (epoch %d, incarnation %d) is %v: %d of %d routers reachable, %s for %s; "+
+		"%d of its last %d probes answered\n",
+		self.Name, self.Zone, self.ID.Epoch, self.Incarnation, connectivity.State,
+		connectivity.Reachable, connectivity.Known, part, formatAge(connectivity.MajorityAge),
+		connectivity.ProbesAnswered, connectivity.ProbesSent)
 }
 
-// formatAge words microseconds.
+// formatAge formats an age in microseconds as seconds, short ones with a decimal.
 func formatAge(age int64) string {
-	const second = 1_000_000
-	if age < 10*second {
-		return fmt.Sprintf("%.1f s", float64(age)/second)
+	if age < 10*microsPerSecond {
+		return fmt.Sprintf("%.1f s", float64(age)/microsPerSecond)
 	}
-	return fmt.Sprintf("%d s", age/second)
+	return fmt.Sprintf("%d s", age/microsPerSecond)
 }
 
 // matrixMarks draw a member's state in one letter.
@@ -112,31 +117,32 @@
 	membership.StateNameConflict: "2",
 }
 
-const matrixLegend = "a row is what a router knows of each: A alive, a alive through others only, s suspected, D dead, l leaving, L left,\n" +
+const matrixLegend = "a row is what a router knows of each: A alive, a alive through others only, " +
+	"s suspected, D dead, l leaving, L left,\n" +
 	"j joining, 2 name conflict, ? it did not answer"
 
 // printMatrix draws a row for each router that answered: what it knows of each.
-func printMatrix(m *transport.Matrix) {
+func printMatrix(matrix *transport.Matrix) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
-	fmt.Fprintln(w, "\t"+strings.Join(m.Names, "\t"))
-	for _, observer := range m.Names {
+	fmt.Fprintln(w, "\t"+strings.Join(matrix.Names, "\t"))
+	for _, observer := range matrix.Names {
 		row := []string{observer}
-		for _, member := range m.Names {
-			row = append(row, matrixMark(m, member, observer))
+		for _, member := range matrix.Names {
+			row = append(row, matrixMark(matrix, member, observer))
 		}
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
 	w.Flush()
 	fmt.Println(matrixLegend)
-	if disagreements := m.Disagreements(); len(disagreements) > 0 {
+	if disagreements := matrix.Disagreements(); len(disagreements) > 0 {
 		fmt.Println("they disagree on", strings.Join(disagreements, ", "))
 	} else {
 		fmt.Println("all that answered agree")
 	}
 }
 
-func matrixMark(m *transport.Matrix, member, observer string) string {
-	status, answered := m.Status(member, observer)
+func matrixMark(matrix *transport.Matrix, member, observer string) string {
+	status, answered := matrix.Status(member, observer)
 	switch {
 	case !answered:
 		return "?"
--- a/cmd/quilldoor/metrics.go
+++ b/cmd/quilldoor/metrics.go
@@ -97,7 +97,6 @@
 	} {
 		set.flag(state.Health == health, "disk_health{state=%q}", health)
 	}
-	const microsPerSecond = 1e6
 	set.gauge(float64(state.Size.Parts), "disk_parts")
 	set.gauge(float64(state.Size.Bytes), "disk_slot_bytes")
 	set.gauge(float64(state.Size.MemoryBytes), "disk_memory_bytes")
--- a/cmd/quilldoor/rolloutcommand.go
+++ b/cmd/quilldoor/rolloutcommand.go
@@ -43,7 +43,10 @@
 	return c
 }
 
-// rollout sends a command; 0 asks for the status only.
+// noCommand asks a supervisor for the status of its rollout only.
+const noCommand rollout.Command = 0
+
+// rollout sends a command.
 func (c *supervisorClient) rollout(command rollout.Command) (*handoff.Message, error) {
 	answer, err := c.request(&handoff.Message{Kind: handoff.KindRollout, Command: command}, nil)
 	if err == nil && !answer.OK {
@@ -57,7 +60,7 @@
 	c := &cobra.Command{Use: "status", Short: "Tell where it stands; the leader knows most", Args: cobra.NoArgs}
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
-		answer, err := client.rollout(0)
+		answer, err := client.rollout(noCommand)
 		if err != nil {
 			return err
 		}
@@ -76,7 +79,8 @@
 	var spread float64
 	c := &cobra.Command{Use: "check", Short: "Check the plan, and tell what its stages can show", Args: cobra.NoArgs}
 	c.Flags().StringVar(&path, "plan", "", "the plan; else keep.plan of the operator's file")
-	c.Flags().Float64Var(&spread, "spread", defaultSpread, "standard deviation, over seconds, of the loss of worth between two routers of an office")
+	c.Flags().Float64Var(&spread, "spread", defaultSpread,
+		"standard deviation, over seconds, of the loss of worth between two routers of an office")
 	c.RunE = func(*cobra.Command, []string) error {
 		plan, err := readPlan(f, path)
 		if err != nil {
@@ -121,7 +125,7 @@
 }
 
 func printStage(w *tabwriter.Writer, plan *rollout.Plan, i int, spread float64) {
-	const maxSamples = 100_000
+	const maxSamples = 100_000 // a day's seconds and more: what takes longer is not within any watch
 	stage := plan.Stages[i]
 	within := func(samples int) string {
 		if samples == 0 || float64(samples) > stage.MaxWatchSeconds {
@@ -136,7 +140,7 @@
 		return
 	}
 	pass := 0
-	for _, loss := range []float64{0.05, 0.1, 0.2} {
+	for _, loss := range []float64{0.05, 0.1, 0.2} { // those of the table's head
 		var stop int
 		stop, pass = canary.SamplesNeeded(plan.CanarySettings(), len(plan.Stages), spread, loss, maxSamples)
 		fmt.Fprintf(w, "\t%s", within(stop))
@@ -144,37 +148,37 @@
 	fmt.Fprintf(w, "\t%s\n", within(pass))
 }
 
-func printRolloutStatus(s *rollout.Status) {
+func printRolloutStatus(status *rollout.Status) {
 	role := "leads"
-	if !s.IsLeader {
+	if !status.IsLeader {
 		role = "does not lead"
 	}
 	fmt.Printf("%s: %s, stage %d of %d, known %d ms ago; last leader: %s; this router %s\n",
-		s.Plan, s.Phase, s.Stage, s.Stages, s.AgeMS, s.Leader, role)
-	if s.Reason != "" {
-		fmt.Println("last:", s.Reason)
+		status.Plan, status.Phase, status.Stage, status.Stages, status.AgeMS, status.Leader, role)
+	if status.Reason != "" {
+		fmt.Println("last:", status.Reason)
 	}
-	if s.Recovering {
+	if status.Recovering {
 		fmt.Println("this router has lost its register, and recovers it from the others")
 	}
-	printRolloutRouters(s)
-	if s.Verdict == "" {
+	printRolloutRouters(status)
+	if status.Verdict == "" {
 		return
 	}
-	const millisPerSecond = 1000
-	fmt.Printf("watched for %d s: %s\n", s.WatchMS/millisPerSecond, s.Verdict)
-	for _, b := range s.Bounds {
-		fmt.Printf("  %s: %+.4f (%+.4f to %+.4f; tolerance %g)\n", b.Metric, b.Mean, b.Low, b.High, b.Tolerance)
+	fmt.Printf("watched for %d s: %s\n", status.WatchMS/millisPerSecond, status.Verdict)
+	for _, bound := range status.Bounds {
+		fmt.Printf("  %s: %+.4f (%+.4f to %+.4f; tolerance %g)\n",
+			bound.Metric, bound.Mean, bound.Low, bound.High, bound.Tolerance)
 	}
 }
 
-func printRolloutRouters(s *rollout.Status) {
+func printRolloutRouters(status *rollout.Status) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "router\toffice\tgeneration\theard\tMB\trestarts\tviolation\tfailure")
-	for _, router := range s.Routers {
+	for _, router := range status.Routers {
 		heard := ""
-		if s.IsLeader {
+		if status.IsLeader {
 			heard = fmt.Sprintf("%d ms ago", router.HeardMS)
 		}
 		report := &router.Report
--- a/cmd/quilldoor/startconfig.go
+++ b/cmd/quilldoor/startconfig.go
@@ -14,7 +14,8 @@
 )
 
 // errPeerMessagesForbidden keeps membership off where the platform does not permit it.
-var errPeerMessagesForbidden = errors.New("members: the settings forbid talk among routers (settings.Limits.PeerMessages)")
+var errPeerMessagesForbidden = errors.New(
+	"members: the settings forbid talk among routers (settings.Limits.PeerMessages)")
 
 // startConfig is all that a router starts with.
 type startConfig struct {
--- a/cmd/quilldoor/supervise.go
+++ b/cmd/quilldoor/supervise.go
@@ -86,8 +86,8 @@
 }
 
 func upgradeTimeouts(config *startConfig, file *operatorconfig.Supervisor) upgrade.Timeouts {
-	// shutdownSlack is for what surrounds the drain: accepting for half a second, the disk
-	// cache's last writes, closing connections.
+	// shutdownSlack is for what comes before and after the drain: accepting for half a
+	// second, the disk cache's last writes, closing connections.
 	const shutdownSlack = 3 * time.Second
 	drain := config.Limits.MaxRequestTimeout + config.Limits.ClientIdleTimeout + shutdownSlack
 	return upgrade.Timeouts{
@@ -98,7 +98,6 @@
 }
 
 func micros(seconds float64) int64 {
-	const microsPerSecond = 1e6
 	return int64(seconds * microsPerSecond)
 }
 
