--- a/cmd/quilldoor/asyncwriter_test.go
+++ b/cmd/quilldoor/asyncwriter_test.go
@@ -8,15 +8,15 @@
 
 // Guards against a log that nobody reads and that delays the router, its timeouts included.
 func TestBlockedLogDelaysNobody(t *testing.T) {
-	r, w := io.Pipe() // a write waits for a read
-	o := newAsyncWriter(w)
+	reader, blocked := io.Pipe() // a write waits for a read
+	writer := newAsyncWriter(blocked)
 	for range 1000 {
-		if n, err := o.Write([]byte("line\n")); n != 5 || err != nil {
+		if n, err := writer.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	o.flush(time.Millisecond)
-	if got, _ := io.ReadAll(io.LimitReader(r, 10)); string(got) != "line\nline\n" {
+	writer.flush(time.Millisecond)
+	if got, _ := io.ReadAll(io.LimitReader(reader, 10)); string(got) != "line\nline\n" {
 		t.Fatalf("%q", got)
 	}
 }
--- a/cmd/quilldoor/build_test.go
+++ b/cmd/quilldoor/build_test.go
@@ -33,13 +33,14 @@
 	if text, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	f, err := elf.Open(filepath.Join(out, "quilldoor"))
+	program, err := elf.Open(filepath.Join(out, "quilldoor"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	libs, err := f.ImportedLibraries()
-	if err != nil || !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("needs %v, %v", libs, err)
+	defer program.Close()
+	libraries, err := program.ImportedLibraries()
+	isCLibrary := func(library string) bool { return strings.HasPrefix(library, "libc.so") }
+	if err != nil || !slices.ContainsFunc(libraries, isCLibrary) {
+		t.Errorf("needs %v, %v", libraries, err)
 	}
 }
--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -54,7 +54,8 @@
 	const text = `
 settle_s: 1
 length_s: 11
-fleet: {offices: 2, routers: 2, trunks: 2, caches: 3, cores: 4, keep: true, trial_s: 0.5, members: true, board_ms: 200, death_ms: 500}
+fleet: {offices: 2, routers: 2, trunks: 2, caches: 3, cores: 4,
+  keep: true, trial_s: 0.5, members: true, board_ms: 200, death_ms: 500}
 load: {txns_per_s: 80, objects: 600}
 troubles:
   - {kind: purge, at: 3, share: 0.6}
--- a/cmd/quilldoor/diskcache_test.go
+++ b/cmd/quilldoor/diskcache_test.go
@@ -33,17 +33,17 @@
 	dir := t.TempDir()
 	operatorFile := filepath.Join(t.TempDir(), "own.yaml")
 	writeFile(t, operatorFile, []byte("disk: {path: "+dir+", size_mb: 16, slot_kb: 1, sync_ms: 10, read_wait_ms: 500}\n"))
-	d := &diskCacheTest{body: strings.Repeat("video", 200)}
-	d.mode.Store(cacheServes)
-	d.cache = newFakeEndpoint(t, d.respond)
+	test := &diskCacheTest{body: strings.Repeat("video", 200)}
+	test.mode.Store(cacheServes)
+	test.cache = newFakeEndpoint(t, test.respond)
 	freshness := strings.NewReplacer(`"NotesGiven":"all"`,
 		`"NotesGiven":"all","GoodForMs":[1500,0],"ClassGraceMs":[60000,0],"ClearedWithinMs":1`)
-	addr := d.cache.Addr().String()
+	addr := test.cache.Addr().String()
 	router := startRouterWith(t, addr, addr, operatorFile, freshness)
 	router.waitForLog(t, "disk cache recovered")
 	time.Sleep(150 * time.Millisecond) // copies issued from now on are covered by the purges that the router knows
-	d.client = dial(t, router.addr)
-	return d
+	test.client = dial(t, router.addr)
+	return test
 }
 
 // respond answers an attempt by the cache's mode.
@@ -82,19 +82,19 @@
 // copy without a revalidation, or fails to stand in for a rejecting cache within its grace.
 func TestCopiesOnDisk(t *testing.T) {
 	const freshTime = 1500 * time.Millisecond
-	d := startDiskCacheTest(t)
+	test := startDiskCacheTest(t)
 	for range 2 {
-		d.get(t, "", "200")
+		test.get(t, "", "200")
 	}
 	storedAt := time.Now()
 	time.Sleep(50 * time.Millisecond)
-	d.takeAttempts()
-	d.checkFreshCopy(t)
+	test.takeAttempts()
+	test.checkFreshCopy(t)
 	time.Sleep(time.Until(storedAt.Add(freshTime + 100*time.Millisecond)))
-	d.checkStaleCopy(t)
-	d.mode.Store(cacheRejects)
-	d.client.sendRequest("PUT", "/rpc/sign/film", "", "name")
-	d.client.expectStatus(t, "503")
+	test.checkStaleCopy(t)
+	test.mode.Store(cacheRejects)
+	test.client.sendRequest("PUT", "/rpc/sign/film", "", "name")
+	test.client.expectStatus(t, "503")
 }
 
 // checkFreshCopy checks that a fresh copy is served without an attempt.
--- a/cmd/quilldoor/emulation_test.go
+++ b/cmd/quilldoor/emulation_test.go
@@ -67,26 +67,31 @@
 // Guards against requests lost or executed twice, and copies older than a purge, between
 // the gateways of two sites while the link is cut and a router is killed.
 func TestEmulatedSites(t *testing.T) {
-	for name, text := range map[string]string{"two": `
+	for name, text := range map[string]string{
+		"two": `
 length_s: 9
 settle_s: 1
-fleet: {offices: 2, trunks: 2, caches: 2, cores: 3, sites: 2, site_ms: 5, board_ms: 200, link_share: 0.2}
+fleet: {offices: 2, trunks: 2, caches: 2, cores: 3, link_share: 0.2, board_ms: 200,
+  sites: 2, site_ms: 5}
 load: {txns_per_s: 70, objects: 2000, weights: [3, 0.3]}
 troubles:
   - {kind: purge, at: 3, share: 0.4}
   - {kind: site_cut, at: 4, for: 0.4}
   - {kind: site_cut, at: 5.5, for: 1.8}
-`, "four": `
+`,
+		"four": `
 length_s: 9
 settle_s: 1
-fleet: {offices: 4, trunks: 2, caches: 2, cores: 3, sites: 2, site_ms: 5, board_ms: 200, death_ms: 500, link_share: 0.2}
+fleet: {offices: 4, trunks: 2, caches: 2, cores: 3, link_share: 0.2, board_ms: 200, death_ms: 500,
+  sites: 2, site_ms: 5}
 load: {txns_per_s: 110, objects: 2000, weights: [2, 0.3, 2, 0.3]}
 troubles:
   - {kind: ledger_resets, at: 2, for: 5, share: 0.1}
   - {kind: site_cut, at: 3, for: 1.5}
   - {kind: router_dies, at: 5, for: 0.8, share: 0.25}
   - {kind: resets, at: 2, for: 5, share: 0.02}
-`} {
+`,
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			forwarded := 0
--- a/cmd/quilldoor/faultyprogram_test.go
+++ b/cmd/quilldoor/faultyprogram_test.go
@@ -18,43 +18,70 @@
 	"quilldoor/internal/upgradeagent"
 )
 
+// fault is what a faulty program does wrong; its text names subtests and goes to the
+// program by faultVariable.
+type fault string
+
+const (
+	faultNoStart      fault = "no start"            // ends at once
+	faultNeverReady   fault = "never ready"         // does not become ready
+	faultSilent       fault = "silent"              // sends no heartbeat once it serves
+	faultMute         fault = "mute"                // does not confirm that it serves
+	faultCrash        fault = "crash"               // ends a second after it began to serve
+	faultMemory       fault = "memory"              // takes memory fast, once it serves
+	faultLeaks        fault = "leaks"               // takes memory slowly
+	faultDescriptors  fault = "descriptors"         // takes descriptors
+	faultRefuses      fault = "refuses"             // finds no endpoint for any request
+	faultNarrow       fault = "narrow"              // rejects requests that it has capacity for
+	faultGreedy       fault = "greedy"              // skips the slow start of endpoints
+	faultDiesAtWork   fault = "dies at work"        // ends after some requests
+	faultHangsAtWork  fault = "hangs at work"       // sends no heartbeat after some requests
+	faultSlower       fault = "a fifth slower"      // takes a fifth longer for each attempt
+	faultDeafToDrains fault = "deaf to drains"      // sends requests to endpoints that drain
+	faultDeafToPurges fault = "deaf to purges"      // serves purged copies
+	faultQuietMember  fault = "quiet among members" // sends other members nothing
+)
+
+// faultVariable is the environment variable that names the fault of a process.
+const faultVariable = "QUILLDOOR_FAULT"
+
 // processConstructor is the constructor for routers of this process: that of a router
-// with the fault that QUILLDOOR_FAULT names, else the shipped one.
+// with the fault that faultVariable names, else the shipped one.
 func processConstructor() routerConstructor {
-	fault := os.Getenv("QUILLDOOR_FAULT")
-	if fault == "" {
+	injected := fault(os.Getenv(faultVariable))
+	if injected == "" {
 		return newRouter
 	}
 	return func(config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
-		return newFaultyRouter(fault, config, logger, load)
+		return newFaultyRouter(injected, config, logger, load)
 	}
 }
 
 // newFaultyRouter makes a router with a fault in its settings, in what it hears, or in
 // how it deals with its supervisor.
-func newFaultyRouter(fault string, config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
-	if fault == "no start" {
+func newFaultyRouter(injected fault, config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
+	if injected == faultNoStart {
 		fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
 		os.Exit(3)
 	}
-	spoilSettings(fault, &config.Settings)
+	spoilSettings(injected, &config.Settings)
 	r, err := newRouter(config, logger, load)
 	if err != nil {
 		return nil, err
 	}
-	r.events = &faultyEvents{r.engine, fault}
-	r.host = &faultyHost{Host: r.host, router: r, fault: fault}
+	r.events = &faultyEvents{r.engine, injected}
+	r.host = &faultyHost{Host: r.host, router: r, fault: injected}
 	return r, nil
 }
 
-func spoilSettings(fault string, s *settings.Setup) {
-	switch fault {
-	case "narrow": // rejects requests that it has capacity for
+func spoilSettings(injected fault, s *settings.Setup) {
+	switch injected {
+	case faultNarrow:
 		s.Limits.MaxOpen = 1
-	case "greedy": // skips the slow start of endpoints
+	case faultGreedy:
 		const microsecond = 0.001
 		s.Contract.ColdMs, s.FamilyInfo.ParentRampMs = microsecond, microsecond
-	case "refuses":
+	case faultRefuses:
 		s.Zone, s.FamilyInfo.BypassAllowed = "nowhere", false
 	}
 }
@@ -62,11 +89,11 @@
 // faultyEvents ignores, changes or delays what the engine is to hear.
 type faultyEvents struct {
 	eventHandler
-	fault string
+	fault fault
 }
 
 func (f *faultyEvents) UpdateEndpoints(now int64, scope policy.UpdateScope, list []engine.Endpoint) []*engine.Endpoint {
-	if f.fault == "deaf to drains" {
+	if f.fault == faultDeafToDrains {
 		for i := range list {
 			list[i].State = "active"
 		}
@@ -75,13 +102,13 @@
 }
 
 func (f *faultyEvents) Purge(now int64, object string, group, at int64) {
-	if f.fault != "deaf to purges" {
+	if f.fault != faultDeafToPurges {
 		f.eventHandler.Purge(now, object, group, at)
 	}
 }
 
 func (f *faultyEvents) AttemptEnded(now int64, attempt *engine.Attempt, result engine.Result) {
-	if f.fault != "a fifth slower" {
+	if f.fault != faultSlower {
 		f.eventHandler.AttemptEnded(now, attempt, result)
 		return
 	}
@@ -93,14 +120,14 @@
 type faultyHost struct {
 	upgradeagent.Host
 	router  *router
-	fault   string
+	fault   fault
 	serving atomic.Bool
 	memory  [][]byte   // never released
 	files   []*os.File // never closed
 }
 
 func (f *faultyHost) Ready() bool {
-	if f.fault == "never ready" {
+	if f.fault == faultNeverReady {
 		time.Sleep(time.Minute)
 	}
 	return f.Host.Ready()
@@ -111,13 +138,13 @@
 		return err
 	}
 	switch f.fault {
-	case "silent", "memory":
+	case faultSilent, faultMemory:
 		f.serving.Store(true)
-	case "mute": // does not confirm that it serves
+	case faultMute:
 		time.Sleep(time.Minute)
-	case "crash":
+	case faultCrash:
 		time.AfterFunc(time.Second, func() { os.Exit(3) })
-	case "quiet among members":
+	case faultQuietMember:
 		f.leaveSilently()
 	}
 	return nil
@@ -142,27 +169,27 @@
 func (f *faultyHost) failAtHeartbeat() {
 	worked := func() bool { return f.router.downstream.RequestCounts().Completed > 60 }
 	switch f.fault {
-	case "silent":
+	case faultSilent:
 		if f.serving.Load() {
 			time.Sleep(time.Minute)
 		}
-	case "memory":
+	case faultMemory:
 		if f.serving.Load() {
 			f.allocate(40 << 20)
 		}
-	case "leaks":
+	case faultLeaks:
 		f.allocate(2 << 20)
-	case "descriptors":
+	case faultDescriptors:
 		for range 200 {
 			if file, err := os.Open(os.DevNull); err == nil {
 				f.files = append(f.files, file)
 			}
 		}
-	case "dies at work":
+	case faultDiesAtWork:
 		if worked() {
 			os.Exit(3)
 		}
-	case "hangs at work":
+	case faultHangsAtWork:
 		if worked() {
 			time.Sleep(time.Hour)
 		}
@@ -179,10 +206,10 @@
 }
 
 // faultyProgram is a program with one fault.
-func faultyProgram(t *testing.T, fault string) string {
+func faultyProgram(t *testing.T, injected fault) string {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), strings.ReplaceAll(fault, " ", "-"))
-	text := fmt.Sprintf("#!/bin/sh\nexec env 'QUILLDOOR_FAULT=%s' '%s' \"$@\"\n", fault, os.Args[0])
+	path := filepath.Join(t.TempDir(), strings.ReplaceAll(string(injected), " ", "-"))
+	text := fmt.Sprintf("#!/bin/sh\nexec env '%s=%s' '%s' \"$@\"\n", faultVariable, injected, os.Args[0])
 	if err := os.WriteFile(path, []byte(text), 0o755); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/quilldoor/harness_test.go
+++ b/cmd/quilldoor/harness_test.go
@@ -44,7 +44,9 @@
 
 // playScenario plays a scenario on loopback. A run for which the machine was too busy is
 // not decided and is played again; a test whose runs all end so is skipped and counted.
-func playScenario(t *testing.T, text string, options emulator.Options, routers emulator.Routers) (*emulator.Result, error) {
+func playScenario(
+	t *testing.T, text string, options emulator.Options, routers emulator.Routers,
+) (*emulator.Result, error) {
 	t.Helper()
 	parsed, err := scenario.Parse(t.Name(), []byte(text))
 	if err != nil {
--- a/cmd/quilldoor/killedrouter_test.go
+++ b/cmd/quilldoor/killedrouter_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	platform := newFakePlatform(t)
-	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
+	const target = `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
 	router := &killedRouter{
 		platform: platform,
 		addr:     reserveAddress(t),
@@ -64,22 +64,22 @@
 }
 
 // start starts the router's process with a new discovery and waits until it is healthy.
-func (k *killedRouter) start(t *testing.T, round int, log *bytes.Buffer) *exec.Cmd {
+func (r *killedRouter) start(t *testing.T, round int, log *bytes.Buffer) *exec.Cmd {
 	t.Helper()
-	k.platform.restartDiscovery(k.pool)
-	process := exec.Command(os.Args[0], "serve", "--config", k.config, "--operator", k.operator, "--log-format", "json")
-	process.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1", "LB_CONFIG=", "LB_NAME=", "LB_LISTEN=", "LB_OPERATOR=")
+	r.platform.restartDiscovery(r.pool)
+	process := ownCommand("serve", "--config", r.config, "--operator", r.operator, "--log-format", "json")
+	process.Env = append(process.Env, "LB_CONFIG=", "LB_NAME=", "LB_LISTEN=", "LB_OPERATOR=")
 	process.Stderr = log
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		response, err := http.Get("http://" + k.addr + "/health")
+		response, err := http.Get("http://" + r.addr + "/health")
 		if err != nil {
 			continue
 		}
 		response.Body.Close()
-		if response.StatusCode == 200 {
+		if response.StatusCode == http.StatusOK {
 			return process
 		}
 	}
@@ -91,22 +91,22 @@
 
 // loadAndKill starts the router, purges objects under load, kills it in the middle of
 // its writes and checks its log.
-func (k *killedRouter) loadAndKill(t *testing.T, round int, random *rand.Rand, served *atomic.Int64) {
+func (r *killedRouter) loadAndKill(t *testing.T, round int, random *rand.Rand, served *atomic.Int64) {
 	t.Helper()
 	var log bytes.Buffer
-	process := k.start(t, round, &log)
+	process := r.start(t, round, &log)
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			k.platform.loadUntilKilled(k.addr, uint64(round*10+i), served, func(what string) {
+			r.platform.loadUntilKilled(r.addr, uint64(round*10+i), served, func(what string) {
 				t.Errorf("round %d: %s", round, what)
 			})
 		})
 	}
 	time.Sleep(time.Duration(120+random.IntN(60)) * time.Millisecond)
-	k.platform.purge([]string{fmt.Sprintf("o%d", random.IntN(8))}, 0, true)
+	r.platform.purge([]string{fmt.Sprintf("o%d", random.IntN(8))}, 0, true)
 	if round%3 == 0 {
-		k.platform.purge([]string{"o1", "o2", "o3", "o5"}, collectionOf("o1"), true)
+		r.platform.purge([]string{"o1", "o2", "o3", "o5"}, collectionOf("o1"), true)
 	}
 	time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 	process.Process.Kill()
@@ -146,17 +146,17 @@
 		t.Error("the disk did too little for this test to tell anything")
 	}
 	router.checkNoSecretOnDisk(t)
-	figures, err := os.ReadFile(router.metrics)
-	if err != nil || !strings.Contains(string(figures), `quilldoor_disk_looks_total{reason="good"}`) {
-		t.Errorf("metrics: %v, %.200s", err, figures)
+	metrics, err := os.ReadFile(router.metrics)
+	if err != nil || !strings.Contains(string(metrics), `quilldoor_disk_looks_total{reason="good"}`) {
+		t.Errorf("metrics: %v, %.200s", err, metrics)
 	}
 }
 
 // checkNoSecretOnDisk checks that no content of the classes that may not be cached is
 // in a file of the disk cache.
-func (k *killedRouter) checkNoSecretOnDisk(t *testing.T) {
+func (r *killedRouter) checkNoSecretOnDisk(t *testing.T) {
 	t.Helper()
-	err := filepath.WalkDir(k.folder, func(path string, _ os.DirEntry, _ error) error {
+	err := filepath.WalkDir(r.folder, func(path string, _ os.DirEntry, _ error) error {
 		if content, _ := os.ReadFile(path); bytes.Contains(content, []byte("SECRET")) {
 			t.Errorf("%s holds content that may not be cached", path)
 		}
--- a/cmd/quilldoor/membership_test.go
+++ b/cmd/quilldoor/membership_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -12,45 +11,65 @@
 	"time"
 
 	"quilldoor/internal/emulator"
+	"quilldoor/internal/invariant"
 	"quilldoor/internal/scenario"
 )
 
-// Guards against live routers called dead by all others, and views that stay wrong after
-// the last fault, while routers under load fail or are cut off.
-func TestMembershipAmongProcesses(t *testing.T) {
-	const fleet = `
+// membershipFleet is six routers of three zones that are members of one group.
+const membershipFleet = `
 settle_s: 1
-fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3, members: true, board_ms: 200, death_ms: 500, cold_s: 2}
+fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3,
+  members: true, board_ms: 200, death_ms: 500, cold_s: 2}
 load: {txns_per_s: 90, objects: 800}
 `
-	for _, tc := range []struct {
-		name, text string
-		agreed     int64 // milliseconds after the last fault
-		excused    bool
-	}{
+
+// membershipScenario is faults that the fleet's views of the members have to outlast.
+type membershipScenario struct {
+	name           string
+	text           string
+	agreesWithinMS int64 // after the last fault
+	stopsRouters   bool  // requests at a stopped router are excused
+}
+
+var membershipScenarios = []membershipScenario{
+	{
 		// Half crash at once and restart without state, during a purge and a cache outage.
-		{"half die", `
+		name: "half die",
+		text: `
 length_s: 11
 troubles:
   - {kind: router_dies, at: 2.5, for: 4, share: 0.5}
   - {kind: purge, at: 3, share: 0.9}
   - {kind: die, at: 3, for: 2, share: 0.3}
-`, 4000, false},
-		// All restart together: there is no peer to get state from.
-		{"all restart", `
+`,
+		agreesWithinMS: 4000,
+	},
+	{
+		// There is no peer to get state from.
+		name: "all restart",
+		text: `
 length_s: 9
 troubles: [{kind: router_dies, at: 3, for: 0.5}]
-`, 4000, false},
+`,
+		agreesWithinMS: 4000,
+	},
+	{
 		// Stopped for longer than the suspicion timeout, while the endpoints change.
-		{"stopped", `
+		name: "stopped",
+		text: `
 length_s: 17
 troubles:
   - {kind: router_stops, at: 2, for: 10, share: 0.34}
   - {kind: purge, at: 4, share: 0.9}
   - {kind: deploy, at: 4, for: 1, every: 0.5, strength: 1, office: 2}
-`, 4000, true},
+`,
+		agreesWithinMS: 4000,
+		stopsRouters:   true,
+	},
+	{
 		// Messages late, lost, doubled, reordered; routers short of CPU; one pause without a crash.
-		{"poor ways", `
+		name: "poor network",
+		text: `
 length_s: 12
 troubles:
   - {kind: ways_loss, at: 1.5, for: 7, strength: 0.1}
@@ -59,9 +78,13 @@
   - {kind: ways_reorder, at: 1.5, for: 7, strength: 0.2}
   - {kind: router_starves, at: 2, for: 6, share: 0.17, strength: 0.5}
   - {kind: router_stops, at: 4, for: 0.5, share: 0.17}
-`, 4000, false},
-		// Partitions: one way, a chain, halves, three parts; each heals.
-		{"cuts", `
+`,
+		agreesWithinMS: 4000,
+	},
+	{
+		// One way, a chain, halves, three parts; each heals.
+		name: "partitions",
+		text: `
 length_s: 18
 troubles:
   - {kind: ways_one_way, at: 1.5, for: 2, share: 0.17}
@@ -70,9 +93,13 @@
   - {kind: ways_camps, at: 11, for: 2, strength: 3}
   - {kind: cut_board, at: 7, for: 2, share: 0.34}
   - {kind: purge, at: 8, share: 0.5}
-`, 5000, false},
+`,
+		agreesWithinMS: 5000,
+	},
+	{
 		// A third has no discovery while caches drain, fail and warm up: gossip tells it.
-		{"board cut", `
+		name: "discovery cut",
+		text: `
 length_s: 16
 troubles:
   - {kind: cut_board, at: 2, for: 13, share: 0.34}
@@ -80,9 +107,13 @@
   - {kind: die, at: 3, for: 3, share: 0.5, office: 2}
   - {kind: preempt, at: 2.5, for: 14, share: 0.5, office: 3, strength: 12}
   - {kind: purge, at: 5, share: 0.5}
-`, 4000, false},
-		// Three partitions during a purge, a drain and the loss of a zone.
-		{"camps", `
+`,
+		agreesWithinMS: 4000,
+	},
+	{
+		// Three parts during a purge, a drain and the loss of a zone.
+		name: "three parts",
+		text: `
 length_s: 14
 troubles:
   - {kind: ways_camps, at: 2, for: 8, strength: 3}
@@ -90,43 +121,57 @@
   - {kind: purge, at: 4, share: 0.9}
   - {kind: deploy, at: 6, for: 1, every: 0.5, strength: 1, office: 2}
   - {kind: ways_delay, at: 10, for: 2, share: 0.17, strength: 300}
-`, 4000, false},
-	} {
+`,
+		agreesWithinMS: 4000,
+	},
+}
+
+// Guards against live routers called dead by all others, and views that stay wrong after
+// the last fault, while routers under load fail or are cut off.
+func TestMembershipAmongProcesses(t *testing.T) {
+	for _, tc := range membershipScenarios {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			result, err := playWithOwnProgram(t, fleet+tc.text, emulator.Options{})
+			result, err := playWithOwnProgram(t, membershipFleet+tc.text, emulator.Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, violation := range result.Violations {
-				t.Error(violation)
-			}
-			members := result.Members
-			t.Logf("score %.3f, %d judged, %d excused; %d samples, agreed after %d ms",
-				result.EarnedShare(), result.Judged, result.Excused, members.Comparisons, members.AgreedAfter/1000)
-			if members.Comparisons < 10 || result.Judged < 400 {
-				t.Errorf("%d samples, %d requests: too few to tell anything", members.Comparisons, result.Judged)
-			}
-			if members.AgreedAfter < 0 || members.AgreedAfter > tc.agreed*1000 {
-				t.Errorf("views agreed %d ms after the last fault", members.AgreedAfter/1000)
-			}
-			if len(members.DeadByAll) > 0 {
-				t.Errorf("called dead by all while alive: %v", members.DeadByAll)
-			}
-			if tc.excused != (result.Excused > 0) && tc.excused {
-				t.Errorf("%d requests excused for a stopped router", result.Excused)
-			}
+			tc.check(t, result)
 		})
 	}
 }
 
-// Guards against a scenario "board cut" that would pass without gossip: routers without
+// check checks that no rule was broken, and that all views agreed again in time.
+func (tc membershipScenario) check(t *testing.T, result *emulator.Result) {
+	t.Helper()
+	for _, violation := range result.Violations {
+		t.Error(violation)
+	}
+	members := result.Members
+	t.Logf("score %.3f, %d judged, %d excused; %d samples, agreed after %d ms",
+		result.EarnedShare(), result.Judged, result.Excused, members.Comparisons, members.AgreedAfter/1000)
+	if members.Comparisons < 10 || result.Judged < 400 {
+		t.Errorf("%d samples, %d requests: too few to tell anything", members.Comparisons, result.Judged)
+	}
+	if members.AgreedAfter < 0 || members.AgreedAfter > tc.agreesWithinMS*1000 {
+		t.Errorf("views agreed %d ms after the last fault", members.AgreedAfter/1000)
+	}
+	if len(members.DeadByAll) > 0 {
+		t.Errorf("called dead by all while alive: %v", members.DeadByAll)
+	}
+	if tc.stopsRouters && result.Excused == 0 {
+		t.Error("no request excused for a stopped router")
+	}
+}
+
+// Guards against a scenario "discovery cut" that would pass without gossip: routers without
 // membership break an invariant in it.
 func TestDiscoveryCutBesideStarvedRouters(t *testing.T) {
 	t.Parallel()
 	result, err := playWithOwnProgram(t, `
 settle_s: 1
-fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3, board_ms: 200, death_ms: 500, cold_s: 2}
+fleet: {offices: 3, routers: 2, trunks: 2, caches: 2, cores: 3,
+  board_ms: 200, death_ms: 500, cold_s: 2}
 load: {txns_per_s: 90, objects: 800}
 length_s: 13
 troubles:
@@ -138,48 +183,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d violations of rule 3", result.CountByRule[3])
-	if result.CountByRule[3] == 0 {
+	violations := result.CountByRule[invariant.RuleDrained]
+	t.Logf("%d violations of rule 3", violations)
+	if violations == 0 {
 		t.Error("no violation by routers without membership")
 	}
 }
 
-// membershipFleet is two router processes that are members of one group.
-type membershipFleet struct {
+// memberPair is two router processes that are members of one group.
+type memberPair struct {
 	dir       string
 	key       string
 	addresses []string // for clients by TCP, and for members by UDP
 }
 
-func newMembershipFleet(t *testing.T) *membershipFleet {
+func newMemberPair(t *testing.T) *memberPair {
 	t.Helper()
 	dir := t.TempDir()
-	fleet := &membershipFleet{
+	pair := &memberPair{
 		dir:       dir,
 		key:       filepath.Join(dir, "key"),
 		addresses: []string{reserveAddress(t), reserveAddress(t)},
 	}
-	writeFile(t, fleet.key, []byte("a key of sixteen bytes"))
-	return fleet
+	writeFile(t, pair.key, []byte("a key of sixteen bytes"))
+	return pair
 }
 
-func (f *membershipFleet) configPath(i int) string {
-	return filepath.Join(f.dir, fmt.Sprint("n", i, ".json"))
+func (p *memberPair) configPath(i int) string {
+	return filepath.Join(p.dir, fmt.Sprint("n", i, ".json"))
 }
 
-func (f *membershipFleet) operatorPath(i int) string {
-	return filepath.Join(f.dir, fmt.Sprint("n", i, ".yaml"))
+func (p *memberPair) operatorPath(i int) string {
+	return filepath.Join(p.dir, fmt.Sprint("n", i, ".yaml"))
 }
 
 // writeFiles writes a router's configuration, whose settings may forbid membership, and
 // its operator's file.
-func (f *membershipFleet) writeFiles(t *testing.T, i int, permitted bool) {
+func (p *memberPair) writeFiles(t *testing.T, i int, permitted bool) {
 	t.Helper()
 	defaults := scenario.Default()
 	defaults.Fleet.Membership = permitted
 	text, err := json.Marshal(map[string]any{
 		"name":     fmt.Sprint("n", i),
-		"listen":   f.addresses[i],
+		"listen":   p.addresses[i],
 		"seed":     "1",
 		"board":    "127.0.0.1:1",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
@@ -189,41 +235,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, f.configPath(i), text)
+	writeFile(t, p.configPath(i), text)
 	operator := fmt.Sprintf("members:\n  name: n%d\n  listen: %s\n  key_file: %s\n"+
 		"  peers: [{name: n0, addr: \"%s\"}, {name: n1, addr: \"%s\"}]\n",
-		i, f.addresses[i], f.key, f.addresses[0], f.addresses[1])
-	writeFile(t, f.operatorPath(i), []byte(operator))
+		i, p.addresses[i], p.key, p.addresses[0], p.addresses[1])
+	writeFile(t, p.operatorPath(i), []byte(operator))
 }
 
 // start starts a router process and returns what it writes to its standard error.
-func (f *membershipFleet) start(t *testing.T, i int, permitted bool) (*exec.Cmd, *strings.Builder) {
+func (p *memberPair) start(t *testing.T, i int, permitted bool) (*exec.Cmd, *strings.Builder) {
 	t.Helper()
-	f.writeFiles(t, i, permitted)
-	cmd := exec.Command(os.Args[0], "serve", "--config", f.configPath(i), "--operator", f.operatorPath(i))
-	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
+	p.writeFiles(t, i, permitted)
+	process := ownCommand("serve", "--config", p.configPath(i), "--operator", p.operatorPath(i))
 	stderr := new(strings.Builder)
-	cmd.Stderr = stderr
-	if err := cmd.Start(); err != nil {
+	process.Stderr = stderr
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	return cmd, stderr
+	return process, stderr
 }
 
 // members runs the members command at the first router.
-func (f *membershipFleet) members(args ...string) string {
-	cmd := exec.Command(os.Args[0], append([]string{"members", "--operator", f.operatorPath(0)}, args...)...)
-	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
-	out, _ := cmd.CombinedOutput()
-	return string(out)
+func (p *memberPair) members(args ...string) string {
+	command := ownCommand(append([]string{"members", "--operator", p.operatorPath(0)}, args...)...)
+	output, _ := command.CombinedOutput() // its text tells a failure, too
+	return string(output)
 }
 
 // waitFor repeats the members command until its output has the text.
-func (f *membershipFleet) waitFor(t *testing.T, text string, args ...string) {
+func (p *memberPair) waitFor(t *testing.T, text string, args ...string) {
 	t.Helper()
 	last := ""
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		last = f.members(args...)
+		last = p.members(args...)
 		if strings.Contains(last, text) {
 			return
 		}
@@ -234,24 +278,24 @@
 // Guards against membership where the settings forbid messages between routers, and a
 // command that does not show a running router's view.
 func TestMembershipCommand(t *testing.T) {
-	fleet := newMembershipFleet(t)
-	forbidden, stderr := fleet.start(t, 0, false)
+	pair := newMemberPair(t)
+	forbidden, stderr := pair.start(t, 0, false)
 	if err := forbidden.Wait(); err == nil || !strings.Contains(stderr.String(), "settings.Limits.PeerMessages") {
 		t.Fatalf("forbidden, and it runs: %v, %s", err, stderr)
 	}
 	var processes []*exec.Cmd
 	for i := range 2 {
-		cmd, _ := fleet.start(t, i, true)
-		processes = append(processes, cmd)
-		defer func() { cmd.Process.Kill(); cmd.Wait() }()
+		process, _ := pair.start(t, i, true)
+		processes = append(processes, process)
+		defer func() { process.Process.Kill(); process.Wait() }()
 	}
-	fleet.waitFor(t, "2 of 2 routers reachable")
-	fleet.waitFor(t, "all that answered agree", "--matrix")
-	if text := fleet.members("--json"); !json.Valid([]byte(text)) {
+	pair.waitFor(t, "2 of 2 routers reachable")
+	pair.waitFor(t, "all that answered agree", "--matrix")
+	if text := pair.members("--json"); !json.Valid([]byte(text)) {
 		t.Errorf("no JSON: %s", text)
 	}
 	// A planned end is gossiped and is no failure.
 	processes[1].Process.Signal(syscall.SIGTERM)
-	fleet.waitFor(t, "leaving")
-	fleet.waitFor(t, " left ")
+	pair.waitFor(t, "leaving")
+	pair.waitFor(t, " left ")
 }
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -19,7 +18,8 @@
 // damaged, and ends without a reason or takes the router down.
 func TestRefusedUpgrades(t *testing.T) {
 	t.Parallel()
-	playUpgrades(t, supervisedFleet+"load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n", func(fleet *emulator.Supervised) error {
+	const text = supervisedFleet + "load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n"
+	playUpgrades(t, text, func(fleet *emulator.Supervised) error {
 		if err := checkEditedFiles(t, fleet); err != nil {
 			return err
 		}
@@ -57,16 +57,33 @@
 		config   bool // the edited file is the configuration, else the operator's
 		old, new string
 		ok       bool
-		note     string
+		note     string // in the reply
 		settled  uint64 // generation afterwards
 	}{
-		{"unknown key", false, "folder:", "colour: red\n  folder:", false, "colour", 1},
-		{"folder", false, "folder:", "folder: /nowhere/at/all #", false, "keep.folder", 1},
-		{"broken", true, `"settings"`, `"settings`, false, "", 1},
-		{"value", true, `"TargetMs":`, `"TargetMs":-`, false, "TargetMs", 1},
-		{"flow", true, `"flow_bytes_per_s":`, `"flow_bytes_per_s":1`, true, "is settled", 6},
-		// The platform's counts do not differ between the two.
-		{"new name", true, `"name":"n1"`, `"name":"n9"`, true, "", 7},
+		{
+			name: "unknown key", old: "folder:", new: "colour: red\n  folder:",
+			note: "colour", settled: 1,
+		},
+		{
+			name: "folder", old: "folder:", new: "folder: /nowhere/at/all #",
+			note: "keep.folder", settled: 1,
+		},
+		{
+			name: "broken", config: true, old: `"settings"`, new: `"settings`,
+			settled: 1,
+		},
+		{
+			name: "value", config: true, old: `"TargetMs":`, new: `"TargetMs":-`,
+			note: "TargetMs", settled: 1,
+		},
+		{
+			name: "flow", config: true, old: `"flow_bytes_per_s":`, new: `"flow_bytes_per_s":1`,
+			ok: true, note: "is settled", settled: 6,
+		},
+		{ // the platform's counts do not differ between the two names
+			name: "new name", config: true, old: `"name":"n1"`, new: `"name":"n9"`,
+			ok: true, settled: 7,
+		},
 	} {
 		request := &handoff.Message{Kind: handoff.KindApply}
 		original, edited := fleet.Operator(0), &request.Operator
@@ -123,10 +140,9 @@
 
 // checkSecondSupervisor starts a second supervisor with the same folder.
 func checkSecondSupervisor(t *testing.T, fleet *emulator.Supervised) {
-	cmd := exec.Command(os.Args[0], "keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
-	cmd.Env = append(os.Environ(), "QUILLDOOR_TEST_MAIN=1")
-	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), "another keeper") {
-		t.Errorf("second supervisor: %v, %s", err, out)
+	second := ownCommand("keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
+	if output, err := second.CombinedOutput(); err == nil || !strings.Contains(string(output), "another keeper") {
+		t.Errorf("second supervisor: %v, %s", err, output)
 	}
 }
 
--- a/cmd/quilldoor/requests_test.go
+++ b/cmd/quilldoor/requests_test.go
@@ -9,7 +9,7 @@
 
 // Guards against requests and responses that are translated wrongly in either direction.
 func TestConversation(t *testing.T) {
-	long := strings.Repeat("0123456789", 24_000)
+	content := strings.Repeat("0123456789", 24_000)
 	origin := newFakeEndpoint(t, func(id, _, body string) string {
 		return strings.Replace(ack(id, "signed "+body), "entity=e1,issued=7,", "", 1)
 	})
@@ -17,27 +17,27 @@
 		if strings.Contains(fields, "mine=e1") {
 			return id + " NOMOD entity=e1,issued=7 0\r\n\r\n"
 		}
-		return ack(id, long)
+		return ack(id, content)
 	})
 	addr := startRouter(t, cache.Addr().String(), origin.Addr().String()).addr
-	c := dial(t, addr)
-	io.WriteString(c, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
-	c.expectStatus(t, "200")
-	c.sendRequest("GET", "/rpc/page/ab/n-3", "", "")
-	if head, body := c.expectStatus(t, "200"); body != long || !strings.Contains(head, "ETag: \"e1\"") {
+	client := dial(t, addr)
+	io.WriteString(client, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
+	client.expectStatus(t, "200")
+	client.sendRequest("GET", "/rpc/page/ab/n-3", "", "")
+	if head, body := client.expectStatus(t, "200"); body != content || !strings.Contains(head, "ETag: \"e1\"") {
 		t.Fatalf("%d bytes behind %q", len(body), head)
 	}
 	line := <-cache.received
-	if want := fmt.Sprintf("GET %016x queue=page,path=ab,blk=3,budget=", lastRequestID); !strings.HasPrefix(line, want) ||
-		!strings.Contains(line, ",miss=o,prio=2") {
+	start := fmt.Sprintf("GET %016x queue=page,path=ab,blk=3,budget=", lastRequestID)
+	if !strings.HasPrefix(line, start) || !strings.Contains(line, ",miss=o,prio=2") {
 		t.Fatal(line)
 	}
-	c.sendRequest("GET", "/rpc/page/ab/n-3", "If-None-Match: \"e1\"\r\n", "")
-	if _, body := c.expectStatus(t, "304"); body != "" {
+	client.sendRequest("GET", "/rpc/page/ab/n-3", "If-None-Match: \"e1\"\r\n", "")
+	if _, body := client.expectStatus(t, "304"); body != "" {
 		t.Fatal(body)
 	}
-	c.sendRequest("PUT", "/rpc/sign/cd", "X-Second-Try: 1\r\n", "name")
-	if _, body := c.expectStatus(t, "200"); body != "signed name" {
+	client.sendRequest("PUT", "/rpc/sign/cd", "X-Second-Try: 1\r\n", "name")
+	if _, body := client.expectStatus(t, "200"); body != "signed name" {
 		t.Fatal(body)
 	}
 	if line := <-origin.received; strings.Contains(line, "miss=") || !strings.HasSuffix(line, " 4") {
@@ -47,15 +47,20 @@
 
 // Guards against bad requests that get no response, another status, or an attempt.
 func TestBadRequestsAreAnswered(t *testing.T) {
-	none := newFakeEndpoint(t, func(string, string, string) string { return "" })
-	addr := startRouter(t, none.Addr().String(), none.Addr().String()).addr
-	c := dial(t, addr)
+	endpoint := newFakeEndpoint(t, func(string, string, string) string { return "" })
+	addr := startRouter(t, endpoint.Addr().String(), endpoint.Addr().String()).addr
+	client := dial(t, addr)
 	for target, status := range map[string]string{
-		"/rpc/none/x": "404", "/other": "404", "/rpc/page/a,b": "400",
-		"/rpc/page/a/n--1": "400", "/rpc/page/a/3": "400", "/rpc/sign/x": "405", "/rpc/page/" + strings.Repeat("x", 200): "400",
+		"/rpc/none/x":                           "404",
+		"/other":                                "404",
+		"/rpc/page/a,b":                         "400",
+		"/rpc/page/a/n--1":                      "400",
+		"/rpc/page/a/3":                         "400",
+		"/rpc/sign/x":                           "405",
+		"/rpc/page/" + strings.Repeat("x", 200): "400",
 	} {
-		c.sendRequest("GET", target, "", "")
-		c.expectStatus(t, status)
+		client.sendRequest("GET", target, "", "")
+		client.expectStatus(t, status)
 	}
 	// A header that broke the cache's line protocol closed its connection under other attempts.
 	for _, header := range []string{
@@ -64,26 +69,28 @@
 		"X-Shard: 1\r\nIf-None-Match: " + strings.Repeat("x", 200),
 	} {
 		name, _, _ := strings.Cut(header, ":")
-		text := "GET /rpc/page/x HTTP/1.1\r\nHost: x\r\nX-Txn: 00000000000000aa\r\nX-Ttl-Ms: 5\r\nX-Shard: 1\r\n\r\n"
-		at := strings.Index(text, name)
-		io.WriteString(c, text[:at]+header+text[at+strings.Index(text[at:], "\r"):])
-		c.expectStatus(t, "400")
+		const valid = "GET /rpc/page/x HTTP/1.1\r\nHost: x\r\nX-Txn: 00000000000000aa\r\nX-Ttl-Ms: 5\r\nX-Shard: 1\r\n\r\n"
+		before, rest, _ := strings.Cut(valid, name)
+		_, after, _ := strings.Cut(rest, "\r")
+		io.WriteString(client, before+header+"\r"+after)
+		client.expectStatus(t, "400")
 	}
 	for text, status := range map[string]string{
-		"nonsense\r\n\r\n": "400", "GET /" + strings.Repeat("x", 20_000): "431",
-		"PUT / HTTP/1.1\r\nContent-Length: 48001\r\n\r\n":                                      "413",
+		"nonsense\r\n\r\n":                                "400",
+		"GET /" + strings.Repeat("x", 20_000):             "431",
+		"PUT / HTTP/1.1\r\nContent-Length: 48001\r\n\r\n": "413",
 		"GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n": "501",
 		"GET / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n": "501",
 	} {
-		c := dial(t, addr)
-		io.WriteString(c, text)
-		c.expectStatus(t, status)
-		if _, err := c.reader.ReadByte(); err == nil {
+		client := dial(t, addr)
+		io.WriteString(client, text)
+		client.expectStatus(t, status)
+		if _, err := client.reader.ReadByte(); err == nil {
 			t.Errorf("%.20q: the connection stays open", text)
 		}
 	}
-	if len(none.received) > 0 {
-		t.Errorf("an attempt was made: %s", <-none.received)
+	if len(endpoint.received) > 0 {
+		t.Errorf("an attempt was made: %s", <-endpoint.received)
 	}
 }
 
@@ -91,10 +98,10 @@
 func TestLeavingClientCancelsItsAttempt(t *testing.T) {
 	silent := newFakeEndpoint(t, func(string, string, string) string { return "" })
 	addr := startRouter(t, silent.Addr().String(), silent.Addr().String()).addr
-	c := dial(t, addr)
-	c.sendRequest("GET", "/rpc/page/x", "", "")
+	client := dial(t, addr)
+	client.sendRequest("GET", "/rpc/page/x", "", "")
 	id := strings.Fields(<-silent.received)[1]
-	c.Close()
+	client.Close()
 	if line := <-silent.received; line != "DROP "+id {
 		t.Fatal(line)
 	}
@@ -139,9 +146,9 @@
 			return ack(id, "whole")
 		})
 		addr := startRouter(t, server.Addr().String(), server.Addr().String()).addr
-		c := dial(t, addr)
-		c.sendRequest("GET", "/rpc/page/x", "", "")
-		if _, body := c.expectStatus(t, "200"); body != "whole" {
+		client := dial(t, addr)
+		client.sendRequest("GET", "/rpc/page/x", "", "")
+		if _, body := client.expectStatus(t, "200"); body != "whole" {
 			t.Errorf("%q: %q", first, body)
 		}
 	}
@@ -150,17 +157,21 @@
 // Guards against an unsafe request that is executed twice: it is retried only where it is
 // proven that it was not executed.
 func TestUnsafeRequestsAreNotRetried(t *testing.T) {
-	for answer, want := range map[string]string{"%s EIO - 0\r\n\r\n": "504", "CLOSE": "504", "%s AGAIN - 0\r\n\r\n": "503"} {
-		origin := newFakeEndpoint(t, func(id, _, _ string) string { return strings.Replace(answer, "%s", id, 1) })
+	for response, want := range map[string]string{
+		"%s EIO - 0\r\n\r\n":   "504",
+		"CLOSE":                "504",
+		"%s AGAIN - 0\r\n\r\n": "503",
+	} {
+		origin := newFakeEndpoint(t, func(id, _, _ string) string { return strings.Replace(response, "%s", id, 1) })
 		addr := startRouter(t, origin.Addr().String(), origin.Addr().String()).addr
-		c := dial(t, addr)
-		c.sendRequest("PUT", "/rpc/sign/x", "", "name")
-		head, _ := c.expectStatus(t, want)
+		client := dial(t, addr)
+		client.sendRequest("PUT", "/rpc/sign/x", "", "name")
+		head, _ := client.expectStatus(t, want)
 		if attempts := len(origin.received); (attempts > 1) != (want == "503") {
-			t.Errorf("%q: %d attempts", answer, attempts)
+			t.Errorf("%q: %d attempts", response, attempts)
 		}
 		if strings.Contains(head, "X-Throttle-Ms: 500") != (want == "503") {
-			t.Errorf("%q: %s", answer, head)
+			t.Errorf("%q: %s", response, head)
 		}
 	}
 }
@@ -169,9 +180,9 @@
 func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	gone := reserveAddress(t) // nobody listens there
 	addr := startRouter(t, gone, gone).addr
-	c := dial(t, addr)
-	c.sendRequest("PUT", "/rpc/sign/x", "", "name")
-	c.expectStatus(t, "503")
+	client := dial(t, addr)
+	client.sendRequest("PUT", "/rpc/sign/x", "", "name")
+	client.expectStatus(t, "503")
 }
 
 // Guards against an idempotency key that is not forwarded, without which no endpoint can
@@ -180,9 +191,9 @@
 	origin := newFakeEndpoint(t, func(id, _, _ string) string { return id + " ACK - 2\r\nok\r\n" })
 	keyed := strings.NewReplacer(`"Effect":"unsafe"`, `"Effect":"keyed","Group":"all","DedupWindowMs":700`)
 	addr := startRouterWith(t, origin.Addr().String(), origin.Addr().String(), "", keyed).addr
-	c := dial(t, addr)
-	c.sendRequest("PUT", "/rpc/sign/x", "X-Txn-Key: k-17\r\n", "name")
-	c.expectStatus(t, "200")
+	client := dial(t, addr)
+	client.sendRequest("PUT", "/rpc/sign/x", "X-Txn-Key: k-17\r\n", "name")
+	client.expectStatus(t, "200")
 	if line := <-origin.received; !strings.Contains(line, ",uniq=k-17 ") {
 		t.Errorf("the key is missing: %s", line)
 	}
@@ -192,8 +203,8 @@
 		"X-Txn-Key: k\r\nX-Txn-Key: k\r\n",
 		"X-Txn-Key: " + strings.Repeat("k", 200) + "\r\n",
 	} {
-		c.sendRequest("PUT", "/rpc/sign/x", key, "name")
-		c.expectStatus(t, "400")
+		client.sendRequest("PUT", "/rpc/sign/x", key, "name")
+		client.expectStatus(t, "400")
 	}
 }
 
@@ -205,13 +216,13 @@
 		}
 		return ack(id, "bytes")
 	})
-	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
-	c.sendRequest("GET", "/rpc/page/x", "If-None-Match: \"e1\"\r\n", "")
-	if status, head, _ := c.readResponse(t); status == "304" {
+	client := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
+	client.sendRequest("GET", "/rpc/page/x", "If-None-Match: \"e1\"\r\n", "")
+	if status, head, _ := client.readResponse(t); status == "304" {
 		t.Errorf("answered 304: %s", head)
 	}
-	c.sendRequest("GET", "/rpc/page/x", "", "")
-	c.expectStatus(t, "200")
+	client.sendRequest("GET", "/rpc/page/x", "", "")
+	client.expectStatus(t, "200")
 }
 
 // Guards against work for a client that has left: neither another attempt at its open
@@ -224,12 +235,12 @@
 		return ack(id, "there")
 	})
 	addr := startRouter(t, cache.Addr().String(), cache.Addr().String()).addr
-	c := dial(t, addr)
-	c.sendRequest("GET", "/rpc/page/held", "", "")
+	client := dial(t, addr)
+	client.sendRequest("GET", "/rpc/page/held", "", "")
 	id := strings.Fields(<-cache.received)[1]
-	c.sendRequest("GET", "/rpc/page/next", "", "")
-	io.WriteString(c, "GET /rpc/pa")
-	c.Close()
+	client.sendRequest("GET", "/rpc/page/next", "", "")
+	io.WriteString(client, "GET /rpc/pa")
+	client.Close()
 	if line := <-cache.received; line != "DROP "+id {
 		t.Fatal(line)
 	}
@@ -243,18 +254,20 @@
 
 // Guards against pipelined requests whose responses are lost, doubled or out of order.
 func TestManyCommandsAtOnce(t *testing.T) {
-	const requests = 200 // more than the buffer holds
+	const requests = 200 // more than the read buffer holds
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		return ack(id, fields[:strings.Index(fields, ",blk")])
 	})
-	c := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
+	client := dial(t, startRouter(t, cache.Addr().String(), cache.Addr().String()).addr)
 	go func() {
+		const firstID = 1 << 40
 		for n := range requests {
-			fmt.Fprintf(c, "GET /rpc/page/p%d HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n", n, 1<<40+n)
+			fmt.Fprintf(client, "GET /rpc/page/p%d HTTP/1.1\r\nHost: x\r\n"+
+				"X-Txn: %016x\r\nX-Ttl-Ms: 2000\r\nX-Shard: 1\r\n\r\n", n, firstID+n)
 		}
 	}()
 	for n := range requests {
-		if _, body := c.expectStatus(t, "200"); body != fmt.Sprintf("queue=page,path=p%d", n) {
+		if _, body := client.expectStatus(t, "200"); body != fmt.Sprintf("queue=page,path=p%d", n) {
 			t.Fatalf("response %d: %q", n, body)
 		}
 	}
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -12,13 +12,15 @@
 	"quilldoor/internal/checker"
 	"quilldoor/internal/emulator"
 	"quilldoor/internal/handoff"
+	"quilldoor/internal/invariant"
 	"quilldoor/internal/rollout"
 )
 
 // rolloutFleet is eight supervised routers of four zones with membership.
 const rolloutFleet = `
 settle_s: 1
-fleet: {offices: 4, routers: 2, trunks: 2, caches: 5, cores: 5, link_share: 0.8, keep: true, trial_s: 0.5, members: true, board_ms: 200, death_ms: 500, cold_s: 3}
+fleet: {offices: 4, routers: 2, trunks: 2, caches: 5, cores: 5, link_share: 0.8,
+  keep: true, trial_s: 0.5, members: true, board_ms: 200, death_ms: 500, cold_s: 3}
 load: {txns_per_s: 240, objects: 800}
 `
 
@@ -226,25 +228,25 @@
 
 // worseProgram is a rollout of a program that does worse than the one that serves.
 type worseProgram struct {
-	fault  string
+	fault  fault
 	reason string // of the rollback
-	long   bool
-	half   bool // of each zone is upgraded first: a small fault shows on many routers only
+	long   bool   // skipped unless all tests are asked for
+	half   bool   // of each zone is upgraded first: a small fault shows on many routers only
 }
 
 // Guards against a worse program that gets beyond the first stage of its rollout, or is
 // left on a router after the rollback.
 func TestRolloutsOfWorsePrograms(t *testing.T) {
 	for _, tc := range []worseProgram{
-		{"narrow", "", false, false},
-		{"dies at work", "", true, false},
-		{"leaks", "MB", true, false},
-		{"hangs at work", "", true, false},
-		{"no start", "did not change", true, false},
-		{"quiet among members", "by itself", true, false},
-		{"a fifth slower", "slowness", true, true},
+		{fault: faultNarrow},
+		{fault: faultDiesAtWork, long: true},
+		{fault: faultLeaks, reason: "MB", long: true},
+		{fault: faultHangsAtWork, long: true},
+		{fault: faultNoStart, reason: "did not change", long: true},
+		{fault: faultQuietMember, reason: "by itself", long: true},
+		{fault: faultSlower, reason: "slowness", long: true, half: true},
 	} {
-		t.Run(tc.fault, func(t *testing.T) {
+		t.Run(string(tc.fault), func(t *testing.T) {
 			skipLong(t, tc.long)
 			t.Parallel()
 			text := rolloutFleet + "length_s: 130\n"
@@ -304,55 +306,73 @@
 // invariantBreaker is a rollout of a program that breaks an invariant and does no worse
 // by it.
 type invariantBreaker struct {
-	fault    string
-	troubles []string
-	rule     int
-	long     bool
+	fault    fault
+	troubles []string // of the scenario: they give the program occasions to break the rule
+	rule     invariant.Rule
+	long     bool // skipped unless all tests are asked for
 }
 
 // Guards against a program that breaks an invariant and is rolled out because its
 // figures are no worse: the supervisor's monitor sees it, and the rollout is undone.
 func TestRolloutsOfRuleBreakers(t *testing.T) {
 	for _, tc := range []invariantBreaker{
-		{"deaf to purges", []string{
-			"{kind: purge, at: 20, share: 1}",
-			"{kind: purge, at: 28, share: 1}",
-			"{kind: purge, at: 36, share: 1}",
-			"{kind: purge, at: 44, share: 1}",
-		}, 5, false},
-		{"deaf to drains", []string{"{kind: deploy, at: 16, for: 1, every: 3, strength: 2}"}, 3, true},
-		{"greedy", []string{
-			"{kind: die, at: 20, for: 1, share: 0.4, office: 1}",
-			"{kind: die, at: 27, for: 1, share: 0.4, office: 1}",
-			"{kind: die, at: 34, for: 1, share: 0.4, office: 1}",
-			"{kind: die, at: 41, for: 1, share: 0.4, office: 1}",
-		}, 4, true},
+		{
+			fault: faultDeafToPurges,
+			troubles: []string{
+				"{kind: purge, at: 20, share: 1}",
+				"{kind: purge, at: 28, share: 1}",
+				"{kind: purge, at: 36, share: 1}",
+				"{kind: purge, at: 44, share: 1}",
+			},
+			rule: invariant.RuleStale,
+		},
+		{
+			fault:    faultDeafToDrains,
+			troubles: []string{"{kind: deploy, at: 16, for: 1, every: 3, strength: 2}"},
+			rule:     invariant.RuleDrained,
+			long:     true,
+		},
+		{
+			fault: faultGreedy,
+			troubles: []string{
+				"{kind: die, at: 20, for: 1, share: 0.4, office: 1}",
+				"{kind: die, at: 27, for: 1, share: 0.4, office: 1}",
+				"{kind: die, at: 34, for: 1, share: 0.4, office: 1}",
+				"{kind: die, at: 41, for: 1, share: 0.4, office: 1}",
+			},
+			rule: invariant.RuleOverBudget,
+			long: true,
+		},
 	} {
-		t.Run(tc.fault, func(t *testing.T) {
+		t.Run(string(tc.fault), func(t *testing.T) {
 			skipLong(t, tc.long)
 			t.Parallel()
 			violations := 0
 			allowed := func(violation checker.Violation) bool {
-				if violation.Rule == tc.rule && (violation.Router == 0 || tc.rule == 4) {
-					violations++
-					return true
+				if violation.Rule != int(tc.rule) || violation.Router != 0 && !tc.overloads() {
+					return false
 				}
-				return false
+				violations++
+				return true
 			}
-			playUpgradesWith(t, tc.scenario(), playOptions{allowed, true}, func(fleet *emulator.Supervised) error {
+			playUpgradesWith(t, tc.scenario(), playOptions{allowed: allowed, endWithDrive: true}, func(fleet *emulator.Supervised) error {
 				return tc.rollOut(t, fleet)
 			})
 			t.Logf("the checker saw %d violations", violations)
-			if violations == 0 && tc.rule != 4 {
+			if violations == 0 && !tc.overloads() {
 				t.Error("no violation: the test shows nothing")
 			}
 		})
 	}
 }
 
+// overloads tells whether the program spends more than its share of a slow start: routers
+// beside it then break the rule too, or none does.
+func (tc invariantBreaker) overloads() bool { return tc.rule == invariant.RuleOverBudget }
+
 func (tc invariantBreaker) scenario() string {
 	text := rolloutFleet + "length_s: 100\ntroubles:\n  - " + strings.Join(tc.troubles, "\n  - ") + "\n"
-	if tc.rule == 4 { // load enough to push a cold endpoint over
+	if tc.overloads() { // load enough to push a cold endpoint over
 		text = strings.Replace(text, "txns_per_s: 240", "txns_per_s: 240, weights: [1.4, 0.8, 0.9, 0.9]", 1)
 	}
 	return text
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -21,9 +21,9 @@
 	if err != nil {
 		t.Skip("no /proc here")
 	}
-	_, size, _ := strings.Cut(string(status), "FDSize:")
-	if n, _ := strconv.Atoi(strings.Fields(size)[0]); n < 900 {
-		t.Fatalf("the table has %d descriptors", n)
+	_, rest, _ := strings.Cut(string(status), "FDSize:")
+	if size, _ := strconv.Atoi(strings.Fields(rest)[0]); size < 900 {
+		t.Fatalf("the table has %d descriptors", size)
 	}
 }
 
@@ -36,23 +36,23 @@
 		}
 		return ack(id, "there")
 	})
-	r := startRouter(t, cache.Addr().String(), cache.Addr().String())
-	held := dial(t, r.addr)
+	router := startRouter(t, cache.Addr().String(), cache.Addr().String())
+	held := dial(t, router.addr)
 	held.sendRequest("GET", "/rpc/page/held", "", "")
 	<-cache.received
-	r.terminate <- syscall.SIGTERM
-	late := dial(t, r.addr)
+	router.terminate <- syscall.SIGTERM
+	late := dial(t, router.addr)
 	late.sendRequest("GET", "/rpc/page/x", "", "")
 	late.expectStatus(t, "200")
 	close(release)
 	held.expectStatus(t, "200")
-	if err := <-r.done; err != nil {
+	if err := <-router.done; err != nil {
 		t.Fatal(err)
 	}
-	if _, err := net.Dial("tcp", r.addr); err == nil {
+	if _, err := net.Dial("tcp", router.addr); err == nil {
 		t.Fatal("still listening")
 	}
-	r.done <- nil // for the cleanup
+	router.done <- nil // for the cleanup
 }
 
 // Guards against a reload that ends the router, takes a bad file, forgets the last event
@@ -70,22 +70,22 @@
 		t.Fatal(err)
 	}
 	defer discovery.Close()
-	r := startRouter(t, cache.Addr().String(), cache.Addr().String())
-	held := dial(t, r.addr)
+	router := startRouter(t, cache.Addr().String(), cache.Addr().String())
+	held := dial(t, router.addr)
 	held.sendRequest("GET", "/rpc/page/held", "", "")
 	<-cache.received
-	for _, bad := range []string{"{", strings.Replace(r.config, `"board":"127.0.0.1:1"`, `"board":"here"`, 1)} {
-		r.writeConfig(t, bad)
-		r.reload <- syscall.SIGHUP
-		r.waitForLog(t, "the old one stays")
+	for _, bad := range []string{"{", strings.Replace(router.config, `"board":"127.0.0.1:1"`, `"board":"here"`, 1)} {
+		router.writeConfig(t, bad)
+		router.reload <- syscall.SIGHUP
+		router.waitForLog(t, "the old one stays")
 	}
 	// The first event is known already; the second drains the cache.
-	text := strings.Replace(r.config, "127.0.0.1:1\"", discovery.Addr().String()+"\"", 1)
+	text := strings.Replace(router.config, "127.0.0.1:1\"", discovery.Addr().String()+"\"", 1)
 	text = strings.Replace(text, `}]}}]}`, `}]}},{"rev":2,"pool":{"targets":[{"uid":"c","state":"draining"}]}}]}`, 1)
-	r.writeConfig(t, strings.Replace(text, `"seed":"1"`, `"seed":"2"`, 1))
-	r.reload <- syscall.SIGHUP
-	r.waitForLog(t, "key=seed")
-	r.waitForLog(t, "scope=diff")
+	router.writeConfig(t, strings.Replace(text, `"seed":"1"`, `"seed":"2"`, 1))
+	router.reload <- syscall.SIGHUP
+	router.waitForLog(t, "key=seed")
+	router.waitForLog(t, "scope=diff")
 	for range 2 { // the second reload comes during the poll of the first
 		conn, err := discovery.Accept()
 		if err != nil {
@@ -96,7 +96,7 @@
 		if !strings.HasPrefix(line, "GET /board/poll?watch=2&") {
 			t.Fatal(line)
 		}
-		r.reload <- syscall.SIGHUP
+		router.reload <- syscall.SIGHUP
 	}
 	close(release)
 	held.expectStatus(t, "200")
@@ -108,19 +108,19 @@
 	shutdownServeTime = 5 * time.Second
 	defer func() { shutdownServeTime = 50 * time.Millisecond }()
 	cache := newFakeEndpoint(t, func(id, _, _ string) string { return ack(id, "there") })
-	r := startRouter(t, cache.Addr().String(), cache.Addr().String())
-	c, idle := dial(t, r.addr), dial(t, r.addr)
+	router := startRouter(t, cache.Addr().String(), cache.Addr().String())
+	client, idle := dial(t, router.addr), dial(t, router.addr)
 	idle.sendRequest("GET", "/rpc/page/x", "", "")
 	idle.expectStatus(t, "200")
-	r.terminate <- syscall.SIGTERM
-	r.terminate <- syscall.SIGTERM // a second one changes nothing
+	router.terminate <- syscall.SIGTERM
+	router.terminate <- syscall.SIGTERM // a second one changes nothing
 	for closing := false; !closing; {
-		c.sendRequest("GET", "/rpc/page/x", "", "")
-		head, _ := c.expectStatus(t, "200")
+		client.sendRequest("GET", "/rpc/page/x", "", "")
+		head, _ := client.expectStatus(t, "200")
 		<-cache.received
 		closing = strings.Contains(head, "Connection: close")
 	}
-	if _, err := c.reader.ReadByte(); err != io.EOF {
+	if _, err := client.reader.ReadByte(); err != io.EOF {
 		t.Errorf("after the last response: %v", err)
 	}
 	// An idle client sees an orderly end, no reset.
@@ -128,9 +128,9 @@
 		t.Errorf("the idle client: %v", err)
 	}
 	idle.Close()
-	if err := <-r.done; err != nil {
+	if err := <-router.done; err != nil {
 		t.Error(err)
 	}
-	<-r.terminate // makes room for the cleanup's signal
-	r.done <- nil
+	<-router.terminate // makes room for the cleanup's signal
+	router.done <- nil
 }
--- a/cmd/quilldoor/testrouter_test.go
+++ b/cmd/quilldoor/testrouter_test.go
@@ -57,7 +57,7 @@
 // testRouterConfig is the configuration of a router before one cache and one origin;
 // nothing listens at its discovery address.
 func testRouterConfig(addr, cache, origin string) string {
-	target := `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
+	const target = `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
 	return `{"name":"t","listen":"` + addr + `","seed":"1","board":"127.0.0.1:1","known":{"rev":1,"notices":[
 	 {"rev":1,"pool":{"all":true,"targets":[` + fmt.Sprintf(target, "c", cache, "box") + "," +
 		fmt.Sprintf(target, "o", origin, "origin") + `]}}]},
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -67,7 +67,8 @@
 	result := playUpgrades(t, `
 settle_s: 1
 length_s: 13
-fleet: {offices: 2, routers: 2, trunks: 2, caches: 3, cores: 4, keep: true, trial_s: 1, members: true, sites: 2, site_ms: 5, disk_mb: 32, board_ms: 200, link_share: 0.3}
+fleet: {offices: 2, routers: 2, trunks: 2, caches: 3, cores: 4, link_share: 0.3, board_ms: 200,
+  keep: true, trial_s: 1, members: true, sites: 2, site_ms: 5, disk_mb: 32}
 load: {txns_per_s: 80, objects: 600, weights: [2, 0.5]}
 troubles:
   - {kind: purge, at: 5, share: 0.6}
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -14,7 +14,7 @@
 
 // faultyGeneration is an upgrade to a faulty program and how it has to end.
 type faultyGeneration struct {
-	fault     string
+	fault     fault
 	reason    string // in the reply
 	fallsBack bool   // after it has served; else it is refused before
 	dies      bool   // the new process ends or is killed while it holds connections
@@ -27,16 +27,16 @@
 	text := strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 4", 1) +
 		"load: {txns_per_s: 120, objects: 500}\nlength_s: 5\n"
 	for _, tc := range []faultyGeneration{
-		{"no start", "has ended", false, false},
-		{"never ready", "", false, false},
-		{"silent", "has said nothing for", true, true},
-		{"mute", "", true, true},
-		{"crash", "has ended", true, true},
-		{"memory", "memory:", true, true},
-		{"descriptors", "descriptors:", true, true},
-		{"refuses", "does worse", true, false},
+		{fault: faultNoStart, reason: "has ended"},
+		{fault: faultNeverReady},
+		{fault: faultSilent, reason: "has said nothing for", fallsBack: true, dies: true},
+		{fault: faultMute, fallsBack: true, dies: true},
+		{fault: faultCrash, reason: "has ended", fallsBack: true, dies: true},
+		{fault: faultMemory, reason: "memory:", fallsBack: true, dies: true},
+		{fault: faultDescriptors, reason: "descriptors:", fallsBack: true, dies: true},
+		{fault: faultRefuses, reason: "does worse", fallsBack: true},
 	} {
-		t.Run(tc.fault, func(t *testing.T) {
+		t.Run(string(tc.fault), func(t *testing.T) {
 			t.Parallel()
 			var recoveryMS int64
 			result := playUpgrades(t, text, func(fleet *emulator.Supervised) (err error) {
--- a/cmd/quilldoor/upgradeharness_test.go
+++ b/cmd/quilldoor/upgradeharness_test.go
@@ -15,7 +15,8 @@
 // supervisedFleet is one supervised router before caches and an origin.
 const supervisedFleet = `
 settle_s: 0.5
-fleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2, keep: true, trial_s: 0.4, board_ms: 200, death_ms: 500, cold_s: 2}
+fleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2,
+  keep: true, trial_s: 0.4, board_ms: 200, death_ms: 500, cold_s: 2}
 `
 
 // playUpgrades plays a scenario with supervised routers while drive upgrades them.
@@ -61,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	if status != 200 {
+	if status != http.StatusOK {
 		return fmt.Errorf("health: status %d", status)
 	}
 	return nil
@@ -70,10 +71,10 @@
 // healthStatus is the status of a router's health endpoint, asked by a new connection.
 func healthStatus(listen string) (int, error) {
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := client.Get("http://" + listen + "/health")
+	response, err := client.Get("http://" + listen + "/health")
 	if err != nil {
 		return 0, err
 	}
-	res.Body.Close()
-	return res.StatusCode, nil
+	response.Body.Close()
+	return response.StatusCode, nil
 }
