--- a/cmd/quilldoor/faultyprogram_test.go
+++ b/cmd/quilldoor/faultyprogram_test.go
@@ -25,6 +25,7 @@
 const (
 	faultNoStart      fault = "no start"            // ends at once
 	faultNeverReady   fault = "never ready"         // does not become ready
+	faultReadyLate    fault = "late to get ready"   // becomes ready half a second after its start
 	faultSilent       fault = "silent"              // sends no heartbeat once it serves
 	faultMute         fault = "mute"                // does not confirm that it serves
 	faultCrash        fault = "crash"               // ends a second after it began to serve
@@ -70,7 +71,7 @@
 		return nil, err
 	}
 	r.events = &faultyEvents{r.engine, injected}
-	r.host = &faultyHost{Host: r.host, router: r, fault: injected}
+	r.host = &faultyHost{Host: r.host, router: r, fault: injected, started: time.Now()}
 	return r, nil
 }
 
@@ -121,14 +122,21 @@
 	upgradeagent.Host
 	router  *router
 	fault   fault
+	started time.Time
 	serving atomic.Bool
 	memory  [][]byte   // never released
 	files   []*os.File // never closed
 }
 
 func (f *faultyHost) Ready() bool {
-	if f.fault == faultNeverReady {
+	switch f.fault {
+	case faultNeverReady:
 		time.Sleep(time.Minute)
+	case faultReadyLate:
+		const lateness = 500 * time.Millisecond
+		if time.Since(f.started) < lateness {
+			return false
+		}
 	}
 	return f.Host.Ready()
 }
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -141,7 +141,8 @@
 // checkSecondSupervisor starts a second supervisor with the same folder.
 func checkSecondSupervisor(t *testing.T, fleet *emulator.Supervised) {
 	second := ownCommand("keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
-	if output, err := second.CombinedOutput(); err == nil || !strings.Contains(string(output), "another keeper") {
+	output, err := second.CombinedOutput()
+	if err == nil || !strings.Contains(string(output), "another supervisor uses this folder") {
 		t.Errorf("second supervisor: %v, %s", err, output)
 	}
 }
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -19,14 +19,7 @@
 		return
 	}
 	count := v.simulation.Routers()
-	v.fleet = simfleet.New(count, v.options.Seed, v.simulation.Network, func(host *simfleet.Host, now int64) simfleet.Detector {
-		router := v.routers[host.ID]
-		random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
-		return membership.New(membership.Settings{
-			Name: host.Name, Zone: scenario.Zone(v.simulation.Office(host.ID)), Addr: simfleet.Addr(host.ID),
-			Seeds: simfleet.Seeds(count), Epoch: 1,
-		}, random, now)
-	})
+	v.fleet = simfleet.New(count, v.options.Seed, v.simulation.Network, v.newDetector)
 	v.fleet.Payloads = payloadHandler{v}
 	for i := range count {
 		v.fleet.Start(i)
@@ -34,6 +27,19 @@
 	v.scheduleComparison()
 }
 
+// newDetector makes the failure detector of a router that starts: it knows all others.
+func (v *virtualRun) newDetector(host *simfleet.Host, now int64) simfleet.Detector {
+	router := v.routers[host.ID]
+	random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
+	return membership.New(membership.Settings{
+		Name:  host.Name,
+		Zone:  scenario.Zone(v.simulation.Office(host.ID)),
+		Addr:  simfleet.Addr(host.ID),
+		Seeds: simfleet.Seeds(v.simulation.Routers()),
+		Epoch: 1,
+	}, random, now)
+}
+
 // scheduleComparison compares the routers' views after each interval.
 func (v *virtualRun) scheduleComparison() {
 	v.simulation.After(viewIntervalMicros, func() {
@@ -89,9 +95,9 @@
 	return result.Replies
 }
 
-func (p payloadHandler) applyEndpoints(r *virtualRouter, list []gossip.Endpoint) {
+func (p payloadHandler) applyEndpoints(router *virtualRouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
-		r.engine.UpdateEndpoints(p.now(), policy.ScopeDiff, engineEndpoints(list))
+		router.engine.UpdateEndpoints(p.now(), policy.ScopeDiff, engineEndpoints(list))
 	}
 }
 
@@ -106,15 +112,15 @@
 
 // mergeEndpoints is an update by the discovery service, merged with what other routers know
 // of later changes.
-func (v *virtualRun) mergeEndpoints(r *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
-	if r.replica == nil {
+func (v *virtualRun) mergeEndpoints(router *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
+	if router.replica == nil {
 		return list
 	}
 	out := make([]gossip.Endpoint, len(list))
 	for i, endpoint := range list {
 		out[i] = gossip.Endpoint{Endpoint: endpoint.Endpoint, Address: endpoint.Address}
 	}
-	return engineEndpoints(r.replica.ApplyLocal(v.now(), complete, out))
+	return engineEndpoints(router.replica.ApplyLocal(v.now(), complete, out))
 }
 
 // engineEndpoints is a replica's endpoints in the engine's type.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,6 +20,7 @@
 	"quilldoor/internal/gateway/peerpolicy"
 	"quilldoor/internal/gateway/peerproto"
 	"quilldoor/internal/policy"
+	"quilldoor/internal/testsupport"
 )
 
 // wire is a proxy between two sites that can be delayed and cut, each way alone.
@@ -115,6 +116,31 @@
 	defer s.mu.Unlock()
 	s.execute = carry
 }
+
+// executesUntilGone lets each request run until its client is gone, and tells of each end.
+func (s *side) executesUntilGone() (ended <-chan struct{}) {
+	ends := make(chan struct{}, 9)
+	s.executes(func(left <-chan struct{}, _ *Request) Reply {
+		<-left
+		ends <- struct{}{}
+		return Reply{Outcome: peerpolicy.OutcomeAborted}
+	})
+	return ends
+}
+
+// expectNoneRanTwice fails the test if a request was executed twice, and returns how many were executed.
+func (s *side) expectNoneRanTwice(t *testing.T) (ran int) {
+	t.Helper()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for request, n := range s.ran {
+		if n > 1 {
+			t.Errorf("request %s run %d times", request, n)
+		}
+	}
+	return len(s.ran)
+}
+
 func (s *side) Purges(string, int64) []peerproto.Purge { return s.known }
 func (s *side) Purge(object string, group, at int64) {
 	s.mu.Lock()
@@ -152,17 +178,6 @@
 	return s
 }
 
-func until(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for range 5000 {
-		if ok() {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Fatal(what, "has not come")
-}
-
 func (s *side) isConnected() bool {
 	s.Gateway.mu.Lock()
 	defer s.Gateway.mu.Unlock()
@@ -176,7 +191,7 @@
 	south = newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, nil)
 	w = newWire(t, south.addr)
 	north = newSide(t, "n", "north", []Peer{{"s", "south", w.Addr().String()}}, nil)
-	until(t, "a healthy peer", func() bool { return north.isConnected() })
+	testsupport.WaitUntil(t, "a healthy peer", func() bool { return north.isConnected() })
 	return north, south, w
 }
 
@@ -195,25 +210,39 @@
 	return out
 }
 
-func get(t *testing.T, c chan Reply) Reply {
+// awaitReply returns the first end of a request.
+func awaitReply(t *testing.T, replies chan Reply) Reply {
 	t.Helper()
-	if c == nil {
+	if replies == nil {
 		t.Fatal("not forwarded")
 	}
 	select {
-	case r := <-c:
-		select {
-		case again := <-c:
-			t.Fatalf("a second end: %+v", again)
-		case <-time.After(20 * time.Millisecond):
-		}
-		return r
+	case reply := <-replies:
+		return reply
 	case <-time.After(5 * time.Second):
 		t.Fatal("no end")
 	}
 	return Reply{}
 }
 
+// expectNoSecondReply fails the test where a request ends twice.
+func expectNoSecondReply(t *testing.T, replies chan Reply) {
+	t.Helper()
+	select {
+	case again := <-replies:
+		t.Fatalf("a second end: %+v", again)
+	case <-time.After(20 * time.Millisecond):
+	}
+}
+
+// get returns the one end of a request.
+func get(t *testing.T, replies chan Reply) Reply {
+	t.Helper()
+	reply := awaitReply(t, replies)
+	expectNoSecondReply(t, replies)
+	return reply
+}
+
 func TestForwardedRequestIsAnswered(t *testing.T) {
 	north, south, _ := pair(t)
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
@@ -241,7 +270,7 @@
 			t.Errorf("%v for %+v", r.Outcome, far)
 		}
 	}
-	until(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of all", func() bool { return north.Status().ForwardedInFlight == 0 && south.Status().InboundInFlight == 0 })
 	for _, s := range []*side{north, south} { // all buffers are back
 		for n := 0; n < 512; n++ {
 			if _, err := s.pool.ReadBody(strings.NewReader("x"), 1); err != nil {
@@ -272,7 +301,7 @@
 		"requests lost, unsafe": {peerpolicy.EffectUnsafe, peerpolicy.OutcomeAborted, func() { w.dead[0].Store(true) }},
 		"both lost, safe":       {peerpolicy.EffectIdempotent, peerpolicy.OutcomeRejected, func() { w.dead[0].Store(true); w.dead[1].Store(true) }},
 	} {
-		until(t, name+": a healthy peer", func() bool { return north.isConnected() })
+		testsupport.WaitUntil(t, name+": a healthy peer", func() bool { return north.isConnected() })
 		out := north.send(c.effect, name, nil, 3*time.Second)
 		<-running
 		began := time.Now()
@@ -290,15 +319,8 @@
 		w.cut()
 		wake <- true
 	}
-	south.mu.Lock()
-	defer south.mu.Unlock()
-	for request, n := range south.ran {
-		if n > 1 {
-			t.Errorf("request %s run %d times", request, n)
-		}
-	}
-	if len(south.ran) != 5 {
-		t.Errorf("%d requests run", len(south.ran))
+	if ran := south.expectNoneRanTwice(t); ran != 5 {
+		t.Errorf("%d requests run", ran)
 	}
 }
 
@@ -306,78 +328,85 @@
 // that may have been executed, and the peer hears that it was given up.
 func TestSlowPeerIsGivenUpInTime(t *testing.T) {
 	north, south, _ := pair(t)
-	gone := make(chan bool, 9)
-	south.executes(func(left <-chan struct{}, _ *Request) Reply {
-		<-left
-		gone <- true
-		return Reply{Outcome: peerpolicy.OutcomeAborted}
-	})
+	gone := south.executesUntilGone()
 	for _, effect := range []peerpolicy.Effect{peerpolicy.EffectIdempotent, peerpolicy.EffectIdempotencyKey, peerpolicy.EffectUnsafe} {
+		const timeLimit = 300 * time.Millisecond
 		began := time.Now()
-		if r := get(t, north.send(effect, "x", nil, 300*time.Millisecond)); r.Outcome != peerpolicy.OutcomeAborted {
-			t.Errorf("effect %d: %v", effect, r.Outcome)
-		}
-		if took := time.Since(began); took > 320*time.Millisecond {
+		replies := north.send(effect, "x", nil, timeLimit)
+		reply := awaitReply(t, replies)
+		if took := time.Since(began); took > timeLimit {
 			t.Errorf("effect %d: told after %v", effect, took)
 		}
+		if reply.Outcome != peerpolicy.OutcomeAborted {
+			t.Errorf("effect %d: %v", effect, reply.Outcome)
+		}
+		expectNoSecondReply(t, replies)
 		<-gone
 	}
 }
 
+// forwardingLoad forwards requests to a peer, one after the other, and counts how they end.
+type forwardingLoad struct {
+	north            *side
+	stop             chan struct{}
+	forwarded, ended atomic.Int64
+	mu               sync.Mutex
+	outcomes         map[peerpolicy.Outcome]int
+}
+
+func (l *forwardingLoad) run(t *testing.T) {
+	for i := 0; ; i++ {
+		select {
+		case <-l.stop:
+			return
+		default:
+		}
+		const effects = 3
+		replies := l.north.send(peerpolicy.Effect(i%effects), "x", nil, 300*time.Millisecond)
+		if replies == nil {
+			time.Sleep(time.Millisecond)
+			continue
+		}
+		l.forwarded.Add(1)
+		select {
+		case reply := <-replies:
+			l.count(reply)
+		case <-time.After(2 * time.Second):
+			t.Error("a request without an end")
+			return
+		}
+	}
+}
+
+func (l *forwardingLoad) count(reply Reply) {
+	l.ended.Add(1)
+	reply.Body.Release()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.outcomes[reply.Outcome]++
+}
+
 // A slow link ends a request in its time; one that is cut and joined again and again loses
 // none and duplicates none.
 func TestCutsLoseAndDuplicateNoRequest(t *testing.T) {
 	north, south, w := pair(t)
 	w.delay.Store(int64(2 * time.Millisecond))
-	var ends sync.Map
-	var all sync.WaitGroup
-	over := make(chan bool)
-	var handed, ended atomic.Int64
+	load := &forwardingLoad{north: north, stop: make(chan struct{}), outcomes: map[peerpolicy.Outcome]int{}}
+	var clients sync.WaitGroup
 	for range 4 {
-		all.Go(func() {
-			for i := 0; ; i++ {
-				select {
-				case <-over:
-					return
-				default:
-				}
-				effect := peerpolicy.Effect(i % 3)
-				out := north.send(effect, "x", nil, 300*time.Millisecond)
-				if out == nil {
-					time.Sleep(time.Millisecond)
-					continue
-				}
-				handed.Add(1)
-				select {
-				case r := <-out:
-					ended.Add(1)
-					r.Body.Release()
-					n, _ := ends.LoadOrStore(r.Outcome, new(atomic.Int64))
-					n.(*atomic.Int64).Add(1)
-				case <-time.After(2 * time.Second):
-					t.Error("a request without an end")
-					return
-				}
-			}
-		})
+		clients.Go(func() { load.run(t) })
 	}
 	for range 12 {
 		time.Sleep(120 * time.Millisecond)
 		w.cut()
 	}
-	close(over)
-	all.Wait()
-	south.mu.Lock()
-	defer south.mu.Unlock()
-	for request, n := range south.ran {
-		if n > 1 {
-			t.Errorf("request %s run %d times", request, n)
-		}
-	}
-	if handed.Load() != ended.Load() || handed.Load() < 50 {
-		t.Fatalf("%d handed over, %d ended", handed.Load(), ended.Load())
+	close(load.stop)
+	clients.Wait()
+	south.expectNoneRanTwice(t)
+	if forwarded, ended := load.forwarded.Load(), load.ended.Load(); forwarded != ended || forwarded < 50 {
+		t.Fatalf("%d forwarded, %d ended", forwarded, ended)
 	}
-	ends.Range(func(k, v any) bool { t.Logf("outcome %v: %d", k, v.(*atomic.Int64).Load()); return true })
+	t.Logf("by outcome: %v", load.outcomes)
 }
 
 // The forwarding site's purges travel with a request, and no older copy comes back.
@@ -403,21 +432,16 @@
 // A client that leaves, and a router that drains.
 func TestClientGoneAndDrain(t *testing.T) {
 	north, south, _ := pair(t)
-	gone := make(chan bool, 1)
-	south.executes(func(left <-chan struct{}, _ *Request) Reply {
-		<-left
-		gone <- true
-		return Reply{Outcome: peerpolicy.OutcomeAborted}
-	})
+	gone := south.executesUntilGone()
 	out := north.send(peerpolicy.EffectIdempotent, "x", nil, 3*time.Second)
-	until(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
+	testsupport.WaitUntil(t, "the request", func() bool { return south.Status().InboundInFlight == 1 })
 	north.Cancel(fmt.Sprintf("%016x", count.Load()))
 	<-gone
 	if len(out) > 0 {
 		t.Error("an end for a client that had left")
 	}
 	south.Drain()
-	until(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
+	testsupport.WaitUntil(t, "the news of the drain", func() bool { return north.Status().Peers[0].State == "leaving" })
 	if north.send(peerpolicy.EffectIdempotent, "x", nil, time.Second) != nil {
 		t.Error("handed over to one that drains")
 	}
@@ -466,7 +490,7 @@
 		t.Fatalf("%v after all that", r.Outcome)
 	}
 	r.Body.Release()
-	until(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of what they left", func() bool { return south.Status().InboundInFlight == 0 })
 }
 
 // The clocks of two sites may be hours apart: a frame's delay is counted from the quickest
@@ -487,6 +511,18 @@
 	}
 }
 
+// loadKeys loads a router's certificate and the issuer that its peers must have.
+func loadKeys(t testing.TB, dir, name, issuerDir string) *Keys {
+	t.Helper()
+	keys := &Keys{
+		Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(issuerDir, "ca.pem"),
+	}
+	if err := keys.Load(); err != nil {
+		t.Fatal(err)
+	}
+	return keys
+}
+
 // Valid certificates, and each kind of invalid one with its reason.
 func TestKeys(t *testing.T) {
 	dir, other, old := t.TempDir(), t.TempDir(), t.TempDir()
@@ -495,16 +531,10 @@
 			t.Fatal(err)
 		}
 	}
-	keys := func(d, name, ca string) *Keys {
-		k := &Keys{Cert: filepath.Join(d, name+".pem"), Key: filepath.Join(d, name+".key"), CA: filepath.Join(ca, "ca.pem")}
-		if err := k.Load(); err != nil {
-			t.Fatal(err)
-		}
-		return k
-	}
+	keys := func(d, name, ca string) *Keys { return loadKeys(t, d, name, ca) }
 	logged := func(s *side, what string) {
 		t.Helper()
-		until(t, what, func() bool {
+		testsupport.WaitUntil(t, what, func() bool {
 			for _, e := range s.hook.AllEntries() {
 				if e.Data["reason"] == what {
 					return true
@@ -517,7 +547,7 @@
 	south := newSide(t, "s", "south", []Peer{{"n", "north", "127.0.0.1:1"}}, own)
 	join := func(k *Keys) *side { return newSide(t, "n", "north", []Peer{{"s", "south", south.addr}}, k) }
 	north := join(keys(dir, "n", dir))
-	until(t, "a healthy peer", func() bool { return north.isConnected() })
+	testsupport.WaitUntil(t, "a healthy peer", func() bool { return north.isConnected() })
 	r := get(t, north.send(peerpolicy.EffectIdempotent, "film", nil, time.Second))
 	if r.Outcome != peerpolicy.OutcomeCompleted {
 		t.Fatal(r.Outcome)
@@ -580,5 +610,5 @@
 		t.Fatalf("%d requests run for it, %d hold a place", n, south.Status().InboundInFlight)
 	}
 	c.Close()
-	until(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
+	testsupport.WaitUntil(t, "the end of them", func() bool { return south.Status().InboundInFlight == 0 })
 }
