--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,11 @@
 // Package settings reads the settings object that a router starts with, as the simulator's wire and the router's
 // configuration both give it, and turns it into the settings of package policy. The object's words are mapped here
-// and nowhere else.
+// and nowhere else. Package config also reads it: it checks the values, and takes from it what bounds connections and
+// times of the sockets (config.Limits).
 //
 // The fields have the names of the object's keys. A missing key is the field's zero value: that is the default where
 // a comment names no other. Names that end in Ms are milliseconds, those in KbPerS kilobytes a second. Fields marked
-// unused are accepted for sites that give them, and decide nothing. Package config says which values a router refuses.
+// unused are accepted for sites that give them, and decide nothing.
 package settings
 
 import (
@@ -13,7 +14,7 @@
 	"quilldoor/internal/policy"
 )
 
-// Micros turns milliseconds into whole microseconds.
+// Micros turns milliseconds into whole microseconds, rounded to the nearest one.
 func Micros(ms float64) int64 {
 	const microsPerMilli = 1000
 	return int64(math.Round(ms * microsPerMilli))
@@ -85,8 +86,8 @@
 
 // Contract is what the site's endpoints and clients are promised, and what they promise.
 type Contract struct {
-	// AnswerSlackMs is how long after its deadline a request that has no response yet is failed. A short time
-	// ends it before a response that is under way; a long one makes clients wait for an answer that counts no more.
+	// AnswerSlackMs is how long after its deadline a request that has no response yet is failed. With a short time
+	// a response under way may come too late; a long one makes clients wait for an answer that counts no more.
 	AnswerSlackMs float64
 
 	// AskEveryMs is unused.
@@ -142,7 +143,7 @@
 	// number takes more connections; with a high one a broken connection fails more attempts.
 	StreamsPerConn int
 
-	// MaxRetryAfterMs is the time that rejected clients are told to wait. A long one takes load off sooner, and
+	// MaxRetryAfterMs is the time that rejected clients are told to wait, always in full. A long one takes load off sooner, and
 	// leaves capacity unused once the overload is over.
 	MaxRetryAfterMs float64
 
@@ -296,7 +297,8 @@
 	return element
 }
 
-// PolicySettings returns what the decisions use of the settings object.
+// PolicySettings returns the settings of package policy, in microseconds. A Group that is unknown counts as all. An
+// Effect that is unknown would count as safe: package config refuses it before.
 func (s *Setup) PolicySettings() policy.Settings {
 	settings := policy.Settings{
 		Routers:       s.Siblings,
