--- a/cmd/quilldoor-lab/result.go
+++ b/cmd/quilldoor-lab/result.go
@@ -41,7 +41,8 @@
 			}
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t\n",
 				class.Name, phase, outcomes.Requests, outcomes.InTime, outcomes.Late, outcomes.Stale,
-				outcomes.Rejected, outcomes.Failed, outcomes.EarnedWeight/outcomes.PossibleWeight, class.Quantile(50)/1000, class.Quantile(99)/1000)
+				outcomes.Rejected, outcomes.Failed, outcomes.EarnedWeight/outcomes.PossibleWeight,
+				class.Quantile(50)/1000, class.Quantile(99)/1000)
 		}
 	}
 }
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -45,9 +45,6 @@
 	attemptDone      = "done"
 )
 
-// provesNeverRan holds the outcomes that prove that an attempt was not executed.
-var provesNeverRan = map[string]bool{"busy": true, "enoent": true, "econnrefused": true, "skipped": true}
-
 func (r *request) attempt(entry *eventlog.Entry) *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].router == entry.Router && r.attempts[i].number == entry.Attempt {
@@ -111,27 +108,6 @@
 	})
 }
 
-// checkRetry judges rule 2 where an attempt follows others.
-func (c *Checker) checkRetry(entry *eventlog.Entry, request *request) {
-	if request.class.Effect == policy.EffectIdempotent {
-		return
-	}
-	window := request.class.DedupWindow
-	for _, earlier := range request.attempts {
-		if provesNeverRan[earlier.outcome] {
-			continue
-		}
-		switch {
-		case request.class.Effect == policy.EffectUnsafe:
-			c.violate(ruleNoDuplicateEffect, entry, "sent again while attempt %d (%q) may have run",
-				earlier.number, earlier.outcome)
-		case window > 0 && entry.At-earlier.sentAt >= window:
-			c.violate(ruleNoDuplicateEffect, entry, "a keyed request sent again %d ms after attempt %d, past the window",
-				(entry.At-earlier.sentAt)/ms, earlier.number)
-		}
-	}
-}
-
 func (c *Checker) attemptRan(entry *eventlog.Entry) {
 	request := c.requests[requestID{entry.Router, entry.Request}]
 	if request == nil {
@@ -186,27 +162,6 @@
 	}
 }
 
-func (c *Checker) checkAnswerTime(entry *eventlog.Entry, request *request) {
-	switch {
-	case entry.At <= request.deadline+c.settings.AnswerSlack:
-	case c.stalledAt(entry.Router, request.deadline) && c.stalledAt(entry.Router, entry.At):
-		c.Excused++
-	default:
-		c.violate(ruleOneAnswer, entry, "answered %d ms too late", (entry.At-request.deadline)/ms)
-	}
-}
-
-// checkRejection judges rule 2 where a request is rejected, which promises that it did not
-// run.
-func (c *Checker) checkRejection(entry *eventlog.Entry, request *request) {
-	for _, attempt := range request.attempts {
-		if attempt.ran || !provesNeverRan[attempt.outcome] {
-			c.violate(ruleNoDuplicateEffect, entry, "rejected while attempt %d (%q) may have run",
-				attempt.number, attempt.outcome)
-		}
-	}
-}
-
 func (c *Checker) clientLeft(entry *eventlog.Entry) {
 	id := requestID{entry.Router, entry.Request}
 	request := c.requests[id]
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -1,11 +1,7 @@
 package emulator
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
-	"fmt"
-	"io"
 	"math/rand/v2"
 	"os"
 	"os/exec"
@@ -14,22 +10,15 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/goccy/go-yaml"
 
-	"quilldoor/internal/loopback"
 	"quilldoor/internal/operatorconfig"
 	"quilldoor/internal/scenario"
 )
 
 const (
-	// detectionMemoryMB and detectionSockets are the limits of each router process.
-	detectionMemoryMB = 64
-	detectionSockets  = 256
-	// detectionSeeds is how many routers the others know from the start.
-	detectionSeeds = 3
 	// detectionEventQueue is how many events may wait until a router's log is read on.
 	detectionEventQueue = 4096
-	// detectionRandomStream sets the draws of Detection apart from others of the same seed.
+	// detectionRandomStream sets the draws of the measurement apart from others of the same seed.
 	detectionRandomStream = 5
 	// joinTime is how long the routers have to find each other.
 	joinTime = 15 * time.Second
@@ -126,95 +115,6 @@
 	return detected, nil
 }
 
-// startAll reserves addresses for the routers and starts them.
-func (d *detectionRun) startAll(routers int) error {
-	for i := range routers {
-		addr, err := loopback.Reserve() // for UDP and TCP
-		if err != nil {
-			return err
-		}
-		d.peers = append(d.peers, operatorconfig.MembershipPeer{Name: routerName(i), Addr: addr.String()})
-	}
-	if err := os.WriteFile(d.keyFile, []byte(membershipKey), 0o600); err != nil {
-		return err
-	}
-	d.commands = make([]*exec.Cmd, routers)
-	for i := range routers {
-		if err := d.start(i); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// start starts a router process and follows its log.
-func (d *detectionRun) start(i int) error {
-	config, operator, err := d.writeConfig(i)
-	if err != nil {
-		return err
-	}
-	cmd := exec.CommandContext(d.ctx, d.program,
-		"serve", "--config", config, "--operator", operator, "--log-format", "json")
-	cmd.Env = routerEnvironment()
-	reader, writer := io.Pipe()
-	cmd.Stderr = writer
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	d.goroutines.Go(func() { d.followLog(i, reader) })
-	d.goroutines.Go(func() {
-		_ = cmd.Wait() // it is killed
-		writer.Close()
-	})
-	d.commands[i] = cmd
-	return nil
-}
-
-// writeConfig writes a router's two configuration files: the platform's and the operator's.
-func (d *detectionRun) writeConfig(i int) (config, operator string, err error) {
-	name := routerName(i)
-	operatorText, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{
-		Name: name, Listen: d.peers[i].Addr, KeyFile: d.keyFile, Peers: d.peers[:min(len(d.peers), detectionSeeds)],
-	}})
-	if err != nil {
-		return "", "", err
-	}
-	configText, err := json.Marshal(platformConfig{
-		Name:      name,
-		Listen:    d.peers[i].Addr,
-		Seed:      fmt.Sprint(i + 1),
-		Discovery: "127.0.0.1:1", // nobody listens there
-		Limits:    processLimits{Cores: processCores, MemoryMB: detectionMemoryMB, Sockets: detectionSockets},
-		Settings:  d.scenario.Settings(0, 0),
-		Known:     discoveryUpdate{Events: []json.RawMessage{}},
-	})
-	if err != nil {
-		return "", "", err
-	}
-	config = filepath.Join(d.dir, name+".json")
-	if err := os.WriteFile(config, configText, 0o600); err != nil {
-		return "", "", err
-	}
-	operator = filepath.Join(d.dir, name+".yaml")
-	return config, operator, os.WriteFile(operator, operatorText, 0o600)
-}
-
-// followLog passes on what a router logs about members, until its process ends.
-func (d *detectionRun) followLog(router int, log io.Reader) {
-	scanner := bufio.NewScanner(log)
-	for scanner.Scan() {
-		var line struct{ Msg, Member string }
-		if json.Unmarshal(scanner.Bytes(), &line) != nil || line.Member == "" {
-			continue
-		}
-		select {
-		case d.events <- memberEvent{router, line.Msg, line.Member, time.Now()}:
-		case <-d.ctx.Done():
-		}
-	}
-	_, _ = io.Copy(io.Discard, log) // a line that is too long ends the scan, not the process
-}
-
 // waitLogged waits until so many routers have logged a message about a member, and returns
 // when the last of them did.
 func (d *detectionRun) waitLogged(message, member string, want int, within time.Duration) (last time.Time, ok bool) {
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -29,36 +29,38 @@
 func (s *Supervised) Count() int { return len(s.routers) }
 
 // SupervisorDir is the folder of a router's supervisor.
-func (s *Supervised) SupervisorDir(i int) string {
-	return filepath.Join(s.dir, fmt.Sprintf("k%d", i+1))
+func (s *Supervised) SupervisorDir(router int) string {
+	return filepath.Join(s.dir, fmt.Sprintf("k%d", router+1))
 }
 
 // Operator is the file of a router's operator configuration.
-func (s *Supervised) Operator(i int) string { return filepath.Join(s.dir, routerName(i)+".yaml") }
+func (s *Supervised) Operator(router int) string {
+	return filepath.Join(s.dir, routerName(router)+".yaml")
+}
 
 // Log is the file that a supervised router's processes log to.
-func (s *Supervised) Log(i int) string { return filepath.Join(s.dir, routerName(i)+".log") }
+func (s *Supervised) Log(router int) string { return filepath.Join(s.dir, routerName(router)+".log") }
 
 // View asks a router for its membership view.
-func (s *Supervised) View(i int) (*membership.View, error) {
-	return transport.Query([]byte(membershipKey), routerName(i), s.routers[i].membershipAddr)
+func (s *Supervised) View(router int) (*membership.View, error) {
+	return transport.Query([]byte(membershipKey), routerName(router), s.routers[router].membershipAddr)
 }
 
 // Config is the file of the platform's configuration of a router.
-func (s *Supervised) Config(i int) string { return s.routers[i].configPath() }
+func (s *Supervised) Config(router int) string { return s.routers[router].configPath() }
 
 // Plan is the file where the routers look for a rollout plan. The run doesn't create it.
 func (s *Supervised) Plan() string { return filepath.Join(s.dir, "plan.yaml") }
 
 // Name is a router's member name and its office.
-func (s *Supervised) Name(i int) (name, office string) {
-	return routerName(i), scenario.Zone(s.simulation.Office(i))
+func (s *Supervised) Name(router int) (name, office string) {
+	return routerName(router), scenario.Zone(s.simulation.Office(router))
 }
 
 // Rollout gives a router a command on the rollout and returns the rollout's status. 0: only
 // the status.
-func (s *Supervised) Rollout(i int, command rollout.Command) (*rollout.Status, error) {
-	reply, err := s.Ask(i, &handoff.Message{Kind: handoff.KindRollout, Command: command})
+func (s *Supervised) Rollout(router int, command rollout.Command) (*rollout.Status, error) {
+	reply, err := s.Ask(router, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
 		return nil, err
 	}
@@ -69,16 +71,16 @@
 }
 
 // Listen is the address where clients reach a router.
-func (s *Supervised) Listen(i int) string { return s.routers[i].clientAddr }
+func (s *Supervised) Listen(router int) string { return s.routers[router].clientAddr }
 
 // Ask sends a message to a router's supervisor and returns its last reply.
-func (s *Supervised) Ask(i int, message *handoff.Message) (*handoff.Message, error) {
-	return handoff.Request(filepath.Join(s.SupervisorDir(i), upgradeagent.SocketName), message, nil)
+func (s *Supervised) Ask(router int, message *handoff.Message) (*handoff.Message, error) {
+	return handoff.Request(filepath.Join(s.SupervisorDir(router), upgradeagent.SocketName), message, nil)
 }
 
 // Status is the status of a router's supervisor.
-func (s *Supervised) Status(i int) (*handoff.Status, error) {
-	reply, err := s.Ask(i, &handoff.Message{Kind: handoff.KindStatus})
+func (s *Supervised) Status(router int) (*handoff.Status, error) {
+	reply, err := s.Ask(router, &handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +92,7 @@
 
 // WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
 func (s *Supervised) WaitStatus(
-	i int, within time.Duration, reached func(*handoff.Status) bool,
+	router int, within time.Duration, reached func(*handoff.Status) bool,
 ) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
 	var last *handoff.Status
@@ -100,13 +102,14 @@
 			return last, s.ctx.Err()
 		}
 		var status *handoff.Status
-		if status, err = s.Status(i); err == nil {
+		if status, err = s.Status(router); err == nil {
 			if last = status; reached(status) {
 				return status, nil
 			}
 		}
 	}
-	return last, errors.Join(fmt.Errorf("router %d has not reached the wanted status after %v: %+v", i, within, last), err)
+	timeout := fmt.Errorf("router %d has not reached the wanted status after %v: %+v", router, within, last)
+	return last, errors.Join(timeout, err)
 }
 
 // signalKinds are the event log's entries for signals that change what is expected of a router.
@@ -118,15 +121,15 @@
 
 // Signal sends a signal to a process of a router and notes it in the event log: a killed
 // process owes no answers, and what fell due while one was stopped is counted apart.
-func (s *Supervised) Signal(i, pid int, signal syscall.Signal) error {
+func (s *Supervised) Signal(router, pid int, signal syscall.Signal) error {
 	err := s.callInLoop(func() error {
 		if kind := signalKinds[signal]; kind != "" {
-			s.Record(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: i})
+			s.Record(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: router})
 		}
 		return syscall.Kill(pid, signal)
 	})
 	if err == nil && signal == syscall.SIGKILL {
-		s.waitGone(i, pid)
+		s.waitGone(router, pid)
 	}
 	return err
 }
@@ -147,7 +150,7 @@
 // waitGone waits until a killed process has ended, and notes the crash again. On a busy
 // machine that takes milliseconds, in which the system still accepts connections for it:
 // it owes no answers on these either.
-func (s *Supervised) waitGone(i, pid int) {
+func (s *Supervised) waitGone(router, pid int) {
 	for s.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, ok := strings.Cut(string(stat), ") ")
@@ -158,18 +161,18 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	s.ExcuseCrash(i)
+	s.ExcuseCrash(router)
 }
 
 // ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
 // it owes no answers.
-func (s *Supervised) ExcuseCrash(i int) {
-	s.runInLoop(func() { s.Record(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: i}) })
+func (s *Supervised) ExcuseCrash(router int) {
+	s.runInLoop(func() { s.Record(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: router}) })
 }
 
 // KillSupervisor kills a router's supervisor alone. Its generations run on.
-func (s *Supervised) KillSupervisor(i int) error {
-	process := s.routers[i]
+func (s *Supervised) KillSupervisor(router int) error {
+	process := s.routers[router]
 	var exited <-chan struct{}
 	err := s.callInLoop(func() error {
 		process.killed = true
@@ -185,14 +188,14 @@
 }
 
 // StartSupervisor starts a router's supervisor again, on the same machine.
-func (s *Supervised) StartSupervisor(i int) error {
-	return s.callInLoop(s.routers[i].launch)
+func (s *Supervised) StartSupervisor(router int) error {
+	return s.callInLoop(s.routers[router].launch)
 }
 
 // Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
-func (s *Supervised) Restart(i int) error {
-	process := s.routers[i]
+func (s *Supervised) Restart(router int) error {
+	process := s.routers[router]
 	err := s.callInLoop(func() error {
 		process.killed = true
 		return process.cmd.Process.Signal(syscall.SIGTERM)
@@ -202,8 +205,8 @@
 	}
 	<-process.exited
 	return s.callInLoop(func() error {
-		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: i})
-		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: i})
+		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterDown, At: s.simulation.Now(), Router: router})
+		s.Record(&eventlog.Entry{Kind: eventlog.KindRouterUp, At: s.simulation.Now(), Router: router})
 		return process.start(s.simulation.EndpointList())
 	})
 }
--- a/internal/simfleet/delivery.go
+++ b/internal/simfleet/delivery.go
@@ -18,18 +18,18 @@
 
 // send encodes messages and hands them to the network.
 func (f *Fleet) send(from *Host, out []membership.Outbound) {
-	for _, o := range out {
+	for _, outbound := range out {
 		if f.BeforeSend != nil {
-			f.BeforeSend(from, o.Message)
+			f.BeforeSend(from, outbound.Message)
 		}
-		body, err := cbor.Marshal(o.Message)
+		body, err := cbor.Marshal(outbound.Message)
 		if err != nil {
 			panic(fmt.Errorf("encode message: %w", err)) // its types can all be encoded
 		}
 		size := len(body) + datagramOverhead
 		from.SentBytes += int64(size)
 		from.SentMessages++
-		to := f.byName[o.To]
+		to := f.byName[outbound.To]
 		if to == nil {
 			continue
 		}
@@ -55,17 +55,17 @@
 }
 
 // receive hands a message to a router's detector, and its payloads to the handler.
-func (f *Fleet) receive(h *Host, msg *membership.Message) {
-	node, isNode := h.Detector.(*membership.Node)
+func (f *Fleet) receive(host *Host, msg *membership.Message) {
+	node, isNode := host.Detector.(*membership.Node)
 	if !isNode || f.Payloads == nil {
-		f.send(h, h.Detector.Receive(f.Now, netip.AddrPort{}, msg))
+		f.send(host, host.Detector.Receive(f.Now, netip.AddrPort{}, msg))
 		return
 	}
-	node.SetGossipDigest(f.Payloads.Digest(h))
-	f.send(h, node.Receive(f.Now, netip.AddrPort{}, msg))
-	for _, p := range node.Payloads() {
-		for _, body := range f.Payloads.HandlePayload(h, p) {
-			f.send(h, node.SendPayload(p.From, body))
+	node.SetGossipDigest(f.Payloads.Digest(host))
+	f.send(host, node.Receive(f.Now, netip.AddrPort{}, msg))
+	for _, payload := range node.Payloads() {
+		for _, body := range f.Payloads.HandlePayload(host, payload) {
+			f.send(host, node.SendPayload(payload.From, body))
 		}
 	}
 }
--- a/internal/simfleet/detection.go
+++ b/internal/simfleet/detection.go
@@ -27,8 +27,8 @@
 	const detectionTimeout = 20 * second
 	observers := 0
 	detectedAt := int64(0)
-	f.OnChange = func(_ *Host, c membership.Change) {
-		if c.Name != Name(victim) || c.To != membership.StateDead {
+	f.OnChange = func(_ *Host, change membership.Change) {
+		if change.Name != Name(victim) || change.To != membership.StateDead {
 			return
 		}
 		observers++
--- a/internal/simfleet/experiment.go
+++ b/internal/simfleet/experiment.go
@@ -54,20 +54,20 @@
 	return f
 }
 
-func (e Experiment) newDetector(h *Host, now int64) Detector {
+func (e Experiment) newDetector(host *Host, now int64) Detector {
 	if e.Heartbeats {
 		// The routers' heartbeats are spread over the interval.
-		start := now + int64(h.ID)*heartbeatInterval/int64(e.Routers)
-		return NewHeartbeatDetector(h.Name, Seeds(e.Routers), heartbeatInterval, heartbeatMaxSilence, start)
+		start := now + int64(host.ID)*heartbeatInterval/int64(e.Routers)
+		return NewHeartbeatDetector(host.Name, Seeds(e.Routers), heartbeatInterval, heartbeatMaxSilence, start)
 	}
 	settings := membership.Settings{
-		Name:  h.Name,
+		Name:  host.Name,
 		Zone:  "office",
-		Addr:  Addr(h.ID),
+		Addr:  Addr(host.ID),
 		Seeds: Seeds(min(e.Routers, maxSeeds)),
 		Epoch: 1,
 	}
-	return membership.New(settings, rand.New(rand.NewPCG(e.Seed, uint64(h.ID)<<16|uint64(h.process))), now)
+	return membership.New(settings, rand.New(rand.NewPCG(e.Seed, uint64(host.ID)<<16|uint64(host.process))), now)
 }
 
 // newConvergedFleet starts a fleet and waits until all routers agree.
@@ -103,9 +103,9 @@
 
 // totalBytes sums the bytes that all routers have sent and received.
 func (f *Fleet) totalBytes() (sent, received int64) {
-	for _, h := range f.Hosts {
-		sent += h.SentBytes
-		received += h.ReceivedBytes
+	for _, host := range f.Hosts {
+		sent += host.SentBytes
+		received += host.ReceivedBytes
 	}
 	return sent, received
 }
--- a/internal/simfleet/heartbeat.go
+++ b/internal/simfleet/heartbeat.go
@@ -41,11 +41,11 @@
 		d.nextBeatAt = now + d.interval
 		out = d.heartbeats()
 	}
-	for _, m := range d.members {
-		if d.states[m.Name] == membership.StateAlive && now-d.heardAt[m.Name] > d.maxSilence {
-			d.states[m.Name] = membership.StateDead
+	for _, member := range d.members {
+		if d.states[member.Name] == membership.StateAlive && now-d.heardAt[member.Name] > d.maxSilence {
+			d.states[member.Name] = membership.StateDead
 			changes = append(changes, membership.Change{
-				At: now, Name: m.Name, From: membership.StateAlive, To: membership.StateDead,
+				At: now, Name: member.Name, From: membership.StateAlive, To: membership.StateDead,
 			})
 		}
 	}
@@ -53,12 +53,12 @@
 }
 
 func (d *HeartbeatDetector) heartbeats() (out []membership.Outbound) {
-	for _, m := range d.members {
-		if m.Name == d.self.Name {
+	for _, member := range d.members {
+		if member.Name == d.self.Name {
 			continue
 		}
-		msg := &membership.Message{Kind: membership.KindPing, Sender: d.self, To: m.Name}
-		out = append(out, membership.Outbound{To: m.Name, Addr: m.Addr, Message: msg})
+		msg := &membership.Message{Kind: membership.KindPing, Sender: d.self, To: member.Name}
+		out = append(out, membership.Outbound{To: member.Name, Addr: member.Addr, Message: msg})
 	}
 	return out
 }
--- a/internal/simfleet/schedule.go
+++ b/internal/simfleet/schedule.go
@@ -2,10 +2,10 @@
 
 import "container/heap"
 
-// event is something that happens at a time; events at the same time happen in the order of seq.
+// event is an action that is scheduled for a time; events of the same time run in the order of seq.
 type event struct {
 	at, seq int64
-	do      func()
+	action  func()
 }
 
 // eventQueue is a heap of events, the next one first.
@@ -29,13 +29,13 @@
 	return e
 }
 
-// Schedule has something done at a time, or now where that has passed.
-func (f *Fleet) Schedule(at int64, do func()) {
+// Schedule runs an action at a time, or now where that has passed.
+func (f *Fleet) Schedule(at int64, action func()) {
 	f.lastSeq++
-	heap.Push(&f.events, event{max(at, f.Now), f.lastSeq, do})
+	heap.Push(&f.events, event{max(at, f.Now), f.lastSeq, action})
 }
 
-// NextEvent returns when something happens next; a time that is never reached where nothing will.
+// NextEvent returns when the next action is due; a time that is never reached where none is scheduled.
 func (f *Fleet) NextEvent() int64 {
 	const never = 1 << 62 // far from an overflow of sums
 	if len(f.events) == 0 {
@@ -44,12 +44,12 @@
 	return f.events[0].at
 }
 
-// RunUntil does all that is scheduled up to a time, and sets the clock to it.
+// RunUntil runs the actions that are scheduled up to a time, and sets the clock to it.
 func (f *Fleet) RunUntil(at int64) {
 	for len(f.events) > 0 && f.events[0].at <= at {
-		e := heap.Pop(&f.events).(event)
-		f.Now = max(f.Now, e.at)
-		e.do()
+		next := heap.Pop(&f.events).(event)
+		f.Now = max(f.Now, next.at)
+		next.action()
 	}
 	f.Now = max(f.Now, at)
 }
--- a/internal/simfleet/simfleet.go
+++ b/internal/simfleet/simfleet.go
@@ -26,9 +26,9 @@
 
 // PayloadHandler is the subsystem that exchanges payloads between routers beside their membership.
 type PayloadHandler interface {
-	Digest(h *Host) uint32
-	HandlePayload(h *Host, p membership.Payload) (replies [][]byte)
-	Tick(h *Host)
+	Digest(host *Host) uint32
+	HandlePayload(host *Host, payload membership.Payload) (replies [][]byte)
+	Tick(host *Host)
 }
 
 // Host is one router's machine, with its process while that runs.
@@ -50,10 +50,10 @@
 	Network     *netsim.Network
 	Hosts       []*Host
 	Now         int64
-	NewDetector func(h *Host, now int64) Detector
-	Payloads    PayloadHandler                         // nil: none
-	OnChange    func(h *Host, c membership.Change)     // called for each change of a view; nil: none
-	BeforeSend  func(h *Host, msg *membership.Message) // called for each message; nil: none
+	NewDetector func(host *Host, now int64) Detector
+	Payloads    PayloadHandler                             // nil: none
+	OnChange    func(host *Host, change membership.Change) // called for each change of a view; nil: none
+	BeforeSend  func(host *Host, msg *membership.Message)  // called for each message; nil: none
 
 	byName  map[string]*Host
 	events  eventQueue
@@ -62,7 +62,7 @@
 }
 
 // New makes a fleet of n routers that don't run yet. newDetector makes the detector of one that starts.
-func New(n int, seed uint64, network *netsim.Network, newDetector func(h *Host, now int64) Detector) *Fleet {
+func New(n int, seed uint64, network *netsim.Network, newDetector func(host *Host, now int64) Detector) *Fleet {
 	f := &Fleet{
 		Network:     network,
 		NewDetector: newDetector,
@@ -70,9 +70,9 @@
 		random:      rand.New(rand.NewPCG(seed, 1)),
 	}
 	for i := range n {
-		h := &Host{ID: i, Name: Name(i)}
-		f.Hosts = append(f.Hosts, h)
-		f.byName[h.Name] = h
+		host := &Host{ID: i, Name: Name(i)}
+		f.Hosts = append(f.Hosts, host)
+		f.byName[host.Name] = host
 	}
 	return f
 }
@@ -96,24 +96,24 @@
 
 // Start starts the process of a router without stored state; nothing where it runs.
 func (f *Fleet) Start(i int) {
-	h := f.Hosts[i]
-	if h.Detector != nil {
+	host := f.Hosts[i]
+	if host.Detector != nil {
 		return
 	}
-	h.process++
-	h.paused = false
-	h.deferred = nil
-	h.Detector = f.NewDetector(h, f.Now)
-	f.tick(h, h.process)
+	host.process++
+	host.paused = false
+	host.deferred = nil
+	host.Detector = f.NewDetector(host, f.Now)
+	f.tick(host, host.process)
 }
 
 // Kill ends the process of a router without warning.
 func (f *Fleet) Kill(i int) {
-	h := f.Hosts[i]
-	h.process++
-	h.paused = false
-	h.deferred = nil
-	h.Detector = nil
+	host := f.Hosts[i]
+	host.process++
+	host.paused = false
+	host.deferred = nil
+	host.Detector = nil
 }
 
 // Pause stops the process of a router for a while; what arrives waits for it.
@@ -121,15 +121,15 @@
 
 // Resume lets a paused process go on, with what has waited for it.
 func (f *Fleet) Resume(i int) {
-	h := f.Hosts[i]
-	if !h.paused {
+	host := f.Hosts[i]
+	if !host.paused {
 		return
 	}
-	h.paused = false
-	deferred := h.deferred
-	h.deferred = nil
-	for _, do := range deferred {
-		do()
+	host.paused = false
+	deferred := host.deferred
+	host.deferred = nil
+	for _, action := range deferred {
+		action()
 	}
 }
 
@@ -137,37 +137,37 @@
 func (f *Fleet) Throttle(i int, share float64) { f.Hosts[i].throttled = share }
 
 // throttleDelay draws how long a throttled router takes to get to something that is due now.
-func (f *Fleet) throttleDelay(h *Host) int64 {
+func (f *Fleet) throttleDelay(host *Host) int64 {
 	const timeSlice = 60_000 // microseconds that others may have at once
-	if h.throttled == 0 || f.random.Float64() >= h.throttled {
+	if host.throttled == 0 || f.random.Float64() >= host.throttled {
 		return 0
 	}
-	return f.random.Int64N(int64(timeSlice * (1 + 4*h.throttled)))
+	return f.random.Int64N(int64(timeSlice * (1 + 4*host.throttled)))
 }
 
-// whenRunning does something in a router's process when it gets processor time, unless that process has ended by then.
-func (f *Fleet) whenRunning(h *Host, do func()) {
+// whenRunning runs an action in a router's process when it gets processor time, unless that process has ended by then.
+func (f *Fleet) whenRunning(host *Host, action func()) {
 	const maxDeferred = 4096 // as many as a socket's buffer holds
-	process := h.process
+	process := host.process
 	guarded := func() {
-		if h.process == process && h.Detector != nil {
-			do()
+		if host.process == process && host.Detector != nil {
+			action()
 		}
 	}
-	if h.paused {
-		if len(h.deferred) < maxDeferred {
-			h.deferred = append(h.deferred, guarded)
+	if host.paused {
+		if len(host.deferred) < maxDeferred {
+			host.deferred = append(host.deferred, guarded)
 		}
 		return
 	}
-	delay := f.throttleDelay(h)
+	delay := f.throttleDelay(host)
 	if delay == 0 {
 		guarded()
 		return
 	}
 	f.Schedule(f.Now+delay, func() {
-		if h.paused {
-			h.deferred = append(h.deferred, guarded)
+		if host.paused {
+			host.deferred = append(host.deferred, guarded)
 			return
 		}
 		guarded()
@@ -175,35 +175,35 @@
 }
 
 // tick calls a process's detector now and whenever it asks to be called.
-func (f *Fleet) tick(h *Host, process int) {
-	if h.process != process || h.Detector == nil {
+func (f *Fleet) tick(host *Host, process int) {
+	if host.process != process || host.Detector == nil {
 		return
 	}
-	f.whenRunning(h, func() {
-		next, out, changes := h.Detector.Tick(f.Now)
+	f.whenRunning(host, func() {
+		next, out, changes := host.Detector.Tick(f.Now)
 		if f.OnChange != nil {
-			for _, c := range changes {
-				f.OnChange(h, c)
+			for _, change := range changes {
+				f.OnChange(host, change)
 			}
 		}
-		f.send(h, out)
+		f.send(host, out)
 		if f.Payloads != nil {
-			f.Payloads.Tick(h)
+			f.Payloads.Tick(host)
 		}
-		f.Schedule(next, func() { f.tick(h, process) })
+		f.Schedule(next, func() { f.tick(host, process) })
 	})
 }
 
 // Converged reports whether all running routers hold just the running ones alive, and names one that does not.
 func (f *Fleet) Converged() (converged bool, difference string) {
-	for _, h := range f.Hosts {
-		if h.Detector == nil {
+	for _, host := range f.Hosts {
+		if host.Detector == nil {
 			continue
 		}
 		for _, other := range f.Hosts {
-			s := h.Detector.State(other.Name)
-			if (s == membership.StateAlive) != (other.Detector != nil) {
-				return false, fmt.Sprintf("%s holds %s %v", h.Name, other.Name, s)
+			state := host.Detector.State(other.Name)
+			if (state == membership.StateAlive) != (other.Detector != nil) {
+				return false, fmt.Sprintf("%s holds %s %v", host.Name, other.Name, state)
 			}
 		}
 	}
--- a/internal/simfleet/stability.go
+++ b/internal/simfleet/stability.go
@@ -28,8 +28,8 @@
 		f.Throttle(e.Routers-1-i, throttledShare)
 	}
 	var result StabilityResult
-	f.OnChange = func(_ *Host, c membership.Change) {
-		switch c.To {
+	f.OnChange = func(_ *Host, change membership.Change) {
+		switch change.To {
 		case membership.StateSuspect:
 			result.Suspicions++
 		case membership.StateDead:
--- a/internal/simulation/response_faults.go
+++ b/internal/simulation/response_faults.go
@@ -31,7 +31,8 @@
 	return server.kind == kindCache && (f.office == 0 || server.office == f.office-1)
 }
 
-// applyResponseFaults draws which fault, if any, changes a server's response. A response of policy.OutcomeUnknown is lost.
+// applyResponseFaults draws which fault, if any, changes a server's response. A response of policy.OutcomeUnknown is
+// lost.
 func (s *Simulation) applyResponseFaults(server *server, end AttemptResult) AttemptResult {
 	errorShare := s.scenario.Fleet.ErrorShare
 	if server.kind == kindCache && errorShare > 0 && s.random.Float64() < errorShare {
