--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -7,15 +7,15 @@
 // Counts are the totals of one router since its start, or over a sample. Weights are
 // priority weights. What an earlier generation does not report is zero and not compared.
 type Counts struct {
-	Requests      float64 `cbor:"1,keyasint,omitempty" json:"Txns"`
-	WeightOffered float64 `cbor:"2,keyasint,omitempty" json:"Asked"`
-	WeightEarned  float64 `cbor:"3,keyasint,omitempty" json:"Earned"`
-	Rejected      float64 `cbor:"4,keyasint,omitempty" json:"Refused"`
+	Requests      float64 `cbor:"1,keyasint,omitempty" json:"Txns"`     // that have ended
+	WeightOffered float64 `cbor:"2,keyasint,omitempty" json:"Asked"`    // of all of them
+	WeightEarned  float64 `cbor:"3,keyasint,omitempty" json:"Earned"`   // of those answered in time, and a part of it for late ones
+	Rejected      float64 `cbor:"4,keyasint,omitempty" json:"Refused"`  // answered that repeating is harmless
 	Failed        float64 `cbor:"5,keyasint,omitempty"`                 // aborted, or the client left without a response
 	Completed     float64 `cbor:"6,keyasint,omitempty" json:"Answered"` // answered with a response
 	// LogLatencySum is the sum of ln(latency / objective) of completed requests.
 	LogLatencySum float64                `cbor:"7,keyasint,omitempty" json:"Time"`
-	Attempts      float64                `cbor:"8,keyasint,omitempty" json:"Hops"`
+	Attempts      float64                `cbor:"8,keyasint,omitempty" json:"Hops"`  // of all requests
 	Classes       map[string]ClassCounts `cbor:"9,keyasint,omitempty" json:"Rules"` // by traffic class
 }
 
--- a/internal/canary/sequence.go
+++ b/internal/canary/sequence.go
@@ -9,8 +9,8 @@
 // Interval is a confidence interval of a difference, new less old, taken from the
 // confidence sequence at the current number of samples.
 type Interval struct {
-	Mean, Low, High float64
-	Samples         int
+	Mean, Low, High float64 // in the metric's unit; Low and High are infinite below two samples
+	Samples         int     // of the mean
 }
 
 // confidenceInterval returns the interval at the end of the samples. Fewer than two
--- a/internal/diskcache/health.go
+++ b/internal/diskcache/health.go
@@ -5,10 +5,10 @@
 
 // The states of health.
 const (
-	HealthOn       Health = 1 << iota
-	HealthFull            // no space: reads go on, writes are retried after a while
-	HealthReadOnly        // a write or sync failed: what is there may still be read
-	HealthOff             // the disk is not used any more
+	HealthOn       Health = 1 << iota // for all
+	HealthFull                        // no space: reads go on, writes are retried after a while
+	HealthReadOnly                    // a write or sync failed: what is there may still be read
+	HealthOff                         // the disk is not used any more
 )
 
 // String returns the state's name in logs and reports: on, full, reads only or off.
--- a/internal/diskcache/slotmap.go
+++ b/internal/diskcache/slotmap.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// Extent is a row of adjacent slots.
+// Extent is a row of adjacent slots: the number of the first one, from 0, and how many.
 type Extent struct{ Start, Count uint32 }
 
 // slotMap says which slot of the disk belongs to which record, as a file allocation
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -16,11 +16,11 @@
 	CachePriority int    // at which a cache keeps the copy; 0: not at all
 	MaxAge        int64  // greatest age of a copy; 0: the class's freshness time
 	FillMode      policy.FillMode
-	DecidedAt     int64 // when the policy decided on it
-	Deadline      int64 // when the router stops waiting
-	SendBefore    int64 // when it may no more be written; 0: Deadline
-	Unsafe        bool  // another attempt of its unsafe request may have run
-	Transport     Transport
+	DecidedAt     int64     // when the policy decided on it
+	Deadline      int64     // when the router stops waiting
+	SendBefore    int64     // when it may no more be written; 0: Deadline
+	Unsafe        bool      // another attempt of its unsafe request may have run
+	Transport     Transport // set by the reader of the command queue; nil: not on the sockets
 
 	timer *timer // at Deadline
 	ended bool
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -41,8 +41,8 @@
 // PurgeReport is a purge in a message.
 type PurgeReport struct {
 	Object string `cbor:"1,keyasint,omitempty"` // "": the whole group
-	Group  int64  `cbor:"2,keyasint,omitempty"`
-	At     int64  `cbor:"3,keyasint"` // Unix microseconds
+	Group  int64  `cbor:"2,keyasint,omitempty"` // where Object is ""
+	At     int64  `cbor:"3,keyasint"`           // Unix microseconds
 }
 
 func newEndpointReport(e Endpoint) EndpointReport {
--- a/internal/handoff/message.go
+++ b/internal/handoff/message.go
@@ -76,31 +76,31 @@
 // Message is one message. Which fields count depends on Kind.
 type Message struct {
 	Kind                Kind                            `cbor:"1,keyasint"`
-	Format              int                             `cbor:"2,keyasint,omitempty"`
-	Generation          uint64                          `cbor:"3,keyasint,omitempty"`
-	State               *State                          `cbor:"4,keyasint,omitempty"`
-	Requests            upgrade.RequestCounts           `cbor:"5,keyasint,omitempty"`
-	OutstandingAttempts map[string]policy.AttemptCounts `cbor:"6,keyasint,omitempty"` // by endpoint
-	Limits              upgrade.Resources               `cbor:"7,keyasint,omitempty"`
-	AgentState          upgrade.AgentState              `cbor:"8,keyasint,omitempty"`
-	WasSettled          bool                            `cbor:"9,keyasint,omitempty"`
-	PID                 int                             `cbor:"10,keyasint,omitempty"`
+	Format              int                             `cbor:"2,keyasint,omitempty"`  // of KindHello
+	Generation          uint64                          `cbor:"3,keyasint,omitempty"`  // of a router process
+	State               *State                          `cbor:"4,keyasint,omitempty"`  // of KindReleased, and of KindServe to its successor; nil: none
+	Requests            upgrade.RequestCounts           `cbor:"5,keyasint,omitempty"`  // of KindHeartbeat
+	OutstandingAttempts map[string]policy.AttemptCounts `cbor:"6,keyasint,omitempty"`  // by endpoint
+	Limits              upgrade.Resources               `cbor:"7,keyasint,omitempty"`  // of KindLimits
+	AgentState          upgrade.AgentState              `cbor:"8,keyasint,omitempty"`  // of KindHello and KindHeartbeat
+	WasSettled          bool                            `cbor:"9,keyasint,omitempty"`  // of KindHello: its trial was over before
+	PID                 int                             `cbor:"10,keyasint,omitempty"` // of KindHello
 	Sockets             []string                        `cbor:"11,keyasint,omitempty"` // names of the descriptors that come along
 	Program             string                          `cbor:"12,keyasint,omitempty"` // paths
-	Config              string                          `cbor:"13,keyasint,omitempty"`
+	Config              string                          `cbor:"13,keyasint,omitempty"` // of KindApply, as Program and Operator; "": as it is
 	Operator            string                          `cbor:"14,keyasint,omitempty"`
 	Note                string                          `cbor:"15,keyasint,omitempty"` // for people
 	Final               bool                            `cbor:"16,keyasint,omitempty"` // no other report follows
 	OK                  bool                            `cbor:"17,keyasint,omitempty"` // what was asked for is done
 	FellBack            bool                            `cbor:"18,keyasint,omitempty"` // the change failed, the old generation serves
-	Status              *Status                         `cbor:"19,keyasint,omitempty"`
-	OpenRequests        int                             `cbor:"20,keyasint,omitempty"`
+	Status              *Status                         `cbor:"19,keyasint,omitempty"` // of a final KindReport
+	OpenRequests        int                             `cbor:"20,keyasint,omitempty"` // of KindHeartbeat
 	To                  string                          `cbor:"22,keyasint,omitempty"` // names of routers
 	From                string                          `cbor:"23,keyasint,omitempty"`
-	Body                []byte                          `cbor:"24,keyasint,omitempty"`
-	Command             rollout.Command                 `cbor:"25,keyasint,omitempty"`
-	Rollout             *rollout.Status                 `cbor:"26,keyasint,omitempty"`
-	Activity            *invariant.Activity             `cbor:"27,keyasint,omitempty"`
+	Body                []byte                          `cbor:"24,keyasint,omitempty"` // of KindPeerMessage
+	Command             rollout.Command                 `cbor:"25,keyasint,omitempty"` // of KindRollout; 0: none
+	Rollout             *rollout.Status                 `cbor:"26,keyasint,omitempty"` // of the KindReport to KindRollout
+	Activity            *invariant.Activity             `cbor:"27,keyasint,omitempty"` // of KindHeartbeat; nil: none is recorded
 	// BudgetsMaybeSpent is of KindServe and KindResume: another process may have spent
 	// this router's slow-start budgets meanwhile.
 	BudgetsMaybeSpent bool `cbor:"21,keyasint,omitempty"`
--- a/internal/handoff/state.go
+++ b/internal/handoff/state.go
@@ -8,9 +8,9 @@
 // State is what a router process knows that its successor needs.
 type State struct {
 	Revision   int64                    `cbor:"1,keyasint,omitempty"` // of the endpoint list, as discovery counts
-	Endpoints  []Endpoint               `cbor:"2,keyasint,omitempty"`
-	Learned    *policy.Snapshot         `cbor:"3,keyasint,omitempty"`
-	Membership *membership.HandoffState `cbor:"4,keyasint,omitempty"`
+	Endpoints  []Endpoint               `cbor:"2,keyasint,omitempty"` // the whole list
+	Learned    *policy.Snapshot         `cbor:"3,keyasint,omitempty"` // nil: none
+	Membership *membership.HandoffState `cbor:"4,keyasint,omitempty"` // nil: it is no member
 	Purges     []Purge                  `cbor:"5,keyasint,omitempty"` // that gateways of other sites are still to be told
 }
 
--- a/internal/handoff/statefile.go
+++ b/internal/handoff/statefile.go
@@ -21,18 +21,18 @@
 
 // File is the state that outlasts the supervisor, its processes and a power failure.
 type File struct {
-	Format   int            `json:"format"`
-	Next     uint64         `json:"next"` // number of the next generation
-	Settled  *Manifest      `json:"settled"`
-	Previous *Manifest      `json:"previous,omitempty"`
-	Rollout  *RolloutRecord `json:"rollout,omitempty"`
+	Format   int            `json:"format"`             // FileFormat of the writer
+	Next     uint64         `json:"next"`               // number of the next generation
+	Settled  *Manifest      `json:"settled"`            // what a cold start begins with
+	Previous *Manifest      `json:"previous,omitempty"` // what a roll back returns to; nil: none
+	Rollout  *RolloutRecord `json:"rollout,omitempty"`  // nil: none has changed this router
 	// Running are the processes that a restarted supervisor may find.
 	Running []Running `json:"running,omitempty"`
 }
 
 // RolloutRecord is what a rollout has made of this router.
 type RolloutRecord struct {
-	RunID         uint64    `json:"run,string"`
+	RunID         uint64    `json:"run,string"`       // rollout.State.RunID
 	NewGeneration uint64    `json:"new,omitempty"`    // 0: this router does not run the rollout's generation
 	Previous      *Manifest `json:"before,omitempty"` // the generation to go back to
 	FailureReason string    `json:"failed,omitempty"` // why this router's change failed; "": it has not
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -106,7 +106,7 @@
 	}
 	if late := at - e.outSince; late > m.settings.DrainGraceMicros+maxDiscoverySkew {
 		p.violations[RuleDrained].add(at,
-			fmt.Sprintf("%s %s %d ms after it was told to be out", action, use.Endpoint, late/ms))
+			fmt.Sprintf("%s %s %d ms after it began to drain or had gone", action, use.Endpoint, late/ms))
 	}
 }
 
@@ -117,7 +117,7 @@
 		late := r.SentMicros - purge.receivedAt
 		if purge.covers(r) && r.IssuedMicros < purge.issuedAt && late > m.settings.PurgeGraceMicros+maxDiscoverySkew {
 			p.violations[RuleStale].add(r.SentMicros,
-				fmt.Sprintf("a copy %d ms older than a purge, asked for %d ms after that was told",
+				fmt.Sprintf("a copy %d ms older than a purge, requested %d ms after that was known",
 					(purge.issuedAt-r.IssuedMicros)/ms, late/ms))
 			return
 		}
@@ -142,7 +142,7 @@
 	allowed := budget.allowance(age, e.weight, m.settings.WindowMicros)
 	if total > allowed && total > use.WorkMicros {
 		p.violations[RuleOverBudget].add(at,
-			fmt.Sprintf("%s was sent %.2f s of work within the window, %.2f is this router's part",
+			fmt.Sprintf("%s was sent %.2f s of work within the window, this router's share is %.2f s",
 				use.Endpoint, total/1e6, allowed/1e6))
 	}
 }
--- a/internal/membership/handoff.go
+++ b/internal/membership/handoff.go
@@ -7,8 +7,8 @@
 type HandoffState struct {
 	ID               InstanceID `cbor:"1,keyasint"`
 	Incarnation      uint32     `cbor:"2,keyasint"`
-	Sequence         uint64     `cbor:"3,keyasint"` // of its last message
-	State            State      `cbor:"4,keyasint"`
+	Sequence         uint64     `cbor:"3,keyasint"`           // of its last message
+	State            State      `cbor:"4,keyasint"`           // of the router itself
 	Updates          []Update   `cbor:"5,keyasint,omitempty"` // of the present members
 	HighestSequences []uint64   `cbor:"6,keyasint,omitempty"` // of accepted messages from them, in the order of Updates
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -18,7 +18,7 @@
 	Name string
 	From State
 	To   State
-	ID   InstanceID
+	ID   InstanceID // of the instance that is now in state To
 }
 
 // Counts are totals since the start.
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -39,18 +39,18 @@
 // one lacks are zero.
 type Message struct {
 	Kind          Kind       `cbor:"1,keyasint"`
-	Sequence      uint64     `cbor:"2,keyasint,omitempty"` // numbers the sender's messages to anybody, from 1
-	RequestID     uint32     `cbor:"3,keyasint,omitempty"` // the same in a request and its answer
-	Sender        Update     `cbor:"4,keyasint"`           // what the sender says of itself
-	To            string     `cbor:"5,keyasint"`           // name of the receiver
-	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"` // the receiver's, in all kinds but those for a name
-	Target        string     `cbor:"7,keyasint,omitempty"` // name of the member that an indirect ping is for
-	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"` // of the sender's view
-	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`
-	Updates       []Update   `cbor:"10,keyasint,omitempty"`
-	View          *View      `cbor:"11,keyasint,omitempty"`
+	Sequence      uint64     `cbor:"2,keyasint,omitempty"`  // numbers the sender's messages to anybody, from 1
+	RequestID     uint32     `cbor:"3,keyasint,omitempty"`  // the same in a request and its answer
+	Sender        Update     `cbor:"4,keyasint"`            // what the sender says of itself
+	To            string     `cbor:"5,keyasint"`            // name of the receiver
+	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"`  // the receiver's, in all kinds but those for a name
+	Target        string     `cbor:"7,keyasint,omitempty"`  // name of the member that an indirect ping is for
+	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"`  // of the sender's view
+	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`  // of KindDigestExchange: one for each bucket
+	Updates       []Update   `cbor:"10,keyasint,omitempty"` // of other members
+	View          *View      `cbor:"11,keyasint,omitempty"` // of KindQueryResponse
 	GossipDigest  uint32     `cbor:"12,keyasint,omitempty"` // of the sender's replica in package gossip
-	Body          []byte     `cbor:"13,keyasint,omitempty"`
+	Body          []byte     `cbor:"13,keyasint,omitempty"` // of KindPayload
 }
 
 // Payload is what a message carries for another subsystem.
@@ -66,8 +66,8 @@
 	Name        string         `cbor:"1,keyasint"`
 	Zone        string         `cbor:"2,keyasint,omitempty"`
 	Addr        netip.AddrPort `cbor:"3,keyasint,omitempty"`
-	ID          InstanceID     `cbor:"4,keyasint,omitempty"`
-	Incarnation uint32         `cbor:"5,keyasint,omitempty"`
+	ID          InstanceID     `cbor:"4,keyasint,omitempty"` // of its instance
+	Incarnation uint32         `cbor:"5,keyasint,omitempty"` // the later one of an instance counts; only the router itself raises it
 	State       State          `cbor:"6,keyasint"`
 	SuspectedBy []uint16       `cbor:"7,keyasint,omitempty"` // shortened names of the members that suspect it
 	Process     *ProcessInfo   `cbor:"8,keyasint,omitempty"` // nil: not told, as by earlier versions
@@ -78,8 +78,8 @@
 type ProcessInfo struct {
 	_          struct{} `cbor:",toarray"`
 	Generation uint32   // from 1: each change of program or settings takes a new number, a restart keeps it
-	Program    uint32
-	Settings   uint32
+	Program    uint32   // digest of the program's file
+	Settings   uint32   // digest of its settings
 }
 
 // Bounds of messages.
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -5,16 +5,16 @@
 
 // The outcomes. The zero value is none of them: an end that nothing is known of.
 const (
-	OutcomeUnknown           Outcome = iota
-	OutcomeDone                      // a response came whole
-	OutcomeError                     // the server answered with an error
-	OutcomeBusy                      // the server refused for lack of capacity
-	OutcomeMiss                      // the cache or parent has no copy and may not fetch one
-	OutcomeTimeout                   // nothing came within the attempt's time limit
-	OutcomeConnectionRefused         // no connection, so that nothing was sent
-	OutcomeConnectionReset           // the connection broke after something was sent
-	OutcomeCanceled                  // withdrawn by the router after something was sent
-	OutcomeSkipped                   // withdrawn before anything was executed
+	OutcomeUnknown           Outcome = iota // not known
+	OutcomeDone                             // a response came whole
+	OutcomeError                            // the server answered with an error
+	OutcomeBusy                             // the server refused for lack of capacity
+	OutcomeMiss                             // the cache or parent has no copy and may not fetch one
+	OutcomeTimeout                          // nothing came within the attempt's time limit
+	OutcomeConnectionRefused                // no connection, so that nothing was sent
+	OutcomeConnectionReset                  // the connection broke after something was sent
+	OutcomeCanceled                         // withdrawn by the router after something was sent
+	OutcomeSkipped                          // withdrawn before anything was executed
 )
 
 var outcomeNames = [...]string{
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -4,8 +4,8 @@
 
 // The texts of ActionLog. LogEjected comes with Action.Backoff.
 const (
-	LogEjected    = "endpoint ejected"
-	LogReadmitted = "endpoint readmitted"
+	LogEjected    = "endpoint ejected"    // it gets nothing for Backoff
+	LogReadmitted = "endpoint readmitted" // it gets requests again
 )
 
 // health is what a Router thinks of an endpoint. Its values are kept in Snapshots.
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -14,17 +14,17 @@
 // Times are those of Handle, in microseconds. Routers of different versions exchange it: fields are only added, and
 // those that the writer does not know are zero.
 type Snapshot struct {
-	SketchRows         [4][]uint64                   `cbor:"1,keyasint"`
-	SketchDoorkeeper   []uint64                      `cbor:"2,keyasint"`
-	SketchSample       int                           `cbor:"3,keyasint"`
-	NextHalving        int64                         `cbor:"4,keyasint,omitempty"`
-	Endpoints          []EndpointSnapshot            `cbor:"5,keyasint"`
-	BypassLimiters     [attemptKinds]LimiterSnapshot `cbor:"6,keyasint"`
-	TransferTimes      map[string]TransferTimes      `cbor:"7,keyasint,omitempty"`
-	FillFailures       []SampleSnapshot              `cbor:"8,keyasint,omitempty"`
-	Priorities         []float64                     `cbor:"9,keyasint,omitempty"`
-	Purges             []PurgeSnapshot               `cbor:"10,keyasint,omitempty"`
-	SlowStartHoldUntil int64                         `cbor:"11,keyasint,omitempty"`
+	SketchRows         [4][]uint64                   `cbor:"1,keyasint"`            // counters of the popularity sketch, see tinylfu.State
+	SketchDoorkeeper   []uint64                      `cbor:"2,keyasint"`            // bits of its doorkeeper
+	SketchSample       int                           `cbor:"3,keyasint"`            // requests counted since it was halved
+	NextHalving        int64                         `cbor:"4,keyasint,omitempty"`  // time at which it is halved next
+	Endpoints          []EndpointSnapshot            `cbor:"5,keyasint"`            // sorted by id
+	BypassLimiters     [attemptKinds]LimiterSnapshot `cbor:"6,keyasint"`            // of attempts past the caches, by kind of attempt
+	TransferTimes      map[string]TransferTimes      `cbor:"7,keyasint,omitempty"`  // by traffic class
+	FillFailures       []SampleSnapshot              `cbor:"8,keyasint,omitempty"`  // of the last attempts that might fill; bad: no response
+	Priorities         []float64                     `cbor:"9,keyasint,omitempty"`  // of the last requests, 32 at most
+	Purges             []PurgeSnapshot               `cbor:"10,keyasint,omitempty"` // by arrival
+	SlowStartHoldUntil int64                         `cbor:"11,keyasint,omitempty"` // time until which endpoints in slow start get nothing
 	Extra              map[string][]byte             `cbor:"12,keyasint,omitempty"` // of later versions
 }
 
@@ -36,7 +36,7 @@
 // LinkUse is from 0 to 1.
 type EndpointSnapshot struct {
 	ID               string                        `cbor:"1,keyasint"`
-	StartedAt        int64                         `cbor:"2,keyasint,omitempty"`
+	StartedAt        int64                         `cbor:"2,keyasint,omitempty"` // as listed; 0: long past
 	Health           uint8                         `cbor:"3,keyasint"`
 	DueAt            int64                         `cbor:"4,keyasint,omitempty"`
 	Ejections        int64                         `cbor:"5,keyasint,omitempty"`
@@ -44,22 +44,22 @@
 	ReservedWork     []int64                       `cbor:"7,keyasint,omitempty"`  // ... how much ...
 	ReservedVariance []float64                     `cbor:"12,keyasint,omitempty"` // ... and the variance of that
 	LinkUse          float64                       `cbor:"8,keyasint,omitempty"`
-	SourceSamples    []SampleSnapshot              `cbor:"9,keyasint,omitempty"`
-	CachedObjects    []uint64                      `cbor:"10,keyasint,omitempty"`
-	Limiters         [attemptKinds]LimiterSnapshot `cbor:"11,keyasint"`
+	SourceSamples    []SampleSnapshot              `cbor:"9,keyasint,omitempty"`  // of the last fills from it; bad: late
+	CachedObjects    []uint64                      `cbor:"10,keyasint,omitempty"` // hashes of those it was asked to keep, latest last
+	Limiters         [attemptKinds]LimiterSnapshot `cbor:"11,keyasint"`           // by kind of attempt
 }
 
 // LimiterSnapshot is a concurrency limit, in attempts of one kind at once, with the last attempts that moved it.
 type LimiterSnapshot struct {
 	Limit     float64          `cbor:"1,keyasint"`
-	ReducedAt int64            `cbor:"2,keyasint,omitempty"`
+	ReducedAt int64            `cbor:"2,keyasint,omitempty"` // time; 0: never
 	Samples   []SampleSnapshot `cbor:"3,keyasint,omitempty"`
 }
 
 // SampleSnapshot is when an attempt ended, and whether it counted against its endpoint.
 type SampleSnapshot struct {
 	_   struct{} `cbor:",toarray"`
-	At  int64
+	At  int64    // time
 	Bad bool
 }
 
@@ -68,7 +68,7 @@
 	_      struct{} `cbor:",toarray"`
 	Object string
 	Group  int64
-	At     int64
+	At     int64 // time at which it was made
 }
 
 // Bounds on what is taken over: what a Router can hold itself, with room to spare.
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -21,7 +21,7 @@
 
 // State is the value that a majority decides on. A later one has a higher Seq.
 type State struct {
-	Seq     uint64 `cbor:"1,keyasint"`
+	Seq     uint64 `cbor:"1,keyasint"`           // counts the decided states
 	Plan    uint64 `cbor:"2,keyasint,omitempty"` // Plan.Digest
 	Phase   Phase  `cbor:"3,keyasint,omitempty" json:"Way"`
 	Stage   int    `cbor:"4,keyasint,omitempty"`            // from 0
@@ -37,7 +37,7 @@
 type Durable struct {
 	PromisedTerm uint64 `json:"promised"` // no prepare or accept of an earlier term is taken
 	AcceptedTerm uint64 `json:"held"`     // term in which State was accepted
-	State        State  `json:"state"`
+	State        State  `json:"state"`    // the latest one accepted
 }
 
 // supersedes reports whether a state accepted in a term comes after another: by term,
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -4,20 +4,20 @@
 
 // Status is what a router shows to people about the rollout.
 type Status struct {
-	Plan   string `cbor:"1,keyasint,omitempty" json:"plan"`
-	Digest uint64 `cbor:"2,keyasint,omitempty" json:"digest,string"`
-	Phase  string `cbor:"3,keyasint,omitempty" json:"way"`   // Phase.String
-	Stage  int    `cbor:"4,keyasint,omitempty" json:"stage"` // from 1
-	Stages int    `cbor:"5,keyasint,omitempty" json:"stages"`
-	Reason string `cbor:"6,keyasint,omitempty" json:"why,omitempty"`
-	AgeMS  int64  `cbor:"7,keyasint,omitempty" json:"age_ms"` // of the decided state as known here; -1: none is known
-	Seq    uint64 `cbor:"8,keyasint,omitempty" json:"seq"`
-	Leader string `cbor:"9,keyasint,omitempty" json:"leader,omitempty"`
+	Plan   string `cbor:"1,keyasint,omitempty" json:"plan"`             // the plan's name
+	Digest uint64 `cbor:"2,keyasint,omitempty" json:"digest,string"`    // Plan.Digest
+	Phase  string `cbor:"3,keyasint,omitempty" json:"way"`              // Phase.String
+	Stage  int    `cbor:"4,keyasint,omitempty" json:"stage"`            // from 1
+	Stages int    `cbor:"5,keyasint,omitempty" json:"stages"`           // in the plan
+	Reason string `cbor:"6,keyasint,omitempty" json:"why,omitempty"`    // why the phase or stage is what it is
+	AgeMS  int64  `cbor:"7,keyasint,omitempty" json:"age_ms"`           // of the decided state as known here; -1: none is known
+	Seq    uint64 `cbor:"8,keyasint,omitempty" json:"seq"`              // of the decided state
+	Leader string `cbor:"9,keyasint,omitempty" json:"leader,omitempty"` // name of the router that leads, as known here; "": none is known
 	// IsLeader: this router leads now. Only a leader knows the reports of the routers and
 	// the fields from Verdict to Bounds, and those only while it watches a stage. Verdict
 	// is a canary.Verdict's name, a colon and its reason; WatchMS how long it has watched.
 	IsLeader   bool             `cbor:"10,keyasint,omitempty" json:"leads"`
-	Routers    []RouterStatus   `cbor:"11,keyasint,omitempty" json:"routers"`
+	Routers    []RouterStatus   `cbor:"11,keyasint,omitempty" json:"routers"` // in the plan's order
 	Verdict    string           `cbor:"12,keyasint,omitempty" json:"say,omitempty"`
 	WatchMS    int64            `cbor:"13,keyasint,omitempty" json:"watch_ms"`
 	Bounds     []MetricInterval `cbor:"14,keyasint,omitempty" json:"bounds,omitempty"`
@@ -46,7 +46,7 @@
 type MetricInterval struct {
 	Metric    string    `cbor:"1,keyasint" json:"figure"` // a canary.Metric's name, or MetricLoss's of a class
 	Tolerance float64   `cbor:"2,keyasint" json:"bears"`  // the stage stops once Low is above it
-	Mean      float64   `cbor:"3,keyasint" json:"mean"`
+	Mean      float64   `cbor:"3,keyasint" json:"mean"`   // in the metric's unit
 	Low       float64   `cbor:"4,keyasint" json:"low"`
 	High      float64   `cbor:"5,keyasint" json:"high"`
 	Samples   []float64 `cbor:"6,keyasint,omitempty" json:"moments,omitempty"` // the latest ones, 600 at most
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -139,11 +139,11 @@
 	case CommandStart:
 		return startOrdered, ""
 	case CommandPause:
-		return pauseOrdered, "held by the operator"
+		return pauseOrdered, "paused by the operator"
 	case CommandResume:
-		return resumeOrdered, "gone on by the operator"
+		return resumeOrdered, "resumed by the operator"
 	case CommandRollBack:
-		return rollbackOrdered, "turned back by the operator"
+		return rollbackOrdered, "rolled back by the operator"
 	}
 	return conditionNone, ""
 }
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -110,7 +110,7 @@
 	if regression := l.fleetRegression(n); regression != "" {
 		return canaryInconclusive, regression
 	}
-	return stagePassed, "nobody is left to compare with, no guard has struck"
+	return stagePassed, "no unchanged router is left to compare with, no guardrail was exceeded"
 }
 
 // fleetRegression says by how much all routers together lose more than before the last
