--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -167,8 +167,8 @@
 	return limit
 }
 
-// Handle takes one event at the given time, in microseconds from any start that all calls share, and appends the
-// actions that it leads to. Times must not go back.
+// Handle takes one event at the given time, in microseconds of the clock that Endpoint.StartedAt is on, and appends the
+// actions that it leads to.
 func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
 	r.now, r.actions = now, actions
 	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
