--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -86,22 +87,9 @@
 func (l *serverListener) serve(socket net.Conn, listener net.Listener) {
 	conn := &serverConn{Conn: socket, server: l, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
 	defer socket.Close()
-	stop := make(chan struct{})
-	defer close(stop)
-	l.goroutines.Go(func() {
-		select {
-		case <-l.ctx.Done():
-			socket.Close()
-		case <-stop:
-		}
-	})
-	l.runInLoop(func() {
-		if l.listener == listener {
-			l.conns[conn] = struct{}{}
-		} else {
-			conn.reset()
-		}
-	})
+	cancelClose := context.AfterFunc(l.ctx, func() { socket.Close() })
+	defer cancelClose()
+	l.runInLoop(func() { l.addConn(conn, listener) })
 	l.goroutines.Go(conn.writeQueue)
 	defer func() {
 		conn.closeQueue()
@@ -115,6 +103,15 @@
 	}
 }
 
+// addConn adds a connection, or resets it if the server has gone down since it was accepted.
+func (l *serverListener) addConn(conn *serverConn, acceptedBy net.Listener) {
+	if l.listener == acceptedBy {
+		l.conns[conn] = struct{}{}
+	} else {
+		conn.reset()
+	}
+}
+
 // serveCommand reads a command and carries it out. An error ends the connection.
 func (l *serverListener) serveCommand(conn *serverConn, reader *bufio.Reader) error {
 	command, err := cacheproto.ReadCommand(reader)
@@ -149,7 +146,8 @@
 		request = l.admitGuest(get)
 	}
 	if request == nil { // its client has just left, or the request is not the scenario's
-		conn.enqueue(cacheproto.AppendResponse(nil, &cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}))
+		skipped := cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}
+		conn.enqueue(cacheproto.AppendResponse(nil, &skipped))
 		conn.enqueue([]byte("\r\n"))
 		return
 	}
@@ -182,20 +180,23 @@
 		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*microsPerMilli,
 	})
 	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
-		l.runInLoop(func() {
-			if l.requests[get.ID] != request {
-				return
-			}
-			delete(l.requests, get.ID)
-			l.Record(&eventlog.Entry{
-				Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: get.ID,
-				Outcome: string(simulation.AnswerAborted),
-			})
-		})
+		l.runInLoop(func() { l.expireGuest(request) })
 	})
 	return request
 }
 
+// expireGuest ends a request that admitGuest admitted.
+func (l *serverListener) expireGuest(request *clientRequest) {
+	if l.requests[request.ID] != request {
+		return
+	}
+	delete(l.requests, request.ID)
+	l.Record(&eventlog.Entry{
+		Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: request.ID,
+		Outcome: string(simulation.AnswerAborted),
+	})
+}
+
 // cancelAttempt tells the simulation that a router no longer waits for an attempt.
 func (l *serverListener) cancelAttempt(conn *serverConn, requestID string) {
 	if attempt := conn.attempts[requestID]; attempt != nil {
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -20,7 +20,7 @@
 
 // deadGraceMicros is how long a router must have been reachable until it counts against the
 // others that all of them hold it dead.
-const deadGraceMicros = 3_000_000
+const deadGraceMicros = 3 * microsPerSecond
 
 // recordReachable follows since when a router has been reachable.
 func (m *Members) recordReachable(now int64, name string, reachable bool) {
@@ -61,16 +61,12 @@
 	}
 	agreed := len(views) == len(up) && onlyAlive(up, views)
 	for _, name := range up {
-		alive, dead, others := opinions(name, views)
+		alive, dead, others := countStates(name, views)
 		if alive < others {
 			agreed = false
 		}
-		since, isReachable := m.reachableSince[name]
-		if isReachable && now-since >= deadGraceMicros && others >= 2 && dead == others {
-			m.CalledDead++
-			if !slices.Contains(m.DeadByAll, name) {
-				m.DeadByAll = append(m.DeadByAll, name)
-			}
+		if others >= 2 && dead == others {
+			m.recordDeadByAll(now, name)
 		}
 	}
 	switch {
@@ -81,8 +77,21 @@
 	}
 }
 
-// opinions counts the other routers' views in which a router is alive, and dead.
-func opinions(name string, views map[string]*membership.View) (alive, dead, others int) {
+// recordDeadByAll counts that all others hold a router dead, if it has been reachable for long
+// enough that they should not.
+func (m *Members) recordDeadByAll(now int64, name string) {
+	since, isReachable := m.reachableSince[name]
+	if !isReachable || now-since < deadGraceMicros {
+		return
+	}
+	m.CalledDead++
+	if !slices.Contains(m.DeadByAll, name) {
+		m.DeadByAll = append(m.DeadByAll, name)
+	}
+}
+
+// countStates counts the other routers' views in which a router is alive, and dead.
+func countStates(name string, views map[string]*membership.View) (alive, dead, others int) {
 	for observer, view := range views {
 		if observer == name {
 			continue
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -41,17 +41,21 @@
 	}
 	peers := map[string]string{}
 	for i := range v.simulation.Routers() {
-		if s := v.scenario.Fleet.Site(v.simulation.Office(i)); s != site {
-			peers[routerName(i)] = fmt.Sprint(s)
+		if peerSite := v.scenario.Fleet.Site(v.simulation.Office(i)); peerSite != site {
+			peers[routerName(i)] = fmt.Sprint(peerSite)
 		}
 	}
 	router.forwarded = map[string]*virtualRequest{}
 	router.heartbeats = map[*virtualRouter]int64{}
 	router.gateway = peerpolicy.New(peerpolicy.Settings{
-		Name: routerName(router.id), Site: fmt.Sprint(site), MaxRequests: maxForwarded, LocalReserve: siteLocalReserve,
+		Name:              routerName(router.id),
+		Site:              fmt.Sprint(site),
+		MaxRequests:       maxForwarded,
+		LocalReserve:      siteLocalReserve,
 		HeartbeatInterval: heartbeatMicros,
 	}, peers)
-	v.scheduleGatewayTick(int64(router.id%heartbeatPhases)*heartbeatMicros/heartbeatPhases, router, router.engine, 1)
+	firstDelay := int64(router.id%heartbeatPhases) * heartbeatMicros / heartbeatPhases
+	v.scheduleGatewayTick(firstDelay, router, router.engine, 1)
 }
 
 // scheduleGatewayTick runs a gateway's timers after a delay, in microseconds. The engine tells
