--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -31,16 +31,16 @@
 
 // beginFill starts a fill for an attempt. Later attempts may join it unless another one for the part is under way.
 func (s *server) beginFill(attempt *Attempt, key int64) {
-	f := &fill{
+	begun := &fill{
 		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Attempt{attempt},
 		startedAt: s.simulation.now, reason: policy.ReasonMiss,
 	}
-	attempt.fill = f
+	attempt.fill = begun
 	s.fillCount++
 	if s.fills[key] == nil {
-		s.fills[key] = f
+		s.fills[key] = begun
 	}
-	f.start(attempt)
+	begun.start(attempt)
 }
 
 // join lets an attempt wait for a fill that is under way.
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -33,8 +33,8 @@
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if f := s.fills[key]; f != nil && sim.scenario.Fleet.ParentCoalesces {
-		f.waiters = append(f.waiters, func() { done(f.issuedAt, f.reason) })
+	if other := s.fills[key]; other != nil && sim.scenario.Fleet.ParentCoalesces {
+		other.waiters = append(other.waiters, func() { done(other.issuedAt, other.reason) })
 		return
 	}
 	s.fetchFromOrigin(attempt, key, done)
@@ -43,12 +43,12 @@
 // fetchFromOrigin fills a parent from the origin.
 func (s *server) fetchFromOrigin(attempt *Attempt, key int64, done fillDone) {
 	sim := s.simulation
-	f := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: sim.now}
-	s.fills[key] = f
+	begun := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: sim.now}
+	s.fills[key] = begun
 	s.fillCount++
 	delay := s.originDelay()
 	finish := func(issuedAt int64, reason policy.Reason) {
-		sim.schedule(delay, func() { f.finishFetch(attempt, issuedAt, reason, done) })
+		sim.schedule(delay, func() { begun.finishFetch(attempt, issuedAt, reason, done) })
 	}
 	sim.schedule(delay, func() {
 		sim.origin.originRead(func(issuedAt int64, reason policy.Reason) {
