--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -31,6 +31,7 @@
 	}{
 		"request":       {"\xa1" + requestPair, true},
 		"request twice": {"\xa2" + requestPair + requestPair, true},
+		"indefinite":    {"\xbf" + requestPair + "\xff", false},
 		"empty":         {"", false},
 		"unknown key":   {"\xa1\x03\x00", false},
 		"truncated":     {"\xa1" + requestPair[:len(requestPair)-1], false},
