--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -224,7 +224,6 @@
 )
 
 func testDiskFault(t *testing.T, fault *diskFault) {
-	t.Helper()
 	now := clockAt(1000 * second)
 	fs := crashfs.New()
 	s, hook := running(t, fs, now, nil)
