--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -10,7 +10,7 @@
 	"quilldoor/internal/testsupport"
 )
 
-const ms, start = int64(1000), 1_000_000 * second
+const millisecond, start = int64(1000), 1_000_000 * second
 
 func TestMain(m *testing.M) { testsupport.RunRapidWithFixedSeed(m) }
 
@@ -41,7 +41,7 @@
 			p.activeReads--
 		}
 	}
-	placement, reason := p.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: slots * p.settings.SlotBytes})
+	placement, reason := p.Offer(now, &Candidate{Request: a, Issued: now / millisecond, Length: slots * p.settings.SlotBytes})
 	if reason == ReasonOK {
 		p.FinishWrite(placement.Ref, slots*p.settings.SlotBytes, true)
 		p.TakeDrops()
@@ -96,7 +96,7 @@
 	}
 	written := x.Counts.BytesWritten
 	for i := range 1500 { // under the sample's size: no reset within
-		x.put(start+second+int64(i)*ms, page(fmt.Sprint("scan", i), 0), 5, 1)
+		x.put(start+second+int64(i)*millisecond, page(fmt.Sprint("scan", i), 0), 5, 1)
 	}
 	if grown := x.Counts.BytesWritten - written; grown > written/10 { // some fall together in the sketch
 		t.Fatalf("%d bytes written for objects wanted once, %d before", grown, written)
@@ -137,7 +137,7 @@
 		"writes fail":         {func(x *Policy) { x.HandleEvent(start, EventWriteFailed) }, second, VerdictServe, ReasonOK},
 	} {
 		x := small(nil)
-		if r := x.put(start+ms*500, a, 2, 2); r != ReasonOK {
+		if r := x.put(start+millisecond*500, a, 2, 2); r != ReasonOK {
 			t.Fatal(r)
 		}
 		if c.change != nil {
@@ -150,7 +150,7 @@
 	if v, r := small(nil).peek(start, Request{ClassIndex: 2, Object: "x"}); v != VerdictMiss || r != ReasonNotCacheable {
 		t.Errorf("a writing rule: %v", r)
 	}
-	if _, r := small(nil).Offer(start, &Candidate{Request: Request{ClassIndex: 2, Object: "x"}, Issued: start / ms, Length: 9}); r != ReasonNotCacheable {
+	if _, r := small(nil).Offer(start, &Candidate{Request: Request{ClassIndex: 2, Object: "x"}, Issued: start / millisecond, Length: 9}); r != ReasonNotCacheable {
 		t.Errorf("a writing rule's answer: %v", r)
 	}
 }
@@ -164,12 +164,12 @@
 	x.Lookup(start, &a)
 	x.Lookup(start, &a)
 	offer := func(issued int64) (Placement, Reason) {
-		return x.Offer(start+2*second, &Candidate{Request: a, Issued: issued / ms, Length: 100})
+		return x.Offer(start+2*second, &Candidate{Request: a, Issued: issued / millisecond, Length: 100})
 	}
 	if _, r := offer(start + 1*second); r != ReasonPurged {
 		t.Fatalf("older than the purge: %v", r)
 	}
-	p, r := offer(start + 1500*ms)
+	p, r := offer(start + 1500*millisecond)
 	if r != ReasonOK {
 		t.Fatal(r)
 	}
@@ -196,16 +196,16 @@
 	a := page("x", 0)
 	x.Lookup(start, &a)
 	x.Lookup(start, &a)
-	p, _ := x.Offer(start+second, &Candidate{Request: a, Issued: (start - second) / ms, Length: 100})
+	p, _ := x.Offer(start+second, &Candidate{Request: a, Issued: (start - second) / millisecond, Length: 100})
 	x.FinishWrite(p.Ref, 100, true)
 	if v, r := x.peek(start+second, a); v != VerdictRevalidate || r != ReasonUnvalidated {
 		t.Fatalf("given out before the start: %v, %v", v, r)
 	}
-	x.Revalidated(start+2*second, p.Ref, (start-second)/ms, 100)
+	x.Revalidated(start+2*second, p.Ref, (start-second)/millisecond, 100)
 	if v, _ := x.peek(start+2*second, a); v != VerdictRevalidate {
 		t.Fatal("a cache that may not have dropped it yet has proven it for good")
 	}
-	x.Revalidated(start+9*second, p.Ref, (start-second)/ms, 100)
+	x.Revalidated(start+9*second, p.Ref, (start-second)/millisecond, 100)
 	if v, r := x.peek(start+9*second, a); v != VerdictServe {
 		t.Fatalf("proven by a cache that has dropped what was purged: %v", r)
 	}
@@ -214,7 +214,7 @@
 func TestRestoredPartsAreRevalidatedFirst(t *testing.T) {
 	x := small(nil)
 	a := page("x", 0)
-	k := CachedPart{Key: x.partKey(&a), Object: x.objectKey("x"), Issued: start / ms, Seq: 9, Length: 1500, Extents: []Extent{{7, 2}}}
+	k := CachedPart{Key: x.partKey(&a), Object: x.objectKey("x"), Issued: start / millisecond, Seq: 9, Length: 1500, Extents: []Extent{{7, 2}}}
 	bad := []CachedPart{
 		{Length: 1500, Extents: []Extent{{7, 1}}},
 		{Length: 500, Extents: []Extent{{200, 1}}},
@@ -236,10 +236,10 @@
 		t.Errorf("slots of another, %d free", x.slots.freeSlots)
 	}
 	x.Purge(start, "late", 0, start) // told while recovery is going on
-	if x.Restore(&CachedPart{Key: 2, Object: x.objectKey("late"), Issued: start / ms, Length: 500, Seq: 11, Extents: []Extent{{20, 1}}}) {
+	if x.Restore(&CachedPart{Key: 2, Object: x.objectKey("late"), Issued: start / millisecond, Length: 500, Seq: 11, Extents: []Extent{{20, 1}}}) {
 		t.Error("purged, yet installed")
 	}
-	if v, r := x.peek(start+ms, a); v != VerdictRevalidate || r != ReasonUnvalidated {
+	if v, r := x.peek(start+millisecond, a); v != VerdictRevalidate || r != ReasonUnvalidated {
 		t.Fatalf("verdict %v, %v", v, r)
 	}
 	x.Purge(start+second, "x", 0, start+second)
@@ -258,11 +258,11 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	var at []int64
 	for i := range 4000 {
-		now := start + int64(i)*5*ms
+		now := start + int64(i)*5*millisecond
 		a := page(fmt.Sprint(i), 0)
 		x.Lookup(now, &a)
 		x.Lookup(now, &a)
-		if p, reason := x.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: 1 + r.IntN(3000)}); reason == ReasonOK {
+		if p, reason := x.Offer(now, &Candidate{Request: a, Issued: now / millisecond, Length: 1 + r.IntN(3000)}); reason == ReasonOK {
 			for range len(p.Extents) {
 				at = append(at, now)
 			}
@@ -289,7 +289,7 @@
 		a := page(fmt.Sprint(i), 0)
 		x.Lookup(start, &a)
 		x.Lookup(start, &a)
-		if _, reason := x.Offer(start, &Candidate{Request: a, Issued: start / ms, Length: 10}); (reason == ReasonQueueFull) != (i == 3) {
+		if _, reason := x.Offer(start, &Candidate{Request: a, Issued: start / millisecond, Length: 10}); (reason == ReasonQueueFull) != (i == 3) {
 			t.Errorf("copy %d: %v", i, reason)
 		}
 	}
@@ -335,7 +335,7 @@
 		now := start
 		var out []Placement
 		for range 60 {
-			now += int64(draw(1000)) * ms
+			now += int64(draw(1000)) * millisecond
 			a := Request{Object: fmt.Sprint(draw(20)), Part: int64(draw(2)), Group: uint8(draw(2)), Remaining: second}
 			switch draw(8) {
 			case 0:
@@ -350,7 +350,7 @@
 			default:
 				x.peek(now, a)
 				x.peek(now, a)
-				if p, r := x.Offer(now, &Candidate{Request: a, Issued: now / ms, Length: 1 + draw(4000)}); r == ReasonOK {
+				if p, r := x.Offer(now, &Candidate{Request: a, Issued: now / millisecond, Length: 1 + draw(4000)}); r == ReasonOK {
 					out = append(out, p)
 				}
 			}
@@ -397,7 +397,7 @@
 func TestRememberedPurgesAreBounded(t *testing.T) {
 	x := small(nil)
 	a := page("kept", 0)
-	x.put(start+ms, a, 1, 2)
+	x.put(start+millisecond, a, 1, 2)
 	for i := range 3 * maxObjectPurges {
 		x.Purge(start+second, fmt.Sprint(i), 0, start+second)
 	}
@@ -422,7 +422,7 @@
 			t.Fatal("slewing is no jump")
 		}
 	}
-	for _, jump := range []int64{-second, 3600 * second, -60 * ms} {
+	for _, jump := range []int64{-second, 3600 * second, -60 * millisecond} {
 		wall += jump
 		if !c.Stepped(wall, steady) || c.Stepped(wall, steady) {
 			t.Fatalf("a jump by %d us: not told, or twice", jump)
--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -108,7 +108,7 @@
 	text := strings.Repeat("x", size)
 	bodies := bufferpool.NewPool(1 << 28)
 	c := benchConfig(b.TempDir(), parts*8)
-	c.Settings.WriteBytesPerSecond, c.Settings.QueueBytes, c.Settings.SyncInterval = 1<<40, 1<<30, 10*ms
+	c.Settings.WriteBytesPerSecond, c.Settings.QueueBytes, c.Settings.SyncInterval = 1<<40, 1<<30, 10*millisecond
 	s := Start(c, bodies, quiet())
 	defer s.Close()
 	for !s.ready.Load() {
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -24,7 +24,7 @@
 	Fatal(args ...any)
 }
 
-const ms, second = int64(1000), int64(1_000_000)
+const millisecond, second = int64(1000), int64(1_000_000)
 
 // steppedCache is a Cache without its goroutines: the test does their work step by step,
 // and keeps a record of its own of what it has written and synced.
@@ -75,7 +75,7 @@
 // keep offers a copy and writes it; copies of an object of the same issue differ in nothing.
 func (c *steppedCache) keep(object string, part int64, size int) {
 	request := &Request{Class: "page", Object: object, Part: part, Group: uint8(len(object)), Remaining: 1e9}
-	issued := c.now / ms
+	issued := c.now / millisecond
 	content := bytes.Repeat(fmt.Appendf(nil, "%s/%d@%d ", object, part, issued), size/10+1)[:size]
 	body, _ := c.bodies.ReadBody(bytes.NewReader(content), size)
 	lookup, _ := c.policyRequest(request)
@@ -111,7 +111,7 @@
 // drive takes random steps.
 func (c *steppedCache) drive(steps int, draw func(int) int) {
 	for range steps {
-		c.now += int64(draw(1500)) * ms
+		c.now += int64(draw(1500)) * millisecond
 		object := fmt.Sprintf("%*d", 1+draw(3), draw(6))
 		switch draw(10) {
 		case 0:
@@ -145,7 +145,7 @@
 // it with what was written and synced.
 func (c *steppedCache) checkRecovery(t tb, fs *crashfs.FS, steps int) (recovered *steppedCache, found violations) {
 	t.Helper()
-	recovered = newSteppedCache(t, fs, c.now+1000*ms)
+	recovered = newSteppedCache(t, fs, c.now+1000*millisecond)
 	parts := partSet{}
 	recovered.eachPart(func(part diskcache.CachedPart) {
 		parts[part.Seq] = true
--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
 	set := settings()
-	set.SyncInterval = 5 * ms
+	set.SyncInterval = 5 * millisecond
 	set.WriteBytesPerSecond = 1 << 30
 	c := Config{
 		FS: fs, Superblock: diskstore.Superblock{SlotBytes: set.SlotBytes, Seed: 7}, Settings: set, ReadTimeout: 2 * time.Second,
@@ -58,7 +58,7 @@
 	s.Get(ask(object))
 	body, _ := s.bodies.ReadBody(strings.NewReader(content), len(content))
 	defer body.Release()
-	s.Offer(ask(object), "tag-"+object, now/ms, body)
+	s.Offer(ask(object), "tag-"+object, now/millisecond, body)
 	testsupport.WaitUntil(t, "the write of "+object, func() bool { return s.State().Size.QueuedBytes == 0 })
 }
 
@@ -104,7 +104,7 @@
 	if content(c) != "second" || c.Fresh || c.Serve(false) || c.ServeStale(false) {
 		t.Fatalf("%q, sure %v", content(c), c != nil && c.Fresh)
 	}
-	c.Revalidated(now.Add(second)/ms, true)
+	c.Revalidated(now.Add(second)/millisecond, true)
 	c.Release()
 	if c = s.Get(ask("x")); content(c) != "second" || !c.Fresh {
 		t.Fatal("proven, and not sure")
@@ -465,7 +465,7 @@
 			t.Fatal("found")
 		}
 		body, _ := c.bodies.ReadBody(strings.NewReader("SECRET-ACCEPTANCE"), 17)
-		c.Offer(request, "tag", c.now/ms, body)
+		c.Offer(request, "tag", c.now/millisecond, body)
 		c.keep("page", 0, 500)
 		c.sync()
 	}
@@ -496,7 +496,7 @@
 			c.Release()
 		}
 		if body, err := s.bodies.ReadBody(strings.NewReader(strings.Repeat("x", 3000)), 3000); err == nil {
-			s.Offer(a, "t", now.Add(200*ms)/ms, body)
+			s.Offer(a, "t", now.Add(200*millisecond)/millisecond, body)
 			body.Release()
 		}
 		if i%50 == 0 {
@@ -533,7 +533,7 @@
 	c.policy.Lookup(c.now, &lookup)
 	c.policy.Lookup(c.now, &lookup)
 	body, _ := c.bodies.ReadBody(strings.NewReader("purged in the queue"), 19)
-	c.Offer(request, "tag", c.now/ms, body)
+	c.Offer(request, "tag", c.now/millisecond, body)
 	body.Release()
 	c.Purge("x", 0, c.now)
 	steps := fs.Steps()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/policy"
 )
 
-const ms, start = int64(1000), int64(1_000_000_000)
+const millisecond, start = int64(1000), int64(1_000_000_000)
 
 // testEngine has two caches and an origin, and counts calls of wake.
 type testEngine struct {
@@ -19,13 +19,13 @@
 	set := policy.Settings{
 		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
 		Contract: policy.Contract{
-			AnswerSlack: 8 * ms, SlowStartFor: 1000 * ms, SlowStartFrom: 0.5, OverloadWindow: 1000 * ms, OverloadMultiple: 2,
+			AnswerSlack: 8 * millisecond, SlowStartFor: 1000 * millisecond, SlowStartFrom: 0.5, OverloadWindow: 1000 * millisecond, OverloadMultiple: 2,
 		},
 		Limits:    policy.Limits{Cancel: true, Hedging: true, MaxAttempts: 6},
-		Hierarchy: policy.Hierarchy{CacheBypass: true, ParentKind: -1, OriginKind: 1, PurgeSettleTime: 6000 * ms},
+		Hierarchy: policy.Hierarchy{CacheBypass: true, ParentKind: -1, OriginKind: 1, PurgeSettleTime: 6000 * millisecond},
 		Classes: []policy.TrafficClass{
-			{Name: "read", Effect: policy.EffectIdempotent, LatencyObjective: 200 * ms, PriorityWeight: 1},
-			{Name: "write", Effect: policy.EffectUnsafe, LatencyObjective: 200 * ms, PriorityWeight: 1, Write: true},
+			{Name: "read", Effect: policy.EffectIdempotent, LatencyObjective: 200 * millisecond, PriorityWeight: 1},
+			{Name: "write", Effect: policy.EffectUnsafe, LatencyObjective: 200 * millisecond, PriorityWeight: 1, Write: true},
 		},
 	}
 	if change != nil {
@@ -43,7 +43,7 @@
 func (e *testEngine) open(t *testing.T, class string) *Request {
 	t.Helper()
 	request, err := e.Open(start, policy.Event{
-		Request: "t", Class: class, Object: "x", Remaining: 1000 * ms,
+		Request: "t", Class: class, Object: "x", Remaining: 1000 * millisecond,
 		Write: class == "write",
 	}, func() { e.wakes++ })
 	if err != nil {
@@ -77,12 +77,12 @@
 func TestFirstResponseAnswersAndALaterOneIsReleased(t *testing.T) {
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
-	if e.wakes == 0 || attempt.Source != "o" || attempt.Deadline != start+400*ms && attempt.Deadline != start+1000*ms {
+	if e.wakes == 0 || attempt.Source != "o" || attempt.Deadline != start+400*millisecond && attempt.Deadline != start+1000*millisecond {
 		t.Fatalf("attempt %+v after %d wakes", attempt, e.wakes)
 	}
 	first, second := &countedResponse{}, &countedResponse{}
-	e.AttemptEnded(start+ms, attempt, Result{Outcome: policy.OutcomeDone, Response: first})
-	e.AttemptEnded(start+2*ms, attempt, Result{Outcome: policy.OutcomeDone, Response: second})
+	e.AttemptEnded(start+millisecond, attempt, Result{Outcome: policy.OutcomeDone, Response: first})
+	e.AttemptEnded(start+2*millisecond, attempt, Result{Outcome: policy.OutcomeDone, Response: second})
 	o := next(t, request, CommandRespond)
 	if o.Response != Response(first) || first.released != 0 || second.released != 1 {
 		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
@@ -98,12 +98,12 @@
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
-	e.ClientGone(start+ms, request)
+	e.ClientGone(start+millisecond, request)
 	if o := next(t, request, CommandDrop); o.Attempt != attempt {
 		t.Fatalf("dropped %+v", o.Attempt)
 	}
 	late := &countedResponse{}
-	e.AttemptEnded(start+2*ms, attempt, Result{Outcome: policy.OutcomeDone, Response: late})
+	e.AttemptEnded(start+2*millisecond, attempt, Result{Outcome: policy.OutcomeDone, Response: late})
 	if commands := request.TakeCommands(); len(commands) != 0 || late.released != 1 {
 		t.Fatalf("commands %+v, released %d", commands, late.released)
 	}
@@ -113,15 +113,15 @@
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "write")
 	attempt.Begin()
-	if e.Run(start + 1000*ms - 1); len(request.TakeCommands()) != 0 {
+	if e.Run(start + 1000*millisecond - 1); len(request.TakeCommands()) != 0 {
 		t.Fatal("something happened before the time limit")
 	}
-	e.Run(start + 1000*ms)
+	e.Run(start + 1000*millisecond)
 	commands := request.TakeCommands()
 	if len(commands) != 2 || commands[0].Kind != CommandDrop || !commands[0].Silent || commands[1].Kind != CommandFail {
 		t.Fatalf("commands %+v, want a silent drop and a failure", commands)
 	}
-	if e.Run(start + 1100*ms); len(request.TakeCommands()) != 0 {
+	if e.Run(start + 1100*millisecond); len(request.TakeCommands()) != 0 {
 		t.Fatal("answered again")
 	}
 }
@@ -142,7 +142,7 @@
 		if attempt.Begin() {
 			t.Fatal("written after it was withdrawn or begun")
 		}
-		e.AttemptEnded(start+950*ms, attempt, Result{Outcome: outcome})
+		e.AttemptEnded(start+950*millisecond, attempt, Result{Outcome: outcome})
 		next(t, request, want)
 	}
 }
@@ -183,7 +183,7 @@
 	if _, err := e.Open(start, policy.Event{Request: "t", Class: "read"}, nil); !errors.Is(err, ErrDuplicate) {
 		t.Fatalf("the same id again: %v", err)
 	}
-	other := policy.Event{Request: "u", Class: "read", Object: "x", Remaining: ms}
+	other := policy.Event{Request: "u", Class: "read", Object: "x", Remaining: millisecond}
 	if _, err := e.Open(start, other, func() {}); err != nil {
 		t.Fatal(err)
 	}
@@ -197,9 +197,9 @@
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
-	e.ClientGone(start+ms, request)
+	e.ClientGone(start+millisecond, request)
 	request.Detach()
-	_, background := e.Run(start + 1000*ms)
+	_, background := e.Run(start + 1000*millisecond)
 	if len(background) != 1 || background[0].Kind != CommandDrop || background[0].Attempt != attempt {
 		t.Fatalf("background commands %+v", background)
 	}
@@ -207,13 +207,13 @@
 
 func TestOldPurgesAreIgnored(t *testing.T) {
 	e := newTestEngine(nil)
-	e.Purge(start, "x", 0, start-7000*ms)
+	e.Purge(start, "x", 0, start-7000*millisecond)
 	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge != 0 {
 		t.Fatalf("age %d by a purge that has no effect any more", attempt.MaxAge)
 	}
 	e = newTestEngine(nil)
-	e.Purge(start, "", 0, start-500*ms)
-	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge <= 0 || attempt.MaxAge >= 500*ms {
+	e.Purge(start, "", 0, start-500*millisecond)
+	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge <= 0 || attempt.MaxAge >= 500*millisecond {
 		t.Fatalf("age %d by a purge 500 ms ago", attempt.MaxAge)
 	}
 }
@@ -224,15 +224,15 @@
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
-	e.AttemptEnded(start+ms, attempt, Result{Outcome: policy.OutcomeMiss})
+	e.AttemptEnded(start+millisecond, attempt, Result{Outcome: policy.OutcomeMiss})
 	retry := next(t, request, CommandSend).Attempt
 	if retry.Number != 1 || retry == attempt {
 		t.Fatalf("second attempt %+v", retry)
 	}
 	retry.Begin()
-	e.AttemptEnded(start+2*ms, retry, Result{Outcome: policy.OutcomeDone, Response: &countedResponse{}})
+	e.AttemptEnded(start+2*millisecond, retry, Result{Outcome: policy.OutcomeDone, Response: &countedResponse{}})
 	next(t, request, CommandRespond)
-	if e.Run(start + 2000*ms); len(request.TakeCommands()) != 0 {
+	if e.Run(start + 2000*millisecond); len(request.TakeCommands()) != 0 {
 		t.Fatal("an ended request has commands")
 	}
 }
@@ -242,7 +242,7 @@
 func TestNothingBeginsForAClosedRequestWithoutCancelling(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
-	e.ClientGone(start+ms, request)
+	e.ClientGone(start+millisecond, request)
 	if attempt.Begin() {
 		t.Error("the attempt begins")
 	}
@@ -253,7 +253,7 @@
 	// One that may be on the wire stays in flight until its end.
 	request, attempt = e.openAttempt(t, "read")
 	attempt.Begin()
-	e.ClientGone(start+ms, request)
+	e.ClientGone(start+millisecond, request)
 	if len(request.TakeCommands()) != 0 || len(e.requests) != 1 {
 		t.Error("it was given up")
 	}
@@ -263,20 +263,20 @@
 func TestRetryMayBeSentWithinItsWindowOnly(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) {
 		s.Classes[0] = policy.TrafficClass{
-			Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * ms, LatencyObjective: 200 * ms, PriorityWeight: 1,
+			Name: "read", Effect: policy.EffectIdempotencyKey, DedupWindow: 300 * millisecond, LatencyObjective: 200 * millisecond, PriorityWeight: 1,
 		}
 	})
 	request, first := e.openAttempt(t, "read")
 	first.Begin()
-	if !first.MayBeSent(start+399*ms, 1e6) {
+	if !first.MayBeSent(start+399*millisecond, 1e6) {
 		t.Error("the first attempt has no window")
 	}
-	e.AttemptEnded(start+100*ms, first, Result{Outcome: policy.OutcomeConnectionReset})
+	e.AttemptEnded(start+100*millisecond, first, Result{Outcome: policy.OutcomeConnectionReset})
 	retry := next(t, request, CommandSend).Attempt
-	if !retry.MayBeSent(start+299*ms, 1e6) || retry.MayBeSent(start+300*ms, 1e6) {
+	if !retry.MayBeSent(start+299*millisecond, 1e6) || retry.MayBeSent(start+300*millisecond, 1e6) {
 		t.Errorf("retry until %d", retry.SendBefore-start)
 	}
-	if retry.MayBeSent(start+290*ms, 100*ms) {
+	if retry.MayBeSent(start+290*millisecond, 100*millisecond) {
 		t.Error("an old decision still holds")
 	}
 }
--- a/internal/gateway/peerpolicy/controller.go
+++ b/internal/gateway/peerpolicy/controller.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const ms, second = int64(1000), int64(1_000_000) // microseconds
+const millisecond, second = int64(1000), int64(1_000_000) // microseconds
 
 // Settings bound the gateway. Times are microseconds.
 type Settings struct {
--- a/internal/gateway/peerpolicy/controller_test.go
+++ b/internal/gateway/peerpolicy/controller_test.go
@@ -15,13 +15,13 @@
 	for _, p := range peers {
 		sites[p] = "south"
 	}
-	return New(Settings{Name: "n", Site: "north", MaxRequests: 40, LocalReserve: 0.5, HeartbeatInterval: 250 * ms}, sites)
+	return New(Settings{Name: "n", Site: "north", MaxRequests: 40, LocalReserve: 0.5, HeartbeatInterval: 250 * millisecond}, sites)
 }
 
 // makeHealthy makes a peer healthy, with a limit of ten.
 func makeHealthy(g *Controller, name string, capacity int) *Peer {
 	g.Connected(start, name, 1)
-	g.Heartbeat(start, name, capacity, false, 20*ms)
+	g.Heartbeat(start, name, capacity, false, 20*millisecond)
 	p := g.Peer(name)
 	p.Limit = 10
 	g.Actions()
@@ -47,18 +47,18 @@
 	}
 	g.Heartbeat(start, "a", 5, false, 0)
 	step("beat", StateHealthy)
-	g.Tick(start + 500*ms)
+	g.Tick(start + 500*millisecond)
 	step("two beats", StateHealthy)
-	g.Tick(start + 501*ms)
+	g.Tick(start + 501*millisecond)
 	step("later", StateSuspect)
 	if _, r := g.Forward(start, &Request{RequestID: "t", Deadline: start + second}); r != ReasonNoPeer {
 		t.Fatalf("forwarded to a suspect: %v", r)
 	}
-	g.Heartbeat(start+600*ms, "a", 5, false, 0)
+	g.Heartbeat(start+600*millisecond, "a", 5, false, 0)
 	step("heard", StateHealthy)
-	g.Heartbeat(start+700*ms, "a", 5, true, 0)
+	g.Heartbeat(start+700*millisecond, "a", 5, true, 0)
 	step("drains", StateDraining)
-	g.Tick(start + 700*ms + 5*250*ms + 1)
+	g.Tick(start + 700*millisecond + 5*250*millisecond + 1)
 	step("silent", StateDisconnected)
 	if a := g.Actions(); len(a) != 1 || a[0].Kind != ActionDisconnect {
 		t.Fatalf("%+v", a)
@@ -98,7 +98,7 @@
 		"keyed":        {Request{RequestID: "x", Effect: EffectIdempotencyKey, Deadline: start + second}, ReasonMaybeExecuted},
 		"from afar":    {Request{RequestID: "x", Route: []string{"m"}, Deadline: start + second}, ReasonRoutingLoop},
 		"across":       {Request{RequestID: "1", Deadline: start + second}, ReasonDuplicate},
-		"no time":      {Request{RequestID: "x", Deadline: start + 100*ms}, ReasonNoTime},
+		"no time":      {Request{RequestID: "x", Deadline: start + 100*millisecond}, ReasonNoTime},
 	} {
 		if _, r := g.Forward(start, &c.ask); r != c.want {
 			t.Errorf("%s: %v, want %v", name, r, c.want)
@@ -118,7 +118,7 @@
 	g := newController("a")
 	now := start
 	g.Connected(now, "a", 1)
-	g.Heartbeat(now, "a", 1000, false, ms)
+	g.Heartbeat(now, "a", 1000, false, millisecond)
 	most, n := 0, 0
 	for round := range 200 {
 		out := 0
@@ -135,7 +135,7 @@
 		if most = max(most, out); round == 0 && out != 2 {
 			t.Fatalf("%d at first", out)
 		}
-		now += 20 * ms
+		now += 20 * millisecond
 		for _, id := range ids {
 			g.HandleAnswer(now, "a", id, PeerAnswer{Outcome: OutcomeCompleted})
 		}
@@ -144,8 +144,8 @@
 		t.Fatalf("%d at once after 200 good rounds", most)
 	}
 	for range 30 { // and less where answers are bad
-		now += 300 * ms
-		g.Heartbeat(now, "a", 1000, false, ms)
+		now += 300 * millisecond
+		g.Heartbeat(now, "a", 1000, false, millisecond)
 		id := fmt.Sprint(n)
 		n++
 		g.Forward(now, &Request{RequestID: id, Deadline: now + second})
@@ -172,8 +172,8 @@
 		"another's":     {"a", []string{"b"}, 0, ReasonRoutingLoop},
 		"two hops":      {"a", []string{"a", "b"}, 0, ReasonRoutingLoop},
 		"our own":       {"a", []string{"n"}, 0, ReasonRoutingLoop},
-		"lay in wait":   {"a", []string{"a"}, 501 * ms, ReasonNoTime},
-		"a little late": {"a", []string{"a"}, 500 * ms, ReasonOK},
+		"lay in wait":   {"a", []string{"a"}, 501 * millisecond, ReasonNoTime},
+		"a little late": {"a", []string{"a"}, 500 * millisecond, ReasonOK},
 	} {
 		if r := g.Admit(start, c.peer, name, c.route, c.delay); r != c.want {
 			t.Errorf("%s: %v, want %v", name, r, c.want)
@@ -243,7 +243,7 @@
 
 // step lets one thing happen.
 func (f *randomForwards) step() {
-	f.now += f.random.Int64N(100 * ms)
+	f.now += f.random.Int64N(100 * millisecond)
 	peer := []string{"a", "b"}[f.random.IntN(2)]
 	var id string
 	if ids := slices.Sorted(maps.Keys(f.open)); len(ids) > 0 {
--- a/internal/gateway/peerpolicy/exhaustive_test.go
+++ b/internal/gateway/peerpolicy/exhaustive_test.go
@@ -146,7 +146,7 @@
 		m.reconnects++
 		m.connected = true
 		m.controller.Connected(m.now, modelPeer, uint64(1+m.reconnects))
-		m.controller.Heartbeat(m.now, modelPeer, 9, false, ms)
+		m.controller.Heartbeat(m.now, modelPeer, 9, false, millisecond)
 		return true
 	}},
 	{"deadline passes", func(m *forwardModel) bool {
@@ -154,7 +154,7 @@
 			return false
 		}
 		m.now += 2 * second
-		m.controller.Heartbeat(m.now, modelPeer, 9, false, ms)
+		m.controller.Heartbeat(m.now, modelPeer, 9, false, millisecond)
 		m.controller.Tick(m.now)
 		return true
 	}},
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -201,7 +201,7 @@
 	const (
 		quarterLate      = 0.75
 		median           = 0.5
-		defaultRoundTrip = 50 * ms
+		defaultRoundTrip = 50 * millisecond
 	)
 	return quantile(p.responseTimes, quarterLate, quantile(p.roundTrips, median, defaultRoundTrip)*3/2)
 }
@@ -211,7 +211,7 @@
 func (c *Controller) deadlineMargin() int64 {
 	const (
 		ticksPerHeartbeat = 4
-		clientResponse    = 10 * ms
+		clientResponse    = 10 * millisecond
 	)
 	return c.settings.HeartbeatInterval/ticksPerHeartbeat + clientResponse
 }
--- a/internal/gateway/peerpolicy/inbound.go
+++ b/internal/gateway/peerpolicy/inbound.go
@@ -5,7 +5,7 @@
 // maxExtraDelay is how much longer than the quickest one a request may have been under
 // way, in microseconds: a side that stood still for longer may wake up to requests that
 // have ended.
-const maxExtraDelay = 500 * ms
+const maxExtraDelay = 500 * millisecond
 
 // Admit decides whether a peer's request is taken. One that is not was never executed.
 func (c *Controller) Admit(now int64, name, id string, route []string, extraDelay int64) Reason {
--- a/internal/gateway/peerpolicy/limit.go
+++ b/internal/gateway/peerpolicy/limit.go
@@ -10,10 +10,10 @@
 	initialInboundLimit = 4
 
 	minLimit        = 1
-	limitDecrease   = 0.7      // factor
-	limitRoundTrip  = 200 * ms // a limit is reduced once in that time
-	limitWindow     = 8        // last outcomes that are looked at
-	badOutcomeShare = 4        // a quarter of them must be bad
+	limitDecrease   = 0.7               // factor
+	limitRoundTrip  = 200 * millisecond // a limit is reduced once in that time
+	limitWindow     = 8                 // last outcomes that are looked at
+	badOutcomeShare = 4                 // a quarter of them must be bad
 	maxSamples      = 32
 )
 
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -106,7 +106,7 @@
 	}
 	if late := at - e.outSince; late > m.settings.DrainGraceMicros+maxDiscoverySkew {
 		p.violations[RuleDrained].add(at,
-			fmt.Sprintf("%s %s %d ms after it was told to be out", action, use.Endpoint, late/ms))
+			fmt.Sprintf("%s %s %d ms after it was told to be out", action, use.Endpoint, late/millisecond))
 	}
 }
 
@@ -118,7 +118,7 @@
 		if purge.covers(r) && r.IssuedMicros < purge.issuedAt && late > m.settings.PurgeGraceMicros+maxDiscoverySkew {
 			p.violations[RuleStale].add(r.SentMicros,
 				fmt.Sprintf("a copy %d ms older than a purge, asked for %d ms after that was told",
-					(purge.issuedAt-r.IssuedMicros)/ms, late/ms))
+					(purge.issuedAt-r.IssuedMicros)/millisecond, late/millisecond))
 			return
 		}
 	}
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -10,7 +10,7 @@
 
 // testSettings of a small site: budgets of 4 cores and 2 routers, windows of a second.
 var testSettings = Settings{
-	DrainGraceMicros: 500 * ms, PurgeGraceMicros: 300 * ms, WindowMicros: second,
+	DrainGraceMicros: 500 * millisecond, PurgeGraceMicros: 300 * millisecond, WindowMicros: second,
 	SlowStart: map[string]SlowStartBudget{"edge": {From: 0.25, Multiple: 2, DurationMicros: 10 * second, Routers: 2}},
 }
 
@@ -65,7 +65,7 @@
 		{"drained, and back before the monitor learns of it", 0, func(m *Monitor) Violations {
 			m.EndpointsChanged(epoch, false, []policy.Endpoint{listed("a", policy.EndpointDraining, 0)})
 			return play(m, epoch+10*second, epoch+30*second, func(now int64) *Activity {
-				if now == epoch+10*second+900*ms {
+				if now == epoch+10*second+900*millisecond {
 					m.EndpointsChanged(now, false, []policy.Endpoint{listed("a", policy.EndpointActive, 0)})
 				}
 				return useOf("a", 0)(now)
@@ -109,7 +109,7 @@
 		{"sent before the purge was received", 0, func(m *Monitor) Violations {
 			m.Purged(epoch, "", 7, epoch-second)
 			return play(m, epoch, epoch+12*second, func(int64) *Activity {
-				return &Activity{Responses: []Response{{Group: 7, SentMicros: epoch - ms, IssuedMicros: epoch - 2*second}}}
+				return &Activity{Responses: []Response{{Group: 7, SentMicros: epoch - millisecond, IssuedMicros: epoch - 2*second}}}
 			})
 		}},
 		{"twice the allowance of an endpoint in slow start", RuleOverBudget, func(m *Monitor) Violations {
@@ -173,7 +173,7 @@
 		m := New(testSettings)
 		m.EndpointsChanged(epoch, true, []policy.Endpoint{listed("a", policy.EndpointDraining, 0)})
 		m.Purged(epoch, "", 7, epoch)
-		m.ClockJumped(epoch+by+100*ms, by)
+		m.ClockJumped(epoch+by+100*millisecond, by)
 		v := play(m, epoch+by, epoch+by+2*second, func(now int64) *Activity {
 			return &Activity{
 				Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}},
--- a/internal/invariant/random_test.go
+++ b/internal/invariant/random_test.go
@@ -87,16 +87,16 @@
 			if draining[id] {
 				state = policy.EndpointDraining
 			}
-			toMonitor.add(now, reachableFrom, draw("delay to the monitor", 0, 900*ms), func(now int64) {
+			toMonitor.add(now, reachableFrom, draw("delay to the monitor", 0, 900*millisecond), func(now int64) {
 				m.EndpointsChanged(now, false, []policy.Endpoint{listed(id, state, 0)})
 			})
-			toRouter.add(now, reachableFrom, draw("delay to the router", 0, 900*ms), func(int64) { r.states[id] = state })
+			toRouter.add(now, reachableFrom, draw("delay to the router", 0, 900*millisecond), func(int64) { r.states[id] = state })
 		case 2, 3:
 			group, issuedAt := draw("group", 0, 2), now
-			toMonitor.add(now, reachableFrom, draw("delay to the monitor", 0, 900*ms), func(now int64) {
+			toMonitor.add(now, reachableFrom, draw("delay to the monitor", 0, 900*millisecond), func(now int64) {
 				m.Purged(now, "", group, issuedAt)
 			})
-			toRouter.add(now, reachableFrom, draw("delay to the router", 0, 900*ms), func(now int64) {
+			toRouter.add(now, reachableFrom, draw("delay to the router", 0, 900*millisecond), func(now int64) {
 				r.purges = append(r.purges, purge{group: group, issuedAt: issuedAt, receivedAt: now})
 			})
 		case 4:
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -27,8 +27,8 @@
 
 // Times in microseconds.
 const (
-	ms     = int64(1000)
-	second = int64(1_000_000)
+	millisecond = int64(1000)
+	second      = int64(1_000_000)
 )
 
 const (
--- a/internal/invariant/safety_test.go
+++ b/internal/invariant/safety_test.go
@@ -22,7 +22,7 @@
 				drain(m, now)
 			case at == 4*second:
 				m.EndpointsChanged(now, false, []policy.Endpoint{listed("a", policy.EndpointActive, 0)})
-			case at >= 3500*ms:
+			case at >= 3500*millisecond:
 				return useA(now)
 			}
 			return nil
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -158,14 +158,14 @@
 		if f.partition != nil && f.partition(from, o.To) || f.random.Float64() < f.lossRate {
 			continue
 		}
-		at := f.now + 5*ms + f.random.Int64N(f.maxDelay+1)
+		at := f.now + 5*millisecond + f.random.Int64N(f.maxDelay+1)
 		f.inFlight = append(f.inFlight, delivery{at, from, o.To, o.Message})
 	}
 }
 
 // step plays 50 ms.
 func (f *fleet) step() {
-	f.now += 50 * ms
+	f.now += 50 * millisecond
 	f.deliver()
 	for i := range f.nodes {
 		if r := &f.routers[i]; r.up && !r.frozen {
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -2,14 +2,14 @@
 
 // Times in microseconds.
 const (
-	ms     = int64(1000)
-	second = int64(1_000_000)
+	millisecond = int64(1000)
+	second      = int64(1_000_000)
 )
 
 const (
 	// heartbeatInterval is the time between two rounds of a leader, two polls of a
 	// follower, and two questions of a recovering router.
-	heartbeatInterval = 500 * ms
+	heartbeatInterval = 500 * millisecond
 
 	// leaseDuration is how long a leader may act on a round that a majority accepted,
 	// from when it sent the round.
@@ -32,5 +32,5 @@
 	// candidate. Each router waits electionStagger longer than the one before it in the
 	// plan, so that they rarely compete.
 	electionTimeout = 5 * second
-	electionStagger = 700 * ms
+	electionStagger = 700 * millisecond
 )
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -48,7 +48,7 @@
 	for seed := range uint64(60) {
 		f := newFleet(t, sevenRouterPlan, seed)
 		f.disksLast = seed%3 != 0
-		f.lossRate, f.maxDelay = 0.05, 200*ms
+		f.lossRate, f.maxDelay = 0.05, 200*millisecond
 		if seed%2 == 1 {
 			f.newWorseBy = 0.25
 		}
--- a/internal/rollout/safety_test.go
+++ b/internal/rollout/safety_test.go
@@ -123,7 +123,7 @@
 	found := false
 	for seed := uint64(0); seed < 200 && !found; seed++ {
 		f := newFleetOf(t, sevenRouterPlan, seed, third)
-		f.maxDelay = 100 * ms
+		f.maxDelay = 100 * millisecond
 		f.command(0, CommandStart)
 		f.play(8 + 4*f.random.Float64())
 		side := map[int]bool{}
--- a/internal/rollout/search_test.go
+++ b/internal/rollout/search_test.go
@@ -99,7 +99,7 @@
 func (r *searchResult) playSequence(t *testing.T, faults []fault, depth, code int, v variant) {
 	f := newFleetOf(t, threeRouterPlan, uint64(code%7), v)
 	f.disksLast = code%2 == 0
-	f.maxDelay = 30 * ms
+	f.maxDelay = 30 * millisecond
 	f.command(2, CommandStart)
 	f.play(6)
 	path := ""
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -62,7 +62,7 @@
 		Stage:      view.Stage + 1,
 		Stages:     len(n.plan.Stages),
 		Reason:     view.Reason,
-		AgeMS:      age / ms,
+		AgeMS:      age / millisecond,
 		Seq:        view.Seq,
 		IsLeader:   n.IsLeader(),
 		Recovering: n.recovering(),
@@ -94,7 +94,7 @@
 		s.Activity = activityNew
 	}
 	if n.leader != nil {
-		s.HeardMS = (n.now - n.leader.routers[i].heardAt) / ms
+		s.HeardMS = (n.now - n.leader.routers[i].heardAt) / millisecond
 		s.Report = n.leader.routers[i].report
 	}
 	return s
@@ -107,7 +107,7 @@
 		return
 	}
 	s.Verdict = l.watch.verdict.String() + ": " + l.watch.verdictReason
-	s.WatchMS = (n.now - l.watch.startedAt) / ms
+	s.WatchMS = (n.now - l.watch.startedAt) / millisecond
 	settings := n.plan.CanarySettings()
 	for metric := range canary.MetricCount {
 		s.addInterval(metric.String(), settings.Tolerance[metric], analyzer.Interval(metric), analyzer.Samples(metric))
