--- a/internal/diskcache/diskrunner/recovery.go
+++ b/internal/diskcache/diskrunner/recovery.go
@@ -21,7 +21,8 @@
 	settings.Seed = store.Seed()
 	c.mu.Lock()
 	now := c.now()
-	c.store, c.policy = store, diskcache.New(now, *settings)
+	c.store = store
+	c.policy = diskcache.New(now, *settings)
 	c.policy.SetDiscoveryLost(now, c.discoveryLost)
 	c.mu.Unlock()
 
--- a/internal/diskcache/diskrunner/status.go
+++ b/internal/diskcache/diskrunner/status.go
@@ -23,7 +23,9 @@
 	defer c.mu.Unlock()
 	state.Ready = c.ready.Load()
 	if c.policy != nil {
-		state.Health, state.Counts, state.Size = c.policy.Health(), c.policy.Counts, c.policy.Size()
+		state.Health = c.policy.Health()
+		state.Counts = c.policy.Counts
+		state.Size = c.policy.Size()
 	}
 	state.ReadMedianMicros = c.readTimes.ValueAtQuantile(median)
 	state.ReadP99Micros = c.readTimes.ValueAtQuantile(p99)
--- a/internal/diskcache/diskstore/compaction.go
+++ b/internal/diskcache/diskstore/compaction.go
@@ -39,7 +39,9 @@
 func (s *Store) switchIndex(file File, number uint64, end int64) error {
 	old := fmt.Sprintf(indexName, s.number)
 	_ = s.index.Close()
-	s.index, s.number, s.indexEnd = file, number, end
+	s.index = file
+	s.number = number
+	s.indexEnd = end
 	if err := s.fs.SyncDir(); err != nil {
 		return fmt.Errorf("index renamed, not synced: %v", err) //nolint:errorlint // must not pass for ENOSPC
 	}
--- a/internal/diskcache/diskstore/inspect.go
+++ b/internal/diskcache/diskstore/inspect.go
@@ -99,7 +99,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Frames, r.BadFrames, r.Parts = recovery.Frames, recovery.BadFrames, len(entries)
+	r.Frames = recovery.Frames
+	r.BadFrames = recovery.BadFrames
+	r.Parts = len(entries)
 	return entries, nil
 }
 
--- a/internal/diskcache/diskstore/record.go
+++ b/internal/diskcache/diskstore/record.go
@@ -87,5 +87,7 @@
 func (r *Record) setNames(h, names []byte) {
 	class := int(h[recordClassLength])
 	object := class + int(h[recordObjectLength])
-	r.Class, r.Object, r.Tag = string(names[:class]), string(names[class:object]), string(names[object:])
+	r.Class = string(names[:class])
+	r.Object = string(names[class:object])
+	r.Tag = string(names[object:])
 }
--- a/internal/diskcache/diskstore/superblock.go
+++ b/internal/diskcache/diskstore/superblock.go
@@ -53,7 +53,8 @@
 		crc32.Checksum(b[:superblockChecksum], checksumTable) != le.Uint32(b[superblockChecksum:]) {
 		return s, fmt.Errorf("%w: superblock", ErrCorruptStore)
 	}
-	s.SlotBytes, s.Seed = int(le.Uint32(b[superblockSlots:])), le.Uint64(b[superblockSeed:])
+	s.SlotBytes = int(le.Uint32(b[superblockSlots:]))
+	s.Seed = le.Uint64(b[superblockSeed:])
 	if s.SlotBytes < MinSlotBytes || s.SlotBytes > MaxSlotBytes {
 		return s, fmt.Errorf("%w: slots of %d bytes", ErrCorruptStore, s.SlotBytes)
 	}
--- a/internal/diskcache/health.go
+++ b/internal/diskcache/health.go
@@ -89,7 +89,8 @@
 func (p *Policy) countReadFailure(now int64) bool {
 	p.Counts.ReadFailures++
 	if now-p.readFailuresSince > readFailureWindow || now < p.readFailuresSince {
-		p.readFailures, p.readFailuresSince = 0, now
+		p.readFailures = 0
+		p.readFailuresSince = now
 	}
 	p.readFailures++
 	return p.readFailures >= maxReadFailures
--- a/internal/diskcache/index.go
+++ b/internal/diskcache/index.go
@@ -87,7 +87,9 @@
 		x.allocated++
 	}
 	bucket, objects := &x.keyBuckets[e.key&x.mask], &x.objectBuckets[e.object&x.mask]
-	e.nextInBucket, e.nextOfObject, e.previousOfObject = *bucket, *objects, noIndex
+	e.nextInBucket = *bucket
+	e.nextOfObject = *objects
+	e.previousOfObject = noIndex
 	if e.nextOfObject != noIndex {
 		x.at(e.nextOfObject).previousOfObject = i
 	}
@@ -123,7 +125,8 @@
 
 func (x *index) pushNewest(i uint32) {
 	e := x.at(i)
-	e.newer, e.older = noIndex, x.newest
+	e.newer = noIndex
+	e.older = x.newest
 	if x.newest != noIndex {
 		x.at(x.newest).newer = i
 	} else {
--- a/internal/diskcache/lookup.go
+++ b/internal/diskcache/lookup.go
@@ -41,7 +41,8 @@
 	if !class.Cacheable {
 		return miss(ReasonNotCacheable)
 	}
-	key, object := p.partKey(request), p.objectKey(request.Object)
+	key := p.partKey(request)
+	object := p.objectKey(request.Object)
 	countRequest(p.sketch, p.frequencyKey(key, object), p.index.entries)
 	if p.health == HealthOff {
 		return miss(ReasonDiskOff)
@@ -188,6 +189,7 @@
 	e.issued = max(e.issued, issuedMillis)
 	if p.purgesComplete(now, issuedMillis) {
 		// A copy that a cache served under an older issue is no worse than this one.
-		e.issued, e.epoch = issuedMillis, p.epoch
+		e.issued = issuedMillis
+		e.epoch = p.epoch
 	}
 }
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -174,7 +174,8 @@
 			g.logRefused(conn, err).Warn("gateway: peer refused")
 			return err
 		}
-		certified, conn = peerName(secured.ConnectionState()), secured
+		certified = peerName(secured.ConnectionState())
+		conn = secured
 	}
 	l := newLink(g, conn, "")
 	if err := l.greetDialler(certified, incarnation); err != nil {
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -24,7 +24,9 @@
 	reply := Reply{Outcome: outcome}
 	switch {
 	case outcome == peerpolicy.OutcomeCompleted:
-		reply.NotModified, reply.Tag, reply.IssuedMillis = c.answer.NotModified, c.answer.Tag, c.answer.IssuedMillis
+		reply.NotModified = c.answer.NotModified
+		reply.Tag = c.answer.Tag
+		reply.IssuedMillis = c.answer.IssuedMillis
 		reply.Body, c.body = c.body, nil
 	case c.answer != nil:
 		reply.RetryAfter = c.answer.RetryAfter
@@ -91,7 +93,8 @@
 		const microsPerMilli = 1000
 		c.latestPurgeMillis = max(c.latestPurgeMillis, (purge.At+microsPerMilli-1)/microsPerMilli)
 	}
-	g.forwarded[id], l.calls[c.number] = c, id
+	g.forwarded[id] = c
+	l.calls[c.number] = id
 	return c
 }
 
@@ -199,7 +202,8 @@
 		g.mu.Unlock()
 		return fmt.Errorf("%w: request %d answered twice", peerproto.ErrMalformed, frame.Number)
 	}
-	c.answer, c.bytesLeft = &answer, int(answer.BodyBytes)
+	c.answer = &answer
+	c.bytesLeft = int(answer.BodyBytes)
 	if c.bytesLeft > 0 {
 		c.body = g.bodies.NewBody()
 		g.mu.Unlock()
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -132,7 +132,8 @@
 	g.mu.Unlock()
 	l.queueMu.Lock()
 	if l.heartbeatSentAt > 0 {
-		heartbeat.EchoedAt, heartbeat.HeldTime = l.heartbeatSentAt, now-l.heartbeatAt
+		heartbeat.EchoedAt = l.heartbeatSentAt
+		heartbeat.HeldTime = now - l.heartbeatAt
 	}
 	l.queueMu.Unlock()
 	if b, err := peerproto.Append(nil, peerproto.KindHeartbeat, 0, &heartbeat); err == nil {
@@ -144,7 +145,8 @@
 func (l *link) handleHeartbeat(now int64, heartbeat *peerproto.Heartbeat) (roundTrip int64) {
 	l.queueMu.Lock()
 	defer l.queueMu.Unlock()
-	l.heartbeatAt, l.heartbeatSentAt = now, heartbeat.SentAt
+	l.heartbeatAt = now
+	l.heartbeatSentAt = heartbeat.SentAt
 	l.trackClockOffset(now, heartbeat.SentAt)
 	if heartbeat.EchoedAt > 0 {
 		roundTrip = max(now-heartbeat.EchoedAt-heartbeat.HeldTime, 1)
@@ -156,7 +158,8 @@
 // frame so far.
 func (l *link) trackClockOffset(now, sentAt int64) {
 	if offset := now - sentAt; !l.clockOffsetKnown || offset < l.clockOffset {
-		l.clockOffset, l.clockOffsetKnown = offset, true
+		l.clockOffset = offset
+		l.clockOffsetKnown = true
 	}
 }
 
--- a/internal/gateway/peerpolicy/peer.go
+++ b/internal/gateway/peerpolicy/peer.go
@@ -106,8 +106,11 @@
 
 // resetPeer forgets what a peer was before its new connection.
 func (c *Controller) resetPeer(peer *Peer) {
-	peer.Limit, peer.Capacity = initialPeerLimit, 0
-	peer.roundTrips, peer.responseTimes, peer.outcomes = nil, nil, nil
+	peer.Limit = initialPeerLimit
+	peer.Capacity = 0
+	peer.roundTrips = nil
+	peer.responseTimes = nil
+	peer.outcomes = nil
 }
 
 // abandonPeer ends the requests that are in flight at a peer that is gone.
@@ -137,7 +140,8 @@
 	if peer.State != StateDisconnected { // the new connection replaces the old one
 		c.observe(peer, signalDisconnected)
 	}
-	peer.Incarnation, peer.heardAt = incarnation, now
+	peer.Incarnation = incarnation
+	peer.heardAt = now
 	c.observe(peer, signalConnected)
 	return true
 }
@@ -156,7 +160,8 @@
 	if peer == nil || peer.State == StateDisconnected {
 		return
 	}
-	peer.heardAt, peer.Capacity = now, max(capacity, 0)
+	peer.heardAt = now
+	peer.Capacity = max(capacity, 0)
 	if roundTrip > 0 {
 		peer.roundTrips = addSample(peer.roundTrips, roundTrip)
 	}
--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -155,7 +155,8 @@
 		return f, err
 	}
 	n := int(header[0]) | int(header[1])<<8 | int(header[2])<<16
-	f.Kind, f.Number = Kind(header[3]), binary.LittleEndian.Uint32(header[4:])
+	f.Kind = Kind(header[3])
+	f.Number = binary.LittleEndian.Uint32(header[4:])
 	if err := f.check(n); err != nil {
 		return f, err
 	}
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -117,7 +117,8 @@
 func (m *member) briefUpdate() Update {
 	u := m.update()
 	if m.state == StateSuspect || m.state == StateDead {
-		u.Zone, u.Addr = "", netip.AddrPort{}
+		u.Zone = ""
+		u.Addr = netip.AddrPort{}
 	}
 	return u
 }
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -42,7 +42,9 @@
 	n.Counts.Resumes++
 	n.resumedAt = n.now
 	// Acknowledgements that waited in the socket would give the length of the pause as their round trip.
-	n.pendingProbes, n.relayedProbes, n.exchangeQueue = nil, nil, nil
+	n.pendingProbes = nil
+	n.relayedProbes = nil
+	n.exchangeQueue = nil
 	for _, m := range n.members {
 		if m.state == StateSuspect {
 			m.deadline += paused
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -82,11 +82,14 @@
 	req.fallback++ // attemptFill, then attemptCacheOnly, then attemptParentOnly
 	switch {
 	case req.fallback == attemptCacheOnly && !r.saturated(req, &p.target.limiters[attemptCacheOnly]):
-		p.kind, p.source, p.staleGrace = attemptCacheOnly, p.target, req.class.staleGrace
+		p.kind = attemptCacheOnly
+		p.source = p.target
+		p.staleGrace = req.class.staleGrace
 		return true
 	case req.fallback == attemptParentOnly && p.source.role == roleParent && p.target.linkUse < maxLinkUse &&
 		!r.saturated(req, &p.target.limiters[attemptParentOnly]):
-		p.kind, p.mode = attemptParentOnly, FillNoFetch
+		p.kind = attemptParentOnly
+		p.mode = FillNoFetch
 		return true
 	}
 	return false
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -74,7 +74,8 @@
 	ep.limiters = &ep.ownLimiters
 	for i := range ep.ownLimiters {
 		own, bypass := &ep.ownLimiters[i], &r.bypassLimiters[i]
-		own.weight, bypass.weight = ep.weight, ep.weight
+		own.weight = ep.weight
+		bypass.weight = ep.weight
 		own.limit = cmp.Or(own.limit, initialLimit*ep.weight*r.config.zoneShare)
 		bypass.limit = cmp.Or(bypass.limit, own.limit)
 	}
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -21,7 +21,8 @@
 	}
 	if scope != ScopeDiff {
 		for _, ep := range r.ordered {
-			ep.active, ep.gone = false, true
+			ep.active = false
+			ep.gone = true
 		}
 	}
 	for i := range list {
@@ -45,7 +46,8 @@
 		ep = r.addEndpoint(e)
 	}
 	ep.role = role
-	ep.zone, ep.cell = e.Zone, e.Cell
+	ep.zone = e.Zone
+	ep.cell = e.Cell
 	ep.weight = max(e.Weight, minWeight)
 	r.initLimiters(ep)
 	ep.active = e.State == EndpointActive
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -23,7 +23,10 @@
 		maxStep        = 1. / 16 // of the distance to the baseline
 	)
 	if d.baseline == 0 {
-		d.baseline, d.reported, d.current, d.reportedAt = delay, delay, delay, now
+		d.baseline = delay
+		d.reported = delay
+		d.current = delay
+		d.reportedAt = now
 	} else {
 		step := min(float64(now-d.reportedAt)/baselinePeriod, maxStep)
 		d.baseline += min(delay-d.baseline, d.baseline) * step // overload is no baseline
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -104,7 +104,9 @@
 // readmit takes an ejected endpoint in again and drops what counted against it, the doubling of its ejection time
 // included.
 func (r *Router) readmit(ep *endpoint) {
-	ep.ejections, ep.fillSamples, ep.readmittedAt = 0, nil, r.now
+	ep.ejections = 0
+	ep.fillSamples = nil
+	ep.readmittedAt = r.now
 	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
 }
 
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -155,7 +155,8 @@
 
 // setCost works out what an attempt takes of slow-start budgets.
 func (req *request) setCost() {
-	req.cost, req.costVariance = req.transferTime, 0
+	req.cost = req.transferTime
+	req.costVariance = 0
 	if req.transferTime == 0 {
 		req.cost = mean(req.class.transferTimes, req.class.latencyObjective)
 		req.costVariance = variance(req.class.transferTimes)
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -170,7 +170,8 @@
 // Handle takes one event at the given time, in microseconds of the clock that Endpoint.StartedAt is on, and appends the
 // actions that it leads to.
 func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
-	r.now, r.actions = now, actions
+	r.now = now
+	r.actions = actions
 	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
 	switch e.Kind {
 	case EventEndpoints:
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -206,7 +206,9 @@
 // restore takes a limit over. One of zero is passed over: nothing would be sent, and the limit would never rise.
 func (lim *limiter) restore(from *LimiterSnapshot) {
 	if from.Limit > 0 {
-		lim.limit, lim.reducedAt, lim.samples = from.Limit, from.ReducedAt, restoreSamples(from.Samples)
+		lim.limit = from.Limit
+		lim.reducedAt = from.ReducedAt
+		lim.samples = restoreSamples(from.Samples)
 	}
 }
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -122,7 +122,8 @@
 // withShare adds routers until the share of each office has changed.
 func (p *Plan) withShare(changed Set, share float64) Set {
 	const roundingError = 1e-9 // of a share times a number of routers
-	total, done := map[string]int{}, map[string]int{}
+	total := map[string]int{}
+	done := map[string]int{}
 	for i, r := range p.Routers {
 		total[r.Office]++
 		if changed.Has(i) {
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -61,7 +61,8 @@
 
 // nextState returns the state that follows the decided one; the same Seq: none does.
 func (l *leader) nextState(n *Node) State {
-	found, reason := l.pendingCondition, l.pendingReason
+	found := l.pendingCondition
+	reason := l.pendingReason
 	if !l.rollbackPending {
 		found, reason = l.findCondition(n)
 	}
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -134,7 +134,8 @@
 	}
 	switch verb {
 	case VerbPowerOn:
-		m.Seed, m.Settings = e.Seed, e.Setup.PolicySettings()
+		m.Seed = e.Seed
+		m.Settings = e.Setup.PolicySettings()
 	case VerbInventory:
 		m.Endpoints = e.policyEndpoints()
 	default:
--- a/internal/simwire/response.go
+++ b/internal/simwire/response.go
@@ -55,24 +55,32 @@
 		d.Source = a.Source
 		d.CachePriority = copyOf(a.CachePriority)
 		d.FillMode = int(a.FillMode)
-		d.MaxAge, d.Timeout = millis(a.MaxAge), millis(a.Timeout)
+		d.MaxAge = millis(a.MaxAge)
+		d.Timeout = millis(a.Timeout)
 	case policy.ActionFail:
 		d.Verb = "RespondError"
 	case policy.ActionReject:
-		d.Verb, d.RetryAfter = "OverloadReply", millis(a.RetryAfter)
+		d.Verb = "OverloadReply"
+		d.RetryAfter = millis(a.RetryAfter)
 	case policy.ActionCancel:
-		d.Verb, d.Attempt = "StopAttempt", copyOf(a.Attempt)
+		d.Verb = "StopAttempt"
+		d.Attempt = copyOf(a.Attempt)
 	case policy.ActionSetTimer:
-		d.Verb, d.Due, d.Token = "Defer", copyOf(millis(a.Due)), copyOf(a.Token)
+		d.Verb = "Defer"
+		d.Due = copyOf(millis(a.Due))
+		d.Token = copyOf(a.Token)
 	case policy.ActionHealthCheck:
 		d.Verb = "Ping"
 	case policy.ActionSubscribe:
-		d.Verb, d.Active = "Subscribe", copyOf(true)
+		d.Verb = "Subscribe"
+		d.Active = copyOf(true)
 	case policy.ActionLog: // the wire's line has a text alone
-		d.Verb, d.Endpoint = "JournalLine", ""
+		d.Verb = "JournalLine"
+		d.Endpoint = ""
 		d.Message = journalTexts[a.Text] + ": " + a.Endpoint
 	case policy.ActionPanic:
-		d.Verb, d.Message = "Panic", a.Text
+		d.Verb = "Panic"
+		d.Message = a.Text
 	}
 	return d
 }
--- a/internal/supervisor/adoption.go
+++ b/internal/supervisor/adoption.go
@@ -151,7 +151,8 @@
 	s.old = p
 	s.machine = upgrade.NewAdoptedMachine(s.config.Times, s.now(), false)
 	if p.manifest.Generation != s.file.Settled.Generation {
-		s.file.Previous, s.file.Settled = s.file.Settled, p.manifest
+		s.file.Previous = s.file.Settled
+		s.file.Settled = p.manifest
 	}
 	if !p.wasSettled {
 		p.send(&handoff.Message{Kind: handoff.KindSettle})
--- a/internal/supervisor/check.go
+++ b/internal/supervisor/check.go
@@ -53,7 +53,8 @@
 	cmd.Env = processEnvironment()
 	output := boundedBuffer{limit: maxSettingsBytes}
 	errorOutput := boundedBuffer{limit: maxCheckErrorBytes}
-	cmd.Stdout, cmd.Stderr = &output, &errorOutput
+	cmd.Stdout = &output
+	cmd.Stderr = &errorOutput
 	if err := cmd.Run(); err != nil {
 		text := strings.TrimSpace(errorOutput.String())
 		return nil, errors.New(cmp.Or(text, "check: "+err.Error()))
@@ -115,7 +116,8 @@
 				s.feed(upgrade.InputRejected)
 				return
 			}
-			c.manifest, c.budget = manifest, budget
+			c.manifest = manifest
+			c.budget = budget
 			s.reportProgress("checked: %s; %d MB and %d descriptors beside the present generation; %s",
 				manifest.Version, budget.MemoryMB, budget.Descriptors,
 				cmp.Or(describeChanges(differences, upgrade.ModeHandoff), "no key differs"))
--- a/internal/supervisor/effects.go
+++ b/internal/supervisor/effects.go
@@ -140,7 +140,8 @@
 
 // writeSettled records the new generation as the settled one.
 func (s *Supervisor) writeSettled() {
-	s.file.Previous, s.file.Settled = s.file.Settled, s.new.manifest
+	s.file.Previous = s.file.Settled
+	s.file.Settled = s.new.manifest
 	if s.writeState() {
 		s.feed(upgrade.InputWritten)
 	} else {
@@ -166,7 +167,8 @@
 			s.drain(p, &handoff.Message{Kind: handoff.KindEnd})
 		}
 	}
-	s.old, s.new = nil, nil
+	s.old = nil
+	s.new = nil
 }
 
 // outcome of a change.
--- a/internal/supervisor/generation.go
+++ b/internal/supervisor/generation.go
@@ -49,7 +49,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	m.Settings, m.Version = checked.Digest, checked.Version
+	m.Settings = checked.Digest
+	m.Version = checked.Version
 	// A generation without flat settings is run; the next change says what is missing.
 	_ = writeJSON(filepath.Join(folder, settingsFile), checked.Flat)
 	return m, checked, writeJSON(filepath.Join(folder, manifestFile), m)
--- a/internal/supervisor/observer.go
+++ b/internal/supervisor/observer.go
@@ -67,7 +67,8 @@
 	previousCancel, previousDone := o.cancel, o.done
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	o.cancel, o.done = cancel, done
+	o.cancel = cancel
+	o.done = done
 	go func() {
 		defer close(done)
 		if previousCancel != nil { // two never run at once
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -102,7 +102,8 @@
 	for _, name := range s.socketNames {
 		cmd.ExtraFiles = append(cmd.ExtraFiles, s.sockets[name])
 	}
-	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
+	cmd.Stdout = os.Stderr
+	cmd.Stderr = os.Stderr
 	cmd.Env = append(processEnvironment(),
 		upgradeagent.EnvFolder+"="+s.config.Folder,
 		upgradeagent.EnvGeneration+"="+generationName(manifest.Generation),
--- a/internal/supervisor/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -108,7 +108,8 @@
 		r.writeFailed = true
 		return false
 	}
-	r.persisted, r.writeFailed = durable, false
+	r.persisted = durable
+	r.writeFailed = false
 	return true
 }
 
--- a/internal/supervisor/rolloutplan.go
+++ b/internal/supervisor/rolloutplan.go
@@ -38,7 +38,9 @@
 		}
 		return
 	}
-	r.planText, r.plan, r.persisted = text, plan, rollout.Durable{}
+	r.planText = text
+	r.plan = plan
+	r.persisted = rollout.Durable{}
 	durable := s.readDurableRollout(plan)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	r.node = rollout.NewNode(plan, s.config.MemberName, durable, random, s.now())
--- a/internal/supervisor/rolloutreport.go
+++ b/internal/supervisor/rolloutreport.go
@@ -26,7 +26,8 @@
 	r := &s.rollout
 	report.Counts = canaryCounts(r.previousRequests.Add(r.currentRequests))
 	violations := s.violations(s.old, nil)
-	report.ViolatedRules, report.FirstViolation = violations.Rules, violations.Text
+	report.ViolatedRules = violations.Rules
+	report.FirstViolation = violations.Text
 	if s.observer != nil {
 		report.DrainsSeen, report.PurgesSeen = s.observer.monitor.EventCounts()
 	}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -211,7 +211,8 @@
 	})
 	if previous := s.file.Previous; previous != nil && isIntact(previous) {
 		log.Error("supervisor: settled program has changed, the previous one is started")
-		s.file.Settled, s.file.Previous = previous, nil
+		s.file.Settled = previous
+		s.file.Previous = nil
 		return
 	}
 	if err != nil {
