--- a/cmd/quilldoor/checkcommand.go
+++ b/cmd/quilldoor/checkcommand.go
@@ -53,15 +53,15 @@
 		MemoryMB:    config.MemoryMB,
 		Descriptors: config.Limits.MaxDescriptors,
 		LongestMS:   config.Limits.MaxRequestTimeout.Milliseconds(),
-		Sockets:     map[string]string{"listen": config.Listen},
+		Sockets:     map[string]string{socketClients: config.Listen},
 		Flat:        flat,
 		Digest:      upgrade.Digest(flat),
 	}
 	if gateway := config.operator.Gateway; gateway != nil {
-		result.Sockets["gateway"] = gateway.Listen
+		result.Sockets[socketGateway] = gateway.Listen
 	}
 	if members := config.operator.Membership; members != nil {
-		result.Sockets["members"] = members.Listen
+		result.Sockets[socketMembers] = members.Listen
 	}
 	return result, nil
 }
--- a/cmd/quilldoor/gatewayhost.go
+++ b/cmd/quilldoor/gatewayhost.go
@@ -46,12 +46,11 @@
 	if err := keys.Load(); err != nil {
 		return err
 	}
-	listener, err := r.listenOrInherit("gateway", file.Listen)
+	listener, err := r.listenOrInherit(socketGateway, file.Listen)
 	if err != nil {
 		return fmt.Errorf("gateway.listen: %w", err)
 	}
-	retention := r.policy.Hierarchy.PurgeSettleTime + r.limits.MaxRequestTimeout.Microseconds()
-	r.gatewayHost = &gatewayHost{router: r, purges: purgeLog{retention: retention}}
+	r.gatewayHost = &gatewayHost{router: r, purges: purgeLog{retention: r.purgeRetention()}}
 	r.gatewayKeys = keys
 	r.gateway = gateway.Start(r.gatewayConfig(file, keys), listener, r.gatewayHost, r.buffers, r.log)
 	r.downstream.SetGateway(r.gateway)
@@ -79,9 +78,11 @@
 	return config
 }
 
-// writeGatewayStatus writes the gateway's status to a file every second.
+const gatewayStatusInterval = time.Second
+
+// writeGatewayStatus writes the gateway's status to a file at intervals.
 func (r *router) writeGatewayStatus(ctx context.Context, g *gateway.Gateway, path string) {
-	r.writePeriodically(ctx, time.Second, "gateway: status not written", func() error {
+	r.writePeriodically(ctx, gatewayStatusInterval, "gateway: status not written", func() error {
 		status := g.Status()
 		status.WrittenAtMS = time.Now().UnixMilli()
 		text, err := json.MarshalIndent(status, "", " ")
--- a/cmd/quilldoor/gossip.go
+++ b/cmd/quilldoor/gossip.go
@@ -25,11 +25,10 @@
 }
 
 func newGossipHandler(r *router) *gossipHandler {
-	retention := r.policy.Hierarchy.PurgeSettleTime + r.limits.MaxRequestTimeout.Microseconds()
 	return &gossipHandler{
 		router:  r,
 		start:   time.Now(),
-		replica: gossip.New(gossip.Settings{PurgeRetention: retention}),
+		replica: gossip.New(gossip.Settings{PurgeRetention: r.purgeRetention()}),
 	}
 }
 
--- a/cmd/quilldoor/listener.go
+++ b/cmd/quilldoor/listener.go
@@ -8,11 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
+// Names under which a supervisor holds a router's sockets and hands them down.
+const (
+	socketClients = "listen"
+	socketGateway = "gateway"
+	socketMembers = "members"
+)
+
 var errNotTCP = errors.New("no TCP socket")
 
 // listen opens the clients' socket, or takes the one that the supervisor handed down.
 func (r *router) listen() (*net.TCPListener, error) {
-	listener, err := r.listenOrInherit("listen", r.config.Listen)
+	listener, err := r.listenOrInherit(socketClients, r.config.Listen)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/quilldoor/membership.go
+++ b/cmd/quilldoor/membership.go
@@ -20,7 +20,7 @@
 	r.gossip = newGossipHandler(r)
 	listen := netip.MustParseAddrPort(file.Listen)
 	if r.agent != nil {
-		conn, err := r.agent.PacketConn("members")
+		conn, err := r.agent.PacketConn(socketMembers)
 		if err != nil {
 			return err
 		}
--- a/cmd/quilldoor/metrics.go
+++ b/cmd/quilldoor/metrics.go
@@ -10,7 +10,9 @@
 
 	"quilldoor/internal/diskcache"
 	"quilldoor/internal/diskcache/diskrunner"
+	"quilldoor/internal/gossip"
 	"quilldoor/internal/membership"
+	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/operatorconfig"
 )
 
@@ -59,7 +61,8 @@
 	s.gauge(number, name, labels...)
 }
 
-// collectMetrics takes over the parts' own counts.
+// collectMetrics takes over the parts' own counts. Names and labels of metrics stay when
+// the code's words change: dashboards and alerts use them.
 func (r *router) collectMetrics(set metricSet) {
 	requests, endpoints := r.engine.Count()
 	set.gauge(float64(requests), "txns_open")
@@ -105,9 +108,16 @@
 	set.gauge(float64(state.ReadP99Micros)/microsPerSecond, "disk_read_seconds{quantile=%q}", "0.99")
 }
 
-// collectMembership takes over what is known of the other routers.
+// collectMembership takes over what is known of the other routers, and the counts of
+// messages with them.
 func (r *router) collectMembership(set metricSet) {
-	view, dropped := r.membership.View(), &r.membership.Dropped
+	view := r.membership.View()
+	collectView(set, view)
+	collectMessages(set, &view.Counts, &r.membership.Dropped)
+	collectGossip(set, r.gossip.counts())
+}
+
+func collectView(set metricSet, view *membership.View) {
 	members := map[membership.State]int{}
 	for _, member := range view.Members {
 		members[member.State]++
@@ -121,8 +131,9 @@
 	set.gauge(float64(view.Connectivity.Reachable), "members_reachable")
 	set.flag(view.Connectivity.Majority, "members_majority")
 	set.gauge(float64(view.Connectivity.LocalHealth), "members_self_doubt")
+}
 
-	counts := view.Counts
+func collectMessages(set metricSet, counts *membership.Counts, dropped *transport.DropCounts) {
 	set.counter(counts.Sent, "members_words_total{way=%q}", "sent")
 	set.counter(counts.Received, "members_words_total{way=%q}", "taken")
 	for reason, count := range map[string]int64{
@@ -141,11 +152,9 @@
 	set.counter(counts.Refutations, "members_refuted_total")
 	set.counter(counts.Deaths, "members_deaths_total")
 	set.counter(counts.Resumes, "members_wakings_total")
-	collectGossip(set, r)
 }
 
-func collectGossip(set metricSet, r *router) {
-	counts := r.gossip.counts()
+func collectGossip(set metricSet, counts gossip.Counts) {
 	for what, count := range map[string]int64{
 		"asked":    counts.Requests,
 		"answered": counts.Responses,
--- a/cmd/quilldoor/router.go
+++ b/cmd/quilldoor/router.go
@@ -66,7 +66,8 @@
 	writers     sync.WaitGroup // of the metrics and status files
 }
 
-// eventHandler takes what the router hears of endpoints and objects.
+// eventHandler takes what the router hears of endpoints, attempts and purges. The engine
+// is one; as an interface it can be wrapped by another that sees each event first.
 type eventHandler interface {
 	UpdateEndpoints(now int64, scope policy.UpdateScope, list []engine.Endpoint) (retired []*engine.Endpoint)
 	Purge(now int64, object string, group, at int64)
@@ -111,6 +112,12 @@
 	return r, nil
 }
 
+// purgeRetention is how long a purge is remembered, in microseconds: until all caches have
+// dropped older copies, and no response to an earlier request can arrive any more.
+func (r *router) purgeRetention() int64 {
+	return r.policy.Hierarchy.PurgeSettleTime + r.limits.MaxRequestTimeout.Microseconds()
+}
+
 func (r *router) wakeBackground() {
 	select {
 	case r.wake <- struct{}{}:
