--- a/cmd/quilldoor/diskcache.go
+++ b/cmd/quilldoor/diskcache.go
@@ -71,11 +71,11 @@
 			return nil, fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", class.Name)
 		}
 		list = append(list, diskcache.TrafficClass{
-			Name:      class.Name,
-			FreshTime: class.FreshFor,
-			GraceTime: class.StaleGrace,
-			SLA:       class.LatencyObjective,
-			Cacheable: cacheable && (named || len(chosen) == 0),
+			Name:             class.Name,
+			FreshFor:         class.FreshFor,
+			StaleGrace:       class.StaleGrace,
+			LatencyObjective: class.LatencyObjective,
+			Cacheable:        cacheable && (named || len(chosen) == 0),
 		})
 	}
 	for _, name := range chosen {
--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -44,7 +44,7 @@
 // policySettings limit the policy by its number of slots alone.
 func policySettings(slots int, variant diskcache.Variant) diskcache.Settings {
 	return diskcache.Settings{
-		Classes:             []diskcache.TrafficClass{{Name: "page", FreshTime: 1 << 60, SLA: 1e6, Cacheable: true}},
+		Classes:             []diskcache.TrafficClass{{Name: "page", FreshFor: 1 << 60, LatencyObjective: 1e6, Cacheable: true}},
 		SlotBytes:           slotBytes,
 		Slots:               slots,
 		MaxEntries:          slots,
--- a/internal/diskcache/admission.go
+++ b/internal/diskcache/admission.go
@@ -192,7 +192,7 @@
 // reservedSlots stay free for parts that were dropped and whose drop waits to be
 // synced: all that can be written during two sync intervals.
 func (p *Policy) reservedSlots() int {
-	const maxShare = 8 // at most an eighth of the disk
+	const reserveOneIn = 8 // slots of the disk at most
 	bytes := p.settings.WriteBytesPerSecond * (2*p.settings.SyncInterval + second) / second
-	return min(int(bytes/int64(p.settings.SlotBytes))+1, p.settings.Slots/maxShare)
+	return min(int(bytes/int64(p.settings.SlotBytes))+1, p.settings.Slots/reserveOneIn)
 }
--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -17,9 +17,9 @@
 func small(change func(*Settings)) *Policy {
 	set := Settings{
 		Classes: []TrafficClass{
-			{Name: "page", FreshTime: 60 * second, GraceTime: 30 * second, SLA: second / 2, Cacheable: true},
-			{Name: "video", FreshTime: 60 * second, SLA: second / 2, Cacheable: true},
-			{Name: "sign", SLA: second},
+			{Name: "page", FreshFor: 60 * second, StaleGrace: 30 * second, LatencyObjective: second / 2, Cacheable: true},
+			{Name: "video", FreshFor: 60 * second, LatencyObjective: second / 2, Cacheable: true},
+			{Name: "sign", LatencyObjective: second},
 		},
 		SlotBytes: 1000, Slots: 200, MaxEntries: 200, WriteBytesPerSecond: 1 << 30, QueueBytes: 1 << 20, SyncInterval: second, MaxReads: 4,
 		PurgeTime: 6 * second, MaxRequestTime: 2 * second, DiscoveryLossLimit: 2 * second,
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -50,8 +50,8 @@
 func settings() diskcache.Settings {
 	return diskcache.Settings{
 		Classes: []diskcache.TrafficClass{
-			{Name: "page", FreshTime: 60 * second, GraceTime: 60 * second, SLA: second, Cacheable: true},
-			{Name: "sign", SLA: second},
+			{Name: "page", FreshFor: 60 * second, StaleGrace: 60 * second, LatencyObjective: second, Cacheable: true},
+			{Name: "sign", LatencyObjective: second},
 		}, SlotBytes: diskstore.MinSlotBytes, Slots: 64, MaxEntries: 64, WriteBytesPerSecond: 16 << 10, QueueBytes: 1 << 20,
 		SyncInterval: second, MaxReads: 8, PurgeTime: 6 * second, MaxRequestTime: 2 * second, DiscoveryLossLimit: 2 * second,
 	}
--- a/internal/diskcache/lookup.go
+++ b/internal/diskcache/lookup.go
@@ -88,7 +88,7 @@
 // link of the router's own it does not, while a cache has a link of its own.
 func (p *Policy) inTime(now int64, e *entry, class *TrafficClass, request *Request) bool {
 	end := p.bandwidth.transferEnd(now, int64(e.length))
-	return end-now <= min(class.SLA, request.Remaining)
+	return end-now <= min(class.LatencyObjective, request.Remaining)
 }
 
 // freshness says whether a copy may be served as it is (ReasonOK), or why it must be
@@ -103,7 +103,7 @@
 		return ReasonPurgesUnknown
 	case age < -maxClockLead:
 		return ReasonFromFuture
-	case age > class.FreshTime:
+	case age > class.FreshFor:
 		return ReasonTooOld
 	}
 	return ReasonOK
@@ -113,7 +113,7 @@
 
 // withinGrace tells whether a stale copy may still stand in for a failure.
 func withinGrace(now int64, e *entry, class *TrafficClass) bool {
-	return ageOf(now, e) <= class.FreshTime+class.GraceTime
+	return ageOf(now, e) <= class.FreshFor+class.StaleGrace
 }
 
 // ReadOutcome is how a read ended.
@@ -167,10 +167,10 @@
 }
 
 func (p *Policy) countServed(now, bytes int64, notModified bool) {
-	const headerShare = 20 // a 304 takes this part of the body's time on the link
+	const bodyPerHeader = 20 // a 304 counts as a body of a twentieth of the size
 	if notModified {
 		p.Counts.NotModified++
-		bytes /= headerShare
+		bytes /= bodyPerHeader
 	}
 	p.Counts.BytesServed += bytes
 	p.bandwidth.reserve(now, bytes)
--- a/internal/diskcache/settings.go
+++ b/internal/diskcache/settings.go
@@ -5,11 +5,11 @@
 // TrafficClass is what the disk cache needs to know of a class of requests. Times are
 // microseconds.
 type TrafficClass struct {
-	Name      string
-	FreshTime int64 // a copy may be served as it is for so long after its issue
-	GraceTime int64 // and for so long after that in place of a failure (stale-if-error)
-	SLA       int64 // the latency objective: a copy whose transfer would end later is not served from here
-	Cacheable bool  // idempotent, no write, with a fresh time, and wanted by the operator
+	Name             string
+	FreshFor         int64 // a copy may be served as it is for so long after its issue
+	StaleGrace       int64 // and for so long after that in place of a failure (stale-if-error)
+	LatencyObjective int64 // the latency objective: a copy whose transfer would end later is not served from here
+	Cacheable        bool  // idempotent, no write, with a fresh time, and wanted by the operator
 }
 
 // Settings size and bound the disk cache. Sizes are bytes, times microseconds. There are
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -128,10 +128,10 @@
 // finish counts the final command and answers with it, or with a cached copy.
 func (x *exchange) finish(open *engine.Request, final *engine.Command) bool {
 	s := x.server
-	const lateShare = 2 // of the grace: half of it is for the way to the client
-	if time.Since(x.deadline) > s.limits.ResponseGrace/lateShare {
+	lateAfter := s.limits.ResponseGrace / 2 // the other half is for the way to the client
+	if time.Since(x.deadline) > lateAfter {
 		s.stats.late.Add(1)
-		s.stats.lateCollected.Add(1)
+		s.stats.lateUncollected.Add(1)
 	}
 	s.stats.countEnd(final.Kind)
 	s.weigh(x.request, final.Kind == engine.CommandRespond, responseSize(final), open.Attempts())
--- a/internal/downstream/stats.go
+++ b/internal/downstream/stats.go
@@ -26,12 +26,12 @@
 
 // stats counts since the start.
 type stats struct {
-	completed     atomic.Int64
-	rejected      atomic.Int64
-	failed        atomic.Int64
-	clientGone    atomic.Int64
-	late          atomic.Int64 // responses after their deadlines
-	lateCollected atomic.Int64 // of them, those since CollectStats
+	completed       atomic.Int64
+	rejected        atomic.Int64
+	failed          atomic.Int64
+	clientGone      atomic.Int64
+	late            atomic.Int64 // responses after their deadlines
+	lateUncollected atomic.Int64 // of them, those since CollectStats
 
 	mu            sync.Mutex // for what follows
 	weightOffered float64
@@ -115,5 +115,5 @@
 // CollectStats returns how many clients there are, and how many responses came
 // late since it was last called.
 func (s *Server) CollectStats() (clients int, late int64) {
-	return s.Clients(), s.stats.lateCollected.Swap(0)
+	return s.Clients(), s.stats.lateUncollected.Swap(0)
 }
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -22,8 +22,12 @@
 	maxReconnectBackoff     = 2 * time.Second
 )
 
-// errConnectionEnded is behind the end of a connection that had been greeted.
-var errConnectionEnded = errors.New("connection ended")
+var (
+	errConnectionEnded = errors.New("connection ended") // of one that had been greeted
+	errWrongPeer       = errors.New("another peer than the configured one answered")
+	errUnknownPeer     = errors.New("the caller is no peer of this router")
+	errEarlierStart    = errors.New("the connection is of an earlier start of the peer")
+)
 
 // keepConnected dials a peer, and again when the connection has ended. It waits between
 // two failures, doubling, with jitter, so that routers that lost one peer don't dial it
@@ -94,7 +98,7 @@
 		return hello, err
 	}
 	if hello.Name != peer.Name || hello.Site != peer.Site {
-		return hello, fmt.Errorf("%w: it calls itself %.40q of %.40q", peerproto.ErrMalformed, hello.Name, hello.Site)
+		return hello, fmt.Errorf("%w: it is %.40q of %.40q, not %q of %q", errWrongPeer, hello.Name, hello.Site, peer.Name, peer.Site)
 	}
 	return hello, nil
 }
@@ -103,7 +107,7 @@
 	g.mu.Lock()
 	if !g.controller.Connected(g.now(), peer.Name, incarnation) {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: an earlier start of it", peerproto.ErrMalformed)
+		return errEarlierStart
 	}
 	g.links[peer.Name] = l
 	g.applyActions()
@@ -202,7 +206,7 @@
 	peer := l.gateway.controller.Peer(hello.Name)
 	l.gateway.mu.Unlock()
 	if peer == nil || peer.Site != hello.Site || certified != "" && certified != hello.Name {
-		return fmt.Errorf("%w: %.40q of %.40q is no peer", peerproto.ErrMalformed, hello.Name, hello.Site)
+		return fmt.Errorf("%w: %.40q of %.40q", errUnknownPeer, hello.Name, hello.Site)
 	}
 	l.peer = hello.Name
 	return l.sendHello(incarnation)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -168,8 +168,7 @@
 
 // runTicker sends heartbeats and does what time brings.
 func (g *Gateway) runTicker() {
-	const ticksPerHeartbeat = 4
-	ticker := time.NewTicker(time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond / ticksPerHeartbeat)
+	ticker := time.NewTicker(time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond / peerpolicy.TicksPerHeartbeat)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
 		select {
@@ -180,7 +179,7 @@
 		g.mu.Lock()
 		g.controller.Tick(g.now())
 		var links []*link
-		if tick%ticksPerHeartbeat == 0 {
+		if tick%peerpolicy.TicksPerHeartbeat == 0 {
 			links = g.allLinks()
 		}
 		g.applyActions() // gives the lock back
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -13,7 +13,8 @@
 // maxPurges that a request may carry: some of its object and of its group.
 const maxPurges = 16
 
-// inboundRequest is one that a peer forwarded. All but request is under the gateway's lock.
+// inboundRequest is one that a peer forwarded. The gateway's lock guards gone, complete and
+// window, and body until the request is complete.
 type inboundRequest struct {
 	request     peerproto.Request
 	receivedAt  int64
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -89,7 +89,8 @@
 		return "certificate of another name"
 	case errors.As(err, &alert):
 		return "the peer refused our certificate"
-	case errors.Is(err, peerproto.ErrMalformed):
+	case errors.Is(err, peerproto.ErrMalformed), errors.Is(err, errWrongPeer), errors.Is(err, errUnknownPeer),
+		errors.Is(err, errEarlierStart):
 		return "protocol"
 	case errors.Is(err, errConnectionEnded):
 		return "connection lost"
--- a/internal/gateway/peerpolicy/controller.go
+++ b/internal/gateway/peerpolicy/controller.go
@@ -94,8 +94,11 @@
 	return actions
 }
 
+// TicksPerHeartbeat is how often Tick is called in a heartbeat interval.
+const TicksPerHeartbeat = 4
+
 // Tick finds silent peers and forwarded requests whose time is over. It is to be called
-// four times in a heartbeat interval.
+// TicksPerHeartbeat times in a heartbeat interval.
 func (c *Controller) Tick(now int64) {
 	for _, peer := range c.peers {
 		c.checkSilence(now, peer)
--- a/internal/gateway/peerpolicy/controller_test.go
+++ b/internal/gateway/peerpolicy/controller_test.go
@@ -84,7 +84,7 @@
 		}
 		got += " " + p.Name
 	}
-	if got != " a b a a b a no_room" {
+	if got != " a b a a b a no capacity" {
 		t.Fatalf("order%s", got)
 	}
 	if a.InFlight != 4 || b.InFlight != 2 {
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -35,7 +35,7 @@
 // Reason says why a request was not forwarded, or not admitted.
 type Reason uint8
 
-// The reasons. Their names are labels of metrics.
+// The reasons.
 const (
 	ReasonOK            Reason = iota
 	ReasonMaybeExecuted        // an attempt may have been executed here
@@ -50,15 +50,15 @@
 )
 
 var reasonNames = [reasonCount]string{
-	ReasonOK:            "good",
-	ReasonMaybeExecuted: "may_have_run",
-	ReasonNoTime:        "no_time",
-	ReasonNoPeer:        "no_peer",
-	ReasonNoCapacity:    "no_room",
-	ReasonRoutingLoop:   "circles",
-	ReasonTooMany:       "too_many",
-	ReasonLocalPriority: "home_first",
-	ReasonDuplicate:     "twin",
+	ReasonOK:            "ok",
+	ReasonMaybeExecuted: "maybe executed",
+	ReasonNoTime:        "no time",
+	ReasonNoPeer:        "no peer",
+	ReasonNoCapacity:    "no capacity",
+	ReasonRoutingLoop:   "routing loop",
+	ReasonTooMany:       "too many",
+	ReasonLocalPriority: "local priority",
+	ReasonDuplicate:     "duplicate",
 }
 
 func (r Reason) String() string { return reasonNames[r] }
@@ -209,11 +209,8 @@
 // deadlineMargin is how long before its deadline a forwarded request is given up: the
 // interval of Tick, and the response's way to the client.
 func (c *Controller) deadlineMargin() int64 {
-	const (
-		ticksPerHeartbeat = 4
-		clientResponse    = 10 * millisecond
-	)
-	return c.settings.HeartbeatInterval/ticksPerHeartbeat + clientResponse
+	const clientResponse = 10 * millisecond
+	return c.settings.HeartbeatInterval/TicksPerHeartbeat + clientResponse
 }
 
 // Budget is the time, in microseconds, that a forwarded request has at the peer: until it
--- a/internal/gateway/peerpolicy/inbound.go
+++ b/internal/gateway/peerpolicy/inbound.go
@@ -78,7 +78,7 @@
 func (c *Controller) localOverloaded(now int64) bool {
 	const (
 		minOutcomes   = 8
-		rejectedShare = 8 // one in eight
+		rejectedOneIn = 8
 	)
 	rejected, all := 0, 0
 	for _, outcome := range c.localOutcomes {
@@ -90,7 +90,7 @@
 			rejected++
 		}
 	}
-	return all >= minOutcomes && rejectedShare*rejected >= all
+	return all >= minOutcomes && rejectedOneIn*rejected >= all
 }
 
 // OfferedCapacity is the number of requests that a heartbeat offers to take.
--- a/internal/gateway/peerpolicy/limit.go
+++ b/internal/gateway/peerpolicy/limit.go
@@ -9,12 +9,12 @@
 	// initialInboundLimit bounds what is admitted from peers at first.
 	initialInboundLimit = 4
 
-	minLimit        = 1
-	limitDecrease   = 0.7               // factor
-	limitRoundTrip  = 200 * millisecond // a limit is reduced once in that time
-	limitWindow     = 8                 // last outcomes that are looked at
-	badOutcomeShare = 4                 // a quarter of them must be bad
-	maxSamples      = 32
+	minLimit       = 1
+	limitDecrease  = 0.7               // factor
+	limitRoundTrip = 200 * millisecond // a limit is reduced once in that time
+	limitWindow    = 8                 // last outcomes that are looked at
+	badOneIn       = 4                 // of them must be bad
+	maxSamples     = 32
 )
 
 type outcomeSample struct {
@@ -30,7 +30,7 @@
 	switch {
 	case good && float64(peer.InFlight)+1 >= peer.Limit/2:
 		peer.Limit = min(peer.Limit+1/peer.Limit, float64(c.settings.MaxRequests))
-	case !good && badOutcomeShare*bad >= limitWindow && now-peer.limitReducedAt > limitRoundTrip:
+	case !good && badOneIn*bad >= limitWindow && now-peer.limitReducedAt > limitRoundTrip:
 		peer.limitReducedAt = now
 		peer.Limit = max(peer.Limit*limitDecrease, minLimit)
 	}
