--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -34,24 +34,24 @@
 func (c Counts) Plus(o Counts) Counts { return c.addScaled(o, 1) }
 
 // addScaled returns c + scale*o, with at most MaxClasses classes.
-func (c Counts) addScaled(o Counts, scale float64) Counts {
+func (c Counts) addScaled(other Counts, scale float64) Counts {
 	sum := Counts{
-		Requests:      c.Requests + scale*o.Requests,
-		WeightOffered: c.WeightOffered + scale*o.WeightOffered,
-		WeightEarned:  c.WeightEarned + scale*o.WeightEarned,
-		Rejected:      c.Rejected + scale*o.Rejected,
-		Failed:        c.Failed + scale*o.Failed,
-		Completed:     c.Completed + scale*o.Completed,
-		LogLatencySum: c.LogLatencySum + scale*o.LogLatencySum,
-		Attempts:      c.Attempts + scale*o.Attempts,
+		Requests:      c.Requests + scale*other.Requests,
+		WeightOffered: c.WeightOffered + scale*other.WeightOffered,
+		WeightEarned:  c.WeightEarned + scale*other.WeightEarned,
+		Rejected:      c.Rejected + scale*other.Rejected,
+		Failed:        c.Failed + scale*other.Failed,
+		Completed:     c.Completed + scale*other.Completed,
+		LogLatencySum: c.LogLatencySum + scale*other.LogLatencySum,
+		Attempts:      c.Attempts + scale*other.Attempts,
 	}
-	for _, classes := range []map[string]ClassCounts{c.Classes, o.Classes} {
+	for _, classes := range []map[string]ClassCounts{c.Classes, other.Classes} {
 		for name := range classes {
 			if sum.Classes == nil {
 				sum.Classes = map[string]ClassCounts{}
 			}
 			if len(sum.Classes) < MaxClasses || sum.Classes[name] != (ClassCounts{}) {
-				sum.Classes[name] = c.Classes[name].addScaled(o.Classes[name], scale)
+				sum.Classes[name] = c.Classes[name].addScaled(other.Classes[name], scale)
 			}
 		}
 	}
--- a/internal/diskcache/admission.go
+++ b/internal/diskcache/admission.go
@@ -156,18 +156,18 @@
 		if i == noIndex || len(victims) >= maxVictims {
 			return nil, false
 		}
-		e := p.index.at(i)
-		if i == previous || e.state == entryWriting {
+		entry := p.index.at(i)
+		if i == previous || entry.state == entryWriting {
 			continue
 		}
 		size := p.slotsOf(i)
 		victims = append(victims, i)
 		available += size
 		full = false
-		if p.weighsNothing(e) {
+		if p.weighsNothing(entry) {
 			continue
 		}
-		estimate := p.sketch.Estimate(p.frequencyKey(e.key, e.object))
+		estimate := p.sketch.Estimate(p.frequencyKey(entry.key, entry.object))
 		victimsWeight += p.weight(estimate, size)
 		if victimsWeight >= newcomerWeight {
 			return nil, false
--- a/internal/diskcache/lookup.go
+++ b/internal/diskcache/lookup.go
@@ -51,34 +51,34 @@
 	if i == noIndex {
 		return miss(ReasonNotCached)
 	}
-	e := p.index.at(i)
+	entry := p.index.at(i)
 	p.index.touch(i)
-	if p.purges.covers(e) {
+	if p.purges.covers(entry) {
 		p.drop(i)
 		p.Counts.Purged++
 		return miss(ReasonPurged)
 	}
-	if e.state != entryReadable {
+	if entry.state != entryReadable {
 		return miss(ReasonNotWritten)
 	}
 	if p.activeReads >= p.settings.MaxReads {
 		return miss(ReasonDiskBusy)
 	}
-	reason := p.freshness(now, e, class)
+	reason := p.freshness(now, entry, class)
 	verdict := VerdictRevalidate
 	if reason == ReasonOK {
 		verdict = VerdictServe
-		if !p.inTime(now, e, class, request) {
+		if !p.inTime(now, entry, class, request) {
 			return miss(ReasonLinkBusy)
 		}
 	}
 	p.activeReads++
 	return verdict, LookupResult{
 		Reason:       reason,
-		Ref:          Ref{i, e.seq},
-		Length:       int(e.length),
-		Extents:      p.slots.extents(e.firstSlot),
-		StaleIfError: reason == ReasonTooOld && withinGrace(now, e, class),
+		Ref:          Ref{i, entry.seq},
+		Length:       int(entry.length),
+		Extents:      p.slots.extents(entry.firstSlot),
+		StaleIfError: reason == ReasonTooOld && withinGrace(now, entry, class),
 	}
 }
 
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -62,14 +62,14 @@
 	if reason != peerpolicy.ReasonOK {
 		return false
 	}
-	l := g.links[peer.Name]
-	if l == nil {
+	link := g.links[peer.Name]
+	if link == nil {
 		g.controller.Unsent(id)
 		g.controller.Actions()
 		return false
 	}
-	c := g.newCall(l, id, purges, respond)
-	frames, err := g.requestFrames(now, c.number, request, purges)
+	call := g.newCall(link, id, purges, respond)
+	frames, err := g.requestFrames(now, call.number, request, purges)
 	if err != nil { // a name too long for a frame
 		g.controller.Unsent(id)
 		g.controller.Actions()
@@ -77,7 +77,7 @@
 		return false
 	}
 	// From here on it may arrive. A full queue is proof that it doesn't.
-	if !g.controller.MarkSent(id) || !l.enqueue(frames) {
+	if !g.controller.MarkSent(id) || !link.enqueue(frames) {
 		g.controller.Withdrawn(id)
 		g.controller.Actions()
 		g.forgetCall(id)
@@ -88,14 +88,14 @@
 
 func (g *Gateway) newCall(l *link, id string, purges []peerproto.Purge, respond func(Reply)) *forwardedCall {
 	l.lastNumber++
-	c := &forwardedCall{link: l, number: l.lastNumber, respond: respond}
+	call := &forwardedCall{link: l, number: l.lastNumber, respond: respond}
 	for _, purge := range purges {
 		const microsPerMilli = 1000
-		c.latestPurgeMillis = max(c.latestPurgeMillis, (purge.At+microsPerMilli-1)/microsPerMilli)
+		call.latestPurgeMillis = max(call.latestPurgeMillis, (purge.At+microsPerMilli-1)/microsPerMilli)
 	}
-	g.forwarded[id] = c
-	l.calls[c.number] = id
-	return c
+	g.forwarded[id] = call
+	l.calls[call.number] = id
+	return call
 }
 
 // requestFrames are the request and its body.
@@ -197,19 +197,19 @@
 		g.mu.Unlock()
 		return nil
 	}
-	c := g.forwarded[id]
-	if c.answer != nil {
+	call := g.forwarded[id]
+	if call.answer != nil {
 		g.mu.Unlock()
 		return fmt.Errorf("%w: request %d answered twice", peerproto.ErrMalformed, frame.Number)
 	}
-	c.answer = &answer
-	c.bytesLeft = int(answer.BodyBytes)
-	if c.bytesLeft > 0 {
-		c.body = g.bodies.NewBody()
+	call.answer = &answer
+	call.bytesLeft = int(answer.BodyBytes)
+	if call.bytesLeft > 0 {
+		call.body = g.bodies.NewBody()
 		g.mu.Unlock()
 		return nil
 	}
-	g.finishCall(c, id)
+	g.finishCall(call, id)
 	return nil
 }
 
@@ -222,20 +222,20 @@
 		g.mu.Unlock()
 		return nil
 	}
-	c := g.forwarded[id]
-	if c.answer == nil || len(data) > c.bytesLeft {
+	call := g.forwarded[id]
+	if call.answer == nil || len(data) > call.bytesLeft {
 		g.mu.Unlock()
 		return fmt.Errorf("%w: %d bytes more than were announced", peerproto.ErrMalformed, len(data))
 	}
-	if !c.body.AppendBytes(data) { // no memory for it: it was executed, and can't be answered
+	if !call.body.AppendBytes(data) { // no memory for it: it was executed, and can't be answered
 		g.controller.HandleAnswer(g.now(), l.peer, id, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted})
 		g.applyActions()
 		l.cancel(number)
 		return nil
 	}
-	c.bytesLeft -= len(data)
-	if c.bytesLeft == 0 {
-		g.finishCall(c, id)
+	call.bytesLeft -= len(data)
+	if call.bytesLeft == 0 {
+		g.finishCall(call, id)
 		return nil
 	}
 	g.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -214,8 +214,8 @@
 			return l.close
 		}
 	case peerpolicy.ActionWithdraw:
-		if c := g.forwarded[action.RequestID]; c != nil {
-			return func() { c.link.cancel(c.number) }
+		if call := g.forwarded[action.RequestID]; call != nil {
+			return func() { call.link.cancel(call.number) }
 		}
 	case peerpolicy.ActionAnswer:
 		if c := g.forwarded[action.RequestID]; c != nil {
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -84,31 +84,31 @@
 // handleRequest takes a request. One under a number that is in use ends the connection.
 func (l *link) handleRequest(frame peerproto.Frame) error {
 	g := l.gateway
-	r, err := g.decodeRequest(frame)
+	inbound, err := g.decodeRequest(frame)
 	if err != nil {
 		return err
 	}
-	request := &r.request
-	r.receivedAt = g.now()
-	delay := l.extraDelay(r.receivedAt, request.SentAt)
+	request := &inbound.request
+	inbound.receivedAt = g.now()
+	delay := l.extraDelay(inbound.receivedAt, request.SentAt)
 	g.mu.Lock()
 	if l.inbound[frame.Number] != nil {
 		g.mu.Unlock()
 		return fmt.Errorf("%w: number %d twice", peerproto.ErrMalformed, frame.Number)
 	}
-	reason := g.controller.Admit(r.receivedAt, l.peer, request.RequestID, request.Route, delay)
+	reason := g.controller.Admit(inbound.receivedAt, l.peer, request.RequestID, request.Route, delay)
 	if reason != peerpolicy.ReasonOK {
 		g.mu.Unlock()
 		return l.reject(frame.Number)
 	}
-	l.inbound[frame.Number] = r
-	r.complete = request.BodyBytes == 0
-	if !r.complete {
-		r.body = g.bodies.NewBody()
+	l.inbound[frame.Number] = inbound
+	inbound.complete = request.BodyBytes == 0
+	if !inbound.complete {
+		inbound.body = g.bodies.NewBody()
 	}
 	g.mu.Unlock()
 	if request.BodyBytes == 0 {
-		g.goroutines.Go(func() { l.runInbound(frame.Number, r) })
+		g.goroutines.Go(func() { l.runInbound(frame.Number, inbound) })
 	}
 	return nil
 }
@@ -149,30 +149,30 @@
 func (l *link) handleRequestData(number uint32, data []byte) error {
 	g := l.gateway
 	g.mu.Lock()
-	r := l.inbound[number]
-	if r == nil { // rejected, or given up
+	inbound := l.inbound[number]
+	if inbound == nil { // rejected, or given up
 		g.mu.Unlock()
 		return nil
 	}
-	if r.complete {
+	if inbound.complete {
 		g.mu.Unlock()
 		return fmt.Errorf("%w: %d bytes behind a whole body", peerproto.ErrMalformed, len(data))
 	}
-	announced := int(r.request.BodyBytes)
-	if r.body.Len()+len(data) > announced {
+	announced := int(inbound.request.BodyBytes)
+	if inbound.body.Len()+len(data) > announced {
 		g.mu.Unlock()
 		return fmt.Errorf("%w: %d bytes more than were announced", peerproto.ErrMalformed, len(data))
 	}
-	outOfMemory := !r.body.AppendBytes(data)
-	complete := !outOfMemory && r.body.Len() == announced
-	r.complete = complete
+	outOfMemory := !inbound.body.AppendBytes(data)
+	complete := !outOfMemory && inbound.body.Len() == announced
+	inbound.complete = complete
 	g.mu.Unlock()
 	switch {
 	case outOfMemory:
-		l.endInbound(number, r, false)
+		l.endInbound(number, inbound, false)
 		return l.reject(number)
 	case complete:
-		g.goroutines.Go(func() { l.runInbound(number, r) })
+		g.goroutines.Go(func() { l.runInbound(number, inbound) })
 	}
 	return nil
 }
@@ -214,16 +214,16 @@
 // runInbound is the life of a peer's request, from its arrival to the last byte of its
 // response. It counts as in flight until then: a peer that takes no responses gets no more
 // requests in.
-func (l *link) runInbound(number uint32, r *inboundRequest) {
-	l.gateway.hearPurges(&r.request)
+func (l *link) runInbound(number uint32, inbound *inboundRequest) {
+	l.gateway.hearPurges(&inbound.request)
 	reply := Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	select {
-	case <-r.clientGone:
+	case <-inbound.clientGone:
 	default:
-		reply = l.gateway.host.Execute(r.clientGone, l.gateway.hostRequest(r))
+		reply = l.gateway.host.Execute(inbound.clientGone, l.gateway.hostRequest(inbound))
 	}
 	defer reply.Body.Release()
-	defer l.endInbound(number, r, reply.Outcome == peerpolicy.OutcomeCompleted)
+	defer l.endInbound(number, inbound, reply.Outcome == peerpolicy.OutcomeCompleted)
 	// Where it can't be written, the connection ends, and the peer with it.
 	_ = l.sendAnswer(number, &peerproto.Answer{
 		Outcome:      uint8(reply.Outcome),
@@ -234,7 +234,7 @@
 		IssuedMillis: reply.IssuedMillis,
 		BodyBytes:    int32(reply.Body.Len()),
 	})
-	l.sendBody(number, r, reply.Body)
+	l.sendBody(number, inbound, reply.Body)
 }
 
 // hearPurges takes the purges that a request carries: the peer may know some that this
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -35,7 +35,7 @@
 func (g *Gateway) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := Status{
+	status := Status{
 		Name:              g.config.Settings.Name,
 		Site:              g.config.Settings.Site,
 		InboundInFlight:   g.controller.InboundInFlight(),
@@ -47,12 +47,12 @@
 	}
 	for _, p := range g.controller.Peers() {
 		c := p.Counts
-		s.Peers = append(s.Peers, PeerStatus{
+		status.Peers = append(status.Peers, PeerStatus{
 			Name: p.Name, Site: p.Site, State: p.State.String(), Incarnation: p.Incarnation,
 			Capacity: p.Capacity, InFlight: p.InFlight, Limit: p.Limit,
 			Forwarded: c.Forwarded, Completed: c.Completed, Rejected: c.Rejected, Aborted: c.Aborted,
 			ConnectionLost: c.ConnectionLost, Stale: c.Stale, Late: c.Late,
 		})
 	}
-	return s
+	return status
 }
--- a/internal/handoff/client.go
+++ b/internal/handoff/client.go
@@ -12,13 +12,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("no supervisor answers: %w", err)
 	}
-	c := NewConn(sock)
-	defer c.Close()
-	if err := c.Send(m); err != nil {
+	conn := NewConn(sock)
+	defer conn.Close()
+	if err := conn.Send(m); err != nil {
 		return nil, err
 	}
 	for {
-		report, err := c.Receive()
+		report, err := conn.Receive()
 		if err != nil {
 			return nil, fmt.Errorf("the supervisor is gone: %w", err)
 		}
--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -55,26 +55,26 @@
 }
 
 func (m *Monitor) endpointChanged(now int64, entry *policy.Endpoint) {
-	e := m.endpoints[entry.ID]
-	if e == nil {
+	known := m.endpoints[entry.ID]
+	if known == nil {
 		if len(m.endpoints) >= maxEndpoints {
 			m.Dropped++
 			return
 		}
-		e = &endpoint{}
-		m.endpoints[entry.ID] = e
+		known = &endpoint{}
+		m.endpoints[entry.ID] = known
 	}
-	e.kind = entry.Kind
-	e.weight = entry.Weight
-	if entry.StartedAt != e.startedAt { // it was started anew
-		e.startedAt = entry.StartedAt
-		e.work = nil
+	known.kind = entry.Kind
+	known.weight = entry.Weight
+	if entry.StartedAt != known.startedAt { // it was started anew
+		known.startedAt = entry.StartedAt
+		known.work = nil
 	}
 	out := entry.State != policy.EndpointActive
-	if out && e.outSince == 0 {
+	if out && known.outSince == 0 {
 		m.drainsSeen++
 	}
-	e.setOut(now, out, entry.State == policy.EndpointGone)
+	known.setOut(now, out, entry.State == policy.EndpointGone)
 }
 
 // setOut keeps the time at which the endpoint first was out.
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -43,7 +43,7 @@
 
 // Observe takes the report of a process, by an identifier of the caller's. It is judged
 // by a later Tick.
-func (m *Monitor) Observe(now int64, processID uint64, a *Activity) {
+func (m *Monitor) Observe(now int64, processID uint64, activity *Activity) {
 	p := m.processes[processID]
 	if p == nil {
 		if len(m.processes) >= maxProcesses {
@@ -53,15 +53,15 @@
 		p = &process{}
 		m.processes[processID] = p
 	}
-	m.Dropped += a.Dropped
+	m.Dropped += activity.Dropped
 	if len(p.pending) >= maxPending {
 		p.pending = p.pending[1:]
 		m.Dropped++
 	}
-	p.pending = append(p.pending, pendingActivity{now, a})
+	p.pending = append(p.pending, pendingActivity{now, activity})
 	// The endpoint's own age decides, which is known from the first: nothing to wait for.
-	for i := range a.Endpoints {
-		m.checkBudget(now, p, &a.Endpoints[i])
+	for i := range activity.Endpoints {
+		m.checkBudget(now, p, &activity.Endpoints[i])
 	}
 }
 
--- a/internal/invariant/settings.go
+++ b/internal/invariant/settings.go
@@ -25,7 +25,7 @@
 // SettingsFrom takes the limits from a router's settings.
 func SettingsFrom(set *policy.Settings) Settings {
 	contract, hierarchy := &set.Contract, &set.Hierarchy
-	s := Settings{
+	settings := Settings{
 		DrainGraceMicros: contract.DrainGrace,
 		PurgeGraceMicros: hierarchy.PurgeGrace,
 		WindowMicros:     contract.OverloadWindow,
@@ -35,14 +35,14 @@
 		switch i {
 		case hierarchy.OriginKind: // it has no slow start
 		case hierarchy.ParentKind:
-			s.SlowStart[kind] = SlowStartBudget{
+			settings.SlowStart[kind] = SlowStartBudget{
 				From:           hierarchy.ParentSlowStartFrom,
 				Multiple:       hierarchy.ParentOverloadMultiple,
 				DurationMicros: hierarchy.ParentSlowStartFor,
 				Routers:        float64(max(set.Routers, 1)),
 			}
 		default:
-			s.SlowStart[kind] = SlowStartBudget{
+			settings.SlowStart[kind] = SlowStartBudget{
 				From:           contract.SlowStartFrom,
 				Multiple:       contract.OverloadMultiple,
 				DurationMicros: contract.SlowStartFor,
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	return s
+	return settings
 }
 
 // routersOfZone counts the routers that share the edge caches of this router's zone; all
--- a/internal/membership/handoff.go
+++ b/internal/membership/handoff.go
@@ -50,24 +50,24 @@
 
 // resumeFrom continues the instance of a predecessor. Where that is not possible the node starts an instance of its
 // own and reclaims the name, as after any restart.
-func (n *Node) resumeFrom(h *HandoffState) {
-	if !h.continuable() {
+func (n *Node) resumeFrom(handoff *HandoffState) {
+	if !handoff.continuable() {
 		return
 	}
-	n.self.ID = h.ID
-	n.self.Incarnation = h.Incarnation + incarnationGap
-	n.self.State = h.State
-	n.lastSequence = h.Sequence + sequenceGap
-	if h.State == StateAlive {
+	n.self.ID = handoff.ID
+	n.self.Incarnation = handoff.Incarnation + incarnationGap
+	n.self.State = handoff.State
+	n.lastSequence = handoff.Sequence + sequenceGap
+	if handoff.State == StateAlive {
 		n.joinedAt = n.now
 	}
-	for i := range h.Updates[:min(len(h.Updates), maxMembers)] {
-		u := &h.Updates[i]
+	for i := range handoff.Updates[:min(len(handoff.Updates), maxMembers)] {
+		u := &handoff.Updates[i]
 		if !u.valid() || u.Name == n.self.Name {
 			continue
 		}
-		if m := n.applyUpdate(u, false); m != nil && i < len(h.HighestSequences) {
-			m.highestSequence = h.HighestSequences[i]
+		if m := n.applyUpdate(u, false); m != nil && i < len(handoff.HighestSequences) {
+			m.highestSequence = handoff.HighestSequences[i]
 			m.sequenceWindow = math.MaxUint64 // messages that the predecessor may have received are not accepted again
 		}
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -241,23 +241,23 @@
 	if i < 0 {
 		return
 	}
-	p := &n.pendingProbes[i]
-	target := p.target
+	pending := &n.pendingProbes[i]
+	target := pending.target
 	target.lastHeardAt = n.now
 	target.failedProbes = 0
 	if relayed {
 		target.reach = ReachRelayed
 	} else {
-		rtt := int32(min(n.now-p.sentAt, maxAckWait))
+		rtt := int32(min(n.now-pending.sentAt, maxAckWait))
 		target.reach = ReachDirect
 		target.rtt = rtt
 		n.rttSamples[n.random.IntN(probeSamples)] = rtt
 		n.improveHealth()
 	}
-	if !p.failed {
+	if !pending.failed {
 		n.recordOutcome(true)
 	}
-	if p.sentAt >= n.resumedAt {
+	if pending.sentAt >= n.resumedAt {
 		n.resumedAt = 0
 	}
 	n.apply(target, eventHeard, 0)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -161,41 +161,41 @@
 // applyUpdate applies what is said of a router. Nothing of an earlier instance counts, and within an instance only
 // what has a higher incarnation, or a suspicion of the same one. exchanged says that it is from a state exchange: then
 // what this node knows better is spread. It returns the member; nil: the update was about this node, or of no use.
-func (n *Node) applyUpdate(u *Update, exchanged bool) *member {
-	if u.Name == n.self.Name {
-		n.applySelfUpdate(u)
+func (n *Node) applyUpdate(update *Update, exchanged bool) *member {
+	if update.Name == n.self.Name {
+		n.applySelfUpdate(update)
 		return nil
 	}
-	if u.State == StateJoining {
+	if update.State == StateJoining {
 		return nil // a node says that of itself only
 	}
-	m := n.findOrAdd(u.Name)
+	m := n.findOrAdd(update.Name)
 	if m == nil {
 		return nil
 	}
-	if u.ID == m.id {
-		m.completeFrom(u)
+	if update.ID == m.id {
+		m.completeFrom(update)
 	}
-	switch order := u.ID.Compare(m.id); {
+	switch order := update.ID.Compare(m.id); {
 	case m.state == StateUnknown || order > 0:
-		n.replaceInstance(m, u)
+		n.replaceInstance(m, update)
 	case order < 0:
 		if exchanged {
 			n.enqueue(m, 1)
 		}
 		return m
 	case !n.guards(safeguardIncarnationOrder):
-		m.incarnation = u.Incarnation
-	case !m.isNews(u):
-		older := u.Incarnation < m.incarnation
+		m.incarnation = update.Incarnation
+	case !m.isNews(update):
+		older := update.Incarnation < m.incarnation
 		if exchanged && (older || m.state == StateDead) {
 			n.enqueue(m, 1)
 		}
 		return m
 	default:
-		n.refreshInstance(m, u)
+		n.refreshInstance(m, update)
 	}
-	n.applyState(m, u)
+	n.applyState(m, update)
 	if exchanged {
 		// The member that sent it will have sent it to others, too.
 		m.transmissions = min(m.transmissions, uint8(log2(n.present+1)))
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -36,7 +36,7 @@
 
 // View returns a snapshot of all members, sorted by name.
 func (n *Node) View() *View {
-	v := &View{
+	view := &View{
 		Self: MemberStatus{
 			Name:        n.self.Name,
 			Zone:        n.self.Zone,
@@ -52,19 +52,19 @@
 	}
 	for _, m := range n.members {
 		if m.state != StateUnknown || m.seed {
-			v.Members = append(v.Members, m.status(n.now))
+			view.Members = append(view.Members, m.status(n.now))
 		}
 	}
-	slices.SortFunc(v.Members, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
-	v.Total = len(v.Members)
-	return v
+	slices.SortFunc(view.Members, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
+	view.Total = len(view.Members)
+	return view
 }
 
 func (m *member) status(now int64) MemberStatus {
 	if m.state == StateUnknown {
 		return MemberStatus{Name: m.name, Addr: m.addr, LastHeardAge: -1}
 	}
-	s := MemberStatus{
+	status := MemberStatus{
 		Name:          m.name,
 		Zone:          m.zone,
 		Addr:          m.addr,
@@ -79,9 +79,9 @@
 		Process:       m.process,
 	}
 	if m.lastHeardAt > 0 {
-		s.LastHeardAge = now - m.lastHeardAt
+		status.LastHeardAge = now - m.lastHeardAt
 	}
-	return s
+	return status
 }
 
 // Limits of queries, and the estimated size of their answers in bytes.
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -85,7 +85,7 @@
 // Snapshot returns what the Router has learned. The two share no memory.
 func (r *Router) Snapshot() *Snapshot {
 	sketch := r.popularity.State()
-	s := &Snapshot{
+	snapshot := &Snapshot{
 		SketchRows:         sketch.Rows,
 		SketchDoorkeeper:   sketch.Doorkeeper,
 		SketchSample:       sketch.Samples,
@@ -96,20 +96,20 @@
 		SlowStartHoldUntil: r.slowStartHoldUntil,
 	}
 	for i := range r.bypassLimiters {
-		s.BypassLimiters[i] = r.bypassLimiters[i].snapshot()
+		snapshot.BypassLimiters[i] = r.bypassLimiters[i].snapshot()
 	}
 	for _, e := range r.ordered {
-		s.Endpoints = append(s.Endpoints, e.snapshot())
+		snapshot.Endpoints = append(snapshot.Endpoints, e.snapshot())
 	}
 	for name, class := range r.classes {
 		if len(class.transferTimes) > 0 {
-			s.TransferTimes[name] = slices.Clone(class.transferTimes)
+			snapshot.TransferTimes[name] = slices.Clone(class.transferTimes)
 		}
 	}
 	for _, p := range r.purges {
-		s.Purges = append(s.Purges, PurgeSnapshot{Object: p.object, Group: p.group, At: p.at})
+		snapshot.Purges = append(snapshot.Purges, PurgeSnapshot{Object: p.object, Group: p.group, At: p.at})
 	}
-	return s
+	return snapshot
 }
 
 func (ep *endpoint) snapshot() EndpointSnapshot {
@@ -148,30 +148,30 @@
 // Restore takes over what another Router has learned. It is called after the first endpoint list and before the
 // first request. Endpoints that are not listed here, or have started again since, are passed over. A snapshot of
 // another shape gives an error that wraps ErrSnapshot.
-func (r *Router) Restore(s *Snapshot) error {
-	if len(s.Endpoints) > maxSnapshotEndpoints || len(s.Purges) > maxSnapshotPurges {
+func (r *Router) Restore(snapshot *Snapshot) error {
+	if len(snapshot.Endpoints) > maxSnapshotEndpoints || len(snapshot.Purges) > maxSnapshotPurges {
 		return ErrSnapshot
 	}
-	sketch := tinylfu.State{Rows: s.SketchRows, Doorkeeper: s.SketchDoorkeeper, Samples: s.SketchSample}
+	sketch := tinylfu.State{Rows: snapshot.SketchRows, Doorkeeper: snapshot.SketchDoorkeeper, Samples: snapshot.SketchSample}
 	if err := r.popularity.Restore(sketch); err != nil {
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	r.nextHalving = s.NextHalving
-	r.slowStartHoldUntil = max(s.SlowStartHoldUntil, r.slowStartHoldUntil)
+	r.nextHalving = snapshot.NextHalving
+	r.slowStartHoldUntil = max(snapshot.SlowStartHoldUntil, r.slowStartHoldUntil)
 	for i := range r.bypassLimiters {
-		r.bypassLimiters[i].restore(&s.BypassLimiters[i])
+		r.bypassLimiters[i].restore(&snapshot.BypassLimiters[i])
 	}
-	for i := range s.Endpoints {
-		r.restoreEndpoint(&s.Endpoints[i])
+	for i := range snapshot.Endpoints {
+		r.restoreEndpoint(&snapshot.Endpoints[i])
 	}
-	for name, times := range s.TransferTimes {
+	for name, times := range snapshot.TransferTimes {
 		if class := r.classes[name]; class != nil {
 			class.transferTimes = slices.Clone(last(times, maxRecent))
 		}
 	}
-	r.fillSamples = restoreSamples(s.FillFailures)
-	r.priorities = slices.Clone(last(s.Priorities, maxRecent))
-	for _, p := range s.Purges {
+	r.fillSamples = restoreSamples(snapshot.FillFailures)
+	r.priorities = slices.Clone(last(snapshot.Priorities, maxRecent))
+	for _, p := range snapshot.Purges {
 		r.purges = append(r.purges, purge{p.Object, p.Group, p.At})
 	}
 	return nil
--- a/internal/rollout/codec.go
+++ b/internal/rollout/codec.go
@@ -48,23 +48,24 @@
 }
 
 // withShortTexts returns the message, or a copy with its texts cut to maxReasonBytes.
-func withShortTexts(m *Message) *Message {
-	if m.State != nil && len(m.State.Reason) > maxReasonBytes {
-		state := *m.State
+func withShortTexts(message *Message) *Message {
+	if message.State != nil && len(message.State.Reason) > maxReasonBytes {
+		state := *message.State
 		state.Reason = truncate(state.Reason)
-		shortened := *m
+		shortened := *message
 		shortened.State = &state
-		m = &shortened
+		message = &shortened
 	}
-	if m.Report != nil && (len(m.Report.FailureReason) > maxReasonBytes || len(m.Report.FirstViolation) > maxReasonBytes) {
-		report := *m.Report
+	if message.Report != nil &&
+		(len(message.Report.FailureReason) > maxReasonBytes || len(message.Report.FirstViolation) > maxReasonBytes) {
+		report := *message.Report
 		report.FailureReason = truncate(report.FailureReason)
 		report.FirstViolation = truncate(report.FirstViolation)
-		shortened := *m
+		shortened := *message
 		shortened.Report = &report
-		m = &shortened
+		message = &shortened
 	}
-	return m
+	return message
 }
 
 func truncate(text string) string { return text[:min(len(text), maxReasonBytes)] }
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -129,32 +129,32 @@
 	return n.takeOutbox()
 }
 
-func (n *Node) receive(from int, m *Message) {
-	switch m.Kind {
+func (n *Node) receive(from int, message *Message) {
+	switch message.Kind {
 	case KindPrepare:
-		n.receivePrepare(from, m)
+		n.receivePrepare(from, message)
 	case KindPromise:
-		n.receivePromise(from, m)
+		n.receivePromise(from, message)
 	case KindReject:
-		n.receiveReject(m)
+		n.receiveReject(message)
 	case KindAccept:
-		n.receiveAccept(from, m)
+		n.receiveAccept(from, message)
 	case KindAccepted:
-		if n.leader != nil && m.Term == n.leader.term {
-			n.leader.receiveAccepted(n, from, m)
+		if n.leader != nil && message.Term == n.leader.term {
+			n.leader.receiveAccepted(n, from, message)
 		}
 	case KindPoll:
-		if n.leader != nil && m.Report != nil {
-			n.leader.receivePoll(n, from, m)
+		if n.leader != nil && message.Report != nil {
+			n.leader.receivePoll(n, from, message)
 		}
 	case KindDecided:
-		n.receiveDecided(m)
+		n.receiveDecided(message)
 	case KindRecover:
-		n.answerRecovery(from, m)
+		n.answerRecovery(from, message)
 	case KindRecovered: // recovered already
 	case KindCommand:
 		if n.leader != nil {
-			n.queueCommand(m.Command)
+			n.queueCommand(message.Command)
 		}
 	}
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -55,7 +55,7 @@
 // Status returns what this router knows of the rollout.
 func (n *Node) Status() *Status {
 	view, age := n.View()
-	s := &Status{
+	status := &Status{
 		Plan:       n.plan.Name,
 		Digest:     n.plan.Digest,
 		Phase:      view.Phase.String(),
@@ -68,18 +68,18 @@
 		Recovering: n.recovering(),
 	}
 	if age < 0 {
-		s.AgeMS = -1
+		status.AgeMS = -1
 	}
 	if n.leaderIndex >= 0 {
-		s.Leader = n.plan.Routers[n.leaderIndex].Name
+		status.Leader = n.plan.Routers[n.leaderIndex].Name
 	}
 	for i := range n.plan.Routers {
-		s.Routers = append(s.Routers, n.routerStatus(&view, i))
+		status.Routers = append(status.Routers, n.routerStatus(&view, i))
 	}
 	if n.leader != nil {
-		n.leader.addWatchStatus(n, s)
+		n.leader.addWatchStatus(n, status)
 	}
-	return s
+	return status
 }
 
 func (n *Node) routerStatus(view *State, i int) RouterStatus {
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -101,32 +101,32 @@
 	if found, reason := nextCommand(n); found != conditionNone {
 		return found, reason
 	}
-	s := &l.decided
-	if s.Phase == PhaseNone || s.Phase == PhaseRolledBack {
+	decided := &l.decided
+	if decided.Phase == PhaseNone || decided.Phase == PhaseRolledBack {
 		return conditionNone, ""
 	}
-	if found, reason := l.checkRouters(n, s); found != conditionNone {
+	if found, reason := l.checkRouters(n, decided); found != conditionNone {
 		return found, reason
 	}
-	if l.areSetsOutdated(n, s) {
+	if l.areSetsOutdated(n, decided) {
 		return setsOutdated, ""
 	}
-	if s.Batch.Count() > 0 {
+	if decided.Batch.Count() > 0 {
 		return batchInProgress, ""
 	}
-	if s.Phase == PhasePaused {
+	if decided.Phase == PhasePaused {
 		return conditionNone, ""
 	}
-	if l.nextBatch(n, s).Count() > 0 {
+	if l.nextBatch(n, decided).Count() > 0 {
 		return batchAvailable, ""
 	}
-	if l.anyDue(n, s) {
+	if l.anyDue(n, decided) {
 		return conditionNone, "" // none of them can change now
 	}
-	if s.Phase != PhaseForward {
+	if decided.Phase != PhaseForward {
 		return stagePassed, ""
 	}
-	return l.watchStage(n, s)
+	return l.watchStage(n, decided)
 }
 
 // nextCommand takes the oldest command of the operator.
--- a/internal/rollout/validate.go
+++ b/internal/rollout/validate.go
@@ -86,25 +86,25 @@
 }
 
 func (p *Plan) validateStage(i int) error {
-	s, key := &p.Stages[i], fmt.Sprintf("stages[%d]", i)
-	for _, name := range s.Routers {
+	stage, key := &p.Stages[i], fmt.Sprintf("stages[%d]", i)
+	for _, name := range stage.Routers {
 		if p.Index(name) < 0 {
 			return yamlfile.Errorf(key+".routers", "%q is none of the plan's", name)
 		}
 	}
-	if (len(s.Routers) == 0) == (s.Share == 0) || !(s.Share >= 0 && s.Share <= 1) {
+	if (len(stage.Routers) == 0) == (stage.Share == 0) || !(stage.Share >= 0 && stage.Share <= 1) {
 		return yamlfile.Errorf(key, "either routers, or a share of up to 1")
 	}
-	if s.MinDrains < 0 || s.MinDrains > maxEvents || s.MinPurges < 0 || s.MinPurges > maxEvents {
-		return yamlfile.Errorf(key+".drains", "%d, and purges %d, are not within 0 and %d", s.MinDrains, s.MinPurges, maxEvents)
+	if stage.MinDrains < 0 || stage.MinDrains > maxEvents || stage.MinPurges < 0 || stage.MinPurges > maxEvents {
+		return yamlfile.Errorf(key+".drains", "%d, and purges %d, are not within 0 and %d", stage.MinDrains, stage.MinPurges, maxEvents)
 	}
-	s.MaxWatchSeconds = cmp.Or(s.MaxWatchSeconds, defaultWatch)
-	s.MinWatchSeconds = cmp.Or(s.MinWatchSeconds, min(defaultMinWatch, s.MaxWatchSeconds))
-	maxInRange := s.MaxWatchSeconds > 0 && s.MaxWatchSeconds <= maxWatch
-	minInRange := s.MinWatchSeconds > 0 && s.MinWatchSeconds <= s.MaxWatchSeconds
+	stage.MaxWatchSeconds = cmp.Or(stage.MaxWatchSeconds, defaultWatch)
+	stage.MinWatchSeconds = cmp.Or(stage.MinWatchSeconds, min(defaultMinWatch, stage.MaxWatchSeconds))
+	maxInRange := stage.MaxWatchSeconds > 0 && stage.MaxWatchSeconds <= maxWatch
+	minInRange := stage.MinWatchSeconds > 0 && stage.MinWatchSeconds <= stage.MaxWatchSeconds
 	if !maxInRange || !minInRange {
 		return yamlfile.Errorf(key+".watch_s", "%g, and least_s %g, are not within 0 and a day in this order",
-			s.MaxWatchSeconds, s.MinWatchSeconds)
+			stage.MaxWatchSeconds, stage.MinWatchSeconds)
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 
 func (p *Plan) validateLimits() error {
 	p.setLimitDefaults()
-	g := &p.Guardrails
+	guardrails := &p.Guardrails
 	for _, limit := range []struct {
 		key              string
 		value, low, high float64
@@ -135,15 +135,15 @@
 		{"at_once", float64(p.MaxConcurrent), 1, MaxRouters},
 		{"back_at_once", float64(p.MaxConcurrentRollback), 1, MaxRouters},
 		{"silent_s", p.SilentSeconds, minSilent, maxSilent},
-		{"guards.most_loss", g.MaxLoss, g.Loss, 1},
-		{"guards.loss", g.Loss, 0.0001, 1},
-		{"guards.refusals", g.Rejections, 0.0001, 1},
-		{"guards.failures", g.Failures, 0.0001, 1},
-		{"guards.slower", g.Slowdown, 0.001, 10},
-		{"guards.hops", g.Attempts, 0.001, 10},
-		{"guards.rule_loss", g.ClassLoss, 0.0001, 1},
-		{"guards.chance", g.FalseStopProbability, 0.0001, 0.5},
-		{"guards.memory", g.MemoryRatio, 1, 100},
+		{"guards.most_loss", guardrails.MaxLoss, guardrails.Loss, 1},
+		{"guards.loss", guardrails.Loss, 0.0001, 1},
+		{"guards.refusals", guardrails.Rejections, 0.0001, 1},
+		{"guards.failures", guardrails.Failures, 0.0001, 1},
+		{"guards.slower", guardrails.Slowdown, 0.001, 10},
+		{"guards.hops", guardrails.Attempts, 0.001, 10},
+		{"guards.rule_loss", guardrails.ClassLoss, 0.0001, 1},
+		{"guards.chance", guardrails.FalseStopProbability, 0.0001, 0.5},
+		{"guards.memory", guardrails.MemoryRatio, 1, 100},
 	} {
 		if err := yamlfile.CheckRange(limit.key, limit.value, limit.low, limit.high); err != nil {
 			return err
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -48,34 +48,35 @@
 // sample gives the analyzer what routers have done since the last sample. Those that are
 // changing, unreachable, or changed shortly before are left out.
 func (l *leader) sample(n *Node) {
-	w := &l.watch
-	if w.analyzer == nil || w.startedAt == 0 || n.now-w.sampledAt < sampleInterval {
+	watch := &l.watch
+	if watch.analyzer == nil || watch.startedAt == 0 || n.now-watch.sampledAt < sampleInterval {
 		return
 	}
-	w.sampledAt = n.now
+	watch.sampledAt = n.now
 	var fleet canary.Counts
 	for i := range l.routers {
-		r := &l.routers[i]
-		if n.now-r.heardAt > reachable || r.report.Changing || n.now-r.generationSince < w.analyzer.SkipMicros() {
-			r.sampledAt = 0
+		router := &l.routers[i]
+		if n.now-router.heardAt > reachable || router.report.Changing ||
+			n.now-router.generationSince < watch.analyzer.SkipMicros() {
+			router.sampledAt = 0
 			continue
 		}
-		counts := r.report.Counts.Minus(r.sampledCounts)
-		if r.sampledAt > 0 && counts.Requests >= 0 { // fewer than before: its counts began anew
-			w.analyzer.Observe(n.plan.Routers[i].Office, r.report.Upgraded, counts)
+		counts := router.report.Counts.Minus(router.sampledCounts)
+		if router.sampledAt > 0 && counts.Requests >= 0 { // fewer than before: its counts began anew
+			watch.analyzer.Observe(n.plan.Routers[i].Office, router.report.Upgraded, counts)
 			fleet.Requests += counts.Requests
 			fleet.WeightOffered += counts.WeightOffered
 			fleet.WeightEarned += counts.WeightEarned
 		}
-		r.sampledCounts = r.report.Counts
-		r.sampledAt = n.now
+		router.sampledCounts = router.report.Counts
+		router.sampledAt = n.now
 	}
 	settings := n.plan.CanarySettings()
-	if loss, enough := settings.LossOf(fleet); enough && len(w.fleetLosses) < maxFleetSamples {
-		w.fleetLosses = append(w.fleetLosses, loss)
+	if loss, enough := settings.LossOf(fleet); enough && len(watch.fleetLosses) < maxFleetSamples {
+		watch.fleetLosses = append(watch.fleetLosses, loss)
 	}
-	w.analyzer.EndSample()
-	w.verdict, w.verdictReason = w.analyzer.Verdict()
+	watch.analyzer.EndSample()
+	watch.verdict, watch.verdictReason = watch.analyzer.Verdict()
 }
 
 // watchStage returns what the watch of a stage has shown, and begins it if need be.
--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -92,27 +92,27 @@
 }
 
 // handleRouterEvent hands a router its event. Events for one that was detached are dropped.
-func (h *Host) handleRouterEvent(batch *simwire.Batch, m *simwire.Message, reply *simwire.Response) error {
-	router, started := h.routers[m.Instance]
+func (h *Host) handleRouterEvent(batch *simwire.Batch, message *simwire.Message, reply *simwire.Response) error {
+	router, started := h.routers[message.Instance]
 	if !started {
-		return fmt.Errorf("%s for instance %d, which was never started", m.Verb, m.Instance)
+		return fmt.Errorf("%s for instance %d, which was never started", message.Verb, message.Instance)
 	}
-	if m.Verb == simwire.VerbDetach {
-		h.routers[m.Instance] = nil
+	if message.Verb == simwire.VerbDetach {
+		h.routers[message.Instance] = nil
 		return nil
 	}
-	if m.Verb == simwire.VerbDiscovery && m.Event.Scope != policy.ScopeError {
-		list, sent := h.lists[m.Page]
+	if message.Verb == simwire.VerbDiscovery && message.Event.Scope != policy.ScopeError {
+		list, sent := h.lists[message.Page]
 		if !sent {
-			return fmt.Errorf("%s names list %d, which was never sent", m.Verb, m.Page)
+			return fmt.Errorf("%s names list %d, which was never sent", message.Verb, message.Page)
 		}
-		m.Event.Endpoints = list
+		message.Event.Endpoints = list
 	}
 	if router == nil {
 		return nil
 	}
-	h.decide(m.Instance, reply, func(actions []policy.Action) []policy.Action {
-		return router.Handle(batch.NowMicros, m.Event, actions)
+	h.decide(message.Instance, reply, func(actions []policy.Action) []policy.Action {
+		return router.Handle(batch.NowMicros, message.Event, actions)
 	})
 	return nil
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -115,33 +115,33 @@
 // member that is missing a MissingMemberError.
 func ReadMessage(raw json.RawMessage) (Message, error) {
 	verb, err := readVerb(raw)
-	m := Message{Verb: verb}
+	message := Message{Verb: verb}
 	if err != nil || !KnownVerb(verb) {
-		return m, err
+		return message, err
 	}
 	var e event
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return m, fmt.Errorf("%s: %w", verb, err)
+		return message, fmt.Errorf("%s: %w", verb, err)
 	}
 	if err := e.validate(verb); err != nil {
-		return m, err
+		return message, err
 	}
 	if e.Instance != nil {
-		m.Instance = *e.Instance
+		message.Instance = *e.Instance
 	}
 	if e.Page != nil {
-		m.Page = *e.Page
+		message.Page = *e.Page
 	}
 	switch verb {
 	case VerbPowerOn:
-		m.Seed = e.Seed
-		m.Settings = e.Setup.PolicySettings()
+		message.Seed = e.Seed
+		message.Settings = e.Setup.PolicySettings()
 	case VerbInventory:
-		m.Endpoints = e.policyEndpoints()
+		message.Endpoints = e.policyEndpoints()
 	default:
-		m.Event = e.policyEvent(verb)
+		message.Event = e.policyEvent(verb)
 	}
-	return m, nil
+	return message, nil
 }
 
 func readVerb(raw json.RawMessage) (string, error) {
--- a/internal/simwire/response.go
+++ b/internal/simwire/response.go
@@ -47,28 +47,28 @@
 	return append(line, '\n'), err
 }
 
-func newDecision(instance int, a *policy.Action) decision {
-	d := decision{Instance: instance, Request: a.Request, Endpoint: a.Endpoint}
-	switch a.Kind {
+func newDecision(instance int, action *policy.Action) decision {
+	d := decision{Instance: instance, Request: action.Request, Endpoint: action.Endpoint}
+	switch action.Kind {
 	case policy.ActionSend:
 		d.Verb = "Get"
-		d.Source = a.Source
-		d.CachePriority = copyOf(a.CachePriority)
-		d.FillMode = int(a.FillMode)
-		d.MaxAge = millis(a.MaxAge)
-		d.Timeout = millis(a.Timeout)
+		d.Source = action.Source
+		d.CachePriority = copyOf(action.CachePriority)
+		d.FillMode = int(action.FillMode)
+		d.MaxAge = millis(action.MaxAge)
+		d.Timeout = millis(action.Timeout)
 	case policy.ActionFail:
 		d.Verb = "RespondError"
 	case policy.ActionReject:
 		d.Verb = "OverloadReply"
-		d.RetryAfter = millis(a.RetryAfter)
+		d.RetryAfter = millis(action.RetryAfter)
 	case policy.ActionCancel:
 		d.Verb = "StopAttempt"
-		d.Attempt = copyOf(a.Attempt)
+		d.Attempt = copyOf(action.Attempt)
 	case policy.ActionSetTimer:
 		d.Verb = "Defer"
-		d.Due = copyOf(millis(a.Due))
-		d.Token = copyOf(a.Token)
+		d.Due = copyOf(millis(action.Due))
+		d.Token = copyOf(action.Token)
 	case policy.ActionHealthCheck:
 		d.Verb = "Ping"
 	case policy.ActionSubscribe:
@@ -77,10 +77,10 @@
 	case policy.ActionLog: // the wire's line has a text alone
 		d.Verb = "JournalLine"
 		d.Endpoint = ""
-		d.Message = journalTexts[a.Text] + ": " + a.Endpoint
+		d.Message = journalTexts[action.Text] + ": " + action.Endpoint
 	case policy.ActionPanic:
 		d.Verb = "Panic"
-		d.Message = a.Text
+		d.Message = action.Text
 	}
 	return d
 }
--- a/internal/supervisor/check.go
+++ b/internal/supervisor/check.go
@@ -90,9 +90,9 @@
 // checkChange prepares the change that is asked for beside the loop, and feeds whether
 // it is possible.
 func (s *Supervisor) checkChange() {
-	c := s.change
-	asked := c.manifest
-	c.manifest = nil
+	change := s.change
+	asked := change.manifest
+	change.manifest = nil
 	generation := s.file.Next
 	s.file.Next++
 	settled := s.file.Settled
@@ -108,16 +108,16 @@
 		}
 		budget, budgetErr := upgrade.ShareBudget(s.machineResources, present)
 		s.events <- func() {
-			if s.change != c {
+			if s.change != change {
 				return // it took too long, and was rejected
 			}
 			if reason := rejectionReason(err, differences, budgetErr); reason != "" {
-				c.reason = reason
+				change.reason = reason
 				s.feed(upgrade.InputRejected)
 				return
 			}
-			c.manifest = manifest
-			c.budget = budget
+			change.manifest = manifest
+			change.budget = budget
 			s.reportProgress("checked: %s; %d MB and %d descriptors beside the present generation; %s",
 				manifest.Version, budget.MemoryMB, budget.Descriptors,
 				cmp.Or(describeChanges(differences, upgrade.ModeHandoff), "no key differs"))
--- a/internal/supervisor/generation.go
+++ b/internal/supervisor/generation.go
@@ -32,28 +32,28 @@
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return nil, nil, err
 	}
-	m := &handoff.Manifest{
+	manifest := &handoff.Manifest{
 		Generation: generation, Program: program,
 		Config: filepath.Join(folder, configFile), Operator: filepath.Join(folder, operatorFile),
 	}
-	if err := copySettings(config, m.Config, config == ""); err != nil {
+	if err := copySettings(config, manifest.Config, config == ""); err != nil {
 		return nil, nil, err
 	}
-	if err := copySettings(operator, m.Operator, true); err != nil {
+	if err := copySettings(operator, manifest.Operator, true); err != nil {
 		return nil, nil, err
 	}
-	if m.ProgramSum, err = handoff.FileDigest(program); err != nil {
+	if manifest.ProgramSum, err = handoff.FileDigest(program); err != nil {
 		return nil, nil, fmt.Errorf("program: %w", err)
 	}
-	checked, err := s.check(m)
+	checked, err := s.check(manifest)
 	if err != nil {
 		return nil, nil, err
 	}
-	m.Settings = checked.Digest
-	m.Version = checked.Version
+	manifest.Settings = checked.Digest
+	manifest.Version = checked.Version
 	// A generation without flat settings is run; the next change says what is missing.
 	_ = writeJSON(filepath.Join(folder, settingsFile), checked.Flat)
-	return m, checked, writeJSON(filepath.Join(folder, manifestFile), m)
+	return manifest, checked, writeJSON(filepath.Join(folder, manifestFile), manifest)
 }
 
 // copySettings copies a file; where it may be missing, it is empty then.
@@ -93,10 +93,10 @@
 // generation's own, the platform's keys, the seed, and a part of the machine. Without a
 // budget the platform's limits stay.
 func (s *Supervisor) writeProcessConfig(
-	m *handoff.Manifest, seed string, budget upgrade.Resources,
+	manifest *handoff.Manifest, seed string, budget upgrade.Resources,
 ) (path string, err error) {
 	var config, platform map[string]json.RawMessage
-	if err := readJSON(m.Config, &config); err != nil {
+	if err := readJSON(manifest.Config, &config); err != nil {
 		return "", err
 	}
 	if err := readJSON(s.config.Platform, &platform); err != nil {
@@ -120,7 +120,7 @@
 	if config["seed"], err = json.Marshal(seed); err != nil {
 		return "", err
 	}
-	path = s.generationPath(m.Generation, processConfFile)
+	path = s.generationPath(manifest.Generation, processConfFile)
 	return path, writeJSON(path, config)
 }
 
--- a/internal/supervisor/messages.go
+++ b/internal/supervisor/messages.go
@@ -23,19 +23,19 @@
 
 // handleMessage takes a message of a process. One that drains only has its heartbeats
 // and messages of peers heard.
-func (s *Supervisor) handleMessage(p *process, m *handoff.Message) {
+func (s *Supervisor) handleMessage(p *process, message *handoff.Message) {
 	p.heardAt = time.Now()
 	isOld, isNew := p == s.old, p == s.new
-	switch m.Kind {
+	switch message.Kind {
 	case handoff.KindPeerMessage:
-		s.handleRolloutMessage(m)
+		s.handleRolloutMessage(message)
 	case handoff.KindHello:
-		s.handleHello(p, m)
+		s.handleHello(p, message)
 	case handoff.KindReady:
 		s.feedFrom(p, upgrade.InputOldReady, upgrade.InputNewReady)
 	case handoff.KindReleased:
 		if isOld {
-			s.state = m.State
+			s.state = message.State
 			s.feed(upgrade.InputReleased)
 		}
 	case handoff.KindAccepting:
@@ -54,7 +54,7 @@
 			s.feed(upgrade.InputSettled)
 		}
 	case handoff.KindHeartbeat:
-		s.handleHeartbeat(p, m)
+		s.handleHeartbeat(p, message)
 	}
 }
 
--- a/internal/upgrade/settingsdiff.go
+++ b/internal/upgrade/settingsdiff.go
@@ -140,22 +140,22 @@
 	if len(out) > maxFlatKeys {
 		return fmt.Errorf("%s: more than %d keys", prefix, maxFlatKeys)
 	}
-	switch v := value.(type) {
+	switch value := value.(type) {
 	case map[string]any:
-		for key, element := range v {
+		for key, element := range value {
 			if err := Flatten(prefix+"."+key, element, out); err != nil {
 				return err
 			}
 		}
 	case []any:
-		for i, element := range v {
+		for i, element := range value {
 			if err := Flatten(fmt.Sprintf("%s[%d]", prefix, i), element, out); err != nil {
 				return err
 			}
 		}
 	case nil:
 	default:
-		out[prefix] = fmt.Sprint(v)
+		out[prefix] = fmt.Sprint(value)
 	}
 	return nil
 }
--- a/internal/upgradeagent/agent.go
+++ b/internal/upgradeagent/agent.go
@@ -148,28 +148,28 @@
 }
 
 // handleMessage takes a message of the supervisor; nil: the connection has ended.
-func (a *Agent) handleMessage(host Host, m *handoff.Message) []upgrade.AgentEffect {
-	if m == nil {
+func (a *Agent) handleMessage(host Host, message *handoff.Message) []upgrade.AgentEffect {
+	if message == nil {
 		a.supervisorLost()
 		return a.machine.Handle(a.now(), upgrade.AgentInputSupervisorLost)
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case handoff.KindReload:
 		host.Reload()
 	case handoff.KindLimits:
-		host.SetLimits(m.Limits)
+		host.SetLimits(message.Limits)
 	case handoff.KindOtherAttempts:
-		host.SetOtherAttempts(m.OutstandingAttempts)
+		host.SetOtherAttempts(message.OutstandingAttempts)
 	case handoff.KindPeerMessage:
-		host.SendToPeer(m.To, m.Body)
+		host.SendToPeer(message.To, message.Body)
 	case handoff.KindServe, handoff.KindResume:
-		if m.State != nil {
-			a.state = m.State
+		if message.State != nil {
+			a.state = message.State
 			a.stateIsOwn = false
 		}
-		a.budgetsMaybeSpent = m.BudgetsMaybeSpent
+		a.budgetsMaybeSpent = message.BudgetsMaybeSpent
 	}
-	input, known := inputOf[m.Kind]
+	input, known := inputOf[message.Kind]
 	if !known {
 		return nil
 	}
