--- a/internal/diskcache/lookup.go
+++ b/internal/diskcache/lookup.go
@@ -41,7 +41,8 @@
 	if !class.Cacheable {
 		return miss(ReasonNotCacheable)
 	}
-	key, object := p.partKey(request), p.objectKey(request.Object)
+	key := p.partKey(request)
+	object := p.objectKey(request.Object)
 	countRequest(p.sketch, p.frequencyKey(key, object), p.index.entries)
 	if p.health == HealthOff {
 		return miss(ReasonDiskOff)
@@ -50,34 +51,34 @@
 	if i == noIndex {
 		return miss(ReasonNotCached)
 	}
-	e := p.index.at(i)
+	entry := p.index.at(i)
 	p.index.touch(i)
-	if p.purges.covers(e) {
+	if p.purges.covers(entry) {
 		p.drop(i)
 		p.Counts.Purged++
 		return miss(ReasonPurged)
 	}
-	if e.state != entryReadable {
+	if entry.state != entryReadable {
 		return miss(ReasonNotWritten)
 	}
 	if p.activeReads >= p.settings.MaxReads {
 		return miss(ReasonDiskBusy)
 	}
-	reason := p.freshness(now, e, class)
+	reason := p.freshness(now, entry, class)
 	verdict := VerdictRevalidate
 	if reason == ReasonOK {
 		verdict = VerdictServe
-		if !p.inTime(now, e, class, request) {
+		if !p.inTime(now, entry, class, request) {
 			return miss(ReasonLinkBusy)
 		}
 	}
 	p.activeReads++
 	return verdict, LookupResult{
 		Reason:       reason,
-		Ref:          Ref{i, e.seq},
-		Length:       int(e.length),
-		Extents:      p.slots.extents(e.firstSlot),
-		StaleIfError: reason == ReasonTooOld && withinGrace(now, e, class),
+		Ref:          Ref{i, entry.seq},
+		Length:       int(entry.length),
+		Extents:      p.slots.extents(entry.firstSlot),
+		StaleIfError: reason == ReasonTooOld && withinGrace(now, entry, class),
 	}
 }
 
@@ -87,7 +88,7 @@
 // link of the router's own it does not, while a cache has a link of its own.
 func (p *Policy) inTime(now int64, e *entry, class *TrafficClass, request *Request) bool {
 	end := p.bandwidth.transferEnd(now, int64(e.length))
-	return end-now <= min(class.SLA, request.Remaining)
+	return end-now <= min(class.LatencyObjective, request.Remaining)
 }
 
 // freshness says whether a copy may be served as it is (ReasonOK), or why it must be
@@ -102,7 +103,7 @@
 		return ReasonPurgesUnknown
 	case age < -maxClockLead:
 		return ReasonFromFuture
-	case age > class.FreshTime:
+	case age > class.FreshFor:
 		return ReasonTooOld
 	}
 	return ReasonOK
@@ -112,7 +113,7 @@
 
 // withinGrace tells whether a stale copy may still stand in for a failure.
 func withinGrace(now int64, e *entry, class *TrafficClass) bool {
-	return ageOf(now, e) <= class.FreshTime+class.GraceTime
+	return ageOf(now, e) <= class.FreshFor+class.StaleGrace
 }
 
 // ReadOutcome is how a read ended.
@@ -166,10 +167,10 @@
 }
 
 func (p *Policy) countServed(now, bytes int64, notModified bool) {
-	const headerShare = 20 // a 304 takes this part of the body's time on the link
+	const bodyPerHeader = 20 // a 304 counts as a body of a twentieth of the size
 	if notModified {
 		p.Counts.NotModified++
-		bytes /= headerShare
+		bytes /= bodyPerHeader
 	}
 	p.Counts.BytesServed += bytes
 	p.bandwidth.reserve(now, bytes)
@@ -188,6 +189,7 @@
 	e.issued = max(e.issued, issuedMillis)
 	if p.purgesComplete(now, issuedMillis) {
 		// A copy that a cache served under an older issue is no worse than this one.
-		e.issued, e.epoch = issuedMillis, p.epoch
+		e.issued = issuedMillis
+		e.epoch = p.epoch
 	}
 }
--- a/internal/gateway/peerpolicy/controller.go
+++ b/internal/gateway/peerpolicy/controller.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const ms, second = int64(1000), int64(1_000_000) // microseconds
+const millisecond, second = int64(1000), int64(1_000_000) // microseconds
 
 // Settings bound the gateway. Times are microseconds.
 type Settings struct {
@@ -94,8 +94,11 @@
 	return actions
 }
 
+// TicksPerHeartbeat is how often Tick is called in a heartbeat interval.
+const TicksPerHeartbeat = 4
+
 // Tick finds silent peers and forwarded requests whose time is over. It is to be called
-// four times in a heartbeat interval.
+// TicksPerHeartbeat times in a heartbeat interval.
 func (c *Controller) Tick(now int64) {
 	for _, peer := range c.peers {
 		c.checkSilence(now, peer)
--- a/internal/gateway/peerpolicy/inbound.go
+++ b/internal/gateway/peerpolicy/inbound.go
@@ -5,7 +5,7 @@
 // maxExtraDelay is how much longer than the quickest one a request may have been under
 // way, in microseconds: a side that stood still for longer may wake up to requests that
 // have ended.
-const maxExtraDelay = 500 * ms
+const maxExtraDelay = 500 * millisecond
 
 // Admit decides whether a peer's request is taken. One that is not was never executed.
 func (c *Controller) Admit(now int64, name, id string, route []string, extraDelay int64) Reason {
@@ -78,7 +78,7 @@
 func (c *Controller) localOverloaded(now int64) bool {
 	const (
 		minOutcomes   = 8
-		rejectedShare = 8 // one in eight
+		rejectedOneIn = 8
 	)
 	rejected, all := 0, 0
 	for _, outcome := range c.localOutcomes {
@@ -90,7 +90,7 @@
 			rejected++
 		}
 	}
-	return all >= minOutcomes && rejectedShare*rejected >= all
+	return all >= minOutcomes && rejectedOneIn*rejected >= all
 }
 
 // OfferedCapacity is the number of requests that a heartbeat offers to take.
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -43,7 +43,7 @@
 
 // Observe takes the report of a process, by an identifier of the caller's. It is judged
 // by a later Tick.
-func (m *Monitor) Observe(now int64, processID uint64, a *Activity) {
+func (m *Monitor) Observe(now int64, processID uint64, activity *Activity) {
 	p := m.processes[processID]
 	if p == nil {
 		if len(m.processes) >= maxProcesses {
@@ -53,15 +53,15 @@
 		p = &process{}
 		m.processes[processID] = p
 	}
-	m.Dropped += a.Dropped
+	m.Dropped += activity.Dropped
 	if len(p.pending) >= maxPending {
 		p.pending = p.pending[1:]
 		m.Dropped++
 	}
-	p.pending = append(p.pending, pendingActivity{now, a})
+	p.pending = append(p.pending, pendingActivity{now, activity})
 	// The endpoint's own age decides, which is known from the first: nothing to wait for.
-	for i := range a.Endpoints {
-		m.checkBudget(now, p, &a.Endpoints[i])
+	for i := range activity.Endpoints {
+		m.checkBudget(now, p, &activity.Endpoints[i])
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	if late := at - e.outSince; late > m.settings.DrainGraceMicros+maxDiscoverySkew {
 		p.violations[RuleDrained].add(at,
-			fmt.Sprintf("%s %s %d ms after it was told to be out", action, use.Endpoint, late/ms))
+			fmt.Sprintf("%s %s %d ms after it began to drain or had gone", action, use.Endpoint, late/millisecond))
 	}
 }
 
@@ -117,8 +117,8 @@
 		late := r.SentMicros - purge.receivedAt
 		if purge.covers(r) && r.IssuedMicros < purge.issuedAt && late > m.settings.PurgeGraceMicros+maxDiscoverySkew {
 			p.violations[RuleStale].add(r.SentMicros,
-				fmt.Sprintf("a copy %d ms older than a purge, asked for %d ms after that was told",
-					(purge.issuedAt-r.IssuedMicros)/ms, late/ms))
+				fmt.Sprintf("a copy %d ms older than a purge, requested %d ms after that was known",
+					(purge.issuedAt-r.IssuedMicros)/millisecond, late/millisecond))
 			return
 		}
 	}
@@ -142,7 +142,7 @@
 	allowed := budget.allowance(age, e.weight, m.settings.WindowMicros)
 	if total > allowed && total > use.WorkMicros {
 		p.violations[RuleOverBudget].add(at,
-			fmt.Sprintf("%s was sent %.2f s of work within the window, %.2f is this router's part",
+			fmt.Sprintf("%s was sent %.2f s of work within the window, this router's share is %.2f s",
 				use.Endpoint, total/1e6, allowed/1e6))
 	}
 }
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -4,8 +4,8 @@
 
 // The texts of ActionLog. LogEjected comes with Action.Backoff.
 const (
-	LogEjected    = "endpoint ejected"
-	LogReadmitted = "endpoint readmitted"
+	LogEjected    = "endpoint ejected"    // it gets nothing for Backoff
+	LogReadmitted = "endpoint readmitted" // it gets requests again
 )
 
 // health is what a Router thinks of an endpoint. Its values are kept in Snapshots.
@@ -104,7 +104,9 @@
 // readmit takes an ejected endpoint in again and drops what counted against it, the doubling of its ejection time
 // included.
 func (r *Router) readmit(ep *endpoint) {
-	ep.ejections, ep.fillSamples, ep.readmittedAt = 0, nil, r.now
+	ep.ejections = 0
+	ep.fillSamples = nil
+	ep.readmittedAt = r.now
 	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
 }
 
--- a/internal/simwire/response.go
+++ b/internal/simwire/response.go
@@ -47,32 +47,40 @@
 	return append(line, '\n'), err
 }
 
-func newDecision(instance int, a *policy.Action) decision {
-	d := decision{Instance: instance, Request: a.Request, Endpoint: a.Endpoint}
-	switch a.Kind {
+func newDecision(instance int, action *policy.Action) decision {
+	d := decision{Instance: instance, Request: action.Request, Endpoint: action.Endpoint}
+	switch action.Kind {
 	case policy.ActionSend:
 		d.Verb = "Get"
-		d.Source = a.Source
-		d.CachePriority = copyOf(a.CachePriority)
-		d.FillMode = int(a.FillMode)
-		d.MaxAge, d.Timeout = millis(a.MaxAge), millis(a.Timeout)
+		d.Source = action.Source
+		d.CachePriority = copyOf(action.CachePriority)
+		d.FillMode = int(action.FillMode)
+		d.MaxAge = millis(action.MaxAge)
+		d.Timeout = millis(action.Timeout)
 	case policy.ActionFail:
 		d.Verb = "RespondError"
 	case policy.ActionReject:
-		d.Verb, d.RetryAfter = "OverloadReply", millis(a.RetryAfter)
+		d.Verb = "OverloadReply"
+		d.RetryAfter = millis(action.RetryAfter)
 	case policy.ActionCancel:
-		d.Verb, d.Attempt = "StopAttempt", copyOf(a.Attempt)
+		d.Verb = "StopAttempt"
+		d.Attempt = copyOf(action.Attempt)
 	case policy.ActionSetTimer:
-		d.Verb, d.Due, d.Token = "Defer", copyOf(millis(a.Due)), copyOf(a.Token)
+		d.Verb = "Defer"
+		d.Due = copyOf(millis(action.Due))
+		d.Token = copyOf(action.Token)
 	case policy.ActionHealthCheck:
 		d.Verb = "Ping"
 	case policy.ActionSubscribe:
-		d.Verb, d.Active = "Subscribe", copyOf(true)
+		d.Verb = "Subscribe"
+		d.Active = copyOf(true)
 	case policy.ActionLog: // the wire's line has a text alone
-		d.Verb, d.Endpoint = "JournalLine", ""
-		d.Message = journalTexts[a.Text] + ": " + a.Endpoint
+		d.Verb = "JournalLine"
+		d.Endpoint = ""
+		d.Message = journalTexts[action.Text] + ": " + action.Endpoint
 	case policy.ActionPanic:
-		d.Verb, d.Message = "Panic", a.Text
+		d.Verb = "Panic"
+		d.Message = action.Text
 	}
 	return d
 }
--- a/internal/supervisor/check.go
+++ b/internal/supervisor/check.go
@@ -53,7 +53,8 @@
 	cmd.Env = processEnvironment()
 	output := boundedBuffer{limit: maxSettingsBytes}
 	errorOutput := boundedBuffer{limit: maxCheckErrorBytes}
-	cmd.Stdout, cmd.Stderr = &output, &errorOutput
+	cmd.Stdout = &output
+	cmd.Stderr = &errorOutput
 	if err := cmd.Run(); err != nil {
 		text := strings.TrimSpace(errorOutput.String())
 		return nil, errors.New(cmp.Or(text, "check: "+err.Error()))
@@ -89,9 +90,9 @@
 // checkChange prepares the change that is asked for beside the loop, and feeds whether
 // it is possible.
 func (s *Supervisor) checkChange() {
-	c := s.change
-	asked := c.manifest
-	c.manifest = nil
+	change := s.change
+	asked := change.manifest
+	change.manifest = nil
 	generation := s.file.Next
 	s.file.Next++
 	settled := s.file.Settled
@@ -107,15 +108,16 @@
 		}
 		budget, budgetErr := upgrade.ShareBudget(s.machineResources, present)
 		s.events <- func() {
-			if s.change != c {
+			if s.change != change {
 				return // it took too long, and was rejected
 			}
 			if reason := rejectionReason(err, differences, budgetErr); reason != "" {
-				c.reason = reason
+				change.reason = reason
 				s.feed(upgrade.InputRejected)
 				return
 			}
-			c.manifest, c.budget = manifest, budget
+			change.manifest = manifest
+			change.budget = budget
 			s.reportProgress("checked: %s; %d MB and %d descriptors beside the present generation; %s",
 				manifest.Version, budget.MemoryMB, budget.Descriptors,
 				cmp.Or(describeChanges(differences, upgrade.ModeHandoff), "no key differs"))
