--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -68,7 +68,7 @@
 	switch {
 	case result.MaxDelay > emulator.MaxLateMicros:
 		return fmt.Errorf("undecided: the machine was too busy and the model %d ms late, which may itself "+
-			"have caused violations; play it again", result.MaxDelay/1000)
+			"have caused violations; play it again", result.MaxDelay/microsPerMilli)
 	case len(result.Violations) > 0:
 		return errViolation
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	buffer := bufio.NewWriterSize(file, 1<<20)
+	buffer := bufio.NewWriterSize(file, logBufferBytes)
 	return &eventLogFile{file: file, buffer: buffer, encoder: json.NewEncoder(buffer)}, nil
 }
 
--- a/cmd/quilldoor-lab/explain.go
+++ b/cmd/quilldoor-lab/explain.go
@@ -38,7 +38,7 @@
 	defer file.Close()
 	found := false
 	var first int64
-	decoder := json.NewDecoder(bufio.NewReaderSize(file, 1<<20))
+	decoder := json.NewDecoder(bufio.NewReaderSize(file, logBufferBytes))
 	for line := 1; ; line++ {
 		var entry eventlog.Entry
 		err := decoder.Decode(&entry)
@@ -55,7 +55,8 @@
 			found = true
 			first = entry.At
 		}
-		fmt.Printf("%12.6f s %+10.3f ms  %s\n", float64(entry.At)/1e6, float64(entry.At-first)/1e3, describe(&entry))
+		fmt.Printf("%12.6f s %+10.3f ms  %s\n",
+			float64(entry.At)/microsPerSecond, float64(entry.At-first)/microsPerMilli, describe(&entry))
 	}
 	if !found {
 		return fmt.Errorf("%s has no request %s", path, request)
@@ -68,7 +69,7 @@
 	switch entry.Kind {
 	case eventlog.KindTaken:
 		return fmt.Sprintf("router %d accepts it: %s of %s, group %d, %d ms left",
-			entry.Router, entry.Class, entry.Object, entry.Group, (entry.Deadline-entry.At)/1000)
+			entry.Router, entry.Class, entry.Object, entry.Group, (entry.Deadline-entry.At)/microsPerMilli)
 	case eventlog.KindSent:
 		text := fmt.Sprintf("attempt %d is sent to %s", entry.Attempt, entry.Endpoint)
 		if entry.Source != "" && entry.Source != entry.Endpoint {
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -124,6 +124,9 @@
 	return chosen, err
 }
 
+// earnedShareSteps is to how many steps the earned share, from 0 to 1, is sorted.
+const earnedShareSteps = 1e6
+
 // printSummary prints the violations and how the earned share is distributed.
 func (o *huntOptions) printSummary(findings []*faultsearch.Finding, byViolation map[string][]*faultsearch.Finding) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -134,7 +137,9 @@
 	}
 	table.Flush()
 	sorted := slices.Clone(findings)
-	slices.SortFunc(sorted, func(a, b *faultsearch.Finding) int { return int(1e6 * (a.EarnedShare - b.EarnedShare)) })
+	slices.SortFunc(sorted, func(a, b *faultsearch.Finding) int {
+		return int(earnedShareSteps * (a.EarnedShare - b.EarnedShare))
+	})
 	sum := 0.0
 	for _, finding := range sorted {
 		sum += finding.EarnedShare
--- a/cmd/quilldoor-lab/interval.go
+++ b/cmd/quilldoor-lab/interval.go
@@ -7,6 +7,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
+// upperQuantile is that of a two-sided interval of 95 %.
+const upperQuantile = 0.975
+
 // pairedDifference returns the mean of other less base, pair by pair, and half the width of its
 // 95 % confidence interval by Student's t distribution.
 func pairedDifference(base, other []float64) (mean, halfWidth float64) {
@@ -17,5 +20,5 @@
 	}
 	mean, deviation := stat.MeanStdDev(differences, nil)
 	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(max(n-1, 1))}
-	return mean, student.Quantile(0.975) * deviation / math.Sqrt(float64(n))
+	return mean, student.Quantile(upperQuantile) * deviation / math.Sqrt(float64(n))
 }
--- a/cmd/quilldoor-lab/membership.go
+++ b/cmd/quilldoor-lab/membership.go
@@ -129,13 +129,13 @@
 	cells := []string{
 		fmt.Sprint(routers),
 		detector,
-		fmt.Sprint(m.detection.ValueAtQuantile(50) / 1000),
-		fmt.Sprint(m.detection.ValueAtQuantile(99) / 1000),
+		fmt.Sprint(m.detection.ValueAtQuantile(50) / microsPerMilli),
+		fmt.Sprint(m.detection.ValueAtQuantile(99) / microsPerMilli),
 		fmt.Sprint(m.detection.Missed),
-		fmt.Sprint(m.halfDetection.Max() / 1000),
-		fmt.Sprint(m.rejoin.Max() / 1000),
-		fmt.Sprint(m.partition.DetectedAfter / 1000),
-		fmt.Sprint(m.partition.ConvergedAfter / 1000),
+		fmt.Sprint(m.halfDetection.Max() / microsPerMilli),
+		fmt.Sprint(m.rejoin.Max() / microsPerMilli),
+		fmt.Sprint(m.partition.DetectedAfter / microsPerMilli),
+		fmt.Sprint(m.partition.ConvergedAfter / microsPerMilli),
 		fmt.Sprintf("%.0f", m.partition.BaselineBytesPerSecond),
 		fmt.Sprintf("%.0f", m.partition.RecoveryBytesPerSecond),
 		fmt.Sprint(m.stability.Suspicions),
@@ -167,8 +167,8 @@
 			return err
 		}
 		fmt.Printf("%d processes, %d killed: detected by all after p50 %d, p90 %d, p99 %d, at most %d ms; missed %d\n",
-			routers, kills, times.ValueAtQuantile(50)/1000, times.ValueAtQuantile(90)/1000,
-			times.ValueAtQuantile(99)/1000, times.Max()/1000, missed)
+			routers, kills, times.ValueAtQuantile(50)/microsPerMilli, times.ValueAtQuantile(90)/microsPerMilli,
+			times.ValueAtQuantile(99)/microsPerMilli, times.Max()/microsPerMilli, missed)
 		return nil
 	}
 	return command
--- a/cmd/quilldoor-lab/result.go
+++ b/cmd/quilldoor-lab/result.go
@@ -42,7 +42,7 @@
 			fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%d\t\n",
 				class.Name, phase, outcomes.Requests, outcomes.InTime, outcomes.Late, outcomes.Stale,
 				outcomes.Rejected, outcomes.Failed, outcomes.EarnedWeight/outcomes.PossibleWeight,
-				class.Quantile(50)/1000, class.Quantile(99)/1000)
+				class.Quantile(50)/microsPerMilli, class.Quantile(99)/microsPerMilli)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		cpu := result.Cost.CPU
 		fmt.Fprintf(to, "router processes: %.2f s of CPU, %.0f us a request; the largest %.1f MB\n",
 			cpu.Seconds(), float64(cpu.Microseconds())/float64(max(result.ClientAttempts, 1)),
-			float64(result.Cost.MaxMemoryKB)/1024)
+			float64(result.Cost.MaxMemoryKB)/kbPerMB)
 	}
 	if result.Excused > 0 {
 		fmt.Fprintf(to, "due while their router was stopped: %d requests, counted apart\n", result.Excused)
@@ -69,7 +69,7 @@
 	if members := result.Members; members != nil {
 		fmt.Fprintf(to, "membership views: sampled %d times; converged %d ms after the last change of a fault (-1: not); "+
 			"live routers declared dead by all: %v\n",
-			members.Comparisons, members.AgreedAfter/1000, members.DeadByAll)
+			members.Comparisons, members.AgreedAfter/microsPerMilli, members.DeadByAll)
 	}
 }
 
--- a/cmd/quilldoor-lab/rolloutreport.go
+++ b/cmd/quilldoor-lab/rolloutreport.go
@@ -107,7 +107,7 @@
 	page := rolloutPage{
 		Status:   status,
 		At:       at.UTC().Format("2006-01-02 15:04:05 UTC"),
-		WatchedS: status.WatchMS / 1000,
+		WatchedS: status.WatchMS / millisPerSecond,
 	}
 	for _, router := range status.Routers {
 		row := routerRow{RouterStatus: router, EarnedShare: "-"}
--- a/cmd/quilldoor-lab/upgradefigures.go
+++ b/cmd/quilldoor-lab/upgradefigures.go
@@ -45,7 +45,7 @@
 	mean, halfWidth := pairedDifference(calm, f.earned)
 	fmt.Fprintf(to, "%s\t%d\t%.4f\t%+.4f\t%.4f\t", name, len(f.earned), stat.Mean(f.earned, nil), mean, halfWidth)
 	p50, p99 := f.latency.ValueAtQuantile(50), f.latency.ValueAtQuantile(99)
-	fmt.Fprintf(to, "%.1f\t%.1f\t", float64(p50)/1000, float64(p99)/1000)
+	fmt.Fprintf(to, "%.1f\t%.1f\t", float64(p50)/microsPerMilli, float64(p99)/microsPerMilli)
 	fmt.Fprintf(to, "%d\t%d\t%d\t", f.refused, f.brokenOff, f.violations)
 	fmt.Fprintf(to, "%s\t%s\t%.0f\t\n", largest(f.recoveryMS), largest(f.drainedMS), stat.Mean(f.peakMB, nil))
 }
--- a/cmd/quilldoor-lab/upgraderow.go
+++ b/cmd/quilldoor-lab/upgraderow.go
@@ -34,9 +34,9 @@
 	fmt.Printf("%d upgrades, each with a trial of 0.5 s, took p50 %d, at most %d ms; "+
 		"%d requests judged, %d connections refused, %d broken off, rules violated: %v; weight earned %.4f; "+
 		"%d MB and %d descriptors of all processes at the most; the model was %d ms late\n",
-		o.row, driver.durations.ValueAtQuantile(50)/1000, driver.durations.Max()/1000,
+		o.row, driver.durations.ValueAtQuantile(50)/microsPerMilli, driver.durations.Max()/microsPerMilli,
 		result.Judged, result.RefusedConnections, result.BrokenConnections, result.Violations, result.EarnedShare(),
-		driver.status.PeakMB, driver.status.PeakDescriptors, result.MaxDelay/1000)
+		driver.status.PeakMB, driver.status.PeakDescriptors, result.MaxDelay/microsPerMilli)
 	return nil
 }
 
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -57,7 +57,9 @@
 
 const (
 	// untilPurgedMS is how the settings say that an object is fresh until it is purged: a day.
-	untilPurgedMS = 24 * 3600 * 1000
+	untilPurgedMS = 24 * 3600 * millisPerSecond
+
+	millisPerSecond = 1000
 
 	linkPrice          = 0.02
 	originOverloadMS   = 3000
@@ -124,7 +126,7 @@
 		family.GoesThrough = append(family.GoesThrough, class.writesThrough)
 		family.MultiPart = append(family.MultiPart, class.multipart)
 	}
-	pageFreshMS := s.Load.PageFreshS * 1000
+	pageFreshMS := s.Load.PageFreshS * millisPerSecond
 	family.GoodForMs = []float64{untilPurgedMS, cmp.Or(pageFreshMS, untilPurgedMS), 0}
 	family.ClassGraceMs = []float64{0, 0, 0}
 	if s.Load.PageFreshS > 0 {
@@ -151,7 +153,7 @@
 	family.OriginFallMs = originOverloadMS
 	family.OriginFallMultiple = fleet.OriginStopMultiple
 	family.ParentColdFrom = fleet.ParentSlowStartFrom
-	family.ParentRampMs = fleet.ParentSlowStartS * 1000
+	family.ParentRampMs = fleet.ParentSlowStartS * millisPerSecond
 	family.UpperFallMultiple = fleet.OverloadMultiple
 }
 
@@ -161,7 +163,7 @@
 	contract.AnswerSlackMs = answerSlackMS
 	contract.DrainGraceMs = fleet.DrainGraceMS
 	contract.ColdFrom = fleet.SlowStartFrom
-	contract.ColdMs = fleet.SlowStartS * 1000
+	contract.ColdMs = fleet.SlowStartS * millisPerSecond
 	contract.FallMs = fleet.OverloadMS
 	contract.FallMultiple = fleet.OverloadMultiple
 }
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -45,7 +45,7 @@
 func (s *server) originAccepts() bool {
 	fleet := &s.simulation.scenario.Fleet
 	s.countOriginArrival()
-	capacity := float64(fleet.OriginWorkers) / (fleet.OriginServiceMS / 1000) / s.slowdown // requests a second
+	capacity := float64(fleet.OriginWorkers) / (fleet.OriginServiceMS / millisPerSecond) / s.slowdown // requests a second
 	if !s.stopped && float64(len(s.arrivals)) > fleet.OriginStopMultiple*capacity*originArrivalWindowS {
 		s.stopOrigin()
 	}
--- a/internal/simulation/resource_test.go
+++ b/internal/simulation/resource_test.go
@@ -33,16 +33,7 @@
 		for finished < jobs {
 			sim.Step(sim.Next())
 		}
-		offered := test.load * float64(test.cores)
-		sum := 0.0
-		term := 1.0
-		for k := range test.cores {
-			sum += term
-			term *= offered / float64(k+1)
-		}
-		last := term / (1 - test.load)
-		erlang := last / (sum + last)
-		want := work * (1 + erlang/(float64(test.cores)*(1-test.load)))
+		want := work * (1 + erlangC(test.cores, test.load)/(float64(test.cores)*(1-test.load)))
 		if got := timeInSystem / float64(finished); math.Abs(got/want-1) > 0.03 {
 			t.Errorf("%d cores at %.2f: %.0f us in the system, %.0f by Erlang's C", test.cores, test.load, got, want)
 		} else {
@@ -50,3 +41,16 @@
 		}
 	}
 }
+
+// erlangC is the probability that a job of an M/M/c queue must wait, by Erlang's C formula.
+func erlangC(cores int, load float64) float64 {
+	offered := load * float64(cores)
+	sum := 0.0
+	term := 1.0
+	for k := range cores {
+		sum += term
+		term *= offered / float64(k+1)
+	}
+	last := term / (1 - load)
+	return last / (sum + last)
+}
--- a/internal/simulation/units.go
+++ b/internal/simulation/units.go
@@ -5,6 +5,8 @@
 	millisecond = 1000
 	second      = 1_000_000
 
+	millisPerSecond = 1000
+
 	// oneWay is one way of a network path in microseconds per millisecond of its round trip.
 	oneWay = millisecond / 2
 )
