--- a/internal/gateway/peerproto/peerproto_test.go
+++ b/internal/gateway/peerproto/peerproto_test.go
@@ -84,7 +84,7 @@
 	cborcodectest.Check(t, limits, func(encoded []byte) error {
 		err := Frame{Payload: encoded}.Decode(new(any))
 		if err != nil && !errors.Is(err, ErrMalformed) {
-			t.Errorf("%v is no ErrMalformed", err)
+			t.Errorf("%.8x: %v is no ErrMalformed", encoded, err)
 		}
 		return err
 	})
--- a/internal/membership/transport/datagram_test.go
+++ b/internal/membership/transport/datagram_test.go
@@ -66,7 +66,7 @@
 		datagram = append(datagram, authenticationTag(sharedKey, datagram)...)
 		err := openDatagram(sharedKey, datagram, new(any))
 		if err != nil && !errors.Is(err, errPayload) {
-			t.Errorf("%v is no errPayload", err)
+			t.Errorf("%.8x: %v is no errPayload", encoded, err)
 		}
 		return err
 	})
