--- a/internal/diskcache/admission.go
+++ b/internal/diskcache/admission.go
@@ -156,18 +156,18 @@
 		if i == noIndex || len(victims) >= maxVictims {
 			return nil, false
 		}
-		e := p.index.at(i)
-		if i == previous || e.state == entryWriting {
+		entry := p.index.at(i)
+		if i == previous || entry.state == entryWriting {
 			continue
 		}
 		size := p.slotsOf(i)
 		victims = append(victims, i)
 		available += size
 		full = false
-		if p.weighsNothing(e) {
+		if p.weighsNothing(entry) {
 			continue
 		}
-		estimate := p.sketch.Estimate(p.frequencyKey(e.key, e.object))
+		estimate := p.sketch.Estimate(p.frequencyKey(entry.key, entry.object))
 		victimsWeight += p.weight(estimate, size)
 		if victimsWeight >= newcomerWeight {
 			return nil, false
@@ -192,7 +192,7 @@
 // reservedSlots stay free for parts that were dropped and whose drop waits to be
 // synced: all that can be written during two sync intervals.
 func (p *Policy) reservedSlots() int {
-	const maxShare = 8 // at most an eighth of the disk
+	const reserveOneIn = 8 // slots of the disk at most
 	bytes := p.settings.WriteBytesPerSecond * (2*p.settings.SyncInterval + second) / second
-	return min(int(bytes/int64(p.settings.SlotBytes))+1, p.settings.Slots/maxShare)
+	return min(int(bytes/int64(p.settings.SlotBytes))+1, p.settings.Slots/reserveOneIn)
 }
