--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -168,8 +168,7 @@
 
 // runTicker sends heartbeats and does what time brings.
 func (g *Gateway) runTicker() {
-	const ticksPerHeartbeat = 4
-	ticker := time.NewTicker(time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond / ticksPerHeartbeat)
+	ticker := time.NewTicker(time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond / peerpolicy.TicksPerHeartbeat)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
 		select {
@@ -180,7 +179,7 @@
 		g.mu.Lock()
 		g.controller.Tick(g.now())
 		var links []*link
-		if tick%ticksPerHeartbeat == 0 {
+		if tick%peerpolicy.TicksPerHeartbeat == 0 {
 			links = g.allLinks()
 		}
 		g.applyActions() // gives the lock back
@@ -214,8 +213,8 @@
 			return l.close
 		}
 	case peerpolicy.ActionWithdraw:
-		if c := g.forwarded[action.RequestID]; c != nil {
-			return func() { c.link.cancel(c.number) }
+		if call := g.forwarded[action.RequestID]; call != nil {
+			return func() { call.link.cancel(call.number) }
 		}
 	case peerpolicy.ActionAnswer:
 		if c := g.forwarded[action.RequestID]; c != nil {
