--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -29,6 +29,8 @@
 	rolloutCostTries = 3
 	// rolloutPollInterval is the time between looks at the routers' rollout status.
 	rolloutPollInterval = 200 * time.Millisecond
+	// startingRouter is the index of the router that gets the command to start: any one will do.
+	startingRouter = 1
 )
 
 // rolloutCostOptions are the flags of rollout-cost.
@@ -139,7 +141,7 @@
 		}
 		last = cmp.Or(poll.last, last)
 		if !started && poll.ready == routers.Count() {
-			if _, err := routers.Rollout(1, rollout.CommandStart); err != nil {
+			if _, err := routers.Rollout(startingRouter, rollout.CommandStart); err != nil {
 				return err
 			}
 			started = true
@@ -163,7 +165,7 @@
 			continue // a router that is being replaced has no status for a moment
 		}
 		poll.last = status.Phase + ": " + status.Reason
-		poll.done = poll.done || status.Phase == "done"
+		poll.done = poll.done || status.Phase == rollout.PhaseDone.String()
 		if !status.Recovering {
 			poll.ready++
 		}
--- a/cmd/quilldoor-lab/upgradecases.go
+++ b/cmd/quilldoor-lab/upgradecases.go
@@ -9,6 +9,7 @@
 
 	"quilldoor/internal/emulator"
 	"quilldoor/internal/handoff"
+	"quilldoor/internal/upgrade"
 )
 
 // upgradeCase is something that is done to all routers at once.
@@ -49,7 +50,7 @@
 		applied <- err
 	}()
 	status, err := routers.WaitStatus(router, upgradeSettleTime, func(s *handoff.Status) bool {
-		return s.State == "on trial" && s.Next != nil
+		return s.State == upgrade.StateOnTrial.String() && s.Next != nil
 	})
 	if err != nil {
 		return err
@@ -97,7 +98,7 @@
 		return nil
 	}
 	status, err := routers.WaitStatus(router, upgradeSettleTime, func(s *handoff.Status) bool {
-		return s.State == "steady" && s.DrainingProcesses == 0
+		return s.State == upgrade.StateSteady.String() && s.DrainingProcesses == 0
 	})
 	if err != nil {
 		return err
--- a/cmd/quilldoor-lab/upgradewindow.go
+++ b/cmd/quilldoor-lab/upgradewindow.go
@@ -5,6 +5,7 @@
 
 	"quilldoor/internal/eventlog"
 	"quilldoor/internal/scenario"
+	"quilldoor/internal/simulation"
 )
 
 // windowRecorder counts the requests that came within the window after the upgrade.
@@ -39,7 +40,7 @@
 			w.offered += w.weights[entry.Class]
 		}
 	case eventlog.KindAnswered:
-		if request, ok := w.open[entry.Request]; ok && entry.Outcome == "completed" {
+		if request, ok := w.open[entry.Request]; ok && entry.Outcome == string(simulation.AnswerCompleted) {
 			w.latency.RecordValue(entry.At - request.at)
 			w.earned += w.weights[request.class]
 		}
--- a/internal/emulator/process_lifecycle.go
+++ b/internal/emulator/process_lifecycle.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -10,6 +11,8 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"quilldoor/internal/upgrade"
 )
 
 const (
@@ -96,6 +99,7 @@
 // waitReady waits until the router serves. Meanwhile it runs the loop's tasks, as the loop
 // has not begun.
 func (r *routerProcess) waitReady() error {
+	var health error
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
 		select {
 		case <-r.exited:
@@ -106,16 +110,28 @@
 			task()
 		default:
 		}
-		response, err := r.client.Get("http://" + r.clientAddr + "/health")
-		if err != nil {
-			continue
-		}
-		response.Body.Close()
-		if response.StatusCode == http.StatusOK && r.supervisorSteady() {
+		if health = r.checkHealth(); health == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("router n%d is not ready after 30 s; its last lines:\n%s", r.id+1, r.log.String())
+	return fmt.Errorf("router n%d is not ready after %.0f s (%w); its last lines:\n%s",
+		r.id+1, readyTimeout.Seconds(), health, r.log.String())
+}
+
+// checkHealth returns why the router does not serve yet; nil: it does.
+func (r *routerProcess) checkHealth() error {
+	response, err := r.client.Get("http://" + r.clientAddr + "/health")
+	if err != nil {
+		return err
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("/health: %s", response.Status)
+	}
+	if !r.supervisorSteady() {
+		return errors.New("the supervisor has a change under way")
+	}
+	return nil
 }
 
 // supervisorSteady tells whether the router's supervisor, if it has one, has nothing under
@@ -125,7 +141,7 @@
 		return true
 	}
 	status, err := (&Supervised{r.socketRun}).Status(r.id)
-	return err == nil && status.State == "steady"
+	return err == nil && status.State == upgrade.StateSteady.String()
 }
 
 // kill kills the router's processes, waits for the first one and counts its cost.
