--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -18,8 +18,8 @@
 	processCores    = 1
 	processMemoryMB = 192
 	processSockets  = 1024
-	// A router's link carries four flows at full rate; flows are in kB.
-	linkBytesPerFlowKB = 4000
+	// linkFlows is how many flows at full rate a router's link carries.
+	linkFlows = 4
 )
 
 // start writes the platform's configuration, with the endpoint list as it is, and starts the
@@ -39,7 +39,7 @@
 		Limits:        processLimits{Cores: processCores, MemoryMB: processMemoryMB, Sockets: processSockets},
 		Discovery:     r.discoveryListener.Addr().String(),
 		FlowBytesPerS: fleet.FlowKBPerS * bytesPerKB,
-		LinkBytesPerS: fleet.FlowKBPerS * linkBytesPerFlowKB,
+		LinkBytesPerS: fleet.FlowKBPerS * linkFlows * bytesPerKB,
 		Known:         discoveryUpdate{Revision: 1, Events: r.discoveryEvents},
 		Settings:      setup,
 	})
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// count adds the end of a request to its router's counts, as the router does.
+// count adds the end of a request to its router's counts, as the router does, but late responses
+// earn nothing and every transfer counts as assumedTransferMicros.
 func (r *rolloutRun) count(entry *eventlog.Entry, request *rolloutRequest) {
 	weight := r.weights[request.class]
 	counts := &r.states[entry.Router].counts
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -90,6 +90,7 @@
 	sizeKB := 0.0
 	switch answer.Outcome {
 	case simulation.AnswerCompleted:
+		// The gateway only compares the time of issue with purges': see sendAnswerHome.
 		peerAnswer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: answer.IssuedAt}
 		sizeKB = request.SizeKB
 		if request.Write {
@@ -113,7 +114,8 @@
 				return
 			}
 			home.recordIssued(request.ID, answer.IssuedMillis)
-			// On the virtual clock the times of issue and of purges are the simulation's microseconds.
+			// On the virtual clock IssuedMillis and LatestPurgeMillis both hold the simulation's
+			// microseconds: the gateway only compares them with each other.
 			answer.LatestPurgeMillis = v.latestPurge(home, request)
 			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ID, answer)
 			v.runGatewayActions(home)
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -140,7 +140,7 @@
 	if err := v.open(request, remaining); err != nil {
 		v.simulation.Answered(router.id, request.ID, simulation.Answer{Outcome: simulation.AnswerRejected})
 		request.finished = true
-		request.queued = true
+		request.queued = true // keeps the engine's wake from queueing a request that was never opened
 	}
 }
 
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -30,8 +30,9 @@
 const (
 	// rolloutSeed sets the rollout's random draws apart from those of the simulation.
 	rolloutSeed = 41
-	// stretchedTransferMicros is the transfer time that all latency objectives allow for.
-	stretchedTransferMicros = 250_000
+	// assumedTransferMicros is the transfer time that each latency objective allows for: event
+	// log entries have no size to compute it from.
+	assumedTransferMicros = 250_000
 )
 
 // VirtualRollout plays a scenario with a rollout in it.
@@ -87,7 +88,7 @@
 	}
 	for _, class := range s.Classes() {
 		run.weights[class.Name] = class.PriorityWeight
-		run.objectives[class.Name] = class.LatencyObjective + int64(class.ObjectiveStretch*stretchedTransferMicros)
+		run.objectives[class.Name] = class.LatencyObjective + int64(class.ObjectiveStretch*assumedTransferMicros)
 	}
 	return run
 }
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -6,7 +6,7 @@
 )
 
 // Driver carries out what the simulation reports, for instance on routers in the same process or on real sockets. All
-// calls come from within Simulation.Step, in order.
+// calls come from within Simulation.Step, in order, but those of Record: SendAttempt, Answered and Refused call it too.
 type Driver interface {
 	// RequestArrived delivers a client's complete request to its router.
 	RequestArrived(request *Request)
@@ -22,7 +22,7 @@
 	StartRouter(router int, known []Server)
 	// SuspendRouter suspends a router's process; it keeps its state.
 	SuspendRouter(router int)
-	// ResumeRouter resumes a router's process that Stop suspended.
+	// ResumeRouter resumes a router's process that SuspendRouter suspended.
 	ResumeRouter(router int)
 	// StarveRouter lets other processes take a share of a router's CPU; 0: none.
 	StarveRouter(router int, share float64)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -64,7 +64,7 @@
 	lastFaultChange int64 // when a fault began or ended last
 }
 
-// New makes a simulation at time 0. The driver's methods are called from Step.
+// New makes a simulation at time 0. The driver's methods are called as Driver describes.
 func New(s *scenario.Scenario, seed uint64, driver Driver) *Simulation {
 	sim := &Simulation{
 		scenario:     s,
