--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -46,10 +46,10 @@
 		return err
 	}
 	routers := emulator.Routers{
-		Program: o.routerBin,
-		Listen:  o.listen,
-		Guests:  true,
-		Ready:   func(addresses []string) { printWelcome(os.Stdout, s, addresses) },
+		Program:               o.routerBin,
+		Listen:                o.listen,
+		AcceptForeignRequests: true,
+		Ready:                 func(addresses []string) { printWelcome(os.Stdout, s, addresses) },
 	}
 	if o.showRouter {
 		routers.Log = os.Stderr
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	switch {
-	case result.MaxDelay > emulator.MaxLateMicros:
+	case result.MaxDelay > emulator.MaxDelayMicros:
 		return fmt.Errorf("undecided: the machine was too busy and the model %d ms late, which may itself "+
 			"have caused violations; play it again", result.MaxDelay/microsPerMilli)
 	case len(result.Violations) > 0:
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -115,7 +115,7 @@
 		}
 		result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: seed},
 			emulator.Routers{Program: o.routerBin, Drive: drive})
-		if result == nil || result.MaxDelay <= emulator.MaxLateMicros {
+		if result == nil || result.MaxDelay <= emulator.MaxDelayMicros {
 			return result, took, err
 		}
 	}
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -106,7 +106,7 @@
 		result, err := emulator.RunOnSockets(ctx, s,
 			emulator.Options{Seed: seed, Record: window.record},
 			emulator.Routers{Program: o.routerBin, Drive: driver.drive})
-		if result != nil && result.MaxDelay > emulator.MaxLateMicros {
+		if result != nil && result.MaxDelay > emulator.MaxDelayMicros {
 			continue
 		}
 		if err != nil {
--- a/cmd/quilldoor/harness_test.go
+++ b/cmd/quilldoor/harness_test.go
@@ -67,7 +67,7 @@
 		result, err := emulator.RunOnSockets(ctx, parsed, options, routers)
 		stop()
 		playCapacity.Release(weight)
-		if result == nil || result.MaxDelay <= emulator.MaxLateMicros {
+		if result == nil || result.MaxDelay <= emulator.MaxDelayMicros {
 			decidedRuns.Add(1)
 			return result, err
 		}
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -31,7 +31,8 @@
 	ruleNothingToDraining
 	ruleSlowStart
 	ruleNoStaleCopy
-	ruleCount
+	// RuleCount is the length of an array that the numbers index; 0 is no rule.
+	RuleCount
 )
 
 // Violation is a broken rule.
@@ -74,7 +75,7 @@
 	stalls   map[int]stall                   // by router: the last one
 
 	Violations  []Violation // the first hundred
-	CountByRule [ruleCount]int
+	CountByRule [RuleCount]int
 	Checked     int // requests
 
 	// Excused requests were due while their router's process stood still, or within the
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -142,8 +142,8 @@
 	if request == nil {
 		request = l.findForwarded(get.ID)
 	}
-	if request == nil && l.config.Guests {
-		request = l.admitGuest(get)
+	if request == nil && l.config.AcceptForeignRequests {
+		request = l.admitForeign(get)
 	}
 	if request == nil { // its client has just left, or the request is not the scenario's
 		skipped := cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}
@@ -156,23 +156,23 @@
 	conn.attempts[get.ID] = attempt
 	l.simulation.SendAttempt(&simulation.Attempt{
 		Router: l.id, RequestID: get.ID, Number: attempt.number, Server: l.serverID,
-		Source: get.Source, Rank: get.Priority, FillMode: get.FillMode, MaxAge: get.MaxAgeMillis * microsPerMilli,
+		Source: get.Source, CachePriority: get.Priority, FillMode: get.FillMode, MaxAge: get.MaxAgeMillis * microsPerMilli,
 		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
-		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
+		SizeKB: request.SizeKB, Write: request.Write, DriverData: attempt,
 	})
 }
 
-// admitGuest admits a request that is not the scenario's own, such as one by curl. The
+// admitForeign admits a request that is not the scenario's own, such as one by curl. The
 // event log has it as aborted when its time is over.
-func (l *serverListener) admitGuest(get *cacheproto.GetCommand) *clientRequest {
+func (l *serverListener) admitForeign(get *cacheproto.GetCommand) *clientRequest {
 	class, group, sizeKB, known := l.simulation.Object(get.Object, get.Part)
 	if !known || l.simulation.Class(class).Name != get.Class {
 		return nil
 	}
-	guest := &simulation.Request{
+	foreign := &simulation.Request{
 		Router: l.id, ID: get.ID, Class: class, Object: get.Object, Part: get.Part, Group: group, SizeKB: sizeKB,
 	}
-	request := &clientRequest{Request: guest, cancel: func() {}}
+	request := &clientRequest{Request: foreign, cancel: func() {}}
 	l.requests[get.ID] = request
 	now := l.simulation.Now()
 	l.Record(&eventlog.Entry{
@@ -180,13 +180,13 @@
 		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*microsPerMilli,
 	})
 	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
-		l.runInLoop(func() { l.expireGuest(request) })
+		l.runInLoop(func() { l.expireForeign(request) })
 	})
 	return request
 }
 
-// expireGuest ends a request that admitGuest admitted.
-func (l *serverListener) expireGuest(request *clientRequest) {
+// expireForeign ends a request that admitForeign admitted.
+func (l *serverListener) expireForeign(request *clientRequest) {
 	if l.requests[request.ID] != request {
 		return
 	}
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -25,9 +25,9 @@
 	// detectTimeout and rejoinTimeout are how long a death, and a return, are waited for.
 	detectTimeout = 15 * time.Second
 	rejoinTimeout = 10 * time.Second
-	// restTime is the pause between two kills; up to maxExtraRestMillis come on top.
-	restTime           = time.Second
-	maxExtraRestMillis = 500
+	// Up to maxExtraPauseMillis come on top of pauseBetweenKills.
+	pauseBetweenKills   = time.Second
+	maxExtraPauseMillis = 500
 	// Bounds of the histogram, in microseconds, and its significant digits.
 	detectMinMicros = 1000
 	detectMaxMicros = 60_000_000
@@ -80,7 +80,7 @@
 	if err := run.startAll(routers); err != nil {
 		return nil, 0, err
 	}
-	run.rest(joinTime)
+	run.discardEvents(joinTime)
 	random := rand.New(rand.NewPCG(seed, detectionRandomStream))
 	times = hdrhistogram.New(detectMinMicros, detectMaxMicros, detectDigits)
 	for range kills {
@@ -91,7 +91,7 @@
 		if !detected {
 			missed++
 		}
-		run.rest(restTime + time.Duration(random.IntN(maxExtraRestMillis))*time.Millisecond)
+		run.discardEvents(pauseBetweenKills + time.Duration(random.IntN(maxExtraPauseMillis))*time.Millisecond)
 	}
 	return times, missed, ctx.Err()
 }
@@ -136,8 +136,8 @@
 	return last, true
 }
 
-// rest drops what routers log for some time.
-func (d *detectionRun) rest(duration time.Duration) {
+// discardEvents waits, and discards what the routers log meanwhile.
+func (d *detectionRun) discardEvents(duration time.Duration) {
 	timeout := time.After(duration)
 	for {
 		select {
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -27,8 +27,8 @@
 	AnswerCount func(requestID string) int
 	// RejectRequest tells which new requests a router rejects without need.
 	RejectRequest func(router int, class string) bool
-	// Slowdown is how much longer a router's attempts take, as a share.
-	Slowdown func(router int) float64
+	// ExtraTimeShare is how much longer a router's attempts take, as a share.
+	ExtraTimeShare func(router int) float64
 
 	onStart  func(*virtualRun) // called before the first event
 	observer routerObserver
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -11,10 +11,10 @@
 // Result is the result of a run.
 type Result struct {
 	*simulation.Result
-	Violations  []checker.Violation `json:"Breaks"`
-	CountByRule [6]int              `json:"Count"` // violations by rule
-	Judged      int                 // requests that the checker judged
-	MaxDelay    int64               `json:"Late"` // on sockets: the emulator's longest delay, in microseconds
+	Violations  []checker.Violation    `json:"Breaks"`
+	CountByRule [checker.RuleCount]int `json:"Count"` // violations by rule
+	Judged      int                    // requests that the checker judged
+	MaxDelay    int64                  `json:"Late"` // on sockets: the emulator's longest delay, in microseconds
 
 	Cost               Cost     // on sockets: what the router processes used
 	Excused            int      // requests due while their router was stopped, or whose process was killed
@@ -29,9 +29,9 @@
 	MaxMemoryKB int64 `json:"MostKB"`
 }
 
-// MaxLateMicros is the delay of the emulator, in microseconds, beyond which a run on sockets
-// proves nothing: the emulator itself used up the time that routers are allowed.
-const MaxLateMicros = 100_000
+// MaxDelayMicros is the Result.MaxDelay beyond which a run on sockets proves nothing: the
+// emulator itself used up the time that routers are allowed.
+const MaxDelayMicros = 100_000
 
 // CheckerSettings are the checker's settings for a scenario. Slack is how much later than its deadline
 // an answer may come, in microseconds.
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -64,7 +64,7 @@
 	latency := entry.At - request.takenAt
 	counts.Completed++
 	counts.LogLatencySum += math.Log(float64(max(latency, minLatencyMicros)) / float64(objective))
-	if r.config.Slowdown > 0 && r.servesNew(entry.Router) {
+	if r.config.ExtraTimeShare > 0 && r.servesNew(entry.Router) {
 		r.countHarm()
 	}
 	if latency > objective {
--- a/internal/emulator/rollout_faults.go
+++ b/internal/emulator/rollout_faults.go
@@ -34,12 +34,12 @@
 	return missed
 }
 
-// slowdown is how much longer a router's attempts take, as a share.
-func (r *rolloutRun) slowdown(router int) float64 {
+// extraTimeShare is how much longer a router's attempts take, as a share.
+func (r *rolloutRun) extraTimeShare(router int) float64 {
 	if !r.servesNew(router) {
 		return 0
 	}
-	return r.config.Slowdown
+	return r.config.ExtraTimeShare
 }
 
 // countHarm counts a request that the new program did harm to.
--- a/internal/emulator/rollout_options.go
+++ b/internal/emulator/rollout_options.go
@@ -18,7 +18,7 @@
 	RejectShare        float64 // of requests that it rejects without need
 	RejectClass        string  // the only traffic class that it rejects; "": all
 	RejectOnceComplete bool    // it rejects only once all routers run it
-	Slowdown           float64 // how much longer its attempts take, as a share
+	ExtraTimeShare     float64 // how much longer its attempts take, as a share
 	MissesDrains       bool    // it misses changes of the endpoint list
 	MissesPurges       bool    // it misses purges
 }
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -48,7 +48,7 @@
 	driverDone     chan error  // nil: there is no Drive, or it has returned
 	sitesCut       atomic.Bool // sites can't reach each other
 	reportedSecond int64       // the last one that Options.Progress was called for
-	maxLate        int64       // the longest delay of a due event, in microseconds
+	maxDelay       int64       // the longest delay of a due event, in microseconds
 	membership     Members     // what was seen of the routers' membership views
 	cost           Cost
 	brokenConns    int // connections that ended without an answer, not by their client
@@ -220,7 +220,7 @@
 		Violations:         s.checker.Violations,
 		CountByRule:        s.checker.CountByRule,
 		Judged:             s.checker.Checked,
-		MaxDelay:           s.maxLate,
+		MaxDelay:           s.maxDelay,
 		Excused:            s.checker.Excused,
 		Cost:               s.cost,
 		BrokenConnections:  s.brokenConns,
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -160,7 +160,7 @@
 		return nil, err
 	}
 	httpRequest.Header.Set("X-Txn", request.ID)
-	httpRequest.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(request.Limit/microsPerMilli, 1), 10))
+	httpRequest.Header.Set("X-Ttl-Ms", strconv.FormatInt(max(request.Remaining/microsPerMilli, 1), 10))
 	httpRequest.Header.Set("X-Shard", strconv.FormatInt(request.Group, 10))
 	if request.Retry {
 		httpRequest.Header.Set("X-Second-Try", "1")
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -39,7 +39,7 @@
 // runDue runs the simulation's events that are due, and notes how late they are.
 func (s *socketRun) runDue(now int64) {
 	for at := s.simulation.Next(); at <= now && s.simulation.Step(now); at = s.simulation.Next() {
-		s.maxLate = max(s.maxLate, s.now()-at)
+		s.maxDelay = max(s.maxDelay, s.now()-at)
 	}
 }
 
@@ -88,7 +88,7 @@
 
 // AttemptEnded answers an attempt.
 func (s *socketRun) AttemptEnded(_ int, attempt *simulation.Attempt, end simulation.AttemptResult) {
-	attempt.Tag.(*serverAttempt).finish(attempt, end)
+	attempt.DriverData.(*serverAttempt).finish(attempt, end)
 }
 
 // Record passes an entry of the event log on to the checker and the record. Where a server
--- a/internal/emulator/sockets_options.go
+++ b/internal/emulator/sockets_options.go
@@ -15,8 +15,8 @@
 	Ready func([]string)
 	// Log receives what routers log; nil: only the end is kept, for the report of a crash.
 	Log io.Writer
-	// Guests lets the emulated servers also serve requests that are not the scenario's own.
-	Guests bool
+	// AcceptForeignRequests lets the emulated servers also serve requests that are not the scenario's own.
+	AcceptForeignRequests bool
 	// Earlier is the program of every second router: an earlier version, which has no
 	// supervisor. "": Program.
 	Earlier string
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -65,9 +65,9 @@
 	}
 	sent := &simulation.Attempt{
 		Router: request.router.id, RequestID: request.ID, Number: attempt.Number, Server: attempt.Endpoint.ID,
-		Source: attempt.Source, Rank: attempt.CachePriority, FillMode: attempt.FillMode, MaxAge: attempt.MaxAge,
+		Source: attempt.Source, CachePriority: attempt.CachePriority, FillMode: attempt.FillMode, MaxAge: attempt.MaxAge,
 		Class: request.Class, Object: request.Object, Part: request.Part, Group: request.Group,
-		SizeKB: request.SizeKB, Write: request.Write, Tag: attempt,
+		SizeKB: request.SizeKB, Write: request.Write, DriverData: attempt,
 	}
 	if sent.Source == "" && attempt.Endpoint.Kind == scenario.EndpointOrigin {
 		sent.Source = attempt.Endpoint.ID
@@ -128,7 +128,7 @@
 func (v *virtualRun) openRequest(arrived *simulation.Request) {
 	router := v.routers[arrived.Router]
 	request := &virtualRequest{Request: arrived, router: router, engine: router.engine}
-	remaining := request.Limit
+	remaining := request.Remaining
 	// A request that is read just after a pause may have waited through all of it.
 	if router.resumedAt > 0 && v.now()-router.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - router.stoppedAt
@@ -207,9 +207,9 @@
 		result.Response = virtualResponse{end.Issued}
 	}
 	current := router.engine
-	attempt := ended.Tag.(*engine.Attempt)
-	if v.options.Slowdown != nil {
-		if delay := int64(v.options.Slowdown(routerID) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
+	attempt := ended.DriverData.(*engine.Attempt)
+	if v.options.ExtraTimeShare != nil {
+		if delay := int64(v.options.ExtraTimeShare(routerID) * float64(v.now()-attempt.DecidedAt)); delay > 0 {
 			v.simulation.After(delay, func() {
 				if router.engine == current {
 					current.AttemptEnded(v.now(), attempt, result)
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -44,14 +44,14 @@
 	}
 	run := newRolloutRun(s, seed, &options)
 	result, err := RunVirtual(ctx, s, Options{
-		Seed:          seed,
-		RejectRequest: run.rejects,
-		MissesUpdate:  run.misses,
-		Slowdown:      run.slowdown,
-		Record:        run.record,
-		OnTick:        run.step,
-		observer:      run,
-		onStart:       func(v *virtualRun) { run.virtualRun = v },
+		Seed:           seed,
+		RejectRequest:  run.rejects,
+		MissesUpdate:   run.misses,
+		ExtraTimeShare: run.extraTimeShare,
+		Record:         run.record,
+		OnTick:         run.step,
+		observer:       run,
+		onStart:        func(v *virtualRun) { run.virtualRun = v },
 	})
 	if err != nil {
 		return nil, err
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -7,21 +7,21 @@
 
 // Attempt is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
 type Attempt struct {
-	Router    int    // index of the router that sends it
-	RequestID string // ID of the request
-	Number    int    // number of the attempt within the request
-	Server    string // ID of the server it goes to
-	Source    string // ID of the server that a miss is filled from; "": a miss is not filled
-	Rank      int    // retention rank of a filled copy; 0: it is not stored
-	FillMode  policy.FillMode
-	MaxAge    int64 // maximum age of an acceptable copy, microseconds; 0: the traffic class's freshness time
-	Class     int   // index of the traffic class
-	Object    string
-	Part      int64
-	Group     int64 // purge group of the object
-	SizeKB    float64
-	Write     bool
-	Tag       any // the driver's own, not read here
+	Router        int    // index of the router that sends it
+	RequestID     string // ID of the request
+	Number        int    // number of the attempt within the request
+	Server        string // ID of the server it goes to
+	Source        string // ID of the server that a miss is filled from; "": a miss is not filled
+	CachePriority int    // cache priority of a filled copy; 0: it is not stored
+	FillMode      policy.FillMode
+	MaxAge        int64 // maximum age of an acceptable copy, microseconds; 0: the traffic class's freshness time
+	Class         int   // index of the traffic class
+	Object        string
+	Part          int64
+	Group         int64 // purge group of the object
+	SizeKB        float64
+	Write         bool
+	DriverData    any // the driver's own, not read here
 
 	target     *server // nil: no such server
 	fillSource *server // nil: no fill
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -9,8 +9,8 @@
 const (
 	// prewarmedIssuedAt is the issue time of copies that stood in a cache before the run.
 	prewarmedIssuedAt = 1
-	// defaultRank is the retention rank of prewarmed copies and of those that a parent fetches.
-	defaultRank = 1
+	// defaultPriority is the cache priority of prewarmed copies and of those that a parent fetches.
+	defaultPriority = 1
 )
 
 // prewarmKey is a part of an object at an office, or at a trunk (-1 - trunk).
@@ -111,7 +111,7 @@
 		return nil
 	}
 	sim.prewarmed[prewarm] = true
-	s.store.put(key, attempt.SizeKB, prewarmedIssuedAt, attempt.Group, defaultRank)
+	s.store.put(key, attempt.SizeKB, prewarmedIssuedAt, attempt.Group, defaultPriority)
 	return s.store.get(key)
 }
 
--- a/internal/simulation/catalogue.go
+++ b/internal/simulation/catalogue.go
@@ -25,8 +25,8 @@
 	// maxDraws is how often a client of one office draws again for an object that is local to another one.
 	maxDraws = 8
 
-	// driftShare is the part of the objects of a class that change places at each drift: one in so many.
-	driftShare = 100
+	// At each drift one in driftOneIn objects of a class changes places with another one.
+	driftOneIn = 100
 )
 
 // Videos have minVideoParts to minVideoParts+videoPartsSpread-1 parts.
@@ -189,7 +189,7 @@
 // drift changes the popularity of some objects: each changes places with another one of its class.
 func (c *catalogue) drift(random *rand.Rand) {
 	for _, objects := range c.byPopularity {
-		for range len(objects)/driftShare + 1 {
+		for range len(objects)/driftOneIn + 1 {
 			a := random.IntN(len(objects))
 			b := random.IntN(len(objects))
 			objects[a], objects[b] = objects[b], objects[a]
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -12,7 +12,7 @@
 	server       *server // that is filled
 	incarnation  int64   // of the server, when the fill began
 	key          int64
-	rank         int // retention rank of the copy; 0: it is not stored
+	priority     int // cache priority of the copy; 0: it is not stored
 	attempts     []*Attempt
 	waiters      []func() // at a parent: those who joined
 	transfers    []*job
@@ -32,7 +32,7 @@
 // beginFill starts a fill for an attempt. Later attempts may join it unless another one for the part is under way.
 func (s *server) beginFill(attempt *Attempt, key int64) {
 	begun := &fill{
-		server: s, incarnation: s.incarnation, key: key, rank: attempt.Rank, attempts: []*Attempt{attempt},
+		server: s, incarnation: s.incarnation, key: key, priority: attempt.CachePriority, attempts: []*Attempt{attempt},
 		startedAt: s.simulation.now, reason: policy.ReasonMiss,
 	}
 	attempt.fill = begun
@@ -45,7 +45,7 @@
 
 // join lets an attempt wait for a fill that is under way.
 func (f *fill) join(attempt *Attempt) {
-	f.rank = max(f.rank, attempt.Rank)
+	f.priority = max(f.priority, attempt.CachePriority)
 	f.attempts = append(f.attempts, attempt)
 	attempt.fill = f
 }
@@ -128,8 +128,8 @@
 	s := f.server
 	f.closed = true
 	f.unregister()
-	if f.rank > 0 && f.issuedAt > s.simulation.purgedAt(request.objectID, request.Group) {
-		s.store.put(f.key, request.SizeKB, f.issuedAt, request.Group, f.rank)
+	if f.priority > 0 && f.issuedAt > s.simulation.purgedAt(request.objectID, request.Group) {
+		s.store.put(f.key, request.SizeKB, f.issuedAt, request.Group, f.priority)
 	}
 	for i, attempt := range f.attempts {
 		attempt.fill = nil
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -82,7 +82,7 @@
 	f.reason = reason
 	mayStore := !fillFailed(reason) && attempt.FillMode&policy.FillNoKeep == 0
 	if mayStore && issuedAt > s.simulation.purgedAt(attempt.objectID, attempt.Group) {
-		s.store.put(f.key, attempt.SizeKB, issuedAt, attempt.Group, defaultRank)
+		s.store.put(f.key, attempt.SizeKB, issuedAt, attempt.Group, defaultPriority)
 	}
 	done(issuedAt, reason)
 	waiters := f.waiters
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -16,16 +16,16 @@
 
 // Request is one attempt of a client at a request, as it reaches a router.
 type Request struct {
-	Router int
-	ID     string // ID of the request, new for each of the client's attempts
-	Class  int    // index of the traffic class
-	Object string
-	Group  int64 // purge group of the object
-	Part   int64
-	SizeKB float64
-	Limit  int64 // how long the client still waits, microseconds
-	Retry  bool  // marked as a client's retry
-	Write  bool
+	Router    int
+	ID        string // ID of the request, new for each of the client's attempts
+	Class     int    // index of the traffic class
+	Object    string
+	Group     int64 // purge group of the object
+	Part      int64
+	SizeKB    float64
+	Remaining int64 // how long the client still waits, microseconds
+	Retry     bool  // marked as a client's retry
+	Write     bool
 
 	client   *client
 	deadline int64
@@ -82,18 +82,18 @@
 func (s *Simulation) newRequest(router *router, client *client) *Request {
 	s.clients.requestCount++
 	request := &Request{
-		Router:   router.id,
-		ID:       fmt.Sprintf("%016x", s.clients.requestCount),
-		Class:    client.class,
-		Object:   s.catalogue.name(client.object),
-		Group:    s.catalogue.group(client.object),
-		Part:     client.part,
-		SizeKB:   s.catalogue.size(client.object, client.part),
-		Limit:    client.timeLimit,
-		Retry:    client.attempts > 1,
-		Write:    s.classes[client.class].Write,
-		client:   client,
-		deadline: s.now + client.timeLimit,
+		Router:    router.id,
+		ID:        fmt.Sprintf("%016x", s.clients.requestCount),
+		Class:     client.class,
+		Object:    s.catalogue.name(client.object),
+		Group:     s.catalogue.group(client.object),
+		Part:      client.part,
+		SizeKB:    s.catalogue.size(client.object, client.part),
+		Remaining: client.timeLimit,
+		Retry:     client.attempts > 1,
+		Write:     s.classes[client.class].Write,
+		client:    client,
+		deadline:  s.now + client.timeLimit,
 	}
 	if request.Write {
 		request.SizeKB = writeRequestKB
@@ -109,7 +109,7 @@
 	router.addRequest(request)
 	s.Result.ClientAttempts++
 	s.record(s.requestEntry(eventlog.KindTaken, request))
-	request.Limit = request.deadline - s.now
+	request.Remaining = request.deadline - s.now
 	s.driver.RequestArrived(request)
 }
 
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,27 +1,27 @@
 package simulation
 
-// rankCount is the number of retention ranks, from 0.
-const rankCount = 4
+// priorityCount is the number of cache priorities, from 0.
+const priorityCount = 4
 
-// copyStore holds the copies of a cache or a parent. When it is full, copies of the lowest rank are evicted first,
-// and within a rank the least recently used. No copy is evicted for one of lower rank.
+// copyStore holds the copies of a cache or a parent. When it is full, copies of the lowest priority are evicted first,
+// and within a priority the least recently used. No copy is evicted for one of lower priority.
 type copyStore struct {
-	capacityKB float64
-	usedKB     float64
-	copies     map[int64]*cachedCopy
-	rankRings  [rankCount]cachedCopy  // of the copies of each rank, by recency
-	groupRings [groupCount]cachedCopy // of the copies of each purge group, so that a purge visits no others
+	capacityKB    float64
+	usedKB        float64
+	copies        map[int64]*cachedCopy
+	priorityRings [priorityCount]cachedCopy // of the copies of each priority, by recency
+	groupRings    [groupCount]cachedCopy    // of the copies of each purge group, so that a purge visits no others
 }
 
-// cachedCopy is one part of an object. It is linked into the ring of its rank and the ring of its group. A ring's
+// cachedCopy is one part of an object. It is linked into the ring of its priority and the ring of its group. A ring's
 // head is a cachedCopy without contents.
 type cachedCopy struct {
 	key          int64
 	sizeKB       float64
 	issuedAt     int64
 	group        int64
-	rank         int
-	newer, older *cachedCopy // in the ring of its rank
+	priority     int
+	newer, older *cachedCopy // in the ring of its priority
 	next, prev   *cachedCopy // in the ring of its group
 }
 
@@ -35,8 +35,8 @@
 func (s *copyStore) clear() {
 	clear(s.copies)
 	s.usedKB = 0
-	for i := range s.rankRings {
-		head := &s.rankRings[i]
+	for i := range s.priorityRings {
+		head := &s.priorityRings[i]
 		head.newer = head
 		head.older = head
 	}
@@ -47,29 +47,29 @@
 	}
 }
 
-// get finds a copy and makes it the most recently used of its rank.
+// get finds a copy and makes it the most recently used of its priority.
 func (s *copyStore) get(key int64) *cachedCopy {
 	cached := s.copies[key]
 	if cached != nil {
-		cached.unlinkRank()
+		cached.unlinkPriority()
 		s.linkNewest(cached)
 	}
 	return cached
 }
 
-// put stores a copy unless a newer one is stored, or copies of higher rank leave no space for it. Copies that were
+// put stores a copy unless a newer one is stored, or copies of higher priority leave no space for it. Copies that were
 // evicted to make space stay evicted in that case.
-func (s *copyStore) put(key int64, sizeKB float64, issuedAt, group int64, rank int) {
+func (s *copyStore) put(key int64, sizeKB float64, issuedAt, group int64, priority int) {
 	if cached := s.copies[key]; cached != nil {
 		if cached.issuedAt > issuedAt {
 			return
 		}
 		s.remove(cached)
 	}
-	if sizeKB > s.capacityKB || !s.evict(sizeKB, rank) {
+	if sizeKB > s.capacityKB || !s.evict(sizeKB, priority) {
 		return
 	}
-	cached := &cachedCopy{key: key, sizeKB: sizeKB, issuedAt: issuedAt, group: group, rank: rank}
+	cached := &cachedCopy{key: key, sizeKB: sizeKB, issuedAt: issuedAt, group: group, priority: priority}
 	s.copies[key] = cached
 	s.usedKB += sizeKB
 	s.linkNewest(cached)
@@ -77,16 +77,16 @@
 }
 
 // evict makes space for a copy and tells whether there is enough.
-func (s *copyStore) evict(sizeKB float64, maxRank int) bool {
-	rank := 0
+func (s *copyStore) evict(sizeKB float64, maxPriority int) bool {
+	priority := 0
 	for s.usedKB+sizeKB > s.capacityKB {
-		head := &s.rankRings[rank]
+		head := &s.priorityRings[priority]
 		if oldest := head.newer; oldest != head {
 			s.remove(oldest)
 			continue
 		}
-		rank++
-		if rank > maxRank {
+		priority++
+		if priority > maxPriority {
 			return false
 		}
 	}
@@ -118,16 +118,16 @@
 }
 
 func (s *copyStore) remove(cached *cachedCopy) {
-	cached.unlinkRank()
+	cached.unlinkPriority()
 	cached.unlinkGroup()
 	delete(s.copies, cached.key)
 	s.usedKB -= cached.sizeKB
 }
 
-// linkNewest makes a copy the newest of its rank. The ring's head has the oldest copy as its newer one and the
+// linkNewest makes a copy the newest of its priority. The ring's head has the oldest copy as its newer one and the
 // newest as its older one.
 func (s *copyStore) linkNewest(cached *cachedCopy) {
-	head := &s.rankRings[cached.rank]
+	head := &s.priorityRings[cached.priority]
 	cached.older = head.older
 	cached.newer = head
 	head.older.newer = cached
@@ -142,7 +142,7 @@
 	head.next = cached
 }
 
-func (c *cachedCopy) unlinkRank() {
+func (c *cachedCopy) unlinkPriority() {
 	c.newer.older = c.older
 	c.older.newer = c.newer
 }
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -74,9 +74,9 @@
 	return hitShare
 }
 
-// A store never holds more than its capacity and evicts copies of lower ranks first. Its rings and its map hold the
+// A store never holds more than its capacity and evicts copies of lower priorities first. Its rings and its map hold the
 // same copies.
-func TestStoreStaysWithinCapacityAndEvictsLowRanksFirst(t *testing.T) {
+func TestStoreStaysWithinCapacityAndEvictsLowPrioritiesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
 		store := newCopyStore(testCapacityKB)
@@ -99,43 +99,43 @@
 // testCapacityKB is the capacity of the stores in the property test.
 const testCapacityKB = 50
 
-// checkPut stores a random copy. It must find space where copies of lower ranks could be evicted for it.
+// checkPut stores a random copy. It must find space where copies of lower priorities could be evicted for it.
 func checkPut(t *rapid.T, store *copyStore, key int64, draw func(n int) int) {
 	t.Helper()
-	lowest := rankCount
+	lowest := priorityCount
 	for _, cached := range store.copies {
-		lowest = min(lowest, cached.rank)
+		lowest = min(lowest, cached.priority)
 	}
 	before := len(store.copies)
-	rank := draw(rankCount)
+	priority := draw(priorityCount)
 	kb := float64(1 + draw(20))
 	_, had := store.copies[key]
-	store.put(key, kb, int64(draw(100)), int64(draw(3)), rank)
-	if had || store.copies[key] != nil || before == 0 || rank <= lowest || kb > testCapacityKB {
+	store.put(key, kb, int64(draw(100)), int64(draw(3)), priority)
+	if had || store.copies[key] != nil || before == 0 || priority <= lowest || kb > testCapacityKB {
 		return
 	}
 	higherKB := 0.0
 	for _, cached := range store.copies {
-		if cached.rank > rank {
+		if cached.priority > priority {
 			higherKB += cached.sizeKB
 		}
 	}
 	if higherKB+kb <= testCapacityKB {
-		t.Fatalf("rank %d found no space above rank %d", rank, lowest)
+		t.Fatalf("priority %d found no space above priority %d", priority, lowest)
 	}
 }
 
-// checkRings checks that the rings of ranks and of groups hold just the copies of the map, within the capacity.
+// checkRings checks that the rings of priorities and of groups hold just the copies of the map, within the capacity.
 func checkRings(t *rapid.T, store *copyStore) {
 	t.Helper()
 	usedKB := 0.0
 	count := 0
-	for rank := range store.rankRings {
-		head := &store.rankRings[rank]
+	for priority := range store.priorityRings {
+		head := &store.priorityRings[priority]
 		for cached := head.newer; cached != head; cached = cached.newer {
 			usedKB += cached.sizeKB
 			count++
-			if store.copies[cached.key] != cached || cached.rank != rank {
+			if store.copies[cached.key] != cached || cached.priority != priority {
 				t.Fatal("a ring and the map disagree")
 			}
 		}
