--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -21,8 +21,8 @@
 
 	// Settings changes the settings that routers get.
 	Settings func(*settings.Setup)
-	// MissesUpdate tells which discovery notices a router misses.
-	MissesUpdate func(router int, notice simulation.DiscoveryEvent) bool
+	// MissesUpdate tells which discovery events a router misses.
+	MissesUpdate func(router int, event simulation.DiscoveryEvent) bool
 	// AnswerCount is how often a request is answered; nil: once.
 	AnswerCount func(requestID string) int
 	// RejectRequest tells which new requests a router rejects without need.
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -9,8 +9,8 @@
 	"github.com/goccy/go-yaml"
 
 	"quilldoor/internal/operatorconfig"
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
-	"quilldoor/internal/simulation"
 )
 
 // Limits that the platform's configuration gives each router process.
@@ -24,7 +24,7 @@
 
 // start writes the platform's configuration, with the endpoint list as it is, and starts the
 // process.
-func (r *routerProcess) start(known []simulation.Server) error {
+func (r *routerProcess) start(known []policy.Endpoint) error {
 	r.startCount++
 	r.discoveryEvents = []json.RawMessage{r.encodeEvent(r.newEndpointListEvent(1, known, true))}
 	setup := r.scenario.Settings(r.simulation.Office(r.id), r.id)
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -60,42 +60,42 @@
 }
 
 // Notify posts an event to a router's discovery service.
-func (s *socketRun) Notify(routerID int, notice simulation.DiscoveryEvent) {
+func (s *socketRun) Notify(routerID int, event simulation.DiscoveryEvent) {
 	process := s.routers[routerID]
 	revision := len(process.discoveryEvents) + 1
-	if !notice.Purge {
-		process.postEvent(process.newEndpointListEvent(revision, notice.Servers, false))
+	if !event.Purge {
+		process.postEvent(process.newEndpointListEvent(revision, event.Endpoints, false))
 		return
 	}
-	event := purgeEvent{Revision: revision, Purge: purgeBody{Object: notice.Object, UnixMS: s.unixMS(notice.At)}}
-	if notice.Object == "" {
-		event.Purge.Group = &notice.Group
+	purge := purgeEvent{Revision: revision, Purge: purgeBody{Object: event.Object, UnixMS: s.unixMS(event.At)}}
+	if event.Object == "" {
+		purge.Purge.Group = &event.Group
 	}
-	process.postEvent(event)
+	process.postEvent(purge)
 }
 
 // newEndpointListEvent describes a change of the endpoint list, or the complete list. It opens the
 // listeners of servers that are new.
 func (r *routerProcess) newEndpointListEvent(
-	revision int, servers []simulation.Server, complete bool,
+	revision int, endpoints []policy.Endpoint, complete bool,
 ) endpointListEvent {
 	targets := []discoveryTarget{}
-	for _, server := range servers {
-		listener, err := r.listenerFor(server.ID)
+	for _, endpoint := range endpoints {
+		listener, err := r.listenerFor(endpoint.ID)
 		if err != nil {
 			r.fail(err)
 			continue
 		}
 		target := discoveryTarget{
-			UID:          server.ID,
+			UID:          endpoint.ID,
 			Endpoint:     listener.addr,
-			AZ:           server.Zone,
-			Model:        server.Kind,
-			State:        endpointStates[server.State],
-			CapacityHint: server.Weight,
+			AZ:           endpoint.Zone,
+			Model:        endpoint.Kind,
+			State:        endpointStates[endpoint.State],
+			CapacityHint: endpoint.Weight,
 		}
-		if server.StartedAt > 0 {
-			target.BootMS = r.unixMS(server.StartedAt)
+		if endpoint.StartedAt > 0 {
+			target.BootMS = r.unixMS(endpoint.StartedAt)
 		}
 		targets = append(targets, target)
 	}
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"quilldoor/internal/simulation"
+	"quilldoor/internal/policy"
 )
 
 // KillRouter kills a router outright.
@@ -21,7 +21,7 @@
 }
 
 // StartRouter starts a router again, with the endpoint list as it is.
-func (s *socketRun) StartRouter(routerID int, known []simulation.Server) {
+func (s *socketRun) StartRouter(routerID int, known []policy.Endpoint) {
 	if err := s.routers[routerID].start(known); err != nil {
 		s.fail(err)
 	}
--- a/internal/emulator/rollout_faults.go
+++ b/internal/emulator/rollout_faults.go
@@ -20,11 +20,11 @@
 	return true
 }
 
-// misses tells whether a router's new program misses a discovery notice. The checker counts
+// misses tells whether a router's new program misses a discovery event. The checker counts
 // what it violates by that.
-func (r *rolloutRun) misses(router int, notice simulation.DiscoveryEvent) bool {
+func (r *rolloutRun) misses(router int, event simulation.DiscoveryEvent) bool {
 	missesKind := r.config.MissesDrains
-	if notice.Purge {
+	if event.Purge {
 		missesKind = r.config.MissesPurges
 	}
 	missed := missesKind && r.servesNew(router)
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -6,35 +6,35 @@
 	"quilldoor/internal/simulation"
 )
 
-// Notify delivers a discovery notice to a router: a change of the endpoint list, or a purge.
-func (v *virtualRun) Notify(routerID int, notice simulation.DiscoveryEvent) {
-	v.routers[routerID].whenRunning(func() { v.notify(routerID, notice) })
+// Notify delivers a discovery event to a router: a change of the endpoint list, or a purge.
+func (v *virtualRun) Notify(routerID int, event simulation.DiscoveryEvent) {
+	v.routers[routerID].whenRunning(func() { v.notify(routerID, event) })
 }
 
-// notify applies a notice to a router, unless the router is to miss it.
-func (v *virtualRun) notify(routerID int, notice simulation.DiscoveryEvent) {
+// notify applies an event to a router, unless the router is to miss it.
+func (v *virtualRun) notify(routerID int, event simulation.DiscoveryEvent) {
 	router := v.routers[routerID]
 	if v.options.observer != nil {
-		if notice.Purge {
-			v.options.observer.purged(routerID, v.now(), notice.Object, notice.Group, notice.At+epochMicros)
+		if event.Purge {
+			v.options.observer.purged(routerID, v.now(), event.Object, event.Group, event.At+epochMicros)
 		} else {
-			v.options.observer.endpointsChanged(routerID, v.now(), false, routerEndpoints(notice.Servers))
+			v.options.observer.endpointsChanged(routerID, v.now(), false, routerEndpoints(event.Endpoints))
 		}
 	}
-	if v.options.MissesUpdate != nil && v.options.MissesUpdate(routerID, notice) {
+	if v.options.MissesUpdate != nil && v.options.MissesUpdate(routerID, event) {
 		return
 	}
-	if !notice.Purge {
-		endpoints := v.mergeEndpoints(router, false, routerEndpoints(notice.Servers))
+	if !event.Purge {
+		endpoints := v.mergeEndpoints(router, false, routerEndpoints(event.Endpoints))
 		router.engine.UpdateEndpoints(v.now(), policy.ScopeDiff, endpoints)
 		return
 	}
-	at := notice.At + epochMicros
+	at := event.At + epochMicros
 	if router.gateway != nil {
-		v.seenPurges[routerID] = append(v.seenPurges[routerID], notice)
+		v.seenPurges[routerID] = append(v.seenPurges[routerID], event)
 	}
 	if router.replica != nil {
-		router.replica.ApplyLocalPurge(v.now(), gossip.Purge{Object: notice.Object, Group: notice.Group, At: at})
+		router.replica.ApplyLocalPurge(v.now(), gossip.Purge{Object: event.Object, Group: event.Group, At: at})
 	}
-	router.engine.Purge(v.now(), notice.Object, notice.Group, at)
+	router.engine.Purge(v.now(), event.Object, event.Group, at)
 }
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -7,7 +7,6 @@
 	"quilldoor/internal/gateway/peerpolicy"
 	"quilldoor/internal/gossip"
 	"quilldoor/internal/policy"
-	"quilldoor/internal/simulation"
 )
 
 // epochMicros is the routers' time when a run begins, in microseconds. A server that had
@@ -49,7 +48,7 @@
 }
 
 // startEngine gives a router a new engine with the endpoint list as it is.
-func (v *virtualRun) startEngine(router *virtualRouter, known []simulation.Server) {
+func (v *virtualRun) startEngine(router *virtualRouter, known []policy.Endpoint) {
 	setup := v.scenario.Settings(v.simulation.Office(router.id), router.id)
 	if v.options.Settings != nil {
 		v.options.Settings(&setup)
@@ -82,9 +81,8 @@
 }
 
 // routerEndpoints is the simulated servers as routers get them, in the routers' time.
-func routerEndpoints(list []simulation.Server) (out []engine.Endpoint) {
-	for _, server := range list {
-		endpoint := server.Endpoint
+func routerEndpoints(list []policy.Endpoint) (out []engine.Endpoint) {
+	for _, endpoint := range list {
 		if endpoint.StartedAt > 0 {
 			endpoint.StartedAt += epochMicros
 		}
@@ -135,7 +133,7 @@
 }
 
 // StartRouter starts a router that was down.
-func (v *virtualRun) StartRouter(routerID int, known []simulation.Server) {
+func (v *virtualRun) StartRouter(routerID int, known []policy.Endpoint) {
 	v.startEngine(v.routers[routerID], known)
 	if v.fleet != nil {
 		v.fleet.Start(routerID)
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -92,11 +92,11 @@
 		"repeats acceptances": {"rude-answers", Options{Settings: func(s *settings.Setup) {
 			s.Classes[scenario.ClassAccept].Effect = "safe"
 		}}, 2},
-		"misses drains": {"deploy-waves", Options{MissesUpdate: func(_ int, notice simulation.DiscoveryEvent) bool {
-			return !notice.Purge && notice.Servers[0].State != "active"
+		"misses drains": {"deploy-waves", Options{MissesUpdate: func(_ int, event simulation.DiscoveryEvent) bool {
+			return !event.Purge && event.Endpoints[0].State != "active"
 		}}, 3},
-		"misses purges": {"blind-purge", Options{MissesUpdate: func(_ int, notice simulation.DiscoveryEvent) bool {
-			return notice.Purge
+		"misses purges": {"blind-purge", Options{MissesUpdate: func(_ int, event simulation.DiscoveryEvent) bool {
+			return event.Purge
 		}}, 5},
 	} {
 		s := load(t, test.scenario)
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -8,10 +8,10 @@
 )
 
 // EndpointList is the endpoint list as it is, in a fixed order.
-func (s *Simulation) EndpointList() (servers []Server) {
+func (s *Simulation) EndpointList() (endpoints []policy.Endpoint) {
 	add := func(server *server) {
 		if server.listed != policy.EndpointGone {
-			servers = append(servers, server.endpoint())
+			endpoints = append(endpoints, server.endpoint())
 		}
 	}
 	for _, group := range slices.Concat(s.caches, s.parents) {
@@ -20,7 +20,7 @@
 		}
 	}
 	add(s.origin)
-	return servers
+	return endpoints
 }
 
 // setListed changes a server's state in the endpoint list. Routers are notified after a delay.
@@ -28,54 +28,54 @@
 	server.listed = state
 	endpoint := server.endpoint()
 	s.record(Entry{Kind: eventlog.KindListed, Endpoint: server.id, State: string(state), Until: s.now + delay})
-	s.schedule(delay, func() { s.announce(DiscoveryEvent{Servers: []Server{endpoint}}) })
+	s.schedule(delay, func() { s.announce(DiscoveryEvent{Endpoints: []policy.Endpoint{endpoint}}) })
 }
 
-// announce sends a notice to all routers. Each gets it a little later, after those announced before.
-func (s *Simulation) announce(notice DiscoveryEvent) {
+// announce sends an event to all routers. Each gets it a little later, after those announced before.
+func (s *Simulation) announce(event DiscoveryEvent) {
 	for _, router := range s.routers {
 		delay := s.jitter(s.scenario.Fleet.DiscoveryDelayMS * millisecond)
 		due := max(router.notifiedAt, s.now+delay+s.discoveryDelay)
 		router.notifiedAt = due
-		s.schedule(due-s.now, func() { s.notify(router, notice) })
+		s.schedule(due-s.now, func() { s.notify(router, event) })
 	}
 }
 
-// notify delivers a notice to a router. While the router cannot reach the discovery service, the notice is held.
-func (s *Simulation) notify(router *router, notice DiscoveryEvent) {
+// notify delivers an event to a router. While the router cannot reach the discovery service, the event is held.
+func (s *Simulation) notify(router *router, event DiscoveryEvent) {
 	if !router.up {
 		return // it gets the list as it is when it starts
 	}
 	if s.discoveryCut || router.discoveryCut {
-		router.heldNotices = append(router.heldNotices, notice)
+		router.heldEvents = append(router.heldEvents, event)
 		return
 	}
-	for _, server := range notice.Servers {
+	for _, endpoint := range event.Endpoints {
 		s.record(Entry{
 			Kind: eventlog.KindNotified, Router: router.id,
-			Endpoint: server.ID, State: string(server.State),
+			Endpoint: endpoint.ID, State: string(endpoint.State),
 		})
 	}
-	if notice.Purge {
+	if event.Purge {
 		s.record(Entry{
 			Kind: eventlog.KindPurgeNotified, Router: router.id,
-			Object: notice.Object, Group: notice.Group, Until: notice.At,
+			Object: event.Object, Group: event.Group, Until: event.At,
 		})
 	}
-	s.driver.Notify(router.id, notice)
+	s.driver.Notify(router.id, event)
 }
 
-// restoreDiscovery ends a partition of the discovery service and delivers the notices that were held.
+// restoreDiscovery ends a partition of the discovery service and delivers the events that were held.
 func (s *Simulation) restoreDiscovery() {
 	s.discoveryCut = false
 	for _, router := range s.routers {
 		if router.discoveryCut {
 			continue
 		}
-		held := router.heldNotices
-		router.heldNotices = nil
-		for _, notice := range held {
-			s.notify(router, notice)
+		held := router.heldEvents
+		router.heldEvents = nil
+		for _, event := range held {
+			s.notify(router, event)
 		}
 	}
 }
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -15,11 +15,11 @@
 	// AttemptEnded delivers the end of an attempt to its router.
 	AttemptEnded(router int, attempt *Attempt, end AttemptResult)
 	// Notify delivers a discovery event to a router.
-	Notify(router int, notice DiscoveryEvent)
+	Notify(router int, event DiscoveryEvent)
 	// KillRouter kills a router's process.
 	KillRouter(router int)
 	// StartRouter starts a router's process with the endpoint list as it is.
-	StartRouter(router int, known []Server)
+	StartRouter(router int, known []policy.Endpoint)
 	// SuspendRouter suspends a router's process; it keeps its state.
 	SuspendRouter(router int)
 	// ResumeRouter resumes a router's process that SuspendRouter suspended.
@@ -30,18 +30,13 @@
 	Record(entry *Entry)
 }
 
-// Server is an entry of the endpoint list.
-type Server struct {
-	policy.Endpoint
-}
-
-// DiscoveryEvent is one discovery event: changed servers, or a purge.
+// DiscoveryEvent is one discovery event: changed endpoints, or a purge.
 type DiscoveryEvent struct {
-	Servers []Server
-	Purge   bool
-	Object  string // that is purged; "": the whole group
-	Group   int64
-	At      int64 // time of the purge, microseconds
+	Endpoints []policy.Endpoint // those that changed
+	Purge     bool
+	Object    string // that is purged; "": the whole group
+	Group     int64
+	At        int64 // time of the purge, microseconds
 }
 
 // AttemptResult is how an attempt ended, in the policy's terms.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// startDiscoveryFault delays load reports or notices, or cuts routers off from the discovery service.
+// startDiscoveryFault delays load reports or discovery events, or cuts routers off from the discovery service.
 func (s *Simulation) startDiscoveryFault(fault *scenario.Fault) (endFault func()) {
 	delay := int64(fault.Strength * second)
 	switch fault.Kind {
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -22,20 +22,20 @@
 // routers are notified.
 func (s *Simulation) purge(object, group int64) {
 	now := s.now
-	notice := DiscoveryEvent{Purge: true, Group: group, At: now}
+	event := DiscoveryEvent{Purge: true, Group: group, At: now}
 	if object >= 0 {
 		s.objectPurges[object] = now
-		notice.Object = s.catalogue.name(object)
-		notice.Group = 0
+		event.Object = s.catalogue.name(object)
+		event.Group = 0
 	} else {
 		s.groupPurges[group] = now
 	}
-	s.record(Entry{Kind: eventlog.KindPurged, Object: notice.Object, Group: notice.Group, Until: now})
+	s.record(Entry{Kind: eventlog.KindPurged, Object: event.Object, Group: event.Group, Until: now})
 	for _, servers := range slices.Concat(s.caches, s.parents) {
 		for _, server := range servers {
 			delay := s.random.Float64() * purgeSpread * s.scenario.Fleet.PurgeCompleteMS * millisecond
 			s.schedule(int64(delay), func() { server.store.purge(object, group, now) })
 		}
 	}
-	s.announce(notice)
+	s.announce(event)
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -18,8 +18,8 @@
 	suspensions  int  // faults that suspend it
 	discoveryCut bool // it cannot reach the discovery service
 	downAt       int64
-	notifiedAt   int64            // when the last notice arrives; later ones arrive after it
-	heldNotices  []DiscoveryEvent // that it gets once it reaches the discovery service again
+	notifiedAt   int64            // when the last discovery event arrives; later ones arrive after it
+	heldEvents   []DiscoveryEvent // that it gets once it reaches the discovery service again
 	openRequests map[string]*Request
 	arrivalOrder []string // of requests, open ones among them: gives a router's death a fixed order
 }
@@ -52,7 +52,7 @@
 func (s *Simulation) killRouter(router *router) {
 	router.up = false
 	router.downAt = s.now
-	router.heldNotices = nil
+	router.heldEvents = nil
 	router.suspensions = 0
 	router.incarnation++
 	s.record(Entry{Kind: eventlog.KindRouterDown, Router: router.id})
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -75,7 +75,7 @@
 }
 
 // endpoint is the server as discovery lists it.
-func (s *server) endpoint() Server {
+func (s *server) endpoint() policy.Endpoint {
 	endpoint := policy.Endpoint{
 		ID: s.id, Kind: s.kind.String(), State: s.listed, Weight: s.weight, StartedAt: s.startedAt,
 	}
@@ -84,5 +84,5 @@
 	} else {
 		endpoint.Zone = fmt.Sprintf("trunk-%d", s.trunk+1)
 	}
-	return Server{endpoint}
+	return endpoint
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -44,7 +44,7 @@
 	prewarmed    map[prewarmKey]bool // popular parts that were placed in a prewarmed fleet's caches
 
 	// Faults in force.
-	discoveryDelay int64 // by which all notices come later
+	discoveryDelay int64 // by which all discovery events come later
 	discoveryCut   bool  // no router reaches the discovery service
 	reportDelay    int64 // by which load reports become visible later
 	oneTimeShare   float64
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"testing"
 
+	"quilldoor/internal/policy"
 	"quilldoor/internal/scenario"
 )
 
@@ -28,7 +29,7 @@
 func (silentDriver) AttemptEnded(int, *Attempt, AttemptResult) {}
 func (silentDriver) Notify(int, DiscoveryEvent)                {}
 func (silentDriver) KillRouter(int)                            {}
-func (silentDriver) StartRouter(int, []Server)                 {}
+func (silentDriver) StartRouter(int, []policy.Endpoint)        {}
 func (silentDriver) SuspendRouter(int)                         {}
 func (silentDriver) ResumeRouter(int)                          {}
 func (silentDriver) StarveRouter(int, float64)                 {}
