--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -69,18 +69,18 @@
 	ofDeadRouters map[requestID]*request
 	ended         []endedRequest // to be forgotten
 
-	listed   map[string]listing              // by endpoint
-	notified map[int]map[string]notification // by router and endpoint
-	purges   map[int][]purge                 // by router
-	stalls   map[int]stall                   // by router: the last one
+	listed      map[string]listing              // by endpoint
+	notified    map[int]map[string]notification // by router and endpoint
+	purges      map[int][]purge                 // by router
+	suspensions map[int]suspension              // by router: the last one
 
 	Violations  []Violation // the first hundred
 	CountByRule [RuleCount]int
 	Checked     int // requests
 
-	// Excused requests were due while their router's process stood still, or within the
+	// Excused requests were due while their router's process was suspended, or within the
 	// time it has to wake up. They are no violations; what the router does after it has
-	// woken up is judged in full.
+	// resumed is judged in full.
 	Excused int
 }
 
@@ -94,7 +94,7 @@
 		listed:        map[string]listing{},
 		notified:      map[int]map[string]notification{},
 		purges:        map[int][]purge{},
-		stalls:        map[int]stall{},
+		suspensions:   map[int]suspension{},
 	}
 	for _, class := range settings.Classes {
 		c.classes[class.Name] = class
@@ -171,10 +171,10 @@
 		c.routerDown(entry)
 	case eventlog.KindRouterUp:
 		c.routerUp(entry)
-	case eventlog.KindRouterStopped:
-		c.stalls[entry.Router] = stall{from: entry.At}
-	case eventlog.KindRouterWoken:
-		c.routerWoken(entry)
+	case eventlog.KindRouterSuspended:
+		c.suspensions[entry.Router] = suspension{from: entry.At}
+	case eventlog.KindRouterResumed:
+		c.routerResumed(entry)
 	case eventlog.KindCrashed:
 		c.excuseRequestsOf(entry.Router)
 	}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -44,11 +44,13 @@
 	return entry(at, eventlog.KindNotified, eventlog.Entry{Endpoint: server, State: state})
 }
 
-func stopped(at int64) *eventlog.Entry {
-	return entry(at, eventlog.KindRouterStopped, eventlog.Entry{})
+func suspended(at int64) *eventlog.Entry {
+	return entry(at, eventlog.KindRouterSuspended, eventlog.Entry{})
 }
 
-func woken(at int64) *eventlog.Entry { return entry(at, eventlog.KindRouterWoken, eventlog.Entry{}) }
+func resumed(at int64) *eventlog.Entry {
+	return entry(at, eventlog.KindRouterResumed, eventlog.Entry{})
+}
 
 // ruleCase is an event log and the one rule that it violates; 0: none.
 type ruleCase struct {
@@ -85,7 +87,7 @@
 	}
 }
 
-// Rule 1: a request gets one final answer in time, unless its router was stopped or killed.
+// Rule 1: a request gets one final answer in time, unless its router was suspended or killed.
 func TestRequestsGetOneAnswerInTime(t *testing.T) {
 	checkRules(t, []ruleCase{
 		{"one answer", 0, []*eventlog.Entry{
@@ -113,20 +115,20 @@
 		{"refused", 0, []*eventlog.Entry{
 			taken("read"), entry(5, eventlog.KindRefused, eventlog.Entry{}),
 		}},
-		{"due while it stood still", 0, []*eventlog.Entry{
-			taken("read"), stopped(500), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
+		{"due while it was suspended", 0, []*eventlog.Entry{
+			taken("read"), suspended(500), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
 		}},
-		{"answered as it woke", 0, []*eventlog.Entry{
-			taken("read"), stopped(500), woken(2000), answered(2200, "aborted", 0),
+		{"answered as it resumed", 0, []*eventlog.Entry{
+			taken("read"), suspended(500), resumed(2000), answered(2200, "aborted", 0),
 		}},
-		{"answered long after it woke", 1, []*eventlog.Entry{
-			taken("read"), stopped(500), woken(2000), answered(2301, "aborted", 0),
+		{"answered long after it resumed", 1, []*eventlog.Entry{
+			taken("read"), suspended(500), resumed(2000), answered(2301, "aborted", 0),
 		}},
-		{"due after it woke", 1, []*eventlog.Entry{
-			taken("read"), stopped(100), woken(600), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
+		{"due after it resumed", 1, []*eventlog.Entry{
+			taken("read"), suspended(100), resumed(600), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
 		}},
-		{"stood still before", 1, []*eventlog.Entry{
-			stopped(-900), woken(-400), taken("read"), answered(1009, "aborted", 0),
+		{"suspended before", 1, []*eventlog.Entry{
+			suspended(-900), resumed(-400), taken("read"), answered(1009, "aborted", 0),
 		}},
 	})
 }
@@ -204,15 +206,15 @@
 			sent(900, 0, "a", "o"), answered(901, "rejected", 0),
 		}},
 		{"drained while it stood, in time", 0, []*eventlog.Entry{
-			stopped(-100), notified(0, "a", "leaving"), woken(700), takenLong(), sent(1200, 0, "a", "o"),
+			suspended(-100), notified(0, "a", "leaving"), resumed(700), takenLong(), sent(1200, 0, "a", "o"),
 			answered(1201, "rejected", 0),
 		}},
 		{"drained while it stood", 3, []*eventlog.Entry{
-			stopped(-100), notified(0, "a", "leaving"), woken(700), taken("read"), sent(1201, 0, "a", "o"),
+			suspended(-100), notified(0, "a", "leaving"), resumed(700), taken("read"), sent(1201, 0, "a", "o"),
 		}},
-		{"never notified, woken", 0, []*eventlog.Entry{
-			entry(0, eventlog.KindListed, eventlog.Entry{Endpoint: "a", State: "left"}), stopped(5000),
-			woken(9000), takenLong(), sent(9400, 0, "a", "o"), answered(9401, "rejected", 0),
+		{"never notified, resumed", 0, []*eventlog.Entry{
+			entry(0, eventlog.KindListed, eventlog.Entry{Endpoint: "a", State: "left"}), suspended(5000),
+			resumed(9000), takenLong(), sent(9400, 0, "a", "o"), answered(9401, "rejected", 0),
 		}},
 	})
 }
@@ -244,8 +246,8 @@
 			taken("read"), sent(401, 0, "a", "o"), ended(410, 0, "done"), answered(410, "completed", 90),
 		}},
 		{"purged while it stood", 5, []*eventlog.Entry{
-			stopped(50),
-			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Object: "o", Until: 90 * ms}), woken(400),
+			suspended(50),
+			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Object: "o", Until: 90 * ms}), resumed(400),
 			taken("read"), sent(701, 0, "a", "o"), ended(710, 0, "done"), answered(710, "completed", 89),
 		}},
 		{"another group", 0, []*eventlog.Entry{
--- a/internal/checker/endpoints.go
+++ b/internal/checker/endpoints.go
@@ -41,8 +41,8 @@
 	if endpoint == "" {
 		return
 	}
-	if last := c.stalls[entry.Router]; last.until == 0 && last.from > 0 {
-		return // it stands still: what arrives now was sent before
+	if last := c.suspensions[entry.Router]; last.until == 0 && last.from > 0 {
+		return // it is suspended: what arrives now was sent before
 	}
 	notified, known := c.notified[entry.Router][endpoint]
 	listed := c.listed[endpoint]
--- a/internal/checker/request_rules.go
+++ b/internal/checker/request_rules.go
@@ -32,7 +32,7 @@
 func (c *Checker) checkAnswerTime(entry *eventlog.Entry, request *request) {
 	switch {
 	case entry.At <= request.deadline+c.settings.AnswerSlack:
-	case c.stalledAt(entry.Router, request.deadline) && c.stalledAt(entry.Router, entry.At):
+	case c.suspendedAt(entry.Router, request.deadline) && c.suspendedAt(entry.Router, entry.At):
 		c.Excused++
 	default:
 		c.violate(ruleOneAnswer, entry, "answered %d ms too late", (entry.At-request.deadline)/ms)
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -169,7 +169,7 @@
 		return
 	}
 	request.left = true
-	if request.excused || c.stalledAt(entry.Router, request.deadline) {
+	if request.excused || c.suspendedAt(entry.Router, request.deadline) {
 		c.Excused++
 	} else {
 		c.violate(ruleOneAnswer, entry, "no answer before the client's time was over")
--- a/internal/checker/routers.go
+++ b/internal/checker/routers.go
@@ -2,33 +2,33 @@
 
 import "quilldoor/internal/eventlog"
 
-// stall is a time in which a router's process stood still.
-type stall struct {
-	from, until int64 // until 0: it still stands still
+// suspension is a time in which a router's process was suspended.
+type suspension struct {
+	from, until int64 // until 0: it still is
 }
 
-// wakeUpGrace is how long a router that has stood still may take to answer what was due
+// resumeGrace is how long a router that was suspended may take to answer what was due
 // meanwhile: what waits in its sockets is read first.
-const wakeUpGrace = 300 * ms
+const resumeGrace = 300 * ms
 
-// stalledAt tells whether a router could not run at a time, or had just woken up.
-func (c *Checker) stalledAt(router int, at int64) bool {
-	last, known := c.stalls[router]
-	return known && at >= last.from && (last.until == 0 || at <= last.until+wakeUpGrace)
+// suspendedAt tells whether a router could not run at a time, or had just resumed.
+func (c *Checker) suspendedAt(router int, at int64) bool {
+	last, known := c.suspensions[router]
+	return known && at >= last.from && (last.until == 0 || at <= last.until+resumeGrace)
 }
 
-// knownAt is when a router could know what came at a time: what came while it stood still
-// is known once it has woken up.
+// knownAt is when a router could know what came at a time: what came while it was suspended
+// is known once it has resumed.
 func (c *Checker) knownAt(router int, at int64) int64 {
-	if last, known := c.stalls[router]; known && at >= last.from && at < last.until {
+	if last, known := c.suspensions[router]; known && at >= last.from && at < last.until {
 		return last.until
 	}
 	return at
 }
 
-func (c *Checker) routerWoken(entry *eventlog.Entry) {
-	if last := c.stalls[entry.Router]; last.until == 0 {
-		c.stalls[entry.Router] = stall{last.from, entry.At}
+func (c *Checker) routerResumed(entry *eventlog.Entry) {
+	if last := c.suspensions[entry.Router]; last.until == 0 {
+		c.suspensions[entry.Router] = suspension{last.from, entry.At}
 	}
 }
 
@@ -56,7 +56,7 @@
 	}
 	delete(c.notified, entry.Router)
 	delete(c.purges, entry.Router)
-	delete(c.stalls, entry.Router)
+	delete(c.suspensions, entry.Router)
 }
 
 // routerUp notifies a router of the endpoint list as it is.
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -193,7 +193,7 @@
 	delete(l.requests, request.ID)
 	l.Record(&eventlog.Entry{
 		Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: request.ID,
-		Outcome: string(simulation.AnswerAborted),
+		Outcome: string(simulation.AnswerFailed),
 	})
 }
 
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -36,7 +36,7 @@
 
 // reachable tells whether a router is up and exchanges messages with another one.
 func reachable(sim *simulation.Simulation, id int) bool {
-	runs := func(router int) bool { return sim.Up(router) && !sim.Stopped(router) }
+	runs := func(router int) bool { return sim.Up(router) && !sim.Suspended(router) }
 	if !runs(id) {
 		return false
 	}
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// SuspendRouter pauses a router. Its machine still accepts connections and buffers what comes.
+// SuspendRouter suspends a router. Its machine still accepts connections and buffers what comes.
 func (s *socketRun) SuspendRouter(routerID int) { s.routers[routerID].signal(syscall.SIGSTOP) }
 
-// ResumeRouter lets a paused router go on.
+// ResumeRouter lets a suspended router go on.
 func (s *socketRun) ResumeRouter(routerID int) { s.routers[routerID].signal(syscall.SIGCONT) }
 
 // signal sends a signal to the router's process, if it has not been killed.
@@ -78,10 +78,10 @@
 	}
 }
 
-// pauseFor stops a process for some time, unless it has been replaced, killed or stopped by
+// pauseFor stops a process for some time, unless it has been replaced, killed or suspended by
 // the scenario.
 func (r *routerProcess) pauseFor(cmd *exec.Cmd, pause time.Duration) {
-	runs := func() bool { return r.cmd == cmd && !r.killed && !r.simulation.Stopped(r.id) }
+	runs := func() bool { return r.cmd == cmd && !r.killed && !r.simulation.Suspended(r.id) }
 	if !runs() {
 		return
 	}
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			up = append(up, name)
-			if !s.simulation.Stopped(process.id) {
+			if !s.simulation.Suspended(process.id) {
 				targets = append(targets, viewTarget{name, process.membershipAddr})
 			}
 		}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -17,7 +17,7 @@
 	MaxDelay    int64                  `json:"Late"` // on sockets: the emulator's longest delay, in microseconds
 
 	Cost               Cost     // on sockets: what the router processes used
-	Excused            int      // requests due while their router was stopped, or whose process was killed
+	Excused            int      // requests due while their router was suspended, or whose process was killed
 	BrokenConnections  int      `json:"Broke"`   // on sockets: those that ended without an answer, not by their client
 	RefusedConnections int      `json:"Refused"` // on sockets: those that routers did not accept
 	Members            *Members // nil: routers don't know each other
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -142,7 +142,7 @@
 			Outcome: simulation.AnswerRejected, RetryAfter: retryAfterMillis * microsPerMilli,
 		}}
 	}
-	return clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerAborted}}
+	return clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerFailed}}
 }
 
 // newRequest is a client's request in the platform's form.
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/supervised.go
@@ -115,12 +115,12 @@
 // signalKinds are the event log's entries for signals that change what is expected of a router.
 var signalKinds = map[syscall.Signal]eventlog.Kind{
 	syscall.SIGKILL: eventlog.KindCrashed,
-	syscall.SIGSTOP: eventlog.KindRouterStopped,
-	syscall.SIGCONT: eventlog.KindRouterWoken,
+	syscall.SIGSTOP: eventlog.KindRouterSuspended,
+	syscall.SIGCONT: eventlog.KindRouterResumed,
 }
 
 // Signal sends a signal to a process of a router and notes it in the event log: a killed
-// process owes no answers, and what fell due while one was stopped is counted apart.
+// process owes no answers, and what fell due while one was suspended is counted apart.
 func (s *Supervised) Signal(router, pid int, signal syscall.Signal) error {
 	err := s.callInLoop(func() error {
 		if kind := signalKinds[signal]; kind != "" {
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -144,7 +144,7 @@
 var forwardedOutcomes = map[peerpolicy.Outcome]simulation.AnswerOutcome{
 	peerpolicy.OutcomeCompleted: simulation.AnswerCompleted,
 	peerpolicy.OutcomeRejected:  simulation.AnswerRejected,
-	peerpolicy.OutcomeAborted:   simulation.AnswerAborted,
+	peerpolicy.OutcomeAborted:   simulation.AnswerFailed,
 }
 
 // runGatewayActions carries out what a gateway has decided.
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// compareViews compares the views of the routers that are up. A stopped one can't be asked.
+// compareViews compares the views of the routers that are up. A suspended one can't be asked.
 func (v *virtualRun) compareViews() {
 	views := map[string]*membership.View{}
 	var up []string
@@ -58,7 +58,7 @@
 			continue
 		}
 		up = append(up, host.Name)
-		if !v.routers[host.ID].stopped {
+		if !v.routers[host.ID].suspended {
 			views[host.Name] = host.Detector.(*membership.Node).View()
 		}
 	}
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -45,7 +45,7 @@
 		case engine.CommandReject:
 			v.finish(request, answerOf(simulation.AnswerRejected, 0, &command), command.MaybeExecuted)
 		case engine.CommandFail:
-			v.finish(request, answerOf(simulation.AnswerAborted, 0, &command), command.MaybeExecuted)
+			v.finish(request, answerOf(simulation.AnswerFailed, 0, &command), command.MaybeExecuted)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	remaining := request.Remaining
 	// A request that is read just after a pause may have waited through all of it.
 	if router.resumedAt > 0 && v.now()-router.resumedAt < stall.BufferDrainMicros {
-		remaining -= v.now() - router.stoppedAt
+		remaining -= v.now() - router.suspendedAt
 	}
 	if remaining <= 0 || v.rejectsWithoutNeed(request) {
 		v.simulation.Answered(router.id, request.ID, simulation.Answer{Outcome: simulation.AnswerRejected})
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -32,15 +32,15 @@
 
 	replica *gossip.Replica // endpoint state shared with other routers; nil: not shared
 
-	stopped   bool
-	deferred  []func() // what happened to it while it was stopped
-	stoppedAt int64
-	resumedAt int64 // 0: it was never stopped
+	suspended   bool
+	deferred    []func() // what happened to it while it was suspended
+	suspendedAt int64
+	resumedAt   int64 // 0: it was never suspended
 }
 
-// whenRunning runs a task at once, or when the router goes on if it is stopped.
+// whenRunning runs a task at once, or when the router goes on if it is suspended.
 func (r *virtualRouter) whenRunning(task func()) {
-	if r.stopped {
+	if r.suspended {
 		r.deferred = append(r.deferred, task)
 		return
 	}
@@ -93,7 +93,7 @@
 
 // runTimers runs a router's due timers, and moves it to its next one.
 func (v *virtualRun) runTimers(router *virtualRouter) {
-	if router.stopped {
+	if router.suspended {
 		router.nextTimer = never
 		heap.Fix(&v.timers, router.heapIndex)
 		return
@@ -120,7 +120,7 @@
 	}
 	router.engine = nil
 	router.requests = map[string]*virtualRequest{}
-	router.stopped = false
+	router.suspended = false
 	router.deferred = nil
 	router.resumedAt = 0
 	if v.fleet != nil {
@@ -140,20 +140,20 @@
 	}
 }
 
-// SuspendRouter pauses a router: what happens to it waits until it goes on.
+// SuspendRouter suspends a router: what happens to it waits until it goes on.
 func (v *virtualRun) SuspendRouter(routerID int) {
 	router := v.routers[routerID]
-	router.stopped = true
-	router.stoppedAt = v.now()
+	router.suspended = true
+	router.suspendedAt = v.now()
 	if v.fleet != nil {
 		v.fleet.Pause(routerID)
 	}
 }
 
-// ResumeRouter lets a paused router go on.
+// ResumeRouter lets a suspended router go on.
 func (v *virtualRun) ResumeRouter(routerID int) {
 	router := v.routers[routerID]
-	router.stopped = false
+	router.suspended = false
 	router.resumedAt = v.now()
 	deferred := router.deferred
 	router.deferred = nil
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -31,16 +31,16 @@
 
 // The kinds of processes and faults.
 const (
-	KindStarted       Kind = "started" // an endpoint
-	KindDown          Kind = "down"
-	KindOverloaded    Kind = "fell" // a warming endpoint got more than it bears
-	KindStopped       Kind = "stopped"
-	KindRouterDown    Kind = "router_down"
-	KindRouterUp      Kind = "router_up"
-	KindRouterStopped Kind = "router_stopped" // its process stands still
-	KindRouterWoken   Kind = "router_woken"
-	KindCrashed       Kind = "crashed" // a process of a supervised router was killed, another one serves
-	KindFault         Kind = "trouble" // of the scenario
+	KindStarted         Kind = "started" // an endpoint
+	KindDown            Kind = "down"
+	KindOverloaded      Kind = "fell" // a warming endpoint got more than it bears
+	KindStopped         Kind = "stopped"
+	KindRouterDown      Kind = "router_down"
+	KindRouterUp        Kind = "router_up"
+	KindRouterSuspended Kind = "router_stopped" // its process is suspended
+	KindRouterResumed   Kind = "router_woken"
+	KindCrashed         Kind = "crashed" // a process of a supervised router was killed, another one serves
+	KindFault           Kind = "trouble" // of the scenario
 )
 
 // Entry is one line. Times are microseconds from the start.
--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -2,8 +2,6 @@
 
 import (
 	"quilldoor/internal/eventlog"
-	"quilldoor/internal/policy"
-	"quilldoor/internal/scenario"
 )
 
 const (
@@ -28,7 +26,7 @@
 const (
 	AnswerCompleted AnswerOutcome = "completed"
 	AnswerRejected  AnswerOutcome = "rejected" // it was not executed
-	AnswerAborted   AnswerOutcome = "aborted"  // it may have been executed
+	AnswerFailed    AnswerOutcome = "aborted"  // it may have been executed
 	answerLate      AnswerOutcome = "late"     // an answer that reaches the client too late to be of use
 )
 
@@ -75,8 +73,7 @@
 		s.Result.countCompleted(s, client, answer.IssuedAt)
 		return
 	}
-	idempotent := s.classes[client.class].Effect == policy.EffectIdempotent
-	s.retryOrFail(client, answer.RetryAfter, answer.Outcome == AnswerRejected || idempotent)
+	s.retryOrFail(client, answer.RetryAfter, answer.Outcome == AnswerRejected || s.idempotent(client.class))
 }
 
 // clientTimedOut makes a client leave whose time is over without an answer.
@@ -88,7 +85,7 @@
 	s.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
 	s.Result.TimedOut++
 	s.driver.ClientGone(router.id, request.ID)
-	s.retryOrFail(request.client, 0, request.client.class != scenario.ClassAccept)
+	s.retryOrFail(request.client, 0, s.idempotent(request.Class))
 }
 
 // retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"quilldoor/internal/eventlog"
-	"quilldoor/internal/policy"
 )
 
 // router is what the simulation knows of a router: its process and the requests it has not answered. The router's own
@@ -68,7 +67,7 @@
 		}
 		router.closeRequest(request)
 		s.schedule(s.clientDelay(), func() {
-			s.retryOrFail(request.client, 0, s.classes[request.Class].Effect == policy.EffectIdempotent)
+			s.retryOrFail(request.client, 0, s.idempotent(request.Class))
 		})
 	}
 	router.arrivalOrder = nil
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -37,7 +37,7 @@
 		incarnations[router] = router.incarnation
 		router.suspensions++
 		if router.suspensions == 1 {
-			s.record(Entry{Kind: eventlog.KindRouterStopped, Router: router.id})
+			s.record(Entry{Kind: eventlog.KindRouterSuspended, Router: router.id})
 			s.driver.SuspendRouter(router.id)
 		}
 	}
@@ -48,7 +48,7 @@
 			}
 			router.suspensions--
 			if router.suspensions == 0 {
-				s.record(Entry{Kind: eventlog.KindRouterWoken, Router: router.id})
+				s.record(Entry{Kind: eventlog.KindRouterResumed, Router: router.id})
 				s.driver.ResumeRouter(router.id)
 			}
 		}
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -144,8 +144,8 @@
 // Up tells whether a router's process runs.
 func (s *Simulation) Up(router int) bool { return s.routers[router].up }
 
-// Stopped tells whether a router's process is suspended: it keeps its state but makes no progress.
-func (s *Simulation) Stopped(router int) bool { return s.routers[router].suspensions > 0 }
+// Suspended tells whether a router's process is suspended: it keeps its state but makes no progress.
+func (s *Simulation) Suspended(router int) bool { return s.routers[router].suspensions > 0 }
 
 // Silent tells whether a server is down and does not even reset connections.
 func (s *Simulation) Silent(server string) bool {
@@ -169,6 +169,11 @@
 // Class is a traffic class by its index in the settings.
 func (s *Simulation) Class(i int) policy.TrafficClass { return s.classes[i] }
 
+// idempotent tells whether requests of a traffic class may be repeated although one may have been executed.
+func (s *Simulation) idempotent(class int) bool {
+	return s.classes[class].Effect == policy.EffectIdempotent
+}
+
 // record appends an entry to the event log at the current time.
 func (s *Simulation) record(entry Entry) {
 	entry.At = s.now
