--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -37,7 +37,7 @@
 	checker        *checker.Checker
 	routers        []*routerProcess
 	client         *http.Client
-	startedAt      time.Time
+	startedAt      atomic.Pointer[time.Time] // set anew once all routers are ready
 	tasks          chan func()
 	dir            string
 	failures       chan error
@@ -80,7 +80,7 @@
 	if err := run.startRouters(); err != nil {
 		return nil, err
 	}
-	run.startedAt = time.Now()
+	run.restartClock()
 	run.startWatchers()
 	if err := run.loop(); err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 // startRouters starts one router after another, as a start takes CPU that the others need,
 // and reports their addresses once all are ready.
 func (s *socketRun) startRouters() error {
-	s.startedAt = time.Now()
+	s.restartClock()
 	var addrs []string
 	for _, process := range s.routers {
 		if err := process.start(s.simulation.EndpointList()); err != nil {
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -118,8 +118,14 @@
 }
 
 // now is the time of the run in microseconds.
-func (s *socketRun) now() int64 { return time.Since(s.startedAt).Microseconds() }
+func (s *socketRun) now() int64 { return time.Since(*s.startedAt.Load()).Microseconds() }
+
+// restartClock lets the run's time begin now. Relays of datagrams may read it meanwhile.
+func (s *socketRun) restartClock() {
+	now := time.Now()
+	s.startedAt.Store(&now)
+}
 
 // unixMS is a time of the run as milliseconds since 1970, the form in which the platform
 // tells times.
-func (s *socketRun) unixMS(at int64) int64 { return s.startedAt.UnixMilli() + at/microsPerMilli }
+func (s *socketRun) unixMS(at int64) int64 { return s.startedAt.Load().UnixMilli() + at/microsPerMilli }
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -63,6 +63,8 @@
 
 // AddFault adds a fault and returns the function that removes it.
 func (n *Network) AddFault(fault *Fault) (remove func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	n.faults = append(n.faults, fault)
 	return func() {
 		n.mu.Lock()
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -100,3 +100,24 @@
 		t.Errorf("lost: %d of 10,000", lost)
 	}
 }
+
+// Guards against a data race: faults begin and end while other goroutines send messages.
+func TestFaultsChangeWhileMessagesFlow(t *testing.T) {
+	network := New(1, 0, rand.New(rand.NewPCG(1, 1)))
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for range 1000 {
+			network.Transmit(0, 1, 2, 1)
+			network.Reachable(1, 2)
+		}
+	}()
+	for range 1000 {
+		remove := network.AddFault(&Fault{From: []int{1}, To: []int{2}, Partitioned: true})
+		remove()
+	}
+	<-done
+	if !network.Reachable(1, 2) {
+		t.Error("a fault that was removed still cuts the path")
+	}
+}
