--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -21,14 +21,14 @@
 
 	// Settings changes the settings that routers get.
 	Settings func(*settings.Setup)
-	// MissesUpdate tells which discovery notices a router misses.
-	MissesUpdate func(router int, notice simulation.DiscoveryEvent) bool
+	// MissesUpdate tells which discovery events a router misses.
+	MissesUpdate func(router int, event simulation.DiscoveryEvent) bool
 	// AnswerCount is how often a request is answered; nil: once.
 	AnswerCount func(requestID string) int
 	// RejectRequest tells which new requests a router rejects without need.
 	RejectRequest func(router int, class string) bool
-	// Slowdown is how much longer a router's attempts take, as a share.
-	Slowdown func(router int) float64
+	// ExtraTimeShare is how much longer a router's attempts take, as a share.
+	ExtraTimeShare func(router int) float64
 
 	onStart  func(*virtualRun) // called before the first event
 	observer routerObserver
--- a/internal/emulator/rollout_faults.go
+++ b/internal/emulator/rollout_faults.go
@@ -20,11 +20,11 @@
 	return true
 }
 
-// misses tells whether a router's new program misses a discovery notice. The checker counts
+// misses tells whether a router's new program misses a discovery event. The checker counts
 // what it violates by that.
-func (r *rolloutRun) misses(router int, notice simulation.DiscoveryEvent) bool {
+func (r *rolloutRun) misses(router int, event simulation.DiscoveryEvent) bool {
 	missesKind := r.config.MissesDrains
-	if notice.Purge {
+	if event.Purge {
 		missesKind = r.config.MissesPurges
 	}
 	missed := missesKind && r.servesNew(router)
@@ -34,12 +34,12 @@
 	return missed
 }
 
-// slowdown is how much longer a router's attempts take, as a share.
-func (r *rolloutRun) slowdown(router int) float64 {
+// extraTimeShare is how much longer a router's attempts take, as a share.
+func (r *rolloutRun) extraTimeShare(router int) float64 {
 	if !r.servesNew(router) {
 		return 0
 	}
-	return r.config.Slowdown
+	return r.config.ExtraTimeShare
 }
 
 // countHarm counts a request that the new program did harm to.
