--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	routers := emulator.Routers{
+	routers := emulator.SocketOptions{
 		Program:               o.routerBin,
 		Listen:                o.listen,
 		AcceptForeignRequests: true,
--- a/cmd/quilldoor-lab/emulate.go
+++ b/cmd/quilldoor-lab/emulate.go
@@ -90,7 +90,7 @@
 		options.Record = log.write
 	}
 	if o.sockets {
-		return emulator.RunOnSockets(ctx, s, options, emulator.Routers{Program: o.routerBin})
+		return emulator.RunOnSockets(ctx, s, options, emulator.SocketOptions{Program: o.routerBin})
 	}
 	return emulator.RunVirtual(ctx, s, options)
 }
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -105,7 +105,7 @@
 			return nil, 0, err
 		}
 		var took time.Duration
-		drive := func(ctx context.Context, routers *emulator.Supervised) error {
+		drive := func(ctx context.Context, routers *emulator.RunningRouters) error {
 			if !rolls {
 				return nil
 			}
@@ -114,7 +114,7 @@
 			return driveRollout(ctx, routers, time.Duration(o.lengthS)*time.Second)
 		}
 		result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: seed},
-			emulator.Routers{Program: o.routerBin, Drive: drive})
+			emulator.SocketOptions{Program: o.routerBin, Drive: drive})
 		if result == nil || result.MaxDelay <= emulator.MaxDelayMicros {
 			return result, took, err
 		}
@@ -123,7 +123,7 @@
 }
 
 // driveRollout rolls the program that runs out to all routers once more.
-func driveRollout(ctx context.Context, routers *emulator.Supervised, limit time.Duration) error {
+func driveRollout(ctx context.Context, routers *emulator.RunningRouters, limit time.Duration) error {
 	status, err := routers.Status(0)
 	if err != nil {
 		return err
@@ -157,7 +157,7 @@
 	last  string // phase and reason of the last router that answered
 }
 
-func pollRollout(routers *emulator.Supervised) rolloutPoll {
+func pollRollout(routers *emulator.RunningRouters) rolloutPoll {
 	var poll rolloutPoll
 	for router := range routers.Count() {
 		status, err := routers.Rollout(router, 0)
@@ -174,7 +174,7 @@
 }
 
 // sameProgramPlan is a rollout plan in YAML: one router, half of them, all.
-func sameProgramPlan(routers *emulator.Supervised, program string) string {
+func sameProgramPlan(routers *emulator.RunningRouters, program string) string {
 	var plan strings.Builder
 	fmt.Fprintf(&plan, "name: cost\nprogram: %s\nsilent_s: 15\n", program)
 	fmt.Fprintf(&plan, "guards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n")
--- a/cmd/quilldoor-lab/upgradecases.go
+++ b/cmd/quilldoor-lab/upgradecases.go
@@ -16,19 +16,19 @@
 type upgradeCase struct {
 	name       string
 	supervised bool
-	act        func(routers *emulator.Supervised, router int) error
+	act        func(routers *emulator.RunningRouters, router int) error
 }
 
 // upgradeCases begin with the baseline that the others are compared with.
 var upgradeCases = []upgradeCase{
-	{"calm", true, func(*emulator.Supervised, int) error { return nil }},
+	{"calm", true, func(*emulator.RunningRouters, int) error { return nil }},
 	{"change", true, applyUpgrade},
 	{"crash on trial", true, crashOnTrial},
-	{"restart", false, func(routers *emulator.Supervised, router int) error { return routers.Restart(router) }},
+	{"restart", false, func(routers *emulator.RunningRouters, router int) error { return routers.Restart(router) }},
 }
 
 // applyUpgrade asks a router's supervisor for a new generation.
-func applyUpgrade(routers *emulator.Supervised, router int) error {
+func applyUpgrade(routers *emulator.RunningRouters, router int) error {
 	reply, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 const crashDelay = time.Second
 
 // crashOnTrial kills the new generation while it is on trial.
-func crashOnTrial(routers *emulator.Supervised, router int) error {
+func crashOnTrial(routers *emulator.RunningRouters, router int) error {
 	applied := make(chan error, 1)
 	go func() {
 		_, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
@@ -75,7 +75,7 @@
 }
 
 // drive acts on all routers at once and waits until they are steady again.
-func (d *upgradeDriver) drive(_ context.Context, routers *emulator.Supervised) error {
+func (d *upgradeDriver) drive(_ context.Context, routers *emulator.RunningRouters) error {
 	time.Sleep(upgradeAt)
 	began := time.Now()
 	done := make(chan error, routers.Count())
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (d *upgradeDriver) upgradeOne(routers *emulator.Supervised, router int, began time.Time) error {
+func (d *upgradeDriver) upgradeOne(routers *emulator.RunningRouters, router int, began time.Time) error {
 	if err := d.upgrade.act(routers, router); err != nil {
 		return err
 	}
--- a/cmd/quilldoor-lab/upgraderow.go
+++ b/cmd/quilldoor-lab/upgraderow.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	driver := &rowDriver{upgrades: o.row, durations: newLatencyHistogram()}
-	routers := emulator.Routers{Program: o.routerBin, Drive: driver.drive}
+	routers := emulator.SocketOptions{Program: o.routerBin, Drive: driver.drive}
 	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: 1}, routers)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	status    *handoff.Status         // after the last one
 }
 
-func (d *rowDriver) drive(_ context.Context, routers *emulator.Supervised) (err error) {
+func (d *rowDriver) drive(_ context.Context, routers *emulator.RunningRouters) (err error) {
 	for i := range d.upgrades {
 		began := time.Now()
 		if err := applyUpgrade(routers, 0); err != nil {
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -105,7 +105,7 @@
 		driver := &upgradeDriver{upgrade: upgrade, figures: figures}
 		result, err := emulator.RunOnSockets(ctx, s,
 			emulator.Options{Seed: seed, Record: window.record},
-			emulator.Routers{Program: o.routerBin, Drive: driver.drive})
+			emulator.SocketOptions{Program: o.routerBin, Drive: driver.drive})
 		if result != nil && result.MaxDelay > emulator.MaxDelayMicros {
 			continue
 		}
--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -62,7 +62,7 @@
   - {kind: cut_board, at: 4, for: 3, share: 0.5}
   - {kind: ways_camps, at: 6, for: 1}
 `
-	drive := func(_ context.Context, fleet *emulator.Supervised) error {
+	drive := func(_ context.Context, fleet *emulator.RunningRouters) error {
 		time.Sleep(2 * time.Second)
 		for _, router := range []int{0, 2} {
 			if err := upgradeRepeatedly(fleet, router, 2); err != nil {
@@ -81,7 +81,7 @@
 		return nil
 	}
 	result, err := playScenario(t, text, emulator.Options{},
-		emulator.Routers{Program: os.Args[0], Earlier: program, Drive: drive})
+		emulator.SocketOptions{Program: os.Args[0], Earlier: program, Drive: drive})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 }
 
 // expectEarlierProgramRefused asks a supervised router for an upgrade to the earlier program.
-func expectEarlierProgramRefused(fleet *emulator.Supervised, router int, program string) error {
+func expectEarlierProgramRefused(fleet *emulator.RunningRouters, router int, program string) error {
 	reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
 	if err != nil {
 		return fmt.Errorf("router %d, to the earlier program: %w", router, err)
@@ -109,7 +109,7 @@
 
 // checkAgreement waits for a router to see all members alive, and checks that it tells
 // its generation if it is a supervised one.
-func checkAgreement(t *testing.T, fleet *emulator.Supervised, router int) error {
+func checkAgreement(t *testing.T, fleet *emulator.RunningRouters, router int) error {
 	notAlive := func(member membership.MemberStatus) bool { return member.State != membership.StateAlive }
 	var view *membership.View
 	diverged := true
--- a/cmd/quilldoor/harness_test.go
+++ b/cmd/quilldoor/harness_test.go
@@ -45,7 +45,7 @@
 // playScenario plays a scenario on loopback. A run for which the machine was too busy is
 // not decided and is played again; a test whose runs all end so is skipped and counted.
 func playScenario(
-	t *testing.T, text string, options emulator.Options, routers emulator.Routers,
+	t *testing.T, text string, options emulator.Options, routers emulator.SocketOptions,
 ) (*emulator.Result, error) {
 	t.Helper()
 	parsed, err := scenario.Parse(t.Name(), []byte(text))
@@ -81,5 +81,5 @@
 // playWithOwnProgram plays a scenario with routers that run the test binary.
 func playWithOwnProgram(t *testing.T, text string, options emulator.Options) (*emulator.Result, error) {
 	t.Helper()
-	return playScenario(t, text, options, emulator.Routers{Program: os.Args[0]})
+	return playScenario(t, text, options, emulator.SocketOptions{Program: os.Args[0]})
 }
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -19,7 +19,7 @@
 func TestRefusedUpgrades(t *testing.T) {
 	t.Parallel()
 	const text = supervisedFleet + "load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n"
-	playUpgrades(t, text, func(fleet *emulator.Supervised) error {
+	playUpgrades(t, text, func(fleet *emulator.RunningRouters) error {
 		if err := checkEditedFiles(t, fleet); err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 }
 
 // checkEditedFiles asks for upgrades to edited configurations and operator files.
-func checkEditedFiles(t *testing.T, fleet *emulator.Supervised) error {
+func checkEditedFiles(t *testing.T, fleet *emulator.RunningRouters) error {
 	for _, tc := range []struct {
 		name     string
 		config   bool // the edited file is the configuration, else the operator's
@@ -111,7 +111,7 @@
 
 // checkConcurrentUpgrades asks for an upgrade while another runs, which is refused, and
 // for a rollback during the trial of the first.
-func checkConcurrentUpgrades(t *testing.T, fleet *emulator.Supervised) error {
+func checkConcurrentUpgrades(t *testing.T, fleet *emulator.RunningRouters) error {
 	first := make(chan *handoff.Message, 1)
 	go func() {
 		reply, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
@@ -139,7 +139,7 @@
 }
 
 // checkSecondSupervisor starts a second supervisor with the same folder.
-func checkSecondSupervisor(t *testing.T, fleet *emulator.Supervised) {
+func checkSecondSupervisor(t *testing.T, fleet *emulator.RunningRouters) {
 	second := ownCommand("keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
 	output, err := second.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "another supervisor uses this folder") {
@@ -149,7 +149,7 @@
 
 // checkUnwritableFolder upgrades where the copies of a generation, and then the state
 // file, can't be written.
-func checkUnwritableFolder(t *testing.T, fleet *emulator.Supervised) error {
+func checkUnwritableFolder(t *testing.T, fleet *emulator.RunningRouters) error {
 	if err := os.WriteFile(filepath.Join(fleet.SupervisorDir(0), "9"), nil, 0o600); err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 }
 
 // checkReloadReachesGeneration sends SIGHUP to the supervisor, which passes it on.
-func checkReloadReachesGeneration(fleet *emulator.Supervised) error {
+func checkReloadReachesGeneration(fleet *emulator.RunningRouters) error {
 	status, err := fleet.Status(0)
 	if err != nil {
 		return err
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -26,7 +26,7 @@
 
 // writePlan writes a rollout plan for the program with the given stages, or by default
 // with three: one router, half of the routers, all.
-func writePlan(fleet *emulator.Supervised, program string, stages ...string) error {
+func writePlan(fleet *emulator.RunningRouters, program string, stages ...string) error {
 	var plan strings.Builder
 	fmt.Fprintf(&plan, "name: trial\nprogram: %s\nsilent_s: 15\n", program)
 	plan.WriteString("guards: {most_loss: 0.25, loss: 0.05, refusals: 0.05, failures: 0.05}\nrouters:\n")
@@ -48,7 +48,7 @@
 
 // waitForRolloutEnd waits for the end of a rollout. Of the routers' answers the one with
 // the newest state counts.
-func waitForRolloutEnd(fleet *emulator.Supervised, within time.Duration, routers ...int) (*rollout.Status, error) {
+func waitForRolloutEnd(fleet *emulator.RunningRouters, within time.Duration, routers ...int) (*rollout.Status, error) {
 	var last *rollout.Status
 	var lastErr error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -70,7 +70,7 @@
 }
 
 // startRollout starts the rollout at a router, once all have read the plan.
-func startRollout(fleet *emulator.Supervised, router int) error {
+func startRollout(fleet *emulator.RunningRouters, router int) error {
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
 		for i := range fleet.Count() {
@@ -90,7 +90,7 @@
 }
 
 // waitForLeader waits until one of the routers leads the rollout forward.
-func waitForLeader(fleet *emulator.Supervised, routers []int) (int, error) {
+func waitForLeader(fleet *emulator.RunningRouters, routers []int) (int, error) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, router := range routers {
 			if status, err := fleet.Rollout(router, 0); err == nil && status.IsLeader && status.Phase == "forward" {
@@ -102,7 +102,7 @@
 }
 
 // servingGenerations returns the generation that serves at each router.
-func servingGenerations(fleet *emulator.Supervised) ([]uint64, error) {
+func servingGenerations(fleet *emulator.RunningRouters) ([]uint64, error) {
 	var generations []uint64
 	for i := range fleet.Count() {
 		status, err := fleet.Status(i)
@@ -126,7 +126,7 @@
 		"  - {kind: office_lost, at: 22, for: 3, office: 2}\n" +
 		"  - {kind: ways_camps, at: 30, for: 4, share: 0.25}\n" +
 		"  - {kind: cut_board, at: 34, for: 3, share: 0.5}\n"
-	result := playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
+	result := playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.RunningRouters) error {
 		if err := writePlan(fleet, os.Args[0]); err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 
 // disturbLeaders kills the supervisor of the rollout's leader and starts it again, then
 // stops the supervisor of the next leader for some seconds.
-func disturbLeaders(fleet *emulator.Supervised, routers []int) error {
+func disturbLeaders(fleet *emulator.RunningRouters, routers []int) error {
 	leader, err := waitForLeader(fleet, routers)
 	if err != nil {
 		return err
@@ -199,7 +199,7 @@
 }
 
 // expectRolledBack waits for the end of a rollout, which has to be undone for the reason.
-func expectRolledBack(t *testing.T, fleet *emulator.Supervised, within time.Duration, reason string) error {
+func expectRolledBack(t *testing.T, fleet *emulator.RunningRouters, within time.Duration, reason string) error {
 	began := time.Now()
 	status, err := waitForRolloutEnd(fleet, within, 1, 2, 3, 4, 5, 6, 7)
 	if err != nil {
@@ -213,7 +213,7 @@
 }
 
 // expectFirstGeneration checks that no router but those of the first stage was upgraded.
-func expectFirstGeneration(t *testing.T, fleet *emulator.Supervised, inFirstStage func(router int) bool) error {
+func expectFirstGeneration(t *testing.T, fleet *emulator.RunningRouters, inFirstStage func(router int) bool) error {
 	generations, err := servingGenerations(fleet)
 	if err != nil {
 		return err
@@ -250,7 +250,7 @@
 			skipLong(t, tc.long)
 			t.Parallel()
 			text := rolloutFleet + "length_s: 130\n"
-			playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
+			playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.RunningRouters) error {
 				return tc.rollOut(t, fleet)
 			})
 		})
@@ -258,7 +258,7 @@
 }
 
 // rollOut starts the rollout and checks its rollback.
-func (tc worseProgram) rollOut(t *testing.T, fleet *emulator.Supervised) error {
+func (tc worseProgram) rollOut(t *testing.T, fleet *emulator.RunningRouters) error {
 	var stages []string
 	if tc.half {
 		stages = []string{"{share: 0.5, watch_s: 80, least_s: 5}", "{share: 1, watch_s: 2, least_s: 2}"}
@@ -292,7 +292,7 @@
 
 // excuseCrashes excuses, until stop is closed, the requests that router 0 holds when its
 // process dies of a fault.
-func excuseCrashes(fleet *emulator.Supervised, stop <-chan struct{}) {
+func excuseCrashes(fleet *emulator.RunningRouters, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -355,7 +355,7 @@
 				violations++
 				return true
 			}
-			playUpgradesWith(t, tc.scenario(), playOptions{allowed: allowed, endWithDrive: true}, func(fleet *emulator.Supervised) error {
+			playUpgradesWith(t, tc.scenario(), playOptions{allowed: allowed, endWithDrive: true}, func(fleet *emulator.RunningRouters) error {
 				return tc.rollOut(t, fleet)
 			})
 			t.Logf("the checker saw %d violations", violations)
@@ -379,7 +379,7 @@
 }
 
 // rollOut starts the rollout and checks that it is undone for the broken invariant.
-func (tc invariantBreaker) rollOut(t *testing.T, fleet *emulator.Supervised) error {
+func (tc invariantBreaker) rollOut(t *testing.T, fleet *emulator.RunningRouters) error {
 	first, _ := fleet.Name(0)
 	err := writePlan(fleet, faultyProgram(t, tc.fault),
 		"{routers: ["+first+"], watch_s: 60, least_s: 45}", "{share: 1, watch_s: 2, least_s: 2}")
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -15,7 +15,7 @@
 )
 
 // upgradeRepeatedly upgrades a router to its own program, again and again.
-func upgradeRepeatedly(fleet *emulator.Supervised, router, upgrades int) error {
+func upgradeRepeatedly(fleet *emulator.RunningRouters, router, upgrades int) error {
 	for i := range upgrades {
 		reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply})
 		if err != nil {
@@ -38,7 +38,7 @@
 		"  - {kind: purge, at: 5, share: 1}\n" +
 		"  - {kind: cut_board, at: 7, for: 2}\n" +
 		"  - {kind: die, at: 9, for: 1.5, share: 0.25}\n"
-	result := playUpgrades(t, text, func(fleet *emulator.Supervised) error {
+	result := playUpgrades(t, text, func(fleet *emulator.RunningRouters) error {
 		if err := upgradeRepeatedly(fleet, 0, upgrades); err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
   - {kind: purge, at: 5, share: 0.6}
   - {kind: site_cut, at: 6, for: 0.7}
   - {kind: cut_board, at: 4, for: 2, share: 0.5}
-`, func(fleet *emulator.Supervised) error {
+`, func(fleet *emulator.RunningRouters) error {
 		time.Sleep(2 * time.Second) // the routers join each other
 		before, err := membershipViews(fleet)
 		if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // membershipViews returns each router's view of the members.
-func membershipViews(fleet *emulator.Supervised) ([]*membership.View, error) {
+func membershipViews(fleet *emulator.RunningRouters) ([]*membership.View, error) {
 	views := make([]*membership.View, fleet.Count())
 	for i := range views {
 		var err error
@@ -138,7 +138,7 @@
 
 // checkUpgradedLog checks that nothing in a router's log tells of a lost resource, and
 // that each of its generations opened the disk cache once.
-func checkUpgradedLog(t *testing.T, fleet *emulator.Supervised, router int) error {
+func checkUpgradedLog(t *testing.T, fleet *emulator.RunningRouters, router int) error {
 	t.Helper()
 	text, err := os.ReadFile(fleet.Log(router))
 	if err != nil {
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -39,7 +39,7 @@
 		t.Run(string(tc.fault), func(t *testing.T) {
 			t.Parallel()
 			var recoveryMS int64
-			result := playUpgrades(t, text, func(fleet *emulator.Supervised) (err error) {
+			result := playUpgrades(t, text, func(fleet *emulator.RunningRouters) (err error) {
 				recoveryMS, err = tc.upgrade(t, fleet)
 				return err
 			})
@@ -57,7 +57,7 @@
 // upgrade asks for the faulty program and checks the reply, the generation that serves
 // afterwards and that the supervisor still takes commands. It returns how long the
 // router was without a serving generation.
-func (tc faultyGeneration) upgrade(t *testing.T, fleet *emulator.Supervised) (recoveryMS int64, err error) {
+func (tc faultyGeneration) upgrade(t *testing.T, fleet *emulator.RunningRouters) (recoveryMS int64, err error) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -95,7 +95,7 @@
 
 // excuseCrashOnTrial excuses the requests that a new generation holds when it dies on
 // trial.
-func excuseCrashOnTrial(fleet *emulator.Supervised) {
+func excuseCrashOnTrial(fleet *emulator.RunningRouters) {
 	onTrial := func(status *handoff.Status) bool {
 		return status.State == "on trial" || status.State == "handing over"
 	}
@@ -123,7 +123,7 @@
 			}
 			t.Run(step+", "+target, func(t *testing.T) {
 				t.Parallel()
-				playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.Supervised) error {
+				playUpgradesWith(t, text, playOptions{endWithDrive: true}, func(fleet *emulator.RunningRouters) error {
 					minLoadTime := time.After(3 * time.Second)
 					err := injectFault(t, fleet, step, target)
 					<-minLoadTime
@@ -136,7 +136,7 @@
 
 // injectFault kills or stops the target's processes at a step of an upgrade and checks
 // which generation serves in the end.
-func injectFault(t *testing.T, fleet *emulator.Supervised, step, target string) error {
+func injectFault(t *testing.T, fleet *emulator.RunningRouters, step, target string) error {
 	t.Helper()
 	upgrade := &handoff.Message{Kind: handoff.KindApply}
 	if step == "warming" { // it lasts for some 20 ms else, and a busy test may not see it
@@ -168,7 +168,7 @@
 }
 
 // killOrStop sends the signals of an injected fault.
-func killOrStop(fleet *emulator.Supervised, status *handoff.Status, target string) error {
+func killOrStop(fleet *emulator.RunningRouters, status *handoff.Status, target string) error {
 	kill := func(pid int) error { return fleet.Signal(0, pid, syscall.SIGKILL) }
 	var next int
 	if status.Next != nil {
@@ -204,7 +204,7 @@
 
 // restartSupervisor starts a killed supervisor again, after it was missing for longer
 // than a generation waits before it yields.
-func restartSupervisor(fleet *emulator.Supervised, generationServes bool) error {
+func restartSupervisor(fleet *emulator.RunningRouters, generationServes bool) error {
 	time.Sleep(700 * time.Millisecond)
 	if generationServes {
 		if err := checkHealth(fleet.Listen(0)); err != nil {
@@ -226,7 +226,7 @@
 }
 
 // expectSettledGeneration waits for a steady router and checks its generation.
-func expectSettledGeneration(fleet *emulator.Supervised, want uint64) error {
+func expectSettledGeneration(fleet *emulator.RunningRouters, want uint64) error {
 	status, err := fleet.WaitStatus(0, 5*time.Second, func(status *handoff.Status) bool {
 		return status.State == "steady" && status.Serving != nil &&
 			status.Serving.AgentState == "serving" && status.Next == nil
--- a/cmd/quilldoor/upgradeharness_test.go
+++ b/cmd/quilldoor/upgradeharness_test.go
@@ -20,7 +20,7 @@
 `
 
 // playUpgrades plays a scenario with supervised routers while drive upgrades them.
-func playUpgrades(t *testing.T, text string, drive func(*emulator.Supervised) error) *emulator.Result {
+func playUpgrades(t *testing.T, text string, drive func(*emulator.RunningRouters) error) *emulator.Result {
 	t.Helper()
 	return playUpgradesWith(t, text, playOptions{}, drive)
 }
@@ -33,12 +33,12 @@
 
 // playUpgradesWith is playUpgrades with options.
 func playUpgradesWith(
-	t *testing.T, text string, options playOptions, drive func(*emulator.Supervised) error,
+	t *testing.T, text string, options playOptions, drive func(*emulator.RunningRouters) error,
 ) *emulator.Result {
 	t.Helper()
-	result, err := playScenario(t, text, emulator.Options{}, emulator.Routers{
+	result, err := playScenario(t, text, emulator.Options{}, emulator.SocketOptions{
 		Program: os.Args[0], EndWithDrive: options.endWithDrive,
-		Drive: func(_ context.Context, fleet *emulator.Supervised) error { return drive(fleet) },
+		Drive: func(_ context.Context, fleet *emulator.RunningRouters) error { return drive(fleet) },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile((&Supervised{r.socketRun}).Operator(r.id), text, 0o600)
+	return os.WriteFile(r.operatorPath(), text, 0o600)
 }
 
 // gatewayConfig is a router's gateway. It reaches each peer by a relay that is as far away as
@@ -112,14 +112,13 @@
 }
 
 func (r *routerProcess) supervisorConfig() *operatorconfig.Supervisor {
-	routers := &Supervised{r.socketRun}
 	config := &operatorconfig.Supervisor{
-		Dir:           routers.SupervisorDir(r.id),
+		Dir:           r.supervisorDir(),
 		ReadyTimeoutS: readyTimeoutSeconds,
 		TrialS:        r.scenario.Fleet.TrialS,
 	}
 	if r.scenario.Fleet.Membership {
-		config.RolloutPlan = routers.Plan()
+		config.RolloutPlan = r.planPath()
 	}
 	return config
 }
--- a/internal/emulator/process_lifecycle.go
+++ b/internal/emulator/process_lifecycle.go
@@ -30,7 +30,7 @@
 	cmd := r.command()
 	cmd.Stderr = io.MultiWriter(&r.log, cmp.Or[io.Writer](r.config.Log, io.Discard))
 	if r.scenario.Fleet.Supervised { // a pipe would end with the supervisor, and take its generations along
-		file, err := os.OpenFile((&Supervised{r.socketRun}).Log(r.id), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		file, err := os.OpenFile(r.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.WaitDelay = logPipeWait
 	if r.gatewayAddr != "" || r.membershipAddr.IsValid() || r.scenario.Fleet.Supervised || r.scenario.Fleet.DiskMB > 0 {
-		cmd.Args = append(cmd.Args, "--operator", (&Supervised{r.socketRun}).Operator(r.id))
+		cmd.Args = append(cmd.Args, "--operator", r.operatorPath())
 	}
 	cmd.Env = routerEnvironment()
 	cmd.Dir = r.dir
@@ -90,7 +90,7 @@
 
 // recentLog is the end of what the router has logged.
 func (r *routerProcess) recentLog() string {
-	if text, err := os.ReadFile((&Supervised{r.socketRun}).Log(r.id)); err == nil {
+	if text, err := os.ReadFile(r.logPath()); err == nil {
 		_, _ = r.log.Write(text) // to memory
 	}
 	return r.log.String()
@@ -140,7 +140,7 @@
 	if !r.scenario.Fleet.Supervised || r.runsEarlier() {
 		return true
 	}
-	status, err := (&Supervised{r.socketRun}).Status(r.id)
+	status, err := r.supervisorStatus()
 	return err == nil && status.State == upgrade.StateSteady.String()
 }
 
--- a/internal/emulator/supervised.go
+++ b/internal/emulator/running_routers.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"time"
@@ -15,51 +14,46 @@
 	"quilldoor/internal/membership/transport"
 	"quilldoor/internal/rollout"
 	"quilldoor/internal/scenario"
-	"quilldoor/internal/upgradeagent"
 )
 
 // readyTimeoutSeconds is how long a generation may take to get ready.
 const readyTimeoutSeconds = 3
 
-// Supervised gives access to the router processes of a run on sockets: upgrades, rollouts and
+// RunningRouters gives access to the router processes of a run on sockets: upgrades, rollouts and
 // faults go through it. Its methods may be called from any goroutine but the run's loop.
-type Supervised struct{ *socketRun }
+type RunningRouters struct{ *socketRun }
 
 // Count is the number of routers.
-func (s *Supervised) Count() int { return len(s.routers) }
+func (s *RunningRouters) Count() int { return len(s.routers) }
 
 // SupervisorDir is the folder of a router's supervisor.
-func (s *Supervised) SupervisorDir(router int) string {
-	return filepath.Join(s.dir, fmt.Sprintf("k%d", router+1))
-}
+func (s *RunningRouters) SupervisorDir(router int) string { return s.routers[router].supervisorDir() }
 
 // Operator is the file of a router's operator configuration.
-func (s *Supervised) Operator(router int) string {
-	return filepath.Join(s.dir, routerName(router)+".yaml")
-}
+func (s *RunningRouters) Operator(router int) string { return s.routers[router].operatorPath() }
 
 // Log is the file that a supervised router's processes log to.
-func (s *Supervised) Log(router int) string { return filepath.Join(s.dir, routerName(router)+".log") }
+func (s *RunningRouters) Log(router int) string { return s.routers[router].logPath() }
 
 // View asks a router for its membership view.
-func (s *Supervised) View(router int) (*membership.View, error) {
+func (s *RunningRouters) View(router int) (*membership.View, error) {
 	return transport.Query([]byte(membershipKey), routerName(router), s.routers[router].membershipAddr)
 }
 
 // Config is the file of the platform's configuration of a router.
-func (s *Supervised) Config(router int) string { return s.routers[router].configPath() }
+func (s *RunningRouters) Config(router int) string { return s.routers[router].configPath() }
 
 // Plan is the file where the routers look for a rollout plan. The run doesn't create it.
-func (s *Supervised) Plan() string { return filepath.Join(s.dir, "plan.yaml") }
+func (s *RunningRouters) Plan() string { return s.planPath() }
 
 // Name is a router's member name and its office.
-func (s *Supervised) Name(router int) (name, office string) {
+func (s *RunningRouters) Name(router int) (name, office string) {
 	return routerName(router), scenario.Zone(s.simulation.Office(router))
 }
 
 // Rollout gives a router a command on the rollout and returns the rollout's status. 0: only
 // the status.
-func (s *Supervised) Rollout(router int, command rollout.Command) (*rollout.Status, error) {
+func (s *RunningRouters) Rollout(router int, command rollout.Command) (*rollout.Status, error) {
 	reply, err := s.Ask(router, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
 		return nil, err
@@ -71,27 +65,20 @@
 }
 
 // Listen is the address where clients reach a router.
-func (s *Supervised) Listen(router int) string { return s.routers[router].clientAddr }
+func (s *RunningRouters) Listen(router int) string { return s.routers[router].clientAddr }
 
 // Ask sends a message to a router's supervisor and returns its last reply.
-func (s *Supervised) Ask(router int, message *handoff.Message) (*handoff.Message, error) {
-	return handoff.Request(filepath.Join(s.SupervisorDir(router), upgradeagent.SocketName), message, nil)
+func (s *RunningRouters) Ask(router int, message *handoff.Message) (*handoff.Message, error) {
+	return s.routers[router].askSupervisor(message)
 }
 
 // Status is the status of a router's supervisor.
-func (s *Supervised) Status(router int) (*handoff.Status, error) {
-	reply, err := s.Ask(router, &handoff.Message{Kind: handoff.KindStatus})
-	if err != nil {
-		return nil, err
-	}
-	if reply.Status == nil {
-		return nil, errors.New("a reply without a status")
-	}
-	return reply.Status, nil
+func (s *RunningRouters) Status(router int) (*handoff.Status, error) {
+	return s.routers[router].supervisorStatus()
 }
 
 // WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
-func (s *Supervised) WaitStatus(
+func (s *RunningRouters) WaitStatus(
 	router int, within time.Duration, reached func(*handoff.Status) bool,
 ) (*handoff.Status, error) {
 	const interval = 5 * time.Millisecond
@@ -121,7 +108,7 @@
 
 // Signal sends a signal to a process of a router and notes it in the event log: a killed
 // process owes no answers, and what fell due while one was suspended is counted apart.
-func (s *Supervised) Signal(router, pid int, signal syscall.Signal) error {
+func (s *RunningRouters) Signal(router, pid int, signal syscall.Signal) error {
 	err := s.callInLoop(func() error {
 		if kind := signalKinds[signal]; kind != "" {
 			s.Record(&eventlog.Entry{Kind: kind, At: s.simulation.Now(), Router: router})
@@ -136,7 +123,7 @@
 
 // callInLoop calls a function in the run's loop and returns its error, or the context's if
 // the run is over.
-func (s *Supervised) callInLoop(call func() error) error {
+func (s *RunningRouters) callInLoop(call func() error) error {
 	done := make(chan error, 1)
 	s.runInLoop(func() { done <- call() })
 	select {
@@ -150,7 +137,7 @@
 // waitGone waits until a killed process has ended, and notes the crash again. On a busy
 // machine that takes milliseconds, in which the system still accepts connections for it:
 // it owes no answers on these either.
-func (s *Supervised) waitGone(router, pid int) {
+func (s *RunningRouters) waitGone(router, pid int) {
 	for s.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, ok := strings.Cut(string(stat), ") ")
@@ -166,12 +153,12 @@
 
 // ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
 // it owes no answers.
-func (s *Supervised) ExcuseCrash(router int) {
+func (s *RunningRouters) ExcuseCrash(router int) {
 	s.runInLoop(func() { s.Record(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: router}) })
 }
 
 // KillSupervisor kills a router's supervisor alone. Its generations run on.
-func (s *Supervised) KillSupervisor(router int) error {
+func (s *RunningRouters) KillSupervisor(router int) error {
 	process := s.routers[router]
 	var exited <-chan struct{}
 	err := s.callInLoop(func() error {
@@ -188,13 +175,13 @@
 }
 
 // StartSupervisor starts a router's supervisor again, on the same machine.
-func (s *Supervised) StartSupervisor(router int) error {
+func (s *RunningRouters) StartSupervisor(router int) error {
 	return s.callInLoop(s.routers[router].launch)
 }
 
 // Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
 // starts it again once it has ended.
-func (s *Supervised) Restart(router int) error {
+func (s *RunningRouters) Restart(router int) error {
 	process := s.routers[router]
 	err := s.callInLoop(func() error {
 		process.killed = true
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -44,7 +44,7 @@
 	cancel         context.CancelFunc
 	ctx            context.Context
 	goroutines     sync.WaitGroup
-	config         Routers
+	config         SocketOptions
 	driverDone     chan error  // nil: there is no Drive, or it has returned
 	sitesCut       atomic.Bool // sites can't reach each other
 	reportedSecond int64       // the last one that Options.Progress was called for
@@ -57,7 +57,7 @@
 
 // RunOnSockets plays a scenario in real time: it listens on loopback for all that routers
 // talk to, and starts a router process for each router.
-func RunOnSockets(ctx context.Context, s *scenario.Scenario, options Options, config Routers) (*Result, error) {
+func RunOnSockets(ctx context.Context, s *scenario.Scenario, options Options, config SocketOptions) (*Result, error) {
 	if err := checkListenerCount(s); err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 }
 
 func newSocketRun(
-	ctx context.Context, cancel context.CancelFunc, s *scenario.Scenario, options Options, config Routers, dir string,
+	ctx context.Context, cancel context.CancelFunc, s *scenario.Scenario, options Options, config SocketOptions, dir string,
 ) *socketRun {
 	run := &socketRun{
 		options:  options,
@@ -196,7 +196,7 @@
 	if s.config.Drive != nil {
 		done := make(chan error, 1)
 		s.driverDone = done
-		s.goroutines.Go(func() { done <- s.config.Drive(s.ctx, &Supervised{s}) })
+		s.goroutines.Go(func() { done <- s.config.Drive(s.ctx, &RunningRouters{s}) })
 	}
 }
 
--- a/internal/emulator/sockets_options.go
+++ b/internal/emulator/sockets_options.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// Routers are the processes that a run on sockets plays against.
-type Routers struct {
+// SocketOptions are the options of a run on sockets that concern its router processes.
+type SocketOptions struct {
 	// Program is the router's program; "": quilldoor beside the running program.
 	Program string
 	// Listen is the first router's address for clients; "" or port 0: any address on loopback.
@@ -22,7 +22,7 @@
 	Earlier string
 	// Drive is called beside the run where the scenario's routers are supervised, once all
 	// are ready. The run goes on until it returns. Its error ends the run.
-	Drive func(context.Context, *Supervised) error
+	Drive func(context.Context, *RunningRouters) error
 	// EndWithDrive stops the arrival of clients once Drive has returned.
 	EndWithDrive bool
 }
