--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -33,8 +33,8 @@
 // usable reports whether an endpoint may be sent the request now, or be its fill source. One on probation is given
 // one attempt at a time, none where a health check decides.
 func (r *Router) usable(ep *endpoint, req *request) bool {
-	onTrial := ep.health == probation && (ep.inFlight > 0 || r.config.healthChecks)
-	return ep.active && ep.health != ejected && !onTrial && r.slowStartAllows(ep, req)
+	probationTaken := ep.health == probation && (ep.inFlight > 0 || r.config.healthChecks)
+	return ep.active && ep.health != ejected && !probationTaken && r.slowStartAllows(ep, req)
 }
 
 // selectEndpoint returns the usable endpoint of a role that scores highest for the request's object, those that
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -77,16 +77,17 @@
 	}
 }
 
-// maxBackoffDoublings bounds the exponent of the ejection time; its maximum is reached before.
-const maxBackoffDoublings = 8
+// Times that an ejected endpoint stays out.
+const (
+	ejectionTime    = 1 * second // a process that was restarted is back within seconds
+	maxEjectionTime = 4 * second // a silent machine costs one attempt or health check in that time
+
+	maxBackoffDoublings = 8 // bounds the exponent; maxEjectionTime is reached before
+)
 
 // eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted. An answer that
 // comes meanwhile, even an error or a late one, readmits it at once.
 func (r *Router) eject(ep *endpoint) {
-	const (
-		ejectionTime    = 1 * second // a process that was restarted is back within seconds
-		maxEjectionTime = 4 * second // a silent machine costs one attempt or health check in that time
-	)
 	ep.fillSamples = nil
 	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
 	ep.healthHeldUntil = r.now + backoff
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -7,9 +7,9 @@
 
 const (
 	idempotent idempotency = iota
-	keyedAll               // with an idempotency key that all servers share
-	keyedZone              // ... that the servers of a zone share
-	keyedCell              // ... that the servers of a cell share
+	keyedAll               // with an idempotency key that all endpoints share
+	keyedZone              // ... that the endpoints of a zone share
+	keyedCell              // ... that the endpoints of a cell share
 	notIdempotent
 )
 
@@ -63,17 +63,20 @@
 	return req.attempts[i].endpoint
 }
 
-// noteFirstSent keeps the time from which the dedup window runs, as an attempt is sent. It gives the time before
-// which the attempt must be written; 0: there is no such bound.
-func (r *Router) noteFirstSent(req *request) (sendBefore int64) {
+// startDedupWindow lets the request's dedup window run from now, as an attempt is sent, unless an earlier attempt may
+// have been executed.
+func (r *Router) startDedupWindow(req *request) {
 	if !req.maybeExecuted() {
 		req.firstSentAt = r.now
-		return 0
 	}
-	if retryRules[req.class.idempotency].windowed {
-		return req.firstSentAt + req.class.dedupWindow
+}
+
+// dedupWindowEnd is the time before which the request's next attempt must be written; 0: there is no such bound.
+func (req *request) dedupWindowEnd() int64 {
+	if !req.maybeExecuted() || !retryRules[req.class.idempotency].windowed {
+		return 0
 	}
-	return 0
+	return req.firstSentAt + req.class.dedupWindow
 }
 
 // maxReadAttempts bounds the attempts of a read: one or two elsewhere may find what the first lacks, more only
@@ -103,10 +106,13 @@
 
 // retryWrite sends a write again after a pause, or gives it up where that is not permitted or comes too late.
 func (r *Router) retryWrite(req *request) {
-	const pause = 60 * millisecond // lets an overloaded origin recover
-	req.retryAt = r.now + pause
+	const (
+		writeRetryPause = 60 * millisecond  // lets an overloaded origin recover
+		answerReserve   = 2 * timerInterval // the sweep that sends the attempt, and one to answer in
+	)
+	req.retryAt = r.now + writeRetryPause
 	barred := req.maybeExecuted() && !retryRules[req.class.idempotency].retry
-	late := req.retryAt+2*timerInterval >= req.deadline // the sweep that sends it, and one to answer in
+	late := req.retryAt+answerReserve >= req.deadline
 	if barred || late || len(req.attempts) >= r.config.maxAttempts {
 		r.rejectOrFail(req)
 	}
@@ -120,6 +126,16 @@
 	return failedOneIn*failed >= max(all, minSamples)
 }
 
+// lost reports whether an attempt's endpoint is ejected; or the source of its fill, and half the latency objective
+// is over. Until then the cache may still answer, from its own copies or with what the source had begun to send; the
+// other half is left for another attempt.
+func (r *Router) lost(req *request, a *attempt) bool {
+	const sourceWaitDivisor = 2 // of the class's latency objective
+	sourceWait := req.class.latencyObjective / sourceWaitDivisor
+	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > sourceWait
+	return stuck || a.endpoint.health == ejected
+}
+
 // replaceLostAttempt goes on from an attempt that is in flight to an endpoint that was ejected, or that fills from
 // one. Time in flight alone never leads here. Where the site allows no second attempt beside the first, that is
 // withdrawn, and its end brings a retry.
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -57,13 +57,3 @@
 		r.advance(req, inputEndpointLost)
 	}
 }
-
-// lost reports whether an attempt's endpoint is ejected; or the source of its fill, and half the latency objective
-// is over. Until then the cache may still answer, from its own copies or with what the source had begun to send; the
-// other half is left for another attempt.
-func (r *Router) lost(req *request, a *attempt) bool {
-	const sourceWaitDivisor = 2 // of the class's latency objective
-	sourceWait := req.class.latencyObjective / sourceWaitDivisor
-	stuck := a.kind == attemptFill && a.source.health == ejected && r.now-a.sentAt > sourceWait
-	return stuck || a.endpoint.health == ejected
-}
