--- a/cmd/quilldoor-lab/upgraderow.go
+++ b/cmd/quilldoor-lab/consecutiveupgrades.go
@@ -12,20 +12,20 @@
 	"quilldoor/internal/scenario"
 )
 
-const rowScenario = `
+const consecutiveScenario = `
 settle_s: 1
 length_s: %d
 fleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2, keep: true, trial_s: 0.5}
 load: {txns_per_s: %g}
 `
 
-// upgradeInARow upgrades one router again and again.
-func (o *changesOptions) upgradeInARow(ctx context.Context) error {
-	s, err := scenario.Parse("row", fmt.Appendf(nil, rowScenario, o.row, o.requestsPerS))
+// upgradeConsecutively upgrades one router again and again.
+func (o *changesOptions) upgradeConsecutively(ctx context.Context) error {
+	s, err := scenario.Parse("row", fmt.Appendf(nil, consecutiveScenario, o.consecutive, o.requestsPerS))
 	if err != nil {
 		return err
 	}
-	driver := &rowDriver{upgrades: o.row, durations: newLatencyHistogram()}
+	driver := &consecutiveDriver{upgrades: o.consecutive, durations: newLatencyHistogram()}
 	routers := emulator.SocketOptions{Program: o.routerBin, Drive: driver.drive}
 	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: 1}, routers)
 	if err != nil {
@@ -34,20 +34,20 @@
 	fmt.Printf("%d upgrades, each with a trial of 0.5 s, took p50 %d, at most %d ms; "+
 		"%d requests judged, %d connections refused, %d broken off, rules violated: %v; weight earned %.4f; "+
 		"%d MB and %d descriptors of all processes at the most; the model was %d ms late\n",
-		o.row, driver.durations.ValueAtQuantile(50)/microsPerMilli, driver.durations.Max()/microsPerMilli,
+		o.consecutive, driver.durations.ValueAtQuantile(50)/microsPerMilli, driver.durations.Max()/microsPerMilli,
 		result.Judged, result.RefusedConnections, result.BrokenConnections, result.Violations, result.EarnedShare(),
 		driver.status.PeakMB, driver.status.PeakDescriptors, result.MaxDelay/microsPerMilli)
 	return nil
 }
 
-// rowDriver upgrades the first router of a run a number of times.
-type rowDriver struct {
+// consecutiveDriver upgrades the first router of a run a number of times.
+type consecutiveDriver struct {
 	upgrades  int
 	durations *hdrhistogram.Histogram // of the upgrades, microseconds
 	status    *handoff.Status         // after the last one
 }
 
-func (d *rowDriver) drive(_ context.Context, routers *emulator.RunningRouters) (err error) {
+func (d *consecutiveDriver) drive(_ context.Context, routers *emulator.RunningRouters) (err error) {
 	for i := range d.upgrades {
 		began := time.Now()
 		if err := applyUpgrade(routers, 0); err != nil {
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -42,7 +42,7 @@
 type changesOptions struct {
 	seeds        int
 	requestsPerS float64
-	row          int
+	consecutive  int
 	routerBin    string
 }
 
@@ -56,15 +56,15 @@
 		Long: "All routers of three offices are upgraded at once, beside calm runs, plain restarts and new generations\n" +
 			"that crash; the same seeds on all sides. --row N: one router is upgraded N times in a row instead.",
 		RunE: func(command *cobra.Command, _ []string) error {
-			if options.row > 0 {
-				return options.upgradeInARow(command.Context())
+			if options.consecutive > 0 {
+				return options.upgradeConsecutively(command.Context())
 			}
 			return options.compareCases(command.Context())
 		},
 	}
 	command.Flags().IntVar(&options.seeds, "seeds", 6, "of each")
 	command.Flags().Float64Var(&options.requestsPerS, "txns", 200, "requests a second, over all routers")
-	command.Flags().IntVar(&options.row, "row", 0, "upgrades of one router, one after another")
+	command.Flags().IntVar(&options.consecutive, "row", 0, "upgrades of one router, one after another")
 	command.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
 	return command
 }
