--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -84,5 +84,5 @@
 
 // configPath is the file of the platform's configuration of the router.
 func (r *routerProcess) configPath() string {
-	return filepath.Join(r.dir, fmt.Sprintf("n%d.json", r.id+1))
+	return filepath.Join(r.dir, r.platformName()+".json")
 }
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -22,6 +22,11 @@
 	linkFlows = 4
 )
 
+// platformName is the router's name in the platform's configuration, which the platform may choose
+// without regard to routerName: it counts from 1. The emulator's errors use it, too, as the
+// router's own log does.
+func (r *routerProcess) platformName() string { return fmt.Sprint("n", r.id+1) }
+
 // start writes the platform's configuration, with the endpoint list as it is, and starts the
 // process.
 func (r *routerProcess) start(known []policy.Endpoint) error {
@@ -33,7 +38,7 @@
 	}
 	fleet := &r.scenario.Fleet
 	text, err := json.Marshal(platformConfig{
-		Name:          fmt.Sprint("n", r.id+1),
+		Name:          r.platformName(),
 		Listen:        r.clientAddr,
 		Seed:          fmt.Sprintf("%x", r.id+1+r.startCount<<16),
 		Limits:        processLimits{Cores: processCores, MemoryMB: processMemoryMB, Sockets: processSockets},
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -106,7 +106,7 @@
 func (r *routerProcess) encodeEvent(event any) json.RawMessage {
 	text, err := json.Marshal(event)
 	if err != nil {
-		r.fail(fmt.Errorf("discovery event for router n%d: %w", r.id+1, err))
+		r.fail(fmt.Errorf("discovery event for router %s: %w", r.platformName(), err))
 	}
 	return text
 }
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -36,7 +36,7 @@
 // signal sends a signal to the router's process, if it has not been killed.
 func (r *routerProcess) signal(s os.Signal) {
 	if err := r.cmd.Process.Signal(s); err != nil && !r.killed {
-		r.fail(fmt.Errorf("router n%d: %w", r.id+1, err))
+		r.fail(fmt.Errorf("router %s: %w", r.platformName(), err))
 	}
 }
 
--- a/internal/emulator/process_lifecycle.go
+++ b/internal/emulator/process_lifecycle.go
@@ -38,7 +38,7 @@
 		cmd.Stderr = file
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("router n%d: %w", r.id+1, err)
+		return fmt.Errorf("router %s: %w", r.platformName(), err)
 	}
 	exited := make(chan struct{})
 	r.cmd = cmd
@@ -49,7 +49,7 @@
 		close(exited)
 		r.runInLoop(func() {
 			if r.cmd == cmd && !r.killed {
-				r.fail(fmt.Errorf("router n%d ended by itself (%w); its last lines:\n%s", r.id+1, err, r.recentLog()))
+				r.fail(fmt.Errorf("router %s ended by itself (%w); its last lines:\n%s", r.platformName(), err, r.recentLog()))
 			}
 		})
 	})
@@ -103,7 +103,7 @@
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
 		select {
 		case <-r.exited:
-			return fmt.Errorf("router n%d ended at its start; its last lines:\n%s", r.id+1, r.log.String())
+			return fmt.Errorf("router %s ended at its start; its last lines:\n%s", r.platformName(), r.log.String())
 		case <-r.ctx.Done():
 			return r.ctx.Err()
 		case task := <-r.tasks:
@@ -114,8 +114,8 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("router n%d is not ready after %.0f s (%w); its last lines:\n%s",
-		r.id+1, readyTimeout.Seconds(), health, r.log.String())
+	return fmt.Errorf("router %s is not ready after %.0f s (%w); its last lines:\n%s",
+		r.platformName(), readyTimeout.Seconds(), health, r.log.String())
 }
 
 // checkHealth returns why the router does not serve yet; nil: it does.
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -26,7 +26,8 @@
 	maxForwarded = 256
 )
 
-// routerName is a router's name among members and gateways.
+// routerName is a router's name among members and gateways, and of the files for them. It counts
+// from 0, as the event log does; platformName counts from 1.
 func routerName(router int) string { return fmt.Sprint("n", router) }
 
 func (v *virtualRun) siteOf(router *virtualRouter) int {
