--- a/cmd/quilldoor-lab/rolloutreport_test.go
+++ b/cmd/quilldoor-lab/rolloutreport_test.go
@@ -24,7 +24,7 @@
 			{Name: "n2", Office: "a", Activity: "old"},
 		},
 		Bounds: []rollout.MetricInterval{{
-			Metric:    "loss of worth",
+			Metric:    "lost weight",
 			Tolerance: 0.01,
 			Mean:      0.02,
 			Low:       -0.01,
--- a/cmd/quilldoor/changecommand.go
+++ b/cmd/quilldoor/changecommand.go
@@ -23,8 +23,8 @@
 	errFellBack = errors.New("fell back")
 )
 
-// errNeverLive says that a setting which differs can't change on a running router.
-var errNeverLive = errors.New("some of it can't change on this router")
+// errImmutable says that a setting which differs can't change on a running router.
+var errImmutable = errors.New("some of it can't change on this router")
 
 // supervisorClient talks to the supervisor of a folder.
 type supervisorClient struct {
@@ -153,7 +153,7 @@
 	case len(diff) == 0:
 		fmt.Println("no key differs")
 	case !possible:
-		return errNeverLive
+		return errImmutable
 	case mode == upgrade.ModeLive:
 		fmt.Println("all of it changes while the router runs: put it into the platform's file and send the supervisor SIGHUP")
 	default:
--- a/cmd/quilldoor/diskcache.go
+++ b/cmd/quilldoor/diskcache.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -60,22 +61,42 @@
 	}, nil
 }
 
+// Why responses of a traffic class are not kept on disk.
+var (
+	errClassWrites        = errors.New("writes, which leave no copy")
+	errClassNotIdempotent = errors.New("is not idempotent (Effect is not safe)")
+	errClassDoesNotAge    = errors.New("has no freshness time (GoodForMs)")
+)
+
+// checkCacheable tells why responses of a traffic class can't be kept on disk; nil: they can.
+func checkCacheable(class *policy.TrafficClass) error {
+	switch {
+	case class.Write:
+		return errClassWrites
+	case class.Effect != policy.EffectIdempotent:
+		return errClassNotIdempotent
+	case class.FreshFor <= 0:
+		return errClassDoesNotAge
+	}
+	return nil
+}
+
 // cacheableClasses are the router's traffic classes, cacheable where they can be and
 // where the operator's file names them or none.
 func cacheableClasses(classes []policy.TrafficClass, chosen []string) ([]diskcache.TrafficClass, error) {
 	var list []diskcache.TrafficClass
 	for _, class := range classes {
-		cacheable := class.Effect == policy.EffectIdempotent && !class.Write && class.FreshFor > 0
+		obstacle := checkCacheable(&class)
 		named := slices.Contains(chosen, class.Name)
-		if named && !cacheable {
-			return nil, fmt.Errorf("disk.rules: %s writes, is not repeatable or has no fresh time", class.Name)
+		if named && obstacle != nil {
+			return nil, fmt.Errorf("disk.rules: %s: %w", class.Name, obstacle)
 		}
 		list = append(list, diskcache.TrafficClass{
 			Name:             class.Name,
 			FreshFor:         class.FreshFor,
 			StaleGrace:       class.StaleGrace,
 			LatencyObjective: class.LatencyObjective,
-			Cacheable:        cacheable && (named || len(chosen) == 0),
+			Cacheable:        obstacle == nil && (named || len(chosen) == 0),
 		})
 	}
 	for _, name := range chosen {
--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -107,7 +107,7 @@
 				Cell:      endpoint.Cell,
 				State:     endpoint.State,
 				Weight:    endpoint.Weight,
-				StartedAt: endpoint.Born,
+				StartedAt: endpoint.StartedAt,
 			},
 		}
 	}
@@ -117,14 +117,14 @@
 func toHandoff(list []engine.Endpoint) (endpoints []handoff.Endpoint) {
 	for _, endpoint := range list {
 		endpoints = append(endpoints, handoff.Endpoint{
-			ID:      endpoint.ID,
-			Zone:    endpoint.Zone,
-			Kind:    endpoint.Kind,
-			Cell:    endpoint.Cell,
-			State:   endpoint.State,
-			Weight:  endpoint.Weight,
-			Born:    endpoint.StartedAt,
-			Address: endpoint.Address,
+			ID:        endpoint.ID,
+			Zone:      endpoint.Zone,
+			Kind:      endpoint.Kind,
+			Cell:      endpoint.Cell,
+			State:     endpoint.State,
+			Weight:    endpoint.Weight,
+			StartedAt: endpoint.StartedAt,
+			Address:   endpoint.Address,
 		})
 	}
 	return endpoints
--- a/cmd/quilldoor/gossip.go
+++ b/cmd/quilldoor/gossip.go
@@ -68,16 +68,13 @@
 
 // Tick ends the claims of others that nobody has repeated.
 func (h *gossipHandler) Tick(connectivity membership.Connectivity) {
-	const (
-		interval          = 250_000 // microseconds
-		routersForWitness = 3       // of fewer, one other router's word must do
-	)
+	const interval = 250_000 // microseconds
 	h.mu.Lock()
 	now := h.now()
 	var expired []gossip.Endpoint
 	if now-h.tickedAt >= interval {
 		h.tickedAt = now
-		h.replica.SetSingleConfirmation(connectivity.Known < routersForWitness)
+		h.replica.SetSingleConfirmation(connectivity.Known < gossip.MembersForConfirmation)
 		expired = h.replica.Tick(now, clock())
 	}
 	h.mu.Unlock()
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -21,8 +21,7 @@
 // execute runs the command that the arguments name; newRouter makes the router that the
 // command serve runs.
 func execute(newRouter routerConstructor) {
-	// A SIGHUP that comes before the router can reload must not end it, nor a SIGTERM
-	// before it can answer what it may have accepted.
+	// A SIGHUP that comes before the router can reload must not end it.
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := command(newRouter, hup, term).Execute(); err != nil {
--- a/cmd/quilldoor/rolloutcommand.go
+++ b/cmd/quilldoor/rolloutcommand.go
@@ -80,7 +80,7 @@
 	c := &cobra.Command{Use: "check", Short: "Check the plan, and tell what its stages can show", Args: cobra.NoArgs}
 	c.Flags().StringVar(&path, "plan", "", "the plan; else keep.plan of the operator's file")
 	c.Flags().Float64Var(&spread, "spread", defaultSpread,
-		"standard deviation, over seconds, of the loss of worth between two routers of an office")
+		"standard deviation, over seconds, of the lost weight between two routers of an office")
 	c.RunE = func(*cobra.Command, []string) error {
 		plan, err := readPlan(f, path)
 		if err != nil {
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -65,10 +65,6 @@
 	v.membership.observe(v.simulation.Now(), v.simulation.LastFaultChange(), up, views)
 }
 
-// membersForConfirmation is how many members a router must know of until reports of
-// endpoints need a second source.
-const membersForConfirmation = 3
-
 // maxRequestMicros is the longest time limit of the traffic classes.
 const maxRequestMicros = 5_000_000
 
@@ -105,7 +101,7 @@
 func (p payloadHandler) Tick(host *simfleet.Host) {
 	router := p.routers[host.ID]
 	node := host.Detector.(*membership.Node)
-	router.replica.SetSingleConfirmation(node.Connectivity().Known < membersForConfirmation)
+	router.replica.SetSingleConfirmation(node.Connectivity().Known < gossip.MembersForConfirmation)
 	p.applyEndpoints(router, router.replica.Tick(p.now(), p.now()))
 	p.settle()
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -94,6 +94,10 @@
 // guards reports whether a safeguard is on.
 func (r *Replica) guards(s safeguard) bool { return r.settings.disabled != s }
 
+// MembersForConfirmation is how many members, itself included, a router must know of until reports of endpoints need a
+// second source.
+const MembersForConfirmation = 3
+
 // SetSingleConfirmation sets whether one router's report is enough, as fewer than two others are known.
 func (r *Replica) SetSingleConfirmation(single bool) { r.singleConfirmation = single }
 
--- a/internal/handoff/state.go
+++ b/internal/handoff/state.go
@@ -16,14 +16,14 @@
 
 // Endpoint is an entry of the endpoint list, in discovery's terms.
 type Endpoint struct {
-	ID      string               `cbor:"1,keyasint"`
-	Zone    string               `cbor:"2,keyasint,omitempty"`
-	Kind    string               `cbor:"3,keyasint,omitempty"`
-	Cell    int                  `cbor:"4,keyasint,omitempty"`
-	State   policy.EndpointState `cbor:"5,keyasint"`
-	Weight  float64              `cbor:"6,keyasint,omitempty"`
-	Born    int64                `cbor:"7,keyasint,omitempty"` // when its process started, Unix microseconds
-	Address string               `cbor:"8,keyasint"`           // host:port
+	ID        string               `cbor:"1,keyasint"`
+	Zone      string               `cbor:"2,keyasint,omitempty"`
+	Kind      string               `cbor:"3,keyasint,omitempty"`
+	Cell      int                  `cbor:"4,keyasint,omitempty"`
+	State     policy.EndpointState `cbor:"5,keyasint"`
+	Weight    float64              `cbor:"6,keyasint,omitempty"`
+	StartedAt int64                `cbor:"7,keyasint,omitempty"` // when its process started, Unix microseconds
+	Address   string               `cbor:"8,keyasint"`           // host:port
 }
 
 // Purge of an object, or of a group of objects.
