--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -59,7 +59,7 @@
 	}
 	router.closeRequest(request)
 	s.record(Entry{Kind: eventlog.KindRefused, Router: routerID, Request: requestID})
-	s.retryOrFail(request.client, 0, true)
+	s.retryOrFail(request.clientRequest, 0, true)
 }
 
 // answerArrived is a router's answer at its client.
@@ -67,13 +67,13 @@
 	if s.now > request.deadline+lateTolerance+s.Slack {
 		answer.Outcome = answerLate
 	}
-	client := request.client
+	clientRequest := request.clientRequest
 	if answer.Outcome == AnswerCompleted {
 		s.openRequests--
-		s.Result.countCompleted(s, client, answer.IssuedAt)
+		s.Result.countCompleted(s, clientRequest, answer.IssuedAt)
 		return
 	}
-	s.retryOrFail(client, answer.RetryAfter, answer.Outcome == AnswerRejected || s.idempotent(client.class))
+	s.retryOrFail(clientRequest, answer.RetryAfter, answer.Outcome == AnswerRejected || s.idempotent(clientRequest.class))
 }
 
 // clientTimedOut makes a client leave whose time is over without an answer.
@@ -85,25 +85,25 @@
 	s.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
 	s.Result.TimedOut++
 	s.driver.ClientGone(router.id, request.ID)
-	s.retryOrFail(request.client, 0, s.idempotent(request.Class))
+	s.retryOrFail(request.clientRequest, 0, s.idempotent(request.Class))
 }
 
 // retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
 // it has attempts left.
-func (s *Simulation) retryOrFail(client *client, retryAfter int64, retrySafe bool) {
+func (s *Simulation) retryOrFail(clientRequest *clientRequest, retryAfter int64, retrySafe bool) {
 	load := &s.scenario.Load
-	if !retrySafe || client.attempts > load.Retries {
+	if !retrySafe || clientRequest.attempts > load.Retries {
 		s.openRequests--
-		s.Result.countFailed(client, retrySafe)
+		s.Result.countFailed(clientRequest, retrySafe)
 		return
 	}
 	wait := int64(0)
 	if load.RetryWaitMS > 0 {
-		factor := int64(1) << min(client.attempts-1, maxBackoffDoublings)
+		factor := int64(1) << min(clientRequest.attempts-1, maxBackoffDoublings)
 		wait = s.jitter(load.RetryWaitMS * millisecond * float64(factor))
 	}
-	if client.honoursRetryAfter {
+	if clientRequest.honoursRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	s.schedule(wait, func() { s.sendRequest(client) })
+	s.schedule(wait, func() { s.sendRequest(clientRequest) })
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -64,10 +64,10 @@
 	switch draw := s.random.Float64() * total; {
 	case draw < load.WriteShare:
 		object := s.catalogue.newOneTimeObject(scenario.ClassPage)
-		s.beginRequest(&client{office: office, class: scenario.ClassAccept, object: object})
+		s.beginRequest(&clientRequest{office: office, class: scenario.ClassAccept, object: object})
 	case draw < load.WriteShare+page:
 		object := s.pickObject(scenario.ClassPage, office)
-		s.beginRequest(&client{office: office, class: scenario.ClassPage, object: object})
+		s.beginRequest(&clientRequest{office: office, class: scenario.ClassPage, object: object})
 	default:
 		s.watchVideo(&viewer{office: office, object: s.pickObject(scenario.ClassVideo, office)})
 	}
@@ -83,7 +83,7 @@
 
 // watchVideo requests a video's next part, and schedules the one after it unless the viewer stops.
 func (s *Simulation) watchVideo(viewer *viewer) {
-	s.beginRequest(&client{
+	s.beginRequest(&clientRequest{
 		office: viewer.office, class: scenario.ClassVideo, object: viewer.object, part: viewer.part,
 	})
 	viewer.part++
@@ -95,13 +95,13 @@
 }
 
 // beginRequest starts a client's request with its first attempt.
-func (s *Simulation) beginRequest(client *client) {
+func (s *Simulation) beginRequest(clientRequest *clientRequest) {
 	load := &s.scenario.Load
-	client.startedAt = s.now
-	client.honoursRetryAfter = s.random.Float64() < load.HonourShare
-	client.timeLimit = int64(float64(s.classes[client.class].Timeout) * load.Patience)
-	client.phase = s.currentPhase()
-	s.Result.countRequest(s, client)
+	clientRequest.startedAt = s.now
+	clientRequest.honoursRetryAfter = s.random.Float64() < load.HonourShare
+	clientRequest.timeLimit = int64(float64(s.classes[clientRequest.class].Timeout) * load.Patience)
+	clientRequest.phase = s.currentPhase()
+	s.Result.countRequest(s, clientRequest)
 	s.openRequests++
-	s.sendRequest(client)
+	s.sendRequest(clientRequest)
 }
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -3,24 +3,24 @@
 import "quilldoor/internal/scenario"
 
 // outcomes are the counts of a client's traffic class and phase.
-func (r *Result) outcomes(client *client) *Outcomes {
-	class := r.Classes[client.class]
-	outcomes := class.Phases[client.phase]
+func (r *Result) outcomes(clientRequest *clientRequest) *Outcomes {
+	class := r.Classes[clientRequest.class]
+	outcomes := class.Phases[clientRequest.phase]
 	if outcomes == nil {
 		outcomes = &Outcomes{}
-		class.Phases[client.phase] = outcomes
+		class.Phases[clientRequest.phase] = outcomes
 	}
 	return outcomes
 }
 
 // countRequest counts a client's new request.
-func (r *Result) countRequest(sim *Simulation, client *client) {
+func (r *Result) countRequest(sim *Simulation, clientRequest *clientRequest) {
 	r.current.Requests++
-	outcomes := r.outcomes(client)
+	outcomes := r.outcomes(clientRequest)
 	outcomes.Requests++
-	outcomes.PossibleWeight += sim.classes[client.class].PriorityWeight
-	if client.phase != phaseWarmUp && client.class != scenario.ClassAccept {
-		r.RequestedKB += sim.catalogue.size(client.object, client.part)
+	outcomes.PossibleWeight += sim.classes[clientRequest.class].PriorityWeight
+	if clientRequest.phase != phaseWarmUp && clientRequest.class != scenario.ClassAccept {
+		r.RequestedKB += sim.catalogue.size(clientRequest.object, clientRequest.part)
 	}
 }
 
@@ -43,15 +43,15 @@
 }
 
 // countCompleted counts a usable answer by its latency from the client's first attempt.
-func (r *Result) countCompleted(sim *Simulation, client *client, issuedAt int64) {
-	class := &sim.classes[client.class]
-	latency := sim.now - client.startedAt
-	r.Classes[client.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
-	work := sim.flowTime(sim.catalogue.size(client.object, client.part))
+func (r *Result) countCompleted(sim *Simulation, clientRequest *clientRequest, issuedAt int64) {
+	class := &sim.classes[clientRequest.class]
+	latency := sim.now - clientRequest.startedAt
+	r.Classes[clientRequest.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
+	work := sim.flowTime(sim.catalogue.size(clientRequest.object, clientRequest.part))
 	if class.Write {
 		work = 0
 	}
-	outcomes := r.outcomes(client)
+	outcomes := r.outcomes(clientRequest)
 	weight := class.PriorityWeight
 	if latency <= class.LatencyObjective+int64(class.ObjectiveStretch*work) {
 		outcomes.InTime++
@@ -69,9 +69,9 @@
 }
 
 // countFailed counts a request without a usable answer.
-func (r *Result) countFailed(client *client, retrySafe bool) {
+func (r *Result) countFailed(clientRequest *clientRequest, retrySafe bool) {
 	r.current.NotCompleted++
-	outcomes := r.outcomes(client)
+	outcomes := r.outcomes(clientRequest)
 	if retrySafe {
 		outcomes.Rejected++
 	} else {
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -14,7 +14,8 @@
 	writeRequestKB = 1
 )
 
-// Request is one attempt of a client at a request, as it reaches a router.
+// Request is one attempt of a client at a request, as it reaches a router: a router takes each attempt for a request of
+// its own. The client's request, over all attempts, is a clientRequest.
 type Request struct {
 	Router    int
 	ID        string // ID of the request, new for each of the client's attempts
@@ -27,16 +28,16 @@
 	Retry     bool  // marked as a client's retry
 	Write     bool
 
-	client   *client
-	deadline int64
-	open     bool // the router has it and has not answered
+	clientRequest *clientRequest
+	deadline      int64
+	open          bool // the router has it and has not answered
 }
 
 // Deadline is when the client stops waiting.
 func (r *Request) Deadline() int64 { return r.deadline }
 
-// client is a client with one request, over all its attempts.
-type client struct {
+// clientRequest is a request as its client sees it, over all the client's attempts.
+type clientRequest struct {
 	office, class     int
 	object, part      int64
 	attempts          int
@@ -47,24 +48,24 @@
 }
 
 // sendRequest sends a client's next attempt to a router of its office that is not known to be down.
-func (s *Simulation) sendRequest(client *client) {
-	candidates := s.routersInService(client.office)
-	client.attempts++
+func (s *Simulation) sendRequest(clientRequest *clientRequest) {
+	candidates := s.routersInService(clientRequest.office)
+	clientRequest.attempts++
 	if len(candidates) == 0 {
-		s.retryOrFail(client, 0, true)
+		s.retryOrFail(clientRequest, 0, true)
 		return
 	}
 	router := candidates[s.random.IntN(len(candidates))]
-	request := s.newRequest(router, client)
+	request := s.newRequest(router, clientRequest)
 	delay := s.clientDelay()
 	s.schedule(delay, func() {
 		if !router.up { // the connection is refused, so the request has not been executed
-			s.schedule(delay, func() { s.retryOrFail(client, 0, true) })
+			s.schedule(delay, func() { s.retryOrFail(clientRequest, 0, true) })
 			return
 		}
 		s.requestArrived(router, request)
 	})
-	s.schedule(client.timeLimit+2*delay+s.Slack, func() { s.clientTimedOut(router, request) })
+	s.schedule(clientRequest.timeLimit+2*delay+s.Slack, func() { s.clientTimedOut(router, request) })
 }
 
 // routersInService are the routers of an office that clients are sent to.
@@ -79,21 +80,21 @@
 }
 
 // newRequest makes a client's next attempt, for a router.
-func (s *Simulation) newRequest(router *router, client *client) *Request {
+func (s *Simulation) newRequest(router *router, clientRequest *clientRequest) *Request {
 	s.clients.requestCount++
 	request := &Request{
-		Router:    router.id,
-		ID:        fmt.Sprintf("%016x", s.clients.requestCount),
-		Class:     client.class,
-		Object:    s.catalogue.name(client.object),
-		Group:     s.catalogue.group(client.object),
-		Part:      client.part,
-		SizeKB:    s.catalogue.size(client.object, client.part),
-		Remaining: client.timeLimit,
-		Retry:     client.attempts > 1,
-		Write:     s.classes[client.class].Write,
-		client:    client,
-		deadline:  s.now + client.timeLimit,
+		Router:        router.id,
+		ID:            fmt.Sprintf("%016x", s.clients.requestCount),
+		Class:         clientRequest.class,
+		Object:        s.catalogue.name(clientRequest.object),
+		Group:         s.catalogue.group(clientRequest.object),
+		Part:          clientRequest.part,
+		SizeKB:        s.catalogue.size(clientRequest.object, clientRequest.part),
+		Remaining:     clientRequest.timeLimit,
+		Retry:         clientRequest.attempts > 1,
+		Write:         s.classes[clientRequest.class].Write,
+		clientRequest: clientRequest,
+		deadline:      s.now + clientRequest.timeLimit,
 	}
 	if request.Write {
 		request.SizeKB = writeRequestKB
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -67,7 +67,7 @@
 		}
 		router.closeRequest(request)
 		s.schedule(s.clientDelay(), func() {
-			s.retryOrFail(request.client, 0, s.idempotent(request.Class))
+			s.retryOrFail(request.clientRequest, 0, s.idempotent(request.Class))
 		})
 	}
 	router.arrivalOrder = nil
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -74,8 +74,8 @@
 	return hitShare
 }
 
-// A store never holds more than its capacity and evicts copies of lower priorities first. Its rings and its map hold the
-// same copies.
+// A store never holds more than its capacity and evicts copies of lower priorities first. Its rings and its map hold
+// the same copies.
 func TestStoreStaysWithinCapacityAndEvictsLowPrioritiesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
