--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -79,7 +79,7 @@
 	Checked     int // requests
 
 	// Excused requests were due while their router's process was suspended, or within the
-	// time it has to wake up. They are no violations; what the router does after it has
+	// time it has to resume. They are no violations; what the router does after it has
 	// resumed is judged in full.
 	Excused int
 }
