--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -160,7 +160,7 @@
 func pollRollout(routers *emulator.RunningRouters) rolloutPoll {
 	var poll rolloutPoll
 	for router := range routers.Count() {
-		status, err := routers.Rollout(router, 0)
+		status, err := routers.Rollout(router, rollout.CommandNone)
 		if err != nil {
 			continue // a router that is being replaced has no status for a moment
 		}
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -53,7 +53,7 @@
 	var lastErr error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, router := range routers {
-			status, err := fleet.Rollout(router, 0)
+			status, err := fleet.Rollout(router, rollout.CommandNone)
 			if err != nil {
 				lastErr = err
 				continue
@@ -74,7 +74,7 @@
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
 		for i := range fleet.Count() {
-			if status, err := fleet.Rollout(i, 0); err == nil && !status.Recovering {
+			if status, err := fleet.Rollout(i, rollout.CommandNone); err == nil && !status.Recovering {
 				ready++
 			}
 		}
@@ -93,7 +93,7 @@
 func waitForLeader(fleet *emulator.RunningRouters, routers []int) (int, error) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, router := range routers {
-			if status, err := fleet.Rollout(router, 0); err == nil && status.IsLeader && status.Phase == "forward" {
+			if status, err := fleet.Rollout(router, rollout.CommandNone); err == nil && status.IsLeader && status.Phase == "forward" {
 				return router, nil
 			}
 		}
--- a/cmd/quilldoor/rolloutcommand.go
+++ b/cmd/quilldoor/rolloutcommand.go
@@ -43,9 +43,6 @@
 	return c
 }
 
-// noCommand asks a supervisor for the status of its rollout only.
-const noCommand rollout.Command = 0
-
 // rollout sends a command.
 func (c *supervisorClient) rollout(command rollout.Command) (*handoff.Message, error) {
 	answer, err := c.request(&handoff.Message{Kind: handoff.KindRollout, Command: command}, nil)
@@ -60,7 +57,7 @@
 	c := &cobra.Command{Use: "status", Short: "Tell where it stands; the leader knows most", Args: cobra.NoArgs}
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
-		answer, err := client.rollout(noCommand)
+		answer, err := client.rollout(rollout.CommandNone)
 		if err != nil {
 			return err
 		}
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -281,8 +281,8 @@
 type PeerAnswer struct {
 	Outcome           Outcome
 	NeverRan          bool  // of OutcomeRejected: it was not executed there
-	IssuedMillis      int64 // of OutcomeCompleted: Unix ms of the copy's issue by the origin; 0: no copy
-	LatestPurgeMillis int64 // Unix ms of the latest purge known here that covers it; 0: none
+	IssuedMillis      int64 // of OutcomeCompleted: the copy's issue by the origin, Unix ms or any one clock and unit of both; 0: no copy
+	LatestPurgeMillis int64 // the latest purge known here that covers it, on the same clock; 0: none
 }
 
 // HandleAnswer takes a peer's answer to a request. A second one, or one for a request
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -61,8 +61,9 @@
 
 // Commands of an operator. One that does not fit the phase changes nothing.
 const (
-	CommandStart    Command = 1 + iota // begin a rollout of the plan, from its first stage
-	CommandPause                       // change no further router until CommandResume
-	CommandResume                      // go on from a pause, with a new watch of the stage
-	CommandRollBack                    // return all changed routers to the old generation
+	CommandNone     Command = iota // asks for the status only
+	CommandStart                   // begin a rollout of the plan, from its first stage
+	CommandPause                   // change no further router until CommandResume
+	CommandResume                  // go on from a pause, with a new watch of the stage
+	CommandRollBack                // return all changed routers to the old generation
 )
