--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -63,7 +63,7 @@
 	hedging       bool // a second attempt may be sent while one is in flight
 	pollDiscovery bool
 	liveWeights   bool // weights follow the load
-	reasonsGiven  bool // every answer of a cache gives its reason
+	reasonsGiven  bool // every error that a cache answers gives its reason
 }
 
 // New starts a Router from its settings and the seed of its random draws. Routers with equal settings, seeds and
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -31,7 +31,7 @@
 // WeightLive are weights that follow the load, and so differ from router to router; others are sizes.
 const WeightLive WeightKind = "live"
 
-// ReasonsGiven says which answers of caches carry a Reason.
+// ReasonsGiven says which answers of caches carry a Reason. Decisions look at those of errors alone.
 type ReasonsGiven string
 
 // ReasonsAll is given where each answer carries one.
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -23,8 +23,8 @@
 	latencySignificant = 3 // significant decimal digits
 )
 
-// Result is the outcome of a run. Its JSON keys are older than its field names and stay. Counts leave out requests that
-// began while the run warmed up, except for those of servers and links.
+// Result is the outcome of a run. Its JSON keys are older than its field names and stay. Counts include the warm-up
+// unless they say otherwise; ClassResult counts by phase.
 type Result struct {
 	Classes  []*ClassResult `json:"Rules"` // by traffic class
 	Timeline []Second
--- a/internal/upgrade/requestcounts.go
+++ b/internal/upgrade/requestcounts.go
@@ -10,7 +10,7 @@
 	Rejected      int64   `cbor:"2,keyasint,omitempty"`               // answered that repeating it is harmless
 	Aborted       int64   `cbor:"3,keyasint,omitempty"`               // answered that it failed: it may have been executed
 	ClientGone    int64   `cbor:"4,keyasint,omitempty" json:"Left"`   // the client went before it had an answer
-	Late          int64   `cbor:"5,keyasint,omitempty"`               // of the completed
+	Late          int64   `cbor:"5,keyasint,omitempty"`               // of all kinds: ended after the deadline
 	WeightOffered float64 `cbor:"6,keyasint,omitempty" json:"Asked"`  // sum of the requests' priority weights
 	WeightEarned  float64 `cbor:"7,keyasint,omitempty" json:"Earned"` // the part of it that latency objectives grant
 	LogLatencySum float64 `cbor:"8,keyasint,omitempty" json:"Time"`   // sum of ln(latency / objective) of the completed
