--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -8,36 +8,38 @@
 	"quilldoor/internal/engine"
 )
 
-// Call is an attempt on the sockets, with what the client sent. It is the
-// attempt's engine.Transport.
+const microsPerMilli = 1000
+
+// Call is an attempt to be sent on a connection, with the parameters and the body of
+// its request. It is the attempt's engine.Transport.
 type Call struct {
 	Attempt        *engine.Attempt
 	Class          string
 	Object         string
 	Part           int64            // of the object
-	Tag            string           // of the copy that the client or router has; "": none
+	Tag            string           // of the copy that the client or the router holds; "": none
 	IdempotencyKey string           // "": none
 	Body           *bufferpool.Body // nil: none
-	Write          bool             // its response is no copy of an object
+	Write          bool             // the response carries no copy of an object
 
-	conn      *conn     // under the pool's lock, as writtenAt
-	writtenAt time.Time // when the batch with it was begun
+	conn      *conn     // set by Send, which returns before Drop may be called; nil: not sent
+	writtenAt time.Time // when the write of its batch began; guarded by Pool.mu
 }
 
-// Response is a response's body and tag; it is what a request is answered with.
+// Response is the response to an attempt, from which the request's response is made.
 type Response struct {
 	*bufferpool.Body
 	Tag          string
-	NotModified  bool  // the copy whose Call.Tag was sent is the current one
-	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out; 0: no copy
+	NotModified  bool  // the copy with the tag Call.Tag is current
+	IssuedMillis int64 // when the origin issued the copy, in Unix milliseconds; 0: no copy
 }
 
-// id names the call on its connection.
+// id returns the request's id, which identifies the call on its connection.
 func (c *Call) id() string { return c.Attempt.Request.ID }
 
-// Drop gives the attempt up. Silent says that it timed out: if its connection has
-// received nothing since the attempt was written, the machine may be gone, and
-// nothing new is sent there.
+// Drop abandons the attempt. silent means that it timed out without a response. If its
+// connection then has received nothing since the attempt was written, the machine may
+// be unreachable, and the connection accepts no new work.
 func (c *Call) Drop(silent bool) {
 	conn := c.conn
 	if conn == nil {
@@ -55,7 +57,7 @@
 	if begun {
 		conn.abandoned[c.id()] = time.Now()
 	}
-	conn.noteIdle()
+	conn.checkIdle()
 	if !begun || conn.closed {
 		pool.mu.Unlock()
 		return
@@ -63,9 +65,9 @@
 	conn.enqueueAndUnlock(outgoing{drop: c.id()})
 }
 
-// command is the attempt's command at the time of writing, in microseconds. The
-// protocol's times are whole milliseconds: a maximum age is rounded down, since
-// older copies are not permitted, but not to 0, which would mean the default.
+// command returns the attempt's command, written at now, in Unix microseconds. The
+// protocol's times are whole milliseconds. A maximum age is rounded down, since older
+// copies are not permitted, but to no less than 1: 0 selects the class's default.
 func (c *Call) command(now int64) *cacheproto.GetCommand {
 	attempt := c.Attempt
 	command := &cacheproto.GetCommand{
@@ -79,16 +81,16 @@
 		Tag:            c.Tag,
 		IdempotencyKey: c.IdempotencyKey,
 		Length:         c.Body.Len(),
-		BudgetMillis:   max((attempt.Deadline-now)/1000, 1),
+		BudgetMillis:   max((attempt.Deadline-now)/microsPerMilli, 1),
 	}
 	if attempt.MaxAge > 0 {
-		command.MaxAgeMillis = max(attempt.MaxAge/1000, 1)
+		command.MaxAgeMillis = max(attempt.MaxAge/microsPerMilli, 1)
 	}
 	return command
 }
 
-// accepts reports whether a response can be one to the call. A copy names its tag
-// and when it was issued.
+// accepts reports whether a response is valid for the call. A response that carries or
+// confirms a copy must have the copy's tag and issue time.
 func (c *Call) accepts(response *cacheproto.Response) bool {
 	isCopy := false
 	switch response.Status {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,32 +14,32 @@
 	"quilldoor/internal/policy"
 )
 
-// conn is one connection. Its state is under the pool's lock.
+// conn is one connection. Pool.mu guards its mutable state.
 type conn struct {
 	pool         *Pool
 	peer         *peer
-	calls        map[string]*Call         // in flight, by id
-	abandoned    map[string]time.Time     // ids of ended attempts whose responses may still come
-	healthChecks map[string]func(ok bool) // unanswered, by id
+	calls        map[string]*Call         // queued or in flight, by id
+	abandoned    map[string]time.Time     // when attempts ended whose responses may still arrive, by id
+	healthChecks map[string]func(ok bool) // pending, by id
 	queue        []outgoing
 
 	connected bool
-	writing   bool // a goroutine empties the queue
-	suspect   bool // received nothing for as long as an attempt had
-	draining  bool // ends with its calls
+	writing   bool // a goroutine is writing the queue
+	suspect   bool // accepts no new work, since an attempt timed out with nothing received, or a health check timed out
+	draining  bool // accepts no new work, since its endpoint is drained
 	closed    bool
 
 	idleSince    time.Time
 	lastReceived time.Time
 	cancelDial   context.CancelFunc
-	socket       net.Conn // set once connected
+	socket       net.Conn // nil until connected
 }
 
 func (c *conn) idle() bool { return c.connected && len(c.calls) == 0 && len(c.healthChecks) == 0 }
 
-// noteIdle notes that the connection may have become idle, and closes one that
-// is to take nothing new.
-func (c *conn) noteIdle() {
+// checkIdle records the time if the connection has no calls and no health checks
+// left. It then closes a connection that accepts no new work.
+func (c *conn) checkIdle() {
 	if len(c.calls) > 0 || len(c.healthChecks) > 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-// withdrawUnsent removes the calls that have not begun.
+// withdrawUnsent removes the calls of which nothing was written, and returns them.
 func (c *conn) withdrawUnsent() (unsent []*Call) {
 	for id, call := range c.calls {
 		if call.Attempt.Withdraw() {
@@ -60,25 +60,27 @@
 	return unsent
 }
 
-// forgetAbandoned forgets the attempts that were abandoned before a time.
-func (c *conn) forgetAbandoned(before time.Time) {
+// forgetAbandoned removes the attempts that were abandoned before the cutoff.
+func (c *conn) forgetAbandoned(cutoff time.Time) {
 	for id, since := range c.abandoned {
-		if since.Before(before) {
+		if since.Before(cutoff) {
 			delete(c.abandoned, id)
 		}
 	}
 }
 
-// close removes the connection from the pool and ends its goroutine.
+// close removes the connection from the pool and closes its socket, so that run
+// returns. The caller holds the pool's lock.
 func (c *conn) close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.pool.connCount--
-	// A new list, since the caller may be ranging over the old one.
+	// The list is copied, since the caller may be iterating over it.
 	c.peer.conns = slices.DeleteFunc(slices.Clone(c.peer.conns), func(other *conn) bool { return other == c })
-	// Endpoints come and go all day: one without connections is not kept.
+	// Endpoints are listed and removed all the time. Peers without connections would
+	// accumulate.
 	if len(c.peer.conns) == 0 && c.pool.peers[c.peer.peerKey] == c.peer {
 		delete(c.pool.peers, c.peer.peerKey)
 	}
@@ -88,7 +90,8 @@
 	}
 }
 
-// run dials, writes what was queued meanwhile, and reads to the end.
+// run dials, writes the items that were queued meanwhile, and reads responses until
+// the connection ends.
 func (c *conn) run(ctx context.Context) {
 	socket, err := new(net.Dialer).DialContext(ctx, "tcp", c.peer.address)
 	if err != nil {
@@ -111,7 +114,8 @@
 	c.end(c.read())
 }
 
-// end closes the connection and ends what is left on it.
+// end closes the connection, ends its attempts and health checks, and releases the
+// bodies in its queue.
 func (c *conn) end(err error) {
 	c.pool.mu.Lock()
 	c.close()
@@ -129,13 +133,15 @@
 		if call.Attempt.Withdraw() {
 			outcome = policy.OutcomeConnectionRefused
 		}
-		c.pool.ended(call.Attempt, engine.Result{Outcome: outcome})
+		c.pool.reportResult(call.Attempt, engine.Result{Outcome: outcome})
 	}
 	for _, done := range healthChecks {
 		done(false)
 	}
 }
 
+// logEnd logs a protocol violation, or how many attempts an error has ended. It logs
+// nothing for an idle connection.
 func (c *conn) logEnd(err error, calls int) {
 	entry := c.pool.log.WithFields(logrus.Fields{"endpoint": c.peer.id, "attempts": calls}).WithError(err)
 	switch {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,26 +12,27 @@
 	"quilldoor/internal/policy"
 )
 
-// ResultFunc is called with an attempt's result, without the pool's lock.
+// ResultFunc receives the result of an attempt. The pool calls it without holding
+// its lock.
 type ResultFunc func(attempt *engine.Attempt, result engine.Result)
 
 // Pool holds the connections to all endpoints. Its methods may be called from
 // any goroutine.
 type Pool struct {
-	limits *config.Limits
-	bodies *bufferpool.Pool
-	ended  ResultFunc
-	log    *logrus.Entry
+	limits       *config.Limits
+	bodies       *bufferpool.Pool
+	reportResult ResultFunc
+	log          *logrus.Entry
 
 	mu        sync.Mutex
-	peers     map[peerKey]*peer // only those with connections, but while Send looks for one
+	peers     map[peerKey]*peer // one whose last connection closes is removed
 	connCount int
 	maxConns  int
 	closed    bool
 }
 
-// peerKey is an endpoint's id and address: connections for one of the two lead
-// nowhere else if the other changes.
+// peerKey is an endpoint's id and address. An endpoint that changes either of them
+// gets new connections.
 type peerKey struct{ id, address string }
 
 func keyOf(endpoint *engine.Endpoint) peerKey { return peerKey{endpoint.ID, endpoint.Address} }
@@ -42,38 +43,41 @@
 	conns []*conn
 }
 
-// New makes an empty pool.
-func New(limits *config.Limits, bodies *bufferpool.Pool, ended ResultFunc, log *logrus.Entry) *Pool {
+// New returns a pool without connections. It reports the results of attempts to
+// reportResult.
+func New(limits *config.Limits, bodies *bufferpool.Pool, reportResult ResultFunc, log *logrus.Entry) *Pool {
 	return &Pool{
-		limits:   limits,
-		bodies:   bodies,
-		ended:    ended,
-		log:      log,
-		peers:    map[peerKey]*peer{},
-		maxConns: limits.MaxUpstreamConns,
+		limits:       limits,
+		bodies:       bodies,
+		reportResult: reportResult,
+		log:          log,
+		peers:        map[peerKey]*peer{},
+		maxConns:     limits.MaxUpstreamConns,
 	}
 }
 
-// SetMaxConns bounds the connections to all endpoints together; those that are open stay.
-// New begins with config.Limits.MaxUpstreamConns.
+// SetMaxConns bounds the connections to all endpoints together, which
+// config.Limits.MaxUpstreamConns bounds initially. Open connections above a lower bound
+// stay open.
 func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = maxConns
 }
 
-// Send puts an attempt on a connection, or opens one for it. Where neither is possible, it
-// reports OutcomeConnectionRefused before it returns. A withdrawn attempt is passed over.
+// Send queues an attempt on a connection, and opens one if needed. If no connection can
+// accept the attempt, Send reports OutcomeConnectionRefused before it returns. A withdrawn
+// attempt is ignored.
 func (p *Pool) Send(call *Call) {
-	if call.Attempt.Withdrawn() { // the client left as it was decided
+	if call.Attempt.Withdrawn() { // its request ended before Send was called
 		return
 	}
 	p.mu.Lock()
-	conn := p.selectConn(p.peer(call.Attempt.Endpoint), call.id())
+	conn := p.selectConn(p.ensurePeer(call.Attempt.Endpoint), call.id())
 	if conn == nil {
 		p.mu.Unlock()
 		call.Attempt.Withdraw()
-		p.ended(call.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
+		p.reportResult(call.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
 		return
 	}
 	call.conn = conn
@@ -82,12 +86,14 @@
 	conn.enqueueAndUnlock(outgoing{call: call})
 }
 
-// CheckHealth asks an endpoint whether it is ready. Done is called, from any goroutine or
-// before this returns, unless the check is cancelled first; ok is false if there was no
-// answer. It sets no time limit. id is unique among the requests and checks in flight.
+// CheckHealth sends a ping to an endpoint. It calls done with true when the endpoint
+// responds, and with false when it can no longer respond: there is no connection, or the
+// connection ended. done may be called on any goroutine, also before CheckHealth returns.
+// It is not called if the check is cancelled before a response arrives. The check has no
+// timeout of its own. id must be unique among the requests and health checks in flight.
 func (p *Pool) CheckHealth(endpoint *engine.Endpoint, id string, done func(ok bool)) {
 	p.mu.Lock()
-	conn := p.selectConn(p.peer(endpoint), id)
+	conn := p.selectConn(p.ensurePeer(endpoint), id)
 	if conn == nil {
 		p.mu.Unlock()
 		done(false)
@@ -97,8 +103,9 @@
 	conn.enqueueAndUnlock(outgoing{ping: id})
 }
 
-// CancelHealthCheck forgets a health check and reports whether it was still
-// unanswered. Nothing new is sent on its connection then.
+// CancelHealthCheck removes a health check and reports whether it was pending.
+// The connection of a pending check accepts no new work, since the endpoint did
+// not respond on it.
 func (p *Pool) CancelHealthCheck(endpoint *engine.Endpoint, id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,16 +117,16 @@
 		if conn.healthChecks[id] != nil {
 			delete(conn.healthChecks, id)
 			conn.suspect = true
-			conn.noteIdle()
+			conn.checkIdle()
 			return true
 		}
 	}
 	return false
 }
 
-// Drain lets connections to endpoints that take no new work end with their
-// attempts. An attempt that is not on a connection yet is skipped, since it is
-// proven not to have run.
+// Drain closes the connections to endpoints that accept no new work, each once
+// its last attempt or health check has ended. An attempt of which nothing was
+// written is certain not to have run, so it ends with OutcomeSkipped.
 func (p *Pool) Drain(endpoints []*engine.Endpoint) {
 	p.mu.Lock()
 	var unsent []*Call
@@ -132,18 +139,18 @@
 		for _, conn := range peer.conns {
 			unsent = append(unsent, conn.withdrawUnsent()...)
 			conn.draining = true
-			conn.noteIdle()
+			conn.checkIdle()
 		}
 	}
 	p.mu.Unlock()
 	for _, call := range unsent {
-		p.ended(call.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
+		p.reportResult(call.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
 	}
 }
 
 // Sweep closes connections that have been idle for config.Limits.UpstreamIdleTimeout,
-// before the server does, and forgets abandoned attempts whose responses can't come any
-// more. It is called at intervals.
+// which ends before the server's own idle timeout. It also removes the abandoned attempts
+// whose responses can no longer arrive. It is to be called at regular intervals.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +164,8 @@
 	}
 }
 
-// Close closes every connection and opens no more.
+// Close closes all connections except the draining ones, which close with their last
+// attempt or health check. The pool opens no new connection afterwards.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +177,8 @@
 	}
 }
 
-// ConnCount returns how many connections there are.
+// ConnCount returns the number of connections, including those that are being dialled or
+// drained.
 func (p *Pool) ConnCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,16 +15,18 @@
 	"quilldoor/internal/policy"
 )
 
-// testPool is a pool and the listener of an endpoint that answers nothing by itself.
+// testPool is a pool and the listener of an endpoint. The test sends the endpoint's
+// responses itself.
 type testPool struct {
 	*Pool
 	net.Listener
-	outcomes chan policy.Outcome // of attempts that ended
+	outcomes chan policy.Outcome // of the attempts that were reported
 }
 
-func newTestPool(t *testing.T, change func(*config.Limits)) *testPool {
+// newTestPool starts a pool with small limits, which configure changes; nil: it changes none.
+func newTestPool(t *testing.T, configure func(*config.Limits)) *testPool {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,23 +41,25 @@
 		ReadStallTimeout:    5 * time.Second,
 		MaxDecisionAge:      5 * time.Second,
 	}
-	if change != nil {
-		change(limits)
+	if configure != nil {
+		configure(limits)
 	}
-	pool := &testPool{Listener: l, outcomes: make(chan policy.Outcome, 100)}
+	pool := &testPool{Listener: listener, outcomes: make(chan policy.Outcome, 100)}
 	log := logrus.NewEntry(logrus.New())
 	log.Logger.SetLevel(logrus.ErrorLevel)
-	ended := func(_ *engine.Attempt, result engine.Result) { pool.outcomes <- result.Outcome }
-	pool.Pool = New(limits, bufferpool.NewPool(1<<20), ended, log)
+	reportResult := func(_ *engine.Attempt, result engine.Result) { pool.outcomes <- result.Outcome }
+	pool.Pool = New(limits, bufferpool.NewPool(1<<20), reportResult, log)
 	t.Cleanup(func() {
-		l.Close()
+		listener.Close()
 		pool.Close()
 	})
 	return pool
 }
 
+// Close resolves the conflict of the two embedded Close methods.
 func (pool *testPool) Close() { pool.Pool.Close() }
 
+// call makes a call to the endpoint that has a second until its deadline.
 func (pool *testPool) call(id string) *Call {
 	endpoint := &engine.Endpoint{Endpoint: policy.Endpoint{ID: "c"}, Address: pool.Addr().String()}
 	return &Call{Class: "page", Object: "x", Attempt: &engine.Attempt{
@@ -64,84 +68,91 @@
 	}}
 }
 
-// accept accepts a connection and reads its first line.
+// accept accepts a connection and reads the first line, which is a command.
 func (pool *testPool) accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := pool.Accept()
+	conn, err := pool.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	r := bufio.NewReader(c)
-	if _, err := r.ReadString('\n'); err != nil {
+	t.Cleanup(func() { conn.Close() })
+	reader := bufio.NewReader(conn)
+	if _, err := reader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	return c, r
+	return conn, reader
 }
 
-// sendOnNewConn sends the call a, for which the pool must open a connection, and accepts that.
+// sendOnNewConn sends the call "a", for which the pool must open a connection, and accepts
+// the connection. The end of the call's empty body is left to read.
 func (pool *testPool) sendOnNewConn(t *testing.T) (*Call, net.Conn, *bufio.Reader) {
 	t.Helper()
 	call := pool.call("a")
 	pool.Send(call)
-	c, r := pool.accept(t)
-	return call, c, r
+	conn, reader := pool.accept(t)
+	return call, conn, reader
 }
 
-// A machine that has vanished leaves its connections open: each attempt on one
-// timed out, where a new connection is refused at once.
+// A machine that fails without closing its connections lets every attempt on them time
+// out, while a new connection is refused at once. A connection with no response until the
+// timeout must therefore close.
 func TestSuspectConnectionTakesNothingNew(t *testing.T) {
 	pool := newTestPool(t, nil)
-	call, c, r := pool.sendOnNewConn(t)
+	call, conn, reader := pool.sendOnNewConn(t)
 	call.Drop(true)
-	r.ReadString('\n') // the empty body's end
-	if _, err := r.ReadByte(); err == nil {
-		t.Fatal("the connection goes on")
+	reader.ReadString('\n') // the end of the empty body
+	if _, err := reader.ReadByte(); err == nil {
+		t.Fatal("the suspect connection is still open")
 	}
-	c.Close()
+	conn.Close()
 	if pool.ConnCount() != 0 {
-		t.Fatalf("%d connections", pool.ConnCount())
+		t.Fatalf("%d connections, want 0", pool.ConnCount())
 	}
 }
 
+// A dropped attempt must not affect the other attempts on its connection, and the next
+// attempt of its request must not use that connection.
 func TestDroppedAttemptLeavesItsConnectionToOthers(t *testing.T) {
 	pool := newTestPool(t, nil)
-	call, c, r := pool.sendOnNewConn(t)
+	call, conn, reader := pool.sendOnNewConn(t)
 	call.Drop(false)
-	r.ReadString('\n')
-	if line, _ := r.ReadString('\n'); line != "DROP a\r\n" {
-		t.Fatalf("%q", line)
+	reader.ReadString('\n')
+	if line, _ := reader.ReadString('\n'); line != "DROP a\r\n" {
+		t.Fatalf("read %q, want a drop of a", line)
 	}
-	// A late response to it is no violation, and ends no attempt.
+	// A late response to the dropped attempt is no violation, and ends no attempt.
 	pool.Send(pool.call("b"))
-	r.ReadString('\n')
-	c.Write([]byte("a EIO - 2\r\nxx\r\nb NOENT - 0\r\n\r\n"))
+	reader.ReadString('\n')
+	conn.Write([]byte("a EIO - 2\r\nxx\r\nb NOENT - 0\r\n\r\n"))
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeMiss || pool.ConnCount() != 1 {
-		t.Fatalf("%s over %d connections", outcome, pool.ConnCount())
+		t.Fatalf("outcome %s with %d connections, want %s with 1", outcome, pool.ConnCount(), policy.OutcomeMiss)
 	}
-	// A request's next attempt must not share a connection with its last.
+	// Attempts of the same request must not share a connection.
 	pool.Send(pool.call("c"))
 	pool.Send(pool.call("c"))
 	if pool.accept(t); pool.ConnCount() != 2 {
-		t.Fatalf("%d connections", pool.ConnCount())
+		t.Fatalf("%d connections, want 2", pool.ConnCount())
 	}
 }
 
+// Attempts beyond the bounds on connections, and on attempts for each connection, must be
+// refused.
 func TestConnectionsAreBoundedAndShared(t *testing.T) {
-	pool := newTestPool(t, func(l *config.Limits) { l.MaxUpstreamConns = 2 })
+	pool := newTestPool(t, func(limits *config.Limits) { limits.MaxUpstreamConns = 2 })
 	for _, id := range []string{"a", "b", "c", "d"} {
 		pool.Send(pool.call(id))
 	}
 	if pool.ConnCount() != 2 {
-		t.Fatalf("%d connections", pool.ConnCount())
+		t.Fatalf("%d connections, want 2", pool.ConnCount())
 	}
-	pool.Send(pool.call("e")) // two attempts on each: at the bound
+	pool.Send(pool.call("e")) // each connection already has its two attempts
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeConnectionRefused {
-		t.Fatal(outcome)
+		t.Fatalf("outcome %s, want %s", outcome, policy.OutcomeConnectionRefused)
 	}
 }
 
-// An attempt that waited for its connection was once sent to a draining endpoint.
+// Guards against sending an attempt to a draining endpoint because it was queued while its
+// connection was being dialled.
 func TestDrainingEndpointGetsNoWaitingAttempt(t *testing.T) {
 	pool := newTestPool(t, nil)
 	call := pool.call("a")
@@ -152,10 +163,13 @@
 	pool.connCount = 1
 	pool.Drain([]*engine.Endpoint{call.Attempt.Endpoint})
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeSkipped || call.Attempt.Begin() || pool.ConnCount() != 0 {
-		t.Fatalf("%s, %d connections", outcome, pool.ConnCount())
+		t.Fatalf("outcome %s with %d connections, want %s with 0 and a withdrawn attempt",
+			outcome, pool.ConnCount(), policy.OutcomeSkipped)
 	}
 }
 
+// A connection that ends, or on which the endpoint violates the protocol, must end its
+// attempts with OutcomeConnectionReset.
 func TestBrokenConnectionEndsItsAttempts(t *testing.T) {
 	for _, text := range []string{
 		"", "a HELLO - 0\r\n\r\n", "a READY\r\n", "a ACK entity=e 0\r\n\r\n",
@@ -163,120 +177,123 @@
 		"a EIO - 9\r\n1234", "a EIO - 3000000000\r\n",
 	} {
 		pool := newTestPool(t, nil)
-		_, c, _ := pool.sendOnNewConn(t)
-		c.Write([]byte(text))
-		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+		_, conn, _ := pool.sendOnNewConn(t)
+		conn.Write([]byte(text))
+		if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Log(err) // the pool may have closed it already
 		}
 		if outcome := <-pool.outcomes; outcome != policy.OutcomeConnectionReset {
-			t.Errorf("%q: %s", text, outcome)
+			t.Errorf("after %q: outcome %s, want %s", text, outcome, policy.OutcomeConnectionReset)
 		}
 	}
 }
 
-// A second response, or one under an unknown id, once closed the connection over all
-// attempts on it; and the second one must not answer the request's next attempt.
+// Guards against a second response, or one with an unknown id, closing the connection and
+// ending all attempts on it. A second response must not be matched to the next attempt of
+// its request either.
 func TestUnexpectedResponsesAreDiscarded(t *testing.T) {
 	pool := newTestPool(t, nil)
-	_, c, r := pool.sendOnNewConn(t)
-	r.ReadString('\n')
-	c.Write([]byte("x ACK entity=e,issued=7 2\r\nxx\r\nx READY\r\na NOENT - 0\r\n\r\n"))
+	_, conn, reader := pool.sendOnNewConn(t)
+	reader.ReadString('\n')
+	conn.Write([]byte("x ACK entity=e,issued=7 2\r\nxx\r\nx READY\r\na NOENT - 0\r\n\r\n"))
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeMiss {
-		t.Fatal(outcome)
+		t.Fatalf("outcome %s, want %s", outcome, policy.OutcomeMiss)
 	}
 	pool.Send(pool.call("a"))
-	pool.accept(t) // on a connection of its own
-	c.Write([]byte("a NOENT - 0\r\n\r\n"))
+	pool.accept(t) // on a second connection
+	conn.Write([]byte("a NOENT - 0\r\n\r\n"))
 	pool.Send(pool.call("b"))
-	r.ReadString('\n')
-	c.Write([]byte("b AGAIN - 0\r\n\r\n"))
+	reader.ReadString('\n')
+	conn.Write([]byte("b AGAIN - 0\r\n\r\n"))
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeBusy || pool.ConnCount() != 2 {
-		t.Fatalf("%s over %d connections", outcome, pool.ConnCount())
+		t.Fatalf("outcome %s with %d connections, want %s with 2", outcome, pool.ConnCount(), policy.OutcomeBusy)
 	}
 }
 
-// Half a response once held its connection for the longest time limit and more.
+// Guards against an incomplete response blocking its connection for the longest request
+// timeout or more.
 func TestStalledResponseEndsItsConnection(t *testing.T) {
-	pool := newTestPool(t, func(l *config.Limits) { l.ReadStallTimeout = 10 * time.Millisecond })
-	_, c, _ := pool.sendOnNewConn(t)
-	c.Write([]byte("a ACK entity=e,issued=7 9\r\n1234"))
+	pool := newTestPool(t, func(limits *config.Limits) { limits.ReadStallTimeout = 10 * time.Millisecond })
+	_, conn, _ := pool.sendOnNewConn(t)
+	conn.Write([]byte("a ACK entity=e,issued=7 9\r\n1234"))
 	if outcome := <-pool.outcomes; outcome != policy.OutcomeConnectionReset {
-		t.Fatal(outcome)
+		t.Fatalf("outcome %s, want %s", outcome, policy.OutcomeConnectionReset)
 	}
 }
 
-// A peer whose only connection was evicted for a new one to it would be missed by
-// Sweep and Close.
+// Evicting the only connection of a peer removes the peer from the pool. If a new
+// connection to the same peer replaces it, the peer must be in the pool again: Sweep and
+// Close would miss its connections otherwise.
 func TestEvictionForItsOwnPeerKeepsThePeer(t *testing.T) {
-	pool := newTestPool(t, func(l *config.Limits) { l.MaxUpstreamConns = 1 })
-	_, c, _ := pool.sendOnNewConn(t)
-	c.Write([]byte("a NOENT - 0\r\n\r\n"))
+	pool := newTestPool(t, func(limits *config.Limits) { limits.MaxUpstreamConns = 1 })
+	_, conn, _ := pool.sendOnNewConn(t)
+	conn.Write([]byte("a NOENT - 0\r\n\r\n"))
 	<-pool.outcomes
-	pool.Send(pool.call("a")) // not on the connection that may still bring a copy
+	pool.Send(pool.call("a")) // on a new connection, since the first may still receive a response with this id
 	pool.accept(t)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if len(pool.peers) != 1 || pool.connCount != 1 {
-		t.Fatalf("%d peers for %d connections", len(pool.peers), pool.connCount)
+		t.Fatalf("%d peers and %d connections, want 1 and 1", len(pool.peers), pool.connCount)
 	}
 }
 
-// Endpoints that come and go all day once left their peers in memory, also by attempts
-// that were sent as the endpoint drained.
+// Guards against a memory leak by the peers of removed endpoints, which also arises from
+// attempts that are sent while their endpoint drains.
 func TestPeersEndWithTheirConnections(t *testing.T) {
 	pool := newTestPool(t, nil)
 	call := pool.call("a")
 	pool.Send(call)
 	pool.accept(t)
 	pool.Drain([]*engine.Endpoint{call.Attempt.Endpoint})
-	g := pool.call("b")
-	pool.Send(g)
-	c, _ := pool.accept(t)
-	c.Close()
+	pool.Send(pool.call("b"))
+	conn, _ := pool.accept(t)
+	conn.Close()
 	<-pool.outcomes
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if len(pool.peers) != 0 {
-		t.Fatalf("%d peers", len(pool.peers))
+		t.Fatalf("%d peers, want 0", len(pool.peers))
 	}
 }
 
-// A decision must still hold when it is written: the deadline, the window of an
-// idempotency key, and the age after which drains and purges bind it.
+// An attempt must not be written after its deadline, after the window in which its
+// idempotency key is valid, or once its decision is so old that later drains and purges
+// apply to it.
 func TestExpiredDecisionIsNotWritten(t *testing.T) {
-	pool := newTestPool(t, func(l *config.Limits) { l.MaxDecisionAge = time.Second })
-	for name, change := range map[string]func(attempt *engine.Attempt, now int64){
+	pool := newTestPool(t, func(limits *config.Limits) { limits.MaxDecisionAge = time.Second })
+	for name, expire := range map[string]func(attempt *engine.Attempt, now int64){
 		"the deadline has passed": func(attempt *engine.Attempt, now int64) { attempt.Deadline = now },
 		"the window has closed":   func(attempt *engine.Attempt, now int64) { attempt.SendBefore = now },
 		"the decision is too old": func(attempt *engine.Attempt, now int64) { attempt.DecidedAt = now - 2e6 },
 	} {
 		call := pool.call("late")
-		change(call.Attempt, time.Now().UnixMicro())
+		expire(call.Attempt, time.Now().UnixMicro())
 		pool.Send(call)
-		if got := <-pool.outcomes; got != policy.OutcomeSkipped {
-			t.Errorf("%s: %s", name, got)
+		if outcome := <-pool.outcomes; outcome != policy.OutcomeSkipped {
+			t.Errorf("%s: outcome %s, want %s", name, outcome, policy.OutcomeSkipped)
 		}
 	}
 	valid := pool.call("good") // on the same connection, which is idle again
 	valid.Attempt.SendBefore = time.Now().Add(5 * time.Second).UnixMicro()
 	pool.Send(valid)
-	c, err := pool.Accept()
+	conn, err := pool.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if line, err := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(line, "GET good ") {
-		t.Errorf("first on the wire: %q, %v", line, err)
+	defer conn.Close()
+	if line, err := bufio.NewReader(conn).ReadString('\n'); !strings.HasPrefix(line, "GET good ") {
+		t.Errorf("first command %q, error %v, want GET good", line, err)
 	}
 }
 
-// An attempt whose request ended before it came to a connection opens none.
+// An attempt that was withdrawn before Send must not open a connection.
 func TestWithdrawnAttemptOpensNoConnection(t *testing.T) {
 	pool := newTestPool(t, nil)
 	call := pool.call("gone")
 	call.Attempt.Withdraw()
 	pool.Send(call)
-	if n := pool.ConnCount(); n != 0 {
-		t.Errorf("%d connections", n)
+	if count := pool.ConnCount(); count != 0 {
+		t.Errorf("%d connections, want 0", count)
 	}
 }
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -14,13 +14,13 @@
 	"quilldoor/internal/settings"
 )
 
-// stallReader sets the read deadlines of a connection. Between responses a peer
-// may be silent; one that stops within a response would hold up all attempts on
-// the connection.
+// stallReader sets the read deadlines of a connection. There is none between
+// responses. Within a response there is one, since a peer that stops sending there
+// would block all attempts on the connection.
 type stallReader struct {
 	net.Conn
-	stallTimeout time.Duration
-	deadline     time.Time // of the whole response; zero: between responses
+	stallTimeout time.Duration // of one read within a response
+	deadline     time.Time     // of the whole response; zero: between responses
 }
 
 func (s *stallReader) Read(b []byte) (int, error) {
@@ -35,30 +35,30 @@
 	return s.Conn.Read(b)
 }
 
-// read takes responses until the connection ends or the peer violates the
-// protocol.
+// read reads and handles responses until the connection fails or the peer violates
+// the protocol, and returns the error.
 func (c *conn) read() error {
 	limits := c.pool.limits
-	from := &stallReader{Conn: c.socket, stallTimeout: limits.ReadStallTimeout}
-	r := bufio.NewReaderSize(from, bufferpool.Size)
+	socket := &stallReader{Conn: c.socket, stallTimeout: limits.ReadStallTimeout}
+	reader := bufio.NewReaderSize(socket, bufferpool.Size)
 	for {
-		from.deadline = time.Time{}
-		if _, err := r.Peek(1); err != nil {
+		socket.deadline = time.Time{}
+		if _, err := reader.Peek(1); err != nil {
 			return err
 		}
-		from.deadline = time.Now().Add(limits.ResponseReadTimeout)
-		response, err := cacheproto.ReadResponse(r, limits.MaxResponseBody)
+		socket.deadline = time.Now().Add(limits.ResponseReadTimeout)
+		response, err := cacheproto.ReadResponse(reader, limits.MaxResponseBody)
 		if err != nil {
 			return err
 		}
-		if err := c.handleResponse(r, &response); err != nil {
+		if err := c.handleResponse(reader, &response); err != nil {
 			return err
 		}
 	}
 }
 
-// outcomes are an attempt's outcomes by the status of its response.
-var outcomes = map[cacheproto.Status]policy.Outcome{
+// outcomeByStatus maps the status of a response to the outcome of its attempt.
+var outcomeByStatus = map[cacheproto.Status]policy.Outcome{
 	cacheproto.StatusOK:          policy.OutcomeDone,
 	cacheproto.StatusNotModified: policy.OutcomeDone,
 	cacheproto.StatusMiss:        policy.OutcomeMiss,
@@ -67,37 +67,39 @@
 	cacheproto.StatusSkipped:     policy.OutcomeSkipped,
 }
 
-// handleResponse reads a response's body and ends its call. A response that
-// nobody waits for, under an unknown id or an abandoned one, is read to its end
-// and discarded: the other calls on the connection go on.
+// handleResponse reads a response's body and ends its call. A response whose id is
+// unknown, or is that of an abandoned attempt, is read to its end and discarded, so that
+// the other calls on the connection continue.
 func (c *conn) handleResponse(r *bufio.Reader, response *cacheproto.Response) error {
-	call, healthCheck := c.expecting(response.ID)
+	call, healthCheck := c.findWaiting(response.ID)
 	if healthCheck != nil && response.Status != cacheproto.StatusReady || call != nil && !call.accepts(response) {
-		return fmt.Errorf("%w: the response does not fit its command", cacheproto.ErrProtocol)
+		return fmt.Errorf("%w: response %q with status %s does not match its command",
+			cacheproto.ErrProtocol, response.ID, response.Status)
 	}
 	body, err := c.readBody(r, response.Length)
 	poolFull := errors.Is(err, bufferpool.ErrFull)
 	if err != nil && !poolFull {
 		return err
 	}
-	outcome := outcomes[response.Status]
-	unknownCopy := call != nil && response.Status == cacheproto.StatusNotModified && response.Tag != call.Tag
-	if poolFull || unknownCopy {
+	outcome := outcomeByStatus[response.Status]
+	tagMismatch := call != nil && response.Status == cacheproto.StatusNotModified && response.Tag != call.Tag
+	if poolFull || tagMismatch {
 		outcome = policy.OutcomeError
 	}
-	ended := c.complete(call, response.ID, outcome)
+	waiting := c.complete(call, response.ID, outcome)
 	if healthCheck != nil {
 		healthCheck(true)
 	}
-	if !ended {
+	if !waiting {
 		body.Release()
 		return nil
 	}
-	c.pool.ended(call.Attempt, resultOf(outcome, response, body))
+	c.pool.reportResult(call.Attempt, resultOf(outcome, response, body))
 	return nil
 }
 
-// resultOf is an attempt's result. It takes the body over, or releases it.
+// resultOf returns an attempt's result. The body is passed on in the result, or
+// released if the outcome is not OutcomeDone.
 func resultOf(outcome policy.Outcome, response *cacheproto.Response, body *bufferpool.Body) engine.Result {
 	result := engine.Result{
 		Outcome:    outcome,
@@ -118,16 +120,17 @@
 	return result
 }
 
-// expecting notes that a response has begun, and finds what waits for it.
-func (c *conn) expecting(id string) (call *Call, healthCheck func(ok bool)) {
+// findWaiting returns the call or health check that waits for the response with an id,
+// and records that the connection received data.
+func (c *conn) findWaiting(id string) (call *Call, healthCheck func(ok bool)) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.lastReceived = time.Now()
 	return c.calls[id], c.healthChecks[id]
 }
 
-// readBody reads a body and its end; a negative length means neither. With
-// ErrFull both were read and the body was discarded.
+// readBody reads a body and the CR LF that ends it. A response of negative length has
+// neither. On ErrFull both were read and the body was discarded.
 func (c *conn) readBody(r *bufio.Reader, length int) (*bufferpool.Body, error) {
 	if length < 0 {
 		return nil, nil
@@ -143,8 +146,8 @@
 	return body, err
 }
 
-// complete takes a response's call and health check off the connection. It
-// returns false if nobody waits for the response any more.
+// complete removes a response's call or health check from the connection. It reports
+// whether the call was still waiting for the response.
 func (c *conn) complete(call *Call, id string, outcome policy.Outcome) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -152,11 +155,11 @@
 	waiting := call != nil && c.calls[id] == call
 	if waiting {
 		delete(c.calls, id)
-		if outcome != policy.OutcomeDone { // the request may go on with the same id
+		if outcome != policy.OutcomeDone { // the request's next attempt has the same id
 			c.abandoned[id] = c.lastReceived
 		}
 	}
 	delete(c.healthChecks, id)
-	c.noteIdle()
+	c.checkIdle()
 	return waiting
 }
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -7,7 +7,8 @@
 	"quilldoor/internal/engine"
 )
 
-func (p *Pool) peer(endpoint *engine.Endpoint) *peer {
+// ensurePeer returns the peer of an endpoint, and adds it if needed.
+func (p *Pool) ensurePeer(endpoint *engine.Endpoint) *peer {
 	key := keyOf(endpoint)
 	if p.peers[key] == nil {
 		p.peers[key] = &peer{peerKey: key}
@@ -15,10 +16,12 @@
 	return p.peers[key]
 }
 
-// selectConn finds a connection for a call or health check by its id; nil: the
-// bounds on connections leave none. An idle connection comes first, then a new
-// one, then the one with the fewest calls: a long response on a connection
-// delays the others.
+// selectConn returns the connection for a call or health check with the given id. It
+// prefers a connection without calls, then a new one, and then the one with the fewest
+// calls, since a long response delays the others on its connection. It exceeds
+// MaxConnsPerEndpoint if no connection to the peer accepts the id. In a full pool a new
+// connection replaces the one that has been idle longest. It returns nil if a new
+// connection is needed, but the pool is closed or is full without an idle one.
 func (p *Pool) selectConn(peer *peer, id string) *conn {
 	best := p.leastLoaded(peer, id)
 	if best != nil && len(best.calls) == 0 {
@@ -34,9 +37,9 @@
 	return p.openConn(peer)
 }
 
-// leastLoaded finds the connection with the fewest calls that may take the id,
-// among equals the one that was idle last. A connection never carries an id
-// twice, since responses name calls by it.
+// leastLoaded returns the connection with the fewest calls that accepts the id. Of
+// several it returns the one that was idle most recently. A connection never carries
+// two calls with the same id, since a response identifies its call by the id alone.
 func (p *Pool) leastLoaded(peer *peer, id string) *conn {
 	var best *conn
 	for _, conn := range peer.conns {
@@ -53,6 +56,7 @@
 	return best
 }
 
+// preferredTo reports whether leastLoaded prefers the connection to another.
 func (c *conn) preferredTo(other *conn) bool {
 	if len(c.calls) != len(other.calls) {
 		return len(c.calls) < len(other.calls)
@@ -60,7 +64,7 @@
 	return c.idleSince.After(other.idleSince)
 }
 
-// evictIdle closes the connection that has been idle longest.
+// evictIdle closes the connection that has been idle longest, if any is idle.
 func (p *Pool) evictIdle() {
 	var oldest *conn
 	for _, peer := range p.peers {
@@ -75,7 +79,7 @@
 	}
 }
 
-// openConn adds a connection, which takes calls while it is being dialled.
+// openConn adds a connection and starts to dial it. It accepts calls at once.
 func (p *Pool) openConn(peer *peer) *conn {
 	ctx, cancel := context.WithTimeout(context.Background(), p.limits.ConnectTimeout)
 	c := &conn{
@@ -87,7 +91,7 @@
 		cancelDial:   cancel,
 	}
 	peer.conns = append(peer.conns, c)
-	p.peers[peer.peerKey] = peer // its last connection may just have been evicted
+	p.peers[peer.peerKey] = peer // evicting its last connection may have removed it
 	p.connCount++
 	go c.run(ctx)
 	return c
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -9,19 +9,19 @@
 	"quilldoor/internal/policy"
 )
 
-// outgoing is one thing to write: a call, or else a drop or a ping by id.
+// outgoing is one item of a connection's queue. Exactly one field is set.
 type outgoing struct {
 	call *Call
-	drop string
-	ping string
+	drop string // id of the call to drop
+	ping string // id of the health check
 }
 
-// commandSizeHint is about how long an attempt's command is, in bytes.
+// commandSizeHint is the capacity, in bytes, that is reserved for an attempt's command.
 const commandSizeHint = 256
 
-// enqueueAndUnlock queues an item, and writes unless another goroutine does so
-// already or the connection is being dialled. The caller holds the pool's lock,
-// which is released.
+// enqueueAndUnlock queues an item. It writes the queue, unless another goroutine is
+// writing it or the connection is still being dialled. The caller holds the pool's
+// lock, which enqueueAndUnlock releases.
 func (c *conn) enqueueAndUnlock(item outgoing) {
 	c.queue = append(c.queue, item)
 	write := c.connected && !c.writing && !c.closed
@@ -32,8 +32,8 @@
 	}
 }
 
-// flush writes until the queue is empty. A connection that takes nothing in for
-// WriteTimeout is closed.
+// flush writes until the queue is empty. It closes the connection if a batch can't be
+// written within config.Limits.WriteTimeout.
 func (c *conn) flush() {
 	for {
 		c.pool.mu.Lock()
@@ -59,9 +59,10 @@
 	}
 }
 
-// write writes a batch and reports the calls in it that were not sent: those
-// whose decision holds no longer, and those whose last byte was not taken by the
-// kernel, which can't have been received whole.
+// write writes a batch and reports the calls in it that were not sent. A call whose
+// decision has expired ends with OutcomeSkipped. A call whose last byte the kernel did
+// not accept can't have been received completely, and ends with
+// OutcomeConnectionRefused.
 func (c *conn) write(batch []outgoing, now time.Time) error {
 	encoded := c.encode(batch, now)
 	var written int64
@@ -76,7 +77,7 @@
 		}
 		item.call.Body.Release()
 		if err != nil && encoded.ends[i] > written {
-			c.pool.ended(item.call.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
+			c.pool.reportResult(item.call.Attempt, engine.Result{Outcome: policy.OutcomeConnectionRefused})
 		}
 	}
 	for _, call := range encoded.expired {
@@ -85,12 +86,12 @@
 	return err
 }
 
-// encodedBatch is a batch as bytes.
+// encodedBatch is the encoding of a batch.
 type encodedBatch struct {
 	buffers net.Buffers
 	size    int64
-	ends    []int64 // offset behind each item
-	expired []*Call // withdrawn, since the decision holds no longer
+	ends    []int64 // the offset after each item
+	expired []*Call // withdrawn, since the decision has expired
 }
 
 func (e *encodedBatch) add(b []byte) {
@@ -98,6 +99,7 @@
 	e.size += int64(len(b))
 }
 
+// encode encodes a batch that is written at now.
 func (c *conn) encode(batch []outgoing, now time.Time) *encodedBatch {
 	encoded := &encodedBatch{ends: make([]int64, len(batch))}
 	for i, item := range batch {
@@ -114,6 +116,8 @@
 	return encoded
 }
 
+// encodeCall adds a call to the batch and marks its attempt as begun. It adds no bytes
+// for a withdrawn attempt.
 func (c *conn) encodeCall(encoded *encodedBatch, call *Call, now int64) {
 	maxAge := c.pool.limits.MaxDecisionAge.Microseconds()
 	if !call.Attempt.MayBeSent(now, maxAge) && call.Attempt.Withdraw() {
@@ -134,8 +138,8 @@
 	c.pool.mu.Lock()
 	if c.calls[call.id()] == call {
 		delete(c.calls, call.id())
-		c.noteIdle()
+		c.checkIdle()
 	}
 	c.pool.mu.Unlock()
-	c.pool.ended(call.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
+	c.pool.reportResult(call.Attempt, engine.Result{Outcome: policy.OutcomeSkipped})
 }
