--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,5 +1,6 @@
-// Package discovery follows the discovery service by long polls: changes of the
-// endpoint list and purges, as events with revision numbers. A Watcher owns how
-// far the events were followed and the endpoint list as the service has it. The
-// service's themed field names are mapped here (update.go) and nowhere else.
+// Package discovery watches the discovery service with long polls. The service
+// reports changes of the endpoint list, and purges, as events with revision
+// numbers. A Watcher holds the revision of the last event and the endpoint list of
+// the service. Only this package (update.go) maps the field names of the service's
+// protocol to the router's terms.
 package discovery
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,12 +15,12 @@
 	"quilldoor/internal/http1"
 )
 
-// Run polls the service at an address until the context ends. Run again at
-// another address, it goes on behind the last event. After a failure the last
-// list stays and polls back off.
+// Run polls the service at an address until the context ends. A later Run, also at
+// another address, continues after the last event. When a poll fails, the endpoint list
+// stays as it is, and Run waits before the next poll, with exponential backoff.
 func (w *Watcher) Run(ctx context.Context, address string) {
 	w.address = address
-	w.conn = nil // the context of the run before has closed it
+	w.conn = nil // closed when the context of the previous Run ended
 	backoff := time.Duration(0)
 	lost := false
 	for ctx.Err() == nil {
@@ -50,8 +49,8 @@
 	}
 }
 
-// fetch gets the next update over the open connection, or a new one. A
-// connection that failed, or that the service closes, is not kept.
+// fetch requests the next update on the open connection, or on a new one. It closes the
+// connection after an error, and after a response that must be the connection's last.
 func (w *Watcher) fetch(ctx context.Context) (update *Update, err error) {
 	conn := w.conn
 	if conn == nil {
@@ -61,22 +60,23 @@
 	}
 	update, err = w.poll(conn)
 	w.conn = conn
-	if err != nil || conn.last {
-		conn.stopWatch()
+	if err != nil || conn.mustClose {
+		conn.stopAfterFunc()
 		conn.Close()
 		w.conn = nil
 	}
 	return update, err
 }
 
-// pollConn is a connection to the discovery service.
+// pollConn is an open connection to the discovery service.
 type pollConn struct {
 	net.Conn
-	reader    *bufio.Reader
-	stopWatch func() bool // of the context
-	last      bool        // the service closes it behind this response
+	reader        *bufio.Reader
+	stopAfterFunc func() bool // cancels closing the connection when the context ends
+	mustClose     bool        // no other poll may follow on this connection
 }
 
+// dial opens a connection, which closes when the context ends.
 func (w *Watcher) dial(ctx context.Context) (*pollConn, error) {
 	dialer := net.Dialer{Timeout: w.limits.PollGrace}
 	conn, err := dialer.DialContext(ctx, "tcp", w.address)
@@ -84,13 +84,14 @@
 		return nil, err
 	}
 	return &pollConn{
-		Conn:      conn,
-		reader:    bufio.NewReaderSize(conn, bufferpool.Size),
-		stopWatch: context.AfterFunc(ctx, func() { conn.Close() }),
+		Conn:          conn,
+		reader:        bufio.NewReaderSize(conn, bufferpool.Size),
+		stopAfterFunc: context.AfterFunc(ctx, func() { conn.Close() }),
 	}, nil
 }
 
-// poll asks for the events behind the last one.
+// poll requests the events after the last one. The service may hold the request until
+// there is one, for up to config.Limits.PollWait.
 func (w *Watcher) poll(conn *pollConn) (*Update, error) {
 	target := "/board/poll?watch=" + strconv.FormatInt(w.revision, 10) +
 		"&linger=" + strconv.FormatInt(w.limits.PollWait.Milliseconds(), 10)
@@ -108,31 +109,31 @@
 		return nil, err
 	}
 	if head.Status != http.StatusOK {
-		return nil, fmt.Errorf("status %d", head.Status)
+		return nil, fmt.Errorf("poll of the discovery service: HTTP status %d", head.Status)
 	}
 	body, err := readBody(conn.reader, head, w.limits.MaxDiscoveryBody)
 	if err != nil {
 		return nil, err
 	}
-	conn.last = head.Close || head.ContentLength < 0 // trailers behind chunks are not read
+	conn.mustClose = head.Close || head.ContentLength < 0 // the trailer of a chunked body is not read
 	return Parse(body)
 }
 
-// readBody reads a body of a given length, in chunks or up to the connection's
-// end.
+// readBody reads a body whose head gives its length, a chunked body, or a body that ends
+// with the connection. A body longer than maxBody bytes is an error.
 func readBody(r *bufio.Reader, head *http1.Head, maxBody int) ([]byte, error) {
 	if head.ContentLength >= 0 {
 		body := make([]byte, head.ContentLength)
 		_, err := io.ReadFull(r, body)
 		return body, err
 	}
-	var from io.Reader = r
+	var source io.Reader = r
 	if head.Chunked {
-		from = httputil.NewChunkedReader(r)
+		source = httputil.NewChunkedReader(r)
 	}
-	body, err := io.ReadAll(io.LimitReader(from, int64(maxBody)+1))
+	body, err := io.ReadAll(io.LimitReader(source, int64(maxBody)+1))
 	if len(body) > maxBody {
-		return nil, errors.New("response too long")
+		return nil, fmt.Errorf("response of the discovery service exceeds %d bytes", maxBody)
 	}
 	return body, err
 }
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -11,34 +11,37 @@
 	"quilldoor/internal/settings"
 )
 
-// Update is a response of the discovery service, and the form of what a
-// configuration knows at the start. Parse makes it; Watcher.Apply reads its events.
+// Update is a response of the discovery service. The endpoints that a configuration knows
+// at the start have the same format. Parse decodes an Update, and Watcher.Apply applies it.
 type Update struct {
-	Revision int64   `json:"Rev"`     // up to which it has all events
-	Events   []event `json:"Notices"` // by revision
+	Revision int64   `json:"Rev"`     // the service's current revision
+	Events   []event `json:"Notices"` // in the order of their revisions
 }
 
+// event is a change of the endpoint list, a purge, or both.
 type event struct {
 	Revision  int64           `json:"Rev"`
 	Endpoints *endpointChange `json:"Pool"`
 	Purge     *purge          `json:"Flush"`
 }
 
+// endpointChange is a list of changed endpoints, or a complete list.
 type endpointChange struct {
-	Whole   bool       `json:"All"` // the list replaces the one before
-	Entries []endpoint `json:"Targets"`
+	Complete bool       `json:"All"` // Entries replace the whole list
+	Entries  []endpoint `json:"Targets"`
 }
 
-// purge names an object or a group.
+// purge is the purge of an object, or of a group if no object is named.
 type purge struct {
 	Object     *string `json:"Asset"`
 	Group      *int64  `json:"Collection"`
 	UnixMillis int64   `json:"MS"`
 }
 
-// namesObject reports whether the purge is of an object. An empty name is none.
+// namesObject reports whether the purge is of an object. An empty name counts as none.
 func (p *purge) namesObject() bool { return p.Object != nil && *p.Object != "" }
 
+// endpoint is an entry of the endpoint list.
 type endpoint struct {
 	ID            string  `json:"UID"`
 	Address       string  `json:"Endpoint"`
@@ -50,16 +53,16 @@
 	StartedMillis float64 `json:"boot_ms"`
 }
 
-// endpointStates are the policy's states by the service's words.
+// endpointStates maps the states of the service's protocol to those of the policy.
 var endpointStates = map[string]policy.EndpointState{
 	"ready":    policy.EndpointActive,
 	"draining": policy.EndpointDraining,
 	"gone":     policy.EndpointGone,
 }
 
-// Parse reads an update and checks that all of it can be used: that endpoint ids are plain
-// and states known, and that each purge names an object or a group. Its errors, of JSON or
-// these, name the service's keys and the event's revision.
+// Parse decodes and validates an update. Every endpoint needs a plain id and a known state,
+// and every purge an object or a group. Validation errors name the revision of the event
+// and the keys of the service's protocol.
 func Parse(text []byte) (*Update, error) {
 	var update Update
 	if err := json.Unmarshal(text, &update); err != nil {
@@ -73,6 +76,7 @@
 	return &update, nil
 }
 
+// validate reports the first entry or purge that can't be applied.
 func (e *event) validate() error {
 	if e.Purge != nil && !e.Purge.namesObject() && e.Purge.Group == nil {
 		return errors.New("flush without asset or collection")
@@ -82,13 +86,13 @@
 	}
 	for _, endpoint := range e.Endpoints.Entries {
 		if !cacheproto.IsPlain(endpoint.ID) || endpointStates[endpoint.State] == "" {
-			return fmt.Errorf("target %.40q in state %.20q", endpoint.ID, endpoint.State)
+			return fmt.Errorf("target with invalid uid %.40q or unknown state %.20q", endpoint.ID, endpoint.State)
 		}
 	}
 	return nil
 }
 
-// engineEndpoint maps an entry of the list to the engine's form.
+// engineEndpoint converts an entry of the list to the engine's type.
 func (e *endpoint) engineEndpoint() engine.Endpoint {
 	return engine.Endpoint{
 		Address: e.Address,
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -9,55 +9,64 @@
 	"quilldoor/internal/policy"
 )
 
-// Handler takes the events, in order, on the goroutine that runs the Watcher.
+const microsPerMilli = 1000
+
+// Handler receives the events, in order, on the goroutine that calls the Watcher.
 type Handler interface {
-	// EndpointsChanged takes the first list (ScopeInitial), a whole one
-	// (ScopeSnapshot) or changes of it (ScopeDiff).
+	// EndpointsChanged receives the first list (ScopeInitial), a complete list
+	// that replaces the previous one (ScopeSnapshot), or only the endpoints that
+	// changed (ScopeDiff).
 	EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint)
-	// Purge takes the purge of an object, or of a group where object is "", made
-	// at a time in microseconds of Unix time.
+	// Purge receives the purge of an object, or of a group if object is "". It was
+	// made at the time at, in Unix microseconds.
 	Purge(object string, group, at int64)
-	DiscoveryLost(err error) // the first failed poll in a row
-	DiscoveryRestored()      // the first poll that succeeds after it, before its events
-	DiscoveryGap()           // events were missed, or are numbered anew; after those of the update that shows it
+	// DiscoveryLost receives the error of the first failed poll in a row.
+	DiscoveryLost(err error)
+	// DiscoveryRestored reports the first successful poll after DiscoveryLost,
+	// before the poll's events.
+	DiscoveryRestored()
+	// DiscoveryGap reports that events were missed, after the events of the
+	// update that shows it, or that the service has restarted its revision
+	// numbers, before any event with a new number.
+	DiscoveryGap()
 }
 
-// Watcher knows how far the events were followed. It is not safe for concurrent
-// use.
+// Watcher polls the discovery service and passes new events to a Handler. It is not
+// safe for concurrent use.
 type Watcher struct {
-	limits    *config.Limits
-	handler   Handler
-	revision  int64                      // of the last event
-	listed    bool                       // a whole list has come
-	endpoints map[string]engine.Endpoint // the list as the service has it
-	gapAt     int64                      // the last revision that was reported as a gap without an event
-	address   string
-	conn      *pollConn // nil: none is open
+	limits      *config.Limits
+	handler     Handler
+	revision    int64                      // of the last event
+	hasList     bool                       // a list was received
+	endpoints   map[string]engine.Endpoint // the service's list, by id
+	gapRevision int64                      // the last revision that was reported as a gap because its event was missing
+	address     string
+	conn        *pollConn // nil: none is open
 
-	numberedAnew bool // the service has begun its numbers anew, and its first event is still to come
+	renumbered bool // the service has restarted its revision numbers, and no event since then was received
 }
 
-// New makes a watcher that knows nothing yet.
+// New returns a watcher at revision 0, with an empty list.
 func New(limits *config.Limits, handler Handler) *Watcher {
 	return &Watcher{limits: limits, handler: handler, endpoints: map[string]engine.Endpoint{}}
 }
 
-// Apply hands the events that are new in an update to the handler: those whose revision
-// is above the last one. A service whose revision is lower has begun its numbers anew:
-// its events are followed from the first one on, which the next poll brings if this
-// update does not.
+// Apply passes the new events of an update to the handler: those whose revision is above
+// that of the last event. An update with a lower revision means that the service has
+// restarted its revision numbers. Its events then apply from the first one on. If the
+// update doesn't have the first event, the next poll requests it.
 func (w *Watcher) Apply(update *Update) {
 	if update.Revision > 0 && update.Revision < w.revision {
 		w.revision = 0
-		w.gapAt = 0
-		w.numberedAnew = true
+		w.gapRevision = 0
+		w.renumbered = true
 		w.handler.DiscoveryGap()
 		if len(update.Events) > 0 && update.Events[0].Revision > 1 {
-			return // it answers the poll behind the old numbers
+			return // they respond to a poll with the old revision, so the first events are missing
 		}
 	}
-	if w.numberedAnew {
-		w.applyNumberedAnew(update)
+	if w.renumbered {
+		w.applyRenumbered(update)
 		return
 	}
 	gap := false
@@ -74,9 +83,10 @@
 			w.applyPurge(event.Purge)
 		}
 	}
-	// The service's revision without its event is reported once for each revision.
-	if update.Revision > 0 && update.Revision != w.revision && w.listed && update.Revision != w.gapAt {
-		w.gapAt = update.Revision
+	// An update may lack the event of its own revision. This gap is reported once for
+	// each revision.
+	if update.Revision > 0 && update.Revision != w.revision && w.hasList && update.Revision != w.gapRevision {
+		w.gapRevision = update.Revision
 		gap = true
 	}
 	w.revision = max(w.revision, update.Revision)
@@ -85,42 +95,45 @@
 	}
 }
 
-// applyNumberedAnew takes the history of a service that has begun its numbers anew. The
-// handler gets the list that it comes to, at once: on the way there endpoints that drain
-// would be active again.
-func (w *Watcher) applyNumberedAnew(update *Update) {
+// applyRenumbered applies the events of a service that has restarted its revision numbers.
+// The handler receives only the resulting list, as one snapshot. Applied one by one, the
+// older events would make draining endpoints active again for a moment.
+func (w *Watcher) applyRenumbered(update *Update) {
 	if len(update.Events) == 0 {
 		return
 	}
-	w.numberedAnew = false
+	w.renumbered = false
 	for _, event := range update.Events {
 		w.revision = event.Revision
 		if event.Endpoints != nil {
-			w.updateList(event.Endpoints, event.Endpoints.Whole)
+			w.updateList(event.Endpoints, event.Endpoints.Complete)
 		}
 		if event.Purge != nil {
 			w.applyPurge(event.Purge)
 		}
 	}
 	w.revision = max(w.revision, update.Revision)
-	w.listed = true
+	w.hasList = true
 	_, list := w.Snapshot()
 	w.handler.EndpointsChanged(policy.ScopeSnapshot, list)
 }
 
+// applyEndpoints applies a change to the list and passes it to the handler. The first one
+// counts as a complete list.
 func (w *Watcher) applyEndpoints(change *endpointChange) {
 	scope := policy.ScopeDiff
 	switch {
-	case !w.listed:
+	case !w.hasList:
 		scope = policy.ScopeInitial
-	case change.Whole:
+	case change.Complete:
 		scope = policy.ScopeSnapshot
 	}
-	w.listed = true
+	w.hasList = true
 	w.handler.EndpointsChanged(scope, w.updateList(change, scope != policy.ScopeDiff))
 }
 
-// updateList takes a change into the list, or in place of it, and returns its entries.
+// updateList merges a change into the list, or replaces the list, and returns the
+// entries of the change.
 func (w *Watcher) updateList(change *endpointChange, replace bool) (list []engine.Endpoint) {
 	if replace {
 		clear(w.endpoints)
@@ -136,6 +149,7 @@
 	return list
 }
 
+// applyPurge passes a purge to the handler.
 func (w *Watcher) applyPurge(purge *purge) {
 	var object string
 	var group int64
@@ -144,12 +158,12 @@
 	} else {
 		group = *purge.Group
 	}
-	w.handler.Purge(object, group, purge.UnixMillis*1000)
+	w.handler.Purge(object, group, purge.UnixMillis*microsPerMilli)
 }
 
 // Snapshot returns the revision of the last event and the endpoint list, sorted
-// by id, for the other generation of this router. It is called while Run is not
-// running.
+// by id, for the other generation of this router. It must not be called while Run
+// is running.
 func (w *Watcher) Snapshot() (revision int64, list []engine.Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(w.endpoints)) {
 		list = append(list, w.endpoints[id])
@@ -157,15 +171,16 @@
 	return w.revision, list
 }
 
-// Resume goes on behind the revision up to which the other generation of this
-// router has followed the events, with its list, unless this watcher has come
-// further already. The handler gets the whole list in any case.
+// Resume continues after the revision of a Snapshot from the other generation of
+// this router, with the snapshot's list. It ignores an empty list, and a revision
+// lower than the watcher's own. In any case the handler receives the resulting
+// list, unless it is empty.
 func (w *Watcher) Resume(revision int64, list []engine.Endpoint) {
 	if revision >= w.revision && len(list) > 0 {
 		w.revision = revision
-		w.listed = true
-		w.gapAt = 0
-		w.numberedAnew = false
+		w.hasList = true
+		w.gapRevision = 0
+		w.renumbered = false
 		clear(w.endpoints)
 		for _, endpoint := range list {
 			w.endpoints[endpoint.ID] = endpoint
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 	"quilldoor/internal/policy"
 )
 
-// recorder is a Handler that passes everything on as lines of text.
+// recorder is a Handler that sends each event as a line of text.
 type recorder chan string
 
 func (r recorder) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
@@ -30,9 +30,10 @@
 	r <- fmt.Sprintf("purge %q %d %d", object, group, at)
 }
 func (r recorder) DiscoveryLost(error) { r <- "lost" }
-func (r recorder) DiscoveryRestored()  { r <- "back" }
+func (r recorder) DiscoveryRestored()  { r <- "restored" }
 func (r recorder) DiscoveryGap()       { r <- "gap" }
 
+// Events with a revision that was applied before must not be applied again.
 func TestApplyHandsOnNewEventsInOrder(t *testing.T) {
 	events := make(recorder, 10)
 	watcher := New(&config.Limits{}, events)
@@ -57,14 +58,16 @@
 	}
 	for _, line := range want {
 		if got := <-events; got != line {
-			t.Errorf("%s, want %s", got, line)
+			t.Errorf("event %q, want %q", got, line)
 		}
 	}
 	if watcher.revision != 5 {
-		t.Errorf("at revision %d", watcher.revision)
+		t.Errorf("revision %d, want 5", watcher.revision)
 	}
 }
 
+// Malformed JSON, a purge of nothing, and an endpoint with an invalid id or state must be
+// rejected.
 func TestParseRejectsUnusableUpdates(t *testing.T) {
 	for _, text := range []string{
 		"", "[]", `{"rev":"x"}`, `{"notices":[{"flush":{"ms":1}}]}`,
@@ -72,31 +75,31 @@
 		`{"notices":[{"pool":{"targets":[{"uid":"a","state":"odd"}]}}]}`,
 	} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s passes", text)
+			t.Errorf("update %q was accepted", text)
 		}
 	}
 }
 
-// runAgainst runs a watcher against a service that gives one answer on each connection,
-// and returns the events and the targets of the polls.
-func runAgainst(t *testing.T, answers ...string) (events recorder, targets <-chan string) {
+// runWatcher runs a watcher on a service that sends one response on each connection. It
+// returns the events and the request targets of the polls.
+func runWatcher(t *testing.T, responses ...string) (events recorder, targets <-chan string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	polled := make(chan string, 10)
+	t.Cleanup(func() { listener.Close() })
+	polledTargets := make(chan string, 10)
 	go func() {
-		for _, answer := range answers {
-			c, err := l.Accept()
+		for _, response := range responses {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			line, _ := bufio.NewReader(c).ReadString('\n')
-			polled <- strings.Fields(line + " - -")[1]
-			c.Write([]byte(answer))
-			c.Close()
+			line, _ := bufio.NewReader(conn).ReadString('\n')
+			polledTargets <- strings.Fields(line + " - -")[1]
+			conn.Write([]byte(response))
+			conn.Close()
 		}
 	}()
 	limits := &config.Limits{
@@ -106,23 +109,24 @@
 	events = make(recorder, 10)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	go New(limits, events).Run(ctx, l.Addr().String())
-	return events, polled
+	go New(limits, events).Run(ctx, listener.Addr().String())
+	return events, polledTargets
 }
 
-// expect fails the test unless exactly these events come next.
+// expect fails the test unless exactly these events follow.
 func (r recorder) expect(t *testing.T, events ...string) {
 	t.Helper()
 	for _, want := range events {
 		if got := <-r; got != want {
-			t.Fatalf("%s, want %s", got, want)
+			t.Fatalf("event %q, want %q", got, want)
 		}
 	}
 }
 
-// A service that broke off or sent nonsense once made the watcher lose its list.
+// Guards against losing the endpoint list when the service sends an incomplete or
+// malformed response.
 func TestRunContinuesAfterFaults(t *testing.T) {
-	events, targets := runAgainst(t,
+	events, targets := runWatcher(t,
 		"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{",
 		"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
@@ -130,32 +134,33 @@
 		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+`{"rev":8,"notices":[{"rev":8,"flush":{"asset":"x","ms":5}}]}`,
 		"",
 	)
-	events.expect(t, "lost", "back", `purge "x" 0 5000`)
+	events.expect(t, "lost", "restored", `purge "x" 0 5000`)
 	for range 5 {
-		if got := <-targets; got != "/board/poll?watch=0&linger=1000" {
-			t.Fatal(got)
+		if got, want := <-targets, "/board/poll?watch=0&linger=1000"; got != want {
+			t.Fatalf("poll of %s, want %s", got, want)
 		}
 	}
-	if got := <-targets; got != "/board/poll?watch=8&linger=1000" {
-		t.Fatal(got)
+	if got, want := <-targets, "/board/poll?watch=8&linger=1000"; got != want {
+		t.Fatalf("poll of %s, want %s", got, want)
 	}
 }
 
-// A service that sends long updates in chunks was once lost for good: each poll
-// asked for the same update again. A broken chunk is no update.
+// Guards against losing a service that sends long updates as chunked bodies: each poll
+// failed, and the next one requested the same update again. A malformed chunk makes the
+// poll fail.
 func TestRunReadsChunkedUpdates(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const update = `{"rev":1,"notices":[{"rev":1,"flush":{"asset":"x","ms":5}}]}`
-	events, _ := runAgainst(t,
+	events, _ := runWatcher(t,
 		head+"zz\r\n",
 		head+"5\r\n{\"rev\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"+head[17:],
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"+head[17:], // without its status line
 		head+fmt.Sprintf("10\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", update[:16], len(update)-16, update[16:]),
 	)
-	events.expect(t, "lost", "back", `purge "x" 0 5000`)
+	events.expect(t, "lost", "restored", `purge "x" 0 5000`)
 }
 
-// applyAll applies updates to a watcher, and returns what its handler is told.
+// applyAll applies updates to a new watcher and returns the events that its handler receives.
 func applyAll(t *testing.T, texts ...string) []string {
 	t.Helper()
 	events := make(recorder, 20)
@@ -168,15 +173,16 @@
 		watcher.Apply(update)
 	}
 	close(events)
-	var told []string
+	var received []string
 	for line := range events {
-		told = append(told, line)
+		received = append(received, line)
 	}
-	return told
+	return received
 }
 
-// Guards against drains and purges that are dropped for good once a restarted service
-// numbers its events anew, and against drained endpoints that are active again meanwhile.
+// Guards against ignoring the drains and purges of a service that restarts its revision
+// numbers, and against making drained endpoints active again while its older events are
+// applied.
 func TestEventsNumberedAnewAreFollowed(t *testing.T) {
 	const before = `{"rev":40,"notices":[{"rev":40,"pool":{"all":true,"targets":[
 		{"uid":"a","endpoint":"1.1.1.1:1","state":"draining"}]}}]}`
@@ -193,16 +199,17 @@
 		"with its history": {before, history, after},
 		"history later":    {before, `{"rev":3,"notices":[]}`, history, after},
 	} {
-		if told := applyAll(t, texts...); !slices.Equal(told, want) {
-			t.Errorf("%s: %q, want %q", name, told, want)
+		if received := applyAll(t, texts...); !slices.Equal(received, want) {
+			t.Errorf("%s: events %q, want %q", name, received, want)
 		}
 	}
 }
 
-// A service that begins its numbers anew is asked for all of its events.
+// After the service has restarted its revision numbers, the next poll must request its
+// events from the first one on.
 func TestRunAsksForEventsNumberedAnew(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	events, targets := runAgainst(t,
+	events, targets := runWatcher(t,
 		head+`{"rev":8,"notices":[{"rev":8,"flush":{"asset":"x","ms":5}}]}`,
 		head+`{"rev":2,"notices":[]}`,
 		head+`{"rev":2,"notices":[{"rev":1,"pool":{"all":true,"targets":[]}},{"rev":2,"flush":{"asset":"y","ms":6}}]}`,
@@ -211,19 +218,19 @@
 	events.expect(t, `purge "x" 0 5000`, "gap", `purge "y" 0 6000`)
 	for _, watch := range []int{0, 8, 0, 2} {
 		if got, want := <-targets, fmt.Sprintf("/board/poll?watch=%d&linger=1000", watch); got != want {
-			t.Fatalf("%s, want %s", got, want)
+			t.Fatalf("poll of %s, want %s", got, want)
 		}
 	}
 }
 
-// Guards against the purge of a group being taken for that of group 0, since the update
-// names an empty object beside it.
+// Guards against applying the purge of a group to group 0, because the update also has an
+// object with an empty name.
 func TestPurgeWithAnEmptyObjectIsOfItsGroup(t *testing.T) {
-	told := applyAll(t, `{"rev":1,"notices":[{"rev":1,"flush":{"asset":"","collection":17,"ms":6}}]}`)
-	if want := []string{`purge "" 17 6000`}; !slices.Equal(told, want) {
-		t.Errorf("%q, want %q", told, want)
+	received := applyAll(t, `{"rev":1,"notices":[{"rev":1,"flush":{"asset":"","collection":17,"ms":6}}]}`)
+	if want := []string{`purge "" 17 6000`}; !slices.Equal(received, want) {
+		t.Errorf("events %q, want %q", received, want)
 	}
 	if _, err := Parse([]byte(`{"rev":1,"notices":[{"rev":1,"flush":{"asset":"","ms":6}}]}`)); err == nil {
-		t.Error("a purge of nothing passes")
+		t.Error("a purge without object and group was accepted")
 	}
 }
