--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// maxArrivals bounds what an arrivalReader remembers. A client of the protocol
-// has one request out; of what it sends beyond that, the last bytes count as
-// received earlier than they were, which only takes from that client's time.
+// maxArrivals bounds the entries of an arrivalReader. A client that follows the
+// protocol has one request outstanding. If a client sends more ahead, bytes beyond
+// the bound count as received with the last entry, earlier than they were, which
+// only shortens that client's own timeouts.
 const maxArrivals = 16
 
-// arrivalReader notes when bytes were received and whether the client's side has
-// ended, for what lies in the buffer behind it.
+// arrivalReader records when the bytes in the client's read buffer were received,
+// and whether the stream has ended.
 type arrivalReader struct {
 	net.Conn
 	arrivals    []arrival
 	received    int64     // bytes so far
-	ended       bool      // nothing comes any more
-	unreadSince time.Time // since when bytes are known to wait in the socket; zero: not known
+	ended       bool      // the client closed its side, or the connection failed
+	unreadSince time.Time // since when bytes are known to be unread in the socket; zero: not known
 }
 
-// arrival says when the bytes up to an offset were received.
+// arrival is the time at which the bytes up to an offset in the stream were
+// received.
 type arrival struct {
 	end int64
 	at  time.Time
@@ -31,13 +33,15 @@
 func (a *arrivalReader) Read(b []byte) (int, error) {
 	n, err := a.Conn.Read(b)
 	if n > 0 {
-		a.note(n)
+		a.recordArrival(n)
 	}
 	a.ended = a.ended || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	return n, err
 }
 
-func (a *arrivalReader) note(n int) {
+// recordArrival adds an entry for n received bytes, with the time of markUnread if
+// that was called before.
+func (a *arrivalReader) recordArrival(n int) {
 	at := time.Now()
 	if !a.unreadSince.IsZero() {
 		at = a.unreadSince
@@ -51,15 +55,15 @@
 	a.arrivals = append(a.arrivals, arrival{a.received, at})
 }
 
-// noteUnread says that bytes wait in the socket.
-func (a *arrivalReader) noteUnread() {
+// markUnread records that unread bytes are in the socket now.
+func (a *arrivalReader) markUnread() {
 	if a.unreadSince.IsZero() {
 		a.unreadSince = time.Now()
 	}
 }
 
-// arrivedAt returns when the first byte was received of those that are still in
-// the buffer.
+// arrivedAt returns when the first of the bytes that are still in the read buffer
+// was received; buffered is their number. It removes entries of earlier bytes.
 func (a *arrivalReader) arrivedAt(buffered int) time.Time {
 	for len(a.arrivals) > 1 && a.arrivals[0].end <= a.received-int64(buffered) {
 		a.arrivals = append(a.arrivals[:0], a.arrivals[1:]...)
--- a/internal/downstream/client.go
+++ b/internal/downstream/client.go
@@ -14,32 +14,32 @@
 type client struct {
 	net.Conn
 	arrivals     arrivalReader
-	r            *bufio.Reader // of arrivals
-	readDeadline time.Time     // by which the current request must have come whole
+	reader       *bufio.Reader // reads from arrivals
+	readDeadline time.Time     // by which the current request must be read completely
 
-	// Under the server's lock:
+	// Guarded by the server's lock:
 	state     clientState
-	served    bool      // it has had a response
-	idleSince time.Time // at first, since when it is connected
+	served    bool      // the client has had a response
+	idleSince time.Time // when the last response was written; before the first, when the client connected
 }
 
-// clientState says what goes on on a connection.
+// clientState is a connection's state.
 type clientState uint8
 
 const (
-	clientIdle    clientState = iota // waits for the first byte of a request
-	clientSending                    // a request is coming
-	clientBusy                       // a request that came whole is being served
-	clientClosing                    // evicted or shut: nothing may begin
+	clientIdle    clientState = iota // waiting for the first byte of a request
+	clientSending                    // a request is being read
+	clientBusy                       // a request has been read and is being served
+	clientClosing                    // evicted or shut down: no request may begin
 )
 
 func newClient(socket net.Conn) *client {
 	c := &client{Conn: socket, arrivals: arrivalReader{Conn: socket}, idleSince: time.Now()}
-	c.r = bufio.NewReaderSize(&c.arrivals, bufferpool.Size)
+	c.reader = bufio.NewReaderSize(&c.arrivals, bufferpool.Size)
 	return c
 }
 
-// evictedBefore orders clients for eviction.
+// evictedBefore reports whether c is to be evicted before the other client.
 func (c *client) evictedBefore(other *client) bool {
 	if c.served != other.served {
 		return !c.served
@@ -47,9 +47,9 @@
 	return c.idleSince.Before(other.idleSince)
 }
 
-// hasLeft reports whether the client's side is closed already, whatever it sent
-// before.
-func (c *client) hasLeft() bool {
+// hasDisconnected reports whether the client has closed its side, even if unread
+// bytes precede the end.
+func (c *client) hasDisconnected() bool {
 	if c.arrivals.ended {
 		return true
 	}
@@ -57,13 +57,14 @@
 	return closed
 }
 
-// watch returns false once the client has left, and true when the read deadline
-// passes or, on a connection without a descriptor, at the wake signal. What the
-// client sends early is taken into the buffer, so that its time is known and its
-// end shows; behind a full buffer the socket is asked.
-func (c *client) watch(wake signal) bool {
-	for c.r.Buffered() < c.r.Size() {
-		if _, err := c.r.Peek(c.r.Buffered() + 1); err != nil {
+// awaitClose waits until the client disconnects, and then returns false. It returns
+// true when the read deadline passes. Bytes that the client sends ahead are read
+// into the buffer, to record when they arrived and to detect the end of the stream.
+// Once the buffer is full, the socket is polled; a connection without a descriptor
+// cannot be polled, and awaitClose returns true at the wake signal.
+func (c *client) awaitClose(wake signal) bool {
+	for c.reader.Buffered() < c.reader.Size() {
+		if _, err := c.reader.Peek(c.reader.Buffered() + 1); err != nil {
 			return errors.Is(err, os.ErrDeadlineExceeded)
 		}
 	}
@@ -77,7 +78,7 @@
 		var readable bool
 		readable, closed = pollDescriptor(fd)
 		if readable {
-			c.arrivals.noteUnread()
+			c.arrivals.markUnread()
 		}
 		return closed
 	})
@@ -85,25 +86,27 @@
 	return !closed && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// lingeringClose ends this side of the connection and reads on for a while: a
-// connection that is closed over unread bytes is reset, and the reset may discard
-// the response on its way.
+// lingeringClose closes the sending side, discards what the client still sends for
+// a limited time, and closes the connection. Closing a socket with unread bytes
+// resets the connection, and the reset may discard a response that the client has
+// not read yet.
 func (c *client) lingeringClose(timeout time.Duration, maxDiscard int) {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if ok && !c.arrivals.ended && half.CloseWrite() == nil {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if ok && !c.arrivals.ended && halfCloser.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(timeout))
 		c.discard(maxDiscard)
 	}
 	c.Close()
 }
 
-// discard reads up to the client's end, or about as many bytes.
+// discard reads and discards bytes until the client closes its side, the read
+// deadline passes, or about maxBytes are read.
 func (c *client) discard(maxBytes int) {
 	for maxBytes > 0 {
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return
 		}
-		n, _ := c.r.Discard(c.r.Buffered()) // what is buffered can be discarded
-		maxBytes -= n
+		discarded, _ := c.reader.Discard(c.reader.Buffered()) // no error: these bytes are in the buffer
+		maxBytes -= discarded
 	}
 }
--- a/internal/downstream/client_test.go
+++ b/internal/downstream/client_test.go
@@ -12,28 +12,28 @@
 	"quilldoor/internal/testsupport"
 )
 
-// pair returns a client's end of a connection, and ours as the server has it.
-func pair(t *testing.T) (theirs *net.TCPConn, ours *client) {
+// connectedPair returns a client's end of a connection, and ours as the server has it.
+func connectedPair(t *testing.T) (clientEnd *net.TCPConn, serverEnd *client) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket, err := l.Accept()
+	socket, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		c.Close()
+		dialed.Close()
 		socket.Close()
 	})
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c.(*net.TCPConn), newClient(socket)
+	dialed.SetDeadline(time.Now().Add(5 * time.Second))
+	return dialed.(*net.TCPConn), newClient(socket)
 }
 
 // waitUntilReadable waits for what the other end has sent.
@@ -48,20 +48,20 @@
 // A client that had sent early was once not watched any further: its leaving was seen
 // only at the next read, attempts later.
 func TestLeavingClientIsSeenBehindWhatItSent(t *testing.T) {
-	for name, ahead := range map[string]int{
+	for name, extraBytes := range map[string]int{
 		"nothing":              0,
 		"half a request":       20,
 		"more than the buffer": 4 * bufferpool.Size,
 	} {
 		t.Run(name, func(t *testing.T) {
-			theirs, ours := pair(t)
-			io.WriteString(theirs, "!"+strings.Repeat("x", ahead))
-			if _, err := ours.r.ReadByte(); err != nil {
+			theirs, ours := connectedPair(t)
+			io.WriteString(theirs, "!"+strings.Repeat("x", extraBytes))
+			if _, err := ours.reader.ReadByte(); err != nil {
 				t.Fatal(err)
 			}
 			present := make(chan bool, 1)
 			wake := newSignal()
-			go func() { present <- ours.wait(wake) }()
+			go func() { present <- ours.awaitSignal(wake) }()
 			theirs.Close()
 			select {
 			case got := <-present:
@@ -77,14 +77,14 @@
 
 // The signal wakes whoever watches a client with a full buffer, too.
 func TestSignalWakesBehindAFullBuffer(t *testing.T) {
-	theirs, ours := pair(t)
+	theirs, ours := connectedPair(t)
 	io.WriteString(theirs, strings.Repeat("x", 4*bufferpool.Size))
-	if _, err := ours.r.Peek(bufferpool.Size); err != nil {
+	if _, err := ours.reader.Peek(bufferpool.Size); err != nil {
 		t.Fatal(err)
 	}
 	wake := newSignal()
 	present := make(chan bool, 1)
-	go func() { present <- ours.wait(wake) }()
+	go func() { present <- ours.awaitSignal(wake) }()
 	wake.raise()
 	ours.SetReadDeadline(time.Now())
 	select {
@@ -100,7 +100,7 @@
 // A request that was read with its client's end behind it was once begun.
 func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
 	s := newTestServer(t, 1, time.Minute)
-	theirs, ours := pair(t)
+	theirs, ours := connectedPair(t)
 	fmt.Fprintf(theirs, requestText, 1)
 	theirs.Close()
 	testsupport.WaitUntil(t, "the client's end", func() bool {
@@ -119,7 +119,7 @@
 // nowhere to go.
 func TestNothingBeginsOnAConnectionThatDrainShut(t *testing.T) {
 	s := newTestServer(t, 1, time.Minute)
-	theirs, ours := pair(t)
+	theirs, ours := connectedPair(t)
 	s.addClient(ours)
 	if left := s.Drain(0); left != 1 {
 		t.Fatalf("%d clients", left)
@@ -134,15 +134,15 @@
 // A connection that becomes idle as it is shut once waited for its idle timeout.
 func TestDrainWakesAConnectionThatJustBecomesIdle(t *testing.T) {
 	s := newTestServer(t, 1, time.Minute)
-	_, ours := pair(t)
+	_, ours := connectedPair(t)
 	ours.served = true
 	s.addClient(ours)
 	s.Drain(0) // its wake comes before awaitRequest sets the deadline of an idle client
 	done := make(chan bool, 1)
 	go func() { done <- s.awaitRequest(ours) }()
 	select {
-	case on := <-done:
-		if on {
+	case keepOpen := <-done:
+		if keepOpen {
 			t.Error("the connection goes on")
 		}
 	case <-time.After(s.limits.ClientIdleTimeout / 2):
@@ -153,7 +153,7 @@
 // Drain must not shut a connection whose request has come and not been read yet.
 func TestDrainAnswersWhatHasArrived(t *testing.T) {
 	s := newTestServer(t, 1, time.Minute)
-	theirs, ours := pair(t)
+	theirs, ours := connectedPair(t)
 	s.addClient(ours)
 	fmt.Fprintf(theirs, requestText, 1)
 	ours.waitUntilReadable(t)
@@ -170,7 +170,7 @@
 func TestDrainShutsIdleClients(t *testing.T) {
 	s := newTestServer(t, 10, time.Minute)
 	client := s.connect(t)
-	if got := client.status(fmt.Sprintf(requestText, 1)); got != "503" {
+	if got := client.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
 		t.Fatal(got)
 	}
 	testsupport.WaitUntil(t, "an idle client", func() bool {
@@ -209,19 +209,19 @@
 // The timeout of a request that was sent early once began when the request before it
 // was being answered.
 func TestTimeoutOfAnEarlyRequestBeginsAtItsArrival(t *testing.T) {
-	theirs, ours := pair(t)
+	theirs, ours := connectedPair(t)
 	io.WriteString(theirs, "ab")
-	if _, err := ours.r.Peek(2); err != nil {
+	if _, err := ours.reader.Peek(2); err != nil {
 		t.Fatal(err)
 	}
 	secondWrite := time.Now()
 	io.WriteString(theirs, "cd")
-	if _, err := ours.r.Peek(4); err != nil {
+	if _, err := ours.reader.Peek(4); err != nil {
 		t.Fatal(err)
 	}
-	for n, want := range map[int]bool{4: true, 3: true} {
-		if got := ours.arrivals.arrivedAt(n).Before(secondWrite); got != want {
-			t.Errorf("with %d bytes in the buffer: arrived before the second write: %v", n, got)
+	for buffered, want := range map[int]bool{4: true, 3: true} {
+		if got := ours.arrivals.arrivedAt(buffered).Before(secondWrite); got != want {
+			t.Errorf("with %d bytes in the buffer: arrived before the second write: %v", buffered, got)
 		}
 	}
 	if ours.arrivals.arrivedAt(2).Before(secondWrite) {
@@ -229,7 +229,7 @@
 	}
 	for range 3 * maxArrivals { // bounded, and never later than it was
 		io.WriteString(theirs, "e")
-		if _, err := ours.r.Peek(ours.r.Buffered() + 1); err != nil {
+		if _, err := ours.reader.Peek(ours.reader.Buffered() + 1); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -10,7 +10,7 @@
 	"quilldoor/internal/http1"
 )
 
-// serve runs a client's connection to its end.
+// serve serves requests on a client's connection until it is closed.
 func (s *Server) serve(c *client) {
 	defer s.remove(c)
 	defer c.lingeringClose(s.limits.LingeringCloseTimeout, s.limits.MaxDiscardBytes)
@@ -21,11 +21,12 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. A client that never had a
-// response has one timeout for that and for its whole request.
+// awaitRequest waits for the first byte of a request, and reports whether to read
+// the request. For a client's first request, RequestReadTimeout covers both this
+// wait and the reading.
 func (s *Server) awaitRequest(c *client) bool {
 	s.mu.Lock()
-	if c.state == clientClosing { // Drain's wake came before this deadline
+	if c.state == clientClosing { // a new read deadline would override the one that Drain set
 		s.mu.Unlock()
 		return false
 	}
@@ -36,21 +37,22 @@
 		c.SetReadDeadline(c.readDeadline)
 	}
 	s.mu.Unlock()
-	if _, err := c.r.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return false
 	}
 	if c.served {
-		// From now: while what was sent early lay in the buffer, another request
-		// was served.
+		// The timeout starts now, not at the request's arrival: the client may have
+		// sent it ahead, and it stayed in the buffer while another one was served.
 		c.readDeadline = time.Now().Add(s.limits.RequestReadTimeout)
 		c.SetReadDeadline(c.readDeadline)
 	}
 	return s.setState(c, clientSending)
 }
 
-// serveRequest serves one request; false: the connection is to be closed.
+// serveRequest reads and answers one request. False: the connection must be
+// closed.
 func (s *Server) serveRequest(c *client) bool {
-	arrivedAt := c.arrivals.arrivedAt(c.r.Buffered())
+	arrivedAt := c.arrivals.arrivedAt(c.reader.Buffered())
 	head, ok := s.readHead(c)
 	if !ok {
 		return false
@@ -58,37 +60,37 @@
 	var body *bufferpool.Body
 	var err error
 	if head.ContentLength > 0 {
-		body, err = s.bodies.ReadBody(c.r, head.ContentLength)
+		body, err = s.bodies.ReadBody(c.reader, head.ContentLength)
 		if err != nil && !errors.Is(err, bufferpool.ErrFull) {
-			return false // half a body: nobody waits for a response, or it stalled
+			return false // an incomplete body: the client disconnected or stopped sending
 		}
 		defer body.Release()
 	}
 	if !s.setState(c, clientBusy) {
 		return false
 	}
-	last := head.Close || s.draining.Load() || s.migrating.Load()
+	closeAfter := head.Close || s.draining.Load() || s.migrating.Load()
 	if head.Target == "/health" && head.Method == http.MethodGet {
-		return s.respondEmpty(c, s.healthStatus(), last) && !last
+		return s.respondEmpty(c, s.healthStatus(), closeAfter) && !closeAfter
 	}
-	if err != nil { // no buffers for the body: the request never ran
-		return s.respondEmpty(c, http.StatusServiceUnavailable, last) && !last
+	if err != nil { // no buffer space for the body; the request was not executed
+		return s.respondEmpty(c, http.StatusServiceUnavailable, closeAfter) && !closeAfter
 	}
 	request, status := s.parse(head)
 	if request == nil {
-		return s.respondEmpty(c, status, last) && !last
+		return s.respondEmpty(c, status, closeAfter) && !closeAfter
 	}
 	request.body = body
 	request.arrivedAt = arrivedAt
 	stalledMicros := s.stalls.MaxWaitMicros(arrivedAt.Sub(s.startedAt).Microseconds())
 	request.stalled = time.Duration(stalledMicros) * time.Microsecond
-	return s.answer(c, request, last) && !last
+	return s.answer(c, request, closeAfter) && !closeAfter
 }
 
-// readHead reads a request's head, and answers one that is malformed or late.
-// False: the connection is to be closed.
+// readHead reads a request's head, and answers a malformed one, or a timeout, with
+// an error status. False: the connection must be closed.
 func (s *Server) readHead(c *client) (*http1.Head, bool) {
-	head, err := http1.ReadRequest(c.r, http1.Limits{
+	head, err := http1.ReadRequest(c.reader, http1.Limits{
 		MaxBytes:  s.limits.MaxHeadBytes,
 		MaxFields: s.limits.MaxHeaderFields,
 		MaxBody:   s.limits.MaxRequestBody,
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -10,7 +10,7 @@
 	"quilldoor/internal/upstream"
 )
 
-// signal wakes one goroutine; raised again before it wakes, it counts once.
+// signal wakes one goroutine. Raising it again before it is consumed has no effect.
 type signal chan struct{}
 
 func newSignal() signal { return make(signal, 1) }
@@ -22,8 +22,8 @@
 	}
 }
 
-// lower reports whether the signal was raised.
-func (s signal) lower() bool {
+// consume clears the signal, and reports whether it was raised.
+func (s signal) consume() bool {
 	select {
 	case <-s:
 		return true
@@ -32,31 +32,32 @@
 	}
 }
 
-// exchange is a client's request on its way to its response.
+// exchange is the processing of one client request up to its response.
 type exchange struct {
-	server   *Server
-	client   *client
-	request  *clientRequest
-	deadline time.Time
-	last     bool             // the connection is closed behind the response
-	cached   *diskrunner.Copy // the router's own; nil: none
-	tag      string           // sent upstream: of the client's copy or the cached one
-	wake     signal
+	server     *Server
+	client     *client
+	request    *clientRequest
+	deadline   time.Time
+	closeAfter bool             // the connection is closed after the response
+	cached     *diskrunner.Copy // from the disk cache; nil: none
+	tag        string           // sent upstream: the tag of the client's copy or of the cached one
+	wake       signal           // raised for commands of the engine and a reply of the gateway
 }
 
-// answer answers a request. False: the connection must be closed.
-func (s *Server) answer(c *client, request *clientRequest, last bool) bool {
-	if request.stalled >= request.timeout { // nothing has run: a retry is harmless
-		return s.respondEmpty(c, http.StatusServiceUnavailable, last)
+// answer serves a parsed request from the disk cache or through the engine. False:
+// the connection must be closed.
+func (s *Server) answer(c *client, request *clientRequest, closeAfter bool) bool {
+	if request.stalled >= request.timeout { // no attempt was made, so the client may retry safely
+		return s.respondEmpty(c, http.StatusServiceUnavailable, closeAfter)
 	}
 	x := &exchange{
-		server:   s,
-		client:   c,
-		request:  request,
-		deadline: request.arrivedAt.Add(request.timeout - request.stalled),
-		last:     last,
-		tag:      request.tag,
-		wake:     newSignal(),
+		server:     s,
+		client:     c,
+		request:    request,
+		deadline:   request.arrivedAt.Add(request.timeout - request.stalled),
+		closeAfter: closeAfter,
+		tag:        request.tag,
+		wake:       newSignal(),
 	}
 	served := x.lookUpCached()
 	if x.cached != nil {
@@ -66,92 +67,92 @@
 		return x.respondCached(x.cached)
 	}
 	if x.cached != nil && x.tag == "" {
-		x.tag = x.cached.Tag // if the copy is current, its bytes need not be sent again
+		x.tag = x.cached.Tag // if the cached copy is current, a cache answers without a body
 	}
 	return x.run()
 }
 
-// run hands the request to the engine and answers as it decides.
+// run opens the request in the engine, waits for the final command, and answers.
 func (x *exchange) run() bool {
 	s := x.server
 	now := time.Now()
 	x.request.event.Remaining = x.deadline.Sub(now).Microseconds()
-	if x.request.event.Remaining <= 0 { // it waited in our buffers for all of its time
-		return s.respondEmpty(x.client, http.StatusGatewayTimeout, x.last)
+	if x.request.event.Remaining <= 0 { // its timeout passed before this point, for example in the read buffer
+		return s.respondEmpty(x.client, http.StatusGatewayTimeout, x.closeAfter)
 	}
-	if x.client.hasLeft() {
+	if x.client.hasDisconnected() {
 		return false
 	}
-	open, err := s.engine.Open(now.UnixMicro(), x.request.event, func() {
+	engineRequest, err := s.engine.Open(now.UnixMicro(), x.request.event, func() {
 		x.wake.raise()
-		x.client.SetReadDeadline(now) // interrupts the read in wait
+		x.client.SetReadDeadline(now) // interrupts the read in awaitSignal
 	})
 	switch {
 	case errors.Is(err, engine.ErrFull):
-		s.stats.countEnd(engine.CommandReject)
-		s.weigh(x.request, false, 0, 0)
-		return s.respondEmpty(x.client, http.StatusServiceUnavailable, x.last)
+		s.stats.countOutcome(engine.CommandReject)
+		s.countWeight(x.request, false, 0, 0)
+		return s.respondEmpty(x.client, http.StatusServiceUnavailable, x.closeAfter)
 	case err != nil: // ErrDuplicate
-		return s.respondEmpty(x.client, http.StatusBadRequest, x.last)
+		return s.respondEmpty(x.client, http.StatusBadRequest, x.closeAfter)
 	}
-	final, present := x.await(open)
-	if !present {
-		x.countGone(open)
+	final, connected := x.awaitFinalCommand(engineRequest)
+	if !connected {
+		x.countClientGone(engineRequest)
 		if final != nil {
-			discard(*final) // it came as the client left
+			discardCommand(*final) // decided while the client disconnected
 		}
 		return false
 	}
 	if !x.forwardRejected(final) {
-		x.countGone(open)
+		x.countClientGone(engineRequest)
 		return false
 	}
-	return x.finish(open, final)
+	return x.finish(engineRequest, final)
 }
 
-// await carries out the engine's commands until the final one, or until the
-// client has left.
-func (x *exchange) await(open *engine.Request) (final *engine.Command, present bool) {
-	present = true
+// awaitFinalCommand carries out the engine's commands until the final one arrives
+// or the client disconnects.
+func (x *exchange) awaitFinalCommand(engineRequest *engine.Request) (final *engine.Command, connected bool) {
+	connected = true
 	for {
-		final = x.server.execute(open, x.request, x.tag)
-		if final != nil || !present {
-			discardRest(open)
-			return final, present
+		final = x.server.execute(engineRequest, x.request, x.tag)
+		if final != nil || !connected {
+			closeCommandQueue(engineRequest)
+			return final, connected
 		}
-		if present = x.client.wait(x.wake); !present {
-			x.server.engine.ClientGone(time.Now().UnixMicro(), open)
+		if connected = x.client.awaitSignal(x.wake); !connected {
+			x.server.engine.ClientGone(time.Now().UnixMicro(), engineRequest)
 		}
 	}
 }
 
-// finish counts the final command and answers with it, or with a cached copy.
-func (x *exchange) finish(open *engine.Request, final *engine.Command) bool {
+// finish counts the final command, and answers with it or with a cached copy.
+func (x *exchange) finish(engineRequest *engine.Request, final *engine.Command) bool {
 	s := x.server
-	lateAfter := s.limits.ResponseGrace / 2 // the other half is for the way to the client
+	lateAfter := s.limits.ResponseGrace / 2 // the other half is left for sending the response
 	if time.Since(x.deadline) > lateAfter {
 		s.stats.late.Add(1)
 		s.stats.lateUncollected.Add(1)
 	}
-	s.stats.countEnd(final.Kind)
-	s.weigh(x.request, final.Kind == engine.CommandRespond, responseSize(final), open.Attempts())
-	x.record(final)
+	s.stats.countOutcome(final.Kind)
+	s.countWeight(x.request, final.Kind == engine.CommandRespond, responseSize(final), engineRequest.Attempts())
+	x.recordResponse(final)
 	if s.cache.Load() != nil {
 		if cached := x.updateCache(final); cached != nil {
-			discard(*final)
+			discardCommand(*final)
 			return x.respondCached(cached)
 		}
 	}
 	return x.respond(final)
 }
 
-func (x *exchange) countGone(open *engine.Request) {
+func (x *exchange) countClientGone(engineRequest *engine.Request) {
 	x.server.stats.clientGone.Add(1)
-	x.server.weigh(x.request, false, 0, open.Attempts())
+	x.server.countWeight(x.request, false, 0, engineRequest.Attempts())
 }
 
-// record notes a read's response for the invariant monitor.
-func (x *exchange) record(final *engine.Command) {
+// recordResponse records the response to a read for the invariant monitor.
+func (x *exchange) recordResponse(final *engine.Command) {
 	s, event := x.server, &x.request.event
 	response, ok := final.Response.(*upstream.Response)
 	if !ok || s.recorder == nil || final.Attempt == nil || event.Write {
@@ -165,7 +166,7 @@
 		event.Class, event.Object, event.Group, final.Attempt.DecidedAt, response.IssuedMillis*1000, sendMicros)
 }
 
-// responseSize is a response's length; 0: there is none.
+// responseSize returns the length of a command's response; 0 without one.
 func responseSize(final *engine.Command) int {
 	if response, ok := final.Response.(*upstream.Response); ok {
 		return response.Len()
@@ -173,15 +174,15 @@
 	return 0
 }
 
-// execute carries out what the engine has decided so far and returns the final
-// command, if it came.
-func (s *Server) execute(open *engine.Request, request *clientRequest, tag string) (final *engine.Command) {
-	for _, command := range open.TakeCommands() {
+// execute carries out the commands in the request's queue, and returns the final
+// one if it is among them.
+func (s *Server) execute(engineRequest *engine.Request, request *clientRequest, tag string) (final *engine.Command) {
+	for _, command := range engineRequest.TakeCommands() {
 		switch command.Kind {
 		case engine.CommandSend:
 			s.send(command.Attempt, request, tag)
 		case engine.CommandDrop:
-			discard(command)
+			discardCommand(command)
 		default:
 			final = &command
 		}
@@ -205,8 +206,9 @@
 	s.upstream.Send(call)
 }
 
-// discard does what is left to do of a command that nobody waits for.
-func discard(command engine.Command) {
+// discardCommand drops the attempt of a CommandDrop, and releases the response of
+// any other command.
+func discardCommand(command engine.Command) {
 	if command.Kind == engine.CommandDrop {
 		command.Attempt.Drop(command.Silent)
 	}
@@ -215,24 +217,25 @@
 	}
 }
 
-// discardRest ends the reading of a request's command queue.
-func discardRest(open *engine.Request) {
-	for _, command := range open.Detach() {
-		discard(command)
+// closeCommandQueue detaches from a request's command queue and discards the
+// commands left in it.
+func closeCommandQueue(engineRequest *engine.Request) {
+	for _, command := range engineRequest.Detach() {
+		discardCommand(command)
 	}
 }
 
-// wait returns true at the wake signal, or false once the client has left. It
-// sees both by one read, which whoever raises the signal interrupts by a read
-// deadline in the past.
-func (c *client) wait(wake signal) bool {
+// awaitSignal waits until the wake signal is raised, and then returns true, or until
+// the client disconnects, and then returns false. A single read detects both: the
+// goroutine that raises the signal interrupts it with a read deadline in the past.
+func (c *client) awaitSignal(wake signal) bool {
 	c.SetReadDeadline(time.Time{})
-	if wake.lower() { // it may have been raised before the deadline was taken away
+	if wake.consume() { // the line above may have cleared the deadline set with the signal
 		return true
 	}
-	if !c.watch(wake) {
+	if !c.awaitClose(wake) {
 		return false
 	}
-	wake.lower()
+	wake.consume()
 	return true
 }
--- a/internal/downstream/forward.go
+++ b/internal/downstream/forward.go
@@ -11,11 +11,12 @@
 	"quilldoor/internal/upstream"
 )
 
-// forwardRejected hands a request that the policy has rejected to another site,
-// where there is one, and puts its outcome in the place of the rejection. The
-// gateway's protocol has no field for an idempotency key. False: the client has
-// left.
-func (x *exchange) forwardRejected(final *engine.Command) (present bool) {
+// forwardRejected reports to the gateway, if there is one, whether the request was
+// rejected. If so, it forwards the request and replaces the final command by the
+// outcome at the other site. A request with an idempotency key is neither reported
+// nor forwarded: the gateway protocol has no field for the key. False: the client
+// has disconnected.
+func (x *exchange) forwardRejected(final *engine.Command) (connected bool) {
 	g := x.server.gateway.Load()
 	if g == nil || x.request.idempotencyKey != "" {
 		return true
@@ -25,32 +26,35 @@
 	return !rejected || x.forward(g, final)
 }
 
-func (x *exchange) forward(g *gateway.Gateway, final *engine.Command) (present bool) {
+// forward sends the request to another site and replaces the final command by the
+// reply. If the request can't be forwarded, the command stays. False: the client
+// has disconnected.
+func (x *exchange) forward(g *gateway.Gateway, final *engine.Command) (connected bool) {
 	request := x.gatewayRequest(final)
 	if request.Event.Remaining <= 0 {
 		return true
 	}
 	inbox := newReplyInbox(func() {
 		x.wake.raise()
-		x.client.SetReadDeadline(time.Now()) // interrupts the read in wait
+		x.client.SetReadDeadline(time.Now()) // interrupts the read in awaitSignal
 	})
 	if !g.Forward(request, inbox.put) {
 		return true
 	}
 	for {
-		present = x.client.wait(x.wake)
+		connected = x.client.awaitSignal(x.wake)
 		if reply, ok := inbox.take(); ok {
-			if present {
-				*final = commandOf(reply, final.RetryAfter)
+			if connected {
+				*final = commandFromReply(reply, final.RetryAfter)
 			} else {
 				reply.Body.Release()
 			}
-			return present
+			return connected
 		}
-		if !present {
+		if !connected {
 			inbox.close()
 			g.Cancel(x.request.event.Request)
-			if reply, ok := inbox.take(); ok { // it came as the client left
+			if reply, ok := inbox.take(); ok { // received while the client disconnected
 				reply.Body.Release()
 			}
 			return false
@@ -71,7 +75,7 @@
 	return request
 }
 
-// replyInbox takes a gateway's reply, and releases one that comes after close.
+// replyInbox holds the gateway's reply. One that arrives after close is released.
 type replyInbox struct {
 	wake    func() // called with the lock held
 	replies chan gateway.Reply
@@ -109,9 +113,10 @@
 	i.closed = true
 }
 
-// commandOf is a peer's reply as the engine would have decided it. The longer
-// RetryAfter, in microseconds, counts.
-func commandOf(reply gateway.Reply, retryAfter int64) engine.Command {
+// commandFromReply converts a peer's reply to a final command of the engine. A
+// rejection gets the longer RetryAfter of this site's and the peer's, in
+// microseconds.
+func commandFromReply(reply gateway.Reply, retryAfter int64) engine.Command {
 	switch reply.Outcome {
 	case peerpolicy.OutcomeCompleted:
 		return engine.Command{Kind: engine.CommandRespond, Response: &upstream.Response{
@@ -126,36 +131,37 @@
 	return engine.Command{Kind: engine.CommandFail, MaybeExecuted: true}
 }
 
-// ServeForwarded runs a request that a peer forwards, as one of a client would be
-// run; gone is closed when nobody waits for the reply any more.
-func (s *Server) ServeForwarded(gone <-chan struct{}, forwarded *gateway.Request) gateway.Reply {
+// ServeForwarded runs a request that a peer has forwarded in the engine, like a
+// client's, and returns its outcome. clientGone is closed when the peer no longer
+// waits for the reply.
+func (s *Server) ServeForwarded(clientGone <-chan struct{}, forwarded *gateway.Request) gateway.Reply {
 	rejected := gateway.Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	if s.draining.Load() || !s.acceptsForwarded(forwarded) {
 		return rejected
 	}
 	request := &clientRequest{event: forwarded.Event, tag: forwarded.Tag, body: forwarded.Body}
 	wake := newSignal()
-	open, err := s.engine.Open(time.Now().UnixMicro(), request.event, wake.raise)
+	engineRequest, err := s.engine.Open(time.Now().UnixMicro(), request.event, wake.raise)
 	if err != nil {
 		return rejected
 	}
-	for present := true; ; {
-		final := s.execute(open, request, request.tag)
-		if final != nil || !present {
-			discardRest(open)
-			return replyOf(final)
+	for connected := true; ; {
+		final := s.execute(engineRequest, request, request.tag)
+		if final != nil || !connected {
+			closeCommandQueue(engineRequest)
+			return replyFromCommand(final)
 		}
 		select {
 		case <-wake:
-		case <-gone:
-			present = false
-			s.engine.ClientGone(time.Now().UnixMicro(), open)
+		case <-clientGone:
+			connected = false
+			s.engine.ClientGone(time.Now().UnixMicro(), engineRequest)
 		}
 	}
 }
 
-// acceptsForwarded reports whether a peer's request can be run here, and stand in
-// a cache server's line as a client's must.
+// acceptsForwarded reports whether a peer's request can be run at this site. It must
+// fit the request line of the cache protocol, like a client's (see parse).
 func (s *Server) acceptsForwarded(forwarded *gateway.Request) bool {
 	event := &forwarded.Event
 	class, known := s.engine.Class(event.Class)
@@ -168,8 +174,9 @@
 		(forwarded.Tag == "" || cacheproto.IsPlain(forwarded.Tag))
 }
 
-// replyOf is the engine's final command as a reply; nil: there was none.
-func replyOf(final *engine.Command) gateway.Reply {
+// replyFromCommand converts the engine's final command to a reply. A nil command,
+// of a request whose client has disconnected, gives OutcomeAborted.
+func replyFromCommand(final *engine.Command) gateway.Reply {
 	switch {
 	case final == nil:
 		return gateway.Reply{Outcome: peerpolicy.OutcomeAborted}
--- a/internal/downstream/localcache.go
+++ b/internal/downstream/localcache.go
@@ -8,9 +8,9 @@
 	"quilldoor/internal/upstream"
 )
 
-// lookUpCached looks for the router's own copy and reports whether that is the
-// response. Else the policy decides as ever, and the copy may be revalidated or
-// stand in for a response.
+// lookUpCached looks the request up in the disk cache and reports whether the copy
+// is to be served. If not, the engine decides, and a copy that was found may be
+// revalidated, or served stale in place of a failure.
 func (x *exchange) lookUpCached() (served bool) {
 	cache := x.server.cache.Load()
 	if cache == nil || x.request.event.Write {
@@ -21,13 +21,14 @@
 		return false
 	}
 	now := time.Now()
-	if !now.Before(x.deadline) || !x.cached.Serve(x.request.tag == x.cached.Tag) { // a purge came as it was read
+	// Serve refuses the copy if, for example, a purge arrived while it was read.
+	if !now.Before(x.deadline) || !x.cached.Serve(x.request.tag == x.cached.Tag) {
 		x.cached.Release()
 		x.cached = nil
 		return false
 	}
-	x.server.stats.countEnd(engine.CommandRespond)
-	x.server.weigh(x.request, true, x.cached.Len(), 0)
+	x.server.stats.countOutcome(engine.CommandRespond)
+	x.server.countWeight(x.request, true, x.cached.Len(), 0)
 	x.server.engine.LocalHit(now.UnixMicro(), x.request.event)
 	return true
 }
@@ -43,10 +44,10 @@
 	}
 }
 
-// updateCache does what the final command means for the router's own copies: a
-// response is offered to the cache, a copy is revalidated, or stands in for a
-// missing response. It returns the copy to answer with in place of the command;
-// nil: the command's.
+// updateCache applies the final command to the disk cache: it offers a response to
+// the cache, or marks the cached copy as revalidated. It returns the cached copy if
+// that is to be served instead: a revalidated one, or a stale one in place of a
+// failure. Nil: the final command, which may have changed, gives the response.
 func (x *exchange) updateCache(final *engine.Command) *diskrunner.Copy {
 	clientHasCopy := x.cached != nil && x.request.tag == x.cached.Tag
 	if final.Kind != engine.CommandRespond {
@@ -66,7 +67,7 @@
 		if x.request.tag == "" {
 			return x.cached
 		}
-	case response.NotModified && x.request.tag == "": // of a tag that the client has no copy of
+	case response.NotModified && x.request.tag == "": // neither client nor disk cache holds the confirmed copy
 		response.Release()
 		*final = engine.Command{Kind: engine.CommandFail}
 	}
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	pathPrefix = "/rpc/"
-	partPrefix = "n-"
-	firstPart  = partPrefix + "0"
-	maxPart    = 1 << 31
-	maxGroup   = 255
-	idLength   = 16 // hex digits
+	pathPrefix      = "/rpc/"
+	partPrefix      = "n-"
+	firstPart       = partPrefix + "0"
+	maxPart         = 1 << 31
+	maxGroup        = 255
+	requestIDLength = 16 // hex digits
 )
 
-// clientRequest is a parsed request.
+// clientRequest is a parsed request of a client, or one that a peer forwarded.
 type clientRequest struct {
 	event          policy.Event
-	tag            string // of the client's copy, without quotes; "": none
+	tag            string // ETag of the client's copy, without quotes; "": none
 	idempotencyKey string
 	body           *bufferpool.Body
-	arrivedAt      time.Time // of its first byte
+	arrivedAt      time.Time // when its first byte was received
 	timeout        time.Duration
-	stalled        time.Duration // how long it may have waited unread before arrivedAt, as the process stalled
+	stalled        time.Duration // how long it may have been unread before arrivedAt while the process stalled
 }
 
-// parse reads a request's target and fields. The status answers one that is
-// wrong. What passes must fit a cache server's line: a server closes its
-// connection, with all attempts in flight on it, over what it can't read.
+// parse reads a request's target and header fields. For an invalid request it
+// returns nil and the status to answer with. Every value that it accepts must fit
+// the request line of the cache protocol: an endpoint closes its connection, with
+// all attempts in flight on it, if it can't parse a line.
 func (s *Server) parse(head *http1.Head) (*clientRequest, int) {
 	className, object, part, ok := splitTarget(head.Target)
 	if !ok {
@@ -57,7 +58,7 @@
 		return nil, http.StatusBadRequest
 	}
 	if class.Effect == policy.EffectIdempotencyKey && request.idempotencyKey == "" {
-		return nil, http.StatusBadRequest // nothing would tell a retry from another request
+		return nil, http.StatusBadRequest // without a key, servers can't recognize a retry
 	}
 	return request, 0
 }
@@ -78,9 +79,10 @@
 	return "", "", "", false
 }
 
-func parsePart(text string, to *int64) bool {
+// parsePart reads a part number with its prefix.
+func parsePart(text string, result *int64) bool {
 	number, ok := strings.CutPrefix(text, partPrefix)
-	return ok && parseNumber(number, maxPart, to)
+	return ok && parseNumber(number, maxPart, result)
 }
 
 func methodOf(class policy.TrafficClass) string {
@@ -125,18 +127,19 @@
 	return true
 }
 
-// parseTimeout reads milliseconds and cuts them to the longest timeout.
-func (r *clientRequest) parseTimeout(text string, longest time.Duration) bool {
+// parseTimeout reads a timeout in milliseconds. One that exceeds maxTimeout by at
+// most a millisecond is cut to it; a longer one, or 0, is invalid.
+func (r *clientRequest) parseTimeout(text string, maxTimeout time.Duration) bool {
 	var millis int64
-	if !parseNumber(text, longest.Milliseconds()+1, &millis) || millis == 0 {
+	if !parseNumber(text, maxTimeout.Milliseconds()+1, &millis) || millis == 0 {
 		return false
 	}
-	r.timeout = min(time.Duration(millis)*time.Millisecond, longest)
+	r.timeout = min(time.Duration(millis)*time.Millisecond, maxTimeout)
 	return true
 }
 
-// parseTag reads the tag of the client's copy. A list, or a tag that can't be
-// passed on, counts as none.
+// parseTag reads the ETag of the client's copy. A list of tags, or a tag that can't
+// be sent to an endpoint, counts as none. A text over MaxValueLen is invalid.
 func (r *clientRequest) parseTag(text string) bool {
 	tag := strings.Trim(strings.TrimPrefix(text, "W/"), `"`)
 	if cacheproto.IsPlain(tag) {
@@ -146,12 +149,13 @@
 }
 
 func isRequestID(id string) bool {
-	return len(id) == idLength && strings.Trim(id, "0123456789abcdefABCDEF") == ""
+	return len(id) == requestIDLength && strings.Trim(id, "0123456789abcdefABCDEF") == ""
 }
 
-// parseNumber reads a whole number of digits only, without leading zeros.
-func parseNumber(text string, most int64, to *int64) bool {
-	v, err := strconv.ParseUint(text, 10, 63)
-	*to = int64(v)
-	return err == nil && *to <= most && (text[0] != '0' || len(text) == 1)
+// parseNumber reads a decimal integer from 0 to maximum, without a sign or leading
+// zeros.
+func parseNumber(text string, maximum int64, result *int64) bool {
+	number, err := strconv.ParseUint(text, 10, 63)
+	*result = int64(number)
+	return err == nil && *result <= maximum && (text[0] != '0' || len(text) == 1)
 }
--- a/internal/downstream/respond.go
+++ b/internal/downstream/respond.go
@@ -13,14 +13,15 @@
 	"quilldoor/internal/upstream"
 )
 
-// respondEmpty answers without a body. Where the socket's buffer has no place for
-// that, the client gets LingeringCloseTimeout to read. False: it was not written.
-func (s *Server) respondEmpty(c *client, status int, last bool) bool {
+// respondEmpty writes a response without a body. If the socket's send buffer is
+// full, the write waits up to LingeringCloseTimeout for the client to read. False:
+// the write failed.
+func (s *Server) respondEmpty(c *client, status int, closeAfter bool) bool {
 	deadline := time.Now().Add(s.limits.LingeringCloseTimeout)
-	return c.write(deadline, http1.AppendResponse(nil, status, 0, last)) == nil
+	return c.write(deadline, http1.AppendResponse(nil, status, 0, closeAfter)) == nil
 }
 
-// write writes buffers in one call.
+// write writes the buffers with one vectored write.
 func (c *client) write(deadline time.Time, buffers ...[]byte) error {
 	c.SetWriteDeadline(deadline)
 	list := net.Buffers(buffers)
@@ -28,7 +29,8 @@
 	return err
 }
 
-// respond writes what the final command says. False: it was not written.
+// respond writes the response that the final command calls for. False: the write
+// failed.
 func (x *exchange) respond(final *engine.Command) bool {
 	switch final.Kind {
 	case engine.CommandRespond:
@@ -49,7 +51,7 @@
 	return x.write(http.StatusGatewayTimeout, nil)
 }
 
-// respondCached answers with the router's own copy.
+// respondCached answers with a copy from the disk cache.
 func (x *exchange) respondCached(cached *diskrunner.Copy) bool {
 	if x.request.tag == cached.Tag {
 		return x.respondCopy(http.StatusNotModified, cached.Tag, nil)
@@ -57,7 +59,7 @@
 	return x.respondCopy(http.StatusOK, cached.Tag, cached.Body)
 }
 
-// respondCopy answers with a copy and its tag, if it has one.
+// respondCopy answers with a copy, and its tag as the ETag unless that is "".
 func (x *exchange) respondCopy(status int, tag string, body *bufferpool.Body) bool {
 	if tag == "" {
 		return x.write(status, body)
@@ -67,6 +69,6 @@
 
 func (x *exchange) write(status int, body *bufferpool.Body, fields ...http1.Field) bool {
 	buffers := body.AppendBuffers([][]byte{nil})
-	buffers[0] = http1.AppendResponse(nil, status, body.Len(), x.last, fields...)
+	buffers[0] = http1.AppendResponse(nil, status, body.Len(), x.closeAfter, fields...)
 	return x.client.write(x.deadline.Add(x.server.limits.ResponseGrace), buffers...) == nil
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -26,31 +26,31 @@
 	upstream *upstream.Pool
 	bodies   *bufferpool.Pool
 	limits   *config.Limits
-	cache    atomic.Pointer[diskrunner.Cache] // nil: the router has no copies
-	gateway  atomic.Pointer[gateway.Gateway]  // nil: no other site
+	cache    atomic.Pointer[diskrunner.Cache] // nil: no disk cache
+	gateway  atomic.Pointer[gateway.Gateway]  // nil: no other site to forward to
 	recorder *invariant.Recorder              // nil: nothing is recorded
 	stats    stats
 
-	// clientRate is the pace at which a client is sent to, in bytes a second; 0:
-	// not known.
+	// clientRate is the rate at which a response is sent to a client, in bytes per
+	// second; 0: not known.
 	clientRate float64
 
 	ready     atomic.Bool
 	draining  atomic.Bool
-	migrating atomic.Bool // clients are to come back on new connections
+	migrating atomic.Bool // every response is the last on its connection
 
 	stalls    stall.Detector
-	startedAt time.Time // zero of the steady clock that stalls is asked by
+	startedAt time.Time // origin of the monotonic clock of stalls
 
-	mu             sync.Mutex
-	clients        map[*client]struct{}
-	maxClients     int
-	limitSuspended bool      // maxClients does not bind
-	slotFreed      sync.Cond // a client left or became idle
-	allClientsGone sync.Cond
+	mu               sync.Mutex
+	clients          map[*client]struct{}
+	maxClients       int
+	limitSuspended   bool      // maxClients is not enforced
+	slotFreed        sync.Cond // a client was removed or became idle, or the limit changed
+	allClientsClosed sync.Cond // no client is left, or the timeout of Drain has passed
 }
 
-// New makes a server that is not ready.
+// New creates a server whose health check fails until MarkReady.
 func New(e *engine.Engine, up *upstream.Pool, bodies *bufferpool.Pool, limits *config.Limits) *Server {
 	s := &Server{
 		engine:     e,
@@ -63,31 +63,32 @@
 	}
 	s.stats.classes = map[string]classStats{}
 	s.slotFreed.L = &s.mu
-	s.allClientsGone.L = &s.mu
+	s.allClientsClosed.L = &s.mu
 	return s
 }
 
-// SetDiskCache lets the server answer from the router's own copies; nil: no more.
+// SetDiskCache sets the disk cache to serve copies from; nil turns that off.
 func (s *Server) SetDiskCache(cache *diskrunner.Cache) { s.cache.Store(cache) }
 
-// SetGateway lets the server forward what the policy rejects to another site;
-// nil: no more.
+// SetGateway sets the gateway that forwards rejected requests to another site;
+// nil turns that off.
 func (s *Server) SetGateway(g *gateway.Gateway) { s.gateway.Store(g) }
 
-// SetRecorder records what is sent and answered. It is called before Serve.
+// SetRecorder sets the recorder of attempts and responses. It must be called
+// before Serve.
 func (s *Server) SetRecorder(recorder *invariant.Recorder) { s.recorder = recorder }
 
-// SetClientRate sets the pace at which a client is sent to. It is called before
-// Serve.
+// SetClientRate sets the rate at which a response is sent to a client; 0: not
+// known. It must be called before Serve.
 func (s *Server) SetClientRate(bytesPerSecond int64) { s.clientRate = float64(bytesPerSecond) }
 
 // SetMigrating makes every further response the last on its connection, so that
-// clients come back on new ones; idle connections stay until their next request.
-// False ends that.
+// clients open new ones. An idle connection stays open until its next request has
+// been answered. False restores persistent connections.
 func (s *Server) SetMigrating(on bool) { s.migrating.Store(on) }
 
-// AwaitMigration waits until the clients that are to come back on new connections
-// have gone, but no longer than the timeout.
+// AwaitMigration waits until all client connections are closed, as they are after
+// their next response while SetMigrating is on, but no longer than the timeout.
 func (s *Server) AwaitMigration(timeout time.Duration) {
 	const pollInterval = 50 * time.Millisecond
 	for deadline := time.Now().Add(timeout); s.Clients() > 0 && time.Now().Before(deadline); {
@@ -95,20 +96,20 @@
 	}
 }
 
-// MarkReady lets the health check pass; true: it did not before.
+// MarkReady makes the health check pass, and reports whether it failed before.
 func (s *Server) MarkReady() bool { return s.ready.CompareAndSwap(false, true) }
 
 // IsReady reports whether the health check passes.
 func (s *Server) IsReady() bool { return s.ready.Load() }
 
-// Clients returns how many connections there are.
+// Clients returns the number of client connections.
 func (s *Server) Clients() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.clients)
 }
 
-// MonitorStalls notices stalls of the process until stop is closed.
+// MonitorStalls detects stalls of the process until stop is closed.
 func (s *Server) MonitorStalls(stop <-chan struct{}) {
 	ticker := time.NewTicker(stall.TickIntervalMicros * time.Microsecond)
 	defer ticker.Stop()
@@ -122,12 +123,13 @@
 	}
 }
 
-// Serve accepts clients until the listener is closed or its deadline passes.
-// At the bound on clients it evicts one and waits until that has left.
-func (s *Server) Serve(l net.Listener) error {
+// Serve accepts clients until the listener is closed or its deadline passes. At
+// the client limit it evicts one on which no request is being served, and waits
+// until a client is removed.
+func (s *Server) Serve(listener net.Listener) error {
 	var backoff time.Duration
 	for {
-		socket, err := l.Accept()
+		socket, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 				return nil
@@ -146,8 +148,8 @@
 	}
 }
 
-// isTransientAcceptError reports whether accepting may go on later: descriptors
-// or memory are short, or the error is the new connection's (accept(2)).
+// isTransientAcceptError reports whether a later accept may succeed: descriptors
+// or memory ran out, or the error is one of the new connection (see accept(2)).
 func isTransientAcceptError(err error) bool {
 	var temporary interface{ Temporary() bool }
 	if errors.As(err, &temporary) && temporary.Temporary() {
@@ -161,7 +163,7 @@
 	}, code)
 }
 
-// admit adds a client, at the bound in place of another.
+// admit adds a client. At the client limit it evicts another one first.
 func (s *Server) admit(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,9 +174,11 @@
 	s.clients[c] = struct{}{}
 }
 
-// evictClient closes a connection on which no request is open: the oldest of
-// those that never had a response, else the one idle longest. Silent clients come
-// by the hundreds and go first; a usual one asks again on a new connection.
+// evictClient closes a connection on which no request is being served, if there is
+// one: the oldest of those that never had a response, otherwise the one that has
+// been idle longest. Clients that connect without sending a request may come by
+// the hundreds, so they are evicted first. A client that has had a response can
+// send its next request on a new connection.
 func (s *Server) evictClient() {
 	var victim *client
 	for c := range s.clients {
@@ -191,19 +195,19 @@
 	}
 }
 
-// remove takes a client that has been closed off the set.
+// remove removes a closed client from the set.
 func (s *Server) remove(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.clients, c)
 	s.slotFreed.Signal()
 	if len(s.clients) == 0 {
-		s.allClientsGone.Broadcast()
+		s.allClientsClosed.Broadcast()
 	}
 }
 
-// setState notes a connection's state. It returns false if the connection was
-// evicted or shut, and nothing may begin on it.
+// setState sets a connection's state. It returns false if the connection was
+// evicted or shut down: no request may begin on it.
 func (s *Server) setState(c *client, state clientState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +223,8 @@
 	return true
 }
 
-// SetMaxClients bounds the clients; those that there are stay.
+// SetMaxClients sets the limit on client connections. It closes none of the
+// existing ones.
 func (s *Server) SetMaxClients(clients int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,9 +232,9 @@
 	s.slotFreed.Signal()
 }
 
-// SuspendClientLimit lifts the bound on clients: at a shutdown whoever waits for
-// a slot is served, since the listener's deadline would not wake Serve. False
-// sets it again.
+// SuspendClientLimit suspends the limit on clients for a shutdown: a client that
+// waits for a slot is admitted, since the listener's deadline does not wake Serve
+// from that wait. False restores the limit.
 func (s *Server) SuspendClientLimit(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,15 +242,15 @@
 	s.slotFreed.Signal()
 }
 
-// Drain makes every further response the last on its connection, shuts idle
-// connections, and waits until the others have ended, or the timeout. It returns
-// how many are left. Nothing begins on a connection that was shut.
+// Drain makes every further response the last on its connection and shuts down
+// idle connections, on which no request may begin any more. It waits until all
+// connections are closed or the timeout passes, and returns the number left.
 func (s *Server) Drain(timeout time.Duration) (left int) {
 	s.draining.Store(true)
 	timer := time.AfterFunc(timeout, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.allClientsGone.Broadcast()
+		s.allClientsClosed.Broadcast()
 	})
 	defer timer.Stop()
 	deadline := time.Now().Add(timeout)
@@ -255,13 +260,13 @@
 		if c.state != clientIdle {
 			continue
 		}
-		if readable, _ := c.pollSocket(); !readable { // else a request came first
+		if readable, _ := c.pollSocket(); !readable { // otherwise a request has arrived already
 			c.state = clientClosing
-			c.SetReadDeadline(time.Now()) // wakes its goroutine, which shuts it
+			c.SetReadDeadline(time.Now()) // wakes its goroutine, which closes the connection
 		}
 	}
 	for len(s.clients) > 0 && time.Now().Before(deadline) {
-		s.allClientsGone.Wait()
+		s.allClientsClosed.Wait()
 	}
 	return len(s.clients)
 }
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -26,7 +26,7 @@
 
 func newTestServer(t *testing.T, clients int, requestTimeout time.Duration) *testServer {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,10 +45,10 @@
 		Name: "page", Effect: policy.EffectIdempotent, LatencyObjective: 1000, PriorityWeight: 1,
 	}}}
 	server := New(engine.New(set, 1, func() {}), nil, bufferpool.NewPool(1<<20), limits)
-	s := &testServer{server, l, make(chan error, 1)}
-	go func() { s.served <- s.Serve(l) }()
+	s := &testServer{server, listener, make(chan error, 1)}
+	go func() { s.served <- s.Serve(listener) }()
 	t.Cleanup(func() {
-		l.Close()
+		listener.Close()
 		s.SuspendClientLimit(true)
 	})
 	return s
@@ -81,8 +81,8 @@
 	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// status sends a text and returns the response's status; "" where there is none.
-func (client *testClient) status(text string) string {
+// roundTrip sends a text and returns the response's roundTrip; "" where there is none.
+func (client *testClient) roundTrip(text string) string {
 	io.WriteString(client, text)
 	line, _ := client.r.ReadString('\n')
 	for more := line; len(more) > 2; {
@@ -96,8 +96,8 @@
 
 const requestText = "GET /rpc/page/x HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 900\r\nX-Shard: 1\r\n\r\n"
 
-// closed fails the test unless the connection ends, and not by its own deadline.
-func (client *testClient) closed(t *testing.T) {
+// expectClosed fails the test unless the connection ends, and not by its own deadline.
+func (client *testClient) expectClosed(t *testing.T) {
 	t.Helper()
 	for {
 		if _, err := client.r.ReadByte(); err != nil {
@@ -117,14 +117,14 @@
 		"PUT /rpc/page/x HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf": "",
 	} {
 		client := s.connect(t)
-		if got := client.status(text); got != want {
+		if got := client.roundTrip(text); got != want {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
-		client.closed(t)
+		client.expectClosed(t)
 	}
 	// One that had a response may stay.
 	client := s.connect(t)
-	client.status(fmt.Sprintf(requestText, 1))
+	client.roundTrip(fmt.Sprintf(requestText, 1))
 	client.SetReadDeadline(time.Now().Add(2 * s.limits.RequestReadTimeout))
 	if _, err := client.r.ReadByte(); !os.IsTimeout(err) {
 		t.Fatalf("a usual client's connection: %v", err)
@@ -134,16 +134,16 @@
 // At the bound any idle connection was once closed, usual ones before silent ones.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
 	s := newTestServer(t, 3, 10*time.Second)
-	usual, silent, half := s.connect(t), s.connect(t), s.connect(t)
-	if got := usual.status(fmt.Sprintf(requestText, 1)); got != "503" {
+	served, silent, partial := s.connect(t), s.connect(t), s.connect(t)
+	if got := served.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
 		t.Fatal(got)
 	}
-	io.WriteString(half, "GET /")
-	for i, evicted := range []*testClient{silent, half, usual} {
-		if got := s.connect(t).status(fmt.Sprintf(requestText, 2+i)); got != "503" {
+	io.WriteString(partial, "GET /")
+	for i, evicted := range []*testClient{silent, partial, served} {
+		if got := s.connect(t).roundTrip(fmt.Sprintf(requestText, 2+i)); got != "503" {
 			t.Fatal(got)
 		}
-		evicted.closed(t)
+		evicted.expectClosed(t)
 	}
 }
 
@@ -153,17 +153,17 @@
 	ours, theirs := net.Pipe()
 	c := newClient(theirs)
 	c.state = clientClosing
-	got := make(chan int)
+	bytesRead := make(chan int)
 	go func() {
 		fmt.Fprintf(ours, requestText, 1)
 		n, _ := ours.Read(make([]byte, 1))
-		got <- n
+		bytesRead <- n
 	}()
 	if s.awaitRequest(c) || s.serveRequest(c) {
 		t.Error("the connection goes on")
 	}
 	theirs.Close()
-	if <-got > 0 {
+	if <-bytesRead > 0 {
 		t.Error("answered")
 	}
 }
@@ -190,7 +190,7 @@
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(&lastClientListener{client: theirs}) }()
 	s.SuspendClientLimit(true)
-	if got := client.status(fmt.Sprintf(requestText, 1)); got != "503" {
+	if got := client.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
 		t.Fatalf("%q", got)
 	}
 	if err := <-served; err != nil {
@@ -206,7 +206,7 @@
 	if _, err := client.Write(make([]byte, 500_000)); err != nil {
 		t.Fatal(err)
 	}
-	if got := client.status(""); got != "413" {
+	if got := client.roundTrip(""); got != "413" {
 		t.Fatalf("%q", got)
 	}
 }
@@ -214,12 +214,12 @@
 // failingListener lacks memory a few times before it has a client.
 type failingListener struct {
 	net.Listener
-	left   int
-	client net.Conn
+	failuresLeft int
+	client       net.Conn
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.left--; l.left >= 0 {
+	if l.failuresLeft--; l.failuresLeft >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ENOBUFS)}
 	}
 	if c := l.client; c != nil {
@@ -235,8 +235,8 @@
 	ours, theirs := net.Pipe()
 	client := newTestClient(ours)
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(&failingListener{left: 3, client: theirs}) }()
-	if got := client.status(fmt.Sprintf(requestText, 1)); got != "503" {
+	go func() { served <- s.Serve(&failingListener{failuresLeft: 3, client: theirs}) }()
+	if got := client.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
 		t.Fatalf("%q", got)
 	}
 	if err := <-served; err != nil {
--- a/internal/downstream/socket.go
+++ b/internal/downstream/socket.go
@@ -6,7 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptor is the connection's; nil where it has none.
+// descriptor returns access to the connection's file descriptor; nil if it has
+// none.
 func (c *client) descriptor() syscall.RawConn {
 	if s, ok := c.Conn.(syscall.Conn); ok {
 		if raw, err := s.SyscallConn(); err == nil {
@@ -16,8 +17,8 @@
 	return nil
 }
 
-// pollSocket reports whether a read would not wait, and whether the client's side
-// is closed, also behind unread bytes. It reads nothing.
+// pollSocket reports whether bytes are readable, and whether the client has closed
+// its side, even if unread bytes precede the end. It reads nothing.
 func (c *client) pollSocket() (readable, closed bool) {
 	descriptor := c.descriptor()
 	if descriptor == nil {
@@ -25,11 +26,12 @@
 	}
 	err := descriptor.Control(func(fd uintptr) { readable, closed = pollDescriptor(fd) })
 	if err != nil {
-		return false, true // closed by this side
+		return false, true // the server has closed the connection
 	}
 	return readable, closed
 }
 
+// pollDescriptor is pollSocket for a file descriptor.
 func pollDescriptor(fd uintptr) (readable, closed bool) {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 	if n, err := unix.Poll(fds, 0); err != nil || n == 0 {
