--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -16,8 +16,8 @@
 	"quilldoor/internal/policy"
 )
 
-// testServer is a server at an address of its own, with no endpoint behind it: what
-// it takes is rejected at once.
+// testServer is a server with its own listener and without endpoints: the policy
+// rejects every request at once.
 type testServer struct {
 	*Server
 	net.Listener
@@ -54,16 +54,18 @@
 	return s
 }
 
-// addClient adds a client whose goroutine the test stands in for.
+// addClient adds a client without a goroutine that serves it. A test may run the
+// steps of that goroutine itself.
 func (s *testServer) addClient(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clients[c] = struct{}{}
 }
 
+// testClient is a client's end of a connection.
 type testClient struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func (s *testServer) connect(t *testing.T) *testClient {
@@ -81,12 +83,13 @@
 	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// roundTrip sends a text and returns the response's roundTrip; "" where there is none.
+// roundTrip sends text, reads the head of the response, and returns its status; ""
+// if there is no response.
 func (client *testClient) roundTrip(text string) string {
 	io.WriteString(client, text)
-	line, _ := client.r.ReadString('\n')
-	for more := line; len(more) > 2; {
-		more, _ = client.r.ReadString('\n')
+	line, _ := client.reader.ReadString('\n')
+	for headerLine := line; len(headerLine) > 2; {
+		headerLine, _ = client.reader.ReadString('\n')
 	}
 	if len(line) < 12 {
 		return ""
@@ -96,20 +99,22 @@
 
 const requestText = "GET /rpc/page/x HTTP/1.1\r\nHost: x\r\nX-Txn: %016x\r\nX-Ttl-Ms: 900\r\nX-Shard: 1\r\n\r\n"
 
-// expectClosed fails the test unless the connection ends, and not by its own deadline.
+// expectClosed fails the test unless the server closes the connection before its
+// read deadline.
 func (client *testClient) expectClosed(t *testing.T) {
 	t.Helper()
 	for {
-		if _, err := client.r.ReadByte(); err != nil {
+		if _, err := client.reader.ReadByte(); err != nil {
 			if os.IsTimeout(err) {
-				t.Fatal("the connection goes on")
+				t.Fatal("the connection stays open")
 			}
 			return
 		}
 	}
 }
 
-// Silent clients once stayed for 30 s and halves of requests for 5 s.
+// Clients that sent nothing once stayed connected for 30 s, and clients that sent
+// part of a request for 5 s.
 func TestClientsWithoutARequestAreClosed(t *testing.T) {
 	s := newTestServer(t, 10, 200*time.Millisecond)
 	for text, want := range map[string]string{
@@ -118,57 +123,59 @@
 	} {
 		client := s.connect(t)
 		if got := client.roundTrip(text); got != want {
-			t.Errorf("%q: %q, want %q", text, got, want)
+			t.Errorf("request %q: status %q, want %q", text, got, want)
 		}
 		client.expectClosed(t)
 	}
-	// One that had a response may stay.
+	// A client that had a response may stay connected longer than RequestReadTimeout.
 	client := s.connect(t)
 	client.roundTrip(fmt.Sprintf(requestText, 1))
 	client.SetReadDeadline(time.Now().Add(2 * s.limits.RequestReadTimeout))
-	if _, err := client.r.ReadByte(); !os.IsTimeout(err) {
-		t.Fatalf("a usual client's connection: %v", err)
+	if _, err := client.reader.ReadByte(); !os.IsTimeout(err) {
+		t.Fatalf("read from a served client's connection: error %v, want a timeout", err)
 	}
 }
 
-// At the bound any idle connection was once closed, usual ones before silent ones.
+// At the client limit, any idle connection was once evicted, so that clients that had
+// a response went before silent ones.
 func TestSilentClientsAreEvictedFirst(t *testing.T) {
 	s := newTestServer(t, 3, 10*time.Second)
 	served, silent, partial := s.connect(t), s.connect(t), s.connect(t)
 	if got := served.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
-		t.Fatal(got)
+		t.Fatalf("status %q, want 503", got)
 	}
 	io.WriteString(partial, "GET /")
 	for i, evicted := range []*testClient{silent, partial, served} {
 		if got := s.connect(t).roundTrip(fmt.Sprintf(requestText, 2+i)); got != "503" {
-			t.Fatal(got)
+			t.Fatalf("status %q, want 503", got)
 		}
 		evicted.expectClosed(t)
 	}
 }
 
-// A request that came whole as its connection was evicted would have run for nobody.
+// A request that arrives while its connection is evicted must not be run: its
+// response could not be sent.
 func TestNothingBeginsOnAnEvictedConnection(t *testing.T) {
 	s := newTestServer(t, 1, 10*time.Second)
-	ours, theirs := net.Pipe()
-	c := newClient(theirs)
+	clientEnd, serverEnd := net.Pipe()
+	c := newClient(serverEnd)
 	c.state = clientClosing
 	bytesRead := make(chan int)
 	go func() {
-		fmt.Fprintf(ours, requestText, 1)
-		n, _ := ours.Read(make([]byte, 1))
+		fmt.Fprintf(clientEnd, requestText, 1)
+		n, _ := clientEnd.Read(make([]byte, 1))
 		bytesRead <- n
 	}()
 	if s.awaitRequest(c) || s.serveRequest(c) {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open")
 	}
-	theirs.Close()
+	serverEnd.Close()
 	if <-bytesRead > 0 {
-		t.Error("answered")
+		t.Error("the request was answered")
 	}
 }
 
-// lastClientListener has one client more before its deadline passes.
+// lastClientListener accepts one client before its deadline passes.
 type lastClientListener struct {
 	net.Listener
 	client net.Conn
@@ -181,24 +188,26 @@
 	return c, nil
 }
 
-// A client beyond the bound once kept Serve from seeing the drain's deadline.
+// A client over the limit once kept Serve waiting for a slot, so that it did not
+// notice the listener's deadline, which a drain sets.
 func TestSuspendedLimitEndsTheWaitForASlot(t *testing.T) {
 	s := newTestServer(t, 1, 10*time.Second)
 	s.addClient(&client{state: clientBusy})
-	ours, theirs := net.Pipe()
-	client := newTestClient(ours)
+	clientEnd, serverEnd := net.Pipe()
+	client := newTestClient(clientEnd)
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(&lastClientListener{client: theirs}) }()
+	go func() { served <- s.Serve(&lastClientListener{client: serverEnd}) }()
 	s.SuspendClientLimit(true)
 	if got := client.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
-		t.Fatalf("%q", got)
+		t.Fatalf("status %q, want 503", got)
 	}
 	if err := <-served; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A reset behind a rejection once discarded it where the client was still sending.
+// A client that is still sending must receive the rejection of its request. A reset
+// of the connection once discarded the rejection.
 func TestRejectionSurvivesWhatTheClientStillSends(t *testing.T) {
 	s := newTestServer(t, 1, 10*time.Second)
 	client := s.connect(t)
@@ -207,11 +216,11 @@
 		t.Fatal(err)
 	}
 	if got := client.roundTrip(""); got != "413" {
-		t.Fatalf("%q", got)
+		t.Fatalf("status %q, want 413", got)
 	}
 }
 
-// failingListener lacks memory a few times before it has a client.
+// failingListener fails with ENOBUFS failuresLeft times, and then accepts a client.
 type failingListener struct {
 	net.Listener
 	failuresLeft int
@@ -229,15 +238,16 @@
 	return nil, net.ErrClosed
 }
 
-// A transient error of accept once ended the router, where it was not one of three.
+// A transient error of accept must not end Serve. All but three of these errors once
+// ended the router.
 func TestTransientAcceptErrorEndsNoListener(t *testing.T) {
 	s := newTestServer(t, 1, 10*time.Second)
-	ours, theirs := net.Pipe()
-	client := newTestClient(ours)
+	clientEnd, serverEnd := net.Pipe()
+	client := newTestClient(clientEnd)
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(&failingListener{failuresLeft: 3, client: theirs}) }()
+	go func() { served <- s.Serve(&failingListener{failuresLeft: 3, client: serverEnd}) }()
 	if got := client.roundTrip(fmt.Sprintf(requestText, 1)); got != "503" {
-		t.Fatalf("%q", got)
+		t.Fatalf("status %q, want 503", got)
 	}
 	if err := <-served; err != nil {
 		t.Fatal(err)
