--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -6,49 +6,51 @@
 	"quilldoor/internal/policy"
 )
 
-// Attempt is one attempt of a request at an endpoint. Times and durations are
-// microseconds.
+// Attempt is one attempt to serve a request from an endpoint. Times and durations
+// are in microseconds.
 type Attempt struct {
 	Request       *Request
-	Number        int // from 0, within the request
+	Number        int // index among the request's attempts, from 0
 	Endpoint      *Endpoint
-	Source        string // where a miss is filled from; "": it is not filled
-	CachePriority int    // at which a cache keeps the copy; 0: not at all
+	Source        string // id of the endpoint that a miss is filled from; "": a miss is not filled
+	CachePriority int    // priority at which a cache keeps the copy; 0: it does not keep it
 	MaxAge        int64  // greatest age of a copy; 0: the class's freshness time
 	FillMode      policy.FillMode
-	DecidedAt     int64     // when the policy decided on it
-	Deadline      int64     // when the router stops waiting
-	SendBefore    int64     // when it may no more be written; 0: Deadline
-	Unsafe        bool      // another attempt of its unsafe request may have run
-	Transport     Transport // set by the reader of the command queue; nil: not on the sockets
+	DecidedAt     int64     // when the policy decided to send it
+	Deadline      int64     // when the router stops waiting for the response
+	SendBefore    int64     // from when on it must not be written; 0: from Deadline on
+	Unsafe        bool      // the request is unsafe, and another attempt of it may have been executed
+	Transport     Transport // set by the reader of the command queue; nil: not passed to a transport
 
 	timer *timer // at Deadline
 	ended bool
 	state atomic.Uint32
 }
 
-// Transport has an attempt on the sockets. Drop gives it up; silent says that
-// it timed out without an answer.
+// Transport carries an attempt on the sockets. Drop abandons the attempt; silent
+// reports that it timed out without a response.
 type Transport interface{ Drop(silent bool) }
 
 // The states of an attempt.
 const (
-	attemptWaiting   uint32 = iota // not a byte of it is on a connection
-	attemptBegun                   // all of it may have been received
-	attemptWithdrawn               // it will not be written
+	attemptWaiting   uint32 = iota // no byte has been written
+	attemptBegun                   // the endpoint may have received all of it
+	attemptWithdrawn               // it will never be written
 )
 
-// Drop gives the attempt up on the sockets, if it came there.
+// Drop abandons the attempt on the sockets, if it was passed to a transport.
 func (a *Attempt) Drop(silent bool) {
 	if a.Transport != nil {
 		a.Transport.Drop(silent)
 	}
 }
 
-// Begin claims the attempt for being written; false: it was withdrawn.
+// Begin claims the attempt for writing. It returns false if the attempt was
+// withdrawn or has begun already.
 func (a *Attempt) Begin() bool { return a.state.CompareAndSwap(attemptWaiting, attemptBegun) }
 
-// Withdraw claims the attempt for never being written; false: it has begun.
+// Withdraw keeps the attempt from ever being written. It returns false if the
+// attempt has begun.
 func (a *Attempt) Withdraw() bool {
 	return a.state.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.Withdrawn()
 }
@@ -56,25 +58,26 @@
 // Withdrawn reports whether the attempt was withdrawn before it began.
 func (a *Attempt) Withdrawn() bool { return a.state.Load() == attemptWithdrawn }
 
-// MayBeSent reports whether the decision still holds at the moment of writing:
-// the deadline and the window for a retry have not passed, and the decision is
-// no older than maxAge microseconds, so that no drain or purge since then binds it.
+// MayBeSent reports whether the attempt may still be written: neither Deadline nor
+// SendBefore has passed, and the decision is at most maxAge microseconds old. The
+// bound on its age ensures that no drain or purge since the decision forbids it.
 func (a *Attempt) MayBeSent(now, maxAge int64) bool {
-	inWindow := a.SendBefore == 0 || now < a.SendBefore
-	return now < a.Deadline && inWindow && now-a.DecidedAt <= maxAge
+	inSendWindow := a.SendBefore == 0 || now < a.SendBefore
+	return now < a.Deadline && inSendWindow && now-a.DecidedAt <= maxAge
 }
 
 // Result is how an attempt ended.
 type Result struct {
 	Outcome    policy.Outcome
 	Reason     policy.Reason
-	OriginWait int64              // microseconds that the fill waited for the origin
-	Load       map[string]float64 // the endpoint's load report by the protocol's keys; see policy.Event
-	Response   Response           // of OutcomeDone
+	OriginWait int64              // microseconds for which the fill waited for the origin
+	Load       map[string]float64 // the endpoint's load report, by the protocol's keys; see policy.Event
+	Response   Response           // set with OutcomeDone
 }
 
-// AttemptEnded takes an attempt's result. The first one counts; the response of
-// a later one, or of one that no client waits for, is released.
+// AttemptEnded reports an attempt's result. Only the first result of an attempt
+// counts. The response of a later result is released, and so is one that no client
+// waits for.
 func (e *Engine) AttemptEnded(now int64, attempt *Attempt, result Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -93,7 +96,7 @@
 	attempt.ended = true
 	e.stopTimer(attempt.timer)
 	request.pendingAttempts--
-	request.maybeExecuted = request.maybeExecuted || !result.Outcome.NeverExecuted()
+	request.endedMaybeExecuted = request.endedMaybeExecuted || !result.Outcome.NeverExecuted()
 	if result.Outcome == policy.OutcomeDone && !request.closed {
 		request.post(Command{Kind: CommandRespond, Attempt: attempt, Response: result.Response})
 		e.closeRequest(now, request)
@@ -108,14 +111,14 @@
 	e.removeIfDone(request)
 }
 
-// startAttempt makes the attempt that the policy decided on. One that can't be
-// sent ends at once, proven not to have run.
+// startAttempt creates the attempt that the policy decided on. An attempt that
+// can't be sent ends at once with an outcome that proves it was not executed.
 func (e *Engine) startAttempt(now int64, request *Request, action policy.Action) {
 	attempt := e.newAttempt(now, request, action)
 	request.attempts = append(request.attempts, attempt)
 	request.pendingAttempts++
-	tooMany := e.limits.MaxAttempts > 0 && attempt.Number >= e.limits.MaxAttempts
-	if request.closed || attempt.Deadline <= now || tooMany || !attempt.Endpoint.Active() {
+	overAttemptLimit := e.limits.MaxAttempts > 0 && attempt.Number >= e.limits.MaxAttempts
+	if request.closed || attempt.Deadline <= now || overAttemptLimit || !attempt.Endpoint.Active() {
 		attempt.Withdraw()
 		e.endAttempt(now, attempt, Result{Outcome: policy.OutcomeSkipped})
 		return
@@ -135,7 +138,7 @@
 		DecidedAt:     now,
 		Deadline:      attemptDeadline(now, request, action.Timeout),
 		SendBefore:    action.SendBefore,
-		Unsafe:        request.unsafe && request.mayHaveRun(),
+		Unsafe:        request.unsafe && request.maybeExecuted(),
 	}
 	if attempt.Endpoint == nil {
 		attempt.Endpoint = &Endpoint{Endpoint: policy.Endpoint{ID: action.Endpoint}}
@@ -146,8 +149,8 @@
 	return attempt
 }
 
-// attemptDeadline is the request's deadline, or the policy's timeout where that
-// is sooner. A timeout of 0 means none; a negative one has passed already.
+// attemptDeadline returns the earlier of the request's deadline and the end of the
+// policy's timeout. A timeout of 0 means none; a negative one has passed already.
 func attemptDeadline(now int64, request *Request, timeout int64) int64 {
 	switch {
 	case timeout > 0:
@@ -158,7 +161,7 @@
 	return request.deadline
 }
 
-// cancel gives up an attempt that the policy wants no longer.
+// cancel ends an attempt that the policy has canceled.
 func (e *Engine) cancel(now int64, request *Request, number int) {
 	if request == nil || number < 0 || number >= len(request.attempts) || request.attempts[number].ended {
 		return
@@ -172,8 +175,8 @@
 	e.endAttempt(now, attempt, Result{Outcome: outcome})
 }
 
-// timeOut ends an attempt whose deadline has passed. One that never got a
-// connection is proven not to have run.
+// timeOut ends an attempt whose deadline has passed. If none of it was written,
+// the outcome proves that it was not executed.
 func (e *Engine) timeOut(now int64, attempt *Attempt) {
 	outcome := policy.OutcomeTimeout
 	if attempt.Withdraw() {
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -1,14 +1,14 @@
 package engine
 
-// CommandKind says what a Command asks for.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
-// The commands of a request, then those that are always in the background.
+// The commands of a request, followed by those that are always background commands.
 const (
-	CommandSend        CommandKind = iota // put the attempt on a connection
-	CommandDrop                           // give the attempt up
-	CommandRespond                        // answer with Response
-	CommandReject                         // answer that repeating the request is harmless, after RetryAfter
+	CommandSend        CommandKind = iota // write the attempt to a connection
+	CommandDrop                           // abandon the attempt
+	CommandRespond                        // answer the client with Response
+	CommandReject                         // answer that the request may be repeated safely, after RetryAfter
 	CommandFail                           // answer that the request failed
 	CommandHealthCheck                    // check the endpoint's health
 	CommandLog                            // write Text to the log, with EndpointID and Backoff
@@ -24,55 +24,57 @@
 	CommandLog:         "log",
 }
 
-// String returns the command's name for logs and tests.
+// String returns the kind's name for logs and tests.
 func (k CommandKind) String() string { return commandNames[k] }
 
-// Command is one thing to do on the sockets.
+// Command is one step for the reader of a command queue, or the caller of Run, to
+// carry out.
 type Command struct {
 	Kind          CommandKind
 	Attempt       *Attempt  // of CommandSend, CommandDrop and CommandRespond
 	Silent        bool      // of CommandDrop: the attempt timed out without an answer
 	Response      Response  // of CommandRespond
-	RetryAfter    int64     // of CommandReject: microseconds from now; 0: not given
-	MaybeExecuted bool      // of CommandReject and CommandFail: an attempt may have run
+	RetryAfter    int64     // of CommandReject: microseconds from now; 0: not stated
+	MaybeExecuted bool      // of CommandReject and CommandFail: an attempt may have been executed
 	Endpoint      *Endpoint // of CommandHealthCheck
 	Text          string    // of CommandLog: policy.LogEjected or policy.LogReadmitted
 	EndpointID    string    // of CommandLog
 	Backoff       int64     // of CommandLog: microseconds; 0: none
 }
 
-// Response is what a request is answered with; the engine only hands it on, or
-// calls Release where nobody waits for it.
+// Response is the response to a request. The engine passes it on, or calls Release
+// if no client waits for it.
 type Response interface{ Release() }
 
-// post puts a command into the request's command queue, or leaves it to the caller of
-// Run once nobody reads the command queue.
+// post appends a command to the request's command queue or, after Detach, to the
+// background commands.
 func (r *Request) post(command Command) {
-	if r.wake == nil {
+	if r.notify == nil {
 		r.engine.postBackground(command)
 		return
 	}
 	r.commandQueue = append(r.commandQueue, command)
-	r.wake()
+	r.notify()
 }
 
-// TakeCommands empties the command queue.
+// TakeCommands returns the commands in the command queue and empties it.
 func (r *Request) TakeCommands() []Command {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
 	return r.emptyCommandQueue()
 }
 
-// Detach says that the command queue is read no more: wake is not called again, and
-// later commands become background commands. It returns what is left.
+// Detach declares that the command queue will not be read again: notify is not
+// called any more, and later commands become background commands. Detach returns the
+// commands that are left in the queue.
 func (r *Request) Detach() []Command {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
-	r.wake = nil
+	r.notify = nil
 	return r.emptyCommandQueue()
 }
 
-// emptyCommandQueue is called with the engine's lock.
+// emptyCommandQueue is called with the engine's lock held.
 func (r *Request) emptyCommandQueue() []Command {
 	commands := r.commandQueue
 	r.commandQueue = nil
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -2,18 +2,18 @@
 
 import "quilldoor/internal/policy"
 
-// Endpoint is an entry of the endpoint list with its address, host:port.
+// Endpoint is an entry of the endpoint list with its address, as host:port.
 type Endpoint struct {
 	policy.Endpoint
 	Address string
 }
 
 // Active reports whether the endpoint may be sent new work.
-func (s *Endpoint) Active() bool { return s.State == policy.EndpointActive }
+func (e *Endpoint) Active() bool { return e.State == policy.EndpointActive }
 
-// UpdateEndpoints takes changes of the endpoint list (ScopeDiff) or a whole one
-// (ScopeInitial at the start, else ScopeSnapshot). It returns the endpoints, as they were
-// listed before, that take no new work at their addresses any more.
+// UpdateEndpoints applies changes of the endpoint list (ScopeDiff) or a complete list
+// (ScopeInitial at the start, otherwise ScopeSnapshot). It returns the previous
+// entries of the endpoints that may be sent no new work at the address listed there.
 func (e *Engine) UpdateEndpoints(now int64, scope policy.UpdateScope, list []Endpoint) (retired []*Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -22,9 +22,9 @@
 	for _, endpoint := range list {
 		listed[endpoint.ID] = true
 		event.Endpoints = append(event.Endpoints, endpoint.Endpoint)
-		old := e.endpoints[endpoint.ID]
-		if old != nil && (!endpoint.Active() || old.Address != endpoint.Address) {
-			retired = append(retired, old)
+		previous := e.endpoints[endpoint.ID]
+		if previous != nil && (!endpoint.Active() || previous.Address != endpoint.Address) {
+			retired = append(retired, previous)
 		}
 		e.endpoints[endpoint.ID] = &endpoint
 		if endpoint.State == policy.EndpointGone {
@@ -38,12 +38,12 @@
 	return retired
 }
 
-// removeUnlisted removes the endpoints that a whole list does not name.
+// removeUnlisted removes the endpoints that are not in a complete list.
 func (e *Engine) removeUnlisted(listed map[string]bool) (removed []*Endpoint) {
-	for id, old := range e.endpoints {
+	for id, endpoint := range e.endpoints {
 		if !listed[id] {
 			delete(e.endpoints, id)
-			removed = append(removed, old)
+			removed = append(removed, endpoint)
 		}
 	}
 	return removed
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -6,8 +6,9 @@
 	"quilldoor/internal/policy"
 )
 
-// runInterval is how long, in microseconds, Run may wait when no timer is set.
-const runInterval = 1e6
+// maxRunInterval is the longest time, in microseconds, until the next call of Run
+// when no timer is set.
+const maxRunInterval = 1e6
 
 // Engine drives one instance of the policy.
 type Engine struct {
@@ -15,46 +16,46 @@
 	policy      *policy.Router
 	limits      policy.Limits
 	classes     map[string]policy.TrafficClass
-	answerSlack int64 // µs after a request's deadline until it is failed here
-	purgeSettle int64 // µs after which a purge has no effect any more
+	answerSlack int64 // µs after a request's deadline at which the engine fails it
+	purgeSettle int64 // µs until a purge has reached all caches
 
-	requests     map[string]*Request // by id, until closed and every attempt has ended
-	openRequests int                 // of them: not closed
+	requests     map[string]*Request // by id, until closed and all attempts have ended
+	openRequests int                 // the number of requests that are not closed
 	endpoints    map[string]*Endpoint
 	timers       timerHeap
-	events       []policy.Event  // not yet handled by the policy
+	events       []policy.Event  // not yet passed to the policy
 	actions      []policy.Action // reused by dispatch
 	background   []Command
-	kick         func()
+	requestRun   func()
 }
 
-// New starts a policy instance; seed is that of its random draws. Kick is called,
-// with the lock held, when Run is wanted sooner than it last said, or has
-// background commands.
-func New(set *policy.Settings, seed uint64, kick func()) *Engine {
+// New creates an engine with a policy instance; seed is the seed of the policy's
+// random numbers. The engine calls requestRun, with the lock held, when Run must be
+// called before the time that it last returned, or has background commands.
+func New(settings *policy.Settings, seed uint64, requestRun func()) *Engine {
 	e := &Engine{
-		policy:      policy.New(*set, seed),
-		limits:      set.Limits,
+		policy:      policy.New(*settings, seed),
+		limits:      settings.Limits,
 		classes:     map[string]policy.TrafficClass{},
-		answerSlack: set.Contract.AnswerSlack,
-		purgeSettle: set.Hierarchy.PurgeSettleTime,
+		answerSlack: settings.Contract.AnswerSlack,
+		purgeSettle: settings.Hierarchy.PurgeSettleTime,
 		requests:    map[string]*Request{},
 		endpoints:   map[string]*Endpoint{},
-		kick:        kick,
+		requestRun:  requestRun,
 	}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		e.classes[class.Name] = class
 	}
 	return e
 }
 
-// Class finds a traffic class by its name.
+// Class returns the traffic class with the given name.
 func (e *Engine) Class(name string) (policy.TrafficClass, bool) {
 	class, known := e.classes[name]
 	return class, known
 }
 
-// Count returns how many requests are open and how many endpoints are active.
+// Count returns the numbers of open requests and of active endpoints.
 func (e *Engine) Count() (requests, endpoints int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,8 +67,8 @@
 	return e.openRequests, endpoints
 }
 
-// LocalHit counts a request that the router answers from its own disk cache. It
-// is never opened. Of event Object and Part count; Kind is set here.
+// LocalHit reports a request that the router answers from its own disk cache;
+// such a request is not opened. Of event only Object and Part are used.
 func (e *Engine) LocalHit(now int64, event policy.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,69 +76,70 @@
 	e.handle(now, event)
 }
 
-// HoldSlowStart has endpoints in slow start sent nothing before hold, a time in
-// microseconds: an earlier process may have spent this router's share of their
-// budgets, or another process is about to. It replaces what held before.
-func (e *Engine) HoldSlowStart(now, hold int64) {
+// HoldSlowStart keeps endpoints in slow start from being sent anything before
+// until, a time in microseconds. It is called where an earlier process may have
+// spent this router's share of their budgets, or another process is about to spend
+// it. It replaces the previous hold.
+func (e *Engine) HoldSlowStart(now, until int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.handle(now, policy.Event{Kind: policy.EventSlowStartHold, HoldUntil: hold})
+	e.handle(now, policy.Event{Kind: policy.EventSlowStartHold, HoldUntil: until})
 }
 
-// Purge takes the purge of an object, or of a group where object is "", made at
-// the given time in microseconds. One older than Hierarchy.PurgeSettleTime is
-// dropped: it has reached all caches.
-func (e *Engine) Purge(now int64, object string, group, at int64) {
+// Purge reports the purge of an object, or of a group if object is "". The purge
+// was made at purgedAt, a time in microseconds. One older than
+// Hierarchy.PurgeSettleTime is ignored, since it has reached all caches.
+func (e *Engine) Purge(now int64, object string, group, purgedAt int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now-at <= e.purgeSettle {
-		e.handle(now, policy.Event{Kind: policy.EventPurge, Object: object, Group: group, Age: max(now-at, 0)})
+	if now-purgedAt <= e.purgeSettle {
+		e.handle(now, policy.Event{Kind: policy.EventPurge, Object: object, Group: group, Age: max(now-purgedAt, 0)})
 	}
 }
 
-// HealthChecked takes a health check's outcome; rtt is in microseconds.
+// HealthChecked reports the outcome of a health check; rtt is in microseconds.
 func (e *Engine) HealthChecked(now int64, endpoint string, outcome policy.Outcome, rtt int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.handle(now, policy.Event{Kind: policy.EventHealthCheck, Endpoint: endpoint, Outcome: outcome, RTT: rtt})
 }
 
-// Snapshot returns the policy's state, endpoints included, for the other
-// generation of this router.
+// Snapshot returns the policy's state, including that of the endpoints, for the
+// other generation of this router.
 func (e *Engine) Snapshot() *policy.Snapshot {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.policy.Snapshot()
 }
 
-// Restore takes over a snapshot, after the first endpoints and before the first
-// request. Where the snapshot has another shape, the error wraps
-// policy.ErrSnapshot and nothing is taken over.
+// Restore replaces the policy's state by a snapshot. It is called after the first
+// UpdateEndpoints and before the first request. If the snapshot has a different
+// shape, the error wraps policy.ErrSnapshot and the state stays as it is.
 func (e *Engine) Restore(snapshot *policy.Snapshot) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.policy.Restore(snapshot)
 }
 
-// InFlight returns how many attempts are in flight, by endpoint id and kind;
-// those past the caches, to parents and the origin, are summed under "".
+// InFlight returns the numbers of attempts in flight, by endpoint id and kind.
+// Attempts that bypass the caches, to parents and the origin, are summed under "".
 func (e *Engine) InFlight() map[string]policy.AttemptCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.policy.InFlight()
 }
 
-// SetOtherGeneration takes the attempts that the other generation of this router
-// has in flight, as its InFlight returned them: the limits are for both together.
+// SetOtherGeneration sets the numbers of attempts that the other generation of this
+// router has in flight, as its InFlight returned them. Concurrency limits apply to
+// both generations together.
 func (e *Engine) SetOtherGeneration(now int64, inFlight map[string]policy.AttemptCounts) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.handle(now, policy.Event{Kind: policy.EventOtherGeneration, InFlight: inFlight})
 }
 
-// Run fires the timers that are due. It returns the time, in microseconds, at
-// which to call again at the latest, and the background commands, which the
-// caller carries out.
+// Run fires the timers that are due. It returns the latest time, in microseconds,
+// for the next call, and the background commands, which the caller carries out.
 func (e *Engine) Run(now int64) (next int64, background []Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,7 +147,7 @@
 		e.fire(now, e.popTimer())
 		e.dispatch(now)
 	}
-	next = now + runInterval
+	next = now + maxRunInterval
 	if len(e.timers) > 0 {
 		next = e.timers[0].due
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -9,14 +9,15 @@
 
 const millisecond, start = int64(1000), int64(1_000_000_000)
 
-// testEngine has two caches and an origin, and counts calls of wake.
+// testEngine is an engine with two caches and an origin. It counts the calls of
+// notify.
 type testEngine struct {
 	*Engine
-	wakes int
+	notifications int
 }
 
 func newTestEngine(change func(*policy.Settings)) *testEngine {
-	set := policy.Settings{
+	settings := policy.Settings{
 		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
 		Contract: policy.Contract{
 			AnswerSlack: 8 * millisecond, SlowStartFor: 1000 * millisecond, SlowStartFrom: 0.5, OverloadWindow: 1000 * millisecond, OverloadMultiple: 2,
@@ -29,9 +30,9 @@
 		},
 	}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	e := &testEngine{Engine: New(&set, 1, func() {})}
+	e := &testEngine{Engine: New(&settings, 1, func() {})}
 	e.UpdateEndpoints(start, policy.ScopeInitial, []Endpoint{
 		{Endpoint: policy.Endpoint{ID: "a", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "a:1"},
 		{Endpoint: policy.Endpoint{ID: "b", Zone: "z", Kind: "box", State: policy.EndpointActive, Weight: 8}, Address: "b:1"},
@@ -45,23 +46,23 @@
 	request, err := e.Open(start, policy.Event{
 		Request: "t", Class: class, Object: "x", Remaining: 1000 * millisecond,
 		Write: class == "write",
-	}, func() { e.wakes++ })
+	}, func() { e.notifications++ })
 	if err != nil {
 		t.Fatal(err)
 	}
 	return request
 }
 
-// openAttempt opens a request and takes its first attempt.
+// openAttempt opens a request and returns it with its first attempt.
 func (e *testEngine) openAttempt(t *testing.T, class string) (*Request, *Attempt) {
 	t.Helper()
 	request := e.open(t, class)
-	return request, next(t, request, CommandSend).Attempt
+	return request, onlyCommand(t, request, CommandSend).Attempt
 }
 
-// next returns the one command in the command queue, and fails the test if it is of
-// another kind.
-func next(t *testing.T, request *Request, kind CommandKind) Command {
+// onlyCommand returns the only command in the command queue. It fails the test if
+// there is not exactly one, or if it is of another kind.
+func onlyCommand(t *testing.T, request *Request, kind CommandKind) Command {
 	t.Helper()
 	commands := request.TakeCommands()
 	if len(commands) != 1 || commands[0].Kind != kind {
@@ -77,35 +78,37 @@
 func TestFirstResponseAnswersAndALaterOneIsReleased(t *testing.T) {
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
-	if e.wakes == 0 || attempt.Source != "o" || attempt.Deadline != start+400*millisecond && attempt.Deadline != start+1000*millisecond {
-		t.Fatalf("attempt %+v after %d wakes", attempt, e.wakes)
+	if e.notifications == 0 || attempt.Source != "o" || attempt.Deadline != start+400*millisecond && attempt.Deadline != start+1000*millisecond {
+		t.Fatalf("attempt %+v after %d notifications", attempt, e.notifications)
 	}
 	first, second := &countedResponse{}, &countedResponse{}
 	e.AttemptEnded(start+millisecond, attempt, Result{Outcome: policy.OutcomeDone, Response: first})
 	e.AttemptEnded(start+2*millisecond, attempt, Result{Outcome: policy.OutcomeDone, Response: second})
-	o := next(t, request, CommandRespond)
-	if o.Response != Response(first) || first.released != 0 || second.released != 1 {
-		t.Fatalf("answer %+v, released %d and %d", o, first.released, second.released)
+	command := onlyCommand(t, request, CommandRespond)
+	if command.Response != Response(first) || first.released != 0 || second.released != 1 {
+		t.Fatalf("command %+v; responses released %d and %d times, want 0 and 1", command, first.released, second.released)
 	}
-	// Timers once kept ended requests in memory for seconds; the policy's own stays.
-	if n, _ := e.Count(); n != 0 || len(e.requests) != 0 || len(e.timers) != 1 {
-		t.Fatalf("%d requests open, %d remembered, %d timers", n, len(e.requests), len(e.timers))
+	// A timer that is not removed when its request ends keeps the request in memory
+	// for seconds. Only the policy's own timer remains.
+	if open, _ := e.Count(); open != 0 || len(e.requests) != 0 || len(e.timers) != 1 {
+		t.Fatalf("%d requests open, %d kept, %d timers; want 0, 0 and 1", open, len(e.requests), len(e.timers))
 	}
 }
 
-// A client that had left was once answered, and its attempt went on.
+// Guards against answering a client that has left, and against letting its attempt
+// continue.
 func TestClientGoneDropsTheAttemptAndNeedsNoAnswer(t *testing.T) {
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
 	e.ClientGone(start+millisecond, request)
-	if o := next(t, request, CommandDrop); o.Attempt != attempt {
-		t.Fatalf("dropped %+v", o.Attempt)
+	if command := onlyCommand(t, request, CommandDrop); command.Attempt != attempt {
+		t.Fatalf("dropped attempt %+v, want %+v", command.Attempt, attempt)
 	}
 	late := &countedResponse{}
 	e.AttemptEnded(start+2*millisecond, attempt, Result{Outcome: policy.OutcomeDone, Response: late})
 	if commands := request.TakeCommands(); len(commands) != 0 || late.released != 1 {
-		t.Fatalf("commands %+v, released %d", commands, late.released)
+		t.Fatalf("commands %+v, want none; the late response was released %d times, want 1", commands, late.released)
 	}
 }
 
@@ -114,36 +117,36 @@
 	request, attempt := e.openAttempt(t, "write")
 	attempt.Begin()
 	if e.Run(start + 1000*millisecond - 1); len(request.TakeCommands()) != 0 {
-		t.Fatal("something happened before the time limit")
+		t.Fatal("the request got a command before its deadline")
 	}
 	e.Run(start + 1000*millisecond)
 	commands := request.TakeCommands()
 	if len(commands) != 2 || commands[0].Kind != CommandDrop || !commands[0].Silent || commands[1].Kind != CommandFail {
-		t.Fatalf("commands %+v, want a silent drop and a failure", commands)
+		t.Fatalf("commands %+v, want a silent drop, then fail", commands)
 	}
 	if e.Run(start + 1100*millisecond); len(request.TakeCommands()) != 0 {
-		t.Fatal("answered again")
+		t.Fatal("the request got another command after it had failed")
 	}
 }
 
-// An unsafe request whose attempt never reached a connection may be retried; one
-// that may have been received fails.
+// An unsafe request is rejected, so that its client may repeat it, if no byte of its
+// attempt was written. It fails if the endpoint may have received the attempt.
 func TestUnsafeRequestIsRejectedOnlyIfItNeverRan(t *testing.T) {
 	for begun, want := range map[bool]CommandKind{false: CommandReject, true: CommandFail} {
 		e := newTestEngine(nil)
 		request, attempt := e.openAttempt(t, "write")
 		if begun && !attempt.Begin() {
-			t.Fatal("not begun")
+			t.Fatal("Begin returned false for a new attempt")
 		}
 		outcome := policy.OutcomeConnectionReset
 		if attempt.Withdraw() {
 			outcome = policy.OutcomeConnectionRefused
 		}
 		if attempt.Begin() {
-			t.Fatal("written after it was withdrawn or begun")
+			t.Fatal("Begin returned true for an attempt that was withdrawn or had begun")
 		}
 		e.AttemptEnded(start+950*millisecond, attempt, Result{Outcome: outcome})
-		next(t, request, want)
+		onlyCommand(t, request, want)
 	}
 }
 
@@ -154,26 +157,27 @@
 		list = append(list, Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: "z", Kind: "box", State: policy.EndpointDraining, Weight: 8}})
 	}
 	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, list); len(retired) != 2 {
-		t.Fatalf("retired %v", retired)
+		t.Fatalf("draining both caches retired %v", retired)
 	}
 	if _, attempt := e.openAttempt(t, "read"); attempt.Endpoint.ID != "o" || attempt.Source != "" {
-		t.Fatalf("sent to %s with source %q", attempt.Endpoint.ID, attempt.Source)
+		t.Fatalf("attempt at endpoint %q with source %q, want endpoint \"o\" and no source", attempt.Endpoint.ID, attempt.Source)
 	}
 	if retired := e.UpdateEndpoints(start, policy.ScopeSnapshot, nil); len(retired) != 3 {
-		t.Fatalf("a whole list without them retired %v", retired)
+		t.Fatalf("an empty complete list retired %v, want all 3 endpoints", retired)
 	}
 }
 
-// Attempts that waited for a connection to an endpoint's old address once had no
+// UpdateEndpoints must return the previous entry of an endpoint whose address
+// changes. Otherwise attempts that wait for a connection to the old address get no
 // outcome until their deadline.
 func TestChangedAddressRetiresTheOldOne(t *testing.T) {
 	e := newTestEngine(nil)
 	moved := Endpoint{Endpoint: e.endpoints["a"].Endpoint, Address: "a:2"}
 	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, []Endpoint{moved}); len(retired) != 1 || retired[0].Address != "a:1" {
-		t.Fatalf("retired %v", retired)
+		t.Fatalf("a new address retired %v, want the entry with address a:1", retired)
 	}
 	if retired := e.UpdateEndpoints(start, policy.ScopeDiff, []Endpoint{moved}); len(retired) != 0 {
-		t.Fatalf("retired %v though nothing changed", retired)
+		t.Fatalf("an update without a change retired %v", retired)
 	}
 }
 
@@ -181,18 +185,19 @@
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.MaxOpenRequests = 2 })
 	e.open(t, "read")
 	if _, err := e.Open(start, policy.Event{Request: "t", Class: "read"}, nil); !errors.Is(err, ErrDuplicate) {
-		t.Fatalf("the same id again: %v", err)
+		t.Fatalf("second request with the same id: error %v, want ErrDuplicate", err)
 	}
 	other := policy.Event{Request: "u", Class: "read", Object: "x", Remaining: millisecond}
 	if _, err := e.Open(start, other, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := e.Open(start, policy.Event{Request: "v", Class: "read"}, nil); !errors.Is(err, ErrFull) {
-		t.Fatalf("one too many: %v", err)
+		t.Fatalf("third open request with a limit of 2: error %v, want ErrFull", err)
 	}
 }
 
-// Commands that came once nobody read the command queue were once lost.
+// Guards against losing commands that are posted after Detach, when the command
+// queue is no longer read.
 func TestCommandsAfterDetachAreBackground(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
@@ -201,7 +206,7 @@
 	request.Detach()
 	_, background := e.Run(start + 1000*millisecond)
 	if len(background) != 1 || background[0].Kind != CommandDrop || background[0].Attempt != attempt {
-		t.Fatalf("background commands %+v", background)
+		t.Fatalf("background commands %+v, want one drop of the attempt", background)
 	}
 }
 
@@ -209,57 +214,59 @@
 	e := newTestEngine(nil)
 	e.Purge(start, "x", 0, start-7000*millisecond)
 	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge != 0 {
-		t.Fatalf("age %d by a purge that has no effect any more", attempt.MaxAge)
+		t.Fatalf("maximum age %d after a purge older than the settle time, want 0", attempt.MaxAge)
 	}
 	e = newTestEngine(nil)
 	e.Purge(start, "", 0, start-500*millisecond)
 	if _, attempt := e.openAttempt(t, "read"); attempt.MaxAge <= 0 || attempt.MaxAge >= 500*millisecond {
-		t.Fatalf("age %d by a purge 500 ms ago", attempt.MaxAge)
+		t.Fatalf("maximum age %d after a purge 500 ms ago, want more than 0 and less than 500000", attempt.MaxAge)
 	}
 }
 
-// A response that comes for an attempt after its deadline is not an answer, and
-// the timer of an attempt that has ended does nothing.
+// Guards against a timer that still fires for an attempt that has ended or for a
+// request that was answered.
 func TestTimersOfEndedAttemptsAreIgnored(t *testing.T) {
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
 	e.AttemptEnded(start+millisecond, attempt, Result{Outcome: policy.OutcomeMiss})
-	retry := next(t, request, CommandSend).Attempt
+	retry := onlyCommand(t, request, CommandSend).Attempt
 	if retry.Number != 1 || retry == attempt {
-		t.Fatalf("second attempt %+v", retry)
+		t.Fatalf("attempt after a miss %+v, want a new one with number 1", retry)
 	}
 	retry.Begin()
 	e.AttemptEnded(start+2*millisecond, retry, Result{Outcome: policy.OutcomeDone, Response: &countedResponse{}})
-	next(t, request, CommandRespond)
+	onlyCommand(t, request, CommandRespond)
 	if e.Run(start + 2000*millisecond); len(request.TakeCommands()) != 0 {
-		t.Fatal("an ended request has commands")
+		t.Fatal("a request that was answered got another command")
 	}
 }
 
-// Where a site permits no cancelling, an attempt that waited for its connection was
-// once sent for a client that had left or had its answer.
+// Guards against sending an attempt that waits for its connection although the client
+// has left or was answered, at a site that does not permit cancelling.
 func TestNothingBeginsForAClosedRequestWithoutCancelling(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
 	e.ClientGone(start+millisecond, request)
 	if attempt.Begin() {
-		t.Error("the attempt begins")
+		t.Error("Begin returned true for an attempt of a closed request")
 	}
-	next(t, request, CommandDrop)
+	onlyCommand(t, request, CommandDrop)
 	if open, _ := e.Count(); open != 0 || len(e.requests) != 0 {
-		t.Errorf("%d open, %d remembered", open, len(e.requests))
+		t.Errorf("%d requests open, %d kept; want none", open, len(e.requests))
 	}
-	// One that may be on the wire stays in flight until its end.
+	// An attempt that has begun stays in flight until it ends.
 	request, attempt = e.openAttempt(t, "read")
 	attempt.Begin()
 	e.ClientGone(start+millisecond, request)
 	if len(request.TakeCommands()) != 0 || len(e.requests) != 1 {
-		t.Error("it was given up")
+		t.Error("an attempt that had begun was dropped, or its request was removed")
 	}
 }
 
-// The window of an idempotency key must reach the place where a retry is written.
+// Guards against writing a retry after the deduplication window of its idempotency
+// key, which counts from the first attempt. SendBefore passes the window to the
+// writer.
 func TestRetryMayBeSentWithinItsWindowOnly(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) {
 		s.Classes[0] = policy.TrafficClass{
@@ -269,14 +276,14 @@
 	request, first := e.openAttempt(t, "read")
 	first.Begin()
 	if !first.MayBeSent(start+399*millisecond, 1e6) {
-		t.Error("the first attempt has no window")
+		t.Error("the first attempt may not be sent after 399 ms; the window must not bound it")
 	}
 	e.AttemptEnded(start+100*millisecond, first, Result{Outcome: policy.OutcomeConnectionReset})
-	retry := next(t, request, CommandSend).Attempt
+	retry := onlyCommand(t, request, CommandSend).Attempt
 	if !retry.MayBeSent(start+299*millisecond, 1e6) || retry.MayBeSent(start+300*millisecond, 1e6) {
-		t.Errorf("retry until %d", retry.SendBefore-start)
+		t.Errorf("the retry may be sent until %d µs after the start, want 300000", retry.SendBefore-start)
 	}
 	if retry.MayBeSent(start+290*millisecond, 100*millisecond) {
-		t.Error("an old decision still holds")
+		t.Error("the retry may be sent though its decision is older than the maximum age")
 	}
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -9,29 +9,30 @@
 // Errors of Open. The request was not opened.
 var (
 	ErrFull      = errors.New("too many open requests")
-	ErrDuplicate = errors.New("a request with this id is open already")
+	ErrDuplicate = errors.New("a request with this id is already open")
 )
 
 // Request is one open request of a client or peer.
 type Request struct {
-	ID              string
-	engine          *Engine
-	deadline        int64
-	failTimer       *timer // fails the request if the policy has not ended it
-	closed          bool   // the client got its answer or left
-	unsafe          bool   // its effect must not happen twice
-	attempts        []*Attempt
-	pendingAttempts int  // attempts that have not ended
-	maybeExecuted   bool // an attempt that ended may have run
-	commandQueue    []Command
-	wake            func() // nil once nobody reads the command queue
+	ID                 string
+	engine             *Engine
+	deadline           int64  // microseconds
+	failTimer          *timer // fails the request if the policy has not ended it
+	closed             bool   // the client was answered or left
+	unsafe             bool   // it must not be executed twice
+	attempts           []*Attempt
+	pendingAttempts    int  // attempts that have not ended
+	endedMaybeExecuted bool // an attempt that has ended may have been executed
+	commandQueue       []Command
+	notify             func() // nil after Detach
 }
 
-// Open takes a request; event has the fields of a policy.EventRequest, with
-// Remaining, the microseconds until its deadline; Kind is set here. Wake is
-// called, with the lock held, when the command queue has something new. The
-// error is ErrFull (Limits.MaxOpenRequests) or ErrDuplicate (event.Request).
-func (e *Engine) Open(now int64, event policy.Event, wake func()) (*Request, error) {
+// Open opens a request. The event has the fields of a policy.EventRequest, among
+// them Remaining, the microseconds until the deadline; Open sets Kind. The engine
+// calls notify, with the lock held, when it has added a command to the command
+// queue. The error is ErrFull if Limits.MaxOpenRequests is reached, or ErrDuplicate
+// if a request with the id event.Request is open or has attempts that have not ended.
+func (e *Engine) Open(now int64, event policy.Event, notify func()) (*Request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.limits.MaxOpenRequests > 0 && e.openRequests >= e.limits.MaxOpenRequests {
@@ -44,7 +45,7 @@
 		ID:       event.Request,
 		engine:   e,
 		deadline: now + event.Remaining,
-		wake:     wake,
+		notify:   notify,
 		unsafe:   e.classes[event.Class].Effect == policy.EffectUnsafe,
 	}
 	e.requests[request.ID] = request
@@ -55,8 +56,8 @@
 	return request, nil
 }
 
-// ClientGone says that the client left without an answer. It changes nothing for
-// a request that has been answered.
+// ClientGone reports that the client left without an answer. It has no effect on a
+// request that was answered.
 func (e *Engine) ClientGone(now int64, request *Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,19 +67,20 @@
 	}
 }
 
-// Attempts returns how many attempts the request has had so far.
+// Attempts returns the number of attempts that the request has had so far.
 func (r *Request) Attempts() int {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
 	return len(r.attempts)
 }
 
-// mayHaveRun reports whether an attempt ran, or could still run.
-func (r *Request) mayHaveRun() bool { return r.maybeExecuted || r.pendingAttempts > 0 }
+// maybeExecuted reports whether an attempt may have been executed, or may still be.
+func (r *Request) maybeExecuted() bool { return r.endedMaybeExecuted || r.pendingAttempts > 0 }
 
-// closeRequest ends the request for the client. Its attempts still get their
-// outcomes. One that has not begun is withdrawn, also where the site permits no
-// cancelling: nothing may begin for a client that has its answer or left.
+// closeRequest closes a request whose client was answered or left. Attempts that
+// have begun still get their outcomes. Attempts that have not begun are withdrawn,
+// even where the site does not permit cancelling: no attempt may begin for a closed
+// request.
 func (e *Engine) closeRequest(now int64, request *Request) {
 	request.closed = true
 	e.stopTimer(request.failTimer)
@@ -92,14 +94,14 @@
 	e.removeIfDone(request)
 }
 
-// removeIfDone forgets a request that nothing can happen to any more.
+// removeIfDone removes a request that is closed and whose attempts have all ended.
 func (e *Engine) removeIfDone(request *Request) {
 	if request.closed && request.pendingAttempts == 0 {
 		delete(e.requests, request.ID)
 	}
 }
 
-// failOverdue answers a request that the policy has not ended in time.
+// failOverdue fails a request that the policy has not ended in time.
 func (e *Engine) failOverdue(now int64, request *Request) {
 	request.post(Command{Kind: CommandFail, MaybeExecuted: true})
 	e.closeRequest(now, request)
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,49 +6,49 @@
 	"quilldoor/internal/policy"
 )
 
-// timer is for an attempt's deadline, a request's or, with neither, the policy.
-// Timers of requests and attempts are removed as those end, since each keeps all
-// of a request in memory.
+// timer is set for an attempt's deadline, for a request's, or, with neither, for the
+// policy. The timer of a request or attempt is removed when that ends, since it keeps
+// the whole request in memory.
 type timer struct {
 	due     int64 // microseconds
 	attempt *Attempt
 	request *Request
-	token   int64 // the policy's
-	index   int   // in the heap; -1: removed
+	token   int64 // identifies a timer of the policy
+	index   int   // position in the heap; -1: removed
 }
 
-// timerHeap is a heap.Interface with the timer that is due next in front.
+// timerHeap implements heap.Interface; the timer that is due next is at index 0.
 type timerHeap []*timer
 
-func (t timerHeap) Len() int           { return len(t) }
-func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timerHeap) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].index = i
-	t[j].index = j
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index = i
+	h[j].index = j
 }
 
-func (t *timerHeap) Push(x any) {
-	added := x.(*timer)
-	added.index = len(*t)
-	*t = append(*t, added)
+func (h *timerHeap) Push(item any) {
+	added := item.(*timer)
+	added.index = len(*h)
+	*h = append(*h, added)
 }
 
-func (t *timerHeap) Pop() any {
-	last := len(*t) - 1
-	removed := (*t)[last]
-	(*t)[last] = nil
-	*t = (*t)[:last]
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	removed := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	removed.index = -1
 	return removed
 }
 
-// setTimer adds a timer; one that is due before all others moves the next call
-// of Run.
+// setTimer adds a timer. If it is due before all others, setTimer requests an
+// earlier call of Run.
 func (e *Engine) setTimer(now int64, t *timer) *timer {
 	t.due = max(t.due, now)
 	if len(e.timers) == 0 || t.due < e.timers[0].due {
-		e.kick()
+		e.requestRun()
 	}
 	heap.Push(&e.timers, t)
 	return t
@@ -63,7 +63,7 @@
 
 func (e *Engine) popTimer() *timer { return heap.Pop(&e.timers).(*timer) }
 
-// fire does what a timer was set for. The caller dispatches the events.
+// fire handles a timer that is due. The caller dispatches the queued events.
 func (e *Engine) fire(now int64, t *timer) {
 	switch {
 	case t.attempt != nil:
