--- a/internal/bufferpool/body.go
+++ b/internal/bufferpool/body.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// Body is a message body in pooled buffers. It counts its holders; the last one's
-// Release returns the buffers. A nil Body is empty.
+// Body is a reference-counted message body in pooled buffers. Releasing the last
+// reference returns the buffers to the pool. A nil Body is empty.
 type Body struct {
-	pool    *Pool
-	buffers []*buffer
-	length  int
-	holders atomic.Int32
+	pool       *Pool
+	buffers    []*buffer
+	length     int
+	references atomic.Int32
 }
 
-// Len is the number of bytes.
+// Len returns the body's length in bytes.
 func (b *Body) Len() int {
 	if b == nil {
 		return 0
@@ -19,22 +19,24 @@
 	return b.length
 }
 
-// AppendBuffers adds the body's buffers to a list for one write.
+// AppendBuffers appends the filled parts of the body's buffers to a list, for a
+// vectored write.
 func (b *Body) AppendBuffers(list [][]byte) [][]byte {
 	if b == nil {
 		return list
 	}
-	left := b.length
+	remaining := b.length
 	for _, buffer := range b.buffers {
-		n := min(left, Size)
+		n := min(remaining, Size)
 		list = append(list, buffer[:n])
-		left -= n
+		remaining -= n
 	}
 	return list
 }
 
-// AppendBytes copies bytes to the body's end, before it has a second holder. It
-// returns false if the pool's bound is reached; the caller then releases the body.
+// AppendBytes appends a copy of data to the body. It must not be called once the body
+// has a second reference. It returns false if the pool's limit is reached; the caller
+// then releases the body.
 func (b *Body) AppendBytes(data []byte) bool {
 	for len(data) > 0 {
 		offset := b.length % Size
@@ -52,17 +54,17 @@
 	return true
 }
 
-// Retain adds a holder.
+// Retain adds a reference and returns the body.
 func (b *Body) Retain() *Body {
 	if b != nil {
-		b.holders.Add(1)
+		b.references.Add(1)
 	}
 	return b
 }
 
-// Release ends one holder's use.
+// Release drops one reference.
 func (b *Body) Release() {
-	if b == nil || b.holders.Add(-1) != 0 {
+	if b == nil || b.references.Add(-1) != 0 {
 		return
 	}
 	for _, buffer := range b.buffers {
--- a/internal/bufferpool/pool.go
+++ b/internal/bufferpool/pool.go
@@ -1,5 +1,5 @@
-// Package bufferpool hands out message bodies in buffers of one size from a pool
-// and bounds how many bytes they hold at once.
+// Package bufferpool stores message bodies in pooled buffers of one size and limits
+// the total size of the buffers in use.
 package bufferpool
 
 import (
@@ -9,23 +9,24 @@
 	"sync/atomic"
 )
 
-// Size of every buffer in bytes: small, since each connection holds one.
+// Size is the size of a buffer in bytes. It is small since each connection has a
+// buffer of this size.
 const Size = 8 << 10
 
-// ErrFull says that the bound on buffered bytes is reached. The body was read to
-// its end and discarded, so its connection can go on.
-var ErrFull = errors.New("too many bytes of bodies are buffered")
+// ErrFull reports that the limit on buffered bytes is reached. The body was read to
+// its end and discarded, so that its connection remains usable.
+var ErrFull = errors.New("the limit on buffered body bytes is reached")
 
 type buffer = [Size]byte
 
-// Pool holds free buffers. It may be used from any goroutine.
+// Pool holds free buffers and limits the bytes in use. It is safe for concurrent use.
 type Pool struct {
-	free      sync.Pool // of *buffer
-	available atomic.Int64
+	free      sync.Pool    // of *buffer
+	available atomic.Int64 // bytes; negative after SetLimit to less than the bytes in use
 	limit     atomic.Int64 // bytes
 }
 
-// NewPool bounds the bytes buffered in bodies.
+// NewPool returns a pool whose bodies may occupy at most limit bytes of buffers.
 func NewPool(limit int64) *Pool {
 	p := &Pool{free: sync.Pool{New: func() any { return new(buffer) }}}
 	p.available.Store(limit)
@@ -33,10 +34,10 @@
 	return p
 }
 
-// SetLimit sets another bound on the buffered bytes. Bodies that there are stay.
+// SetLimit changes the limit on buffered bytes. Existing bodies keep their buffers.
 func (p *Pool) SetLimit(limit int64) { p.available.Add(limit - p.limit.Swap(limit)) }
 
-// get returns nil if the bound is reached.
+// get returns a buffer, or nil if the limit is reached.
 func (p *Pool) get() *buffer {
 	if p.available.Add(-Size) < 0 {
 		p.available.Add(Size)
@@ -50,34 +51,35 @@
 	p.available.Add(Size)
 }
 
-// NewBody makes an empty body for AppendBytes, with one holder.
+// NewBody returns an empty body with one reference, to fill with AppendBytes.
 func (p *Pool) NewBody() *Body {
 	b := &Body{pool: p}
-	b.holders.Store(1)
+	b.references.Store(1)
 	return b
 }
 
-// ReadBody takes n bytes from r into a body with one holder. A slow sender holds
-// only the buffers it has filled. The error is ErrFull or that of r.
-func (p *Pool) ReadBody(r io.Reader, n int) (*Body, error) {
+// ReadBody reads length bytes from r into a body with one reference. It gets each
+// buffer only when the previous one is full, so that a slow sender occupies no
+// buffers in advance. The error is ErrFull or that of r.
+func (p *Pool) ReadBody(r io.Reader, length int) (*Body, error) {
 	body := p.NewBody()
-	for body.length < n {
+	for body.length < length {
 		chunk := p.get()
 		if chunk == nil {
-			rest := int64(n - body.length)
+			remaining := int64(length - body.length)
 			body.Release()
-			if _, err := io.CopyN(io.Discard, r, rest); err != nil {
+			if _, err := io.CopyN(io.Discard, r, remaining); err != nil {
 				return nil, err
 			}
 			return nil, ErrFull
 		}
 		body.buffers = append(body.buffers, chunk)
-		want := min(n-body.length, Size)
-		if _, err := io.ReadFull(r, chunk[:want]); err != nil {
+		chunkLength := min(length-body.length, Size)
+		if _, err := io.ReadFull(r, chunk[:chunkLength]); err != nil {
 			body.Release()
 			return nil, err
 		}
-		body.length += want
+		body.length += chunkLength
 	}
 	return body, nil
 }
--- a/internal/bufferpool/pool_test.go
+++ b/internal/bufferpool/pool_test.go
@@ -11,28 +11,29 @@
 func TestBodiesAreBounded(t *testing.T) {
 	pool := NewPool(3 * Size)
 	text := strings.Repeat("0123456789abcdef", 2*Size/16) + "tail"
-	a, err := pool.ReadBody(strings.NewReader(text), len(text))
-	if err != nil || a.Len() != len(text) || string(bytes.Join(a.AppendBuffers(nil), nil)) != text {
-		t.Fatal(a.Len(), err)
+	body, err := pool.ReadBody(strings.NewReader(text), len(text))
+	if err != nil || body.Len() != len(text) || string(bytes.Join(body.AppendBuffers(nil), nil)) != text {
+		t.Fatalf("read a body of %d bytes, error %v; want the %d bytes of the text", body.Len(), err, len(text))
 	}
-	// A body beyond the bound is read off, so that its connection can go on.
+	// A body that exceeds the limit is read to its end, so that its connection remains
+	// usable.
 	r := strings.NewReader(text + "next")
 	if _, err := pool.ReadBody(r, len(text)); !errors.Is(err, ErrFull) {
-		t.Fatal(err)
+		t.Fatalf("a body that exceeds the limit: error %v, want ErrFull", err)
 	}
 	if rest, _ := io.ReadAll(r); string(rest) != "next" {
-		t.Fatalf("%q left", rest)
+		t.Fatalf("%q is left to read after a discarded body, want \"next\"", rest)
 	}
-	a.Retain()
-	a.Release()
+	body.Retain()
+	body.Release()
 	if _, err := pool.ReadBody(strings.NewReader("x"), 1); !errors.Is(err, ErrFull) {
-		t.Fatal("given back while it has a holder")
+		t.Fatal("Release returned the buffers while the body had another reference")
 	}
-	a.Release()
+	body.Release()
 	if _, err := pool.ReadBody(strings.NewReader("half"), 3*Size); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Fatal(err)
+		t.Fatalf("an incomplete body: error %v, want io.ErrUnexpectedEOF", err)
 	}
-	if b, err := pool.ReadBody(strings.NewReader(text), len(text)); err != nil || pool.available.Load() != 0 {
-		t.Fatal(b, err, "half a body kept its buffers")
+	if _, err := pool.ReadBody(strings.NewReader(text), len(text)); err != nil || pool.available.Load() != 0 {
+		t.Fatalf("body after an incomplete one: error %v, %d bytes available, want 0", err, pool.available.Load())
 	}
 }
--- a/internal/tinylfu/tinylfu.go
+++ b/internal/tinylfu/tinylfu.go
@@ -1,11 +1,12 @@
-// Package tinylfu is the frequency sketch of "TinyLFU: A Highly Efficient Cache
-// Admission Policy" (Einziger, Friedman and Manes; sections 3.2 to 3.4). A count-min
-// table of four rows of 4-bit counters estimates how often an object was requested
-// of late. A doorkeeper, a Bloom filter, takes an object's first appearance, so that
-// objects requested once occupy no counter. Halving ages all of it.
+// Package tinylfu implements the frequency sketch of "TinyLFU: A Highly Efficient
+// Cache Admission Policy" (Einziger, Friedman and Manes; sections 3.2 to 3.4). A
+// count-min table of four rows of 4-bit counters estimates how often an object was
+// requested recently. A doorkeeper, which is a Bloom filter, records an object's first
+// request, so that objects requested only once occupy no counter. Halving ages the
+// counters.
 //
-// A Sketch decides nothing by itself: its owner counts samples, halves the sketch
-// when its sample period is over, and compares estimates. It is not safe for
+// A Sketch makes no admission decisions: its owner counts samples, halves the sketch
+// at the end of each sample period, and compares estimates. A Sketch is not safe for
 // concurrent use.
 package tinylfu
 
@@ -21,42 +22,42 @@
 	countersPerWord = 64 / counterBits
 	wordBits        = 64
 
-	// halvingMask drops the bit that a shift moves in from the neighbouring counter.
+	// halvingMask clears the bit that a shift moves in from the neighbouring counter.
 	halvingMask = 0x7777777777777777
 )
 
 // MaxCounter is the largest value of a 4-bit counter.
 const MaxCounter = counterMask
 
-// Config sizes a sketch.
+// Config holds the sizes of a sketch.
 type Config struct {
-	// Counters is the number of counters in each row, a power of two, 16 at least.
-	// Each costs two bytes over the four rows, and its part of the doorkeeper.
+	// Counters is the number of counters in each row, a power of two and at least 16.
+	// Each takes two bytes over the four rows, and DoorkeeperBits of the doorkeeper.
 	Counters int
-	// MaxCount is where a counter stops, MaxCounter at most.
+	// MaxCount is the value at which a counter stops, at most MaxCounter.
 	MaxCount uint64
-	// DoorkeeperBits is the number of the doorkeeper's bits for each counter, a power
-	// of two, 4 at least. More bits let fewer unseen objects pass.
+	// DoorkeeperBits is the number of doorkeeper bits for each counter, a power of two
+	// and at least 4. More bits let fewer objects pass at their first request.
 	DoorkeeperBits int
-	// DoorkeeperCapacity is how many objects the doorkeeper takes before it is cleared
-	// on its own; 0: it is cleared by Halve only. A sample period with many more
-	// objects than bits would fill the filter, and all objects would pass it.
+	// DoorkeeperCapacity is the number of objects after which the doorkeeper is cleared;
+	// 0: only Halve clears it. Without a capacity, a sample period with many more objects
+	// than bits would fill the filter, and every object would pass it.
 	DoorkeeperCapacity int
 }
 
-// Sketch estimates request frequencies. Keys are hashes of 64 well mixed bits.
+// Sketch estimates request frequencies. Keys are 64-bit hashes with well mixed bits.
 type Sketch struct {
-	rows               [rowCount][]uint64 // counters, countersPerWord to a word
+	rows               [rowCount][]uint64 // countersPerWord counters in each word
 	doorkeeper         []uint64
 	counterIndexMask   uint64
 	bitIndexMask       uint64
 	maxCount           uint64
 	doorkeeperCapacity int
-	doorkeeperEntries  int // objects taken since the doorkeeper was cleared
+	doorkeeperEntries  int // objects added since the doorkeeper was cleared
 	samples            int
 }
 
-// New makes an empty sketch.
+// New returns an empty sketch.
 func New(config Config) *Sketch {
 	s := &Sketch{
 		doorkeeper:         make([]uint64, config.Counters*config.DoorkeeperBits/wordBits),
@@ -71,22 +72,23 @@
 	return s
 }
 
-// Counters is the number of counters in each row.
+// Counters returns the number of counters in each row.
 func (s *Sketch) Counters() int { return int(s.counterIndexMask + 1) }
 
-// Samples is the number of samples counted, halved with the counters.
+// Samples returns the number of samples counted; Halve halves it like the counters.
 func (s *Sketch) Samples() int { return s.samples }
 
-// AddSample counts one sample towards the sample period and returns their number.
+// AddSample counts one sample of the sample period and returns the number of samples.
 func (s *Sketch) AddSample() int {
 	s.samples++
 	return s.samples
 }
 
-// Record notes one request. An object's first one goes to the doorkeeper; of later
-// ones only the minimal counters rise (conservative update).
+// Record counts one request. An object's first request only adds it to the doorkeeper.
+// A later one increments those of its counters that have the lowest value
+// (conservative update).
 func (s *Sketch) Record(key uint64) {
-	if !s.passDoorkeeper(key) {
+	if !s.addToDoorkeeper(key) {
 		s.countDoorkeeperEntry()
 		return
 	}
@@ -102,7 +104,7 @@
 	}
 }
 
-// Estimate is how often an object was requested of late.
+// Estimate returns about how often an object was requested recently.
 func (s *Sketch) Estimate(key uint64) uint64 {
 	if s.inDoorkeeper(key) {
 		return s.minimum(key) + 1
@@ -110,8 +112,8 @@
 	return s.minimum(key)
 }
 
-// Halve ages the sketch (the paper's reset): it halves all counters and the number of
-// samples, rounding down, and clears the doorkeeper.
+// Halve ages the sketch; the paper calls this the reset. It halves all counters and the
+// number of samples, rounding down, and clears the doorkeeper.
 func (s *Sketch) Halve() {
 	s.samples /= 2
 	for _, row := range s.rows {
@@ -122,18 +124,21 @@
 	s.clearDoorkeeper()
 }
 
-// probe is the i-th of a key's hash functions: two halves of the key, combined by
+// hash returns the i-th hash of a key. It combines the two halves of the key by
 // Kirsch and Mitzenmacher's double hashing.
-func probe(key uint64, i int) uint64 {
-	const oddMultiplier = 0x9e3779b97f4a7c15
+func hash(key uint64, i int) uint64 {
+	const oddMultiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
 	return (key + uint64(i)*(key>>32|1)) * oddMultiplier >> 20
 }
 
+// counter returns the word that holds a key's counter in a row, and the counter's
+// position in the word.
 func (s *Sketch) counter(row int, key uint64) (word *uint64, shift uint64) {
-	index := probe(key, row) & s.counterIndexMask
+	index := hash(key, row) & s.counterIndexMask
 	return &s.rows[row][index/countersPerWord], index % countersPerWord * counterBits
 }
 
+// minimum returns the lowest of a key's counters.
 func (s *Sketch) minimum(key uint64) uint64 {
 	lowest := s.maxCount
 	for row := range s.rows {
@@ -143,8 +148,10 @@
 	return lowest
 }
 
+// doorkeeperBit returns the word that holds the i-th of a key's doorkeeper bits, and
+// the bit in the word.
 func (s *Sketch) doorkeeperBit(key uint64, i int) (word *uint64, bit uint64) {
-	index := probe(key, rowCount+i) & s.bitIndexMask
+	index := hash(key, rowCount+i) & s.bitIndexMask
 	return &s.doorkeeper[index/wordBits], 1 << (index % wordBits)
 }
 
@@ -157,8 +164,9 @@
 	return true
 }
 
-// passDoorkeeper enters an object into the doorkeeper and tells whether it was there.
-func (s *Sketch) passDoorkeeper(key uint64) bool {
+// addToDoorkeeper adds an object to the doorkeeper and reports whether the doorkeeper
+// already contained it.
+func (s *Sketch) addToDoorkeeper(key uint64) bool {
 	seen := true
 	for i := range rowCount {
 		word, bit := s.doorkeeperBit(key, i)
@@ -180,17 +188,17 @@
 	s.doorkeeperEntries = 0
 }
 
-// State is a copy of a sketch's content, for a sketch of the same size.
+// State is a copy of a sketch's content, to restore into a sketch of the same size.
 type State struct {
 	Rows       [rowCount][]uint64
 	Doorkeeper []uint64
 	Samples    int
 }
 
-// ErrShape says that a state comes from a sketch of another size.
-var ErrShape = errors.New("tinylfu: state of a sketch of another size")
+// ErrSizeMismatch reports that a state comes from a sketch of another size.
+var ErrSizeMismatch = errors.New("tinylfu: the state comes from a sketch of another size")
 
-// State copies the sketch's content.
+// State returns a copy of the sketch's content.
 func (s *Sketch) State() State {
 	state := State{Doorkeeper: slices.Clone(s.doorkeeper), Samples: s.samples}
 	for i, row := range s.rows {
@@ -199,7 +207,7 @@
 	return state
 }
 
-// Fits tells whether Restore takes the state.
+// Fits reports whether Restore accepts the state.
 func (s *Sketch) Fits(state State) bool {
 	for i, row := range s.rows {
 		if len(state.Rows[i]) != len(row) {
@@ -209,11 +217,11 @@
 	return len(state.Doorkeeper) == len(s.doorkeeper)
 }
 
-// Restore replaces the sketch's content. It returns ErrShape, and changes nothing,
-// where the state comes from a sketch of another size.
+// Restore replaces the sketch's content. If the state comes from a sketch of another
+// size, Restore returns ErrSizeMismatch and changes nothing.
 func (s *Sketch) Restore(state State) error {
 	if !s.Fits(state) {
-		return ErrShape
+		return ErrSizeMismatch
 	}
 	for i, row := range s.rows {
 		copy(row, state.Rows[i])
--- a/internal/tinylfu/tinylfu_test.go
+++ b/internal/tinylfu/tinylfu_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-var small = Config{Counters: 64, MaxCount: MaxCounter, DoorkeeperBits: 4}
+var smallConfig = Config{Counters: 64, MaxCount: MaxCounter, DoorkeeperBits: 4}
 
 func TestEstimateRisesToTheTopAndHalves(t *testing.T) {
 	const key = 0x1234_5678_9abc_def0
-	s := New(small)
+	s := New(smallConfig)
 	for i := range uint64(MaxCounter + 5) {
 		s.Record(key)
 		if want := min(i+1, MaxCounter+1); s.Estimate(key) != want {
@@ -21,18 +21,19 @@
 	}
 	s.Halve()
 	if s.Estimate(key) != MaxCounter/2 || s.Samples() != 4 {
-		t.Fatalf("halved: estimate %d, %d samples", s.Estimate(key), s.Samples())
+		t.Fatalf("after halving: estimate %d, %d samples; want %d and 4", s.Estimate(key), s.Samples(), MaxCounter/2)
 	}
 }
 
-// A filter full of objects requested once let all others pass as seen before.
+// Guards against a doorkeeper that is so full of objects requested once that every
+// new object passes it at the first request.
 func TestFullDoorkeeperIsCleared(t *testing.T) {
-	config := small
+	config := smallConfig
 	config.DoorkeeperCapacity = 2
 	s := New(config)
 	s.Record(1 << 40)
 	if s.Estimate(1<<40) != 1 {
-		t.Fatal("the doorkeeper does not hold the first object")
+		t.Fatal("the doorkeeper does not contain the first object")
 	}
 	s.Record(2 << 40)
 	if s.Estimate(1<<40) != 0 || s.Estimate(2<<40) != 0 {
@@ -42,20 +43,20 @@
 
 func TestStateIsRestoredIntoTheSameSizeOnly(t *testing.T) {
 	const key = 77 << 33
-	s := New(small)
+	s := New(smallConfig)
 	s.Record(key)
 	s.Record(key)
 	s.AddSample()
-	copied := New(small)
+	copied := New(smallConfig)
 	if err := copied.Restore(s.State()); err != nil {
 		t.Fatal(err)
 	}
 	if copied.Estimate(key) != 2 || copied.Samples() != 1 {
-		t.Fatalf("restored: estimate %d, %d samples", copied.Estimate(key), copied.Samples())
+		t.Fatalf("restored: estimate %d, %d samples; want 2 and 1", copied.Estimate(key), copied.Samples())
 	}
-	larger := small
+	larger := smallConfig
 	larger.Counters *= 2
-	if err := New(larger).Restore(s.State()); !errors.Is(err, ErrShape) {
-		t.Fatalf("a state of another size: %v", err)
+	if err := New(larger).Restore(s.State()); !errors.Is(err, ErrSizeMismatch) {
+		t.Fatalf("restoring the state of a smaller sketch: error %v, want ErrSizeMismatch", err)
 	}
 }
