--- a/internal/cacheproto/command.go
+++ b/internal/cacheproto/command.go
@@ -10,33 +10,34 @@
 	"quilldoor/internal/policy"
 )
 
-// GetCommand is one attempt's command. A body of Length bytes and CR LF follow it.
+// GetCommand is the command of one attempt. Its line is followed by a body of Length
+// bytes and CR LF.
 type GetCommand struct {
 	ID             string
 	Class          string
 	Object         string
 	Part           int64
 	BudgetMillis   int64
-	Source         string // where a miss is filled from; "": it is not filled
-	Priority       int
-	MaxAgeMillis   int64 // 0: the fresh time of the class
+	Source         string // id of the endpoint that a miss is filled from; "": a miss is not filled
+	Priority       int    // priority at which a cache keeps the copy; 0: it does not keep it
+	MaxAgeMillis   int64  // greatest age of a copy; 0: the class's freshness time
 	FillMode       policy.FillMode
-	Tag            string
+	Tag            string // of the copy that needs no transfer if it is current; "": none
 	IdempotencyKey string
-	Length         int
+	Length         int // bytes of the body
 }
 
-// Command is what a router writes: a Get, or else a drop or a ping by id.
+// Command is a command of a router. Exactly one field is set.
 type Command struct {
 	Get    *GetCommand
-	DropID string
-	PingID string
+	DropID string // id of the attempt to abandon
+	PingID string // id of the health check to answer
 }
 
-// modeWords stand in the order of the bits of policy.FillMode.
-var modeWords = []string{"wait-for", "no-fetch", "no-keep", "background"}
+// fillModeWords are in the order of the bits of policy.FillMode.
+var fillModeWords = []string{"wait-for", "no-fetch", "no-keep", "background"}
 
-// AppendGet writes the command up to where the body follows.
+// AppendGet appends the command's line; the caller writes the body and CR LF after it.
 func AppendGet(b []byte, get *GetCommand) []byte {
 	b = append(b, "GET "...)
 	b = append(b, get.ID...)
@@ -60,7 +61,7 @@
 		b = append(b, ",within="...)
 		b = strconv.AppendInt(b, get.MaxAgeMillis, 10)
 	}
-	b = appendMode(b, get.FillMode)
+	b = appendFillMode(b, get.FillMode)
 	if get.Tag != "" {
 		b = append(b, ",mine="...)
 		b = append(b, get.Tag...)
@@ -74,9 +75,9 @@
 	return append(b, "\r\n"...)
 }
 
-func appendMode(b []byte, mode policy.FillMode) []byte {
+func appendFillMode(b []byte, mode policy.FillMode) []byte {
 	separator := ",f="
-	for i, word := range modeWords {
+	for i, word := range fillModeWords {
 		if mode>>i&1 == 1 {
 			b = append(b, separator...)
 			b = append(b, word...)
@@ -86,10 +87,10 @@
 	return b
 }
 
-// AppendDrop writes the command that gives an attempt up.
+// AppendDrop appends the command that abandons an attempt.
 func AppendDrop(b []byte, id string) []byte { return appendByID(b, "DROP ", id) }
 
-// AppendPing writes a health check.
+// AppendPing appends the command for a health check.
 func AppendPing(b []byte, id string) []byte { return appendByID(b, "PING ", id) }
 
 func appendByID(b []byte, verb, id string) []byte {
@@ -98,7 +99,8 @@
 	return append(b, "\r\n"...)
 }
 
-// ReadCommand reads one line, which must fit into r's buffer. A body follows a Get.
+// ReadCommand reads the line of one command, which must fit into r's buffer. If the
+// command is a Get, the caller reads the body and CR LF after it.
 func ReadCommand(r *bufio.Reader) (Command, error) {
 	words, err := readWords(r)
 	if err != nil {
@@ -119,10 +121,10 @@
 		}
 		return Command{Get: get}, nil
 	}
-	return Command{}, protocolError("%d words", len(words))
+	return Command{}, protocolError("unknown command %.20q of %d words", words[0], len(words))
 }
 
-var errUnknownWord = errors.New("unknown word")
+var errUnknownName = errors.New("unknown field or fill mode")
 
 func (g *GetCommand) parseField(name, value string) (err error) {
 	switch name {
@@ -141,22 +143,22 @@
 	case "within":
 		g.MaxAgeMillis, err = strconv.ParseInt(value, 10, 64)
 	case "f":
-		g.FillMode, err = parseMode(value)
+		g.FillMode, err = parseFillMode(value)
 	case "mine":
 		g.Tag = value
 	case "uniq":
 		g.IdempotencyKey = value
 	default:
-		return errUnknownWord
+		return errUnknownName
 	}
 	return err
 }
 
-func parseMode(text string) (mode policy.FillMode, err error) {
+func parseFillMode(text string) (mode policy.FillMode, err error) {
 	for word := range strings.SplitSeq(text, "+") {
-		bit := slices.Index(modeWords, word)
+		bit := slices.Index(fillModeWords, word)
 		if bit < 0 {
-			return 0, errUnknownWord
+			return 0, errUnknownName
 		}
 		mode |= 1 << bit
 	}
--- a/internal/cacheproto/doc.go
+++ b/internal/cacheproto/doc.go
@@ -1,7 +1,7 @@
-// Package cacheproto is the codec of the cache servers' line protocol. A line
-// is a few words that end in CR LF; commands with a body and responses name its
-// length, and a body ends in CR LF, too. Routers write commands and read
-// responses; the other direction serves stand-ins of cache servers.
+// Package cacheproto encodes and decodes the line protocol of the cache servers. A
+// line consists of words separated by spaces and ends in CR LF. A command with a body
+// states the body's length, and so does a response; CR LF follows the body, too.
+// Routers write commands and read responses; emulated cache servers do the reverse.
 //
-// The protocol's words are mapped to the router's terms here and nowhere else.
+// Only this package maps the protocol's words to the router's terms.
 package cacheproto
--- a/internal/cacheproto/line.go
+++ b/internal/cacheproto/line.go
@@ -9,17 +9,18 @@
 	"strings"
 )
 
-// ErrProtocol is behind every error about what a peer wrote.
+// ErrProtocol is wrapped by every error about input that violates the protocol.
 var ErrProtocol = errors.New("protocol violation")
 
+// protocolError returns an error that wraps ErrProtocol.
 func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, args...))
 }
 
-// MaxValueLen bounds, in bytes, what stands as a value among the fields.
+// MaxValueLen is the greatest length of a field's value, in bytes.
 const MaxValueLen = 128
 
-// IsPlain reports whether text can stand as a value among the fields.
+// IsPlain reports whether text can be written as a field's value.
 func IsPlain(text string) bool {
 	if len(text) > MaxValueLen {
 		return false
@@ -34,34 +35,35 @@
 	return text != ""
 }
 
-// noFields stands in place of fields where there are none.
+// noFields is written in place of an empty list of fields.
 const noFields = "-"
 
-// readWords reads one line and splits it. The line must fit into r's buffer.
+// readWords reads one line and splits it into words. The line must fit into r's
+// buffer.
 func readWords(r *bufio.Reader) ([]string, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, protocolError("line too long")
+		return nil, protocolError("line longer than %d bytes", r.Size())
 	}
 	if err != nil {
 		return nil, err
 	}
 	line, crlf := bytes.CutSuffix(line, []byte("\r\n"))
 	if !crlf {
-		return nil, protocolError("line without CR")
+		return nil, protocolError("line %.20q does not end in CR LF", line)
 	}
 	return strings.Split(string(line), " "), nil
 }
 
-// parseFields calls parse with each field's name and value.
+// parseFields calls parse with the name and value of each field.
 func parseFields(text string, parse func(name, value string) error) error {
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return protocolError("field %.20q", field)
+			return protocolError("field %.20q without a value", field)
 		}
 		if err := parse(name, value); err != nil {
-			return protocolError("field %.40q", field)
+			return protocolError("invalid field %.40q", field)
 		}
 	}
 	return nil
@@ -70,19 +72,19 @@
 func parseLength(text string) (int, error) {
 	n, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
-		return 0, protocolError("length %.20q", text)
+		return 0, protocolError("invalid length %.20q", text)
 	}
 	return int(n), nil
 }
 
-// ReadBodyEnd reads the CR LF behind a body.
+// ReadBodyEnd reads the CR LF that follows a body.
 func ReadBodyEnd(r *bufio.Reader) error {
 	end, err := r.Peek(2)
 	if err != nil {
 		return err
 	}
 	if string(end) != "\r\n" {
-		return protocolError("body without CR LF behind it")
+		return protocolError("%q after a body, want CR LF", end)
 	}
 	_, err = r.Discard(2)
 	return err
--- a/internal/cacheproto/response.go
+++ b/internal/cacheproto/response.go
@@ -10,21 +10,21 @@
 	"quilldoor/internal/policy"
 )
 
-// Status is what a response says.
+// Status is the status of a response.
 type Status uint8
 
-// The statuses of responses.
+// The statuses; 0 is none of them.
 const (
 	StatusOK          Status = iota + 1 // the object follows
-	StatusNotModified                   // the client's copy is the current one
+	StatusNotModified                   // the copy with the command's tag is current
 	StatusMiss                          // the object is not cached and was not filled
 	StatusBusy                          // the server is at capacity
 	StatusError                         // the fill or the server failed
-	StatusSkipped                       // the budget was over before it ran
-	StatusReady                         // to a ping
+	StatusSkipped                       // the budget had run out before the server executed the command
+	StatusReady                         // the answer to a ping
 )
 
-// statusWords are the protocol's words by status.
+// statusWords holds the protocol's word for each status.
 var statusWords = [...]string{
 	StatusOK:          "ACK",
 	StatusNotModified: "NOMOD",
@@ -35,14 +35,15 @@
 	StatusReady:       "READY",
 }
 
+// String returns the protocol's word for the status.
 func (s Status) String() string { return statusWords[s] }
 
-// parseStatus finds a status by its word; 0: there is none.
+// parseStatus returns the status with the given word, or 0 if there is none.
 func parseStatus(word string) Status {
 	return Status(max(slices.Index(statusWords[:], word), 0))
 }
 
-// reasonWords are the policy's reasons by the protocol's words.
+// reasonWords maps the protocol's words to the policy's reasons.
 var reasonWords = map[string]policy.Reason{
 	"HIT":         policy.ReasonHit,
 	"MISS":        policy.ReasonMiss,
@@ -56,20 +57,21 @@
 	"ORIGIN_ERR":  policy.ReasonOriginError,
 }
 
-// Response is one response's line; Length bytes and CR LF follow it.
+// Response is the line of one response. It is followed by a body of Length bytes and
+// CR LF.
 type Response struct {
 	ID           string
 	Status       Status
-	Tag          string
-	IssuedMillis int64 // Unix milliseconds at which the origin gave the copy out
+	Tag          string // identifies the copy
+	IssuedMillis int64  // when the origin issued the copy, in Unix milliseconds
 	Reason       policy.Reason
-	DelayMillis  float64 // that the fill waited for the origin
-	Load         map[string]float64
-	Length       int // -1: neither body nor CR LF follow
+	DelayMillis  float64            // how long the fill waited for the origin
+	Load         map[string]float64 // the server's load report
+	Length       int                // bytes of the body; -1: neither a body nor CR LF follows
 }
 
-// ReadResponse reads one line, which must fit into r's buffer. A body longer than
-// maxBody bytes is a protocol violation.
+// ReadResponse reads the line of one response, which must fit into r's buffer. A
+// length of more than maxBody bytes is a protocol violation.
 func ReadResponse(r *bufio.Reader, maxBody int) (Response, error) {
 	words, err := readWords(r)
 	if err != nil {
@@ -79,18 +81,18 @@
 		return Response{ID: words[0], Status: StatusReady, Length: -1}, nil
 	}
 	if len(words) != 4 || words[0] == "" {
-		return Response{}, protocolError("%d words", len(words))
+		return Response{}, protocolError("response with %d words and id %.20q, want 4 words and an id", len(words), words[0])
 	}
 	response := Response{ID: words[0], Status: parseStatus(words[1])}
 	if response.Status == 0 {
-		return response, protocolError("unknown word %.20q", words[1])
+		return response, protocolError("unknown status %.20q", words[1])
 	}
 	response.Length, err = parseLength(words[3])
 	if err != nil {
 		return response, err
 	}
 	if response.Length > maxBody {
-		return response, protocolError("length %.20q", words[3])
+		return response, protocolError("length %.20q exceeds the limit of %d bytes", words[3], maxBody)
 	}
 	if words[2] != noFields {
 		if err := parseFields(words[2], response.parseField); err != nil {
@@ -98,12 +100,12 @@
 		}
 	}
 	if response.Status == StatusNotModified && response.Length > 0 {
-		return response, protocolError("%s with %d bytes", response.Status, response.Length)
+		return response, protocolError("%s response with a body of %d bytes", response.Status, response.Length)
 	}
 	return response, nil
 }
 
-// parseField reads one field. Unknown fields and reasons are ignored.
+// parseField parses one field. Unknown fields and reasons are ignored.
 func (r *Response) parseField(name, value string) (err error) {
 	switch name {
 	case "entity":
@@ -113,7 +115,7 @@
 	case "detail":
 		r.Reason = reasonWords[value]
 	case "delay":
-		r.DelayMillis, err = parseFigure(value)
+		r.DelayMillis, err = parseNonNegative(value)
 	case "use":
 		r.Load, err = parseLoad(value)
 	}
@@ -124,26 +126,27 @@
 	load := map[string]float64{}
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
-		figure, err := parseFigure(value)
+		number, err := parseNonNegative(value)
 		if err != nil {
 			return nil, err
 		}
-		load[name] = figure
+		load[name] = number
 	}
 	return load, nil
 }
 
-// parseFigure reads a number that the policy may calculate with: strconv takes
-// NaN and Inf, too.
-func parseFigure(text string) (float64, error) {
-	figure, err := strconv.ParseFloat(text, 64)
-	if err == nil && !(figure >= 0 && figure <= math.MaxInt32) {
+// parseNonNegative parses a number from 0 to math.MaxInt32. The bounds keep NaN and
+// Inf, which strconv accepts, out of the policy's calculations.
+func parseNonNegative(text string) (float64, error) {
+	number, err := strconv.ParseFloat(text, 64)
+	if err == nil && !(number >= 0 && number <= math.MaxInt32) {
 		err = strconv.ErrRange
 	}
-	return figure, err
+	return number, err
 }
 
-// AppendResponse writes a response's line; Length bytes of body and CR LF follow it.
+// AppendResponse appends a response's line; the caller writes a body of Length bytes
+// and CR LF after it.
 func AppendResponse(b []byte, response *Response) []byte {
 	b = append(b, response.ID...)
 	b = append(b, ' ')
@@ -194,14 +197,14 @@
 
 func appendLoad(b []byte, load map[string]float64) []byte {
 	first := true
-	for name, figure := range load {
+	for name, number := range load {
 		if !first {
 			b = append(b, ';')
 		}
 		first = false
 		b = append(b, name...)
 		b = append(b, ':')
-		b = strconv.AppendFloat(b, figure, 'f', 4, 64)
+		b = strconv.AppendFloat(b, number, 'f', 4, 64)
 	}
 	return b
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,14 +1,15 @@
-// Package http1 parses and writes as much of HTTP/1.1 as clients, the health
-// check and the discovery service need. It reads heads only; who calls it reads
-// the body by the head's framing.
+// Package http1 reads and writes the subset of HTTP/1.1 that clients, the router's
+// health check and the discovery service need. It reads only the head of a message;
+// the caller reads the body according to the head's framing.
 package http1
 
-// Error is a malformed or unsupported message, with the status that answers it.
+// Error reports a malformed or unsupported message.
 type Error struct {
-	Status int
+	Status int // HTTP status to answer the request with
 	Text   string
 }
 
+// Error returns the text without the status.
 func (e *Error) Error() string { return e.Text }
 
 // Head is a message without its body. Field names are in lower case.
@@ -16,17 +17,18 @@
 	Method         string // of a request
 	Target         string // of a request
 	Status         int    // of a response; 0 in a request
-	ContentLength  int    // bytes of the body; -1 in a response: not given
-	Chunked        bool   // the body of a response comes in chunks (RFC 9112, section 7.1)
-	Close          bool   // the sender closes the connection behind this message
-	ExpectContinue bool   // the client waits for 100 before it sends the body
+	ContentLength  int    // bytes of the body; -1 in a response: not stated
+	Chunked        bool   // the body of a response is chunked (RFC 9112, section 7.1)
+	Close          bool   // the sender closes the connection after this message
+	ExpectContinue bool   // the client waits for status 100 before it sends the body
 	Fields         []Field
 }
 
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Get finds a field by its name in lower case.
+// Get returns the value of the first field with the given name, which is in lower
+// case.
 func (h *Head) Get(name string) (string, bool) {
 	for _, field := range h.Fields {
 		if field.Name == name {
@@ -36,19 +38,19 @@
 	return "", false
 }
 
-// Count returns how often a field stands in the head.
-func (h *Head) Count(name string) (n int) {
+// Count returns the number of fields with the given name, which is in lower case.
+func (h *Head) Count(name string) (count int) {
 	for _, field := range h.Fields {
 		if field.Name == name {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Limits bound a message.
+// Limits bounds the size of a message.
 type Limits struct {
-	MaxBytes  int // all lines of the head together
-	MaxFields int
-	MaxBody   int // bytes
+	MaxBytes  int // bytes of all lines of the head together
+	MaxFields int // number of header fields
+	MaxBody   int // greatest Content-Length, in bytes
 }
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -14,12 +14,12 @@
 }
 
 func TestRequestIsRead(t *testing.T) {
-	h, err := read("PUT /rpc/a/b HTTP/1.1\r\nHost: x\r\nX-Txn:  7 \r\nContent-Length: 3\r\nConnection: foo, Close\r\n\r\nabc")
+	head, err := read("PUT /rpc/a/b HTTP/1.1\r\nHost: x\r\nX-Txn:  7 \r\nContent-Length: 3\r\nConnection: foo, Close\r\n\r\nabc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := h.Get("x-txn"); v != "7" || h.Method != "PUT" || h.Target != "/rpc/a/b" || h.ContentLength != 3 || !h.Close {
-		t.Fatalf("%+v", h)
+	if value, _ := head.Get("x-txn"); value != "7" || head.Method != "PUT" || head.Target != "/rpc/a/b" || head.ContentLength != 3 || !head.Close {
+		t.Fatalf("%+v", head)
 	}
 }
 
@@ -47,7 +47,7 @@
 		_, err := read(text)
 		var httpError *Error
 		if !errors.As(err, &httpError) || httpError.Status != status {
-			t.Errorf("%.60q: %v, want %d", text, err, status)
+			t.Errorf("request %.60q: error %v, want status %d", text, err, status)
 		}
 	}
 }
@@ -57,19 +57,19 @@
 		_, err := read(text)
 		var httpError *Error
 		if err == nil || errors.As(err, &httpError) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("request %q: error %v, want one that is not an *Error", text, err)
 		}
 	}
 }
 
 func TestResponseIsRead(t *testing.T) {
-	h, err := ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")), limits)
-	if err != nil || h.Status != 200 || h.ContentLength != 2 {
-		t.Fatalf("%+v, %v", h, err)
+	head, err := ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")), limits)
+	if err != nil || head.Status != 200 || head.ContentLength != 2 {
+		t.Fatalf("head %+v, error %v", head, err)
 	}
 	for _, text := range []string{"HTTP/1.1 abc\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n", "\r\n\r\n"} {
 		if _, err := ReadResponse(bufio.NewReader(strings.NewReader(text)), limits); err == nil {
-			t.Errorf("%q passes", text)
+			t.Errorf("malformed response %q was accepted", text)
 		}
 	}
 }
@@ -77,21 +77,22 @@
 func TestResponseIsWritten(t *testing.T) {
 	got := string(AppendResponse(nil, 304, 0, true, Field{"ETag", `"x"`}))
 	if want := "HTTP/1.1 304 Not Modified\r\nConnection: close\r\nETag: \"x\"\r\n\r\n"; got != want {
-		t.Errorf("%q", got)
+		t.Errorf("%q, want %q", got, want)
 	}
 	if got := string(AppendResponse(nil, 200, 5, false)); got != "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("response with a body of 5 bytes: %q", got)
 	}
 }
 
-// FuzzReadRequest looks for panics and for heads that break the limits.
+// FuzzReadRequest searches for panics, and for accepted heads that exceed the limits
+// or have no target.
 func FuzzReadRequest(f *testing.F) {
 	f.Add("GET /rpc/a/b HTTP/1.1\r\nHost: x\r\nX-Txn: 0123456789abcdef\r\n\r\n")
 	f.Add("PUT / HTTP/1.0\r\nContent-Length: 100\r\nExpect: 100-continue\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		h, err := read(text)
-		if err == nil && (h.ContentLength < 0 || h.ContentLength > limits.MaxBody || len(h.Fields) > limits.MaxFields || h.Target == "") {
-			t.Fatalf("%+v", h)
+		head, err := read(text)
+		if err == nil && (head.ContentLength < 0 || head.ContentLength > limits.MaxBody || len(head.Fields) > limits.MaxFields || head.Target == "") {
+			t.Fatalf("%+v", head)
 		}
 	})
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// statusTexts are the reason phrases of RFC 9110; package http has older ones.
+// statusTexts holds the reason phrases of RFC 9110; those of package http are older.
 var statusTexts = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusNotModified:                 "Not Modified",
@@ -24,9 +24,10 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// AppendResponse writes a response up to its body of length bytes. A 304 has
-// none. With closes it says that the connection ends behind it.
-func AppendResponse(b []byte, status, length int, closes bool, fields ...Field) []byte {
+// AppendResponse appends the head of a response with a body of length bytes. A
+// response with status 304 has no body. With closeConnection the head announces that
+// the connection is closed after the response.
+func AppendResponse(b []byte, status, length int, closeConnection bool, fields ...Field) []byte {
 	b = append(b, version11+" "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -37,13 +38,13 @@
 		b = strconv.AppendInt(b, int64(length), 10)
 		b = append(b, "\r\n"...)
 	}
-	if closes {
+	if closeConnection {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(appendFields(b, fields), "\r\n"...)
 }
 
-// AppendRequest writes a request without a body.
+// AppendRequest appends a request without a body.
 func AppendRequest(b []byte, method, target string, fields ...Field) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
