--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -18,7 +18,7 @@
 	FillMode      policy.FillMode
 	DecidedAt     int64     // when the policy decided to send it
 	Deadline      int64     // when the router stops waiting for the response
-	SendBefore    int64     // from when on it must not be written; 0: from Deadline on
+	SendBefore    int64     // time from which it must not be written; 0: Deadline
 	Unsafe        bool      // the request is unsafe, and another attempt of it may have been executed
 	Transport     Transport // set by the reader of the command queue; nil: not passed to a transport
 
@@ -66,7 +66,7 @@
 	return now < a.Deadline && inSendWindow && now-a.DecidedAt <= maxAge
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome    policy.Outcome
 	Reason     policy.Reason
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -57,8 +57,8 @@
 	e.closeRequest(now, request)
 }
 
-// postEndpointCommand posts a background command for an endpoint, if the endpoint
-// is still listed.
+// postEndpointCommand queues a background command for an endpoint, if the endpoint is
+// still listed.
 func (e *Engine) postEndpointCommand(kind CommandKind, id string) {
 	if endpoint := e.endpoints[id]; endpoint != nil {
 		e.postBackground(Command{Kind: kind, Endpoint: endpoint})
--- a/internal/tinylfu/tinylfu.go
+++ b/internal/tinylfu/tinylfu.go
@@ -3,7 +3,7 @@
 // count-min table of four rows of 4-bit counters estimates how often an object was
 // requested recently. A doorkeeper, which is a Bloom filter, records an object's first
 // request, so that objects requested only once occupy no counter. Halving ages the
-// counters.
+// counters and clears the doorkeeper.
 //
 // A Sketch makes no admission decisions: its owner counts samples, halves the sketch
 // at the end of each sample period, and compares estimates. A Sketch is not safe for
