--- a/internal/membership/connectivity.go
+++ b/internal/membership/connectivity.go
@@ -1,30 +1,30 @@
 package membership
 
-// Connectivity is what a node knows of its own part of the site. Other subsystems decide by it whether this router may
-// count on its view. Durations are microseconds. The field Since of its JSON form is a time on the steady clock of the
-// router's process, and means nothing elsewhere: tools read Age.
+// Connectivity describes how much of the site a node reaches. Other subsystems decide by it whether this router may
+// rely on its view. Durations are in microseconds. The field Since of the JSON form is a time on the steady clock of
+// the router's process and has no meaning outside of it: tools read Age.
 type Connectivity struct {
-	// State is the node's own.
+	// State is the state of the node itself.
 	State State `cbor:"1,keyasint,omitempty"`
-	// Known counts the members, the node itself included, without those that have left. Reachable counts those of
-	// them that are alive or leaving.
+	// Known counts the node itself and the members that are alive, leaving, suspect or dead. Reachable counts the node
+	// itself and the members that are alive or leaving.
 	Known     int `cbor:"2,keyasint,omitempty"`
 	Reachable int `cbor:"3,keyasint,omitempty"`
-	// ProbesAnswered counts the acknowledged ones, directly or indirectly, among the last ProbesSent probes.
+	// ProbesAnswered counts the directly or indirectly acknowledged probes among the last ProbesSent ones.
 	ProbesAnswered int `cbor:"4,keyasint,omitempty" json:"Answered"`
 	ProbesSent     int `cbor:"5,keyasint,omitempty" json:"Asked"`
-	// Majority says that more than half of the known members are reachable and at least half of the last probes were
-	// acknowledged, while the node is neither silenced, resuming, joining nor in a name conflict. In a partition into
-	// equal halves neither side has it.
+	// Majority means that more than half of the known members are reachable and at least half of the last probes were
+	// acknowledged, while the node is not resuming, joining or in a name conflict, and its Silence is not longer than
+	// the shortest suspicion timeout. In a partition into equal halves neither side has a majority.
 	Majority bool `cbor:"6,keyasint,omitempty"`
-	// MajoritySince is when Majority changed last, in microseconds on the clock of Tick; the time of New where it has
-	// not changed.
+	// MajoritySince is when Majority last changed, in microseconds on the clock of Tick; the time of New if it has not
+	// changed.
 	MajoritySince int64 `cbor:"7,keyasint,omitempty" json:"Since"`
-	// Silence is how long no message was accepted.
+	// Silence is the time since the last accepted message.
 	Silence int64 `cbor:"8,keyasint,omitempty"`
-	// Resuming says that the process was paused and has not heard of another member since; for 2 s at most.
+	// Resuming means that the process was paused and no other member has acknowledged a ping since; for 2 s at most.
 	Resuming bool `cbor:"9,keyasint,omitempty" json:"Waking"`
-	// MajorityAge is how long ago Majority changed last.
+	// MajorityAge is the time since Majority last changed.
 	MajorityAge int64 `cbor:"11,keyasint,omitempty" json:"Age"`
 	// LocalHealth is the local health score, from 0, healthy, to 3.
 	LocalHealth int `cbor:"10,keyasint,omitempty" json:"Health"`
@@ -52,7 +52,7 @@
 	n.connectivity = c
 }
 
-// countMembers counts the members that have not left, and the reachable ones of them, the node itself included.
+// countMembers returns Connectivity.Known and Connectivity.Reachable.
 func (n *Node) countMembers() (known, reachable int) {
 	known, reachable = 1, 1
 	for _, m := range n.members {
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// transmissionsPerDoubling is the number of messages that carry an update, for each doubling of the members.
+	// transmissionsPerDoubling is the number of messages that carry an update for each doubling of the members.
 	transmissionsPerDoubling = 2
-	// maxUpdateAge is how long an update is sent. Who missed it by then gets it by a state exchange.
+	// maxUpdateAge is how long an update is sent. Members without it then receive it in a state exchange.
 	maxUpdateAge = 3 * second
-	// gossipBurstBytes is how many bytes of updates may be sent at once after a quiet time.
+	// gossipBurstBytes is how many bytes of updates may be sent at once after a time without updates.
 	gossipBurstBytes = 3000
 	// maxPiggybackBytes bounds the updates in one message, so that a ping stays small.
 	maxPiggybackBytes = 400
-	// pingCostBytes is what a ping outside the probe order takes of the updates' byte budget.
+	// pingCostBytes is the cost of a ping outside the probe order in the byte budget of updates.
 	pingCostBytes = 150
 )
 
-// enqueue has a member's update carried by the next messages: so many for each doubling of the members.
+// enqueue queues a member's update for the next messages: perDoubling messages for each doubling of the members.
 func (n *Node) enqueue(m *member, perDoubling int64) {
 	transmissions := uint8(min(perDoubling*log2(n.present+1), 255))
 	m.transmissions = max(m.transmissions, transmissions)
@@ -38,35 +38,36 @@
 
 // updateBatch collects the updates of one message.
 type updateBatch struct {
-	updates []Update
-	room    float64 // bytes
+	updates        []Update
+	remainingBytes float64 // bytes
 }
 
-// addToBatch reports whether the update fitted. It takes its bytes out of the budget.
+// addToBatch adds an update to a batch and deducts its size from the byte budget. It reports whether the update fitted.
 func (n *Node) addToBatch(batch *updateBatch, u Update) bool {
 	size := float64(u.size())
-	if size > batch.room {
+	if size > batch.remainingBytes {
 		return false
 	}
-	batch.room -= size
+	batch.remainingBytes -= size
 	n.gossipTokens -= size
 	batch.updates = append(batch.updates, u)
 	return true
 }
 
-// piggyback picks the updates for a message: first the receiver's own if it is suspect or absent, so that it can
-// refute it, then those that were sent least often. The bytes are bounded for a message and over time.
+// piggyback selects the updates for a message: first the update about the receiver if it is suspect, dead or left, so
+// that the receiver can refute it, then those with the most transmissions left. The bytes are bounded for each message
+// and over time.
 func (n *Node) piggyback(to *member) []Update {
 	n.refillGossipTokens()
-	bounded := n.guards(safeguardGossipBound)
-	room := float64(min(maxPiggybackBytes, n.settings.MaxMessageBytes-messageOverheadBytes))
-	batch := updateBatch{room: min(room, n.gossipTokens)}
+	bounded := n.safeguardEnabled(safeguardGossipBound)
+	maxBytes := float64(min(maxPiggybackBytes, n.settings.MaxMessageBytes-messageOverheadBytes))
+	batch := updateBatch{remainingBytes: min(maxBytes, n.gossipTokens)}
 	if !bounded {
-		batch.room = maxPiggybackBytes
+		batch.remainingBytes = maxPiggybackBytes
 	}
 	if to.state == StateSuspect || to.state == StateDead || to.state == StateLeft {
 		u := to.briefUpdate()
-		batch.room += float64(u.size())
+		batch.remainingBytes += float64(u.size())
 		n.addToBatch(&batch, u)
 	}
 	if n.resumedAt > 0 {
@@ -78,7 +79,7 @@
 
 func (n *Node) addQueuedUpdates(batch *updateBatch, to *member, bounded bool) {
 	slices.SortStableFunc(n.gossipQueue, func(a, b *member) int { return int(b.transmissions) - int(a.transmissions) })
-	// A receiver with the same digest knows everything but the suspicions, which the digest leaves out.
+	// A receiver with the same digest holds all updates but the suspicions, which the digest leaves out.
 	sameView := to.viewDigest == foldDigest(n.viewDigest()) && bounded
 	for _, m := range n.gossipQueue {
 		if sameView && m.state != StateSuspect {
@@ -102,9 +103,9 @@
 	n.gossipTokensAt = n.now
 }
 
-// payForPing takes a ping that the probe order does not ask for out of the updates' byte budget. It reports whether
-// there was enough.
-func (n *Node) payForPing() bool {
+// consumePingTokens deducts a ping outside the probe order from the byte budget of updates. It reports false, and
+// deducts nothing, if the budget is too small.
+func (n *Node) consumePingTokens() bool {
 	n.refillGossipTokens()
 	if n.gossipTokens < pingCostBytes {
 		return false
@@ -113,7 +114,8 @@
 	return true
 }
 
-// briefUpdate is what is piggybacked of a member: without what the others know since it joined.
+// briefUpdate returns the update about a member for piggybacking. For a suspect or dead member it leaves out the zone
+// and the address, which the receivers hold since the member joined.
 func (m *member) briefUpdate() Update {
 	u := m.update()
 	if m.state == StateSuspect || m.state == StateDead {
@@ -123,7 +125,7 @@
 	return u
 }
 
-// update is all that this node tells the others of a member.
+// update returns the complete update about a member.
 func (m *member) update() Update {
 	u := Update{
 		Name:        m.name,
--- a/internal/membership/handoff.go
+++ b/internal/membership/handoff.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// HandoffState is what the process of a router hands to the one that takes its place. To the other members both are
-// one instance. A process that has handed it over sends nothing more.
+// HandoffState is the state that a process of a router hands over to its successor. To the other members both processes
+// are one instance. A process that has handed over its state sends no further messages.
 type HandoffState struct {
 	ID               InstanceID `cbor:"1,keyasint"`
 	Incarnation      uint32     `cbor:"2,keyasint"`
-	Sequence         uint64     `cbor:"3,keyasint"`           // of its last message
-	State            State      `cbor:"4,keyasint"`           // of the router itself
-	Updates          []Update   `cbor:"5,keyasint,omitempty"` // of the present members
-	HighestSequences []uint64   `cbor:"6,keyasint,omitempty"` // of accepted messages from them, in the order of Updates
+	Sequence         uint64     `cbor:"3,keyasint"`           // sequence number of the last message sent
+	State            State      `cbor:"4,keyasint"`           // state of the router itself
+	Updates          []Update   `cbor:"5,keyasint,omitempty"` // about the present members
+	HighestSequences []uint64   `cbor:"6,keyasint,omitempty"` // highest accepted from each, in the order of Updates
 }
 
-// Numbers left unused between two processes: one that takes its state back, since its successor failed, can't know how
-// far that one has counted.
+// Numbers that are skipped between two processes. A process that continues after its successor has failed does not know
+// the numbers that the successor has used.
 const (
 	sequenceGap    = 1 << 32
 	incarnationGap = 1 << 12
 )
 
-// Handoff returns the state to be handed over. The node must not be used after it.
+// Handoff returns the state to hand over. The node must not be used afterwards.
 func (n *Node) Handoff() *HandoffState {
 	h := &HandoffState{ID: n.self.ID, Incarnation: n.self.Incarnation, Sequence: n.lastSequence, State: n.self.State}
 	for _, m := range n.members {
@@ -32,15 +32,15 @@
 	return h
 }
 
-// Reclaim readies the state for the process that has handed it over, where the successor has used it and failed: it
-// raises Incarnation and Sequence above whatever the successor can have reached.
+// Reclaim prepares the state for reuse by the process that has handed it over, after a successor has used it and
+// failed. It raises Incarnation and Sequence above any number that the successor can have used.
 func (h *HandoffState) Reclaim() {
 	h.Incarnation += 2 * incarnationGap
 	h.Sequence += 2 * sequenceGap
 }
 
-// continuable reports whether a successor can go on with the instance. An instance that has left or has lost its name
-// can't be continued, nor one whose numbers could overflow.
+// continuable reports whether a successor can continue the instance. An instance that is leaving, has left or has
+// yielded its name cannot be continued, nor can one whose numbers could overflow.
 func (h *HandoffState) continuable() bool {
 	if h.State != StateAlive && h.State != StateJoining {
 		return false
@@ -48,9 +48,9 @@
 	return h.Incarnation <= math.MaxUint32-4*incarnationGap && h.Sequence <= math.MaxUint64-4*sequenceGap
 }
 
-// resumeFrom continues the instance of a predecessor. Where that is not possible the node starts an instance of its
+// continueInstance continues the instance of a predecessor. If that is not possible, the node starts an instance of its
 // own and reclaims the name, as after any restart.
-func (n *Node) resumeFrom(handoff *HandoffState) {
+func (n *Node) continueInstance(handoff *HandoffState) {
 	if !handoff.continuable() {
 		return
 	}
@@ -68,8 +68,8 @@
 		}
 		if m := n.applyUpdate(u, false); m != nil && i < len(handoff.HighestSequences) {
 			m.highestSequence = handoff.HighestSequences[i]
-			m.sequenceWindow = math.MaxUint64 // messages that the predecessor may have received are not accepted again
+			m.sequenceWindow = math.MaxUint64 // rejects messages that the predecessor may have received
 		}
 	}
-	n.clearGossipQueue() // the others know it
+	n.clearGossipQueue() // the other members hold these updates already
 }
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -1,53 +1,54 @@
 package membership
 
 const (
-	// maxLocalHealth is the worst local health score: intervals and timeouts grow up to four times (Lifeguard).
+	// maxLocalHealth is the worst local health score, at which intervals and timeouts are four times as long (Lifeguard).
 	maxLocalHealth = 3
-	// lateTick is the delay of a Tick from which on the node distrusts itself: it was short of processor time.
-	lateTick = 60 * millisecond
-	// pauseThreshold is the delay of a Tick from which on the process counts as paused.
+	// lateTickThreshold is the delay of a Tick above which the local health score worsens: the process was short of
+	// processor time.
+	lateTickThreshold = 60 * millisecond
+	// pauseThreshold is the delay of a Tick above which the process counts as paused.
 	pauseThreshold = 300 * millisecond
-	// maxResume is how long after a pause a node waits to hear of another member.
-	maxResume = 2 * second
+	// maxResumeDuration is how long after a pause a node waits for an acknowledgement of another member.
+	maxResumeDuration = 2 * second
 )
 
-// healthMultiplier is the local health multiplier of intervals and timeouts: 1 for a healthy node.
+// healthMultiplier returns the local health multiplier of intervals and timeouts: 1 for a healthy node.
 func (n *Node) healthMultiplier() int64 { return int64(1 + n.localHealth) }
 
 func (n *Node) worsenHealth() { n.localHealth = min(n.localHealth+1, maxLocalHealth) }
 
 func (n *Node) improveHealth() { n.localHealth = max(n.localHealth-1, 0) }
 
-// advanceClock takes the present time and compares it with the time of the Tick that was asked for.
+// advanceClock sets the present time and detects a late call by the time that the last Tick returned.
 func (n *Node) advanceClock(now int64) {
-	before := n.now
+	previous := n.now
 	n.now = max(now, n.now)
-	if n.nextTickAt == 0 || n.now <= n.nextTickAt+lateTick {
+	if n.nextTickAt == 0 || n.now <= n.nextTickAt+lateTickThreshold {
 		return
 	}
-	late := n.now - max(n.nextTickAt, before)
-	if late <= lateTick {
+	delay := n.now - max(n.nextTickAt, previous)
+	if delay <= lateTickThreshold {
 		return
 	}
 	n.nextTickAt = n.now
 	n.worsenHealth()
-	if late > pauseThreshold && n.guards(safeguardPauseDetection) {
-		n.resume(late)
+	if delay > pauseThreshold && n.safeguardEnabled(safeguardPauseDetection) {
+		n.resume(delay)
 	}
 }
 
-// resume starts over after the process was paused: the node's view is as old as the pause, and no member has failed
-// because this node could not hear it.
-func (n *Node) resume(paused int64) {
+// resume resets the node after a pause of the process: its view is as old as the pause is long, and no member may be
+// declared dead because of messages that this node could not receive.
+func (n *Node) resume(pauseDuration int64) {
 	n.Counts.Resumes++
 	n.resumedAt = n.now
-	// Acknowledgements that waited in the socket would give the length of the pause as their round trip.
+	// The round trips of acknowledgements that waited in the socket would include the pause.
 	n.pendingProbes = nil
 	n.relayedProbes = nil
 	n.exchangeQueue = nil
 	for _, m := range n.members {
 		if m.state == StateSuspect {
-			m.deadline += paused
+			m.deadline += pauseDuration
 		}
 	}
 	n.clearGossipQueue()
@@ -60,9 +61,9 @@
 	}
 }
 
-// endResume ends the state after a pause where there is nobody to hear from.
+// endResume ends the resuming state if there is no present member, or after maxResumeDuration.
 func (n *Node) endResume() {
-	if len(n.probeOrder) == 0 || n.resumedAt > 0 && n.now-n.resumedAt > maxResume {
+	if len(n.probeOrder) == 0 || n.resumedAt > 0 && n.now-n.resumedAt > maxResumeDuration {
 		n.resumedAt = 0
 	}
 }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	// rejoinInterval is the time between two hellos to members that are dead or were never heard of.
+	// rejoinInterval is the time between two hellos to dead members or unknown seeds.
 	rejoinInterval = second
-	// joinInterval is the same while the node has not heard from anybody.
+	// joinInterval replaces rejoinInterval while the node is joining.
 	joinInterval = rejoinInterval / 5
-	// seedGracePeriod is how long after its start a node that has joined nobody lets the hellos of nodes in the same
-	// situation go unanswered.
-	seedGracePeriod = second / 4
+	// joinGracePeriod is how long after its start a node that is still joining leaves hellos without a RequestID
+	// unanswered.
+	joinGracePeriod = second / 4
 )
 
-// rejoin says hello to a dead member or a seed that was never heard of, once an interval: so the two sides of a
-// partition that has healed find each other, and a router that comes back is admitted.
+// rejoin sends a hello to a dead member or an unknown seed once per interval, so that the two sides of a healed
+// partition find each other and a restarted router is admitted.
 func (n *Node) rejoin() {
 	interval := int64(rejoinInterval)
 	if n.self.State == StateJoining {
@@ -40,12 +40,12 @@
 	}
 }
 
-// helloCandidates are the dead members and the unknown seeds; in a name conflict all present members, if there are
-// none.
+// helloCandidates returns the dead members and the unknown seeds. If there are none, it returns the present members to a
+// node in a name conflict.
 func (n *Node) helloCandidates() (list []*member) {
 	for _, m := range n.members {
-		unheardSeed := m.state == StateUnknown && m.seed
-		if (m.state == StateDead || unheardSeed) && m.addr.IsValid() {
+		unknownSeed := m.state == StateUnknown && m.seed
+		if (m.state == StateDead || unknownSeed) && m.addr.IsValid() {
 			list = append(list, m)
 		}
 	}
@@ -56,11 +56,11 @@
 	return list
 }
 
-// answerHello welcomes the sender of a hello. A hello may be a replay, so nothing that it says is applied: its sender
-// counts once it writes to this very instance, which the welcome names.
+// answerHello welcomes the sender of a hello. A hello may be a replay, so none of its contents is applied. Its sender
+// is admitted once it sends a message to this instance, whose ID is in the welcome.
 func (n *Node) answerHello(m *member, msg *Message) {
-	unasked := msg.RequestID == 0
-	if n.self.State == StateJoining && n.now-n.startedAt < seedGracePeriod && unasked {
+	unsolicited := msg.RequestID == 0
+	if n.self.State == StateJoining && n.now-n.startedAt < joinGracePeriod && unsolicited {
 		return
 	}
 	sender := &member{name: msg.Sender.Name, addr: msg.Sender.Addr, id: msg.Sender.ID}
@@ -68,7 +68,7 @@
 		sender.addr = m.preferredAddr(msg.Sender.Addr)
 		order := m.id.Compare(msg.Sender.ID)
 		if m.state != StateUnknown && (order > 0 || order == 0 && m.state.absent()) {
-			n.tellOutdated(m, msg)
+			n.notifyOutdated(m, msg)
 			return
 		}
 	}
@@ -77,9 +77,9 @@
 	}
 }
 
-// tellOutdated answers an instance that this node holds absent, or lower than one that it has heard of. The sender
-// needs to know what is held of its name to refute it or to reclaim the name.
-func (n *Node) tellOutdated(m *member, msg *Message) {
+// notifyOutdated answers an instance that this node holds absent, or that is lower than the held one of its name. The
+// answer carries the held update, which the sender needs to refute it or to reclaim the name.
+func (n *Node) notifyOutdated(m *member, msg *Message) {
 	held := m.briefUpdate()
 	sender := &member{name: m.name, addr: m.preferredAddr(msg.Sender.Addr), id: msg.Sender.ID}
 	n.send(sender, KindWelcome, Message{RequestID: msg.RequestID})
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,24 +2,25 @@
 
 import "net/netip"
 
-// Kind of a message. It says which fields are set beside Kind, Sequence, Sender, To and the digests.
+// Kind is the kind of a message. It determines which fields are set in addition to Kind, Sequence, Sender, To and the
+// digests.
 type Kind uint8
 
-// Kinds of messages; their numbers are sent. KindHello and KindQuery are for a name, whatever its instance: as they
-// could be replays, they carry no updates and nothing that they say is applied. A bucket is one of the 16 parts into
-// which a view is split by a hash of the members' names, so that only parts which differ are sent.
+// Kinds of messages. Their numbers are sent. KindHello and KindQuery are addressed to any instance of a name: as they
+// could be replays, they carry no updates and none of their contents is applied. A bucket is one of the 16 parts into
+// which a view is split by a hash of the members' names, so that only the parts that differ are sent.
 const (
-	KindHello          Kind = 1 + iota // asks to be admitted; answered by KindWelcome
+	KindHello          Kind = 1 + iota // requests admission; answered by KindWelcome
 	KindWelcome                        // RequestID is that of the hello
 	KindPing                           // answered by KindAck
 	KindAck                            // RequestID is that of the ping; Target names a member that was pinged indirectly
-	KindIndirectPing                   // asks the receiver to ping Target for the sender
-	KindNack                           // RequestID is that of the indirect ping: Target gave no answer, the relay is there
+	KindIndirectPing                   // requests the receiver to ping Target for the sender
+	KindNack                           // RequestID is that of the indirect ping, whose target did not answer the relay
 	KindDigestExchange                 // BucketDigests of the sender's view; answered by KindStateExchange
-	KindStateExchange                  // Updates of the members in the buckets that differ
-	KindQuery                          // of a tool; answered by KindQueryResponse, to where it came from
-	KindQueryResponse                  // View, a page of it
-	KindPayload                        // Body, for another subsystem
+	KindStateExchange                  // Updates about the members in the buckets that differ
+	KindQuery                          // sent by a tool; answered by KindQueryResponse to its source address
+	KindQueryResponse                  // View holds one page of the view
+	KindPayload                        // Body is for another subsystem
 	lastKind           = KindPayload
 )
 
@@ -32,52 +33,52 @@
 	return false
 }
 
-// carriesPayload reports whether messages of a kind are handed to Payloads.
+// carriesPayload reports whether messages of a kind are returned by Payloads.
 func (k Kind) carriesPayload() bool { return k == KindPing || k == KindAck || k == KindPayload }
 
-// Message is what nodes send each other. A receiver ignores fields that a newer version has added; those that an older
-// one lacks are zero.
+// Message is a message between nodes, or between a tool and a node. A receiver ignores fields that a newer version has
+// added; fields that an older version lacks are zero.
 type Message struct {
 	Kind          Kind       `cbor:"1,keyasint"`
-	Sequence      uint64     `cbor:"2,keyasint,omitempty"`  // numbers the sender's messages to anybody, from 1
-	RequestID     uint32     `cbor:"3,keyasint,omitempty"`  // the same in a request and its answer
-	Sender        Update     `cbor:"4,keyasint"`            // what the sender says of itself
+	Sequence      uint64     `cbor:"2,keyasint,omitempty"`  // counts the sender's messages to all receivers, from 1
+	RequestID     uint32     `cbor:"3,keyasint,omitempty"`  // the same in a request and its response
+	Sender        Update     `cbor:"4,keyasint"`            // the sender's update about itself
 	To            string     `cbor:"5,keyasint"`            // name of the receiver
-	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"`  // the receiver's, in all kinds but those for a name
-	Target        string     `cbor:"7,keyasint,omitempty"`  // name of the member that an indirect ping is for
-	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"`  // of the sender's view
-	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`  // of KindDigestExchange: one for each bucket
-	Updates       []Update   `cbor:"10,keyasint,omitempty"` // of other members
-	View          *View      `cbor:"11,keyasint,omitempty"` // of KindQueryResponse
-	GossipDigest  uint32     `cbor:"12,keyasint,omitempty"` // of the sender's replica in package gossip
-	Body          []byte     `cbor:"13,keyasint,omitempty"` // of KindPayload
+	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"`  // instance of the receiver; not in hellos, queries and their responses
+	Target        string     `cbor:"7,keyasint,omitempty"`  // name of the member that is pinged indirectly
+	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"`  // digest of the sender's view
+	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`  // in KindDigestExchange: one for each bucket
+	Updates       []Update   `cbor:"10,keyasint,omitempty"` // about other members
+	View          *View      `cbor:"11,keyasint,omitempty"` // in KindQueryResponse
+	GossipDigest  uint32     `cbor:"12,keyasint,omitempty"` // digest of the sender's replica in package gossip
+	Body          []byte     `cbor:"13,keyasint,omitempty"` // in KindPayload
 }
 
-// Payload is what a message carries for another subsystem.
+// Payload is the part of a message for another subsystem.
 type Payload struct {
 	From   string // name of the sender
-	Digest uint32 // of the sender's replica in package gossip, as its SetGossipDigest set it
-	Body   []byte // as given to its SendPayload; nil: the message, a ping or an acknowledgement, has the digest alone
+	Digest uint32 // digest of the sender's replica in package gossip, as passed to its SetGossipDigest
+	Body   []byte // as passed to its SendPayload; nil: the message is a ping or an acknowledgement, with the digest alone
 }
 
-// Update is what is said of one router. Fields that are empty say nothing: most messages leave out what the receiver
-// knows.
+// Update is a report about one router. An empty field means no information: most messages leave out the fields that
+// the receiver already holds.
 type Update struct {
 	Name        string         `cbor:"1,keyasint"`
 	Zone        string         `cbor:"2,keyasint,omitempty"`
 	Addr        netip.AddrPort `cbor:"3,keyasint,omitempty"`
-	ID          InstanceID     `cbor:"4,keyasint,omitempty"` // of its instance
-	Incarnation uint32         `cbor:"5,keyasint,omitempty"` // the later one of an instance counts; only the router itself raises it
+	ID          InstanceID     `cbor:"4,keyasint,omitempty"` // identifies its instance
+	Incarnation uint32         `cbor:"5,keyasint,omitempty"` // the highest of an instance counts; only the router itself raises it
 	State       State          `cbor:"6,keyasint"`
-	SuspectedBy []uint16       `cbor:"7,keyasint,omitempty"` // shortened names of the members that suspect it
-	Process     *ProcessInfo   `cbor:"8,keyasint,omitempty"` // nil: not told, as by earlier versions
+	SuspectedBy []uint16       `cbor:"7,keyasint,omitempty"` // hashes of the names of the members that suspect it
+	Process     *ProcessInfo   `cbor:"8,keyasint,omitempty"` // nil: no information, as from earlier versions
 }
 
-// ProcessInfo describes the process of a router that runs under a supervisor. Program and Settings are digests: routers
-// with the same program and the same settings, apart from their names and addresses, have the same.
+// ProcessInfo describes the process of a router that runs under a supervisor. Program and Settings are digests, which
+// are equal for routers with the same program and the same settings apart from their names and addresses.
 type ProcessInfo struct {
 	_          struct{} `cbor:",toarray"`
-	Generation uint32   // from 1: each change of program or settings takes a new number, a restart keeps it
+	Generation uint32   // counts from 1: each change of program or settings has a new number, a restart keeps the number
 	Program    uint32   // digest of the program's file
 	Settings   uint32   // digest of its settings
 }
@@ -86,8 +87,8 @@
 const (
 	maxNameBytes = 64
 	maxUpdates   = 200
-	// messageOverheadBytes is about the size of a message without updates, its authentication included, with names of
-	// a few letters.
+	// messageOverheadBytes is the approximate size of a message without updates, its authentication included, with
+	// names of a few letters.
 	messageOverheadBytes = 110
 )
 
@@ -117,11 +118,11 @@
 	return u.State > StateUnknown && u.State < StateNameConflict && len(u.SuspectedBy) <= maxConfirmations
 }
 
-// size estimates the bytes that an update takes in a message.
+// size estimates the encoded size of an update in bytes.
 func (u *Update) size() int {
 	const (
 		fixedBytes     = 28
-		zoneBytes      = 2 // beside the text
+		zoneBytes      = 2 // in addition to the zone's name
 		addrBytes      = 9
 		confirmerBytes = 3
 		processBytes   = 18
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,21 +3,22 @@
 import "slices"
 
 const (
-	// fanout is the number of random members for an indirect ping, a join, or the first state exchange after a pause.
+	// fanout is the number of random members that receive an indirect ping, the hellos of a joining node, or the first
+	// state exchanges after a pause.
 	fanout = 3
-	// maxPendingProbes and maxRelayedProbes bound the pings that wait for an acknowledgement; no more are sent.
+	// maxPendingProbes and maxRelayedProbes bound the pings that await an acknowledgement; no further ones are sent.
 	maxPendingProbes = 64
 	maxRelayedProbes = 64
-	// maxAckWait is the longest time that an acknowledgement is waited for.
+	// maxAckWait bounds the timeout for an acknowledgement.
 	maxAckWait = 2 * second
-	// probeSamples is the number of round trips and outcomes that are kept.
+	// probeSamples is the number of round trips and of probe outcomes that are kept.
 	probeSamples = 16
 	// failingProbeSpeedup divides the probe interval while many probes fail.
 	failingProbeSpeedup = 3
-	maxFailedProbes     = 200 // that are counted
+	maxFailedProbes     = 200 // limit of member.failedProbes
 )
 
-// pendingProbe is a ping of this node's own that waits for its acknowledgement.
+// pendingProbe is a ping by this node that awaits its acknowledgement.
 type pendingProbe struct {
 	requestID uint32
 	target    *member
@@ -26,10 +27,10 @@
 	deadline  int64
 	indirect  bool // indirect pings were sent
 	nacks     int
-	failed    bool // counted as failed; a late acknowledgement still gives its round trip
+	failed    bool // counted as failed; a late acknowledgement still provides its round trip
 }
 
-// relayedProbe is a ping that was sent for another member's indirect ping.
+// relayedProbe is a ping that was sent on another member's indirect ping.
 type relayedProbe struct {
 	requestID       uint32 // of the ping
 	originRequestID uint32 // of the indirect ping
@@ -37,9 +38,9 @@
 	deadline        int64
 }
 
-// probe pings the next present member once a probe interval. Each member comes up once a round, in an order that is
-// shuffled for each round, which bounds the time to its first probe (SWIM). The interval grows with the local health
-// score, and shrinks while many probes fail: then there are many members to be probed.
+// probe pings the next present member once per probe interval. Each member is probed once per round, in an order that
+// is shuffled for each round, which bounds the time to its first probe (SWIM). The interval grows with the local health
+// score. It shrinks while many probes fail, as many members may then have failed.
 func (n *Node) probe() {
 	interval := n.settings.ProbeInterval * n.healthMultiplier()
 	if n.probesFailing() {
@@ -61,7 +62,8 @@
 	}
 }
 
-// nextInProbeOrder returns the next member of the round, and begins a new one at its end; nil: there is no member.
+// nextInProbeOrder returns the next member of the round, and begins a new round after the last one. It returns nil if
+// there is no present member.
 func (n *Node) nextInProbeOrder() *member {
 	if n.probeIndex >= len(n.probeOrder) {
 		n.probeIndex = 0
@@ -77,7 +79,8 @@
 	return m
 }
 
-// probesFailing reports whether a quarter of the last probes failed or more.
+// probesFailing reports whether at least a quarter of the last probes failed. It reports false while the node resumes
+// after a pause, or has fewer than probeSamples outcomes.
 func (n *Node) probesFailing() bool {
 	if n.probeCount < probeSamples || n.resumedAt > 0 {
 		return false
@@ -101,8 +104,8 @@
 	n.probeCount++
 }
 
-// ping probes a member directly. Where too many probes are pending, one that has failed already gives its place. If
-// none has, no ping is sent: a probe that is dropped before its deadline could never fail.
+// ping probes a member directly. If maxPendingProbes are pending, the new probe replaces one that has already failed.
+// If none has failed, no ping is sent: a probe that is dropped before its deadline could never fail.
 func (n *Node) ping(m *member) {
 	if len(n.pendingProbes) >= maxPendingProbes {
 		i := slices.IndexFunc(n.pendingProbes, func(p pendingProbe) bool { return p.failed })
@@ -122,9 +125,9 @@
 	n.send(m, KindPing, Message{RequestID: n.lastRequestID})
 }
 
-// ackTimeout is how long to wait for a member's acknowledgement: half a probe interval, three times the second
-// longest of the last round trips, or twice this member's last one, whichever is most; longer while the local health
-// is bad.
+// ackTimeout returns the timeout for a member's acknowledgement: half a probe interval, three times the second longest
+// of the last round trips, or twice this member's last one, whichever is longest. It is multiplied by the local health
+// multiplier, and bounded by maxAckWait.
 func (n *Node) ackTimeout(m *member) int64 {
 	sorted := n.rttSamples
 	slices.Sort(sorted[:])
@@ -132,8 +135,8 @@
 	return min(timeout*n.healthMultiplier(), maxAckWait)
 }
 
-// checkPendingProbes sends indirect pings for the probes whose acknowledgement is late, and fails those for which the
-// indirect pings had none either. It answers late relayed probes with a nack.
+// checkPendingProbes sends indirect pings for the probes whose acknowledgement is late, and fails the probes whose
+// indirect pings were not acknowledged either. It sends a nack for each late relayed probe.
 func (n *Node) checkPendingProbes() {
 	kept := n.pendingProbes[:0]
 	for _, p := range n.pendingProbes {
@@ -148,7 +151,7 @@
 // checkPendingProbe reports whether the probe is still pending, or kept for a late acknowledgement.
 func (n *Node) checkPendingProbe(p *pendingProbe) bool {
 	switch {
-	case p.target.id != p.targetID: // a later instance has the name
+	case p.target.id != p.targetID: // another instance has replaced the probed one
 		return false
 	case p.failed:
 		return n.now-p.sentAt <= 2*maxAckWait
@@ -177,15 +180,15 @@
 	n.recordOutcome(false)
 	p.target.failedProbes = min(p.target.failedProbes+1, maxFailedProbes)
 	p.target.reach = ReachNone
-	// Without even a nack from the relays, the fault is likely at this node.
+	// If not even the relays have answered, the fault is probably at this node.
 	if p.nacks == 0 && n.present > 1 && n.now-n.lastHeardAt > n.settings.ProbeInterval {
 		n.worsenHealth()
 	}
 	n.apply(p.target, eventProbeFailed, confirmerID(n.self.Name))
 }
 
-// nackIfLate tells the origin of an indirect ping that the target did not answer this node in time. It reports
-// whether it did.
+// nackIfLate notifies the origin of an indirect ping if the target did not answer this node before the deadline. It
+// reports whether the deadline has passed.
 func (n *Node) nackIfLate(r relayedProbe) bool {
 	if n.now < r.deadline {
 		return false
@@ -196,7 +199,7 @@
 	return true
 }
 
-// relayPing pings the target of an indirect ping for its sender.
+// relayPing pings the target of an indirect ping on behalf of its origin.
 func (n *Node) relayPing(origin *member, msg *Message) {
 	target := n.members[msg.Target]
 	if target == nil || target.state.absent() || len(n.relayedProbes) >= maxRelayedProbes {
@@ -213,7 +216,8 @@
 	n.send(target, KindPing, Message{RequestID: n.lastRequestID})
 }
 
-// forwardAck passes the acknowledgement of a relayed probe on to its origin. It reports whether it was one.
+// forwardAck forwards the acknowledgement of a relayed probe to the probe's origin. It reports whether requestID is
+// that of a relayed probe.
 func (n *Node) forwardAck(from *member, requestID uint32) bool {
 	i := slices.IndexFunc(n.relayedProbes, func(r relayedProbe) bool { return r.requestID == requestID })
 	if i < 0 {
@@ -235,7 +239,8 @@
 	}
 }
 
-// acknowledge ends the probe that an acknowledgement is for.
+// acknowledge completes the pending probe with that request ID. relayed means that a relay has forwarded the
+// acknowledgement.
 func (n *Node) acknowledge(requestID uint32, relayed bool) {
 	i := slices.IndexFunc(n.pendingProbes, func(p pendingProbe) bool { return p.requestID == requestID })
 	if i < 0 {
@@ -260,6 +265,6 @@
 	if pending.sentAt >= n.resumedAt {
 		n.resumedAt = 0
 	}
-	n.apply(target, eventHeard, 0)
+	n.apply(target, eventContact, 0)
 	n.pendingProbes = slices.Delete(n.pendingProbes, i, i+1)
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -5,11 +5,11 @@
 	"net/netip"
 )
 
-// maxQueuedPayloads bounds the payloads between two calls of Payloads; more are dropped.
+// maxQueuedPayloads bounds the payloads that are kept between two calls of Payloads; further ones are dropped.
 const maxQueuedPayloads = 64
 
-// Receive handles a message whose authentication was checked, and returns the messages to send for it. source is
-// where it came from; only a tool's query is answered there.
+// Receive handles an authenticated message and returns the messages to send in response. source is the address that
+// the message came from; only queries of tools are answered to it.
 func (n *Node) Receive(now int64, source netip.AddrPort, msg *Message) []Outbound {
 	n.advanceClock(now)
 	n.receive(source, msg)
@@ -40,7 +40,7 @@
 		n.answerHello(m, msg)
 	case msg.ToInstance != n.self.ID:
 		n.Counts.Misaddressed++
-		n.introduce(m, msg)
+		n.announceInstance(m, msg)
 	default:
 		if m = n.acceptSender(m, msg); m != nil {
 			n.accept(m, msg)
@@ -48,8 +48,9 @@
 	}
 }
 
-// introduce answers a ping for an earlier instance of this node: its sender does not know the present one yet.
-func (n *Node) introduce(m *member, msg *Message) {
+// announceInstance answers a ping that is addressed to another instance of this node's name. Its sender does not hold
+// the present instance yet.
+func (n *Node) announceInstance(m *member, msg *Message) {
 	if m == nil {
 		m = &member{name: msg.Sender.Name, addr: msg.Sender.Addr}
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-// accept carries out a message of a known sender that is no replay.
+// accept processes a message of a known sender that is not a replay.
 func (n *Node) accept(m *member, msg *Message) {
 	n.Counts.Received++
 	n.lastHeardAt = n.now
@@ -70,7 +71,7 @@
 		n.self.State = StateAlive
 		n.joinedAt = n.now
 	}
-	n.apply(m, eventHeard, 0)
+	n.apply(m, eventContact, 0)
 	for i := range msg.Updates {
 		n.applyUpdate(&msg.Updates[i], msg.Kind == KindStateExchange)
 	}
@@ -101,17 +102,17 @@
 	}
 }
 
-// acceptSender finds the member that a message is from and applies what it says of itself. nil: the message is a
-// replay or from an instance that is over.
+// acceptSender returns the member that sent a message, and applies the sender's update about itself. It returns nil if
+// the message is a replay or from an earlier instance of the sender, or if no further member can be held.
 func (n *Node) acceptSender(m *member, msg *Message) *member {
 	sender := &msg.Sender
 	if m != nil && m.state != StateUnknown {
 		switch order := sender.ID.Compare(m.id); {
 		case order < 0:
 			n.Counts.Misaddressed++
-			n.tellOutdated(m, msg)
+			n.notifyOutdated(m, msg)
 			return nil
-		case order == 0 && n.guards(safeguardReplayWindow) && !m.markSequence(msg.Sequence):
+		case order == 0 && n.safeguardEnabled(safeguardReplayWindow) && !m.markSequence(msg.Sequence):
 			n.Counts.Replayed++
 			return nil
 		}
@@ -129,8 +130,8 @@
 	return m
 }
 
-// markSequence marks a message's number as received. It reports false for one that was received before or is too old
-// to tell. The window lets datagrams overtake each other (RFC 4303, appendix A).
+// markSequence marks the sequence number of a message as received. It reports false for a number that was received
+// before or is older than the window. The window allows for datagrams that arrive out of order (RFC 4303, appendix A).
 func (m *member) markSequence(sequence uint64) bool {
 	const windowBits = 64
 	if sequence > m.highestSequence {
@@ -150,7 +151,8 @@
 	return true
 }
 
-// preferredAddr is the address of a member: that of the operator's file takes precedence over the reported one.
+// preferredAddr returns the address of a member: that of the operator's settings takes precedence over the reported
+// one.
 func (m *member) preferredAddr(reported netip.AddrPort) netip.AddrPort {
 	if m.seed && m.addr.IsValid() || !reported.IsValid() {
 		return m.addr
@@ -158,23 +160,25 @@
 	return reported
 }
 
-// applyUpdate applies what is said of a router. Nothing of an earlier instance counts, and within an instance only
-// what has a higher incarnation, or a suspicion of the same one. exchanged says that it is from a state exchange: then
-// what this node knows better is spread. It returns the member; nil: the update was about this node, or of no use.
+// applyUpdate applies an update about a router. It ignores updates about an earlier instance. Within an instance it
+// applies an update only if the incarnation is higher, or if the incarnation is the same and the state suspect or dead.
+// For an ignored update from a state exchange (exchanged) it spreads the held one, if that is newer or the member is
+// held dead. It returns the member, or nil if the update is about this node, has state joining, or is about a new
+// member while maxMembers are held.
 func (n *Node) applyUpdate(update *Update, exchanged bool) *member {
 	if update.Name == n.self.Name {
 		n.applySelfUpdate(update)
 		return nil
 	}
 	if update.State == StateJoining {
-		return nil // a node says that of itself only
+		return nil // only the sender's update about itself may have this state
 	}
 	m := n.findOrAdd(update.Name)
 	if m == nil {
 		return nil
 	}
 	if update.ID == m.id {
-		m.completeFrom(update)
+		m.fillMissingFields(update)
 	}
 	switch order := update.ID.Compare(m.id); {
 	case m.state == StateUnknown || order > 0:
@@ -184,9 +188,9 @@
 			n.enqueue(m, 1)
 		}
 		return m
-	case !n.guards(safeguardIncarnationOrder):
+	case !n.safeguardEnabled(safeguardIncarnationOrder):
 		m.incarnation = update.Incarnation
-	case !m.isNews(update):
+	case !m.supersededBy(update):
 		older := update.Incarnation < m.incarnation
 		if exchanged && (older || m.state == StateDead) {
 			n.enqueue(m, 1)
@@ -197,13 +201,13 @@
 	}
 	n.applyState(m, update)
 	if exchanged {
-		// The member that sent it will have sent it to others, too.
+		// The sender has probably sent the update to other members, too.
 		m.transmissions = min(m.transmissions, uint8(log2(n.present+1)))
 	}
 	return m
 }
 
-// findOrAdd returns nil where a new member would be one too many.
+// findOrAdd returns the member of that name, and adds it if it is not held. It returns nil if maxMembers are held.
 func (n *Node) findOrAdd(name string) *member {
 	m := n.members[name]
 	if m != nil {
@@ -218,24 +222,25 @@
 	return m
 }
 
-// completeFrom fills in what brief updates have left out.
-func (m *member) completeFrom(u *Update) {
+// fillMissingFields sets the fields that earlier brief updates have left out.
+func (m *member) fillMissingFields(u *Update) {
 	m.zone = cmp.Or(m.zone, u.Zone)
 	if !m.addr.IsValid() {
 		m.addr = u.Addr
 	}
 }
 
-// isNews reports whether an update of the member's present instance counts. What a member says of itself needs a
-// higher incarnation; that it is suspect or dead is said by another member of the incarnation that it names.
-func (m *member) isNews(u *Update) bool {
+// supersededBy reports whether an update about the member's present instance takes precedence over the held state. An
+// update by the member itself needs a higher incarnation. Suspicions and deaths are reported by other members, and
+// apply to the incarnation that they name.
+func (m *member) supersededBy(u *Update) bool {
 	if u.Incarnation == m.incarnation {
 		return u.State == StateSuspect || u.State == StateDead
 	}
 	return u.Incarnation > m.incarnation
 }
 
-// replaceInstance starts over with an instance that was not known before.
+// replaceInstance replaces the member's record by that of a new instance.
 func (n *Node) replaceInstance(m *member, u *Update) {
 	n.toggleDigest(m)
 	n.setPresence(m, StateUnknown)
@@ -246,14 +251,14 @@
 		seed:          m.seed,
 		id:            u.ID,
 		incarnation:   u.Incarnation,
-		since:         n.now,
+		stateSince:    n.now,
 		process:       u.Process,
 		transmissions: m.transmissions,
 	}
 	n.toggleDigest(m)
 }
 
-// refreshInstance takes what an update says of the member's present instance, its state left out.
+// refreshInstance sets the fields of the member's present instance from an update, except for its state.
 func (n *Node) refreshInstance(m *member, u *Update) {
 	n.toggleDigest(m)
 	m.incarnation = u.Incarnation
--- a/internal/membership/refute.go
+++ b/internal/membership/refute.go
@@ -3,19 +3,19 @@
 import "slices"
 
 const (
-	// maxNameReclaims is how often a node takes its name back within nameReclaimWindow, before it holds that another
-	// process has the name.
+	// maxNameReclaims is how often a node reclaims its name within nameReclaimWindow. On a further conflict it yields
+	// the name, as another running process holds it.
 	maxNameReclaims   = 3
 	nameReclaimWindow = 60 * second
-	// nameConflictBackoff is how long a node that gave its name up keeps quiet before it tries to get it back.
+	// nameConflictBackoff is how long a node that has yielded its name waits before each attempt to reclaim it.
 	nameConflictBackoff = 30 * second
 )
 
-// applySelfUpdate refutes what another member says of this node, or reclaims the name from a higher instance.
+// applySelfUpdate refutes another member's update about this node, or reclaims the name from a higher instance.
 func (n *Node) applySelfUpdate(u *Update) {
 	switch order := u.ID.Compare(n.self.ID); {
 	case order < 0, order == 0 && !n.needsRefutation(u):
-	case !n.guards(safeguardRefutation):
+	case !n.safeguardEnabled(safeguardRefutation):
 	case n.self.State == StateNameConflict && !u.State.absent():
 	case order == 0:
 		n.Counts.Refutations++
@@ -42,19 +42,20 @@
 	return false
 }
 
-// raiseIncarnation makes what the node says of itself from now on count over the given incarnation.
+// raiseIncarnation raises the node's incarnation above its present one and the given one, so that its next update about
+// itself takes precedence over both.
 func (n *Node) raiseIncarnation(above uint32) {
 	n.self.Incarnation = max(above, n.self.Incarnation) + 1
 	n.viewChangedAt = n.now
 }
 
-// reclaimName takes the name back from a higher instance: mostly an earlier one of this router, where Settings.Epoch
-// was too low. Another process of the name that runs does the same in turn; then the two write to each other
-// (receiveFromNamesake), or this node gives the name up.
+// reclaimName reclaims the name from a higher instance: usually an earlier one of this router, where Settings.Epoch was
+// too low. If the other instance is a running process, it reclaims the name in turn, until the two processes exchange
+// messages (receiveFromNamesake) or this node yields the name.
 func (n *Node) reclaimName(u *Update) {
 	n.nameReclaims = slices.DeleteFunc(n.nameReclaims, func(at int64) bool { return n.now-at > nameReclaimWindow })
 	if len(n.nameReclaims) >= maxNameReclaims {
-		n.giveNameUp()
+		n.yieldName()
 		return
 	}
 	n.nameReclaims = append(n.nameReclaims, n.now)
@@ -69,36 +70,36 @@
 	}
 }
 
-// receiveFromNamesake handles a message of another process with this node's name. A hello may be a replay of an
-// earlier instance: it is only answered. By a message to this very instance both know of each other, and the higher
-// instance keeps the name on both sides.
+// receiveFromNamesake handles a message from another process with this node's name. A hello may be a replay from an
+// earlier instance, so it is only answered. A message to this instance proves that its sender is running and has
+// received a message of this instance; the lower one of the two instances then yields the name.
 func (n *Node) receiveFromNamesake(msg *Message) {
 	sender := &msg.Sender
 	switch {
-	case sender.ID.Nonce == n.self.ID.Nonce: // this node's own message came back
+	case sender.ID.Nonce == n.self.ID.Nonce: // a message of this node itself
 	case msg.Kind != KindHello && msg.ToInstance != n.self.ID:
 		n.Counts.Misaddressed++
 	case msg.Kind != KindHello && sender.ID.Compare(n.self.ID) > 0:
-		n.giveNameUp()
+		n.yieldName()
 	case sender.Addr.IsValid() && n.self.State != StateNameConflict:
 		n.send(&member{name: n.self.Name, addr: sender.Addr, id: sender.ID}, KindWelcome, Message{})
 	}
 }
 
-func (n *Node) giveNameUp() {
+func (n *Node) yieldName() {
 	if n.self.State != StateNameConflict {
 		change := Change{At: n.now, Name: n.self.Name, From: n.self.State, To: StateNameConflict, ID: n.self.ID}
 		n.changes = append(n.changes, change)
 	}
 	n.self.State = StateNameConflict
-	n.conflictAt = n.now
+	n.conflictCheckedAt = n.now
 }
 
-// retryNameConflict says hello from time to time, to learn whether the name is free again.
+// retryNameConflict sends hellos once per nameConflictBackoff, to find out whether the name is free again.
 func (n *Node) retryNameConflict() {
-	if n.now-n.conflictAt < nameConflictBackoff {
+	if n.now-n.conflictCheckedAt < nameConflictBackoff {
 		return
 	}
-	n.conflictAt = n.now
+	n.conflictCheckedAt = n.now
 	n.sendHellos()
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -15,24 +15,24 @@
 	defaultGossipBytesPerSecond = 1500
 )
 
-// Seed is a member that the operator's file names. Its address takes precedence over the one that gossip carries.
+// Seed is a member that the operator's settings name. Its address takes precedence over the one that gossip carries.
 type Seed struct {
 	Name string
 	Addr netip.AddrPort
 }
 
-// Settings of a Node. Zero values of the fields with a default select it.
+// Settings configures a Node. The zero value of a field that has a default selects the default.
 type Settings struct {
-	// Name identifies the router among its site's members; Zone and Addr are what it tells the others of itself.
+	// Name identifies the router among the members of its site. Zone and Addr are announced to the other members.
 	Name string
 	Zone string
 	Addr netip.AddrPort
 
-	// Seeds are contacted until they answer, so that nodes which know nobody find each other.
+	// Seeds are contacted until they answer, so that nodes without any members find each other.
 	Seeds []Seed
 
 	// Epoch is the first guess of this instance's InstanceID.Epoch, such as the Unix time in seconds. It may be lower
-	// than that of an earlier instance: the node then raises it once it hears of that one.
+	// than that of an earlier instance: the node then raises it on the first update about that instance.
 	Epoch uint32
 
 	// ProbeInterval is the time between two probes, in microseconds. A shorter interval detects failures sooner and
@@ -43,21 +43,21 @@
 	// more updates at once, but must fit one datagram. Default 1200 bytes.
 	MaxMessageBytes int
 
-	// GossipBytesPerSecond bounds the updates that are piggybacked on messages, in bytes a second; a state exchange
-	// may use twice as much beside it. A higher rate spreads many simultaneous changes sooner. Default 1500 bytes.
+	// GossipBytesPerSecond bounds the updates that are piggybacked on messages, in bytes a second; state exchanges may
+	// use twice as much in addition. A higher rate spreads many simultaneous changes sooner. Default 1500 bytes.
 	GossipBytesPerSecond int
 
-	// Process is what the node tells the others of its process; nil: nothing.
+	// Process describes the node's process to the other members; nil: no description is sent.
 	Process *ProcessInfo
 
 	// Handoff is the state of the process that this one replaces; nil: the node starts an instance of its own.
 	Handoff *HandoffState
 
-	// disabled is the safeguard that a test turns off; none in a router.
+	// disabled is the safeguard that a test turns off; always safeguardNone in a router.
 	disabled safeguard
 }
 
-// withDefaults replaces the zero values of fields that have a default.
+// withDefaults replaces zero values by the defaults of their fields.
 func (s Settings) withDefaults() Settings {
 	if s.ProbeInterval == 0 {
 		s.ProbeInterval = defaultProbeInterval
@@ -71,19 +71,19 @@
 	return s
 }
 
-// safeguard is a protection of the protocol. The tests turn them off one at a time to prove that each is needed and
-// that its absence is noticed; outside of tests all are on.
+// safeguard is a protection of the protocol. The tests turn safeguards off one at a time to show that each is needed
+// and that a test detects its absence; outside of tests all are on.
 type safeguard uint8
 
 const (
 	safeguardNone             safeguard = iota
-	safeguardIncarnationOrder           // an update with a lower incarnation than the known one is ignored
-	safeguardRefutation                 // a node refutes what is said of it
-	safeguardConfirmations              // one suspecting member alone must wait longer
-	safeguardGossipBound                // updates are sent a bounded number of times and bytes
-	safeguardPauseDetection             // a node that was paused distrusts its own view
-	safeguardReplayWindow               // a message is accepted once
+	safeguardIncarnationOrder           // an update with a lower incarnation than the held one is ignored
+	safeguardRefutation                 // a node refutes false updates about itself
+	safeguardConfirmations              // a suspicion of a single member has a longer timeout
+	safeguardGossipBound                // the transmissions and bytes of updates are bounded
+	safeguardPauseDetection             // a node that was paused does not act on its own view
+	safeguardReplayWindow               // a message is accepted once only
 )
 
-// guards reports whether a safeguard is on.
-func (n *Node) guards(s safeguard) bool { return n.settings.disabled != s }
+// safeguardEnabled reports whether a safeguard is on.
+func (n *Node) safeguardEnabled(s safeguard) bool { return n.settings.disabled != s }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -9,93 +9,94 @@
 // State is the state of a member in one node's view.
 type State uint8
 
-// States of a member. Their numbers are sent in messages. A node holds StateJoining and StateNameConflict of itself
+// States of a member. Their numbers are sent in messages. A node uses StateJoining and StateNameConflict for itself
 // only.
 const (
-	StateUnknown      State = iota // named as a seed and not heard of yet, or forgotten
-	StateJoining                   // started, and has not heard from any other member yet
-	StateAlive                     // present
-	StateSuspect                   // somebody's probe failed; the member may refute it
+	StateUnknown      State = iota // a seed without any update yet, or a forgotten member
+	StateJoining                   // started, and has accepted no message of another member yet
+	StateAlive                     // running
+	StateSuspect                   // a node's probe of it failed; the member may refute the suspicion
 	StateDead                      // the suspicion timeout passed without a refutation
-	StateLeaving                   // it has announced that it will go
+	StateLeaving                   // it has announced that it will leave
 	StateLeft                      // it has announced its departure
-	StateNameConflict              // another process has the name, and this one keeps quiet
+	StateNameConflict              // another process holds the name, and this one does not participate
 )
 
 var stateNames = [...]string{"unknown", "joining", "alive", "suspected", "dead", "leaving", "left", "doubled"}
 
-// String returns the state's word in logs and tools: unknown, joining, alive, suspected, dead, leaving, left, or
+// String returns the state's name in logs and tools: unknown, joining, alive, suspected, dead, leaving, left, or
 // doubled for a name conflict.
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// absent reports states of members that are not probed and not counted as present.
+// absent reports whether members in this state are neither probed nor counted as present.
 func (s State) absent() bool { return s == StateUnknown || s == StateDead || s == StateLeft }
 
-// InstanceID tells apart the instances of one name: the successive processes of a router that each started anew. (A
-// process that takes over by a handoff continues the instance.) Compare gives a total order in which a later
-// instance of a name is higher.
+// InstanceID identifies one of the instances of a name: the successive processes of a router, of which each started
+// without the state of the one before. (A process that takes over by a handoff continues the instance.) Compare gives a
+// total order in which a later instance of a name is higher.
 type InstanceID struct {
 	_ struct{} `cbor:",toarray"`
-	// Epoch numbers a name's instances. It starts as a guess of Settings and is raised above the Epoch of every other
-	// instance of the name that the node hears of, so that no stable storage is needed.
+	// Epoch numbers a name's instances. It starts as the guess in Settings and is raised above the Epoch of every other
+	// instance of the name in received updates, so that no stable storage is needed.
 	Epoch uint32 `json:"Life"`
 	// Nonce is drawn at random at the start. It orders two instances that chose the same Epoch.
 	Nonce uint32
 }
 
-// Compare orders instances of one name: negative where id is the earlier one, 0 where both are the same.
+// Compare orders instances of one name: negative if id is the earlier one, 0 if both are the same.
 func (id InstanceID) Compare(other InstanceID) int {
 	return cmp.Or(cmp.Compare(id.Epoch, other.Epoch), cmp.Compare(id.Nonce, other.Nonce))
 }
 
-// Reach is how the last probe of a member, or its last message, came through.
+// Reach is how this node last reached a member: by its last probe or, before the first probe has an outcome, by a
+// message.
 type Reach uint8
 
 // Ways in which a member was reached.
 const (
-	ReachReported Reach = iota // not yet by this node: others say that it is there
-	ReachDirect                // a message came from it, or it acknowledged a ping
-	ReachRelayed               // it acknowledged an indirect ping, by way of another member
+	ReachReported Reach = iota // only by other members' updates, not yet by this node
+	ReachDirect                // it sent a message or acknowledged a ping
+	ReachRelayed               // it acknowledged an indirect ping, through another member
 	ReachNone                  // the last probe failed
 )
 
 var reachNames = [...]string{"told", "direct", "relayed", "none"}
 
-// String returns the word for it in logs and tools: told (reported), direct, relayed or none.
+// String returns the name of r in logs and tools: told (reported), direct, relayed or none.
 func (r Reach) String() string { return reachNames[min(int(r), len(reachNames)-1)] }
 
 // maxMembers bounds the members that are held, absent ones included.
 const maxMembers = 512
 
-// member is what a node holds of one other member. BenchmarkMemory watches its size.
+// member is a node's record of one other member. BenchmarkMemory measures its size.
 type member struct {
 	name, zone  string
 	addr        netip.AddrPort
 	id          InstanceID
 	process     *ProcessInfo
-	since       int64 // of state
+	stateSince  int64 // time of the last change of state
 	incarnation uint32
 	state       State
 	seed        bool
 
 	// Contact.
 	reach        Reach
-	failedProbes uint8  // own probes in a row without an acknowledgement
-	rtt          int32  // of its last direct acknowledgement
-	viewDigest   uint32 // folded, of its last message
-	lastHeardAt  int64  // last accepted message of its own; 0: none
-	// highestSequence and sequenceWindow tell replayed messages: bit i of the window is set once the message with
-	// the number highestSequence-i was accepted.
+	failedProbes uint8  // consecutive probes by this node without an acknowledgement
+	rtt          int32  // round trip of its last direct acknowledgement
+	viewDigest   uint32 // folded digest in its last message
+	lastHeardAt  int64  // its last accepted message or acknowledgement; 0: none
+	// highestSequence and sequenceWindow detect replayed messages: bit i of the window is set if the message with the
+	// sequence number highestSequence-i was accepted.
 	highestSequence uint64
 	sequenceWindow  uint64
 
 	// Dissemination and suspicion.
-	enqueuedAt    int64                    // when its update was queued last
-	transmissions uint8                    // messages that are still to carry its update
-	ownProbeBegun bool                     // this node has probed the suspect in this suspicion
+	enqueuedAt    int64                    // when its update was last queued
+	transmissions uint8                    // number of messages that are still to carry its update
+	ownProbeBegun bool                     // this node has sent its own probe for this suspicion
 	suspectedBy   [maxConfirmations]uint16 // confirmerID of the members that suspect it; 0: none
-	ownProbeAt    int64                    // when to probe the suspect early; 0: only shortly before the deadline
-	deadline      int64                    // when the suspect becomes dead
+	ownProbeAt    int64                    // when to probe the suspect early; 0: probe it only shortly before the deadline
+	deadline      int64                    // when the suspect is declared dead
 }
 
 func compareNames(a, b *member) int { return cmp.Compare(a.name, b.name) }
@@ -104,35 +105,35 @@
 
 func isPresent(m *member) bool { return !m.state.absent() }
 
-// event is what a node learns of a member.
+// event is an observation or report about a member.
 type event uint8
 
 const (
-	eventAlive       event = iota // it says that it is there, in a higher incarnation or instance
-	eventLeaving                  // it says that it will go
-	eventLeft                     // it says that it goes now
+	eventAlive       event = iota // it reports itself alive in a higher incarnation or instance
+	eventLeaving                  // it announces that it will leave
+	eventLeft                     // it announces its departure
 	eventSuspect                  // another member suspects it
-	eventDead                     // another member holds it dead
+	eventDead                     // another member reports it dead
 	eventProbeFailed              // this node's ping and indirect pings had no acknowledgement
-	eventHeard                    // a message of its own was accepted
+	eventContact                  // it sent an accepted message or acknowledged a ping
 	eventTimeout                  // the suspicion timeout has passed
-	eventForget                   // it was absent for long, or there are too many absent members
+	eventForget                   // its retention has ended, or there are too many absent members
 	eventCount
 )
 
-// action is what a node does on an event beside the change of state.
+// action is the response of a node to an event, in addition to the state transition.
 type action uint8
 
 const (
-	actionNone       action = iota
-	actionSpread            // send its update with the next messages
-	actionSpreadOnce        // send its update with few messages: each of the others has its own timeout
-	actionSuspect           // begin a suspicion with its first confirmation, and spread it
-	actionConfirm           // count a confirmation, and spread it if it is new
-	actionDoubt             // count a confirmation and probe the member, which also tells it of the suspicion
-	actionExtend            // extend the suspicion's deadline: the member answers
-	actionInform            // tell the member what is held of it, so that it can refute it
-	actionForget            // drop all that is held of it
+	actionNone            action = iota
+	actionSpread                 // send its update with the next messages
+	actionSpreadOnce             // send its update with fewer messages, as each other node has its own timeout
+	actionSuspect                // begin a suspicion with its first confirmation, and spread the update
+	actionConfirm                // count a confirmation, and spread the update if the confirmation is new
+	actionConfirmAndProbe        // count a confirmation; ping the member on a new one, which notifies it of the suspicion
+	actionExtend                 // extend the suspicion's deadline, as the member responds
+	actionNotify                 // notify the member of the state that is held for it, so that it can refute it
+	actionForget                 // drop the record of the member
 )
 
 type transition struct {
@@ -140,8 +141,8 @@
 	action action
 }
 
-// transitions is the protocol's state machine for one member. Updates of an earlier instance or a lower incarnation
-// are dropped before they become an event (applyUpdate). Another member's report never makes a member dead: it counts
+// transitions is the protocol's state machine for one member. applyUpdate drops updates of an earlier instance or a
+// lower incarnation before they become an event. Another member's report never makes a present member dead: it counts
 // as one confirmation of a suspicion, and each node waits for its own timeout.
 var transitions = [...][eventCount]transition{
 	StateUnknown: {
@@ -151,7 +152,7 @@
 		eventSuspect:     {StateSuspect, actionSuspect},
 		eventDead:        {StateDead, actionNone},
 		eventProbeFailed: {StateUnknown, actionNone},
-		eventHeard:       {StateUnknown, actionNone},
+		eventContact:     {StateUnknown, actionNone},
 		eventTimeout:     {StateUnknown, actionNone},
 		eventForget:      {StateUnknown, actionForget},
 	},
@@ -160,9 +161,9 @@
 		eventLeaving:     {StateLeaving, actionSpread},
 		eventLeft:        {StateLeft, actionSpread},
 		eventSuspect:     {StateSuspect, actionSuspect},
-		eventDead:        {StateSuspect, actionDoubt},
+		eventDead:        {StateSuspect, actionConfirmAndProbe},
 		eventProbeFailed: {StateSuspect, actionSuspect},
-		eventHeard:       {StateAlive, actionNone},
+		eventContact:     {StateAlive, actionNone},
 		eventTimeout:     {StateAlive, actionNone},
 		eventForget:      {StateAlive, actionNone},
 	},
@@ -171,9 +172,9 @@
 		eventLeaving:     {StateLeaving, actionSpread},
 		eventLeft:        {StateLeft, actionSpread},
 		eventSuspect:     {StateSuspect, actionConfirm},
-		eventDead:        {StateSuspect, actionDoubt},
+		eventDead:        {StateSuspect, actionConfirmAndProbe},
 		eventProbeFailed: {StateSuspect, actionConfirm},
-		eventHeard:       {StateSuspect, actionExtend},
+		eventContact:     {StateSuspect, actionExtend},
 		eventTimeout:     {StateDead, actionSpreadOnce},
 		eventForget:      {StateSuspect, actionNone},
 	},
@@ -184,7 +185,7 @@
 		eventSuspect:     {StateDead, actionNone},
 		eventDead:        {StateDead, actionNone},
 		eventProbeFailed: {StateDead, actionNone},
-		eventHeard:       {StateDead, actionInform},
+		eventContact:     {StateDead, actionNotify},
 		eventTimeout:     {StateDead, actionNone},
 		eventForget:      {StateUnknown, actionForget},
 	},
@@ -195,7 +196,7 @@
 		eventSuspect:     {StateLeaving, actionNone},
 		eventDead:        {StateLeaving, actionNone},
 		eventProbeFailed: {StateLeft, actionSpread},
-		eventHeard:       {StateLeaving, actionNone},
+		eventContact:     {StateLeaving, actionNone},
 		eventTimeout:     {StateLeaving, actionNone},
 		eventForget:      {StateLeaving, actionNone},
 	},
@@ -206,13 +207,13 @@
 		eventSuspect:     {StateLeft, actionNone},
 		eventDead:        {StateLeft, actionNone},
 		eventProbeFailed: {StateLeft, actionNone},
-		eventHeard:       {StateLeft, actionInform},
+		eventContact:     {StateLeft, actionNotify},
 		eventTimeout:     {StateLeft, actionNone},
 		eventForget:      {StateUnknown, actionForget},
 	},
 }
 
-// apply looks up the transition for an event and carries it out. confirmer is who suspects the member, where the
+// apply looks up the transition for an event and carries it out. confirmer identifies the suspecting member if the
 // event is a suspicion.
 func (n *Node) apply(m *member, e event, confirmer uint16) {
 	t := transitions[m.state][e]
@@ -233,15 +234,15 @@
 		if n.confirm(m, confirmer) {
 			n.enqueue(m, 1)
 		}
-	case actionDoubt:
-		if n.confirm(m, confirmer) && n.payForPing() {
+	case actionConfirmAndProbe:
+		if n.confirm(m, confirmer) && n.consumePingTokens() {
 			n.ping(m)
 		}
 	case actionExtend:
 		n.extendSuspicion(m)
-	case actionInform:
-		if n.payForPing() {
-			n.send(m, KindPing, Message{}) // piggyback adds what is held of the receiver
+	case actionNotify:
+		if n.consumePingTokens() {
+			n.send(m, KindPing, Message{}) // piggyback adds the update about the receiver
 		}
 	case actionForget:
 		n.forget(m)
@@ -253,7 +254,7 @@
 	n.toggleDigest(m)
 	n.setPresence(m, next)
 	m.state = next
-	m.since = n.now
+	m.stateSince = n.now
 	n.toggleDigest(m)
 	switch next {
 	case StateSuspect:
@@ -267,7 +268,8 @@
 	}
 }
 
-// setPresence puts a member into the probe order at a random place, or takes it out, as its next state demands.
+// setPresence inserts a member into the probe order at a random index if its next state is present, and removes it if
+// that state is absent.
 func (n *Node) setPresence(m *member, next State) {
 	before, after := isPresent(m), !next.absent()
 	switch {
@@ -288,7 +290,7 @@
 	}
 }
 
-// forget drops a member. Of a seed the address stays.
+// forget drops the record of a member. A seed keeps its name and address.
 func (n *Node) forget(m *member) {
 	m.transmissions = 0
 	n.gossipQueue = slices.DeleteFunc(n.gossipQueue, func(queued *member) bool { return queued == m })
--- a/internal/membership/stateexchange.go
+++ b/internal/membership/stateexchange.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// digestBuckets is the number of digests into which a view is split, so that only those which differ are sent.
+	// digestBuckets is the number of parts of a view that have a digest each, so that only parts that differ are sent.
 	digestBuckets = 16
-	// stateExchangeInterval is the least time between two state exchanges that a node asks for.
+	// stateExchangeInterval is the minimum time between two state exchanges that a node requests.
 	stateExchangeInterval = second
-	// viewSettleTime is how long a node's own view must be unchanged before it asks: most differences are updates on
-	// their way.
+	// viewSettleTime is how long a node's own view must be unchanged before it requests a state exchange, as updates in
+	// transit cause most differences.
 	viewSettleTime = 600 * millisecond
-	// newViewTime is how long after it has joined a node asks for all members: it knows none of the dead either.
-	newViewTime        = 2 * second
+	// fullExchangePeriod is how long after it has joined a node requests all members: it lacks the dead members, too,
+	// which the digests leave out.
+	fullExchangePeriod = 2 * second
 	exchangeBurstBytes = 2 * gossipBurstBytes
 )
 
-// allBuckets as RequestID of a KindDigestExchange asks for all members, whatever the digests are.
+// allBuckets as RequestID of a KindDigestExchange requests all members, whatever the digests are.
 const allBuckets = 1
 
 func hashName(name string) uint32 { return max(uint32(xxhash.Sum64String(name)), 1) }
 
 func bucketOf(name string) int { return int(hashName(name) % digestBuckets) }
 
-// foldDigest shortens a digest to 32 bits.
+// foldDigest folds a digest to 32 bits.
 func foldDigest(digest uint64) uint32 { return uint32(digest) ^ uint32(digest>>32) }
 
-// memberDigest is what a member adds to the digests of a view: its instance and its last update of itself. Suspicion
-// is left out, as it comes and goes by each node's own timeout. An absent member adds nothing.
+// memberDigest returns a member's contribution to the digests of a view: a hash of its instance and its last update
+// about itself. Suspicion is left out, as each node has its own timeout for it. An absent member contributes 0.
 func memberDigest(name string, id InstanceID, incarnation uint32, s State) uint64 {
 	if s.absent() || s == StateJoining || s == StateNameConflict {
 		return 0
@@ -46,8 +47,8 @@
 	return xxhash.Sum64(b)
 }
 
-// toggleDigest takes a member out of the digests or puts it back. It is called before and after each change of what
-// memberDigest reads.
+// toggleDigest removes a member from the digests, or adds it again. It must be called before and after each change of a
+// field that memberDigest depends on.
 func (n *Node) toggleDigest(m *member) {
 	d := memberDigest(m.name, m.id, m.incarnation, m.state)
 	n.membersDigest ^= d
@@ -58,17 +59,17 @@
 	return memberDigest(n.self.Name, n.self.ID, n.self.Incarnation, n.self.State)
 }
 
-// viewDigest is the digest of all present members, the node itself included.
+// viewDigest returns the digest of all present members, the node itself included.
 func (n *Node) viewDigest() uint64 { return n.membersDigest ^ n.selfDigest() }
 
-// viewBuckets are the digests of the buckets, the node itself included.
+// viewBuckets returns the digests of the buckets, the node itself included.
 func (n *Node) viewBuckets() [digestBuckets]uint32 {
 	buckets := n.bucketDigests
 	buckets[bucketOf(n.self.Name)] ^= foldDigest(n.selfDigest())
 	return buckets
 }
 
-// compareViews asks the sender of a message for a state exchange where its view differs.
+// compareViews requests a state exchange of the sender of a message if its view differs.
 func (n *Node) compareViews(m *member, msg *Message) {
 	settled := n.now-n.viewChangedAt >= viewSettleTime || msg.Kind == KindWelcome
 	if msg.ViewDigest == n.viewDigest() || n.now-n.lastStateExchangeAt < stateExchangeInterval || !settled {
@@ -83,15 +84,16 @@
 func (n *Node) requestStateExchange(m *member) {
 	n.Counts.StateExchanges++
 	buckets := n.viewBuckets()
-	wanted := uint32(0)
-	if n.now-n.joinedAt < newViewTime {
-		wanted = allBuckets
+	requestID := uint32(0)
+	if n.now-n.joinedAt < fullExchangePeriod {
+		requestID = allBuckets
 	}
-	n.send(m, KindDigestExchange, Message{RequestID: wanted, BucketDigests: buckets[:]})
+	n.send(m, KindDigestExchange, Message{RequestID: requestID, BucketDigests: buckets[:]})
 }
 
-// answerStateExchange begins to send the members of the buckets that differ. It serves one member at a time; another
-// one asks somebody else. After a pause it serves nobody, as its view is old.
+// answerStateExchange begins to send the members of the buckets that differ. It serves one member at a time and ignores
+// other requests, which their senders repeat to another member. While the node resumes after a pause it ignores all
+// requests, as its view is outdated.
 func (n *Node) answerStateExchange(peer *member, msg *Message) {
 	if n.resumedAt > 0 || len(msg.BucketDigests) != digestBuckets || len(n.exchangeQueue) > 0 {
 		return
@@ -112,22 +114,22 @@
 	n.sendExchangeChunk()
 }
 
-// sendExchangeChunk sends the next members of a state exchange, as many as fit a message and the byte budget.
+// sendExchangeChunk sends the next members of a state exchange, as many as fit into a message and the byte budget.
 func (n *Node) sendExchangeChunk() {
 	if len(n.exchangeQueue) == 0 || n.exchangePeer.state.absent() {
 		n.exchangeQueue = nil
 		return
 	}
 	n.refillExchangeTokens()
-	room := min(float64(n.settings.MaxMessageBytes-messageOverheadBytes), n.exchangeTokens)
+	remainingBytes := min(float64(n.settings.MaxMessageBytes-messageOverheadBytes), n.exchangeTokens)
 	var updates []Update
 	for len(n.exchangeQueue) > 0 && len(updates) < maxUpdates {
 		u := n.exchangeQueue[0].update()
 		size := float64(u.size())
-		if size > room {
+		if size > remainingBytes {
 			break
 		}
-		room -= size
+		remainingBytes -= size
 		n.exchangeTokens -= size
 		updates = append(updates, u)
 		n.exchangeQueue = n.exchangeQueue[1:]
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,54 +6,55 @@
 )
 
 const (
-	// suspicionBase and suspicionPerDoubling make the least suspicion timeout: time for a refutation to spread, which
-	// grows with the logarithm of the members, after a pause of half a second and some.
+	// The shortest suspicion timeout is suspicionBase, which lets the suspect refute after a pause of a little more than
+	// half a second, and suspicionPerDoubling for each doubling of the members, as the time for a refutation to spread
+	// grows with their logarithm.
 	suspicionBase        = 600 * millisecond
 	suspicionPerDoubling = 60 * millisecond
-	// suspicionMaxFactor is the longest timeout, while one member alone suspects, as a multiple of the least.
+	// suspicionMaxFactor is the longest timeout, that of a suspicion by a single member, as a multiple of the shortest.
 	suspicionMaxFactor = 4
-	// maxConfirmations is the number of suspecting members from which on the least timeout holds.
+	// maxConfirmations is the number of suspecting members from which on the shortest timeout applies.
 	maxConfirmations = 3
-	// earlyProbers is about how many members probe a new suspect at once: they become confirmations, or hear that it
-	// is alive.
+	// earlyProbers is the expected number of members that probe a new suspect early: they confirm the suspicion, or
+	// receive an acknowledgement.
 	earlyProbers = 10
-	// lastProbeLead is how long before the deadline a member that did not probe the suspect yet does so: no member is
-	// declared dead without a failed probe of this node's own.
+	// lastProbeLead is how long before the deadline a node probes the suspect if it has not done so yet: no node
+	// declares a member dead without a failed probe of its own.
 	lastProbeLead = 250 * millisecond
 
 	deadRetention    = 600 * second
 	leftRetention    = 60 * second
-	maxAbsentMembers = 256 // dead and left ones; the oldest are forgotten first
+	maxAbsentMembers = 256 // dead and left; those that are absent for longest are forgotten first
 )
 
-// anonymousConfirmer stands for all confirmations that name no member: they count as one, however many come.
+// anonymousConfirmer is the ID of all confirmations that name no member. Together they count as one confirmation.
 const anonymousConfirmer = 1
 
-// confirmerID shortens a member's name. Two names with the same ID count as one confirmation.
+// confirmerID hashes a member's name to 16 bits. Two names with the same ID count as one confirmation.
 func confirmerID(name string) uint16 { return max(uint16(hashName(name)), anonymousConfirmer+1) }
 
-// suspicionTimeout is the time from the start of a suspicion to its deadline. It shrinks with the logarithm of the
-// confirmations, from suspicionMaxFactor times the least timeout for one of them to the least for maxConfirmations
-// (Lifeguard), or for as many as the group can give.
+// suspicionTimeout returns the time from the start of a suspicion to its deadline. It shrinks with the logarithm of the
+// confirmations (Lifeguard): from suspicionMaxFactor times the shortest timeout for one confirmation to the shortest
+// for maxConfirmations, or for all members but the suspect if they are fewer.
 func suspicionTimeout(confirmations, members int) int64 {
-	least := minSuspicionTimeout(members)
-	needed := min(maxConfirmations, members-1) // all but the suspect
+	minTimeout := minSuspicionTimeout(members)
+	needed := min(maxConfirmations, members-1) // without the suspect
 	if confirmations >= needed || needed <= 1 {
-		return least
+		return minTimeout
 	}
-	most := suspicionMaxFactor * least
-	return most - int64(float64(most-least)*math.Log(float64(confirmations))/math.Log(float64(needed)))
+	maxTimeout := suspicionMaxFactor * minTimeout
+	return maxTimeout - int64(float64(maxTimeout-minTimeout)*math.Log(float64(confirmations))/math.Log(float64(needed)))
 }
 
 func minSuspicionTimeout(members int) int64 {
 	return suspicionBase + suspicionPerDoubling*log2(members)
 }
 
-// log2 is the binary logarithm of n+1, rounded up.
+// log2 returns the binary logarithm of n+1, rounded up.
 func log2(n int) int64 { return int64(math.Ceil(math.Log2(float64(max(n, 1) + 1)))) }
 
-// beginSuspicion prepares a member that has just become suspect. Where another member's probe failed, this node's
-// own earlier failures don't count, and it may be one of those that probe the suspect early.
+// beginSuspicion initializes the suspicion of a member that has just become suspect. If another member reported it,
+// this node's earlier failed probes do not count, and the node may be one of the early probers.
 func (n *Node) beginSuspicion(m *member, cause event) {
 	m.ownProbeBegun = false
 	m.ownProbeAt = 0
@@ -66,8 +67,8 @@
 	}
 }
 
-// confirm counts a suspecting member and sets the deadline by the new count. It reports whether the confirmation was
-// a new one.
+// confirm counts a confirmation of a suspicion and sets the deadline by the new count. It reports whether the
+// confirmation is new.
 func (n *Node) confirm(m *member, confirmer uint16) bool {
 	if !m.addConfirmer(confirmer) {
 		return false
@@ -78,13 +79,13 @@
 
 func (n *Node) setDeadline(m *member) {
 	confirmations := m.confirmations()
-	if !n.guards(safeguardConfirmations) {
+	if !n.safeguardEnabled(safeguardConfirmations) {
 		confirmations = maxConfirmations
 	}
-	m.deadline = m.since + suspicionTimeout(confirmations, n.present+1)
+	m.deadline = m.stateSince + suspicionTimeout(confirmations, n.present+1)
 }
 
-// addConfirmer reports false where the confirmer is known already, or there is no room for it.
+// addConfirmer reports false if the confirmer was already counted, or if maxConfirmations were.
 func (m *member) addConfirmer(confirmer uint16) bool {
 	for i, known := range m.suspectedBy {
 		if known == confirmer {
@@ -107,14 +108,15 @@
 	return count
 }
 
-// extendSuspicion gives a suspect that was heard of the least timeout once more, and another probe before its end.
+// extendSuspicion restarts the shortest timeout for a suspect that has responded, and has the suspect probed once more
+// before the deadline.
 func (n *Node) extendSuspicion(m *member) {
 	m.deadline = max(m.deadline, n.now+minSuspicionTimeout(n.present+1))
 	m.ownProbeBegun = false
 }
 
-// checkTimeouts probes suspects, declares those dead whose deadline has passed, and forgets members that were absent
-// for long.
+// checkTimeouts probes suspects, declares suspects dead whose deadline has passed, and forgets absent members whose
+// retention has ended or that exceed maxAbsentMembers.
 func (n *Node) checkTimeouts() {
 	absent := n.countDeadAndLeft()
 	for _, m := range n.membersWithTimeout() {
@@ -155,7 +157,7 @@
 	return count
 }
 
-// membersWithTimeout returns the members for which checkTimeouts has something to do, by name.
+// membersWithTimeout returns the members for which a timeout of checkTimeouts is due, sorted by name.
 func (n *Node) membersWithTimeout() (list []*member) {
 	for _, m := range n.members {
 		if n.timeoutDue(m) {
@@ -172,20 +174,21 @@
 		earlyProbeDue := m.ownProbeAt > 0 && n.now >= m.ownProbeAt && !m.ownProbeBegun
 		return earlyProbeDue || n.now >= m.deadline-lastProbeLead
 	case StateDead:
-		return n.now-m.since > deadRetention && !m.seed
+		return n.now-m.stateSince > deadRetention && !m.seed
 	case StateLeft:
-		return n.now-m.since > leftRetention && !m.seed
+		return n.now-m.stateSince > leftRetention && !m.seed
 	}
 	return false
 }
 
-// oldestAbsent returns the absent member that changed its state first; nil: there is none but seeds.
+// oldestAbsent returns the absent member with the earliest change of state, or nil if there is none. Seeds are left
+// out.
 func (n *Node) oldestAbsent() (oldest *member) {
 	for _, m := range n.members {
 		if m.seed || isPresent(m) {
 			continue
 		}
-		if oldest == nil || m.since < oldest.since || m.since == oldest.since && m.name < oldest.name {
+		if oldest == nil || m.stateSince < oldest.stateSince || m.stateSince == oldest.stateSince && m.name < oldest.name {
 			oldest = m
 		}
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// MemberStatus is what a node holds of one member, or of itself. Durations are microseconds. Of a seed that was not
-// heard of yet only Name, Addr and LastHeardAge are set; of the node itself nothing below Incarnation but Process.
+// MemberStatus is a node's view of one member, or of itself. Durations are in microseconds. For a seed without any
+// update yet only Name, Addr and LastHeardAge are set. For the node itself the fields after Incarnation are empty,
+// except for Process.
 type MemberStatus struct {
 	Name          string         `cbor:"1,keyasint"`
 	Zone          string         `cbor:"2,keyasint,omitempty" json:"Place"`
@@ -16,22 +17,22 @@
 	ID            InstanceID     `cbor:"5,keyasint,omitempty"`
 	Incarnation   uint32         `cbor:"6,keyasint,omitempty" json:"Inc"`
 	Reach         Reach          `cbor:"7,keyasint,omitempty"`
-	StateAge      int64          `cbor:"8,keyasint,omitempty" json:"Since"`      // how long it has been in State
-	LastHeardAge  int64          `cbor:"9,keyasint,omitempty" json:"Heard"`      // of its last own message; -1: none
-	Confirmations int            `cbor:"10,keyasint,omitempty" json:"Witnesses"` // members that suspect it, 3 at most
-	RTT           int64          `cbor:"11,keyasint,omitempty"`                  // of its last acknowledged direct ping; 0: none
-	Process       *ProcessInfo   `cbor:"12,keyasint,omitempty" json:"Runs"`      // nil: it has told nothing
+	StateAge      int64          `cbor:"8,keyasint,omitempty" json:"Since"`      // time since it entered State
+	LastHeardAge  int64          `cbor:"9,keyasint,omitempty" json:"Heard"`      // since its last accepted message or acknowledgement; -1: none
+	Confirmations int            `cbor:"10,keyasint,omitempty" json:"Witnesses"` // members that suspect it, at most 3
+	RTT           int64          `cbor:"11,keyasint,omitempty"`                  // of its last direct acknowledgement; 0: none
+	Process       *ProcessInfo   `cbor:"12,keyasint,omitempty" json:"Runs"`      // nil: not reported
 }
 
-// View is a snapshot of a node for people and tests, or one page of it.
+// View is a snapshot of a node for tools and tests, or one page of the snapshot.
 type View struct {
 	Self         MemberStatus   `cbor:"1,keyasint"`
 	Connectivity Connectivity   `cbor:"2,keyasint" json:"Standing"`
 	Counts       Counts         `cbor:"3,keyasint"`
-	Digest       uint64         `cbor:"4,keyasint"` // of the present members: equal views have the same
+	Digest       uint64         `cbor:"4,keyasint"` // digest of the present members, the same for equal views
 	Members      []MemberStatus `cbor:"5,keyasint,omitempty" json:"Seen"`
 	Offset       int            `cbor:"6,keyasint,omitempty" json:"From"` // index of the page's first member among all
-	Total        int            `cbor:"7,keyasint,omitempty"`             // members in all pages
+	Total        int            `cbor:"7,keyasint,omitempty"`             // number of members in all pages
 }
 
 // View returns a snapshot of all members, sorted by name.
@@ -72,7 +73,7 @@
 		ID:            m.id,
 		Incarnation:   m.incarnation,
 		Reach:         m.reach,
-		StateAge:      now - m.since,
+		StateAge:      now - m.stateSince,
 		LastHeardAge:  -1,
 		Confirmations: m.confirmations(),
 		RTT:           int64(m.rtt),
@@ -84,16 +85,16 @@
 	return status
 }
 
-// Limits of queries, and the estimated size of their answers in bytes.
+// Rate limit of queries, and estimated sizes of their responses in bytes.
 const (
-	queryInterval    = 5 * millisecond
-	maxQueryBurst    = 100
-	viewHeadBytes    = 350 // of a page without its members
-	memberEntryBytes = 70  // of a member without its names
+	queryInterval    = 5 * millisecond // minimum mean time between two answered queries
+	maxQueryBurst    = 100             // queries
+	viewHeadBytes    = 350             // of a page without its members
+	memberEntryBytes = 70              // of a member without the texts of its name and zone
 )
 
 // answerQuery answers a tool with the page of the view that begins at the member with the index RequestID. Queries
-// over the rate limit have no answer.
+// above the rate limit are not answered.
 func (n *Node) answerQuery(source netip.AddrPort, msg *Message) {
 	n.queryAllowedAt = max(n.queryAllowedAt, n.now-maxQueryBurst*queryInterval)
 	if n.queryAllowedAt > n.now-queryInterval || !source.IsValid() {
@@ -117,7 +118,7 @@
 	})
 }
 
-// viewPage returns the members from an index on that fit a message.
+// viewPage returns a view with as many members from the index offset on as fit into a message.
 func (n *Node) viewPage(offset int) *View {
 	v := n.View()
 	v.Offset = min(offset, v.Total)
