--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -10,12 +10,12 @@
 	"quilldoor/internal/simfleet"
 )
 
-// benchmarkSender is the member from which the nodes of the benchmarks receive their messages.
+// benchmarkSender is the member that sends all messages of the benchmarks.
 var benchmarkSender = membership.Update{
 	Name: "n1", ID: membership.InstanceID{Epoch: 1, Nonce: 2}, Incarnation: 1, State: membership.StateAlive,
 }
 
-// BenchmarkMemory measures the bytes that a member takes, with its entries in map and lists.
+// BenchmarkMemory measures the heap bytes of a member, its entries in maps and lists included.
 func BenchmarkMemory(b *testing.B) {
 	for _, count := range []int{24, 222} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -34,6 +34,7 @@
 	}
 }
 
+// newFilledNode starts a node and adds that many members besides benchmarkSender.
 func newFilledNode(count int) *membership.Node {
 	n := newLoneNode(1)
 	msg := &membership.Message{
@@ -54,7 +55,7 @@
 	return n
 }
 
-// BenchmarkReceive measures a ping and its acknowledgement at one node, without encoding.
+// BenchmarkReceive measures how a node receives a ping and returns the acknowledgement, without encoding.
 func BenchmarkReceive(b *testing.B) {
 	n := newFilledNode(222)
 	for i := range b.N {
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -9,105 +9,110 @@
 	"quilldoor/internal/membership"
 )
 
-// networkEvent is something that happens in a testNetwork.
+// networkEvent is an event in a testNetwork: time that passes, messages that are delivered or lost, or a change of a
+// process.
 type networkEvent struct {
-	name string
-	do   func(x *testNetwork)
+	name  string
+	apply func(network *testNetwork)
 }
 
-// networkEvents are those of a network with so many nodes.
+// networkEvents returns the events of a network with that many nodes.
 func networkEvents(nodes int) []networkEvent {
 	events := []networkEvent{
-		{"time", func(x *testNetwork) { x.advance(7) }},
-		{"long", func(x *testNetwork) { x.advance(30) }},
-		{"all", func(x *testNetwork) { x.deliver(-1, -1) }},
-		{"lost", func(x *testNetwork) { x.inFlight = nil }},
+		{"wait", func(network *testNetwork) { network.advance(7) }},
+		{"wait long", func(network *testNetwork) { network.advance(30) }},
+		{"deliver all", func(network *testNetwork) { network.deliver(-1, -1) }},
+		{"lose all", func(network *testNetwork) { network.inFlight = nil }},
 	}
 	for i := range nodes {
 		events = append(events,
-			networkEvent{fmt.Sprint("from", i), func(x *testNetwork) { x.deliver(i, -1) }},
-			networkEvent{fmt.Sprint("to", i), func(x *testNetwork) { x.deliver(-1, i) }},
-			networkEvent{fmt.Sprint("process", i), func(x *testNetwork) { x.killOrStart(i) }},
-			networkEvent{fmt.Sprint("pause", i), func(x *testNetwork) { x.paused[i] = !x.paused[i] }})
+			networkEvent{fmt.Sprint("deliver from ", i), func(network *testNetwork) { network.deliver(i, -1) }},
+			networkEvent{fmt.Sprint("deliver to ", i), func(network *testNetwork) { network.deliver(-1, i) }},
+			networkEvent{fmt.Sprint("kill or start ", i), func(network *testNetwork) { network.killOrStart(i) }},
+			networkEvent{fmt.Sprint("pause or resume ", i), func(network *testNetwork) {
+				network.paused[i] = !network.paused[i]
+			}})
 	}
 	return events
 }
 
-// instanceWatch remembers the latest instance of each member that each node has shown.
-type instanceWatch struct {
-	nodes []*membership.Node
-	shown map[shownMember]membership.InstanceID
+// instanceMonitor records, for each node, the latest instance of each member in the node's view.
+type instanceMonitor struct {
+	nodes  []*membership.Node
+	latest map[viewEntry]membership.InstanceID
 }
 
-type shownMember struct {
-	by     int
+// viewEntry identifies a member in the view of a node.
+type viewEntry struct {
+	viewer int
 	member string
 }
 
-func newInstanceWatch(nodes int) *instanceWatch {
-	return &instanceWatch{
-		nodes: make([]*membership.Node, nodes),
-		shown: map[shownMember]membership.InstanceID{},
+func newInstanceMonitor(nodes int) *instanceMonitor {
+	return &instanceMonitor{
+		nodes:  make([]*membership.Node, nodes),
+		latest: map[viewEntry]membership.InstanceID{},
 	}
 }
 
-// check says which node goes back to an earlier instance of a member; "": none. A node that has started anew remembers
-// nothing.
-func (w *instanceWatch) check(x *testNetwork) string {
-	for i, n := range x.nodes {
-		if w.nodes[i] != n {
-			w.nodes[i] = n
-			maps.DeleteFunc(w.shown, func(key shownMember, _ membership.InstanceID) bool { return key.by == i })
+// check describes a node whose view goes back to an earlier instance of a member; "": none does. The record of a node
+// starts empty with each of its processes.
+func (monitor *instanceMonitor) check(network *testNetwork) string {
+	for i, n := range network.nodes {
+		if monitor.nodes[i] != n {
+			monitor.nodes[i] = n
+			maps.DeleteFunc(monitor.latest, func(key viewEntry, _ membership.InstanceID) bool { return key.viewer == i })
 		}
 		if n == nil {
 			continue
 		}
 		for _, m := range n.View().Members {
-			key := shownMember{i, m.Name}
-			if m.State != membership.StateUnknown && m.ID.Compare(w.shown[key]) < 0 {
-				return fmt.Sprintf("%s goes back to an earlier instance of %s", x.names[i], m.Name)
+			key := viewEntry{i, m.Name}
+			if m.State != membership.StateUnknown && m.ID.Compare(monitor.latest[key]) < 0 {
+				return fmt.Sprintf("%s goes back from instance %v of %s to %v", network.names[i], monitor.latest[key], m.Name, m.ID)
 			}
-			w.shown[key] = m.ID
+			monitor.latest[key] = m.ID
 		}
 	}
 	return ""
 }
 
-// eventSearch tries sequences of events, each from the start, and goes no further from a state that it has seen.
+// eventSearch runs sequences of events, each on a new network, and does not extend a sequence that ends in a state that
+// another one has reached before.
 type eventSearch struct {
-	t      *testing.T
-	events []networkEvent
-	depth  int
-	seen   map[string]bool // by fingerprint
+	t       *testing.T
+	events  []networkEvent
+	depth   int
+	visited map[string]bool // by fingerprint
 }
 
-// tryFrom tries a sequence, and all longer ones that begin with it.
-func (s *eventSearch) tryFrom(sequence []int) {
+// explore runs a sequence of events, and all longer ones that begin with it.
+func (s *eventSearch) explore(sequence []int) {
 	const nodes = 3
-	x := newTestNetwork("a", "b", "c")
-	x.runFor(2 * second)
-	watch := newInstanceWatch(nodes)
+	network := newTestNetwork("a", "b", "c")
+	network.runFor(2 * second)
+	monitor := newInstanceMonitor(nodes)
 	for _, e := range sequence {
-		s.events[e].do(x)
-		if why := watch.check(x); why != "" {
-			s.t.Fatalf("%v: %s", s.names(sequence), why)
+		s.events[e].apply(network)
+		if reason := monitor.check(network); reason != "" {
+			s.t.Fatalf("%v: %s", s.names(sequence), reason)
 		}
 	}
-	key := x.fingerprint()
-	if s.seen[key] {
+	key := network.fingerprint()
+	if s.visited[key] {
 		return
 	}
-	s.seen[key] = true
-	x.paused = make([]bool, nodes)
-	x.runFor(8 * second)
-	if why := x.disagreement(); why != "" {
-		s.t.Fatalf("%v: %s", s.names(sequence), why)
+	s.visited[key] = true
+	network.paused = make([]bool, nodes)
+	network.runFor(8 * second)
+	if reason := network.disagreement(); reason != "" {
+		s.t.Fatalf("%v: %s", s.names(sequence), reason)
 	}
 	if len(sequence) == s.depth {
 		return
 	}
 	for e := range s.events {
-		s.tryFrom(append(slices.Clone(sequence), e))
+		s.explore(append(slices.Clone(sequence), e))
 	}
 }
 
@@ -118,14 +123,15 @@
 	return names
 }
 
-// In every order of events for three members up to a depth (time passes, messages are delivered or lost, processes die,
-// start, pause and resume) no view goes back to an earlier instance, and after the last event all agree.
+// Runs every sequence of events in a network of three nodes up to a depth: time passes, messages are delivered or lost,
+// processes are killed, started, paused and resumed. No view may go back to an earlier instance of a member, and after
+// the last event all views converge.
 func TestEveryOrderOfEvents(t *testing.T) {
 	depth := 4
 	if testing.Short() {
 		depth = 3
 	}
-	search := &eventSearch{t: t, events: networkEvents(3), depth: depth, seen: map[string]bool{}}
-	search.tryFrom(nil)
-	t.Logf("%d states, each of which converged within eight seconds", len(search.seen))
+	search := &eventSearch{t: t, events: networkEvents(3), depth: depth, visited: map[string]bool{}}
+	search.explore(nil)
+	t.Logf("%d states, each of which converged within eight seconds", len(search.visited))
 }
--- a/internal/membership/export_test.go
+++ b/internal/membership/export_test.go
@@ -1,6 +1,6 @@
 package membership
 
-// Safeguards that WithoutSafeguard turns off, by the names of the tests that need them.
+// safeguardsByName holds the safeguards that WithoutSafeguard can turn off, by the names of their tests.
 var safeguardsByName = map[string]safeguard{
 	"incarnation order": safeguardIncarnationOrder,
 	"refutation":        safeguardRefutation,
@@ -10,20 +10,20 @@
 	"replay window":     safeguardReplayWindow,
 }
 
-// WithoutSafeguard turns a safeguard off; none for "".
+// WithoutSafeguard returns the settings with the named safeguard turned off, or unchanged for an empty name.
 func (s Settings) WithoutSafeguard(name string) Settings {
 	if name == "" {
 		return s
 	}
-	guard, ok := safeguardsByName[name]
+	selected, ok := safeguardsByName[name]
 	if !ok {
-		panic("no safeguard " + name)
+		panic("unknown safeguard " + name)
 	}
-	s.disabled = guard
+	s.disabled = selected
 	return s
 }
 
-// ListSizes returns the sizes of all lists that a node keeps.
+// ListSizes returns the sizes of a node's map of members and of its lists.
 func (n *Node) ListSizes() (members, pendingProbes, relayedProbes, gossipQueue, exchangeQueue int) {
 	return len(n.members), len(n.pendingProbes), len(n.relayedProbes), len(n.gossipQueue), len(n.exchangeQueue)
 }
--- a/internal/membership/handoff_test.go
+++ b/internal/membership/handoff_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// handoffFleet runs the routers a, b and c, of which a is replaced by its successors. Its messages arrive at once.
+// handoffFleet runs the routers a, b and c without delay between them. Successors replace the process of a.
 type handoffFleet struct {
-	t     *testing.T
-	now   int64
-	nodes []*Node
-	sent  []*Message // by a
+	t       *testing.T
+	now     int64
+	nodes   []*Node
+	sentByA []*Message // delivered messages of a, in order
 }
 
 var handoffNames = []string{"a", "b", "c"}
@@ -29,7 +29,8 @@
 	return f
 }
 
-// newNode starts a router's process of a generation; a predecessor's state may be nil.
+// newNode starts a process of a router with the given generation. It continues the predecessor's instance unless
+// predecessor is nil.
 func (f *handoffFleet) newNode(i int, generation uint32, predecessor *HandoffState) *Node {
 	var seeds []Seed
 	for j, name := range handoffNames {
@@ -42,7 +43,8 @@
 	return New(settings, rand.New(rand.NewPCG(uint64(i), uint64(generation))), f.now)
 }
 
-// settle lets some seconds pass, and fails the test if b or c hold a anything but alive or joining in that time.
+// settle runs the fleet for three seconds. It fails the test if b or c then set the state of a to anything but alive or
+// joining.
 func (f *handoffFleet) settle() {
 	f.t.Helper()
 	for end := f.now + 3*second; f.now < end; f.now += 10 * millisecond {
@@ -58,16 +60,17 @@
 	}
 }
 
-func (f *handoffFleet) checkChanges(by string, changes []Change) {
+// checkChanges fails the test if a change sets the state of a to anything but alive or joining.
+func (f *handoffFleet) checkChanges(observer string, changes []Change) {
 	f.t.Helper()
 	for _, c := range changes {
 		if c.Name == "a" && c.To != StateAlive && c.To != StateJoining {
-			f.t.Errorf("%s holds a %v at %d ms", by, c.To, f.now/millisecond)
+			f.t.Errorf("%s sets the state of router a to %v at %d ms", observer, c.To, f.now/millisecond)
 		}
 	}
 }
 
-// deliver delivers messages and what is sent in reply, until nothing more is sent.
+// deliver delivers messages and the replies to them, until there are no further replies.
 func (f *handoffFleet) deliver(out []Outbound) {
 	for len(out) > 0 {
 		next := out[0]
@@ -78,7 +81,7 @@
 				continue
 			}
 			if sender == "a" {
-				f.sent = append(f.sent, next.Message)
+				f.sentByA = append(f.sentByA, next.Message)
 			}
 			from := max(slices.Index(handoffNames, sender), 0)
 			out = append(out, n.Receive(f.now, handoffAddr(from), next.Message)...)
@@ -86,7 +89,7 @@
 	}
 }
 
-// expectGeneration fails the test unless b and c hold a alive, in its instance and of that generation.
+// expectGeneration fails the test unless b and c hold a alive, with its present instance and that generation.
 func (f *handoffFleet) expectGeneration(generation uint32) {
 	f.t.Helper()
 	for i := 1; i < len(f.nodes); i++ {
@@ -95,15 +98,16 @@
 				continue
 			}
 			if m.Process == nil || m.Process.Generation != generation || m.ID != f.nodes[0].Self().ID || m.State != StateAlive {
-				f.t.Errorf("%s holds a %v in instance %v, %+v, want generation %d",
-					handoffNames[i], m.State, m.ID, m.Process, generation)
+				f.t.Errorf("%s holds router a %v with instance %v and process %+v, want alive with %v and generation %d",
+					handoffNames[i], m.State, m.ID, m.Process, f.nodes[0].Self().ID, generation)
 			}
 		}
 	}
 }
 
-// A successor continues its predecessor's instance: the others hold it alive throughout, accept its messages and learn
-// its process; replayed messages are not accepted. A predecessor that goes on after its successor failed counts over it.
+// A successor continues its predecessor's instance: the other members hold it alive throughout, accept its messages and
+// receive its process info, and reject replayed messages. A predecessor that continues after its successor has failed
+// takes precedence over the successor.
 func TestSuccessorContinuesInstance(t *testing.T) {
 	f := newHandoffFleet(t)
 	f.settle()
@@ -111,18 +115,18 @@
 	first := f.nodes[0].Handoff()
 	f.nodes[0] = f.newNode(0, 2, first)
 	if s := f.nodes[0].Connectivity(); s.State == StateAlive {
-		t.Error("connectivity before the first tick")
+		t.Errorf("connectivity before the first Tick has state %v", s.State)
 	}
-	sentBefore := f.sent
+	sentBefore := f.sentByA
 	f.settle()
 	f.expectGeneration(2)
-	// The successor fails, and the predecessor goes on with what it had handed over.
+	// The successor fails, and the predecessor continues with the state that it had handed over.
 	first.Reclaim()
 	f.nodes[0] = f.newNode(0, 1, first)
 	f.settle()
 	f.expectGeneration(1)
 	if f.nodes[0].Self().ID != instance {
-		t.Errorf("instance %v, was %v", f.nodes[0].Self().ID, instance)
+		t.Errorf("instance is %v after the handoffs, was %v", f.nodes[0].Self().ID, instance)
 	}
 	received := f.nodes[1].Counts.Received
 	for _, msg := range sentBefore[len(sentBefore)-5:] {
@@ -131,17 +135,18 @@
 		}
 	}
 	if f.nodes[1].Counts.Received != received {
-		t.Error("replayed messages of the instance are accepted")
+		t.Errorf("%d replayed messages of the instance were accepted", f.nodes[1].Counts.Received-received)
 	}
 }
 
+// A node starts an instance of its own where its predecessor was leaving, had left, or had yielded its name.
 func TestLostOrLeftInstanceIsNotContinued(t *testing.T) {
 	f := newHandoffFleet(t)
 	f.settle()
 	for _, s := range []State{StateNameConflict, StateLeft, StateLeaving} {
 		n := f.newNode(0, 3, &HandoffState{ID: InstanceID{Epoch: 99, Nonce: 1}, State: s})
 		if n.Self().ID.Epoch == 99 {
-			t.Errorf("continues an instance that is %v", s)
+			t.Errorf("an instance in state %v is continued", s)
 		}
 	}
 }
--- a/internal/membership/lifecycle_test.go
+++ b/internal/membership/lifecycle_test.go
@@ -8,36 +8,36 @@
 	"quilldoor/internal/simfleet"
 )
 
-// A router restarts without stored state and with a clock that is behind: it is admitted again, and what was said of
-// its earlier instances no longer counts.
+// A router that restarts without stored state and with a clock that is behind is admitted again, and updates about its
+// earlier instances are ignored.
 func TestRestartWithoutState(t *testing.T) {
 	f := newFleet(6, 3, "", 0)
 	mustConverge(t, f, 10*second)
-	last := map[string]membership.InstanceID{}
+	latest := map[string]membership.InstanceID{}
 	f.OnChange = func(h *simfleet.Host, c membership.Change) {
 		key := h.Name + c.Name
-		if c.To == membership.StateAlive && c.ID.Compare(last[key]) < 0 {
-			t.Errorf("%s holds %s alive in instance %v after %v", h.Name, c.Name, c.ID, last[key])
+		if c.To == membership.StateAlive && c.ID.Compare(latest[key]) < 0 {
+			t.Errorf("%s holds %s alive in instance %v after %v", h.Name, c.Name, c.ID, latest[key])
 		}
-		last[key] = c.ID
+		latest[key] = c.ID
 	}
-	for i := range 12 { // at once, soon, and after it was declared dead
-		at := 1 + i%5
-		f.Kill(at)
-		for key := range last {
-			if strings.HasPrefix(key, simfleet.Name(at)+"n") {
-				delete(last, key) // its view starts anew
+	for i := range 12 { // restarts at once, after 1.5 s, and after 3 s, when it is dead
+		host := 1 + i%5
+		f.Kill(host)
+		for key := range latest {
+			if strings.HasPrefix(key, simfleet.Name(host)+"n") {
+				delete(latest, key) // the new process has an empty view
 			}
 		}
 		f.RunUntil(f.Now + int64(i%3)*1500*millisecond)
-		f.Start(at)
+		f.Start(host)
 		f.RunUntil(f.Now + second)
 	}
 	mustConverge(t, f, 10*second)
 	if id := f.Hosts[1].Detector.(*membership.Node).Self().ID; id.Epoch < 3 {
-		t.Errorf("after three restarts its epoch is %d", id.Epoch)
+		t.Errorf("epoch of a router after three restarts is %d, want at least 3", id.Epoch)
 	}
-	// All seeds are gone for good: the others go on, and admit a router that restarts.
+	// All seeds have failed and do not restart: the other members stay alive, and admit a router that restarts.
 	for i := range 3 {
 		f.Kill(i)
 	}
@@ -61,7 +61,7 @@
 	f.RunUntil(f.Now + second)
 	for _, h := range f.Hosts {
 		if s := h.Detector.State(simfleet.Name(2)); s != membership.StateLeaving {
-			t.Errorf("%s holds the leaving member %v", h.Name, s)
+			t.Errorf("%s holds the leaving router %v", h.Name, s)
 		}
 	}
 	f.Send(2, n.Depart(f.Now))
@@ -69,7 +69,7 @@
 	f.RunUntil(f.Now + 3*second)
 	for _, h := range f.Hosts {
 		if h.ID != 2 && h.Detector.State(simfleet.Name(2)) != membership.StateLeft {
-			t.Errorf("%s holds the member that left %v", h.Name, h.Detector.State(simfleet.Name(2)))
+			t.Errorf("%s holds the router that left %v", h.Name, h.Detector.State(simfleet.Name(2)))
 		}
 	}
 	f.OnChange = nil
@@ -77,39 +77,39 @@
 	mustConverge(t, f, 10*second)
 }
 
-// Two processes with one name: one keeps it, the other detects the conflict and keeps quiet, and gets the name once the
-// first has gone.
+// Of two processes with the same name one keeps it. The other one detects the conflict, yields the name, and reclaims
+// it once the first has failed.
 func TestNameConflict(t *testing.T) {
-	x := newTestNetwork("a", "b", "c")
-	x.runFor(2 * second)
-	x.names, x.addrs = append(x.names, "c"), append(x.addrs, simfleet.Addr(3))
-	x.nodes, x.paused = append(x.nodes, nil), append(x.paused, false)
-	x.start(3)
-	x.runFor(20 * second)
-	stateOf2, stateOf3 := x.nodes[2].Self().State, x.nodes[3].Self().State
+	network := newTestNetwork("a", "b", "c")
+	network.runFor(2 * second)
+	network.names, network.addrs = append(network.names, "c"), append(network.addrs, simfleet.Addr(3))
+	network.nodes, network.paused = append(network.nodes, nil), append(network.paused, false)
+	network.start(3)
+	network.runFor(20 * second)
+	stateOf2, stateOf3 := network.nodes[2].Self().State, network.nodes[3].Self().State
 	if (stateOf2 == membership.StateNameConflict) == (stateOf3 == membership.StateNameConflict) {
-		t.Fatalf("one has state %v, the other %v", stateOf2, stateOf3)
+		t.Fatalf("the processes named c have states %v and %v, want one name conflict", stateOf2, stateOf3)
 	}
-	quiet, other := 2, 3
+	yielded, holder := 2, 3
 	if stateOf3 == membership.StateNameConflict {
-		quiet, other = 3, 2
+		yielded, holder = 3, 2
 	}
-	if s := x.nodes[quiet].Connectivity(); s.Majority {
-		t.Errorf("the node without its name counts on a majority: %+v", s)
+	if s := network.nodes[yielded].Connectivity(); s.Majority {
+		t.Errorf("the node that yielded its name reports a majority: %+v", s)
 	}
 	for i := range 2 {
-		if s := x.nodes[i].State("c"); s != membership.StateAlive {
-			t.Errorf("%s holds c %v", x.names[i], s)
+		if s := network.nodes[i].State("c"); s != membership.StateAlive {
+			t.Errorf("%s holds c %v", network.names[i], s)
 		}
 	}
-	x.nodes[other] = nil
-	x.runFor(80 * second)
-	if s := x.nodes[quiet].Self().State; s != membership.StateAlive {
-		t.Errorf("its name is free, and it is %v", s)
+	network.nodes[holder] = nil
+	network.runFor(80 * second)
+	if s := network.nodes[yielded].Self().State; s != membership.StateAlive {
+		t.Errorf("the node whose name is free again is %v", s)
 	}
 	for i := range 2 {
-		if s := x.nodes[i].State("c"); s != membership.StateAlive {
-			t.Errorf("%s holds c %v in the end", x.names[i], s)
+		if s := network.nodes[i].State("c"); s != membership.StateAlive {
+			t.Errorf("%s holds c %v after the name is free again", network.names[i], s)
 		}
 	}
 }
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -15,7 +15,7 @@
 	"quilldoor/internal/simfleet"
 )
 
-// No list grows without bound when ever new names are reported.
+// All lists stay bounded while updates about new names keep arriving.
 func TestListsAreBounded(t *testing.T) {
 	n := newLoneNode(2)
 	states := []membership.State{
@@ -25,12 +25,12 @@
 	for i := range 3000 {
 		now += 50 * millisecond
 		n.Tick(now)
-		from := membership.Update{
+		sender := membership.Update{
 			Name: "n1", ID: membership.InstanceID{Epoch: 9, Nonce: 9}, Incarnation: 1,
 			State: membership.StateAlive, Addr: simfleet.Addr(1),
 		}
 		msg := &membership.Message{
-			Kind: membership.KindStateExchange, Sequence: uint64(i + 1), Sender: from, To: "me", ToInstance: n.Self().ID,
+			Kind: membership.KindStateExchange, Sequence: uint64(i + 1), Sender: sender, To: "me", ToInstance: n.Self().ID,
 		}
 		for k := range 20 {
 			msg.Updates = append(msg.Updates, membership.Update{
@@ -41,16 +41,16 @@
 		n.Receive(now, netip.AddrPort{}, msg)
 		known, pending, relayed, queued, exchanged := n.ListSizes()
 		if known > 512 || pending > 64 || relayed > 64 || queued > 512 || exchanged > 512 {
-			t.Fatalf("%d members, %d pending and %d relayed probes, %d queued updates, %d in exchange",
+			t.Fatalf("%d members, %d pending and %d relayed probes, %d queued updates, %d updates in exchange",
 				known, pending, relayed, queued, exchanged)
 		}
 	}
 	if n.Counts.RejectedFull == 0 {
-		t.Error("the bound was not reached")
+		t.Error("no member was rejected: the bound of members was not reached")
 	}
 }
 
-// Any message that can be decoded is handled without a panic, and has a bounded number of answers.
+// Receive handles any message that can be decoded without a panic, and returns a bounded number of messages.
 func FuzzReceive(f *testing.F) {
 	n := newLoneNode(2)
 	self := n.Self()
@@ -82,10 +82,10 @@
 		}
 		now := max(later%(100*second), 1)
 		for range 3 {
-			x := msg
-			x.Updates = slices.Clone(msg.Updates)
-			if out := n.Receive(now, simfleet.Addr(2), &x); len(out) > 300 {
-				t.Fatalf("%d messages for one", len(out))
+			received := msg
+			received.Updates = slices.Clone(msg.Updates)
+			if out := n.Receive(now, simfleet.Addr(2), &received); len(out) > 300 {
+				t.Fatalf("%d messages in response to one, want at most 300", len(out))
 			}
 			now += 50 * millisecond
 			n.Tick(now)
@@ -96,7 +96,7 @@
 	})
 }
 
-// A page of a view fits a datagram, whatever the names.
+// A page of a view fits into a datagram with names and zones of the maximum length.
 func TestViewPageFitsDatagram(t *testing.T) {
 	settings := membership.Settings{
 		Name: strings.Repeat("m", 64), Zone: strings.Repeat("p", 64), Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2),
@@ -118,29 +118,29 @@
 		})
 	}
 	n.Receive(2, netip.AddrPort{}, msg)
-	got := 0
-	for from, now := 0, second; from < 152; now += 100 * millisecond {
+	memberCount := 0
+	for offset, now := 0, second; offset < 152; now += 100 * millisecond {
 		_, _, _ = n.Tick(now)
 		out := n.Receive(now, simfleet.Addr(2), &membership.Message{
-			Kind: membership.KindQuery, RequestID: uint32(from), To: n.Self().Name,
+			Kind: membership.KindQuery, RequestID: uint32(offset), To: n.Self().Name,
 			Sender: membership.Update{Name: "?", State: membership.StateAlive},
 		})
 		if len(out) != 1 || len(out[0].Message.View.Members) == 0 {
-			t.Fatalf("at %d: %d messages", from, len(out))
+			t.Fatalf("query from index %d: %d messages, want one with at least one member", offset, len(out))
 		}
 		b, _ := cbor.Marshal(out[0].Message)
 		if len(b) > 1200 {
-			t.Fatalf("a page of %d bytes", len(b))
+			t.Fatalf("page from index %d has %d bytes, want at most 1200", offset, len(b))
 		}
-		got += len(out[0].Message.View.Members)
-		from += len(out[0].Message.View.Members)
+		memberCount += len(out[0].Message.View.Members)
+		offset += len(out[0].Message.View.Members)
 	}
-	if got != 152 {
-		t.Errorf("%d of 152", got)
+	if memberCount != 152 {
+		t.Errorf("the pages have %d members, want 152", memberCount)
 	}
 }
 
-// Fields of a newer version are ignored, and those that an older one lacks are zero.
+// Fields that a newer version has added are ignored, and fields that an older version lacks are zero.
 func TestFieldsOfOtherVersions(t *testing.T) {
 	sender := map[int]any{1: "n1", 4: []int{1, 2}, 5: 1, 6: 2, 99: "new"}
 	b, err := cbor.Marshal(map[int]any{1: 3, 2: 5, 3: 9, 4: sender, 5: "me", 77: []int{1}})
@@ -151,11 +151,12 @@
 	err = cbor.Unmarshal(b, &msg)
 	if err != nil || msg.Kind != membership.KindPing || msg.Sender.Name != "n1" ||
 		msg.Sender.State != membership.StateAlive || msg.ViewDigest != 0 {
-		t.Errorf("%+v, %v", msg, err)
+		t.Errorf("decoded message %+v, error %v", msg, err)
 	}
 }
 
-// Messages of 256 bytes, as the simulator carries between instances, are enough for all decisions.
+// A fleet converges, and detects a failure, with messages of at most 256 bytes, the limit of the simulator between
+// instances.
 func TestSmallMessages(t *testing.T) {
 	const maxBytes = 256
 	network := netsim.New(300, 700, rand.New(rand.NewPCG(1, 2)))
@@ -168,7 +169,7 @@
 	})
 	f.BeforeSend = func(h *simfleet.Host, msg *membership.Message) {
 		if b, _ := cbor.Marshal(msg); len(b)+17 > maxBytes {
-			t.Fatalf("%s: a message of kind %d with %d bytes", h.Name, msg.Kind, len(b)+17)
+			t.Fatalf("%s sends a message of kind %d with %d bytes, want at most %d", h.Name, msg.Kind, len(b)+17, maxBytes)
 		}
 	}
 	for i := range 24 {
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -14,14 +14,14 @@
 
 const randomFleetSize = 20
 
-// faultyFleet is a fleet with the faults that a test has caused and not yet ended.
+// faultyFleet is a fleet with the present faults: paused hosts and faults of the network.
 type faultyFleet struct {
 	*simfleet.Fleet
 	paused map[int]bool
-	heals  []func() // end the faults of the network
+	heals  []func() // each ends a fault of the network
 }
 
-// fault causes a fault around a host, or ends those of the network.
+// fault applies a fault of the given kind, or ends one. Kinds that concern one host use the given one.
 func (f *faultyFleet) fault(kind string, host int) {
 	switch kind {
 	case "process":
@@ -46,6 +46,7 @@
 	}
 }
 
+// killOrStart kills a host's process that is running, paused or not, and starts one that is not.
 func (f *faultyFleet) killOrStart(host int) {
 	if f.Hosts[host].Detector == nil {
 		f.Start(host)
@@ -64,7 +65,7 @@
 	f.paused[host] = !f.paused[host]
 }
 
-// partition cuts eight hosts, which the offset selects, from the other twelve.
+// partition separates eight hosts, which the offset selects, from the other twelve.
 func (f *faultyFleet) partition(offset int) {
 	var smaller, larger []int
 	for i := range randomFleetSize {
@@ -77,6 +78,7 @@
 	f.heals = append(f.heals, f.Network.Partition(smaller, larger))
 }
 
+// heal ends all faults of the network.
 func (f *faultyFleet) heal() {
 	for _, end := range f.heals {
 		end()
@@ -84,7 +86,7 @@
 	f.heals = nil
 }
 
-// flap restarts a host again and again.
+// flap restarts a host four times, after 300 ms each.
 func (f *faultyFleet) flap(host int) {
 	for range 4 {
 		f.Kill(host)
@@ -95,18 +97,19 @@
 	delete(f.paused, host)
 }
 
-// endFaults ends all faults but those of the processes that are dead.
+// endFaults ends all faults of the network and all pauses, and starts the first three hosts. Other hosts that were
+// killed stay down.
 func (f *faultyFleet) endFaults() {
 	f.heal()
-	for _, host := range slices.Sorted(maps.Keys(f.paused)) { // in order, so that a seed replays the same
+	for _, host := range slices.Sorted(maps.Keys(f.paused)) { // in order, so that a seed replays the same run
 		f.Resume(host)
 	}
-	for i := range 3 { // where no router that knew the others runs, seeds bring them together
+	for i := range 3 { // the seeds, through which routers without a common member find each other
 		f.Start(i)
 	}
 }
 
-// checkSteadyState fails the test if a node sends or keeps much while nothing changes.
+// checkSteadyState fails the test if a node exceeds the limits of its message rate or list sizes while nothing changes.
 func (f *faultyFleet) checkSteadyState(t *rapid.T) {
 	f.RunUntil(f.Now + 5*second)
 	sentBefore := make([]int64, randomFleetSize)
@@ -123,20 +126,21 @@
 		}
 		known, pending, relayed, queued, exchanged := h.Detector.(*membership.Node).ListSizes()
 		if known > 20 || pending > 64 || relayed > 64 || queued > 20 || exchanged > 20 {
-			t.Fatalf("%s keeps %d members, %d pending and %d relayed probes, %d queued updates, %d in exchange",
+			t.Fatalf("%s holds %d members, %d pending and %d relayed probes, %d queued updates, %d updates in exchange",
 				h.Name, known, pending, relayed, queued, exchanged)
 		}
 	}
 }
 
-// After any sequence of faults in a fleet of twenty all agree once the faults are over, and all lists stay bounded.
+// After any sequence of faults in a fleet of twenty routers all views converge once the faults have ended, and all
+// lists stay bounded.
 func TestConvergesAfterRandomFaults(t *testing.T) {
 	kinds := []string{"process", "process", "pause", "loss", "one way", "partition", "heal", "flap", "mass failure"}
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newFleet(randomFleetSize, rapid.Uint64().Draw(t, "seed"), "", 0)
 		f := &faultyFleet{Fleet: fleet, paused: map[int]bool{}}
-		if _, why := converge(fleet, 20*second); why != "" {
-			t.Fatalf("at the start: %s", why)
+		if _, reason := converge(fleet, 20*second); reason != "" {
+			t.Fatalf("views have not converged before the faults: %s", reason)
 		}
 		for range rapid.IntRange(5, 25).Draw(t, "events") {
 			host := rapid.IntRange(0, randomFleetSize-1).Draw(t, "router")
@@ -144,9 +148,9 @@
 			f.RunUntil(f.Now + int64(rapid.IntRange(0, 6000).Draw(t, "ms"))*millisecond)
 		}
 		f.endFaults()
-		took, why := converge(fleet, 40*second)
-		if why != "" {
-			t.Fatalf("no agreement after %d s: %s", took/second, why)
+		elapsed, reason := converge(fleet, 40*second)
+		if reason != "" {
+			t.Fatalf("views have not converged %d s after the faults: %s", elapsed/second, reason)
 		}
 		f.checkSteadyState(t)
 	})
--- a/internal/membership/safeguard_test.go
+++ b/internal/membership/safeguard_test.go
@@ -13,35 +13,35 @@
 	"quilldoor/internal/simfleet"
 )
 
-// Each safeguard is needed: a node with all of them passes its trial, a node without it fails.
+// Each safeguard is needed: its scenario passes with all safeguards, and fails if this one is turned off.
 func TestEverySafeguardIsNeeded(t *testing.T) {
-	trials := map[string]func(t *testing.T, without string) error{
-		"incarnation order": playLateUpdate,
-		"refutation":        playPauses,
-		"confirmations":     playLateAcknowledgements,
-		"gossip bound":      playLastChange,
-		"pause detection":   playPauseAfterProbe,
-		"replay window":     playReplay,
-	}
-	for name, trial := range trials {
+	scenarios := map[string]func(t *testing.T, disabled string) error{
+		"incarnation order": runLateUpdate,
+		"refutation":        runShortPauses,
+		"confirmations":     runLateAcknowledgements,
+		"gossip bound":      runQuietPeriod,
+		"pause detection":   runPauseAfterProbe,
+		"replay window":     runReplay,
+	}
+	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			if err := trial(t, ""); err != nil {
+			if err := scenario(t, ""); err != nil {
 				t.Errorf("with all safeguards: %v", err)
 			}
-			if err := trial(t, name); err == nil {
-				t.Error("its absence is not noticed")
+			if err := scenario(t, name); err == nil {
+				t.Error("passes with the safeguard turned off")
 			} else {
-				t.Log(err)
+				t.Logf("with the safeguard turned off: %v", err)
 			}
 		})
 	}
 }
 
-// An update from before a member died comes late: the member stays dead.
-func playLateUpdate(_ *testing.T, without string) error {
+// An update from before a member's death arrives late: the member stays dead.
+func runLateUpdate(_ *testing.T, disabled string) error {
 	settings := membership.Settings{Name: "me", Addr: simfleet.Addr(0), Seeds: simfleet.Seeds(2)}
-	n := membership.New(settings.WithoutSafeguard(without), rand.New(rand.NewPCG(1, 1)), 1)
-	from := membership.Update{
+	n := membership.New(settings.WithoutSafeguard(disabled), rand.New(rand.NewPCG(1, 1)), 1)
+	sender := membership.Update{
 		Name: "n1", ID: membership.InstanceID{Epoch: 9, Nonce: 9}, Incarnation: 1,
 		State: membership.StateAlive, Addr: simfleet.Addr(1),
 	}
@@ -52,7 +52,7 @@
 	} {
 		update.Name, update.ID = "x", membership.InstanceID{Epoch: 2, Nonce: 2}
 		n.Receive(second, netip.AddrPort{}, &membership.Message{
-			Kind: membership.KindStateExchange, Sequence: uint64(i + 1), Sender: from, To: "me", ToInstance: n.Self().ID,
+			Kind: membership.KindStateExchange, Sequence: uint64(i + 1), Sender: sender, To: "me", ToInstance: n.Self().ID,
 			Updates: []membership.Update{update},
 		})
 	}
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// A process is paused for less than the suspicion timeout: nobody declares it dead.
-func playPauses(_ *testing.T, without string) error {
-	f := newFleet(12, 1, without, 0.05)
+// A process is paused several times, for less than the suspicion timeout: no member declares another one dead.
+func runShortPauses(_ *testing.T, disabled string) error {
+	f := newFleet(12, 1, disabled, 0.05)
 	converge(f, 30*second)
 	deaths := countDeaths(f, func(*simfleet.Host) bool { return true })
 	for range 5 {
@@ -74,12 +74,12 @@
 		f.RunUntil(f.Now + 5*second)
 	}
 	if *deaths > 0 {
-		return fmt.Errorf("a live router was declared dead %d times", *deaths)
+		return fmt.Errorf("running routers were declared dead %d times", *deaths)
 	}
 	return nil
 }
 
-// countDeaths counts how often the hosts that are observed declare a member dead.
+// countDeaths counts how often the observed hosts declare a member dead.
 func countDeaths(f *simfleet.Fleet, observed func(*simfleet.Host) bool) *int {
 	deaths := new(int)
 	f.OnChange = func(h *simfleet.Host, c membership.Change) {
@@ -90,37 +90,37 @@
 	return deaths
 }
 
-// One node hears all acknowledgements late: alone it must not declare healthy members dead.
-func playLateAcknowledgements(_ *testing.T, without string) error {
-	f := newFleet(12, 1, without, 0)
+// One node receives all acknowledgements late. Its suspicions alone must not make it declare healthy members dead.
+func runLateAcknowledgements(_ *testing.T, disabled string) error {
+	f := newFleet(12, 1, disabled, 0)
 	converge(f, 30*second)
 	deaths := countDeaths(f, func(h *simfleet.Host) bool { return h.ID == 4 })
 	f.Network.AddFault(&netsim.Fault{To: []int{4}, Delay: 1300 * millisecond})
 	f.RunUntil(f.Now + 10*second)
 	if *deaths > 0 {
-		return fmt.Errorf("live routers were declared dead %d times", *deaths)
+		return fmt.Errorf("running routers were declared dead %d times", *deaths)
 	}
 	return nil
 }
 
-// Ten seconds after the last change no updates are sent.
-func playLastChange(_ *testing.T, without string) error {
-	f := newFleet(12, 1, without, 0)
+// Ten seconds after the last change a node sends no updates: its rate is at most 2000 bytes a second.
+func runQuietPeriod(_ *testing.T, disabled string) error {
+	f := newFleet(12, 1, disabled, 0)
 	converge(f, 30*second)
 	f.Kill(11)
 	f.RunUntil(f.Now + 10*second)
-	from := f.Hosts[0].SentBytes
+	sentBefore := f.Hosts[0].SentBytes
 	f.RunUntil(f.Now + 5*second)
-	if rate := (f.Hosts[0].SentBytes - from) / 5; rate > 2000 {
-		return fmt.Errorf("%d bytes a second without a change", rate)
+	if rate := (f.Hosts[0].SentBytes - sentBefore) / 5; rate > 2000 {
+		return fmt.Errorf("%s sends %d bytes a second without a change", f.Hosts[0].Name, rate)
 	}
 	return nil
 }
 
-// A process is paused just after it has sent a probe: no member has failed because it did not hear the
-// acknowledgement.
-func playPauseAfterProbe(_ *testing.T, without string) error {
-	f := newFleet(12, 1, without, 0)
+// A process is paused while probes of it are pending. When it resumes it suspects no member because of the
+// acknowledgements that it did not receive, and reports no majority.
+func runPauseAfterProbe(_ *testing.T, disabled string) error {
+	f := newFleet(12, 1, disabled, 0)
 	converge(f, 30*second)
 	for range 10 {
 		heal := f.Network.AddFault(&netsim.Fault{From: []int{11}, Bidirectional: true, Partitioned: true})
@@ -130,19 +130,19 @@
 		heal()
 		f.RunUntil(f.Now + 20*second)
 		if suspects := resumeCountingSuspects(f, 11); suspects > 0 {
-			return fmt.Errorf("a node suspects %d members as it resumes", suspects)
+			return fmt.Errorf("%s suspects %d members as it resumes", f.Hosts[11].Name, suspects)
 		}
 		if s := f.Hosts[11].Detector.(*membership.Node).Connectivity(); s.Majority {
-			return fmt.Errorf("a node counts on a majority as it resumes: %+v", s)
+			return fmt.Errorf("%s reports a majority as it resumes: %+v", f.Hosts[11].Name, s)
 		}
-		if _, why := converge(f, 20*second); why != "" {
-			return fmt.Errorf("no agreement after that: %s", why)
+		if _, reason := converge(f, 20*second); reason != "" {
+			return fmt.Errorf("views have not converged after the pause: %s", reason)
 		}
 	}
 	return nil
 }
 
-// resumeCountingSuspects resumes a process, and returns how many members it suspects at once.
+// resumeCountingSuspects resumes a process, and returns how many members it suspects within 10 ms.
 func resumeCountingSuspects(f *simfleet.Fleet, host int) (suspects int) {
 	f.OnChange = func(h *simfleet.Host, c membership.Change) {
 		if h.ID == host && c.To == membership.StateSuspect {
@@ -155,9 +155,9 @@
 	return suspects
 }
 
-// Messages of a dead member are replayed: they don't make it alive.
-func playReplay(t *testing.T, without string) error {
-	f := newFleet(6, 1, without, 0)
+// Messages of a dead member are replayed: the member stays dead.
+func runReplay(t *testing.T, disabled string) error {
+	f := newFleet(6, 1, disabled, 0)
 	sent := recordPings(t, f, 5)
 	converge(f, 30*second)
 	f.RunUntil(f.Now + 20*second)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// recordPings collects the pings that a host sends.
+// recordPings records copies of the pings that a host sends.
 func recordPings(t *testing.T, f *simfleet.Fleet, host int) *[]*membership.Message {
 	t.Helper()
 	sent := new([]*membership.Message)
@@ -193,7 +193,7 @@
 	return sent
 }
 
-// deliverCopy hands a copy of a message to the host that it is for, unless that is the last one.
+// deliverCopy delivers a copy of a message to its receiver, unless that is the last host, which sent it.
 func deliverCopy(f *simfleet.Fleet, msg *membership.Message) {
 	for _, h := range f.Hosts[:len(f.Hosts)-1] {
 		if h.Name == msg.To {
