--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -96,7 +96,7 @@
 	nameReclaims      []int64 // times of the reclaims within nameReclaimWindow
 	conflictCheckedAt int64   // when the node last yielded its name or tried to reclaim it
 
-	queryAllowedAt int64 // theoretical arrival time of the next query, for the rate limit of queries
+	queryAllowedAt int64 // virtual time of the last answered query, for the rate limit of queries
 	connectivity   Connectivity
 }
 
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -53,8 +53,8 @@
 // log2 returns the binary logarithm of n+1, rounded up.
 func log2(n int) int64 { return int64(math.Ceil(math.Log2(float64(max(n, 1) + 1)))) }
 
-// beginSuspicion initializes the suspicion of a member that has just become suspect. If another member reported it,
-// this node's earlier failed probes do not count, and the node may be one of the early probers.
+// beginSuspicion initializes the suspicion of a member that has just become suspect. If another member reported the
+// suspicion, this node's earlier failed probes do not count, and the node may be one of the early probers.
 func (n *Node) beginSuspicion(m *member, cause event) {
 	m.ownProbeBegun = false
 	m.ownProbeAt = 0
