--- a/internal/gossip/claim.go
+++ b/internal/gossip/claim.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// claimLifetime is how long a claim holds without being reported again: the time that the platform gives a
+	// claimLifetime is how long a claim holds without being reported again. It is the time that the platform allows a
 	// discovery source to announce a change.
 	claimLifetime = 7 * second
-	// requiredConfirmations is the number of other routers that must report the same: one router that holds all
-	// endpoints gone by a fault of its own must not empty the list of any other.
+	// requiredConfirmations is the number of other routers that must report the same state: a single router that by a
+	// fault of its own reports all endpoints as gone must not empty the endpoint list of any other.
 	requiredConfirmations = 2
 )
 
-// claim is what other routers report of an endpoint that goes beyond what the own source has announced. The zero value
-// is no claim.
+// claim is a state of an endpoint that other routers report and that is later than the one that the local source has
+// announced. The zero value is no claim.
 type claim struct {
 	Endpoint
-	confirmedBy [requiredConfirmations]string // routers; "": none yet
+	confirmedBy [requiredConfirmations]string // names of the routers that reported it; "": still missing
 	expiresAt   int64
 }
 
@@ -27,27 +27,28 @@
 
 func (c *claim) confirmed() bool { return !slices.Contains(c.confirmedBy[:], "") }
 
-// supersededBy reports whether the own source has caught up with a claim, knows a later state, or says that the
-// endpoint is not to be used while the claim says that it is.
+// supersededBy reports whether an announcement of the local source ends the claim. It does so if its state is the same
+// or later, or if it says that the endpoint is draining or gone while the claim says that it is active.
 func (c *claim) supersededBy(local Endpoint) bool {
-	usedAgainstLocal := c.State == policy.EndpointActive && local.State != policy.EndpointActive
-	return usedAgainstLocal || !isLater(c.Endpoint, local)
+	activeAgainstLocal := c.State == policy.EndpointActive && local.State != policy.EndpointActive
+	return activeAgainstLocal || !isLater(c.Endpoint, local)
 }
 
-// applyReport takes another router's report of an endpoint. It reports whether a claim is accepted by it.
+// applyReport processes the report of an endpoint by another router. It reports whether the report makes the replica
+// accept a claim.
 func (r *Replica) applyReport(now, wall int64, from string, reported Endpoint) bool {
 	if !plausible(reported, wall) {
 		r.Counts.Rejected++
 		return false
 	}
-	// A new endpoint is taken from the own source only: where that one is unreachable nothing can be sent to the endpoint
-	// either, and its address may be another one for each router.
+	// New endpoints are accepted from the local source only: a router that can't reach its source can't send to the
+	// endpoint either, and the address of an endpoint may differ between routers.
 	rec := r.endpoints[reported.ID]
 	if rec == nil {
 		return false
 	}
-	// A report of a later state tells that the claim's has been passed, even where only the own source may say that the
-	// endpoint is active again.
+	// A report of a later state implies that the endpoint has passed the claimed state. It prolongs the claim even if it
+	// can't be applied itself, because only the local source may reactivate the endpoint.
 	if !isLater(rec.accepted.Endpoint, reported) {
 		rec.accepted.prolong(now)
 	}
@@ -67,6 +68,7 @@
 	return true
 }
 
+// plausible reports whether a reported endpoint has an id, a known state, and a start that is not in the future.
 func plausible(e Endpoint, wall int64) bool {
 	switch e.State {
 	case policy.EndpointActive, policy.EndpointDraining, policy.EndpointGone:
@@ -75,8 +77,8 @@
 	return false
 }
 
-// mayOverride reports whether a report is later than what the own source has announced. Where that source has
-// announced a draining or an end, only it can make the endpoint active again.
+// mayOverride reports whether a report is later than the announcement of the local source. Once that source has
+// announced that an endpoint is draining or gone, only it can make the endpoint active again.
 func (r *Replica) mayOverride(rec *record, reported Endpoint) bool {
 	if !r.guards(safeguardOrder) {
 		return true
@@ -87,36 +89,36 @@
 	return isLater(reported, rec.local)
 }
 
-// prolong starts the lifetime of the claim anew.
+// prolong restarts the lifetime of the claim, if there is one.
 func (c *claim) prolong(now int64) {
 	if c.exists() {
 		c.expiresAt = now + claimLifetime
 	}
 }
 
-// acceptedCovers reports whether the accepted claim is as late as the report or later.
+// acceptedCovers reports whether the accepted claim has the reported state or a later one.
 func (r *Replica) acceptedCovers(rec *record, reported Endpoint) bool {
 	return r.guards(safeguardOrder) && rec.accepted.exists() && !isLater(reported, rec.accepted.Endpoint)
 }
 
-// updateCandidate counts a report as a confirmation of the candidate, or makes it the candidate where it is later. It
-// reports false where the report is earlier than the candidate.
+// updateCandidate counts a report of the candidate's state as a confirmation, and replaces the candidate by a report of
+// a later state. It returns false for a report of an earlier state.
 func (r *Replica) updateCandidate(now int64, from string, rec *record, reported Endpoint) bool {
-	c := &rec.candidate
-	replaces := !r.guards(safeguardOrder) && reported.digest() != c.digest()
+	candidate := &rec.candidate
+	replaces := !r.guards(safeguardOrder) && reported.digest() != candidate.digest()
 	switch {
-	case !c.exists() || isLater(reported, c.Endpoint) || replaces:
-		*c = claim{Endpoint: reported, confirmedBy: [requiredConfirmations]string{from}}
-	case isLater(c.Endpoint, reported):
+	case !candidate.exists() || isLater(reported, candidate.Endpoint) || replaces:
+		*candidate = claim{Endpoint: reported, confirmedBy: [requiredConfirmations]string{from}}
+	case isLater(candidate.Endpoint, reported):
 		return false
-	case !slices.Contains(c.confirmedBy[:], from):
-		c.confirmedBy[slices.Index(c.confirmedBy[:], "")] = from
+	case !slices.Contains(candidate.confirmedBy[:], from):
+		candidate.confirmedBy[slices.Index(candidate.confirmedBy[:], "")] = from
 	}
-	c.expiresAt = now + claimLifetime
+	candidate.expiresAt = now + claimLifetime
 	return true
 }
 
-// expireClaims drops the claims of an endpoint whose time is over. It reports whether the accepted one was among them.
+// expireClaims drops the claims of an endpoint that have expired. It reports whether the accepted claim was one of them.
 func (r *Replica) expireClaims(now int64, rec *record) bool {
 	if !r.guards(safeguardExpiry) {
 		return false
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// digestBuckets is the number of digests into which the state is split, so that only what differs is sent.
+	// digestBuckets is the number of buckets into which the state is split, so that only those that differ are sent.
 	digestBuckets = 16
-	// requestInterval is the least time between two requests of a router, but for claims that are to be confirmed.
-	requestInterval        = second / 2
-	confirmRequestInterval = requestInterval / 5
-	// settleTime is how long a replica must be unchanged before it asks: most differences are changes that the other
-	// sources are about to announce.
+	// requestInterval is the minimum time between two requests of a replica.
+	requestInterval = second / 2
+	// claimRequestInterval is the minimum time while a claim has to be confirmed or prolonged.
+	claimRequestInterval = requestInterval / 5
+	// settleTime is how long a replica must be unchanged before a different digest causes a request: most differences
+	// are changes that the other sources are about to announce.
 	settleTime = second / 2
 	// startupRequests is the number of requests that a new replica sends without waiting: its list may be as old as
 	// the start of its process.
 	startupRequests = requiredConfirmations
 	// maxChunks bounds the messages of one response.
 	maxChunks = 12
-	// maxClaimedBytes bounds the endpoint ids in a request.
+	// maxClaimedBytes bounds the encoded size of the endpoint ids in a request.
 	maxClaimedBytes = 800
 )
 
-// digest covers what replicas of an endpoint can differ in: its start and state.
+// digest covers the fields in which two replicas can differ for an endpoint: its start and state.
 func (e *Endpoint) digest() uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(e.ID))
@@ -43,7 +44,7 @@
 	return h.Sum32()
 }
 
-// timeBytes are the low 48 bits of a time, least byte first.
+// timeBytes returns the low 48 bits of a time, the least significant byte first.
 func timeBytes(t int64) []byte {
 	return []byte{byte(t), byte(t >> 8), byte(t >> 16), byte(t >> 24), byte(t >> 32), byte(t >> 40)}
 }
@@ -56,8 +57,8 @@
 
 func (k purgeKey) bucket() int { return bucketOf(k.object + string(rune(k.group))) }
 
-// rebuildDigests computes the digests of all buckets. Endpoints that are gone are left out: some replicas have
-// forgotten them.
+// rebuildDigests computes the digests of all buckets. Endpoints that are gone are left out, since other replicas may
+// already have dropped their records.
 func (r *Replica) rebuildDigests() {
 	r.digests = [digestBuckets]uint32{}
 	for id, rec := range r.endpoints {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Digest returns the digest of the whole state, which all messages of package membership carry. Equal states have the
-// same.
+// Digest returns the digest of the whole state, which all messages of package membership carry. Equal states have equal
+// digests.
 func (r *Replica) Digest() (digest uint32) {
 	for i, d := range r.digests {
 		digest ^= d * uint32(2*i+1)
@@ -80,25 +81,26 @@
 	return digest
 }
 
-// ShouldRequest reports whether to ask a router with this digest for its state, and counts the request. A different
-// digest is a reason once the replica has settled; a claim that needs to be confirmed or prolonged is one at once.
+// ShouldRequest reports whether to send a request to a router with this digest, and counts the request. A different
+// digest causes a request once the replica has been unchanged for settleTime or has a claim. A claim that has to be
+// confirmed or prolonged causes one even if the digests are equal.
 func (r *Replica) ShouldRequest(now int64, digest uint32) bool {
 	differs := digest != r.Digest()
 	if r.Counts.Requests < startupRequests && differs {
 		r.Counts.Requests++
 		return true
 	}
-	claims, confirmationDue := r.claimStatus(now)
+	hasClaims, requestDue := r.claimStatus(now)
 	interval := requestInterval
-	if confirmationDue {
-		interval = confirmRequestInterval
+	if requestDue {
+		interval = claimRequestInterval
 	}
 	if now-r.requestedAt < interval {
 		return false
 	}
-	// With a claim the others are known to be ahead of the own source: there is nothing to wait for.
-	settled := claims || now-r.changedAt >= settleTime
-	needed := confirmationDue || differs && settled
+	// A claim shows that other routers are ahead of the local source: waiting would not remove the difference.
+	settled := hasClaims || now-r.changedAt >= settleTime
+	needed := requestDue || differs && settled
 	if !needed {
 		return false
 	}
@@ -107,20 +109,20 @@
 	return true
 }
 
-// claimStatus reports whether there are claims, and whether one of them is due for a request: a candidate wants a
-// confirmation, an accepted one is to be prolonged after a third of its lifetime.
-func (r *Replica) claimStatus(now int64) (claims, confirmationDue bool) {
+// claimStatus reports whether there are claims, and whether one of them is due for a request: a candidate has to be
+// confirmed, and an accepted claim has to be prolonged after a third of its lifetime.
+func (r *Replica) claimStatus(now int64) (hasClaims, requestDue bool) {
 	for _, rec := range r.endpoints {
-		candidate, accepted := rec.candidate.exists(), rec.accepted.exists()
-		claims = claims || candidate || accepted
-		aging := accepted && rec.accepted.expiresAt-now < claimLifetime*2/3
-		confirmationDue = confirmationDue || candidate || aging
+		hasCandidate, hasAccepted := rec.candidate.exists(), rec.accepted.exists()
+		hasClaims = hasClaims || hasCandidate || hasAccepted
+		prolongationDue := hasAccepted && rec.accepted.expiresAt-now < claimLifetime*2/3
+		requestDue = requestDue || hasCandidate || prolongationDue
 	}
-	return claims, confirmationDue
+	return hasClaims, requestDue
 }
 
-// NewRequest makes the request for what differs. The digests of buckets with claims are inverted, so that they always
-// differ and the claims are reported again.
+// NewRequest returns a request for the buckets that differ. The digests of buckets with claims are inverted: they then
+// differ in any case, and the other router reports the endpoints of the claims again.
 func (r *Replica) NewRequest() DigestRequest {
 	request := DigestRequest{Digests: slices.Clone(r.digests[:]), Claimed: r.claimedIDs()}
 	for id, rec := range r.endpoints {
@@ -132,8 +134,8 @@
 	return request
 }
 
-// claimedIDs returns the endpoints with accepted claims that fit into a request, the claim that expires first before
-// the others.
+// claimedIDs returns the ids of the endpoints with accepted claims, as many as fit into a request. They are in the order
+// in which the claims expire.
 func (r *Replica) claimedIDs() (ids []string) {
 	for _, id := range r.sortedIDs() {
 		if r.endpoints[id].accepted.exists() {
@@ -153,16 +155,17 @@
 	return ids
 }
 
-// reportedIDBytes is the most that an endpoint id takes in a list of a message.
+// reportedIDBytes returns the maximum encoded size of an endpoint id in a list of a message.
 func reportedIDBytes(id string) int {
 	const prefixBytes = 3
 	return prefixBytes + len(id)
 }
 
-// Respond returns what the own source has announced in the buckets that differ, in chunks of up to chunkBytes, 12 at
-// most: the next request brings the rest. Claims are not passed on, else routers without a source would confirm each
-// other's. Purges are, whoever announced them. Of the endpoints that the request claims, those that the own source does
-// not list are named.
+// Respond returns the content of the buckets that differ from the request, in chunks of about chunkBytes each. It returns
+// 12 chunks at most; the rest is left to later requests. Endpoints are reported as the local source has announced them:
+// if claims were passed on, routers without a source would confirm each other's claims. Purges are reported whichever
+// router has announced them. Those endpoints in request.Claimed that the local source does not list are returned as
+// unlisted.
 func (r *Replica) Respond(request *DigestRequest, chunkBytes int) []StateExchange {
 	if len(request.Digests) != digestBuckets {
 		r.Counts.Rejected++
@@ -172,7 +175,7 @@
 	differs := func(bucket int) bool { return request.Digests[bucket] != r.digests[bucket] }
 	response := chunkedExchange{chunkBytes: chunkBytes}
 	for _, id := range request.Claimed {
-		if r.doesNotList(id) {
+		if r.isUnlisted(id) {
 			response.addUnlisted(id)
 		}
 	}
@@ -181,39 +184,40 @@
 			response.addEndpoint(r.endpoints[id].local)
 		}
 	}
-	for _, key := range r.sortedPurges(func(k purgeKey) bool { return differs(k.bucket()) }) {
+	for _, key := range r.sortedPurgeKeys(func(k purgeKey) bool { return differs(k.bucket()) }) {
 		response.addPurge(key, r.purges[key])
 	}
 	chunks := response.finish()
 	return chunks[:min(len(chunks), maxChunks)]
 }
 
-// doesNotList reports whether the own source has announced all endpoints that exist, and not this one; it may have been
-// gone for so long that it is forgotten.
-func (r *Replica) doesNotList(id string) bool {
+// isUnlisted reports whether the local source has announced a complete list and the replica holds no such endpoint. The
+// endpoint may also have been gone for so long that its record was dropped. A full replica reports none as unlisted,
+// since it may lack endpoints that the source lists.
+func (r *Replica) isUnlisted(id string) bool {
 	return r.listComplete && len(r.endpoints) < maxEndpoints && r.endpoints[id] == nil
 }
 
-// chunkedExchange collects a response in chunks.
+// chunkedExchange splits a response into chunks.
 type chunkedExchange struct {
-	chunkBytes int
-	chunks     []StateExchange
-	current    StateExchange
-	size       int // estimated, of current
+	chunkBytes   int
+	chunks       []StateExchange // complete ones
+	current      StateExchange
+	currentBytes int // estimated size of current
 }
 
-// reserve begins a new chunk where the current one has no room for so many bytes.
-func (c *chunkedExchange) reserve(bytes int) {
-	if c.size+bytes > c.chunkBytes {
+// reserve begins a new chunk if an item of the given size does not fit into the current one.
+func (c *chunkedExchange) reserve(itemBytes int) {
+	if c.currentBytes+itemBytes > c.chunkBytes {
 		c.chunks = append(c.chunks, c.current)
 		c.current = StateExchange{}
-		c.size = 0
+		c.currentBytes = 0
 	}
-	c.size += bytes
+	c.currentBytes += itemBytes
 }
 
 func (c *chunkedExchange) addEndpoint(e Endpoint) {
-	const fixedBytes = 40 // beside the texts
+	const fixedBytes = 40 // all but the strings
 	c.reserve(fixedBytes + len(e.ID) + len(e.Address) + len(e.Zone) + len(e.Kind))
 	c.current.Endpoints = append(c.current.Endpoints, newEndpointReport(e))
 }
@@ -224,22 +228,23 @@
 }
 
 func (c *chunkedExchange) addPurge(key purgeKey, at int64) {
-	const fixedBytes = 20 // beside the text
+	const fixedBytes = 20 // all but the string
 	c.reserve(fixedBytes + len(key.object))
 	c.current.Purges = append(c.current.Purges, PurgeReport{Object: key.object, Group: key.group, At: at})
 }
 
 func (c *chunkedExchange) finish() []StateExchange { return append(c.chunks, c.current) }
 
-// Result is what a payload brings.
+// Result is the outcome of a payload.
 type Result struct {
-	Replies   [][]byte   // encoded Payloads to be sent to its sender
+	Replies   [][]byte   // encoded Payloads to send to the sender
 	Endpoints []Endpoint // accepted claims, to be applied to the endpoint list
 	Purges    []Purge    // to be applied
 }
 
-// HandlePayload handles what a message of another router carries: its digest alone where body is nil, or a request or
-// a response. Replies are 12 at most and have up to about chunkBytes each.
+// HandlePayload processes the digest and the body of a message from another router. A nil body means that the message
+// carries the digest alone; otherwise the body is a request or a response. There are 12 replies at most, of about
+// chunkBytes each.
 func (r *Replica) HandlePayload(now, wall int64, from string, digest uint32, body []byte, chunkBytes int) Result {
 	if body == nil {
 		if !r.ShouldRequest(now, digest) {
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -1,24 +1,26 @@
 package gossip
 
-// Safeguards that WithoutSafeguard turns off, by the names of the tests that need them.
+import "fmt"
+
+// safeguardsByName has the safeguards that WithoutSafeguard can turn off.
 var safeguardsByName = map[string]safeguard{
 	"confirmations": safeguardConfirmations,
 	"order":         safeguardOrder,
 	"expiry":        safeguardExpiry,
 }
 
-// WithoutSafeguard turns a safeguard off; none for "".
+// WithoutSafeguard returns settings with the named safeguard turned off, or s itself for "".
 func (s Settings) WithoutSafeguard(name string) Settings {
 	if name == "" {
 		return s
 	}
-	guard, ok := safeguardsByName[name]
+	disabled, ok := safeguardsByName[name]
 	if !ok {
-		panic("no safeguard " + name)
+		panic(fmt.Sprintf("unknown safeguard %q", name))
 	}
-	s.disabled = guard
+	s.disabled = disabled
 	return s
 }
 
-// ListSizes returns the sizes of all lists that a replica keeps.
+// ListSizes returns the numbers of endpoints and purges that the replica holds.
 func (r *Replica) ListSizes() (endpoints, purges int) { return len(r.endpoints), len(r.purges) }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -11,10 +11,11 @@
 const (
 	second = int64(1_000_000)
 
-	// goneRetention is how long an endpoint that is gone is remembered and reported.
+	// goneRetention is how long the record of an endpoint that is gone is kept and reported.
 	goneRetention = 120 * second
-	// maxClockSkew is how far another router's clock may be ahead of this one's.
+	// maxClockSkew is how far the clock of another router may be ahead of the local one.
 	maxClockSkew = 2 * second
+	// maxEndpoints bounds the endpoints that are replicated.
 	maxEndpoints = 20_000
 )
 
@@ -26,60 +27,60 @@
 
 // Settings of a Replica.
 type Settings struct {
-	// PurgeRetention is how long a purge is kept and accepted, in microseconds: long enough for all caches to have
-	// dropped what is older. A longer time costs memory and traffic. There is no default.
+	// PurgeRetention is how long a purge is kept and accepted, in microseconds. It has to be so long that every cache
+	// has dropped the copies from before the purge by then. A longer time costs memory and traffic. There is no default.
 	PurgeRetention int64
 
-	// disabled is the safeguard that a test turns off; none in a router.
+	// disabled is the safeguard that a test turns off; always safeguardNone in a router.
 	disabled safeguard
 }
 
-// safeguard is a protection against what other routers report. The tests turn them off one at a time to prove that
-// each is needed and that its absence is noticed; outside of tests all are on.
+// safeguard is a protection against false or outdated reports of other routers. The tests turn the safeguards off one
+// at a time to prove that each is needed and that a test fails without it; outside of tests all are on.
 type safeguard uint8
 
 const (
 	safeguardNone          safeguard = iota
-	safeguardConfirmations           // one router's report alone is not applied
+	safeguardConfirmations           // the report of a single router is not applied
 	safeguardOrder                   // an earlier report does not replace a later one
-	safeguardExpiry                  // a claim that nobody reports again expires
+	safeguardExpiry                  // a claim that no router reports again expires
 )
 
 // Counts are totals since the start.
 type Counts struct {
-	Requests       int64 // sent
-	Responses      int64 // sent, whatever their number of messages
-	ClaimsAccepted int64 // applied over what the own source has announced
-	ClaimsExpired  int64 // accepted ones that nobody reported again
-	Purges         int64 // of other routers, applied
-	Rejected       int64 // reports and messages that can't be true or can't be read
+	Requests       int64 // requests sent
+	Responses      int64 // responses sent; one of several messages counts once
+	ClaimsAccepted int64 // claims applied over the announcements of the local source
+	ClaimsExpired  int64 // accepted claims that no router reported again
+	Purges         int64 // purges applied from reports of other routers
+	Rejected       int64 // implausible reports, and malformed messages
 }
 
-// Replica is one router's copy of the replicated state. It is not safe for concurrent use. Its times named now are
-// microseconds of a steady clock, those named wall are Unix microseconds.
+// Replica is one router's copy of the replicated state. It is not safe for concurrent use. Parameters named now are
+// microseconds of a monotonic clock, those named wall are Unix microseconds.
 type Replica struct {
 	// Counts may be read between calls.
 	Counts Counts
 
 	settings           Settings
-	endpoints          map[string]*record
+	endpoints          map[string]*record // by endpoint id
 	purges             map[purgeKey]int64 // Unix microseconds
 	digests            [digestBuckets]uint32
-	changedAt          int64 // when the own source or another router announced a change last
-	requestedAt        int64
-	listComplete       bool // the own source has announced all endpoints that exist
-	singleConfirmation bool
+	changedAt          int64 // of the last announcement of the local source, or the last report that was applied
+	requestedAt        int64 // of the last request after those at startup
+	listComplete       bool  // the local source has announced a complete list
+	singleConfirmation bool  // set by SetSingleConfirmation
 }
 
-// record is what is held of one endpoint.
+// record holds the state of one endpoint.
 type record struct {
-	local     Endpoint // as the own source has announced it
-	goneAt    int64    // when the own source announced that it is gone
-	accepted  claim    // applied over local
-	candidate claim    // later than local and accepted, and short of confirmations
+	local     Endpoint // as announced by the local source
+	goneAt    int64    // when the local source announced that the endpoint is gone
+	accepted  claim    // applied in place of local
+	candidate claim    // later than local and accepted, and not confirmed yet
 }
 
-// effective is the state that is applied of the endpoint.
+// effective returns the state of the endpoint that the router applies.
 func (rec *record) effective() Endpoint {
 	if rec.accepted.exists() {
 		return rec.accepted.Endpoint
@@ -87,7 +88,7 @@
 	return rec.local
 }
 
-// New makes an empty replica.
+// New returns an empty replica.
 func New(settings Settings) *Replica {
 	return &Replica{settings: settings, endpoints: map[string]*record{}, purges: map[purgeKey]int64{}}
 }
@@ -95,15 +96,16 @@
 // guards reports whether a safeguard is on.
 func (r *Replica) guards(s safeguard) bool { return r.settings.disabled != s }
 
-// MembersForConfirmation is how many members, itself included, a router must know of until reports of endpoints need a
-// second source.
+// MembersForConfirmation is the number of members, itself included, that a router must know of before it requires the
+// reports of two other routers for a claim.
 const MembersForConfirmation = 3
 
-// SetSingleConfirmation sets whether one router's report is enough, as fewer than two others are known.
+// SetSingleConfirmation sets whether the report of one router is enough to accept a claim. It is meant for a router that
+// knows of fewer than two others.
 func (r *Replica) SetSingleConfirmation(single bool) { r.singleConfirmation = single }
 
-// stateRank orders the states within one start of an endpoint: another router's report never goes back to an earlier
-// one.
+// stateRank orders the states within one start of an endpoint. A report of another router never moves an endpoint to a
+// lower rank.
 func stateRank(s policy.EndpointState) uint8 {
 	switch s {
 	case policy.EndpointActive:
@@ -114,31 +116,32 @@
 	return 2
 }
 
-// isLater reports whether a is later than b, both of the same endpoint.
+// isLater reports whether a is a later state than b of the same endpoint.
 func isLater(a, b Endpoint) bool {
 	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(stateRank(a.State), stateRank(b.State))) > 0
 }
 
-// ApplyLocal takes endpoints that the own source announces. complete says that the list names all that exist. It
-// returns what is to be applied for each: what others claim stays in force over it. More than 20,000 endpoints are
-// applied but not replicated.
-func (r *Replica) ApplyLocal(now int64, complete bool, list []Endpoint) []Endpoint {
+// ApplyLocal records the endpoints that the local source announces. complete says that the announcement lists every
+// endpoint that exists. ApplyLocal returns the state to apply for each announced endpoint, which is that of the accepted
+// claim where the claim is still later. Endpoints beyond the first 20,000 are returned as announced and not replicated.
+func (r *Replica) ApplyLocal(now int64, complete bool, announced []Endpoint) []Endpoint {
 	r.changedAt = now
 	if complete {
 		r.listComplete = true
-		r.markMissingGone(now, list)
+		r.markMissingGone(now, announced)
 	}
-	effective := make([]Endpoint, 0, len(list))
-	for _, e := range list {
+	effective := make([]Endpoint, 0, len(announced))
+	for _, e := range announced {
 		effective = append(effective, r.applyLocalEndpoint(now, e))
 	}
 	r.rebuildDigests()
 	return effective
 }
 
-func (r *Replica) markMissingGone(now int64, list []Endpoint) {
+// markMissingGone marks the endpoints that a complete announcement does not list as gone.
+func (r *Replica) markMissingGone(now int64, announced []Endpoint) {
 	listed := map[string]bool{}
-	for _, e := range list {
+	for _, e := range announced {
 		listed[e.ID] = true
 	}
 	for id, rec := range r.endpoints {
@@ -158,7 +161,7 @@
 		rec = &record{local: e}
 		r.endpoints[e.ID] = rec
 	}
-	// Only the own source can take a draining back. It then overrides all claims.
+	// Only the local source can reactivate an endpoint within one start. This overrides all claims.
 	reactivated := e.StartedAt == rec.local.StartedAt && stateRank(e.State) < stateRank(rec.local.State)
 	rec.local = e
 	if e.State == policy.EndpointGone {
@@ -172,9 +175,9 @@
 	return rec.effective()
 }
 
-// Tick drops claims that nobody has reported for 7 s, purges older than Settings.PurgeRetention, and endpoints that
-// have been gone for 120 s. It is called several times a second. It returns the endpoints whose accepted claims have
-// expired, as they are to be applied now.
+// Tick drops claims that no router has reported for 7 s, purges older than Settings.PurgeRetention, and endpoints that
+// have been gone for 120 s. It is to be called several times a second. It returns the endpoints whose accepted claims
+// have expired, in the state that the local source has announced and that applies from now on.
 func (r *Replica) Tick(now, wall int64) (endpoints []Endpoint) {
 	for _, id := range r.sortedIDs() {
 		rec := r.endpoints[id]
@@ -199,8 +202,8 @@
 	return ids
 }
 
-// Merge takes what another router reports, and returns what is to be applied. Endpoints that the own source has not
-// announced are passed over.
+// Merge merges the reports of another router into the state, and returns the endpoints and purges to apply. Endpoints
+// that the local source has not announced are ignored.
 func (r *Replica) Merge(now, wall int64, from string, report *StateExchange) (endpoints []Endpoint, purges []Purge) {
 	for _, p := range report.Purges {
 		if purge := p.purge(); r.applyReportedPurge(wall, purge) {
@@ -213,8 +216,8 @@
 			endpoints = append(endpoints, r.endpoints[e.ID].accepted.Endpoint)
 		}
 	}
-	// Another source that does not list an endpoint may have forgotten that it is gone, and may as well be late with a
-	// new one: that prolongs a claim, and confirms none.
+	// A source may not list an endpoint because it dropped the record of an endpoint that is gone, or because it has not
+	// announced a new endpoint yet. Both cases prolong an accepted claim, and neither confirms a candidate.
 	for _, id := range report.Unlisted {
 		if rec := r.endpoints[id]; rec != nil {
 			rec.accepted.prolong(now)
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -9,26 +9,26 @@
 	"quilldoor/internal/policy"
 )
 
-// Payload is what one replica sends another: a request or a part of the response. One of the two is set.
+// Payload is a message between two replicas: a request, or a part of the response to it. One of its fields is set.
 type Payload struct {
 	Request       *DigestRequest `cbor:"1,keyasint,omitempty"`
 	StateExchange *StateExchange `cbor:"2,keyasint,omitempty"`
 }
 
-// DigestRequest asks for the state of the buckets whose digests differ from these.
+// DigestRequest requests the content of the buckets whose digests differ from Digests.
 type DigestRequest struct {
-	Digests []uint32 `cbor:"1,keyasint"`           // one for each bucket; another number of them is rejected
-	Claimed []string `cbor:"2,keyasint,omitempty"` // endpoints of which the sender holds accepted claims
+	Digests []uint32 `cbor:"1,keyasint"`           // one for each bucket; a request with more or fewer is rejected
+	Claimed []string `cbor:"2,keyasint,omitempty"` // ids of endpoints for which the sender has accepted a claim
 }
 
 // StateExchange is a part of a response.
 type StateExchange struct {
 	Endpoints []EndpointReport `cbor:"1,keyasint,omitempty"`
 	Purges    []PurgeReport    `cbor:"2,keyasint,omitempty"`
-	Unlisted  []string         `cbor:"3,keyasint,omitempty"` // claimed endpoints that the sender's source does not list
+	Unlisted  []string         `cbor:"3,keyasint,omitempty"` // ids in Claimed that the sender's source does not list
 }
 
-// EndpointReport is an endpoint as the source of the sender has announced it.
+// EndpointReport is an endpoint as announced by the sender's source.
 type EndpointReport struct {
 	ID        string               `cbor:"1,keyasint"`
 	Address   string               `cbor:"2,keyasint,omitempty"`
@@ -40,10 +40,10 @@
 	StartedAt int64                `cbor:"8,keyasint,omitempty"` // Unix microseconds
 }
 
-// PurgeReport is a purge in a message.
+// PurgeReport is a purge in a response.
 type PurgeReport struct {
-	Object string `cbor:"1,keyasint,omitempty"` // "": the whole group
-	Group  int64  `cbor:"2,keyasint,omitempty"` // where Object is ""
+	Object string `cbor:"1,keyasint,omitempty"` // "": the purge covers Group
+	Group  int64  `cbor:"2,keyasint,omitempty"` // used if Object is ""
 	At     int64  `cbor:"3,keyasint"`           // Unix microseconds
 }
 
@@ -77,24 +77,25 @@
 
 func (m PurgeReport) purge() Purge { return Purge(m) }
 
-// decoder bounds what a payload may hold.
-var decoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
+// payloadDecoder limits the size of a decoded payload.
+var payloadDecoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
 	MaxArrayElements: 1024, MaxMapPairs: 16, MaxNestedLevels: 6,
 })
 
-// Encode returns the payload's bytes.
+// Encode returns the encoded payload.
 func (p *Payload) Encode() []byte {
 	b, err := cbor.Marshal(p)
 	if err != nil {
-		panic(fmt.Errorf("encode gossip payload: %w", err)) // its types can all be encoded
+		panic(fmt.Errorf("encode gossip payload: %w", err)) // unreachable: all field types can be encoded
 	}
 	return b
 }
 
-// Decode reads a payload; nil: it is malformed, has neither a request nor a response, or a list of more than 1024.
+// Decode decodes a payload. It returns nil if the payload is malformed, has neither a request nor a response, or has a
+// list of more than 1024 elements.
 func Decode(b []byte) *Payload {
 	var p Payload
-	if decoder.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
+	if payloadDecoder.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
 		return nil
 	}
 	return &p
--- a/internal/gossip/purge.go
+++ b/internal/gossip/purge.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// maxPurges bounds the purges that are held; the oldest gives way to a new one.
+// maxPurges bounds the purges that are held; beyond it a new purge evicts the oldest one.
 const maxPurges = 4096
 
-// Purge is the purge of an object, or of a group where Object is "". At is Unix microseconds: what was cached before
-// is not to be served.
+// Purge is the purge of an object, or of a group where Object is "". Copies that were cached before At, in Unix
+// microseconds, must not be served.
 type Purge struct {
 	Object string
 	Group  int64
 	At     int64
 }
 
-// purgeKey names what is purged.
+// purgeKey identifies the object or group that a purge covers.
 type purgeKey struct {
 	object string
 	group  int64
@@ -27,14 +27,14 @@
 	return cmp.Or(cmp.Compare(a.object, b.object), cmp.Compare(a.group, b.group))
 }
 
-// ApplyLocalPurge takes a purge that the own source announces.
+// ApplyLocalPurge records a purge that the local source announces.
 func (r *Replica) ApplyLocalPurge(now int64, p Purge) {
 	r.changedAt = now
 	r.applyPurge(p)
 	r.rebuildDigests()
 }
 
-// applyReportedPurge reports whether a purge of another router is to be applied.
+// applyReportedPurge records a purge that another router reports. It reports whether the purge is to be applied.
 func (r *Replica) applyReportedPurge(wall int64, p Purge) bool {
 	if p.At > wall+maxClockSkew || p.At < wall-r.settings.PurgeRetention {
 		r.Counts.Rejected++
@@ -47,7 +47,7 @@
 	return true
 }
 
-// applyPurge reports whether a purge is later than the one held for its key.
+// applyPurge records a purge. It returns false if the purge held for the same key is as late or later.
 func (r *Replica) applyPurge(p Purge) bool {
 	key := purgeKey{p.Object, p.Group}
 	heldAt, held := r.purges[key]
@@ -80,8 +80,8 @@
 	}
 }
 
-// sortedPurges returns the keys of the purges that match, the latest purge first.
-func (r *Replica) sortedPurges(match func(purgeKey) bool) (keys []purgeKey) {
+// sortedPurgeKeys returns the keys of the purges that match, the key of the latest purge first.
+func (r *Replica) sortedPurgeKeys(match func(purgeKey) bool) (keys []purgeKey) {
 	for key := range r.purges {
 		if match(key) {
 			keys = append(keys, key)
