--- a/internal/gossip/claim_test.go
+++ b/internal/gossip/claim_test.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/gossip"
 )
 
-// Guards against a router without a source going back to an earlier start of an endpoint, since the others report
-// later states than the one that it has accepted, and each another one.
+// An accepted claim must not expire while other routers report later states, even if no two of them report the same one.
+// Otherwise a router whose source is disconnected goes back to an earlier start of the endpoint.
 func TestAcceptedClaimOutlastsReportsOfLaterStates(t *testing.T) {
 	s := newTestSite(3, "")
 	s.announce(0b111, true, endpoint("a", active, 0))
@@ -16,40 +16,40 @@
 	s.announce(0b011, false, endpoint("a", active, firstRestart))
 	s.advance(2 * second)
 	if got := s.applied[2]["a"]; got.StartedAt != firstRestart {
-		t.Fatalf("the restart that two others report is not applied: %+v", got)
+		t.Fatalf("restart reported by two other routers is not applied: %+v", got)
 	}
 	s.announce(0b001, false, endpoint("a", gone, firstRestart))
 	s.announce(0b010, false, endpoint("a", active, wall+s.now))
 	s.advance(20 * second)
 	if got := s.applied[2]["a"]; got.StartedAt < firstRestart {
-		t.Errorf("goes back to an earlier start: %+v", got)
+		t.Errorf("router went back to an earlier start: %+v", got)
 	}
 }
 
-// Guards against the same where the own source has announced that the endpoint is gone, so that no later start that
-// the others report can be applied.
+// An accepted claim must also be prolonged by reports of a later start that can't be applied, because the local source
+// has announced that the endpoint is gone. Otherwise the router goes back to an earlier start once the claim expires.
 func TestAcceptedClaimOutlastsReportsOfStartsThatMayNotBeApplied(t *testing.T) {
-	s := newCutSite("")
+	s := newDisconnectedSite("")
 	s.announce(all, false, endpoint("a", gone, 0))
 	restart := wall + s.now
 	s.announce(connected, false, endpoint("a", draining, restart))
 	s.advance(2 * second)
 	if got := s.applied[3]["a"]; got.StartedAt != restart {
-		t.Fatalf("the draining that three others report is not applied: %+v", got)
+		t.Fatalf("drain reported by three other routers is not applied: %+v", got)
 	}
 	s.announce(connected, false, endpoint("a", active, wall+s.now))
 	s.advance(20 * second)
 	if got := s.applied[3]["a"]; got.State == active || got.StartedAt < restart {
-		t.Errorf("goes back to an earlier start, or is used against the own source: %+v", got)
+		t.Errorf("router went back to an earlier start, or reactivated the endpoint against its local source: %+v", got)
 	}
 }
 
-// Guards against a router without a source using an endpoint again that is long gone, since the others have forgotten it
-// and no longer report it.
+// The other routers drop the record of an endpoint that has been gone for long, and no longer report it. A router whose
+// source is disconnected must not use the endpoint again then.
 func TestEndpointStaysGoneOnceOthersHaveForgottenIt(t *testing.T) {
-	s := newCutSite("")
+	s := newDisconnectedSite("")
 	s.announce(connected, false, endpoint("a", gone, 0))
-	for range 200 { // the others forget it after 120 s
+	for range 200 { // the others drop its record after 120 s
 		s.advance(second)
 		if got := s.applied[3]["a"]; s.now > 10*second && got.State != gone {
 			t.Fatalf("at %d s: %+v", s.now/second, got)
@@ -57,9 +57,10 @@
 	}
 }
 
-// Guards against the same where all others are started again, with lists that never had the endpoint.
+// Other routers that have restarted with lists without the endpoint don't report that it is gone. A router whose source
+// is disconnected must not use the endpoint again then.
 func TestEndpointStaysGoneOnceOthersHaveRestarted(t *testing.T) {
-	s := newCutSite("")
+	s := newDisconnectedSite("")
 	s.announce(connected, false, endpoint("a", gone, 0))
 	s.advance(4 * second)
 	for i := range 3 {
@@ -68,11 +69,11 @@
 	}
 	s.advance(20 * second)
 	if got := s.applied[3]["a"]; got.State != gone {
-		t.Errorf("used again: %+v", got)
+		t.Errorf("endpoint that is gone is used again: %+v", got)
 	}
 }
 
-// However many claims a replica holds, its request fits into a message of membership.
+// A request fits into a message of package membership, however many claims the replica holds.
 func TestRequestWithManyClaimsFitsIntoAMessage(t *testing.T) {
 	const messageBytes = 1000
 	s := newTestSite(3, "")
@@ -87,9 +88,9 @@
 	s.advance(10 * second)
 	request := s.replicas[2].NewRequest()
 	if len(request.Claimed) < 10 {
-		t.Errorf("only %d claims are named", len(request.Claimed))
+		t.Errorf("request lists only %d claimed endpoints", len(request.Claimed))
 	}
 	if size := len((&gossip.Payload{Request: &request}).Encode()); size > messageBytes {
-		t.Errorf("a request has %d bytes", size)
+		t.Errorf("request has %d bytes, at most %d fit", size, messageBytes)
 	}
 }
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -1,7 +1,5 @@
 package gossip
 
-import "fmt"
-
 // safeguardsByName has the safeguards that WithoutSafeguard can turn off.
 var safeguardsByName = map[string]safeguard{
 	"confirmations": safeguardConfirmations,
@@ -16,7 +14,7 @@
 	}
 	disabled, ok := safeguardsByName[name]
 	if !ok {
-		panic(fmt.Sprintf("unknown safeguard %q", name))
+		panic("unknown safeguard " + name)
 	}
 	s.disabled = disabled
 	return s
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,10 +12,10 @@
 	"quilldoor/internal/policy"
 )
 
-// Durations in microseconds.
+// Durations are microseconds.
 const millisecond, second = int64(1000), int64(1_000_000)
 
-// wall is the Unix time in microseconds at the start of a test.
+// wall is the Unix time at the start of a test, in microseconds.
 const wall = 1_700_000_000 * second
 
 const (
@@ -35,72 +35,73 @@
 	}
 }
 
-// testSite holds replicas, what was applied at each, and the means to announce to some of them what their sources would.
+// testSite simulates the routers of a site. Its slices are indexed by router.
 type testSite struct {
 	now      int64
 	replicas []*gossip.Replica
-	applied  []map[string]gossip.Endpoint
-	purges   []map[string]int64
+	applied  []map[string]gossip.Endpoint // endpoint states applied by the router, by endpoint id
+	purges   []map[string]int64           // times of the purges applied by the router, by object and group
 }
 
-func newTestSite(n int, without string) *testSite {
+func newTestSite(routers int, without string) *testSite {
 	s := &testSite{now: second}
-	for range n {
+	for range routers {
 		s.replicas = append(s.replicas, newReplica(without))
 		s.applied, s.purges = append(s.applied, map[string]gossip.Endpoint{}), append(s.purges, map[string]int64{})
 	}
 	return s
 }
 
-func (s *testSite) apply(i int, list []gossip.Endpoint, purges []gossip.Purge) {
-	for _, x := range list {
-		s.applied[i][x.ID] = x
+func (s *testSite) apply(router int, endpoints []gossip.Endpoint, purges []gossip.Purge) {
+	for _, e := range endpoints {
+		s.applied[router][e.ID] = e
 	}
 	for _, p := range purges {
 		key := fmt.Sprint(p.Object, p.Group)
-		s.purges[i][key] = max(s.purges[i][key], p.At)
+		s.purges[router][key] = max(s.purges[router][key], p.At)
 	}
 }
 
-// announce announces endpoints to some replicas as their own sources would; to has a bit for each.
-func (s *testSite) announce(to int, complete bool, list ...gossip.Endpoint) {
+// announce announces endpoints to some routers as their local sources would. Bit i of routers selects router i.
+func (s *testSite) announce(routers int, complete bool, announced ...gossip.Endpoint) {
 	for i, r := range s.replicas {
-		if to>>i&1 == 1 {
-			s.apply(i, r.ApplyLocal(s.now, complete, list), nil)
+		if routers>>i&1 == 1 {
+			s.apply(i, r.ApplyLocal(s.now, complete, announced), nil)
 		}
 	}
 }
 
-func (s *testSite) announcePurge(to int, p gossip.Purge) {
+// announcePurge announces a purge to some routers as their local sources would. Bit i of routers selects router i.
+func (s *testSite) announcePurge(routers int, p gossip.Purge) {
 	for i, r := range s.replicas {
-		if to>>i&1 == 1 {
+		if routers>>i&1 == 1 {
 			r.ApplyLocalPurge(s.now, p)
 			s.apply(i, nil, []gossip.Purge{p})
 		}
 	}
 }
 
-// exchange delivers one replica's digest to another, and what follows from it.
-func (s *testSite) exchange(i, from int) {
+// exchange delivers a peer's digest to a router, the router's requests to the peer, and the responses to the router.
+func (s *testSite) exchange(router, peer int) {
 	const chunkBytes, maxBytes = 1000, 1090
-	handle := func(at, from int, body []byte) gossip.Result {
-		digest := s.replicas[from].Digest()
-		return s.replicas[at].HandlePayload(s.now, wall+s.now, fmt.Sprint(from), digest, body, chunkBytes)
+	handle := func(receiver, sender int, body []byte) gossip.Result {
+		digest := s.replicas[sender].Digest()
+		return s.replicas[receiver].HandlePayload(s.now, wall+s.now, fmt.Sprint(sender), digest, body, chunkBytes)
 	}
-	for _, request := range handle(i, from, nil).Replies {
-		for _, response := range handle(from, i, request).Replies {
+	for _, request := range handle(router, peer, nil).Replies {
+		for _, response := range handle(peer, router, request).Replies {
 			if len(response) > maxBytes {
-				panic("a payload is too long")
+				panic(fmt.Sprintf("response of %d bytes, want at most %d", len(response), maxBytes))
 			}
-			result := handle(i, from, response)
-			s.apply(i, result.Endpoints, result.Purges)
+			result := handle(router, peer, response)
+			s.apply(router, result.Endpoints, result.Purges)
 		}
 	}
 }
 
-// advance lets time pass in which all replicas exchange, each with another one at a time.
-func (s *testSite) advance(length int64) {
-	for until := s.now + length; s.now < until; {
+// advance moves the time forward. Every 100 ms each router exchanges with one of the others, in turn, and ticks.
+func (s *testSite) advance(duration int64) {
+	for until := s.now + duration; s.now < until; {
 		s.now += 100 * millisecond
 		for i, r := range s.replicas {
 			s.exchange(i, (i+1+int(s.now/(100*millisecond))%(len(s.replicas)-1))%len(s.replicas))
@@ -109,29 +110,31 @@
 	}
 }
 
-// Sets of routers, a bit for each. In a cut site the source of the fourth is cut off.
-const all, connected = 0b1111, 0b0111
+// Sets of the routers of newDisconnectedSite, one bit for each router.
+const all, connected, disconnected = 0b1111, 0b0111, 0b1000
 
-func newCutSite(without string) *testSite {
+// newDisconnectedSite returns a site of four routers with the endpoints a, b and c. The tests leave the source of the
+// fourth router disconnected while those of the others announce changes.
+func newDisconnectedSite(without string) *testSite {
 	s := newTestSite(4, without)
 	s.announce(all, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
 	s.advance(3 * second)
 	return s
 }
 
-// A router whose source is cut off applies drains, ends, restarts and purges that the others report, for as long as they
-// report them.
+// A router whose source is disconnected applies the drains, removals, restarts and purges that the others report, for as
+// long as they report them. Once its source is connected again, only that source reactivates an endpoint.
 func TestReportsReachRouterWithoutSource(t *testing.T) {
-	s := newCutSite("")
+	s := newDisconnectedSite("")
 	s.announce(connected, false, endpoint("a", draining, 0))
 	s.announcePurge(connected, gossip.Purge{Object: "o", At: wall + s.now})
 	s.announcePurge(connected, gossip.Purge{Group: 7, At: wall + s.now})
 	s.advance(4 * second)
 	if got := s.applied[3]["a"]; got.State != draining || got.Address != "of-a" {
-		t.Fatalf("draining: %+v", got)
+		t.Fatalf("endpoint a after its drain: %+v", got)
 	}
 	if s.purges[3]["o0"] == 0 || s.purges[3]["7"] == 0 {
-		t.Errorf("purges: %v", s.purges[3])
+		t.Errorf("applied purges: %v", s.purges[3])
 	}
 	s.announce(connected, false, endpoint("a", gone, 0), endpoint("b", gone, 0))
 	s.advance(4 * second)
@@ -140,115 +143,117 @@
 		s.advance(second)
 		a, b := s.applied[3]["a"], s.applied[3]["b"]
 		if a.State != gone || s.now > 16*second && (b.State != active || b.StartedAt == 0) {
-			t.Fatalf("at %d s: %+v %+v", s.now/second, a, b)
+			t.Fatalf("at %d s: a is %+v, b is %+v", s.now/second, a, b)
 		}
 	}
-	// Its own source is back, late and in order: nothing that is gone is used again before that source says so.
+	// Its source is connected again and announces the missed events in order: an endpoint that is gone stays gone until
+	// the source announces that it is active.
 	start := s.applied[3]["b"].StartedAt
-	for _, x := range []gossip.Endpoint{endpoint("a", draining, 0), endpoint("a", gone, 0), endpoint("b", gone, 0)} {
-		s.announce(0b1000, false, x)
-		if s.applied[3]["a"].State != gone && x.ID == "a" || x.ID == "b" && s.applied[3]["b"].State != gone {
-			t.Errorf("after %s %s of its source: %+v %+v", x.ID, x.State, s.applied[3]["a"], s.applied[3]["b"])
+	for _, e := range []gossip.Endpoint{endpoint("a", draining, 0), endpoint("a", gone, 0), endpoint("b", gone, 0)} {
+		s.announce(disconnected, false, e)
+		if s.applied[3]["a"].State != gone && e.ID == "a" || e.ID == "b" && s.applied[3]["b"].State != gone {
+			t.Errorf("after its source announced %s as %s: a is %+v, b is %+v", e.ID, e.State, s.applied[3]["a"], s.applied[3]["b"])
 		}
 	}
-	s.announce(0b1000, false, endpoint("b", active, start))
+	s.announce(disconnected, false, endpoint("b", active, start))
 	if s.applied[3]["b"].State != active {
-		t.Errorf("its source announces that it is back: %+v", s.applied[3]["b"])
+		t.Errorf("reactivation by the local source is not applied: %+v", s.applied[3]["b"])
 	}
-	// What its own source has announced to be gone, only that source takes back.
+	// Only the local source reactivates an endpoint that it has announced as gone.
 	s.announce(all, false, endpoint("b", gone, start))
 	s.announce(connected, false, endpoint("b", active, wall+s.now))
 	s.advance(3 * second)
 	if s.applied[3]["b"].State != gone {
-		t.Errorf("active by the others' reports: %+v", s.applied[3]["b"])
+		t.Errorf("reactivated by reports of other routers: %+v", s.applied[3]["b"])
 	}
-	// Only the own source takes a draining back.
+	// Only the local source reverts a drain.
 	s.announce(all, false, endpoint("c", draining, 0))
-	s.announce(0b1000, false, endpoint("c", active, 0))
+	s.announce(disconnected, false, endpoint("c", active, 0))
 	if s.applied[3]["c"].State != active {
-		t.Errorf("its own source takes the draining back: %+v", s.applied[3]["c"])
+		t.Errorf("drain reverted by the local source is still applied: %+v", s.applied[3]["c"])
 	}
 	s.announce(connected, false, endpoint("c", active, 0))
 	s.advance(20 * second)
 	for i := range 4 {
 		if s.applied[i]["c"].State != active {
-			t.Errorf("%d holds the reactivated endpoint as %+v", i, s.applied[i]["c"])
+			t.Errorf("router %d: the reactivated endpoint is %+v", i, s.applied[i]["c"])
 		}
 	}
 	if n, _ := s.replicas[0].ListSizes(); n != 3 {
-		t.Errorf("%d endpoints", n)
+		t.Errorf("%d endpoints held, want 3", n)
 	}
 	s.advance(130 * second)
 	if n, p := s.replicas[0].ListSizes(); n != 2 || p != 0 {
-		t.Errorf("long after: %d endpoints, %d purges", n, p)
+		t.Errorf("after 130 s: %d endpoints and %d purges held, want 2 and 0", n, p)
 	}
 }
 
-// A replica that starts with an old list and without a source asks at once what has changed.
+// A replica that starts with an outdated list and without its source sends its first requests without waiting.
 func TestNewReplicaAsksAtOnce(t *testing.T) {
-	s := newCutSite("")
+	s := newDisconnectedSite("")
 	s.announce(connected, false, endpoint("a", gone, 0))
 	s.announcePurge(connected, gossip.Purge{Group: 7, At: wall + s.now})
 	s.replicas[3] = newReplica("")
 	s.applied[3], s.purges[3] = map[string]gossip.Endpoint{}, map[string]int64{}
-	s.announce(0b1000, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
+	s.announce(disconnected, true, endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0))
 	s.advance(300 * millisecond)
 	if s.applied[3]["a"].State != gone || s.purges[3]["7"] == 0 {
-		t.Errorf("after 300 ms: %+v, %v", s.applied[3]["a"], s.purges[3])
+		t.Errorf("after 300 ms: a is %+v, purges are %v", s.applied[3]["a"], s.purges[3])
 	}
 }
 
-// Each safeguard is needed: a site with all of them passes its trial, a site without it fails.
+// Each safeguard is needed: its scenario passes with all safeguards on and fails without this one.
 func TestEverySafeguardIsNeeded(t *testing.T) {
-	for name, trial := range map[string]func(without string) error{
-		"confirmations": playFaultyReport,
-		"order":         playLateSources,
-		"expiry":        playGoneReporters,
+	for name, scenario := range map[string]func(without string) error{
+		"confirmations": faultyReportScenario,
+		"order":         lateSourcesScenario,
+		"expiry":        departedReportersScenario,
 	} {
-		if err := trial(""); err != nil {
+		if err := scenario(""); err != nil {
 			t.Errorf("%s: with all safeguards: %v", name, err)
 		}
-		if err := trial(name); err == nil {
-			t.Errorf("%s: its absence is not noticed", name)
+		if err := scenario(name); err == nil {
+			t.Errorf("%s: the scenario passes without the safeguard", name)
 		} else {
 			t.Logf("%s: %v", name, err)
 		}
 	}
 }
 
-// One faulty router holds all endpoints gone: it empties no other's list.
-func playFaultyReport(without string) error {
-	s := newCutSite(without)
+// faultyReportScenario has one router report all endpoints as gone. The others must not apply that.
+func faultyReportScenario(without string) error {
+	s := newDisconnectedSite(without)
 	s.announce(0b0001, false, endpoint("a", gone, 0), endpoint("b", gone, 0), endpoint("c", gone, 0))
 	s.advance(20 * second)
 	for i := 1; i < 4; i++ {
 		if s.applied[i]["a"].State != active {
-			return fmt.Errorf("%d applies one router's report: %+v", i, s.applied[i]["a"])
+			return fmt.Errorf("router %d applies the report of a single router: %+v", i, s.applied[i]["a"])
 		}
 	}
 	return nil
 }
 
-// Two routers whose sources are late report an earlier state.
-func playLateSources(without string) error {
-	s := newCutSite(without)
+// lateSourcesScenario has two routers whose sources are late report an earlier start. The others must not go back to it.
+func lateSourcesScenario(without string) error {
+	s := newDisconnectedSite(without)
 	s.announce(0b0011, false, endpoint("a", gone, 0), endpoint("a", active, wall+s.now))
 	s.advance(20 * second)
 	for i := range 2 {
 		if s.applied[i]["a"].StartedAt == 0 {
-			return fmt.Errorf("%d goes back: %+v", i, s.applied[i]["a"])
+			return fmt.Errorf("router %d goes back to an earlier start: %+v", i, s.applied[i]["a"])
 		}
 	}
 	return nil
 }
 
-// Two routers have reported a draining that the other sources never announced, and are gone.
-func playGoneReporters(without string) error {
-	s := newCutSite(without)
+// departedReportersScenario has two routers report a drain that the other sources never announce, and removes both. The
+// claim must expire.
+func departedReportersScenario(without string) error {
+	s := newDisconnectedSite(without)
 	s.announce(0b0011, false, endpoint("a", draining, 0))
 	s.advance(5 * second)
 	if s.applied[3]["a"].State != draining {
-		return fmt.Errorf("the claim is not accepted at all")
+		return fmt.Errorf("the claim is not accepted: %+v", s.applied[3]["a"])
 	}
 	s.replicas = slices.Delete(s.replicas, 0, 2)
 	s.applied = slices.Delete(s.applied, 0, 2)
@@ -260,8 +265,8 @@
 	return nil
 }
 
-// Reports that can't be true are rejected: purges of the future or of long ago, starts in the future, unknown states,
-// requests of the wrong length.
+// Implausible reports are rejected: purges in the future or older than their retention, starts in the future, unknown
+// states, requests with the wrong number of digests.
 func TestImplausibleReportsAreRejected(t *testing.T) {
 	r := newReplica("")
 	r.SetSingleConfirmation(true)
@@ -276,29 +281,29 @@
 	peer.ApplyLocal(second, true, []gossip.Endpoint{
 		endpoint("a", active, wall+10*second), endpoint("a", "odd", wall), endpoint("new", draining, 5),
 	})
-	q := r.NewRequest()
-	for _, body := range peer.Respond(&q, 1000) {
-		if got := receive(gossip.Payload{StateExchange: &body}); len(got.Endpoints)+len(got.Purges) > 0 {
-			t.Errorf("accepted: %+v", got)
+	request := r.NewRequest()
+	for _, chunk := range peer.Respond(&request, 1000) {
+		if got := receive(gossip.Payload{StateExchange: &chunk}); len(got.Endpoints)+len(got.Purges) > 0 {
+			t.Errorf("implausible reports accepted: %+v", got)
 		}
 	}
 	if got := r.Respond(&gossip.DigestRequest{Digests: []uint32{1}}, 1000); got != nil {
-		t.Errorf("a short request is answered: %v", got)
+		t.Errorf("request with one digest got the response %v", got)
 	}
 	if r.Counts.Rejected < 4 {
-		t.Errorf("%+v", r.Counts)
+		t.Errorf("%d rejected, want at least 4: %+v", r.Counts.Rejected, r.Counts)
 	}
 }
 
-// Any body is handled without a panic, and has a bounded number of replies.
+// Any body is handled without a panic and with at most 12 replies.
 func FuzzHandlePayload(f *testing.F) {
 	r := newReplica("")
-	q := r.NewRequest()
-	f.Add((&gossip.Payload{Request: &q}).Encode())
+	request := r.NewRequest()
+	f.Add((&gossip.Payload{Request: &request}).Encode())
 	r.ApplyLocal(second, true, []gossip.Endpoint{endpoint("a", active, 0)})
 	r.ApplyLocalPurge(second, gossip.Purge{Object: "o", At: wall})
-	for _, t := range r.Respond(&q, 1000) {
-		f.Add((&gossip.Payload{StateExchange: &t}).Encode())
+	for _, chunk := range r.Respond(&request, 1000) {
+		f.Add((&gossip.Payload{StateExchange: &chunk}).Encode())
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r := newReplica("")
@@ -306,7 +311,7 @@
 		r.ApplyLocal(second, true, []gossip.Endpoint{endpoint("a", active, 0)})
 		for i := range 3 {
 			if got := r.HandlePayload(second*int64(i+1), wall, "x", 1, body, 1000); len(got.Replies) > 12 {
-				t.Fatalf("%d payloads for one", len(got.Replies))
+				t.Fatalf("%d replies to one body", len(got.Replies))
 			}
 		}
 		r.Tick(10*second, wall)
@@ -316,40 +321,40 @@
 // randomSite is a site whose sources announce the same changes of three endpoints, each at its own pace.
 type randomSite struct {
 	*testSite
-	random    *rand.Rand
-	log       [][]gossip.Endpoint        // all changes, in order
-	announced []int                      // by router: so many of them its source has announced
-	current   map[string]gossip.Endpoint // after all changes
-	starts    int64
-	last      []map[string]gossip.Endpoint // by router: what it had applied at the last check
+	random      *rand.Rand
+	changes     [][]gossip.Endpoint          // in order; the first is the complete list
+	announced   []int                        // by router: number of changes that its source has announced
+	current     map[string]gossip.Endpoint   // after all changes, by endpoint id
+	starts      int64                        // restarts of endpoints so far
+	lastApplied []map[string]gossip.Endpoint // by router: endpoint states applied at the last checkOrder
 }
 
 func newRandomSite(routers int, seed uint64) *randomSite {
 	s := &randomSite{
 		testSite:  newTestSite(routers, ""),
 		random:    rand.New(rand.NewPCG(seed, 1)),
-		log:       [][]gossip.Endpoint{{endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0)}},
+		changes:   [][]gossip.Endpoint{{endpoint("a", active, 0), endpoint("b", active, 0), endpoint("c", active, 0)}},
 		announced: make([]int, routers),
 		current:   map[string]gossip.Endpoint{},
 	}
-	for _, x := range s.log[0] {
-		s.current[x.ID] = x
+	for _, e := range s.changes[0] {
+		s.current[e.ID] = e
 	}
 	for i := range routers {
 		s.catchUp(i)
-		s.last = append(s.last, map[string]gossip.Endpoint{})
+		s.lastApplied = append(s.lastApplied, map[string]gossip.Endpoint{})
 	}
 	return s
 }
 
-// catchUp announces all that a router's source has not announced yet.
-func (s *randomSite) catchUp(i int) {
-	for ; s.announced[i] < len(s.log); s.announced[i]++ {
-		s.announce(1<<i, s.announced[i] == 0, s.log[s.announced[i]]...)
+// catchUp announces the changes that a router's source has not announced yet.
+func (s *randomSite) catchUp(router int) {
+	for ; s.announced[router] < len(s.changes); s.announced[router]++ {
+		s.announce(1<<router, s.announced[router] == 0, s.changes[s.announced[router]]...)
 	}
 }
 
-// step lets one thing happen.
+// step performs one random event.
 func (s *randomSite) step() {
 	switch s.random.IntN(6) {
 	case 0, 1:
@@ -364,63 +369,65 @@
 }
 
 func (s *randomSite) changeEndpoint() {
-	x := s.current[string(rune('a'+s.random.IntN(3)))]
-	switch x.State {
+	e := s.current[string(rune('a'+s.random.IntN(3)))]
+	switch e.State {
 	case active:
-		x.State = []policy.EndpointState{draining, gone}[s.random.IntN(2)]
+		e.State = []policy.EndpointState{draining, gone}[s.random.IntN(2)]
 	case draining:
-		x.State = gone
+		e.State = gone
 	default:
-		s.starts++ // no two at the same time
-		x.State, x.StartedAt = active, wall+s.now+s.starts
+		s.starts++ // so that no two starts have the same time
+		e.State, e.StartedAt = active, wall+s.now+s.starts
 	}
-	s.current[x.ID] = x
-	s.log = append(s.log, []gossip.Endpoint{x})
+	s.current[e.ID] = e
+	s.changes = append(s.changes, []gossip.Endpoint{e})
 }
 
-// restartReplica starts a replica anew, with the current list.
-func (s *randomSite) restartReplica(i int) {
-	s.replicas[i] = newReplica("")
-	s.applied[i], s.last[i] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}
-	s.announced[i] = len(s.log)
+// restartReplica replaces a router's replica by a new one that starts with the current list.
+func (s *randomSite) restartReplica(router int) {
+	s.replicas[router] = newReplica("")
+	s.applied[router], s.lastApplied[router] = map[string]gossip.Endpoint{}, map[string]gossip.Endpoint{}
+	s.announced[router] = len(s.changes)
 	var list []gossip.Endpoint
-	for _, x := range s.current {
-		if x.State != gone {
-			list = append(list, x)
+	for _, e := range s.current {
+		if e.State != gone {
+			list = append(list, e)
 		}
 	}
-	s.announce(1<<i, true, list...)
+	s.announce(1<<router, true, list...)
 }
 
-// checkOrder fails the test if a router has gone back to an earlier state of an endpoint since the last check.
+// checkOrder fails the test if a router has gone back to an earlier state of an endpoint since the last check. Going back
+// from gone within one start counts only if the router's source has announced all changes.
 func (s *randomSite) checkOrder(t *rapid.T) {
 	for i := range s.replicas {
-		for id, x := range s.applied[i] {
-			was, known := s.last[i][id]
-			backInStart := x.StartedAt < was.StartedAt
-			reactivated := x.StartedAt == was.StartedAt && was.State == gone && x.State != gone
-			if known && (backInStart || reactivated && s.announced[i] == len(s.log)) {
-				t.Fatalf("%d goes from %+v to %+v", i, was, x)
+		for id, e := range s.applied[i] {
+			previous, known := s.lastApplied[i][id]
+			earlierStart := e.StartedAt < previous.StartedAt
+			reactivated := e.StartedAt == previous.StartedAt && previous.State == gone && e.State != gone
+			if known && (earlierStart || reactivated && s.announced[i] == len(s.changes)) {
+				t.Fatalf("router %d goes back from %+v to %+v", i, previous, e)
 			}
-			s.last[i][id] = x
+			s.lastApplied[i][id] = e
 		}
 	}
 }
 
-// checkAgreement fails the test unless each router has applied the current state of all endpoints.
+// checkAgreement fails the test unless each router has applied the current state of all endpoints. A router need not know
+// an endpoint that is gone.
 func (s *randomSite) checkAgreement(t *rapid.T) {
 	for i := range s.replicas {
-		for id, x := range s.current {
+		for id, e := range s.current {
 			got, known := s.applied[i][id]
-			if (x.State != gone || known) && (got.State != x.State || got.StartedAt != x.StartedAt) {
-				t.Fatalf("%d holds %+v, it is %+v", i, got, x)
+			if (e.State != gone || known) && (got.State != e.State || got.StartedAt != e.StartedAt) {
+				t.Fatalf("router %d has applied %+v, want %+v", i, got, e)
 			}
 		}
 	}
 }
 
-// Sources that announce the same at different times, restarts and exchanges in any order: no replica goes backwards, and
-// when all sources have caught up all hold the same.
+// Sources announce the same changes at different times, while replicas restart and exchange their states in any order. No
+// router goes back to an earlier state, and once all sources have caught up all routers apply the same states.
 func TestConvergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newRandomSite(5, rapid.Uint64().Draw(t, "seed"))
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -9,16 +9,16 @@
 	"quilldoor/internal/gossip"
 )
 
-// requestPair is a payload's pair of a key and a request without digests.
+// requestPair is the encoded map entry of a request without digests: its key and its value.
 const requestPair = "\x01\xa1\x01\x80"
 
 func TestPayloadLimits(t *testing.T) {
-	// One level is the payload itself.
+	// The map of the payload takes up one level.
 	limits := cborcodec.Limits{MaxArrayElements: 1024, MaxMapPairs: 16, MaxNestedLevels: 6 - 1}
 	cborcodectest.Check(t, limits, func(encoded []byte) error {
 		withUnknownKey := append([]byte("\xa2"+requestPair+"\x03"), encoded...)
 		if gossip.Decode(withUnknownKey) == nil {
-			return errors.New("malformed payload")
+			return errors.New("payload rejected as malformed")
 		}
 		return nil
 	})
@@ -38,7 +38,7 @@
 		"trailing byte": {"\xa1" + requestPair + "\x00", false},
 	} {
 		if accepted := gossip.Decode([]byte(c.encoded)) != nil; accepted != c.accepted {
-			t.Errorf("%s: accepted %t, want %t", name, accepted, c.accepted)
+			t.Errorf("%s: accepted = %t, want %t", name, accepted, c.accepted)
 		}
 	}
 }
