--- a/internal/gossip/claim.go
+++ b/internal/gossip/claim.go
@@ -47,8 +47,8 @@
 	if rec == nil {
 		return false
 	}
-	// A report of a later state implies that the endpoint has passed the claimed state. It prolongs the claim even if it
-	// can't be applied itself, because only the local source may reactivate the endpoint.
+	// A report of a later state implies that the endpoint has passed the claimed state. It prolongs the claim even if
+	// it can't be applied itself, because only the local source may reactivate the endpoint.
 	if !isLater(rec.accepted.Endpoint, reported) {
 		rec.accepted.prolong(now)
 	}
@@ -118,7 +118,7 @@
 	return true
 }
 
-// expireClaims drops the claims of an endpoint that have expired. It reports whether the accepted claim was one of them.
+// expireClaims drops the expired claims of an endpoint. It reports whether the accepted claim was one of them.
 func (r *Replica) expireClaims(now int64, rec *record) bool {
 	if !r.guards(safeguardExpiry) {
 		return false
--- a/internal/gossip/claim_test.go
+++ b/internal/gossip/claim_test.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/gossip"
 )
 
-// An accepted claim must not expire while other routers report later states, even if no two of them report the same one.
-// Otherwise a router whose source is disconnected goes back to an earlier start of the endpoint.
+// An accepted claim must not expire while other routers report later states, even if no two of them report the same
+// one. Otherwise a router whose source is disconnected goes back to an earlier start of the endpoint.
 func TestAcceptedClaimOutlastsReportsOfLaterStates(t *testing.T) {
 	s := newTestSite(3, "")
 	s.announce(0b111, true, endpoint("a", active, 0))
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -11,9 +11,9 @@
 //
 // A claim is a state of an endpoint that other routers report and that is later than the one that the local source has
 // announced. It is applied once two other routers have reported the same state (one, where fewer than two others are
-// known). A claim ends when the local source catches up, or 7 s after the last report that supports it. A report supports
-// a claim if it has the same state or a later one, or says that the reporting router's source does not list the endpoint.
-// Purges are applied on the first report.
+// known). A claim ends when the local source catches up, or 7 s after the last report that supports it. A report
+// supports a claim if it has the same state or a later one, or says that the reporting router's source does not list
+// the endpoint. Purges are applied on the first report.
 //
 // Replicas compare digests. The state is split into 16 buckets by a hash of the endpoint ids and purge keys, and each
 // bucket has a digest. A replica that receives a different digest requests the buckets that differ.
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -134,8 +134,8 @@
 	return request
 }
 
-// claimedIDs returns the ids of the endpoints with accepted claims, as many as fit into a request. They are in the order
-// in which the claims expire.
+// claimedIDs returns the ids of the endpoints with accepted claims, as many as fit into a request. They are in the
+// order in which the claims expire.
 func (r *Replica) claimedIDs() (ids []string) {
 	for _, id := range r.sortedIDs() {
 		if r.endpoints[id].accepted.exists() {
@@ -161,11 +161,11 @@
 	return prefixBytes + len(id)
 }
 
-// Respond returns the content of the buckets that differ from the request, in chunks of about chunkBytes each. It returns
-// 12 chunks at most; the rest is left to later requests. Endpoints are reported as the local source has announced them:
-// if claims were passed on, routers without a source would confirm each other's claims. Purges are reported whichever
-// router has announced them. Those endpoints in request.Claimed that the local source does not list are returned as
-// unlisted.
+// Respond returns the content of the buckets that differ from the request, in chunks of about chunkBytes each. It
+// returns 12 chunks at most; the rest is left to later requests. Endpoints are reported as the local source has
+// announced them: if claims were passed on, routers without a source would confirm each other's claims. Purges are
+// reported whichever router has announced them. Those endpoints in request.Claimed that the local source does not list
+// are returned as unlisted.
 func (r *Replica) Respond(request *DigestRequest, chunkBytes int) []StateExchange {
 	if len(request.Digests) != digestBuckets {
 		r.Counts.Rejected++
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -28,7 +28,8 @@
 // Settings of a Replica.
 type Settings struct {
 	// PurgeRetention is how long a purge is kept and accepted, in microseconds. It has to be so long that every cache
-	// has dropped the copies from before the purge by then. A longer time costs memory and traffic. There is no default.
+	// has dropped the copies from before the purge by then. A longer time costs memory and traffic. There is no
+	// default.
 	PurgeRetention int64
 
 	// disabled is the safeguard that a test turns off; always safeguardNone in a router.
@@ -100,8 +101,8 @@
 // reports of two other routers for a claim.
 const MembersForConfirmation = 3
 
-// SetSingleConfirmation sets whether the report of one router is enough to accept a claim. It is meant for a router that
-// knows of fewer than two others.
+// SetSingleConfirmation sets whether the report of one router is enough to accept a claim. It is meant for a router
+// that knows of fewer than two others.
 func (r *Replica) SetSingleConfirmation(single bool) { r.singleConfirmation = single }
 
 // stateRank orders the states within one start of an endpoint. A report of another router never moves an endpoint to a
@@ -122,8 +123,9 @@
 }
 
 // ApplyLocal records the endpoints that the local source announces. complete says that the announcement lists every
-// endpoint that exists. ApplyLocal returns the state to apply for each announced endpoint, which is that of the accepted
-// claim where the claim is still later. Endpoints beyond the first 20,000 are returned as announced and not replicated.
+// endpoint that exists. ApplyLocal returns the state to apply for each announced endpoint, which is that of the
+// accepted claim where the claim is still later. Endpoints beyond the first 20,000 are returned as announced and not
+// replicated.
 func (r *Replica) ApplyLocal(now int64, complete bool, announced []Endpoint) []Endpoint {
 	r.changedAt = now
 	if complete {
@@ -216,8 +218,8 @@
 			endpoints = append(endpoints, r.endpoints[e.ID].accepted.Endpoint)
 		}
 	}
-	// A source may not list an endpoint because it dropped the record of an endpoint that is gone, or because it has not
-	// announced a new endpoint yet. Both cases prolong an accepted claim, and neither confirms a candidate.
+	// A router that reports an endpoint as unlisted may have dropped the record of an endpoint that is gone, or its
+	// source may not have announced a new endpoint yet. The report prolongs an accepted claim, and confirms none.
 	for _, id := range report.Unlisted {
 		if rec := r.endpoints[id]; rec != nil {
 			rec.accepted.prolong(now)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -122,8 +122,8 @@
 	return s
 }
 
-// A router whose source is disconnected applies the drains, removals, restarts and purges that the others report, for as
-// long as they report them. Once its source is connected again, only that source reactivates an endpoint.
+// A router whose source is disconnected applies the drains, removals, restarts and purges that the others report, for
+// as long as they report them. Once its source is connected again, only that source reactivates an endpoint.
 func TestReportsReachRouterWithoutSource(t *testing.T) {
 	s := newDisconnectedSite("")
 	s.announce(connected, false, endpoint("a", draining, 0))
@@ -152,7 +152,7 @@
 	for _, e := range []gossip.Endpoint{endpoint("a", draining, 0), endpoint("a", gone, 0), endpoint("b", gone, 0)} {
 		s.announce(disconnected, false, e)
 		if s.applied[3]["a"].State != gone && e.ID == "a" || e.ID == "b" && s.applied[3]["b"].State != gone {
-			t.Errorf("after its source announced %s as %s: a is %+v, b is %+v", e.ID, e.State, s.applied[3]["a"], s.applied[3]["b"])
+			t.Errorf("its source announced %s as %s: a is %+v, b is %+v", e.ID, e.State, s.applied[3]["a"], s.applied[3]["b"])
 		}
 	}
 	s.announce(disconnected, false, endpoint("b", active, start))
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// lateSourcesScenario has two routers whose sources are late report an earlier start. The others must not go back to it.
+// lateSourcesScenario has two routers whose sources are late report an earlier start. The others must not go back.
 func lateSourcesScenario(without string) error {
 	s := newDisconnectedSite(without)
 	s.announce(0b0011, false, endpoint("a", gone, 0), endpoint("a", active, wall+s.now))
@@ -397,8 +397,8 @@
 	s.announce(1<<router, true, list...)
 }
 
-// checkOrder fails the test if a router has gone back to an earlier state of an endpoint since the last check. Going back
-// from gone within one start counts only if the router's source has announced all changes.
+// checkOrder fails the test if a router has gone back to an earlier state of an endpoint since the last check. Going
+// back from gone within one start counts only if the router's source has announced all changes.
 func (s *randomSite) checkOrder(t *rapid.T) {
 	for i := range s.replicas {
 		for id, e := range s.applied[i] {
@@ -413,8 +413,8 @@
 	}
 }
 
-// checkAgreement fails the test unless each router has applied the current state of all endpoints. A router need not know
-// an endpoint that is gone.
+// checkAgreement fails the test unless each router has applied the current state of all endpoints. A router need not
+// know an endpoint that is gone.
 func (s *randomSite) checkAgreement(t *rapid.T) {
 	for i := range s.replicas {
 		for id, e := range s.current {
@@ -426,8 +426,8 @@
 	}
 }
 
-// Sources announce the same changes at different times, while replicas restart and exchange their states in any order. No
-// router goes back to an earlier state, and once all sources have caught up all routers apply the same states.
+// Sources announce the same changes at different times, while replicas restart and exchange their states in any order.
+// No router goes back to an earlier state, and once all sources have caught up all routers apply the same states.
 func TestConvergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newRandomSite(5, rapid.Uint64().Draw(t, "seed"))
--- a/internal/membership/transport/agent.go
+++ b/internal/membership/transport/agent.go
@@ -1,6 +1,6 @@
-// Package transport runs a membership.Node in a router's process: one UDP socket, datagrams authenticated by a key
-// that the routers of a site share, a steady clock, and log entries for the node's state transitions. It also has the
-// tool's side of a query (query.go, matrix.go).
+// Package transport runs a membership.Node in a router's process. An Agent exchanges datagrams on one UDP socket,
+// authenticated by a key that the routers of a site share, ticks the node by a monotonic clock, and logs the state
+// transitions of members. The package also has the functions by which a tool queries routers (query.go, matrix.go).
 package transport
 
 import (
@@ -19,28 +19,28 @@
 )
 
 const (
-	// maxMessageBytes is what a node's messages may take of a datagram.
+	// maxMessageBytes is the membership.Settings.MaxMessageBytes of the node. It leaves room below MaxDatagram.
 	maxMessageBytes = 1200
-	// MaxPayloadBytes bounds a payload's body.
+	// MaxPayloadBytes bounds the body of a payload.
 	MaxPayloadBytes = 1000
 )
 
-// DropCounts are totals of dropped datagrams by reason: those received with a wrong size, version, authentication tag
-// or payload, and those that could not be sent.
+// DropCounts are totals of dropped datagrams by reason: received with an invalid size, version, authentication tag or
+// payload, or not sent because of an error.
 type DropCounts struct{ Size, Version, Authentication, Payload, Unsent atomic.Int64 }
 
-// PayloadHandler is a subsystem that exchanges payloads with its peers at other routers.
+// PayloadHandler is a subsystem that exchanges payloads with the same subsystem of other routers.
 type PayloadHandler interface {
 	// Digest returns the digest of the subsystem's state, which all messages carry.
 	Digest() uint32
-	// HandlePayload handles what a message from another router carried, and returns the bodies to send back. A nil
-	// body means that the digest came alone.
+	// HandlePayload handles the digest and the body of a message from another router, and returns the bodies to send
+	// back. A nil body means that the message carried the digest alone.
 	HandlePayload(from string, digest uint32, body []byte) (replies [][]byte)
-	// Tick is called at each wake-up of the node.
+	// Tick is called after each tick of the node.
 	Tick(c membership.Connectivity)
 }
 
-// Agent is a running member. Its methods may be called from several goroutines.
+// Agent runs the membership.Node of a router. Its methods may be called from several goroutines.
 type Agent struct {
 	// Dropped may be read at any time.
 	Dropped DropCounts
@@ -51,15 +51,15 @@
 	start   time.Time
 	handler PayloadHandler // nil: none
 	done    chan struct{}
-	running sync.WaitGroup
+	running sync.WaitGroup // receiveLoop and tickLoop
 
 	mu   sync.Mutex
 	node *membership.Node
 
-	majority bool // as last logged; only the goroutine of tickLoop uses it
+	majority bool // as last logged; used by the goroutine of tickLoop alone
 }
 
-// Start opens the socket and begins to look for the other members.
+// Start opens a socket at listen and starts an agent on it. handler may be nil.
 func Start(
 	settings membership.Settings, key []byte, listen netip.AddrPort, handler PayloadHandler, log *logrus.Entry,
 ) (*Agent, error) {
@@ -70,7 +70,8 @@
 	return StartOn(conn, settings, key, listen, handler, log), nil
 }
 
-// StartOn does the same on an open socket, such as one that a predecessor has handed over. The agent closes it.
+// StartOn starts an agent on an open socket, such as one that a predecessor has handed over. The agent closes the
+// socket. handler may be nil.
 func StartOn(
 	conn *net.UDPConn, settings membership.Settings, key []byte, listen netip.AddrPort, handler PayloadHandler,
 	log *logrus.Entry,
@@ -81,7 +82,7 @@
 	a := &Agent{
 		key: key, conn: conn, log: log, start: time.Now(), handler: handler, done: make(chan struct{}),
 	}
-	// Two processes with one name must draw different nonces, so the seed is not the configured one.
+	// Two processes with the same name must draw different nonces, so the seed is random and not the configured one.
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	a.node = membership.New(settings, random, a.now())
 	a.running.Go(a.receiveLoop)
@@ -89,10 +90,10 @@
 	return a
 }
 
-// now is the time since the start in microseconds, by the steady clock.
+// now returns the monotonic time since the start in microseconds.
 func (a *Agent) now() int64 { return time.Since(a.start).Microseconds() }
 
-// tickLoop calls the node when it asks to be called.
+// tickLoop ticks the node at the times that the node returns, until the agent is stopped.
 func (a *Agent) tickLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -121,12 +122,12 @@
 	return next
 }
 
-// receiveLoop receives datagrams. It sleeps after a number of invalid ones, so that a flood of them takes a bounded
-// share of a core: the kernel drops what the socket's buffer can't hold.
+// receiveLoop receives datagrams until the socket is closed. It sleeps after every invalidPerPause invalid ones, so
+// that a flood of them takes a bounded share of a core: the kernel drops datagrams that the socket's buffer can't hold.
 func (a *Agent) receiveLoop() {
 	const (
-		maxInvalidInARow = 64
-		pause            = 2 * time.Millisecond
+		invalidPerPause = 64
+		pause           = 2 * time.Millisecond
 	)
 	buffer := make([]byte, MaxDatagram+1)
 	invalid := 0
@@ -135,7 +136,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // of an earlier send, or for lack of memory: it says nothing about a member
+		if err != nil { // from an earlier send or a lack of memory; no sign of a failed member
 			time.Sleep(pause)
 			continue
 		}
@@ -143,7 +144,7 @@
 		if err := openDatagram(a.key, buffer[:size], msg); err != nil {
 			a.countDropped(err)
 			invalid++
-			if invalid >= maxInvalidInARow {
+			if invalid >= invalidPerPause {
 				invalid = 0
 				time.Sleep(pause)
 			}
@@ -165,7 +166,7 @@
 	a.deliver(payloads)
 }
 
-// deliver hands payloads to the handler and sends its replies.
+// deliver passes payloads to the handler and sends its replies.
 func (a *Agent) deliver(payloads []membership.Payload) {
 	if a.handler == nil {
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// SendPayload sends a body of up to MaxPayloadBytes to a member, if it is present.
+// SendPayload sends a body of up to MaxPayloadBytes to a member. It sends nothing to a member that is not present.
 func (a *Agent) SendPayload(to string, body []byte) {
 	a.mu.Lock()
 	out := a.node.SendPayload(to, body)
@@ -186,23 +187,24 @@
 }
 
 func (a *Agent) send(out []membership.Outbound) {
-	for _, o := range out {
-		if !a.sendOne(o) {
+	for _, outbound := range out {
+		if !a.sendOne(outbound) {
 			a.Dropped.Unsent.Add(1)
 		}
 	}
 }
 
-// sendOne reports whether a message was sent. An error is that of one datagram, which may as well be lost on its way.
-func (a *Agent) sendOne(o membership.Outbound) bool {
-	if !o.Addr.IsValid() {
+// sendOne reports whether a message was sent. An error concerns this datagram alone, and has the same effect as a loss
+// in the network.
+func (a *Agent) sendOne(outbound membership.Outbound) bool {
+	if !outbound.Addr.IsValid() {
 		return false
 	}
-	datagram, err := sealDatagram(a.key, o.Message)
+	datagram, err := sealDatagram(a.key, outbound.Message)
 	if err != nil {
 		return false
 	}
-	_, err = a.conn.WriteToUDPAddrPort(datagram, o.Addr)
+	_, err = a.conn.WriteToUDPAddrPort(datagram, outbound.Addr)
 	return err == nil
 }
 
@@ -226,15 +228,15 @@
 	return a.node.View()
 }
 
-// Leave announces that the router will go; it still answers.
+// Leave announces that the router is going to leave. The agent still responds to other members until Close.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node.Leave(a.now())
 }
 
-// Handoff ends the agent without a message to anybody, and returns the state for another process of this router that
-// continues the instance.
+// Handoff stops the agent without notifying other members. It returns the state with which another process of this
+// router continues the instance.
 func (a *Agent) Handoff() *membership.HandoffState {
 	a.stop()
 	a.mu.Lock()
@@ -242,7 +244,7 @@
 	return a.node.Handoff()
 }
 
-// Close announces the departure and ends the agent.
+// Close announces the departure of the router to some members and stops the agent.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	out := a.node.Depart(a.now())
--- a/internal/membership/transport/agent_test.go
+++ b/internal/membership/transport/agent_test.go
@@ -25,40 +25,42 @@
 	return logrus.NewEntry(log)
 }
 
-// reserveAddrs reserves addresses of this test's own.
-func reserveAddrs(t *testing.T, n int) (list []netip.AddrPort) {
+// reserveAddrs reserves loopback addresses that no other test uses.
+func reserveAddrs(t *testing.T, n int) (addrs []netip.AddrPort) {
 	t.Helper()
 	for range n {
 		address, err := loopback.Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, address)
+		addrs = append(addrs, address)
 	}
-	return list
+	return addrs
 }
 
-func start(t *testing.T, addrs []netip.AddrPort, i int, key []byte) *Agent {
+// start starts the agent of router n<index>, with the routers at all addresses as its seeds.
+func start(t *testing.T, addrs []netip.AddrPort, index int, key []byte) *Agent {
 	t.Helper()
-	set := membership.Settings{Name: fmt.Sprint("n", i)}
-	for k, a := range addrs {
-		set.Seeds = append(set.Seeds, membership.Seed{Name: fmt.Sprint("n", k), Addr: a})
+	settings := membership.Settings{Name: fmt.Sprint("n", index)}
+	for i, addr := range addrs {
+		settings.Seeds = append(settings.Seeds, membership.Seed{Name: fmt.Sprint("n", i), Addr: addr})
 	}
-	l, err := Start(set, key, addrs[i], nil, discardLog())
+	agent, err := Start(settings, key, addrs[index], nil, discardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return agent
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor fails the test unless the condition holds within 15 s.
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatal("not within 15 s: " + what)
+	t.Fatal("not within 15 s: " + condition)
 }
 
 func countMembers(a *Agent, state membership.State) (count int) {
@@ -70,7 +72,8 @@
 	return count
 }
 
-// Four routers on sockets find each other, answer a tool, see a departure as no failure and admit a restarted router.
+// Four routers on sockets discover each other and answer the queries of a tool. A router that leaves is reported as
+// left, not as dead, and is admitted again after a restart.
 func TestFourRoutersOnSockets(t *testing.T) {
 	addrs := reserveAddrs(t, 4)
 	var agents []*Agent
@@ -83,31 +86,32 @@
 		}
 	}()
 	for _, a := range agents {
-		waitFor(t, "all alive", func() bool { return countMembers(a, membership.StateAlive) == 3 })
+		waitFor(t, "each router sees the three others alive", func() bool { return countMembers(a, membership.StateAlive) == 3 })
 	}
-	v, err := Query(key, "n0", addrs[0])
-	if err != nil || len(v.Members) != 3 || v.Self.Name != "n0" {
-		t.Fatalf("query: %+v, %v", v, err)
+	view, err := Query(key, "n0", addrs[0])
+	if err != nil || len(view.Members) != 3 || view.Self.Name != "n0" {
+		t.Fatalf("query of n0: %+v, %v", view, err)
 	}
-	waitFor(t, "a matrix without disagreements", func() bool {
-		m := QueryAll(key, agents[0].View())
-		return len(m.Names) == 4 && len(m.Views) == 4 && m.Views["n3"] != nil && len(m.Disagreements()) == 0
+	waitFor(t, "four routers answer and their views agree", func() bool {
+		matrix := QueryAll(key, agents[0].View())
+		return len(matrix.Names) == 4 && len(matrix.Views) == 4 && matrix.Views["n3"] != nil &&
+			len(matrix.Disagreements()) == 0
 	})
 	if _, err := Query([]byte("not the key of these"), "n0", addrs[0]); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("query with another key: %v", err)
+		t.Errorf("query with another key: %v, want ErrNoAnswer", err)
 	}
 	agents[3].Leave()
 	agents[3].Close()
-	waitFor(t, "it has left", func() bool {
+	waitFor(t, "n0 and n1 see n3 as left", func() bool {
 		return countMembers(agents[0], membership.StateLeft) == 1 && countMembers(agents[1], membership.StateLeft) == 1
 	})
 	agents[3] = start(t, addrs, 3, key)
-	waitFor(t, "it is back", func() bool {
+	waitFor(t, "n3 is alive again", func() bool {
 		return countMembers(agents[0], membership.StateAlive) == 3 && countMembers(agents[3], membership.StateAlive) == 3
 	})
 }
 
-// Datagrams that are no message of the site are dropped and counted, and delay nobody.
+// Datagrams that are not valid messages of the site are dropped and counted. The members stay alive meanwhile.
 func TestForeignDatagramsAreDropped(t *testing.T) {
 	addrs := reserveAddrs(t, 3)
 	a, b := start(t, addrs, 0, key), start(t, addrs, 1, key)
@@ -115,7 +119,7 @@
 	defer b.Close()
 	c := start(t, addrs, 2, []byte("another key than theirs"))
 	defer c.Close()
-	waitFor(t, "two know each other", func() bool {
+	waitFor(t, "a and b see each other alive", func() bool {
 		return countMembers(a, membership.StateAlive) == 1 && countMembers(b, membership.StateAlive) == 1
 	})
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addrs[0]))
@@ -123,49 +127,49 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	good, _ := sealDatagram(key, &membership.Message{
+	valid, _ := sealDatagram(key, &membership.Message{
 		Kind: membership.KindPing, Sender: membership.Update{Name: "x", State: membership.StateAlive}, To: "n0",
 	})
-	newer := append([]byte{9}, good[1:]...)
-	forged := append([]byte{}, good...)
+	unknownVersion := append([]byte{9}, valid[1:]...)
+	forged := append([]byte{}, valid...)
 	forged[5] ^= 1
-	noMessage, _ := sealDatagram(key, []int{1})
+	notAMessage, _ := sealDatagram(key, []int{1})
 	for range 500 {
-		conn.Write(good[:10])
-		conn.Write(newer)
+		conn.Write(valid[:10])
+		conn.Write(unknownVersion)
 		conn.Write(forged)
-		conn.Write(noMessage)
+		conn.Write(notAMessage)
 		conn.Write(make([]byte, 3000))
-		conn.Write(good) // to no instance
+		conn.Write(valid) // not addressed to an instance
 	}
-	d := &a.Dropped
-	waitFor(t, "all are counted", func() bool {
-		return d.Size.Load() > 0 && d.Version.Load() > 0 && d.Authentication.Load() > 0 && d.Payload.Load() > 0 &&
-			a.View().Counts.Misaddressed > 0
+	dropped := &a.Dropped
+	waitFor(t, "each kind of invalid datagram is counted", func() bool {
+		return dropped.Size.Load() > 0 && dropped.Version.Load() > 0 && dropped.Authentication.Load() > 0 &&
+			dropped.Payload.Load() > 0 && a.View().Counts.Misaddressed > 0
 	})
 	time.Sleep(2 * time.Second)
 	aliveAtA, aliveAtB := countMembers(a, membership.StateAlive), countMembers(b, membership.StateAlive)
 	aliveAtC := countMembers(c, membership.StateAlive)
 	if aliveAtA != 1 || aliveAtB != 1 || aliveAtC != 0 {
-		t.Errorf("%d, %d and %d alive", aliveAtA, aliveAtB, aliveAtC)
+		t.Errorf("a, b and c see %d, %d and %d members alive, want 1, 1 and 0", aliveAtA, aliveAtB, aliveAtC)
 	}
 }
 
 func TestReadKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	if _, err := ReadKey(path); err == nil {
-		t.Error("a key without a file")
+		t.Error("missing key file accepted")
 	}
 	if err := os.WriteFile(path, []byte("short\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadKey(path); err == nil {
-		t.Error("a short key is accepted")
+		t.Error("key that is too short accepted")
 	}
 	if err := os.WriteFile(path, append(key, '\n'), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := ReadKey(path); err != nil || string(got) != string(key) {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read key %q, %v, want %q", got, err, key)
 	}
 }
--- a/internal/membership/transport/compatibility_test.go
+++ b/internal/membership/transport/compatibility_test.go
@@ -10,8 +10,8 @@
 	"quilldoor/internal/membership"
 )
 
-// Datagrams that earlier versions have written, one file a commit, are read as they were meant; fields that those
-// versions lacked are zero.
+// Datagrams that earlier versions wrote, with the commit in the name of each file, decode to the message that they
+// encoded. Fields that those versions lacked are zero.
 func TestDatagramsOfEarlierVersions(t *testing.T) {
 	want := membership.Message{
 		Kind:       membership.KindPing,
@@ -38,7 +38,7 @@
 	}
 	files, _ := filepath.Glob("testdata/datagram-*.bin")
 	if len(files) != 3 {
-		t.Fatalf("%d files", len(files))
+		t.Fatalf("%d datagram files in testdata, want 3", len(files))
 	}
 	for _, file := range files {
 		datagram, err := os.ReadFile(file)
@@ -47,7 +47,7 @@
 		}
 		var got membership.Message
 		if err := openDatagram([]byte("a key of sixteen bytes"), datagram, &got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %v, %+v", file, err, got)
+			t.Errorf("%s: decoded %+v, %v, want %+v", file, got, err, want)
 		}
 	}
 }
--- a/internal/membership/transport/datagram.go
+++ b/internal/membership/transport/datagram.go
@@ -30,16 +30,16 @@
 	minKeyLength = 16
 )
 
-// Errors of datagrams that are rejected, in the order of the checks, the cheapest first. Each is an errMalformed.
+// Errors of rejected datagrams, in the order of the checks, the cheapest first. Each wraps errMalformed.
 var (
 	errMalformed      = errors.New("malformed datagram")
-	errSize           = fmt.Errorf("%w: size", errMalformed)
-	errVersion        = fmt.Errorf("%w: version", errMalformed)
-	errAuthentication = fmt.Errorf("%w: authentication tag", errMalformed)
-	errPayload        = fmt.Errorf("%w: payload", errMalformed)
+	errSize           = fmt.Errorf("%w: invalid size", errMalformed)
+	errVersion        = fmt.Errorf("%w: unknown version", errMalformed)
+	errAuthentication = fmt.Errorf("%w: invalid authentication tag", errMalformed)
+	errPayload        = fmt.Errorf("%w: invalid payload", errMalformed)
 )
 
-// datagramDecoder bounds what a datagram's payload may hold.
+// datagramDecoder limits the size of a datagram's decoded payload.
 var datagramDecoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
 	MaxArrayElements: 1024, MaxMapPairs: 64, MaxNestedLevels: 6, RejectDuplicateKeys: true,
 })
@@ -59,8 +59,8 @@
 	return append(datagram, authenticationTag(key, datagram)...), nil
 }
 
-// openDatagram authenticates a datagram and decodes its payload. A wrong size or version is rejected before anything
-// is hashed, a wrong tag before anything is decoded.
+// openDatagram authenticates a datagram and decodes its payload. It rejects an invalid size or version before it
+// computes the authentication tag, and an invalid tag before it decodes the payload.
 func openDatagram(key, datagram []byte, payload any) error {
 	switch {
 	case len(datagram) <= versionSize+tagSize || len(datagram) > MaxDatagram:
@@ -78,6 +78,7 @@
 	return nil
 }
 
+// authenticationTag returns the tag of the bytes that precede it in a datagram.
 func authenticationTag(key, signed []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write(signed)
--- a/internal/membership/transport/datagram_test.go
+++ b/internal/membership/transport/datagram_test.go
@@ -17,43 +17,43 @@
 var sharedKey = []byte("sixteen bytes or more")
 
 func TestInvalidDatagramsAreRejected(t *testing.T) {
-	good, err := sealDatagram(sharedKey, &testPayload{"a", 3})
+	valid, err := sealDatagram(sharedKey, &testPayload{"a", 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got testPayload
-	if err := openDatagram(sharedKey, good, &got); err != nil || got != (testPayload{"a", 3}) {
-		t.Fatalf("%+v, %v", got, err)
+	if err := openDatagram(sharedKey, valid, &got); err != nil || got != (testPayload{"a", 3}) {
+		t.Fatalf("valid datagram: decoded %+v, %v", got, err)
 	}
 	if _, err := sealDatagram(sharedKey, &testPayload{string(make([]byte, MaxDatagram)), 0}); !errors.Is(err, errSize) {
-		t.Errorf("too large: %v", err)
+		t.Errorf("payload too large: %v, want errSize", err)
 	}
-	other, _ := sealDatagram([]byte("another key of theirs"), &testPayload{"a", 3})
+	foreign, _ := sealDatagram([]byte("another key of theirs"), &testPayload{"a", 3})
 	for name, c := range map[string]struct {
-		b    []byte
-		want error
+		datagram []byte
+		want     error
 	}{
 		"empty":       {nil, errSize},
-		"short":       {good[:17], errSize},
-		"long":        {append(bytes.Clone(good), make([]byte, MaxDatagram)...), errSize},
-		"version":     {append([]byte{datagramVersion + 1}, good[1:]...), errVersion},
-		"foreign key": {other, errAuthentication},
-		"cut":         {good[:len(good)-1], errAuthentication},
+		"short":       {valid[:17], errSize},
+		"long":        {append(bytes.Clone(valid), make([]byte, MaxDatagram)...), errSize},
+		"version":     {append([]byte{datagramVersion + 1}, valid[1:]...), errVersion},
+		"foreign key": {foreign, errAuthentication},
+		"truncated":   {valid[:len(valid)-1], errAuthentication},
 	} {
-		if err := openDatagram(sharedKey, c.b, &got); !errors.Is(err, c.want) || !errors.Is(err, errMalformed) {
-			t.Errorf("%s: %v", name, err)
+		if err := openDatagram(sharedKey, c.datagram, &got); !errors.Is(err, c.want) || !errors.Is(err, errMalformed) {
+			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
 	}
-	for i := 1; i < len(good); i++ {
-		bad := bytes.Clone(good)
-		bad[i] ^= 1
-		if err := openDatagram(sharedKey, bad, &got); !errors.Is(err, errAuthentication) {
-			t.Errorf("byte %d changed: %v", i, err)
+	for i := 1; i < len(valid); i++ {
+		changed := bytes.Clone(valid)
+		changed[i] ^= 1
+		if err := openDatagram(sharedKey, changed, &got); !errors.Is(err, errAuthentication) {
+			t.Errorf("byte %d changed: %v, want errAuthentication", i, err)
 		}
 	}
 	list, _ := sealDatagram(sharedKey, []string{"no", "map"})
 	if err := openDatagram(sharedKey, list, &got); !errors.Is(err, errPayload) || !errors.Is(err, errMalformed) {
-		t.Errorf("another payload: %v", err)
+		t.Errorf("list instead of a map: %v, want errPayload", err)
 	}
 }
 
@@ -66,7 +66,7 @@
 		datagram = append(datagram, authenticationTag(sharedKey, datagram)...)
 		err := openDatagram(sharedKey, datagram, new(any))
 		if err != nil && !errors.Is(err, errPayload) {
-			t.Errorf("%.8x: %v is no errPayload", encoded, err)
+			t.Errorf("payload %.8x: %v, want errPayload", encoded, err)
 		}
 		return err
 	})
@@ -79,25 +79,25 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var got testPayload
 		if openDatagram(sharedKey, b, &got) == nil && len(b) > MaxDatagram {
-			t.Fatal("too large, and accepted")
+			t.Fatalf("datagram of %d bytes accepted, want at most %d", len(b), MaxDatagram)
 		}
-		if len(b) < MaxDatagram-tagSize { // the payload alone, past the authentication tag
+		if len(b) < MaxDatagram-tagSize { // b as the payload of a datagram with a valid authentication tag
 			signed := append([]byte{datagramVersion}, b...)
 			signed = append(signed, authenticationTag(sharedKey, signed)...)
-			_ = openDatagram(sharedKey, signed, &got) // any error is right, a panic is not
+			_ = openDatagram(sharedKey, signed, &got) // must not panic; any error is allowed
 		}
 	})
 }
 
 // BenchmarkDatagram measures opening an accepted and a forged datagram.
 func BenchmarkDatagram(b *testing.B) {
-	good, _ := sealDatagram(sharedKey, &testPayload{"a", 3})
-	forged := append(bytes.Clone(good[:len(good)-1]), good[len(good)-1]^1)
-	for name, d := range map[string][]byte{"good": good, "forged": forged} {
+	valid, _ := sealDatagram(sharedKey, &testPayload{"a", 3})
+	forged := append(bytes.Clone(valid[:len(valid)-1]), valid[len(valid)-1]^1)
+	for name, datagram := range map[string][]byte{"good": valid, "forged": forged} {
 		b.Run(name, func(b *testing.B) {
 			var got testPayload
 			for range b.N {
-				_ = openDatagram(sharedKey, d, &got) // the forged one is rejected
+				_ = openDatagram(sharedKey, datagram, &got) // the forged one is rejected
 			}
 		})
 	}
--- a/internal/membership/transport/key.go
+++ b/internal/membership/transport/key.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// ReadKey reads the key that all routers of a site share. White space around it is ignored.
+// ReadKey reads the key that all routers of a site share from a file. White space around the key is ignored.
 func ReadKey(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -14,7 +14,7 @@
 	}
 	key := bytes.TrimSpace(text)
 	if len(key) < minKeyLength {
-		return nil, fmt.Errorf("members.key_file: %d bytes, %d at least", len(key), minKeyLength)
+		return nil, fmt.Errorf("members.key_file: key in %s has %d bytes, want at least %d", path, len(key), minKeyLength)
 	}
 	return key, nil
 }
--- a/internal/membership/transport/log.go
+++ b/internal/membership/transport/log.go
@@ -6,16 +6,16 @@
 	"quilldoor/internal/membership"
 )
 
-// logChanges logs the state transitions of members. A suspicion and its refutation are part of normal operation and
-// logged at the debug level.
+// logChanges logs the state transitions of members. A suspicion and its refutation are part of normal operation, so
+// they are logged at the debug level.
 func (a *Agent) logChanges(changes []membership.Change) {
-	for _, c := range changes {
+	for _, change := range changes {
 		entry := a.log.WithFields(logrus.Fields{
-			"member":         c.Name,
-			"previous_state": c.From.String(),
-			"epoch":          c.ID.Epoch,
+			"member":         change.Name,
+			"previous_state": change.From.String(),
+			"epoch":          change.ID.Epoch,
 		})
-		switch c.To {
+		switch change.To {
 		case membership.StateSuspect:
 			entry.Debug("member suspect")
 		case membership.StateDead:
@@ -23,7 +23,7 @@
 		case membership.StateNameConflict:
 			entry.Error("another process has this router's name, this one keeps quiet")
 		case membership.StateAlive:
-			if c.From == membership.StateSuspect {
+			if change.From == membership.StateSuspect {
 				entry.Debug("member alive")
 			} else {
 				entry.Info("member alive")
@@ -38,7 +38,7 @@
 	}
 }
 
-// logMajority logs when the node begins or ceases to reach a majority.
+// logMajority logs when the node begins or ceases to reach a majority of the members. A joining node logs nothing.
 func (a *Agent) logMajority(c membership.Connectivity) {
 	if c.Majority == a.majority || c.State == membership.StateJoining {
 		return
--- a/internal/membership/transport/matrix.go
+++ b/internal/membership/transport/matrix.go
@@ -7,13 +7,14 @@
 	"quilldoor/internal/membership"
 )
 
-// Matrix holds the views of several routers side by side.
+// Matrix holds the views of several routers for comparison.
 type Matrix struct {
-	Names []string                    // sorted
-	Views map[string]*membership.View // by router; nil: no answer
+	Names []string                    // of all routers, sorted
+	Views map[string]*membership.View // by router name; nil: the router did not answer
 }
 
-// QueryAll queries all members that a view holds, some at a time, at the addresses in that view.
+// QueryAll queries all members in the view of one router, at their addresses in that view and up to 16 at a time. The
+// matrix includes the view itself.
 func QueryAll(key []byte, first *membership.View) *Matrix {
 	const maxConcurrent = 16
 	type answer struct {
@@ -27,19 +28,19 @@
 	slots := make(chan struct{}, maxConcurrent)
 	answers := make(chan answer, len(first.Members))
 	queries := 0
-	for _, m := range first.Members {
-		if !slices.Contains(matrix.Names, m.Name) {
-			matrix.Names = append(matrix.Names, m.Name)
+	for _, member := range first.Members {
+		if !slices.Contains(matrix.Names, member.Name) {
+			matrix.Names = append(matrix.Names, member.Name)
 		}
-		if !m.Addr.IsValid() {
+		if !member.Addr.IsValid() {
 			continue
 		}
 		queries++
 		go func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			view, _ := Query(key, m.Name, m.Addr) // nil on an error
-			answers <- answer{m.Name, view}
+			view, _ := Query(key, member.Name, member.Addr) // nil on an error
+			answers <- answer{member.Name, view}
 		}()
 	}
 	for range queries {
@@ -50,44 +51,45 @@
 	return matrix
 }
 
-// Status returns what one router holds of another; false: it did not answer.
-func (m *Matrix) Status(of, by string) (membership.MemberStatus, bool) {
-	view := m.Views[by]
+// Status returns a member's status in the view of another router, the observer, or in its own view. It returns false if
+// the observer did not answer, and the zero status if the view lacks the member.
+func (m *Matrix) Status(member, observer string) (membership.MemberStatus, bool) {
+	view := m.Views[observer]
 	if view == nil {
 		return membership.MemberStatus{}, false
 	}
-	if of == by {
+	if member == observer {
 		return view.Self, true
 	}
-	for _, s := range view.Members {
-		if s.Name == of {
-			return s, true
+	for _, status := range view.Members {
+		if status.Name == member {
+			return status, true
 		}
 	}
 	return membership.MemberStatus{}, true
 }
 
-// Disagreements returns the routers of which those that answered hold different states or instances. A suspicion is no
-// difference: it depends on each router's own probes.
+// Disagreements returns the members that have different states or instances in the views of the routers that answered.
+// A suspect member counts as alive, since a suspicion depends on each router's own probes.
 func (m *Matrix) Disagreements() (names []string) {
-	type opinion struct {
+	type observation struct {
 		state membership.State
 		id    membership.InstanceID
 	}
-	for _, of := range m.Names {
-		opinions := map[opinion]bool{}
-		for _, by := range m.Names {
-			s, answered := m.Status(of, by)
+	for _, member := range m.Names {
+		observations := map[observation]bool{}
+		for _, observer := range m.Names {
+			status, answered := m.Status(member, observer)
 			if !answered {
 				continue
 			}
-			if s.State == membership.StateSuspect {
-				s.State = membership.StateAlive
+			if status.State == membership.StateSuspect {
+				status.State = membership.StateAlive
 			}
-			opinions[opinion{s.State, s.ID}] = true
+			observations[observation{status.State, status.ID}] = true
 		}
-		if len(opinions) > 1 {
-			names = append(names, of)
+		if len(observations) > 1 {
+			names = append(names, member)
 		}
 	}
 	return names
--- a/internal/membership/transport/query.go
+++ b/internal/membership/transport/query.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// toolName is the sender's name in a tool's queries; no router may have it.
+	// toolName is the sender's name in the queries of a tool; no router may have this name.
 	toolName = "?"
 
 	queryAttempts = 3
-	queryTimeout  = 400 * time.Millisecond // of one attempt
+	queryTimeout  = 400 * time.Millisecond // of each attempt
 	maxViewPages  = 100
 )
 
-// ErrNoAnswer says that a router did not answer a tool's query.
+// ErrNoAnswer means that a router did not answer the query of a tool.
 var ErrNoAnswer = errors.New("no answer")
 
-// Query gets a router's view, page by page, for a tool. Where the view changes between two pages, it begins with the
-// new one. The error is ErrNoAnswer, or that of the socket.
+// Query requests the view of a router for a tool, page by page. If the view changes between two pages, it starts over
+// with the new view. The error wraps ErrNoAnswer or an error of the socket.
 func Query(key []byte, name string, addr netip.AddrPort) (*membership.View, error) {
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -44,7 +44,7 @@
 		case view == nil:
 			view = page
 		case page.Digest != view.Digest || page.Total != view.Total:
-			view = page // of another view
+			view = page // the view has changed
 			if page.Offset != 0 {
 				view.Members = nil
 			}
@@ -59,7 +59,7 @@
 	return view, nil
 }
 
-// queryPage asks for the page that begins at an offset, several times if need be.
+// queryPage requests the page that begins at the member with the index offset. It makes up to queryAttempts attempts.
 func queryPage(conn *net.UDPConn, key []byte, name string, offset int) (*membership.View, error) {
 	query, err := sealDatagram(key, &membership.Message{
 		Kind:      membership.KindQuery,
@@ -72,16 +72,17 @@
 	}
 	for range queryAttempts {
 		if _, err := conn.Write(query); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
+			return nil, fmt.Errorf("query router %s: %w", name, err)
 		}
 		if page := readPage(conn, key, uint32(offset), time.Now().Add(queryTimeout)); page != nil {
 			return page, nil
 		}
 	}
-	return nil, fmt.Errorf("%s at %v: %w", name, conn.RemoteAddr(), ErrNoAnswer)
+	return nil, fmt.Errorf("query router %s at %v: %w", name, conn.RemoteAddr(), ErrNoAnswer)
 }
 
-// readPage reads until the answer to a query; nil: it was refused or did not come in time.
+// readPage reads datagrams until one answers the query. It returns nil if none does so before the deadline, or if the
+// socket reports an error, such as a refused query.
 func readPage(conn *net.UDPConn, key []byte, requestID uint32, deadline time.Time) *membership.View {
 	conn.SetReadDeadline(deadline)
 	buffer := make([]byte, MaxDatagram+1)
