--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -13,7 +13,7 @@
 	digestBuckets = 16
 	// requestInterval is the minimum time between two requests of a replica.
 	requestInterval = second / 2
-	// claimRequestInterval is the minimum time while a claim has to be confirmed or prolonged.
+	// claimRequestInterval replaces requestInterval while a claim has to be confirmed or prolonged.
 	claimRequestInterval = requestInterval / 5
 	// settleTime is how long a replica must be unchanged before a different digest causes a request: most differences
 	// are changes that the other sources are about to announce.
@@ -81,9 +81,9 @@
 	return digest
 }
 
-// ShouldRequest reports whether to send a request to a router with this digest, and counts the request. A different
-// digest causes a request once the replica has been unchanged for settleTime or has a claim. A claim that has to be
-// confirmed or prolonged causes one even if the digests are equal.
+// ShouldRequest reports whether to send a request to a router with this digest, and counts the request if so. A
+// different digest causes a request once the replica has been unchanged for settleTime or has a claim. A claim that has
+// to be confirmed or prolonged causes one even if the digests are equal.
 func (r *Replica) ShouldRequest(now int64, digest uint32) bool {
 	differs := digest != r.Digest()
 	if r.Counts.Requests < startupRequests && differs {
@@ -166,14 +166,14 @@
 // announced them: if claims were passed on, routers without a source would confirm each other's claims. Purges are
 // reported whichever router has announced them. Those endpoints in request.Claimed that the local source does not list
 // are returned as unlisted.
-func (r *Replica) Respond(request *DigestRequest, chunkBytes int) []StateExchange {
+func (r *Replica) Respond(request *DigestRequest, chunkBytes int) []StateResponse {
 	if len(request.Digests) != digestBuckets {
 		r.Counts.Rejected++
 		return nil
 	}
 	r.Counts.Responses++
 	differs := func(bucket int) bool { return request.Digests[bucket] != r.digests[bucket] }
-	response := chunkedExchange{chunkBytes: chunkBytes}
+	response := chunkedResponse{chunkBytes: chunkBytes}
 	for _, id := range request.Claimed {
 		if r.isUnlisted(id) {
 			response.addUnlisted(id)
@@ -198,42 +198,42 @@
 	return r.listComplete && len(r.endpoints) < maxEndpoints && r.endpoints[id] == nil
 }
 
-// chunkedExchange splits a response into chunks.
-type chunkedExchange struct {
+// chunkedResponse splits a response into chunks.
+type chunkedResponse struct {
 	chunkBytes   int
-	chunks       []StateExchange // complete ones
-	current      StateExchange
+	chunks       []StateResponse // complete ones
+	current      StateResponse
 	currentBytes int // estimated size of current
 }
 
 // reserve begins a new chunk if an item of the given size does not fit into the current one.
-func (c *chunkedExchange) reserve(itemBytes int) {
+func (c *chunkedResponse) reserve(itemBytes int) {
 	if c.currentBytes+itemBytes > c.chunkBytes {
 		c.chunks = append(c.chunks, c.current)
-		c.current = StateExchange{}
+		c.current = StateResponse{}
 		c.currentBytes = 0
 	}
 	c.currentBytes += itemBytes
 }
 
-func (c *chunkedExchange) addEndpoint(e Endpoint) {
+func (c *chunkedResponse) addEndpoint(e Endpoint) {
 	const fixedBytes = 40 // all but the strings
 	c.reserve(fixedBytes + len(e.ID) + len(e.Address) + len(e.Zone) + len(e.Kind))
 	c.current.Endpoints = append(c.current.Endpoints, newEndpointReport(e))
 }
 
-func (c *chunkedExchange) addUnlisted(id string) {
+func (c *chunkedResponse) addUnlisted(id string) {
 	c.reserve(reportedIDBytes(id))
 	c.current.Unlisted = append(c.current.Unlisted, id)
 }
 
-func (c *chunkedExchange) addPurge(key purgeKey, at int64) {
+func (c *chunkedResponse) addPurge(key purgeKey, at int64) {
 	const fixedBytes = 20 // all but the string
 	c.reserve(fixedBytes + len(key.object))
 	c.current.Purges = append(c.current.Purges, PurgeReport{Object: key.object, Group: key.group, At: at})
 }
 
-func (c *chunkedExchange) finish() []StateExchange { return append(c.chunks, c.current) }
+func (c *chunkedResponse) finish() []StateResponse { return append(c.chunks, c.current) }
 
 // Result is the outcome of a payload.
 type Result struct {
@@ -261,13 +261,13 @@
 	if payload.Request != nil {
 		return Result{Replies: r.respond(payload.Request, chunkBytes)}
 	}
-	endpoints, purges := r.Merge(now, wall, from, payload.StateExchange)
+	endpoints, purges := r.Merge(now, wall, from, payload.Response)
 	return Result{Endpoints: endpoints, Purges: purges}
 }
 
 func (r *Replica) respond(request *DigestRequest, chunkBytes int) (replies [][]byte) {
 	for _, chunk := range r.Respond(request, chunkBytes) {
-		replies = append(replies, (&Payload{StateExchange: &chunk}).Encode())
+		replies = append(replies, (&Payload{Response: &chunk}).Encode())
 	}
 	return replies
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -204,23 +204,23 @@
 	return ids
 }
 
-// Merge merges the reports of another router into the state, and returns the endpoints and purges to apply. Endpoints
+// Merge merges a response of another router into the state, and returns the endpoints and purges to apply. Endpoints
 // that the local source has not announced are ignored.
-func (r *Replica) Merge(now, wall int64, from string, report *StateExchange) (endpoints []Endpoint, purges []Purge) {
-	for _, p := range report.Purges {
+func (r *Replica) Merge(now, wall int64, from string, response *StateResponse) (endpoints []Endpoint, purges []Purge) {
+	for _, p := range response.Purges {
 		if purge := p.purge(); r.applyReportedPurge(wall, purge) {
 			purges = append(purges, purge)
 		}
 	}
-	for i := range report.Endpoints {
-		e := report.Endpoints[i].endpoint()
+	for i := range response.Endpoints {
+		e := response.Endpoints[i].endpoint()
 		if r.applyReport(now, wall, from, e) {
 			endpoints = append(endpoints, r.endpoints[e.ID].accepted.Endpoint)
 		}
 	}
 	// A router that reports an endpoint as unlisted may have dropped the record of an endpoint that is gone, or its
 	// source may not have announced a new endpoint yet. The report prolongs an accepted claim, and confirms none.
-	for _, id := range report.Unlisted {
+	for _, id := range response.Unlisted {
 		if rec := r.endpoints[id]; rec != nil {
 			rec.accepted.prolong(now)
 		}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -283,7 +283,7 @@
 	})
 	request := r.NewRequest()
 	for _, chunk := range peer.Respond(&request, 1000) {
-		if got := receive(gossip.Payload{StateExchange: &chunk}); len(got.Endpoints)+len(got.Purges) > 0 {
+		if got := receive(gossip.Payload{Response: &chunk}); len(got.Endpoints)+len(got.Purges) > 0 {
 			t.Errorf("implausible reports accepted: %+v", got)
 		}
 	}
@@ -303,7 +303,7 @@
 	r.ApplyLocal(second, true, []gossip.Endpoint{endpoint("a", active, 0)})
 	r.ApplyLocalPurge(second, gossip.Purge{Object: "o", At: wall})
 	for _, chunk := range r.Respond(&request, 1000) {
-		f.Add((&gossip.Payload{StateExchange: &chunk}).Encode())
+		f.Add((&gossip.Payload{Response: &chunk}).Encode())
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r := newReplica("")
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -11,8 +11,8 @@
 
 // Payload is a message between two replicas: a request, or a part of the response to it. One of its fields is set.
 type Payload struct {
-	Request       *DigestRequest `cbor:"1,keyasint,omitempty"`
-	StateExchange *StateExchange `cbor:"2,keyasint,omitempty"`
+	Request  *DigestRequest `cbor:"1,keyasint,omitempty"`
+	Response *StateResponse `cbor:"2,keyasint,omitempty"`
 }
 
 // DigestRequest requests the content of the buckets whose digests differ from Digests.
@@ -21,8 +21,8 @@
 	Claimed []string `cbor:"2,keyasint,omitempty"` // ids of endpoints for which the sender has accepted a claim
 }
 
-// StateExchange is a part of a response.
-type StateExchange struct {
+// StateResponse is a part of a response.
+type StateResponse struct {
 	Endpoints []EndpointReport `cbor:"1,keyasint,omitempty"`
 	Purges    []PurgeReport    `cbor:"2,keyasint,omitempty"`
 	Unlisted  []string         `cbor:"3,keyasint,omitempty"` // ids in Claimed that the sender's source does not list
@@ -95,7 +95,7 @@
 // list of more than 1024 elements.
 func Decode(b []byte) *Payload {
 	var p Payload
-	if payloadDecoder.Unmarshal(b, &p) != nil || p.Request == nil && p.StateExchange == nil {
+	if payloadDecoder.Unmarshal(b, &p) != nil || p.Request == nil && p.Response == nil {
 		return nil
 	}
 	return &p
