--- a/internal/upgrade/adoption.go
+++ b/internal/upgrade/adoption.go
@@ -1,10 +1,10 @@
 package upgrade
 
-// Orphan is a router process that outlived its supervisor, as it describes itself.
+// Orphan is a router process that outlived its supervisor, as the process reports it.
 type Orphan struct {
 	Generation uint64
 	State      AgentState
-	Settled    bool // it was notified that its trial is over, or that it needs none
+	Settled    bool // the process was notified that its trial is over, or that it needs none
 }
 
 // Disposition is what a new supervisor does with an orphan.
@@ -13,9 +13,9 @@
 // Dispositions of orphans.
 const (
 	DispositionKeep   Disposition = iota // it serves: keep it as the settled generation
-	DispositionRetry                     // it serves but was never settled: begin its trial anew
-	DispositionResume                    // nobody serves: command it to
-	DispositionEnd                       // another one was chosen: let it drain and end
+	DispositionRetry                     // it serves but was never settled: restart its trial
+	DispositionResume                    // no process serves: command it to serve again
+	DispositionEnd                       // another orphan was selected: let it drain and end
 	dispositionCount
 )
 
@@ -24,27 +24,28 @@
 // String returns the disposition's name in logs.
 func (d Disposition) String() string { return nameOf(dispositionNames[:], int(d), "disposition") }
 
-// orphanRank orders orphans by how fit they are to serve.
+// orphanRank orders orphans by preference: the supervisor selects the highest rank.
 type orphanRank uint8
 
 const (
-	rankUnfit            orphanRank = iota // ends by itself
-	rankIdle                               // neither settled nor serving
-	rankOnTrial                            // serves, never settled
-	rankSettledServing                     // serves, settled, older than the state file's generation
-	rankRecorded                           // the generation that the state file records
-	rankSettledUnwritten                   // settled after the state file was written
+	rankIneligible        orphanRank = iota // ends on its own
+	rankIdle                                // neither settled nor serving
+	rankOnTrial                             // serves, never settled
+	rankSettledServing                      // serves, settled, older than the state file's generation
+	rankRecorded                            // the generation that the state file records
+	rankSettledUnrecorded                   // settled, but the state file does not record it yet
 )
 
-// rank of an orphan, given the generation that the state file records as settled. A
-// process that was notified that it is settled is, whatever the file says: the
-// notification precedes the file, and the predecessor ends only after both.
+// rank returns an orphan's rank, given the generation that the state file records as
+// settled. A process that was notified that it is settled counts as settled even if the
+// state file records another generation: the notification precedes the write of the
+// file, and the predecessor ends only after both.
 func (o Orphan) rank(settled uint64) orphanRank {
 	switch {
 	case o.State == AgentEnding || o.State == AgentWaiting || o.State == AgentAcquiring:
-		return rankUnfit
+		return rankIneligible
 	case o.Settled && o.Generation > settled:
-		return rankSettledUnwritten
+		return rankSettledUnrecorded
 	case o.Generation == settled:
 		return rankRecorded
 	case o.State.Accepts() && o.Settled:
@@ -56,19 +57,19 @@
 	}
 }
 
-// Dispositions decides about orphans, in their order. Settled is the generation that
-// the state file records as settled (0: none). At most one orphan is kept, retried or
-// resumed; the others end.
+// Dispositions returns the disposition of each orphan, in the order of orphans. Settled is
+// the generation that the state file records as settled (0: none). At most one orphan is
+// kept, retried or resumed; the others end.
 func Dispositions(settled uint64, orphans []Orphan) []Disposition {
-	best, bestRank := fittest(settled, orphans)
+	selected, selectedRank := selectOrphan(settled, orphans)
 	dispositions := make([]Disposition, len(orphans))
 	for i, o := range orphans {
 		switch {
-		case i != best:
+		case i != selected:
 			dispositions[i] = DispositionEnd
 		case !o.State.Accepts():
 			dispositions[i] = DispositionResume
-		case bestRank == rankOnTrial:
+		case selectedRank == rankOnTrial:
 			dispositions[i] = DispositionRetry
 		default:
 			dispositions[i] = DispositionKeep
@@ -77,18 +78,18 @@
 	return dispositions
 }
 
-// fittest returns the index of the orphan that is to serve, -1 for none. Among equals
-// the latest generation wins.
-func fittest(settled uint64, orphans []Orphan) (best int, bestRank orphanRank) {
-	best = -1
+// selectOrphan returns the index and the rank of the orphan that is to serve; the index is
+// -1 when none is eligible. Among orphans of equal rank it selects the latest generation.
+func selectOrphan(settled uint64, orphans []Orphan) (selected int, selectedRank orphanRank) {
+	selected = -1
 	for i, o := range orphans {
 		rank := o.rank(settled)
-		if rank == rankUnfit {
+		if rank == rankIneligible {
 			continue
 		}
-		if rank > bestRank || rank == bestRank && o.Generation > orphans[best].Generation {
-			best, bestRank = i, rank
+		if rank > selectedRank || rank == selectedRank && o.Generation > orphans[selected].Generation {
+			selected, selectedRank = i, rank
 		}
 	}
-	return best, bestRank
+	return selected, selectedRank
 }
--- a/internal/upgrade/agent.go
+++ b/internal/upgrade/agent.go
@@ -2,19 +2,20 @@
 
 // Timeouts of a router process, in microseconds.
 const (
-	// lockTimeout is how long a successor tries to get the serving lock. The
-	// predecessor releases it before it says so: the lock is free at once unless the
-	// predecessor resumed.
+	// lockTimeout is how long a successor tries to acquire the serving lock. The
+	// predecessor releases the lock before it reports the release, so the lock is free
+	// at once unless the predecessor has resumed.
 	lockTimeout = 300 * millisecond
-	// quiescedTimeout is how long a quiesced process waits to hear from its supervisor,
-	// which may be stopped. It must be longer than two of the supervisor's commandTimeout.
+	// quiescedTimeout is how long a quiesced process waits for a message of its
+	// supervisor, which may be stopped. It must exceed twice the supervisor's
+	// commandTimeout.
 	quiescedTimeout = 1500 * millisecond
-	// yieldTimeout is how long a process on trial without a supervisor lets its
-	// predecessor take the lock.
+	// yieldTimeout is how long a process on trial that lost its supervisor leaves the
+	// lock to its predecessor.
 	yieldTimeout = 500 * millisecond
 )
 
-// agentTransition is what an Agent does on an input.
+// agentTransition is an Agent's reaction to an input.
 type agentTransition struct {
 	next    AgentState
 	timeout int64 // of the next state, in microseconds; 0: none
@@ -25,17 +26,17 @@
 	return &agentTransition{next: next, effects: effects}
 }
 
-func agentToFor(timeout int64, next AgentState, effects ...AgentEffect) *agentTransition {
+func agentToWithTimeout(timeout int64, next AgentState, effects ...AgentEffect) *agentTransition {
 	return &agentTransition{next: next, timeout: timeout, effects: effects}
 }
 
-// agentTransitions is the table of a router process. An input without a row is ignored
+// agentTransitions is the transition table of an Agent. An input without a row is ignored
 // in that state.
 var agentTransitions = [agentStateCount][agentInputCount]*agentTransition{
 	AgentWaiting: {
-		AgentInputServe: agentToFor(lockTimeout, AgentAcquiring),
+		AgentInputServe: agentToWithTimeout(lockTimeout, AgentAcquiring),
 		AgentInputEnd:   agentTo(AgentEnding, AgentEffectDrain),
-		// It never served: its predecessor does.
+		// This process has never served; its predecessor serves.
 		AgentInputSupervisorLost: agentTo(AgentEnding, AgentEffectDrain),
 	},
 	AgentAcquiring: {
@@ -43,33 +44,34 @@
 		// Another process holds the lock.
 		AgentInputTimeout: agentTo(AgentWaiting, AgentEffectReportDenied),
 		AgentInputEnd:     agentTo(AgentEnding, AgentEffectDrain),
-		// The predecessor takes the lock back by itself.
+		// The predecessor acquires the lock again on its own.
 		AgentInputSupervisorLost: agentTo(AgentEnding, AgentEffectDrain),
 	},
 	AgentOnTrial: {
 		AgentInputSettle: agentTo(AgentServing, AgentEffectReportSettled),
 		AgentInputEnd:    agentTo(AgentEnding, AgentEffectStop, AgentEffectDrain),
-		// Nobody can end the trial: the predecessor is preferred, if it is alive.
-		AgentInputSupervisorLost: agentToFor(yieldTimeout, AgentYielding, AgentEffectStop),
+		// Without a supervisor the trial cannot end: the predecessor, if alive, is to
+		// serve instead.
+		AgentInputSupervisorLost: agentToWithTimeout(yieldTimeout, AgentYielding, AgentEffectStop),
 	},
 	AgentServing: {
-		AgentInputQuiesce: agentToFor(quiescedTimeout, AgentQuiesced, AgentEffectStop, AgentEffectReportReleased),
+		AgentInputQuiesce: agentToWithTimeout(quiescedTimeout, AgentQuiesced, AgentEffectStop, AgentEffectReportReleased),
 		AgentInputSettle:  agentTo(AgentServing, AgentEffectReportSettled),
-		// A new supervisor asks a process that already serves.
+		// A new supervisor commands a process that already serves.
 		AgentInputResume: agentTo(AgentServing, AgentEffectReportAccepting),
 		AgentInputEnd:    agentTo(AgentEnding, AgentEffectDrain),
 	},
 	AgentQuiesced: {
 		AgentInputSuccessorServes: agentTo(AgentStandby),
 		AgentInputResume:          agentTo(AgentReacquiring),
-		// Nobody says that a successor serves: serve again, if the lock is free.
+		// No message confirms that a successor serves: serve again, if the lock is free.
 		AgentInputTimeout:        agentTo(AgentReacquiring),
 		AgentInputSupervisorLost: agentTo(AgentReacquiring),
 		AgentInputEnd:            agentTo(AgentEnding, AgentEffectDrain),
 	},
 	AgentStandby: {
 		AgentInputResume: agentTo(AgentReacquiring),
-		// The successor yields if it is on trial, and holds the lock if it is settled.
+		// A successor on trial yields the lock; a settled one keeps it.
 		AgentInputSupervisorLost: agentTo(AgentReacquiring),
 		AgentInputEnd:            agentTo(AgentEnding, AgentEffectDrain),
 	},
@@ -80,10 +82,10 @@
 		AgentInputEnd:             agentTo(AgentEnding, AgentEffectDrain),
 	},
 	AgentYielding: {
-		// The predecessor has had its time; serve again, if the lock is free.
+		// The predecessor had yieldTimeout to acquire the lock: serve again, if it is free.
 		AgentInputTimeout: agentTo(AgentReacquiring),
 		AgentInputResume:  agentTo(AgentReacquiring),
-		AgentInputServe:   agentToFor(lockTimeout, AgentAcquiring),
+		AgentInputServe:   agentToWithTimeout(lockTimeout, AgentAcquiring),
 		AgentInputEnd:     agentTo(AgentEnding, AgentEffectDrain),
 	},
 	AgentEnding: {},
@@ -94,7 +96,7 @@
 	State AgentState
 
 	deadline int64 // of State; 0: none
-	settled  bool
+	settled  bool  // see Settled
 }
 
 // NewAgent returns an Agent in AgentWaiting.
@@ -104,7 +106,7 @@
 // that it needs none.
 func (a *Agent) Settled() bool { return a.settled }
 
-// DueMicros is when Tick is to be called; 0: not at all.
+// DueMicros returns the time at which Tick is due; 0: never.
 func (a *Agent) DueMicros() int64 { return a.deadline }
 
 // Tick handles AgentInputTimeout once the deadline of the state has passed.
@@ -115,23 +117,23 @@
 	return a.Handle(now, AgentInputTimeout)
 }
 
-// Handle takes an input and returns the effects to carry out, in order. A lock that is
-// acquired in a state that has no use for it is released again.
-func (a *Agent) Handle(now int64, in AgentInput) []AgentEffect {
-	t := agentTransitions[a.State][in]
-	if t == nil {
-		if in == AgentInputLockAcquired {
+// Handle processes an input and returns the effects to carry out, in order. A lock that is
+// acquired in a state that does not need it is released again.
+func (a *Agent) Handle(now int64, input AgentInput) []AgentEffect {
+	row := agentTransitions[a.State][input]
+	if row == nil {
+		if input == AgentInputLockAcquired {
 			return []AgentEffect{AgentEffectReleaseLock}
 		}
 		return nil
 	}
-	if in == AgentInputSettle {
+	if input == AgentInputSettle {
 		a.settled = true
 	}
-	a.State = t.next
+	a.State = row.next
 	a.deadline = 0
-	if t.timeout > 0 {
-		a.deadline = now + t.timeout
+	if row.timeout > 0 {
+		a.deadline = now + row.timeout
 	}
-	return t.effects
+	return row.effects
 }
--- a/internal/upgrade/agentstates.go
+++ b/internal/upgrade/agentstates.go
@@ -1,7 +1,6 @@
 package upgrade
 
-// AgentState is a state of a router process's Agent. Its value goes over the wire to
-// the supervisor.
+// AgentState is a state of a router process's Agent. Its number is sent to the supervisor.
 type AgentState uint8
 
 // States of a router process. Their names are part of the status report: waiting, taking
@@ -9,13 +8,13 @@
 // (AgentReacquiring), yielding and ending.
 const (
 	AgentWaiting     AgentState = iota // not yet commanded to serve
-	AgentAcquiring                     // commanded to serve, tries to get the serving lock
+	AgentAcquiring                     // commanded to serve, tries to acquire the serving lock
 	AgentOnTrial                       // serves, and its predecessor is on standby
 	AgentServing                       // serves as the settled generation
-	AgentQuiesced                      // accepts nothing new; whether a successor serves is not known
+	AgentQuiesced                      // accepts no new connections; it is unknown whether a successor serves
 	AgentStandby                       // its successor serves
-	AgentReacquiring                   // tries to get the serving lock back
-	AgentYielding                      // on trial, lost its supervisor: its predecessor may take the lock
+	AgentReacquiring                   // tries to acquire the serving lock again
+	AgentYielding                      // on trial, lost its supervisor: leaves the lock to its predecessor
 	AgentEnding                        // answers its open requests, then ends
 	agentStateCount
 )
@@ -24,13 +23,15 @@
 	"waiting", "taking", "trial", "serving", "quiet", "standby", "retaking", "yielding", "ending",
 }
 
-// String also takes a state that a newer process has sent: it prints as the last one.
+// String returns the state's name in reports and logs. A state unknown to this program,
+// which a newer process may send, has the name of the last state.
 func (s AgentState) String() string { return agentStateNames[min(s, agentStateCount-1)] }
 
-// Accepts reports whether the process accepts clients. It holds the serving lock then.
+// Accepts reports whether the process accepts clients, which implies that it holds the
+// serving lock.
 func (s AgentState) Accepts() bool { return s == AgentOnTrial || s == AgentServing }
 
-// WantsLock reports whether the process tries to get the serving lock.
+// WantsLock reports whether the process tries to acquire the serving lock.
 func (s AgentState) WantsLock() bool { return s == AgentAcquiring || s == AgentReacquiring }
 
 // AgentInput is a command of the supervisor, or an event in the process itself.
@@ -38,14 +39,14 @@
 
 // Inputs of an Agent.
 const (
-	AgentInputServe           AgentInput = iota // command: serve in the predecessor's place
-	AgentInputQuiesce                           // command: accept nothing new, hand over
+	AgentInputServe           AgentInput = iota // command: replace the predecessor and serve
+	AgentInputQuiesce                           // command: accept no new connections, hand over
 	AgentInputSuccessorServes                   // notification: the successor serves
 	AgentInputSettle                            // notification: the trial is over
 	AgentInputResume                            // command: serve again
 	AgentInputEnd                               // command: answer the open requests, then end
 	AgentInputSupervisorLost                    // the connection to the supervisor has ended
-	AgentInputLockAcquired                      // the process has got the serving lock
+	AgentInputLockAcquired                      // the process has acquired the serving lock
 	AgentInputTimeout                           // the deadline of the state has passed
 	agentInputCount
 )
@@ -62,13 +63,13 @@
 
 // Effects of an Agent, carried out in the order given.
 const (
-	AgentEffectAccept          AgentEffect = 1 + iota // acquire what one process owns, and accept clients
-	AgentEffectStop                                   // accept nothing more, release what it owns, then the lock
-	AgentEffectReportReleased                         // report: released, with the state to hand over
-	AgentEffectReportAccepting                        // report: it serves
+	AgentEffectAccept          AgentEffect = 1 + iota // acquire what only one process may own, and accept clients
+	AgentEffectStop                                   // accept no new connections, release what it owns, then the lock
+	AgentEffectReportReleased                         // report: lock released, with the state to hand over
+	AgentEffectReportAccepting                        // report: the process serves
 	AgentEffectReportDenied                           // report: the serving lock was not free in time
-	AgentEffectReportSettled                          // report: it knows that its trial is over
-	AgentEffectReleaseLock                            // release the lock, which came when it was not wanted any more
+	AgentEffectReportSettled                          // report: the end of its trial is confirmed
+	AgentEffectReleaseLock                            // release a lock that was acquired when no longer needed
 	AgentEffectDrain                                  // answer the open requests, then end
 	agentEffectEnd
 )
--- a/internal/upgrade/machine.go
+++ b/internal/upgrade/machine.go
@@ -2,23 +2,23 @@
 
 // Timeouts of the supervisor that depend on its configuration, in microseconds.
 type Timeouts struct {
-	ReadyMicros int64 // for a generation to get ready
-	TrialMicros int64 // how long a new generation is on trial
-	DrainMicros int64 // for a generation to answer its open requests
+	ReadyMicros int64 // until a started generation is ready to serve
+	TrialMicros int64 // duration of a new generation's trial
+	DrainMicros int64 // until a generation has answered its open requests
 }
 
 // Fixed timeouts of the supervisor, in microseconds.
 const (
-	// checkTimeout is for a program to validate its settings.
+	// checkTimeout limits the validation of a new generation's settings.
 	checkTimeout = 10 * second
-	// commandTimeout is for a process to carry out a command. Two of them must be less
-	// than quiescedTimeout: the old process resumes on its own after that.
+	// commandTimeout limits how long a process takes to carry out a command. Twice this
+	// time must be less than quiescedTimeout, after which the old process resumes on its own.
 	commandTimeout = 700 * millisecond
-	// HangTimeoutMicros is how long the only process may send no heartbeat (one each
-	// 100 ms is expected) before it is taken for hung.
+	// HangTimeoutMicros is how long the only process may send no heartbeat (one every
+	// 100 ms is expected) before it counts as hung.
 	HangTimeoutMicros = 10 * second
-	// TrialHangTimeoutMicros is the same for a process on trial: it is shorter, since
-	// the old process can replace it at once.
+	// TrialHangTimeoutMicros is the same limit for a process on trial. It is shorter, since
+	// the old process can replace that process at once.
 	TrialHangTimeoutMicros = second
 )
 
@@ -27,10 +27,12 @@
 const (
 	restartBackoffMin = 50 * millisecond
 	restartBackoffMax = 5 * second
-	// maxBackoffDoublings keeps the shift within an int64; restartBackoffMax binds long before.
+	// maxBackoffDoublings keeps the shift within an int64. The backoff reaches
+	// restartBackoffMax after far fewer doublings.
 	maxBackoffDoublings = 16
-	// stableAfter is the time of service after which the backoff begins anew.
-	stableAfter = 10 * second
+	// backoffResetAfter is how long a generation must have served before a crash for the
+	// backoff to start over.
+	backoffResetAfter = 10 * second
 )
 
 // Machine is the supervisor's state machine. It is used by one goroutine.
@@ -40,8 +42,8 @@
 	timeouts     Timeouts
 	enteredAt    int64 // when State began
 	deadline     int64 // of State; 0: none
-	oldGone      bool  // the old process ended during a change that goes on without it
-	crashes      int   // starts of the settled generation in a row that did not last
+	oldEnded     bool  // the old process ended during a change that continues without it
+	crashes      int   // of the settled generation since it last served for backoffResetAfter
 	servingSince int64 // when the settled generation began to serve
 }
 
@@ -50,25 +52,26 @@
 	return &Machine{State: StateDown, timeouts: timeouts, enteredAt: now, deadline: now, servingSince: now}
 }
 
-// NewAdoptedMachine returns a machine whose generation serves already. With trial that
-// generation is not settled, and its predecessor is gone.
+// NewAdoptedMachine returns a machine whose generation already serves. If trial is set,
+// that generation is on trial, and its predecessor has ended.
 func NewAdoptedMachine(timeouts Timeouts, now int64, trial bool) *Machine {
 	m := &Machine{State: StateSteady, timeouts: timeouts, enteredAt: now, servingSince: now}
 	if trial {
 		m.State = StateOnTrial
-		m.oldGone = true
+		m.oldEnded = true
 		m.deadline = now + timeouts.TrialMicros
 	}
 	return m
 }
 
-// DueMicros is when Tick is to be called; 0: not at all.
+// DueMicros returns the time at which Tick is due; 0: never.
 func (m *Machine) DueMicros() int64 { return m.deadline }
 
-// SinceMicros is when the current state began.
+// SinceMicros returns the time at which the current state began.
 func (m *Machine) SinceMicros() int64 { return m.enteredAt }
 
-// Busy reports whether no change can begin: one is in progress, or nobody serves.
+// Busy reports whether no change can begin, because one is in progress or the settled
+// generation does not serve.
 func (m *Machine) Busy() bool { return m.State != StateSteady }
 
 // Tick handles InputTimeout once the deadline of the state has passed.
@@ -80,54 +83,56 @@
 }
 
 // Paused extends the deadline by the time in microseconds in which the supervisor
-// itself did not run and so could not receive what it waits for.
+// itself did not run, and so could not receive the message that it waits for.
 func (m *Machine) Paused(gapMicros int64) {
 	if m.deadline > 0 {
 		m.deadline += gapMicros
 	}
 }
 
-// Handle takes an input and returns the effects to carry out, in order.
-func (m *Machine) Handle(now int64, in Input) []Effect {
-	t := transitions[m.State][in]
-	if t == nil {
+// Handle processes an input and returns the effects to carry out, in order.
+func (m *Machine) Handle(now int64, input Input) []Effect {
+	row := transitions[m.State][input]
+	if row == nil {
 		return nil
 	}
-	if in == InputOldGone {
-		m.oldGone = true
+	if input == InputOldGone {
+		m.oldEnded = true
 	}
-	if t.stay {
-		return t.effects
+	if row.stay {
+		return row.effects
 	}
-	if t.next == StateFallingBack && m.oldGone { // there is no process to fall back to
-		m.enter(now, StateDown, in)
+	if row.next == StateFallingBack && m.oldEnded { // there is no process to fall back to
+		m.enter(now, StateDown, input)
 		return []Effect{EffectKillNew, EffectReportFellBack}
 	}
-	m.enter(now, t.next, in)
-	return t.effects
+	m.enter(now, row.next, input)
+	return row.effects
 }
 
-func (m *Machine) enter(now int64, next State, in Input) {
+// enter begins a state because of an input, and sets the state's deadline.
+func (m *Machine) enter(now int64, next State, input Input) {
 	previous := m.State
 	m.State = next
 	m.enteredAt = now
 	m.deadline = 0
-	if timeout, limited := m.timeout(next, in); limited {
+	if timeout, limited := m.timeout(next, input); limited {
 		m.deadline = now + timeout
 	}
 	switch next {
 	case StateDown:
 		m.scheduleRestart(now, previous)
 	case StateSteady:
-		m.oldGone = false
+		m.oldEnded = false
 		if previous == StateStarting || previous == StateFallingBack || previous == StateWriting {
 			m.servingSince = now
 		}
 	}
 }
 
-// timeout is how long a state lasts at the most, in microseconds.
-func (m *Machine) timeout(state State, in Input) (micros int64, limited bool) {
+// timeout returns how long a state that an input led to may last, in microseconds. It
+// reports false for a state without a limit.
+func (m *Machine) timeout(state State, input Input) (micros int64, limited bool) {
 	switch state {
 	case StateStarting, StateWarming:
 		return m.timeouts.ReadyMicros, true
@@ -138,7 +143,7 @@
 	case StateOnTrial:
 		return m.timeouts.TrialMicros, true
 	case StateFallingBack:
-		if in == InputWorse || in == InputCancel { // the new process releases the lock by itself first
+		if input == InputWorse || input == InputCancel { // the new process first releases the lock on its own
 			return commandTimeout + lockTimeout, true
 		}
 		return commandTimeout, true
@@ -147,11 +152,13 @@
 	}
 }
 
-// scheduleRestart sets the deadline of StateDown: an exponential backoff over crashes in a row.
+// scheduleRestart sets the deadline of StateDown by an exponential backoff over consecutive
+// crashes.
 func (m *Machine) scheduleRestart(now int64, previous State) {
-	// A change that failed with both processes gone is no crash of the settled generation.
+	// Only an end outside a change counts: a change that failed because both processes
+	// ended is not a crash of the settled generation.
 	if previous == StateStarting || previous == StateSteady {
-		if now-m.servingSince >= stableAfter {
+		if now-m.servingSince >= backoffResetAfter {
 			m.crashes = 0
 		}
 		m.crashes++
--- a/internal/upgrade/machine_test.go
+++ b/internal/upgrade/machine_test.go
@@ -32,7 +32,7 @@
 		m.Tick(now)
 	}
 	m.Handle(now, InputOldServes)
-	now += stableAfter
+	now += backoffResetAfter
 	m.Handle(now, InputOldGone)
 	if m.DueMicros() != now {
 		t.Errorf("it waits %d us", m.DueMicros()-now)
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -94,7 +94,7 @@
 		}
 		return max(at-s.now, 0)
 	}
-	fmt.Fprint(&b, s.supervisorAlive, s.machine.State, left(s.machine.deadline), s.machine.oldGone, s.machine.crashes,
+	fmt.Fprint(&b, s.supervisorAlive, s.machine.State, left(s.machine.deadline), s.machine.oldEnded, s.machine.crashes,
 		s.old, s.new, s.leaving, s.lockHolder, s.settled, s.applied, s.cancelled, s.notified,
 		s.kills, s.stops, s.delays, ";")
 	for i := range s.processes {
--- a/internal/upgrade/resources.go
+++ b/internal/upgrade/resources.go
@@ -2,32 +2,35 @@
 
 import "fmt"
 
-// Resources of a machine, or the part of them that a process has or may have. MemoryMB is in units of 2^20 bytes,
-// Descriptors a number of open files and sockets.
+// Resources are those of a machine, or the part of them that a process uses or may use.
+// MemoryMB is in units of 2^20 bytes. Descriptors is a number of open files and sockets.
 type Resources struct {
 	MemoryMB, Descriptors int
 }
 
-// Reserved for the supervisor itself: memory in units of 2^20 bytes, and descriptors.
+// Resources reserved for the supervisor itself.
 const (
+	// SupervisorMB is its memory, in units of 2^20 bytes.
 	SupervisorMB = 16
-	// SupervisorFDs covers its sockets, connections to processes and tools, and files.
+	// SupervisorFDs is the number of its descriptors: sockets, connections to processes
+	// and tools, and files.
 	SupervisorFDs = 32
 )
 
 const (
-	// minRouterMB and minRouterFDs are the least that a router works with.
+	// minRouterMB and minRouterFDs are the least memory, in units of 2^20 bytes, and the
+	// fewest descriptors that a router can run with.
 	minRouterMB  = 24
 	minRouterFDs = 64
-	// drainGrowth covers what a quiesced process still acquires while it drains.
+	// drainGrowth is the factor by which a quiesced process may still grow while it drains.
 	drainGrowth = 1.1
-	// memoryOvershootDivisor bounds how far memory may overshoot, by a part of the
-	// budget, before the garbage collector catches up.
+	// memoryOvershootDivisor bounds the excess over the memory budget, as a fraction of
+	// the budget: memory overshoots until the garbage collector catches up.
 	memoryOvershootDivisor = 5
 )
 
-// SoleBudget is what a generation may use while it is the only one. It is an error, with
-// the figures, when that is less than 24 MB or 64 descriptors.
+// SoleBudget returns the resources that a generation may use while it is the only one. It
+// returns an error with the figures when these are less than 24 MB or 64 descriptors.
 func SoleBudget(machine Resources) (Resources, error) {
 	budget := Resources{
 		MemoryMB:    machine.MemoryMB - SupervisorMB,
@@ -35,42 +38,46 @@
 	}
 	if budget.MemoryMB < minRouterMB || budget.Descriptors < minRouterFDs {
 		return budget, fmt.Errorf(
-			"keep: %d MB and %d descriptors here; the supervisor takes %d MB and %d, a router %d MB and %d at least",
+			"keep: %d MB and %d descriptors are available; "+
+				"the supervisor needs %d MB and %d descriptors, a router at least %d MB and %d descriptors",
 			machine.MemoryMB, machine.Descriptors, SupervisorMB, SupervisorFDs, minRouterMB, minRouterFDs)
 	}
 	return budget, nil
 }
 
-// ShareBudget is what a new generation may use beside the supervisor and what the
-// present processes use, of which it takes a tenth more. It is an error, with the
-// figures, when that is less than 24 MB or 64 descriptors.
-func ShareBudget(machine, present Resources) (Resources, error) {
+// ShareBudget returns the resources that a new generation may use while the present
+// processes run: those that remain after the supervisor's part and the present usage
+// increased by a tenth. It returns an error with the figures when these are less than
+// 24 MB or 64 descriptors.
+func ShareBudget(machine, presentUsage Resources) (Resources, error) {
 	budget := Resources{
-		MemoryMB:    machine.MemoryMB - SupervisorMB - int(drainGrowth*float64(present.MemoryMB)+1),
-		Descriptors: machine.Descriptors - SupervisorFDs - int(drainGrowth*float64(present.Descriptors)+1),
+		MemoryMB:    machine.MemoryMB - SupervisorMB - int(drainGrowth*float64(presentUsage.MemoryMB)+1),
+		Descriptors: machine.Descriptors - SupervisorFDs - int(drainGrowth*float64(presentUsage.Descriptors)+1),
 	}
 	if budget.MemoryMB < minRouterMB {
 		return budget, fmt.Errorf(
-			"memory: %d MB here, %d for the supervisor and %d for the present generation leave %d, %d are wanted",
+			"memory: %d MB are available; %d MB for the supervisor and %d MB for the present processes "+
+				"leave %d MB, a new generation needs at least %d MB",
 			machine.MemoryMB, SupervisorMB, machine.MemoryMB-SupervisorMB-budget.MemoryMB, budget.MemoryMB, minRouterMB)
 	}
 	if budget.Descriptors < minRouterFDs {
 		return budget, fmt.Errorf(
-			"descriptors: %d here, %d for the supervisor and %d for the present generation leave %d, %d are wanted",
+			"descriptors: %d are available; %d for the supervisor and %d for the present processes "+
+				"leave %d, a new generation needs at least %d",
 			machine.Descriptors, SupervisorFDs, machine.Descriptors-SupervisorFDs-budget.Descriptors,
 			budget.Descriptors, minRouterFDs)
 	}
 	return budget, nil
 }
 
-// CheckUsage returns an error, with the figures, when a process uses more descriptors than
-// its budget, or more than 1.2 times its memory.
+// CheckUsage returns an error with the figures when a process uses more than 1.2 times the
+// memory of its budget, or more descriptors than its budget.
 func CheckUsage(budget, usage Resources) error {
 	switch {
 	case usage.MemoryMB > budget.MemoryMB+budget.MemoryMB/memoryOvershootDivisor:
-		return fmt.Errorf("memory: %d MB of %d", usage.MemoryMB, budget.MemoryMB)
+		return fmt.Errorf("memory: %d MB in use, the budget is %d MB", usage.MemoryMB, budget.MemoryMB)
 	case usage.Descriptors > budget.Descriptors:
-		return fmt.Errorf("descriptors: %d of %d", usage.Descriptors, budget.Descriptors)
+		return fmt.Errorf("descriptors: %d in use, the budget is %d", usage.Descriptors, budget.Descriptors)
 	}
 	return nil
 }
--- a/internal/upgrade/settingsdiff.go
+++ b/internal/upgrade/settingsdiff.go
@@ -10,16 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChangeMode is how a changed key takes effect. Modes are ordered: the larger value is the harder one.
+// ChangeMode is how a changed key takes effect. The modes are ordered from the least to the
+// most restrictive one.
 type ChangeMode uint8
 
-// Modes of change. The names of the first three are part of the output of `quilldoor change check`; Diff leaves out
-// changes of the last one.
+// Modes of change. The names of the first three are part of the output of
+// `quilldoor change check`; Diff omits changes of the last one.
 const (
 	ModeLive    ChangeMode = iota // while the router runs, on SIGHUP
-	ModeHandoff                   // by a new generation; every key that is not listed has this mode
-	ModeNever                     // not on this router: it would be a different one
-	ModeIgnored                   // differs at each start and is no change
+	ModeHandoff                   // by a new generation; keys without an entry in keyModes have this mode
+	ModeNever                     // never on this router: the change would make it another router
+	ModeIgnored                   // the value differs at each start and is not compared
 	changeModeCount
 )
 
@@ -28,8 +29,8 @@
 // String returns the mode's name: live, hand-over, not at all, or at each start.
 func (m ChangeMode) String() string { return nameOf(changeModeNames[:], int(m), "change mode") }
 
-// keyModes has modes by prefix of the key; the first that fits counts. Other keys
-// change by ModeHandoff.
+// keyModes maps prefixes of flat keys to modes. The first matching prefix applies; other
+// keys have ModeHandoff.
 var keyModes = []struct {
 	prefix string
 	mode   ChangeMode
@@ -39,7 +40,7 @@
 	{"config.seed", ModeIgnored},
 	{"config.known", ModeIgnored},
 	{"config.board", ModeLive},
-	{"config.limits.", ModeNever}, // of the machine: the supervisor has divided them
+	{"config.limits.", ModeNever}, // of the machine, whose resources the supervisor has already divided
 	{"operator.keep.folder", ModeNever},
 	{"operator.members.name", ModeNever},
 	{"operator.members.listen", ModeNever},
@@ -47,28 +48,28 @@
 	{"operator.gateway.listen", ModeNever},
 }
 
-// ModeOf is how a flat key, as Flatten makes them, changes.
+// ModeOf returns the mode of a flat key in the form that Flatten produces.
 func ModeOf(key string) ChangeMode {
-	for _, k := range keyModes {
-		if strings.HasPrefix(key, k.prefix) {
-			return k.mode
+	for _, entry := range keyModes {
+		if strings.HasPrefix(key, entry.prefix) {
+			return entry.mode
 		}
 	}
 	return ModeHandoff
 }
 
-// Change of one flat key. Old or New is "" where the key is not set.
+// Change is the change of one flat key. Old or New is "" if the key is not set there.
 type Change struct {
 	Key, Old, New string
 	Mode          ChangeMode
 }
 
-// String returns the change as reports show it: key, new and old value, and the mode's name.
+// String returns the change as shown in reports: key, new value, old value and mode.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %s, was %s (%v)", c.Key, cmp.Or(c.New, "not set"), cmp.Or(c.Old, "not set"), c.Mode)
 }
 
-// Diff returns the changes between two flat settings, sorted by key, without those of
+// Diff returns the changes between two flat settings, sorted by key. It omits changes of
 // ModeIgnored.
 func Diff(before, after map[string]string) []Change {
 	keys := map[string]struct{}{}
@@ -88,17 +89,17 @@
 	return changes
 }
 
-// HardestMode is the hardest mode among changes that Diff returned; ModeLive where there
-// are none. It reports false when that is ModeNever, so that they can't be applied to
-// this router.
-func HardestMode(changes []Change) (hardest ChangeMode, possible bool) {
+// HardestMode returns the most restrictive mode among changes that Diff returned, and
+// ModeLive without changes. It reports false for ModeNever, since the changes can't be
+// applied to this router then.
+func HardestMode(changes []Change) (mostRestrictive ChangeMode, possible bool) {
 	for _, c := range changes {
-		hardest = max(hardest, c.Mode)
+		mostRestrictive = max(mostRestrictive, c.Mode)
 	}
-	return hardest, hardest != ModeNever
+	return mostRestrictive, mostRestrictive != ModeNever
 }
 
-// routerKeys belong to one router: routers that share all other settings differ in them.
+// routerKeys are the keys that differ between routers with otherwise equal settings.
 var routerKeys = []string{
 	"config.name", "config.listen", "config.seed", "config.known", "config.board", "config.limits",
 	"config.settings.Rank", "config.settings.Zone",
@@ -108,34 +109,37 @@
 	"operator.keep.folder", "operator.keep.plan", "operator.metrics.file", "operator.disk.path",
 }
 
+// isRouterKey reports whether a flat key is one of routerKeys, or nested in one.
 func isRouterKey(key string) bool {
 	return slices.ContainsFunc(routerKeys, func(prefix string) bool {
 		return key == prefix || strings.HasPrefix(key, prefix+".") || strings.HasPrefix(key, prefix+"[")
 	})
 }
 
-// Digest is the xxHash64 of flat settings without the keys that belong to one router:
-// it is the same at all routers that are to act alike.
+// Digest returns the xxHash64 of flat settings without routerKeys. Routers that are to
+// behave alike have the same digest.
 func Digest(flat map[string]string) uint64 {
-	d := xxhash.New()
+	digest := xxhash.New()
 	for _, key := range slices.Sorted(maps.Keys(flat)) {
 		if isRouterKey(key) {
 			continue
 		}
-		d.WriteString(key)
-		d.WriteString("=")
-		d.WriteString(flat[key])
-		d.WriteString("\n")
+		digest.WriteString(key)
+		digest.WriteString("=")
+		digest.WriteString(flat[key])
+		digest.WriteString("\n")
 	}
-	return d.Sum64()
+	return digest.Sum64()
 }
 
-// maxFlatKeys bounds the settings of a program that may not be this one.
+// maxFlatKeys bounds the number of keys, since the settings may be written for another
+// program than this one.
 const maxFlatKeys = 50_000
 
-// Flatten writes nested settings, as encoding/json decodes them into an any, into out, as
-// keys of the form prefix.key[index]. What is null is left out. It fails when there are
-// more than 50,000 keys; out has a part of them then.
+// Flatten writes nested settings, as encoding/json decodes them into an any, to out under
+// keys of the form prefix.key[index]. Null values, empty objects and empty arrays have no
+// key. It returns an error when there are more than 50,000 keys; out then holds a part of
+// them.
 func Flatten(prefix string, value any, out map[string]string) error {
 	if len(out) > maxFlatKeys {
 		return fmt.Errorf("%s: more than %d keys", prefix, maxFlatKeys)
