--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -6,64 +6,75 @@
 	"strings"
 )
 
-// modelProcess is a router process of the model, with the messages on their way.
+// modelProcess is a router process of the model, with the messages in transit.
 type modelProcess struct {
 	generation   uint64
 	agent        Agent
 	alive        bool
 	stopped      bool // as by SIGSTOP
-	linked       bool // to the supervisor that runs
+	connected    bool // to the running supervisor
 	toAgent      []AgentInput
 	toSupervisor []report
 }
 
-// report of a process means one input when it is the old one, another when it is the new one.
+// report is a message of a process to the supervisor: the input that it is from the old
+// process, and the one that it is from the new process.
 type report struct{ fromOld, fromNew Input }
 
-// modelVariant is a fault of the protocol that the search must find.
+// modelVariant is the protocol that a model follows: the correct one, or one with a fault
+// that the search must find.
 type modelVariant uint8
 
 const (
 	faultless modelVariant = iota
 	noLock                 // processes serve without the lock
-	fileFirst              // the state file is written before the new process knows that it is settled
+	fileFirst              // the state file is written before the new process is notified that it is settled
 )
 
 func (v modelVariant) String() string { return [...]string{"faultless", "no lock", "file first"}[v] }
 
-// none is the index of no process.
+// none is the index that stands for no process.
 const none = -1
 
-// model is a machine with a supervisor and its processes. It is copied at each step.
+// Generations of the model: the one that serves at first, and the one of the change.
+const (
+	oldGeneration = 1
+	newGeneration = 2
+)
+
+// model is a state of a machine with a supervisor and its processes. The search copies it
+// at each step.
 type model struct {
 	variant         modelVariant
 	now             int64
 	supervisorAlive bool
 	machine         Machine
 	processes       []modelProcess
-	old, new        int // indices of processes, or none
-	leaving         []int
+	old, new        int    // indices of processes, or none
+	draining        []int  // indices of processes that are to end
 	lockHolder      int    // index of a process, or none
-	settled         uint64 // in the state file
-	applied         bool
-	cancelled       bool // by the operator, or since the new generation does badly
-	notified        bool // the second generation knew that it was settled
+	settled         uint64 // generation that the state file records
+	applied         bool   // the change to newGeneration was requested
+	cancelled       bool   // by the operator, or by a failure of the new generation
+	notified        bool   // newGeneration was notified that it is settled
 
-	kills  int // left to happen
+	// Faults that may still happen.
+	kills  int
 	stops  int
-	delays int // times that time may pass with messages on their way
+	delays int // times that the clock may advance while messages are in transit
 
-	outageSince   int64 // since when nobody accepts; -1: somebody does
-	longestOutage int64
-	path          []string
+	outageSince   int64    // time since which no process accepts clients; -1: one accepts
+	longestOutage int64    // in microseconds
+	path          []string // names of the moves that led to this state
 }
 
 var modelTimeouts = Timeouts{ReadyMicros: 2 * second, TrialMicros: 3 * second, DrainMicros: 2 * second}
 
+// newModel returns a model in which oldGeneration serves and no change was requested.
 func newModel(kills, stops, delays int, variant modelVariant) model {
 	s := model{
 		now: second, supervisorAlive: true, machine: *NewMachine(modelTimeouts, second),
-		old: none, new: none, lockHolder: none, settled: 1,
+		old: none, new: none, lockHolder: none, settled: oldGeneration,
 		kills: kills, stops: stops, delays: delays, variant: variant, outageSince: -1,
 	}
 	s.runUndisturbed(10 * second)
@@ -73,6 +84,7 @@
 	return s
 }
 
+// clone returns a copy that shares no slices with the model.
 func (s model) clone() model {
 	s.processes = slices.Clone(s.processes)
 	for i := range s.processes {
@@ -80,28 +92,29 @@
 		p.toAgent = slices.Clone(p.toAgent)
 		p.toSupervisor = slices.Clone(p.toSupervisor)
 	}
-	s.leaving = slices.Clone(s.leaving)
+	s.draining = slices.Clone(s.draining)
 	s.path = slices.Clone(s.path)
 	return s
 }
 
-// key tells states of the model apart. A deadline counts as the time that is left.
+// key identifies a state of the model, whatever its path and its clock: it holds the time
+// until each deadline in place of the deadline.
 func (s *model) key() string {
 	var b strings.Builder
-	left := func(at int64) int64 {
-		if at == 0 {
+	remaining := func(deadline int64) int64 {
+		if deadline == 0 {
 			return -1
 		}
-		return max(at-s.now, 0)
+		return max(deadline-s.now, 0)
 	}
-	fmt.Fprint(&b, s.supervisorAlive, s.machine.State, left(s.machine.deadline), s.machine.oldEnded, s.machine.crashes,
-		s.old, s.new, s.leaving, s.lockHolder, s.settled, s.applied, s.cancelled, s.notified,
+	fmt.Fprint(&b, s.supervisorAlive, s.machine.State, remaining(s.machine.deadline),
+		s.machine.oldEnded, s.machine.crashes, s.old, s.new, s.draining, s.lockHolder, s.settled, s.applied, s.cancelled, s.notified,
 		s.kills, s.stops, s.delays, ";")
 	for i := range s.processes {
 		p := &s.processes[i]
 		if p.alive {
-			fmt.Fprint(&b, p.generation, p.agent.State, left(p.agent.deadline), p.agent.settled, p.stopped)
-			fmt.Fprintf(&b, "%d %d %v;", p.toAgent, p.toSupervisor, p.linked)
+			fmt.Fprint(&b, p.generation, p.agent.State, remaining(p.agent.deadline), p.agent.settled, p.stopped)
+			fmt.Fprintf(&b, "%d %d %v;", p.toAgent, p.toSupervisor, p.connected)
 		} else {
 			fmt.Fprint(&b, "x;")
 		}
@@ -110,22 +123,26 @@
 }
 
 // command sends a process a command of the supervisor.
-func (s *model) command(i int, in AgentInput) {
-	if i >= 0 && s.processes[i].alive && s.processes[i].linked {
-		s.processes[i].toAgent = append(s.processes[i].toAgent, in)
+func (s *model) command(i int, input AgentInput) {
+	if i >= 0 && s.processes[i].alive && s.processes[i].connected {
+		s.processes[i].toAgent = append(s.processes[i].toAgent, input)
 	}
 }
 
+// start starts a process of a generation and returns its index.
 func (s *model) start(generation uint64) int {
 	s.processes = append(s.processes, modelProcess{
-		generation: generation, agent: *NewAgent(), alive: true, linked: true,
+		generation: generation, agent: *NewAgent(), alive: true, connected: true,
 		toSupervisor: []report{{InputOldReady, InputNewReady}},
 	})
 	return len(s.processes) - 1
 }
 
-func (s *model) feed(in Input) { s.carryOut(s.machine.Handle(s.now, in)) }
+// feed passes an input to the supervisor's machine and carries out the effects.
+func (s *model) feed(input Input) { s.carryOut(s.machine.Handle(s.now, input)) }
 
+// carryOut carries out the effects of the supervisor's machine. Checks of settings and
+// writes of the state file succeed at once.
 func (s *model) carryOut(effects []Effect) {
 	for _, e := range effects {
 		switch e {
@@ -134,7 +151,7 @@
 		case EffectStartOld:
 			s.old = s.start(s.settled)
 		case EffectStartNew:
-			s.new = s.start(2)
+			s.new = s.start(newGeneration)
 		case EffectServeOld:
 			s.command(s.old, AgentInputServe)
 		case EffectServeNew:
@@ -148,14 +165,14 @@
 		case EffectSettleNew:
 			s.command(s.new, AgentInputSettle)
 			if s.variant == fileFirst {
-				s.settled = 2
+				s.settled = newGeneration
 			}
 		case EffectSettleOld:
 			s.command(s.old, AgentInputSettle)
 		case EffectEndNew:
 			if s.new >= 0 {
 				s.command(s.new, AgentInputEnd)
-				s.leaving, s.new = append(s.leaving, s.new), none
+				s.draining, s.new = append(s.draining, s.new), none
 			}
 		case EffectKillNew:
 			s.kill(s.new)
@@ -164,12 +181,12 @@
 			s.kill(s.old)
 			s.old = none
 		case EffectWrite:
-			s.settled = 2
+			s.settled = newGeneration
 			s.feed(InputWritten)
 		case EffectPromote:
 			s.command(s.old, AgentInputEnd)
 			if s.old >= 0 {
-				s.leaving = append(s.leaving, s.old)
+				s.draining = append(s.draining, s.old)
 			}
 			s.old, s.new = s.new, none
 		}
@@ -187,9 +204,9 @@
 	}
 }
 
-// processEnded lets the supervisor notice the end of a process.
+// processEnded notifies the supervisor of the end of a process.
 func (s *model) processEnded(i int) {
-	s.leaving = slices.DeleteFunc(s.leaving, func(x int) bool { return x == i })
+	s.draining = slices.DeleteFunc(s.draining, func(other int) bool { return other == i })
 	switch i {
 	case s.old:
 		s.old = none
@@ -200,20 +217,23 @@
 	}
 }
 
-func (s *model) deliverToAgent(i int, in AgentInput) {
+// deliverToAgent passes an input to a process's agent and carries out the effects.
+func (s *model) deliverToAgent(i int, input AgentInput) {
 	p := &s.processes[i]
-	if in == AgentInputSettle && p.generation == 2 {
+	if input == AgentInputSettle && p.generation == newGeneration {
 		s.notified = true
 	}
-	for _, e := range p.agent.Handle(s.now, in) {
-		s.effect(i, e)
+	for _, e := range p.agent.Handle(s.now, input) {
+		s.carryOutAgentEffect(i, e)
 	}
 }
 
-func (s *model) effect(i int, e AgentEffect) {
+// carryOutAgentEffect carries out an effect of a process's agent. A process that is to drain
+// ends at once.
+func (s *model) carryOutAgentEffect(i int, e AgentEffect) {
 	p := &s.processes[i]
-	post := func(fromOld, fromNew Input) {
-		if p.linked {
+	send := func(fromOld, fromNew Input) {
+		if p.connected {
 			p.toSupervisor = append(p.toSupervisor, report{fromOld, fromNew})
 		}
 	}
@@ -223,13 +243,13 @@
 			s.lockHolder = none
 		}
 	case AgentEffectReportReleased:
-		post(InputReleased, InputReleased)
+		send(InputReleased, InputReleased)
 	case AgentEffectReportAccepting:
-		post(InputOldServes, InputNewServes)
+		send(InputOldServes, InputNewServes)
 	case AgentEffectReportDenied:
-		post(InputDenied, InputDenied)
+		send(InputDenied, InputDenied)
 	case AgentEffectReportSettled:
-		post(InputSettled, InputSettled)
+		send(InputSettled, InputSettled)
 	case AgentEffectDrain:
 		if s.lockHolder == i {
 			s.lockHolder = none
@@ -238,7 +258,8 @@
 	}
 }
 
-// acquireLock lets a process that wants the lock try for it.
+// acquireLock makes a process acquire the lock if it wants the lock and the lock is free. It
+// reports whether it did.
 func (s *model) acquireLock(i int) bool {
 	p := &s.processes[i]
 	if !p.alive || p.stopped || !p.agent.State.WantsLock() || s.lockHolder >= 0 && s.variant != noLock {
@@ -249,39 +270,39 @@
 	return true
 }
 
-// deliver passes the next message on.
+// deliver delivers the next message in transit from or to a process.
 func (s *model) deliver(i int, toSupervisor bool) {
 	p := &s.processes[i]
 	if toSupervisor {
-		m := p.toSupervisor[0]
+		message := p.toSupervisor[0]
 		p.toSupervisor = p.toSupervisor[1:]
 		switch i {
 		case s.old:
-			s.feed(m.fromOld)
+			s.feed(message.fromOld)
 		case s.new:
-			s.feed(m.fromNew)
+			s.feed(message.fromNew)
 		}
 		return
 	}
-	in := p.toAgent[0]
+	input := p.toAgent[0]
 	p.toAgent = p.toAgent[1:]
-	s.deliverToAgent(i, in)
+	s.deliverToAgent(i, input)
 }
 
-// advanceTime goes on to the next deadline.
+// advanceTime advances the clock to the next deadline. It reports false if there is none.
 func (s *model) advanceTime() bool {
 	next := int64(-1)
-	see := func(at int64) {
-		if at > 0 && (next < 0 || at < next) {
-			next = at
+	consider := func(deadline int64) {
+		if deadline > 0 && (next < 0 || deadline < next) {
+			next = deadline
 		}
 	}
 	if s.supervisorAlive {
-		see(s.machine.deadline)
+		consider(s.machine.deadline)
 	}
 	for i := range s.processes {
 		if p := &s.processes[i]; p.alive && !p.stopped {
-			see(p.agent.deadline)
+			consider(p.agent.deadline)
 		}
 	}
 	if next < 0 {
@@ -294,27 +315,27 @@
 	for i := range s.processes {
 		if p := &s.processes[i]; p.alive && !p.stopped && p.agent.deadline > 0 && p.agent.deadline <= s.now {
 			for _, e := range p.agent.Tick(s.now) {
-				s.effect(i, e)
+				s.carryOutAgentEffect(i, e)
 			}
 		}
 	}
 	return true
 }
 
-// supervisorDies cuts all connections: messages to it are lost, messages on their way
-// to processes arrive, then the loss is noticed.
-func (s *model) supervisorDies() {
-	s.supervisorAlive, s.old, s.new, s.leaving = false, none, none, nil
+// killSupervisor ends the supervisor and all connections to it. Messages in transit to it
+// are lost. Processes receive the messages in transit to them before they notice the loss.
+func (s *model) killSupervisor() {
+	s.supervisorAlive, s.old, s.new, s.draining = false, none, none, nil
 	for i := range s.processes {
 		if p := &s.processes[i]; p.alive {
-			p.linked, p.toSupervisor = false, nil
+			p.connected, p.toSupervisor = false, nil
 			p.toAgent = append(p.toAgent, AgentInputSupervisorLost)
 		}
 	}
 }
 
-// supervisorStarts lets a new supervisor adopt the processes that are left.
-func (s *model) supervisorStarts() {
+// startSupervisor starts a new supervisor, which adopts the processes that are alive.
+func (s *model) startSupervisor() {
 	s.supervisorAlive = true
 	var indices []int
 	var orphans []Orphan
@@ -323,11 +344,11 @@
 		if !p.alive {
 			continue
 		}
-		if p.stopped { // it says nothing
+		if p.stopped { // it does not connect
 			s.kill(i)
 			continue
 		}
-		for len(p.toAgent) > 0 { // it has noticed the loss before it calls
+		for len(p.toAgent) > 0 { // it notices the loss of the previous supervisor before it connects
 			s.deliver(i, false)
 		}
 		if p.alive {
@@ -338,10 +359,10 @@
 	s.machine = *NewMachine(modelTimeouts, s.now)
 	for n, disposition := range Dispositions(s.settled, orphans) {
 		i := indices[n]
-		s.processes[i].linked = true
+		s.processes[i].connected = true
 		switch disposition {
 		case DispositionEnd:
-			s.leaving = append(s.leaving, i)
+			s.draining = append(s.draining, i)
 			s.command(i, AgentInputEnd)
 			continue
 		case DispositionRetry:
@@ -359,7 +380,7 @@
 	}
 }
 
-// measureOutage follows how long nobody accepts.
+// measureOutage updates the time for which no process accepts clients.
 func (s *model) measureOutage() {
 	for i := range s.processes {
 		p := &s.processes[i]
@@ -374,21 +395,21 @@
 	s.longestOutage = max(s.longestOutage, s.now-s.outageSince)
 }
 
-// accepting counts processes that accept, and returns one of them.
-func (s *model) accepting() (n, who int) {
-	who = none
+// accepting returns the number of processes that accept clients, and the index of one.
+func (s *model) accepting() (count, acceptor int) {
+	acceptor = none
 	for i := range s.processes {
 		if s.processes[i].alive && s.processes[i].agent.State.Accepts() {
-			n, who = n+1, i
+			count, acceptor = count+1, i
 		}
 	}
-	return n, who
+	return count, acceptor
 }
 
-// noticeEnds lets the supervisor notice all processes that have ended.
+// noticeEnds notifies the supervisor of all processes that have ended.
 func (s *model) noticeEnds() {
 	for i := 0; i < len(s.processes); i++ {
-		if !s.processes[i].alive && s.supervisorAlive && (i == s.old || i == s.new || slices.Contains(s.leaving, i)) {
+		if !s.processes[i].alive && s.supervisorAlive && (i == s.old || i == s.new || slices.Contains(s.draining, i)) {
 			s.processEnded(i)
 			i = -1
 		}
@@ -396,8 +417,8 @@
 	s.measureOutage()
 }
 
-// runUndisturbed goes on without further faults for a time: all messages arrive, a dead
-// supervisor is started after a second, a stopped process runs again.
+// runUndisturbed runs the model for a time without further faults: all messages arrive, a
+// supervisor that has ended is started again after a second, stopped processes continue.
 func (s *model) runUndisturbed(duration int64) {
 	restartAt := s.now + second
 	for end := s.now + duration; ; {
@@ -406,7 +427,7 @@
 			continue
 		}
 		if !s.supervisorAlive && s.now >= restartAt {
-			s.supervisorStarts()
+			s.startSupervisor()
 			continue
 		}
 		before := s.now
@@ -422,8 +443,8 @@
 	}
 }
 
-// stepWithoutDelay does one thing that takes no time: a message arrives, or the lock is
-// acquired.
+// stepWithoutDelay does one step that takes no time: it delivers a message or has a process
+// acquire the lock. It reports false if no such step is possible.
 func (s *model) stepWithoutDelay() bool {
 	for i := range s.processes {
 		p := &s.processes[i]
@@ -443,9 +464,10 @@
 	return false
 }
 
-// move is something that can happen next. It returns its name.
+// move is an event that may happen next. It changes the model and returns the event's name.
 type move func(*model) string
 
+// moves returns all events that may happen next.
 func (s *model) moves() []move {
 	moves, pending := s.deliveries()
 	if s.supervisorAlive && !s.applied && s.machine.State == StateSteady {
@@ -453,8 +475,8 @@
 	}
 	inChange := s.machine.State > StateSteady && s.machine.State < StateWriting
 	if s.supervisorAlive && s.applied && !s.cancelled && inChange {
-		for in, name := range map[Input]string{InputCancel: "cancel", InputNewHung: "hung", InputWorse: "worse"} {
-			moves = append(moves, func(s *model) string { s.cancelled = true; s.feed(in); return name })
+		for input, name := range map[Input]string{InputCancel: "cancel", InputNewHung: "hung", InputWorse: "worse"} {
+			moves = append(moves, func(s *model) string { s.cancelled = true; s.feed(input); return name })
 		}
 	}
 	if !pending || s.delays > 0 {
@@ -463,13 +485,13 @@
 				s.delays--
 			}
 			s.advanceTime()
-			return "time"
+			return "time advances"
 		})
 	}
 	return append(moves, s.faults()...)
 }
 
-// deliveries are the moves that take no time.
+// deliveries returns the moves that take no time, and whether there is any.
 func (s *model) deliveries() (list []move, pending bool) {
 	for i := range s.processes {
 		p := &s.processes[i]
@@ -492,18 +514,18 @@
 	return list, pending
 }
 
-// faults are deaths, restarts, stops and continuations.
+// faults returns the moves that end, start, stop or continue a process or the supervisor.
 func (s *model) faults() (list []move) {
 	if !s.supervisorAlive {
-		list = append(list, func(s *model) string { s.supervisorStarts(); return "supervisor starts" })
+		list = append(list, func(s *model) string { s.startSupervisor(); return "start supervisor" })
 	}
 	if s.kills > 0 && s.applied {
 		if s.supervisorAlive {
-			list = append(list, func(s *model) string { s.kills--; s.supervisorDies(); return "supervisor dies" })
+			list = append(list, func(s *model) string { s.kills--; s.killSupervisor(); return "kill supervisor" })
 		}
 		for i := range s.processes {
 			if s.processes[i].alive {
-				list = append(list, func(s *model) string { s.kills--; s.kill(i); return fmt.Sprint("dies ", i) })
+				list = append(list, func(s *model) string { s.kills--; s.kill(i); return fmt.Sprint("kill ", i) })
 			}
 		}
 	}
@@ -512,13 +534,13 @@
 			if p := &s.processes[i]; p.alive && p.stopped {
 				list = append(list, func(s *model) string {
 					s.processes[i].stopped = false
-					return fmt.Sprint("wakes ", i)
+					return fmt.Sprint("continue ", i)
 				})
 			} else if p.alive && s.stops > 0 {
 				list = append(list, func(s *model) string {
 					s.stops--
 					s.processes[i].stopped = true
-					return fmt.Sprint("stops ", i)
+					return fmt.Sprint("stop ", i)
 				})
 			}
 		}
@@ -526,30 +548,33 @@
 	return list
 }
 
-// check judges a state, and how it ends when no further fault happens to it. It returns
-// the violation, or the longest time in microseconds that nobody accepts until then.
-func (s *model) check() (string, int64) {
-	if n, _ := s.accepting(); n > 1 {
-		return fmt.Sprint(n, " accept"), 0
-	}
-	e := s.clone()
-	e.longestOutage = 0
-	e.runUndisturbed(30 * second)
-	n, who := e.accepting()
+// check verifies a state, and the state that follows it when no further fault happens. It
+// returns the violation, or else the longest time in microseconds until then in which no
+// process accepts clients.
+func (s *model) check() (violation string, outage int64) {
+	if count, _ := s.accepting(); count > 1 {
+		return fmt.Sprint(count, " processes accept clients"), 0
+	}
+	final := s.clone()
+	final.longestOutage = 0
+	final.runUndisturbed(30 * second)
+	count, acceptor := final.accepting()
 	switch {
-	case n != 1:
-		return fmt.Sprintf("%d accept in the end, supervisor %v", n, e.machine.State), 0
-	case e.machine.State != StateSteady:
-		return fmt.Sprintf("the supervisor ends %v", e.machine.State), 0
-	case e.processes[who].generation != e.settled:
-		return fmt.Sprintf("%d serves and %d is settled", e.processes[who].generation, e.settled), 0
-	case e.settled == 2 && !e.notified:
-		return "the new one is settled and was never told so", 0
-	}
-	for i := range e.processes {
-		if e.processes[i].alive && i != who {
-			return fmt.Sprintf("process %d is left over, %v", i, e.processes[i].agent.State), 0
-		}
-	}
-	return "", e.longestOutage
+	case count != 1:
+		return fmt.Sprintf("%d processes accept clients in the end, the supervisor's state is %v",
+			count, final.machine.State), 0
+	case final.machine.State != StateSteady:
+		return fmt.Sprintf("the supervisor's state in the end is %v", final.machine.State), 0
+	case final.processes[acceptor].generation != final.settled:
+		return fmt.Sprintf("generation %d serves and generation %d is settled",
+			final.processes[acceptor].generation, final.settled), 0
+	case final.settled == newGeneration && !final.notified:
+		return "generation 2 is settled and was never notified", 0
+	}
+	for i := range final.processes {
+		if final.processes[i].alive && i != acceptor {
+			return fmt.Sprintf("process %d does not end, its state is %v", i, final.processes[i].agent.State), 0
+		}
+	}
+	return "", final.longestOutage
 }
--- a/internal/upgrade/resources_test.go
+++ b/internal/upgrade/resources_test.go
@@ -5,34 +5,37 @@
 	"testing"
 )
 
+// Guards against budgets that together exceed the machine, against a generation that gets
+// too little to run, and against a process over its budget that is not reported.
 func TestBudgetsDivideTheMachine(t *testing.T) {
 	machine := Resources{192, 1024}
-	if u, err := SoleBudget(machine); err != nil || u.MemoryMB+SupervisorMB != 192 || u.Descriptors+SupervisorFDs != 1024 {
-		t.Errorf("%+v, %v", u, err)
+	if sole, err := SoleBudget(machine); err != nil ||
+		sole.MemoryMB+SupervisorMB != 192 || sole.Descriptors+SupervisorFDs != 1024 {
+		t.Errorf("sole budget %+v, error %v", sole, err)
 	}
 	if _, err := SoleBudget(Resources{32, 64}); err == nil || !strings.Contains(err.Error(), "32 MB and 64") {
-		t.Error(err)
+		t.Errorf("sole budget of a small machine: error %v", err)
 	}
 	for _, c := range []struct {
-		old  Resources
-		want string
+		presentUsage Resources
+		wantError    string // part of the error; "": none
 	}{
 		{Resources{30, 200}, ""},
 		{Resources{140, 200}, "memory"},
 		{Resources{30, 900}, "descriptors"},
 	} {
-		u, err := ShareBudget(machine, c.old)
-		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%+v: %+v, %v", c.old, u, err)
+		share, err := ShareBudget(machine, c.presentUsage)
+		if (err == nil) != (c.wantError == "") || err != nil && !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("present usage %+v: budget %+v, error %v", c.presentUsage, share, err)
 		}
-		if err == nil && (u.MemoryMB+c.old.MemoryMB+SupervisorMB > 192 ||
-			u.Descriptors+c.old.Descriptors+SupervisorFDs > 1024) {
-			t.Errorf("%+v and %+v are more than there is", c.old, u)
+		if err == nil && (share.MemoryMB+c.presentUsage.MemoryMB+SupervisorMB > 192 ||
+			share.Descriptors+c.presentUsage.Descriptors+SupervisorFDs > 1024) {
+			t.Errorf("present usage %+v and budget %+v exceed the machine", c.presentUsage, share)
 		}
 	}
 	budget := Resources{100, 50}
 	if CheckUsage(budget, Resources{110, 50}) != nil || CheckUsage(budget, Resources{121, 50}) == nil ||
 		CheckUsage(budget, Resources{10, 51}) == nil {
-		t.Error("usage against the budget")
+		t.Error("CheckUsage accepts a usage above the budget, or rejects one within it")
 	}
 }
--- a/internal/upgrade/settingsdiff_test.go
+++ b/internal/upgrade/settingsdiff_test.go
@@ -4,39 +4,41 @@
 	"testing"
 )
 
+// Guards against a change that is reported with the wrong mode, and against a digest that
+// depends on the keys of one router or misses a shared setting.
 func TestDiffAndDigestOfSettings(t *testing.T) {
-	flat := func(v any) map[string]string {
+	flatten := func(settings any) map[string]string {
 		out := map[string]string{}
-		if err := Flatten("config", v, out); err != nil {
+		if err := Flatten("config", settings, out); err != nil {
 			t.Fatal(err)
 		}
 		return out
 	}
 	classes := []any{map[string]any{"TargetMs": 250.0}}
-	a := flat(map[string]any{
+	a := flatten(map[string]any{
 		"name": "n1", "board": "b1", "seed": "1", "settings": map[string]any{"Zone": "z", "Classes": classes},
 	})
-	b := flat(map[string]any{
+	b := flatten(map[string]any{
 		"name": "n1", "board": "b2", "seed": "2", "settings": map[string]any{"Zone": "y", "Classes": classes},
 	})
-	list := Diff(a, b)
-	if len(list) != 2 || list[0].String() != "config.board: b2, was b1 (live)" || list[1].Mode != ModeHandoff {
-		t.Errorf("%v", list)
+	changes := Diff(a, b)
+	if len(changes) != 2 || changes[0].String() != "config.board: b2, was b1 (live)" || changes[1].Mode != ModeHandoff {
+		t.Errorf("changes: %v", changes)
 	}
-	if mode, ok := HardestMode(list); mode != ModeHandoff || !ok {
-		t.Error(mode, ok)
+	if mode, possible := HardestMode(changes); mode != ModeHandoff || !possible {
+		t.Errorf("all changes: mode %v, possible %v", mode, possible)
 	}
-	if mode, ok := HardestMode(list[:1]); mode != ModeLive || !ok {
-		t.Error(mode, ok)
+	if mode, possible := HardestMode(changes[:1]); mode != ModeLive || !possible {
+		t.Errorf("the live change alone: mode %v, possible %v", mode, possible)
 	}
 	if Digest(a) != Digest(b) {
-		t.Error("routers of two sites with the same settings differ")
+		t.Error("digests differ for routers of two zones with the same settings")
 	}
 	b["config.settings.Classes[0].TargetMs"], b["config.name"] = "300", "n2"
 	if Digest(a) == Digest(b) {
-		t.Error("another latency objective has the same digest")
+		t.Error("digests are equal for two latency objectives")
 	}
-	if _, ok := HardestMode(Diff(a, b)); ok {
-		t.Error("another name is taken")
+	if _, possible := HardestMode(Diff(a, b)); possible {
+		t.Error("a change of config.name is reported as possible")
 	}
 }
--- a/internal/upgrade/trial_test.go
+++ b/internal/upgrade/trial_test.go
@@ -5,18 +5,20 @@
 	"testing"
 )
 
-const trialStep = 100 * millisecond // between two observations
+// trialStep is the time between two observations, in microseconds.
+const trialStep = 100 * millisecond
 
-// requestSource counts requests of which a share fails.
+// requestSource simulates requests, a share of which fails, and counts their outcomes.
 type requestSource struct {
-	random  *rand.Rand
-	perStep int
-	counts  RequestCounts
+	random          *rand.Rand
+	requestsPerStep int
+	counts          RequestCounts
 }
 
-func (s *requestSource) step(failing float64) {
-	for range s.perStep {
-		if s.random.Float64() < failing {
+// step adds the requests of one trialStep, each of which fails with a probability.
+func (s *requestSource) step(failureProbability float64) {
+	for range s.requestsPerStep {
+		if s.random.Float64() < failureProbability {
 			s.counts.Rejected++
 		} else {
 			s.counts.Completed++
@@ -24,62 +26,67 @@
 	}
 }
 
-// playTrial plays a trial whose process is observed for half a minute, and returns when it
-// is stopped.
-func playTrial(seed uint64, perSecond int, failingBefore, failingAfter float64) (stoppedAt int64, stopped bool) {
-	const before, trial = 40 * second, 30 * second
-	source := &requestSource{random: rand.New(rand.NewPCG(seed, 1)), perStep: perSecond / int(second/trialStep)}
+// simulateTrial simulates a trial of up to 30 s after 40 s of the old generation, and
+// returns the time in the trial at which the monitor stops it.
+func simulateTrial(seed uint64, requestsPerSecond int, oldFailure, newFailure float64) (stoppedAt int64, stopped bool) {
+	const oldDuration, trialDuration = 40 * second, 30 * second
+	source := &requestSource{
+		random:          rand.New(rand.NewPCG(seed, 1)),
+		requestsPerStep: requestsPerSecond / int(second/trialStep),
+	}
 	var monitor TrialMonitor
-	for now := int64(0); now < before; now += trialStep {
-		source.step(failingBefore)
+	for now := int64(0); now < oldDuration; now += trialStep {
+		source.step(oldFailure)
 		monitor.ObserveOld(now, source.counts)
 	}
 	source.counts = RequestCounts{}
-	for at := int64(0); at < trial; at += trialStep {
-		source.step(failingAfter)
+	for elapsed := int64(0); elapsed < trialDuration; elapsed += trialStep {
+		source.step(newFailure)
 		if monitor.ObserveNew(source.counts) != nil {
-			return at, true
+			return elapsed, true
 		}
 	}
 	return 0, false
 }
 
-// A monitor that is asked ten times a second for half a minute stops nothing by chance
-// alone, and stops what is plainly worse within some seconds.
+// Guards against a monitor that stops a trial by chance when it compares ten times a second
+// for half a minute, and against one that does not stop a large regression.
 func TestTrialMonitorStopsOnlyWhatIsWorse(t *testing.T) {
-	const plainlyWorse = 0.4 // more requests fail
-	trials, stops, slowest := 0, 0, int64(0)
+	const regression = 0.4 // increase of the share of failed requests
+	trials, falseStops, slowestStop := 0, 0, int64(0)
 	for seed := range uint64(400) {
-		for _, perSecond := range []int{10, 200} {
+		for _, requestsPerSecond := range []int{10, 200} {
 			for _, share := range []float64{0.001, 0.05, 0.4} {
 				trials++
-				if _, stopped := playTrial(seed, perSecond, share, share); stopped {
-					stops++
+				if _, stopped := simulateTrial(seed, requestsPerSecond, share, share); stopped {
+					falseStops++
 				}
-				at, stopped := playTrial(seed, perSecond, share, share+plainlyWorse)
+				stoppedAt, stopped := simulateTrial(seed, requestsPerSecond, share, share+regression)
 				if !stopped {
-					t.Fatalf("seed %d, %d a second, %g: %g more is not found", seed, perSecond, share, plainlyWorse)
+					t.Fatalf("seed %d, %d requests/s, failed share %g: an increase by %g does not stop the trial",
+						seed, requestsPerSecond, share, regression)
 				}
-				slowest = max(slowest, at)
+				slowestStop = max(slowestStop, stoppedAt)
 			}
 		}
 	}
-	t.Logf("slowest stop after %d ms", slowest/millisecond)
-	if stops > 0 {
-		t.Errorf("%d of %d stopped without a reason", stops, trials)
+	t.Logf("slowest stop after %d ms", slowestStop/millisecond)
+	if falseStops > 0 {
+		t.Errorf("%d of %d trials without a regression were stopped", falseStops, trials)
 	}
 }
 
-// What served before a promotion counts in the baseline after it.
+// Guards against a baseline that loses the requests from before a promotion, and against
+// clients that disconnect and are not counted as failed requests.
 func TestBaselineGoesOnAcrossAPromotion(t *testing.T) {
 	var monitor TrialMonitor
 	monitor.ObserveOld(0, RequestCounts{})
 	monitor.ObserveOld(second, RequestCounts{Completed: 50, Rejected: 50})
 	monitor.Promote()
 	if err := monitor.ObserveNew(RequestCounts{Completed: 50, Rejected: 50}); err != nil {
-		t.Error(err)
+		t.Errorf("a failed share equal to that before the promotion stops the trial: %v", err)
 	}
 	if err := monitor.ObserveNew(RequestCounts{ClientGone: 100}); err == nil {
-		t.Error("clients that leave are not found")
+		t.Error("a trial in which all clients disconnect is not stopped")
 	}
 }
