--- a/internal/supervisor/adoption.go
+++ b/internal/supervisor/adoption.go
@@ -14,14 +14,14 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// adoptionTimeout is for orphans to connect: they try ten times a second.
+// adoptionTimeout limits the wait for orphans to connect; they retry ten times a second.
 const adoptionTimeout = time.Second
 
-// listenAndFindOrphans opens the socket for processes and tools, and waits for the
-// processes that the state file has as running, as far as they are alive.
+// listenAndFindOrphans opens the socket for processes and tools. It then waits until the
+// processes that the state file lists as running, and that are alive, have connected.
 func (s *Supervisor) listenAndFindOrphans() ([]*process, error) {
 	path := s.path(upgradeagent.SocketName)
-	_ = os.Remove(path) // of an earlier supervisor: the folder's lock says that nobody listens there
+	_ = os.Remove(path) // left by an earlier supervisor; the folder's lock excludes another listener
 	var err error
 	s.listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -48,23 +48,24 @@
 		select {
 		case c := <-connections:
 			if c.message.Kind != handoff.KindHello {
-				c.conn.Close() // a tool: it tries again
+				c.conn.Close() // a tool; it retries
 				continue
 			}
-			s.keepSockets(c.sockets)
+			s.adoptSockets(c.sockets)
 			if p := s.newOrphan(c); p != nil {
 				orphans = append(orphans, p)
 			}
 		case <-timeout:
-			s.killSilent(alive, orphans)
+			s.killUnconnected(alive, orphans)
 			return orphans
 		}
 	}
 	return orphans
 }
 
-// keepSockets takes over the listening sockets of an orphan that are not there yet.
-func (s *Supervisor) keepSockets(sockets map[string]*os.File) {
+// adoptSockets keeps those listening sockets of an orphan that the supervisor does not
+// hold yet, and closes the others.
+func (s *Supervisor) adoptSockets(sockets map[string]*os.File) {
 	for name, f := range sockets {
 		if s.sockets[name] != nil {
 			f.Close()
@@ -74,27 +75,27 @@
 	}
 }
 
-// newOrphan makes a process of one that says it has outlived its supervisor. It returns
-// nil, and has it end, when it is not what it says.
+// newOrphan returns the process that has connected as an orphan. It commands the process
+// to end and returns nil when the PID is not the peer's or the generation is unknown.
 func (s *Supervisor) newOrphan(c *connection) *process {
 	pid, pidErr := c.conn.PeerPID()
 	manifest, err := s.readManifest(c.message.Generation)
 	if pidErr != nil || err != nil || pid != c.message.PID {
 		s.log.WithFields(logrus.Fields{"generation": c.message.Generation, "pid": c.message.PID}).WithError(err).
-			Warn("supervisor: unknown process found, it is ended")
+			Warn("supervisor: unknown process connected, it is commanded to end")
 		c.reject()
 		return nil
 	}
 	p := &process{
-		manifest: manifest, pid: pid, startTicks: startTicksOf(pid), conn: c.conn, greeted: true,
-		agentState: c.message.AgentState, wasSettled: c.message.WasSettled, heardAt: time.Now(), seed: newSeed(),
+		manifest: manifest, pid: pid, startTicks: startTicksOf(pid), conn: c.conn, helloReceived: true,
+		agentState: c.message.AgentState, wasSettled: c.message.WasSettled, lastMessageAt: time.Now(), seed: newSeed(),
 	}
 	go s.receive(p, p.conn)
 	return p
 }
 
-// killSilent kills processes that are alive and did not connect.
-func (s *Supervisor) killSilent(alive []handoff.Running, orphans []*process) {
+// killUnconnected kills the processes that are alive and have not connected.
+func (s *Supervisor) killUnconnected(alive []handoff.Running, orphans []*process) {
 	for _, r := range alive {
 		connected := slices.ContainsFunc(orphans, func(p *process) bool { return p.pid == r.PID })
 		if connected || startTicksOf(r.PID) != r.Started {
@@ -106,7 +107,8 @@
 	}
 }
 
-// adopt takes over processes that have outlived an earlier supervisor.
+// adopt takes over the processes that outlived an earlier supervisor, and numbers the
+// next generation above all of theirs.
 func (s *Supervisor) adopt(processes []*process) {
 	orphans := make([]upgrade.Orphan, len(processes))
 	for i, p := range processes {
@@ -120,7 +122,7 @@
 			"generation": p.manifest.Generation, "pid": p.pid, "agent_state": p.agentState.String(),
 			"settled": p.wasSettled, "disposition": disposition.String(),
 		}).Warn("supervisor: process of an earlier supervisor found")
-		s.dispose(p, disposition)
+		s.applyDisposition(p, disposition)
 	}
 	s.file.Next = max(s.file.Next, s.file.Settled.Generation+1)
 	for _, p := range processes {
@@ -128,7 +130,7 @@
 	}
 }
 
-func (s *Supervisor) dispose(p *process, disposition upgrade.Disposition) {
+func (s *Supervisor) applyDisposition(p *process, disposition upgrade.Disposition) {
 	switch disposition {
 	case upgrade.DispositionEnd:
 		s.drain(p, &handoff.Message{Kind: handoff.KindEnd})
@@ -146,7 +148,7 @@
 	p.budget = s.soleBudget
 }
 
-// adoptSettled makes a process the settled generation's.
+// adoptSettled makes a process the old one, and its generation the settled one.
 func (s *Supervisor) adoptSettled(p *process) {
 	s.old = p
 	s.machine = upgrade.NewAdoptedMachine(s.config.Times, s.now(), false)
--- a/internal/supervisor/check.go
+++ b/internal/supervisor/check.go
@@ -15,32 +15,34 @@
 	"quilldoor/internal/upgrade"
 )
 
-// CheckResult is what `check --json` of a program says of its settings. Unknown keys of
-// a later version are ignored.
+// CheckResult is the report that a program prints on `check --json`. Keys that a later
+// version adds are ignored.
 type CheckResult struct {
-	Format      int               // handoff.Format of the program: 1 so far; less is rejected, more is taken
+	Format      int               // handoff.Format of the program; less than 1 is rejected, any later one accepted
 	Version     string            // of the program, for people
 	Name        string            // of the router
 	MemoryMB    int               // of the machine, in units of 2^20 bytes
 	Descriptors int               // of the machine: open files and sockets
-	LongestMS   int64             // the longest time limit of a request
-	Sockets     map[string]string // listening addresses, host:port, by name; "listen", that of clients, must be there
-	Flat        map[string]string // the settings, see upgrade.Flatten
-	Digest      uint64            `json:",string"` // upgrade.Digest of them
+	LongestMS   int64             // longest time limit of a request
+	Sockets     map[string]string // listening addresses, host:port, by name; "listen", the clients' one, is required
+	Flat        map[string]string // settings by flat key, see upgrade.Flatten
+	Digest      uint64            `json:",string"` // upgrade.Digest of Flat
 }
 
 const (
-	// checkTimeout is less than that of the state machine, so that the reason is known.
+	// checkTimeout is shorter than the state machine's timeout of a check, so that the
+	// report of a timed-out change has the check's error as its reason.
 	checkTimeout = 9 * time.Second
-	// checkWaitDelay is for output of a program's children after it has ended.
+	// checkWaitDelay limits the wait for output of a program's children after it has ended.
 	checkWaitDelay = time.Second
-	// maxCheckErrorBytes bounds what a program says of an error.
+	// maxCheckErrorBytes bounds a program's error output; the rest is dropped.
 	maxCheckErrorBytes = 4 << 10
 	// checkSeed is the seed in the configuration that is checked.
 	checkSeed = "1"
 )
 
-// check lets a generation's program check its settings. It runs beside the loop.
+// check runs a generation's program to check its settings. It uses no state of the loop,
+// so it may run in another goroutine.
 func (s *Supervisor) check(m *handoff.Manifest) (*CheckResult, error) {
 	config, err := s.writeProcessConfig(m, checkSeed, upgrade.Resources{})
 	if err != nil {
@@ -68,15 +70,15 @@
 		return nil, fmt.Errorf("check: the program's report can't be read: %w", err)
 	}
 	if result.Format < 1 {
-		return nil, errors.New("check: the program's report names no format")
+		return nil, fmt.Errorf("check: Format of the program's report is %d, at least 1 is required", result.Format)
 	}
 	if result.Sockets[clientSocket] == "" {
-		return nil, fmt.Errorf("check: the program's report has no socket %s", clientSocket)
+		return nil, fmt.Errorf("check: the program's report has no address of the socket %q", clientSocket)
 	}
 	return result, nil
 }
 
-// boundedBuffer keeps the first bytes of what is written.
+// boundedBuffer keeps the first limit bytes that are written and drops the rest.
 type boundedBuffer struct {
 	bytes.Buffer
 	limit int
@@ -87,29 +89,29 @@
 	return len(p), nil
 }
 
-// checkChange prepares the change that is asked for beside the loop, and feeds whether
-// it is possible.
+// checkChange prepares the requested change in a goroutine, then feeds InputChecked or
+// InputRejected to the state machine.
 func (s *Supervisor) checkChange() {
 	change := s.change
-	asked := change.manifest
+	requested := change.manifest
 	change.manifest = nil
 	generation := s.file.Next
 	s.file.Next++
 	settled := s.file.Settled
-	present := s.presentUsage()
+	usage := s.totalUsage()
 	go func() {
 		manifest, checked, err := s.prepare(generation,
-			cmp.Or(asked.Program, settled.Program),
-			cmp.Or(asked.Config, settled.Config),
-			cmp.Or(asked.Operator, settled.Operator))
+			cmp.Or(requested.Program, settled.Program),
+			cmp.Or(requested.Config, settled.Config),
+			cmp.Or(requested.Operator, settled.Operator))
 		var differences []upgrade.Change
 		if err == nil {
 			differences, err = s.settingsDiff(settled, checked)
 		}
-		budget, budgetErr := upgrade.ShareBudget(s.machineResources, present)
+		budget, budgetErr := upgrade.ShareBudget(s.machineResources, usage)
 		s.events <- func() {
 			if s.change != change {
-				return // it took too long, and was rejected
+				return // the change has ended meanwhile
 			}
 			if reason := rejectionReason(err, differences, budgetErr); reason != "" {
 				change.reason = reason
@@ -126,8 +128,8 @@
 	}()
 }
 
-// presentUsage is what all processes use, also those that drain.
-func (s *Supervisor) presentUsage() (sum upgrade.Resources) {
+// totalUsage returns the resources in use by all processes, draining ones included.
+func (s *Supervisor) totalUsage() (sum upgrade.Resources) {
 	for _, p := range s.processes() {
 		sum.MemoryMB += p.usage.MemoryMB
 		sum.Descriptors += p.usage.Descriptors
@@ -135,7 +137,7 @@
 	return sum
 }
 
-// rejectionReason is why a change is not possible; "": it is.
+// rejectionReason returns why a change is not possible, and "" when it is.
 func rejectionReason(err error, differences []upgrade.Change, budgetErr error) string {
 	if err != nil {
 		return err.Error()
@@ -149,7 +151,7 @@
 	return ""
 }
 
-// settingsDiff returns the changes against the settled settings.
+// settingsDiff returns the differences between the settled settings and the checked ones.
 func (s *Supervisor) settingsDiff(settled *handoff.Manifest, checked *CheckResult) ([]upgrade.Change, error) {
 	before := map[string]string{}
 	if err := readJSON(s.generationPath(settled.Generation, settingsFile), &before); err != nil {
@@ -158,10 +160,10 @@
 	return upgrade.Diff(before, checked.Flat), nil
 }
 
-// maxDescribedChanges bounds the keys in a note for people.
+// maxDescribedChanges bounds the keys that a note to the operator lists.
 const maxDescribedChanges = 12
 
-// describeChanges names the changes of a mode, and with ModeHandoff also the live ones.
+// describeChanges lists the changes of a mode; ModeHandoff includes those of ModeLive.
 func describeChanges(changes []upgrade.Change, mode upgrade.ChangeMode) string {
 	var texts []string
 	for _, c := range changes {
--- a/internal/supervisor/commands.go
+++ b/internal/supervisor/commands.go
@@ -9,12 +9,13 @@
 	"quilldoor/internal/upgrade"
 )
 
-// handleTool carries out a tool's command. A change is answered when it has ended.
+// handleTool carries out a tool's command. The final report of a change follows when the
+// change has ended.
 func (s *Supervisor) handleTool(c *connection) {
 	m := c.message
 	switch m.Kind {
 	case handoff.KindStatus:
-		s.answer(c, true, "")
+		s.sendFinalReport(c, true, "")
 	case handoff.KindRollout:
 		s.handleRolloutCommand(c, m.Command)
 	case handoff.KindApply:
@@ -22,25 +23,27 @@
 	case handoff.KindRollBack:
 		s.rollBack(c)
 	default:
-		s.answer(c, false, "not a tool's message: %v", m.Kind)
+		s.sendFinalReport(c, false, "messages of kind %q are not accepted from a tool", m.Kind)
 	}
 }
 
-// answer sends the final report.
-func (s *Supervisor) answer(c *connection, ok bool, format string, args ...any) {
+// sendFinalReport sends the final report, with the supervisor's status, and closes the
+// connection.
+func (s *Supervisor) sendFinalReport(c *connection, ok bool, format string, args ...any) {
 	c.replyAndClose(&handoff.Message{
 		Kind: handoff.KindReport, Note: fmt.Sprintf(format, args...), OK: ok, Final: true, Status: s.status(),
 	})
 }
 
-// apply begins a change. What the manifest leaves out stays as it is.
-func (s *Supervisor) apply(c *connection, asked *handoff.Manifest) {
+// apply begins a change. Paths that are empty in the request stay those of the settled
+// generation.
+func (s *Supervisor) apply(c *connection, requested *handoff.Manifest) {
 	if s.machine.Busy() {
-		s.answer(c, false, "refused: %v", s.machine.State)
+		s.sendFinalReport(c, false, "refused: %v", s.machine.State)
 		return
 	}
-	s.tools = append(s.tools, c.conn)
-	s.change = &change{manifest: asked}
+	s.waitingTools = append(s.waitingTools, c.conn)
+	s.change = &change{manifest: requested}
 	s.feed(upgrade.InputApply)
 }
 
@@ -49,24 +52,26 @@
 	previous := s.file.Previous
 	switch {
 	case s.machine.State == upgrade.StateSteady && previous == nil:
-		s.answer(c, false, "there is no generation before the settled one")
+		s.sendFinalReport(c, false, "there is no previous generation to roll back to")
 	case s.machine.State == upgrade.StateSteady:
-		s.apply(c, settingsOf(previous))
-	case s.change != nil && len(s.tools) < maxConnections:
-		s.tools = append(s.tools, c.conn)
-		s.noteReason("the operator wants the present generation back")
+		s.apply(c, programAndSettings(previous))
+	case s.change != nil && len(s.waitingTools) < maxConnections:
+		s.waitingTools = append(s.waitingTools, c.conn)
+		s.recordReason("cancelled by the operator")
 		s.feed(upgrade.InputCancel)
 	default:
-		s.answer(c, false, "nobody serves: %v", s.machine.State)
+		s.sendFinalReport(c, false, "can't roll back in the state %v", s.machine.State)
 	}
 }
 
-// settingsOf are a generation's program and settings, for another generation.
-func settingsOf(m *handoff.Manifest) *handoff.Manifest {
+// programAndSettings returns the request for a new generation with the program and the
+// settings of another one.
+func programAndSettings(m *handoff.Manifest) *handoff.Manifest {
 	return &handoff.Manifest{Program: m.Program, Config: m.Config, Operator: m.Operator}
 }
 
-// handleRolloutCommand gives the rollout an operator's command; 0 only asks for its status.
+// handleRolloutCommand passes an operator's command to the rollout; 0 requests only its
+// status.
 func (s *Supervisor) handleRolloutCommand(c *connection, command rollout.Command) {
 	node := s.rollout.node
 	reply := func(ok bool, note string) {
@@ -78,13 +83,13 @@
 	}
 	switch {
 	case node == nil:
-		reply(false, "no plan: "+cmp.Or(s.rollout.planError, "keep.plan names none that is there"))
+		reply(false, "no plan: "+cmp.Or(s.rollout.planError, "keep.plan is not set, or its file can't be read"))
 	case command == 0:
 		reply(true, "")
 	case command == rollout.CommandStart && node.Status().Recovering:
-		reply(false, "this router has lost what it knew, and asks the others")
+		reply(false, "this router has lost its rollout state and is recovering it from the other routers")
 	default:
 		node.Command(s.now(), command)
-		reply(true, "notified; quilldoor rollout status shows what becomes of it")
+		reply(true, "command passed on; quilldoor rollout status shows its effect")
 	}
 }
--- a/internal/supervisor/connections.go
+++ b/internal/supervisor/connections.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxConnections bounds connections that have not said what they are, and tools that
-	// wait for a change.
+	// maxConnections bounds the connections without a first message, and separately the
+	// tools that wait for the end of a change.
 	maxConnections = 16
-	// firstMessageTimeout is for a new connection to say what it is.
+	// firstMessageTimeout limits the wait for the first message of a new connection.
 	firstMessageTimeout = time.Second
 )
 
@@ -21,11 +21,12 @@
 type connection struct {
 	conn    *handoff.Conn
 	message *handoff.Message
-	sockets map[string]*os.File // that came along
+	sockets map[string]*os.File // descriptors received with the message, by name
 }
 
-// accept accepts connections and passes them on once they have sent a message, until
-// the listener is closed.
+// accept accepts connections until the listener is closed, and sends each one to the
+// channel once its first message has arrived. It closes connections in excess of
+// maxConnections.
 func (s *Supervisor) accept(connections chan<- *connection) {
 	slots := make(chan struct{}, maxConnections)
 	for {
@@ -33,7 +34,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as no descriptors left: try again
+		if err != nil { // such as no descriptors left; retry
 			time.Sleep(tickInterval)
 			continue
 		}
@@ -52,7 +53,8 @@
 	}
 }
 
-// readFirstMessage returns nil, and closes the connection, when none comes.
+// readFirstMessage waits for the first message of a connection. It closes the connection
+// and returns nil when none arrives in time.
 func readFirstMessage(sock *net.UnixConn) *connection {
 	sock.SetReadDeadline(time.Now().Add(firstMessageTimeout))
 	conn := handoff.NewConn(sock)
@@ -65,30 +67,31 @@
 	return &connection{conn: conn, message: m, sockets: conn.Sockets(m.Sockets)}
 }
 
-// handleConnection takes a connection while the supervisor runs.
+// handleConnection handles a new connection of a process or a tool after adoption.
 func (s *Supervisor) handleConnection(c *connection) {
 	for _, f := range c.sockets {
-		f.Close() // the supervisor has them
+		f.Close() // the supervisor holds them already
 	}
 	if c.message.Kind != handoff.KindHello {
 		s.handleTool(c)
 		return
 	}
 	for _, p := range s.processes() {
-		if p.pid == c.message.PID { // it has connected again
+		if p.pid == c.message.PID { // the process has reconnected
 			p.conn.Close()
 			p.conn = c.conn
 			go s.receive(p, c.conn)
 			return
 		}
 	}
-	c.reject() // it is none of this supervisor's
+	c.reject() // not a process of this supervisor
 }
 
-// reject commands a process to end.
+// reject commands the connected process to end.
 func (c *connection) reject() { c.replyAndClose(&handoff.Message{Kind: handoff.KindEnd}) }
 
-// replyAndClose sends a last message. A peer that is gone needs none.
+// replyAndClose sends a last message and closes the connection. A peer that has
+// disconnected needs no message.
 func (c *connection) replyAndClose(m *handoff.Message) {
 	_ = c.conn.Send(m)
 	c.conn.Close()
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -1,13 +1,14 @@
-// Package supervisor runs a router as a process of its own and changes its program and
-// settings under load. It holds the listening sockets, starts generations of the router
-// as processes, hands the sockets down, passes their state on, and monitors them. It
-// handles no request itself.
+// Package supervisor runs a router in a separate process and changes its program and
+// settings under load. It holds the listening sockets, starts a process for each
+// generation of the router, passes the sockets and the predecessor's state to it, and
+// monitors it. It handles no request itself.
 //
-// What is done when is decided by package upgrade; this package carries it out. All
-// state belongs to the loop of Run. Goroutines that read connections, wait for processes
-// or check settings put functions into its event queue and touch nothing themselves.
+// The state machine of package upgrade decides on each step; this package carries the
+// steps out. All state belongs to the loop of Run. Goroutines that read connections, wait
+// for processes or check settings queue functions for the loop and change no state
+// themselves.
 //
-// In its folder it keeps the state file, the serving lock, the socket for router
-// processes and tools, and a folder with the settings of each generation that may still
-// be needed.
+// The supervisor's folder has the state file, the serving lock, the socket for router
+// processes and tools, and for each generation that may still be needed a subfolder with
+// its manifest and settings.
 package supervisor
--- a/internal/supervisor/effects.go
+++ b/internal/supervisor/effects.go
@@ -10,7 +10,7 @@
 	"quilldoor/internal/upgrade"
 )
 
-// feed gives the state machine an input and carries out what it decides.
+// feed passes an input to the state machine and carries out the resulting effects.
 func (s *Supervisor) feed(in upgrade.Input) {
 	previous := s.machine.State
 	effects := s.machine.Handle(s.now(), in)
@@ -22,8 +22,8 @@
 	s.carryOut(effects)
 }
 
-// carryOut carries out effects in order. Those after a process that can't be started
-// are dropped: the machine has decided anew by then.
+// carryOut carries out effects in order. When a process can't be started, it drops the
+// rest: the failure was a new input, whose effects have been carried out already.
 func (s *Supervisor) carryOut(effects []upgrade.Effect) {
 	for _, effect := range effects {
 		if !s.carryOutOne(effect) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// carryOutOne reports whether the effects that follow still count.
+// carryOutOne carries out an effect. It reports whether the effects after it still apply.
 func (s *Supervisor) carryOutOne(effect upgrade.Effect) bool {
 	switch effect {
 	case upgrade.EffectCheck:
@@ -44,8 +44,8 @@
 	case upgrade.EffectServeOld:
 		s.old.send(&handoff.Message{Kind: handoff.KindServe, BudgetsMaybeSpent: true})
 	case upgrade.EffectServeNew:
-		s.new.send(&handoff.Message{Kind: handoff.KindServe, State: s.state})
-		s.state = nil
+		s.new.send(&handoff.Message{Kind: handoff.KindServe, State: s.releasedState})
+		s.releasedState = nil
 	case upgrade.EffectQuiesceOld:
 		s.old.send(&handoff.Message{Kind: handoff.KindQuiesce})
 	case upgrade.EffectStandbyOld:
@@ -76,14 +76,14 @@
 		s.reportOutcome(outcomeDone, "generation %d is settled", s.file.Settled.Generation)
 	case upgrade.EffectReportNotPersisted:
 		s.reportOutcome(outcomeDone,
-			"generation %d is settled, but the file could not be written: a cold start begins with the one before",
+			"generation %d is settled, but the state file could not be written: a cold start begins with the previous one",
 			s.file.Settled.Generation)
 	}
 	return true
 }
 
 func (s *Supervisor) startOld() bool {
-	s.starts++
+	s.settledStarts++
 	if s.crashedAt.IsZero() {
 		s.crashedAt = time.Now()
 	}
@@ -100,7 +100,7 @@
 func (s *Supervisor) startNew() bool {
 	var err error
 	if s.new, err = s.start(s.change.manifest, s.change.budget); err != nil {
-		s.noteReason("it can't be started: %v", err)
+		s.recordReason("the new generation can't be started: %v", err)
 		s.feed(upgrade.InputNewGone)
 		return false
 	}
@@ -109,7 +109,7 @@
 }
 
 func (s *Supervisor) resumeOld() {
-	s.state = nil
+	s.releasedState = nil
 	if s.old != nil {
 		s.old.send(&handoff.Message{Kind: handoff.KindResume, BudgetsMaybeSpent: true})
 	}
@@ -138,7 +138,8 @@
 	}
 }
 
-// writeSettled records the new generation as the settled one.
+// writeSettled records the new generation as the settled one, and feeds whether the state
+// file could be written.
 func (s *Supervisor) writeSettled() {
 	s.file.Previous = s.file.Settled
 	s.file.Settled = s.new.manifest
@@ -171,7 +172,7 @@
 	s.new = nil
 }
 
-// outcome of a change.
+// outcome is how a change ended.
 type outcome uint8
 
 const (
@@ -192,36 +193,38 @@
 	s.reportOutcome(outcomeFellBack, "fell back: %s", s.change.reason)
 }
 
-// reportOutcome ends a change: it tells the tools that wait for it, and the rollout.
+// reportOutcome ends the change in progress. It sends the final report to the waiting
+// tools and records the outcome for the rollout.
 func (s *Supervisor) reportOutcome(o outcome, format string, args ...any) {
-	ended := s.change
+	endedChange := s.change
 	s.lastOutcome = fmt.Sprintf(format, args...)
 	s.log.WithFields(logrus.Fields{"outcome": o.String(), "text": s.lastOutcome}).Info("supervisor: change ended")
-	for _, tool := range s.tools {
+	for _, tool := range s.waitingTools {
 		report := &handoff.Message{
 			Kind: handoff.KindReport, Note: s.lastOutcome, Final: true,
 			OK: o == outcomeDone, FellBack: o == outcomeFellBack,
 		}
-		_ = tool.Send(report) // a tool that is gone needs none
+		_ = tool.Send(report) // a tool that has disconnected needs no report
 		tool.Close()
 	}
-	s.tools = nil
+	s.waitingTools = nil
 	s.change = nil
 	s.removeUnusedGenerations()
-	s.rolloutChangeEnded(ended, o == outcomeDone, s.lastOutcome)
+	s.rolloutChangeEnded(endedChange, o == outcomeDone, s.lastOutcome)
 }
 
-// reportProgress tells the tools that wait how a change goes on.
+// reportProgress logs a step of the change in progress and sends it to the waiting tools.
 func (s *Supervisor) reportProgress(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	s.log.WithField("text", text).Info("supervisor: change in progress")
-	for _, tool := range s.tools {
-		_ = tool.Send(&handoff.Message{Kind: handoff.KindReport, Note: text}) // a tool that is gone needs none
+	for _, tool := range s.waitingTools {
+		_ = tool.Send(&handoff.Message{Kind: handoff.KindReport, Note: text}) // a tool that has disconnected needs no report
 	}
 }
 
-// noteReason logs what went wrong, and keeps the first reason for the change's outcome.
-func (s *Supervisor) noteReason(format string, args ...any) {
+// recordReason logs why a process or the change in progress fails. The first reason of a
+// change becomes part of its outcome.
+func (s *Supervisor) recordReason(format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
 	s.log.WithField("reason", reason).Warn("supervisor: incident")
 	if s.change != nil && s.change.reason == "" {
--- a/internal/supervisor/folder.go
+++ b/internal/supervisor/folder.go
@@ -13,31 +13,32 @@
 	"quilldoor/internal/handoff"
 )
 
-// Files of the supervisor's folder, beside the socket and the serving lock.
+// Files of the supervisor's folder; upgradeagent has those of the socket and the serving
+// lock.
 const (
 	stateFile   = "state.json"
-	lockFile    = "keep.lock"    // held by the supervisor, with its PID
-	rolloutFile = "rollout.json" // what this router has promised in a rollout
+	lockFile    = "keep.lock"    // locked by the supervisor; holds its PID
+	rolloutFile = "rollout.json" // a durableRollout
 )
 
-// Files of a generation's folder.
+// Files of a generation's subfolder.
 const (
-	configFile      = "config.json"
-	operatorFile    = "operator.yaml"
-	manifestFile    = "generation.json"
-	settingsFile    = "settings.json" // flat
-	processConfFile = "run.json"      // the configuration of its process
+	configFile        = "config.json"
+	operatorFile      = "operator.yaml"
+	manifestFile      = "generation.json"
+	settingsFile      = "settings.json" // by flat key
+	processConfigFile = "run.json"      // configuration that its process is started with
 )
 
-// The folder itself.
+// Properties of the folder itself.
 const (
-	folderKey    = "keep.folder" // of the operator's file, for errors
+	folderKey    = "keep.folder" // key of the operator's file, named in errors
 	folderMode   = 0o700
-	privateMode  = 0o600
-	maxPIDLength = 16
+	privateMode  = 0o600 // of the socket and the lock file
+	maxPIDLength = 16    // bytes of the lock file that are read
 )
 
-// ErrFolderLocked says that another supervisor uses the folder.
+// ErrFolderLocked is returned by Run when another supervisor uses the folder.
 var ErrFolderLocked = errors.New("another supervisor uses this folder")
 
 func (s *Supervisor) path(parts ...string) string {
@@ -71,7 +72,8 @@
 	return nil
 }
 
-// writeState replaces the state file. It reports whether a cold start will know of it.
+// writeState replaces the state file, and lists the running processes in it. It reports
+// whether the write succeeded; otherwise a cold start begins with the file's old content.
 func (s *Supervisor) writeState() bool {
 	s.file.Running = nil
 	for _, p := range s.processes() {
@@ -87,20 +89,20 @@
 	return s.persistent
 }
 
-// removeUnusedGenerations removes folders of generations that nobody needs any more.
+// removeUnusedGenerations removes the subfolders of generations that are no longer needed.
 func (s *Supervisor) removeUnusedGenerations() {
 	needed := s.neededGenerations()
-	entries, _ := os.ReadDir(s.config.Folder) // what can't be read is removed another time
+	entries, _ := os.ReadDir(s.config.Folder) // on an error, the next call removes the rest
 	for _, entry := range entries {
 		_, err := strconv.ParseUint(entry.Name(), 10, 64)
 		if err != nil || !entry.IsDir() || needed[entry.Name()] {
 			continue
 		}
-		_ = os.RemoveAll(s.path(entry.Name())) // what is left is removed another time
+		_ = os.RemoveAll(s.path(entry.Name())) // on an error, the next call removes the rest
 	}
 }
 
-// neededGenerations are names of folders.
+// neededGenerations returns the names of the subfolders that have to stay.
 func (s *Supervisor) neededGenerations() map[string]bool {
 	manifests := []*handoff.Manifest{s.file.Settled, s.file.Previous}
 	if s.file.Rollout != nil {
@@ -121,10 +123,10 @@
 	return needed
 }
 
-// SettledSettings are the flat settings of the settled generation of a supervisor's folder,
-// see upgrade.Flatten. It is an error where no supervisor has used the folder, where its
-// state file can't be read, is broken or of a later version (handoff.ErrNewerFormat), and
-// where the generation's file of settings is missing or broken.
+// SettledSettings returns the flat settings, see upgrade.Flatten, of the settled generation
+// in a supervisor's folder. It returns an error when no supervisor has used the folder, when
+// the state file can't be read, is broken or was written by a later version
+// (handoff.ErrNewerFormat), and when the generation's settings file is missing or broken.
 func SettledSettings(folder string) (map[string]string, error) {
 	f, err := handoff.ReadFile(filepath.Join(folder, stateFile))
 	if err != nil {
--- a/internal/supervisor/generation.go
+++ b/internal/supervisor/generation.go
@@ -12,15 +12,16 @@
 	"quilldoor/internal/upgrade"
 )
 
-// platformKeys are keys of the configuration that are always taken from the platform's
-// own file: they are new at each start, or belong to the machine.
+// platformKeys are the keys of the configuration that always come from the platform's
+// own file, since their values change at each start or belong to the machine.
 var platformKeys = []string{"name", "listen", "seed", "board", "known", "limits"}
 
-// maxSettingsBytes bounds a file of settings, and what a program says of them.
+// maxSettingsBytes bounds a settings file, and a program's report on `check --json`.
 const maxSettingsBytes = 16 << 20
 
-// prepare makes a generation's folder: copies of its settings, and its manifest. It also
-// lets the program check them. It runs beside the loop.
+// prepare creates a generation's subfolder with copies of its settings, has the program
+// check them, and writes the manifest. It uses no state of the loop, so it may run in
+// another goroutine.
 func (s *Supervisor) prepare(generation uint64, program, config, operator string) (
 	*handoff.Manifest, *CheckResult, error,
 ) {
@@ -51,12 +52,13 @@
 	}
 	manifest.Settings = checked.Digest
 	manifest.Version = checked.Version
-	// A generation without flat settings is run; the next change says what is missing.
+	// A generation runs without its flat settings; the next change is rejected with the
+	// missing file as the reason.
 	_ = writeJSON(filepath.Join(folder, settingsFile), checked.Flat)
 	return manifest, checked, writeJSON(filepath.Join(folder, manifestFile), manifest)
 }
 
-// copySettings copies a file; where it may be missing, it is empty then.
+// copySettings copies a settings file. If it may be missing and is, the copy is empty.
 func copySettings(from, to string, mayBeMissing bool) error {
 	text, err := os.ReadFile(from)
 	missing := from == "" || errors.Is(err, fs.ErrNotExist)
@@ -84,14 +86,14 @@
 		return nil, err
 	}
 	if m.Generation != generation || m.Program == "" {
-		return nil, fmt.Errorf("generation %d: its manifest is of another", generation)
+		return nil, fmt.Errorf("generation %d: manifest has generation %d and program %q", generation, m.Generation, m.Program)
 	}
 	return m, nil
 }
 
-// writeProcessConfig writes the configuration that a process is started with: the
-// generation's own, the platform's keys, the seed, and a part of the machine. Without a
-// budget the platform's limits stay.
+// writeProcessConfig writes the configuration that a process is started with: that of the
+// generation, with platformKeys from the platform's file, the seed, and the budget as
+// limits. A zero budget keeps the platform's limits.
 func (s *Supervisor) writeProcessConfig(
 	manifest *handoff.Manifest, seed string, budget upgrade.Resources,
 ) (path string, err error) {
@@ -109,7 +111,7 @@
 		}
 	}
 	limits := map[string]any{}
-	_ = json.Unmarshal(config["limits"], &limits) // the program's check names what is wrong
+	_ = json.Unmarshal(config["limits"], &limits) // the program's check reports invalid limits
 	if budget != (upgrade.Resources{}) {
 		limits["memory_mb"] = budget.MemoryMB
 		limits["sockets"] = budget.Descriptors
@@ -120,11 +122,12 @@
 	if config["seed"], err = json.Marshal(seed); err != nil {
 		return "", err
 	}
-	path = s.generationPath(manifest.Generation, processConfFile)
+	path = s.generationPath(manifest.Generation, processConfigFile)
 	return path, writeJSON(path, config)
 }
 
-// reload lets the settled generation read again what can change while it runs.
+// reload has the old process reload the settings that can change while it runs, and the
+// observer the address of discovery.
 func (s *Supervisor) reload() {
 	if s.old == nil {
 		return
@@ -135,6 +138,6 @@
 	}
 	s.old.send(&handoff.Message{Kind: handoff.KindReload})
 	if s.observer != nil {
-		s.observer.follow()
+		s.observer.followDiscovery()
 	}
 }
--- a/internal/supervisor/messages.go
+++ b/internal/supervisor/messages.go
@@ -9,8 +9,9 @@
 	"quilldoor/internal/upgrade"
 )
 
-// receive passes a process's messages to the loop, until the connection ends. The end of
-// the process is noticed otherwise, and the process may connect again.
+// receive passes a process's messages to the loop until the connection ends. That does not
+// mean that the process has ended: it may reconnect. Its end is detected by wait or
+// sampleUsage.
 func (s *Supervisor) receive(p *process, conn *handoff.Conn) {
 	for {
 		m, err := conn.Receive()
@@ -21,10 +22,10 @@
 	}
 }
 
-// handleMessage takes a message of a process. One that drains only has its heartbeats
-// and messages of peers heard.
+// handleMessage handles a message of a process. Of a draining process only hello,
+// heartbeats and peer messages have an effect.
 func (s *Supervisor) handleMessage(p *process, message *handoff.Message) {
-	p.heardAt = time.Now()
+	p.lastMessageAt = time.Now()
 	isOld, isNew := p == s.old, p == s.new
 	switch message.Kind {
 	case handoff.KindPeerMessage:
@@ -35,7 +36,7 @@
 		s.feedFrom(p, upgrade.InputOldReady, upgrade.InputNewReady)
 	case handoff.KindReleased:
 		if isOld {
-			s.state = message.State
+			s.releasedState = message.State
 			s.feed(upgrade.InputReleased)
 		}
 	case handoff.KindAccepting:
@@ -46,7 +47,7 @@
 		s.feedFrom(p, upgrade.InputOldServes, upgrade.InputNewServes)
 	case handoff.KindDenied:
 		if isNew {
-			s.noteReason("the new generation did not get the serving lock")
+			s.recordReason("the new generation did not acquire the serving lock")
 			s.feed(upgrade.InputDenied)
 		}
 	case handoff.KindSettled:
@@ -58,7 +59,7 @@
 	}
 }
 
-// feedFrom feeds the input that a process's message means, by what the process is.
+// feedFrom feeds ifOld for the old process, ifNew for the new one, and nothing for others.
 func (s *Supervisor) feedFrom(p *process, ifOld, ifNew upgrade.Input) {
 	switch p {
 	case s.old:
@@ -69,9 +70,9 @@
 }
 
 func (s *Supervisor) handleHello(p *process, m *handoff.Message) {
-	p.greeted = true
+	p.helloReceived = true
 	if m.Format < 1 {
-		s.noteReason("the generation names no format")
+		s.recordReason("generation %d: format of its hello is %d, at least 1 is required", p.manifest.Generation, m.Format)
 		p.kill()
 	}
 }
@@ -91,17 +92,17 @@
 	}
 	if p == s.new && s.machine.State == upgrade.StateOnTrial {
 		if err := s.trial.ObserveNew(p.requests); err != nil {
-			s.noteReason("the new generation does worse: %v", err)
+			s.recordReason("the new generation does worse: %v", err)
 			s.feed(upgrade.InputWorse)
 		}
 	}
 }
 
-// sendOtherAttempts tells a process what the others have outstanding, which count in its
-// concurrency limits. One that does not serve and won't again has no use for it.
+// sendOtherAttempts sends a process the outstanding attempts of all others, which count
+// toward its concurrency limits. A process that can no longer serve gets none.
 func (s *Supervisor) sendOtherAttempts(p *process) {
-	serves := p.agentState.Accepts() || p.agentState == upgrade.AgentStandby || p.agentState == upgrade.AgentQuiesced
-	if !serves {
+	mayServe := p.agentState.Accepts() || p.agentState == upgrade.AgentStandby || p.agentState == upgrade.AgentQuiesced
+	if !mayServe {
 		return
 	}
 	sum := map[string]policy.AttemptCounts{}
@@ -120,7 +121,7 @@
 	p.send(&handoff.Message{Kind: handoff.KindOtherAttempts, OutstandingAttempts: sum})
 }
 
-// processEnded takes the end of a process, which may be noticed twice.
+// processEnded handles the end of a process. Later calls for the same process do nothing.
 func (s *Supervisor) processEnded(p *process) {
 	if p.ended {
 		return
@@ -129,7 +130,7 @@
 	if p.conn != nil {
 		p.conn.Close()
 	}
-	s.draining = slices.DeleteFunc(s.draining, func(x *process) bool { return x == p })
+	s.draining = slices.DeleteFunc(s.draining, func(other *process) bool { return other == p })
 	if s.observer != nil {
 		s.observer.processEnded(p)
 	}
@@ -137,12 +138,12 @@
 	case s.old:
 		s.old = nil
 		s.crashedAt = time.Now()
-		s.noteReason("the settled generation has ended")
+		s.recordReason("the settled generation has ended")
 		s.feed(upgrade.InputOldGone)
 	case s.new:
 		s.new = nil
 		s.crashedAt = time.Now()
-		s.noteReason("the new generation has ended")
+		s.recordReason("the new generation has ended")
 		s.feed(upgrade.InputNewGone)
 	}
 	for _, other := range s.processes() {
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -11,14 +11,15 @@
 	"quilldoor/internal/upgrade"
 )
 
-// killRetryInterval is how often a process that does not end is killed again.
+// killRetryInterval is the time until a process that has not ended is killed again.
 const killRetryInterval = time.Second
 
-// tick advances the state machine, and looks at all else that time brings.
+// tick advances the state machine. Every sampleInterval it also checks the processes and
+// their invariants, and advances the rollout.
 func (s *Supervisor) tick() {
 	now := time.Now()
 	if gap := now.Sub(s.tickedAt); gap > pausedAfter {
-		s.paused(now, gap)
+		s.compensatePause(now, gap)
 	}
 	s.tickedAt = now
 	s.carryOut(s.machine.Tick(s.now()))
@@ -35,28 +36,31 @@
 	}
 }
 
-// paused forgives silence and timeouts of the time in which this process did not run.
-func (s *Supervisor) paused(now time.Time, gap time.Duration) {
+// compensatePause restarts heartbeat timeouts and extends the state machine's deadline
+// after a time in which this process did not run and so received no messages.
+func (s *Supervisor) compensatePause(now time.Time, gap time.Duration) {
 	s.log.WithField("gap_ms", gap.Milliseconds()).Warn("supervisor: was paused")
 	s.machine.Paused(gap.Microseconds())
 	for _, p := range s.processes() {
-		p.heardAt = now
+		p.lastMessageAt = now
 	}
 }
 
-// sample looks at what processes use, at their heartbeats, and at those that drain.
+// sample measures the resource usage of processes, checks the old and the new one, and
+// kills draining ones that are overdue.
 func (s *Supervisor) sample(now time.Time) {
 	s.sampleUsage()
 	s.killOverdue(now)
-	s.checkOld(now)
-	s.checkNew(now)
+	s.checkOldHeartbeat(now)
+	s.checkNewProcess(now)
 	s.restoreSoleBudget()
 }
 
 func (s *Supervisor) sampleUsage() {
 	total := usageOf(os.Getpid())
 	for _, p := range s.processes() {
-		if p.cmd == nil && startTicksOf(p.pid) != p.startTicks { // no child: nobody else notices its end
+		// An adopted process is not a child of this one, so wait does not report its end.
+		if p.cmd == nil && startTicksOf(p.pid) != p.startTicks {
 			s.processEnded(p)
 			continue
 		}
@@ -68,7 +72,7 @@
 	s.peakUsage.Descriptors = max(s.peakUsage.Descriptors, total.Descriptors)
 }
 
-// killOverdue kills processes that were to end and did not in time.
+// killOverdue kills draining processes that have not ended in time.
 func (s *Supervisor) killOverdue(now time.Time) {
 	for _, p := range slices.Clone(s.draining) {
 		if !now.After(p.killAt) {
@@ -81,37 +85,37 @@
 	}
 }
 
-func (s *Supervisor) checkOld(now time.Time) {
+func (s *Supervisor) checkOldHeartbeat(now time.Time) {
 	p := s.old
-	if p == nil || !p.greeted {
+	if p == nil || !p.helloReceived {
 		return
 	}
-	if silence := now.Sub(p.heardAt); silence.Microseconds() > upgrade.HangTimeoutMicros {
-		s.noteReason("the settled generation has said nothing for %d ms", silence.Milliseconds())
-		p.heardAt = now
+	if sinceMessage := now.Sub(p.lastMessageAt); sinceMessage.Microseconds() > upgrade.HangTimeoutMicros {
+		s.recordReason("the settled generation has said nothing for %d ms", sinceMessage.Milliseconds())
+		p.lastMessageAt = now
 		s.feed(upgrade.InputOldHung)
 	}
 }
 
-func (s *Supervisor) checkNew(now time.Time) {
+func (s *Supervisor) checkNewProcess(now time.Time) {
 	p := s.new
 	if p == nil {
 		return
 	}
-	silence := now.Sub(p.heardAt)
+	sinceMessage := now.Sub(p.lastMessageAt)
 	if err := upgrade.CheckUsage(p.budget, p.usage); err != nil {
-		s.noteReason("the new generation uses more than its part: %v", err)
+		s.recordReason("the new generation exceeds its budget: %v", err)
 		s.feed(upgrade.InputNewHung)
-	} else if p.greeted && silence.Microseconds() > upgrade.TrialHangTimeoutMicros {
-		s.noteReason("the new generation has said nothing for %d ms", silence.Milliseconds())
+	} else if p.helloReceived && sinceMessage.Microseconds() > upgrade.TrialHangTimeoutMicros {
+		s.recordReason("the new generation has said nothing for %d ms", sinceMessage.Milliseconds())
 		s.feed(upgrade.InputNewHung)
 	} else if v := s.violations(p, s.old); v.Rules != 0 && s.machine.State == upgrade.StateOnTrial {
-		s.noteReason("the new generation breaks %s", v.Text)
+		s.recordReason("the new generation breaks %s", v.Text)
 		s.feed(upgrade.InputWorse)
 	}
 }
 
-// restoreSoleBudget gives the serving process the whole machine once it is alone.
+// restoreSoleBudget sets the old process's budget to soleBudget once no other process runs.
 func (s *Supervisor) restoreSoleBudget() {
 	p := s.old
 	alone := p != nil && s.new == nil && len(s.draining) == 0 && s.machine.State == upgrade.StateSteady
--- a/internal/supervisor/observer.go
+++ b/internal/supervisor/observer.go
@@ -14,30 +14,30 @@
 	"quilldoor/internal/policy"
 )
 
-// Observer lets the supervisor check by discovery whether its processes keep the
-// invariants. All fields must be set.
+// Observer configures how the supervisor checks whether its processes keep the invariants.
+// It follows discovery itself for that. All fields must be set.
 type Observer struct {
 	Invariants invariant.Settings
 	Limits     *config.Limits
-	// Discovery reads the platform's file: the address of discovery, and the endpoints
-	// that the file has. It is called at the start and at each reload.
+	// Discovery reads the address of discovery and the known endpoints from the
+	// platform's file. It is called at the start and at each reload.
 	Discovery func() (address string, known *discovery.Update, err error)
 }
 
-// clockJumpMicros is how far the wall clock may move against the monotonic one between
-// two ticks. One that is slewed moves by less.
+// clockJumpMicros is how far the wall clock may drift from the monotonic clock between two
+// ticks; a larger difference is a jump. A slewed clock drifts by less.
 const clockJumpMicros = 50_000
 
-// observer follows discovery beside the processes, and compares what they do with it. It
-// stays as it is over a change of program: the supervisor's own is known to be good.
+// observer follows discovery independently of the processes, and checks their activity
+// against it. A change does not replace it: the supervisor's own program is known to work.
 type observer struct {
 	supervisor  *Supervisor
 	monitor     *invariant.Monitor
 	watcher     *discovery.Watcher
-	cancel      context.CancelFunc // of the watcher's run
-	done        chan struct{}      // closed when it has ended
-	clockOffset int64              // of the wall clock from the supervisor's, in microseconds
-	logged      map[int]uint8      // violated rules by PID
+	cancel      context.CancelFunc // ends the watcher's current run
+	done        chan struct{}      // closed when that run has ended
+	clockOffset int64              // of the wall clock from Supervisor.now, in microseconds
+	logged      map[int]uint8      // violated rules that are logged already, by PID
 }
 
 func (s *Supervisor) startObserver() {
@@ -53,12 +53,12 @@
 	}
 	o.watcher = discovery.New(settings.Limits, o)
 	s.observer = o
-	o.follow()
+	o.followDiscovery()
 }
 
-// follow reads the address of discovery and follows it there. When the file can't be
-// read the last address stays.
-func (o *observer) follow() {
+// followDiscovery reads the address of discovery and starts the watcher there, in place of
+// its previous run. When the file can't be read the last address stays.
+func (o *observer) followDiscovery() {
 	address, known, err := o.supervisor.config.Observer.Discovery()
 	if err != nil {
 		o.supervisor.log.WithError(err).Error("supervisor: discovery address can't be read, the last one stays")
@@ -71,7 +71,7 @@
 	o.done = done
 	go func() {
 		defer close(done)
-		if previousCancel != nil { // two never run at once
+		if previousCancel != nil { // runs of the watcher must not overlap
 			previousCancel()
 			<-previousDone
 		}
@@ -80,14 +80,14 @@
 	}()
 }
 
-// enqueue has the supervisor's loop do something, at the time of the event. The watcher
-// runs beside the loop.
+// enqueue queues an event of the watcher, whose goroutine is not the loop's. The event is
+// handled with the time at which it was queued.
 func (o *observer) enqueue(event func(now int64)) {
 	now := time.Now().UnixMicro()
 	o.supervisor.events <- func() { event(now) }
 }
 
-// EndpointsChanged takes an update of the endpoint list.
+// EndpointsChanged passes an update of the endpoint list to the monitor.
 func (o *observer) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
 	endpoints := make([]policy.Endpoint, len(list))
 	for i, e := range list {
@@ -96,22 +96,22 @@
 	o.enqueue(func(now int64) { o.monitor.EndpointsChanged(now, scope != policy.ScopeDiff, endpoints) })
 }
 
-// Purge takes a purge.
+// Purge passes a purge to the monitor.
 func (o *observer) Purge(object string, group, at int64) {
 	o.enqueue(func(now int64) { o.monitor.Purged(now, object, group, at) })
 }
 
-// DiscoveryLost takes the first failed poll in a row.
+// DiscoveryLost handles the first failed poll in a row.
 func (o *observer) DiscoveryLost(error) {
 	o.enqueue(func(now int64) { o.monitor.SetDisconnected(now, true) })
 }
 
-// DiscoveryRestored takes the first poll that succeeds again.
+// DiscoveryRestored handles the first successful poll after DiscoveryLost.
 func (o *observer) DiscoveryRestored() {
 	o.enqueue(func(now int64) { o.monitor.SetDisconnected(now, false) })
 }
 
-// DiscoveryGap takes that events may have been missed.
+// DiscoveryGap handles events that may have been missed, as a loss that ends at once.
 func (o *observer) DiscoveryGap() {
 	o.enqueue(func(now int64) {
 		o.monitor.SetDisconnected(now, true)
@@ -119,7 +119,7 @@
 	})
 }
 
-// tick lets the monitor judge, and logs new violations.
+// tick runs the monitor's checks and logs each rule that a process newly violates.
 func (o *observer) tick() {
 	now := time.Now().UnixMicro()
 	o.checkClock(now)
@@ -150,14 +150,15 @@
 	delete(o.logged, p.pid)
 }
 
-// violations are those of a process that another one beside it, if any, does not share.
-func (s *Supervisor) violations(p, beside *process) invariant.Violations {
+// violations returns the rules that p violates, without those that other (nil: none) also
+// violates.
+func (s *Supervisor) violations(p, other *process) invariant.Violations {
 	if s.observer == nil || p == nil {
 		return invariant.Violations{}
 	}
 	v := s.observer.monitor.Violations(p.id())
-	if beside != nil {
-		v.Rules &^= s.observer.monitor.Violations(beside.id()).Rules
+	if other != nil {
+		v.Rules &^= s.observer.monitor.Violations(other.id()).Rules
 		if v.Rules == 0 {
 			v.Text = ""
 		}
@@ -165,7 +166,7 @@
 	return v
 }
 
-// observeActivity takes what a process reports of its attempts and responses.
+// observeActivity passes a process's activity to the monitor, if the heartbeat has one.
 func (s *Supervisor) observeActivity(p *process, m *handoff.Message) {
 	if s.observer != nil && m.Activity != nil {
 		s.observer.monitor.Observe(time.Now().UnixMicro(), p.id(), m.Activity)
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -21,38 +21,38 @@
 
 // process is a router process of a generation.
 type process struct {
-	manifest   *handoff.Manifest
-	pid        int
-	startTicks uint64    // tells it from a later process with the same PID
-	cmd        *exec.Cmd // nil: an earlier supervisor has started it
-	conn       *handoff.Conn
-	seed       string // of its random choices
-	budget     upgrade.Resources
-	usage      upgrade.Resources
-	greeted    bool // it has sent its hello
-	ended      bool
-	wasSettled bool // before this supervisor began
-
-	// What it has reported.
+	manifest      *handoff.Manifest
+	pid           int
+	startTicks    uint64    // distinguishes it from a later process with the same PID
+	cmd           *exec.Cmd // nil: an earlier supervisor started it
+	conn          *handoff.Conn
+	seed          string // of its random number generator
+	budget        upgrade.Resources
+	usage         upgrade.Resources
+	helloReceived bool // or it was adopted
+	ended         bool
+	wasSettled    bool // before this supervisor started
+
+	// From the process's messages.
 	agentState          upgrade.AgentState
 	requests            upgrade.RequestCounts
 	outstandingAttempts map[string]policy.AttemptCounts // by endpoint
-	heardAt             time.Time
+	lastMessageAt       time.Time
 
-	killAt time.Time // while it drains
+	killAt time.Time // while it drains: when it is killed
 }
 
-// id of the process for the invariant monitor.
+// id identifies the process in the invariant monitor.
 func (p *process) id() uint64 { return uint64(p.pid) }
 
-// send sends a message. A process that does not read it is found by its silence.
+// send sends a message. A process that does not read it is detected by missing heartbeats.
 func (p *process) send(m *handoff.Message) {
 	if p.conn != nil {
 		_ = p.conn.Send(m)
 	}
 }
 
-// kill kills the process, if the PID is still its own.
+// kill kills the process, unless it has ended and its PID may be another process's.
 func (p *process) kill() { killProcess(p.pid, p.startTicks) }
 
 func killProcess(pid int, startTicks uint64) {
@@ -61,9 +61,9 @@
 	}
 }
 
-// start starts a process of a generation and hands the sockets down.
+// start starts a process of a generation, which inherits the listening sockets.
 func (s *Supervisor) start(manifest *handoff.Manifest, budget upgrade.Resources) (*process, error) {
-	p := &process{manifest: manifest, budget: budget, heardAt: time.Now(), seed: newSeed()}
+	p := &process{manifest: manifest, budget: budget, lastMessageAt: time.Now(), seed: newSeed()}
 	config, err := s.writeProcessConfig(manifest, p.seed, budget)
 	if err != nil {
 		return nil, err
@@ -92,8 +92,8 @@
 	return p, nil
 }
 
-// command is the command line of a router process, with the descriptors in the order
-// that package upgradeagent expects.
+// command returns the command that starts a router process, with the descriptors in the
+// order that package upgradeagent expects.
 func (s *Supervisor) command(manifest *handoff.Manifest, config string, conn *os.File) *exec.Cmd {
 	cmd := exec.Command(manifest.Program, "serve", "--config", config,
 		"--operator", s.generationPath(manifest.Generation, operatorFile),
@@ -112,7 +112,8 @@
 	return cmd
 }
 
-// wait reports the end of a process that this supervisor has started.
+// wait waits for the end of a process that this supervisor started, and queues it as an
+// event.
 func (s *Supervisor) wait(p *process) {
 	err := p.cmd.Wait()
 	s.events <- func() {
@@ -123,8 +124,8 @@
 	}
 }
 
-// processEnvironment is this process's own without what the platform tells a router:
-// that stands in the configuration file.
+// processEnvironment returns this process's environment without the platform's variables,
+// whose values are in the configuration file, and without the folder of a supervisor.
 func processEnvironment() (environment []string) {
 	for _, variable := range os.Environ() {
 		if !strings.HasPrefix(variable, "LB_") && !strings.HasPrefix(variable, upgradeagent.EnvFolder+"=") {
@@ -140,7 +141,7 @@
 	return strconv.FormatUint(binary.LittleEndian.Uint64(b[:]), 16)
 }
 
-// processes are those that run: the old and the new one, and those that drain.
+// processes returns the running processes: the old, the new and the draining ones.
 func (s *Supervisor) processes() (running []*process) {
 	for _, p := range append([]*process{s.old, s.new}, s.draining...) {
 		if p != nil {
@@ -150,7 +151,8 @@
 	return running
 }
 
-// drain lets a process end, and sees to it that it does. Without a message it was killed.
+// drain adds a process to the draining ones, which killOverdue kills when they have not
+// ended in time. The message commands it to end; it is nil when the process was killed.
 func (s *Supervisor) drain(p *process, m *handoff.Message) {
 	if m != nil {
 		p.send(m)
--- a/internal/supervisor/procfs.go
+++ b/internal/supervisor/procfs.go
@@ -10,20 +10,20 @@
 	"quilldoor/internal/upgrade"
 )
 
-// Fields of /proc/PID/stat after the name, see proc(5).
+// Indexes of the fields of /proc/PID/stat after the process's name, see proc(5).
 const (
 	statState     = 0
 	statStartTime = 19
 )
 
-// startTicksOf is when a process started, in clock ticks since the machine's start; 0:
-// there is none with this PID, or it has ended and was not waited for.
+// startTicksOf returns when a process started, in clock ticks since the system's boot. It
+// returns 0 when no process has this PID, or when it is a zombie.
 func startTicksOf(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// The name stands in brackets and may hold any character.
+	// The name is in parentheses and may contain any character.
 	endOfName := strings.LastIndex(string(text), ") ")
 	if endOfName < 0 {
 		return 0
@@ -36,7 +36,7 @@
 	return ticks
 }
 
-// usageOf is what a process uses now; zero where it can't be read.
+// usageOf returns the resources in use by a process; what can't be read is 0.
 func usageOf(pid int) (usage upgrade.Resources) {
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
 		if fields := strings.Fields(string(text)); len(fields) > 1 {
--- a/internal/supervisor/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -12,16 +12,16 @@
 	"quilldoor/internal/upgrade"
 )
 
-// rolloutFollower is this router's part in rollouts.
+// rolloutFollower is this router's state in the plan's rollout.
 type rolloutFollower struct {
-	node          *rollout.Node // nil: no plan
+	node          *rollout.Node // nil: no valid plan was read
 	plan          *rollout.Plan
 	planText      []byte
-	planError     string // last logged
+	planError     string // last one logged
 	planCheckedAt time.Time
 
-	persisted   rollout.Durable
-	writeFailed bool // the durable state could not be written
+	persisted   rollout.Durable // last state written to the rollout file for this plan
+	writeFailed bool            // the last write of the rollout file failed
 
 	previousRequests  upgrade.RequestCounts // of the processes before the current one
 	currentRequests   upgrade.RequestCounts
@@ -30,18 +30,18 @@
 	loggedPhase string
 }
 
-// durableFormat is the version of the rollout file.
-const durableFormat = 1
+// rolloutFileFormat is the version of the rollout file.
+const rolloutFileFormat = 1
 
-// durableRollout is the rollout file. One of another plan tells that the router has seen
-// a rollout, and that this plan is new here.
+// durableRollout is the content of the rollout file. A file for another plan shows that
+// the router has lost no state and that the present plan is new to it.
 type durableRollout struct {
 	Format  int             `json:"format"`
-	Plan    uint64          `json:"plan,string"` // digest
+	Plan    uint64          `json:"plan,string"` // Plan.Digest
 	Durable rollout.Durable `json:"durable"`
 }
 
-// tickRollout advances the rollout, if there is a plan.
+// tickRollout advances the rollout, if the configuration names a plan.
 func (s *Supervisor) tickRollout(now time.Time) {
 	if s.config.Plan == "" {
 		return
@@ -56,7 +56,7 @@
 	}
 	r.node.SetReport(s.rolloutReport())
 	s.sendToPeers(r.node.Tick(s.now()))
-	s.pursue(r.node.Target(s.now()))
+	s.applyTarget(r.node.Target(s.now()))
 	s.logPhase()
 }
 
@@ -73,12 +73,12 @@
 	}).Info("rollout: phase changed")
 }
 
-// sendToPeers sends messages to other routers, by way of the serving process, once what
-// they promise is durable.
+// sendToPeers sends messages to other routers through the serving process. It first makes
+// the durable state that they depend on persistent.
 func (s *Supervisor) sendToPeers(messages []rollout.Outgoing) {
 	r := &s.rollout
 	if !s.persistRollout() {
-		return // a promise that would not last is not made
+		return // a promise that a restart would lose must not be sent
 	}
 	p := s.servingProcess()
 	if p == nil {
@@ -87,20 +87,21 @@
 	for _, m := range messages {
 		body, err := rollout.Encode(m.Message)
 		if err != nil {
-			continue // none that a node makes
+			continue // does not occur for a message of a node
 		}
 		p.send(&handoff.Message{Kind: handoff.KindPeerMessage, To: r.plan.Routers[m.To].Name, Body: body})
 	}
 }
 
-// persistRollout writes what this router has promised, when that has changed.
+// persistRollout writes the rollout file when the durable state has changed. It reports
+// whether messages that depend on that state may be sent.
 func (s *Supervisor) persistRollout() bool {
 	r := &s.rollout
 	durable := r.node.Durable
 	if reflect.DeepEqual(durable, r.persisted) || r.node.Status().Recovering {
 		return true
 	}
-	err := writeJSON(s.path(rolloutFile), durableRollout{durableFormat, r.plan.Digest, durable})
+	err := writeJSON(s.path(rolloutFile), durableRollout{rolloutFileFormat, r.plan.Digest, durable})
 	if err != nil {
 		if !r.writeFailed {
 			s.log.WithError(err).Error("rollout: state can't be written, this router takes no part")
@@ -113,7 +114,8 @@
 	return true
 }
 
-// servingProcess is the process that holds the serving lock, else the old one.
+// servingProcess returns the process that holds the serving lock; without one, the old
+// process, which may be nil.
 func (s *Supervisor) servingProcess() *process {
 	for _, p := range []*process{s.new, s.old} {
 		if p != nil && p.agentState.Accepts() {
@@ -123,7 +125,8 @@
 	return s.old
 }
 
-// handleRolloutMessage takes a message of another router. Others than a rollout's are ignored.
+// handleRolloutMessage handles a message of another router. One that is no message of a
+// rollout is ignored.
 func (s *Supervisor) handleRolloutMessage(m *handoff.Message) {
 	if s.rollout.node == nil {
 		return
@@ -133,14 +136,16 @@
 	}
 }
 
-// isUpgraded reports whether the settled generation is the rollout's.
+// isUpgraded reports whether the settled generation is the one that the rollout started.
 func (s *Supervisor) isUpgraded() bool {
 	record := s.file.Rollout
 	return record != nil && record.NewGeneration != 0 && record.NewGeneration == s.file.Settled.Generation
 }
 
-// pursue makes this router what the rollout wants it to be, where it may.
-func (s *Supervisor) pursue(target rollout.Target) {
+// applyTarget begins the change to the generation that the rollout requires, or cancels
+// an upgrade to a generation that it no longer requires. It does so only while the target
+// permits a start.
+func (s *Supervisor) applyTarget(target rollout.Target) {
 	if !target.MayStart {
 		return
 	}
@@ -148,7 +153,7 @@
 	record := s.file.Rollout
 	switch {
 	case s.upgradesByRollout() && !target.New:
-		s.noteReason("the rollout goes back")
+		s.recordReason("the rollout is rolled back")
 		s.feed(upgrade.InputCancel)
 	case s.machine.Busy() || target.New == s.isUpgraded():
 	case target.New && (record == nil || record.RunID != view.RunID || record.FailureReason == ""):
@@ -161,13 +166,13 @@
 // upgradesByRollout reports whether a change to the rollout's generation is in progress.
 func (s *Supervisor) upgradesByRollout() bool {
 	c := s.change
-	return c != nil && c.rolloutRun != 0 && !c.rollback && s.machine.State > upgrade.StateSteady
+	return c != nil && c.rolloutRunID != 0 && !c.rollback && s.machine.State > upgrade.StateSteady
 }
 
 func (s *Supervisor) beginRolloutUpgrade(view rollout.State) {
 	s.log.WithField("run", view.RunID).Info("rollout: this router is upgraded")
 	s.file.Rollout = &handoff.RolloutRecord{RunID: view.RunID, Previous: s.file.Settled}
-	s.change = &change{manifest: s.plannedSettings(), rolloutRun: view.RunID}
+	s.change = &change{manifest: s.plannedFiles(), rolloutRunID: view.RunID}
 	s.feed(upgrade.InputApply)
 }
 
@@ -175,16 +180,17 @@
 	s.log.WithField("run", view.RunID).Info("rollout: this router is rolled back")
 	record := s.file.Rollout
 	s.change = &change{
-		manifest: settingsOf(record.Previous), rolloutRun: record.RunID, rollback: true,
-		ownDecision: view.Phase == rollout.PhaseForward || view.Phase == rollout.PhasePaused,
+		manifest: programAndSettings(record.Previous), rolloutRunID: record.RunID, rollback: true,
+		decidedLocally: view.Phase == rollout.PhaseForward || view.Phase == rollout.PhasePaused,
 	}
 	s.feed(upgrade.InputApply)
 }
 
-// rolloutChangeEnded records what became of a change that a rollout wanted.
+// rolloutChangeEnded records the outcome of a change in the rollout's record, if a rollout
+// requested it.
 func (s *Supervisor) rolloutChangeEnded(c *change, ok bool, text string) {
 	record := s.file.Rollout
-	if c == nil || c.rolloutRun == 0 || record == nil {
+	if c == nil || c.rolloutRunID == 0 || record == nil {
 		return
 	}
 	switch {
@@ -194,8 +200,8 @@
 		record.FailureReason = text
 	case ok:
 		record.NewGeneration = 0
-		if c.ownDecision {
-			record.FailureReason = "it heard of nobody for long"
+		if c.decidedLocally {
+			record.FailureReason = "rolled back without contact to the rollout's leader"
 		}
 	default:
 		s.forceRollback(text)
@@ -203,8 +209,9 @@
 	s.writeState()
 }
 
-// forceRollback kills a new generation that does not even hand over, and starts the
-// previous one.
+// forceRollback makes the generation before the rollout the settled one without a
+// hand-over, after a rollback with one has failed. It kills the rollout's generation, and
+// the state machine then starts the settled one.
 func (s *Supervisor) forceRollback(reason string) {
 	s.log.WithField("reason", reason).Warn("rollout: rolled back by force")
 	record := s.file.Rollout
--- a/internal/supervisor/rolloutplan.go
+++ b/internal/supervisor/rolloutplan.go
@@ -14,13 +14,14 @@
 	"quilldoor/internal/rollout"
 )
 
-// planCheckInterval is how often the plan's file is read.
+// planCheckInterval is how often the plan's file is checked for changes.
 const planCheckInterval = 2 * time.Second
 
 // namePlaceholder in a path of the plan stands for the router's name.
 const namePlaceholder = "{name}"
 
-// readPlan reads the plan, if its file has changed and no rollout is in progress.
+// readPlan reads the plan if its file has changed and no rollout is in progress. An invalid
+// or unreadable file leaves the last plan in force.
 func (s *Supervisor) readPlan() {
 	r := &s.rollout
 	text, err := os.ReadFile(s.config.Plan)
@@ -65,16 +66,16 @@
 		return nil, err
 	}
 	if plan.Index(s.config.MemberName) < 0 {
-		return nil, fmt.Errorf("%s: %s is none of its routers", s.config.Plan, s.config.MemberName)
+		return nil, fmt.Errorf("%s: router %q is not in the plan", s.config.Plan, s.config.MemberName)
 	}
 	return plan, nil
 }
 
-// readDurableRollout is what this router has promised in the plan's rollout: nil when it
-// has no record, which may be lost; empty when the record is of another plan.
+// readDurableRollout returns this router's durable state in the plan's rollout: nil when
+// the rollout file can't be read and so may be lost, empty when it is for another plan.
 func (s *Supervisor) readDurableRollout(plan *rollout.Plan) *rollout.Durable {
 	var record durableRollout
-	if err := readJSON(s.path(rolloutFile), &record); err != nil || record.Format != durableFormat {
+	if err := readJSON(s.path(rolloutFile), &record); err != nil || record.Format != rolloutFileFormat {
 		return nil
 	}
 	if record.Plan != plan.Digest {
@@ -83,8 +84,8 @@
 	return &record.Durable
 }
 
-// plannedSettings are the files that the plan names for this router.
-func (s *Supervisor) plannedSettings() *handoff.Manifest {
+// plannedFiles returns a manifest with the paths that the plan names for this router.
+func (s *Supervisor) plannedFiles() *handoff.Manifest {
 	forThisRouter := func(path string) string {
 		return strings.ReplaceAll(path, namePlaceholder, s.config.MemberName)
 	}
@@ -96,9 +97,9 @@
 	}
 }
 
-// hasPlannedFiles reports whether the files that the plan names are there.
+// hasPlannedFiles reports whether the files that the plan names for this router exist.
 func (s *Supervisor) hasPlannedFiles() bool {
-	m := s.plannedSettings()
+	m := s.plannedFiles()
 	for _, path := range []string{m.Program, m.Config, m.Operator} {
 		if path == "" {
 			continue
--- a/internal/supervisor/rolloutreport.go
+++ b/internal/supervisor/rolloutreport.go
@@ -9,10 +9,10 @@
 	"quilldoor/internal/upgrade"
 )
 
-// rolloutReport is what this router reports to the rollout's leader.
+// rolloutReport returns this router's report to the rollout's leader.
 func (s *Supervisor) rolloutReport() rollout.Report {
 	report := rollout.Report{
-		Changing: s.machine.Busy(), Capable: s.hasPlannedFiles(), Restarts: s.starts,
+		Changing: s.machine.Busy(), Capable: s.hasPlannedFiles(), Restarts: s.settledStarts,
 		Upgraded: s.isUpgraded(),
 	}
 	if record := s.file.Rollout; record != nil {
@@ -34,8 +34,9 @@
 	return report
 }
 
-// countRequests counts a process's requests on over those before it. One of the same
-// generation whose counts are lower is a restarted one.
+// countRequests updates the request counts from a process, whose own counts begin at 0.
+// Another generation, or a lower count in the same one, shows a new process: the counts of
+// the process before it are then added to previousRequests.
 func (s *Supervisor) countRequests(p *process) {
 	r := &s.rollout
 	restarted := p.requests.WeightOffered < r.currentRequests.WeightOffered
@@ -46,7 +47,7 @@
 	r.currentRequests = p.requests
 }
 
-// canaryCounts are counts in the canary analysis's terms.
+// canaryCounts converts request counts for the canary analysis.
 func canaryCounts(c upgrade.RequestCounts) canary.Counts {
 	counts := canary.Counts{
 		Requests:      float64(c.Completed + c.Rejected + c.Aborted + c.ClientGone),
@@ -60,12 +61,12 @@
 		Classes:       canaryClasses(c.Classes),
 	}
 	if c.Attempts == 0 {
-		counts.Completed = 0 // an earlier version, which reports neither latency nor attempts
+		counts.Completed = 0 // of an earlier version, which reports neither latency nor attempts
 	}
 	return counts
 }
 
-// canaryClasses takes the first classes by name, as many as the analysis holds.
+// canaryClasses converts the counts of the first canary.MaxClasses classes by name.
 func canaryClasses(classes map[string][3]float64) map[string]canary.ClassCounts {
 	var counts map[string]canary.ClassCounts
 	for i, name := range slices.Sorted(maps.Keys(classes)) {
--- a/internal/supervisor/sockets.go
+++ b/internal/supervisor/sockets.go
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Names of sockets.
+// Names of listening sockets.
 const (
 	clientSocket     = "listen"
 	membershipSocket = "members" // UDP; the others are TCP
 )
 
-// bindSockets opens the sockets that are wanted and not yet there, and closes those that
-// are not wanted. The addresses are by name.
+// bindSockets opens the sockets of the addresses, by name, that are not open yet, and closes
+// the sockets without an address. An open socket stays as it is.
 func (s *Supervisor) bindSockets(addresses map[string]string) error {
 	for name, address := range addresses {
 		if s.sockets[name] != nil {
@@ -39,8 +39,9 @@
 	return nil
 }
 
-// openSocket opens a listening socket. The file is one made by os.NewFile: the File
-// method of a listener would make the socket blocking.
+// openSocket opens a listening socket and returns it as a file for a child process to
+// inherit. It duplicates the descriptor for os.NewFile, since the File method of a listener
+// would make the socket blocking.
 func openSocket(name, address string) (*os.File, error) {
 	socket, err := listen(name, address)
 	if err != nil {
@@ -76,11 +77,11 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.(*net.UDPConn), nil // as net documents for this network
+		return c.(*net.UDPConn), nil // the type that net documents for a UDP network
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return l.(*net.TCPListener), nil // as net documents for this network
+	return l.(*net.TCPListener), nil // the type that net documents for a TCP network
 }
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/handoff"
 )
 
-// status is what the supervisor reports of itself.
+// status returns the supervisor's status report.
 func (s *Supervisor) status() *handoff.Status {
 	return &handoff.Status{
 		State:             s.machine.State.String(),
@@ -19,7 +19,7 @@
 		LastOutcome:       s.lastOutcome,
 		Persistent:        s.persistent,
 		SupervisorPID:     os.Getpid(),
-		Restarts:          max(s.starts-1, 0),
+		Restarts:          max(s.settledStarts-1, 0),
 		LastCrashMS:       s.lastCrashMS,
 		DrainingProcesses: len(s.draining),
 		PeakMB:            s.peakUsage.MemoryMB,
@@ -27,6 +27,7 @@
 	}
 }
 
+// processStatus returns a process's part of the status report, nil without a process.
 func (s *Supervisor) processStatus(p *process) *handoff.Process {
 	if p == nil {
 		return nil
@@ -38,7 +39,7 @@
 		MemoryMB:       p.usage.MemoryMB,
 		Descriptors:    p.usage.Descriptors,
 		Requests:       p.requests,
-		HeartbeatAgeMS: time.Since(p.heardAt).Milliseconds(),
+		HeartbeatAgeMS: time.Since(p.lastMessageAt).Milliseconds(),
 		ViolatedRule:   s.violations(p, nil).Text,
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -12,63 +12,64 @@
 	"quilldoor/internal/upgrade"
 )
 
-// Config of a supervisor.
+// Config configures a supervisor.
 type Config struct {
-	Folder  string // path; made where it is missing
+	Folder  string // path; created when it is missing
 	Times   upgrade.Timeouts
-	Program string // path, of the first generation
-	// Platform is the path of the platform's configuration. Every process gets its keys name, listen, seed, board, known
-	// and limits from there, whatever the configuration of its generation says.
+	Program string // path of the first generation's program
+	// Platform is the path of the platform's configuration. Every process gets the keys
+	// name, listen, seed, board, known and limits from this file, not from the
+	// configuration of its generation.
 	Platform   string
-	Operator   string    // path of the operator's file, of the first generation; "": none
+	Operator   string    // path of the first generation's operator file; "": none
 	Plan       string    // path of the rollout plan; "": none
-	MemberName string    // the router's name among members; "": it has none
+	MemberName string    // the router's name in the membership; "": it is not a member
 	Observer   *Observer // nil: invariants are not monitored
 	Log        *logrus.Entry
 }
 
 const (
 	tickInterval = 20 * time.Millisecond
-	// sampleInterval is how often processes, invariants and the rollout are looked at.
+	// sampleInterval is how often processes, invariants and the rollout are checked.
 	sampleInterval = 100 * time.Millisecond
-	// pausedAfter is the delay of a tick from which on the supervisor is taken to have
-	// been stopped or starved itself.
+	// pausedAfter is the time between two ticks beyond which the supervisor assumes that
+	// it was itself stopped or got no CPU time.
 	pausedAfter = 300 * time.Millisecond
-	// maxQueuedEvents bounds what goroutines may have the loop do before they wait.
+	// maxQueuedEvents bounds the event queue; goroutines block while it is full.
 	maxQueuedEvents = 256
 )
 
-// Supervisor of one router: the state of Run, which makes it and is its only caller.
+// Supervisor is the state of one call of Run. Only its loop changes it.
 type Supervisor struct {
 	config    Config
 	log       *logrus.Entry
 	startedAt time.Time
-	events    chan func() // run by the loop
+	events    chan func() // called by the loop
 
 	lock     *os.File
-	file     *handoff.File // the state file's content
+	file     *handoff.File // content of the state file
 	listener *net.UnixListener
-	// persistent: the state file could be written.
+	// persistent reports whether the last write of the state file succeeded.
 	persistent bool
 
-	machine  *upgrade.Machine
-	trial    upgrade.TrialMonitor
-	old, new *process // nil: none
-	draining []*process
-	change   *change        // in progress; nil: none
-	state    *handoff.State // released by the old process and not yet passed on
+	machine       *upgrade.Machine
+	trial         upgrade.TrialMonitor
+	old, new      *process // nil: none
+	draining      []*process
+	change        *change        // in progress; nil: none
+	releasedState *handoff.State // released by the old process, not yet sent to the new one
 
 	machineResources upgrade.Resources
-	soleBudget       upgrade.Resources // of a generation while it is the only one
-	peakUsage        upgrade.Resources // of all processes together
+	soleBudget       upgrade.Resources // of a process while it is the only one
+	peakUsage        upgrade.Resources // of the supervisor and all processes together
 	sockets          map[string]*os.File
-	socketNames      []string // in the order in which they are handed down
+	socketNames      []string // in the order in which processes inherit them
 
-	tools       []*handoff.Conn // that wait for the end of the change
-	lastOutcome string          // of a change
-	starts      int             // of the settled generation, without a change
-	crashedAt   time.Time       // zero: the router serves
-	lastCrashMS int64           // from the last crash until the router served again
+	waitingTools  []*handoff.Conn // connections that get the outcome of the change
+	lastOutcome   string          // of the last change
+	settledStarts int             // starts of the settled generation's process; changes don't count
+	crashedAt     time.Time       // zero: a process serves
+	lastCrashMS   int64           // time from the last crash until a process served again
 
 	rollout   rolloutFollower
 	observer  *observer // nil: invariants are not monitored
@@ -78,23 +79,24 @@
 
 // change is a change in progress.
 type change struct {
-	// manifest has what is asked for while it is checked, then the new generation; nil
-	// in between.
+	// manifest is the requested program and settings until the check begins, nil during
+	// the check, and the new generation's manifest afterwards.
 	manifest *handoff.Manifest
 	budget   upgrade.Resources // of the new generation
-	reason   string            // why it was rejected or fell back
+	reason   string            // first reason why it was rejected or fell back
 
-	rolloutRun  uint64 // the rollout that wants it; 0: the operator does
-	rollback    bool   // of the rollout
-	ownDecision bool   // a rollback that the rollout's leader did not ask for
+	rolloutRunID   uint64 // the rollout that requested it; 0: the operator did
+	rollback       bool   // to the generation before the rollout
+	decidedLocally bool   // a rollback that the rollout's leader has not decided
 }
 
 func (s *Supervisor) now() int64 { return time.Since(s.startedAt).Microseconds() }
 
-// Run runs the router until a signal on term asks to end, and has it reload its
-// configuration on a signal on hup. It returns an error when it can't begin: one that
-// wraps ErrFolderLocked or handoff.ErrNewerFormat, or says what else is wrong with the
-// folder, the settings, the machine or the addresses.
+// Run runs the router until a signal arrives on term, and reloads the configuration on
+// each signal on hup. It returns an error only when it can't start, because of the folder,
+// the settings, the machine's resources or the listening addresses. The error wraps
+// ErrFolderLocked when another supervisor uses the folder, and handoff.ErrNewerFormat when
+// a later version has written the state file.
 func Run(config Config, term, hup <-chan os.Signal) error {
 	s := &Supervisor{
 		config:     config,
@@ -136,7 +138,7 @@
 	}
 }
 
-// open locks the folder and reads the state that an earlier supervisor has left.
+// open locks the folder and reads the state file of an earlier supervisor, if any.
 func (s *Supervisor) open() error {
 	if err := s.lockFolder(); err != nil {
 		return err
@@ -152,14 +154,14 @@
 	if s.listener != nil {
 		s.listener.Close()
 	}
-	for _, tool := range s.tools {
+	for _, tool := range s.waitingTools {
 		tool.Close()
 	}
 	s.lock.Close()
 }
 
-// begin finds the settled generation, adopts processes that have outlived an earlier
-// supervisor, and starts the state machine.
+// begin determines the settled generation, adopts processes that outlived an earlier
+// supervisor, and creates the state machine.
 func (s *Supervisor) begin() error {
 	if s.file == nil {
 		first, _, err := s.prepare(1, s.config.Program, s.config.Platform, s.config.Operator)
@@ -197,9 +199,10 @@
 	return nil
 }
 
-// verifyProgram sees to it that the settled generation's program is the one that was
-// settled. Where it is not, the previous generation becomes the settled one if its
-// program is intact; else what is there is run.
+// verifyProgram compares the settled generation's program file with its recorded digest.
+// When it differs, the previous generation becomes the settled one if its program is
+// unchanged. Otherwise the settled generation runs the changed file, or the supervisor's
+// own program when the file can't be read.
 func (s *Supervisor) verifyProgram() {
 	settled := s.file.Settled
 	digest, err := handoff.FileDigest(settled.Program)
@@ -209,7 +212,7 @@
 	log := s.log.WithFields(logrus.Fields{
 		"generation": settled.Generation, "program": settled.Program, "was": settled.ProgramSum, "is": digest,
 	})
-	if previous := s.file.Previous; previous != nil && isIntact(previous) {
+	if previous := s.file.Previous; previous != nil && programUnchanged(previous) {
 		log.Error("supervisor: settled program has changed, the previous one is started")
 		s.file.Settled = previous
 		s.file.Previous = nil
@@ -218,14 +221,14 @@
 	if err != nil {
 		log.WithError(err).Error("supervisor: settled program can't be read, the supervisor's own is started")
 		settled.Program = s.config.Program
-		digest, _ = handoff.FileDigest(settled.Program) // its start will fail, too
+		digest, _ = handoff.FileDigest(settled.Program) // on an error its start fails, too
 	} else {
 		log.Error("supervisor: settled program has changed, it is started as it is")
 	}
 	settled.ProgramSum = digest
 }
 
-func isIntact(m *handoff.Manifest) bool {
+func programUnchanged(m *handoff.Manifest) bool {
 	digest, err := handoff.FileDigest(m.Program)
 	return err == nil && digest == m.ProgramSum
 }
