--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -25,7 +25,8 @@
 	return &Supervisor{config: config, log: config.Log, sockets: map[string]*os.File{}, persistent: true}
 }
 
-// A second supervisor of a folder is rejected, with the process that has it.
+// Checks that a second supervisor of a folder is rejected with an error that names the
+// PID of the first, and that the folder is free once the first has closed it.
 func TestFolderHasOneSupervisor(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "folder")
 	first, second := newTestSupervisor(folder), newTestSupervisor(folder)
@@ -34,16 +35,18 @@
 	}
 	err := second.open()
 	if !errors.Is(err, ErrFolderLocked) || !strings.Contains(err.Error(), fmt.Sprintf("process %d", os.Getpid())) {
-		t.Error(err)
+		t.Errorf("second supervisor while the first runs: %v", err)
 	}
 	first.close()
 	if err := second.open(); err != nil {
-		t.Error(err)
+		t.Errorf("second supervisor after the first has closed the folder: %v", err)
 	}
 	second.close()
 }
 
-// Only folders of generations that may still be needed stay, and no other entry goes.
+// Checks that the subfolders of the settled and the previous generation, of the one before
+// the rollout, of a change in progress and of a draining process stay, that those of other
+// generations are removed, and that an entry of another name stays.
 func TestRemovesUnusedGenerations(t *testing.T) {
 	s := newTestSupervisor(t.TempDir())
 	s.file = &handoff.File{
@@ -62,31 +65,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var left []string
+	var remaining []string
 	for _, entry := range entries {
-		left = append(left, entry.Name())
+		remaining = append(remaining, entry.Name())
 	}
-	if want := []string{"1", "2", "3", "4", "5", "x"}; !slices.Equal(left, want) {
-		t.Errorf("%v instead of %v", left, want)
+	if want := []string{"1", "2", "3", "4", "5", "x"}; !slices.Equal(remaining, want) {
+		t.Errorf("entries of the folder: got %v, want %v", remaining, want)
 	}
 }
 
-// Sockets that are wanted stay the same, others are closed, and a descriptor that is
-// handed down still accepts.
+// Checks that bindSockets keeps an open socket whose address is still configured and closes
+// the others, and that the kept descriptor accepts connections.
 func TestBindsWantedSockets(t *testing.T) {
 	s := newTestSupervisor(t.TempDir())
 	if err := s.bindSockets(map[string]string{clientSocket: "127.0.0.1:0", membershipSocket: "127.0.0.1:0"}); err != nil {
 		t.Fatal(err)
 	}
-	client := s.sockets[clientSocket]
+	socket := s.sockets[clientSocket]
 	if err := s.bindSockets(map[string]string{clientSocket: "127.0.0.1:0"}); err != nil {
 		t.Fatal(err)
 	}
-	if s.sockets[clientSocket] != client || !slices.Equal(s.socketNames, []string{clientSocket}) {
-		t.Errorf("%v, %v", s.sockets, s.socketNames)
+	if s.sockets[clientSocket] != socket || !slices.Equal(s.socketNames, []string{clientSocket}) {
+		t.Errorf("sockets %v with the names %v, want only %q, still open", s.sockets, s.socketNames, clientSocket)
 	}
-	defer client.Close()
-	listener, err := net.FileListener(client)
+	defer socket.Close()
+	listener, err := net.FileListener(socket)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,21 +100,22 @@
 	}
 	conn.Close()
 	if _, err := listener.Accept(); err != nil {
-		t.Error(err)
+		t.Errorf("accept on the kept socket: %v", err)
 	}
 }
 
-// A process is told by its start, since its PID may be another one's once it has ended.
+// Checks that startTicksOf finds running processes and returns 0 for one that has ended.
+// Otherwise the supervisor could kill another process that got the PID of an ended one.
 func TestStartTicksTellAProcessFromAnEndedOne(t *testing.T) {
 	if startTicksOf(os.Getpid()) == 0 || usageOf(os.Getpid()) == (upgrade.Resources{}) {
-		t.Error("this process is not found")
+		t.Error("no start time or no resource usage of this process")
 	}
 	cmd := exec.Command("cat")
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,48 +124,50 @@
 	}
 	pid := cmd.Process.Pid
 	if startTicksOf(pid) == 0 {
-		t.Error("a child is not found")
+		t.Error("no start time of a running child")
 	}
-	in.Close()
-	if _, err := io.ReadAll(out); err != nil {
+	stdin.Close()
+	if _, err := io.ReadAll(stdout); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
 	if ticks := startTicksOf(pid); ticks != 0 {
-		t.Errorf("a child that has ended has started at %d", ticks)
+		t.Errorf("start time of an ended child: got %d ticks, want 0", ticks)
 	}
 }
 
-// The reason of a rejection is the first that applies, and names the keys.
+// Checks that a rejection gives the first reason that applies (failed check, keys that
+// can't change, too few resources), that it names the keys, and that a long list of keys
+// is cut.
 func TestRejectionNamesItsReason(t *testing.T) {
 	never := upgrade.Change{Key: "config.name", Old: "a", New: "b", Mode: upgrade.ModeNever}
 	handoffChange := upgrade.Change{Key: "config.x", New: "1", Mode: upgrade.ModeHandoff}
-	failed, small := errors.New("failed"), errors.New("memory")
-	for _, c := range []struct {
+	checkErr, budgetErr := errors.New("failed"), errors.New("memory")
+	for _, tc := range []struct {
 		name      string
 		err       error
 		changes   []upgrade.Change
 		budgetErr error
 		want      string
 	}{
-		{"check failed", failed, nil, small, "failed"},
+		{"check failed", checkErr, nil, budgetErr, "failed"},
 		{
 			"key that can't change", nil,
 			[]upgrade.Change{handoffChange, never},
-			small,
+			budgetErr,
 			"keys that can't change on this router: config.name: b, was a (not at all)",
 		},
-		{"machine too small", nil, []upgrade.Change{handoffChange}, small, "memory"},
+		{"machine too small", nil, []upgrade.Change{handoffChange}, budgetErr, "memory"},
 		{"possible", nil, []upgrade.Change{handoffChange}, nil, ""},
 	} {
-		if got := rejectionReason(c.err, c.changes, c.budgetErr); got != c.want {
-			t.Errorf("%s: %q instead of %q", c.name, got, c.want)
+		if got := rejectionReason(tc.err, tc.changes, tc.budgetErr); got != tc.want {
+			t.Errorf("%s: got %q, want %q", tc.name, got, tc.want)
 		}
 	}
-	many := slices.Repeat([]upgrade.Change{handoffChange}, maxDescribedChanges+3)
-	if text := describeChanges(many, upgrade.ModeHandoff); !strings.HasSuffix(text, "; and 3 more") {
-		t.Error(text)
+	changes := slices.Repeat([]upgrade.Change{handoffChange}, maxDescribedChanges+3)
+	if text := describeChanges(changes, upgrade.ModeHandoff); !strings.HasSuffix(text, "; and 3 more") {
+		t.Errorf("text on %d changes: %q", len(changes), text)
 	}
 }
