--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -4,20 +4,20 @@
 
 func TestAdmissionComparesWithTheLeastRecentObject(t *testing.T) {
 	r := newRouter(nil)
-	s := r.endpoints[cacheA]
+	cache := r.endpoints[cacheA]
 	for i := range maxCachedObjects {
-		if r.chooseCachePriority(s, uint64(i)) != 2 {
+		if r.chooseCachePriority(cache, uint64(i)) != 2 {
 			t.Fatal("not admitted although there is room")
 		}
 	}
-	if r.chooseCachePriority(s, 1000) != 0 || len(s.cached) != maxCachedObjects {
+	if r.chooseCachePriority(cache, 1000) != 0 || len(cache.cached) != maxCachedObjects {
 		t.Fatal("admitted although its estimate is no higher than that of the least recent object")
 	}
 	recordSample(r.popularity, 1000)
-	if r.chooseCachePriority(s, 1000) != 2 || s.cached[0] != 1 || s.cached[maxCachedObjects-1] != 1000 {
+	if r.chooseCachePriority(cache, 1000) != 2 || cache.cached[0] != 1 || cache.cached[maxCachedObjects-1] != 1000 {
 		t.Fatal("not admitted although its estimate is higher than that of the least recent object")
 	}
-	if r.chooseCachePriority(s, 5) != 2 || s.cached[maxCachedObjects-1] != 5 || len(s.cached) != maxCachedObjects {
+	if r.chooseCachePriority(cache, 5) != 2 || cache.cached[maxCachedObjects-1] != 5 || len(cache.cached) != maxCachedObjects {
 		t.Fatal("an object that is kept does not become the most recent")
 	}
 }
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -7,12 +7,12 @@
 	attemptFill       attemptKind = iota // to the origin
 	attemptCacheOnly                     // what the cache holds
 	attemptParentOnly                    // what the parent holds
-	attemptKinds                         // how many there are
+	attemptKindCount                     // how many there are
 )
 
 // AttemptCounts holds numbers of attempts by their kind: fills, cache-only, parent-only. They are whole; floats, since
 // they are compared with limits that are not.
-type AttemptCounts [attemptKinds]float64
+type AttemptCounts [attemptKindCount]float64
 
 // attempt is one sending of a request to an endpoint.
 type attempt struct {
@@ -118,13 +118,13 @@
 	p.target.limiters[p.kind].inFlight++
 	p.target.inFlight++
 	if p.target.inFlight == 1 {
-		p.target.silentSince = r.now
+		p.target.unansweredSince = r.now
 	}
 	r.reserve(p.target, req)
 	if p.source != p.target {
 		r.reserve(p.source, req)
 	}
-	r.do(Action{
+	r.emit(Action{
 		Kind:          ActionSend,
 		Request:       req.id,
 		Endpoint:      p.target.id,
@@ -171,17 +171,17 @@
 	}
 	a := &req.attempts[e.Attempt]
 	a.release()
-	r.learn(e, req, a)
+	r.recordOutcome(e, req, a)
 	if e.Final {
 		r.advance(req, inputFinal)
 		return
 	}
-	req.noteFailed(e, a)
+	req.recordFailed(e, a)
 	r.advance(req, meaning.input)
 }
 
-// learn takes from an attempt's end what it shows of the capacity of the endpoint, the source and the origin.
-func (r *Router) learn(e *Event, req *request, a *attempt) {
+// recordOutcome takes from an attempt's end what it shows of the capacity of the endpoint, the source and the origin.
+func (r *Router) recordOutcome(e *Event, req *request, a *attempt) {
 	if e.Outcome == OutcomeDone && req.transferTime == 0 && !req.class.write {
 		req.class.transferTimes = addRecent(req.class.transferTimes, e.RTT)
 	}
@@ -198,7 +198,7 @@
 		r.originDelay.observeReported(r.now, float64(max(e.OriginWait, shortest)))
 	case e.Reason == ReasonOriginError:
 		r.originDelay.observeFailure()
-		req.admissionDraw = 1 // one fill is enough of an origin that fails
+		req.sheddingDraw = 1 // one fill is enough of an origin that fails
 	}
 	if significant {
 		r.fillSamples = addSample(r.fillSamples, r.now, e.Outcome != OutcomeDone)
@@ -217,9 +217,9 @@
 	return true
 }
 
-// noteFailed notes which endpoints failed the request, to be tried after all others. After a time-out the source
+// recordFailed notes which endpoints failed the request, to be tried after all others. After a time-out the source
 // may be what failed.
-func (req *request) noteFailed(e *Event, a *attempt) {
+func (req *request) recordFailed(e *Event, a *attempt) {
 	if a.kind == attemptFill {
 		req.failed = append(req.failed, a.endpoint)
 	}
--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -45,7 +45,7 @@
 }
 
 // Against rejects at one saturated cache beside idle ones.
-func TestSaturatedCacheGivesWayToAnIdleOne(t *testing.T) {
+func TestReadMovesFromASaturatedCacheToAnIdleOne(t *testing.T) {
 	r := newRouter(nil)
 	first := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend).Endpoint
 	r.endpoints[first].limiters[attemptFill] = limiter{inFlight: 5, limit: 2}
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -37,27 +37,27 @@
 
 // benchRouter returns a router that knows some caches, a parent and the origin.
 func benchRouter(caches int) *policy.Router {
-	list := []policy.Endpoint{
+	endpoints := []policy.Endpoint{
 		{ID: "p:1", Zone: "hub", Kind: "parent", State: "active", Weight: 40},
 		{ID: "o:1", Zone: "hub", Kind: "origin", State: "active", Weight: 1},
 	}
 	for i := range caches {
-		list = append(list, policy.Endpoint{
+		endpoints = append(endpoints, policy.Endpoint{
 			ID: fmt.Sprintf("c%03d:1", i), Zone: "z", Kind: "box", State: "active", Weight: 10,
 		})
 	}
 	r := policy.New(benchSettings(), 1)
-	r.Handle(benchStart, policy.Event{Kind: policy.EventEndpoints, Scope: "snapshot", Endpoints: list}, nil)
+	r.Handle(benchStart, policy.Event{Kind: policy.EventEndpoints, Scope: "snapshot", Endpoints: endpoints}, nil)
 	return r
 }
 
 // saturate leaves no capacity for further fills at caches that have some out.
 func saturate(b *testing.B, r *policy.Router) {
-	s := r.Snapshot()
-	for i := range s.Endpoints {
-		s.Endpoints[i].Limiters[0].Limit = 0.1
+	snapshot := r.Snapshot()
+	for i := range snapshot.Endpoints {
+		snapshot.Endpoints[i].Limiters[0].Limit = 0.1
 	}
-	if err := r.Restore(s); err != nil {
+	if err := r.Restore(snapshot); err != nil {
 		b.Fatal(err)
 	}
 }
@@ -69,9 +69,9 @@
 	return names
 }()
 
-// requests plays requests that come some time apart, each from its arrival to its completion, and a timer event
+// handleRequests plays requests that arrive a fixed time apart, each up to its completion, and a timer event
 // every 25 ms.
-func requests(b *testing.B, r *policy.Router, apart int64) {
+func handleRequests(b *testing.B, r *policy.Router, apart int64) {
 	b.ReportAllocs()
 	var actions []policy.Action
 	now, timer := benchStart, benchStart
@@ -106,8 +106,9 @@
 	return ""
 }
 
-func BenchmarkRequestFewEndpoints(b *testing.B)  { requests(b, benchRouter(3), 5*millisecond) }
-func BenchmarkRequestManyEndpoints(b *testing.B) { requests(b, benchRouter(200), 5*millisecond) }
+func BenchmarkRequestFewEndpoints(b *testing.B) { handleRequests(b, benchRouter(3), 5*millisecond) }
+
+func BenchmarkRequestManyEndpoints(b *testing.B) { handleRequests(b, benchRouter(200), 5*millisecond) }
 
 // BenchmarkRequestSaturatedCaches has requests out at each cache, whose limits allow no more fills. The clock
 // hardly moves, so that they stay out.
@@ -115,7 +116,7 @@
 	r := benchRouter(20)
 	openRequests(r, 400)
 	saturate(b, r)
-	requests(b, r, 1)
+	handleRequests(b, r, 1)
 }
 
 func openRequests(r *policy.Router, count int) {
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -22,23 +22,23 @@
 // cache's link busy: less would not mend what makes answers late.
 func (r *Router) adjustLimit(lim *limiter, timely bool) {
 	const (
-		lateOneIn   = 4 // responses that were late or refused
-		reduction   = 0.7
-		round       = 200 * millisecond
-		raiseOneIn  = 4 // of the floor, for a round of timely responses
-		floorWeight = 8 // the floor is the weight divided by this ...
-		leastFloor  = 2 // ... and at least this
-		fewest      = 4 // samples that are judged, however small this router's share
+		lateOneIn     = 4 // responses that were late or refused
+		reduction     = 0.7
+		round         = 200 * millisecond
+		raiseOneIn    = 4 // of the floor, for a round of timely responses
+		floorWeight   = 8 // the floor is the weight divided by this ...
+		minFloor      = 2 // ... and at least this
+		fewestSamples = 4 // samples that are judged, however small this router's share
 	)
 	share := r.config.zoneShare
-	floor := max(leastFloor, lim.weight/floorWeight)
-	least := max(int(minSamples*share), fewest)
+	floor := max(minFloor, lim.weight/floorWeight)
+	minCount := max(int(minSamples*share), fewestSamples)
 	lim.samples = addSample(lim.samples, r.now, !timely)
-	late, all := countBad(lim.samples, r.now, least)
+	late, all := countBad(lim.samples, r.now, minCount)
 	switch {
 	case timely && lim.inFlight+1 >= lim.limit/2:
 		lim.limit += floor * share / (raiseOneIn * lim.limit)
-	case !timely && lateOneIn*late >= max(all, least) && r.now-lim.reducedAt > round:
+	case !timely && lateOneIn*late >= max(all, minCount) && r.now-lim.reducedAt > round:
 		lim.reducedAt = r.now
 		lim.limit = max(min(lim.limit, lim.inFlight+1)*reduction, floor*share)
 	}
@@ -47,12 +47,12 @@
 // saturated reports whether a limiter has no capacity for the request. Requests of low priority are turned away
 // first: the lowest at half the limit, the highest at half above it. A limit below one is a chance.
 func (r *Router) saturated(req *request, lim *limiter) bool {
-	const lowestShare = 0.5
-	below := 0.0
+	const lowestPriorityShare = 0.5
+	rank := 0.0
 	for _, p := range r.priorities {
-		below += float64(1+cmp.Compare(req.priority, p)) / 2
+		rank += float64(1+cmp.Compare(req.priority, p)) / 2
 	}
-	limit := lim.limit * (lowestShare + below/float64(max(len(r.priorities), 1)))
+	limit := lim.limit * (lowestPriorityShare + rank/float64(max(len(r.priorities), 1)))
 	return lim.inFlight+lim.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
 }
 
--- a/internal/policy/deadline.go
+++ b/internal/policy/deadline.go
@@ -20,10 +20,10 @@
 // attemptTimeout is an attempt's time limit. At a cache it ends at twice the latency objective: it is worth
 // little then, and takes capacity.
 func (r *Router) attemptTimeout(req *request, target *endpoint) int64 {
-	const objectives = 2
+	const maxObjectives = 2
 	left := req.deadline - r.now
 	if target.role == roleCache {
-		return min(left, objectives*req.latencyObjective)
+		return min(left, maxObjectives*req.latencyObjective)
 	}
 	return left
 }
--- a/internal/policy/deadline_test.go
+++ b/internal/policy/deadline_test.go
@@ -33,12 +33,12 @@
 func TestAttemptIsOverdueBeforeItsLatencyObjective(t *testing.T) {
 	for share, want := range map[int64]bool{79: false, 81: true} {
 		r := newRouter(nil)
-		get := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+		sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
 		objective := r.requests["t"].latencyObjective
-		end := attemptEnded(get.Endpoint, OutcomeDone)
+		end := attemptEnded(sent.Endpoint, OutcomeDone)
 		end.Final = true
 		r.Handle(begin+objective*share/100, end, nil)
-		if got := r.endpoints[get.Endpoint].limiters[attemptFill].samples[0].bad; got != want {
+		if got := r.endpoints[sent.Endpoint].limiters[attemptFill].samples[0].bad; got != want {
 			t.Fatalf("late %v after %d%% of the latency objective", got, share)
 		}
 	}
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -7,7 +7,7 @@
 	roleCache role = iota
 	roleParent
 	roleOrigin
-	roles // how many there are
+	roleCount // how many there are
 )
 
 // endpoint is what a Router knows of one endpoint.
@@ -21,10 +21,10 @@
 	hashWeight float64 // for rendezvous hashing
 	startedAt  int64   // 0: long past
 	active     bool    // listed, and not draining
-	gone       bool    // not listed any more
+	removed    bool    // not listed any more
 
-	inFlight    int   // attempts
-	silentSince int64 // since when nothing has come, while attempts are in flight
+	inFlight        int   // attempts
+	unansweredSince int64 // since when nothing has come, while attempts are in flight
 
 	health          health
 	healthHeldUntil int64 // suspect: no failure counts before; ejected: nothing is sent before, then probation begins
@@ -36,6 +36,6 @@
 	cached       []uint64      // hashes of the objects that it was asked to keep, by recency, latest last
 	linkUse      float64       // reported use of its zone's link from the parents, 0 to 1
 
-	ownLimiters [attemptKinds]limiter
-	limiters    *[attemptKinds]limiter // its own, or those shared by all endpoints that are no caches
+	ownLimiters [attemptKindCount]limiter
+	limiters    *[attemptKindCount]limiter // its own, or those shared by all endpoints that are no caches
 }
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -7,22 +7,22 @@
 
 // updateEndpoints follows the endpoint list; a full one removes the endpoints that it does not name.
 func (r *Router) updateEndpoints(scope UpdateScope, list []Endpoint) {
-	const fetchRetry = 1 * second // discovery is shared by all routers
+	const resubscribeDelay = 1 * second // discovery is shared by all routers
 	switch scope {
 	case ScopeError:
-		r.subscribeAt = r.now + fetchRetry
+		r.subscribeAt = r.now + resubscribeDelay
 		return
 	case ScopeInitial:
 		// An earlier run of the router may have used its share of slow-start budgets.
 		r.slowStartHoldUntil = max(r.slowStartHoldUntil, r.now+r.config.overloadWindow)
 		if r.config.pollDiscovery {
-			r.do(Action{Kind: ActionSubscribe})
+			r.emit(Action{Kind: ActionSubscribe})
 		}
 	}
 	if scope != ScopeDiff {
 		for _, ep := range r.ordered {
 			ep.active = false
-			ep.gone = true
+			ep.removed = true
 		}
 	}
 	for i := range list {
@@ -35,25 +35,25 @@
 
 // updateEndpoint takes in one line of the list. Caches of other zones are left out: no request is sent there, and
 // the work for one must not grow with the fleet.
-func (r *Router) updateEndpoint(e *Endpoint) {
+func (r *Router) updateEndpoint(listed *Endpoint) {
 	const minWeight = 0.1
-	role := r.config.roles[e.Kind]
-	if e.Zone != r.config.zone && role == roleCache {
+	role := r.config.roles[listed.Kind]
+	if listed.Zone != r.config.zone && role == roleCache {
 		return
 	}
-	ep := r.endpoints[e.ID]
+	ep := r.endpoints[listed.ID]
 	if ep == nil {
-		ep = r.addEndpoint(e)
+		ep = r.addEndpoint(listed)
 	}
 	ep.role = role
-	ep.zone = e.Zone
-	ep.cell = e.Cell
-	ep.weight = max(e.Weight, minWeight)
+	ep.zone = listed.Zone
+	ep.cell = listed.Cell
+	ep.weight = max(listed.Weight, minWeight)
 	r.initLimiters(ep)
-	ep.active = e.State == EndpointActive
-	ep.gone = e.State == EndpointGone
-	if e.StartedAt > ep.startedAt {
-		ep.startedAt = e.StartedAt
+	ep.active = listed.State == EndpointActive
+	ep.removed = listed.State == EndpointGone
+	if listed.StartedAt > ep.startedAt {
+		ep.startedAt = listed.StartedAt
 		r.observe(ep, signalRestarted)
 		ep.readmittedAt = 0
 	}
@@ -64,11 +64,11 @@
 }
 
 // addEndpoint adds an endpoint in the order of ids.
-func (r *Router) addEndpoint(e *Endpoint) *endpoint {
-	ep := &endpoint{id: e.ID, hash: hash(e.ID), startedAt: e.StartedAt, health: healthy}
-	r.endpoints[e.ID] = ep
-	at, _ := slices.BinarySearchFunc(r.ordered, ep, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
-	r.ordered = slices.Insert(r.ordered, at, ep)
+func (r *Router) addEndpoint(listed *Endpoint) *endpoint {
+	ep := &endpoint{id: listed.ID, hash: hash(listed.ID), startedAt: listed.StartedAt, health: healthy}
+	r.endpoints[listed.ID] = ep
+	index, _ := slices.BinarySearchFunc(r.ordered, ep, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	r.ordered = slices.Insert(r.ordered, index, ep)
 	return ep
 }
 
@@ -82,13 +82,13 @@
 	}
 }
 
-// forgetGoneEndpoints drops endpoints that are not listed any more once their attempts are over.
-func (r *Router) forgetGoneEndpoints() {
+// dropRemovedEndpoints drops endpoints that are not listed any more once their attempts are over.
+func (r *Router) dropRemovedEndpoints() {
 	r.ordered = slices.DeleteFunc(r.ordered, func(ep *endpoint) bool {
-		over := ep.gone && ep.inFlight == 0
-		if over {
+		drop := ep.removed && ep.inFlight == 0
+		if drop {
 			delete(r.endpoints, ep.id)
 		}
-		return over
+		return drop
 	})
 }
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestDrainedEndpointsGetNothing(t *testing.T) {
+func TestDrainingAndRemovedEndpointsGetNoAttempts(t *testing.T) {
 	r := newRouter(nil)
-	gone := []Endpoint{testEndpoints()[0], testEndpoints()[2]}
-	gone[0].State, gone[1].State = EndpointDraining, EndpointGone
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: gone}, nil)
+	removed := []Endpoint{testEndpoints()[0], testEndpoints()[2]}
+	removed[0].State, removed[1].State = EndpointDraining, EndpointGone
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: removed}, nil)
 	for i := range 20 {
 		e := newRequest("read")
 		e.Request, e.Object = fmt.Sprint(i), fmt.Sprint(i)
@@ -22,8 +22,8 @@
 // Against work for each request that grows with the fleet.
 func TestCachesOfOtherZonesAreLeftOut(t *testing.T) {
 	r := newRouter(nil)
-	more := []Endpoint{{ID: "far:1", Zone: "y", Kind: "box", State: EndpointActive, Weight: 10}}
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: more}, nil)
+	listed := []Endpoint{{ID: "far:1", Zone: "y", Kind: "box", State: EndpointActive, Weight: 10}}
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: listed}, nil)
 	if r.endpoints["far:1"] != nil || len(r.ordered) != len(testEndpoints()) {
 		t.Fatalf("%d endpoints kept of a list of %d of use", len(r.ordered), len(testEndpoints()))
 	}
@@ -31,19 +31,19 @@
 }
 
 // Against memory that grows as endpoints are replaced.
-func TestGoneEndpointsAreForgotten(t *testing.T) {
+func TestRemovedEndpointsAreDropped(t *testing.T) {
 	r := newRouter(nil)
-	get := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
-	gone := []Endpoint{
+	sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+	removed := []Endpoint{
 		{ID: cacheA, Zone: "z", Kind: "box", State: EndpointGone},
 		{ID: cacheB, Zone: "z", Kind: "box", State: EndpointGone},
 	}
-	r.Handle(begin+millisecond, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: gone}, nil)
+	r.Handle(begin+millisecond, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: removed}, nil)
 	r.Handle(begin+50*millisecond, Event{Kind: EventTimer}, nil)
-	if len(r.endpoints) != 3 || r.endpoints[get.Endpoint] == nil {
+	if len(r.endpoints) != 3 || r.endpoints[sent.Endpoint] == nil {
 		t.Fatalf("%d endpoints, want two and the one with an attempt in flight", len(r.endpoints))
 	}
-	end := attemptEnded(get.Endpoint, OutcomeDone)
+	end := attemptEnded(sent.Endpoint, OutcomeDone)
 	end.Final = true
 	r.Handle(begin+60*millisecond, end, nil)
 	r.Handle(begin+90*millisecond, Event{Kind: EventTimer}, nil)
--- a/internal/policy/endpointselection_test.go
+++ b/internal/policy/endpointselection_test.go
@@ -8,14 +8,14 @@
 func TestHashingFollowsWeight(t *testing.T) {
 	r := newRouter(nil)
 	r.endpoints[cacheA].hashWeight = 3 * r.endpoints[cacheB].hashWeight
-	got := 0
+	atLargerCache := 0
 	for i := range 1000 {
-		q := &request{state: stateNotExecuted, key: hash(fmt.Sprint(i))}
-		if r.selectEndpoint(q, roleCache, nil) == r.endpoints[cacheA] {
-			got++
+		req := &request{state: stateNotExecuted, key: hash(fmt.Sprint(i))}
+		if r.selectEndpoint(req, roleCache, nil) == r.endpoints[cacheA] {
+			atLargerCache++
 		}
 	}
-	if got < 700 || got > 800 {
-		t.Fatalf("%d of 1000 objects at a cache of three quarters of the size", got)
+	if atLargerCache < 700 || atLargerCache > 800 {
+		t.Fatalf("%d of 1000 objects at a cache of three quarters of the size", atLargerCache)
 	}
 }
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -51,11 +51,11 @@
 
 // newRouter returns a Router that knows the list; change edits its settings first.
 func newRouter(change func(*Settings)) *Router {
-	set := testSettings()
+	settings := testSettings()
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	r := New(set, 1)
+	r := New(settings, 1)
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeSnapshot, Endpoints: testEndpoints()}, nil)
 	return r
 }
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -10,8 +10,8 @@
 	reportedAt int64   // of the last reported
 }
 
-// bearableDelay is how much longer than the baseline fills may wait before some are left out.
-const bearableDelay = 2
+// toleratedDelayRatio is how much longer than the baseline fills may wait before some are left out.
+const toleratedDelayRatio = 2
 
 // recentWeight is the weight of a new delay in the means of the last ones: one in this many.
 const recentWeight = 4
@@ -39,16 +39,16 @@
 // observeOverdue takes in the age of a fill that is overdue, in microseconds. The cause may be its cache: it
 // counts once reported delays are longer, too.
 func (d *originDelay) observeOverdue(age float64) {
-	const longer = 1.5
-	if d.reported > longer*d.baseline {
+	const slowRatio = 1.5
+	if d.reported > slowRatio*d.baseline {
 		d.current += (age - d.current) / recentWeight
 	}
 }
 
 // observeFailure takes in a fill that the origin failed: a delay far above bearable, and longer with each.
 func (d *originDelay) observeFailure() {
-	const least, most, growth = 4 * bearableDelay, 32 * bearableDelay, 1.25
-	d.current = min(max(growth*d.current, least*d.baseline), most*d.baseline)
+	const minRatio, maxRatio, growth = 4 * toleratedDelayRatio, 32 * toleratedDelayRatio, 1.25
+	d.current = min(max(growth*d.current, minRatio*d.baseline), maxRatio*d.baseline)
 }
 
 // decay brings the current delay nearer to the baseline with time: an origin that failed recovers, and nothing
@@ -64,11 +64,11 @@
 // once left out stays so while the origin gets no faster.
 func (r *Router) shedLoad(req *request) bool {
 	d := &r.originDelay
-	if d.current <= bearableDelay*d.baseline {
+	if d.current <= toleratedDelayRatio*d.baseline {
 		return false
 	}
-	if req.admissionDraw == 0 {
-		req.admissionDraw = r.random.float64()
+	if req.sheddingDraw == 0 {
+		req.sheddingDraw = r.random.float64()
 	}
-	return req.admissionDraw*d.current > bearableDelay*d.baseline
+	return req.sheddingDraw*d.current > toleratedDelayRatio*d.baseline
 }
--- a/internal/policy/loadshedding_test.go
+++ b/internal/policy/loadshedding_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 // fill sends a request for an object and ends its attempt; it reports whether that was to fill.
-func fill(r *Router, n int, end Event) bool {
+func fill(r *Router, index int, end Event) bool {
 	e := newRequest("read")
-	e.Request, e.Object = "f"+string(rune('a'+n%26))+string(rune('0'+n/26%10)), string(rune('a'+n%26))
+	e.Request, e.Object = "f"+string(rune('a'+index%26))+string(rune('0'+index/26%10)), string(rune('a'+index%26))
 	for _, a := range r.Handle(r.now, e, nil) {
 		if a.Kind == ActionSend && a.Source != a.Endpoint && a.FillMode&FillNoFetch == 0 {
 			end.Kind = EventAttemptEnded
@@ -22,7 +22,7 @@
 
 // Against many routers that overload a slow origin together, each with too few fills to reduce a limit.
 func TestFillsAreShedAsTheOriginSlows(t *testing.T) {
-	asked := func(r *Router, n int, end Event) (fills int) {
+	countFills := func(r *Router, n int, end Event) (fills int) {
 		for i := range n {
 			r.now += 300 * millisecond
 			if fill(r, i, end) {
@@ -31,47 +31,47 @@
 		}
 		return fills
 	}
-	filled := func(wait int64) Event {
+	filledByOrigin := func(wait int64) Event {
 		return Event{Outcome: OutcomeDone, Reason: ReasonMissOrigin, OriginWait: wait, RTT: 150 * millisecond}
 	}
-	calm, slow := filled(100*millisecond), filled(1600*millisecond)
+	atBaseline, slow := filledByOrigin(100*millisecond), filledByOrigin(1600*millisecond)
 	r := newRouter(nil)
-	if got := asked(r, 40, calm); got != 40 {
+	if got := countFills(r, 40, atBaseline); got != 40 {
 		t.Fatalf("at the baseline %d of 40 fills", got)
 	}
 	for range 40 { // fills that are overdue while reported delays are as usual: their caches are slow
 		r.originDelay.observeOverdue(float64(2 * second))
 	}
-	if r.originDelay.current > bearableDelay*r.originDelay.baseline {
+	if r.originDelay.current > toleratedDelayRatio*r.originDelay.baseline {
 		t.Error("overdue fills alone count as the origin's")
 	}
 	// Up to twice as long is bearable.
-	if got := asked(r, 40, filled(180*millisecond)); got != 40 {
+	if got := countFills(r, 40, filledByOrigin(180*millisecond)); got != 40 {
 		t.Errorf("at 1.8 times the baseline %d of 40 fills", got)
 	}
 	r = newRouter(nil)
-	asked(r, 40, calm)
-	asked(r, 6, slow)
-	if got := asked(r, 100, slow); got > 40 {
+	countFills(r, 40, atBaseline)
+	countFills(r, 6, slow)
+	if got := countFills(r, 100, slow); got > 40 {
 		t.Errorf("at sixteen times the baseline %d of 100 fills", got)
 	} else if got == 0 {
 		t.Error("nobody finds out when it is back")
 	}
-	asked(r, 60, calm)
-	if got := asked(r, 40, calm); got != 40 {
+	countFills(r, 60, atBaseline)
+	if got := countFills(r, 40, atBaseline); got != 40 {
 		t.Errorf("back at the baseline %d of 40 fills", got)
 	}
 	// Where no reasons are given, nothing is shed.
 	r = newRouter(nil)
-	asked(r, 10, Event{Outcome: OutcomeDone, RTT: 150 * millisecond})
-	if got := asked(r, 40, Event{Outcome: OutcomeDone, RTT: 150 * millisecond}); got != 40 {
+	countFills(r, 10, Event{Outcome: OutcomeDone, RTT: 150 * millisecond})
+	if got := countFills(r, 40, Event{Outcome: OutcomeDone, RTT: 150 * millisecond}); got != 40 {
 		t.Errorf("without reasons: %d of 40 fills", got)
 	}
 }
 
 // Each failure of the origin sheds more, a while without any ends it, and a request that the origin failed asks it
 // no more.
-func TestFailingOriginIsAskedLess(t *testing.T) {
+func TestFailingOriginGetsFewerFills(t *testing.T) {
 	d := originDelay{}
 	d.observeFailure()
 	if d.current != 0 {
@@ -83,13 +83,13 @@
 	for range 100 {
 		d.observeFailure()
 	}
-	if first <= bearableDelay*d.baseline || d.current <= first || d.current > 64*d.baseline {
+	if first <= toleratedDelayRatio*d.baseline || d.current <= first || d.current > 64*d.baseline {
 		t.Errorf("delay %g after the first, %g after all", first, d.current)
 	}
 	for range int(20 * second / timerInterval) {
 		d.decay(timerInterval)
 	}
-	if d.current > bearableDelay*d.baseline {
+	if d.current > toleratedDelayRatio*d.baseline {
 		t.Errorf("delay %g after 20 s", d.current)
 	}
 	r := newRouter(nil)
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -26,7 +26,7 @@
 	signalNone         signal = iota // nothing
 	signalAnswered                   // it answered, whatever it said
 	signalFailed                     // it refused, broke off or failed a health check
-	signalSilent                     // it said nothing for far longer than usual
+	signalUnresponsive               // it said nothing for far longer than usual
 	signalLateFills                  // fills from it are late, those from others are not
 	signalEjectionOver               // its ejection is over
 	signalRestarted                  // the endpoint list shows a new start
@@ -35,15 +35,15 @@
 // healthTransitions follow from signals alone, whatever their cause. One failure may be chance; another some time
 // after it, with no answer between, or silence, is not.
 var healthTransitions = []struct {
-	in     health
-	signal signal
-	next   health
-	do     func(*Router, *endpoint)
+	from    health
+	signal  signal
+	next    health
+	handler func(*Router, *endpoint)
 }{
 	{healthy, signalFailed, suspect, nil},
-	{healthy, signalSilent, suspect, (*Router).checkHealth},
+	{healthy, signalUnresponsive, suspect, (*Router).checkHealth},
 	{suspect | probation, signalFailed, ejected, (*Router).eject},
-	{suspect | probation, signalSilent, ejected, (*Router).eject},
+	{suspect | probation, signalUnresponsive, ejected, (*Router).eject},
 	{healthy | suspect | probation, signalLateFills, ejected, (*Router).eject},
 	{ejected, signalEjectionOver, probation, (*Router).checkHealth},
 	{suspect, signalAnswered, healthy, nil},
@@ -54,24 +54,24 @@
 // observe takes in a signal of an endpoint; nil is one that is not listed.
 func (r *Router) observe(ep *endpoint, signal signal) {
 	// Attempts that fail together, as those of one connection do, are one failure.
-	const failuresApart = 100 * millisecond
+	const failureSpacing = 100 * millisecond
 	if ep == nil || signal == signalFailed && ep.health == suspect && r.now < ep.healthHeldUntil {
 		return
 	}
 	switch {
 	case signal == signalFailed && ep.health == healthy:
-		ep.healthHeldUntil = r.now + failuresApart
+		ep.healthHeldUntil = r.now + failureSpacing
 	case signal == signalAnswered:
-		ep.silentSince = r.now
+		ep.unansweredSince = r.now
 	}
 	for i := range healthTransitions {
 		row := &healthTransitions[i]
-		if row.in&ep.health == 0 || row.signal != signal {
+		if row.from&ep.health == 0 || row.signal != signal {
 			continue
 		}
 		ep.health = row.next
-		if row.do != nil {
-			row.do(r, ep)
+		if row.handler != nil {
+			row.handler(r, ep)
 		}
 		return
 	}
@@ -92,13 +92,13 @@
 	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
 	ep.healthHeldUntil = r.now + backoff
 	ep.ejections = min(ep.ejections+1, maxBackoffDoublings)
-	r.do(Action{Kind: ActionLog, Text: LogEjected, Endpoint: ep.id, Backoff: backoff})
+	r.emit(Action{Kind: ActionLog, Text: LogEjected, Endpoint: ep.id, Backoff: backoff})
 }
 
 // checkHealth sends a health check where that is allowed; else the next attempt decides.
 func (r *Router) checkHealth(ep *endpoint) {
 	if r.config.healthChecks {
-		r.do(Action{Kind: ActionHealthCheck, Endpoint: ep.id})
+		r.emit(Action{Kind: ActionHealthCheck, Endpoint: ep.id})
 	}
 }
 
@@ -108,7 +108,7 @@
 	ep.ejections = 0
 	ep.fillSamples = nil
 	ep.readmittedAt = r.now
-	r.do(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
+	r.emit(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
 }
 
 // observeHealthCheck takes in the end of a health check.
@@ -133,17 +133,17 @@
 	if lateOneIn*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
 		r.observe(source, signalLateFills)
 	} else if r.config.healthChecks && source.health == healthy {
-		r.observe(source, signalSilent)
+		r.observe(source, signalUnresponsive)
 	}
 }
 
 // hasTimelierSource reports whether another source has at most half as large a share of late fills.
 func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
-	const times, leastSamples = 2, minSamples / 2
+	const minRatio, minOtherSamples = 2, minSamples / 2
 	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
 		otherLate, otherAll := countBad(other.fillSamples, r.now, minSamples)
 		return other != source && other.active && other.health != ejected &&
-			otherAll >= leastSamples && late*otherAll > times*otherLate*all
+			otherAll >= minOtherSamples && late*otherAll > minRatio*otherLate*all
 	})
 }
 
@@ -155,9 +155,9 @@
 		if ep.health == ejected && r.now >= ep.healthHeldUntil {
 			r.observe(ep, signalEjectionOver)
 		}
-		if ep.inFlight >= minUnanswered && r.now-ep.silentSince > r.config.silenceLimit {
-			r.observe(ep, signalSilent)
-			ep.silentSince = r.now
+		if ep.inFlight >= minUnanswered && r.now-ep.unansweredSince > r.config.unansweredLimit {
+			r.observe(ep, signalUnresponsive)
+			ep.unansweredSince = r.now
 		}
 	}
 }
--- a/internal/policy/outlierejection_test.go
+++ b/internal/policy/outlierejection_test.go
@@ -6,14 +6,14 @@
 )
 
 // Against slow fills behind a cache that are taken for its silence.
-func TestSilenceNeedsSeveralAttempts(t *testing.T) {
+func TestSuspicionNeedsSeveralUnansweredAttempts(t *testing.T) {
 	r := newRouter(nil)
 	r.now = begin + 5*second
-	s := r.endpoints[cacheA]
-	for out, want := range map[int]health{2: healthy, 3: suspect} {
-		s.inFlight, s.silentSince, s.health = out, begin, healthy
-		if r.sweep(); s.health != want {
-			t.Fatalf("%d unanswered attempts: health %d, want %d", out, s.health, want)
+	ep := r.endpoints[cacheA]
+	for unanswered, want := range map[int]health{2: healthy, 3: suspect} {
+		ep.inFlight, ep.unansweredSince, ep.health = unanswered, begin, healthy
+		if r.sweep(); ep.health != want {
+			t.Fatalf("%d unanswered attempts: health %d, want %d", unanswered, ep.health, want)
 		}
 	}
 }
@@ -45,24 +45,24 @@
 // Against a silent parent that holds each miss until its client leaves.
 func TestParentWithLateFillsIsEjected(t *testing.T) {
 	r := newRouter(nil)
-	more := testEndpoints()[2]
-	more.ID = "q:1"
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: []Endpoint{more}}, nil)
-	bad, good := r.endpoints[parentA], r.endpoints["q:1"]
+	secondParent := testEndpoints()[2]
+	secondParent.ID = "q:1"
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: []Endpoint{secondParent}}, nil)
+	late, timely := r.endpoints[parentA], r.endpoints["q:1"]
 	for range minSamples {
-		r.observeFill(good, true)
+		r.observeFill(timely, true)
 	}
 	for range minSamples/2 - 1 {
-		r.observeFill(bad, false)
+		r.observeFill(late, false)
 	}
-	if bad.health != healthy {
+	if late.health != healthy {
 		t.Fatal("ejected before half of its fills were late")
 	}
-	if r.observeFill(bad, false); bad.health != ejected {
+	if r.observeFill(late, false); late.health != ejected {
 		t.Fatal("not ejected although half of its fills were late")
 	}
-	good.fillSamples = slices.Repeat([]sample{{begin, true}}, 7)
-	if r.observeFill(good, false); good.health != healthy {
+	timely.fillSamples = slices.Repeat([]sample{{begin, true}}, 7)
+	if r.observeFill(timely, false); timely.health != healthy {
 		t.Fatal("the last healthy parent is ejected")
 	}
 }
@@ -70,15 +70,15 @@
 // Against a lost parent that goes unseen by routers that name it seldom.
 func TestLateFillBringsAHealthCheck(t *testing.T) {
 	r := newRouter(func(s *Settings) { s.Limits.HealthChecks = true })
-	s := r.endpoints[parentA]
-	r.observeFill(s, true)
+	parent := r.endpoints[parentA]
+	r.observeFill(parent, true)
 	noAction(t, r.actions, ActionHealthCheck)
-	r.observeFill(s, false)
-	if a := onlyAction(t, r.actions, ActionHealthCheck); a.Endpoint != parentA || s.health != suspect {
-		t.Fatalf("health %d after a late fill, action %+v", s.health, a)
+	r.observeFill(parent, false)
+	if a := onlyAction(t, r.actions, ActionHealthCheck); a.Endpoint != parentA || parent.health != suspect {
+		t.Fatalf("health %d after a late fill, action %+v", parent.health, a)
 	}
 	r.Handle(begin, Event{Kind: EventHealthCheck, Endpoint: parentA, Outcome: OutcomeTimeout}, nil)
-	if s.health != ejected {
+	if parent.health != ejected {
 		t.Fatal("not ejected after a failed health check")
 	}
 }
--- a/internal/policy/popularity.go
+++ b/internal/policy/popularity.go
@@ -41,12 +41,12 @@
 
 // halvePopularity halves the counts after some time, too, for routers that see few requests.
 func (r *Router) halvePopularity() {
-	const period = 30 * second
+	const halvingPeriod = 30 * second
 	if r.now < r.nextHalving {
 		return
 	}
 	if r.nextHalving > 0 {
 		r.popularity.Halve()
 	}
-	r.nextHalving = r.now + period
+	r.nextHalving = r.now + halvingPeriod
 }
--- a/internal/policy/popularity_test.go
+++ b/internal/policy/popularity_test.go
@@ -22,21 +22,21 @@
 }
 
 func TestSketchCountsAndHalves(t *testing.T) {
-	k, h := newSketch(), hash("x")
+	sketch, key := newSketch(), hash("x")
 	for i, want := range []uint64{1, 2, 3, 4} {
-		if recordSample(k, h); k.Estimate(h) != want {
-			t.Fatalf("after %d: estimate %d, want %d", i+1, k.Estimate(h), want)
+		if recordSample(sketch, key); sketch.Estimate(key) != want {
+			t.Fatalf("after %d: estimate %d, want %d", i+1, sketch.Estimate(key), want)
 		}
 	}
 	for range 50 {
-		recordSample(k, h)
+		recordSample(sketch, key)
 	}
-	if got := k.Estimate(h); got != sketchMaxCount+1 {
+	if got := sketch.Estimate(key); got != sketchMaxCount+1 {
 		t.Fatalf("estimate %d, want the maximum and one for the doorkeeper", got)
 	}
-	k.Halve()
-	if got := k.Estimate(h); got != sketchMaxCount/2 || k.Samples() != 27 {
-		t.Fatalf("halved: estimate %d, sample %d", got, k.Samples())
+	sketch.Halve()
+	if got := sketch.Estimate(key); got != sketchMaxCount/2 || sketch.Samples() != 27 {
+		t.Fatalf("halved: estimate %d, sample %d", got, sketch.Samples())
 	}
 }
 
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	if n := r.popularity.Estimate(hash("x", 2)); n != 3 || len(r.requests) != 0 {
-		t.Fatalf("estimate %d, %d requests open", n, len(r.requests))
+	if estimate := r.popularity.Estimate(hash("x", 2)); estimate != 3 || len(r.requests) != 0 {
+		t.Fatalf("estimate %d, %d requests open", estimate, len(r.requests))
 	}
 }
--- a/internal/policy/purgeage.go
+++ b/internal/policy/purgeage.go
@@ -12,8 +12,8 @@
 // purgeMargin is added for clocks and rounding.
 const purgeMargin = 1 * millisecond
 
-// notePurge takes in a purge that was made some time ago.
-func (r *Router) notePurge(object string, group, age int64) {
+// addPurge takes in a purge that was made some time ago.
+func (r *Router) addPurge(object string, group, age int64) {
 	r.purges = append(r.purges, purge{object, group, r.now - age})
 }
 
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -33,7 +33,7 @@
 	state         requestState
 	retryAt       int64       // when the next attempt is due; 0: none is
 	fallback      attemptKind // the kind that spares the origin which avoidOverload tried last; attemptFill: none yet
-	admissionDraw float64     // drawn once, against load shedding; 0: not yet
+	sheddingDraw  float64     // drawn once, against load shedding; 0: not yet
 	firstExecuted int         // the index of the first attempt that may have been executed
 	attempts      []attempt
 	failed        []*endpoint // endpoints and sources that failed it
@@ -65,10 +65,10 @@
 
 // transition is one row of the request's state machine.
 type transition struct {
-	in    requestState
-	input input
-	next  requestState // 0: the same
-	do    func(*Router, *request)
+	from    requestState
+	input   input
+	next    requestState // 0: the same
+	handler func(*Router, *request)
 }
 
 var transitions []transition
@@ -93,14 +93,14 @@
 	}
 	for i := range transitions {
 		row := &transitions[i]
-		if row.in&req.state == 0 || row.input != input {
+		if row.from&req.state == 0 || row.input != input {
 			continue
 		}
 		if row.next != 0 {
 			req.state = row.next
 		}
-		if row.do != nil {
-			row.do(r, req)
+		if row.handler != nil {
+			row.handler(r, req)
 		}
 		return
 	}
@@ -141,13 +141,13 @@
 // setPriority works out a request's transfer time, and its priority: the class's weight for transfer time, where
 // a small request counts as an eighth of its class's mean at least.
 func (r *Router) setPriority(req *request, sizeKB float64) {
-	const smallest = 8
+	const minTransferDivisor = 8
 	class := req.class
 	transfer := class.latencyObjective // where sizes are unknown
 	if sizeKB > 0 && r.config.transferRate > 0 {
 		req.transferTime = int64(sizeKB / r.config.transferRate)
 		class.transferTimes = addRecent(class.transferTimes, req.transferTime)
-		transfer = max(req.transferTime, mean(class.transferTimes, class.latencyObjective)/smallest)
+		transfer = max(req.transferTime, mean(class.transferTimes, class.latencyObjective)/minTransferDivisor)
 	}
 	req.priority = class.priorityWeight / float64(transfer)
 	r.priorities = addRecent(r.priorities, req.priority)
@@ -174,9 +174,9 @@
 // rejectOrFail answers the request for good: rejected where its repetition by the client is harmless.
 func (r *Router) rejectOrFail(req *request) {
 	if r.now < req.deadline && (!req.maybeExecuted() || retryRules[req.class.idempotency].reject) {
-		r.do(Action{Kind: ActionReject, Request: req.id, RetryAfter: r.config.retryAfter})
+		r.emit(Action{Kind: ActionReject, Request: req.id, RetryAfter: r.config.retryAfter})
 	} else {
-		r.do(Action{Kind: ActionFail, Request: req.id})
+		r.emit(Action{Kind: ActionFail, Request: req.id})
 	}
 	r.advance(req, inputFinal)
 }
@@ -190,7 +190,7 @@
 		}
 		a.release()
 		if r.config.cancel {
-			r.do(Action{Kind: ActionCancel, Request: req.id, Attempt: i})
+			r.emit(Action{Kind: ActionCancel, Request: req.id, Attempt: i})
 		}
 	}
 	delete(r.requests, req.id)
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -89,7 +89,7 @@
 	case req.inFlight(): // another attempt may bring one
 	case req.class.write:
 		r.retryWrite(req)
-	case r.fillsFail() && req.attempts[len(req.attempts)-1].kind == attemptFill:
+	case r.manyFillsFail() && req.attempts[len(req.attempts)-1].kind == attemptFill:
 		r.rejectOrFail(req)
 	default:
 		r.startAttempt(req)
@@ -103,16 +103,16 @@
 		answerReserve   = 2 * timerInterval // the sweep that sends the attempt, and one to answer in
 	)
 	req.retryAt = r.now + writeRetryPause
-	barred := req.maybeExecuted() && !retryRules[req.class.idempotency].retry
-	late := req.retryAt+answerReserve >= req.deadline
-	if barred || late || len(req.attempts) >= r.config.maxAttempts {
+	retryForbidden := req.maybeExecuted() && !retryRules[req.class.idempotency].retry
+	tooLate := req.retryAt+answerReserve >= req.deadline
+	if retryForbidden || tooLate || len(req.attempts) >= r.config.maxAttempts {
 		r.rejectOrFail(req)
 	}
 }
 
-// fillsFail reports whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
+// manyFillsFail reports whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
 // overload then, at the cost of writes.
-func (r *Router) fillsFail() bool {
+func (r *Router) manyFillsFail() bool {
 	const failedOneIn = 4
 	failed, all := countBad(r.fillSamples, r.now, minSamples)
 	return failedOneIn*failed >= max(all, minSamples)
@@ -137,7 +137,7 @@
 	case r.config.hedging:
 		r.hedge(req)
 	case r.config.cancel:
-		r.do(Action{Kind: ActionCancel, Request: req.id, Attempt: len(req.attempts) - 1})
+		r.emit(Action{Kind: ActionCancel, Request: req.id, Attempt: len(req.attempts) - 1})
 	}
 }
 
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -4,49 +4,49 @@
 
 // One row for each way an attempt may end, for each idempotency: what follows at once.
 func TestRetryAfterEachOutcome(t *testing.T) {
-	const again, abort, reject, later = ActionSend, ActionFail, ActionReject, ActionSetTimer
-	for _, c := range []struct {
+	const retry, fail, reject, retryAfterPause = ActionSend, ActionFail, ActionReject, ActionSetTimer
+	for _, testCase := range []struct {
 		class   string
 		outcome Outcome
 		want    ActionKind
 	}{
-		{"read", OutcomeBusy, again},
-		{"read", OutcomeError, again},
-		{"read", OutcomeTimeout, again},
-		{"read", OutcomeConnectionRefused, again},
-		{"read", OutcomeConnectionReset, again},
-		{"read", OutcomeMiss, again},
-		{"read", OutcomeSkipped, again},
-		{"read", OutcomeCanceled, again},
-		{"keyed", OutcomeBusy, later},
-		{"keyed", OutcomeError, later},
-		{"keyed", OutcomeTimeout, later},
-		{"keyed", OutcomeConnectionRefused, later},
-		{"keyed", OutcomeConnectionReset, later},
-		{"keyed", OutcomeSkipped, later},
-		{"zoned", OutcomeBusy, again},
-		{"zoned", OutcomeConnectionReset, again},
-		{"once", OutcomeBusy, later},
-		{"once", OutcomeConnectionRefused, later},
-		{"once", OutcomeMiss, later},
-		{"once", OutcomeSkipped, later},
-		{"once", OutcomeError, abort},
-		{"once", OutcomeTimeout, abort},
-		{"once", OutcomeConnectionReset, abort},
-		{"once", OutcomeCanceled, abort},
+		{"read", OutcomeBusy, retry},
+		{"read", OutcomeError, retry},
+		{"read", OutcomeTimeout, retry},
+		{"read", OutcomeConnectionRefused, retry},
+		{"read", OutcomeConnectionReset, retry},
+		{"read", OutcomeMiss, retry},
+		{"read", OutcomeSkipped, retry},
+		{"read", OutcomeCanceled, retry},
+		{"keyed", OutcomeBusy, retryAfterPause},
+		{"keyed", OutcomeError, retryAfterPause},
+		{"keyed", OutcomeTimeout, retryAfterPause},
+		{"keyed", OutcomeConnectionRefused, retryAfterPause},
+		{"keyed", OutcomeConnectionReset, retryAfterPause},
+		{"keyed", OutcomeSkipped, retryAfterPause},
+		{"zoned", OutcomeBusy, retry},
+		{"zoned", OutcomeConnectionReset, retry},
+		{"once", OutcomeBusy, retryAfterPause},
+		{"once", OutcomeConnectionRefused, retryAfterPause},
+		{"once", OutcomeMiss, retryAfterPause},
+		{"once", OutcomeSkipped, retryAfterPause},
+		{"once", OutcomeError, fail},
+		{"once", OutcomeTimeout, fail},
+		{"once", OutcomeConnectionReset, fail},
+		{"once", OutcomeCanceled, fail},
 	} {
-		t.Run(c.class+" "+c.outcome.String(), func(t *testing.T) {
+		t.Run(testCase.class+" "+testCase.outcome.String(), func(t *testing.T) {
 			r := newRouter(nil)
-			sent := onlyAction(t, r.Handle(begin, newRequest(c.class), nil), ActionSend)
-			actions := r.Handle(begin+100*millisecond, attemptEnded(sent.Endpoint, c.outcome), nil)
-			if c.want == later {
-				noAction(t, actions, again, abort, reject)
+			sent := onlyAction(t, r.Handle(begin, newRequest(testCase.class), nil), ActionSend)
+			actions := r.Handle(begin+100*millisecond, attemptEnded(sent.Endpoint, testCase.outcome), nil)
+			if testCase.want == retryAfterPause {
+				noAction(t, actions, retry, fail, reject)
 				if r.requests["t"].retryAt == 0 {
 					t.Fatal("no retry is due")
 				}
 				return
 			}
-			onlyAction(t, actions, c.want)
+			onlyAction(t, actions, testCase.want)
 		})
 	}
 }
@@ -74,9 +74,9 @@
 		for i := range minSamples - 1 {
 			r.fillSamples = append(r.fillSamples, sample{begin, i < failed})
 		}
-		get := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
-		out := attemptEnded(get.Endpoint, OutcomeBusy)
-		onlyAction(t, r.Handle(begin+millisecond, out, nil), want)
+		sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+		end := attemptEnded(sent.Endpoint, OutcomeBusy)
+		onlyAction(t, r.Handle(begin+millisecond, end, nil), want)
 	}
 }
 
@@ -111,9 +111,9 @@
 
 // testSettingsWithCells has idempotency keys that the endpoints of a cell share.
 func testSettingsWithCells() Settings {
-	set := testSettings()
-	set.Classes[2].DedupGroup = DedupGroupCell
-	return set
+	settings := testSettings()
+	settings.Classes[2].DedupGroup = DedupGroupCell
+	return settings
 }
 
 // Guards against a read that is rejected while its attempt is in flight: a hedge beyond the attempts that a read may
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -32,8 +32,8 @@
 	popularitySample int             // after how many requests it is halved; 0: by time only
 	nextHalving      int64
 
-	fillSamples    []sample              // of the last attempts that might fill: bad ones brought no response
-	bypassLimiters [attemptKinds]limiter // for attempts past the caches: they share one link
+	fillSamples    []sample                  // of the last attempts that might fill: bad ones brought no response
+	bypassLimiters [attemptKindCount]limiter // for attempts past the caches: they share one link
 	originDelay    originDelay
 	purges         []purge
 
@@ -47,9 +47,9 @@
 	zone             string
 	zoneShare        float64 // this router's part of its zone's requests
 	roles            map[string]role
-	slowStart        [roles]slowStartBudget
+	slowStart        [roleCount]slowStartBudget
 	overloadWindow   int64
-	silenceLimit     int64   // how long an endpoint may say nothing with attempts in flight
+	unansweredLimit  int64   // how long an endpoint may say nothing with attempts in flight
 	transferRate     float64 // KB in a microsecond; 0: unknown
 	purgeSettleTime  int64   // within which a purge has reached all caches
 	retryAfter       int64   // sent to rejected clients; 0: none
@@ -102,7 +102,7 @@
 		zoneShare:        zoneShare,
 		roles:            settings.roles(),
 		overloadWindow:   contract.OverloadWindow,
-		silenceLimit:     settings.silenceLimit(),
+		unansweredLimit:  settings.unansweredLimit(),
 		transferRate:     hierarchy.StreamKBPerS / float64(second),
 		purgeSettleTime:  hierarchy.PurgeSettleTime,
 		maxAttempts:      max(limits.MaxAttempts, 1),
@@ -120,16 +120,16 @@
 		c.retryAfter = limits.MaxRetryAfter
 	}
 	c.slowStart[roleCache] = slowStartBudget{
-		from:     contract.SlowStartFrom,
-		multiple: contract.OverloadMultiple,
-		routers:  float64(zoneRouters),
-		duration: contract.SlowStartFor,
+		initialCapacity:  contract.SlowStartFrom,
+		overloadMultiple: contract.OverloadMultiple,
+		routers:          float64(zoneRouters),
+		duration:         contract.SlowStartFor,
 	}
 	c.slowStart[roleParent] = slowStartBudget{
-		from:     hierarchy.ParentSlowStartFrom,
-		multiple: hierarchy.ParentOverloadMultiple,
-		routers:  float64(max(settings.Routers, 1)),
-		duration: hierarchy.ParentSlowStartFor,
+		initialCapacity:  hierarchy.ParentSlowStartFrom,
+		overloadMultiple: hierarchy.ParentOverloadMultiple,
+		routers:          float64(max(settings.Routers, 1)),
+		duration:         hierarchy.ParentSlowStartFor,
 	}
 	return c
 }
@@ -159,8 +159,8 @@
 	return roles
 }
 
-// silenceLimit is half as long again as the longest latency objective.
-func (s *Settings) silenceLimit() (limit int64) {
+// unansweredLimit is half as long again as the longest latency objective.
+func (s *Settings) unansweredLimit() (limit int64) {
 	for i := range s.Classes {
 		limit = max(limit, 3*s.Classes[i].LatencyObjective/2)
 	}
@@ -190,7 +190,7 @@
 	case EventHealthCheck:
 		r.observeHealthCheck(ep, e.Outcome)
 	case EventPurge:
-		r.notePurge(e.Object, e.Group, e.Age)
+		r.addPurge(e.Object, e.Group, e.Age)
 	case EventSlowStartHold:
 		r.slowStartHoldUntil = e.HoldUntil
 	case EventOtherGeneration:
@@ -203,4 +203,4 @@
 	return r.actions
 }
 
-func (r *Router) do(a Action) { r.actions = append(r.actions, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
--- a/internal/policy/samples.go
+++ b/internal/policy/samples.go
@@ -25,8 +25,8 @@
 }
 
 // countBad counts the samples of the window, and older ones until there are least of them.
-func countBad(samples []sample, now int64, least int) (bad, all int) {
-	for i := len(samples) - 1; i >= 0 && (all < least || samples[i].at > now-sampleWindow); i-- {
+func countBad(samples []sample, now int64, minCount int) (bad, all int) {
+	for i := len(samples) - 1; i >= 0 && (all < minCount || samples[i].at > now-sampleWindow); i-- {
 		all++
 		if samples[i].bad {
 			bad++
@@ -47,9 +47,9 @@
 }
 
 // mean returns the mean of values, or a default where there are none.
-func mean(values []int64, without int64) int64 {
+func mean(values []int64, ifEmpty int64) int64 {
 	if len(values) == 0 {
-		return without
+		return ifEmpty
 	}
 	sum := int64(0)
 	for _, v := range values {
@@ -59,9 +59,9 @@
 }
 
 func variance(values []int64) float64 {
-	middle, sum := float64(mean(values, 0)), 0.0
+	average, sum := float64(mean(values, 0)), 0.0
 	for _, v := range values {
-		sum += (float64(v) - middle) * (float64(v) - middle)
+		sum += (float64(v) - average) * (float64(v) - average)
 	}
 	return sum / float64(max(len(values), 1))
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -8,10 +8,10 @@
 // slowStartBudget is how much work the endpoints of a role may be sent after their start. It grows over the
 // duration from a part of what a warm endpoint takes to all of it.
 type slowStartBudget struct {
-	from     float64 // part of its capacity that an endpoint has at its start
-	multiple float64 // of its capacity, that it takes before it falls over
-	routers  float64 // that share the budget
-	duration int64
+	initialCapacity  float64 // part of its capacity that an endpoint has at its start
+	overloadMultiple float64 // of its capacity, that it takes before it falls over
+	routers          float64 // that share the budget
+	duration         int64
 }
 
 const (
@@ -29,9 +29,9 @@
 	variance float64 // of the work; 0 where sizes are known
 }
 
-// slowStartBegan is when an endpoint's slow start began. A cache that is readmitted may have been restarted: it is
+// slowStartedAt is when an endpoint's slow start began. A cache that is readmitted may have been restarted: it is
 // treated so until the endpoint list would show it.
-func (r *Router) slowStartBegan(ep *endpoint) int64 {
+func (r *Router) slowStartedAt(ep *endpoint) int64 {
 	const listDelay = 7 * second // within which the list shows a restart
 	if ep.role == roleCache && ep.readmittedAt > ep.startedAt && r.now-ep.readmittedAt < listDelay {
 		return ep.readmittedAt
@@ -41,8 +41,8 @@
 
 // warm reports whether an endpoint's slow start is over.
 func (r *Router) warm(ep *endpoint) bool {
-	began := r.slowStartBegan(ep)
-	return began == 0 || r.now-began >= r.config.slowStart[ep.role].duration
+	startedAt := r.slowStartedAt(ep)
+	return startedAt == 0 || r.now-startedAt >= r.config.slowStart[ep.role].duration
 }
 
 // slowStartAllows reports whether an endpoint may be sent the request: any once it is warm, else what this
@@ -56,16 +56,16 @@
 	}
 	r.dropReservations(ep)
 	work, variance := float64(req.cost), req.costVariance
-	for _, p := range ep.reservations {
-		work += float64(p.work)
-		variance += p.variance
+	for _, reserved := range ep.reservations {
+		work += float64(reserved.work)
+		variance += reserved.variance
 	}
 	budget := &r.config.slowStart[ep.role]
-	age := max(r.now-r.slowStartBegan(ep), 0)
-	capacity := budget.from + (1-budget.from)*float64(age)/float64(budget.duration)
-	most := budget.multiple * capacity * ep.weight * float64(r.config.overloadWindow)
+	age := max(r.now-r.slowStartedAt(ep), 0)
+	capacity := budget.initialCapacity + (1-budget.initialCapacity)*float64(age)/float64(budget.duration)
+	maxWork := budget.overloadMultiple * capacity * ep.weight * float64(r.config.overloadWindow)
 	total := work * budget.routers // if every router sends as much
-	return total <= budgetShare*most && total+budgetDeviations*math.Sqrt(variance*budget.routers) <= most
+	return total <= budgetShare*maxWork && total+budgetDeviations*math.Sqrt(variance*budget.routers) <= maxWork
 }
 
 // reserve counts the request against an endpoint's budget.
@@ -80,7 +80,7 @@
 
 // dropReservations drops those older than the overload window.
 func (r *Router) dropReservations(ep *endpoint) {
-	ep.reservations = slices.DeleteFunc(ep.reservations, func(p reservation) bool {
-		return p.at <= r.now-r.config.overloadWindow
+	ep.reservations = slices.DeleteFunc(ep.reservations, func(reserved reservation) bool {
+		return reserved.at <= r.now-r.config.overloadWindow
 	})
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -5,31 +5,31 @@
 func TestSlowStartStaysInsideItsBudget(t *testing.T) {
 	for _, id := range []string{cacheA, parentA} {
 		r := newRouter(nil)
-		s := r.endpoints[id]
-		c := r.config.slowStart[s.role]
-		s.startedAt = begin
+		ep := r.endpoints[id]
+		budget := r.config.slowStart[ep.role]
+		ep.startedAt = begin
 		sent := int64(0)
 		for i := range 400 {
 			now := begin + int64(i)*millisecond
-			if !r.slowStartAllows(s, &request{cost: 50 * millisecond}) {
+			if !r.slowStartAllows(ep, &request{cost: 50 * millisecond}) {
 				break
 			}
 			r.now = now
-			r.reserve(s, &request{cost: 50 * millisecond})
+			r.reserve(ep, &request{cost: 50 * millisecond})
 			sent += 50 * millisecond
 		}
-		most := c.multiple * s.weight * (c.from + 0.1) * float64(second) / c.routers
-		if sent == 0 || float64(sent) > most {
-			t.Fatalf("%s: sent %d, the budget is %.0f", id, sent, most)
+		maxWork := budget.overloadMultiple * ep.weight * (budget.initialCapacity + 0.1) * float64(second) / budget.routers
+		if sent == 0 || float64(sent) > maxWork {
+			t.Fatalf("%s: sent %d, the budget is %.0f", id, sent, maxWork)
 		}
 	}
 }
 
 // Against a restarted router that uses its share of a budget a second time.
 func TestRestartedRouterHoldsSlowStartForAWindow(t *testing.T) {
-	set := testSettings()
-	set.Routers, set.Hierarchy.RoutersByZone = 1, []int{0, 1}
-	r := New(set, 1)
+	settings := testSettings()
+	settings.Routers, settings.Hierarchy.RoutersByZone = 1, []int{0, 1}
+	r := New(settings, 1)
 	list := testEndpoints()
 	list[0].StartedAt, list[1].State = begin-second, EndpointGone
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeInitial, Endpoints: list}, nil)
--- a/internal/policy/slowstartsearch_test.go
+++ b/internal/policy/slowstartsearch_test.go
@@ -27,17 +27,17 @@
 )
 
 const (
-	searchWork   = 200 * millisecond // of a request, by its class's latency objective: sizes are unknown
-	searchWeight = 30
-	// searchBudget is what the cache takes within a window at its start.
-	searchBudget = 0.2 * 2 * searchWeight * float64(second)
+	workPerRequest = 200 * millisecond // of a request, by its class's latency objective: sizes are unknown
+	cacheWeight    = 30
+	// startBudget is what the cache takes within a window at its start.
+	startBudget = 0.2 * 2 * cacheWeight * float64(second)
 )
 
 func slowStartZoneSettings() Settings {
 	return Settings{
 		Routers: 3, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "hub", "ledger"},
 		Classes: []TrafficClass{{
-			Name: "read", Effect: EffectIdempotent, LatencyObjective: searchWork, Timeout: 5 * second, PriorityWeight: 1,
+			Name: "read", Effect: EffectIdempotent, LatencyObjective: workPerRequest, Timeout: 5 * second, PriorityWeight: 1,
 			FreshFor: second,
 		}},
 		Contract: Contract{
@@ -64,7 +64,7 @@
 	r := New(slowStartZoneSettings(), z.starts)
 	z.routers[i], z.stopped[i] = r, false
 	r.Handle(z.now, Event{Kind: EventEndpoints, Scope: ScopeInitial, Endpoints: []Endpoint{
-		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: searchWeight, StartedAt: 10 * second},
+		{ID: "cold", Zone: "z", Kind: "box", State: EndpointActive, Weight: cacheWeight, StartedAt: 10 * second},
 		{ID: "o", Zone: "z", Kind: "ledger", State: EndpointActive, Weight: 1},
 	}}, nil)
 	if z.fault == reserveAtRestart {
@@ -81,17 +81,17 @@
 }
 
 // running is how many routers run.
-func (z *slowStartZone) running() (n int) {
+func (z *slowStartZone) running() (count int) {
 	for i, r := range z.routers {
 		if r != nil && !z.stopped[i] {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// use hands a router requests until it sends the cache no more.
-func (z *slowStartZone) use(i int) {
+// sendUntilRefused hands a router requests until it sends the cache no more.
+func (z *slowStartZone) sendUntilRefused(i int) {
 	r := z.routers[i]
 	if r == nil || z.stopped[i] {
 		return
@@ -115,24 +115,24 @@
 		Kind: EventRequest, Request: id, Class: "read", Object: id, Remaining: 5 * second,
 	}, nil) {
 		if a.Kind == ActionSend && a.Endpoint == "cold" {
-			z.reservations = append(z.reservations, reservation{at: z.now, work: searchWork})
+			z.reservations = append(z.reservations, reservation{at: z.now, work: workPerRequest})
 			sent = true
 		}
 	}
 	r.Handle(z.now, Event{
-		Kind: EventAttemptEnded, Request: id, Endpoint: "cold", Outcome: OutcomeDone, Final: true, RTT: searchWork,
+		Kind: EventAttemptEnded, Request: id, Endpoint: "cold", Outcome: OutcomeDone, Final: true, RTT: workPerRequest,
 	}, nil)
 	return sent
 }
 
 // overBudget reports whether the cache was sent more than its budget within a window.
 func (z *slowStartZone) overBudget() bool {
-	z.reservations = slices.DeleteFunc(z.reservations, func(p reservation) bool { return p.at <= z.now-second })
+	z.reservations = slices.DeleteFunc(z.reservations, func(reserved reservation) bool { return reserved.at <= z.now-second })
 	sum := int64(0)
-	for _, p := range z.reservations {
-		sum += p.work
+	for _, reserved := range z.reservations {
+		sum += reserved.work
 	}
-	return float64(sum) > searchBudget
+	return float64(sum) > startBudget
 }
 
 // key names the state, so that none is searched twice.
@@ -157,14 +157,14 @@
 		{"soon", func(z *slowStartZone) { z.now += 300 * millisecond }},
 		{"later", func(z *slowStartZone) { z.now += second }},
 		{"use all", func(z *slowStartZone) {
-			z.use(0)
-			z.use(1)
-			z.use(2)
+			z.sendUntilRefused(0)
+			z.sendUntilRefused(1)
+			z.sendUntilRefused(2)
 		}},
 	}
 	for i := range 3 {
 		events = append(events,
-			searchEvent{fmt.Sprint("use ", i), func(z *slowStartZone) { z.use(i) }},
+			searchEvent{fmt.Sprint("use ", i), func(z *slowStartZone) { z.sendUntilRefused(i) }},
 			searchEvent{fmt.Sprint("stop or wake ", i), func(z *slowStartZone) { z.stopped[i] = !z.stopped[i] }},
 			searchEvent{fmt.Sprint("kill or start ", i), func(z *slowStartZone) { z.killOrStart(i) }})
 	}
@@ -173,7 +173,7 @@
 
 // searchSlowStart plays every order of use, time, stops, wakings, kills and starts to a depth. It gives the number
 // of states, and the names of the events that lead above the budget, if any do.
-func searchSlowStart(depth int, fault slowStartFault) (states int, broken []string) {
+func searchSlowStart(depth int, fault slowStartFault) (states int, violation []string) {
 	events := searchEvents()
 	seen := map[string]bool{}
 	var walk func(path []int) bool
@@ -185,7 +185,7 @@
 				continue
 			}
 			for _, e := range path {
-				broken = append(broken, events[e].name)
+				violation = append(violation, events[e].name)
 			}
 			return true
 		}
@@ -206,25 +206,25 @@
 		return false
 	}
 	walk(nil)
-	return states, broken
+	return states, violation
 }
 
 // Whatever order use, stops, wakings, kills and starts come in: all routers, with their earlier runs, never send a
 // cache in slow start more than its budget in a window.
 func TestSlowStartBudgetAddsUpOverRouters(t *testing.T) {
-	states, broken := searchSlowStart(5, noFault)
-	if broken != nil {
-		t.Fatalf("above the budget by %v", broken)
+	states, violation := searchSlowStart(5, noFault)
+	if violation != nil {
+		t.Fatalf("above the budget by %v", violation)
 	}
 	t.Logf("%d states", states)
 	for name, fault := range map[string]slowStartFault{
 		"running routers counted":               countRunning,
 		"a restarted router holds nothing back": reserveAtRestart,
 	} {
-		if _, broken := searchSlowStart(5, fault); broken == nil {
+		if _, violation := searchSlowStart(5, fault); violation == nil {
 			t.Errorf("%s: not caught", name)
 		} else {
-			t.Logf("%s: %v", name, broken)
+			t.Logf("%s: %v", name, violation)
 		}
 	}
 }
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -14,18 +14,18 @@
 // Times are those of Handle, in microseconds. Routers of different versions exchange it: fields are only added, and
 // those that the writer does not know are zero.
 type Snapshot struct {
-	SketchRows         [4][]uint64                   `cbor:"1,keyasint"`            // counters of the popularity sketch, see tinylfu.State
-	SketchDoorkeeper   []uint64                      `cbor:"2,keyasint"`            // bits of its doorkeeper
-	SketchSample       int                           `cbor:"3,keyasint"`            // requests counted since it was halved
-	NextHalving        int64                         `cbor:"4,keyasint,omitempty"`  // time at which it is halved next
-	Endpoints          []EndpointSnapshot            `cbor:"5,keyasint"`            // sorted by id
-	BypassLimiters     [attemptKinds]LimiterSnapshot `cbor:"6,keyasint"`            // of attempts past the caches, by kind of attempt
-	TransferTimes      map[string]TransferTimes      `cbor:"7,keyasint,omitempty"`  // by traffic class
-	FillFailures       []SampleSnapshot              `cbor:"8,keyasint,omitempty"`  // of the last attempts that might fill; bad: no response
-	Priorities         []float64                     `cbor:"9,keyasint,omitempty"`  // of the last requests, 32 at most
-	Purges             []PurgeSnapshot               `cbor:"10,keyasint,omitempty"` // by arrival
-	SlowStartHoldUntil int64                         `cbor:"11,keyasint,omitempty"` // time until which endpoints in slow start get nothing
-	Extra              map[string][]byte             `cbor:"12,keyasint,omitempty"` // of later versions
+	SketchRows         [4][]uint64                       `cbor:"1,keyasint"`            // counters of the popularity sketch, see tinylfu.State
+	SketchDoorkeeper   []uint64                          `cbor:"2,keyasint"`            // bits of its doorkeeper
+	SketchSample       int                               `cbor:"3,keyasint"`            // requests counted since it was halved
+	NextHalving        int64                             `cbor:"4,keyasint,omitempty"`  // time at which it is halved next
+	Endpoints          []EndpointSnapshot                `cbor:"5,keyasint"`            // sorted by id
+	BypassLimiters     [attemptKindCount]LimiterSnapshot `cbor:"6,keyasint"`            // of attempts past the caches, by kind of attempt
+	TransferTimes      map[string]TransferTimes          `cbor:"7,keyasint,omitempty"`  // by traffic class
+	FillFailures       []SampleSnapshot                  `cbor:"8,keyasint,omitempty"`  // of the last attempts that might fill; bad: no response
+	Priorities         []float64                         `cbor:"9,keyasint,omitempty"`  // of the last requests, 32 at most
+	Purges             []PurgeSnapshot                   `cbor:"10,keyasint,omitempty"` // by arrival
+	SlowStartHoldUntil int64                             `cbor:"11,keyasint,omitempty"` // time until which endpoints in slow start get nothing
+	Extra              map[string][]byte                 `cbor:"12,keyasint,omitempty"` // of later versions
 }
 
 // TransferTimes are the transfer times of a traffic class's last requests in microseconds, 32 at most.
@@ -35,18 +35,18 @@
 // until which a failure does not count or the ejection lasts; Ejections counts those since it was last readmitted;
 // LinkUse is from 0 to 1.
 type EndpointSnapshot struct {
-	ID               string                        `cbor:"1,keyasint"`
-	StartedAt        int64                         `cbor:"2,keyasint,omitempty"` // as listed; 0: long past
-	Health           uint8                         `cbor:"3,keyasint"`
-	DueAt            int64                         `cbor:"4,keyasint,omitempty"`
-	Ejections        int64                         `cbor:"5,keyasint,omitempty"`
-	ReservedAt       []int64                       `cbor:"6,keyasint,omitempty"`  // work sent in slow start: when ...
-	ReservedWork     []int64                       `cbor:"7,keyasint,omitempty"`  // ... how much ...
-	ReservedVariance []float64                     `cbor:"12,keyasint,omitempty"` // ... and the variance of that
-	LinkUse          float64                       `cbor:"8,keyasint,omitempty"`
-	SourceSamples    []SampleSnapshot              `cbor:"9,keyasint,omitempty"`  // of the last fills from it; bad: late
-	CachedObjects    []uint64                      `cbor:"10,keyasint,omitempty"` // hashes of those it was asked to keep, latest last
-	Limiters         [attemptKinds]LimiterSnapshot `cbor:"11,keyasint"`           // by kind of attempt
+	ID               string                            `cbor:"1,keyasint"`
+	StartedAt        int64                             `cbor:"2,keyasint,omitempty"` // as listed; 0: long past
+	Health           uint8                             `cbor:"3,keyasint"`
+	DueAt            int64                             `cbor:"4,keyasint,omitempty"`
+	Ejections        int64                             `cbor:"5,keyasint,omitempty"`
+	ReservedAt       []int64                           `cbor:"6,keyasint,omitempty"`  // work sent in slow start: when ...
+	ReservedWork     []int64                           `cbor:"7,keyasint,omitempty"`  // ... how much ...
+	ReservedVariance []float64                         `cbor:"12,keyasint,omitempty"` // ... and the variance of that
+	LinkUse          float64                           `cbor:"8,keyasint,omitempty"`
+	SourceSamples    []SampleSnapshot                  `cbor:"9,keyasint,omitempty"`  // of the last fills from it; bad: late
+	CachedObjects    []uint64                          `cbor:"10,keyasint,omitempty"` // hashes of those it was asked to keep, latest last
+	Limiters         [attemptKindCount]LimiterSnapshot `cbor:"11,keyasint"`           // by kind of attempt
 }
 
 // LimiterSnapshot is a concurrency limit, in attempts of one kind at once, with the last attempts that moved it.
@@ -98,8 +98,8 @@
 	for i := range r.bypassLimiters {
 		snapshot.BypassLimiters[i] = r.bypassLimiters[i].snapshot()
 	}
-	for _, e := range r.ordered {
-		snapshot.Endpoints = append(snapshot.Endpoints, e.snapshot())
+	for _, ep := range r.ordered {
+		snapshot.Endpoints = append(snapshot.Endpoints, ep.snapshot())
 	}
 	for name, class := range r.classes {
 		if len(class.transferTimes) > 0 {
@@ -192,11 +192,11 @@
 	ep.fillSamples = restoreSamples(from.SourceSamples)
 	ep.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
 	for i := range min(len(from.ReservedWork), len(from.ReservedAt), maxSnapshotSamples) {
-		p := reservation{at: from.ReservedAt[i], work: from.ReservedWork[i]}
+		reserved := reservation{at: from.ReservedAt[i], work: from.ReservedWork[i]}
 		if i < len(from.ReservedVariance) { // earlier versions give none
-			p.variance = from.ReservedVariance[i]
+			reserved.variance = from.ReservedVariance[i]
 		}
-		ep.reservations = append(ep.reservations, p)
+		ep.reservations = append(ep.reservations, reserved)
 	}
 	for i := range ep.ownLimiters {
 		ep.ownLimiters[i].restore(&from.Limiters[i])
@@ -220,13 +220,13 @@
 }
 
 // last returns the last elements of a list, at most so many.
-func last[T any](list []T, most int) []T { return list[max(len(list)-most, 0):] }
+func last[T any](list []T, maxCount int) []T { return list[max(len(list)-maxCount, 0):] }
 
 // InFlight returns the attempts in flight, by endpoint id and kind. Those past the caches, to parents and the origin,
 // are summed under "".
 func (r *Router) InFlight() map[string]AttemptCounts {
 	out := map[string]AttemptCounts{}
-	add := func(id string, limiters *[attemptKinds]limiter) {
+	add := func(id string, limiters *[attemptKindCount]limiter) {
 		var counts AttemptCounts
 		for i := range limiters {
 			counts[i] = limiters[i].inFlight
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -14,7 +14,7 @@
 		return
 	}
 	r.timerSet = true
-	r.do(Action{Kind: ActionSetTimer, Due: r.now + timerInterval, Token: sweepToken})
+	r.emit(Action{Kind: ActionSetTimer, Due: r.now + timerInterval, Token: sweepToken})
 }
 
 // sweep does what time brings.
@@ -24,7 +24,7 @@
 	r.originDelay.decay(timerInterval)
 	r.dropSettledPurges()
 	r.updateHealth()
-	r.forgetGoneEndpoints()
+	r.dropRemovedEndpoints()
 	r.open = slices.DeleteFunc(r.open, func(req *request) bool { return req.state == stateClosed })
 	for _, req := range r.open {
 		r.sweepRequest(req)
@@ -35,7 +35,7 @@
 func (r *Router) resubscribe() {
 	if r.subscribeAt > 0 && r.now >= r.subscribeAt {
 		r.subscribeAt = 0
-		r.do(Action{Kind: ActionSubscribe})
+		r.emit(Action{Kind: ActionSubscribe})
 	}
 }
 
