--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -1,47 +1,47 @@
 package policy
 
-// attemptKind says how far an attempt may go for a copy.
+// attemptKind determines which servers may supply the copy for an attempt.
 type attemptKind uint8
 
 const (
-	attemptFill       attemptKind = iota // to the origin
-	attemptCacheOnly                     // what the cache holds
-	attemptParentOnly                    // what the parent holds
-	attemptKindCount                     // how many there are
+	attemptFill       attemptKind = iota // cache, parent and origin
+	attemptCacheOnly                     // the cache alone
+	attemptParentOnly                    // cache and parent
+	attemptKindCount                     // number of kinds
 )
 
-// AttemptCounts holds numbers of attempts by their kind: fills, cache-only, parent-only. They are whole; floats, since
-// they are compared with limits that are not.
+// AttemptCounts holds numbers of attempts by kind: fill, cache-only, parent-only. They are whole numbers, kept as
+// floats for comparison with fractional limits.
 type AttemptCounts [attemptKindCount]float64
 
-// attempt is one sending of a request to an endpoint.
+// attempt is one transmission of a request to an endpoint.
 type attempt struct {
 	endpoint *endpoint
-	source   *endpoint // that it fills from; the endpoint itself: from none
+	source   *endpoint // of its fill; equal to endpoint: no fill
 	sentAt   int64
 	kind     attemptKind
 	inFlight bool
-	lost     bool // the endpoint or the source was ejected meanwhile, and the request has gone on
+	lost     bool // its endpoint or source was ejected, which the request has handled
 	late     bool // counted as overdue
 }
 
-// release frees the capacity that an attempt has taken.
+// release frees the capacity that an attempt occupies.
 func (a *attempt) release() {
 	a.inFlight = false
 	a.endpoint.limiters[a.kind].inFlight--
 	a.endpoint.inFlight--
 }
 
-// plan is an attempt to be sent.
+// plan is an attempt that is about to be sent.
 type plan struct {
 	target, source *endpoint
 	kind           attemptKind
 	mode           FillMode
-	staleGrace     int64 // by which a copy may be older than its class's freshness time
+	staleGrace     int64 // how far a copy may exceed its class's freshness time
 	cachePriority  int
 }
 
-// startAttempt sends the request to an endpoint, or answers it where nowhere is left.
+// startAttempt sends the request to an endpoint, or rejects or fails it if no attempt is possible.
 func (r *Router) startAttempt(req *request) {
 	req.retryAt = 0
 	req.setCost()
@@ -62,12 +62,12 @@
 	r.send(req, &p)
 }
 
-// avoidOverload changes the plan of a read that the origin or its target has no capacity for: to another cache
-// that is idle, else to what the cache holds, else to what the parent holds. The last two are tried once for each
-// request: one attempt without capacity looks at the first, the next one at the second, whatever came of the first.
-// False: nothing is left to try.
+// avoidOverload changes the plan of a read if the origin or the target has no capacity for it: to a fill at an idle
+// cache, else to a cache-only attempt, else to a parent-only attempt. The last two are considered once per request: the
+// first attempt without capacity considers the cache-only one, the next one the parent-only one, whatever the result of
+// the first. It returns false if no alternative is left.
 func (r *Router) avoidOverload(req *request, p *plan) bool {
-	// Above this use of the link from the parents, transfers from there are late themselves.
+	// Above this utilization of the link from the parents, transfers over it are late, too.
 	const maxLinkUse = 0.5
 	shed := r.shedLoad(req)
 	if p.target.role == roleOrigin || !shed && !r.saturated(req, &p.target.limiters[attemptFill]) {
@@ -95,7 +95,7 @@
 	return false
 }
 
-// planFill says how a read's target shall fill, and whether it shall keep the copy.
+// planFill sets how the target of a read fills, and whether it keeps the copy.
 func (r *Router) planFill(req *request, p *plan) {
 	if p.target.role == roleCache && p.kind != attemptCacheOnly {
 		p.cachePriority = r.chooseCachePriority(p.target, req.key)
@@ -108,7 +108,7 @@
 	}
 }
 
-// send sends an attempt.
+// send sends the planned attempt and accounts for the capacity that it occupies.
 func (r *Router) send(req *request, p *plan) {
 	req.startDedupWindow()
 	sendBefore := req.dedupWindowEnd()
@@ -137,7 +137,7 @@
 	})
 }
 
-// outcomeMeanings say what an attempt's end means for its request and its endpoint.
+// outcomeMeanings maps the outcome of an attempt to an input for its request and a signal for its endpoint.
 var outcomeMeanings = [...]struct {
 	input  input
 	signal signal
@@ -153,10 +153,10 @@
 	OutcomeSkipped:           {inputNotExecuted, signalNone},
 }
 
-// loadLinkUse is the name that load reports have for the use of a zone's link from the parents.
+// loadLinkUse is the key in load reports for the utilization of a zone's link from the parents.
 const loadLinkUse = "x1"
 
-// endAttempt takes in an attempt's end. An endpoint or request that is unknown is nil.
+// endAttempt processes the end of an attempt. ep and req are nil if unknown.
 func (r *Router) endAttempt(e *Event, ep *endpoint, req *request) {
 	if ep == nil || e.Outcome == OutcomeUnknown || int(e.Outcome) >= len(outcomeMeanings) {
 		return
@@ -180,7 +180,7 @@
 	r.advance(req, meaning.input)
 }
 
-// recordOutcome takes from an attempt's end what it shows of the capacity of the endpoint, the source and the origin.
+// recordOutcome updates the capacity estimates of the endpoint, the source and the origin after an attempt's end.
 func (r *Router) recordOutcome(e *Event, req *request, a *attempt) {
 	if e.Outcome == OutcomeDone && req.transferTime == 0 && !req.class.write {
 		req.class.transferTimes = addRecent(req.class.transferTimes, e.RTT)
@@ -198,15 +198,15 @@
 		r.originDelay.observeReported(r.now, float64(max(e.OriginWait, shortest)))
 	case e.Reason == ReasonOriginError:
 		r.originDelay.observeFailure()
-		req.sheddingDraw = 1 // one fill is enough of an origin that fails
+		req.sheddingDraw = 1 // a failing origin gets no further fill of this request
 	}
 	if significant {
 		r.fillSamples = addSample(r.fillSamples, r.now, e.Outcome != OutcomeDone)
 	}
 }
 
-// showsCapacity reports whether an attempt's end shows anything of its endpoint's capacity. That of one that was never
-// sent does not, nor a reset; nor, where reasons are given, an error without one.
+// showsCapacity reports whether an attempt's end indicates how much capacity its endpoint has. Canceled and skipped
+// attempts and connection resets do not, nor do errors without a reason where caches give reasons.
 func (r *Router) showsCapacity(e *Event) bool {
 	switch e.Outcome {
 	case OutcomeCanceled, OutcomeConnectionReset, OutcomeSkipped:
@@ -217,8 +217,8 @@
 	return true
 }
 
-// recordFailed notes which endpoints failed the request, to be tried after all others. After a time-out the source
-// may be what failed.
+// recordFailed records the endpoints that failed the request, so that they are tried after all others. After a timeout
+// the source may be the cause.
 func (req *request) recordFailed(e *Event, a *attempt) {
 	if a.kind == attemptFill {
 		req.failed = append(req.failed, a.endpoint)
@@ -228,7 +228,7 @@
 	}
 }
 
-// observeAttempt takes in whether an attempt was in time, once: when it ends or when it is overdue.
+// observeAttempt records whether an attempt was on time. A late one counts once, at its end or when it is overdue.
 func (r *Router) observeAttempt(req *request, a *attempt, timely bool) {
 	if a.late || a.endpoint.role == roleOrigin || req.class.write {
 		return
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -1,16 +1,16 @@
 package policy
 
-// role is an endpoint's place in the hierarchy.
+// role is an endpoint's level in the hierarchy.
 type role uint8
 
 const (
 	roleCache role = iota
 	roleParent
 	roleOrigin
-	roleCount // how many there are
+	roleCount // number of roles
 )
 
-// endpoint is what a Router knows of one endpoint.
+// endpoint is the state that a Router keeps of one endpoint.
 type endpoint struct {
 	id         string
 	hash       uint64
@@ -18,24 +18,24 @@
 	zone       string
 	cell       int
 	weight     float64 // as listed
-	hashWeight float64 // for rendezvous hashing
-	startedAt  int64   // 0: long past
-	active     bool    // listed, and not draining
-	removed    bool    // not listed any more
+	hashWeight float64 // weight in rendezvous hashing
+	startedAt  int64   // 0: long ago
+	active     bool    // listed as EndpointActive
+	removed    bool    // listed as EndpointGone, or no longer listed
 
-	inFlight        int   // attempts
-	unansweredSince int64 // since when nothing has come, while attempts are in flight
+	inFlight        int   // number of attempts
+	unansweredSince int64 // start of the present time without a response, while attempts are in flight
 
 	health          health
-	healthHeldUntil int64 // suspect: no failure counts before; ejected: nothing is sent before, then probation begins
-	ejections       int64 // since it was last readmitted
-	readmittedAt    int64 // 0: not ejected since it started
-	fillSamples     []sample
+	healthHeldUntil int64    // suspect: no failure counts before it; ejected: probation begins at it
+	ejections       int64    // number since the last readmission
+	readmittedAt    int64    // 0: not readmitted since it started
+	fillSamples     []sample // of the last fills from it; bad: late
 
-	reservations []reservation // work sent to it in slow start
-	cached       []uint64      // hashes of the objects that it was asked to keep, by recency, latest last
-	linkUse      float64       // reported use of its zone's link from the parents, 0 to 1
+	reservations []reservation // work sent to it during slow start
+	cached       []uint64      // hashes of the objects that it was asked to keep, most recent last
+	linkUse      float64       // reported utilization of its zone's link from the parents, 0 to 1
 
 	ownLimiters [attemptKindCount]limiter
-	limiters    *[attemptKindCount]limiter // its own, or those shared by all endpoints that are no caches
+	limiters    *[attemptKindCount]limiter // ownLimiters of a cache, else Router.bypassLimiters
 }
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -3,18 +3,18 @@
 // Outcome is how an attempt or a health check ended.
 type Outcome uint8
 
-// The outcomes. The zero value is none of them: an end that nothing is known of.
+// The outcomes. The zero value, OutcomeUnknown, is not an outcome: the attempt's end is not known.
 const (
-	OutcomeUnknown           Outcome = iota // not known
-	OutcomeDone                             // a response came whole
-	OutcomeError                            // the server answered with an error
-	OutcomeBusy                             // the server refused for lack of capacity
+	OutcomeUnknown           Outcome = iota // no outcome is known
+	OutcomeDone                             // a complete response was received
+	OutcomeError                            // the server responded with an error
+	OutcomeBusy                             // the server refused the attempt for lack of capacity
 	OutcomeMiss                             // the cache or parent has no copy and may not fetch one
-	OutcomeTimeout                          // nothing came within the attempt's time limit
-	OutcomeConnectionRefused                // no connection, so that nothing was sent
-	OutcomeConnectionReset                  // the connection broke after something was sent
-	OutcomeCanceled                         // withdrawn by the router after something was sent
-	OutcomeSkipped                          // withdrawn before anything was executed
+	OutcomeTimeout                          // no response within the attempt's time limit
+	OutcomeConnectionRefused                // no connection was established, so nothing was sent
+	OutcomeConnectionReset                  // the connection broke after data was sent
+	OutcomeCanceled                         // canceled by the router after data was sent
+	OutcomeSkipped                          // canceled by the router before it was executed
 )
 
 var outcomeNames = [...]string{
@@ -47,24 +47,24 @@
 	return false
 }
 
-// Reason is the note that a cache's answer carries: where the copy came from, or why there is none. Its
-// numbers are those of the simulator's wire.
+// Reason is the detail in a cache's response: the source of the copy, or the cause of its absence. Its values are
+// those of the simulator's wire.
 type Reason int
 
-// The reasons. Those from ReasonUpstreamBusy on say that no fill was had.
+// The reasons. ReasonUpstreamBusy and those after it mean that the object was not filled.
 const (
-	ReasonNone         Reason = iota // no note, or an unknown one
+	ReasonNone         Reason = iota // no reason given, or an unknown one
 	ReasonHit                        // from the cache
-	ReasonMiss                       // filled from a copy of the source
+	ReasonMiss                       // filled from a copy held by the source
 	ReasonMissOrigin                 // filled by the origin
-	ReasonCoalesced                  // waited for another request's fill
+	ReasonCoalesced                  // filled by the fill of another request
 	ReasonStale                      // from the cache, older than its freshness time
 	ReasonUpstreamBusy               // the source refused the fill
-	ReasonUpstreamDown               // the source was out of reach
+	ReasonUpstreamDown               // the source was unreachable
 	ReasonUpstreamMiss               // the source has no copy and may not fetch one
-	ReasonNoFill                     // the cache was not to fill
-	ReasonOriginError                // the origin failed the fill
+	ReasonNoFill                     // the attempt did not permit a fill
+	ReasonOriginError                // the fill failed at the origin
 )
 
-// SourceFailed reports whether the note says that the fill's source gave no copy.
+// SourceFailed reports whether the fill failed because its source returned no copy.
 func (r Reason) SourceFailed() bool { return r >= ReasonUpstreamBusy && r != ReasonNoFill }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// trafficClass is what decisions use of a TrafficClass.
+// trafficClass holds the fields of a TrafficClass that decisions use, and recent transfer times.
 type trafficClass struct {
 	idempotency      idempotency
 	dedupWindow      int64
@@ -12,7 +12,7 @@
 	staleGrace       int64
 	write            bool
 	priorityWeight   float64
-	transferTimes    []int64 // of the last requests
+	transferTimes    []int64 // of the last requests, see recordOutcome and setPriority
 }
 
 // request is an open request.
@@ -23,57 +23,58 @@
 	object   string
 	group    int64
 	deadline int64
-	priority float64 // weight for transfer time
+	priority float64 // class's weight per transfer time, see setPriority
 
-	transferTime     int64   // by its size; 0: unknown
+	transferTime     int64   // from its size; 0: unknown
 	latencyObjective int64   // see requestObjective
-	cost             int64   // what an attempt takes of slow-start budgets: the transfer time ...
-	costVariance     float64 // ... or its mean and variance in the class
+	cost             int64   // use of slow-start budgets by an attempt: the transfer time, or its mean in the class
+	costVariance     float64 // of the transfer times in the class; 0 where the request's own is known
 
 	state         requestState
-	retryAt       int64       // when the next attempt is due; 0: none is
-	fallback      attemptKind // the kind that spares the origin which avoidOverload tried last; attemptFill: none yet
-	sheddingDraw  float64     // drawn once, against load shedding; 0: not yet
-	firstExecuted int         // the index of the first attempt that may have been executed
+	retryAt       int64       // time of the next attempt; 0: none is scheduled
+	fallback      attemptKind // last kind without an origin fill that avoidOverload considered; attemptFill: none yet
+	sheddingDraw  float64     // random number for load shedding, drawn once; 0: not drawn yet
+	firstExecuted int         // index of the first attempt that may have been executed
 	attempts      []attempt
-	failed        []*endpoint // endpoints and sources that failed it
+	failed        []*endpoint // endpoints and fill sources that failed the request
 }
 
 // requestState is a state of an open request.
 type requestState uint8
 
 const (
-	stateNotExecuted   requestState = 1 << iota // each attempt that ended is proven not to have been executed
-	stateMaybeExecuted                          // one may have been
-	stateStreaming                              // the response has begun
+	stateNotExecuted   requestState = 1 << iota // every ended attempt is proven not to have been executed
+	stateMaybeExecuted                          // an ended attempt may have been executed
+	stateStreaming                              // the response has started
 	stateClosed
 	stateUndecided = stateNotExecuted | stateMaybeExecuted
 )
 
-// input is what changes a request's state.
+// input is an input of the state machine of a request.
 type input uint8
 
 const (
 	inputArrived       input = iota
-	inputNotExecuted         // an attempt ended, proven not to have been executed
+	inputNotExecuted         // an attempt ended that is proven not to have been executed
 	inputMaybeExecuted       // an attempt ended that may have been executed
-	inputEndpointLost        // an attempt is in flight to an endpoint that was ejected, or fills from one
+	inputEndpointLost        // an attempt in flight is lost, see Router.lost
 	inputRetryDue            // the pause before the next attempt is over
-	inputStarted             // the response begins
-	inputFinal               // it is answered, or its client has gone
+	inputStarted             // the response starts
+	inputFinal               // the request is answered, or its client disconnected
 )
 
-// transition is one row of the request's state machine.
+// transition is one row of the state machine of a request.
 type transition struct {
 	from    requestState
 	input   input
-	next    requestState // 0: the same
+	next    requestState // 0: unchanged
 	handler func(*Router, *request)
 }
 
 var transitions []transition
 
-// The table is filled here, since its functions lead back to it.
+// The table is filled by init, since a composite literal would be an initialization cycle: its handlers call advance,
+// which reads the table.
 func init() {
 	transitions = []transition{
 		{stateNotExecuted, inputArrived, 0, (*Router).startAttempt},
@@ -86,7 +87,8 @@
 	}
 }
 
-// advance takes a request through one transition; nil is one that is unknown or closed.
+// advance applies one input to a request, which is nil if unknown or closed. An input without a matching transition is
+// ignored.
 func (r *Router) advance(req *request, input input) {
 	if req == nil {
 		return
@@ -106,7 +108,7 @@
 	}
 }
 
-// openRequest takes in a new request.
+// openRequest opens a new request and starts its first attempt.
 func (r *Router) openRequest(e *Event) {
 	class := r.class(e)
 	req := &request{
@@ -128,7 +130,7 @@
 	r.advance(req, inputArrived)
 }
 
-// class returns a request's traffic class. One that the settings do not name is taken for unsafe.
+// class returns a request's traffic class. A class that the settings do not contain is treated as not idempotent.
 func (r *Router) class(e *Event) *trafficClass {
 	class := r.classes[e.Class]
 	if class == nil {
@@ -138,12 +140,12 @@
 	return class
 }
 
-// setPriority works out a request's transfer time, and its priority: the class's weight for transfer time, where
-// a small request counts as an eighth of its class's mean at least.
+// setPriority computes a request's transfer time and its priority: the class's weight divided by the transfer time,
+// for which a small request counts as at least an eighth of its class's mean.
 func (r *Router) setPriority(req *request, sizeKB float64) {
 	const minTransferDivisor = 8
 	class := req.class
-	transfer := class.latencyObjective // where sizes are unknown
+	transfer := class.latencyObjective // if the size is unknown
 	if sizeKB > 0 && r.config.transferRate > 0 {
 		req.transferTime = int64(sizeKB / r.config.transferRate)
 		class.transferTimes = addRecent(class.transferTimes, req.transferTime)
@@ -153,7 +155,7 @@
 	r.priorities = addRecent(r.priorities, req.priority)
 }
 
-// setCost works out what an attempt takes of slow-start budgets.
+// setCost computes how much of a slow-start budget an attempt of the request uses.
 func (req *request) setCost() {
 	req.cost = req.transferTime
 	req.costVariance = 0
@@ -163,15 +165,16 @@
 	}
 }
 
-// inFlight reports whether an attempt is in flight.
+// inFlight reports whether an attempt of the request is in flight.
 func (req *request) inFlight() bool {
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.inFlight })
 }
 
-// maybeExecuted reports whether an attempt may have been executed, or may yet be.
+// maybeExecuted reports whether an attempt may have been executed, or one in flight may still be.
 func (req *request) maybeExecuted() bool { return req.state == stateMaybeExecuted || req.inFlight() }
 
-// rejectOrFail answers the request for good: rejected where its repetition by the client is harmless.
+// rejectOrFail ends the request without a response. It is rejected if its deadline has not passed and the client can
+// safely repeat it, else failed.
 func (r *Router) rejectOrFail(req *request) {
 	if r.now < req.deadline && (!req.maybeExecuted() || retryRules[req.class.idempotency].reject) {
 		r.emit(Action{Kind: ActionReject, Request: req.id, RetryAfter: r.config.retryAfter})
@@ -181,7 +184,8 @@
 	r.advance(req, inputFinal)
 }
 
-// closeRequest withdraws what is in flight for a request that is answered. Ends of its attempts are only heard.
+// closeRequest closes an answered request, and cancels its attempts in flight where the site permits that. Their later
+// ends only update the state of endpoints.
 func (r *Router) closeRequest(req *request) {
 	for i := range req.attempts {
 		a := &req.attempts[i]
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,13 +1,13 @@
 package policy
 
-// idempotency says what a second execution of a request does, and where repeats are recognized.
+// idempotency states whether a request may be executed twice, and where its idempotency key is recognized.
 type idempotency uint8
 
 const (
 	idempotent idempotency = iota
-	keyedAll               // with an idempotency key that all endpoints share
-	keyedZone              // ... that the endpoints of a zone share
-	keyedCell              // ... that the endpoints of a cell share
+	keyedAll               // has an idempotency key that all endpoints recognize
+	keyedZone              // has an idempotency key that the endpoints of a zone recognize
+	keyedCell              // has an idempotency key that the endpoints of a cell recognize
 	notIdempotent
 )
 
@@ -26,13 +26,13 @@
 	return keyedAll
 }
 
-// retryRules say what is permitted once an attempt may have been executed.
+// retryRules state what is permitted once an attempt may have been executed.
 var retryRules = [...]struct {
-	retry    bool // another attempt
-	reject   bool // telling the client that it may repeat the request
-	windowed bool // another attempt within the dedup window of the first only
-	sameZone bool // another attempt in the zone of the first only
-	sameCell bool // another attempt in the cell of the first only
+	retry    bool // another attempt is permitted
+	reject   bool // a rejection, which permits the client to repeat the request
+	windowed bool // another attempt must be within the dedup window of the first
+	sameZone bool // another attempt must be in the zone of the first
+	sameCell bool // another attempt must be in the cell of the first
 }{
 	idempotent:    {retry: true, reject: true},
 	keyedAll:      {retry: true, reject: true, windowed: true},
@@ -41,8 +41,8 @@
 	notIdempotent: {},
 }
 
-// attemptPermitted reports whether the request may be sent to an endpoint without the danger of a second effect. The
-// first attempt always may.
+// attemptPermitted reports whether the request can be sent to an endpoint without the risk of a second effect. The
+// first attempt is always permitted.
 func (r *Router) attemptPermitted(req *request, ep *endpoint) bool {
 	if !req.maybeExecuted() {
 		return true
@@ -55,15 +55,15 @@
 		(!rule.sameCell || ep.cell == first.endpoint.cell)
 }
 
-// startDedupWindow lets the request's dedup window run from the attempt that is about to be sent, unless an earlier
-// attempt may have been executed.
+// startDedupWindow starts the request's dedup window at the attempt that is about to be sent, unless an earlier attempt
+// may have been executed.
 func (req *request) startDedupWindow() {
 	if !req.maybeExecuted() {
 		req.firstExecuted = len(req.attempts)
 	}
 }
 
-// dedupWindowEnd is the time before which the request's next attempt must be written; 0: there is no such bound.
+// dedupWindowEnd returns the time before which the request's next attempt must be written, 0 if there is no bound.
 func (req *request) dedupWindowEnd() int64 {
 	if !req.maybeExecuted() || !retryRules[req.class.idempotency].windowed {
 		return 0
@@ -71,11 +71,11 @@
 	return req.attempts[req.firstExecuted].sentAt + req.class.dedupWindow
 }
 
-// maxReadAttempts bounds the attempts of a read: one or two elsewhere may find what the first lacks, more only
-// feed an overload.
+// maxReadAttempts bounds the attempts of a read: one or two at other endpoints may succeed after a failure, more only
+// increase an overload.
 const maxReadAttempts = 4
 
-// maxAttempts bounds the request's attempts.
+// maxAttempts returns the greatest number of attempts of the request.
 func (r *Router) maxAttempts(req *request) int {
 	if req.class.write {
 		return r.config.maxAttempts
@@ -83,10 +83,10 @@
 	return min(r.config.maxAttempts, maxReadAttempts)
 }
 
-// retry follows an attempt that ended without a response.
+// retry decides how the request continues after an attempt that ended without a response.
 func (r *Router) retry(req *request) {
 	switch {
-	case req.inFlight(): // another attempt may bring one
+	case req.inFlight(): // that attempt may still return a response
 	case req.class.write:
 		r.retryWrite(req)
 	case r.manyFillsFail() && req.attempts[len(req.attempts)-1].kind == attemptFill:
@@ -96,11 +96,12 @@
 	}
 }
 
-// retryWrite sends a write again after a pause, or gives it up where that is not permitted or comes too late.
+// retryWrite schedules another attempt of a write after a pause, or rejects or fails the write if another attempt is
+// not permitted or would come too late.
 func (r *Router) retryWrite(req *request) {
 	const (
 		writeRetryPause = 60 * millisecond  // lets an overloaded origin recover
-		answerReserve   = 2 * timerInterval // the sweep that sends the attempt, and one to answer in
+		answerReserve   = 2 * timerInterval // one interval until the sweep that sends the attempt, one for the response
 	)
 	req.retryAt = r.now + writeRetryPause
 	retryForbidden := req.maybeExecuted() && !retryRules[req.class.idempotency].retry
@@ -110,17 +111,17 @@
 	}
 }
 
-// manyFillsFail reports whether a quarter of the last attempts that might fill failed. Retries of reads would feed the
-// overload then, at the cost of writes.
+// manyFillsFail reports whether at least a quarter of the last attempts that might fill failed. Retries of reads would
+// then increase the overload, at the expense of writes.
 func (r *Router) manyFillsFail() bool {
 	const failedOneIn = 4
 	failed, all := countBad(r.fillSamples, r.now, minSamples)
 	return failedOneIn*failed >= max(all, minSamples)
 }
 
-// lost reports whether an attempt's endpoint is ejected; or the source of its fill, and half the latency objective
-// is over. Until then the cache may still answer, from its own copies or with what the source had begun to send; the
-// other half is left for another attempt.
+// lost reports whether an attempt needs replacement: its endpoint is ejected, or the source of its fill is ejected and
+// half the latency objective has passed. During that half the cache may still respond, from its own copies or with data
+// that the source had begun to send. The other half remains for another attempt.
 func (r *Router) lost(req *request, a *attempt) bool {
 	const sourceWaitDivisor = 2 // of the class's latency objective
 	sourceWait := req.class.latencyObjective / sourceWaitDivisor
@@ -128,9 +129,8 @@
 	return stuck || a.endpoint.health == ejected
 }
 
-// replaceLostAttempt goes on from an attempt that is in flight to an endpoint that was ejected, or that fills from
-// one. Time in flight alone never leads here. Where the site allows no second attempt beside the first, that is
-// withdrawn, and its end brings a retry.
+// replaceLostAttempt handles an attempt in flight whose endpoint or fill source was ejected. Time in flight alone never
+// triggers it. It hedges where the site permits that; elsewhere it cancels the attempt, and its end triggers a retry.
 func (r *Router) replaceLostAttempt(req *request) {
 	switch {
 	case req.class.idempotency != idempotent:
@@ -141,7 +141,7 @@
 	}
 }
 
-// hedge sends another attempt beside the one in flight, if an attempt and a cache are left for it.
+// hedge sends another attempt beside the one in flight, if the request has an attempt left and a cache is usable.
 func (r *Router) hedge(req *request) {
 	if len(req.attempts) < r.maxAttempts(req) && r.selectEndpoint(req, roleCache, nil) != nil {
 		r.startAttempt(req)
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -12,62 +12,62 @@
 	second      = 1000 * millisecond
 )
 
-// Router is one instance of the decisions. It is used by one goroutine at a time.
+// Router makes the decisions of one router process. It is used by one goroutine at a time.
 type Router struct {
 	config  config
-	now     int64    // of the event in hand
-	actions []Action // decided on for the event in hand
+	now     int64    // time of the current event
+	actions []Action // decisions on the current event
 	random  random
 
 	endpoints map[string]*endpoint
-	ordered   []*endpoint // every endpoint of use here, by id, until it is gone and its attempts are over
+	ordered   []*endpoint // all endpoints that this router may use, by id; removed ones until their attempts have ended
 	origin    *endpoint   // nil: none is active
 
 	classes    map[string]*trafficClass
 	requests   map[string]*request
-	open       []*request // in order of arrival; closed ones leave at the next sweep
+	open       []*request // in order of arrival; the next sweep removes closed ones
 	priorities []float64  // of the last requests
 
-	popularity       *tinylfu.Sketch // how often objects were requested
-	popularitySample int             // after how many requests it is halved; 0: by time only
-	nextHalving      int64
+	popularity       *tinylfu.Sketch // request counts of objects
+	popularitySample int             // number of requests after which it is halved; 0: halved by time only
+	nextHalving      int64           // time; 0: not set yet
 
-	fillSamples    []sample                  // of the last attempts that might fill: bad ones brought no response
-	bypassLimiters [attemptKindCount]limiter // for attempts past the caches: they share one link
+	fillSamples    []sample                  // of the last attempts that might fill; bad: no response
+	bypassLimiters [attemptKindCount]limiter // for attempts that bypass the caches, which share one link
 	originDelay    originDelay
 	purges         []purge
 
-	slowStartHoldUntil int64 // until then endpoints in slow start get nothing
-	subscribeAt        int64 // when to ask for the endpoint list again; 0: not
+	slowStartHoldUntil int64 // time until which endpoints in slow start receive no requests
+	subscribeAt        int64 // time at which the endpoint list is requested again; 0: not scheduled
 	timerSet           bool
 }
 
-// config is what decisions use of the Settings.
+// config holds the values that decisions use, derived from Settings.
 type config struct {
 	zone             string
-	zoneShare        float64 // this router's part of its zone's requests
+	zoneShare        float64 // this router's share of its zone's requests
 	roles            map[string]role
 	slowStart        [roleCount]slowStartBudget
 	overloadWindow   int64
-	unansweredLimit  int64   // how long an endpoint may say nothing with attempts in flight
-	transferRate     float64 // KB in a microsecond; 0: unknown
-	purgeSettleTime  int64   // within which a purge has reached all caches
-	retryAfter       int64   // sent to rejected clients; 0: none
+	unansweredLimit  int64   // how long an endpoint may send no response while attempts are in flight
+	transferRate     float64 // KB per microsecond; 0: unknown
+	purgeSettleTime  int64   // time within which a purge reaches all caches
+	retryAfter       int64   // retry delay sent to rejected clients; 0: none
 	maxAttempts      int
-	maxCachedObjects int // that a router remembers of a cache
+	maxCachedObjects int // length of the list of objects that a cache was asked to keep
 
-	bypassCaches  bool // requests may go past the caches
+	bypassCaches  bool // requests may bypass the caches
 	coalesceFills bool
-	healthChecks  bool // may be sent
-	cancel        bool // attempts may be withdrawn
+	healthChecks  bool // health checks may be sent
+	cancel        bool // attempts may be canceled
 	hedging       bool // a second attempt may be sent while one is in flight
 	pollDiscovery bool
 	liveWeights   bool // weights follow the load
-	reasonsGiven  bool // every error that a cache answers gives its reason
+	reasonsGiven  bool // every error response of a cache has a reason
 }
 
-// New starts a Router from its settings and the seed of its random draws. Routers with equal settings, seeds and
-// events decide alike.
+// New creates a Router from its settings and the seed of its random numbers. Routers with equal settings, seeds and
+// events make equal decisions.
 func New(settings Settings, seed uint64) *Router {
 	r := &Router{
 		config:     newConfig(&settings),
@@ -134,7 +134,7 @@
 	return c
 }
 
-// zoneRouters is how many routers share the caches of this router's zone.
+// zoneRouters returns the number of routers that share the caches of this router's zone.
 func (s *Settings) zoneRouters() int {
 	perZone := s.Hierarchy.RoutersByZone
 	if i := slices.Index(s.Zones, s.Zone); i >= 0 && i < len(perZone) && perZone[i] > 0 {
@@ -159,7 +159,7 @@
 	return roles
 }
 
-// unansweredLimit is half as long again as the longest latency objective.
+// unansweredLimit returns one and a half times the longest latency objective.
 func (s *Settings) unansweredLimit() (limit int64) {
 	for i := range s.Classes {
 		limit = max(limit, 3*s.Classes[i].LatencyObjective/2)
@@ -167,18 +167,18 @@
 	return limit
 }
 
-// Handle takes one event at the given time, in microseconds of the clock that Endpoint.StartedAt is on, and appends the
-// actions that it leads to.
+// Handle processes one event and appends the resulting actions. now is the time in microseconds, on the clock of
+// Endpoint.StartedAt.
 func (r *Router) Handle(now int64, e Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
-	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil where unknown or closed
+	ep, req := r.endpoints[e.Endpoint], r.requests[e.Request] // nil if unknown or closed
 	switch e.Kind {
 	case EventEndpoints:
 		r.updateEndpoints(e.Scope, e.Endpoints)
 	case EventRequest:
 		r.openRequest(&e)
-	case EventLocalHit: // answered from copies of the router's own
+	case EventLocalHit: // answered from the router's own copies
 		r.countRequest(hash(e.Object, uint64(e.Part)))
 	case EventAttemptEnded:
 		r.endAttempt(&e, ep, req)
--- a/internal/policy/sweep.go
+++ b/internal/policy/sweep.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// timerInterval is the time between two sweeps: well under any latency objective, and cheap.
+// timerInterval is the time between two sweeps: far below any latency objective, at little cost.
 const timerInterval = 25 * millisecond
 
-// sweepToken names the timer of the sweep, the only one there is.
+// sweepToken is the token of the timer of the sweep, the only timer in use.
 const sweepToken = 1
 
-// setTimer keeps one timer running.
+// setTimer starts the timer of the sweep unless it is running.
 func (r *Router) setTimer() {
 	if r.timerSet {
 		return
@@ -17,7 +17,7 @@
 	r.emit(Action{Kind: ActionSetTimer, Due: r.now + timerInterval, Token: sweepToken})
 }
 
-// sweep does what time brings.
+// sweep does the periodic work.
 func (r *Router) sweep() {
 	r.halvePopularity()
 	r.resubscribe()
@@ -31,7 +31,7 @@
 	}
 }
 
-// resubscribe asks for the endpoint list again some time after that failed.
+// resubscribe requests the endpoint list again once the delay after a failure is over.
 func (r *Router) resubscribe() {
 	if r.subscribeAt > 0 && r.now >= r.subscribeAt {
 		r.subscribeAt = 0
@@ -39,7 +39,7 @@
 	}
 }
 
-// sweepRequest sends an attempt that is due, takes in those that are overdue, and goes on from one that is lost.
+// sweepRequest sends an attempt that is due, records those in flight that are overdue, and replaces one that is lost.
 func (r *Router) sweepRequest(req *request) {
 	if req.retryAt > 0 && r.now >= req.retryAt {
 		r.advance(req, inputRetryDue)
@@ -50,7 +50,7 @@
 			r.observeAttempt(req, a, false)
 		}
 	}
-	last := &req.attempts[len(req.attempts)-1] // an open request has had one
+	last := &req.attempts[len(req.attempts)-1] // an open request has had an attempt
 	if last.inFlight && !last.lost && r.lost(req, last) {
 		last.lost = true
 		req.failed = append(req.failed, last.endpoint)
