--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,23 +5,22 @@
 	"slices"
 )
 
-// maxCachedObjects bounds what a router remembers of one cache. It is divided by the square root of the number
-// of routers that share the cache, since each sees a part of its requests.
+// maxCachedObjects bounds a router's list of the objects that a cache was asked to keep. It is divided by the square
+// root of the number of routers that share the cache, since each router sees only a part of its requests.
 const maxCachedObjects = 64
 
-// cachedObjectsLimit is the bound for a router with this share of its zone's requests.
+// cachedObjectsLimit returns the bound for a router with a share of its zone's requests.
 func cachedObjectsLimit(zoneShare float64) int { return int(maxCachedObjects * math.Sqrt(zoneShare)) }
 
-// Priorities at which a cache may be asked to keep a copy. The protocol has higher and lower ones, which no decision
-// uses.
+// Priorities for a copy in a cache. The protocol has further ones, which no decision uses.
 const (
 	cachePriorityNone   = 0
 	cachePriorityMiddle = 2
 )
 
-// chooseCachePriority decides whether a cache shall keep the object, by TinyLFU: an object that is not on the cache's
-// list replaces the least recent one there only if it is requested more often. The list follows at once, whether the
-// attempt succeeds or not: the cache is asked either way.
+// chooseCachePriority decides by TinyLFU whether a cache is asked to keep an object: an object that is not in the
+// cache's full list replaces the least recent one only if it is requested more often. The list is updated before the
+// attempt is sent, whatever its outcome.
 func (r *Router) chooseCachePriority(ep *endpoint, key uint64) int {
 	if i := slices.Index(ep.cached, key); i >= 0 {
 		ep.cached = slices.Delete(ep.cached, i, i+1)
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -2,53 +2,55 @@
 
 import "cmp"
 
-// limiter bounds how many attempts of one kind an endpoint is given at once, by how many it has lately answered
-// in time. Limit and counts are this router's share.
+// limiter bounds the attempts of one kind that an endpoint has in flight, according to how many recent ones it answered
+// in time. The limit and the counts are this router's share.
 type limiter struct {
 	limit         float64
 	inFlight      float64
-	otherInFlight float64 // of the router's other process, while one replaces the other
-	weight        float64 // of the endpoint, as listed
-	reducedAt     int64
-	samples       []sample // of the last attempts: late or refused ones are bad
+	otherInFlight float64  // of the router's other process, during an upgrade
+	weight        float64  // of the endpoint, as listed
+	reducedAt     int64    // time of the last reduction; 0: none
+	samples       []sample // of the last attempts; bad: late or refused
 }
 
-// initialLimit of attempts for a unit of weight is above what an endpoint in order is given; late answers bring
-// it down.
+// initialLimit is the limit of a new endpoint per unit of weight. It exceeds the normal number of attempts in flight;
+// late responses reduce it.
 const initialLimit = 3
 
-// adjustLimit moves a limit after an attempt: up by a quarter of the floor for a round of timely answers, down
-// when a quarter of the last were late or refused, then not again for a round. The floor keeps an eighth of a
-// cache's link busy: less would not mend what makes answers late.
+// adjustLimit adjusts a limit after an attempt. As many timely responses as the limit raise it by a quarter of the
+// floor, if at least half of it is in use. It is reduced when a quarter of the last attempts were late or refused, and
+// then not again for the reduction interval. The floor keeps an eighth of a cache's link busy: responses that are late
+// at that load have a cause that a lower limit would not remove.
 func (r *Router) adjustLimit(lim *limiter, timely bool) {
 	const (
-		lateOneIn     = 4 // responses that were late or refused
-		reduction     = 0.7
-		round         = 200 * millisecond
-		raiseOneIn    = 4 // of the floor, for a round of timely responses
-		floorWeight   = 8 // the floor is the weight divided by this ...
-		minFloor      = 2 // ... and at least this
-		fewestSamples = 4 // samples that are judged, however small this router's share
+		lateOneIn         = 4   // attempts, one of which was late or refused
+		reduction         = 0.7 // factor
+		reductionInterval = 200 * millisecond
+		raiseDivisor      = 4 // of the floor
+		floorDivisor      = 8 // of the weight
+		minFloor          = 2 // attempts of all routers
+		fewestSamples     = 4 // for a reduction, however small this router's share
 	)
 	share := r.config.zoneShare
-	floor := max(minFloor, lim.weight/floorWeight)
+	floor := max(minFloor, lim.weight/floorDivisor)
 	minCount := max(int(minSamples*share), fewestSamples)
 	lim.samples = addSample(lim.samples, r.now, !timely)
 	late, all := countBad(lim.samples, r.now, minCount)
 	switch {
 	case timely && lim.inFlight+1 >= lim.limit/2:
-		lim.limit += floor * share / (raiseOneIn * lim.limit)
-	case !timely && lateOneIn*late >= max(all, minCount) && r.now-lim.reducedAt > round:
+		lim.limit += floor * share / (raiseDivisor * lim.limit)
+	case !timely && lateOneIn*late >= max(all, minCount) && r.now-lim.reducedAt > reductionInterval:
 		lim.reducedAt = r.now
 		lim.limit = max(min(lim.limit, lim.inFlight+1)*reduction, floor*share)
 	}
 }
 
-// saturated reports whether a limiter has no capacity for the request. Requests of low priority are turned away
-// first: the lowest at half the limit, the highest at half above it. A limit below one is a chance.
+// saturated reports whether a limiter has no capacity for the request. The request's rank among the priorities of
+// recent requests scales the limit, from half of it for the lowest to one and a half times for the highest. A limit
+// below one is the probability that a request finds capacity.
 func (r *Router) saturated(req *request, lim *limiter) bool {
 	const lowestPriorityShare = 0.5
-	rank := 0.0
+	rank := 0.0 // number of recent requests of lower priority, and half of those of equal priority
 	for _, p := range r.priorities {
 		rank += float64(1+cmp.Compare(req.priority, p)) / 2
 	}
@@ -56,8 +58,8 @@
 	return lim.inFlight+lim.otherInFlight >= limit || limit < 1 && r.random.float64() >= limit
 }
 
-// idle reports whether a cache has capacity for requests of a saturated one. It is strict: where all are saturated,
-// copies should not be scattered.
+// idle reports whether a cache has capacity for requests of a saturated one. The bounds are strict, so that copies are
+// not scattered over the caches when all are near saturation.
 func (r *Router) idle(ep *endpoint) bool {
 	const lateOneIn, inFlightOneIn = 16, 3
 	lim := &ep.limiters[attemptFill]
@@ -65,7 +67,7 @@
 	return lateOneIn*late < max(all, 1) && inFlightOneIn*(lim.inFlight+lim.otherInFlight) < lim.limit
 }
 
-// initLimiters assigns the limiters that bound an endpoint, and sets the limit of new ones.
+// initLimiters assigns the limiters of an endpoint, and sets the limits that are not set yet.
 func (r *Router) initLimiters(ep *endpoint) {
 	if ep.role != roleCache {
 		ep.limiters = &r.bypassLimiters
@@ -81,7 +83,7 @@
 	}
 }
 
-// initBypassLimiters sets limits for attempts past the caches where no cache was ever listed.
+// initBypassLimiters sets the limits for attempts that bypass the caches if no cache was ever listed.
 func (r *Router) initBypassLimiters() {
 	for i := range r.bypassLimiters {
 		r.bypassLimiters[i].limit = cmp.Or(r.bypassLimiters[i].limit, initialLimit*r.config.zoneShare)
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// updateEndpoints follows the endpoint list; a full one removes the endpoints that it does not name.
+// updateEndpoints applies an update of the endpoint list. A full list removes the endpoints that it does not contain.
 func (r *Router) updateEndpoints(scope UpdateScope, list []Endpoint) {
-	const resubscribeDelay = 1 * second // discovery is shared by all routers
+	const resubscribeDelay = 1 * second // limits the load on discovery, which all routers share
 	switch scope {
 	case ScopeError:
 		r.subscribeAt = r.now + resubscribeDelay
 		return
 	case ScopeInitial:
-		// An earlier run of the router may have used its share of slow-start budgets.
+		// An earlier process of this router may have used its share of the slow-start budgets.
 		r.slowStartHoldUntil = max(r.slowStartHoldUntil, r.now+r.config.overloadWindow)
 		if r.config.pollDiscovery {
 			r.emit(Action{Kind: ActionSubscribe})
@@ -33,8 +33,8 @@
 	r.setOrigin()
 }
 
-// updateEndpoint takes in one line of the list. Caches of other zones are left out: no request is sent there, and
-// the work for one must not grow with the fleet.
+// updateEndpoint applies one entry of the list. Caches of other zones are ignored: no request is sent to them, and the
+// work for each request must not grow with the fleet.
 func (r *Router) updateEndpoint(listed *Endpoint) {
 	const minWeight = 0.1
 	role := r.config.roles[listed.Kind]
@@ -58,12 +58,12 @@
 		ep.readmittedAt = 0
 	}
 	ep.hashWeight = ep.weight
-	if r.config.liveWeights { // they differ from router to router
+	if r.config.liveWeights { // live weights differ between routers, whose hashing must agree
 		ep.hashWeight = 1
 	}
 }
 
-// addEndpoint adds an endpoint in the order of ids.
+// addEndpoint inserts an endpoint in the order of ids.
 func (r *Router) addEndpoint(listed *Endpoint) *endpoint {
 	ep := &endpoint{id: listed.ID, hash: hash(listed.ID), startedAt: listed.StartedAt, health: healthy}
 	r.endpoints[listed.ID] = ep
@@ -72,7 +72,7 @@
 	return ep
 }
 
-// setOrigin finds the origin: the last one that is active.
+// setOrigin sets the origin: the active one with the last id.
 func (r *Router) setOrigin() {
 	r.origin = nil
 	for _, ep := range r.ordered {
@@ -82,7 +82,7 @@
 	}
 }
 
-// dropRemovedEndpoints drops endpoints that are not listed any more once their attempts are over.
+// dropRemovedEndpoints drops removed endpoints whose attempts have all ended.
 func (r *Router) dropRemovedEndpoints() {
 	r.ordered = slices.DeleteFunc(r.ordered, func(ep *endpoint) bool {
 		drop := ep.removed && ep.inFlight == 0
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// hash is FNV-1a with a final mix: the same at every router.
+// hash returns FNV-1a with a final mixing step. It gives the same value at every router.
 func hash(text string, more ...uint64) uint64 {
 	const (
 		offset   = 14695981039346656037
@@ -24,21 +24,21 @@
 	return h ^ h>>32
 }
 
-// rendezvousScore is an endpoint's score for an object, by rendezvous hashing weighted by its size.
+// rendezvousScore returns an endpoint's score for an object in weighted rendezvous hashing.
 func (ep *endpoint) rendezvousScore(key uint64) float64 {
 	uniform := float64(hash("", key, ep.hash)>>11+1) / (1<<53 + 1) // within (0, 1)
 	return -ep.hashWeight / math.Log(uniform)
 }
 
-// usable reports whether an endpoint may be sent the request now, or be its fill source. One on probation is given
-// one attempt at a time, none where a health check decides.
+// usable reports whether an endpoint can now be sent the request, or be its fill source. An endpoint on probation
+// receives one attempt at a time, or none where a health check ends the probation.
 func (r *Router) usable(ep *endpoint, req *request) bool {
 	probationTaken := ep.health == probation && (ep.inFlight > 0 || r.config.healthChecks)
 	return ep.active && ep.health != ejected && !probationTaken && r.slowStartAllows(ep, req)
 }
 
-// selectEndpoint returns the usable endpoint of a role that scores highest for the request's object, those that
-// failed the request after all others; nil if there is none. A filter leaves out more.
+// selectEndpoint returns the usable endpoint of a role with the highest score for the request's object, or nil if there
+// is none. Endpoints that failed the request rank below all others. A filter, if not nil, must accept the endpoint.
 func (r *Router) selectEndpoint(req *request, role role, filter func(*endpoint) bool) *endpoint {
 	var best *endpoint
 	var bestScore float64
@@ -58,8 +58,8 @@
 	return best
 }
 
-// fillSource returns the endpoint that a cache shall fill from: a parent, or the origin where no parent is left
-// that has not failed the request.
+// fillSource returns the endpoint that a cache fills from: a usable parent that has not failed the request, else the
+// origin.
 func (r *Router) fillSource(req *request) *endpoint {
 	if p := r.selectEndpoint(req, roleParent, nil); p != nil && !slices.Contains(req.failed, p) {
 		return p
@@ -67,8 +67,9 @@
 	return r.origin
 }
 
-// route returns the endpoint that the request is sent to and the source that this fills from; nil if there is none.
-// Writes go to the origin, past the caches where the site allows that; reads pass them if no cache is usable.
+// route returns the endpoint that the request is sent to, and the source that the endpoint fills from; nil if there is
+// none. Writes are for the origin, and bypass the caches where the site permits that. Reads bypass the caches if none
+// is usable.
 func (r *Router) route(req *request) (target, source *endpoint) {
 	if req.class.write && r.config.bypassCaches {
 		return r.origin, r.origin
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// The texts of ActionLog. LogEjected comes with Action.Backoff.
+// The texts of ActionLog. With LogEjected, Action.Backoff is set.
 const (
-	LogEjected    = "endpoint ejected"    // it gets nothing for Backoff
-	LogReadmitted = "endpoint readmitted" // it gets requests again
+	LogEjected    = "endpoint ejected"    // it receives no requests for Backoff
+	LogReadmitted = "endpoint readmitted" // it receives requests again
 )
 
-// health is what a Router thinks of an endpoint. Its values are kept in Snapshots.
+// health is the state of an endpoint in outlier ejection. Its values are stored in Snapshots.
 type health uint8
 
 const (
 	healthy   health = 1 << iota
-	suspect          // failed once, or was silent
-	ejected          // gets nothing until its ejection is over
-	probation        // gets one attempt, or a health check, that decides
+	suspect          // failed once, or was unresponsive
+	ejected          // receives no requests until its ejection is over
+	probation        // receives one attempt or health check, which readmits or ejects it
 	anyHealth = healthy | suspect | ejected | probation
 )
 
-// signal is what an event means for an endpoint's health.
+// signal is an input of the state machine of an endpoint's health.
 type signal uint8
 
 const (
-	signalNone         signal = iota // nothing
-	signalAnswered                   // it answered, whatever it said
-	signalFailed                     // it refused, broke off or failed a health check
-	signalUnresponsive               // it said nothing for far longer than usual
-	signalLateFills                  // fills from it are late, those from others are not
-	signalEjectionOver               // its ejection is over
-	signalRestarted                  // the endpoint list shows a new start
+	signalNone         signal = iota // no effect on health
+	signalAnswered                   // any response, including an error or a refusal
+	signalFailed                     // a refused or reset connection, or a failed health check
+	signalUnresponsive               // no response for far longer than usual
+	signalLateFills                  // fills from it are late, those from another source are not
+	signalEjectionOver               // the ejection is over
+	signalRestarted                  // the endpoint list has a later start time
 )
 
-// healthTransitions follow from signals alone, whatever their cause. One failure may be chance; another some time
-// after it, with no answer between, or silence, is not.
+// healthTransitions depend on signals only, not on their causes. One failure may be chance. A second failure some time
+// later without a response in between is not, nor is a long time without a response.
 var healthTransitions = []struct {
 	from    health
 	signal  signal
@@ -51,9 +51,9 @@
 	{anyHealth, signalRestarted, healthy, (*Router).readmit},
 }
 
-// observe takes in a signal of an endpoint; nil is one that is not listed.
+// observe applies a signal to an endpoint, which is nil if it is not listed.
 func (r *Router) observe(ep *endpoint, signal signal) {
-	// Attempts that fail together, as those of one connection do, are one failure.
+	// Attempts that fail within this time, such as those of one connection, count as one failure.
 	const failureSpacing = 100 * millisecond
 	if ep == nil || signal == signalFailed && ep.health == suspect && r.now < ep.healthHeldUntil {
 		return
@@ -77,16 +77,16 @@
 	}
 }
 
-// Times that an ejected endpoint stays out.
+// Duration of ejections.
 const (
-	ejectionTime    = 1 * second // a process that was restarted is back within seconds
-	maxEjectionTime = 4 * second // a silent machine costs one attempt or health check in that time
+	ejectionTime    = 1 * second // a restarted process accepts requests again within seconds
+	maxEjectionTime = 4 * second // an unresponsive machine costs one attempt or health check in that time
 
-	maxBackoffDoublings = 8 // bounds the exponent; maxEjectionTime is reached before
+	maxBackoffDoublings = 8 // bounds the shift; the ejection time reaches maxEjectionTime earlier
 )
 
-// eject keeps an endpoint out for a time that doubles with each ejection since it was last readmitted. An answer that
-// comes meanwhile, even an error or a late one, readmits it at once.
+// eject ejects an endpoint for a time that doubles with each ejection since its last readmission. A response during
+// that time readmits it at once, even if it is an error or late.
 func (r *Router) eject(ep *endpoint) {
 	ep.fillSamples = nil
 	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
@@ -95,15 +95,14 @@
 	r.emit(Action{Kind: ActionLog, Text: LogEjected, Endpoint: ep.id, Backoff: backoff})
 }
 
-// checkHealth sends a health check where that is allowed; else the next attempt decides.
+// checkHealth sends a health check where the site permits that; elsewhere the next attempt shows the endpoint's health.
 func (r *Router) checkHealth(ep *endpoint) {
 	if r.config.healthChecks {
 		r.emit(Action{Kind: ActionHealthCheck, Endpoint: ep.id})
 	}
 }
 
-// readmit takes an ejected endpoint in again and drops what counted against it, the doubling of its ejection time
-// included.
+// readmit readmits an ejected endpoint and resets the records against it, including the doubling of its ejection time.
 func (r *Router) readmit(ep *endpoint) {
 	ep.ejections = 0
 	ep.fillSamples = nil
@@ -111,7 +110,7 @@
 	r.emit(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
 }
 
-// observeHealthCheck takes in the end of a health check.
+// observeHealthCheck applies the end of a health check to an endpoint.
 func (r *Router) observeHealthCheck(ep *endpoint, outcome Outcome) {
 	if outcome == OutcomeDone {
 		r.observe(ep, signalAnswered)
@@ -120,9 +119,9 @@
 	}
 }
 
-// observeFill takes in whether a fill from a source came in time. A parent is ejected when half of its last fills
-// were late and that is twice the share of another source: a slow origin makes those of all late alike. Where
-// health checks are allowed a late fill brings one, as silence would.
+// observeFill records whether a fill from a source was on time. A parent is ejected when half of its last fills were
+// late, and that is more than twice the share of another source: a slow origin delays the fills of all sources alike.
+// Where health checks are permitted, a late fill of a healthy parent triggers one, as for an unresponsive endpoint.
 func (r *Router) observeFill(source *endpoint, timely bool) {
 	source.fillSamples = addSample(source.fillSamples, r.now, !timely)
 	if source.role != roleParent || timely {
@@ -137,7 +136,7 @@
 	}
 }
 
-// hasTimelierSource reports whether another source has at most half as large a share of late fills.
+// hasTimelierSource reports whether another active source has less than half the share of late fills.
 func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
 	const minRatio, minOtherSamples = 2, minSamples / 2
 	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
@@ -147,8 +146,8 @@
 	})
 }
 
-// updateHealth ends ejections that are over, and suspects endpoints that answer none of several attempts for far
-// longer than answers take.
+// updateHealth ends ejections that are over, and signals endpoints with several attempts in flight that have been
+// unresponsive for far longer than a response takes.
 func (r *Router) updateHealth() {
 	const minUnanswered = 3 // attempts: a single one may just be slow
 	for _, ep := range r.ordered {
--- a/internal/policy/popularity.go
+++ b/internal/policy/popularity.go
@@ -3,25 +3,26 @@
 import "quilldoor/internal/tinylfu"
 
 const (
-	// sketchCounters in each row: a halving period sees about a thousand objects.
+	// sketchCounters is the number of counters in each row: a halving period sees about a thousand objects.
 	sketchCounters = 1 << 12
-	// sketchMaxCount is where a counter stops.
+	// sketchMaxCount is the largest value of a counter.
 	sketchMaxCount = 10
-	// sketchDoorkeeperBits of the doorkeeper for each counter.
+	// sketchDoorkeeperBits is the number of doorkeeper bits for each counter.
 	sketchDoorkeeperBits = 4
 )
 
-// newSketch makes the sketch that counts the requests of one router.
+// newSketch returns the sketch that counts the requests of one router.
 func newSketch() *tinylfu.Sketch {
 	return tinylfu.New(tinylfu.Config{
 		Counters: sketchCounters, MaxCount: sketchMaxCount, DoorkeeperBits: sketchDoorkeeperBits,
 	})
 }
 
-// samplesPerCachedObject sets after how many requests the popularity counts are halved.
+// samplesPerCachedObject is the number of requests in a halving period, for each object on the lists of the caches.
 const samplesPerCachedObject = 10
 
-// setPopularitySample sets the halving period to ten times what the zone's caches are asked to keep.
+// setPopularitySample sets the number of requests after which popularity counts are halved: ten times the number of
+// objects that the zone's active caches are asked to keep.
 func (r *Router) setPopularitySample() {
 	r.popularitySample = 0
 	for _, ep := range r.ordered {
@@ -31,7 +32,7 @@
 	}
 }
 
-// countRequest counts a request for an object.
+// countRequest counts a request for an object, and halves the counts at the end of the sample.
 func (r *Router) countRequest(key uint64) {
 	r.popularity.Record(key)
 	if samples := r.popularity.AddSample(); r.popularitySample > 0 && samples >= r.popularitySample {
@@ -39,7 +40,7 @@
 	}
 }
 
-// halvePopularity halves the counts after some time, too, for routers that see few requests.
+// halvePopularity halves the counts by time, for routers that receive few requests.
 func (r *Router) halvePopularity() {
 	const halvingPeriod = 30 * second
 	if r.now < r.nextHalving {
--- a/internal/policy/purgeage.go
+++ b/internal/policy/purgeage.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// purge is one that some caches may not have seen yet.
+// purge is a purge that some caches may not have received yet.
 type purge struct {
 	object string // "": the whole group
 	group  int64
-	at     int64
+	at     int64 // time at which it was made
 }
 
-// purgeMargin is added for clocks and rounding.
+// purgeMargin covers differences between clocks and rounding.
 const purgeMargin = 1 * millisecond
 
-// addPurge takes in a purge that was made some time ago.
+// addPurge records a purge of the given age.
 func (r *Router) addPurge(object string, group, age int64) {
 	r.purges = append(r.purges, purge{object, group, r.now - age})
 }
 
-// maxAge is how old a copy may be for the request: the class's freshness time with some grace, and no older than
-// the last purge that caches may not have seen. 0: the class's freshness time alone.
+// maxAge returns the greatest age of a copy for the request: the class's freshness time plus grace, or less if a purge
+// of the object may not have reached all caches. 0 means that only the class's freshness time applies.
 func (r *Router) maxAge(req *request, grace int64) int64 {
 	age := req.class.freshFor + grace
 	for _, p := range r.purges {
@@ -34,12 +34,12 @@
 	return age
 }
 
-// covers reports whether a purge concerns the request's object.
+// covers reports whether a purge applies to the request's object.
 func (p *purge) covers(req *request) bool {
 	return p.object == req.object || p.object == "" && p.group == req.group
 }
 
-// dropSettledPurges drops purges that all caches have seen.
+// dropSettledPurges drops purges that have reached all caches.
 func (r *Router) dropSettledPurges() {
 	r.purges = slices.DeleteFunc(r.purges, func(p purge) bool {
 		return r.now-p.at > r.config.purgeSettleTime+purgeMargin
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// slowStartBudget is how much work the endpoints of a role may be sent after their start. It grows over the
-// duration from a part of what a warm endpoint takes to all of it.
+// slowStartBudget bounds the work that endpoints of a role are sent in slow start. Over the duration it grows from a
+// share of a warm endpoint's capacity to all of it.
 type slowStartBudget struct {
-	initialCapacity  float64 // part of its capacity that an endpoint has at its start
-	overloadMultiple float64 // of its capacity, that it takes before it falls over
-	routers          float64 // that share the budget
+	initialCapacity  float64 // share of its capacity that an endpoint has at its start
+	overloadMultiple float64 // of its capacity, above which it collapses
+	routers          float64 // number of routers that share the budget
 	duration         int64
 }
 
 const (
-	// budgetShare is the part of the budget that is used. The rest covers routers that learn late of a start.
+	// budgetShare is the share of the budget that is used. The rest covers routers whose endpoint list contains the
+	// start of an endpoint late.
 	budgetShare = 0.75
-	// budgetDeviations of the summed work stay free as well where sizes are unknown: few requests may all be
-	// large ones.
+	// budgetDeviations is the number of standard deviations of the summed work that must also fit into the budget where
+	// sizes are unknown: a few requests may all be large.
 	budgetDeviations = 3
 )
 
-// reservation is work sent to an endpoint in slow start.
+// reservation is the work of one attempt at an endpoint in slow start, or of one fill from it.
 type reservation struct {
 	at       int64
-	work     int64   // transfer time; the mean of the class where sizes are unknown
-	variance float64 // of the work; 0 where sizes are known
+	work     int64   // transfer time, or its mean in the class if the size is unknown
+	variance float64 // of the work; 0 if the size is known
 }
 
-// slowStartedAt is when an endpoint's slow start began. A cache that is readmitted may have been restarted: it is
-// treated so until the endpoint list would show it.
+// slowStartedAt returns the time at which an endpoint's slow start began. A readmitted cache may have been restarted: it
+// is treated as such until the endpoint list would contain the restart.
 func (r *Router) slowStartedAt(ep *endpoint) int64 {
-	const listDelay = 7 * second // within which the list shows a restart
+	const listDelay = 7 * second // time within which the list contains a restart
 	if ep.role == roleCache && ep.readmittedAt > ep.startedAt && r.now-ep.readmittedAt < listDelay {
 		return ep.readmittedAt
 	}
@@ -45,8 +46,8 @@
 	return startedAt == 0 || r.now-startedAt >= r.config.slowStart[ep.role].duration
 }
 
-// slowStartAllows reports whether an endpoint may be sent the request: any once it is warm, else what this
-// router's share of its budget leaves within the overload window.
+// slowStartAllows reports whether an endpoint may be sent the request. In slow start, the work that this router sent
+// within the overload window, together with the request, must fit into its share of the budget.
 func (r *Router) slowStartAllows(ep *endpoint, req *request) bool {
 	if r.warm(ep) {
 		return true
@@ -64,11 +65,11 @@
 	age := max(r.now-r.slowStartedAt(ep), 0)
 	capacity := budget.initialCapacity + (1-budget.initialCapacity)*float64(age)/float64(budget.duration)
 	maxWork := budget.overloadMultiple * capacity * ep.weight * float64(r.config.overloadWindow)
-	total := work * budget.routers // if every router sends as much
+	total := work * budget.routers // of all routers, if each sends as much
 	return total <= budgetShare*maxWork && total+budgetDeviations*math.Sqrt(variance*budget.routers) <= maxWork
 }
 
-// reserve counts the request against an endpoint's budget.
+// reserve counts the request against an endpoint's slow-start budget.
 func (r *Router) reserve(ep *endpoint, req *request) {
 	if r.warm(ep) {
 		ep.reservations = nil
@@ -78,7 +79,7 @@
 	ep.reservations = append(ep.reservations, reservation{r.now, req.cost, req.costVariance})
 }
 
-// dropReservations drops those older than the overload window.
+// dropReservations drops reservations older than the overload window.
 func (r *Router) dropReservations(ep *endpoint) {
 	ep.reservations = slices.DeleteFunc(ep.reservations, func(reserved reservation) bool {
 		return reserved.at <= r.now-r.config.overloadWindow
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -8,62 +8,62 @@
 	"quilldoor/internal/tinylfu"
 )
 
-// Snapshot is what a Router has learned, for one that takes its place at once: how popular objects are, what
-// caches keep, limits, ejections, slow-start reservations and purges. Left out are open requests, when endpoints were
-// readmitted, the delay of the origin, and a subscription that is to be repeated: these the next Router learns anew.
-// Times are those of Handle, in microseconds. Routers of different versions exchange it: fields are only added, and
-// those that the writer does not know are zero.
+// Snapshot is the learned state of a Router, for another one that replaces it immediately: popularity of objects,
+// objects kept by caches, limits, ejections, slow-start reservations and purges. It does not contain open requests,
+// readmission times of endpoints, the delay of the origin, or a scheduled repetition of the subscription: the next
+// Router determines these anew. Times are those of Handle, in microseconds. Routers of different versions exchange it:
+// fields are only added, and those unknown to the writer are zero.
 type Snapshot struct {
 	SketchRows         [4][]uint64                       `cbor:"1,keyasint"`            // counters of the popularity sketch, see tinylfu.State
 	SketchDoorkeeper   []uint64                          `cbor:"2,keyasint"`            // bits of its doorkeeper
 	SketchSample       int                               `cbor:"3,keyasint"`            // requests counted since it was halved
-	NextHalving        int64                             `cbor:"4,keyasint,omitempty"`  // time at which it is halved next
+	NextHalving        int64                             `cbor:"4,keyasint,omitempty"`  // time of the next halving
 	Endpoints          []EndpointSnapshot                `cbor:"5,keyasint"`            // sorted by id
-	BypassLimiters     [attemptKindCount]LimiterSnapshot `cbor:"6,keyasint"`            // of attempts past the caches, by kind of attempt
+	BypassLimiters     [attemptKindCount]LimiterSnapshot `cbor:"6,keyasint"`            // of attempts that bypass the caches, by kind of attempt
 	TransferTimes      map[string]TransferTimes          `cbor:"7,keyasint,omitempty"`  // by traffic class
 	FillFailures       []SampleSnapshot                  `cbor:"8,keyasint,omitempty"`  // of the last attempts that might fill; bad: no response
 	Priorities         []float64                         `cbor:"9,keyasint,omitempty"`  // of the last requests, 32 at most
-	Purges             []PurgeSnapshot                   `cbor:"10,keyasint,omitempty"` // by arrival
-	SlowStartHoldUntil int64                             `cbor:"11,keyasint,omitempty"` // time until which endpoints in slow start get nothing
-	Extra              map[string][]byte                 `cbor:"12,keyasint,omitempty"` // of later versions
+	Purges             []PurgeSnapshot                   `cbor:"10,keyasint,omitempty"` // in order of arrival
+	SlowStartHoldUntil int64                             `cbor:"11,keyasint,omitempty"` // time at which the slow-start hold ends
+	Extra              map[string][]byte                 `cbor:"12,keyasint,omitempty"` // fields of later versions
 }
 
 // TransferTimes are the transfer times of a traffic class's last requests in microseconds, 32 at most.
 type TransferTimes []int64
 
-// EndpointSnapshot is what is known of an endpoint. Health is a value of the unexported type health; DueAt is the time
-// until which a failure does not count or the ejection lasts; Ejections counts those since it was last readmitted;
-// LinkUse is from 0 to 1.
+// EndpointSnapshot is the learned state of an endpoint. Health is a value of the unexported type health. DueAt is the
+// time until which a failure of a suspect endpoint does not count, or until which an ejection lasts. Ejections is their
+// number since the last readmission. LinkUse is the utilization of the zone's link from the parents, 0 to 1.
 type EndpointSnapshot struct {
 	ID               string                            `cbor:"1,keyasint"`
-	StartedAt        int64                             `cbor:"2,keyasint,omitempty"` // as listed; 0: long past
+	StartedAt        int64                             `cbor:"2,keyasint,omitempty"` // as listed; 0: long ago
 	Health           uint8                             `cbor:"3,keyasint"`
 	DueAt            int64                             `cbor:"4,keyasint,omitempty"`
 	Ejections        int64                             `cbor:"5,keyasint,omitempty"`
-	ReservedAt       []int64                           `cbor:"6,keyasint,omitempty"`  // work sent in slow start: when ...
-	ReservedWork     []int64                           `cbor:"7,keyasint,omitempty"`  // ... how much ...
-	ReservedVariance []float64                         `cbor:"12,keyasint,omitempty"` // ... and the variance of that
+	ReservedAt       []int64                           `cbor:"6,keyasint,omitempty"`  // times of work sent in slow start
+	ReservedWork     []int64                           `cbor:"7,keyasint,omitempty"`  // amounts of that work
+	ReservedVariance []float64                         `cbor:"12,keyasint,omitempty"` // variances of the amounts
 	LinkUse          float64                           `cbor:"8,keyasint,omitempty"`
 	SourceSamples    []SampleSnapshot                  `cbor:"9,keyasint,omitempty"`  // of the last fills from it; bad: late
-	CachedObjects    []uint64                          `cbor:"10,keyasint,omitempty"` // hashes of those it was asked to keep, latest last
+	CachedObjects    []uint64                          `cbor:"10,keyasint,omitempty"` // hashes of the objects to keep, most recent last
 	Limiters         [attemptKindCount]LimiterSnapshot `cbor:"11,keyasint"`           // by kind of attempt
 }
 
-// LimiterSnapshot is a concurrency limit, in attempts of one kind at once, with the last attempts that moved it.
+// LimiterSnapshot is a limit on the attempts of one kind in flight, with samples of the attempts that adjusted it last.
 type LimiterSnapshot struct {
 	Limit     float64          `cbor:"1,keyasint"`
 	ReducedAt int64            `cbor:"2,keyasint,omitempty"` // time; 0: never
 	Samples   []SampleSnapshot `cbor:"3,keyasint,omitempty"`
 }
 
-// SampleSnapshot is when an attempt ended, and whether it counted against its endpoint.
+// SampleSnapshot is the time at which an attempt was recorded, and whether it counted against its endpoint.
 type SampleSnapshot struct {
 	_   struct{} `cbor:",toarray"`
 	At  int64    // time
 	Bad bool
 }
 
-// PurgeSnapshot is a purge that some caches may not have seen: of Object, or of Group where Object is empty.
+// PurgeSnapshot is a purge that some caches may not have received: of Object, or of Group where Object is empty.
 type PurgeSnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Object string
@@ -71,18 +71,18 @@
 	At     int64 // time at which it was made
 }
 
-// Bounds on what is taken over: what a Router can hold itself, with room to spare.
+// Bounds on the restored state, with room above what a Router itself holds.
 const (
-	maxSnapshotSamples   = 4096 // of a list
+	maxSnapshotSamples   = 4096 // in each list
 	maxSnapshotEndpoints = 20_000
 	maxSnapshotPurges    = 65_536
 )
 
-// ErrSnapshot says that a snapshot has another shape, and that nothing of it was taken over: its popularity counts are
-// of another size, or it names more than 20,000 endpoints or 65,536 purges.
-var ErrSnapshot = errors.New("snapshot of the learned state has another shape")
+// ErrSnapshot is the error for a snapshot of an unsupported size, of which nothing was restored: its popularity sketch
+// has another size, or it contains more than 20,000 endpoints or 65,536 purges.
+var ErrSnapshot = errors.New("snapshot of the learned state has an unsupported size")
 
-// Snapshot returns what the Router has learned. The two share no memory.
+// Snapshot returns the Router's learned state, as a copy that shares no memory with it.
 func (r *Router) Snapshot() *Snapshot {
 	sketch := r.popularity.State()
 	snapshot := &Snapshot{
@@ -145,12 +145,13 @@
 	return out
 }
 
-// Restore takes over what another Router has learned. It is called after the first endpoint list and before the
-// first request. Endpoints that are not listed here, or have started again since, are passed over. A snapshot of
-// another shape gives an error that wraps ErrSnapshot.
+// Restore adopts the learned state of another Router. It must be called after the first endpoint list and before the
+// first request. Endpoints that this Router does not list, or that have restarted since, are skipped. For a snapshot of
+// an unsupported size it returns an error that wraps ErrSnapshot.
 func (r *Router) Restore(snapshot *Snapshot) error {
 	if len(snapshot.Endpoints) > maxSnapshotEndpoints || len(snapshot.Purges) > maxSnapshotPurges {
-		return ErrSnapshot
+		return fmt.Errorf("%w: %d endpoints (at most %d), %d purges (at most %d)", ErrSnapshot,
+			len(snapshot.Endpoints), maxSnapshotEndpoints, len(snapshot.Purges), maxSnapshotPurges)
 	}
 	sketch := tinylfu.State{Rows: snapshot.SketchRows, Doorkeeper: snapshot.SketchDoorkeeper, Samples: snapshot.SketchSample}
 	if err := r.popularity.Restore(sketch); err != nil {
@@ -193,7 +194,7 @@
 	ep.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
 	for i := range min(len(from.ReservedWork), len(from.ReservedAt), maxSnapshotSamples) {
 		reserved := reservation{at: from.ReservedAt[i], work: from.ReservedWork[i]}
-		if i < len(from.ReservedVariance) { // earlier versions give none
+		if i < len(from.ReservedVariance) { // earlier versions write no variances
 			reserved.variance = from.ReservedVariance[i]
 		}
 		ep.reservations = append(ep.reservations, reserved)
@@ -203,7 +204,7 @@
 	}
 }
 
-// restore takes a limit over. One of zero is passed over: nothing would be sent, and the limit would never rise.
+// restore adopts a limit. A limit of zero is skipped: no attempt would be sent, so that the limit would never rise.
 func (lim *limiter) restore(from *LimiterSnapshot) {
 	if from.Limit > 0 {
 		lim.limit = from.Limit
@@ -219,11 +220,11 @@
 	return out
 }
 
-// last returns the last elements of a list, at most so many.
+// last returns the last elements of a list, at most maxCount.
 func last[T any](list []T, maxCount int) []T { return list[max(len(list)-maxCount, 0):] }
 
-// InFlight returns the attempts in flight, by endpoint id and kind. Those past the caches, to parents and the origin,
-// are summed under "".
+// InFlight returns the numbers of attempts in flight by endpoint id. Attempts that bypass the caches, to parents and the
+// origin, are summed under "".
 func (r *Router) InFlight() map[string]AttemptCounts {
 	out := map[string]AttemptCounts{}
 	add := func(id string, limiters *[attemptKindCount]limiter) {
@@ -242,8 +243,8 @@
 	return out
 }
 
-// setOtherInFlight takes in the attempts that the other process of this router has in flight, while one takes the
-// other's place: the limits are for both together.
+// setOtherInFlight sets the attempts in flight of this router's other process during an upgrade. The limits apply to
+// both processes together.
 func (r *Router) setOtherInFlight(counts map[string]AttemptCounts) {
 	for i := range r.bypassLimiters {
 		r.bypassLimiters[i].otherInFlight = counts[""][i]
