--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -18,14 +18,14 @@
 		t.Fatal("not admitted although its estimate is higher than that of the least recent object")
 	}
 	if r.chooseCachePriority(cache, 5) != 2 || cache.cached[maxCachedObjects-1] != 5 || len(cache.cached) != maxCachedObjects {
-		t.Fatal("an object that is kept does not become the most recent")
+		t.Fatal("a listed object does not become the most recent when it is requested")
 	}
 }
 
-// Against lists that many routers of a zone hardly fill.
+// Guards against lists that are too long for the few requests that each of many routers in a zone receives.
 func TestCachedObjectsShrinkWithTheZonesRouters(t *testing.T) {
 	r := newRouter(func(s *Settings) { s.Hierarchy.RoutersByZone = []int{0, 16} })
 	if r.config.maxCachedObjects != maxCachedObjects/4 || r.popularitySample != 2*10*maxCachedObjects/4 {
-		t.Fatalf("%d objects, halved after %d", r.config.maxCachedObjects, r.popularitySample)
+		t.Fatalf("list of %d objects, popularity halved after %d requests", r.config.maxCachedObjects, r.popularitySample)
 	}
 }
--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// At a saturated cache a hit is still to be had; a miss is rejected at once.
+// A saturated cache can still serve hits: a request is sent to it without a fill, and rejected at once on a miss.
 func TestCacheOnlyAttemptAtASaturatedCache(t *testing.T) {
 	r := newRouter(nil)
 	saturateCaches(r)
@@ -21,11 +21,12 @@
 	r := newRouter(func(s *Settings) { s.Classes[0].StaleGrace = 10 * second })
 	saturateCaches(r)
 	if a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend); a.MaxAge != 18*second {
-		t.Fatalf("a cache-only attempt with age %d, want fresh and grace", a.MaxAge)
+		t.Fatalf("cache-only attempt with MaxAge %d, want FreshFor and StaleGrace", a.MaxAge)
 	}
 }
 
-// Behind a slow origin parents still hold much of what caches miss.
+// A parent may have a copy that the saturated cache lacks: a parent-only attempt follows a cache-only miss, but not
+// while the link from the parents is busy.
 func TestParentOnlyAttemptAfterACacheOnlyOne(t *testing.T) {
 	r := newRouter(nil)
 	saturateCaches(r)
@@ -44,7 +45,7 @@
 	onlyAction(t, r.Handle(begin+millisecond, miss, nil), ActionReject)
 }
 
-// Against rejects at one saturated cache beside idle ones.
+// Guards against a rejection because of one saturated cache while another one is idle.
 func TestReadMovesFromASaturatedCacheToAnIdleOne(t *testing.T) {
 	r := newRouter(nil)
 	first := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend).Endpoint
@@ -52,7 +53,7 @@
 	e := newRequest("read")
 	e.Request = "u"
 	if a := onlyAction(t, r.Handle(begin, e, nil), ActionSend); a.Endpoint == first || a.Source == a.Endpoint {
-		t.Fatalf("the idle cache was not asked to fill: %+v", a)
+		t.Fatalf("no fill at the idle cache: %+v", a)
 	}
 }
 
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// benchRouter returns a router that knows some caches, a parent and the origin.
+// benchRouter returns a Router with a number of caches, a parent and an origin in its endpoint list.
 func benchRouter(caches int) *policy.Router {
 	endpoints := []policy.Endpoint{
 		{ID: "p:1", Zone: "hub", Kind: "parent", State: "active", Weight: 40},
@@ -51,7 +51,7 @@
 	return r
 }
 
-// saturate leaves no capacity for further fills at caches that have some out.
+// saturate lowers the fill limits of all caches, so that those with a fill in flight accept no other.
 func saturate(b *testing.B, r *policy.Router) {
 	snapshot := r.Snapshot()
 	for i := range snapshot.Endpoints {
@@ -69,8 +69,8 @@
 	return names
 }()
 
-// handleRequests plays requests that arrive a fixed time apart, each up to its completion, and a timer event
-// every 25 ms.
+// handleRequests handles requests, each from its arrival to its completion, and a timer event every 25 ms. The clock
+// advances by apart before each arrival and each completion.
 func handleRequests(b *testing.B, r *policy.Router, apart int64) {
 	b.ReportAllocs()
 	var actions []policy.Action
@@ -96,7 +96,7 @@
 	}
 }
 
-// endpointOf returns the endpoint of the attempt among some actions.
+// endpointOf returns the endpoint of the attempt that the actions send, "" if there is none.
 func endpointOf(actions []policy.Action) string {
 	for _, a := range actions {
 		if a.Kind == policy.ActionSend {
@@ -110,8 +110,8 @@
 
 func BenchmarkRequestManyEndpoints(b *testing.B) { handleRequests(b, benchRouter(200), 5*millisecond) }
 
-// BenchmarkRequestSaturatedCaches has requests out at each cache, whose limits allow no more fills. The clock
-// hardly moves, so that they stay out.
+// BenchmarkRequestSaturatedCaches has attempts in flight at each cache, whose limits permit no further fills. The clock
+// advances by 1 µs at a time, so that they remain in flight.
 func BenchmarkRequestSaturatedCaches(b *testing.B) {
 	r := benchRouter(20)
 	openRequests(r, 400)
@@ -119,6 +119,7 @@
 	handleRequests(b, r, 1)
 }
 
+// openRequests opens a number of requests and leaves their attempts in flight.
 func openRequests(r *policy.Router, count int) {
 	for i := range count {
 		r.Handle(benchStart, policy.Event{
@@ -128,7 +129,7 @@
 	}
 }
 
-// BenchmarkTimerManyOpen plays the timer with 500 open requests at 200 endpoints.
+// BenchmarkTimerManyOpen handles timer events with 500 open requests at 200 caches.
 func BenchmarkTimerManyOpen(b *testing.B) {
 	b.ReportAllocs()
 	r := benchRouter(200)
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Against attempts that pile up until every response is late.
+// Guards against attempts that accumulate at an overloaded cache until every response is late.
 func TestLimitFollowsLateResponses(t *testing.T) {
 	r := newRouter(nil)
 	r.now = begin
@@ -25,27 +25,28 @@
 	}
 }
 
-// Against limits that fall to their floor by chance at high rates, where few of the last attempts decide.
+// Guards against limits that fall to their floor at high rates, where a quarter of the last few attempts is often late
+// by chance.
 func TestLimitFollowsTheSampleWindow(t *testing.T) {
 	r := newRouter(nil)
 	lim := &limiter{inFlight: 40, limit: 40}
 	for i := range 400 {
 		r.now = begin + int64(i)*2*millisecond
-		r.adjustLimit(lim, i%40 < 36) // four late ones in a row, in forty
+		r.adjustLimit(lim, i%40 < 36) // of 40 attempts, four in a row are late
 	}
 	if lim.limit < 40 {
-		t.Fatalf("reduced to %v with a tenth late", lim.limit)
+		t.Fatalf("limit reduced to %v with a tenth of the responses late", lim.limit)
 	}
 	for i := range 800 {
 		r.now += 2 * millisecond
 		r.adjustLimit(lim, i%3 > 0)
 	}
 	if lim.limit > 20 {
-		t.Fatalf("limit %v with a third late", lim.limit)
+		t.Fatalf("limit %v with a third of the responses late", lim.limit)
 	}
 }
 
-// Against limits that fall to nothing while misses are late whatever is sent.
+// Guards against limits that fall towards zero while misses are late at any load.
 func TestLimitKeepsAPartOfTheLinkBusy(t *testing.T) {
 	r := newRouter(nil)
 	lim := &limiter{limit: 100, weight: 240}
@@ -63,20 +64,21 @@
 	r.priorities = []float64{1, 2, 3, 4}
 	lim := &limiter{inFlight: 10, limit: 10}
 	if !r.saturated(&request{priority: 1}, lim) || r.saturated(&request{priority: 4}, lim) {
-		t.Fatal("at the limit the lowest priority is to be turned away, not the highest")
+		t.Fatal("at the limit, requests of the lowest priority must be rejected and those of the highest accepted")
 	}
 }
 
-// Against a limit that stays at its floor because nothing is in flight when the last attempt ends.
+// Guards against a limit that stays at its floor because no other attempt is in flight when an attempt ends.
 func TestLimitRisesFromItsFloor(t *testing.T) {
 	r := newRouter(nil)
 	lim := &limiter{limit: 2}
 	if r.adjustLimit(lim, true); lim.limit <= 2 {
-		t.Fatal("not raised by the one attempt there was capacity for")
+		t.Fatal("not raised by a single timely attempt")
 	}
 }
 
-// A router's share of a cache may be less than one attempt: some requests find capacity then, others none.
+// A router's share of a cache's limit may be less than one attempt: the limit is then the probability that a request
+// finds capacity.
 func TestLimitBelowOneIsAProbability(t *testing.T) {
 	r := newRouter(nil)
 	r.config.zoneShare = 0.1
@@ -94,19 +96,19 @@
 		}
 	}
 	if admitted < 150 || admitted > 250 {
-		t.Fatalf("%d of 1000 found capacity at half of 0.4", admitted)
+		t.Fatalf("%d of 1000 requests found capacity at half of a limit of 0.4", admitted)
 	}
 	if lim.inFlight = 1; !r.saturated(&request{}, lim) {
-		t.Fatal("a second attempt went out")
+		t.Fatal("capacity for a second attempt")
 	}
 }
 
-// Against a spell of errors at all caches alike that reduces every limit. A fill that failed for a reason counts.
+// Guards against errors at all caches alike, such as resets, that reduce every limit. Errors with a reason do count.
 func TestErrorsWithoutAReasonReduceNoLimit(t *testing.T) {
 	for reason, outcome := range map[Reason]Outcome{
 		ReasonNone:         OutcomeError,
 		ReasonUpstreamDown: OutcomeError,
-		-1:                 OutcomeConnectionReset, // without a reason
+		-1:                 OutcomeConnectionReset, // a second key without a reason
 	} {
 		r := newRouter(func(s *Settings) { s.Hierarchy.ReasonsGiven = "all" })
 		start := r.endpoints[cacheA].limiters[attemptFill].limit
@@ -124,20 +126,20 @@
 		}
 		got := min(r.endpoints[cacheA].limiters[attemptFill].limit, r.endpoints[cacheB].limiters[attemptFill].limit)
 		if (got < start) != (reason > 0) {
-			t.Errorf("note %d: limit %g, %g at the start", reason, got, start)
+			t.Errorf("reason %d: limit %g, %g at the start", reason, got, start)
 		}
 	}
 }
 
-// Against attempts without bound at the parents while a zone's caches are lost.
+// Guards against unlimited attempts at the parents while no cache of the zone is active.
 func TestAttemptsPastTheCachesAreLimited(t *testing.T) {
 	r := newRouter(nil)
 	r.endpoints[cacheA].active, r.endpoints[cacheB].active = false, false
 	a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
 	if a.Endpoint != parentA || a.Source != originA {
-		t.Fatalf("not straight to the parent: %+v", a)
+		t.Fatalf("not sent directly to the parent: %+v", a)
 	}
-	for i := range r.bypassLimiters { // whichever parent they went to
+	for i := range r.bypassLimiters { // parents and origin share them
 		r.bypassLimiters[i] = limiter{inFlight: 5, limit: 2}
 	}
 	e := newRequest("read")
@@ -145,11 +147,12 @@
 	onlyAction(t, r.Handle(begin, e, nil), ActionReject)
 }
 
-// Against a router that has no limit to go by, and rejects all, because it started while no cache was listed.
+// Guards against a router that rejects every request, because limits are set from caches and none was listed at its
+// start.
 func TestRouterWithoutCachesUsesParents(t *testing.T) {
 	r := New(testSettings(), 1)
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeSnapshot, Endpoints: testEndpoints()[2:]}, nil)
 	if a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend); a.Endpoint != parentA {
-		t.Fatalf("not straight to the parent: %+v", a)
+		t.Fatalf("not sent directly to the parent: %+v", a)
 	}
 }
--- a/internal/policy/deadline_test.go
+++ b/internal/policy/deadline_test.go
@@ -11,25 +11,25 @@
 		ActionFail, ActionReject, ActionSend)
 }
 
-// Against stuck fills that take capacity until the client leaves, with and without a size.
+// Guards against stuck fills that occupy capacity until the client disconnects, with and without a known size.
 func TestAttemptTimeoutIsTwiceTheLatencyObjective(t *testing.T) {
 	r := newRouter(nil)
 	e := newRequest("read")
 	if a := onlyAction(t, r.Handle(begin, e, nil), ActionSend); a.Timeout != second {
-		t.Fatalf("time-out %d, want twice the latency objective", a.Timeout)
+		t.Fatalf("timeout %d, want twice the latency objective", a.Timeout)
 	}
 	e.Request, e.SizeKB = "u", 0
 	if a := onlyAction(t, r.Handle(begin, e, nil), ActionSend); a.Timeout != second {
-		t.Fatalf("time-out %d of an attempt of unknown size", a.Timeout)
+		t.Fatalf("timeout %d of an attempt of unknown size, want twice the latency objective", a.Timeout)
 	}
-	// Past the caches it takes no capacity of theirs.
+	// A write bypasses the caches and occupies none of their capacity.
 	e.Request, e.Class = "v", "once"
 	if a := onlyAction(t, r.Handle(begin, e, nil), ActionSend); a.Timeout != e.Remaining {
-		t.Fatalf("time-out %d of a write", a.Timeout)
+		t.Fatalf("timeout %d of a write, want the time until its deadline", a.Timeout)
 	}
 }
 
-// Against limits that come down only once responses miss the objective.
+// Guards against limits that are reduced only once responses miss the latency objective.
 func TestAttemptIsOverdueBeforeItsLatencyObjective(t *testing.T) {
 	for share, want := range map[int64]bool{79: false, 81: true} {
 		r := newRouter(nil)
--- a/internal/policy/endpointselection_test.go
+++ b/internal/policy/endpointselection_test.go
@@ -16,6 +16,6 @@
 		}
 	}
 	if atLargerCache < 700 || atLargerCache > 800 {
-		t.Fatalf("%d of 1000 objects at a cache of three quarters of the size", atLargerCache)
+		t.Fatalf("%d of 1000 objects at a cache with three quarters of the weight", atLargerCache)
 	}
 }
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -7,7 +7,7 @@
 	begin                            = 100 * second
 )
 
-// testSettings are of a small site with a traffic class of each effect.
+// testSettings returns the settings of a small site with traffic classes of every effect.
 func testSettings() Settings {
 	return Settings{
 		Routers: 2, Zone: "z", Zones: []string{"hub", "z"}, EndpointKinds: []string{"box", "parent", "origin"},
@@ -49,7 +49,7 @@
 	}
 }
 
-// newRouter returns a Router that knows the list; change edits its settings first.
+// newRouter returns a Router with testEndpoints as its endpoint list. change, if not nil, edits its settings first.
 func newRouter(change func(*Settings)) *Router {
 	settings := testSettings()
 	if change != nil {
@@ -66,12 +66,12 @@
 	}
 }
 
-// attemptEnded is the end of the request's first attempt.
+// attemptEnded returns the end of the first attempt of newRequest's request.
 func attemptEnded(endpoint string, outcome Outcome) Event {
 	return Event{Kind: EventAttemptEnded, Request: "t", Endpoint: endpoint, Outcome: outcome}
 }
 
-// onlyAction returns the one action of a kind, or fails the test.
+// onlyAction returns the only action of a kind, and fails the test if there are none or several.
 func onlyAction(t *testing.T, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
@@ -86,18 +86,19 @@
 	return found[0]
 }
 
+// noAction fails the test if there is an action of one of the kinds.
 func noAction(t *testing.T, actions []Action, kinds ...ActionKind) {
 	t.Helper()
 	for _, a := range actions {
 		for _, k := range kinds {
 			if a.Kind == k {
-				t.Fatalf("unwanted action %+v", a)
+				t.Fatalf("unexpected action %+v", a)
 			}
 		}
 	}
 }
 
-// saturateCaches leaves no capacity for fills at either cache.
+// saturateCaches sets the fill limits of both caches so that neither has capacity.
 func saturateCaches(r *Router) {
 	for _, id := range []string{cacheA, cacheB} {
 		r.endpoints[id].limiters[attemptFill] = limiter{inFlight: 5, limit: 2}
--- a/internal/policy/outlierejection_test.go
+++ b/internal/policy/outlierejection_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Against slow fills behind a cache that are taken for its silence.
+// Guards against slow fills that make their cache appear unresponsive.
 func TestSuspicionNeedsSeveralUnansweredAttempts(t *testing.T) {
 	r := newRouter(nil)
 	r.now = begin + 5*second
@@ -23,26 +23,26 @@
 	s := r.endpoints[cacheA]
 	r.observe(s, signalFailed)
 	if s.health != suspect {
-		t.Fatal("one failure makes no suspect")
+		t.Fatal("an endpoint is not suspect after one failure")
 	}
-	// Attempts of one broken connection end together, and resets may come from all endpoints alike.
+	// The attempts of one broken connection end together, and resets may affect all endpoints alike.
 	if r.observe(s, signalFailed); s.health != suspect {
-		t.Fatal("two attempts that end together eject an endpoint")
+		t.Fatal("two failures at the same time eject an endpoint")
 	}
 	r.now += 100 * millisecond
 	if r.observe(s, signalFailed); s.health != ejected || r.usable(s, &request{cost: 1}) {
-		t.Fatal("two failures do not eject an endpoint")
+		t.Fatal("a failure 100 ms after the first does not eject an endpoint")
 	}
 	r.now = s.healthHeldUntil
 	if r.observe(s, signalEjectionOver); s.health != probation || !r.usable(s, &request{cost: 1}) {
-		t.Fatal("no probation after the ejection")
+		t.Fatal("not on probation, or not usable, after the ejection")
 	}
 	if r.observe(s, signalAnswered); s.health != healthy {
-		t.Fatal("not readmitted after an answer")
+		t.Fatal("not readmitted after a response")
 	}
 }
 
-// Against a silent parent that holds each miss until its client leaves.
+// Guards against an unresponsive parent that delays every miss until the client disconnects.
 func TestParentWithLateFillsIsEjected(t *testing.T) {
 	r := newRouter(nil)
 	secondParent := testEndpoints()[2]
@@ -63,11 +63,11 @@
 	}
 	timely.fillSamples = slices.Repeat([]sample{{begin, true}}, 7)
 	if r.observeFill(timely, false); timely.health != healthy {
-		t.Fatal("the last healthy parent is ejected")
+		t.Fatal("the only other parent is ejected too")
 	}
 }
 
-// Against a lost parent that goes unseen by routers that name it seldom.
+// Guards against an unresponsive parent that stays undetected by routers that rarely use it as a fill source.
 func TestLateFillBringsAHealthCheck(t *testing.T) {
 	r := newRouter(func(s *Settings) { s.Limits.HealthChecks = true })
 	parent := r.endpoints[parentA]
--- a/internal/policy/popularity_test.go
+++ b/internal/policy/popularity_test.go
@@ -6,12 +6,13 @@
 	"quilldoor/internal/tinylfu"
 )
 
-// recordSample notes one request in a sketch, as countRequest does short of halving.
+// recordSample counts one request in a sketch, as countRequest does, but never halves it.
 func recordSample(sketch *tinylfu.Sketch, key uint64) {
 	sketch.Record(key)
 	sketch.AddSample()
 }
 
+// setSamples sets the number of samples that a sketch has counted.
 func setSamples(t *testing.T, sketch *tinylfu.Sketch, samples int) {
 	t.Helper()
 	state := sketch.State()
@@ -36,7 +37,7 @@
 	}
 	sketch.Halve()
 	if got := sketch.Estimate(key); got != sketchMaxCount/2 || sketch.Samples() != 27 {
-		t.Fatalf("halved: estimate %d, sample %d", got, sketch.Samples())
+		t.Fatalf("estimate %d, %d samples after halving", got, sketch.Samples())
 	}
 }
 
@@ -45,7 +46,7 @@
 	setSamples(t, r.popularity, r.popularitySample-1)
 	r.Handle(begin, newRequest("read"), nil)
 	if r.popularity.Samples() != r.popularitySample/2 {
-		t.Fatalf("sample %d after reaching %d", r.popularity.Samples(), r.popularitySample)
+		t.Fatalf("%d samples after the sample of %d was complete", r.popularity.Samples(), r.popularitySample)
 	}
 }
 
@@ -53,11 +54,11 @@
 	r := newRouter(nil)
 	a := onlyAction(t, r.Handle(begin, newRequest("once"), nil), ActionSend)
 	if a.Endpoint != originA || a.CachePriority != 0 || r.popularity.Samples() != 0 {
-		t.Fatalf("write sent as %+v, sample %d", a, r.popularity.Samples())
+		t.Fatalf("write sent as %+v, %d samples counted", a, r.popularity.Samples())
 	}
 }
 
-// A request answered by the router's own copies counts as any other, and opens nothing.
+// A request that the router answers from its own copies counts like any other, but opens no request.
 func TestLocalHitsAreOnlyCounted(t *testing.T) {
 	r := New(Settings{
 		Routers: 1, Zone: "z", Zones: []string{"z"}, EndpointKinds: []string{"box", "origin"},
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// One row for each way an attempt may end, for each idempotency: what follows at once.
+// Checks the action that immediately follows each outcome of an attempt, by traffic class.
 func TestRetryAfterEachOutcome(t *testing.T) {
 	const retry, fail, reject, retryAfterPause = ActionSend, ActionFail, ActionReject, ActionSetTimer
 	for _, testCase := range []struct {
@@ -42,7 +42,7 @@
 			if testCase.want == retryAfterPause {
 				noAction(t, actions, retry, fail, reject)
 				if r.requests["t"].retryAt == 0 {
-					t.Fatal("no retry is due")
+					t.Fatal("no retry is scheduled")
 				}
 				return
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-// Against a pause before the retry that outlasts the request.
+// Guards against a retry whose pause ends after the request's deadline.
 func TestWriteRetryEndsBeforeTheDeadline(t *testing.T) {
 	r := newRouter(nil)
 	sent := onlyAction(t, r.Handle(begin, newRequest("once"), nil), ActionSend)
@@ -88,8 +88,8 @@
 	onlyAction(t, actions, ActionReject)
 }
 
-// Guards against a keyed request being sent in another cell, where a second execution is not recognized: an attempt
-// that was never executed does not say where the key is known, though it was sent at the same time.
+// Guards against a retry in a cell where the idempotency key is unknown. An attempt that was never executed does not
+// determine the cell, even if it was sent at the same time as the first executed one.
 func TestKeyedRetryStaysInTheCellOfTheFirstExecutedAttempt(t *testing.T) {
 	r := New(testSettingsWithCells(), 1)
 	list := testEndpoints()
@@ -109,15 +109,15 @@
 	}
 }
 
-// testSettingsWithCells has idempotency keys that the endpoints of a cell share.
+// testSettingsWithCells returns settings in which the endpoints of a cell share their idempotency keys.
 func testSettingsWithCells() Settings {
 	settings := testSettings()
 	settings.Classes[2].DedupGroup = DedupGroupCell
 	return settings
 }
 
-// Guards against a read that is rejected while its attempt is in flight: a hedge beyond the attempts that a read may
-// have ended the request instead of leaving it to that attempt.
+// Guards against a read that is rejected while its last permitted attempt is in flight: a hedge beyond that number ended
+// the request before the attempt did.
 func TestReadWithoutAnAttemptLeftWaitsForTheOneInFlight(t *testing.T) {
 	r := newRouter(nil)
 	sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
@@ -134,7 +134,8 @@
 	noAction(t, r.Handle(now+second/2, Event{Kind: EventTimer, Token: 1}, nil), ActionReject, ActionFail)
 }
 
-// Guards against limits that fall by attempts that were never sent: their end says nothing of the endpoint.
+// Guards against limits that are reduced by attempts that were never sent: their ends do not show the endpoint's
+// capacity.
 func TestSkippedAttemptsLeaveTheLimitAlone(t *testing.T) {
 	r := newRouter(nil)
 	for _, id := range []string{cacheA, cacheB} {
@@ -148,7 +149,7 @@
 	}
 	for _, id := range []string{cacheA, cacheB} {
 		if limit := r.endpoints[id].limiters[attemptFill].limit; limit < 150 {
-			t.Errorf("%s: the limit falls to %v", id, limit)
+			t.Errorf("%s: limit reduced to %v", id, limit)
 		}
 	}
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -20,12 +20,12 @@
 		}
 		maxWork := budget.overloadMultiple * ep.weight * (budget.initialCapacity + 0.1) * float64(second) / budget.routers
 		if sent == 0 || float64(sent) > maxWork {
-			t.Fatalf("%s: sent %d, the budget is %.0f", id, sent, maxWork)
+			t.Fatalf("%s: sent work of %d, the budget is %.0f", id, sent, maxWork)
 		}
 	}
 }
 
-// Against a restarted router that uses its share of a budget a second time.
+// Guards against a restarted router that uses its share of a slow-start budget twice within a window.
 func TestRestartedRouterHoldsSlowStartForAWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Routers, settings.Hierarchy.RoutersByZone = 1, []int{0, 1}
@@ -34,11 +34,11 @@
 	list[0].StartedAt, list[1].State = begin-second, EndpointGone
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeInitial, Endpoints: list}, nil)
 	if a := onlyAction(t, r.Handle(begin+second/2, newRequest("read"), nil), ActionSend); a.Endpoint == cacheA {
-		t.Error("a cache in slow start is sent to within the window")
+		t.Error("sent to a cache in slow start within the window")
 	}
 	e := newRequest("read")
 	e.Request = "later"
 	if a := onlyAction(t, r.Handle(begin+second, e, nil), ActionSend); a.Endpoint != cacheA {
-		t.Errorf("after the window it goes to %s", a.Endpoint)
+		t.Errorf("sent to %s after the window, want the cache in slow start", a.Endpoint)
 	}
 }
--- a/internal/policy/slowstartsearch_test.go
+++ b/internal/policy/slowstartsearch_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// slowStartZone is three routers of one zone with one cache in slow start, and all the work that they send there.
+// slowStartZone models three routers of a zone with one cache in slow start, and all work that they send to the cache.
 type slowStartZone struct {
 	now          int64
-	routers      []*Router // nil: killed
-	stopped      []bool
-	starts       uint64
-	requests     int
-	reservations []reservation
+	routers      []*Router     // nil: not running
+	stopped      []bool        // by router: it is running, but receives no events
+	starts       uint64        // number of router starts, the seed of the last
+	requests     int           // number of requests so far
+	reservations []reservation // work sent to the cache within the last window
 	fault        slowStartFault
 }
 
-// slowStartFault is a wrong rule, to show that the search finds its consequences.
+// slowStartFault is a fault that is injected to check that the search detects it.
 type slowStartFault uint8
 
 const (
 	noFault          slowStartFault = iota
-	reserveAtRestart                // a restarted router uses its share at once
-	countRunning                    // the budget is divided by the routers that run
+	reserveAtRestart                // a restarted router uses its share of the budget at once
+	countRunning                    // the budget is divided among the running routers only
 )
 
 const (
-	workPerRequest = 200 * millisecond // of a request, by its class's latency objective: sizes are unknown
+	workPerRequest = 200 * millisecond // the latency objective of its class, since sizes are unknown
 	cacheWeight    = 30
-	// startBudget is what the cache takes within a window at its start.
+	// startBudget is the work that the cache tolerates within a window at its start.
 	startBudget = 0.2 * 2 * cacheWeight * float64(second)
 )
 
@@ -48,6 +48,7 @@
 	}
 }
 
+// newSlowStartZone returns a zone one second after its cache and three routers started.
 func newSlowStartZone(fault slowStartFault) *slowStartZone {
 	z := &slowStartZone{
 		now: 10 * second, routers: make([]*Router, 3), stopped: make([]bool, 3), fault: fault,
@@ -59,6 +60,7 @@
 	return z
 }
 
+// start starts a router with an initial endpoint list: the cache in slow start and an origin.
 func (z *slowStartZone) start(i int) {
 	z.starts++
 	r := New(slowStartZoneSettings(), z.starts)
@@ -72,6 +74,7 @@
 	}
 }
 
+// killOrStart kills a router that is running or stopped, and starts one that was killed.
 func (z *slowStartZone) killOrStart(i int) {
 	if z.routers[i] != nil {
 		z.routers[i] = nil
@@ -80,7 +83,7 @@
 	}
 }
 
-// running is how many routers run.
+// running returns the number of routers that are started and not stopped.
 func (z *slowStartZone) running() (count int) {
 	for i, r := range z.routers {
 		if r != nil && !z.stopped[i] {
@@ -90,7 +93,7 @@
 	return count
 }
 
-// sendUntilRefused hands a router requests until it sends the cache no more.
+// sendUntilRefused passes up to 60 requests to a running router, until one is not sent to the cache.
 func (z *slowStartZone) sendUntilRefused(i int) {
 	r := z.routers[i]
 	if r == nil || z.stopped[i] {
@@ -106,8 +109,8 @@
 	}
 }
 
-// request hands a router one request and reports whether it was sent to the cache. It ends at once and well, so that
-// only the budget holds the next one back.
+// request passes one request to a router and reports whether it was sent to the cache. The attempt succeeds at once, so
+// that only the budget prevents the next one.
 func (z *slowStartZone) request(r *Router) (sent bool) {
 	z.requests++
 	id := fmt.Sprint(z.requests)
@@ -125,7 +128,7 @@
 	return sent
 }
 
-// overBudget reports whether the cache was sent more than its budget within a window.
+// overBudget reports whether the cache was sent more than startBudget within the last window.
 func (z *slowStartZone) overBudget() bool {
 	z.reservations = slices.DeleteFunc(z.reservations, func(reserved reservation) bool { return reserved.at <= z.now-second })
 	sum := int64(0)
@@ -135,7 +138,7 @@
 	return float64(sum) > startBudget
 }
 
-// key names the state, so that none is searched twice.
+// key identifies the state, so that no state is searched twice.
 func (z *slowStartZone) key() string {
 	key := fmt.Sprint(z.now, z.stopped, z.reservations)
 	for _, r := range z.routers {
@@ -147,6 +150,7 @@
 	return key
 }
 
+// searchEvent is one step of a sequence.
 type searchEvent struct {
 	name string
 	do   func(z *slowStartZone)
@@ -154,9 +158,9 @@
 
 func searchEvents() []searchEvent {
 	events := []searchEvent{
-		{"soon", func(z *slowStartZone) { z.now += 300 * millisecond }},
-		{"later", func(z *slowStartZone) { z.now += second }},
-		{"use all", func(z *slowStartZone) {
+		{"advance 300 ms", func(z *slowStartZone) { z.now += 300 * millisecond }},
+		{"advance 1 s", func(z *slowStartZone) { z.now += second }},
+		{"send with all", func(z *slowStartZone) {
 			z.sendUntilRefused(0)
 			z.sendUntilRefused(1)
 			z.sendUntilRefused(2)
@@ -164,15 +168,15 @@
 	}
 	for i := range 3 {
 		events = append(events,
-			searchEvent{fmt.Sprint("use ", i), func(z *slowStartZone) { z.sendUntilRefused(i) }},
-			searchEvent{fmt.Sprint("stop or wake ", i), func(z *slowStartZone) { z.stopped[i] = !z.stopped[i] }},
+			searchEvent{fmt.Sprint("send with ", i), func(z *slowStartZone) { z.sendUntilRefused(i) }},
+			searchEvent{fmt.Sprint("stop or continue ", i), func(z *slowStartZone) { z.stopped[i] = !z.stopped[i] }},
 			searchEvent{fmt.Sprint("kill or start ", i), func(z *slowStartZone) { z.killOrStart(i) }})
 	}
 	return events
 }
 
-// searchSlowStart plays every order of use, time, stops, wakings, kills and starts to a depth. It gives the number
-// of states, and the names of the events that lead above the budget, if any do.
+// searchSlowStart tries every sequence of up to depth searchEvents. It returns the number of states, and the names of
+// the events of the first sequence that exceeds the budget, nil if none does.
 func searchSlowStart(depth int, fault slowStartFault) (states int, violation []string) {
 	events := searchEvents()
 	seen := map[string]bool{}
@@ -209,20 +213,20 @@
 	return states, violation
 }
 
-// Whatever order use, stops, wakings, kills and starts come in: all routers, with their earlier runs, never send a
-// cache in slow start more than its budget in a window.
+// Checks that in any sequence of requests, stops, continuations, kills and starts all routers together, including their
+// earlier processes, never send a cache in slow start more than its budget within a window.
 func TestSlowStartBudgetAddsUpOverRouters(t *testing.T) {
 	states, violation := searchSlowStart(5, noFault)
 	if violation != nil {
-		t.Fatalf("above the budget by %v", violation)
+		t.Fatalf("budget exceeded by %v", violation)
 	}
 	t.Logf("%d states", states)
 	for name, fault := range map[string]slowStartFault{
-		"running routers counted":               countRunning,
-		"a restarted router holds nothing back": reserveAtRestart,
+		"budget divided among running routers": countRunning,
+		"no hold after a restart":              reserveAtRestart,
 	} {
 		if _, violation := searchSlowStart(5, fault); violation == nil {
-			t.Errorf("%s: not caught", name)
+			t.Errorf("%s: fault not detected", name)
 		} else {
 			t.Logf("%s: %v", name, violation)
 		}
