--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -228,7 +228,8 @@
 	}
 }
 
-// observeAttempt records whether an attempt was on time. A late one counts once, at its end or when it is overdue.
+// observeAttempt records whether an attempt was on time. A late attempt counts once, at its end or when it becomes
+// overdue, whichever is earlier.
 func (r *Router) observeAttempt(req *request, a *attempt, timely bool) {
 	if a.late || a.endpoint.role == roleOrigin || req.class.write {
 		return
--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -13,7 +13,7 @@
 	r.endpoints[a.Endpoint].linkUse = 1
 	actions := r.Handle(begin+millisecond, attemptEnded(a.Endpoint, OutcomeMiss), nil)
 	if onlyAction(t, actions, ActionReject).RetryAfter == 0 {
-		t.Fatal("no Retry-After")
+		t.Fatal("rejected without RetryAfter")
 	}
 }
 
@@ -25,8 +25,8 @@
 	}
 }
 
-// A parent may have a copy that the saturated cache lacks: a parent-only attempt follows a cache-only miss, but not
-// while the link from the parents is busy.
+// Parents hold copies of many objects that caches miss, also while the origin is slow: a parent-only attempt follows a
+// cache-only one that missed, but not while the link from the parents is busy.
 func TestParentOnlyAttemptAfterACacheOnlyOne(t *testing.T) {
 	r := newRouter(nil)
 	saturateCaches(r)
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -132,7 +132,7 @@
 }
 
 // Guards against unlimited attempts at the parents while no cache of the zone is active.
-func TestAttemptsPastTheCachesAreLimited(t *testing.T) {
+func TestAttemptsThatBypassTheCachesAreLimited(t *testing.T) {
 	r := newRouter(nil)
 	r.endpoints[cacheA].active, r.endpoints[cacheB].active = false, false
 	a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -24,7 +24,7 @@
 	removed    bool    // listed as EndpointGone, or no longer listed
 
 	inFlight        int   // number of attempts
-	unansweredSince int64 // start of the present time without a response, while attempts are in flight
+	unansweredSince int64 // start of the current time without a response; used while attempts are in flight
 
 	health          health
 	healthHeldUntil int64    // suspect: no failure counts before it; ejected: probation begins at it
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -7,9 +7,9 @@
 
 func TestDrainingAndRemovedEndpointsGetNoAttempts(t *testing.T) {
 	r := newRouter(nil)
-	removed := []Endpoint{testEndpoints()[0], testEndpoints()[2]}
-	removed[0].State, removed[1].State = EndpointDraining, EndpointGone
-	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: removed}, nil)
+	unavailable := []Endpoint{testEndpoints()[0], testEndpoints()[2]}
+	unavailable[0].State, unavailable[1].State = EndpointDraining, EndpointGone
+	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: unavailable}, nil)
 	for i := range 20 {
 		e := newRequest("read")
 		e.Request, e.Object = fmt.Sprint(i), fmt.Sprint(i)
@@ -20,7 +20,7 @@
 }
 
 // Guards against work for each request that grows with the fleet.
-func TestCachesOfOtherZonesAreLeftOut(t *testing.T) {
+func TestCachesOfOtherZonesAreIgnored(t *testing.T) {
 	r := newRouter(nil)
 	listed := []Endpoint{{ID: "far:1", Zone: "y", Kind: "box", State: EndpointActive, Weight: 10}}
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: listed}, nil)
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// testEndpoints returns an endpoint list of two caches, a parent and the origin.
 func testEndpoints() []Endpoint {
 	return []Endpoint{
 		{ID: cacheA, Zone: "z", Kind: "box", State: EndpointActive, Weight: 10},
@@ -60,6 +61,7 @@
 	return r
 }
 
+// newRequest returns the request "t" of a traffic class, with three seconds until its deadline.
 func newRequest(class string) Event {
 	return Event{
 		Kind: EventRequest, Request: "t", Class: class, Object: "x", Group: 7, SizeKB: 100, Remaining: 3 * second,
--- a/internal/policy/outlierejection_test.go
+++ b/internal/policy/outlierejection_test.go
@@ -20,24 +20,24 @@
 
 func TestEjectionNeedsTwoFailures(t *testing.T) {
 	r := newRouter(nil)
-	s := r.endpoints[cacheA]
-	r.observe(s, signalFailed)
-	if s.health != suspect {
+	ep := r.endpoints[cacheA]
+	r.observe(ep, signalFailed)
+	if ep.health != suspect {
 		t.Fatal("an endpoint is not suspect after one failure")
 	}
 	// The attempts of one broken connection end together, and resets may affect all endpoints alike.
-	if r.observe(s, signalFailed); s.health != suspect {
+	if r.observe(ep, signalFailed); ep.health != suspect {
 		t.Fatal("two failures at the same time eject an endpoint")
 	}
 	r.now += 100 * millisecond
-	if r.observe(s, signalFailed); s.health != ejected || r.usable(s, &request{cost: 1}) {
+	if r.observe(ep, signalFailed); ep.health != ejected || r.usable(ep, &request{cost: 1}) {
 		t.Fatal("a failure 100 ms after the first does not eject an endpoint")
 	}
-	r.now = s.healthHeldUntil
-	if r.observe(s, signalEjectionOver); s.health != probation || !r.usable(s, &request{cost: 1}) {
+	r.now = ep.healthHeldUntil
+	if r.observe(ep, signalEjectionOver); ep.health != probation || !r.usable(ep, &request{cost: 1}) {
 		t.Fatal("not on probation, or not usable, after the ejection")
 	}
-	if r.observe(s, signalAnswered); s.health != healthy {
+	if r.observe(ep, signalAnswered); ep.health != healthy {
 		t.Fatal("not readmitted after a response")
 	}
 }
@@ -68,7 +68,7 @@
 }
 
 // Guards against an unresponsive parent that stays undetected by routers that rarely use it as a fill source.
-func TestLateFillBringsAHealthCheck(t *testing.T) {
+func TestLateFillTriggersAHealthCheck(t *testing.T) {
 	r := newRouter(func(s *Settings) { s.Limits.HealthChecks = true })
 	parent := r.endpoints[parentA]
 	r.observeFill(parent, true)
--- a/internal/policy/purgeage.go
+++ b/internal/policy/purgeage.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// purge is a purge that some caches may not have received yet.
+// purge records a purge that some caches may not have received yet.
 type purge struct {
 	object string // "": the whole group
 	group  int64
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -15,7 +15,7 @@
 	transferTimes    []int64 // of the last requests, see recordOutcome and setPriority
 }
 
-// request is an open request.
+// request is the state of an open request.
 type request struct {
 	id       string
 	class    *trafficClass
@@ -73,8 +73,8 @@
 
 var transitions []transition
 
-// The table is filled by init, since a composite literal would be an initialization cycle: its handlers call advance,
-// which reads the table.
+// The table is filled by init, since an initializer of the variable would be an initialization cycle: the handlers call
+// advance, which reads the table.
 func init() {
 	transitions = []transition{
 		{stateNotExecuted, inputArrived, 0, (*Router).startAttempt},
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -26,10 +26,10 @@
 	return keyedAll
 }
 
-// retryRules state what is permitted once an attempt may have been executed.
+// retryRules state which retries and rejections are permitted once an attempt may have been executed.
 var retryRules = [...]struct {
 	retry    bool // another attempt is permitted
-	reject   bool // a rejection, which permits the client to repeat the request
+	reject   bool // a rejection is permitted, after which the client may repeat the request
 	windowed bool // another attempt must be within the dedup window of the first
 	sameZone bool // another attempt must be in the zone of the first
 	sameCell bool // another attempt must be in the cell of the first
--- a/internal/policy/slowstartsearch_test.go
+++ b/internal/policy/slowstartsearch_test.go
@@ -9,8 +9,8 @@
 // slowStartZone models three routers of a zone with one cache in slow start, and all work that they send to the cache.
 type slowStartZone struct {
 	now          int64
-	routers      []*Router     // nil: not running
-	stopped      []bool        // by router: it is running, but receives no events
+	routers      []*Router     // nil: killed
+	stopped      []bool        // by router: it receives no events until it continues
 	starts       uint64        // number of router starts, the seed of the last
 	requests     int           // number of requests so far
 	reservations []reservation // work sent to the cache within the last window
