--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -12,15 +12,15 @@
 // cachedObjectsLimit returns the bound for a router with a share of its zone's requests.
 func cachedObjectsLimit(zoneShare float64) int { return int(maxCachedObjects * math.Sqrt(zoneShare)) }
 
-// Priorities for a copy in a cache. The protocol has further ones, which no decision uses.
+// Priorities for a copy in a cache. The protocol has higher and lower ones, which no decision uses.
 const (
 	cachePriorityNone   = 0
 	cachePriorityMiddle = 2
 )
 
 // chooseCachePriority decides by TinyLFU whether a cache is asked to keep an object: an object that is not in the
-// cache's full list replaces the least recent one only if it is requested more often. The list is updated before the
-// attempt is sent, whatever its outcome.
+// cache's full list replaces the least recent one only if it is requested more often. The list is updated at once,
+// since the cache is asked whatever the outcome of the attempt.
 func (r *Router) chooseCachePriority(ep *endpoint, key uint64) int {
 	if i := slices.Index(ep.cached, key); i >= 0 {
 		ep.cached = slices.Delete(ep.cached, i, i+1)
