--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -4,28 +4,28 @@
 
 func TestAdmissionComparesWithTheLeastRecentObject(t *testing.T) {
 	r := newRouter(nil)
-	s := r.endpoints[cacheA]
+	cache := r.endpoints[cacheA]
 	for i := range maxCachedObjects {
-		if r.chooseCachePriority(s, uint64(i)) != 2 {
+		if r.chooseCachePriority(cache, uint64(i)) != 2 {
 			t.Fatal("not admitted although there is room")
 		}
 	}
-	if r.chooseCachePriority(s, 1000) != 0 || len(s.cached) != maxCachedObjects {
+	if r.chooseCachePriority(cache, 1000) != 0 || len(cache.cached) != maxCachedObjects {
 		t.Fatal("admitted although its estimate is no higher than that of the least recent object")
 	}
 	recordSample(r.popularity, 1000)
-	if r.chooseCachePriority(s, 1000) != 2 || s.cached[0] != 1 || s.cached[maxCachedObjects-1] != 1000 {
+	if r.chooseCachePriority(cache, 1000) != 2 || cache.cached[0] != 1 || cache.cached[maxCachedObjects-1] != 1000 {
 		t.Fatal("not admitted although its estimate is higher than that of the least recent object")
 	}
-	if r.chooseCachePriority(s, 5) != 2 || s.cached[maxCachedObjects-1] != 5 || len(s.cached) != maxCachedObjects {
-		t.Fatal("an object that is kept does not become the most recent")
+	if r.chooseCachePriority(cache, 5) != 2 || cache.cached[maxCachedObjects-1] != 5 || len(cache.cached) != maxCachedObjects {
+		t.Fatal("a listed object does not become the most recent when it is requested")
 	}
 }
 
-// Against lists that many routers of a zone hardly fill.
+// Guards against lists that are too long for the few requests that each of many routers in a zone receives.
 func TestCachedObjectsShrinkWithTheZonesRouters(t *testing.T) {
 	r := newRouter(func(s *Settings) { s.Hierarchy.RoutersByZone = []int{0, 16} })
 	if r.config.maxCachedObjects != maxCachedObjects/4 || r.popularitySample != 2*10*maxCachedObjects/4 {
-		t.Fatalf("%d objects, halved after %d", r.config.maxCachedObjects, r.popularitySample)
+		t.Fatalf("list of %d objects, popularity halved after %d requests", r.config.maxCachedObjects, r.popularitySample)
 	}
 }
--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// At a saturated cache a hit is still to be had; a miss is rejected at once.
+// A saturated cache can still serve hits: a request is sent to it without a fill, and rejected at once on a miss.
 func TestCacheOnlyAttemptAtASaturatedCache(t *testing.T) {
 	r := newRouter(nil)
 	saturateCaches(r)
@@ -13,7 +13,7 @@
 	r.endpoints[a.Endpoint].linkUse = 1
 	actions := r.Handle(begin+millisecond, attemptEnded(a.Endpoint, OutcomeMiss), nil)
 	if onlyAction(t, actions, ActionReject).RetryAfter == 0 {
-		t.Fatal("no Retry-After")
+		t.Fatal("rejected without RetryAfter")
 	}
 }
 
@@ -21,11 +21,12 @@
 	r := newRouter(func(s *Settings) { s.Classes[0].StaleGrace = 10 * second })
 	saturateCaches(r)
 	if a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend); a.MaxAge != 18*second {
-		t.Fatalf("a cache-only attempt with age %d, want fresh and grace", a.MaxAge)
+		t.Fatalf("cache-only attempt with MaxAge %d, want FreshFor and StaleGrace", a.MaxAge)
 	}
 }
 
-// Behind a slow origin parents still hold much of what caches miss.
+// Parents hold copies of many objects that caches miss, also while the origin is slow: a parent-only attempt follows a
+// cache-only one that missed, but not while the link from the parents is busy.
 func TestParentOnlyAttemptAfterACacheOnlyOne(t *testing.T) {
 	r := newRouter(nil)
 	saturateCaches(r)
@@ -44,15 +45,15 @@
 	onlyAction(t, r.Handle(begin+millisecond, miss, nil), ActionReject)
 }
 
-// Against rejects at one saturated cache beside idle ones.
-func TestSaturatedCacheGivesWayToAnIdleOne(t *testing.T) {
+// Guards against a rejection because of one saturated cache while another one is idle.
+func TestReadMovesFromASaturatedCacheToAnIdleOne(t *testing.T) {
 	r := newRouter(nil)
 	first := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend).Endpoint
 	r.endpoints[first].limiters[attemptFill] = limiter{inFlight: 5, limit: 2}
 	e := newRequest("read")
 	e.Request = "u"
 	if a := onlyAction(t, r.Handle(begin, e, nil), ActionSend); a.Endpoint == first || a.Source == a.Endpoint {
-		t.Fatalf("the idle cache was not asked to fill: %+v", a)
+		t.Fatalf("no fill at the idle cache: %+v", a)
 	}
 }
 
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -5,139 +5,141 @@
 	"testing"
 )
 
-// Against attempts that pile up until every response is late.
+// Guards against attempts that accumulate at an overloaded cache until every response is late.
 func TestLimitFollowsLateResponses(t *testing.T) {
 	r := newRouter(nil)
 	r.now = begin
-	m := &limiter{inFlight: 20, limit: 20}
+	lim := &limiter{inFlight: 20, limit: 20}
 	for range 3 {
-		r.adjustLimit(m, false)
+		r.adjustLimit(lim, false)
 	}
-	if m.limit != 20 {
+	if lim.limit != 20 {
 		t.Fatal("reduced before a quarter of the last responses were late")
 	}
-	if r.adjustLimit(m, false); m.limit >= 20 {
+	if r.adjustLimit(lim, false); lim.limit >= 20 {
 		t.Fatal("not reduced after four late responses")
 	}
-	low := m.limit
-	if r.adjustLimit(m, true); m.limit <= low {
+	reduced := lim.limit
+	if r.adjustLimit(lim, true); lim.limit <= reduced {
 		t.Fatal("not raised by a timely response")
 	}
 }
 
-// Against limits that fall to their floor by chance at high rates, where few of the last attempts decide.
+// Guards against limits that fall to their floor at high rates, where a quarter of the last few attempts is often late
+// by chance.
 func TestLimitFollowsTheSampleWindow(t *testing.T) {
 	r := newRouter(nil)
-	m := &limiter{inFlight: 40, limit: 40}
+	lim := &limiter{inFlight: 40, limit: 40}
 	for i := range 400 {
 		r.now = begin + int64(i)*2*millisecond
-		r.adjustLimit(m, i%40 < 36) // four late ones in a row, in forty
+		r.adjustLimit(lim, i%40 < 36) // of 40 attempts, four in a row are late
 	}
-	if m.limit < 40 {
-		t.Fatalf("reduced to %v with a tenth late", m.limit)
+	if lim.limit < 40 {
+		t.Fatalf("limit reduced to %v with a tenth of the responses late", lim.limit)
 	}
 	for i := range 800 {
 		r.now += 2 * millisecond
-		r.adjustLimit(m, i%3 > 0)
+		r.adjustLimit(lim, i%3 > 0)
 	}
-	if m.limit > 20 {
-		t.Fatalf("limit %v with a third late", m.limit)
+	if lim.limit > 20 {
+		t.Fatalf("limit %v with a third of the responses late", lim.limit)
 	}
 }
 
-// Against limits that fall to nothing while misses are late whatever is sent.
+// Guards against limits that fall towards zero while misses are late at any load.
 func TestLimitKeepsAPartOfTheLinkBusy(t *testing.T) {
 	r := newRouter(nil)
-	m := &limiter{limit: 100, weight: 240}
+	lim := &limiter{limit: 100, weight: 240}
 	for range 1000 {
 		r.now += 10 * millisecond
-		r.adjustLimit(m, false)
+		r.adjustLimit(lim, false)
 	}
-	if m.limit != 30 {
-		t.Fatalf("limit %v, want an eighth of 240", m.limit)
+	if lim.limit != 30 {
+		t.Fatalf("limit %v, want an eighth of 240", lim.limit)
 	}
 }
 
 func TestLowestPriorityIsRejectedFirst(t *testing.T) {
 	r := newRouter(nil)
 	r.priorities = []float64{1, 2, 3, 4}
-	m := &limiter{inFlight: 10, limit: 10}
-	if !r.saturated(&request{priority: 1}, m) || r.saturated(&request{priority: 4}, m) {
-		t.Fatal("at the limit the lowest priority is to be turned away, not the highest")
+	lim := &limiter{inFlight: 10, limit: 10}
+	if !r.saturated(&request{priority: 1}, lim) || r.saturated(&request{priority: 4}, lim) {
+		t.Fatal("at the limit, requests of the lowest priority must be rejected and those of the highest accepted")
 	}
 }
 
-// Against a limit that stays at its floor because nothing is in flight when the last attempt ends.
+// Guards against a limit that stays at its floor because no other attempt is in flight when an attempt ends.
 func TestLimitRisesFromItsFloor(t *testing.T) {
 	r := newRouter(nil)
-	m := &limiter{limit: 2}
-	if r.adjustLimit(m, true); m.limit <= 2 {
-		t.Fatal("not raised by the one attempt there was capacity for")
+	lim := &limiter{limit: 2}
+	if r.adjustLimit(lim, true); lim.limit <= 2 {
+		t.Fatal("not raised by a single timely attempt")
 	}
 }
 
-// A router's share of a cache may be less than one attempt: some requests find capacity then, others none.
-func TestLimitBelowOneIsAChance(t *testing.T) {
+// A router's share of a cache's limit may be less than one attempt: the limit is then the probability that a request
+// finds capacity.
+func TestLimitBelowOneIsAProbability(t *testing.T) {
 	r := newRouter(nil)
 	r.config.zoneShare = 0.1
-	m, went := &limiter{limit: 1}, 0
-	if r.adjustLimit(m, true); m.limit > 1.06 || m.limit < 1.04 {
-		t.Fatalf("limit %v, want half a tenth above one", m.limit)
+	lim, admitted := &limiter{limit: 1}, 0
+	if r.adjustLimit(lim, true); lim.limit > 1.06 || lim.limit < 1.04 {
+		t.Fatalf("limit %v, want half a tenth above one", lim.limit)
 	}
-	if r.adjustLimit(m, false); m.limit > 1 {
-		t.Fatalf("limit %v after two attempts, one late", m.limit)
+	if r.adjustLimit(lim, false); lim.limit > 1 {
+		t.Fatalf("limit %v after two attempts, one late", lim.limit)
 	}
-	m.limit = 0.4
+	lim.limit = 0.4
 	for range 1000 {
-		if !r.saturated(&request{}, m) {
-			went++
+		if !r.saturated(&request{}, lim) {
+			admitted++
 		}
 	}
-	if went < 150 || went > 250 {
-		t.Fatalf("%d of 1000 found capacity at half of 0.4", went)
+	if admitted < 150 || admitted > 250 {
+		t.Fatalf("%d of 1000 requests found capacity at half of a limit of 0.4", admitted)
 	}
-	if m.inFlight = 1; !r.saturated(&request{}, m) {
-		t.Fatal("a second attempt went out")
+	if lim.inFlight = 1; !r.saturated(&request{}, lim) {
+		t.Fatal("capacity for a second attempt")
 	}
 }
 
-// Against a spell of errors at all caches alike that reduces every limit. A fill that failed for a reason counts.
+// Guards against errors at all caches alike, such as resets, that reduce every limit. Errors with a reason do count.
 func TestErrorsWithoutAReasonReduceNoLimit(t *testing.T) {
-	for note, outcome := range map[Reason]Outcome{
+	for reason, outcome := range map[Reason]Outcome{
 		ReasonNone:         OutcomeError,
 		ReasonUpstreamDown: OutcomeError,
-		-1:                 OutcomeConnectionReset, // without a reason
+		-1:                 OutcomeConnectionReset, // a second key without a reason
 	} {
 		r := newRouter(func(s *Settings) { s.Hierarchy.ReasonsGiven = "all" })
 		start := r.endpoints[cacheA].limiters[attemptFill].limit
 		for i := range 40 {
 			e, now := newRequest("read"), begin+int64(i)*millisecond
 			e.Request = fmt.Sprint(i)
-			get := onlyAction(t, r.Handle(now, e, nil), ActionSend)
-			end := attemptEnded(get.Endpoint, outcome)
-			end.Request, end.Reason = e.Request, max(note, 0)
+			sent := onlyAction(t, r.Handle(now, e, nil), ActionSend)
+			end := attemptEnded(sent.Endpoint, outcome)
+			end.Request, end.Reason = e.Request, max(reason, 0)
 			actions := r.Handle(now, end, nil)
-			if note == 0 {
+			if reason == 0 {
 				onlyAction(t, actions, ActionSend)
 			}
 			r.Handle(now, Event{Kind: EventClientGone, Request: e.Request}, nil)
 		}
 		got := min(r.endpoints[cacheA].limiters[attemptFill].limit, r.endpoints[cacheB].limiters[attemptFill].limit)
-		if (got < start) != (note > 0) {
-			t.Errorf("note %d: limit %g, %g at the start", note, got, start)
+		if (got < start) != (reason > 0) {
+			t.Errorf("reason %d: limit %g, %g at the start", reason, got, start)
 		}
 	}
 }
 
-// Against attempts without bound at the parents while a zone's caches are lost.
-func TestAttemptsPastTheCachesAreLimited(t *testing.T) {
+// Guards against unlimited attempts at the parents while no cache of the zone is active.
+func TestAttemptsThatBypassTheCachesAreLimited(t *testing.T) {
 	r := newRouter(nil)
 	r.endpoints[cacheA].active, r.endpoints[cacheB].active = false, false
 	a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
 	if a.Endpoint != parentA || a.Source != originA {
-		t.Fatalf("not straight to the parent: %+v", a)
+		t.Fatalf("not sent directly to the parent: %+v", a)
 	}
-	for i := range r.bypassLimiters { // whichever parent they went to
+	for i := range r.bypassLimiters { // parents and origin share them
 		r.bypassLimiters[i] = limiter{inFlight: 5, limit: 2}
 	}
 	e := newRequest("read")
@@ -145,11 +147,12 @@
 	onlyAction(t, r.Handle(begin, e, nil), ActionReject)
 }
 
-// Against a router that has no limit to go by, and rejects all, because it started while no cache was listed.
+// Guards against a router that rejects every request, because limits are set from caches and none was listed at its
+// start.
 func TestRouterWithoutCachesUsesParents(t *testing.T) {
 	r := New(testSettings(), 1)
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeSnapshot, Endpoints: testEndpoints()[2:]}, nil)
 	if a := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend); a.Endpoint != parentA {
-		t.Fatalf("not straight to the parent: %+v", a)
+		t.Fatalf("not sent directly to the parent: %+v", a)
 	}
 }
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -7,7 +7,7 @@
 	begin                            = 100 * second
 )
 
-// testSettings are of a small site with a traffic class of each effect.
+// testSettings returns the settings of a small site with traffic classes of every effect.
 func testSettings() Settings {
 	return Settings{
 		Routers: 2, Zone: "z", Zones: []string{"hub", "z"}, EndpointKinds: []string{"box", "parent", "origin"},
@@ -40,6 +40,7 @@
 	}
 }
 
+// testEndpoints returns an endpoint list of two caches, a parent and the origin.
 func testEndpoints() []Endpoint {
 	return []Endpoint{
 		{ID: cacheA, Zone: "z", Kind: "box", State: EndpointActive, Weight: 10},
@@ -49,29 +50,30 @@
 	}
 }
 
-// newRouter returns a Router that knows the list; change edits its settings first.
+// newRouter returns a Router with testEndpoints as its endpoint list. change, if not nil, edits its settings first.
 func newRouter(change func(*Settings)) *Router {
-	set := testSettings()
+	settings := testSettings()
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	r := New(set, 1)
+	r := New(settings, 1)
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeSnapshot, Endpoints: testEndpoints()}, nil)
 	return r
 }
 
+// newRequest returns the request "t" of a traffic class, with three seconds until its deadline.
 func newRequest(class string) Event {
 	return Event{
 		Kind: EventRequest, Request: "t", Class: class, Object: "x", Group: 7, SizeKB: 100, Remaining: 3 * second,
 	}
 }
 
-// attemptEnded is the end of the request's first attempt.
+// attemptEnded returns the end of the first attempt of newRequest's request.
 func attemptEnded(endpoint string, outcome Outcome) Event {
 	return Event{Kind: EventAttemptEnded, Request: "t", Endpoint: endpoint, Outcome: outcome}
 }
 
-// onlyAction returns the one action of a kind, or fails the test.
+// onlyAction returns the only action of a kind, and fails the test if there are none or several.
 func onlyAction(t *testing.T, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
@@ -86,18 +88,19 @@
 	return found[0]
 }
 
+// noAction fails the test if there is an action of one of the kinds.
 func noAction(t *testing.T, actions []Action, kinds ...ActionKind) {
 	t.Helper()
 	for _, a := range actions {
 		for _, k := range kinds {
 			if a.Kind == k {
-				t.Fatalf("unwanted action %+v", a)
+				t.Fatalf("unexpected action %+v", a)
 			}
 		}
 	}
 }
 
-// saturateCaches leaves no capacity for fills at either cache.
+// saturateCaches sets the fill limits of both caches so that neither has capacity.
 func saturateCaches(r *Router) {
 	for _, id := range []string{cacheA, cacheB} {
 		r.endpoints[id].limiters[attemptFill] = limiter{inFlight: 5, limit: 2}
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -2,51 +2,51 @@
 
 import "testing"
 
-// One row for each way an attempt may end, for each idempotency: what follows at once.
+// Checks the action that immediately follows each outcome of an attempt, by traffic class.
 func TestRetryAfterEachOutcome(t *testing.T) {
-	const again, abort, reject, later = ActionSend, ActionFail, ActionReject, ActionSetTimer
-	for _, c := range []struct {
+	const retry, fail, reject, retryAfterPause = ActionSend, ActionFail, ActionReject, ActionSetTimer
+	for _, testCase := range []struct {
 		class   string
 		outcome Outcome
 		want    ActionKind
 	}{
-		{"read", OutcomeBusy, again},
-		{"read", OutcomeError, again},
-		{"read", OutcomeTimeout, again},
-		{"read", OutcomeConnectionRefused, again},
-		{"read", OutcomeConnectionReset, again},
-		{"read", OutcomeMiss, again},
-		{"read", OutcomeSkipped, again},
-		{"read", OutcomeCanceled, again},
-		{"keyed", OutcomeBusy, later},
-		{"keyed", OutcomeError, later},
-		{"keyed", OutcomeTimeout, later},
-		{"keyed", OutcomeConnectionRefused, later},
-		{"keyed", OutcomeConnectionReset, later},
-		{"keyed", OutcomeSkipped, later},
-		{"zoned", OutcomeBusy, again},
-		{"zoned", OutcomeConnectionReset, again},
-		{"once", OutcomeBusy, later},
-		{"once", OutcomeConnectionRefused, later},
-		{"once", OutcomeMiss, later},
-		{"once", OutcomeSkipped, later},
-		{"once", OutcomeError, abort},
-		{"once", OutcomeTimeout, abort},
-		{"once", OutcomeConnectionReset, abort},
-		{"once", OutcomeCanceled, abort},
+		{"read", OutcomeBusy, retry},
+		{"read", OutcomeError, retry},
+		{"read", OutcomeTimeout, retry},
+		{"read", OutcomeConnectionRefused, retry},
+		{"read", OutcomeConnectionReset, retry},
+		{"read", OutcomeMiss, retry},
+		{"read", OutcomeSkipped, retry},
+		{"read", OutcomeCanceled, retry},
+		{"keyed", OutcomeBusy, retryAfterPause},
+		{"keyed", OutcomeError, retryAfterPause},
+		{"keyed", OutcomeTimeout, retryAfterPause},
+		{"keyed", OutcomeConnectionRefused, retryAfterPause},
+		{"keyed", OutcomeConnectionReset, retryAfterPause},
+		{"keyed", OutcomeSkipped, retryAfterPause},
+		{"zoned", OutcomeBusy, retry},
+		{"zoned", OutcomeConnectionReset, retry},
+		{"once", OutcomeBusy, retryAfterPause},
+		{"once", OutcomeConnectionRefused, retryAfterPause},
+		{"once", OutcomeMiss, retryAfterPause},
+		{"once", OutcomeSkipped, retryAfterPause},
+		{"once", OutcomeError, fail},
+		{"once", OutcomeTimeout, fail},
+		{"once", OutcomeConnectionReset, fail},
+		{"once", OutcomeCanceled, fail},
 	} {
-		t.Run(c.class+" "+c.outcome.String(), func(t *testing.T) {
+		t.Run(testCase.class+" "+testCase.outcome.String(), func(t *testing.T) {
 			r := newRouter(nil)
-			sent := onlyAction(t, r.Handle(begin, newRequest(c.class), nil), ActionSend)
-			actions := r.Handle(begin+100*millisecond, attemptEnded(sent.Endpoint, c.outcome), nil)
-			if c.want == later {
-				noAction(t, actions, again, abort, reject)
+			sent := onlyAction(t, r.Handle(begin, newRequest(testCase.class), nil), ActionSend)
+			actions := r.Handle(begin+100*millisecond, attemptEnded(sent.Endpoint, testCase.outcome), nil)
+			if testCase.want == retryAfterPause {
+				noAction(t, actions, retry, fail, reject)
 				if r.requests["t"].retryAt == 0 {
-					t.Fatal("no retry is due")
+					t.Fatal("no retry is scheduled")
 				}
 				return
 			}
-			onlyAction(t, actions, c.want)
+			onlyAction(t, actions, testCase.want)
 		})
 	}
 }
@@ -74,13 +74,13 @@
 		for i := range minSamples - 1 {
 			r.fillSamples = append(r.fillSamples, sample{begin, i < failed})
 		}
-		get := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
-		out := attemptEnded(get.Endpoint, OutcomeBusy)
-		onlyAction(t, r.Handle(begin+millisecond, out, nil), want)
+		sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
+		end := attemptEnded(sent.Endpoint, OutcomeBusy)
+		onlyAction(t, r.Handle(begin+millisecond, end, nil), want)
 	}
 }
 
-// Against a pause before the retry that outlasts the request.
+// Guards against a retry whose pause ends after the request's deadline.
 func TestWriteRetryEndsBeforeTheDeadline(t *testing.T) {
 	r := newRouter(nil)
 	sent := onlyAction(t, r.Handle(begin, newRequest("once"), nil), ActionSend)
@@ -88,8 +88,8 @@
 	onlyAction(t, actions, ActionReject)
 }
 
-// Guards against a keyed request being sent in another cell, where a second execution is not recognized: an attempt
-// that was never executed does not say where the key is known, though it was sent at the same time.
+// Guards against a retry in a cell where the idempotency key is unknown. An attempt that was never executed does not
+// determine the cell, even if it was sent at the same time as the first executed one.
 func TestKeyedRetryStaysInTheCellOfTheFirstExecutedAttempt(t *testing.T) {
 	r := New(testSettingsWithCells(), 1)
 	list := testEndpoints()
@@ -109,15 +109,15 @@
 	}
 }
 
-// testSettingsWithCells has idempotency keys that the endpoints of a cell share.
+// testSettingsWithCells returns settings in which the endpoints of a cell share their idempotency keys.
 func testSettingsWithCells() Settings {
-	set := testSettings()
-	set.Classes[2].DedupGroup = DedupGroupCell
-	return set
+	settings := testSettings()
+	settings.Classes[2].DedupGroup = DedupGroupCell
+	return settings
 }
 
-// Guards against a read that is rejected while its attempt is in flight: a hedge beyond the attempts that a read may
-// have ended the request instead of leaving it to that attempt.
+// Guards against a read that is rejected while its last permitted attempt is in flight: a hedge beyond that number ended
+// the request before the attempt did.
 func TestReadWithoutAnAttemptLeftWaitsForTheOneInFlight(t *testing.T) {
 	r := newRouter(nil)
 	sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
@@ -134,7 +134,8 @@
 	noAction(t, r.Handle(now+second/2, Event{Kind: EventTimer, Token: 1}, nil), ActionReject, ActionFail)
 }
 
-// Guards against limits that fall by attempts that were never sent: their end says nothing of the endpoint.
+// Guards against limits that are reduced by attempts that were never sent: their ends do not show the endpoint's
+// capacity.
 func TestSkippedAttemptsLeaveTheLimitAlone(t *testing.T) {
 	r := newRouter(nil)
 	for _, id := range []string{cacheA, cacheB} {
@@ -148,7 +149,7 @@
 	}
 	for _, id := range []string{cacheA, cacheB} {
 		if limit := r.endpoints[id].limiters[attemptFill].limit; limit < 150 {
-			t.Errorf("%s: the limit falls to %v", id, limit)
+			t.Errorf("%s: limit reduced to %v", id, limit)
 		}
 	}
 }
