--- a/internal/handoff/codec.go
+++ b/internal/handoff/codec.go
@@ -9,12 +9,13 @@
 	"quilldoor/internal/cborcodec"
 )
 
-// MaxMessageBytes bounds a message. It has room for the state of some thousand endpoints.
+// MaxMessageBytes bounds an encoded message. It leaves room for the state of some thousand
+// endpoints.
 const MaxMessageBytes = 8 << 20
 
-// Errors of messages.
+// Errors of encoding and decoding.
 var (
-	ErrTooLong          = errors.New("handoff: message longer than 8 MB")
+	ErrMessageTooLong   = errors.New("handoff: message longer than 8 MiB")
 	ErrMalformedMessage = errors.New("handoff: malformed message")
 )
 
@@ -22,26 +23,26 @@
 	MaxArrayElements: 100_000, MaxMapPairs: 100_000, MaxNestedLevels: 12, RejectDuplicateKeys: true,
 })
 
-// encode returns a message's bytes, without the length.
-func encode(m *Message) ([]byte, error) {
-	payload, err := cbor.Marshal(m)
+// encode returns the message as CBOR, without the length that precedes it on a connection.
+func encode(message *Message) ([]byte, error) {
+	payload, err := cbor.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("handoff: encode %v: %w", m.Kind, err)
+		return nil, fmt.Errorf("handoff: encode %v: %w", message.Kind, err)
 	}
 	if len(payload) > MaxMessageBytes {
-		return nil, fmt.Errorf("%w: %v of %d bytes", ErrTooLong, m.Kind, len(payload))
+		return nil, fmt.Errorf("%w: %v of %d bytes", ErrMessageTooLong, message.Kind, len(payload))
 	}
 	return payload, nil
 }
 
-// Decode reads a message's bytes. The error is ErrMalformedMessage.
+// Decode decodes a message from CBOR. Its errors wrap ErrMalformedMessage.
 func Decode(payload []byte) (*Message, error) {
-	m := new(Message)
-	if err := decoder.Unmarshal(payload, m); err != nil {
+	message := new(Message)
+	if err := decoder.Unmarshal(payload, message); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
-	if m.Kind == 0 {
-		return nil, ErrMalformedMessage
+	if message.Kind == 0 {
+		return nil, fmt.Errorf("%w: no kind", ErrMalformedMessage)
 	}
-	return m, nil
+	return message, nil
 }
--- a/internal/handoff/conn.go
+++ b/internal/handoff/conn.go
@@ -13,44 +13,49 @@
 )
 
 const (
-	// sendTimeout is how long the peer may take to read a message. One that does not
-	// read may be stopped, and nobody waits for it.
+	// sendTimeout is how long the peer may take to read a message. A peer that does not
+	// read may be a stopped process, which must not block the sender.
 	sendTimeout = 500 * time.Millisecond
-	// lengthBytes precede each message.
+	// lengthBytes is the size of the length that precedes each message.
 	lengthBytes = 4
-	// maxPendingDescriptors bounds the descriptors that came along and were not taken.
+	// descriptorBytes is the size of a descriptor in a control message.
+	descriptorBytes = 4
+	// maxPendingDescriptors bounds the received descriptors that wait for Sockets.
 	maxPendingDescriptors = 8
 )
 
-// Conn carries messages. Send may be called by any goroutine, Receive and Sockets by one.
+// Conn sends and receives messages over a Unix stream socket. Any goroutine may call Send;
+// Receive and Sockets belong to one goroutine.
 type Conn struct {
-	sock        *net.UnixConn
-	sendLock    sync.Mutex
-	descriptors []int // that came along and were not taken
+	socket             *net.UnixConn
+	sendLock           sync.Mutex
+	pendingDescriptors []int // received, in order, until Sockets returns them
 }
 
-// NewConn takes a socket over.
-func NewConn(sock *net.UnixConn) *Conn { return &Conn{sock: sock} }
+// NewConn returns a connection that owns the socket.
+func NewConn(socket *net.UnixConn) *Conn { return &Conn{socket: socket} }
 
-// FromFile takes over a socket that a parent has handed down. It closes the file.
-func FromFile(f *os.File) (*Conn, error) {
-	defer f.Close()
-	c, err := net.FileConn(f)
+// FromFile returns a connection over a socket inherited from a parent process. It closes
+// the file.
+func FromFile(file *os.File) (*Conn, error) {
+	defer file.Close()
+	conn, err := net.FileConn(file)
 	if err != nil {
 		return nil, err
 	}
-	sock, ok := c.(*net.UnixConn)
+	socket, ok := conn.(*net.UnixConn)
 	if !ok {
-		c.Close()
-		return nil, fmt.Errorf("handoff: %s is no Unix socket", f.Name())
+		conn.Close()
+		return nil, fmt.Errorf("handoff: %s is not a Unix socket", file.Name())
 	}
-	return NewConn(sock), nil
+	return NewConn(socket), nil
 }
 
-// Send sends a message, with open files. When it can't be sent whole, the connection is
-// closed, since the peer could not read what follows.
-func (c *Conn) Send(m *Message, files ...*os.File) error {
-	payload, err := encode(m)
+// Send sends a message and the descriptors of open files. If the message can't be sent
+// whole, Send closes the connection: the peer could not decode what follows a truncated
+// message.
+func (c *Conn) Send(message *Message, files ...*os.File) error {
+	payload, err := encode(message)
 	if err != nil {
 		return err
 	}
@@ -59,39 +64,42 @@
 	frame = append(frame, payload...)
 	c.sendLock.Lock()
 	defer c.sendLock.Unlock()
-	c.sock.SetWriteDeadline(time.Now().Add(sendTimeout))
+	c.socket.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if err := c.write(frame, files); err != nil {
-		c.sock.Close()
-		return fmt.Errorf("handoff: send %v: %w", m.Kind, err)
+		c.socket.Close()
+		return fmt.Errorf("handoff: send %v: %w", message.Kind, err)
 	}
 	return nil
 }
 
+// write writes a frame, and the files' descriptors with its first bytes.
 func (c *Conn) write(frame []byte, files []*os.File) error {
 	if len(files) > 0 {
 		var descriptors []int
-		for _, f := range files {
-			descriptors = append(descriptors, int(f.Fd())) // made by os.NewFile: Fd leaves the socket's mode alone
+		for _, file := range files {
+			// Fd does not change the socket's blocking mode, since os.NewFile made the file.
+			descriptors = append(descriptors, int(file.Fd()))
 		}
-		n, _, err := c.sock.WriteMsgUnix(frame, unix.UnixRights(descriptors...), nil)
+		written, _, err := c.socket.WriteMsgUnix(frame, unix.UnixRights(descriptors...), nil)
 		if err != nil {
 			return err
 		}
-		frame = frame[n:]
+		frame = frame[written:]
 	}
-	_, err := c.sock.Write(frame)
+	_, err := c.socket.Write(frame)
 	return err
 }
 
-// Receive waits for the next message. Descriptors that come along stay for Sockets.
+// Receive waits for the next message and returns it. Descriptors that accompany it are
+// kept for Sockets.
 func (c *Conn) Receive() (*Message, error) {
-	var head [lengthBytes]byte
-	if err := c.readFull(head[:]); err != nil {
+	var lengthPrefix [lengthBytes]byte
+	if err := c.readFull(lengthPrefix[:]); err != nil {
 		return nil, err
 	}
-	length := binary.BigEndian.Uint32(head[:])
+	length := binary.BigEndian.Uint32(lengthPrefix[:])
 	if length > MaxMessageBytes {
-		return nil, ErrTooLong
+		return nil, fmt.Errorf("%w: length %d", ErrMessageTooLong, length)
 	}
 	payload := make([]byte, length)
 	if err := c.readFull(payload); err != nil {
@@ -100,11 +108,11 @@
 	return Decode(payload)
 }
 
-// readFull fills b, and keeps the descriptors that come along.
-func (c *Conn) readFull(b []byte) error {
-	control := make([]byte, unix.CmsgSpace(4*maxPendingDescriptors))
-	for len(b) > 0 {
-		n, controlLen, _, _, err := c.sock.ReadMsgUnix(b, control)
+// readFull fills the buffer, and keeps the descriptors that accompany the bytes.
+func (c *Conn) readFull(buffer []byte) error {
+	control := make([]byte, unix.CmsgSpace(descriptorBytes*maxPendingDescriptors))
+	for len(buffer) > 0 {
+		n, controlLen, _, _, err := c.socket.ReadMsgUnix(buffer, control)
 		if controlLen > 0 {
 			c.keepDescriptors(control[:controlLen])
 		}
@@ -114,33 +122,35 @@
 		if n == 0 {
 			return io.EOF
 		}
-		b = b[n:]
+		buffer = buffer[n:]
 	}
 	return nil
 }
 
-// keepDescriptors takes descriptors from a control message, and closes the oldest ones
-// beyond maxPendingDescriptors. What is no message of descriptors is ignored.
+// keepDescriptors adds the descriptors of a control message to those that wait for
+// Sockets, and closes the oldest ones beyond maxPendingDescriptors. Control messages
+// without descriptors are ignored.
 func (c *Conn) keepDescriptors(control []byte) {
-	messages, err := unix.ParseSocketControlMessage(control)
+	controlMessages, err := unix.ParseSocketControlMessage(control)
 	if err == nil {
-		for i := range messages {
-			if descriptors, err := unix.ParseUnixRights(&messages[i]); err == nil {
-				c.descriptors = append(c.descriptors, descriptors...)
+		for i := range controlMessages {
+			if descriptors, err := unix.ParseUnixRights(&controlMessages[i]); err == nil {
+				c.pendingDescriptors = append(c.pendingDescriptors, descriptors...)
 			}
 		}
 	}
-	for len(c.descriptors) > maxPendingDescriptors {
-		unix.Close(c.descriptors[0])
-		c.descriptors = c.descriptors[1:]
+	for len(c.pendingDescriptors) > maxPendingDescriptors {
+		unix.Close(c.pendingDescriptors[0])
+		c.pendingDescriptors = c.pendingDescriptors[1:]
 	}
 }
 
-// Sockets takes the descriptors that came along, by the names that the message gives
-// them. Those without a name are closed.
+// Sockets returns the received descriptors as files, by name, and keeps none of them. The
+// names are Message.Sockets of the message that the descriptors accompanied, in the same
+// order. Descriptors beyond the names are closed.
 func (c *Conn) Sockets(names []string) map[string]*os.File {
 	files := map[string]*os.File{}
-	for i, descriptor := range c.descriptors {
+	for i, descriptor := range c.pendingDescriptors {
 		unix.CloseOnExec(descriptor)
 		if i < len(names) {
 			files[names[i]] = os.NewFile(uintptr(descriptor), names[i])
@@ -148,22 +158,22 @@
 			unix.Close(descriptor)
 		}
 	}
-	c.descriptors = nil
+	c.pendingDescriptors = nil
 	return files
 }
 
-// Close ends the connection.
-func (c *Conn) Close() error { return c.sock.Close() }
+// Close closes the connection.
+func (c *Conn) Close() error { return c.socket.Close() }
 
-// PeerPID is the process at the other end, as the operating system knows it.
+// PeerPID returns the process ID of the peer, as the operating system reports it.
 func (c *Conn) PeerPID() (int, error) {
-	raw, err := c.sock.SyscallConn()
+	rawConn, err := c.socket.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	var credentials *unix.Ucred
 	var optionErr error
-	err = raw.Control(func(fd uintptr) {
+	err = rawConn.Control(func(fd uintptr) {
 		credentials, optionErr = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
 	})
 	if err != nil {
--- a/internal/handoff/doc.go
+++ b/internal/handoff/doc.go
@@ -1,10 +1,11 @@
-// Package handoff has what goes between a supervisor, the router processes that it runs
-// and the command-line tools, and the state file that outlasts them all.
+// Package handoff defines the messages between a supervisor, its router processes and the
+// command-line tools, and the state file that outlasts them all.
 //
-// Messages go over a Unix stream socket: a length of 4 bytes, big endian, then a CBOR
-// map (RFC 8949) with small integer keys. Open descriptors may go along. Unknown keys
-// are ignored and missing ones are zero, so that processes of different versions
-// understand each other: a key keeps its number and its meaning for good.
+// Messages are sent over a Unix stream socket: a length of 4 bytes, big endian, then a
+// CBOR map (RFC 8949) with small integer keys. Open descriptors may accompany a message.
+// Processes of different versions exchange messages: unknown keys are ignored, missing
+// keys are zero, and a key never changes its number or its meaning.
 //
-// The supervisor alone writes the state file (File). It is JSON, of which the same holds.
+// Only the supervisor writes the state file (File). It is JSON, and the same rules hold
+// for its keys.
 package handoff
--- a/internal/handoff/fileio.go
+++ b/internal/handoff/fileio.go
@@ -10,30 +10,30 @@
 	"github.com/google/renameio/v2"
 )
 
-// WriteFileAtomic writes a file whole or not at all, and syncs it and its folder.
+// WriteFileAtomic replaces a file whole or not at all, and syncs it and its folder.
 func WriteFileAtomic(path string, content []byte) error {
 	folder := filepath.Dir(path)
 	if err := renameio.WriteFile(path, content, 0o600, renameio.WithTempDir(folder)); err != nil {
 		return err
 	}
-	d, err := os.Open(folder)
+	openFolder, err := os.Open(folder)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer openFolder.Close()
+	return openFolder.Sync()
 }
 
-// FileDigest is the xxHash64 of a file's bytes, in hex.
+// FileDigest returns the xxHash64 of a file's bytes, in hexadecimal.
 func FileDigest(path string) (string, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return "", err
 	}
-	defer f.Close()
-	d := xxhash.New()
-	if _, err := io.Copy(d, f); err != nil {
+	defer file.Close()
+	digest := xxhash.New()
+	if _, err := io.Copy(digest, file); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%016x", d.Sum64()), nil
+	return fmt.Sprintf("%016x", digest.Sum64()), nil
 }
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -17,8 +17,9 @@
 	"quilldoor/internal/upgrade"
 )
 
-// sample is a message with something in every part.
-func sample() *Message {
+// newReleasedMessage returns a message of a process that has handed over, with a value in
+// each part of its state.
+func newReleasedMessage() *Message {
 	var learned policy.Snapshot
 	for i := range learned.SketchRows {
 		learned.SketchRows[i] = []uint64{1, 2}
@@ -41,53 +42,54 @@
 	}
 }
 
-// What version 1 wrote is still read. A change that fails here has changed the meaning
-// of a key that other versions use.
+// Files written with format 1 of the messages and of the state file must still be read. A
+// change that fails here has changed the number or the meaning of a key that other
+// versions use.
 func TestReadsEarlierFormats(t *testing.T) {
-	b, err := os.ReadFile("testdata/message-format-1.cbor")
+	payload, err := os.ReadFile("testdata/message-format-1.cbor")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := Decode(b)
-	if err != nil || m.State == nil || m.State.Learned == nil || m.State.Membership == nil {
-		t.Fatalf("%v, %+v", err, m)
+	got, err := Decode(payload)
+	if err != nil || got.State == nil || got.State.Learned == nil || got.State.Membership == nil {
+		t.Fatalf("message of format 1: %v, %+v", err, got)
 	}
-	s := sample()
-	if m.Generation != s.Generation || m.State.Learned.Endpoints[0].CachedObjects[0] != 8 ||
-		m.State.Membership.Sequence != 14 || m.OutstandingAttempts["c1"] != s.OutstandingAttempts["c1"] ||
-		m.State.Purges[0] != s.State.Purges[0] || m.State.Endpoints[0] != s.State.Endpoints[0] {
-		t.Errorf("%+v", m)
+	want := newReleasedMessage()
+	if got.Generation != want.Generation || got.State.Learned.Endpoints[0].CachedObjects[0] != 8 ||
+		got.State.Membership.Sequence != 14 || got.OutstandingAttempts["c1"] != want.OutstandingAttempts["c1"] ||
+		got.State.Purges[0] != want.State.Purges[0] || got.State.Endpoints[0] != want.State.Endpoints[0] {
+		t.Errorf("message of format 1: %+v", got)
 	}
 	// Unknown keys are ignored, missing ones are zero.
 	var keys map[int]any
-	if err := cbor.Unmarshal(b, &keys); err != nil {
+	if err := cbor.Unmarshal(payload, &keys); err != nil {
 		t.Fatal(err)
 	}
 	keys[900] = "of a later version"
 	delete(keys, 5)
-	if b, err = cbor.Marshal(keys); err != nil {
+	if payload, err = cbor.Marshal(keys); err != nil {
 		t.Fatal(err)
 	}
-	if m, err = Decode(b); err != nil || m.Generation != 9 || m.Requests.Completed != 0 {
-		t.Errorf("%v, %+v", err, m)
+	if got, err = Decode(payload); err != nil || got.Generation != 9 || got.Requests.Completed != 0 {
+		t.Errorf("message with an unknown and a missing key: %v, %+v", err, got)
 	}
-	f, err := ReadFile("testdata/state-format-1.json")
-	if err != nil || f.Settled.Generation != 3 || f.Previous.Generation != 2 || f.Running[0].PID != 77 || f.Next != 5 {
-		t.Errorf("%v, %+v", err, f)
+	file, err := ReadFile("testdata/state-format-1.json")
+	if err != nil || file.Settled.Generation != 3 || file.Previous.Generation != 2 || file.Running[0].PID != 77 || file.Next != 5 {
+		t.Errorf("state file of format 1: %v, %+v", err, file)
 	}
-	for text, want := range map[string]string{
+	for text, wantError := range map[string]string{
 		`{"format": 2, "settled": {}}`: "written by a later version",
 		`{}`:                           "settled",
 		`{"format":`:                   "JSON",
 	} {
-		if _, err := ParseFile("state.json", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+		if _, err := ParseFile("state.json", []byte(text)); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Errorf("state file %s: error %v, want one with %q", text, err, wantError)
 		}
 	}
 }
 
-// connPair returns both ends of a connection, and the first one's socket.
-func connPair(t *testing.T) (a, b *Conn, sock *net.UnixConn) {
+// connPair returns both ends of a connection, and the socket of the first one.
+func connPair(t *testing.T) (a, b *Conn, socketOfA *net.UnixConn) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -101,57 +103,59 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a, b, a.sock
+	return a, b, a.socket
 }
 
-// Messages and descriptors go over a socket. One that is truncated, too long or no
-// message is an error, and a reset is no panic.
+// A connection carries messages and descriptors. It must return an error for a message
+// that is truncated, too long or malformed, and must not panic when the peer closes it.
 func TestConnCarriesMessagesAndRejectsBrokenOnes(t *testing.T) {
 	a, b, _ := connPair(t)
-	f, err := os.Create(filepath.Join(t.TempDir(), "f"))
+	file, err := os.Create(filepath.Join(t.TempDir(), "f"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.WriteString("handed down")
+	file.WriteString("handed down")
 	sent := make(chan error, 1)
-	go func(sender *Conn) { sent <- sender.Send(sample(), f) }(a) // a itself is assigned anew below
-	m, err := b.Receive()
-	if err != nil || m.Generation != 9 {
-		t.Fatalf("%v, %+v", err, m)
+	// The connection is an argument, since a is assigned anew below.
+	go func(sender *Conn) { sent <- sender.Send(newReleasedMessage(), file) }(a)
+	message, err := b.Receive()
+	if err != nil || message.Generation != 9 {
+		t.Fatalf("received message: %v, %+v", err, message)
 	}
 	if err := <-sent; err != nil {
 		t.Error(err)
 	}
-	got := b.Sockets([]string{"listen"})["listen"]
+	received := b.Sockets([]string{"listen"})["listen"]
 	text := make([]byte, 20)
-	if n, _ := got.ReadAt(text, 0); string(text[:n]) != "handed down" {
-		t.Errorf("%q", text[:n])
+	if n, _ := received.ReadAt(text, 0); string(text[:n]) != "handed down" {
+		t.Errorf("content of the received file: %q", text[:n])
 	}
-	for name, raw := range map[string][]byte{
-		"short":      {0, 0, 0, 9, 1},
-		"long":       {255, 0, 0, 0},
-		"no message": {0, 0, 0, 1, 0},
+	for name, frame := range map[string][]byte{
+		"truncated": {0, 0, 0, 9, 1},
+		"too long":  {255, 0, 0, 0},
+		"malformed": {0, 0, 0, 1, 0},
 	} {
-		a, b, sock := connPair(t)
-		sock.Write(raw)
+		a, b, socketOfA := connPair(t)
+		socketOfA.Write(frame)
 		a.Close()
-		if m, err := b.Receive(); err == nil {
-			t.Errorf("%s: %+v", name, m)
+		if message, err := b.Receive(); err == nil {
+			t.Errorf("%s message was received: %+v", name, message)
 		}
 	}
-	// A peer that does not read does not block the sender for ever, and is disconnected.
+	// A peer that does not read must not block the sender: Send times out and closes the
+	// connection.
 	a, b, _ = connPair(t)
 	defer b.Close()
-	big := &Message{Kind: KindServe, Note: strings.Repeat("x", MaxMessageBytes/2)}
-	if err := a.Send(big); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a message that nobody reads: %v", err)
+	long := &Message{Kind: KindServe, Note: strings.Repeat("x", MaxMessageBytes/2)}
+	if err := a.Send(long); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("Send to a peer that does not read: error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	if err := a.Send(&Message{Kind: KindServe}); err == nil {
-		t.Error("a message after half a message")
+		t.Error("Send succeeded after a message that was sent only in part")
 	}
 }
 
-// A write that fails leaves the old file whole, and nothing behind.
+// A write that fails must leave the old file as it was, and no temporary file.
 func TestWriteFileAtomicKeepsTheOldFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "f")
@@ -159,43 +163,45 @@
 		t.Fatal(err)
 	}
 	if err := WriteFileAtomic(filepath.Join(dir, "no", "f"), nil); err == nil {
-		t.Error("written where there is no folder")
+		t.Error("a file was written in a folder that does not exist")
 	}
 	if err := os.MkdirAll(filepath.Join(dir, "d", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := WriteFileAtomic(filepath.Join(dir, "d"), []byte("two")); err == nil {
-		t.Error("written in the place of a folder")
+		t.Error("a file replaced a folder")
 	}
 	if text, _ := os.ReadFile(path); string(text) != "one" {
-		t.Errorf("%q", text)
+		t.Errorf("content of the old file: %q", text)
 	}
-	list, _ := os.ReadDir(dir)
-	if len(list) != 2 {
-		t.Errorf("left behind: %v", list)
+	entries, _ := os.ReadDir(dir)
+	if len(entries) != 2 {
+		t.Errorf("folder has %v, want the old file and the subfolder only", entries)
 	}
 }
 
+// No input makes Decode panic, and none that it accepts makes a policy that restores the
+// state panic.
 func FuzzDecode(f *testing.F) {
-	b, err := cbor.Marshal(sample())
+	payload, err := cbor.Marshal(newReleasedMessage())
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(b)
+	f.Add(payload)
 	f.Add([]byte{0xa1, 1, 1})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := Decode(b)
+	f.Fuzz(func(t *testing.T, payload []byte) {
+		message, err := Decode(payload)
 		if err != nil {
 			return
 		}
-		if m.State != nil && m.State.Learned != nil { // nothing in it makes the policy panic
-			p := policy.New(policy.Settings{Zone: "z", EndpointKinds: []string{"box"}}, 1)
-			_ = p.Restore(m.State.Learned) // a rejected snapshot is as good as none
-			p.Handle(1, policy.Event{Kind: policy.EventOtherGeneration, InFlight: m.OutstandingAttempts}, nil)
-			p.Handle(2, policy.Event{Kind: policy.EventTimer}, nil)
+		if message.State != nil && message.State.Learned != nil {
+			router := policy.New(policy.Settings{Zone: "z", EndpointKinds: []string{"box"}}, 1)
+			_ = router.Restore(message.State.Learned) // after an error it has restored nothing
+			router.Handle(1, policy.Event{Kind: policy.EventOtherGeneration, InFlight: message.OutstandingAttempts}, nil)
+			router.Handle(2, policy.Event{Kind: policy.EventTimer}, nil)
 		}
-		if again, err := cbor.Marshal(m); err != nil || bytes.Equal(again, nil) {
-			t.Fatal(err)
+		if encoded, err := cbor.Marshal(message); err != nil || bytes.Equal(encoded, nil) {
+			t.Fatalf("encode a decoded message: %v, %d bytes", err, len(encoded))
 		}
 	})
 }
--- a/internal/handoff/state.go
+++ b/internal/handoff/state.go
@@ -5,16 +5,16 @@
 	"quilldoor/internal/policy"
 )
 
-// State is what a router process knows that its successor needs.
+// State is what a router process hands over to its successor.
 type State struct {
-	Revision   int64                    `cbor:"1,keyasint,omitempty"` // of the endpoint list, as discovery counts
+	Revision   int64                    `cbor:"1,keyasint,omitempty"` // of the endpoint list, as discovery numbers it
 	Endpoints  []Endpoint               `cbor:"2,keyasint,omitempty"` // the whole list
 	Learned    *policy.Snapshot         `cbor:"3,keyasint,omitempty"` // nil: none
-	Membership *membership.HandoffState `cbor:"4,keyasint,omitempty"` // nil: it is no member
-	Purges     []Purge                  `cbor:"5,keyasint,omitempty"` // that gateways of other sites are still to be told
+	Membership *membership.HandoffState `cbor:"4,keyasint,omitempty"` // nil: the process is not a member
+	Purges     []Purge                  `cbor:"5,keyasint,omitempty"` // those still to be sent to the gateways of other sites
 }
 
-// Endpoint is an entry of the endpoint list, in discovery's terms.
+// Endpoint is an entry of the endpoint list. Its fields mean the same as in discovery.
 type Endpoint struct {
 	ID        string               `cbor:"1,keyasint"`
 	Zone      string               `cbor:"2,keyasint,omitempty"`
@@ -26,10 +26,10 @@
 	Address   string               `cbor:"8,keyasint"`           // host:port
 }
 
-// Purge of an object, or of a group of objects.
+// Purge is a purge of an object, or of a group of objects.
 type Purge struct {
 	_      struct{} `cbor:",toarray"`
 	Object string   // "": the whole group
 	Group  int64
-	At     int64 // when it was made, Unix microseconds
+	At     int64 // time of the purge, Unix microseconds
 }
