--- a/internal/handoff/fileio.go
+++ b/internal/handoff/fileio.go
@@ -10,7 +10,7 @@
 	"github.com/google/renameio/v2"
 )
 
-// WriteFileAtomic replaces a file whole or not at all, and syncs it and its folder.
+// WriteFileAtomic writes a file whole or not at all, and syncs it and its folder.
 func WriteFileAtomic(path string, content []byte) error {
 	folder := filepath.Dir(path)
 	if err := renameio.WriteFile(path, content, 0o600, renameio.WithTempDir(folder)); err != nil {
--- a/internal/handoff/message.go
+++ b/internal/handoff/message.go
@@ -47,7 +47,7 @@
 	KindApply    Kind = 17 + iota // change to Program, Config and Operator
 	KindRollBack                  // return to the previous generation, or cancel the change
 	KindStatus                    // request Status
-	// KindReport answers a tool. Each report has Note. The last one has Final, and OK,
+	// KindReport answers a tool. Any report may have Note. The last one has Final, and OK,
 	// FellBack, Status or Rollout as they apply.
 	KindReport
 )
@@ -104,7 +104,7 @@
 	Command             rollout.Command                 `cbor:"25,keyasint,omitempty"` // of KindRollout; 0: none
 	Rollout             *rollout.Status                 `cbor:"26,keyasint,omitempty"` // of the KindReport that answers KindRollout
 	Activity            *invariant.Activity             `cbor:"27,keyasint,omitempty"` // of KindHeartbeat; nil: none is recorded
-	// BudgetsMaybeSpent is of KindServe and KindResume: another process may have spent
-	// this router's slow-start budgets since this process last served.
+	// BudgetsMaybeSpent is of KindServe and KindResume: another process may already have
+	// spent this router's slow-start budgets.
 	BudgetsMaybeSpent bool `cbor:"21,keyasint,omitempty"`
 }
--- a/internal/handoff/statefile.go
+++ b/internal/handoff/statefile.go
@@ -68,9 +68,9 @@
 	return ParseFile(path, text)
 }
 
-// ParseFile parses the text of a state file. Unknown keys are ignored. The text is refused
-// if it is not JSON, has no complete settled generation, or has a later format; the last
-// of these errors wraps ErrNewerFormat. The path appears only in errors.
+// ParseFile parses the text of a state file. Unknown keys are ignored. Errors are for text
+// that is not JSON, that has no settled generation with a program and a config, or that
+// has a later format (wrapping ErrNewerFormat). The path appears only in errors.
 func ParseFile(path string, text []byte) (*File, error) {
 	file := new(File)
 	if err := json.Unmarshal(text, file); err != nil {
--- a/internal/upgradeagent/agent.go
+++ b/internal/upgradeagent/agent.go
@@ -14,72 +14,78 @@
 
 // Host is the router that the Agent runs in.
 type Host interface {
-	// Acquire takes what only one process owns, and accepts clients. State is what the
-	// predecessor knew, nil at a cold start. With own it is what this process's Release
-	// returned, and another one has served since. With budgetsMaybeSpent another process
-	// may have spent this router's slow-start budgets meanwhile.
-	Acquire(state *handoff.State, own, budgetsMaybeSpent bool) error
-	// Release accepts nothing more, releases all of that, and returns what is known.
+	// Acquire acquires the resources that only one process of the router may own, and
+	// accepts clients. State is the predecessor's, or nil at a cold start. With stateIsOwn
+	// it is the state that this process's Release returned, and another process may have
+	// served since. With budgetsMaybeSpent another process may already have spent this
+	// router's slow-start budgets.
+	Acquire(state *handoff.State, stateIsOwn, budgetsMaybeSpent bool) error
+	// Release stops accepting clients, releases the resources that Acquire acquired, and
+	// returns the state for a successor.
 	Release() *handoff.State
-	// SetLimits sets the process's part of the machine.
+	// SetLimits sets the process's share of the machine.
 	SetLimits(upgrade.Resources)
-	// SetOtherAttempts sets the attempts that other processes of this router have
-	// outstanding, by endpoint.
+	// SetOtherAttempts sets the outstanding attempts of this router's other processes, by
+	// endpoint.
 	SetOtherAttempts(attempts map[string]policy.AttemptCounts)
+	// Reload reads the settings again.
 	Reload()
 	// Heartbeat returns a message with Requests, OutstandingAttempts, OpenRequests and
 	// Activity.
 	Heartbeat() *handoff.Message
+	// Ready reports whether the router is ready to serve.
 	Ready() bool
-	// SendToPeer sends a message to another router of the site. It may be lost.
+	// SendToPeer sends a message to another router of the site. The message may be lost.
 	SendToPeer(to string, body []byte)
 }
 
 const (
 	heartbeatInterval = 100 * time.Millisecond
-	// lockInterval is how often the serving lock is tried while it is wanted.
+	// lockInterval is the interval between attempts to acquire the serving lock.
 	lockInterval = 3 * time.Millisecond
-	// readyInterval is how often the host is asked until it is ready.
+	// readyInterval is the interval between checks whether the host is ready.
 	readyInterval = 5 * time.Millisecond
 )
 
-// Agent is this process as its supervisor knows it.
+// Agent connects a router process to its supervisor, and carries out what its state
+// machine, an upgrade.Agent, decides.
 type Agent struct {
 	Number  uint64              // of the generation
 	Sockets map[string]*os.File // inherited, by name: "listen" at least
 
-	folder      string
-	socketNames []string
+	folder      string   // the supervisor's
+	socketNames []string // keys of Sockets, in the order of their descriptors
 	lock        *servingLock
 	log         *logrus.Entry
-	startedAt   time.Time
+	startedAt   time.Time // zero of the state machine's clock
 	machine     *upgrade.Agent
 
-	conn          *handoff.Conn         // nil: the supervisor is lost
-	received      chan *handoff.Message // of the supervisor; nil: the connection has ended
-	peerMessages  chan *handoff.Message // of other routers, for the supervisor
-	dialedAt      time.Time
-	lastDialError string
+	conn               *handoff.Conn         // nil: not connected to a supervisor
+	supervisorMessages chan *handoff.Message // from the supervisor; nil: the connection has ended
+	peerMessages       chan *handoff.Message // from other routers, for the supervisor
+	dialedAt           time.Time             // of the last attempt to connect to a supervisor
+	lastDialError      string                // that was logged
 
 	readyReported     bool
-	state             *handoff.State // of the predecessor, or this process's own from before
+	state             *handoff.State // for Host.Acquire, as stateIsOwn and budgetsMaybeSpent are
 	stateIsOwn        bool
 	budgetsMaybeSpent bool
 }
 
+// now returns the time on the state machine's clock, in microseconds.
 func (a *Agent) now() int64 { return time.Since(a.startedAt).Microseconds() }
 
-// Run does what the supervisor commands, and returns nil when the process is to drain
-// and end, or the context ends. A signal on term has the same effect. It returns an
-// error when the host could not acquire what it was to own.
+// Run carries out the supervisor's commands. It returns nil when the process is to drain
+// and end, because of a command, the loss of the supervisor or a signal on term, and when
+// the context ends. It returns the error of a failed Host.Acquire.
 func (a *Agent) Run(ctx context.Context, host Host, term <-chan os.Signal, log *logrus.Entry) error {
 	a.log = log.WithField("generation", a.Number)
 	a.sendHello()
 	go a.receive(ctx, a.conn)
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	tickTimer := time.NewTimer(0)
+	defer tickTimer.Stop()
 	a.dialedAt = time.Now()
 	for {
 		var effects []upgrade.AgentEffect
@@ -89,26 +95,27 @@
 		case s := <-term:
 			a.log.WithField("signal", s.String()).Info("shutting down")
 			effects = a.machine.Handle(a.now(), upgrade.AgentInputEnd)
-		case m := <-a.received:
-			effects = a.handleMessage(host, m)
-		case m := <-a.peerMessages:
-			a.send(m)
+		case message := <-a.supervisorMessages:
+			effects = a.handleMessage(host, message)
+		case message := <-a.peerMessages:
+			a.send(message)
 			continue
 		case <-heartbeat.C:
 			a.sendHeartbeat(host)
 			continue
-		case <-wake.C:
+		case <-tickTimer.C:
 			effects = a.tick(ctx, host)
 		}
 		draining, err := a.carryOut(host, effects)
 		if draining || err != nil {
 			return err
 		}
-		wake.Reset(a.wakeAfter())
+		tickTimer.Reset(a.tickDelay())
 	}
 }
 
-// tick does what time brings: the machine's deadline, the lock, readiness, a supervisor.
+// tick checks all that depends on time: the state machine's deadline, the serving lock,
+// the host's readiness and the connection to a supervisor.
 func (a *Agent) tick(ctx context.Context, host Host) []upgrade.AgentEffect {
 	effects := a.machine.Tick(a.now())
 	if effects == nil && a.machine.State.WantsLock() && a.lock.tryAcquire() {
@@ -122,8 +129,8 @@
 	return effects
 }
 
-// wakeAfter is when tick is due.
-func (a *Agent) wakeAfter() time.Duration {
+// tickDelay returns the time until tick is due.
+func (a *Agent) tickDelay() time.Duration {
 	switch {
 	case a.machine.State.WantsLock():
 		return lockInterval
@@ -137,7 +144,7 @@
 	}
 }
 
-// inputOf are the kinds of messages that are inputs of the machine.
+// inputOf maps the kinds of messages that are inputs of the state machine to these inputs.
 var inputOf = map[handoff.Kind]upgrade.AgentInput{
 	handoff.KindServe:           upgrade.AgentInputServe,
 	handoff.KindQuiesce:         upgrade.AgentInputQuiesce,
@@ -147,10 +154,11 @@
 	handoff.KindEnd:             upgrade.AgentInputEnd,
 }
 
-// handleMessage takes a message of the supervisor; nil: the connection has ended.
+// handleMessage handles a message from the supervisor, or nil when the connection has
+// ended.
 func (a *Agent) handleMessage(host Host, message *handoff.Message) []upgrade.AgentEffect {
 	if message == nil {
-		a.supervisorLost()
+		a.disconnect()
 		return a.machine.Handle(a.now(), upgrade.AgentInputSupervisorLost)
 	}
 	switch message.Kind {
@@ -169,14 +177,15 @@
 		}
 		a.budgetsMaybeSpent = message.BudgetsMaybeSpent
 	}
-	input, known := inputOf[message.Kind]
-	if !known {
+	input, isInput := inputOf[message.Kind]
+	if !isInput {
 		return nil
 	}
 	return a.machine.Handle(a.now(), input)
 }
 
-// carryOut does what the machine decides. It reports whether the process is to drain.
+// carryOut carries out the state machine's effects in order. It reports whether the
+// process is to drain.
 func (a *Agent) carryOut(host Host, effects []upgrade.AgentEffect) (draining bool, err error) {
 	for _, effect := range effects {
 		a.log.WithFields(logrus.Fields{
@@ -215,8 +224,9 @@
 	return nil
 }
 
-// stop releases what only one process owns, then the lock. Until this process serves
-// again its successor may spend the router's slow-start budgets.
+// stop releases the resources that only one process may own, then the serving lock. From
+// then until this process serves again, its successor may spend the router's slow-start
+// budgets.
 func (a *Agent) stop(host Host) {
 	a.state = host.Release()
 	a.stateIsOwn = true
--- a/internal/upgradeagent/agent_test.go
+++ b/internal/upgradeagent/agent_test.go
@@ -17,15 +17,15 @@
 	"quilldoor/internal/upgrade"
 )
 
-// fakeHost records what the Agent has it do. Its heartbeats never come first in these tests.
+// fakeHost records the Agent's calls of Acquire and Release.
 type fakeHost struct {
-	events chan string
-	known  *handoff.State
+	events   chan string
+	released *handoff.State // that Release returns
 }
 
-func (h *fakeHost) Acquire(state *handoff.State, own, _ bool) error {
+func (h *fakeHost) Acquire(state *handoff.State, stateIsOwn, _ bool) error {
 	switch {
-	case own:
+	case stateIsOwn:
 		h.events <- "acquire own"
 	case state != nil:
 		h.events <- "acquire handed over"
@@ -37,7 +37,7 @@
 
 func (h *fakeHost) Release() *handoff.State {
 	h.events <- "release"
-	return h.known
+	return h.released
 }
 
 func (h *fakeHost) SetLimits(upgrade.Resources)                      {}
@@ -47,7 +47,8 @@
 func (h *fakeHost) Ready() bool                                      { return true }
 func (h *fakeHost) SendToPeer(string, []byte)                        {}
 
-// newTestAgent returns an Agent as Inherit makes it, and the supervisor's end of its connection.
+// newTestAgent returns an Agent like that of Inherit, but without sockets, and the
+// supervisor's end of its connection.
 func newTestAgent(t *testing.T, folder string) (*Agent, *handoff.Conn) {
 	t.Helper()
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
@@ -62,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lock, err := openLock(filepath.Join(folder, LockName))
+	lock, err := openServingLock(filepath.Join(folder, LockName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,71 +75,72 @@
 	return &Agent{
 		Number: 7, Sockets: map[string]*os.File{}, folder: folder, conn: conn, lock: lock,
 		startedAt: time.Now(), machine: upgrade.NewAgent(),
-		received:     make(chan *handoff.Message, maxQueuedMessages),
-		peerMessages: make(chan *handoff.Message, maxQueuedPeerMessages),
+		supervisorMessages: make(chan *handoff.Message, maxQueuedSupervisorMessages),
+		peerMessages:       make(chan *handoff.Message, maxQueuedPeerMessages),
 	}, supervisor
 }
 
-// expect reads messages until one of the kind comes, past heartbeats.
-func expect(t *testing.T, conn *handoff.Conn, kind handoff.Kind) *handoff.Message {
+// receiveKind returns the next message that is of the kind. Heartbeats of the Agent are
+// skipped; a message of any other kind fails the test.
+func receiveKind(t *testing.T, conn *handoff.Conn, want handoff.Kind) *handoff.Message {
 	t.Helper()
 	for {
-		m, err := conn.Receive()
+		message, err := conn.Receive()
 		if err != nil {
-			t.Fatalf("instead of %v: %v", kind, err)
+			t.Fatalf("receive %v: %v", want, err)
 		}
-		if m.Kind == kind {
-			return m
+		if message.Kind == want {
+			return message
 		}
-		if m.Kind != handoff.KindHeartbeat {
-			t.Fatalf("%v instead of %v", m.Kind, kind)
+		if message.Kind != handoff.KindHeartbeat {
+			t.Fatalf("received %v, want %v", message.Kind, want)
 		}
 	}
 }
 
-func expectEvent(t *testing.T, h *fakeHost, want string) {
+func expectEvent(t *testing.T, host *fakeHost, want string) {
 	t.Helper()
-	if got := <-h.events; got != want {
-		t.Fatalf("%q instead of %q", got, want)
+	if got := <-host.events; got != want {
+		t.Fatalf("event of the host: %q, want %q", got, want)
 	}
 }
 
-func send(t *testing.T, conn *handoff.Conn, m *handoff.Message) {
+func send(t *testing.T, conn *handoff.Conn, message *handoff.Message) {
 	t.Helper()
-	if err := conn.Send(m); err != nil {
+	if err := conn.Send(message); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A process serves on command, hands its state over, takes it back, and looks for a new
-// supervisor when it loses its own.
+// A process serves on command, hands its state over, serves again with that state, and
+// connects to a new supervisor after the connection to its own has ended.
 func TestAgentServesHandsOverAndReconnects(t *testing.T) {
 	folder := t.TempDir()
 	agent, supervisor := newTestAgent(t, folder)
-	host := &fakeHost{events: make(chan string, 8), known: &handoff.State{Revision: 3}}
+	host := &fakeHost{events: make(chan string, 8), released: &handoff.State{Revision: 3}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ended := make(chan error, 1)
 	go func() { ended <- agent.Run(context.Background(), host, nil, logrus.NewEntry(log)) }()
 
-	if hello := expect(t, supervisor, handoff.KindHello); hello.Generation != 7 || hello.Format != handoff.Format {
-		t.Errorf("%+v", hello)
+	if hello := receiveKind(t, supervisor, handoff.KindHello); hello.Generation != 7 || hello.Format != handoff.Format {
+		t.Errorf("first hello message: %+v", hello)
 	}
-	expect(t, supervisor, handoff.KindReady)
+	receiveKind(t, supervisor, handoff.KindReady)
 	send(t, supervisor, &handoff.Message{Kind: handoff.KindServe, State: &handoff.State{Revision: 2}})
 	expectEvent(t, host, "acquire handed over")
-	expect(t, supervisor, handoff.KindAccepting)
+	receiveKind(t, supervisor, handoff.KindAccepting)
 	send(t, supervisor, &handoff.Message{Kind: handoff.KindSettle})
-	expect(t, supervisor, handoff.KindSettled)
+	receiveKind(t, supervisor, handoff.KindSettled)
 
 	send(t, supervisor, &handoff.Message{Kind: handoff.KindQuiesce})
 	expectEvent(t, host, "release")
-	if released := expect(t, supervisor, handoff.KindReleased); released.State == nil || released.State.Revision != 3 {
-		t.Errorf("%+v", released)
+	if released := receiveKind(t, supervisor, handoff.KindReleased); released.State == nil || released.State.Revision != 3 {
+		t.Errorf("released message: %+v", released)
 	}
 	send(t, supervisor, &handoff.Message{Kind: handoff.KindResume})
 	expectEvent(t, host, "acquire own")
-	expect(t, supervisor, handoff.KindAccepting)
+	receiveKind(t, supervisor, handoff.KindAccepting)
 
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(folder, SocketName), Net: "unix"})
 	if err != nil {
@@ -146,28 +148,30 @@
 	}
 	defer listener.Close()
 	supervisor.Close()
-	sock, err := listener.AcceptUnix()
+	socket, err := listener.AcceptUnix()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := handoff.NewConn(sock)
-	defer next.Close()
-	hello := expect(t, next, handoff.KindHello)
+	newSupervisor := handoff.NewConn(socket)
+	defer newSupervisor.Close()
+	hello := receiveKind(t, newSupervisor, handoff.KindHello)
 	if hello.AgentState != upgrade.AgentServing || !hello.WasSettled {
-		t.Errorf("%+v", hello)
+		t.Errorf("hello message to the new supervisor: %+v", hello)
 	}
-	send(t, next, &handoff.Message{Kind: handoff.KindEnd})
+	send(t, newSupervisor, &handoff.Message{Kind: handoff.KindEnd})
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Run: %v", err)
 	}
 }
 
-// Only one process holds the serving lock.
+// At most one process holds the serving lock, and another one can acquire it after its
+// release. The locks here are open files of one process, which exclude each other like
+// those of two.
 func TestServingLockIsExclusive(t *testing.T) {
 	path := filepath.Join(t.TempDir(), LockName)
 	var locks [2]*servingLock
 	for i := range locks {
-		lock, err := openLock(path)
+		lock, err := openServingLock(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,17 +179,17 @@
 		locks[i] = lock
 	}
 	if !locks[0].tryAcquire() || locks[1].tryAcquire() {
-		t.Error("two hold the lock, or none does")
+		t.Error("want the first file to hold the lock, alone")
 	}
 	locks[0].release()
 	if !locks[1].tryAcquire() || locks[0].tryAcquire() {
-		t.Error("the lock did not pass on")
+		t.Error("want the second file to hold the lock after its release, alone")
 	}
 }
 
 func TestInheritsNothingWithoutASupervisor(t *testing.T) {
 	agent, err := Inherit(func(string) string { return "" })
 	if agent != nil || err != nil {
-		t.Errorf("%v, %v", agent, err)
+		t.Errorf("Inherit without a supervisor: %v, %v, want neither an Agent nor an error", agent, err)
 	}
 }
--- a/internal/upgradeagent/connection.go
+++ b/internal/upgradeagent/connection.go
@@ -15,36 +15,35 @@
 )
 
 const (
-	// reconnectInterval is how often a supervisor is looked for while there is none.
+	// reconnectInterval is the interval between attempts to connect to a supervisor.
 	reconnectInterval = 100 * time.Millisecond
-	// maxQueuedMessages bounds the supervisor's messages that wait for the Agent.
-	maxQueuedMessages = 16
+	// maxQueuedSupervisorMessages bounds the supervisor's messages that wait for the Agent.
+	maxQueuedSupervisorMessages = 16
 )
 
-// receive queues the supervisor's messages until the connection ends, which it queues
-// as nil.
+// receive queues the supervisor's messages until the connection ends, and then nil.
 func (a *Agent) receive(ctx context.Context, conn *handoff.Conn) {
 	for {
-		m, err := conn.Receive()
+		message, err := conn.Receive()
 		if err != nil {
-			m = nil
+			message = nil
 		}
 		select {
-		case a.received <- m:
+		case a.supervisorMessages <- message:
 		case <-ctx.Done():
 			return
 		}
-		if m == nil {
+		if message == nil {
 			return
 		}
 	}
 }
 
-// send tells the supervisor. Without one nothing is lost: a new one learns the state
-// from the hello message.
-func (a *Agent) send(m *handoff.Message) {
-	if a.conn != nil && a.conn.Send(m) != nil {
-		a.conn.Close() // receive notices that
+// send sends a message to the supervisor. Without a connection it drops the message: the
+// hello message reports this process's state to the next supervisor.
+func (a *Agent) send(message *handoff.Message) {
+	if a.conn != nil && a.conn.Send(message) != nil {
+		a.conn.Close() // makes receive queue nil
 	}
 }
 
@@ -54,19 +53,21 @@
 	})
 }
 
+// report sends a message without fields of its kind.
 func (a *Agent) report(kind handoff.Kind) {
 	a.send(&handoff.Message{Kind: kind, Generation: a.Number})
 }
 
 func (a *Agent) sendHeartbeat(host Host) {
-	m := host.Heartbeat()
-	m.Kind = handoff.KindHeartbeat
-	m.AgentState = a.machine.State
-	a.send(m)
+	message := host.Heartbeat()
+	message.Kind = handoff.KindHeartbeat
+	message.AgentState = a.machine.State
+	a.send(message)
 }
 
-// SendHeartbeats goes on after Run has returned, while requests drain: the concurrency
-// limits of the other processes count the attempts that are still out here.
+// SendHeartbeats sends heartbeats until the context ends. It is for the time after Run has
+// returned, while requests drain: the concurrency limits of the other processes count the
+// attempts that this process has outstanding.
 func (a *Agent) SendHeartbeats(ctx context.Context, host Host) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -80,8 +81,8 @@
 	}
 }
 
-// ForwardMessage passes a message of another router on to the supervisor. It is
-// dropped when too many wait.
+// ForwardMessage queues a message from another router for the supervisor. It drops the
+// message if maxQueuedPeerMessages are queued.
 func (a *Agent) ForwardMessage(from string, body []byte) {
 	select {
 	case a.peerMessages <- &handoff.Message{Kind: handoff.KindPeerMessage, From: from, Body: body}:
@@ -89,7 +90,8 @@
 	}
 }
 
-func (a *Agent) supervisorLost() {
+// disconnect closes the connection to a supervisor that is lost.
+func (a *Agent) disconnect() {
 	if a.conn == nil {
 		return
 	}
@@ -98,7 +100,8 @@
 	a.log.WithField("agent_state", a.machine.State.String()).Warn("supervisor lost")
 }
 
-// reconnect looks for a new supervisor at most once each reconnectInterval.
+// reconnect tries to connect to a new supervisor if there is no connection, at most once
+// in each reconnectInterval.
 func (a *Agent) reconnect(ctx context.Context) {
 	if a.conn != nil || time.Since(a.dialedAt) < reconnectInterval {
 		return
@@ -109,15 +112,16 @@
 	}
 }
 
-// connect dials a supervisor, says what this process does, and gives it the sockets.
+// connect dials a supervisor and sends it a hello message with this process's state and
+// listening sockets. It reports whether both succeeded.
 func (a *Agent) connect() bool {
 	address := net.UnixAddr{Name: filepath.Join(a.folder, SocketName), Net: "unix"}
-	sock, err := net.DialUnix("unix", nil, &address)
+	socket, err := net.DialUnix("unix", nil, &address)
 	if err != nil {
 		a.logDialError(err)
 		return false
 	}
-	conn := handoff.NewConn(sock)
+	conn := handoff.NewConn(socket)
 	names := slices.Clone(a.socketNames)
 	var files []*os.File
 	for _, name := range names {
@@ -132,14 +136,16 @@
 		return false
 	}
 	a.conn = conn
-	a.log.Info("supervisor found")
+	a.log.Info("connected to a new supervisor")
 	if a.readyReported {
 		a.report(handoff.KindReady)
 	}
 	return true
 }
 
-// logDialError logs an error once. That nobody listens is none while the supervisor is down.
+// logDialError logs an error unless it equals the last one that was logged. A missing
+// socket, or one that nobody listens on, is expected while the supervisor is down and is
+// not logged.
 func (a *Agent) logDialError(err error) {
 	if errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) || a.lastDialError == err.Error() {
 		return
--- a/internal/upgradeagent/doc.go
+++ b/internal/upgradeagent/doc.go
@@ -1,8 +1,9 @@
-// Package upgradeagent is the router process's side of a change: the connection to its
-// supervisor, the serving lock, and the carrying out of what upgrade.Agent decides.
+// Package upgradeagent is the router process's side of an upgrade: the connection to its
+// supervisor, the serving lock, and the execution of the effects that upgrade.Agent
+// decides on.
 //
 // The supervisor starts the process with the connection and the listening sockets as
-// inherited descriptors. When the supervisor dies, the Agent goes on and connects to
-// the next one by the socket in the supervisor's folder, to which it gives the
-// listening sockets back.
+// inherited descriptors. When the supervisor is lost, upgrade.Agent decides whether the
+// process ends as well. A process that keeps running connects to the next supervisor
+// through the socket in the supervisor's folder, and sends it the listening sockets.
 package upgradeagent
--- a/internal/upgradeagent/inherit.go
+++ b/internal/upgradeagent/inherit.go
@@ -15,11 +15,11 @@
 	"quilldoor/internal/upgrade"
 )
 
-// Environment of a router process that a supervisor has started.
+// Environment variables of a router process that a supervisor has started.
 const (
 	EnvFolder     = "QUILLDOOR_KEEP"       // the supervisor's folder
-	EnvGeneration = "QUILLDOOR_GENERATION" // number
-	EnvSockets    = "QUILLDOOR_SOCKETS"    // names of the inherited sockets, with commas
+	EnvGeneration = "QUILLDOOR_GENERATION" // number of the generation
+	EnvSockets    = "QUILLDOOR_SOCKETS"    // names of the inherited sockets, separated by commas
 	EnvProgram    = "QUILLDOOR_PROGRAM"    // handoff.FileDigest of the program
 )
 
@@ -32,14 +32,16 @@
 
 // Names of files in a supervisor's folder.
 const (
-	SocketName = "keep.sock" // where the supervisor listens
+	SocketName = "keep.sock" // the socket that the supervisor listens on
 	LockName   = "place"     // the serving lock
 )
 
-// maxQueuedPeerMessages bounds the messages of other routers that wait for the supervisor.
+// maxQueuedPeerMessages bounds the messages from other routers that wait for the
+// supervisor.
 const maxQueuedPeerMessages = 64
 
-// Inherit takes over what a supervisor has handed down; nil when there is none.
+// Inherit returns an Agent with the connection and the sockets that the process has
+// inherited from a supervisor. It returns nil if no supervisor has started the process.
 func Inherit(env func(string) string) (*Agent, error) {
 	folder := env(EnvFolder)
 	if folder == "" {
@@ -51,24 +53,24 @@
 	}
 	conn, err := handoff.FromFile(os.NewFile(connectionFD, "supervisor"))
 	if err != nil {
-		return nil, fmt.Errorf("connection to the supervisor: %w", err)
+		return nil, fmt.Errorf("connection to the supervisor on descriptor %d: %w", connectionFD, err)
 	}
 	names := strings.Split(env(EnvSockets), ",")
-	lock, err := openLock(filepath.Join(folder, LockName))
+	lock, err := openServingLock(filepath.Join(folder, LockName))
 	if err != nil {
 		return nil, err
 	}
 	return &Agent{
-		Number:       number,
-		startedAt:    time.Now(),
-		Sockets:      inheritedSockets(names),
-		folder:       folder,
-		socketNames:  names,
-		conn:         conn,
-		lock:         lock,
-		machine:      upgrade.NewAgent(),
-		received:     make(chan *handoff.Message, maxQueuedMessages),
-		peerMessages: make(chan *handoff.Message, maxQueuedPeerMessages),
+		Number:             number,
+		startedAt:          time.Now(),
+		Sockets:            inheritedSockets(names),
+		folder:             folder,
+		socketNames:        names,
+		conn:               conn,
+		lock:               lock,
+		machine:            upgrade.NewAgent(),
+		supervisorMessages: make(chan *handoff.Message, maxQueuedSupervisorMessages),
+		peerMessages:       make(chan *handoff.Message, maxQueuedPeerMessages),
 	}, nil
 }
 
@@ -83,36 +85,36 @@
 }
 
 func (a *Agent) socket(name string) (*os.File, error) {
-	f := a.Sockets[name]
-	if f == nil {
-		return nil, fmt.Errorf("the supervisor has handed down no socket for %s", name)
+	file := a.Sockets[name]
+	if file == nil {
+		return nil, fmt.Errorf("the supervisor has handed down no socket named %q", name)
 	}
-	return f, nil
+	return file, nil
 }
 
-// Listener returns one of an inherited stream socket.
+// Listener returns a listener on the inherited stream socket of that name.
 func (a *Agent) Listener(name string) (net.Listener, error) {
-	f, err := a.socket(name)
+	file, err := a.socket(name)
 	if err != nil {
 		return nil, err
 	}
-	return net.FileListener(f)
+	return net.FileListener(file)
 }
 
-// PacketConn returns one of an inherited UDP socket.
+// PacketConn returns a connection on the inherited UDP socket of that name.
 func (a *Agent) PacketConn(name string) (*net.UDPConn, error) {
-	f, err := a.socket(name)
+	file, err := a.socket(name)
 	if err != nil {
 		return nil, err
 	}
-	c, err := net.FilePacketConn(f)
+	conn, err := net.FilePacketConn(file)
 	if err != nil {
 		return nil, err
 	}
-	udp, ok := c.(*net.UDPConn)
+	udpConn, ok := conn.(*net.UDPConn)
 	if !ok {
-		c.Close()
-		return nil, fmt.Errorf("the inherited socket for %s is no UDP socket", name)
+		conn.Close()
+		return nil, fmt.Errorf("the inherited socket %q is not a UDP socket", name)
 	}
-	return udp, nil
+	return udpConn, nil
 }
--- a/internal/upgradeagent/lock.go
+++ b/internal/upgradeagent/lock.go
@@ -7,22 +7,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// servingLock is held by the one process that accepts clients. The operating system
-// releases it when the process ends.
+// servingLock is a file lock that the processes of a router share. Only the process that
+// holds it accepts clients. The operating system releases it when that process ends.
 type servingLock struct {
 	file *os.File
 	held bool
 }
 
-func openLock(path string) (*servingLock, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+func openServingLock(path string) (*servingLock, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("serving lock: %w", err)
 	}
-	return &servingLock{file: f}, nil
+	return &servingLock{file: file}, nil
 }
 
-// tryAcquire reports whether this process holds the lock now.
+// tryAcquire acquires the lock if it is free. It reports whether this process holds it.
 func (l *servingLock) tryAcquire() bool {
 	if !l.held {
 		l.held = unix.Flock(int(l.file.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil
@@ -32,7 +32,7 @@
 
 func (l *servingLock) release() {
 	if l.held {
-		_ = unix.Flock(int(l.file.Fd()), unix.LOCK_UN) // does not fail for a lock on an open file
+		_ = unix.Flock(int(l.file.Fd()), unix.LOCK_UN) // does not fail for an open file
 		l.held = false
 	}
 }
