--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -6,14 +6,15 @@
 	"quilldoor/internal/policy"
 )
 
-// endpoint is what discovery has said of one, and what was sent to it.
+// endpoint holds the state of an endpoint as received from discovery, and the work sent
+// to it.
 type endpoint struct {
-	kind      string
-	weight    float64
-	startedAt int64 // 0: long past
-	outSince  int64 // when it was first known to drain or to have gone; 0: it may be used
-	gone      bool
-	work      []workRecord // within the window, while in slow start
+	kind          string
+	weight        float64
+	startedAt     int64        // 0: it started too long ago to matter
+	unusableSince int64        // when the monitor first received that it drains or was removed; 0: it may be used
+	removed       bool         // policy.EndpointGone, or missing from a complete list
+	work          []workRecord // within the window, while in slow start
 }
 
 type workRecord struct {
@@ -21,23 +22,23 @@
 	work float64 // microseconds
 }
 
-// purge of an object, or of a group.
+// purge is a purge of an object or of a whole group.
 type purge struct {
-	object     uint64 // hash; 0: the group
+	object     uint64 // hash of the object's name; 0: the whole group is purged
 	group      int64
-	issuedAt   int64 // copies issued before are stale
-	receivedAt int64
+	issuedAt   int64 // copies that the origin issued earlier are stale
+	receivedAt int64 // when the monitor received it
 }
 
-func (p *purge) covers(r *Response) bool {
+func (p *purge) covers(response *Response) bool {
 	if p.object != 0 {
-		return p.object == r.Object
+		return p.object == response.Object
 	}
-	return p.group == r.Group
+	return p.group == response.Group
 }
 
-// EndpointsChanged takes changes of the endpoint list, or a complete list, from which
-// missing endpoints have gone.
+// EndpointsChanged applies changes of the endpoint list, or a complete list: endpoints
+// missing from a complete list were removed.
 func (m *Monitor) EndpointsChanged(now int64, complete bool, list []policy.Endpoint) {
 	listed := map[string]bool{}
 	for i := range list {
@@ -46,9 +47,9 @@
 	}
 	for id, e := range m.endpoints {
 		if complete && !listed[id] {
-			e.setOut(now, true, true)
+			e.setUnusable(now, true, true)
 		}
-		if e.gone && now-e.outSince > goneTTL {
+		if e.removed && now-e.unusableSince > removedEndpointTTL {
 			delete(m.endpoints, id)
 		}
 	}
@@ -66,28 +67,28 @@
 	}
 	known.kind = entry.Kind
 	known.weight = entry.Weight
-	if entry.StartedAt != known.startedAt { // it was started anew
+	if entry.StartedAt != known.startedAt { // it has restarted
 		known.startedAt = entry.StartedAt
 		known.work = nil
 	}
-	out := entry.State != policy.EndpointActive
-	if out && known.outSince == 0 {
+	unusable := entry.State != policy.EndpointActive
+	if unusable && known.unusableSince == 0 {
 		m.drainsSeen++
 	}
-	known.setOut(now, out, entry.State == policy.EndpointGone)
+	known.setUnusable(now, unusable, entry.State == policy.EndpointGone)
 }
 
-// setOut keeps the time at which the endpoint first was out.
-func (e *endpoint) setOut(now int64, out, gone bool) {
-	e.gone = gone
-	if !out {
-		e.outSince = 0
-	} else if e.outSince == 0 {
-		e.outSince = now
+// setUnusable records whether the endpoint drains or was removed, and since when.
+func (e *endpoint) setUnusable(now int64, unusable, removed bool) {
+	e.removed = removed
+	if !unusable {
+		e.unusableSince = 0
+	} else if e.unusableSince == 0 {
+		e.unusableSince = now
 	}
 }
 
-// addWork returns the work within the window that ends with a new record.
+// addWork adds a record and returns the work within the window that ends with it.
 func (e *endpoint) addWork(added workRecord, window int64) (total float64) {
 	e.work = slices.DeleteFunc(e.work, func(w workRecord) bool { return w.at <= added.at-window })
 	e.work = append(e.work, added)
@@ -95,15 +96,15 @@
 		e.work = e.work[1:]
 	}
 	for _, w := range e.work {
-		if w.at <= added.at { // records of another process may be later
+		if w.at <= added.at { // another process may have sent later work already
 			total += w.work
 		}
 	}
 	return total
 }
 
-// Purged takes a purge of an object, or of a group where the object is "". Copies that
-// the origin issued before are stale.
+// Purged adds a purge of an object, or of a whole group if object is "". Copies that the
+// origin issued before issuedAt are stale.
 func (m *Monitor) Purged(now int64, object string, group, issuedAt int64) {
 	p := purge{group: group, issuedAt: issuedAt, receivedAt: now}
 	if object != "" {
@@ -116,25 +117,26 @@
 	m.purgesSeen++
 }
 
-// EventCounts returns how many endpoints have begun to drain or gone, and how many purges
-// there were.
+// EventCounts returns how often an entry of the endpoint list has reported that an endpoint
+// began to drain or was removed, and how many purges the monitor has received.
 func (m *Monitor) EventCounts() (drains, purges int) { return m.drainsSeen, m.purgesSeen }
 
-// SetDisconnected says whether discovery can't be reached. An endpoint that returned meanwhile
-// is not known to have, so drains are not judged until some time after.
+// SetDisconnected sets whether discovery can't be reached. Endpoints may have become
+// active again meanwhile, so drains are not checked until maxDiscoverySkew after the
+// connection is restored.
 func (m *Monitor) SetDisconnected(now int64, disconnected bool) {
 	if m.disconnected && !disconnected {
-		m.drainsFrom = now + maxDiscoverySkew
+		m.checkDrainsFrom = now + maxDiscoverySkew
 	}
 	m.disconnected = disconnected
 }
 
-// ClockJumped says that the system's clock was moved by so much, in microseconds. Earlier
-// times move along, and activity from before the jump is not judged.
+// ClockJumped applies a jump of the system's clock, in microseconds: it shifts the
+// monitor's own earlier times, and discards reports from before the jump unchecked.
 func (m *Monitor) ClockJumped(now, by int64) {
 	for _, e := range m.endpoints {
-		if e.outSince != 0 {
-			e.outSince += by
+		if e.unusableSince != 0 {
+			e.unusableSince += by
 		}
 		e.work = nil
 	}
@@ -147,5 +149,5 @@
 			p.violations[r].shift(by)
 		}
 	}
-	m.drainsFrom = now + maxDiscoverySkew
+	m.checkDrainsFrom = now + maxDiscoverySkew
 }
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,10 +1,12 @@
 // Package invariant monitors from outside whether a process of a router violates rules
-// that the process itself may not notice: a program that ignores drains or purges, or
-// overloads endpoints in slow start, loses no weight by that. The process records its
-// attempts and responses (Recorder); the supervisor beside it, which a change of the
-// program leaves as it is, follows discovery by itself and compares (Monitor).
+// without noticing it itself: a program that ignores drains or purges, or overloads
+// endpoints in slow start, loses no weight by that, so no weight metric reveals it. The
+// process records its attempts and responses (Recorder) and reports them to the
+// supervisor beside it. The supervisor stays the same when the program changes, follows
+// discovery by itself, and compares the reports with what it received (Monitor).
 //
-// Monitor owns what it knows of endpoints, purges and processes, and is used by one
-// goroutine at a time; Recorder by any number. The package does no I/O and has no clock:
-// times are microseconds of the machine's Unix time, which both sides share.
+// Monitor owns its state of endpoints, purges and processes, and is used by one goroutine
+// at a time; Recorder is safe for concurrent use. The package does no I/O and reads no
+// clock: times are Unix microseconds of the machine's clock, which the process and the
+// supervisor share.
 package invariant
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -2,25 +2,26 @@
 
 import "fmt"
 
-// Monitor compares the activity of a router's processes with what discovery has said.
+// Monitor compares the activity of a router's processes with the endpoint list and the
+// purges received from discovery.
 type Monitor struct {
 	settings Settings
 	checks   safetyChecks
 
-	// What discovery has said (discovery.go).
-	endpoints    map[string]*endpoint
-	purges       []purge // by time
-	disconnected bool
-	drainsFrom   int64 // drains are judged again from then on
-	drainsSeen   int
-	purgesSeen   int
+	// State received from discovery (discovery.go).
+	endpoints       map[string]*endpoint
+	purges          []purge // in the order in which they were received
+	disconnected    bool
+	checkDrainsFrom int64 // drains are not checked before this time
+	drainsSeen      int
+	purgesSeen      int
 
 	processes map[uint64]*process
 
-	Dropped int // activities and records that did not fit, here or in the processes
+	Dropped int // entries, reports and records that exceeded a bound, here or in the processes
 }
 
-// process is one that reports its activity.
+// process is a process that reports its activity.
 type process struct {
 	pending    []pendingActivity
 	violations [ruleCount]violationLog
@@ -31,7 +32,7 @@
 	activity   *Activity
 }
 
-// New returns a monitor that knows nothing yet.
+// New returns a monitor without endpoints, purges or processes.
 func New(settings Settings) *Monitor {
 	return &Monitor{
 		settings:  settings,
@@ -41,8 +42,8 @@
 	}
 }
 
-// Observe takes the report of a process, by an identifier of the caller's. It is judged
-// by a later Tick.
+// Observe adds the report of a process, under an identifier that the caller chooses. It
+// checks slow-start budgets; a later Tick checks the other rules.
 func (m *Monitor) Observe(now int64, processID uint64, activity *Activity) {
 	p := m.processes[processID]
 	if p == nil {
@@ -59,22 +60,24 @@
 		m.Dropped++
 	}
 	p.pending = append(p.pending, pendingActivity{now, activity})
-	// The endpoint's own age decides, which is known from the first: nothing to wait for.
+	// A budget depends on the endpoint's age, which its first entry in the endpoint list
+	// holds, so this check needs no settle delay.
 	for i := range activity.Endpoints {
 		m.checkBudget(now, p, &activity.Endpoints[i])
 	}
 }
 
-// ProcessEnded forgets a process.
+// ProcessEnded discards the state of a process.
 func (m *Monitor) ProcessEnded(processID uint64) { delete(m.processes, processID) }
 
-// Tick checks activity that has settled. Call it some ten times a second.
+// Tick checks the reports that have waited for settleDelay, and expires old violations.
+// The caller calls it about ten times per second.
 func (m *Monitor) Tick(now int64) {
 	for _, p := range m.processes {
 		for len(p.pending) > 0 && m.checks.settled(now-p.pending[0].receivedAt) {
-			a := p.pending[0].activity
+			activity := p.pending[0].activity
 			p.pending = p.pending[1:]
-			m.check(now, p, a)
+			m.check(now, p, activity)
 		}
 		for r := range p.violations {
 			p.violations[r].expire(now)
@@ -82,59 +85,63 @@
 	}
 }
 
-func (m *Monitor) check(now int64, p *process, a *Activity) {
-	for range a.DuplicateAttempts {
+func (m *Monitor) check(now int64, p *process, activity *Activity) {
+	for range activity.DuplicateAttempts {
 		p.violations[RuleDuplicate].add(now, "an attempt beside one that may have been executed")
 	}
-	for i := range a.Endpoints {
-		m.checkDrained(now, p, &a.Endpoints[i])
+	for i := range activity.Endpoints {
+		m.checkDrained(now, p, &activity.Endpoints[i])
 	}
-	for i := range a.Responses {
-		m.checkStale(p, &a.Responses[i])
+	for i := range activity.Responses {
+		m.checkStale(p, &activity.Responses[i])
 	}
 }
 
-// checkDrained looks for use of an endpoint long after it began to drain or went.
+// checkDrained adds a violation if an endpoint was used later after its drain or removal
+// than the grace period and the skew of discovery allow.
 func (m *Monitor) checkDrained(now int64, p *process, use *EndpointUse) {
 	e := m.endpoints[use.Endpoint]
-	if e == nil || e.outSince == 0 || !m.checks.drainsKnown(m.disconnected, now, m.drainsFrom) {
+	if e == nil || e.unusableSince == 0 || !m.checks.drainsKnown(m.disconnected, now, m.checkDrainsFrom) {
 		return
 	}
 	action, at := "sent to", use.LastSentMicros
 	if use.LastSourcedMicros > at {
 		action, at = "filled from", use.LastSourcedMicros
 	}
-	if late := at - e.outSince; late > m.settings.DrainGraceMicros+maxDiscoverySkew {
+	if delay := at - e.unusableSince; delay > m.settings.DrainGraceMicros+maxDiscoverySkew {
 		p.violations[RuleDrained].add(at,
-			fmt.Sprintf("%s %s %d ms after it began to drain or had gone", action, use.Endpoint, late/millisecond))
+			fmt.Sprintf("%s %s %d ms after it began to drain or was removed", action, use.Endpoint, delay/millisecond))
 	}
 }
 
-// checkStale looks for a copy older than a purge that was known long before the attempt.
-func (m *Monitor) checkStale(p *process, r *Response) {
+// checkStale adds a violation if a copy is older than a purge, and its attempt was sent
+// later after the purge than the grace period and the skew of discovery allow.
+func (m *Monitor) checkStale(p *process, response *Response) {
 	for i := range m.purges {
 		purge := &m.purges[i]
-		late := r.SentMicros - purge.receivedAt
-		if purge.covers(r) && r.IssuedMicros < purge.issuedAt && late > m.settings.PurgeGraceMicros+maxDiscoverySkew {
-			p.violations[RuleStale].add(r.SentMicros,
-				fmt.Sprintf("a copy %d ms older than a purge, requested %d ms after that was known",
-					(purge.issuedAt-r.IssuedMicros)/millisecond, late/millisecond))
+		delay := response.SentMicros - purge.receivedAt
+		if purge.covers(response) && response.IssuedMicros < purge.issuedAt &&
+			delay > m.settings.PurgeGraceMicros+maxDiscoverySkew {
+			p.violations[RuleStale].add(response.SentMicros,
+				fmt.Sprintf("a copy %d ms older than a purge, requested %d ms after the purge was received",
+					(purge.issuedAt-response.IssuedMicros)/millisecond, delay/millisecond))
 			return
 		}
 	}
 }
 
-// checkBudget adds the work that all processes of this router have sent to an endpoint in
-// slow start. One attempt alone may exceed the allowance.
+// checkBudget adds the work of a report to that of all processes of this router for an
+// endpoint in slow start, and adds a violation if the sum exceeds the allowance. The work
+// of one report alone may exceed it, since it may be a single attempt.
 func (m *Monitor) checkBudget(now int64, p *process, use *EndpointUse) {
 	e := m.endpoints[use.Endpoint]
 	if e == nil || e.startedAt == 0 || use.WorkMicros == 0 {
 		return
 	}
-	budget, known := m.settings.SlowStart[e.kind]
+	budget, hasSlowStart := m.settings.SlowStart[e.kind]
 	at := m.checks.workTime(max(use.LastSentMicros, use.LastSourcedMicros), now)
 	age := at - e.startedAt
-	if !known || age >= budget.DurationMicros || age < 0 {
+	if !hasSlowStart || age >= budget.DurationMicros || age < 0 {
 		e.work = nil
 		return
 	}
--- a/internal/invariant/random_test.go
+++ b/internal/invariant/random_test.go
@@ -9,28 +9,30 @@
 	"quilldoor/internal/policy"
 )
 
-// router follows the same discovery over its own connection, keeps the rules by what it
-// has received, and reports its activity.
+// router models a process that follows the same discovery as the monitor over its own
+// connection, and reports its activity. Unless it ignores drains or purges, it keeps the
+// rules as far as it has received changes.
 type router struct {
 	ignoresDrains, ignoresPurges bool
 	states                       map[string]policy.EndpointState
 	purges                       []purge
 }
 
-// event is a change on its way from discovery to a follower.
+// event is a change that discovery has sent and a follower has not received yet.
 type event struct {
-	at    int64
+	at    int64 // when the follower receives it
 	apply func(now int64)
 }
 
 // follower receives the events of discovery in order.
 type follower struct{ events []event }
 
-// add schedules an event that discovery sends now, or once it can be reached again.
+// add schedules an event that discovery sends now, or at reachableFrom if it can't be
+// reached before, and that arrives after the delay and after all earlier events.
 func (f *follower) add(now, reachableFrom, delay int64, apply func(now int64)) {
 	at := max(now, reachableFrom) + delay
-	for _, e := range f.events {
-		at = max(at, e.at)
+	for _, earlier := range f.events {
+		at = max(at, earlier.at)
 	}
 	f.events = append(f.events, event{at, apply})
 }
@@ -42,12 +44,13 @@
 	}
 }
 
-// activity is what the router does at a time by what it has received.
+// activity returns the attempts and responses of the router at a time, as the changes that
+// it has received permit them.
 func (r *router) activity(now int64, ids []string) *Activity {
-	a := &Activity{}
+	activity := &Activity{}
 	for _, id := range ids {
 		if r.states[id] == policy.EndpointActive || r.ignoresDrains {
-			a.Endpoints = append(a.Endpoints, EndpointUse{Endpoint: id, LastSentMicros: now})
+			activity.Endpoints = append(activity.Endpoints, EndpointUse{Endpoint: id, LastSentMicros: now})
 		}
 	}
 	for group := range int64(3) {
@@ -57,14 +60,15 @@
 				response.IssuedMicros = max(response.IssuedMicros, p.issuedAt)
 			}
 		}
-		a.Responses = append(a.Responses, response)
+		activity.Responses = append(activity.Responses, response)
 	}
-	return a
+	return activity
 }
 
-// playRandomEvents draws changes of discovery, which the router receives sooner or later
-// than the monitor, with both cut off at times, and returns the monitor's finding.
-func playRandomEvents(draw func(what string, low, high int64) int64, r *router) Violations {
+// simulateRandomEvents draws changes of discovery, which the router receives earlier or
+// later than the monitor, and outages that disconnect both from discovery. It returns the
+// violations that the monitor has proven.
+func simulateRandomEvents(draw func(label string, low, high int64) int64, r *router) Violations {
 	m := New(testSettings)
 	ids := []string{"a", "b", "c"}
 	var list []policy.Endpoint
@@ -80,7 +84,7 @@
 	disconnected := false
 	for now := epoch; now < epoch+40*second; now += second / 10 {
 		switch draw("event", 0, 30) {
-		case 0, 1:
+		case 0, 1: // an endpoint begins or ends its drain
 			id := ids[draw("endpoint", 0, 2)]
 			draining[id] = !draining[id]
 			state := policy.EndpointActive
@@ -91,7 +95,7 @@
 				m.EndpointsChanged(now, false, []policy.Endpoint{listed(id, state, 0)})
 			})
 			toRouter.add(now, reachableFrom, draw("delay to the router", 0, 900*millisecond), func(int64) { r.states[id] = state })
-		case 2, 3:
+		case 2, 3: // a purge of a group
 			group, issuedAt := draw("group", 0, 2), now
 			toMonitor.add(now, reachableFrom, draw("delay to the monitor", 0, 900*millisecond), func(now int64) {
 				m.Purged(now, "", group, issuedAt)
@@ -99,7 +103,7 @@
 			toRouter.add(now, reachableFrom, draw("delay to the router", 0, 900*millisecond), func(now int64) {
 				r.purges = append(r.purges, purge{group: group, issuedAt: issuedAt, receivedAt: now})
 			})
-		case 4:
+		case 4: // discovery can't be reached
 			if now >= reachableFrom {
 				reachableFrom = now + draw("outage", second, 6*second)
 			}
@@ -117,43 +121,46 @@
 	return m.Violations(1)
 }
 
-// A router that keeps the rules by what it has received is never accused, whatever
-// happens when.
-func TestRouterThatKeepsRulesIsNeverAccused(t *testing.T) {
+// Guards against a false positive: whatever the order and delays of changes and outages, a
+// router that keeps the rules as far as it has received changes is never reported.
+func TestRouterThatKeepsRulesIsNeverReported(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(what string, low, high int64) int64 { return rapid.Int64Range(low, high).Draw(t, what) }
-		if v := playRandomEvents(draw, &router{}); v.Rules != 0 {
-			t.Fatalf("accused: %+v", v)
+		draw := func(label string, low, high int64) int64 { return rapid.Int64Range(low, high).Draw(t, label) }
+		if violations := simulateRandomEvents(draw, &router{}); violations.Rules != 0 {
+			t.Fatalf("a router that keeps the rules is reported: %+v", violations)
 		}
 	})
 }
 
-// A router that ignores drains or purges is mostly found, and accused of nothing else.
-func TestRouterThatIgnoresEventsIsFound(t *testing.T) {
+// Guards against a router that ignores drains or purges and goes unreported in most runs,
+// or is reported for another rule.
+func TestRouterThatIgnoresEventsIsReported(t *testing.T) {
 	const runs = 300
 	for _, c := range []struct {
 		want   Rule // 0: none
 		router router
-		least  int // endpoints return and discovery is cut off: then violations do not go on for long enough
+		// minReported is below the number of runs: where endpoints return or discovery is
+		// unreachable, violations may not go on for long enough to be proven.
+		minReported int
 	}{
 		{0, router{}, 0},
 		{RuleDrained, router{ignoresDrains: true}, runs / 3},
 		{RuleStale, router{ignoresPurges: true}, runs * 9 / 10},
 	} {
-		found := 0
+		reported := 0
 		for seed := range uint64(runs) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			r := c.router
-			v := playRandomEvents(func(_ string, low, high int64) int64 { return low + random.Int64N(high-low+1) }, &r)
-			if v.Rules&^(1<<c.want) != 0 {
-				t.Errorf("seed %d, %v: %+v", seed, c.want, v)
+			violations := simulateRandomEvents(func(_ string, low, high int64) int64 { return low + random.Int64N(high-low+1) }, &r)
+			if violations.Rules&^(1<<c.want) != 0 {
+				t.Errorf("seed %d, %v: other rules reported: %+v", seed, c.want, violations)
 			}
-			if v.Rules != 0 {
-				found++
+			if violations.Rules != 0 {
+				reported++
 			}
 		}
-		if t.Logf("%v: found in %d of %d", c.want, found, runs); found < c.least {
-			t.Errorf("%v: found in %d of %d", c.want, found, runs)
+		if t.Logf("%v: reported in %d of %d runs", c.want, reported, runs); reported < c.minReported {
+			t.Errorf("%v: reported in %d of %d runs, want at least %d", c.want, reported, runs, c.minReported)
 		}
 	}
 }
--- a/internal/invariant/recorder.go
+++ b/internal/invariant/recorder.go
@@ -8,16 +8,17 @@
 	maxRecordedResponses = 256
 )
 
-// maxSendTimes is how many sending times of a traffic class its mean is taken from.
+// maxSendTimes is the number of latest sending times of a traffic class that its mean
+// covers.
 const maxSendTimes = 64
 
-// Recorder gathers the activity of a process. Any goroutine may use it; a nil one
-// records nothing.
+// Recorder records the activity of a process. It is safe for concurrent use; a nil
+// Recorder records nothing.
 type Recorder struct {
 	mu        sync.Mutex
 	endpoints map[string]*EndpointUse
-	activity  Activity             // without its endpoints
-	sendTimes map[string][]float64 // latest ones by traffic class, microseconds
+	activity  Activity             // its Endpoints are filled in by Take
+	sendTimes map[string][]float64 // the latest ones by traffic class, microseconds
 }
 
 // NewRecorder returns an empty recorder.
@@ -25,10 +26,10 @@
 	return &Recorder{endpoints: map[string]*EndpointUse{}, sendTimes: map[string][]float64{}}
 }
 
-// RecordAttempt notes an attempt that is sent to an endpoint now, and the source that it
-// is filled from; "": none. Its work is the mean sending time of the latest responses of
-// its traffic class. A duplicate is an attempt beside one that may have been executed, of
-// a request that is not idempotent.
+// RecordAttempt records an attempt that is sent to an endpoint now, and the source that
+// the endpoint fills from ("": none). Its work is estimated as the mean sending time of the
+// latest responses of its traffic class. An attempt of a request that is not idempotent is
+// a duplicate if another attempt may have been executed.
 func (r *Recorder) RecordAttempt(now int64, endpoint, source, class string, duplicate bool) {
 	if r == nil {
 		return
@@ -39,14 +40,14 @@
 		r.activity.DuplicateAttempts++
 	}
 	work := r.meanSendTime(class)
-	if use := r.use(endpoint); use != nil {
+	if use := r.endpointUse(endpoint); use != nil {
 		use.LastSentMicros = now
 		use.WorkMicros += work
 	}
 	if source == "" || source == endpoint {
 		return
 	}
-	if use := r.use(source); use != nil {
+	if use := r.endpointUse(source); use != nil {
 		use.LastSourcedMicros = now
 		use.WorkMicros += work
 	}
@@ -54,14 +55,15 @@
 
 func (r *Recorder) meanSendTime(class string) (mean float64) {
 	times := r.sendTimes[class]
-	for _, t := range times {
-		mean += t / float64(len(times))
+	for _, sendTime := range times {
+		mean += sendTime / float64(len(times))
 	}
 	return mean
 }
 
-// use returns an endpoint's record; nil: there are too many others.
-func (r *Recorder) use(endpoint string) *EndpointUse {
+// endpointUse returns an endpoint's record, which it creates if need be; nil: there are
+// maxRecordedEndpoints others.
+func (r *Recorder) endpointUse(endpoint string) *EndpointUse {
 	use := r.endpoints[endpoint]
 	if use != nil {
 		return use
@@ -75,9 +77,9 @@
 	return use
 }
 
-// RecordResponse notes the response to a read: when its attempt was sent, when the origin
-// issued the copy (0: not known), and how long the endpoint took to send it, in
-// microseconds (0: not known).
+// RecordResponse records the response to a read: when its attempt was sent, when the
+// origin issued the copy (0: unknown), and how long the endpoint took to send the response,
+// in microseconds (0: unknown).
 func (r *Recorder) RecordResponse(class, object string, group, sent, issued int64, sendTime float64) {
 	if r == nil {
 		return
@@ -100,7 +102,7 @@
 	})
 }
 
-// Take returns what was recorded since it was last called; nil for a nil recorder.
+// Take returns the activity recorded since the previous call; nil for a nil recorder.
 func (r *Recorder) Take() *Activity {
 	if r == nil {
 		return nil
--- a/internal/invariant/settings.go
+++ b/internal/invariant/settings.go
@@ -8,21 +8,21 @@
 
 // Settings are the limits of the rules.
 type Settings struct {
-	DrainGraceMicros int64                      // attempts to an endpoint that drains are allowed for so long
-	PurgeGraceMicros int64                      // older copies are allowed for so long after a purge
-	WindowMicros     int64                      // within which the work of slow-start budgets is summed
-	SlowStart        map[string]SlowStartBudget // by kind of endpoint; a kind that is missing has no slow start
+	DrainGraceMicros int64                      // how long attempts to a draining endpoint remain allowed
+	PurgeGraceMicros int64                      // how long older copies remain allowed after a purge
+	WindowMicros     int64                      // time over which work is summed for slow-start budgets
+	SlowStart        map[string]SlowStartBudget // by kind of endpoint; a kind without an entry has no slow start
 }
 
-// SlowStartBudget is that of endpoints of a kind after their start.
+// SlowStartBudget bounds the work that may be sent to an endpoint of a kind after its start.
 type SlowStartBudget struct {
-	From           float64 // capacity at the start, as a share of the full one, 0 to 1
-	Multiple       float64 // of the capacity of the moment, that may be sent within a window
-	DurationMicros int64   // of the slow start
-	Routers        float64 // that share the budget; less than 1 counts as 1
+	From           float64 // capacity at the start, as a share of the full capacity, 0 to 1
+	Multiple       float64 // work allowed within a window, as a multiple of the current capacity
+	DurationMicros int64   // duration of the slow start
+	Routers        float64 // number of routers that share the budget; less than 1 counts as 1
 }
 
-// SettingsFrom takes the limits from a router's settings.
+// SettingsFrom derives the limits from a router's settings.
 func SettingsFrom(set *policy.Settings) Settings {
 	contract, hierarchy := &set.Contract, &set.Hierarchy
 	settings := Settings{
@@ -33,7 +33,7 @@
 	}
 	for i, kind := range set.EndpointKinds {
 		switch i {
-		case hierarchy.OriginKind: // it has no slow start
+		case hierarchy.OriginKind: // the origin has no slow start
 		case hierarchy.ParentKind:
 			settings.SlowStart[kind] = SlowStartBudget{
 				From:           hierarchy.ParentSlowStartFrom,
@@ -53,8 +53,8 @@
 	return settings
 }
 
-// routersOfZone counts the routers that share the edge caches of this router's zone; all
-// of them where the settings do not tell.
+// routersOfZone returns the number of routers that share the edge caches of this router's
+// zone, or that of all routers if the settings hold none for the zone.
 func routersOfZone(set *policy.Settings) int {
 	byZone := set.Hierarchy.RoutersByZone
 	if i := slices.Index(set.Zones, set.Zone); i >= 0 && i < len(byZone) && byZone[i] > 0 {
@@ -64,7 +64,7 @@
 }
 
 // allowance returns the work that one router may send within a window to an endpoint of
-// an age and weight, in microseconds.
+// that age and weight. Work, age and window are in microseconds.
 func (b *SlowStartBudget) allowance(age int64, weight float64, window int64) float64 {
 	capacity := b.From + (1-b.From)*float64(age)/float64(max(b.DurationMicros, 1))
 	return b.Multiple * capacity * weight * float64(window) / max(b.Routers, 1)
--- a/internal/invariant/violations.go
+++ b/internal/invariant/violations.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// violationLog has the violations of a rule by a process.
+// violationLog holds the violations of one rule by one process.
 type violationLog struct {
-	times    []int64 // by arrival
+	times    []int64 // in the order in which they were added
 	lastText string
 }
 
-// add keeps the first time, which shows how long violations go on, and the latest ones.
+// add records a violation. Beyond maxViolationTimes it keeps the first time, which shows
+// how long the violations have gone on, and the latest ones.
 func (l *violationLog) add(at int64, text string) {
 	l.times = append(l.times, at)
 	if len(l.times) > maxViolationTimes {
@@ -23,51 +24,55 @@
 	}
 }
 
-// shift moves all times after a jump of the clock.
+// shift moves all times after the clock has jumped.
 func (l *violationLog) shift(by int64) {
 	for i := range l.times {
 		l.times[i] += by
 	}
 }
 
-// duration is the time from the first to the last violation. There must be one.
+// duration returns the time from the first to the last violation. The log must not be
+// empty.
 func (l *violationLog) duration() int64 { return l.times[len(l.times)-1] - l.times[0] }
 
-// Violations are those proven of a process: at least three of a rule within the last
-// minute, of RuleDrained and RuleStale over 7 s or more, of RuleDuplicate a single one.
+// Violations are the rules that a process is proven to have violated within the last
+// minute. RuleDuplicate takes a single violation, the other rules at least three; those of
+// RuleDrained and RuleStale must also span 7 s or more.
 type Violations struct {
 	Rules uint8  // one bit for each, 1<<Rule
 	Text  string // describes the first rule
 }
 
-// Violations returns what is proven of a process within the last minute.
-func (m *Monitor) Violations(processID uint64) (v Violations) {
+// Violations returns the rules that a process is proven to have violated within the last
+// minute.
+func (m *Monitor) Violations(processID uint64) (violations Violations) {
 	p := m.processes[processID]
 	if p == nil {
-		return v
+		return violations
 	}
-	for r := RuleDuplicate; r < ruleCount; r++ {
-		l := &p.violations[r]
-		if !m.proven(r, l) {
+	for rule := RuleDuplicate; rule < ruleCount; rule++ {
+		log := &p.violations[rule]
+		if !m.proven(rule, log) {
 			continue
 		}
-		v.Rules |= 1 << r
-		if v.Text == "" {
-			v.Text = fmt.Sprintf("%v: %d times in %.1f s, last: %s", r, len(l.times), float64(l.duration())/1e6, l.lastText)
+		violations.Rules |= 1 << rule
+		if violations.Text == "" {
+			violations.Text = fmt.Sprintf("%v: %d times in %.1f s, last: %s",
+				rule, len(log.times), float64(log.duration())/1e6, log.lastText)
 		}
 	}
-	return v
+	return violations
 }
 
-// proven reports whether violations of a rule show a fault of the program, and no delay
-// of discovery.
-func (m *Monitor) proven(r Rule, l *violationLog) bool {
-	switch r {
+// proven reports whether violations of a rule show a fault of the program rather than a
+// delay of discovery.
+func (m *Monitor) proven(rule Rule, log *violationLog) bool {
+	switch rule {
 	case RuleDuplicate:
-		return len(l.times) > 0
+		return len(log.times) > 0
 	case RuleOverBudget:
-		return len(l.times) >= minViolations
+		return len(log.times) >= minViolations
 	default:
-		return len(l.times) >= minViolations && m.checks.outlastsStall(l.duration())
+		return len(log.times) >= minViolations && m.checks.outlastsStall(log.duration())
 	}
 }
