--- a/internal/canary/analyzer.go
+++ b/internal/canary/analyzer.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// maxSamples bounds the memory of a stage: hours of samples.
+// maxSamples bounds the memory of a stage, to several hours of samples.
 const maxSamples = 20_000
 
-// arm is one side of the comparison.
+// arm is one side of the comparison: the routers with the old or with the new generation.
 type arm int
 
 const (
@@ -18,86 +18,88 @@
 type Analyzer struct {
 	settings Settings
 	budget   errorBudget
-	offices  map[string]*[armCount]Counts // since the office's last sample
+	zones    map[string]*[armCount]Counts // by zone: counts since the zone's last sample
 	samples  [MetricCount][]float64       // differences, new less old
 	classes  map[string]*classAnalysis
 }
 
-// classAnalysis is a traffic class's loss, sampled by itself: its requests may be few
-// and its samples take long.
+// classAnalysis samples the loss of one traffic class separately: the class may have few
+// requests, so that its samples take longer.
 type classAnalysis struct {
-	offices map[string]*[armCount]ClassCounts
+	zones   map[string]*[armCount]ClassCounts
 	samples []float64
 }
 
-// New returns the analyzer of one of a number of stages, which share the probability of
-// a false stop.
+// New returns the analyzer of one stage of a plan. The plan's stages divide the
+// probability of a false stop among them.
 func New(settings Settings, stages int) *Analyzer {
 	return &Analyzer{
 		settings: settings,
 		budget:   newErrorBudget(&settings, stages),
-		offices:  map[string]*[armCount]Counts{},
+		zones:    map[string]*[armCount]Counts{},
 		classes:  map[string]*classAnalysis{},
 	}
 }
 
-// SkipMicros returns how long after its change a router is left out, microseconds.
+// SkipMicros returns how long after its change a router is left out of the analysis,
+// microseconds.
 func (a *Analyzer) SkipMicros() int64 { return a.settings.SkipMicros }
 
-// Observe adds what a router of an office did since it was observed last.
-func (a *Analyzer) Observe(office string, isNew bool, c Counts) {
+// Observe adds the counts of a router of a zone since its previous observation.
+func (a *Analyzer) Observe(zone string, isNew bool, c Counts) {
 	side := armOld
 	if isNew {
 		side = armNew
 	}
-	arms := a.offices[office]
+	arms := a.zones[zone]
 	if arms == nil {
 		arms = &[armCount]Counts{}
-		a.offices[office] = arms
+		a.zones[zone] = arms
 	}
 	arms[side] = arms[side].Plus(c)
 	for name, counts := range c.Classes {
 		if class := a.class(name); class != nil {
-			class.observe(office, side, counts)
+			class.observe(zone, side, counts)
 		}
 	}
 }
 
-// class returns the analysis of a traffic class; nil: there are MaxClasses others.
+// class returns the analysis of a traffic class, which it creates if need be; nil: there
+// are MaxClasses others.
 func (a *Analyzer) class(name string) *classAnalysis {
 	class := a.classes[name]
 	if class == nil && len(a.classes) < MaxClasses {
-		class = &classAnalysis{offices: map[string]*[armCount]ClassCounts{}}
+		class = &classAnalysis{zones: map[string]*[armCount]ClassCounts{}}
 		a.classes[name] = class
 	}
 	return class
 }
 
-func (c *classAnalysis) observe(office string, side arm, counts ClassCounts) {
-	arms := c.offices[office]
+func (c *classAnalysis) observe(zone string, side arm, counts ClassCounts) {
+	arms := c.zones[zone]
 	if arms == nil {
 		arms = &[armCount]ClassCounts{}
-		c.offices[office] = arms
+		c.zones[zone] = arms
 	}
 	arms[side] = arms[side].addScaled(counts, 1)
 }
 
-// EndSample makes one sample of all offices whose two arms have enough requests,
-// weighted by the smaller arm. A fault strikes offices together, so that their
-// differences at one time are no independent samples.
+// EndSample makes one sample of all zones whose two arms have enough requests, with each
+// zone weighted by the requests of its smaller arm. A fault affects zones together, so
+// their differences at one time are not independent samples.
 func (a *Analyzer) EndSample() {
 	var weight, sum [MetricCount]float64
-	for _, arms := range a.offices {
-		w := min(arms[armOld].Requests, arms[armNew].Requests)
-		if w < a.settings.MinRequests {
+	for _, arms := range a.zones {
+		requests := min(arms[armOld].Requests, arms[armNew].Requests)
+		if requests < a.settings.MinRequests {
 			continue
 		}
 		for m := range MetricCount {
-			newValue, inNew := m.of(&arms[armNew])
-			oldValue, inOld := m.of(&arms[armOld])
-			if inNew && inOld {
-				weight[m] += w
-				sum[m] += w * (newValue - oldValue)
+			newValue, newReported := m.valueOf(&arms[armNew])
+			oldValue, oldReported := m.valueOf(&arms[armOld])
+			if newReported && oldReported {
+				weight[m] += requests
+				sum[m] += requests * (newValue - oldValue)
 			}
 		}
 		*arms = [armCount]Counts{}
@@ -112,19 +114,19 @@
 
 func (c *classAnalysis) endSample(minRequests float64) {
 	weight, sum := 0.0, 0.0
-	for _, arms := range c.offices {
-		w := min(arms[armOld].Requests, arms[armNew].Requests)
-		if w < minRequests {
+	for _, arms := range c.zones {
+		requests := min(arms[armOld].Requests, arms[armNew].Requests)
+		if requests < minRequests {
 			continue
 		}
-		weight += w
-		sum += w * (arms[armOld].earned() - arms[armNew].earned())
+		weight += requests
+		sum += requests * (arms[armOld].earned() - arms[armNew].earned())
 		*arms = [armCount]ClassCounts{}
 	}
 	c.samples = appendSample(c.samples, sum, weight)
 }
 
-// appendSample adds a weighted mean. No weight makes no sample.
+// appendSample adds a weighted mean as a sample, unless its weight is 0.
 func appendSample(samples []float64, sum, weight float64) []float64 {
 	if weight > 0 && len(samples) < maxSamples {
 		samples = append(samples, sum/weight)
@@ -151,8 +153,8 @@
 	return names
 }
 
-// ClassInterval returns the confidence interval of the loss of a class that Classes has
-// returned, and its samples.
+// ClassInterval returns the confidence interval of the loss of a class, and its samples.
+// The name must be one that Classes has returned.
 func (a *Analyzer) ClassInterval(name string) (Interval, []float64) {
 	samples := a.classes[name].samples
 	return confidenceInterval(samples, a.budget.class, a.settings.MinRequests), samples
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -8,121 +8,123 @@
 	"testing"
 )
 
-// playArms plays two arms of one office whose requests fail at random, with faults that
-// both share and loss rates that wander for each arm alone, and returns the first
-// verdict and its sample.
-func playArms(seed uint64, newWorseBy, newRejects, wander float64, samples int) (Verdict, int) {
+// simulateArms simulates two arms of one zone whose requests fail at random. Faults of the
+// zone affect both arms; an autocorrelated offset, whose steps have the deviation lossNoise,
+// affects the loss rate of each arm separately. The new arm loses newWorseBy more and rejects
+// the share newRejects. It returns the first conclusive verdict and its number of samples.
+func simulateArms(seed uint64, newWorseBy, newRejects, lossNoise float64, samples int) (Verdict, int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	a := New(DefaultSettings(), 3)
-	offset := [2]float64{}
-	for at := 1; at <= samples; at++ {
+	lossOffset := [2]float64{}
+	for sample := 1; sample <= samples; sample++ {
 		lossRate := 0.03
-		if at%40 > 28 { // a fault of the office
+		if sample%40 > 28 { // a fault of the zone
 			lossRate = 0.3
 		}
 		for side := range 2 {
-			offset[side] = 0.7*offset[side] + wander*random.NormFloat64()
-			p := min(max(lossRate+offset[side], 0), 1)
-			var c Counts
+			lossOffset[side] = 0.7*lossOffset[side] + lossNoise*random.NormFloat64()
+			lossProbability := min(max(lossRate+lossOffset[side], 0), 1)
+			var counts Counts
 			for range 40 {
-				c.Requests++
-				c.WeightOffered++
+				counts.Requests++
+				counts.WeightOffered++
 				switch {
 				case side == 1 && random.Float64() < newRejects:
-					c.Rejected++
-				case random.Float64() < p+float64(side)*newWorseBy:
+					counts.Rejected++
+				case random.Float64() < lossProbability+float64(side)*newWorseBy: // its weight is lost
 				default:
-					c.WeightEarned++
+					counts.WeightEarned++
 				}
 			}
-			a.Observe("o", side == 1, c)
+			a.Observe("o", side == 1, counts)
 		}
-		if a.EndSample(); at%3 == 0 {
-			if v, _ := a.Verdict(); v != VerdictInconclusive {
-				return v, at
+		if a.EndSample(); sample%3 == 0 {
+			if verdict, _ := a.Verdict(); verdict != VerdictInconclusive {
+				return verdict, sample
 			}
 		}
 	}
 	return VerdictInconclusive, samples
 }
 
-// A generation that is the same is stopped rarely, although the verdict is asked for all
-// the time, without faults, with them, and with neighbouring samples that hang together.
-// A loss of 0.06 and 4% of needless rejections pass rarely.
+// Guards against verdicts that are wrong more often than stated, although they are requested
+// every three samples, amid faults, and with independent or autocorrelated samples: a
+// generation that does no worse is rarely stopped, and one with 0.06 more loss or 4% needless
+// rejections rarely passes.
 func TestVerdictsHoldTheirErrorProbability(t *testing.T) {
 	const runs, samples = 400, 400
-	play := func(newWorseBy, newRejects, wander float64) (verdicts [3]int) {
+	countVerdicts := func(newWorseBy, newRejects, lossNoise float64) (verdicts [3]int) {
 		for seed := range uint64(runs) {
-			v, _ := playArms(seed, newWorseBy, newRejects, wander, samples)
-			verdicts[v]++
+			verdict, _ := simulateArms(seed, newWorseBy, newRejects, lossNoise, samples)
+			verdicts[verdict]++
 		}
 		return verdicts
 	}
-	for _, wander := range []float64{0, 0.02} {
-		if n := play(0, 0, wander); n[VerdictWorse] > runs/20 || n[VerdictPass] < runs*8/10 {
-			t.Errorf("the same, wander %g: %v", wander, n)
+	for _, lossNoise := range []float64{0, 0.02} {
+		if n := countVerdicts(0, 0, lossNoise); n[VerdictWorse] > runs/20 || n[VerdictPass] < runs*8/10 {
+			t.Errorf("no worse, loss noise %g: verdicts (inconclusive, pass, worse) %v", lossNoise, n)
 		}
-		if n := play(0.06, 0, wander); n[VerdictPass] > runs/20 || n[VerdictWorse] < runs/2 {
-			t.Errorf("0.06 worse, wander %g: %v", wander, n)
+		if n := countVerdicts(0.06, 0, lossNoise); n[VerdictPass] > runs/20 || n[VerdictWorse] < runs/2 {
+			t.Errorf("0.06 more loss, loss noise %g: verdicts (inconclusive, pass, worse) %v", lossNoise, n)
 		}
-		if n := play(0, 0.04, wander); n[VerdictPass] > runs/20 || n[VerdictWorse] < runs/2 {
-			t.Errorf("4%% rejected, wander %g: %v", wander, n)
+		if n := countVerdicts(0, 0.04, lossNoise); n[VerdictPass] > runs/20 || n[VerdictWorse] < runs/2 {
+			t.Errorf("4%% rejected, loss noise %g: verdicts (inconclusive, pass, worse) %v", lossNoise, n)
 		}
 	}
-	// Too few samples are no pass.
-	if v, at := playArms(1, 0, 0, 0, 5); v != VerdictInconclusive || at != 5 {
-		t.Error(v, at)
+	// Too few samples don't pass.
+	if verdict, sample := simulateArms(1, 0, 0, 0, 5); verdict != VerdictInconclusive || sample != 5 {
+		t.Errorf("verdict %q at sample %d of 5, want it inconclusive after all", verdict, sample)
 	}
-	// Neither is an arm without another to compare with.
+	// A new arm without an old one to compare it with doesn't pass either.
 	a := New(DefaultSettings(), 1)
 	for range 100 {
 		a.Observe("o", true, Counts{Requests: 100, WeightOffered: 100, WeightEarned: 100})
 		a.EndSample()
 	}
-	if v, _ := a.Verdict(); v != VerdictInconclusive {
-		t.Error(v)
+	if verdict, _ := a.Verdict(); verdict != VerdictInconclusive {
+		t.Errorf("verdict %q without an old arm", verdict)
 	}
 }
 
-// The intervals cover the mean at all sample counts together: means of noise leave them
-// as rarely as stated.
+// Guards against intervals that exclude the true mean, at any of the sample counts together,
+// more often than stated.
 func TestSequenceCoversMeanAtAllSampleCounts(t *testing.T) {
 	const runs, samples, errorProbability = 2000, 500, 0.05
-	left := 0
+	excluded := 0
 	for seed := range uint64(runs) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		sum := 0.0
 		for n := 1; n <= samples; n++ {
 			sum += random.NormFloat64()
 			if n >= minSamples && math.Abs(sum/float64(n)) > HalfWidth(n, errorProbability) {
-				left++
+				excluded++
 				break
 			}
 		}
 	}
-	if t.Logf("%d of %d left the intervals", left, runs); left > runs*errorProbability*1.3 {
-		t.Error("more than stated")
+	if t.Logf("%d of %d runs exclude the mean", excluded, runs); excluded > runs*errorProbability*1.3 {
+		t.Errorf("%d of %d runs exclude the mean, with a stated probability of %g", excluded, runs, errorProbability)
 	}
 	if stop, pass := SamplesNeeded(DefaultSettings(), 3, 0.05, 0.05, 5000); stop == 0 || pass == 0 || stop < pass {
-		t.Error(stop, pass)
+		t.Errorf("%d samples needed to stop, %d to pass; want both, and no fewer to stop", stop, pass)
 	}
 }
 
-// Slowness, attempts and single classes are told apart, and what one arm does not report
-// is not compared.
+// Guards against a verdict that names the wrong metric or class, and against a comparison of
+// fields that one arm does not report.
 func TestVerdictNamesTheMetric(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		change     func(*Counts) // of the new arm
-		wantReason string        // prefix; "": not worse
+		change     func(*Counts) // applied to the counts of the new arm
+		wantReason string        // prefix of the reason; "": the verdict is not VerdictWorse
 	}{
-		{"the same", func(*Counts) {}, ""},
+		{"no change", func(*Counts) {}, ""},
 		{"a fifth slower", func(c *Counts) { c.LogLatencySum += 0.18 * c.Completed }, "slowness"},
-		{"an attempt more for one in five", func(c *Counts) { c.Attempts += 0.2 * c.Requests }, "attempts per request"},
-		{"a class that fails", func(c *Counts) {
+		{"one more attempt for one request in five", func(c *Counts) { c.Attempts += 0.2 * c.Requests }, "attempts per request"},
+		{"more loss in one class", func(c *Counts) {
 			c.Classes["accept"] = ClassCounts{Requests: 30, WeightOffered: 30, WeightEarned: 24}
 		}, "lost weight of accept"},
-		{"an earlier generation", func(c *Counts) {
+		{"a generation that reports fewer fields", func(c *Counts) {
 			c.Completed, c.LogLatencySum, c.Attempts, c.Classes = 0, 0, 0, nil
 		}, ""},
 	} {
@@ -144,9 +146,9 @@
 			}
 			a.EndSample()
 		}
-		v, reason := a.Verdict()
-		if (v == VerdictWorse) != (c.wantReason != "") || !strings.HasPrefix(reason, c.wantReason) {
-			t.Errorf("%s: %v, %s", c.name, v, reason)
+		verdict, reason := a.Verdict()
+		if (verdict == VerdictWorse) != (c.wantReason != "") || !strings.HasPrefix(reason, c.wantReason) {
+			t.Errorf("%s: verdict %q, reason %q, want it to begin with %q", c.name, verdict, reason, c.wantReason)
 		}
 	}
 }
@@ -157,16 +159,16 @@
 		before[i], after[i] = 0.01*float64(i%3), 0.01*float64(i%3)
 	}
 	if by, regressed := FleetRegressed(DefaultSettings(), 3, before, after); regressed {
-		t.Error(by)
+		t.Errorf("equal losses before and after regressed by %g", by)
 	}
 	for i := range after {
 		after[i] += 0.2
 	}
 	if by, regressed := FleetRegressed(DefaultSettings(), 3, before, after); !regressed || by < 0.1 || by > 0.2 {
-		t.Error(by, regressed)
+		t.Errorf("0.2 more loss: regressed %v by at least %g, want 0.1 to 0.2", regressed, by)
 	}
 	if _, regressed := FleetRegressed(DefaultSettings(), 3, nil, after); regressed {
-		t.Error("it regressed from nothing")
+		t.Error("regressed without samples from before the change")
 	}
 }
 
@@ -176,6 +178,6 @@
 		c = c.Plus(Counts{Classes: map[string]ClassCounts{fmt.Sprint("r", i): {Requests: 1}}})
 	}
 	if len(c.Classes) > MaxClasses {
-		t.Error(len(c.Classes))
+		t.Errorf("counts hold %d classes, at most %d are allowed", len(c.Classes), MaxClasses)
 	}
 }
--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -1,17 +1,18 @@
 package canary
 
-// MaxClasses is how many traffic classes are compared by themselves. The weight of
-// further ones counts only in the totals.
+// MaxClasses is the number of traffic classes that are compared individually. Further
+// classes count only in the totals.
 const MaxClasses = 8
 
 // Counts are the totals of one router since its start, or over a sample. Weights are
-// priority weights. What an earlier generation does not report is zero and not compared.
+// priority weights. Fields that an earlier generation does not report are zero: without
+// Completed, Attempts or Classes, slowness, attempts or classes are not compared.
 type Counts struct {
-	Requests      float64 `cbor:"1,keyasint,omitempty" json:"Txns"`     // that have ended
-	WeightOffered float64 `cbor:"2,keyasint,omitempty" json:"Asked"`    // of all of them
-	WeightEarned  float64 `cbor:"3,keyasint,omitempty" json:"Earned"`   // of those answered in time, and a part of it for late ones
-	Rejected      float64 `cbor:"4,keyasint,omitempty" json:"Refused"`  // answered that repeating is harmless
-	Failed        float64 `cbor:"5,keyasint,omitempty"`                 // aborted, or the client left without a response
+	Requests      float64 `cbor:"1,keyasint,omitempty" json:"Txns"`     // requests that have ended
+	WeightOffered float64 `cbor:"2,keyasint,omitempty" json:"Asked"`    // of all these requests
+	WeightEarned  float64 `cbor:"3,keyasint,omitempty" json:"Earned"`   // of requests answered in time, and a part of the weight of late ones
+	Rejected      float64 `cbor:"4,keyasint,omitempty" json:"Refused"`  // rejected with a response that says that a retry is safe
+	Failed        float64 `cbor:"5,keyasint,omitempty"`                 // aborted, or the client disconnected before a response
 	Completed     float64 `cbor:"6,keyasint,omitempty" json:"Answered"` // answered with a response
 	// LogLatencySum is the sum of ln(latency / objective) of completed requests.
 	LogLatencySum float64                `cbor:"7,keyasint,omitempty" json:"Time"`
@@ -27,13 +28,13 @@
 	WeightEarned  float64  `json:"Earned"`
 }
 
-// Minus returns what came since o was taken.
-func (c Counts) Minus(o Counts) Counts { return c.addScaled(o, -1) }
+// Minus returns the counts added since earlier totals.
+func (c Counts) Minus(earlier Counts) Counts { return c.addScaled(earlier, -1) }
 
-// Plus returns the sum.
-func (c Counts) Plus(o Counts) Counts { return c.addScaled(o, 1) }
+// Plus returns the sum of both counts.
+func (c Counts) Plus(other Counts) Counts { return c.addScaled(other, 1) }
 
-// addScaled returns c + scale*o, with at most MaxClasses classes.
+// addScaled returns c + scale*other, with at most MaxClasses classes.
 func (c Counts) addScaled(other Counts, scale float64) Counts {
 	sum := Counts{
 		Requests:      c.Requests + scale*other.Requests,
@@ -58,19 +59,19 @@
 	return sum
 }
 
-func (c ClassCounts) addScaled(o ClassCounts, scale float64) ClassCounts {
+func (c ClassCounts) addScaled(other ClassCounts, scale float64) ClassCounts {
 	return ClassCounts{
-		Requests:      c.Requests + scale*o.Requests,
-		WeightOffered: c.WeightOffered + scale*o.WeightOffered,
-		WeightEarned:  c.WeightEarned + scale*o.WeightEarned,
+		Requests:      c.Requests + scale*other.Requests,
+		WeightOffered: c.WeightOffered + scale*other.WeightOffered,
+		WeightEarned:  c.WeightEarned + scale*other.WeightEarned,
 	}
 }
 
-// minWeight keeps shares of no weight at all finite.
+// minWeight keeps shares finite where no weight was offered.
 const minWeight = 1e-9
 
-// loss is the share of the weight offered that was not earned.
+// loss returns the share of the weight offered that was not earned.
 func (c *Counts) loss() float64 { return 1 - c.WeightEarned/max(c.WeightOffered, minWeight) }
 
-// earned is the share of the weight offered that was earned.
+// earned returns the share of the weight offered that was earned.
 func (c *ClassCounts) earned() float64 { return c.WeightEarned / max(c.WeightOffered, minWeight) }
--- a/internal/canary/metrics.go
+++ b/internal/canary/metrics.go
@@ -1,16 +1,16 @@
 package canary
 
-// Metric is a figure that is compared. More is worse.
+// Metric is a measure by which the two arms are compared. Higher values are worse.
 type Metric uint8
 
-// Metrics.
+// The metrics.
 const (
 	MetricLoss       Metric = iota // share of the weight offered that was not earned
 	MetricRejections               // share of requests that were rejected
-	MetricFailures                 // share of requests that failed or whose client left
+	MetricFailures                 // share of requests that were aborted, or whose client disconnected
 	MetricSlowness                 // mean ln(latency / objective) of completed requests: 0.18 is a fifth slower
 	MetricAttempts                 // attempts per request
-	MetricCount                    // how many there are
+	MetricCount                    // the number of metrics
 )
 
 var metricNames = [MetricCount]string{"lost weight", "rejections", "failures", "slowness", "attempts per request"}
@@ -18,11 +18,11 @@
 // String returns the name that verdicts and status pages show.
 func (m Metric) String() string { return metricNames[m] }
 
-// primary reports whether the metric is one of those that most defects show in.
+// primary reports whether the metric is one of those that reveal most defects.
 func (m Metric) primary() bool { return m <= MetricFailures }
 
-// of returns the metric of counts; false: they do not report it.
-func (m Metric) of(c *Counts) (value float64, reported bool) {
+// valueOf returns the metric's value of counts, and whether they report it.
+func (m Metric) valueOf(c *Counts) (value float64, reported bool) {
 	switch m {
 	case MetricLoss:
 		return c.loss(), true
--- a/internal/canary/settings.go
+++ b/internal/canary/settings.go
@@ -1,27 +1,29 @@
 package canary
 
-// Settings of an analysis.
+// Settings are the limits of an analysis.
 type Settings struct {
-	// FalseStopProbability is that of stopping a generation that is the same, over all
-	// metrics, stages and looks, 0 to 1. A smaller one takes more samples to stop a worse
-	// one.
+	// FalseStopProbability is the probability of stopping a generation that does no worse,
+	// over all metrics, stages and looks, 0 to 1. The smaller it is, the more samples it
+	// takes to stop a generation that does worse.
 	FalseStopProbability float64
-	// Tolerance are differences, new less old, in the unit of each metric, that do not
-	// stop a stage: two routers of an office never see quite the same.
+	// Tolerance holds the differences, new less old, in the unit of each metric, up to
+	// which a stage is not stopped: the load of two routers of a zone is never quite the
+	// same.
 	Tolerance [MetricCount]float64
-	// ClassTolerance is the same of MetricLoss in a single traffic class.
+	// ClassTolerance is the tolerance of MetricLoss within a single traffic class.
 	ClassTolerance float64
 	// MaxLoss is the difference of MetricLoss that must be ruled out for a pass, at least
 	// Tolerance[MetricLoss]: a stage passes once the whole interval is below MaxLoss, and
 	// stops once it is above the tolerance.
 	MaxLoss float64
-	// MinRequests is how many requests each arm of an office must have for a sample.
+	// MinRequests is how many requests each arm of a zone needs for a sample.
 	MinRequests float64
-	// SkipMicros is the time after a router's change that is left out, microseconds.
+	// SkipMicros is the time after a router's change that the analysis leaves out,
+	// microseconds.
 	SkipMicros int64
 }
 
-// DefaultSettings returns the settings of a plan that states none.
+// DefaultSettings returns the settings of a plan that sets none.
 func DefaultSettings() Settings {
 	return Settings{
 		FalseStopProbability: 0.05,
@@ -39,12 +41,12 @@
 	}
 }
 
-// primaryShare of FalseStopProbability goes to the primary metrics, the rest to all
-// others together.
+// primaryShare is the share of FalseStopProbability that the primary metrics divide among
+// them. The other metrics and the traffic classes divide the rest.
 const primaryShare = 0.8
 
-// errorBudget divides FalseStopProbability among what is compared: by the union bound
-// the parts add up to it.
+// errorBudget divides FalseStopProbability among all comparisons of a stage. By the union
+// bound, the error probabilities of all comparisons and stages add up to it.
 type errorBudget struct {
 	metric [MetricCount]float64
 	class  float64 // of each traffic class
@@ -66,8 +68,8 @@
 	return b
 }
 
-// LossOf returns the share of the weight offered that was not earned; false: there were
-// fewer than MinRequests.
+// LossOf returns the share of the weight offered that was not earned, and whether the
+// counts hold at least MinRequests requests.
 func (s *Settings) LossOf(c Counts) (loss float64, enough bool) {
 	return c.loss(), c.Requests >= s.MinRequests
 }
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -156,7 +156,7 @@
 				want = 1 << c.want
 			}
 			if violations.Rules != want || (violations.Text != "") != (want != 0) {
-				t.Errorf("proven violations are %+v, want those of rules %b", violations, want)
+				t.Errorf("proven violations are %+v, want rule bits %b", violations, want)
 			}
 			if c.want != 0 && !strings.HasPrefix(violations.Text, fmt.Sprintf("rule %d, ", c.want)) {
 				t.Errorf("text %q does not begin with rule %d", violations.Text, c.want)
