--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -12,7 +12,7 @@
 // The verdicts.
 const (
 	VerdictInconclusive Verdict = iota // the samples prove neither of the others
-	VerdictPass                        // no metric is worse, and Settings.MaxLoss is ruled out
+	VerdictPass                        // no metric is proven worse, and Settings.MaxLoss is ruled out
 	VerdictWorse                       // a metric is worse by more than its tolerance
 )
 
