--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// handshakeTimeout is for TLS and the greeting, over any distance.
+	// handshakeTimeout bounds the TLS handshake and the exchange of hellos, over any distance.
 	handshakeTimeout = 2 * time.Second
 
 	initialReconnectBackoff = 50 * time.Millisecond
@@ -23,27 +23,29 @@
 )
 
 var (
-	errConnectionEnded = errors.New("connection ended") // of one that had been greeted
-	errWrongPeer       = errors.New("another peer than the configured one answered")
-	errUnknownPeer     = errors.New("the caller is no peer of this router")
-	errEarlierStart    = errors.New("the connection is of an earlier start of the peer")
+	errConnectionEnded  = errors.New("connection ended") // after a complete handshake
+	errWrongPeer        = errors.New("the dialled router is not the configured peer")
+	errUnknownPeer      = errors.New("the dialling router is not a configured peer")
+	errStaleIncarnation = errors.New("the peer's incarnation is older than one seen before")
 )
 
-// keepConnected dials a peer, and again when the connection has ended. It waits between
-// two failures, doubling, with jitter, so that routers that lost one peer don't dial it
-// all at once.
+// keepConnected dials a peer and reconnects after each failure. It waits before it
+// reconnects, with a backoff that doubles and starts anew after a complete handshake. The
+// jitter keeps routers that lost the same peer from dialling it at the same time.
+//
+// A failure is logged if its reason differs from the last one logged for the peer.
 func (g *Gateway) keepConnected(peer Peer, incarnation uint64, jitter *rand.Rand) {
-	backoff, logged := initialReconnectBackoff, ""
+	backoff, loggedReason := initialReconnectBackoff, ""
 	for g.ctx.Err() == nil {
 		err := g.connect(peer, incarnation)
 		if err == nil || errors.Is(err, errConnectionEnded) {
-			backoff, logged = initialReconnectBackoff, ""
+			backoff, loggedReason = initialReconnectBackoff, ""
 		}
 		if g.ctx.Err() != nil {
 			return
 		}
-		if reason := failureReason(err); reason != logged {
-			logged = reason
+		if reason := failureReason(err); reason != loggedReason {
+			loggedReason = reason
 			g.log.WithFields(logrus.Fields{"peer": peer.Name, "reason": reason}).WithError(err).Warn("gateway: no connection to a peer")
 		}
 		select {
@@ -54,7 +56,8 @@
 	}
 }
 
-// connect dials a peer and serves the connection until it ends.
+// connect dials a peer and handles the connection until it ends. Its error is never
+// nil.
 func (g *Gateway) connect(peer Peer, incarnation uint64) error {
 	dialer := net.Dialer{Timeout: handshakeTimeout}
 	conn, err := dialer.DialContext(g.ctx, "tcp", peer.Addr)
@@ -64,14 +67,14 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	if g.config.Keys != nil {
-		secured := tls.Client(conn, g.config.Keys.clientConfig(peer.Name))
-		if err := secured.HandshakeContext(g.ctx); err != nil {
+		tlsConn := tls.Client(conn, g.config.Keys.clientConfig(peer.Name))
+		if err := tlsConn.HandshakeContext(g.ctx); err != nil {
 			return err
 		}
-		conn = secured
+		conn = tlsConn
 	}
 	l := newLink(g, conn, peer.Name)
-	hello, err := l.greetPeer(peer, incarnation)
+	hello, err := l.handshakeAsDialler(peer, incarnation)
 	if err != nil {
 		return err
 	}
@@ -88,8 +91,8 @@
 	return fmt.Errorf("%w: %w", errConnectionEnded, err)
 }
 
-// greetPeer exchanges greetings on a connection that was dialled.
-func (l *link) greetPeer(peer Peer, incarnation uint64) (peerproto.Hello, error) {
+// handshakeAsDialler exchanges hellos on a connection that this router dialled.
+func (l *link) handshakeAsDialler(peer Peer, incarnation uint64) (peerproto.Hello, error) {
 	if err := l.sendHello(incarnation); err != nil {
 		return peerproto.Hello{}, err
 	}
@@ -98,16 +101,17 @@
 		return hello, err
 	}
 	if hello.Name != peer.Name || hello.Site != peer.Site {
-		return hello, fmt.Errorf("%w: it is %.40q of %.40q, not %q of %q", errWrongPeer, hello.Name, hello.Site, peer.Name, peer.Site)
+		return hello, fmt.Errorf("%w: it is %.40q of site %.40q, not %q of site %q", errWrongPeer, hello.Name, hello.Site, peer.Name, peer.Site)
 	}
 	return hello, nil
 }
 
+// addLink registers a dialled link once its handshake is complete.
 func (g *Gateway) addLink(l *link, peer Peer, incarnation uint64) error {
 	g.mu.Lock()
 	if !g.controller.Connected(g.now(), peer.Name, incarnation) {
 		g.mu.Unlock()
-		return errEarlierStart
+		return errStaleIncarnation
 	}
 	g.links[peer.Name] = l
 	g.applyActions()
@@ -115,6 +119,7 @@
 	return nil
 }
 
+// removeLink removes a dialled link unless a later one has replaced it.
 func (g *Gateway) removeLink(l *link, peer Peer) {
 	g.mu.Lock()
 	if g.links[peer.Name] == l {
@@ -124,20 +129,21 @@
 	g.applyActions()
 }
 
-// acceptPeers takes connections of peers.
+// acceptPeers accepts connections of peers until the listener is closed. A connection beyond
+// the bound is closed at once.
 func (g *Gateway) acceptPeers(incarnation uint64) {
 	const (
-		connsPerPeer  = 2  // a new one while the old one is not known to be dead
-		strangerConns = 16 // closed at their greeting
-		acceptBackoff = 50 * time.Millisecond
+		connsPerPeer     = 2  // a peer may reconnect before the loss of its old connection is detected
+		unknownPeerConns = 16 // connections of unknown routers, closed in the handshake
+		acceptBackoff    = 50 * time.Millisecond
 	)
-	places := make(chan struct{}, connsPerPeer*len(g.config.Peers)+strangerConns)
+	slots := make(chan struct{}, connsPerPeer*len(g.config.Peers)+unknownPeerConns)
 	for {
 		conn, err := g.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, most likely
+		if err != nil { // most likely out of file descriptors
 			select {
 			case <-g.ctx.Done():
 				return
@@ -146,43 +152,44 @@
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			conn.Close()
 			continue
 		}
 		g.goroutines.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			defer conn.Close()
 			if err := g.serveLink(conn, incarnation); err != nil && g.ctx.Err() == nil {
-				g.logRefused(conn, err).Debug("gateway: connection from a peer ended")
+				g.connErrorLog(conn, err).Debug("gateway: connection from a peer ended")
 			}
 		})
 	}
 }
 
-func (g *Gateway) logRefused(conn net.Conn, err error) *logrus.Entry {
+// connErrorLog returns a log entry about an error on an accepted connection.
+func (g *Gateway) connErrorLog(conn net.Conn, err error) *logrus.Entry {
 	fields := logrus.Fields{"from": conn.RemoteAddr().String(), "reason": failureReason(err)}
 	return g.log.WithFields(fields).WithError(err)
 }
 
-// serveLink serves a connection that a peer dialled until it ends.
+// serveLink handles a connection that a peer dialled until it ends.
 func (g *Gateway) serveLink(conn net.Conn, incarnation uint64) error {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
-	certified := "" // the name in the peer's certificate
+	certifiedName := "" // in the peer's certificate; empty without TLS
 	if g.config.Keys != nil {
-		secured := tls.Server(conn, g.config.Keys.serverConfig())
+		tlsConn := tls.Server(conn, g.config.Keys.serverConfig())
 		ctx, cancel := context.WithTimeout(g.ctx, handshakeTimeout)
 		defer cancel()
-		if err := secured.HandshakeContext(ctx); err != nil {
-			g.logRefused(conn, err).Warn("gateway: peer refused")
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
+			g.connErrorLog(conn, err).Warn("gateway: peer refused")
 			return err
 		}
-		certified = peerName(secured.ConnectionState())
-		conn = secured
+		certifiedName = peerName(tlsConn.ConnectionState())
+		conn = tlsConn
 	}
 	l := newLink(g, conn, "")
-	if err := l.greetDialler(certified, incarnation); err != nil {
+	if err := l.handshakeAsAcceptor(certifiedName, incarnation); err != nil {
 		return err
 	}
 	conn.SetDeadline(time.Time{})
@@ -196,8 +203,9 @@
 	return l.readRequests()
 }
 
-// greetDialler exchanges greetings on a connection that was accepted.
-func (l *link) greetDialler(certified string, incarnation uint64) error {
+// handshakeAsAcceptor exchanges hellos on a connection that this router accepted. With
+// TLS, the first name in the peer's certificate has to be the name in its hello.
+func (l *link) handshakeAsAcceptor(certifiedName string, incarnation uint64) error {
 	hello, err := l.readHello()
 	if err != nil {
 		return err
@@ -205,23 +213,24 @@
 	l.gateway.mu.Lock()
 	peer := l.gateway.controller.Peer(hello.Name)
 	l.gateway.mu.Unlock()
-	if peer == nil || peer.Site != hello.Site || certified != "" && certified != hello.Name {
-		return fmt.Errorf("%w: %.40q of %.40q", errUnknownPeer, hello.Name, hello.Site)
+	if peer == nil || peer.Site != hello.Site || certifiedName != "" && certifiedName != hello.Name {
+		return fmt.Errorf("%w: %.40q of site %.40q, certificate name %.40q", errUnknownPeer, hello.Name, hello.Site, certifiedName)
 	}
 	l.peer = hello.Name
 	return l.sendHello(incarnation)
 }
 
-// endInboundLink gives up the requests that came on a link.
+// endInboundLink closes an accepted link and cancels the requests that arrived on it. A
+// request that has arrived completely is ended by runInbound, which is executing it.
 func (g *Gateway) endInboundLink(l *link, key string) {
 	l.close()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.links, key)
 	for number, request := range l.inbound {
-		request.markClientGone()
+		request.cancel()
 		if !request.complete {
-			l.dropInbound(number, request, false)
+			l.finishInboundLocked(number, request, false)
 		}
 	}
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,11 +1,11 @@
-// Package gateway joins this router to routers of another site: it carries out on
-// connections what peerpolicy decides, in the frames of peerproto.
+// Package gateway connects this router to routers of other sites. It carries out the
+// decisions of peerpolicy on connections that speak the protocol of peerproto.
 //
-// The router dials each peer and forwards requests on that connection; requests that a
-// peer forwards come on the connection that the peer dialled. A connection ends at the
-// first frame that breaks the protocol.
+// The router dials each configured peer and forwards requests on that connection. Requests
+// that a peer forwards arrive on the connection that the peer dialled. The first frame that
+// violates the protocol ends its connection.
 //
-// One lock (Gateway.mu) guards the controller, the links' requests and the calls. It is
-// never held over I/O: what the controller decides is collected under the lock and done
-// after it is given back (applyActions).
+// One lock (Gateway.mu) guards the controller, the requests of every link and the forwarded
+// calls. It is never held during I/O: applyActions collects the controller's actions under
+// the lock and carries them out after releasing it.
 package gateway
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -8,18 +8,19 @@
 	"quilldoor/internal/gateway/peerproto"
 )
 
-// forwardedCall is a request that is in flight at a peer.
+// forwardedCall is a forwarded request that is in flight at a peer.
 type forwardedCall struct {
 	link              *link
-	number            uint32
+	number            uint32 // of the request on the link
 	respond           func(Reply)
-	latestPurgeMillis int64 // Unix ms of the latest purge that covers it here; 0: none
-	answer            *peerproto.Answer
-	body              *bufferpool.Body
-	bytesLeft         int // of the body, to come
+	latestPurgeMillis int64             // the latest purge known here that covers the request, in Unix milliseconds; 0: none
+	answer            *peerproto.Answer // nil until it arrives
+	body              *bufferpool.Body  // of the answer
+	bytesLeft         int               // bytes of the answer's body that have not arrived
 }
 
-// takeReply is what the request's client gets. The reply owns the body.
+// takeReply returns the reply to the request's client. The body's ownership passes to the
+// reply.
 func (c *forwardedCall) takeReply(outcome peerpolicy.Outcome) Reply {
 	reply := Reply{Outcome: outcome}
 	switch {
@@ -34,19 +35,19 @@
 	return reply
 }
 
-// forgetCall removes a call and releases its body. It is called with the lock.
-func (g *Gateway) forgetCall(id string) {
-	if c := g.forwarded[id]; c != nil {
+// removeCall removes a call and releases its body. The caller holds the lock.
+func (g *Gateway) removeCall(id string) {
+	if call := g.forwarded[id]; call != nil {
 		delete(g.forwarded, id)
-		delete(c.link.calls, c.number)
-		c.body.Release()
-		c.body = nil
+		delete(call.link.calls, call.number)
+		call.body.Release()
+		call.body = nil
 	}
 }
 
-// Forward hands a request that the router's policy has rejected to a peer. Respond is
-// called once, from another goroutine, unless Cancel comes first. False: it was not
-// forwarded.
+// Forward forwards to a peer a request that the router's policy has rejected. It returns
+// false if the request was not forwarded. Otherwise respond is called once, from another
+// goroutine, unless Cancel ends the request before.
 func (g *Gateway) Forward(request *Request, respond func(Reply)) bool {
 	id := request.Event.Request
 	purges := g.host.Purges(request.Event.Object, request.Event.Group)
@@ -69,18 +70,19 @@
 		return false
 	}
 	call := g.newCall(link, id, purges, respond)
-	frames, err := g.requestFrames(now, call.number, request, purges)
-	if err != nil { // a name too long for a frame
+	frames, err := g.encodeRequest(now, call.number, request, purges)
+	if err != nil { // for example, the object's name does not fit into a frame
 		g.controller.Unsent(id)
 		g.controller.Actions()
-		g.forgetCall(id)
+		g.removeCall(id)
 		return false
 	}
-	// From here on it may arrive. A full queue is proof that it doesn't.
+	// Once it is marked as sent, the request may have reached the peer. If enqueue fails, it
+	// provably has not, and the request is withdrawn.
 	if !g.controller.MarkSent(id) || !link.enqueue(frames) {
 		g.controller.Withdrawn(id)
 		g.controller.Actions()
-		g.forgetCall(id)
+		g.removeCall(id)
 		return false
 	}
 	return true
@@ -90,6 +92,7 @@
 	l.lastNumber++
 	call := &forwardedCall{link: l, number: l.lastNumber, respond: respond}
 	for _, purge := range purges {
+		// Rounded up, so that a copy issued in the millisecond of the purge counts as older.
 		const microsPerMilli = 1000
 		call.latestPurgeMillis = max(call.latestPurgeMillis, (purge.At+microsPerMilli-1)/microsPerMilli)
 	}
@@ -98,8 +101,8 @@
 	return call
 }
 
-// requestFrames are the request and its body.
-func (g *Gateway) requestFrames(now int64, number uint32, request *Request, purges []peerproto.Purge) ([]byte, error) {
+// encodeRequest returns the frames of a request and its body.
+func (g *Gateway) encodeRequest(now int64, number uint32, request *Request, purges []peerproto.Purge) ([]byte, error) {
 	event := &request.Event
 	frames, err := peerproto.Append(nil, peerproto.KindRequest, number, &peerproto.Request{
 		SentAt:    now,
@@ -118,27 +121,29 @@
 	})
 	for _, chunk := range request.Body.AppendBuffers(nil) {
 		for len(chunk) > 0 && err == nil {
-			n := min(len(chunk), peerproto.MaxPayload)
-			frames, err = peerproto.AppendRaw(frames, peerproto.KindData, number, chunk[:n])
-			chunk = chunk[n:]
+			payloadSize := min(len(chunk), peerproto.MaxPayload)
+			frames, err = peerproto.AppendRaw(frames, peerproto.KindData, number, chunk[:payloadSize])
+			chunk = chunk[payloadSize:]
 		}
 	}
 	return frames, err
 }
 
-// Cancel says that the client of a forwarded request has gone.
+// Cancel ends a forwarded request whose client has disconnected: it notifies the peer, and
+// respond is not called any more.
 func (g *Gateway) Cancel(id string) {
 	g.mu.Lock()
 	g.controller.ClientGone(id)
-	c := g.forwarded[id]
-	g.forgetCall(id)
+	call := g.forwarded[id]
+	g.removeCall(id)
 	g.applyActions()
-	if c != nil {
-		c.link.cancel(c.number)
+	if call != nil {
+		call.link.sendCancel(call.number)
 	}
 }
 
-// readAnswers serves a dialled connection once it is greeted.
+// readAnswers handles the frames of a dialled connection after the handshake, until the
+// connection ends.
 func (l *link) readAnswers() error {
 	for {
 		frame, err := l.reader.Next()
@@ -155,7 +160,7 @@
 		case peerproto.KindGoodbye:
 			return nil
 		default:
-			err = fmt.Errorf("%w: kind %d where answers come", peerproto.ErrMalformed, frame.Kind)
+			err = fmt.Errorf("%w: frame of kind %d on a dialled connection", peerproto.ErrMalformed, frame.Kind)
 		}
 		if err != nil {
 			return err
@@ -163,7 +168,8 @@
 	}
 }
 
-// handlePeerHeartbeat takes what a peer offers.
+// handlePeerHeartbeat reports a peer's heartbeat and the measured round trip to the
+// controller.
 func (l *link) handlePeerHeartbeat(frame peerproto.Frame) error {
 	var heartbeat peerproto.Heartbeat
 	if err := frame.Decode(&heartbeat); err != nil {
@@ -178,8 +184,8 @@
 	return nil
 }
 
-// handleAnswer takes the head of an answer. A second one for the same request ends the
-// connection: such a peer can't be trusted in anything.
+// handleAnswer handles an answer, whose body follows in data frames. A second answer to the
+// same request ends the connection: no frame of such a peer can be relied on.
 func (l *link) handleAnswer(frame peerproto.Frame) error {
 	var answer peerproto.Answer
 	if err := frame.Decode(&answer); err != nil {
@@ -189,11 +195,12 @@
 	outcome := peerpolicy.Outcome(answer.Outcome)
 	sizeValid := answer.BodyBytes >= 0 && int(answer.BodyBytes) <= g.config.MaxAnswerBytes
 	if !sizeValid || outcome < peerpolicy.OutcomeCompleted || outcome > peerpolicy.OutcomeAborted {
-		return fmt.Errorf("%w: an answer of %d bytes, outcome %d", peerproto.ErrMalformed, answer.BodyBytes, answer.Outcome)
+		return fmt.Errorf("%w: answer to request %d: body of %d bytes (at most %d), outcome %d",
+			peerproto.ErrMalformed, frame.Number, answer.BodyBytes, g.config.MaxAnswerBytes, answer.Outcome)
 	}
 	g.mu.Lock()
 	id, known := l.calls[frame.Number]
-	if !known { // it was given up
+	if !known { // the request was cancelled or timed out
 		g.mu.Unlock()
 		return nil
 	}
@@ -213,7 +220,7 @@
 	return nil
 }
 
-// handleAnswerData takes bytes of an answer's body.
+// handleAnswerData handles a data frame of an answer's body.
 func (l *link) handleAnswerData(number uint32, data []byte) error {
 	g := l.gateway
 	g.mu.Lock()
@@ -224,13 +231,15 @@
 	}
 	call := g.forwarded[id]
 	if call.answer == nil || len(data) > call.bytesLeft {
+		bytesLeft := call.bytesLeft
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes more than were announced", peerproto.ErrMalformed, len(data))
+		return fmt.Errorf("%w: data frame of %d bytes for request %d, %d bytes are expected",
+			peerproto.ErrMalformed, len(data), number, bytesLeft)
 	}
-	if !call.body.AppendBytes(data) { // no memory for it: it was executed, and can't be answered
+	if !call.body.AppendBytes(data) { // the pool is exhausted: the request was executed, but its answer is lost
 		g.controller.HandleAnswer(g.now(), l.peer, id, peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted})
 		g.applyActions()
-		l.cancel(number)
+		l.sendCancel(number)
 		return nil
 	}
 	call.bytesLeft -= len(data)
@@ -243,15 +252,15 @@
 	return nil
 }
 
-// finishCall ends a call whose answer has come whole. It is called with the lock, which it
-// gives back.
-func (g *Gateway) finishCall(c *forwardedCall, id string) {
-	answer := c.answer
-	g.controller.HandleAnswer(g.now(), c.link.peer, id, peerpolicy.PeerAnswer{
+// finishCall ends a call whose answer has arrived completely. The caller holds the lock, and
+// finishCall releases it.
+func (g *Gateway) finishCall(call *forwardedCall, id string) {
+	answer := call.answer
+	g.controller.HandleAnswer(g.now(), call.link.peer, id, peerpolicy.PeerAnswer{
 		Outcome:           peerpolicy.Outcome(answer.Outcome),
 		NeverRan:          answer.NeverRan,
 		IssuedMillis:      answer.IssuedMillis,
-		LatestPurgeMillis: c.latestPurgeMillis,
+		LatestPurgeMillis: call.latestPurgeMillis,
 	})
 	g.applyActions()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,52 +15,54 @@
 	"quilldoor/internal/policy"
 )
 
-// Peer is a router of another site as the operator names it.
+// Peer is a router of another site, as configured by the operator.
 type Peer struct{ Name, Site, Addr string }
 
-// Config of a gateway.
+// Config is the configuration of a gateway.
 type Config struct {
 	Settings       peerpolicy.Settings
 	Peers          []Peer
-	Keys           *Keys // nil: connections without TLS, for tests
-	MaxUploadBytes int   // of a write's body
-	MaxAnswerBytes int   // of a response's body
-	MaxRequestTime time.Duration
-	Seed           uint64 // of the backoff's jitter
+	Keys           *Keys         // nil: connections without TLS, for tests
+	MaxUploadBytes int           // bound on the body of a write request
+	MaxAnswerBytes int           // bound on the body of a response
+	MaxRequestTime time.Duration // bound on the time budget of a peer's request
+	Seed           uint64        // of the jitter of the reconnect backoff
 }
 
-// Request is one that this router forwards, or that a peer has forwarded.
+// Request is a request that this router forwards, or that a peer has forwarded to it.
 type Request struct {
-	Event    policy.Event // Remaining is what is left of its time
+	Event    policy.Event // Event.Remaining is the time left until the deadline
 	Tag      string       // ETag of the client's copy
 	Body     *bufferpool.Body
 	Effect   peerpolicy.Effect
-	NeverRan bool
+	NeverRan bool // no attempt of it can have been executed
 }
 
-// Reply is how a request ended.
+// Reply is the result of a forwarded request.
 type Reply struct {
 	Outcome      peerpolicy.Outcome
-	NeverRan     bool // of OutcomeRejected: it was not executed
+	NeverRan     bool // of OutcomeRejected: the request was not executed
 	NotModified  bool
 	RetryAfter   int64 // microseconds
 	Tag          string
-	IssuedMillis int64 // Unix milliseconds of the copy's issue by the origin
+	IssuedMillis int64 // when the origin issued the copy, in Unix milliseconds
 	Body         *bufferpool.Body
 }
 
 // Host is the router that a gateway belongs to.
 type Host interface {
-	// Execute runs a peer's request to its end; clientGone is closed when the peer gives
-	// it up.
-	Execute(clientGone <-chan struct{}, request *Request) Reply
-	// Purges are those that cover a request and that the peer's caches may not have done.
+	// Execute runs a peer's request and returns its result. The channel is closed when the
+	// peer cancels the request or its connection ends.
+	Execute(cancelled <-chan struct{}, request *Request) Reply
+	// Purges returns the purges that cover a request and that the peer's caches may not
+	// have applied.
 	Purges(object string, group int64) []peerproto.Purge
-	// Purge takes one that a peer knows, made at the given Unix microseconds.
+	// Purge applies a purge received from a peer. It was issued at the given time, in Unix
+	// microseconds.
 	Purge(object string, group, at int64)
 }
 
-// Gateway is a running one.
+// Gateway exchanges requests with the routers of other sites.
 type Gateway struct {
 	config   Config
 	host     Host
@@ -71,8 +73,8 @@
 
 	mu         sync.Mutex
 	controller *peerpolicy.Controller
-	links      map[string]*link // by peer where dialled, else by peer and address
-	forwarded  map[string]*forwardedCall
+	links      map[string]*link          // dialled: by peer name; accepted: by peer name and remote address
+	forwarded  map[string]*forwardedCall // by request ID
 	draining   bool
 
 	ctx        context.Context
@@ -80,7 +82,7 @@
 	goroutines sync.WaitGroup
 }
 
-// Start serves peers on a listener and dials them.
+// Start accepts connections of peers on a listener and dials each peer.
 func Start(config Config, listener net.Listener, host Host, bodies *bufferpool.Pool, log *logrus.Entry) *Gateway {
 	sites := map[string]string{}
 	for _, peer := range config.Peers {
@@ -110,14 +112,17 @@
 	return g
 }
 
-// newIncarnation rises with each start, by the clock. A start within the same microsecond,
-// or with the clock set back, is refused by peers until it is ahead again.
+// newIncarnation returns a number that rises with each start of a router: the wall clock in
+// Unix microseconds. Peers refuse a router that starts after its clock was set back, until
+// the clock is past the previous incarnation. A start within the same microsecond is not
+// told apart from the previous one.
 func newIncarnation() uint64 { return uint64(time.Now().UnixMicro()) }
 
-// now is a steady clock in microseconds, above 0.
+// now returns the time of a monotonic clock in microseconds. It is never 0: in heartbeats, a
+// time of 0 stands for none.
 func (g *Gateway) now() int64 { return time.Since(g.start).Microseconds() + 1 }
 
-// Drain tells peers that nothing new is admitted, and forwards nothing any more.
+// Drain announces to all peers that this router drains, and stops forwarding requests.
 func (g *Gateway) Drain() {
 	g.mu.Lock()
 	g.draining = true
@@ -128,17 +133,17 @@
 	}
 }
 
-// StopAccepting takes no further connections of peers: another generation of this router
-// does, on the same socket.
+// StopAccepting closes the listener. The next generation of this router accepts the peers'
+// connections on the same socket.
 func (g *Gateway) StopAccepting() { g.listener.Close() }
 
-// Idle tells whether no request is in flight, either way.
+// Idle reports whether no request is in flight in either direction.
 func (g *Gateway) Idle() bool {
-	s := g.Status()
-	return s.ForwardedInFlight == 0 && s.InboundInFlight == 0
+	status := g.Status()
+	return status.ForwardedInFlight == 0 && status.InboundInFlight == 0
 }
 
-// Close ends all connections. Requests that are in flight end as with a cut link.
+// Close closes all connections. Requests in flight end as they do when a connection is lost.
 func (g *Gateway) Close() {
 	g.cancel()
 	g.listener.Close()
@@ -151,7 +156,7 @@
 	g.goroutines.Wait()
 }
 
-// allLinks are those dialled and accepted. It is called with the lock.
+// allLinks returns the dialled and the accepted links. The caller holds the lock.
 func (g *Gateway) allLinks() (links []*link) {
 	for _, l := range g.links {
 		links = append(links, l)
@@ -159,14 +164,14 @@
 	return links
 }
 
-// ObserveLocal tells whether a request of this site was rejected.
+// ObserveLocal records whether a request of this site was rejected.
 func (g *Gateway) ObserveLocal(rejected bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.controller.ObserveLocal(g.now(), rejected)
 }
 
-// runTicker sends heartbeats and does what time brings.
+// runTicker calls the controller's Tick at intervals and sends the heartbeats.
 func (g *Gateway) runTicker() {
 	ticker := time.NewTicker(time.Duration(g.config.Settings.HeartbeatInterval) * time.Microsecond / peerpolicy.TicksPerHeartbeat)
 	defer ticker.Stop()
@@ -182,15 +187,15 @@
 		if tick%peerpolicy.TicksPerHeartbeat == 0 {
 			links = g.allLinks()
 		}
-		g.applyActions() // gives the lock back
+		g.applyActions() // releases the lock
 		for _, l := range links {
 			l.sendHeartbeat()
 		}
 	}
 }
 
-// applyActions carries out what the controller has decided. It is called with the lock,
-// which it gives back.
+// applyActions carries out the actions that the controller has decided on. The caller holds
+// the lock, and applyActions releases it.
 func (g *Gateway) applyActions() {
 	var todo []func()
 	for _, action := range g.controller.Actions() {
@@ -204,7 +209,8 @@
 	}
 }
 
-// prepareAction does an action's bookkeeping, and gives what is to be done without the lock.
+// prepareAction updates the gateway's state for an action and returns the part of the action
+// that runs without the lock; nil: none. The caller holds the lock.
 func (g *Gateway) prepareAction(action peerpolicy.Action) (do func()) {
 	switch action.Kind {
 	case peerpolicy.ActionDisconnect:
@@ -214,13 +220,13 @@
 		}
 	case peerpolicy.ActionWithdraw:
 		if call := g.forwarded[action.RequestID]; call != nil {
-			return func() { call.link.cancel(call.number) }
+			return func() { call.link.sendCancel(call.number) }
 		}
 	case peerpolicy.ActionAnswer:
-		if c := g.forwarded[action.RequestID]; c != nil {
-			reply := c.takeReply(action.Outcome)
-			g.forgetCall(action.RequestID)
-			return func() { c.respond(reply) }
+		if call := g.forwarded[action.RequestID]; call != nil {
+			reply := call.takeReply(action.Outcome)
+			g.removeCall(action.RequestID)
+			return func() { call.respond(reply) }
 		}
 	}
 	return nil
--- a/internal/gateway/inbound.go
+++ b/internal/gateway/inbound.go
@@ -10,31 +10,32 @@
 	"quilldoor/internal/policy"
 )
 
-// maxPurges that a request may carry: some of its object and of its group.
+// maxPurges bounds the purges in a request frame, which cover its object or its group.
 const maxPurges = 16
 
-// inboundRequest is one that a peer forwarded. The gateway's lock guards gone, complete and
-// window, and body until the request is complete.
+// inboundRequest is a request that a peer forwarded. The gateway's lock guards isCancelled,
+// complete and window, and also body until the request is complete.
 type inboundRequest struct {
 	request     peerproto.Request
-	receivedAt  int64
+	receivedAt  int64 // of this router's clock, in microseconds
 	body        *bufferpool.Body
-	clientGone  chan struct{} // closed where the peer has given it up
-	gone        bool
-	complete    bool // it has arrived whole, and runInbound ends it
-	window      int  // bytes of the response that the peer takes now
-	windowGrown chan struct{}
+	cancelled   chan struct{} // closed when the peer cancels the request or the link ends
+	isCancelled bool          // cancelled is closed
+	complete    bool          // the whole body has arrived, and runInbound ends the request
+	window      int           // bytes of the response body that may be sent now
+	windowGrown chan struct{} // signals that window has grown
 }
 
-func (r *inboundRequest) markClientGone() {
-	if !r.gone {
-		r.gone = true
-		close(r.clientGone)
+// cancel closes the cancelled channel. The caller holds the gateway's lock.
+func (r *inboundRequest) cancel() {
+	if !r.isCancelled {
+		r.isCancelled = true
+		close(r.cancelled)
 	}
 }
 
-// readRequests serves a connection that a peer dialled once it is greeted. A peer that is
-// silent for long is gone, and its requests with it.
+// readRequests handles the frames of an accepted connection after the handshake, until the
+// connection ends. It ends the connection of a silent peer, which cancels its requests.
 func (l *link) readRequests() error {
 	interval := time.Duration(l.gateway.config.Settings.HeartbeatInterval) * time.Microsecond
 	for {
@@ -71,18 +72,19 @@
 		l.handleCancel(frame.Number)
 		return nil
 	}
-	return fmt.Errorf("%w: kind %d where requests come", peerproto.ErrMalformed, frame.Kind)
+	return fmt.Errorf("%w: frame of kind %d on an accepted connection", peerproto.ErrMalformed, frame.Kind)
 }
 
 func (l *link) handleCancel(number uint32) {
 	l.gateway.mu.Lock()
 	defer l.gateway.mu.Unlock()
-	if r := l.inbound[number]; r != nil {
-		r.markClientGone()
+	if inbound := l.inbound[number]; inbound != nil {
+		inbound.cancel()
 	}
 }
 
-// handleRequest takes a request. One under a number that is in use ends the connection.
+// handleRequest handles a request, whose body follows in data frames. A request with a number
+// that is in use ends the connection.
 func (l *link) handleRequest(frame peerproto.Frame) error {
 	g := l.gateway
 	inbound, err := g.decodeRequest(frame)
@@ -95,7 +97,7 @@
 	g.mu.Lock()
 	if l.inbound[frame.Number] != nil {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: number %d twice", peerproto.ErrMalformed, frame.Number)
+		return fmt.Errorf("%w: request number %d is in use", peerproto.ErrMalformed, frame.Number)
 	}
 	reason := g.controller.Admit(inbound.receivedAt, l.peer, request.RequestID, request.Route, delay)
 	if reason != peerpolicy.ReasonOK {
@@ -114,23 +116,24 @@
 	return nil
 }
 
+// decodeRequest decodes and validates a request. It reduces the budget to MaxRequestTime.
 func (g *Gateway) decodeRequest(frame peerproto.Frame) (*inboundRequest, error) {
-	r := &inboundRequest{
-		clientGone:  make(chan struct{}),
+	inbound := &inboundRequest{
+		cancelled:   make(chan struct{}),
 		window:      peerproto.InitialWindow,
 		windowGrown: make(chan struct{}, 1),
 	}
-	if err := frame.Decode(&r.request); err != nil {
+	if err := frame.Decode(&inbound.request); err != nil {
 		return nil, err
 	}
-	request := &r.request
+	request := &inbound.request
 	sizeValid := request.BodyBytes >= 0 && int(request.BodyBytes) <= g.config.MaxUploadBytes
 	if !sizeValid || request.Budget <= 0 || len(request.Purges) > maxPurges {
-		return nil, fmt.Errorf("%w: a body of %d bytes, %d us left, %d purges",
-			peerproto.ErrMalformed, request.BodyBytes, request.Budget, len(request.Purges))
+		return nil, fmt.Errorf("%w: request %d: body of %d bytes (at most %d), budget of %d us, %d purges (at most %d)",
+			peerproto.ErrMalformed, frame.Number, request.BodyBytes, g.config.MaxUploadBytes, request.Budget, len(request.Purges), maxPurges)
 	}
 	request.Budget = min(request.Budget, g.config.MaxRequestTime.Microseconds())
-	return r, nil
+	return inbound, nil
 }
 
 // reject answers that a request was not executed.
@@ -139,30 +142,33 @@
 }
 
 func (l *link) sendAnswer(number uint32, answer *peerproto.Answer) error {
-	b, err := peerproto.Append(nil, peerproto.KindAnswer, number, answer)
+	frame, err := peerproto.Append(nil, peerproto.KindAnswer, number, answer)
 	if err == nil {
-		l.enqueue(b)
+		l.enqueue(frame)
 	}
 	return err
 }
 
-// handleRequestData takes bytes of a request's body.
+// handleRequestData handles a data frame of a request's body.
 func (l *link) handleRequestData(number uint32, data []byte) error {
 	g := l.gateway
 	g.mu.Lock()
 	inbound := l.inbound[number]
-	if inbound == nil { // rejected, or given up
+	if inbound == nil { // the request was rejected or has ended
 		g.mu.Unlock()
 		return nil
 	}
 	if inbound.complete {
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes behind a whole body", peerproto.ErrMalformed, len(data))
+		return fmt.Errorf("%w: data frame of %d bytes after the end of the body of request %d",
+			peerproto.ErrMalformed, len(data), number)
 	}
 	announced := int(inbound.request.BodyBytes)
 	if inbound.body.Len()+len(data) > announced {
+		bytesLeft := announced - inbound.body.Len()
 		g.mu.Unlock()
-		return fmt.Errorf("%w: %d bytes more than were announced", peerproto.ErrMalformed, len(data))
+		return fmt.Errorf("%w: data frame of %d bytes for request %d, %d bytes are expected",
+			peerproto.ErrMalformed, len(data), number, bytesLeft)
 	}
 	outOfMemory := !inbound.body.AppendBytes(data)
 	complete := !outOfMemory && inbound.body.Len() == announced
@@ -170,7 +176,7 @@
 	g.mu.Unlock()
 	switch {
 	case outOfMemory:
-		l.endInbound(number, inbound, false)
+		l.finishInbound(number, inbound, false)
 		return l.reject(number)
 	case complete:
 		g.goroutines.Go(func() { l.runInbound(number, inbound) })
@@ -178,54 +184,58 @@
 	return nil
 }
 
-// handleWindow takes that the peer takes more bytes of a response.
+// handleWindow grows the window of a response body by the bytes that the peer grants.
 func (l *link) handleWindow(number uint32, bytes int) error {
 	g := l.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := l.inbound[number]
-	if r == nil {
+	inbound := l.inbound[number]
+	if inbound == nil {
 		return nil
 	}
 	if bytes <= 0 || bytes > g.config.MaxAnswerBytes {
-		return fmt.Errorf("%w: a window of %d", peerproto.ErrMalformed, bytes)
+		return fmt.Errorf("%w: window of %d bytes for request %d, at most %d allowed",
+			peerproto.ErrMalformed, bytes, number, g.config.MaxAnswerBytes)
 	}
-	r.window += bytes
+	inbound.window += bytes
 	select {
-	case r.windowGrown <- struct{}{}:
+	case inbound.windowGrown <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-func (l *link) endInbound(number uint32, r *inboundRequest, completed bool) {
+// finishInbound removes an inbound request, reports its end to the controller and releases
+// its body.
+func (l *link) finishInbound(number uint32, inbound *inboundRequest, completed bool) {
 	l.gateway.mu.Lock()
 	defer l.gateway.mu.Unlock()
-	l.dropInbound(number, r, completed)
+	l.finishInboundLocked(number, inbound, completed)
 }
 
-// dropInbound is endInbound with the lock held.
-func (l *link) dropInbound(number uint32, r *inboundRequest, completed bool) {
+// finishInboundLocked is finishInbound for a caller that holds the lock.
+func (l *link) finishInboundLocked(number uint32, inbound *inboundRequest, completed bool) {
 	delete(l.inbound, number)
-	l.gateway.controller.FinishInbound(l.gateway.now(), l.peer, r.request.RequestID, completed)
-	r.body.Release()
-	r.body = nil
+	l.gateway.controller.FinishInbound(l.gateway.now(), l.peer, inbound.request.RequestID, completed)
+	inbound.body.Release()
+	inbound.body = nil
 }
 
-// runInbound is the life of a peer's request, from its arrival to the last byte of its
-// response. It counts as in flight until then: a peer that takes no responses gets no more
-// requests in.
+// runInbound executes a peer's request and sends its response. The request counts as in
+// flight until the last byte of the response is queued, so that a peer that reads no
+// responses gets no more requests admitted.
 func (l *link) runInbound(number uint32, inbound *inboundRequest) {
-	l.gateway.hearPurges(&inbound.request)
+	l.gateway.applyPurges(&inbound.request)
 	reply := Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	select {
-	case <-inbound.clientGone:
+	case <-inbound.cancelled:
 	default:
-		reply = l.gateway.host.Execute(inbound.clientGone, l.gateway.hostRequest(inbound))
+		reply = l.gateway.host.Execute(inbound.cancelled, l.gateway.hostRequest(inbound))
 	}
 	defer reply.Body.Release()
-	defer l.endInbound(number, inbound, reply.Outcome == peerpolicy.OutcomeCompleted)
-	// Where it can't be written, the connection ends, and the peer with it.
+	defer l.finishInbound(number, inbound, reply.Outcome == peerpolicy.OutcomeCompleted)
+	// An answer that can't be encoded or queued is lost. The peer gives up the request when
+	// the connection ends or the request times out.
 	_ = l.sendAnswer(number, &peerproto.Answer{
 		Outcome:      uint8(reply.Outcome),
 		NeverRan:     reply.NeverRan,
@@ -238,9 +248,9 @@
 	l.sendBody(number, inbound, reply.Body)
 }
 
-// hearPurges takes the purges that a request carries: the peer may know some that this
-// site has not heard of.
-func (g *Gateway) hearPurges(request *peerproto.Request) {
+// applyPurges applies the purges in a request, since this site may not have received all of
+// them.
+func (g *Gateway) applyPurges(request *peerproto.Request) {
 	for _, purge := range request.Purges {
 		if purge.Group {
 			g.host.Purge("", request.Group, purge.At)
@@ -250,8 +260,9 @@
 	}
 }
 
-func (g *Gateway) hostRequest(r *inboundRequest) *Request {
-	request := &r.request
+// hostRequest converts a peer's request for Host.Execute.
+func (g *Gateway) hostRequest(inbound *inboundRequest) *Request {
+	request := &inbound.request
 	return &Request{
 		Event: policy.Event{
 			Request:     request.RequestID,
@@ -259,53 +270,55 @@
 			Object:      request.Object,
 			Group:       request.Group,
 			Part:        request.Part,
-			Remaining:   request.Budget - (g.now() - r.receivedAt),
+			Remaining:   request.Budget - (g.now() - inbound.receivedAt),
 			ClientRetry: request.Repeat,
 			Write:       request.Write,
 		},
 		Tag:  request.Tag,
-		Body: r.body,
+		Body: inbound.body,
 	}
 }
 
-// sendBody sends a response's body, no faster than the peer opens its window.
-func (l *link) sendBody(number uint32, r *inboundRequest, body *bufferpool.Body) {
-	expired := time.NewTimer(time.Duration(r.request.Budget) * time.Microsecond)
+// sendBody sends a response's body within the window that the peer grants. It stops early if
+// the request is cancelled or expires, and closes the link if its queue is full.
+func (l *link) sendBody(number uint32, inbound *inboundRequest, body *bufferpool.Body) {
+	expired := time.NewTimer(time.Duration(inbound.request.Budget) * time.Microsecond)
 	defer expired.Stop()
 	for _, chunk := range body.AppendBuffers(nil) {
 		for len(chunk) > 0 {
-			n := l.takeWindow(r, len(chunk))
-			if n == 0 {
-				if !l.awaitWindow(r, expired.C) {
+			payloadSize := l.reserveWindow(inbound, len(chunk))
+			if payloadSize == 0 {
+				if !l.awaitWindow(inbound, expired.C) {
 					return
 				}
 				continue
 			}
-			b, _ := peerproto.AppendRaw(nil, peerproto.KindData, number, chunk[:n]) // n is at most MaxPayload
-			if !l.enqueue(b) {
+			frame, _ := peerproto.AppendRaw(nil, peerproto.KindData, number, chunk[:payloadSize]) // at most MaxPayload
+			if !l.enqueue(frame) {
 				l.close()
 				return
 			}
-			chunk = chunk[n:]
+			chunk = chunk[payloadSize:]
 		}
 	}
 }
 
-// takeWindow takes as many bytes of the window as one frame may carry.
-func (l *link) takeWindow(r *inboundRequest, bytes int) int {
+// reserveWindow reserves bytes of the window for one data frame and returns how many.
+func (l *link) reserveWindow(inbound *inboundRequest, bytes int) int {
 	l.gateway.mu.Lock()
 	defer l.gateway.mu.Unlock()
-	n := min(bytes, peerproto.MaxPayload, r.window)
-	r.window -= n
-	return n
+	reserved := min(bytes, peerproto.MaxPayload, inbound.window)
+	inbound.window -= reserved
+	return reserved
 }
 
-// awaitWindow waits until the window opens; false: nobody waits for the body any more.
-func (l *link) awaitWindow(r *inboundRequest, expired <-chan time.Time) bool {
+// awaitWindow waits until the window grows. It returns false if the request is cancelled or
+// expires, or the gateway closes.
+func (l *link) awaitWindow(inbound *inboundRequest, expired <-chan time.Time) bool {
 	select {
-	case <-r.windowGrown:
+	case <-inbound.windowGrown:
 		return true
-	case <-r.clientGone:
+	case <-inbound.cancelled:
 	case <-expired:
 	case <-l.gateway.ctx.Done():
 	}
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -13,10 +13,11 @@
 	"quilldoor/internal/gateway/peerproto"
 )
 
-// Keys are a router's certificate and the authorities that it trusts: PEM files, read again
-// by Load. Connections use TLS 1.3 with certificates both ways; a peer's must name it.
+// Keys are a router's certificate, its private key and the certificate authorities that it
+// trusts, read from PEM files by Load. Connections use mutual TLS 1.3, and the certificate of
+// a peer has to hold the peer's name.
 type Keys struct {
-	Cert, Key, CA string // paths
+	Cert, Key, CA string // paths of the files
 	current       atomic.Pointer[keyMaterial]
 }
 
@@ -25,78 +26,81 @@
 	authorities *x509.CertPool
 }
 
-// Load reads the files. After an error the ones read before stay in force.
+// Load reads the files, also again while connections use the former ones. After an error the
+// keys loaded before stay in use.
 func (k *Keys) Load() error {
 	cert, err := tls.LoadX509KeyPair(k.Cert, k.Key)
 	if err != nil {
-		return fmt.Errorf("gateway.cert: %w", err)
+		return fmt.Errorf("gateway.cert: %s with gateway.key %s: %w", k.Cert, k.Key, err)
 	}
-	text, err := os.ReadFile(k.CA)
+	encoded, err := os.ReadFile(k.CA)
 	if err != nil {
 		return fmt.Errorf("gateway.ca: %w", err)
 	}
-	trust := x509.NewCertPool()
-	if !trust.AppendCertsFromPEM(text) {
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(encoded) {
 		return fmt.Errorf("gateway.ca: %s holds no certificate", k.CA)
 	}
-	k.current.Store(&keyMaterial{cert, trust})
+	k.current.Store(&keyMaterial{cert, authorities})
 	return nil
 }
 
-// clientConfig is the configuration for dialling a peer.
+// clientConfig returns the TLS configuration for connections to a peer.
 func (k *Keys) clientConfig(peer string) *tls.Config {
-	l := k.current.Load()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, RootCAs: l.authorities, ServerName: peer}
+	material := k.current.Load()
+	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{material.cert}, RootCAs: material.authorities, ServerName: peer}
 }
 
-// serverConfig is that for being dialled. The greeting is held against the name in the
-// certificate.
+// serverConfig returns the TLS configuration for accepted connections. It does not check the
+// peer's name: handshakeAsAcceptor compares the name in the certificate with that in the
+// hello.
 func (k *Keys) serverConfig() *tls.Config {
-	l := k.current.Load()
+	material := k.current.Load()
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{l.cert}, ClientCAs: l.authorities,
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{material.cert}, ClientCAs: material.authorities,
 		ClientAuth: tls.RequireAndVerifyClientCert,
 	}
 }
 
-// peerName is the first name of a peer's certificate.
-func peerName(s tls.ConnectionState) string {
-	if len(s.PeerCertificates) == 0 || len(s.PeerCertificates[0].DNSNames) == 0 {
+// peerName returns the first DNS name in a peer's certificate; "?": there is none.
+func peerName(state tls.ConnectionState) string {
+	if len(state.PeerCertificates) == 0 || len(state.PeerCertificates[0].DNSNames) == 0 {
 		return "?"
 	}
-	return s.PeerCertificates[0].DNSNames[0]
+	return state.PeerCertificates[0].DNSNames[0]
 }
 
-// failureReason words why a connection failed, in a few constant words.
+// failureReason classifies the error of a connection for the log field "reason". The set of
+// reasons is fixed.
 func failureReason(err error) string {
 	var (
-		invalid x509.CertificateInvalidError
-		unknown x509.UnknownAuthorityError
-		name    x509.HostnameError
-		alert   tls.AlertError
-		refused *net.OpError
+		invalidCert      x509.CertificateInvalidError
+		unknownAuthority x509.UnknownAuthorityError
+		wrongName        x509.HostnameError
+		tlsAlert         tls.AlertError
+		networkError     *net.OpError
 	)
 	switch {
 	case err == nil:
 		return "ended"
-	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
+	case errors.As(err, &invalidCert) && invalidCert.Reason == x509.Expired:
 		return "certificate expired"
-	case errors.As(err, &invalid):
+	case errors.As(err, &invalidCert):
 		return "certificate not valid"
-	case errors.As(err, &unknown):
+	case errors.As(err, &unknownAuthority):
 		return "certificate of an unknown issuer"
-	case errors.As(err, &name):
+	case errors.As(err, &wrongName):
 		return "certificate of another name"
-	case errors.As(err, &alert):
+	case errors.As(err, &tlsAlert):
 		return "the peer refused our certificate"
 	case errors.Is(err, peerproto.ErrMalformed), errors.Is(err, errWrongPeer), errors.Is(err, errUnknownPeer),
-		errors.Is(err, errEarlierStart):
+		errors.Is(err, errStaleIncarnation):
 		return "protocol"
 	case errors.Is(err, errConnectionEnded):
 		return "connection lost"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return "closed by the peer"
-	case errors.As(err, &refused):
+	case errors.As(err, &networkError):
 		return "not reachable"
 	}
 	return "other"
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -9,8 +9,8 @@
 	"quilldoor/internal/gateway/peerproto"
 )
 
-// maxQueuedBytes bounds what waits to be written: a peer that reads nothing loses the
-// connection.
+// maxQueuedBytes bounds the bytes of a link that wait to be written. A link whose peer does
+// not read is closed when a response body would exceed the bound.
 const maxQueuedBytes = 4 << 20
 
 // link is a connection to a peer, dialled or accepted.
@@ -20,19 +20,19 @@
 	peer    string
 	reader  *peerproto.Reader
 
-	// Under the gateway's lock.
-	lastNumber uint32
-	calls      map[uint32]string // ids of requests that were forwarded on it
-	inbound    map[uint32]*inboundRequest
+	// Guarded by the gateway's lock.
+	lastNumber uint32                     // of the requests forwarded on this link
+	calls      map[uint32]string          // IDs of the requests forwarded on this link, by number
+	inbound    map[uint32]*inboundRequest // by number
 
-	queueMu sync.Mutex // of all below
-	queue   []byte
-	queued  chan struct{}
+	queueMu sync.Mutex    // guards all fields below
+	queue   []byte        // frames that wait to be written
+	queued  chan struct{} // signals that queue has grown; closed with the link
 	closed  bool
 
 	heartbeatAt      int64 // this side's clock at the peer's last heartbeat
 	heartbeatSentAt  int64 // the peer's clock at the same heartbeat
-	clockOffset      int64 // least of this side's clock at arrival less the peer's at sending
+	clockOffset      int64 // minimum of this side's clock at arrival minus the peer's clock at sending
 	clockOffsetKnown bool
 }
 
@@ -58,14 +58,15 @@
 	}
 }
 
-// enqueue queues bytes; false: the link is closed or its queue is full.
-func (l *link) enqueue(b []byte) bool {
+// enqueue queues bytes for writing. It returns false if the link is closed or the queue is
+// full; none of the bytes is sent then.
+func (l *link) enqueue(frames []byte) bool {
 	l.queueMu.Lock()
 	defer l.queueMu.Unlock()
-	if l.closed || len(l.queue)+len(b) > maxQueuedBytes {
+	if l.closed || len(l.queue)+len(frames) > maxQueuedBytes {
 		return false
 	}
-	l.queue = append(l.queue, b...)
+	l.queue = append(l.queue, frames...)
 	select {
 	case l.queued <- struct{}{}:
 	default:
@@ -73,37 +74,37 @@
 	return true
 }
 
-// writeQueue writes what is queued until the link closes.
+// writeQueue writes the queued bytes until the link is closed.
 func (l *link) writeQueue() {
-	const writeTimeout = 5 * time.Second // the controller gives a silent peer up before
+	const writeTimeout = 5 * time.Second // the controller disconnects a silent peer sooner
 	for range l.queued {
 		l.queueMu.Lock()
-		b := l.queue
+		frames := l.queue
 		l.queue = nil
 		l.queueMu.Unlock()
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := l.conn.Write(b); err != nil {
+		if _, err := l.conn.Write(frames); err != nil {
 			l.close()
 			return
 		}
 	}
 }
 
-// cancel tells the peer that a request is given up.
-func (l *link) cancel(number uint32) {
-	b, _ := peerproto.AppendRaw(nil, peerproto.KindCancel, number, nil) // an empty frame always fits
-	l.enqueue(b)
+// sendCancel notifies the peer that a request is cancelled.
+func (l *link) sendCancel(number uint32) {
+	frame, _ := peerproto.AppendRaw(nil, peerproto.KindCancel, number, nil) // an empty payload is within the bound
+	l.enqueue(frame)
 }
 
 func (l *link) sendHello(incarnation uint64) error {
 	settings := &l.gateway.config.Settings
-	b, err := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{
+	frame, err := peerproto.Append(nil, peerproto.KindHello, 0, &peerproto.Hello{
 		Version: peerproto.Version, Name: settings.Name, Site: settings.Site, Incarnation: incarnation,
 	})
 	if err != nil {
 		return err
 	}
-	_, err = l.conn.Write(b)
+	_, err = l.conn.Write(frame)
 	return err
 }
 
@@ -113,13 +114,13 @@
 		return hello, err
 	}
 	if frame.Kind != peerproto.KindHello {
-		return hello, fmt.Errorf("%w: kind %d for a greeting", peerproto.ErrMalformed, frame.Kind)
+		return hello, fmt.Errorf("%w: first frame of kind %d, not a hello", peerproto.ErrMalformed, frame.Kind)
 	}
 	if err := frame.Decode(&hello); err != nil {
 		return hello, err
 	}
 	if hello.Version != peerproto.Version {
-		return hello, fmt.Errorf("%w: version %d, this is %d", peerproto.ErrMalformed, hello.Version, peerproto.Version)
+		return hello, fmt.Errorf("%w: protocol version %d, this router has %d", peerproto.ErrMalformed, hello.Version, peerproto.Version)
 	}
 	return hello, nil
 }
@@ -136,12 +137,13 @@
 		heartbeat.HeldTime = now - l.heartbeatAt
 	}
 	l.queueMu.Unlock()
-	if b, err := peerproto.Append(nil, peerproto.KindHeartbeat, 0, &heartbeat); err == nil {
-		l.enqueue(b)
+	if frame, err := peerproto.Append(nil, peerproto.KindHeartbeat, 0, &heartbeat); err == nil {
+		l.enqueue(frame)
 	}
 }
 
-// handleHeartbeat returns the round trip of this side's heartbeat that it echoes; 0: none.
+// handleHeartbeat records a heartbeat of the peer. It returns the round trip, in
+// microseconds, of this side's heartbeat that it echoes; 0: it echoes none.
 func (l *link) handleHeartbeat(now int64, heartbeat *peerproto.Heartbeat) (roundTrip int64) {
 	l.queueMu.Lock()
 	defer l.queueMu.Unlock()
@@ -154,8 +156,8 @@
 	return roundTrip
 }
 
-// trackClockOffset remembers the least difference of the two clocks: that of the quickest
-// frame so far.
+// trackClockOffset keeps the minimum difference of the two clocks, that of the frame with the
+// shortest delay so far. The caller holds queueMu.
 func (l *link) trackClockOffset(now, sentAt int64) {
 	if offset := now - sentAt; !l.clockOffsetKnown || offset < l.clockOffset {
 		l.clockOffset = offset
@@ -163,7 +165,8 @@
 	}
 }
 
-// extraDelay tells how much longer than the quickest a frame was under way.
+// extraDelay returns how many microseconds longer a frame was in transit than the frame with
+// the shortest delay.
 func (l *link) extraDelay(now, sentAt int64) int64 {
 	l.queueMu.Lock()
 	defer l.queueMu.Unlock()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,19 +1,19 @@
 package gateway
 
-// Status is what a gateway tells of itself. Its JSON keys are those of the status file.
+// Status is a snapshot of a gateway's state. Its JSON keys are those of the status file.
 type Status struct {
 	Name, Site        string
 	InboundInFlight   int   `json:"In"`
 	ForwardedInFlight int   `json:"Out"`
 	OfferedCapacity   int   `json:"Offers"`
-	Taken             int64 // of peers, since the start
-	Rejected          int64 `json:"TurnedAway"`
+	Taken             int64 // peers' requests admitted since the start
+	Rejected          int64 `json:"TurnedAway"` // peers' requests rejected since the start
 	Draining          bool  `json:"Drains"`
 	Peers             []PeerStatus
-	WrittenAtMS       int64
+	WrittenAtMS       int64 // Unix milliseconds, set by the writer of the status file
 }
 
-// PeerStatus is the state of a peer.
+// PeerStatus is the state of a peer. The counts are totals since the start.
 type PeerStatus struct {
 	Name           string
 	Site           string
@@ -31,7 +31,7 @@
 	Late           int64 `json:"InDue"`
 }
 
-// Status tells the gateway's state.
+// Status returns the gateway's state.
 func (g *Gateway) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -45,13 +45,13 @@
 		Rejected:          g.controller.InboundCounts.Rejected,
 		Draining:          g.draining,
 	}
-	for _, p := range g.controller.Peers() {
-		c := p.Counts
+	for _, peer := range g.controller.Peers() {
+		counts := peer.Counts
 		status.Peers = append(status.Peers, PeerStatus{
-			Name: p.Name, Site: p.Site, State: p.State.String(), Incarnation: p.Incarnation,
-			Capacity: p.Capacity, InFlight: p.InFlight, Limit: p.Limit,
-			Forwarded: c.Forwarded, Completed: c.Completed, Rejected: c.Rejected, Aborted: c.Aborted,
-			ConnectionLost: c.ConnectionLost, Stale: c.Stale, Late: c.Late,
+			Name: peer.Name, Site: peer.Site, State: peer.State.String(), Incarnation: peer.Incarnation,
+			Capacity: peer.Capacity, InFlight: peer.InFlight, Limit: peer.Limit,
+			Forwarded: counts.Forwarded, Completed: counts.Completed, Rejected: counts.Rejected, Aborted: counts.Aborted,
+			ConnectionLost: counts.ConnectionLost, Stale: counts.Stale, Late: counts.Late,
 		})
 	}
 	return status
--- a/internal/gateway/trialkeys.go
+++ b/internal/gateway/trialkeys.go
@@ -18,8 +18,9 @@
 	privateFileMode = 0o600
 )
 
-// MakeKeys makes an authority for trials and a key pair for each name in a folder: ca.pem,
-// NAME.pem, NAME.key. The authority's own key is not kept.
+// MakeKeys creates a certificate authority for trials and issues a certificate for each name.
+// It writes ca.pem, and NAME.pem and NAME.key for each name, to a folder. The authority's
+// private key is discarded.
 func MakeKeys(dir string, names []string, lifetime time.Duration) error {
 	authority, err := newTrialAuthority(lifetime)
 	if err != nil {
@@ -36,9 +37,10 @@
 	return nil
 }
 
+// trialAuthority is a certificate authority that exists only while MakeKeys runs.
 type trialAuthority struct {
 	certificate *x509.Certificate
-	encoded     []byte
+	encoded     []byte // the certificate in DER
 	key         *ecdsa.PrivateKey
 }
 
@@ -55,7 +57,7 @@
 	certificate := &x509.Certificate{
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: "quilldoor trial authority"},
-		NotBefore:             now.Add(-time.Minute), // clocks of trial machines differ a little
+		NotBefore:             now.Add(-time.Minute), // the clocks of trial machines differ a little
 		NotAfter:              now.Add(lifetime),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
@@ -68,7 +70,7 @@
 	return &trialAuthority{certificate: certificate, encoded: encoded, key: key}, nil
 }
 
-// issue writes a key pair for a router's name.
+// issue writes a certificate and a private key for a router's name to a folder.
 func (a *trialAuthority) issue(dir, name string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -91,14 +93,14 @@
 	if err != nil {
 		return err
 	}
-	private, err := x509.MarshalECPrivateKey(key)
+	privateKey, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return err
 	}
 	if err := writePEM(dir, name+".pem", "CERTIFICATE", encoded, publicFileMode); err != nil {
 		return err
 	}
-	return writePEM(dir, name+".key", "EC PRIVATE KEY", private, privateFileMode)
+	return writePEM(dir, name+".key", "EC PRIVATE KEY", privateKey, privateFileMode)
 }
 
 func serialNumber() (*big.Int, error) {
@@ -106,7 +108,7 @@
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 }
 
-func writePEM(dir, name, kind string, content []byte, mode os.FileMode) error {
-	encoded := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: content})
+func writePEM(dir, name, blockType string, content []byte, mode os.FileMode) error {
+	encoded := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: content})
 	return os.WriteFile(filepath.Join(dir, name), encoded, mode)
 }
