--- a/internal/gateway/effect_test.go
+++ b/internal/gateway/effect_test.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/policy"
 )
 
-// An effect that is missing in the table would count as idempotent: its requests would be
-// executed twice.
+// An effect that is missing in peerEffects would be converted to EffectIdempotent, and its
+// requests could be executed twice.
 func TestPeerEffectCoversEachEffect(t *testing.T) {
 	for _, c := range []struct {
 		effect policy.Effect
@@ -19,7 +19,7 @@
 		{policy.EffectUnsafe, peerpolicy.EffectUnsafe},
 	} {
 		if got := PeerEffect(c.effect); got != c.want {
-			t.Errorf("effect %d became %d, want %d", c.effect, got, c.want)
+			t.Errorf("effect %d is converted to %d, want %d", c.effect, got, c.want)
 		}
 	}
 }
