--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -56,8 +56,7 @@
 	}
 }
 
-// connect dials a peer and handles the connection until it ends. Its error is never
-// nil.
+// connect dials a peer and handles the connection until it ends. It never returns a nil error.
 func (g *Gateway) connect(peer Peer, incarnation uint64) error {
 	dialer := net.Dialer{Timeout: handshakeTimeout}
 	conn, err := dialer.DialContext(g.ctx, "tcp", peer.Addr)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -97,7 +97,7 @@
 	p.conns = nil
 }
 
-// testSite is a gateway whose host is the test.
+// testSite is a gateway together with its host, whose behaviour the test sets.
 type testSite struct {
 	*Gateway
 	logHook        *logtest.Hook
@@ -214,7 +214,7 @@
 // send forwards a request and returns a channel that receives each reply to it; nil: the
 // request was not forwarded.
 func (s *testSite) send(effect peerpolicy.Effect, object string, body *bufferpool.Body, timeLimit time.Duration) chan Reply {
-	replies := make(chan Reply, 9) // more than one, for replies that are too many
+	replies := make(chan Reply, 9) // has room for surplus replies, see expectNoSecondReply
 	request := &Request{Event: policy.Event{
 		Request: fmt.Sprintf("%016x", lastRequestNumber.Add(1)), Class: "r", Object: object, Group: 7,
 		Remaining: timeLimit.Microseconds(), Write: body != nil,
@@ -299,8 +299,8 @@
 	}
 }
 
-// The link to a peer fails while the peer executes a request: the request gets one outcome, and
-// is not executed a second time after the peer has reconnected.
+// Guards against a second execution after a peer has reconnected whose link failed while it
+// executed a request. The request gets one outcome as soon as the failure is detected.
 func TestSilentPeerGetsOneOutcomeAndOneExecution(t *testing.T) {
 	north, south, link := newConnectedSites(t)
 	started, finish := make(chan bool, 9), make(chan bool)
@@ -623,8 +623,8 @@
 	reply.Body.Release()
 }
 
-// A peer that sends requests and does not read the answers: its requests stay in flight, so
-// that no more of them are admitted than the limit allows.
+// Guards against admitting ever more requests of a peer that sends requests and does not read
+// the answers: its requests stay in flight, and count against the limit.
 func TestPeerThatReadsNothingKeepsItsPlaces(t *testing.T) {
 	_, south, _ := newConnectedSites(t)
 	south.setExecute(func(<-chan struct{}, *Request) Reply {
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -26,8 +26,8 @@
 	authorities *x509.CertPool
 }
 
-// Load reads the files, also again while connections use the former ones. After an error the
-// keys loaded before stay in use.
+// Load reads the files. A later call replaces the keys for connections made from then on.
+// After an error the keys loaded before stay in use.
 func (k *Keys) Load() error {
 	cert, err := tls.LoadX509KeyPair(k.Cert, k.Key)
 	if err != nil {
--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -32,7 +32,7 @@
 	KindData                      // bytes of a body
 	KindWindow                    // 4 bytes: how many more bytes of the response body may be sent
 	KindCancel                    // the request is cancelled
-	KindGoodbye                   // no new requests are accepted, and the connection ends with those in flight
+	KindGoodbye                   // no new requests are accepted; the connection and the requests in flight on it end
 	lastKind      = KindGoodbye
 )
 
