--- a/internal/gateway/peerpolicy/controller.go
+++ b/internal/gateway/peerpolicy/controller.go
@@ -5,59 +5,60 @@
 	"slices"
 )
 
-const millisecond, second = int64(1000), int64(1_000_000) // microseconds
+const millisecond, second = int64(1000), int64(1_000_000) // in microseconds, the unit of all times
 
-// Settings bound the gateway. Times are microseconds.
+// Settings are the identity and the bounds of this router. Times are microseconds.
 type Settings struct {
 	Name string // of this router
 	Site string // of this router
-	// MaxRequests bounds the requests forwarded to all peers, and those inbound from all
-	// peers, at the same time.
+	// MaxRequests bounds the requests in flight at all peers together. The same bound
+	// applies, separately, to the requests in flight here that peers have forwarded.
 	MaxRequests int
-	// LocalReserve is the share of MaxRequests that inbound requests never take.
+	// LocalReserve is the share of MaxRequests, 0 to 1, that inbound requests never use.
 	LocalReserve float64
-	// HeartbeatInterval is the time between two heartbeats. Shorter finds failures
-	// sooner and costs more messages.
+	// HeartbeatInterval is the time between two heartbeats. A shorter interval detects
+	// failures sooner and costs more messages.
 	HeartbeatInterval int64
 }
 
-// Controller is the state: the peers, the requests forwarded to them and those that came
+// Controller holds the peers, the requests forwarded to them and the requests admitted
 // from them.
 type Controller struct {
 	settings         Settings
-	peers            []*Peer // by name
-	forwarded        map[string]*forwardedRequest
-	inbound          map[string]*Peer
-	localOutcomes    []outcomeSample // of this site's last requests: were they rejected?
-	inboundLimit     float64         // requests from peers at the same time
+	peers            []*Peer                      // by name
+	forwarded        map[string]*forwardedRequest // by request ID
+	inbound          map[string]*Peer             // by inboundKey
+	localOutcomes    []outcomeSample              // of this site's latest requests; a rejected one is bad
+	inboundLimit     float64                      // on len(inbound), adjusted by outcomes
 	inboundReducedAt int64
 	actions          []Action
 	InboundCounts    InboundCounts
 }
 
-// InboundCounts are totals of the requests that came from peers.
+// InboundCounts are totals of the requests received from peers, since the start. Taken counts
+// the admitted ones.
 type InboundCounts struct{ Taken, Rejected int64 }
 
-// Action is something to do on the sockets.
+// Action is a decision that the caller carries out on its connections.
 type Action struct {
 	Kind      ActionKind
 	Peer      string
 	RequestID string
-	Outcome   Outcome // of ActionAnswer
+	Outcome   Outcome // with ActionAnswer
 }
 
-// ActionKind tells what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	ActionAnswer     ActionKind = iota // answer the forwarded request's client
-	ActionWithdraw                     // tell the peer that the request is given up
+	ActionAnswer     ActionKind = iota // send the outcome to the client of a forwarded request
+	ActionWithdraw                     // cancel a forwarded request at the peer
 	ActionDisconnect                   // close the connection to the peer
 )
 
-// New makes a controller for the given peers, their sites by their names. It never deals
-// with any other router.
+// New makes a controller for a fixed set of peers. The map sites holds the site of each peer
+// by the peer's name.
 func New(settings Settings, sites map[string]string) *Controller {
 	c := &Controller{
 		settings:     settings,
@@ -72,7 +73,7 @@
 	return c
 }
 
-// Peer finds a peer by its name; nil: it is none of the configured ones.
+// Peer returns the peer of that name, or nil if no such peer is configured.
 func (c *Controller) Peer(name string) *Peer {
 	for _, peer := range c.peers {
 		if peer.Name == name {
@@ -82,23 +83,23 @@
 	return nil
 }
 
-// Peers are all of them, by name.
+// Peers returns all peers, ordered by name.
 func (c *Controller) Peers() []*Peer { return c.peers }
 
-func (c *Controller) do(action Action) { c.actions = append(c.actions, action) }
+func (c *Controller) addAction(action Action) { c.actions = append(c.actions, action) }
 
-// Actions takes what is to be done.
+// Actions returns the pending actions, in order, and clears them.
 func (c *Controller) Actions() []Action {
 	actions := c.actions
 	c.actions = nil
 	return actions
 }
 
-// TicksPerHeartbeat is how often Tick is called in a heartbeat interval.
+// TicksPerHeartbeat is the number of calls of Tick in a heartbeat interval.
 const TicksPerHeartbeat = 4
 
-// Tick finds silent peers and forwarded requests whose time is over. It is to be called
-// TicksPerHeartbeat times in a heartbeat interval.
+// Tick detects silent peers and ends forwarded requests whose deadline has passed. The
+// caller calls it TicksPerHeartbeat times in a heartbeat interval.
 func (c *Controller) Tick(now int64) {
 	for _, peer := range c.peers {
 		c.checkSilence(now, peer)
--- a/internal/gateway/peerpolicy/controller_test.go
+++ b/internal/gateway/peerpolicy/controller_test.go
@@ -107,7 +107,7 @@
 	one := newController("a")
 	makeHealthy(one, "a", 1000).Limit = 1000
 	for n := range 41 {
-		if _, r := one.Forward(start, ask(n)); (r == ReasonTooMany) != (n == 40) {
+		if _, r := one.Forward(start, ask(n)); (r == ReasonForwardLimit) != (n == 40) {
 			t.Fatalf("%d: %v", n, r)
 		}
 	}
@@ -210,7 +210,7 @@
 		h.ObserveLocal(start, false)
 	}
 	h.ObserveLocal(start, true)
-	if r := h.Admit(start, "a", "z", []string{"a"}, 0); r != ReasonLocalPriority || h.OfferedCapacity(start) != 0 {
+	if r := h.Admit(start, "a", "z", []string{"a"}, 0); r != ReasonLocalOverload || h.OfferedCapacity(start) != 0 {
 		t.Fatalf("taken while home is refused: %v", r)
 	}
 	if r := h.Admit(start+2*second, "a", "z", []string{"a"}, 0); r != ReasonOK {
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -2,50 +2,50 @@
 
 import "slices"
 
-// Effect is what executing a request twice would do.
+// Effect classifies a request by the effect of executing it twice.
 type Effect uint8
 
 // The effects.
 const (
 	EffectIdempotent     Effect = iota
-	EffectIdempotencyKey        // repeats are dropped by a group of endpoints: not by another site's
+	EffectIdempotencyKey        // endpoints drop repeats within their group, but not those sent to another site
 	EffectUnsafe
 )
 
-// Outcome is how a forwarded request ends for its client.
+// Outcome is the result of a forwarded request for its client.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeNone Outcome = iota // no answer
+	OutcomeNone Outcome = iota // the client gets no answer
 	OutcomeCompleted
-	OutcomeRejected // may be tried again
+	OutcomeRejected // the client may retry
 	OutcomeAborted
 )
 
-// Request is one that the router's own policy has rejected.
+// Request is a request to forward, which the router's own policy has rejected.
 type Request struct {
 	RequestID string
 	Effect    Effect
-	NeverRan  bool     // no attempt of it can have been executed
+	NeverRan  bool     // no attempt of this request can have been executed
 	Deadline  int64    // microseconds
-	Route     []string // routers of other sites that it came through, the first one first
+	Route     []string // routers of other sites that forwarded it, in order
 }
 
-// Reason says why a request was not forwarded, or not admitted.
+// Reason is the reason for which a request was not forwarded, or not admitted from a peer.
 type Reason uint8
 
 // The reasons.
 const (
 	ReasonOK            Reason = iota
-	ReasonMaybeExecuted        // an attempt may have been executed here
-	ReasonNoTime
-	ReasonNoPeer
-	ReasonNoCapacity
-	ReasonRoutingLoop
-	ReasonTooMany // Settings.MaxRequests are forwarded
-	ReasonLocalPriority
-	ReasonDuplicate
+	ReasonMaybeExecuted        // not idempotent, and an attempt may have been executed here
+	ReasonNoTime               // Forward: no peer is expected to respond in time; Admit: delayed on the way
+	ReasonNoPeer               // Forward: no healthy peer at another site; Admit: unknown or draining peer
+	ReasonNoCapacity           // Forward: no peer in time has capacity; Admit: no inbound capacity
+	ReasonRoutingLoop          // Forward: it came from another site; Admit: the route is not the peer alone
+	ReasonForwardLimit         // Settings.MaxRequests requests are in flight at peers
+	ReasonLocalOverload        // too many of the latest local requests were rejected
+	ReasonDuplicate            // a request with the same ID is in flight
 	reasonCount
 )
 
@@ -56,52 +56,57 @@
 	ReasonNoPeer:        "no peer",
 	ReasonNoCapacity:    "no capacity",
 	ReasonRoutingLoop:   "routing loop",
-	ReasonTooMany:       "too many",
-	ReasonLocalPriority: "local priority",
+	ReasonForwardLimit:  "forward limit",
+	ReasonLocalOverload: "local overload",
 	ReasonDuplicate:     "duplicate",
 }
 
 func (r Reason) String() string { return reasonNames[r] }
 
+// forwardState is the progress of a forwarded request. The values are bits, so that a
+// transition can list several states.
 type forwardState uint8
 
 const (
-	stateNotSent forwardState = 1 << iota // not a byte of it is on the connection
-	stateSent                             // it may have arrived
+	stateNotSent forwardState = 1 << iota // no byte of the request is on the connection
+	stateSent                             // the request may have arrived at the peer
 	stateEnded
 )
 
+// forwardEvent is an event of a forwarded request.
 type forwardEvent uint8
 
 const (
 	eventSent         forwardEvent = iota
-	eventNeverSent                 // it was not sent, and will not be
-	eventRejected                  // the peer proves that it never ran there, or it may run again
-	eventCompleted                 // its response came whole, and is no older than a purge
-	eventStale                     // its response is older than a purge known here
-	eventFailed                    // the peer says that it failed
-	eventDisconnected              // the connection has ended
-	eventTimeout                   // its time is over
-	eventClientGone
+	eventNeverSent                 // the request was not sent, and will not be
+	eventRejected                  // the peer rejected the request, which is idempotent or was never executed there
+	eventCompleted                 // the whole response was received, and no purge known here makes it stale
+	eventStale                     // the whole response was received, but it is no newer than a purge known here
+	eventFailed                    // the peer aborted the request, or rejected it without qualifying for eventRejected
+	eventDisconnected              // the connection to the peer has ended
+	eventTimeout                   // the deadline has passed
+	eventClientGone                // the client has disconnected
 )
 
-// forwardedRequest is one that is in flight at a peer.
+// forwardedRequest is a request that is in flight at a peer. Times are microseconds.
 type forwardedRequest struct {
-	peer     *Peer
-	effect   Effect
-	deadline int64
-	sentAt   int64
-	state    forwardState
+	peer        *Peer
+	effect      Effect
+	deadline    int64
+	forwardedAt int64
+	state       forwardState
 }
 
-// forwardTransitions says what becomes of a forwarded request. An idempotent one that may
-// have been executed is rejected, so that its client may try again; any other is aborted.
+// forwardTransitions is the state machine of a forwarded request. If the connection ends or
+// the response is stale, the request may have been executed: an idempotent one is rejected, so
+// that its client may retry, and any other is aborted. An event that has no transition from
+// the current state is ignored.
 var forwardTransitions = []struct {
-	from       forwardState // any of these
+	from       forwardState // one or more states
 	event      forwardEvent
 	to         forwardState
-	idempotent Outcome
-	other      Outcome
+	idempotent Outcome // of a request with EffectIdempotent
+	other      Outcome // of any other request
 }{
 	{stateNotSent, eventSent, stateSent, OutcomeNone, OutcomeNone},
 	{stateNotSent, eventNeverSent, stateEnded, OutcomeRejected, OutcomeRejected},
@@ -116,6 +121,8 @@
 	{stateNotSent | stateSent, eventClientGone, stateEnded, OutcomeNone, OutcomeNone},
 }
 
+// advance applies an event to a forwarded request. A request that has ended is removed, and its
+// outcome, unless OutcomeNone, becomes an ActionAnswer.
 func (c *Controller) advance(id string, event forwardEvent) {
 	request := c.forwarded[id]
 	if request == nil {
@@ -133,22 +140,21 @@
 		if request.effect == EffectIdempotent {
 			outcome = transition.idempotent
 		}
-		c.remove(id, request)
+		c.removeForwarded(id, request)
 		if outcome != OutcomeNone {
-			c.do(Action{Kind: ActionAnswer, Peer: request.peer.Name, RequestID: id, Outcome: outcome})
+			c.addAction(Action{Kind: ActionAnswer, Peer: request.peer.Name, RequestID: id, Outcome: outcome})
 		}
 		return
 	}
 }
 
-func (c *Controller) remove(id string, request *forwardedRequest) {
+func (c *Controller) removeForwarded(id string, request *forwardedRequest) {
 	delete(c.forwarded, id)
 	request.peer.InFlight--
 }
 
-// Forward chooses the peer that a rejected request is forwarded to: the one with the least
-// share of its capacity in use, among those from which a response can be back in time. A
-// request that came from another site goes no further.
+// Forward chooses a peer for a rejected request, and records the request as forwarded to it.
+// A request that came from another site is not forwarded again.
 func (c *Controller) Forward(now int64, request *Request) (*Peer, Reason) {
 	switch {
 	case !request.NeverRan && request.Effect != EffectIdempotent:
@@ -158,7 +164,7 @@
 	case c.forwarded[request.RequestID] != nil:
 		return nil, ReasonDuplicate
 	case len(c.forwarded) >= c.settings.MaxRequests:
-		return nil, ReasonTooMany
+		return nil, ReasonForwardLimit
 	}
 	deadline := request.Deadline - c.deadlineMargin()
 	peer, reason := c.choosePeer(now, deadline)
@@ -166,13 +172,17 @@
 		return nil, reason
 	}
 	c.forwarded[request.RequestID] = &forwardedRequest{
-		peer: peer, effect: request.Effect, deadline: deadline, sentAt: now, state: stateNotSent,
+		peer: peer, effect: request.Effect, deadline: deadline, forwardedAt: now, state: stateNotSent,
 	}
 	peer.InFlight++
 	peer.Counts.Forwarded++
 	return peer, ReasonOK
 }
 
+// choosePeer chooses, among the healthy peers of other sites, the peer with the least share of
+// its capacity in use. It passes over peers whose response is not expected before the
+// deadline. Without a choice the reason is ReasonNoCapacity if a healthy peer could respond in
+// time, else ReasonNoTime if any peer is healthy, else ReasonNoPeer.
 func (c *Controller) choosePeer(now, deadline int64) (best *Peer, reason Reason) {
 	reason = ReasonNoPeer
 	leastUse := 0.0
@@ -195,26 +205,28 @@
 	return best, reason
 }
 
-// expectedResponseTime is the time within which three quarters of the last responses
-// came; without any it is one and a half round trips.
+// expectedResponseTime is the time within which three quarters of the latest responses were
+// received. Without responses it is one and a half times the median round trip, or
+// defaultRoundTrip where no round trip is known either.
 func (p *Peer) expectedResponseTime() int64 {
 	const (
-		quarterLate      = 0.75
+		upperQuartile    = 0.75
 		median           = 0.5
 		defaultRoundTrip = 50 * millisecond
 	)
-	return quantile(p.responseTimes, quarterLate, quantile(p.roundTrips, median, defaultRoundTrip)*3/2)
+	return quantile(p.responseTimes, upperQuartile, quantile(p.roundTrips, median, defaultRoundTrip)*3/2)
 }
 
-// deadlineMargin is how long before its deadline a forwarded request is given up: the
-// interval of Tick, and the response's way to the client.
+// deadlineMargin is the time before its client's deadline at which a forwarded request is given
+// up. It covers the interval of Tick and the transmission of the response to the client.
 func (c *Controller) deadlineMargin() int64 {
 	const clientResponse = 10 * millisecond
 	return c.settings.HeartbeatInterval/TicksPerHeartbeat + clientResponse
 }
 
-// Budget is the time, in microseconds, that a forwarded request has at the peer: until it
-// is given up here, less half a round trip for the response.
+// Budget is the time, in microseconds, that the peer has for a forwarded request: the time
+// until the request is given up here, less half a round trip for the response. It is 0 for a
+// request that is not in flight.
 func (c *Controller) Budget(now int64, id string) int64 {
 	request := c.forwarded[id]
 	if request == nil {
@@ -224,8 +236,9 @@
 	return max(request.deadline-now-quantile(request.peer.roundTrips, median, 0)/2, 0)
 }
 
-// MarkSent says that the request goes onto the connection: from now on it may have
-// arrived. False: it has ended, or was sent already, and must not be sent.
+// MarkSent records that the caller is about to send a request: from now on the request may have
+// arrived at the peer. It returns false if the request has ended or was already sent; the
+// caller must then not send it.
 func (c *Controller) MarkSent(id string) bool {
 	request := c.forwarded[id]
 	if request == nil || request.state != stateNotSent {
@@ -235,31 +248,35 @@
 	return true
 }
 
-// Unsent says that the request was not sent and will not be.
+// Unsent records that a request was not sent and will not be. It adds an
+// ActionAnswer with OutcomeRejected.
 func (c *Controller) Unsent(id string) { c.advance(id, eventNeverSent) }
 
-// ClientGone says that the request's client has gone.
+// ClientGone records that the client of a forwarded request has disconnected, and cancels the
+// request at the peer.
 func (c *Controller) ClientGone(id string) {
 	if request := c.forwarded[id]; request != nil {
-		c.do(Action{Kind: ActionWithdraw, Peer: request.peer.Name, RequestID: id})
+		c.addAction(Action{Kind: ActionWithdraw, Peer: request.peer.Name, RequestID: id})
 		c.advance(id, eventClientGone)
 	}
 }
 
-// Withdrawn takes back a request of which it is proven after all that no byte was sent:
-// the connection had no room for it. It ends without an answer from here.
+// Withdrawn removes a request that was marked as sent although no byte of it was, since the
+// connection's queue was full. It adds no ActionAnswer: the caller answers the client itself.
 func (c *Controller) Withdrawn(id string) {
 	if request := c.forwarded[id]; request != nil {
-		c.remove(id, request)
+		c.removeForwarded(id, request)
 	}
 }
 
-// IsForwarded tells whether a request is in flight at a peer.
+// IsForwarded reports whether a request is in flight at a peer.
 func (c *Controller) IsForwarded(id string) bool { return c.forwarded[id] != nil }
 
-// ForwardedInFlight tells how many requests are in flight at peers.
+// ForwardedInFlight returns the number of requests in flight at peers.
 func (c *Controller) ForwardedInFlight() int { return len(c.forwarded) }
 
+// expireForwarded ends the forwarded requests whose deadline has passed, and cancels them at
+// their peers.
 func (c *Controller) expireForwarded(now int64) {
 	var expired []string
 	for id, request := range c.forwarded {
@@ -272,21 +289,23 @@
 		peer := c.forwarded[id].peer
 		peer.Counts.Late++
 		c.adjustLimit(now, peer, false)
-		c.do(Action{Kind: ActionWithdraw, Peer: peer.Name, RequestID: id})
+		c.addAction(Action{Kind: ActionWithdraw, Peer: peer.Name, RequestID: id})
 		c.advance(id, eventTimeout)
 	}
 }
 
-// PeerAnswer is what a peer answers.
+// PeerAnswer is a peer's answer to a forwarded request, with the latest purge that the answer
+// is checked against. Both times are Unix milliseconds, or any other clock and unit that they
+// share, since they are only compared with each other.
 type PeerAnswer struct {
 	Outcome           Outcome
-	NeverRan          bool  // of OutcomeRejected: it was not executed there
-	IssuedMillis      int64 // of OutcomeCompleted: the copy's issue by the origin, Unix ms or any one clock and unit of both; 0: no copy
-	LatestPurgeMillis int64 // the latest purge known here that covers it, on the same clock; 0: none
+	NeverRan          bool  // with OutcomeRejected: the peer did not execute the request
+	IssuedMillis      int64 // with OutcomeCompleted: when the origin issued the copy; 0: no copy
+	LatestPurgeMillis int64 // of the purges known here that cover the request; 0: none
 }
 
-// HandleAnswer takes a peer's answer to a request. A second one, or one for a request
-// that has ended, changes nothing.
+// HandleAnswer handles a peer's answer to a forwarded request. It ignores an answer to a request
+// that has ended, is not sent yet, or is in flight at another peer.
 func (c *Controller) HandleAnswer(now int64, name, id string, answer PeerAnswer) {
 	request := c.forwarded[id]
 	if request == nil || request.peer.Name != name || request.state != stateSent {
@@ -298,7 +317,7 @@
 	case eventStale:
 		peer.Counts.Stale++
 	case eventCompleted:
-		peer.responseTimes = addSample(peer.responseTimes, now-request.sentAt)
+		peer.responseTimes = addSample(peer.responseTimes, now-request.forwardedAt)
 		peer.Counts.Completed++
 	case eventRejected:
 		peer.Counts.Rejected++
@@ -309,6 +328,8 @@
 	c.advance(id, event)
 }
 
+// event is the event that an answer means for a request of that effect. A completed response
+// is stale if the origin issued it no later than the latest purge.
 func (a *PeerAnswer) event(effect Effect) forwardEvent {
 	switch {
 	case a.Outcome == OutcomeCompleted && a.IssuedMillis > 0 && a.IssuedMillis <= a.LatestPurgeMillis:
--- a/internal/gateway/peerpolicy/limit.go
+++ b/internal/gateway/peerpolicy/limit.go
@@ -3,42 +3,52 @@
 import "slices"
 
 const (
-	// initialPeerLimit bounds what a peer gets at first: a site that is back must not get
-	// all at once that was rejected meanwhile.
+	// initialPeerLimit bounds the requests in flight at a peer that has just connected: a
+	// site that reconnects must not receive at once all requests that were rejected while
+	// it was disconnected.
 	initialPeerLimit = 2
-	// initialInboundLimit bounds what is admitted from peers at first.
+	// initialInboundLimit bounds the requests in flight from all peers after the start.
 	initialInboundLimit = 4
 
-	minLimit       = 1
-	limitDecrease  = 0.7               // factor
-	limitRoundTrip = 200 * millisecond // a limit is reduced once in that time
-	limitWindow    = 8                 // last outcomes that are looked at
-	badOneIn       = 4                 // of them must be bad
-	maxSamples     = 32
+	minLimit            = 1
+	limitDecreaseFactor = 0.7
+	// limitDecreaseInterval is the minimum time between two decreases of a limit. It stands
+	// for a round trip.
+	limitDecreaseInterval = 200 * millisecond
+	// outcomeWindow is the number of latest outcomes that a decrease of a peer's limit
+	// depends on: at least one in badShareDivisor must be bad.
+	outcomeWindow   = 8
+	badShareDivisor = 4
+	// maxSamples bounds each list of outcomes or times.
+	maxSamples = 32
 )
 
+// outcomeSample records when a request ended, and whether its outcome was bad.
 type outcomeSample struct {
 	at  int64
 	bad bool
 }
 
-// adjustLimit moves a peer's limit: up by one for each round of good outcomes while half
-// of it is used, down where a quarter of the last outcomes were bad.
+// adjustLimit adjusts a peer's limit after an outcome. A good outcome raises it by 1/limit, so
+// by about one for each full limit of requests, but only while at least half of the limit
+// is in use. A bad outcome reduces it, at most once per limitDecreaseInterval, if a quarter or
+// more of the outcome window is bad.
 func (c *Controller) adjustLimit(now int64, peer *Peer, good bool) {
 	peer.outcomes = addOutcome(peer.outcomes, now, !good)
-	bad := badOutcomes(peer.outcomes, limitWindow)
+	bad := countBadOutcomes(peer.outcomes, outcomeWindow)
 	switch {
 	case good && float64(peer.InFlight)+1 >= peer.Limit/2:
 		peer.Limit = min(peer.Limit+1/peer.Limit, float64(c.settings.MaxRequests))
-	case !good && badOneIn*bad >= limitWindow && now-peer.limitReducedAt > limitRoundTrip:
+	case !good && badShareDivisor*bad >= outcomeWindow && now-peer.limitReducedAt > limitDecreaseInterval:
 		peer.limitReducedAt = now
-		peer.Limit = max(peer.Limit*limitDecrease, minLimit)
+		peer.Limit = max(peer.Limit*limitDecreaseFactor, minLimit)
 	}
 }
 
-// badOutcomes counts those among the last so many.
-func badOutcomes(outcomes []outcomeSample, last int) (bad int) {
-	for _, outcome := range outcomes[max(len(outcomes)-last, 0):] {
+// countBadOutcomes counts the bad outcomes among the latest ones. The window is the number of
+// outcomes to look at.
+func countBadOutcomes(outcomes []outcomeSample, window int) (bad int) {
+	for _, outcome := range outcomes[max(len(outcomes)-window, 0):] {
 		if outcome.bad {
 			bad++
 		}
@@ -52,7 +62,7 @@
 
 func addSample(list []int64, value int64) []int64 { return appendBounded(list, value) }
 
-// appendBounded appends, and drops the oldest of maxSamples.
+// appendBounded appends a value, and drops the oldest value of a list that holds maxSamples.
 func appendBounded[T any](list []T, value T) []T {
 	if len(list) >= maxSamples {
 		list = slices.Delete(list, 0, 1)
@@ -60,10 +70,10 @@
 	return append(list, value)
 }
 
-// quantile of the samples; without any it is the given default.
-func quantile(samples []int64, q float64, byDefault int64) int64 {
+// quantile returns the q-quantile of the samples, or the fallback if there are no samples.
+func quantile(samples []int64, q float64, fallback int64) int64 {
 	if len(samples) == 0 {
-		return byDefault
+		return fallback
 	}
 	sorted := slices.Sorted(slices.Values(samples))
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
