--- a/internal/gateway/peerpolicy/exhaustive_test.go
+++ b/internal/gateway/peerpolicy/exhaustive_test.go
@@ -7,28 +7,28 @@
 
 const modelPeer, modelRequest = "a", "t"
 
-// peerProgress is how far the peer is with the request.
+// peerProgress is the peer's progress with the request.
 type peerProgress uint8
 
 const (
-	peerIdle peerProgress = iota
+	peerIdle peerProgress = iota // not received, or rejected before execution
 	peerReceived
 	peerExecuted
 )
 
-// forwardModel is one request with all that can happen to it. The Controller of the site
-// that forwards it is under test; the connection and the peer are modelled.
+// forwardModel is a model of one forwarded request. The Controller of the forwarding site is
+// under test; the connection, the peer and the client are modelled.
 type forwardModel struct {
 	controller      *Controller
 	effect          Effect
 	requestInFlight bool
-	answerInFlight  *PeerAnswer
+	answerInFlight  *PeerAnswer // nil: none
 	connected       bool
 	peer            peerProgress
 	executions      int
-	answers         []Outcome // that the client got
+	answers         []Outcome // received by the client
 	now             int64
-	forwarded       bool
+	forwardTried    bool
 	clientGone      bool
 	reconnects      int
 }
@@ -46,7 +46,8 @@
 	return reason == ReasonOK
 }
 
-// answerExecuted lets the peer answer once it has executed the request.
+// answerExecuted makes the peer answer with an outcome, which is possible once it has executed
+// the request.
 func (m *forwardModel) answerExecuted(outcome Outcome) (possible bool) {
 	if m.peer != peerExecuted || !m.connected || m.answerInFlight != nil {
 		return false
@@ -55,16 +56,17 @@
 	return true
 }
 
-// forwardMoves are what can happen; each tells whether it was possible.
+// forwardMoves are the events of the model. Each reports whether it was possible in the state
+// that the model was in.
 var forwardMoves = []struct {
-	name string
-	do   func(m *forwardModel) (possible bool)
+	name  string
+	apply func(m *forwardModel) (possible bool)
 }{
 	{"forward", func(m *forwardModel) bool {
-		if m.forwarded {
+		if m.forwardTried {
 			return false
 		}
-		m.forwarded = true
+		m.forwardTried = true
 		return m.forward()
 	}},
 	{"send", func(m *forwardModel) bool {
@@ -74,7 +76,7 @@
 		m.requestInFlight = true
 		return true
 	}},
-	{"forward and send again", func(m *forwardModel) bool { // which the controller must refuse
+	{"forward and send again", func(m *forwardModel) bool { // the controller must refuse it
 		if !m.connected || m.requestInFlight || !m.controller.IsForwarded(modelRequest) || m.peer == peerIdle {
 			return false
 		}
@@ -91,7 +93,7 @@
 		m.requestInFlight, m.peer = false, peerReceived
 		return true
 	}},
-	{"execute", func(m *forwardModel) bool { // also once nobody waits for it: a peer that wakes up late
+	{"execute", func(m *forwardModel) bool { // also after the request was given up, as by a peer that stalled
 		if m.peer != peerReceived {
 			return false
 		}
@@ -108,7 +110,8 @@
 	}},
 	{"complete", func(m *forwardModel) bool { return m.answerExecuted(OutcomeCompleted) }},
 	{"abort", func(m *forwardModel) bool { return m.answerExecuted(OutcomeAborted) }},
-	{"reject after execution", func(m *forwardModel) bool { return m.answerExecuted(OutcomeRejected) }}, // an idempotent one may be rejected though it was executed
+	// An idempotent request may be rejected although it was executed.
+	{"reject after execution", func(m *forwardModel) bool { return m.answerExecuted(OutcomeRejected) }},
 	{"answer arrives", func(m *forwardModel) bool {
 		if m.answerInFlight == nil {
 			return false
@@ -117,14 +120,14 @@
 		m.answerInFlight = nil
 		return true
 	}},
-	{"answer arrives, and will again", func(m *forwardModel) bool {
+	{"answer arrives, with a duplicate to follow", func(m *forwardModel) bool {
 		if m.answerInFlight == nil {
 			return false
 		}
 		m.controller.HandleAnswer(m.now, modelPeer, modelRequest, *m.answerInFlight)
 		return true
 	}},
-	{"disconnect", func(m *forwardModel) bool { // a request that is in flight may still arrive, or not
+	{"disconnect", func(m *forwardModel) bool { // a request in flight may still arrive, or be lost
 		if !m.connected {
 			return false
 		}
@@ -158,7 +161,7 @@
 		m.controller.Tick(m.now)
 		return true
 	}},
-	{"client leaves", func(m *forwardModel) bool {
+	{"client disconnects", func(m *forwardModel) bool {
 		if m.clientGone || !m.controller.IsForwarded(modelRequest) {
 			return false
 		}
@@ -168,24 +171,25 @@
 	}},
 }
 
-// step makes a move and checks the invariants at once.
+// step makes a move, and then checks the invariants.
 func (m *forwardModel) step(move int) (possible bool, violation string) {
-	possible = forwardMoves[move].do(m)
-	m.takeAnswers()
+	possible = forwardMoves[move].apply(m)
+	m.collectAnswers()
 	switch {
 	case len(m.answers) > 1:
-		violation = "two answers"
+		violation = "more than one answer"
 	case m.clientGone && len(m.answers) > 0:
-		violation = "an answer to a client that had left"
+		violation = "an answer to a client that had disconnected"
 	case m.effect != EffectIdempotent && m.executions > 1:
-		violation = "executed twice"
+		violation = "a request that is not idempotent was executed more than once"
 	case m.effect != EffectIdempotent && m.executions > 0 && len(m.answers) > 0 && m.answers[0] == OutcomeRejected:
-		violation = "rejected, and executed"
+		violation = "a request that is not idempotent was executed and rejected"
 	}
 	return possible, violation
 }
 
-func (m *forwardModel) takeAnswers() {
+// collectAnswers delivers the controller's answers to the client.
+func (m *forwardModel) collectAnswers() {
 	for _, action := range m.controller.Actions() {
 		if action.Kind == ActionAnswer {
 			m.answers = append(m.answers, action.Outcome)
@@ -193,26 +197,27 @@
 	}
 }
 
-// runOutOfTime passes more time than any request has.
-func (m *forwardModel) runOutOfTime() {
+// passAllDeadlines advances the time beyond the deadline of any request.
+func (m *forwardModel) passAllDeadlines() {
 	m.now += 10 * second
 	if m.controller.IsForwarded(modelRequest) {
 		m.controller.Tick(m.now)
-		m.takeAnswers()
+		m.collectAnswers()
 	}
 }
 
-// fingerprint is equal for states from which the same can follow.
+// fingerprint identifies a state of the model: states with equal fingerprints have the same
+// possible continuations.
 func (m *forwardModel) fingerprint() string {
 	state := forwardState(0)
 	if request := m.controller.forwarded[modelRequest]; request != nil {
 		state = request.state
 	}
 	return fmt.Sprint(m.effect, m.requestInFlight, m.answerInFlight, m.connected, m.peer, m.executions, string(m.answers),
-		m.now, m.forwarded, m.clientGone, m.reconnects, state, m.controller.Peer(modelPeer).State)
+		m.now, m.forwardTried, m.clientGone, m.reconnects, state, m.controller.Peer(modelPeer).State)
 }
 
-// replay makes the moves of a path, which are known to violate nothing.
+// replay makes the moves of a path that is known to violate no invariant.
 func replay(effect Effect, path []int) *forwardModel {
 	m := newForwardModel(effect)
 	for _, move := range path {
@@ -228,20 +233,20 @@
 	return names
 }
 
-// Every order of what can happen to one request, from the first move to the last: no
-// state that can be reached violates an invariant, and each ends with one outcome.
+// Searches every order of the events of one request: no reachable state violates an invariant,
+// and a request that is in flight at a peer ends with exactly one answer.
 func TestOneOutcomeInEveryOrderOfEvents(t *testing.T) {
 	for _, effect := range []Effect{EffectIdempotent, EffectIdempotencyKey, EffectUnsafe} {
-		states, tried := searchForwardStates(t, effect)
+		states, movesTried := searchForwardStates(t, effect)
 		if states < 100 {
-			t.Fatalf("%d states: too few to tell anything", states)
+			t.Fatalf("effect %d: %d states reached, want 100 or more", effect, states)
 		}
-		t.Logf("effect %d: %d states, %d moves tried", effect, states, tried)
+		t.Logf("effect %d: %d states, %d moves tried", effect, states, movesTried)
 	}
 }
 
-// searchForwardStates makes every move in every state that can be reached, breadth first.
-func searchForwardStates(t *testing.T, effect Effect) (states, tried int) {
+// searchForwardStates makes every move in every reachable state, breadth first.
+func searchForwardStates(t *testing.T, effect Effect) (states, movesTried int) {
 	t.Helper()
 	seen := map[string]bool{}
 	paths := [][]int{{}}
@@ -255,7 +260,7 @@
 			if violation != "" {
 				t.Fatalf("effect %d: %s after %q", effect, violation, moveNames(next))
 			}
-			tried++
+			movesTried++
 			fingerprint := m.fingerprint()
 			if !possible || seen[fingerprint] {
 				continue
@@ -263,11 +268,11 @@
 			seen[fingerprint] = true
 			paths = append(paths, next)
 			wasForwarded := m.controller.IsForwarded(modelRequest)
-			m.runOutOfTime()
+			m.passAllDeadlines()
 			if wasForwarded && (m.controller.IsForwarded(modelRequest) || len(m.answers) != 1) {
-				t.Fatalf("effect %d: %d answers at the end of time", effect, len(m.answers))
+				t.Fatalf("effect %d: %d answers after the deadline, want 1, after %q", effect, len(m.answers), moveNames(next))
 			}
 		}
 	}
-	return len(seen), tried
+	return len(seen), movesTried
 }
