--- a/internal/gateway/peerpolicy/controller_test.go
+++ b/internal/gateway/peerpolicy/controller_test.go
@@ -68,7 +68,7 @@
 		t.Fatalf("after incarnation 7, 6 must be refused, 7 and 8 accepted; state %v, want %v", peer.State, StateProbation)
 	}
 	if controller.Connected(start, "unknown", 1) {
-		t.Fatal("a router that is no configured peer was accepted")
+		t.Fatal("a router that is not a configured peer was accepted")
 	}
 }
 
--- a/internal/gateway/peerpolicy/limit.go
+++ b/internal/gateway/peerpolicy/limit.go
@@ -30,7 +30,7 @@
 }
 
 // adjustLimit adjusts a peer's limit after an outcome. A good outcome raises it by 1/limit, so
-// by about one for each full limit of requests, but only while at least half of the limit
+// by about one for each full limit of requests, but only while about half of the limit or more
 // is in use. A bad outcome reduces it, at most once per limitDecreaseInterval, if a quarter or
 // more of the outcome window is bad.
 func (c *Controller) adjustLimit(now int64, peer *Peer, good bool) {
--- a/internal/gateway/peerpolicy/peer.go
+++ b/internal/gateway/peerpolicy/peer.go
@@ -82,7 +82,7 @@
 	Name, Site  string
 	State       PeerState
 	Incarnation uint64  // of its process; a restart raises it
-	Capacity    int     // requests that its last heartbeat offered to admit
+	Capacity    int     // further requests that its last heartbeat offered to admit
 	InFlight    int     // requests forwarded to it that have not ended
 	Limit       float64 // on InFlight, adjusted by outcomes
 	Counts      PeerCounts
