--- a/internal/diskcache/admission.go
+++ b/internal/diskcache/admission.go
@@ -1,25 +1,25 @@
 package diskcache
 
-// Candidate is a part that a request was answered with.
+// Candidate is a part received in answer to a request, which may be written to disk.
 type Candidate struct {
 	Request
-	Issued int64 // when the origin gave the copy out, Unix milliseconds
+	Issued int64 // when the origin issued the copy, Unix milliseconds
 	Length int   // bytes on disk, record header included
 }
 
-// Placement is where a copy is to be written.
+// Placement says where on disk an admitted copy is to be written.
 type Placement struct {
 	Ref     Ref
-	Key     uint64   // hash of the part's name
-	Object  uint64   // hash of the object's name
+	Key     uint64   // hash that identifies the part
+	Object  uint64   // hash that identifies the object
 	Extents []Extent // in the order in which the record fills them
 }
 
-// minLargestRecords is how many records of the largest size fit onto the disk.
+// minLargestRecords is the number of records of the largest size that fit on the disk.
 const minLargestRecords = 16
 
-// Offer decides whether a copy is written. With ReasonOK it must be, and FinishWrite
-// tells how that ended.
+// Offer decides whether a copy is written. With ReasonOK the caller must write the copy,
+// unless WriteNeeded returns false by then, and must call FinishWrite in either case.
 func (p *Policy) Offer(now int64, candidate *Candidate) (Placement, Reason) {
 	placement, reason := p.offer(now, candidate)
 	p.Counts.Offers[reason]++
@@ -31,18 +31,18 @@
 	if !class.Cacheable {
 		return Placement{}, ReasonNotCacheable
 	}
-	newcomer := p.newEntry(candidate)
+	newEntry := p.entryFor(candidate)
 	slots := p.slotsFor(candidate.Length)
 	p.retryFullDisk(now)
-	if reason := p.mayBeCached(now, &newcomer, class, slots); reason != ReasonOK {
+	if reason := p.checkCopy(now, &newEntry, class, slots); reason != ReasonOK {
 		return Placement{}, reason
 	}
-	previous := p.index.find(newcomer.key)
-	if previous != noIndex && p.noBetter(now, &newcomer, p.index.at(previous), class) {
+	previous := p.index.find(newEntry.key)
+	if previous != noIndex && p.cachedCopySuffices(now, &newEntry, p.index.at(previous), class) {
 		return Placement{}, ReasonAlreadyCached
 	}
-	requests := p.sketch.Estimate(p.frequencyKey(newcomer.key, newcomer.object))
-	if reason := p.mayBeWritten(now, requests, slots); reason != ReasonOK {
+	requests := p.sketch.Estimate(p.frequencyKey(newEntry.key, newEntry.object))
+	if reason := p.checkWriteLimits(now, requests, slots); reason != ReasonOK {
 		return Placement{}, reason
 	}
 	victims, admitted := p.chooseVictims(requests, slots, previous)
@@ -53,10 +53,10 @@
 		return Placement{}, ReasonNoSlots
 	}
 	p.evict(victims, previous)
-	return p.place(now, &newcomer, slots), ReasonOK
+	return p.place(now, &newEntry, slots), ReasonOK
 }
 
-func (p *Policy) newEntry(candidate *Candidate) entry {
+func (p *Policy) entryFor(candidate *Candidate) entry {
 	return entry{
 		key:    p.partKey(&candidate.Request),
 		object: p.objectKey(candidate.Object),
@@ -68,31 +68,32 @@
 	}
 }
 
-// mayBeCached checks the disk's health and the copy itself.
-func (p *Policy) mayBeCached(now int64, newcomer *entry, class *TrafficClass, slots int) Reason {
+// checkCopy checks the disk's health and the size, purges and age of the copy.
+func (p *Policy) checkCopy(now int64, newEntry *entry, class *TrafficClass, slots int) Reason {
 	switch {
 	case p.health != HealthOn:
 		return ReasonDiskOff
 	case slots > p.settings.Slots/minLargestRecords || slots <= 0:
 		return ReasonTooLarge
-	case p.purges.covers(newcomer):
+	case p.purges.covers(newEntry):
 		return ReasonPurged
-	case !withinGrace(now, newcomer, class):
+	case !withinGrace(now, newEntry, class):
 		return ReasonTooOld
 	}
 	return ReasonOK
 }
 
-// noBetter tells whether a newcomer adds nothing to the copy that is cached under its key.
-func (p *Policy) noBetter(now int64, newcomer, cached *entry, class *TrafficClass) bool {
+// cachedCopySuffices reports whether the copy cached under the same key makes the new one
+// redundant.
+func (p *Policy) cachedCopySuffices(now int64, newEntry, cached *entry, class *TrafficClass) bool {
 	if cached.state == entryWriting || p.freshness(now, cached, class) == ReasonOK {
 		return true
 	}
-	return cached.issued >= newcomer.issued && cached.epoch == p.epoch
+	return cached.issued >= newEntry.issued && cached.epoch == p.epoch
 }
 
-// mayBeWritten checks the estimated number of requests, the write budget and the queue.
-func (p *Policy) mayBeWritten(now int64, requests uint64, slots int) Reason {
+// checkWriteLimits checks the estimated number of requests, the write budget and the queue.
+func (p *Policy) checkWriteLimits(now int64, requests uint64, slots int) Reason {
 	variant := &p.settings.Variant
 	bytes := int64(slots * p.settings.SlotBytes)
 	switch {
@@ -116,41 +117,42 @@
 	}
 }
 
-// place enters the newcomer and takes its slots, its part of the write budget and of the queue.
-func (p *Policy) place(now int64, newcomer *entry, slots int) Placement {
-	newcomer.firstSlot, _ = p.slots.allocate(slots)
+// place adds the entry to the index, allocates its slots and charges the write budget and
+// the queue.
+func (p *Policy) place(now int64, newEntry *entry, slots int) Placement {
+	newEntry.firstSlot, _ = p.slots.allocate(slots)
 	p.seq++
-	newcomer.seq = p.seq
-	if p.purgesComplete(now, newcomer.issued) {
-		newcomer.epoch = p.epoch
+	newEntry.seq = p.seq
+	if p.purgesComplete(now, newEntry.issued) {
+		newEntry.epoch = p.epoch
 	}
-	i := p.index.add(*newcomer)
+	i := p.index.add(*newEntry)
 	p.index.usedSlots += slots
 	bytes := int64(slots * p.settings.SlotBytes)
 	p.writeBudget.tokens -= bytes
 	p.queuedBytes += bytes
 	return Placement{
-		Ref:     Ref{i, newcomer.seq},
-		Key:     newcomer.key,
-		Object:  newcomer.object,
-		Extents: p.slots.extents(newcomer.firstSlot),
+		Ref:     Ref{i, newEntry.seq},
+		Key:     newEntry.key,
+		Object:  newEntry.object,
+		Extents: p.slots.extents(newEntry.firstSlot),
 	}
 }
 
-// chooseVictims names what gives way to a newcomer with so many requests and slots: from
-// the least recently used on, as many as it needs room for. The newcomer is admitted
-// only where its requests times its slots exceed those of all victims together: TinyLFU's
-// comparison with the victim, by bytes. The previous copy of the same part gives way in
-// any case.
+// chooseVictims selects the entries to evict for a candidate with the given requests and
+// slots: the least recently used ones, until there is room. The candidate is admitted only
+// if its requests times its slots exceed the sum over all victims. This is TinyLFU's
+// comparison of candidate and victim, by bytes. The previous copy of the same part is
+// replaced and weighs nothing.
 func (p *Policy) chooseVictims(requests uint64, slots int, previous uint32) (victims []uint32, admitted bool) {
-	const maxVictims = 64 // a newcomer that would evict more is not worth the search
+	const maxVictims = 64 // a candidate that would evict more is not worth the search
 	available := p.settings.Slots - p.reservedSlots() - p.index.usedSlots
 	full := p.index.entries >= p.index.maxEntries
 	if previous != noIndex {
 		available += p.slotsOf(previous)
 		full = false
 	}
-	newcomerWeight := p.weight(requests, slots)
+	candidateWeight := p.weight(requests, slots)
 	victimsWeight := uint64(0)
 	for i := p.index.oldest; available < slots || full; i = p.index.at(i).newer {
 		if i == noIndex || len(victims) >= maxVictims {
@@ -164,19 +166,20 @@
 		victims = append(victims, i)
 		available += size
 		full = false
-		if p.weighsNothing(entry) {
+		if p.freeToEvict(entry) {
 			continue
 		}
 		estimate := p.sketch.Estimate(p.frequencyKey(entry.key, entry.object))
 		victimsWeight += p.weight(estimate, size)
-		if victimsWeight >= newcomerWeight {
+		if victimsWeight >= candidateWeight {
 			return nil, false
 		}
 	}
 	return victims, true
 }
 
-// weight compares parts: requests times slots.
+// weight returns the value by which parts are compared: requests times slots, or with
+// WeighByRequests the requests alone.
 func (p *Policy) weight(requests uint64, slots int) uint64 {
 	if p.settings.Variant.WeighByRequests {
 		return requests
@@ -184,15 +187,17 @@
 	return requests * uint64(slots)
 }
 
-func (p *Policy) weighsNothing(e *entry) bool {
+// freeToEvict reports whether an entry counts nothing against a candidate.
+func (p *Policy) freeToEvict(e *entry) bool {
 	variant := &p.settings.Variant
 	return p.purges.covers(e) || variant.AdmitAll || variant.AdmitOnSecondRequest
 }
 
-// reservedSlots stay free for parts that were dropped and whose drop waits to be
-// synced: all that can be written during two sync intervals.
+// reservedSlots returns the number of slots that no entry may use, so that writes find
+// free slots while the drops of evicted parts wait to be synced. It covers all that can be
+// written during two sync intervals.
 func (p *Policy) reservedSlots() int {
-	const reserveOneIn = 8 // slots of the disk at most
+	const maxReserveDivisor = 8 // an eighth of the slots at most
 	bytes := p.settings.WriteBytesPerSecond * (2*p.settings.SyncInterval + second) / second
-	return min(int(bytes/int64(p.settings.SlotBytes))+1, p.settings.Slots/reserveOneIn)
+	return min(int(bytes/int64(p.settings.SlotBytes))+1, p.settings.Slots/maxReserveDivisor)
 }
--- a/internal/diskcache/bandwidth.go
+++ b/internal/diskcache/bandwidth.go
@@ -1,15 +1,15 @@
 package diskcache
 
-// linkModel estimates when a transfer on the router's own link to clients ends: one
-// transfer runs at flowRate at most, and all share linkRate in the order of their
+// linkModel estimates when a transfer on the router's own link to clients ends. One
+// transfer runs at flowRate at most. All transfers share linkRate, in the order of their
 // responses.
 type linkModel struct {
-	flowRate  int64 // bytes a second; 0: not limited
-	linkRate  int64 // bytes a second; 0: not limited
-	busyUntil int64
+	flowRate  int64 // bytes per second; 0: unlimited
+	linkRate  int64 // bytes per second; 0: unlimited
+	busyUntil int64 // when the transfers reserved so far end at linkRate
 }
 
-// transferEnd tells when a transfer that begins now ends.
+// transferEnd returns the time at which a transfer that begins now ends.
 func (l *linkModel) transferEnd(now, bytes int64) int64 {
 	end := now
 	if l.flowRate > 0 {
@@ -27,17 +27,17 @@
 	}
 }
 
-// tokenBucket bounds the bytes written in any second to twice the rate, and to the rate
-// in the long run: it holds the tokens of one second.
+// tokenBucket limits the bytes written to the rate in the long run, and within any second
+// to twice the rate: it holds the tokens of one second at most.
 type tokenBucket struct {
-	rate     int64 // bytes a second
+	rate     int64 // bytes per second
 	tokens   int64 // bytes
 	filledAt int64
 }
 
 func (b *tokenBucket) allows(now, bytes int64) bool {
 	if now > b.filledAt {
-		elapsed := min(now-b.filledAt, second) // more would fill it anyway, and may overflow
+		elapsed := min(now-b.filledAt, second) // one second fills the bucket; the product of more may overflow
 		b.tokens = min(b.rate, b.tokens+elapsed*b.rate/second)
 	}
 	b.filledAt = now
--- a/internal/diskcache/clockstep.go
+++ b/internal/diskcache/clockstep.go
@@ -1,23 +1,23 @@
 package diskcache
 
-// StepDetector compares the system's wall clock with one that only goes forward.
+// StepDetector detects steps of the wall clock by comparing it with a monotonic clock.
 type StepDetector struct {
-	offset    int64 // of the wall clock from the steady one
-	checkedAt int64 // steady clock; 0: never
+	offset    int64 // of the wall clock from the monotonic one
+	checkedAt int64 // when offset was taken, by the monotonic clock; 0: never
 }
 
-// stepToleranceMicros is more than slewing, and reading two clocks one after the other,
-// bring about.
+// stepToleranceMicros is above the drift caused by slewing and by the delay between
+// reading the two clocks.
 const stepToleranceMicros = 50_000
 
-// Stepped tells whether the wall clock has jumped since the last call, by both clocks'
-// microseconds. The first call sets the start. A jump is told once.
-func (d *StepDetector) Stepped(wall, steady int64) bool {
-	offset := wall - steady
+// Stepped reports whether the wall clock has stepped since the last call, given both
+// clocks' microseconds. The first call sets the reference. A step is reported once.
+func (d *StepDetector) Stepped(wall, monotonic int64) bool {
+	offset := wall - monotonic
 	drift := max(offset-d.offset, d.offset-offset)
 	stepped := d.checkedAt > 0 && drift > stepToleranceMicros
-	if stepped || d.checkedAt == 0 || steady-d.checkedAt > second {
-		d.offset, d.checkedAt = offset, max(steady, 1) // slewing moves it slowly
+	if stepped || d.checkedAt == 0 || monotonic-d.checkedAt > second {
+		d.offset, d.checkedAt = offset, max(monotonic, 1) // renewed each second, since slewing changes it slowly
 	}
 	return stepped
 }
--- a/internal/diskcache/doc.go
+++ b/internal/diskcache/doc.go
@@ -1,20 +1,20 @@
-// Package diskcache decides for a second tier of cached copies on the router's disk:
-// which responses are written, which cached parts give way, where a part's bytes lie,
-// which copies a purge makes unusable, what may be served after a restart, and how
-// much is written.
+// Package diskcache holds the policy of a second cache tier on the router's disk: which
+// responses are written, which cached parts are evicted, in which slots a part lies,
+// which copies a purge invalidates, what may be served after a restart, and how many
+// bytes may be written.
 //
-// It does no I/O, reads no clock and starts no goroutine. Its caller (diskrunner)
-// hands in the time in Unix microseconds and holds a lock around every call. The bytes
-// themselves are diskstore's. Times and durations are microseconds, but for those of a
-// copy's issue (Issued, issuedMillis): these are the milliseconds of the protocol.
+// The package does no I/O, reads no clock and starts no goroutine. Its caller, package
+// diskrunner, passes the time in Unix microseconds and holds a lock around every call.
+// Package diskstore reads and writes the bytes. Times and durations are microseconds,
+// except the issue time of a copy (Issued, issuedMillis), which is in milliseconds as in
+// the protocol.
 //
 // Three invariants hold:
 //
-//   - A copy is served as it is only where no purge that can cover it may be unknown
-//     (lookup.go, purge.go). Any other copy is revalidated first.
-//   - The slots of a dropped part are used again only after the index on disk has
-//     forgotten the part durably (write.go), so that nothing which the index names is
-//     overwritten.
+//   - A copy is served without revalidation only if all purges that may cover it are
+//     known (lookup.go, purge.go).
+//   - The slots of a dropped part are reused only after its drop is durable in the index
+//     on disk (write.go). No slot that the index on disk refers to is overwritten.
 //   - Every table, queue and counter is bounded by Settings.
 //
 // docs/disk-tier.md gives the reasons.
--- a/internal/diskcache/health.go
+++ b/internal/diskcache/health.go
@@ -1,17 +1,17 @@
 package diskcache
 
-// Health is what the disk can be used for.
+// Health is the state of the disk, which decides what it is used for.
 type Health uint8
 
 // The states of health.
 const (
-	HealthOn       Health = 1 << iota // for all
-	HealthFull                        // no space: reads go on, writes are retried after a while
-	HealthReadOnly                    // a write or sync failed: what is there may still be read
-	HealthOff                         // the disk is not used any more
+	HealthOn       Health = 1 << iota // reads and writes
+	HealthFull                        // no space: reads continue, writes are retried after fullDiskRetryInterval
+	HealthReadOnly                    // a write or sync failed: records on disk may still be read
+	HealthOff                         // neither reads nor writes
 )
 
-// String returns the state's name in logs and reports: on, full, reads only or off.
+// String returns the state's name in logs and metrics: on, full, reads only or off.
 func (h Health) String() string {
 	switch h {
 	case HealthOn:
@@ -26,25 +26,25 @@
 	return ""
 }
 
-// Event is what the disk's side has to tell the Policy.
+// Event is an occurrence that may change the Health.
 type Event uint8
 
 // The events.
 const (
-	EventWriteFailed      Event = iota // a write or sync failed: what the kernel still holds is unknown
+	EventWriteFailed      Event = iota // a write or sync failed: the state of the kernel's page cache is unknown
 	EventNoSpace                       // the file system is full
 	EventReadFailed                    // a record could not be read, or was corrupt
-	EventManyReadFailures              // made of the eighth EventReadFailed within 60 s: the disk is used no more
-	EventRetryDue                      // made by Sweep and Offer 30 s after EventNoSpace: writes are tried again
-	EventClosed                        // the router ends
+	EventManyReadFailures              // raised by the eighth EventReadFailed within 60 s: the disk is no longer used
+	EventRetryDue                      // raised by Sweep and Offer 30 s after EventNoSpace: writes are retried
+	EventClosed                        // the disk cache is closed
 )
 
-// healthTransitions says what an event makes of the health. After a failed sync the same
-// pages may count as clean though they never reached the disk (Rebello et al., "Can
-// Applications Recover from fsync Failures?", USENIX ATC 2020), so that writing is not
-// retried before a restart; a full disk does recover.
+// healthTransitions lists the changes of health by events. After a failed sync the kernel
+// may mark pages as clean that never reached the disk (Rebello et al., "Can Applications
+// Recover from fsync Failures?", USENIX ATC 2020), so writes are not retried before a
+// restart. After a lack of space they are.
 var healthTransitions = []struct {
-	from  Health // any of these
+	from  Health // one or more states
 	event Event
 	to    Health
 }{
@@ -57,13 +57,13 @@
 }
 
 const (
-	maxReadFailures       = 8           // within readFailureWindow: a failing disk, not one bad sector
+	maxReadFailures       = 8           // within readFailureWindow; so many mean a failing disk rather than one bad sector
 	readFailureWindow     = 60 * second // microseconds
 	fullDiskRetryInterval = 30 * second // microseconds
 )
 
-// HandleEvent takes an event and tells the health and whether it has changed. An event
-// that does not fit the health changes nothing.
+// HandleEvent applies an event. It returns the resulting health and whether it has changed.
+// An event without a transition from the current health changes nothing.
 func (p *Policy) HandleEvent(now int64, event Event) (Health, bool) {
 	if event == EventReadFailed {
 		if !p.countReadFailure(now) {
@@ -85,7 +85,7 @@
 	return p.health, false
 }
 
-// countReadFailure tells whether there were too many within the window.
+// countReadFailure reports whether the window holds maxReadFailures or more failures.
 func (p *Policy) countReadFailure(now int64) bool {
 	p.Counts.ReadFailures++
 	if now-p.readFailuresSince > readFailureWindow || now < p.readFailuresSince {
@@ -102,5 +102,5 @@
 	}
 }
 
-// Health tells what the disk can be used for.
+// Health returns the current state of the disk.
 func (p *Policy) Health() Health { return p.health }
--- a/internal/diskcache/index.go
+++ b/internal/diskcache/index.go
@@ -1,37 +1,37 @@
 package diskcache
 
-// entry is one cached part: 64 bytes without a pointer, so that the garbage collector
-// never scans a million of them.
+// entry is a cached part. It takes 64 bytes and holds no pointers, so that the garbage
+// collector does not scan an index of a million entries.
 type entry struct {
 	key       uint64 // hash of class, object, part and group
-	object    uint64
-	issued    int64 // Unix milliseconds
-	seq       uint64
-	firstSlot uint32 // of its chain
+	object    uint64 // hash of the object's name
+	issued    int64  // Unix milliseconds
+	seq       uint64 // of the record
+	firstSlot uint32 // of the record's chain
 	length    uint32 // bytes on disk, record header included
 
-	newer, older                   uint32 // recency
-	nextInBucket                   uint32 // next in the bucket by key, or in the free list
-	nextOfObject, previousOfObject uint32 // in the bucket by object; no previous one: the first
+	newer, older                   uint32 // neighbours in the list by recency
+	nextInBucket                   uint32 // next entry in the bucket by key, or in the free list
+	nextOfObject, previousOfObject uint32 // neighbours in the bucket by object; the first entry has no previous one
 	class, group                   uint8
-	epoch                          uint8 // equal to Policy.epoch: no purge that may cover it is unknown
+	epoch                          uint8 // if equal to Policy.epoch, all purges that may cover the copy are known
 	state                          entryState
 }
 
 type entryState uint8
 
 const (
-	entryFree     entryState = iota
-	entryWriting             // handed to the disk, can't be read yet
-	entryReadable            // can be read
+	entryFree    entryState = iota
+	entryWriting            // being written, not readable yet
+	entryReadable
 )
 
-// index finds entries by key and by object, and orders them by recency. Its buckets are
-// allocated at once, its entries as they come.
+// index finds entries by key and by object, and orders them by recency of use. Its buckets
+// are allocated at the start, its entries in chunks when they are needed.
 type index struct {
 	chunks        []*[chunkSize]entry
 	maxEntries    int
-	allocated     int    // entries ever taken into use
+	allocated     int    // entries taken from the chunks so far, freed ones included
 	freeList      uint32 // free entries, linked by nextInBucket
 	entries       int
 	keyBuckets    []uint32
@@ -39,7 +39,7 @@
 	mask          uint64
 	newest        uint32
 	oldest        uint32
-	usedSlots     int // slots of all entries
+	usedSlots     int // by all entries
 }
 
 const chunkSize = 1 << 12 // entries allocated together
@@ -61,7 +61,7 @@
 
 func (x *index) at(i uint32) *entry { return &x.chunks[i/chunkSize][i%chunkSize] }
 
-// find gives the place of a key's entry, or noIndex.
+// find returns the index of a key's entry, or noIndex if there is none.
 func (x *index) find(key uint64) uint32 {
 	for i := x.keyBuckets[key&x.mask]; i != noIndex; i = x.at(i).nextInBucket {
 		if x.at(i).key == key {
@@ -71,7 +71,8 @@
 	return noIndex
 }
 
-// add makes an entry, the most recently used one; noIndex: the index is full.
+// add inserts an entry as the most recently used one and returns its index, or noIndex if
+// the index is full.
 func (x *index) add(e entry) uint32 {
 	i := x.freeList
 	switch {
@@ -86,27 +87,27 @@
 		i = uint32(x.allocated)
 		x.allocated++
 	}
-	bucket, objects := &x.keyBuckets[e.key&x.mask], &x.objectBuckets[e.object&x.mask]
-	e.nextInBucket = *bucket
-	e.nextOfObject = *objects
+	keyBucket, objectBucket := &x.keyBuckets[e.key&x.mask], &x.objectBuckets[e.object&x.mask]
+	e.nextInBucket = *keyBucket
+	e.nextOfObject = *objectBucket
 	e.previousOfObject = noIndex
 	if e.nextOfObject != noIndex {
 		x.at(e.nextOfObject).previousOfObject = i
 	}
-	*bucket, *objects = i, i
+	*keyBucket, *objectBucket = i, i
 	*x.at(i) = e
 	x.entries++
 	x.pushNewest(i)
 	return i
 }
 
-// remove takes an entry out.
+// remove unlinks an entry and adds it to the free list.
 func (x *index) remove(i uint32) {
 	e := x.at(i)
 	x.unlinkRecency(i)
-	for at := &x.keyBuckets[e.key&x.mask]; *at != noIndex; at = &x.at(*at).nextInBucket {
-		if *at == i {
-			*at = e.nextInBucket
+	for link := &x.keyBuckets[e.key&x.mask]; *link != noIndex; link = &x.at(*link).nextInBucket {
+		if *link == i {
+			*link = e.nextInBucket
 			break
 		}
 	}
--- a/internal/diskcache/lookup.go
+++ b/internal/diskcache/lookup.go
@@ -2,34 +2,34 @@
 
 // Request is a read request that the disk cache may answer.
 type Request struct {
-	ClassIndex int // place in Settings.Classes
+	ClassIndex int // index in Settings.Classes
 	Object     string
 	Part       int64
-	Group      uint8 // of objects that are purged together
-	Remaining  int64 // microseconds until its timeout
+	Group      uint8 // purge group of the object
+	Remaining  int64 // microseconds until the request's timeout
 }
 
-// Verdict says what may be done with a cached part.
+// Verdict is the way in which a request is to be handled.
 type Verdict uint8
 
 // The verdicts.
 const (
 	VerdictMiss       Verdict = iota // forward the request
-	VerdictServe                     // read the part and answer with it
-	VerdictRevalidate                // read the part, and ask a cache by its ETag whether it is current
+	VerdictServe                     // read the part and serve it without revalidation
+	VerdictRevalidate                // read the part, and revalidate it by its ETag at a cache
 )
 
-// LookupResult is a part that may be read; with VerdictMiss Reason alone is set.
+// LookupResult describes the part to be read. With VerdictMiss only Reason is set.
 type LookupResult struct {
 	Reason       Reason // of the verdict; ReasonOK with VerdictServe
 	Ref          Ref
-	Extents      []Extent // where the record is, in the order in which it fills them
+	Extents      []Extent // of the record, in the order in which it fills them
 	Length       int      // of the record in bytes, its header included
-	StaleIfError bool     // with VerdictRevalidate: may be served in place of a failure
+	StaleIfError bool     // with VerdictRevalidate: the copy may be served in place of a failure
 }
 
-// Lookup counts a request and says what may be done. With VerdictServe and
-// VerdictRevalidate the read that follows must be ended by FinishRead.
+// Lookup counts a request and decides how to handle it. After VerdictServe and
+// VerdictRevalidate the caller must read the part and call FinishRead.
 func (p *Policy) Lookup(now int64, request *Request) (Verdict, LookupResult) {
 	verdict, result := p.lookup(now, request)
 	p.Counts.Lookups[result.Reason]++
@@ -68,7 +68,7 @@
 	verdict := VerdictRevalidate
 	if reason == ReasonOK {
 		verdict = VerdictServe
-		if !p.inTime(now, entry, class, request) {
+		if !p.arrivesInTime(now, entry, class, request) {
 			return miss(ReasonLinkBusy)
 		}
 	}
@@ -84,17 +84,18 @@
 
 func miss(reason Reason) (Verdict, LookupResult) { return VerdictMiss, LookupResult{Reason: reason} }
 
-// inTime tells whether a copy sent now arrives within the latency objective. On a full
-// link of the router's own it does not, while a cache has a link of its own.
-func (p *Policy) inTime(now int64, e *entry, class *TrafficClass, request *Request) bool {
+// arrivesInTime reports whether a copy sent now arrives within the latency objective and
+// the request's timeout. Where the router's own link is saturated it does not, and the
+// request is forwarded, since a cache has its own link.
+func (p *Policy) arrivesInTime(now int64, e *entry, class *TrafficClass, request *Request) bool {
 	end := p.bandwidth.transferEnd(now, int64(e.length))
 	return end-now <= min(class.LatencyObjective, request.Remaining)
 }
 
-// freshness says whether a copy may be served as it is (ReasonOK), or why it must be
-// revalidated first.
+// freshness returns ReasonOK if a copy may be served without revalidation, and otherwise
+// the reason why it must be revalidated first.
 func (p *Policy) freshness(now int64, e *entry, class *TrafficClass) Reason {
-	const maxClockLead = 1 * second // clocks of one installation agree better
+	const maxClockLead = 1 * second // the clocks of an installation agree more closely
 	age := ageOf(now, e)
 	switch {
 	case e.epoch != p.epoch:
@@ -111,24 +112,24 @@
 
 func ageOf(now int64, e *entry) int64 { return now - e.issued*microsPerMilli }
 
-// withinGrace tells whether a stale copy may still stand in for a failure.
+// withinGrace reports whether a copy is young enough to be served in place of a failure.
 func withinGrace(now int64, e *entry, class *TrafficClass) bool {
 	return ageOf(now, e) <= class.FreshFor+class.StaleGrace
 }
 
-// ReadOutcome is how a read ended.
+// ReadOutcome is the result of a read.
 type ReadOutcome uint8
 
 // The outcomes of a read.
 const (
-	ReadIntact  ReadOutcome = iota // whole, and the part that the Ref names
-	ReadCorrupt                    // torn, flipped, cut short or unreadable
-	ReadUnused                     // no memory for it, or another part with the same hash
+	ReadIntact  ReadOutcome = iota // the record is whole and belongs to the requested part
+	ReadCorrupt                    // the record is torn, truncated, unreadable, has flipped bits or another Seq
+	ReadUnused                     // no memory for the record, or it belongs to another part with the same hash
 )
 
-// FinishRead ends a read that Lookup allowed. It tells whether the copy may still be used
-// (a purge may have come meanwhile, or the part given way), and whether a failure has
-// changed the health.
+// FinishRead ends a read that Lookup allowed. It reports whether the copy may be used: in
+// the meantime a purge may have covered it, or the part may have been evicted. It also
+// reports whether a read failure has changed the health.
 func (p *Policy) FinishRead(now int64, ref Ref, outcome ReadOutcome) (usable, healthChanged bool) {
 	p.activeReads--
 	e := p.find(ref)
@@ -143,10 +144,10 @@
 	return true, false
 }
 
-// ReserveServe tells, at the moment a response is to be written, whether a copy may be
-// served as it is (or, with staleIfError, in place of a failure), and takes the link's
-// time for it. Bytes are the body's; with notModified the client has it, and gets a header
-// alone.
+// ReserveServe reports, immediately before a response is written, whether a copy may be
+// served without revalidation, or with staleIfError in place of a failure. If so, it
+// reserves the link for the transfer. Bytes is the size of the body. With notModified the
+// client already has the body and receives only a header.
 func (p *Policy) ReserveServe(now int64, ref Ref, classIndex int, bytes int64, notModified, staleIfError bool) bool {
 	e := p.find(ref)
 	if e == nil || p.purges.covers(e) {
@@ -167,7 +168,7 @@
 }
 
 func (p *Policy) countServed(now, bytes int64, notModified bool) {
-	const bodyPerHeader = 20 // a 304 counts as a body of a twentieth of the size
+	const bodyPerHeader = 20 // a 304 counts as a twentieth of its body
 	if notModified {
 		p.Counts.NotModified++
 		bytes /= bodyPerHeader
@@ -176,9 +177,9 @@
 	p.bandwidth.reserve(now, bytes)
 }
 
-// Revalidated says that a cache has found the copy's ETag to be that of the copy which
-// it would serve, issued by the origin at issuedMillis (Unix): the same bytes. Bytes are
-// those sent to the client from here.
+// Revalidated records that a cache has found the copy current: the cache's own copy, issued
+// by the origin at issuedMillis (Unix), has the same ETag and so the same bytes. Bytes is
+// the number sent to the client from disk.
 func (p *Policy) Revalidated(now int64, ref Ref, issuedMillis int64, bytes int64) {
 	p.Counts.Revalidated++
 	p.countServed(now, bytes, false)
@@ -188,7 +189,7 @@
 	}
 	e.issued = max(e.issued, issuedMillis)
 	if p.purgesComplete(now, issuedMillis) {
-		// A copy that a cache served under an older issue is no worse than this one.
+		// The cache's copy is no worse than this one, even with an older issue time.
 		e.issued = issuedMillis
 		e.epoch = p.epoch
 	}
--- a/internal/diskcache/policy.go
+++ b/internal/diskcache/policy.go
@@ -8,8 +8,8 @@
 	"quilldoor/internal/tinylfu"
 )
 
-// Policy is the state of the disk cache's decisions. Its methods must not be called
-// concurrently.
+// Policy makes the decisions of the disk cache and holds their state. Its methods must
+// not be called concurrently.
 type Policy struct {
 	settings    Settings
 	sketch      *tinylfu.Sketch
@@ -20,37 +20,39 @@
 	purges      purgeHistory
 	Counts      Counts
 
-	seq              uint64
-	epoch            uint8 // of copies whose purge history has no gap
-	purgesKnownSince int64 // purges made from then on are known
-	discoveryLostAt  int64 // 0: discovery is reachable
+	seq              uint64 // of the last record
+	epoch            uint8  // carried by entries whose purge history has no gap
+	purgesKnownSince int64  // all purges made from then on are known
+	discoveryLostAt  int64  // 0: discovery is reachable
 
 	health            Health
-	retryAt           int64 // on a full disk
+	retryAt           int64 // when writes to a full disk are retried
 	readFailures      int   // in the current window
-	readFailuresSince int64
+	readFailuresSince int64 // start of the window
 
-	queuedBytes   int64 // handed to the disk and not written yet
+	queuedBytes   int64 // of admitted records whose write has not ended
 	activeReads   int
 	pendingDrops  []Drop   // to be written to the index on disk
 	pendingChains []uint32 // first slots of the parts in pendingDrops
 	syncingChains []uint32 // first slots of parts whose drop is being synced
 }
 
-// Ref names a cached part. It names nothing any more once the part has given way.
+// Ref identifies a cached part. It becomes invalid when the part is removed.
 type Ref struct {
 	index uint32
 	seq   uint64
 }
 
-// Seq is the number under which the record was written.
+// Seq returns the sequence number that the record was written under.
 func (r Ref) Seq() uint64 { return r.seq }
 
-// Drop is a part that the index on disk is to forget, by its Key and Seq as in CachedPart.
+// Drop is the removal of a part from the index on disk. Key and Seq are those of its
+// CachedPart.
 type Drop struct{ Key, Seq uint64 }
 
-// New makes an empty, healthy disk cache. Purges made before now are not known, so that
-// copies issued before now are revalidated until caches have dropped what those covered.
+// New returns an empty, healthy disk cache. Purges made before now are unknown: copies
+// issued before now are revalidated until caches have dropped the copies that those
+// purges cover.
 func New(now int64, settings Settings) *Policy {
 	parts := min(settings.Slots, settings.MaxEntries)
 	return &Policy{
@@ -69,8 +71,9 @@
 	}
 }
 
-// partKey names a part. The seed keeps clients from choosing names that collide; parts
-// that do are told apart by the names in their records.
+// partKey returns the hash that identifies a part. The seed keeps clients from choosing
+// names whose hashes collide. Parts whose hashes still collide are told apart by the
+// names in their records.
 func (p *Policy) partKey(request *Request) uint64 {
 	digest := xxhash.NewWithSeed(p.settings.Seed)
 	digest.WriteString(p.settings.Classes[request.ClassIndex].Name)
@@ -78,7 +81,7 @@
 	digest.WriteString(request.Object)
 	var suffix [9]byte
 	binary.LittleEndian.PutUint64(suffix[:], uint64(request.Part))
-	suffix[8] = request.Group // a client that names another group must not evade a purge of the true one
+	suffix[8] = request.Group // a client that sends a wrong group must not evade a purge of the right one
 	digest.Write(suffix[:])
 	return digest.Sum64()
 }
@@ -89,7 +92,7 @@
 	return digest.Sum64()
 }
 
-// frequencyKey is the key under which requests are counted.
+// frequencyKey returns the key under which the sketch counts requests.
 func (p *Policy) frequencyKey(part, object uint64) uint64 {
 	if p.settings.Variant.EstimateWholeObject {
 		return object
@@ -97,7 +100,7 @@
 	return part
 }
 
-// find gives the entry that a Ref names; nil: it has given way.
+// find returns the entry that a Ref identifies, or nil if it was removed.
 func (p *Policy) find(ref Ref) *entry {
 	if int(ref.index) >= p.index.allocated {
 		return nil
@@ -108,26 +111,26 @@
 	return nil
 }
 
-// slotsFor is the number of slots that a record of so many bytes takes.
+// slotsFor returns the number of slots that a record of length bytes takes.
 func (p *Policy) slotsFor(length int) int {
 	return (length + p.settings.SlotBytes - 1) / p.settings.SlotBytes
 }
 
-// slotsOf is the number of slots that an entry takes.
+// slotsOf returns the number of slots that entry i takes.
 func (p *Policy) slotsOf(i uint32) int { return p.slotsFor(int(p.index.at(i).length)) }
 
-// Size is how full the disk cache is.
+// Size is the use of the disk cache's space, queues and memory.
 type Size struct {
 	Parts, MaxParts  int
 	Bytes, MaxBytes  int64 // of slots
-	QueuedBytes      int64 // that wait to be written
-	ActiveReads      int   // that FinishRead has not ended
+	QueuedBytes      int64 // waiting to be written
+	ActiveReads      int   // not yet ended by FinishRead
 	MemoryBytes      int64 // of index, slot map and sketch
-	UnsyncedChains   int   // parts whose slots wait for a sync
-	RememberedPurges int
+	UnsyncedChains   int   // dropped parts whose slots wait for a sync
+	RememberedPurges int   // of single objects
 }
 
-// Size tells how full the disk cache is.
+// Size returns the current use of space, queues and memory.
 func (p *Policy) Size() Size {
 	slotBytes := int64(p.settings.SlotBytes)
 	return Size{
@@ -145,7 +148,7 @@
 
 func (p *Policy) memoryBytes() int64 {
 	const (
-		bucketBytes = 8  // a place in each of the two bucket tables
+		bucketBytes = 8  // a 32-bit index in each of the two bucket tables
 		slotBits    = 33 // a 32-bit link and a bit
 		bitsPerByte = 8
 		entryBytes  = 64
@@ -157,6 +160,6 @@
 	return entries + buckets + slots + sketch
 }
 
-// AdvanceSeq makes the numbers (Seq) of new records follow one that was given before, such
-// as the last one that recovery has found.
+// AdvanceSeq makes new records use sequence numbers above last, such as the highest one
+// found by recovery.
 func (p *Policy) AdvanceSeq(last uint64) { p.seq = max(p.seq, last) }
--- a/internal/diskcache/purge.go
+++ b/internal/diskcache/purge.go
@@ -3,27 +3,27 @@
 const (
 	microsPerMilli = 1000
 
-	// maxClockSkew is how far the clocks of the origin, which dates copies, and of whoever
-	// dates purges may differ, in microseconds. Copies dated less than that behind a purge
-	// are not used.
+	// maxClockSkew is the maximum difference, in microseconds, between the clock of the
+	// origin, which dates copies, and the clock that dates purges. A copy issued at
+	// most that long after a purge is not used.
 	maxClockSkew       = 100_000
 	maxClockSkewMillis = maxClockSkew / microsPerMilli
 
-	maxObjectPurges    = 1 << 14 // purges of single objects that are remembered
+	maxObjectPurges    = 1 << 14 // remembered purges of single objects
 	targetObjectPurges = maxObjectPurges / 2
 )
 
-// purgeHistory remembers the purges that still cover copies which may arrive. A purge of
-// a group is remembered for good, one of an object until no cache has an older copy.
-// Where too many are remembered, they become one purge of everything up to the latest,
-// which is safe and bounded.
+// purgeHistory holds the purges that may cover copies still to arrive. The latest purge of
+// a group is kept permanently. The purge of an object is kept until no cache holds an older
+// copy. If there are too many of these, they are replaced by one purge of everything up
+// to the latest of them, which is safe and bounded.
 type purgeHistory struct {
-	groups  [256]int64       // Unix milliseconds of the last purge
-	objects map[uint64]int64 // by the object's hash
-	floor   int64            // no copy issued before is used
+	groups  [256]int64       // Unix milliseconds of the last purge, by group
+	objects map[uint64]int64 // Unix milliseconds of the last purge, by the hash of the object
+	floor   int64            // Unix milliseconds; no copy issued earlier is used
 }
 
-// covers tells whether a purge forbids the copy.
+// covers reports whether a purge makes the copy unusable.
 func (h *purgeHistory) covers(e *entry) bool {
 	purgedAt := max(h.groups[e.group], h.floor)
 	if object, purged := h.objects[e.object]; purged {
@@ -32,8 +32,8 @@
 	return purgedAt > 0 && e.issued <= purgedAt+maxClockSkewMillis
 }
 
-// forget removes purges of objects that were made before the given Unix milliseconds.
-func (h *purgeHistory) forget(before int64) {
+// prune removes the purges of objects that were made before the given Unix milliseconds.
+func (h *purgeHistory) prune(before int64) {
 	for object, purgedAt := range h.objects {
 		if purgedAt < before {
 			delete(h.objects, object)
@@ -49,20 +49,20 @@
 	clear(h.objects)
 }
 
-// Purge takes the purge of an object, or of a group where object is "", made at the given
-// time in Unix microseconds. Cached copies of the object that it covers are dropped at
-// once, those of a group when they are looked up.
-func (p *Policy) Purge(now int64, object string, group uint8, at int64) {
-	atMillis := (at + microsPerMilli - 1) / microsPerMilli
+// Purge applies a purge of an object, or of a group if object is empty, made at purgedAt in
+// Unix microseconds. Covered copies of an object are dropped at once, those of a group when
+// they are looked up.
+func (p *Policy) Purge(now int64, object string, group uint8, purgedAt int64) {
+	purgedMillis := (purgedAt + microsPerMilli - 1) / microsPerMilli
 	if object == "" {
-		p.purges.groups[group] = max(p.purges.groups[group], atMillis)
+		p.purges.groups[group] = max(p.purges.groups[group], purgedMillis)
 		return
 	}
 	key := p.objectKey(object)
-	p.purges.objects[key] = max(p.purges.objects[key], atMillis)
+	p.purges.objects[key] = max(p.purges.objects[key], purgedMillis)
 	p.dropPurged(key)
 	if len(p.purges.objects) >= maxObjectPurges {
-		p.forgetPurges(now)
+		p.prunePurges(now)
 	}
 }
 
@@ -78,43 +78,43 @@
 	}
 }
 
-// forgetPurges removes purges that cover nothing which can still arrive; if that is not
-// enough, the rest becomes the floor.
-func (p *Policy) forgetPurges(now int64) {
-	settled := now - p.settings.PurgeTime - 2*p.settings.MaxRequestTime - maxClockSkew
-	p.purges.forget(settled / microsPerMilli)
+// prunePurges removes the purges that cover no copy still to arrive. If too many remain, it
+// replaces them by the floor.
+func (p *Policy) prunePurges(now int64) {
+	cutoff := now - p.settings.PurgeTime - 2*p.settings.MaxRequestTime - maxClockSkew
+	p.purges.prune(cutoff / microsPerMilli)
 	if len(p.purges.objects) > targetObjectPurges {
 		p.purges.raiseFloor()
 	}
 }
 
-// purgesUnknown tells whether purges may have been missed because discovery has been
+// purgesUnknown reports whether purges may have been missed because discovery has been
 // unreachable for too long.
 func (p *Policy) purgesUnknown(now int64) bool {
 	return p.discoveryLostAt != 0 && now-p.discoveryLostAt >= p.settings.DiscoveryLossLimit
 }
 
-// purgesComplete tells whether all purges that can cover a copy issued at issuedMillis,
-// and received from a cache now, are known or done: either it was issued since purges
-// are known, or caches have dropped what was purged before.
+// purgesComplete reports whether no unknown purge can cover a copy that was issued at
+// issuedMillis and is received from a cache now. This holds if the copy was issued after
+// purges became known, or if caches have dropped all copies covered by earlier purges.
 func (p *Policy) purgesComplete(now, issuedMillis int64) bool {
 	if p.purgesUnknown(now) {
 		return false
 	}
-	issuedSince := issuedMillis*microsPerMilli > p.purgesKnownSince+maxClockSkew
-	settled := now >= p.purgesKnownSince+p.settings.PurgeTime+p.settings.MaxRequestTime
-	return issuedSince || settled
+	issuedSinceKnown := issuedMillis*microsPerMilli > p.purgesKnownSince+maxClockSkew
+	earlierPurgesDone := now >= p.purgesKnownSince+p.settings.PurgeTime+p.settings.MaxRequestTime
+	return issuedSinceKnown || earlierPurgesDone
 }
 
-// HistoryGap says that purges may have been missed, or that the clock has jumped. No copy
-// cached so far is served before it has been revalidated.
+// HistoryGap records that purges may have been missed or that the clock has stepped. All
+// copies cached so far must be revalidated before they are served.
 func (p *Policy) HistoryGap(now int64) {
 	p.Counts.HistoryGaps++
 	p.purgesKnownSince = now
 	p.bandwidth.busyUntil = min(p.bandwidth.busyUntil, now)
 	p.writeBudget.filledAt = now
 	p.epoch++
-	if p.epoch == 0 { // wrapped: no old copy may carry the new epoch
+	if p.epoch == 0 { // wrapped around: no older copy may carry the new epoch
 		p.resetEpochs()
 	}
 }
@@ -126,9 +126,9 @@
 	p.epoch = 1
 }
 
-// SetDiscoveryLost says whether discovery is unreachable. After
-// Settings.DiscoveryLossLimit purges count as missed, until it is back: then they arrive
-// numbered, and none is missing.
+// SetDiscoveryLost records whether discovery is unreachable. Once it has been unreachable
+// for Settings.DiscoveryLossLimit, purges count as missed until it is reachable again. The
+// purges made meanwhile then arrive numbered, so that none is missing.
 func (p *Policy) SetDiscoveryLost(now int64, lost bool) {
 	switch {
 	case !lost:
@@ -138,11 +138,11 @@
 	}
 }
 
-// Sweep forgets purges that cover nothing any more and retries a full disk. It is to be
-// called every few seconds.
+// Sweep prunes purges that cover no copy any more and allows writes to a full disk again
+// when their retry is due. It is to be called every few seconds.
 func (p *Policy) Sweep(now int64) {
 	if len(p.purges.objects) > targetObjectPurges/2 {
-		p.forgetPurges(now)
+		p.prunePurges(now)
 	}
 	p.retryFullDisk(now)
 }
--- a/internal/diskcache/reason.go
+++ b/internal/diskcache/reason.go
@@ -1,30 +1,30 @@
 package diskcache
 
-// Reason says why a lookup or an offer ended as it did.
+// Reason is the reason for the result of a lookup or an offer.
 type Reason uint8
 
-// The reasons. Their names, which String returns, are labels of metrics.
+// The reasons. Their names, as returned by String, are metric labels.
 const (
-	ReasonOK            Reason = iota // may be served, or is to be written
+	ReasonOK            Reason = iota // the copy may be served, or is to be written
 	ReasonNotCacheable                // the traffic class is not cached
-	ReasonNotCached                   // no such part
-	ReasonNotWritten                  // its write has not ended
-	ReasonTooOld                      // past the class's fresh time
-	ReasonFromFuture                  // issued ahead of this machine's clock: its age is unknown
-	ReasonUnvalidated                 // purges of before it was cached may be unknown
+	ReasonNotCached                   // no entry for the part
+	ReasonNotWritten                  // the write of the part has not ended
+	ReasonTooOld                      // lookup: past the class's fresh time; offer: past its stale grace, too
+	ReasonFromFuture                  // issued ahead of this machine's clock: the age is unknown
+	ReasonUnvalidated                 // the copy predates a gap in the purge history
 	ReasonPurgesUnknown               // discovery has been unreachable for too long
 	ReasonPurged                      // a purge covers the copy
-	ReasonLinkBusy                    // the transfer would end after the latency objective
-	ReasonDiskBusy                    // as many reads as allowed are active
-	ReasonDiskOff                     // see Health
-	ReasonRequestedOnce               // requested for the first time in the sample period
-	ReasonOutweighed                  // what would give way is worth more
-	ReasonAlreadyCached               // what is cached is no worse
+	ReasonLinkBusy                    // the transfer would exceed the latency objective or the request's timeout
+	ReasonDiskBusy                    // MaxReads reads are active
+	ReasonDiskOff                     // the disk is not used in its current Health
+	ReasonRequestedOnce               // first request in the sample period
+	ReasonOutweighed                  // the parts to be evicted are worth more
+	ReasonAlreadyCached               // the cached copy is no worse
 	ReasonOverBudget                  // the write budget is spent
-	ReasonQueueFull                   // as many bytes as allowed wait to be written
+	ReasonQueueFull                   // no more than QueueBytes may wait to be written
 	ReasonNoSlots                     // freed slots wait for the next sync
 	ReasonTooLarge                    // a sixteenth of the disk is the most
-	ReasonGone                        // given way meanwhile
+	ReasonRemoved                     // removed in the meantime; no result has this reason now
 	reasonCount
 )
 
@@ -51,24 +51,24 @@
 	ReasonQueueFull:     "queue_full",
 	ReasonNoSlots:       "no_slots",
 	ReasonTooLarge:      "too_large",
-	ReasonGone:          "gone",
+	ReasonRemoved:       "gone",
 }
 
-// String returns the reason's name in metrics, such as not_held for ReasonNotCached.
+// String returns the reason's metric label, such as not_held for ReasonNotCached.
 func (r Reason) String() string { return reasonNames[r] }
 
 // Counts are totals since the start.
 type Counts struct {
-	Lookups      [reasonCount]int64 // by the reason of their verdict
-	Offers       [reasonCount]int64 // by the reason of their end
-	Served       int64              // copies served as they were, ServedStale included
-	ServedStale  int64              // in place of a failure
-	Revalidated  int64              // served after a cache has found them current
-	NotModified  int64              // served as 304
+	Lookups      [reasonCount]int64 // by the Reason of their result
+	Offers       [reasonCount]int64 // by the Reason of their result
+	Served       int64              // copies served without revalidation, ServedStale included
+	ServedStale  int64              // copies served in place of a failure
+	Revalidated  int64              // copies that a cache has found current
+	NotModified  int64              // copies served as 304
 	BytesServed  int64              // of bodies; a 304 counts as a twentieth of its body
 	BytesWritten int64              // record headers and the unused ends of slots included
-	Evicted      int64              // parts that gave way to others
-	Purged       int64              // parts that were dropped since a purge covered them
-	ReadFailures int64              // records that could not be read, or were corrupt
+	Evicted      int64              // parts removed to make room for others
+	Purged       int64              // parts removed because a purge covers them
+	ReadFailures int64              // records that could not be read or were corrupt
 	HistoryGaps  int64              // calls of HistoryGap
 }
--- a/internal/diskcache/recovery.go
+++ b/internal/diskcache/recovery.go
@@ -1,20 +1,20 @@
 package diskcache
 
-// CachedPart is a part as the index on disk knows it.
+// CachedPart is a part as recorded in the index on disk.
 type CachedPart struct {
-	Key, Object uint64 // hashes of the part's name and its object's
-	Issued      int64  // when the origin gave the copy out, Unix milliseconds
-	Seq         uint64 // number of its record: the later record has the higher one
+	Key, Object uint64 // hashes that identify the part and its object
+	Issued      int64  // when the origin issued the copy, Unix milliseconds
+	Seq         uint64 // sequence number of the record; later records have higher ones
 	Length      int    // bytes on disk, record header included
-	ClassIndex  int    // place in Settings.Classes
+	ClassIndex  int    // index in Settings.Classes; negative: the class is not configured
 	Group       uint8
 	Extents     []Extent
 }
 
-// Restore takes a part that recovery found, in place of an earlier one of its key. What
-// was purged while the router was down is unknown, so that the part has to be
-// revalidated before it is served. False: it can't be cached, and the index on disk is
-// told to forget it.
+// Restore adds a part found by recovery and replaces an earlier one with the same key.
+// Purges made while the router was down are unknown, so the part must be revalidated before
+// it is served. If the part can't be cached, Restore returns false, and a drop for the
+// index on disk becomes pending.
 func (p *Policy) Restore(part *CachedPart) bool {
 	p.seq = max(p.seq, part.Seq)
 	restored := entry{
@@ -43,7 +43,8 @@
 		!p.purges.covers(restored)
 }
 
-// claim takes the part's slots, and takes out an earlier part of its key.
+// claim marks the part's slots as used. It first removes an earlier part with the same key,
+// and returns false if the existing part is the later one.
 func (p *Policy) claim(part *CachedPart, restored *entry) bool {
 	if previous := p.index.find(part.Key); previous != noIndex {
 		if p.index.at(previous).seq >= part.Seq {
@@ -67,22 +68,23 @@
 	return count
 }
 
-// RemoveRestored takes out a restored part that a later frame of the index drops.
+// RemoveRestored removes a restored part that a later frame of the index on disk drops.
 func (p *Policy) RemoveRestored(drop Drop) {
 	if i := p.index.find(drop.Key); i != noIndex && p.index.at(i).seq == drop.Seq {
 		p.removeRestored(i)
 	}
 }
 
-// removeRestored frees the slots at once: the index on disk has forgotten them already.
+// removeRestored removes an entry and frees its slots at once, since the index on disk
+// already records its drop or a later part with its key.
 func (p *Policy) removeRestored(i uint32) {
 	p.index.usedSlots -= p.slotsOf(i)
 	p.slots.free(p.index.at(i).firstSlot)
 	p.index.remove(i)
 }
 
-// Scan calls visit for every part that can be read, some thousand at a time: it begins
-// at 0 and goes on from what it returned, until that is negative.
+// Scan calls visit for the readable parts among the next chunkSize entries. The caller
+// begins with from = 0 and passes the returned next until that is negative.
 func (p *Policy) Scan(from int, visit func(CachedPart)) (next int) {
 	to := min(from+chunkSize, p.index.allocated)
 	for i := from; i < to; i++ {
--- a/internal/diskcache/sketch.go
+++ b/internal/diskcache/sketch.go
@@ -3,12 +3,15 @@
 import "quilldoor/internal/tinylfu"
 
 const (
-	// samplesPerCachedPart is the paper's ten times the cache size (section 3.4.1).
+	// samplesPerCachedPart is the sample size of the TinyLFU paper: ten times the cache
+	// size (section 3.4.1).
 	samplesPerCachedPart = 10
 
 	minSketchCounters = 1 << 10
-	// sketchDoorkeeperBits for each counter and sketchDoorkeeperEntries for each let one
-	// unseen object in forty pass: eight bits an entry, four hashes.
+
+	// sketchDoorkeeperBits and sketchDoorkeeperEntries are the doorkeeper's bits and
+	// capacity for each counter: eight bits an entry. With four hashes one unseen object
+	// in forty passes.
 	sketchDoorkeeperBits    = 16
 	sketchDoorkeeperEntries = 2
 
@@ -16,7 +19,7 @@
 	sketchBytesPerCounter = 4
 )
 
-// newSketch makes a sketch for as many parts as the disk may hold.
+// newSketch returns a sketch for a disk of at most the given number of parts.
 func newSketch(parts int) *tinylfu.Sketch {
 	counters := minSketchCounters
 	for counters < parts {
@@ -28,7 +31,7 @@
 	})
 }
 
-// countRequest notes a request in the sketch. The sample period follows the number of
+// countRequest records a request in the sketch. The sample period follows the number of
 // parts that are cached now.
 func countRequest(sketch *tinylfu.Sketch, key uint64, cachedParts int) {
 	period := samplesPerCachedPart * max(cachedParts, minSketchCounters/samplesPerCachedPart)
--- a/internal/diskcache/slotmap.go
+++ b/internal/diskcache/slotmap.go
@@ -2,17 +2,17 @@
 
 import "math/bits"
 
-// Extent is a row of adjacent slots: the number of the first one, from 0, and how many.
+// Extent is a run of adjacent slots: the index of the first one and their number.
 type Extent struct{ Start, Count uint32 }
 
-// slotMap says which slot of the disk belongs to which record, as a file allocation
-// table does: a record is a chain of slots. It takes four bytes and a bit for each slot.
-// Records are never moved.
+// slotMap allocates the slots of the disk to records, as a file allocation table does: a
+// record is a chain of slots. It takes four bytes and a bit for each slot. Records are
+// never moved.
 type slotMap struct {
-	next       []uint32 // the next slot of a chain; noIndex: its end
-	used       []uint64 // a bit for each slot: in a record, or waiting for its drop to be synced
+	next       []uint32 // next slot of the chain; noIndex: end of the chain
+	used       []uint64 // a bit for each slot: it belongs to a record, or to a dropped one whose drop is not synced
 	freeSlots  int
-	searchFrom uint32 // records that are written one after another lie side by side
+	searchFrom uint32 // last allocated slot: records written in succession become adjacent
 }
 
 const (
@@ -27,7 +27,7 @@
 		used:      make([]uint64, (slots+bitsPerWord-1)/bitsPerWord),
 		freeSlots: slots,
 	}
-	if rest := slots % bitsPerWord; rest != 0 { // what is past the end is never free
+	if rest := slots % bitsPerWord; rest != 0 { // bits past the last slot count as used
 		m.used[slots/bitsPerWord] = fullWord << rest
 	}
 	return m
@@ -47,7 +47,8 @@
 	m.freeSlots++
 }
 
-// allocate makes a chain of slots; false: there are not so many.
+// allocate returns the first slot of a new chain of count slots. It returns false if fewer
+// slots are free.
 func (m *slotMap) allocate(count int) (first uint32, ok bool) {
 	if count <= 0 || count > m.freeSlots {
 		return noIndex, false
@@ -68,21 +69,22 @@
 	return first, true
 }
 
-// nextFree finds the first free slot from searchFrom on, going round. One must be free.
+// nextFree returns the first free slot from searchFrom on, wrapping around at the end. At
+// least one slot must be free.
 func (m *slotMap) nextFree() uint32 {
 	word := int(m.searchFrom / bitsPerWord)
-	below := uint64(1)<<(m.searchFrom%bitsPerWord) - 1 // slots of the first word before searchFrom
+	skipped := uint64(1)<<(m.searchFrom%bitsPerWord) - 1 // slots before searchFrom in its word
 	for {
-		if taken := m.used[word] | below; taken != fullWord {
-			return uint32(word*bitsPerWord + bits.TrailingZeros64(^taken))
+		if unavailable := m.used[word] | skipped; unavailable != fullWord {
+			return uint32(word*bitsPerWord + bits.TrailingZeros64(^unavailable))
 		}
 		word = (word + 1) % len(m.used)
-		below = 0
+		skipped = 0
 	}
 }
 
-// claim takes the slots of the extents that a recovered record lies in; false: one of
-// them is taken or does not exist, and nothing was claimed.
+// claim marks the extents of a recovered record as used and chains them. If a slot is in
+// use or does not exist, it claims nothing and returns false.
 func (m *slotMap) claim(extents []Extent) (first uint32, ok bool) {
 	if len(extents) == 0 {
 		return noIndex, false
@@ -99,7 +101,8 @@
 	return extents[0].Start, true
 }
 
-// claimExtent tells how many slots it could claim before one that is taken.
+// claimExtent marks the slots of an extent as used and stops at a slot in use. It returns
+// the number of slots that it marked and whether these are all.
 func (m *slotMap) claimExtent(extent Extent) (claimed uint32, ok bool) {
 	if extent.Count == 0 || uint64(extent.Start)+uint64(extent.Count) > uint64(len(m.next)) {
 		return 0, false
@@ -113,7 +116,7 @@
 	return extent.Count, true
 }
 
-// chain links the slots of the extents in their order.
+// chain links the slots of the extents in order.
 func (m *slotMap) chain(extents []Extent) {
 	last := noIndex
 	for _, extent := range extents {
@@ -135,22 +138,22 @@
 	}
 }
 
-// free frees a chain.
+// free marks all slots of a chain as free.
 func (m *slotMap) free(first uint32) {
 	for slot := first; slot != noIndex; slot = m.next[slot] {
 		m.markFree(slot)
 	}
 }
 
-// extents walks a chain.
-func (m *slotMap) extents(first uint32) (list []Extent) {
+// extents returns the slots of a chain as extents.
+func (m *slotMap) extents(first uint32) (extents []Extent) {
 	for slot := first; slot != noIndex; slot = m.next[slot] {
-		last := len(list) - 1
-		if last >= 0 && list[last].Start+list[last].Count == slot {
-			list[last].Count++
+		last := len(extents) - 1
+		if last >= 0 && extents[last].Start+extents[last].Count == slot {
+			extents[last].Count++
 		} else {
-			list = append(list, Extent{Start: slot, Count: 1})
+			extents = append(extents, Extent{Start: slot, Count: 1})
 		}
 	}
-	return list
+	return extents
 }
--- a/internal/diskcache/write.go
+++ b/internal/diskcache/write.go
@@ -1,23 +1,24 @@
 package diskcache
 
-// drop takes an entry out. Its slots are free once the index on disk has forgotten it
-// durably, so that nothing which the index names is overwritten.
+// drop removes an entry. Its slots become free only when its drop is durable in the index
+// on disk, so that no slot that this index refers to is overwritten.
 func (p *Policy) drop(i uint32) {
 	e := p.index.at(i)
 	p.index.usedSlots -= p.slotsOf(i)
-	if p.health == HealthOn || p.health == HealthFull { // else nothing is written any more
+	if p.health == HealthOn || p.health == HealthFull { // otherwise writing has stopped
 		p.pendingDrops = append(p.pendingDrops, Drop{e.key, e.seq})
 		p.pendingChains = append(p.pendingChains, e.firstSlot)
 	}
 	p.index.remove(i)
 }
 
-// WriteNeeded tells whether a copy that Offer admitted is still to be written: a purge may
-// have come since.
+// WriteNeeded reports whether a copy that Offer admitted is still to be written. A purge
+// may have removed it since.
 func (p *Policy) WriteNeeded(ref Ref) bool { return p.find(ref) != nil }
 
-// FinishWrite ends what Offer began: a record of so many bytes was written, or not. A
-// written one can be read from now on. False: the index on disk must not name it.
+// FinishWrite ends the write of a copy that Offer admitted. Length is that of its
+// Candidate, and written says whether the record was written. It reports whether the
+// record is readable from now on; if not, the index on disk must not refer to it.
 func (p *Policy) FinishWrite(ref Ref, length int, written bool) bool {
 	bytes := int64(p.slotsFor(length) * p.settings.SlotBytes)
 	p.queuedBytes -= bytes
@@ -36,8 +37,8 @@
 	return true
 }
 
-// TakeDrops takes what the index on disk is to forget next. It must be called after the
-// last FinishWrite of a batch; Synced follows once all of that is durable.
+// TakeDrops returns the drops to be written to the index on disk next. It must be called
+// after the last FinishWrite of a batch. Synced must follow once the batch is durable.
 func (p *Policy) TakeDrops() []Drop {
 	drops := p.pendingDrops
 	p.pendingDrops = nil
@@ -46,7 +47,7 @@
 	return drops
 }
 
-// Synced frees the slots of what TakeDrops took.
+// Synced frees the slots of the parts whose drops TakeDrops returned.
 func (p *Policy) Synced() {
 	for _, first := range p.syncingChains {
 		p.slots.free(first)
