--- a/internal/diskcache/diskcache_test.go
+++ b/internal/diskcache/diskcache_test.go
@@ -14,8 +14,9 @@
 
 func TestMain(m *testing.M) { testsupport.RunRapidWithFixedSeed(m) }
 
-func small(change func(*Settings)) *Policy {
-	set := Settings{
+// newSmallPolicy returns a Policy of 200 slots. A non-nil change adjusts its settings.
+func newSmallPolicy(change func(*Settings)) *Policy {
+	settings := Settings{
 		Classes: []TrafficClass{
 			{Name: "page", FreshFor: 60 * second, StaleGrace: 30 * second, LatencyObjective: second / 2, Cacheable: true},
 			{Name: "video", FreshFor: 60 * second, LatencyObjective: second / 2, Cacheable: true},
@@ -25,23 +26,24 @@
 		PurgeTime: 6 * second, MaxRequestTime: 2 * second, DiscoveryLossLimit: 2 * second,
 	}
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	return New(start, set)
+	return New(start, settings)
 }
 
-func page(object string, part int64) Request {
+func pageRequest(object string, part int64) Request {
 	return Request{Object: object, Part: part, Remaining: second}
 }
 
-// put writes a copy as if it was requested so often, and tells why not.
-func (p *Policy) put(now int64, a Request, slots int, wants int) Reason {
-	for range wants {
-		if v, _ := p.Lookup(now, &a); v != VerdictMiss {
+// put looks a part up the given number of times and offers a copy of it. An admitted copy
+// is written and synced. put returns the reason of the offer.
+func (p *Policy) put(now int64, request Request, slots int, lookups int) Reason {
+	for range lookups {
+		if verdict, _ := p.Lookup(now, &request); verdict != VerdictMiss {
 			p.activeReads--
 		}
 	}
-	placement, reason := p.Offer(now, &Candidate{Request: a, Issued: now / millisecond, Length: slots * p.settings.SlotBytes})
+	placement, reason := p.Offer(now, &Candidate{Request: request, Issued: now / millisecond, Length: slots * p.settings.SlotBytes})
 	if reason == ReasonOK {
 		p.FinishWrite(placement.Ref, slots*p.settings.SlotBytes, true)
 		p.TakeDrops()
@@ -50,172 +52,182 @@
 	return reason
 }
 
-// peek gives a verdict and ends the read at once.
-func (p *Policy) peek(now int64, a Request) (Verdict, Reason) {
-	v, f := p.Lookup(now, &a)
-	if v != VerdictMiss {
+// peek looks a part up and ends the read at once.
+func (p *Policy) peek(now int64, request Request) (Verdict, Reason) {
+	verdict, result := p.Lookup(now, &request)
+	if verdict != VerdictMiss {
 		p.activeReads--
 	}
-	return v, f.Reason
+	return verdict, result.Reason
 }
 
 func TestNewcomerIsAdmittedOnlyIfItOutweighsItsVictimsByBytes(t *testing.T) {
-	x := small(nil)
-	for i := range 30 { // 175 slots are for use; five in each, wanted three times
-		x.put(start+second, page(fmt.Sprint("old", i), 0), 5, 3)
+	policy := newSmallPolicy(nil)
+	for i := range 30 { // 175 slots are usable: 35 parts of five slots, requested three times each
+		policy.put(start+second, pageRequest(fmt.Sprint("old", i), 0), 5, 3)
 	}
 	for i := range 5 {
-		x.put(start+second, page(fmt.Sprint("last", i), 0), 5, 3)
+		policy.put(start+second, pageRequest(fmt.Sprint("last", i), 0), 5, 3)
 	}
-	if r := x.put(start+second, page("once", 0), 5, 1); r != ReasonRequestedOnce {
-		t.Fatalf("wanted once: %v", r)
+	if reason := policy.put(start+second, pageRequest("once", 0), 5, 1); reason != ReasonRequestedOnce {
+		t.Fatalf("requested once: %v", reason)
 	}
-	if r := x.put(start+second, page("equal", 0), 5, 3); r != ReasonOutweighed {
-		t.Fatalf("as dear as its victim: %v", r)
+	if reason := policy.put(start+second, pageRequest("equal", 0), 5, 3); reason != ReasonOutweighed {
+		t.Fatalf("same weight as its victim: %v", reason)
 	}
-	// Twelve slots push out three of five that are wanted three times each.
-	if r := x.put(start+second, page("large", 0), 12, 3); r != ReasonOutweighed {
-		t.Fatalf("large and as dear: %v", r)
+	// Twelve slots evict three parts of five slots that were requested three times each.
+	if reason := policy.put(start+second, pageRequest("large", 0), 12, 3); reason != ReasonOutweighed {
+		t.Fatalf("large, requested as often as its victims: %v", reason)
 	}
-	if r := x.put(start+second, page("large", 0), 12, 1); r != ReasonOK || x.Counts.Evicted != 3 {
-		t.Fatalf("large and dearer: %v, %d gave way", r, x.Counts.Evicted)
+	if reason := policy.put(start+second, pageRequest("large", 0), 12, 1); reason != ReasonOK || policy.Counts.Evicted != 3 {
+		t.Fatalf("large, requested more often than its victims: %v, %d evicted", reason, policy.Counts.Evicted)
 	}
-	if v, r := x.peek(start+second, page("old0", 0)); v != VerdictMiss || r != ReasonNotCached {
-		t.Fatalf("the oldest stayed: %v", r)
+	if verdict, reason := policy.peek(start+second, pageRequest("old0", 0)); verdict != VerdictMiss || reason != ReasonNotCached {
+		t.Fatalf("the least recently used part is still cached: %v", reason)
 	}
-	if v, _ := x.peek(start+second, page("last0", 0)); v != VerdictServe {
-		t.Fatal("a newer one gave way")
+	if verdict, _ := policy.peek(start+second, pageRequest("last0", 0)); verdict != VerdictServe {
+		t.Fatal("a recently used part was evicted")
 	}
 }
 
-// Objects requested once cost no write and evict nothing.
+// A scan of objects that are requested once must not cost writes or evict cached parts.
 func TestScanOfObjectsRequestedOnceWritesNothing(t *testing.T) {
-	x := small(nil)
+	policy := newSmallPolicy(nil)
 	for i := range 30 {
-		x.put(start+second, page(fmt.Sprint("video", i), 0), 5, 3)
+		policy.put(start+second, pageRequest(fmt.Sprint("video", i), 0), 5, 3)
 	}
-	written := x.Counts.BytesWritten
-	for i := range 1500 { // under the sample's size: no reset within
-		x.put(start+second+int64(i)*millisecond, page(fmt.Sprint("scan", i), 0), 5, 1)
+	written := policy.Counts.BytesWritten
+	for i := range 1500 { // fewer than the sample period, so that the sketch is not halved
+		policy.put(start+second+int64(i)*millisecond, pageRequest(fmt.Sprint("scan", i), 0), 5, 1)
 	}
-	if grown := x.Counts.BytesWritten - written; grown > written/10 { // some fall together in the sketch
-		t.Fatalf("%d bytes written for objects wanted once, %d before", grown, written)
+	if grown := policy.Counts.BytesWritten - written; grown > written/10 { // some objects collide in the sketch
+		t.Fatalf("%d bytes written for objects requested once, %d before", grown, written)
 	}
 	for i := range 30 {
-		if v, r := x.peek(start+3*second, page(fmt.Sprint("video", i), 0)); v != VerdictServe {
-			t.Fatalf("video %d: %v", i, r)
+		if verdict, reason := policy.peek(start+3*second, pageRequest(fmt.Sprint("video", i), 0)); verdict != VerdictServe {
+			t.Fatalf("video %d: %v", i, reason)
 		}
 	}
 }
 
 func TestVerdicts(t *testing.T) {
-	a := page("x", 3)
-	for name, c := range map[string]struct {
-		change  func(x *Policy)
+	request := pageRequest("x", 3)
+	for name, test := range map[string]struct {
+		change  func(policy *Policy)
 		later   int64
 		verdict Verdict
 		reason  Reason
 	}{
 		"fresh":                     {nil, 10 * second, VerdictServe, ReasonOK},
-		"past fresh":                {nil, 61 * second, VerdictRevalidate, ReasonTooOld},
-		"gap in discovery's events": {func(x *Policy) { x.HistoryGap(start + second) }, 2 * second, VerdictRevalidate, ReasonUnvalidated},
-		"discovery just lost":       {func(x *Policy) { x.SetDiscoveryLost(start+second, true) }, 2 * second, VerdictServe, ReasonOK},
-		"discovery lost":            {func(x *Policy) { x.SetDiscoveryLost(start+second, true) }, 4 * second, VerdictRevalidate, ReasonPurgesUnknown},
+		"past fresh time":           {nil, 61 * second, VerdictRevalidate, ReasonTooOld},
+		"gap in discovery's events": {func(policy *Policy) { policy.HistoryGap(start + second) }, 2 * second, VerdictRevalidate, ReasonUnvalidated},
+		"discovery just lost":       {func(policy *Policy) { policy.SetDiscoveryLost(start+second, true) }, 2 * second, VerdictServe, ReasonOK},
+		"discovery lost":            {func(policy *Policy) { policy.SetDiscoveryLost(start+second, true) }, 4 * second, VerdictRevalidate, ReasonPurgesUnknown},
 		"discovery restored": {
-			func(x *Policy) { x.SetDiscoveryLost(start+second, true); x.SetDiscoveryLost(start+9*second, false) },
+			func(policy *Policy) {
+				policy.SetDiscoveryLost(start+second, true)
+				policy.SetDiscoveryLost(start+9*second, false)
+			},
 			10 * second, VerdictServe, ReasonOK,
 		},
-		"object purged":       {func(x *Policy) { x.Purge(start+second, "x", 0, start+second) }, 2 * second, VerdictMiss, ReasonNotCached},
-		"other object purged": {func(x *Policy) { x.Purge(start+second, "y", 0, start+second) }, 2 * second, VerdictServe, ReasonOK},
-		"group purged":        {func(x *Policy) { x.Purge(start+second, "", 0, start+second) }, 2 * second, VerdictMiss, ReasonPurged},
-		"other group":         {func(x *Policy) { x.Purge(start+second, "", 1, start+second) }, 2 * second, VerdictServe, ReasonOK},
-		"purged before":       {func(x *Policy) { x.Purge(start+second, "x", 0, start-second) }, 2 * second, VerdictServe, ReasonOK},
-		"from ahead":          {nil, -5 * second, VerdictRevalidate, ReasonFromFuture},
-		"link full":           {func(x *Policy) { x.bandwidth = linkModel{linkRate: 1000, busyUntil: start + 2*second} }, second, VerdictMiss, ReasonLinkBusy},
-		"reads in hand":       {func(x *Policy) { x.activeReads = 4 }, second, VerdictMiss, ReasonDiskBusy},
-		"off":                 {func(x *Policy) { x.HandleEvent(start, EventManyReadFailures) }, second, VerdictMiss, ReasonDiskOff},
-		"writes fail":         {func(x *Policy) { x.HandleEvent(start, EventWriteFailed) }, second, VerdictServe, ReasonOK},
+		"object purged":             {func(policy *Policy) { policy.Purge(start+second, "x", 0, start+second) }, 2 * second, VerdictMiss, ReasonNotCached},
+		"other object purged":       {func(policy *Policy) { policy.Purge(start+second, "y", 0, start+second) }, 2 * second, VerdictServe, ReasonOK},
+		"group purged":              {func(policy *Policy) { policy.Purge(start+second, "", 0, start+second) }, 2 * second, VerdictMiss, ReasonPurged},
+		"other group purged":        {func(policy *Policy) { policy.Purge(start+second, "", 1, start+second) }, 2 * second, VerdictServe, ReasonOK},
+		"purged before its issue":   {func(policy *Policy) { policy.Purge(start+second, "x", 0, start-second) }, 2 * second, VerdictServe, ReasonOK},
+		"issued ahead of the clock": {nil, -5 * second, VerdictRevalidate, ReasonFromFuture},
+		"link saturated": {
+			func(policy *Policy) { policy.bandwidth = linkModel{linkRate: 1000, busyUntil: start + 2*second} },
+			second, VerdictMiss, ReasonLinkBusy,
+		},
+		"as many reads as allowed": {func(policy *Policy) { policy.activeReads = 4 }, second, VerdictMiss, ReasonDiskBusy},
+		"disk off":                 {func(policy *Policy) { policy.HandleEvent(start, EventManyReadFailures) }, second, VerdictMiss, ReasonDiskOff},
+		"writes fail":              {func(policy *Policy) { policy.HandleEvent(start, EventWriteFailed) }, second, VerdictServe, ReasonOK},
 	} {
-		x := small(nil)
-		if r := x.put(start+millisecond*500, a, 2, 2); r != ReasonOK {
-			t.Fatal(r)
+		policy := newSmallPolicy(nil)
+		if reason := policy.put(start+millisecond*500, request, 2, 2); reason != ReasonOK {
+			t.Fatal(reason)
 		}
-		if c.change != nil {
-			c.change(x)
+		if test.change != nil {
+			test.change(policy)
 		}
-		if v, r := x.peek(start+c.later, a); v != c.verdict || r != c.reason {
-			t.Errorf("%s: verdict %v, %v; want %v, %v", name, v, r, c.verdict, c.reason)
+		if verdict, reason := policy.peek(start+test.later, request); verdict != test.verdict || reason != test.reason {
+			t.Errorf("%s: verdict %v, %v; want %v, %v", name, verdict, reason, test.verdict, test.reason)
 		}
 	}
-	if v, r := small(nil).peek(start, Request{ClassIndex: 2, Object: "x"}); v != VerdictMiss || r != ReasonNotCacheable {
-		t.Errorf("a writing rule: %v", r)
+	if verdict, reason := newSmallPolicy(nil).peek(start, Request{ClassIndex: 2, Object: "x"}); verdict != VerdictMiss || reason != ReasonNotCacheable {
+		t.Errorf("lookup in a class that is not cacheable: %v", reason)
 	}
-	if _, r := small(nil).Offer(start, &Candidate{Request: Request{ClassIndex: 2, Object: "x"}, Issued: start / millisecond, Length: 9}); r != ReasonNotCacheable {
-		t.Errorf("a writing rule's answer: %v", r)
+	if _, reason := newSmallPolicy(nil).Offer(start, &Candidate{Request: Request{ClassIndex: 2, Object: "x"}, Issued: start / millisecond, Length: 9}); reason != ReasonNotCacheable {
+		t.Errorf("offer in a class that is not cacheable: %v", reason)
 	}
 }
 
-// A copy that an answer brings after a purge, but that was given out before it,
-// is not kept; nor served, if the purge comes while it is written or read.
+// A copy that was issued before a purge must not be cached if it arrives after the purge. A
+// copy must not be served if the purge arrives during its write or read.
 func TestPurgeDuringReadOrWriteForbidsTheCopy(t *testing.T) {
-	a := page("x", 0)
-	x := small(nil)
-	x.Purge(start+second, "x", 0, start+second)
-	x.Lookup(start, &a)
-	x.Lookup(start, &a)
+	request := pageRequest("x", 0)
+	policy := newSmallPolicy(nil)
+	policy.Purge(start+second, "x", 0, start+second)
+	policy.Lookup(start, &request)
+	policy.Lookup(start, &request)
 	offer := func(issued int64) (Placement, Reason) {
-		return x.Offer(start+2*second, &Candidate{Request: a, Issued: issued / millisecond, Length: 100})
+		return policy.Offer(start+2*second, &Candidate{Request: request, Issued: issued / millisecond, Length: 100})
 	}
-	if _, r := offer(start + 1*second); r != ReasonPurged {
-		t.Fatalf("older than the purge: %v", r)
+	if _, reason := offer(start + 1*second); reason != ReasonPurged {
+		t.Fatalf("issued before the purge: %v", reason)
 	}
-	p, r := offer(start + 1500*millisecond)
-	if r != ReasonOK {
-		t.Fatal(r)
+	placement, reason := offer(start + 1500*millisecond)
+	if reason != ReasonOK {
+		t.Fatal(reason)
 	}
-	x.Purge(start+2*second, "x", 0, start+2*second)
-	if x.WriteNeeded(p.Ref) || x.FinishWrite(p.Ref, 100, true) {
-		t.Fatal("purged while it was written, and named to the index")
+	policy.Purge(start+2*second, "x", 0, start+2*second)
+	if policy.WriteNeeded(placement.Ref) || policy.FinishWrite(placement.Ref, 100, true) {
+		t.Fatal("a copy purged during its write is still to be written or indexed")
 	}
-	x.TakeDrops()
-	x.Synced()
-	x.put(start+3*second, a, 1, 0)
-	v, f := x.Lookup(start+3*second, &a)
-	if v != VerdictServe {
-		t.Fatal(f.Reason)
+	policy.TakeDrops()
+	policy.Synced()
+	policy.put(start+3*second, request, 1, 0)
+	verdict, result := policy.Lookup(start+3*second, &request)
+	if verdict != VerdictServe {
+		t.Fatal(result.Reason)
 	}
-	x.Purge(start+4*second, "", 0, start+4*second)
-	if usable, _ := x.FinishRead(start+4*second, f.Ref, ReadIntact); usable || x.ReserveServe(start+4*second, f.Ref, 0, 1, false, false) {
-		t.Fatal("purged while it was read, and served")
+	policy.Purge(start+4*second, "", 0, start+4*second)
+	if usable, _ := policy.FinishRead(start+4*second, result.Ref, ReadIntact); usable || policy.ReserveServe(start+4*second, result.Ref, 0, 1, false, false) {
+		t.Fatal("a copy purged during its read may still be served")
 	}
 }
 
-// After a start, what caches still hold may be older than a purge of before.
+// After a start, copies held by caches may be covered by purges made before the start. They
+// are revalidated until caches have dropped all such copies.
 func TestCopiesIssuedBeforeTheStartAreRevalidated(t *testing.T) {
-	x := small(nil)
-	a := page("x", 0)
-	x.Lookup(start, &a)
-	x.Lookup(start, &a)
-	p, _ := x.Offer(start+second, &Candidate{Request: a, Issued: (start - second) / millisecond, Length: 100})
-	x.FinishWrite(p.Ref, 100, true)
-	if v, r := x.peek(start+second, a); v != VerdictRevalidate || r != ReasonUnvalidated {
-		t.Fatalf("given out before the start: %v, %v", v, r)
-	}
-	x.Revalidated(start+2*second, p.Ref, (start-second)/millisecond, 100)
-	if v, _ := x.peek(start+2*second, a); v != VerdictRevalidate {
-		t.Fatal("a cache that may not have dropped it yet has proven it for good")
-	}
-	x.Revalidated(start+9*second, p.Ref, (start-second)/millisecond, 100)
-	if v, r := x.peek(start+9*second, a); v != VerdictServe {
-		t.Fatalf("proven by a cache that has dropped what was purged: %v", r)
+	policy := newSmallPolicy(nil)
+	request := pageRequest("x", 0)
+	policy.Lookup(start, &request)
+	policy.Lookup(start, &request)
+	placement, _ := policy.Offer(start+second, &Candidate{Request: request, Issued: (start - second) / millisecond, Length: 100})
+	policy.FinishWrite(placement.Ref, 100, true)
+	if verdict, reason := policy.peek(start+second, request); verdict != VerdictRevalidate || reason != ReasonUnvalidated {
+		t.Fatalf("issued before the start: %v, %v", verdict, reason)
+	}
+	policy.Revalidated(start+2*second, placement.Ref, (start-second)/millisecond, 100)
+	if verdict, _ := policy.peek(start+2*second, request); verdict != VerdictRevalidate {
+		t.Fatal("served after revalidation by a cache that may still hold purged copies")
+	}
+	policy.Revalidated(start+9*second, placement.Ref, (start-second)/millisecond, 100)
+	if verdict, reason := policy.peek(start+9*second, request); verdict != VerdictServe {
+		t.Fatalf("revalidated by a cache that has dropped all purged copies: %v", reason)
 	}
 }
 
 func TestRestoredPartsAreRevalidatedFirst(t *testing.T) {
-	x := small(nil)
-	a := page("x", 0)
-	k := CachedPart{Key: x.partKey(&a), Object: x.objectKey("x"), Issued: start / millisecond, Seq: 9, Length: 1500, Extents: []Extent{{7, 2}}}
-	bad := []CachedPart{
+	policy := newSmallPolicy(nil)
+	request := pageRequest("x", 0)
+	restored := CachedPart{
+		Key: policy.partKey(&request), Object: policy.objectKey("x"), Issued: start / millisecond,
+		Seq: 9, Length: 1500, Extents: []Extent{{7, 2}},
+	}
+	invalid := []CachedPart{
 		{Length: 1500, Extents: []Extent{{7, 1}}},
 		{Length: 500, Extents: []Extent{{200, 1}}},
 		{Length: -1},
@@ -223,237 +235,239 @@
 		{Length: 500, Extents: []Extent{{1, 1}}, ClassIndex: 2},
 		{Length: 500, Extents: []Extent{{^uint32(0), 1}}},
 	}
-	for i := range bad {
-		if x.Restore(&bad[i]) {
-			t.Errorf("%+v installed", bad[i])
+	for i := range invalid {
+		if policy.Restore(&invalid[i]) {
+			t.Errorf("invalid part %+v was restored", invalid[i])
 		}
 	}
-	if !x.Restore(&k) {
-		t.Fatal("not installed")
+	if !policy.Restore(&restored) {
+		t.Fatalf("part %+v was not restored", restored)
 	}
-	twice := CachedPart{Key: 1, Length: 2500, Seq: 10, Extents: []Extent{{2, 2}, {8, 1}}}
-	if x.Restore(&twice) || x.slots.freeSlots != 198 {
-		t.Errorf("slots of another, %d free", x.slots.freeSlots)
+	overlapping := CachedPart{Key: 1, Length: 2500, Seq: 10, Extents: []Extent{{2, 2}, {8, 1}}}
+	if policy.Restore(&overlapping) || policy.slots.freeSlots != 198 {
+		t.Errorf("part with a slot of another part: restored, or slots not released (%d free, want 198)", policy.slots.freeSlots)
 	}
-	x.Purge(start, "late", 0, start) // told while recovery is going on
-	if x.Restore(&CachedPart{Key: 2, Object: x.objectKey("late"), Issued: start / millisecond, Length: 500, Seq: 11, Extents: []Extent{{20, 1}}}) {
-		t.Error("purged, yet installed")
+	policy.Purge(start, "late", 0, start) // a purge received during recovery
+	if policy.Restore(&CachedPart{
+		Key: 2, Object: policy.objectKey("late"), Issued: start / millisecond, Length: 500, Seq: 11, Extents: []Extent{{20, 1}},
+	}) {
+		t.Error("a purged part was restored")
 	}
-	if v, r := x.peek(start+millisecond, a); v != VerdictRevalidate || r != ReasonUnvalidated {
-		t.Fatalf("verdict %v, %v", v, r)
+	if verdict, reason := policy.peek(start+millisecond, request); verdict != VerdictRevalidate || reason != ReasonUnvalidated {
+		t.Fatalf("verdict %v, %v", verdict, reason)
 	}
-	x.Purge(start+second, "x", 0, start+second)
-	if v, _ := x.peek(start+second, a); v != VerdictMiss {
-		t.Fatal("purged, yet proven")
+	policy.Purge(start+second, "x", 0, start+second)
+	if verdict, _ := policy.peek(start+second, request); verdict != VerdictMiss {
+		t.Fatal("a restored part is still offered for revalidation after its purge")
 	}
-	if d := x.TakeDrops(); len(d) != len(bad)+3 || d[len(d)-1] != (Drop{k.Key, 9}) {
-		t.Fatalf("drops %+v", d)
+	if drops := policy.TakeDrops(); len(drops) != len(invalid)+3 || drops[len(drops)-1] != (Drop{restored.Key, 9}) {
+		t.Fatalf("drops %+v", drops)
 	}
 }
 
 func TestWritesKeepToTheirBudgetAndQueue(t *testing.T) {
-	x := small(func(s *Settings) {
+	policy := newSmallPolicy(func(s *Settings) {
 		s.WriteBytesPerSecond, s.Slots, s.MaxEntries, s.QueueBytes = 10_000, 4000, 4000, 1<<30
 	})
-	r := rand.New(rand.NewPCG(1, 1))
-	var at []int64
+	random := rand.New(rand.NewPCG(1, 1))
+	var writeTimes []int64 // one for each extent
 	for i := range 4000 {
 		now := start + int64(i)*5*millisecond
-		a := page(fmt.Sprint(i), 0)
-		x.Lookup(now, &a)
-		x.Lookup(now, &a)
-		if p, reason := x.Offer(now, &Candidate{Request: a, Issued: now / millisecond, Length: 1 + r.IntN(3000)}); reason == ReasonOK {
-			for range len(p.Extents) {
-				at = append(at, now)
+		request := pageRequest(fmt.Sprint(i), 0)
+		policy.Lookup(now, &request)
+		policy.Lookup(now, &request)
+		if placement, reason := policy.Offer(now, &Candidate{Request: request, Issued: now / millisecond, Length: 1 + random.IntN(3000)}); reason == ReasonOK {
+			for range len(placement.Extents) {
+				writeTimes = append(writeTimes, now)
 			}
-			x.FinishWrite(p.Ref, 1, true)
+			policy.FinishWrite(placement.Ref, 1, true)
 		}
 	}
-	window := func(lasts int64) (most int) {
-		for i, j := 0, 0; i < len(at); i++ {
-			for at[i]-at[j] >= lasts {
+	maxWithin := func(duration int64) (most int) {
+		for i, j := 0, 0; i < len(writeTimes); i++ {
+			for writeTimes[i]-writeTimes[j] >= duration {
 				j++
 			}
 			most = max(most, i-j+1)
 		}
 		return most
 	}
-	if n := window(second); n > 20 {
-		t.Errorf("%d records of a slot or more within a second, at ten slots a second", n)
+	if n := maxWithin(second); n > 20 {
+		t.Errorf("%d extents of a slot or more written within a second, at ten slots per second", n)
 	}
-	if n := window(10 * second); n > 110 || n < 20 {
-		t.Errorf("%d records within ten seconds", n)
+	if n := maxWithin(10 * second); n > 110 || n < 20 {
+		t.Errorf("%d extents written within ten seconds, at ten slots per second", n)
 	}
-	x = small(func(s *Settings) { s.QueueBytes = 3000 })
+	policy = newSmallPolicy(func(s *Settings) { s.QueueBytes = 3000 })
 	for i := range 4 {
-		a := page(fmt.Sprint(i), 0)
-		x.Lookup(start, &a)
-		x.Lookup(start, &a)
-		if _, reason := x.Offer(start, &Candidate{Request: a, Issued: start / millisecond, Length: 10}); (reason == ReasonQueueFull) != (i == 3) {
-			t.Errorf("copy %d: %v", i, reason)
+		request := pageRequest(fmt.Sprint(i), 0)
+		policy.Lookup(start, &request)
+		policy.Lookup(start, &request)
+		if _, reason := policy.Offer(start, &Candidate{Request: request, Issued: start / millisecond, Length: 10}); (reason == ReasonQueueFull) != (i == 3) {
+			t.Errorf("copy %d of one slot, with a queue of three: %v", i, reason)
 		}
 	}
 }
 
 func TestHealth(t *testing.T) {
-	x := small(nil)
-	if h, changed := x.HandleEvent(start, EventNoSpace); h != HealthFull || !changed {
-		t.Fatal(h)
+	policy := newSmallPolicy(nil)
+	if health, changed := policy.HandleEvent(start, EventNoSpace); health != HealthFull || !changed {
+		t.Fatal(health)
 	}
-	if r := x.put(start+second, page("x", 0), 1, 2); r != ReasonDiskOff {
-		t.Fatalf("written to a full disk: %v", r)
+	if reason := policy.put(start+second, pageRequest("x", 0), 1, 2); reason != ReasonDiskOff {
+		t.Fatalf("offer with a full disk: %v", reason)
 	}
-	if r := x.put(start+fullDiskRetryInterval, page("x", 0), 1, 2); r != ReasonOK {
-		t.Fatalf("not tried again: %v", r)
+	if reason := policy.put(start+fullDiskRetryInterval, pageRequest("x", 0), 1, 2); reason != ReasonOK {
+		t.Fatalf("writes to a full disk were not retried: %v", reason)
 	}
-	x.HandleEvent(start, EventWriteFailed)
-	if h, _ := x.HandleEvent(start, EventRetryDue); h != HealthReadOnly {
-		t.Fatalf("%v: written again after a failed sync", h)
+	policy.HandleEvent(start, EventWriteFailed)
+	if health, _ := policy.HandleEvent(start, EventRetryDue); health != HealthReadOnly {
+		t.Fatalf("%v: writes were retried after a failed sync", health)
 	}
 	for i := range maxReadFailures {
-		if h, _ := x.HandleEvent(start+int64(i)*readFailureWindow/4, EventReadFailed); h != HealthReadOnly {
-			t.Fatal("off by faults far apart")
+		if health, _ := policy.HandleEvent(start+int64(i)*readFailureWindow/4, EventReadFailed); health != HealthReadOnly {
+			t.Fatalf("%v after read failures spread over several windows", health)
 		}
 	}
 	changes := 0
 	for range 2 * maxReadFailures {
-		if _, changed := x.HandleEvent(start+10*readFailureWindow, EventReadFailed); changed {
+		if _, changed := policy.HandleEvent(start+10*readFailureWindow, EventReadFailed); changed {
 			changes++
 		}
 	}
-	if x.Health() != HealthOff || changes != 1 {
-		t.Fatalf("%v after %d changes", x.Health(), changes)
+	if policy.Health() != HealthOff || changes != 1 {
+		t.Fatalf("%v after %d changes", policy.Health(), changes)
 	}
 }
 
-// After any steps no slot is in two chains, none is lost, every entry is found by its key
-// and all bounds are kept.
+// After any sequence of operations each slot is either free or in exactly one chain, every
+// entry is found by its key and all bounds are kept.
 func TestIndexAndSlotMapAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		x := small(func(s *Settings) { s.Slots, s.MaxEntries = 70, 10+draw(30) })
+		policy := newSmallPolicy(func(s *Settings) { s.Slots, s.MaxEntries = 70, 10+draw(30) })
 		now := start
-		var out []Placement
+		var writing []Placement
 		for range 60 {
 			now += int64(draw(1000)) * millisecond
-			a := Request{Object: fmt.Sprint(draw(20)), Part: int64(draw(2)), Group: uint8(draw(2)), Remaining: second}
+			request := Request{Object: fmt.Sprint(draw(20)), Part: int64(draw(2)), Group: uint8(draw(2)), Remaining: second}
 			switch draw(8) {
 			case 0:
-				x.Purge(now, a.Object, 0, now)
+				policy.Purge(now, request.Object, 0, now)
 			case 1:
-				x.Purge(now, "", a.Group, now)
+				policy.Purge(now, "", request.Group, now)
 			case 2:
-				x.TakeDrops()
-				x.Synced()
+				policy.TakeDrops()
+				policy.Synced()
 			case 3:
-				x.HistoryGap(now)
+				policy.HistoryGap(now)
 			default:
-				x.peek(now, a)
-				x.peek(now, a)
-				if p, r := x.Offer(now, &Candidate{Request: a, Issued: now / millisecond, Length: 1 + draw(4000)}); r == ReasonOK {
-					out = append(out, p)
+				policy.peek(now, request)
+				policy.peek(now, request)
+				if placement, reason := policy.Offer(now, &Candidate{Request: request, Issued: now / millisecond, Length: 1 + draw(4000)}); reason == ReasonOK {
+					writing = append(writing, placement)
 				}
 			}
-			if len(out) > draw(4) {
-				x.FinishWrite(out[0].Ref, 1, draw(5) > 0)
-				out = out[1:]
+			if len(writing) > draw(4) {
+				policy.FinishWrite(writing[0].Ref, 1, draw(5) > 0)
+				writing = writing[1:]
 			}
-			check(t, x)
+			checkInvariants(t, policy)
 		}
 	})
 }
 
-func check(t *rapid.T, x *Policy) {
-	owner := map[uint32]string{}
-	own := func(first uint32, who string) {
-		for at := first; at != noIndex; at = x.slots.next[at] {
-			if owner[at] != "" {
-				t.Fatalf("slot %d of %s and %s", at, owner[at], who)
+func checkInvariants(t *rapid.T, policy *Policy) {
+	owners := map[uint32]string{} // by slot
+	addChain := func(first uint32, owner string) {
+		for slot := first; slot != noIndex; slot = policy.slots.next[slot] {
+			if owners[slot] != "" {
+				t.Fatalf("slot %d belongs to %s and %s", slot, owners[slot], owner)
 			}
-			owner[at] = who
+			owners[slot] = owner
 		}
 	}
-	live, slots := 0, 0
-	for i := x.index.oldest; i != noIndex; i = x.index.at(i).newer {
-		e := x.index.at(i)
-		if live++; x.index.find(e.key) != i {
+	entries, slots := 0, 0
+	for i := policy.index.oldest; i != noIndex; i = policy.index.at(i).newer {
+		e := policy.index.at(i)
+		if entries++; policy.index.find(e.key) != i {
 			t.Fatalf("entry %d is not found by its key", i)
 		}
-		own(e.firstSlot, fmt.Sprint("entry ", i))
-		slots += x.slotsOf(i)
+		addChain(e.firstSlot, fmt.Sprint("entry ", i))
+		slots += policy.slotsOf(i)
 	}
-	for _, first := range append(append([]uint32{}, x.pendingChains...), x.syncingChains...) {
-		own(first, "condemned")
+	for _, first := range append(append([]uint32{}, policy.pendingChains...), policy.syncingChains...) {
+		addChain(first, "a dropped part")
 	}
-	if live != x.index.entries || slots != x.index.usedSlots || len(owner)+x.slots.freeSlots != x.settings.Slots {
-		t.Fatalf("%d of %d entries, %d of %d slots, %d owned and %d free of %d", live, x.index.entries, slots,
-			x.index.usedSlots, len(owner), x.slots.freeSlots, x.settings.Slots)
+	if entries != policy.index.entries || slots != policy.index.usedSlots || len(owners)+policy.slots.freeSlots != policy.settings.Slots {
+		t.Fatalf("%d entries in the list and %d counted, %d slots in chains and %d counted, %d slots owned and %d free of %d",
+			entries, policy.index.entries, slots, policy.index.usedSlots, len(owners), policy.slots.freeSlots, policy.settings.Slots)
 	}
-	if live > x.settings.MaxEntries || x.index.usedSlots > x.settings.Slots-x.reservedSlots() {
-		t.Fatalf("over a bound: %d entries, %d slots", live, x.index.usedSlots)
+	if entries > policy.settings.MaxEntries || policy.index.usedSlots > policy.settings.Slots-policy.reservedSlots() {
+		t.Fatalf("bound exceeded: %d entries, %d slots", entries, policy.index.usedSlots)
 	}
 }
 
 func TestRememberedPurgesAreBounded(t *testing.T) {
-	x := small(nil)
-	a := page("kept", 0)
-	x.put(start+millisecond, a, 1, 2)
+	policy := newSmallPolicy(nil)
+	request := pageRequest("kept", 0)
+	policy.put(start+millisecond, request, 1, 2)
 	for i := range 3 * maxObjectPurges {
-		x.Purge(start+second, fmt.Sprint(i), 0, start+second)
+		policy.Purge(start+second, fmt.Sprint(i), 0, start+second)
 	}
-	if n := len(x.purges.objects); n > maxObjectPurges {
-		t.Fatalf("%d purges remembered", n)
+	if n := len(policy.purges.objects); n > maxObjectPurges {
+		t.Fatalf("%d purges remembered, want %d at most", n, maxObjectPurges)
 	}
-	if v, _ := x.peek(start+second, a); v != VerdictMiss {
-		t.Fatal("served though its purge may be among those forgotten")
+	if verdict, _ := policy.peek(start+second, request); verdict != VerdictMiss {
+		t.Fatal("served although a purge that is no longer remembered may cover it")
 	}
-	x.put(start+3*second, a, 1, 0)
-	if v, r := x.peek(start+3*second, a); v != VerdictServe {
-		t.Fatalf("given out since: %v", r)
+	policy.put(start+3*second, request, 1, 0)
+	if verdict, reason := policy.peek(start+3*second, request); verdict != VerdictServe {
+		t.Fatalf("issued after the purges: %v", reason)
 	}
 }
 
 func TestClockStepsAreDetected(t *testing.T) {
-	var c StepDetector
-	wall, steady := start, int64(0)
+	var detector StepDetector
+	wall, monotonic := start, int64(0)
 	for range 100 { // slewed by 500 ppm, as time servers do
-		wall, steady = wall+second+500, steady+second
-		if c.Stepped(wall, steady) {
-			t.Fatal("slewing is no jump")
+		wall, monotonic = wall+second+500, monotonic+second
+		if detector.Stepped(wall, monotonic) {
+			t.Fatal("slewing was reported as a step")
 		}
 	}
-	for _, jump := range []int64{-second, 3600 * second, -60 * millisecond} {
-		wall += jump
-		if !c.Stepped(wall, steady) || c.Stepped(wall, steady) {
-			t.Fatalf("a jump by %d us: not told, or twice", jump)
+	for _, step := range []int64{-second, 3600 * second, -60 * millisecond} {
+		wall += step
+		if !detector.Stepped(wall, monotonic) || detector.Stepped(wall, monotonic) {
+			t.Fatalf("a step of %d us was not reported exactly once", step)
 		}
 	}
 }
 
 func TestSketch(t *testing.T) {
-	k := newSketch(1000)
-	r := rand.New(rand.NewPCG(1, 1))
-	for range 9000 { // under the reset
-		countRequest(k, r.Uint64(), 1000)
+	sketch := newSketch(1000)
+	random := rand.New(rand.NewPCG(1, 1))
+	for range 9000 { // fewer than the sample period, so that the sketch is not halved
+		countRequest(sketch, random.Uint64(), 1000)
 	}
 	hot := uint64(77)
 	for range 5 {
-		countRequest(k, hot, 1000)
+		countRequest(sketch, hot, 1000)
 	}
-	if n := k.Estimate(hot); n < 5 {
-		t.Fatalf("estimate %d of 5: it never counts short", n)
+	if n := sketch.Estimate(hot); n < 5 {
+		t.Fatalf("estimate %d of 5 requests: it must never be too low", n)
 	}
-	over := 0
+	overestimated := 0
 	for range 1000 {
-		if k.Estimate(r.Uint64()) > 1 {
-			over++
+		if sketch.Estimate(random.Uint64()) > 1 {
+			overestimated++
 		}
 	}
-	if over > 100 {
-		t.Fatalf("%d of 1000 never seen count as wanted more than once", over)
+	if overestimated > 100 {
+		t.Fatalf("%d of 1000 keys never seen are estimated at more than one request", overestimated)
 	}
-	k.Halve()
-	if n := k.Estimate(hot); n < 2 || n > 4 {
-		t.Fatalf("%d after the reset", n)
+	sketch.Halve()
+	if n := sketch.Estimate(hot); n < 2 || n > 4 {
+		t.Fatalf("estimate %d after halving 5 requests", n)
 	}
 }
--- a/internal/diskcache/slotmap.go
+++ b/internal/diskcache/slotmap.go
@@ -2,7 +2,8 @@
 
 import "math/bits"
 
-// Extent is a run of adjacent slots: the index of the first one and their number.
+// Extent is a run of Count adjacent slots that begins at slot Start. Slots are numbered
+// from 0.
 type Extent struct{ Start, Count uint32 }
 
 // slotMap allocates the slots of the disk to records, as a file allocation table does: a
