--- a/internal/diskcache/diskrunner/cache.go
+++ b/internal/diskcache/diskrunner/cache.go
@@ -13,14 +13,15 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// Config says what a cache may use.
+// Config is the configuration of a Cache.
 type Config struct {
 	FS          diskstore.FS
-	Path        string // for the log
+	Path        string // of the folder, for log lines
 	Superblock  diskstore.Superblock
-	Settings    diskcache.Settings // Seed comes from the folder
-	ReadTimeout time.Duration      // how long a request waits for the disk
-	// Clock gives the wall's and a steady clock's microseconds; nil: the system's.
+	Settings    diskcache.Settings // Seed is read from the folder
+	ReadTimeout time.Duration      // a request waits no longer for the disk
+	// Clock returns the microseconds of the wall clock and of a monotonic clock; nil: the
+	// system's clocks.
 	Clock func() (wall, steady int64)
 }
 
@@ -29,15 +30,15 @@
 	config       Config
 	bodies       *bufferpool.Pool
 	log          *logrus.Entry
-	classIndexes map[string]int // by name, places in Settings.Classes
+	classIndexes map[string]int // class name -> index in Settings.Classes
 
-	mu            sync.Mutex        // of the fields below
-	policy        *diskcache.Policy // nil until the folder is open
+	mu            sync.Mutex        // guards the four fields below
+	policy        *diskcache.Policy // nil until the folder has been opened
 	stepDetector  diskcache.StepDetector
 	discoveryLost bool
 	readTimes     *hdrhistogram.Histogram // microseconds
 
-	ready      atomic.Bool // recovery is over
+	ready      atomic.Bool // recovery has completed
 	store      *diskstore.Store
 	reads      chan *readJob
 	writes     chan *writeJob
@@ -45,36 +46,36 @@
 	goroutines sync.WaitGroup
 }
 
-// readers is the number of concurrent reads: a disk serves a few at once better than one by
-// one, and each may hold a thread.
-const readers = 4
+// readerCount is the number of goroutines that read. A disk has a higher throughput with a
+// few concurrent reads than with one, but each read may block an operating system thread.
+const readerCount = 4
 
-// Start begins to open the folder and returns at once. Until recovery is over nothing is
-// found and nothing is cached.
+// Start returns a cache at once and opens its folder in the background. Until recovery has
+// completed, Get returns nil and Offer does nothing.
 func Start(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Cache {
 	c := newCache(config, bodies, log)
 	c.goroutines.Go(c.run)
 	return c
 }
 
-// newCache makes a cache that does nothing by itself.
+// newCache returns a cache without running goroutines.
 func newCache(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Cache {
 	const (
-		maxReadTime = 60_000_000 // microseconds
-		figures     = 2          // significant ones of the histogram
+		maxReadMicros      = 60_000_000
+		significantFigures = 2 // of the values in the histogram
 	)
 	if config.Clock == nil {
 		config.Clock = systemClock()
 	}
 	settings := &config.Settings
-	// Each waiting copy takes a slot of the queue at least.
+	// Each queued copy takes one slot or more of QueueBytes.
 	maxWrites := int(settings.QueueBytes)/settings.SlotBytes + 1
 	c := &Cache{
 		config:       config,
 		bodies:       bodies,
 		log:          log.WithField("disk", config.Path),
 		classIndexes: map[string]int{},
-		readTimes:    hdrhistogram.New(1, maxReadTime, figures),
+		readTimes:    hdrhistogram.New(1, maxReadMicros, significantFigures),
 		reads:        make(chan *readJob, settings.MaxReads),
 		writes:       make(chan *writeJob, maxWrites),
 		stop:         make(chan struct{}),
@@ -85,6 +86,7 @@
 	return c
 }
 
+// systemClock returns a clock for Config.Clock.
 func systemClock() func() (wall, steady int64) {
 	start := time.Now()
 	return func() (wall, steady int64) {
@@ -93,8 +95,9 @@
 	}
 }
 
-// now gives the time to decide by. A jump of the system's clock is a gap in the history of
-// all copies. It is called with the lock.
+// now returns the wall clock's time for a call of the policy. A step of the wall clock makes
+// the ages of all copies unknown, so that now first reports it to the policy as a gap in the
+// purge history. The caller holds c.mu.
 func (c *Cache) now() int64 {
 	wall, steady := c.config.Clock()
 	if c.stepDetector.Stepped(wall, steady) && c.policy != nil {
@@ -109,27 +112,28 @@
 	if !c.recover() {
 		return
 	}
-	var reading sync.WaitGroup
-	for range readers {
-		reading.Go(c.readAll)
+	var readers sync.WaitGroup
+	for range readerCount {
+		readers.Go(c.readAll)
 	}
 	c.writeAll()
-	reading.Wait()
+	readers.Wait()
 	c.store.Close()
 }
 
-// Purge takes the purge of an object, or of a group where object is "", made at the given
-// Unix microseconds. Before the folder is open it can cover nothing: what is found there
-// is revalidated first in any case.
-func (c *Cache) Purge(object string, group, at int64) {
+// Purge applies a purge of an object, or of a group if object is "". purgedAt is the time of
+// the purge in Unix microseconds. A purge that arrives before the folder has been opened is
+// ignored: every recovered copy is revalidated before it is served.
+func (c *Cache) Purge(object string, group, purgedAt int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.policy != nil {
-		c.policy.Purge(c.now(), object, uint8(group), at)
+		c.policy.Purge(c.now(), object, uint8(group), purgedAt)
 	}
 }
 
-// HistoryGap says that events of discovery may have been missed.
+// HistoryGap reports that purges from discovery may have been missed, so that every cached
+// copy is revalidated before it is served.
 func (c *Cache) HistoryGap() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +142,7 @@
 	}
 }
 
-// SetDiscoveryLost tells whether discovery is unreachable.
+// SetDiscoveryLost sets whether discovery is unreachable.
 func (c *Cache) SetDiscoveryLost(lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +152,8 @@
 	}
 }
 
-// handleEvent tells the decisions of an event, and logs a change of health once.
+// handleEvent passes an event to the policy and logs a change of health, unless the cache is
+// being closed.
 func (c *Cache) handleEvent(event diskcache.Event, err error) {
 	c.mu.Lock()
 	health, changed := c.policy.HandleEvent(c.now(), event)
@@ -162,12 +167,13 @@
 	c.log.WithError(err).WithField("health", health.String()).Error("disk cache: disk failure")
 }
 
-// Close writes what waits and ends the use of the folder.
+// Close writes the queued copies, commits them to the index and closes the folder.
 func (c *Cache) Close() {
 	close(c.stop)
 	c.goroutines.Wait()
 }
 
+// closed reports whether Close has been called.
 func (c *Cache) closed() bool {
 	select {
 	case <-c.stop:
--- a/internal/diskcache/diskrunner/copy.go
+++ b/internal/diskcache/diskrunner/copy.go
@@ -5,36 +5,39 @@
 	"quilldoor/internal/diskcache"
 )
 
-// Copy is a cached part, read into memory. Its holder releases it.
+// Copy is a cached part that has been read into memory. The caller of Get releases it.
 type Copy struct {
 	*bufferpool.Body
 	Tag          string // ETag
-	Fresh        bool   // it may be served as it is; else only after it was revalidated
+	Fresh        bool   // at the lookup: may be served without revalidation
 	cache        *Cache
 	ref          diskcache.Ref
 	classIndex   int
 	staleIfError bool
 }
 
-// Release gives the copy's memory back; a nil Copy has none.
+// Release returns the copy's buffers to their pool. On a nil Copy it does nothing.
 func (c *Copy) Release() {
 	if c != nil {
 		c.Body.Release()
 	}
 }
 
-// Serve tells, at the moment of its response, whether the copy may still be served as it
-// is. NotModified says that only its ETag is, by a 304.
+// Serve reports whether the copy may still be served without revalidation, and if so reserves
+// the router's link for the transfer. It is called right before the response is written.
+// notModified means that the response is a 304, which carries the ETag and no body.
 func (c *Copy) Serve(notModified bool) bool { return c.reserve(notModified, false) }
 
-// ServeStale tells whether the copy, past its fresh time, may be served in place of a
-// failure.
+// ServeStale does the same as Serve for a copy that is past its fresh time and would replace
+// a failure (stale-if-error).
 func (c *Copy) ServeStale(notModified bool) bool {
 	return c.staleIfError && c.reserve(notModified, true)
 }
 
+// reserve reports whether the copy may be served, and if so reserves the link for the transfer.
+// stale means that the copy is past its fresh time and replaces a failure.
 func (c *Copy) reserve(notModified, stale bool) bool {
-	if c.cache.closed() { // it hears of no purges any more
+	if c.cache.closed() { // a closed cache receives no more purges
 		return false
 	}
 	c.cache.mu.Lock()
@@ -42,9 +45,9 @@
 	return c.cache.policy.ReserveServe(c.cache.now(), c.ref, c.classIndex, int64(c.Len()), notModified, stale)
 }
 
-// Revalidated says that a cache server has named the copy's ETag as that of the copy which
-// it would serve, issued by the origin at issuedMillis (Unix), and whether the client gets
-// the bytes from here.
+// Revalidated records that a cache server has confirmed the copy: its own current copy has
+// the same ETag and was issued by the origin at issuedMillis (Unix). served means that the
+// client receives the bytes of this copy.
 func (c *Copy) Revalidated(issuedMillis int64, served bool) {
 	bytes := int64(0)
 	if served {
--- a/internal/diskcache/diskrunner/doc.go
+++ b/internal/diskcache/diskrunner/doc.go
@@ -1,7 +1,8 @@
-// Package diskrunner runs the disk cache: it carries out on a folder, in goroutines of its
-// own, what package diskcache decides, so that no request waits for the disk longer than
-// Config.ReadTimeout. What finds a queue full is dropped.
+// Package diskrunner runs the disk cache: package diskcache makes the decisions, and this
+// package does the I/O for them on a folder. The I/O runs in goroutines of the cache, so
+// that no request waits for the disk longer than Config.ReadTimeout. A read or a write that
+// finds its queue full is dropped.
 //
-// Cache.mu guards the decisions and is never held over I/O. One goroutine writes, a few
-// read.
+// Cache.mu guards the diskcache.Policy and is never held during I/O. One goroutine writes,
+// and readerCount goroutines read.
 package diskrunner
--- a/internal/diskcache/diskrunner/reading.go
+++ b/internal/diskcache/diskrunner/reading.go
@@ -10,24 +10,25 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// readJob is a part to be read from disk.
+// readJob is a queued read of a part.
 type readJob struct {
 	request    *Request
 	found      diskcache.LookupResult
 	fresh      bool
 	classIndex int
-	settled    atomic.Bool // nobody waits any more, or the copy was handed over
-	result     chan *Copy
+	settled    atomic.Bool // set by the first of the timeout and the end of the read
+	result     chan *Copy  // capacity 1; receives nil if the read was of no use
 }
 
-// await gives the copy, or nil once the time is over; then the reader releases it.
-func (j *readJob) await(within time.Duration) *Copy {
-	timeout := time.NewTimer(within)
-	defer timeout.Stop()
+// await returns the copy, or nil after the timeout. After a timeout the reader releases the
+// copy.
+func (j *readJob) await(timeout time.Duration) *Copy {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case c := <-j.result:
 		return c
-	case <-timeout.C:
+	case <-timer.C:
 		if j.settled.CompareAndSwap(false, true) {
 			return nil
 		}
@@ -35,8 +36,8 @@
 	}
 }
 
-// readAll reads parts until the cache is closed. Requests that wait then go on at the end
-// of their wait.
+// readAll reads parts until the cache is closed. Requests whose reads are still queued by
+// then end with the timeout of await.
 func (c *Cache) readAll() {
 	for {
 		select {
@@ -53,7 +54,8 @@
 	}
 }
 
-// readPart reads one part; nil: it can't be used.
+// readPart reads one part and reports the outcome to the policy. It returns nil if the part
+// cannot be used.
 func (c *Cache) readPart(job *readJob) *Copy {
 	began := time.Now()
 	record, body, outcome, err := c.readBody(job)
@@ -75,6 +77,7 @@
 	}
 }
 
+// readBody reads the record of a part and checks that it is intact and the requested one.
 func (c *Cache) readBody(job *readJob) (record diskstore.Record, body *bufferpool.Body, outcome diskcache.ReadOutcome, err error) {
 	record, reader, err := c.store.Read(job.found.Extents, job.found.Length)
 	if err == nil && record.BodyBytes > 0 {
@@ -85,7 +88,7 @@
 		outcome = diskcache.ReadUnused
 	case err != nil || !reader.Intact() || record.Seq != job.found.Ref.Seq():
 		outcome = diskcache.ReadCorrupt
-	case !job.request.names(&record):
+	case !job.request.matches(&record):
 		outcome = diskcache.ReadUnused // another part with the same hash
 	default:
 		outcome = diskcache.ReadIntact
@@ -93,7 +96,7 @@
 	return record, body, outcome, err
 }
 
-// names tells whether a record is the part that is requested.
-func (r *Request) names(record *diskstore.Record) bool {
+// matches reports whether a record holds the requested part.
+func (r *Request) matches(record *diskstore.Record) bool {
 	return record.Class == r.Class && record.Object == r.Object && record.Part == r.Part && record.Group == r.Group
 }
--- a/internal/diskcache/diskrunner/recovery.go
+++ b/internal/diskcache/diskrunner/recovery.go
@@ -9,7 +9,8 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// recover opens the folder and restores what it holds.
+// recover opens the folder and restores the parts that its index names. It returns false if
+// the folder cannot be used; the cache then stays off.
 func (c *Cache) recover() bool {
 	began := time.Now()
 	settings := &c.config.Settings
@@ -46,25 +47,27 @@
 	return true
 }
 
-// restorer enters what the index on disk says. Purges may come in between.
+// restorer adds the entries of the index on disk to the policy. It locks for each entry, so
+// that purges may be applied between two entries.
 type restorer struct {
 	*Cache
-	classes map[uint32]int // places in Settings.Classes, by hash of the name
-	refused int
+	classIndexByHash map[uint32]int // hash of the class name -> index in Settings.Classes
+	refused          int            // entries that the policy did not restore
 }
 
 func newRestorer(c *Cache) *restorer {
-	r := &restorer{Cache: c, classes: map[uint32]int{}}
+	r := &restorer{Cache: c, classIndexByHash: map[uint32]int{}}
 	for i, class := range c.config.Settings.Classes {
-		r.classes[diskstore.ClassHash(class.Name)] = i
+		r.classIndexByHash[diskstore.ClassHash(class.Name)] = i
 	}
 	return r
 }
 
-// Put restores a part. The one that was written last is the most recently used one.
+// Put restores a part. Entries arrive in the order of the index, and the last one counts as
+// the most recently used.
 func (r *restorer) Put(entry *diskstore.Entry) {
 	const unknownClass = -1
-	class, known := r.classes[entry.ClassHash]
+	class, known := r.classIndexByHash[entry.ClassHash]
 	if !known {
 		class = unknownClass
 	}
@@ -78,7 +81,7 @@
 	}
 }
 
-// Drop takes one out again.
+// Drop removes a part that Put has restored and that a later frame of the index drops.
 func (r *restorer) Drop(drop diskcache.Drop) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/diskcache/diskrunner/status.go
+++ b/internal/diskcache/diskrunner/status.go
@@ -6,7 +6,7 @@
 	"quilldoor/internal/diskcache"
 )
 
-// State is what a disk cache tells of itself.
+// State is a snapshot of the state of a disk cache, for status lines and metrics.
 type State struct {
 	Ready            bool
 	Health           diskcache.Health
@@ -16,7 +16,7 @@
 	ReadP99Micros    int64
 }
 
-// State tells the cache's state.
+// State returns the cache's present state.
 func (c *Cache) State() (state State) {
 	const median, p99 = 50, 99
 	c.mu.Lock()
@@ -32,7 +32,7 @@
 	return state
 }
 
-// Status are the fields of the status line.
+// Status returns the fields of the status line in the log.
 func (c *Cache) Status() logrus.Fields {
 	state := c.State()
 	counts := &state.Counts
--- a/internal/diskcache/diskrunner/writing.go
+++ b/internal/diskcache/diskrunner/writing.go
@@ -8,10 +8,11 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// maxBatchBytes is when a batch is synced before its time: longer syncs delay reads.
+// maxBatchBytes is the size from which a batch is committed before the sync interval ends: the
+// sync of a larger batch delays reads.
 const maxBatchBytes = 8 << 20
 
-// writeJob is a copy to be written to disk.
+// writeJob is a queued write of a copy.
 type writeJob struct {
 	placement diskcache.Placement
 	record    diskstore.Record
@@ -19,15 +20,15 @@
 	entry     diskstore.Entry
 }
 
-// batch is what the index on disk has not been told.
+// batch collects the changes that the next commit writes to the index on disk.
 type batch struct {
 	puts  []diskstore.Entry
 	drops []diskcache.Drop
-	bytes int
+	bytes int // length of the records in puts
 }
 
-// Offer offers what a read request was answered with. The body is retained until it is
-// written or found not to be worth it.
+// Offer offers the response to a read request for caching. If the policy admits it, the body
+// is retained until it is written or no longer needed.
 func (c *Cache) Offer(request *Request, tag string, issuedMillis int64, body *bufferpool.Body) {
 	if !c.ready.Load() {
 		return
@@ -61,10 +62,11 @@
 	}
 }
 
-// writeAll writes until the cache is closed, and then what still waits.
+// writeAll writes queued copies and commits them once per sync interval, until the cache is
+// closed. It then writes and commits the copies that are still queued.
 func (c *Cache) writeAll() {
-	syncs := time.NewTicker(time.Duration(c.config.Settings.SyncInterval) * time.Microsecond)
-	defer syncs.Stop()
+	syncTicker := time.NewTicker(time.Duration(c.config.Settings.SyncInterval) * time.Microsecond)
+	defer syncTicker.Stop()
 	var b batch
 	for open := true; open; {
 		select {
@@ -73,18 +75,19 @@
 			if b.bytes >= maxBatchBytes {
 				c.commit(&b)
 			}
-		case <-syncs.C:
+		case <-syncTicker.C:
 			c.commit(&b)
 		case <-c.stop:
 			open = false
 		}
 	}
-	c.writeWaiting(&b)
+	c.writeQueued(&b)
 	c.commit(&b)
 	c.handleEvent(diskcache.EventClosed, nil)
 }
 
-func (c *Cache) writeWaiting(b *batch) {
+// writeQueued writes the copies that are queued, without waiting for more.
+func (c *Cache) writeQueued(b *batch) {
 	for {
 		select {
 		case job := <-c.writes:
@@ -95,6 +98,8 @@
 	}
 }
 
+// writePart writes one copy, unless it was dropped while queued or the disk takes no writes,
+// and adds its entry to the batch.
 func (c *Cache) writePart(job *writeJob, b *batch) {
 	defer job.body.Release()
 	c.mu.Lock()
@@ -116,6 +121,7 @@
 	}
 }
 
+// writeFailure returns the event for a failed write or sync.
 func writeFailure(err error) diskcache.Event {
 	if diskstore.IsNoSpace(err) {
 		return diskcache.EventNoSpace
@@ -123,8 +129,8 @@
 	return diskcache.EventWriteFailed
 }
 
-// commit makes a batch durable. On a full disk it is kept and tried again; after any other
-// failure nothing more is written.
+// commit writes a batch and the pending drops to the index on disk and syncs. If the disk is
+// full, the batch is kept for a later commit; after any other failure no more is written.
 func (c *Cache) commit(b *batch) {
 	c.mu.Lock()
 	c.policy.Sweep(c.now())
@@ -132,17 +138,19 @@
 	if health == diskcache.HealthOn {
 		b.drops = append(b.drops, c.policy.TakeDrops()...)
 	}
-	parts := c.policy.Size().Parts
+	partCount := c.policy.Size().Parts
 	c.mu.Unlock()
 	if health != diskcache.HealthOn {
 		return
 	}
-	if err := c.commitBatch(b, parts); err != nil {
+	if err := c.commitBatch(b, partCount); err != nil {
 		c.handleEvent(writeFailure(err), err)
 	}
 }
 
-func (c *Cache) commitBatch(b *batch, parts int) error {
+// commitBatch commits and clears a batch, and compacts the index if it has grown too large for
+// the number of cached parts.
+func (c *Cache) commitBatch(b *batch, partCount int) error {
 	if err := c.store.Commit(b.puts, b.drops); err != nil {
 		return err
 	}
@@ -150,16 +158,16 @@
 	c.mu.Lock()
 	c.policy.Synced()
 	c.mu.Unlock()
-	if c.store.NeedsCompaction(parts) {
+	if c.store.NeedsCompaction(partCount) {
 		return c.compact()
 	}
 	return nil
 }
 
-// compact writes the index on disk anew.
+// compact replaces the index on disk by one that names only the parts that can be read.
 func (c *Cache) compact() error {
 	began := time.Now()
-	parts := 0
+	partCount := 0
 	err := c.store.Compact(func(add func(*diskstore.Entry) error) error {
 		var entries []diskstore.Entry
 		for from := 0; from >= 0; {
@@ -169,15 +177,17 @@
 					return err
 				}
 			}
-			parts += len(entries)
+			partCount += len(entries)
 		}
 		return nil
 	})
-	c.log.WithField("parts", parts).WithField("took_ms", time.Since(began).Milliseconds()).Debug("disk cache: index compacted")
+	c.log.WithField("parts", partCount).WithField("took_ms", time.Since(began).Milliseconds()).Debug("disk cache: index compacted")
 	return err
 }
 
-// scan gives the next entries, some at a time so that the lock is not held for long.
+// scan appends the next chunk of entries and returns the position of the chunk after it, which
+// is negative at the end. It holds c.mu for one chunk only, so that requests wait no longer
+// than that for the lock.
 func (c *Cache) scan(entries []diskstore.Entry, from int) ([]diskstore.Entry, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
