--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -20,60 +20,65 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-func heap() uint64 {
-	var m runtime.MemStats
+// heapBytes returns the size of the live heap.
+func heapBytes() uint64 {
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
+// benchConfig returns the configuration of a cache for so many parts in a real folder.
 func benchConfig(dir string, parts int) Config {
-	set := settings()
-	set.SlotBytes, set.Slots, set.MaxEntries = 16<<10, parts*3/2, parts
+	settings := testSettings()
+	settings.SlotBytes, settings.Slots, settings.MaxEntries = 16<<10, parts*3/2, parts
 	return Config{
-		FS: diskstore.Dir{Path: dir}, Superblock: diskstore.Superblock{SlotBytes: set.SlotBytes, Seed: 7}, Settings: set,
+		FS: diskstore.Dir{Path: dir}, Superblock: diskstore.Superblock{SlotBytes: settings.SlotBytes, Seed: 7}, Settings: settings,
 		ReadTimeout: time.Second,
 	}
 }
 
-func quiet() *logrus.Entry {
+// discardLog returns a logger without output.
+func discardLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log.WithField("t", 1)
 }
 
-// bare installs nothing.
-type bare struct{}
+// discardSink is a diskstore.Sink that discards all entries.
+type discardSink struct{}
 
-func (bare) Put(*diskstore.Entry) {}
-func (bare) Drop(diskcache.Drop)  {}
+func (discardSink) Put(*diskstore.Entry) {}
+func (discardSink) Drop(diskcache.Drop)  {}
 
-func opened(b *testing.B, c Config) *diskstore.Store {
-	s, err := diskstore.Open(c.FS, c.Superblock)
+// openStore opens a store and reads its index.
+func openStore(b *testing.B, config Config) *diskstore.Store {
+	store, err := diskstore.Open(config.FS, config.Superblock)
 	if err == nil {
-		_, err = s.Recover(bare{})
+		_, err = store.Recover(discardSink{})
 	}
 	if err != nil {
 		b.Fatal(err)
 	}
-	return s
+	return store
 }
 
-// A restart with a million parts known: an index of one slot each, no data. Told
-// beside the time: bytes of memory a part, and of the index.
+// A restart with a million cached parts: the index names one slot for each, and there is no
+// data. Besides the time, it reports the bytes per part of the heap, of State.Size.MemoryBytes
+// and of the index on disk.
 func BenchmarkRecoverMillion(b *testing.B) {
 	const parts = 1_000_000
 	dir := b.TempDir()
-	c := benchConfig(dir, parts)
-	s := opened(b, c)
+	config := benchConfig(dir, parts)
+	store := openStore(b, config)
 	r := rand.New(rand.NewPCG(1, 1))
-	if err := s.Compact(func(tell func(*diskstore.Entry) error) error {
+	if err := store.Compact(func(add func(*diskstore.Entry) error) error {
 		for i := range uint32(parts) {
 			entry := &diskstore.Entry{
 				Key: r.Uint64(), Object: r.Uint64(), Issued: 1, Seq: uint64(i), Length: 16000,
 				ClassHash: diskstore.ClassHash("page"), Extents: []diskcache.Extent{{Start: i, Count: 1}},
 			}
-			if err := tell(entry); err != nil {
+			if err := add(entry); err != nil {
 				return err
 			}
 		}
@@ -81,80 +86,82 @@
 	}); err != nil {
 		b.Fatal(err)
 	}
-	index, _ := s.Size()
-	s.Close()
+	indexBytes, _ := store.Size()
+	store.Close()
 	for b.Loop() {
-		before := heap()
+		heapBefore := heapBytes()
 		began := time.Now()
-		s := newCache(c, bufferpool.NewPool(1<<20), quiet())
-		if !s.recover() {
-			b.Fatal("not recovered")
+		cache := newCache(config, bufferpool.NewPool(1<<20), discardLog())
+		if !cache.recover() {
+			b.Fatal("the store could not be recovered")
 		}
 		b.ReportMetric(time.Since(began).Seconds(), "s/restart")
-		b.ReportMetric(float64(heap()-before)/parts, "bytes/part")
-		b.ReportMetric(float64(s.State().Size.MemoryBytes)/parts, "told-bytes/part")
-		b.ReportMetric(float64(index)/parts, "index-bytes/part")
-		if n := s.State().Size.Parts; n != parts {
-			b.Fatal(n)
+		b.ReportMetric(float64(heapBytes()-heapBefore)/parts, "bytes/part")
+		b.ReportMetric(float64(cache.State().Size.MemoryBytes)/parts, "reported-bytes/part")
+		b.ReportMetric(float64(indexBytes)/parts, "index-bytes/part")
+		if n := cache.State().Size.Parts; n != parts {
+			b.Fatalf("%d parts recovered, want %d", n, parts)
 		}
-		s.store.Close()
+		cache.store.Close()
 	}
 }
 
-// A kept part of 100 kB, from a folder of 400 of them that the system's cache
-// holds, and the same bytes from a body in memory.
+// Get of a cached part of 100 kB out of 400, all of them in the page cache of the operating
+// system, compared with the same bytes from a body in memory.
 func BenchmarkGet(b *testing.B) {
 	const size, parts = 100_000, 400
 	text := strings.Repeat("x", size)
 	bodies := bufferpool.NewPool(1 << 28)
-	c := benchConfig(b.TempDir(), parts*8)
-	c.Settings.WriteBytesPerSecond, c.Settings.QueueBytes, c.Settings.SyncInterval = 1<<40, 1<<30, 10*millisecond
-	s := Start(c, bodies, quiet())
-	defer s.Close()
-	for !s.ready.Load() {
+	config := benchConfig(b.TempDir(), parts*8)
+	config.Settings.WriteBytesPerSecond, config.Settings.QueueBytes, config.Settings.SyncInterval = 1<<40, 1<<30, 10*millisecond
+	cache := Start(config, bodies, discardLog())
+	defer cache.Close()
+	for !cache.ready.Load() {
 		time.Sleep(time.Millisecond)
 	}
+	// Longer than the policy's maxClockSkew, so that copies issued from here on need no
+	// revalidation.
 	time.Sleep(150 * time.Millisecond)
-	ask := func(i int) *Request {
+	request := func(i int) *Request {
 		return &Request{Class: "page", Object: fmt.Sprint(i % parts), Remaining: time.Second}
 	}
 	memory := make([]*bufferpool.Body, parts)
 	for i := range parts {
-		s.Get(ask(i))
-		s.Get(ask(i))
+		cache.Get(request(i))
+		cache.Get(request(i))
 		memory[i], _ = bodies.ReadBody(strings.NewReader(text), size)
-		s.Offer(ask(i), "t", time.Now().UnixMilli(), memory[i])
+		cache.Offer(request(i), "t", time.Now().UnixMilli(), memory[i])
 	}
-	for s.State().Size.QueuedBytes > 0 {
+	for cache.State().Size.QueuedBytes > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	out := make([]byte, size)
 	measure := func(b *testing.B, get func(i int) *bufferpool.Body) {
-		h := hdrhistogram.New(1, 1e9, 3)
+		durations := hdrhistogram.New(1, 1e9, 3) // nanoseconds
 		i := 0
 		for b.Loop() {
 			i += 7
 			began := time.Now()
 			body := get(i)
 			n := 0
-			for _, p := range body.AppendBuffers(nil) { // as a socket would take it
-				n += copy(out[n:], p)
+			for _, buffer := range body.AppendBuffers(nil) { // stands for the write to a socket
+				n += copy(out[n:], buffer)
 			}
 			body.Release()
-			h.RecordValue(time.Since(began).Nanoseconds())
+			durations.RecordValue(time.Since(began).Nanoseconds())
 			if n != size {
-				b.Fatal(n)
+				b.Fatalf("%d bytes in the body, want %d", n, size)
 			}
 		}
-		b.ReportMetric(float64(h.ValueAtQuantile(50))/1e3, "us-median")
-		b.ReportMetric(float64(h.ValueAtQuantile(99))/1e3, "us-99")
+		b.ReportMetric(float64(durations.ValueAtQuantile(50))/1e3, "us-median")
+		b.ReportMetric(float64(durations.ValueAtQuantile(99))/1e3, "us-99")
 	}
 	b.Run("disk", func(b *testing.B) {
 		measure(b, func(i int) *bufferpool.Body {
-			if c := s.Get(ask(i)); c != nil {
-				return c.Body
+			if cached := cache.Get(request(i)); cached != nil {
+				return cached.Body
 			}
-			b.Fatal("not found")
+			b.Fatalf("part %d is not in the cache", i%parts)
 			return nil
 		})
 	})
@@ -163,29 +170,30 @@
 	})
 }
 
-// Looks without a read, by parts known: the cost that a request bears in any case.
-func BenchmarkLook(b *testing.B) {
+// Lookups in the policy without a read from disk, by the number of cached parts: the cost that
+// the disk cache adds to every request.
+func BenchmarkLookup(b *testing.B) {
 	for _, parts := range []int{1_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(parts), func(b *testing.B) {
-			set := settings()
-			set.Slots, set.MaxEntries, set.WriteBytesPerSecond, set.QueueBytes, set.MaxReads = parts*2, parts, 1<<50, 1<<50, 1
-			t := diskcache.New(1e12, set)
+			settings := testSettings()
+			settings.Slots, settings.MaxEntries, settings.WriteBytesPerSecond, settings.QueueBytes, settings.MaxReads = parts*2, parts, 1<<50, 1<<50, 1
+			policy := diskcache.New(1e12, settings)
 			names := make([]string, parts)
 			for i := range parts {
 				names[i] = fmt.Sprint("object", i)
-				a := diskcache.Request{Object: names[i], Remaining: second}
-				t.Lookup(1e12+second, &a)
-				t.Lookup(1e12+second, &a)
-				if p, r := t.Offer(1e12+second, &diskcache.Candidate{Request: a, Issued: 1e9 + 1000, Length: 1000}); r == diskcache.ReasonOK {
-					t.FinishWrite(p.Ref, 1000, true)
+				request := diskcache.Request{Object: names[i], Remaining: second}
+				policy.Lookup(1e12+second, &request)
+				policy.Lookup(1e12+second, &request)
+				if placement, reason := policy.Offer(1e12+second, &diskcache.Candidate{Request: request, Issued: 1e9 + 1000, Length: 1000}); reason == diskcache.ReasonOK {
+					policy.FinishWrite(placement.Ref, 1000, true)
 				}
 			}
 			r := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for b.Loop() {
-				a := diskcache.Request{Object: names[r.IntN(parts)], Remaining: second}
-				if v, f := t.Lookup(1e12+second, &a); v != diskcache.VerdictMiss {
-					t.FinishRead(1e12+second, f.Ref, diskcache.ReadIntact)
+				request := diskcache.Request{Object: names[r.IntN(parts)], Remaining: second}
+				if verdict, found := policy.Lookup(1e12+second, &request); verdict != diskcache.VerdictMiss {
+					policy.FinishRead(1e12+second, found.Ref, diskcache.ReadIntact)
 				}
 			}
 		})
@@ -197,11 +205,12 @@
 	indexChanges    = 100_000
 	indexBatch      = 100
 	bboltFillBatch  = 10_000
-	bboltValueBytes = 48 // about what an entry takes
+	bboltValueBytes = 48 // about the size of an entry
 )
 
-// The index alone: a million entries, then a hundred thousand puts and drops in
-// batches of a hundred, each batch synced; own frames against bbolt.
+// The index on disk alone, as frames of diskstore compared with bbolt: a million entries are
+// written, then a hundred thousand puts and as many drops, in batches of a hundred puts and a
+// hundred drops. Each batch is synced.
 func BenchmarkIndex(b *testing.B) {
 	b.Run("frames", func(b *testing.B) {
 		for b.Loop() {
@@ -216,7 +225,7 @@
 }
 
 func indexKey(i int) uint64 {
-	const multiplier = 0x9e3779b97f4a7c15 // spreads the numbers over all keys
+	const multiplier = 0x9e3779b97f4a7c15 // spreads consecutive numbers over the range of keys
 	return uint64(i) * multiplier
 }
 
@@ -228,27 +237,28 @@
 
 func benchmarkFrames(b *testing.B) {
 	b.Helper()
-	c := benchConfig(b.TempDir(), indexEntries)
-	s := opened(b, c)
-	if err := s.Compact(writeIndexEntries); err != nil {
+	config := benchConfig(b.TempDir(), indexEntries)
+	store := openStore(b, config)
+	if err := store.Compact(writeIndexEntries); err != nil {
 		b.Fatal(err)
 	}
-	filled, _ := s.Size()
+	bytesBefore, _ := store.Size()
 	began := time.Now()
 	for i := 0; i < indexChanges; i += indexBatch {
-		commitIndexBatch(b, s, i)
+		commitIndexBatch(b, store, i)
 	}
 	b.ReportMetric(time.Since(began).Seconds(), "s-changes")
-	changed, _ := s.Size()
-	b.ReportMetric(float64(changed-filled)/indexChanges, "bytes/change")
-	b.ReportMetric(float64(changed)/1e6, "MB-file")
-	s.Close()
+	bytesAfter, _ := store.Size()
+	b.ReportMetric(float64(bytesAfter-bytesBefore)/indexChanges, "bytes/change")
+	b.ReportMetric(float64(bytesAfter)/1e6, "MB-file")
+	store.Close()
 	began = time.Now()
-	s = opened(b, c)
+	store = openStore(b, config)
 	b.ReportMetric(time.Since(began).Seconds(), "s-open")
-	s.Close()
+	store.Close()
 }
 
+// writeIndexEntries passes the entries of a filled index to write.
 func writeIndexEntries(write func(*diskstore.Entry) error) error {
 	for i := range indexEntries {
 		entry := indexEntry(i)
@@ -260,7 +270,7 @@
 }
 
 // commitIndexBatch puts new entries and drops as many old ones.
-func commitIndexBatch(b *testing.B, s *diskstore.Store, from int) {
+func commitIndexBatch(b *testing.B, store *diskstore.Store, from int) {
 	b.Helper()
 	var puts []diskstore.Entry
 	var drops []diskcache.Drop
@@ -268,7 +278,7 @@
 		puts = append(puts, indexEntry(indexEntries+i))
 		drops = append(drops, diskcache.Drop{Key: indexKey(i), Seq: uint64(i)})
 	}
-	if err := s.Commit(puts, drops); err != nil {
+	if err := store.Commit(puts, drops); err != nil {
 		b.Fatal(err)
 	}
 }
@@ -315,7 +325,7 @@
 	entries := countBbolt(b, db)
 	b.ReportMetric(time.Since(began).Seconds(), "s-open")
 	if entries != indexEntries {
-		b.Fatal(entries)
+		b.Fatalf("%d entries in bbolt, want %d", entries, indexEntries)
 	}
 	db.Close()
 }
@@ -335,7 +345,7 @@
 	}
 }
 
-// changeBbolt does what commitIndexBatch does.
+// changeBbolt makes the same changes in bbolt as commitIndexBatch makes in a store.
 func changeBbolt(b *testing.B, db *bbolt.DB, from int, value []byte) {
 	b.Helper()
 	if err := db.Update(func(tx *bbolt.Tx) error {
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -18,7 +18,7 @@
 	"quilldoor/internal/testsupport"
 )
 
-// tb is what a test and a check by rapid have in common.
+// tb is the subset of testing.TB that *rapid.T has as well.
 type tb interface {
 	Helper()
 	Fatal(args ...any)
@@ -26,8 +26,8 @@
 
 const millisecond, second = int64(1000), int64(1_000_000)
 
-// steppedCache is a Cache without its goroutines: the test does their work step by step,
-// and keeps a record of its own of what it has written and synced.
+// steppedCache is a Cache without its goroutines: the test does their work step by step. It
+// records which copies it has written and synced, to compare them with a recovered cache.
 type steppedCache struct {
 	*Cache
 	fs    *crashfs.FS
@@ -38,16 +38,17 @@
 	syncs   []syncPoint
 }
 
-// syncPoint is what was synced when so many steps of the file system's history were done.
+// syncPoint is the state at a commit.
 type syncPoint struct {
-	steps int
-	parts partSet
+	steps int     // length of the file system's history after the commit
+	parts partSet // cached at the commit
 }
 
-// partSet has the sequence numbers of cached parts' records.
+// partSet is the set of cached parts, by the sequence numbers of their records.
 type partSet map[uint64]bool
 
-func settings() diskcache.Settings {
+// testSettings returns settings with a cacheable class "page" and an uncacheable class "sign".
+func testSettings() diskcache.Settings {
 	return diskcache.Settings{
 		Classes: []diskcache.TrafficClass{
 			{Name: "page", FreshFor: 60 * second, StaleGrace: 60 * second, LatencyObjective: second, Cacheable: true},
@@ -57,45 +58,48 @@
 	}
 }
 
+// newSteppedCache opens and recovers a cache on a file system.
 func newSteppedCache(t tb, fs *crashfs.FS, now int64) *steppedCache {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := &steppedCache{fs: fs, now: now, written: map[uint64][]byte{}}
 	c.Cache = newCache(Config{
-		FS: fs, Superblock: diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 7}, Settings: settings(),
+		FS: fs, Superblock: diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 7}, Settings: testSettings(),
 		Clock: func() (int64, int64) { return c.now, c.now },
 	}, bufferpool.NewPool(1<<20), log.WithField("t", 1))
 	if !c.recover() {
-		t.Fatal("not recovered")
+		t.Fatal("the store could not be recovered")
 	}
 	return c
 }
 
-// keep offers a copy and writes it; copies of an object of the same issue differ in nothing.
-func (c *steppedCache) keep(object string, part int64, size int) {
+// offerAndWrite offers a copy and writes it if it is admitted. Its content follows from the
+// object, the part and the time of issue, so that two copies with the same issue are equal.
+func (c *steppedCache) offerAndWrite(object string, part int64, size int) {
 	request := &Request{Class: "page", Object: object, Part: part, Group: uint8(len(object)), Remaining: 1e9}
 	issued := c.now / millisecond
 	content := bytes.Repeat(fmt.Appendf(nil, "%s/%d@%d ", object, part, issued), size/10+1)[:size]
 	body, _ := c.bodies.ReadBody(bytes.NewReader(content), size)
 	lookup, _ := c.policyRequest(request)
-	c.policy.Lookup(c.now, &lookup) // wanted twice, so that it is worth a write
+	c.policy.Lookup(c.now, &lookup) // the policy admits a part from its second request on
 	c.policy.Lookup(c.now, &lookup)
 	c.Offer(request, fmt.Sprintf("tag%d", issued), issued, body)
 	body.Release()
 	for len(c.writes) > 0 {
-		w := <-c.writes
-		c.written[w.record.Seq] = content
-		c.writePart(w, &c.batch)
+		job := <-c.writes
+		c.written[job.record.Seq] = content
+		c.writePart(job, &c.batch)
 	}
 }
 
-// sync commits, and notes what must survive a crash from here on.
+// sync commits, and records the parts that a crash from here on must not lose.
 func (c *steppedCache) sync() {
 	c.commit(&c.batch)
 	c.syncs = append(c.syncs, syncPoint{steps: c.fs.Steps(), parts: c.cachedParts()})
 }
 
+// eachPart visits every part that can be read.
 func (c *steppedCache) eachPart(visit func(diskcache.CachedPart)) {
 	for from := 0; from >= 0; {
 		from = c.policy.Scan(from, visit)
@@ -108,8 +112,9 @@
 	return parts
 }
 
-// drive takes random steps.
-func (c *steppedCache) drive(steps int, draw func(int) int) {
+// takeRandomSteps offers copies, purges objects and groups, syncs and compacts, as draw decides.
+// draw(n) returns a number from 0 to n-1.
+func (c *steppedCache) takeRandomSteps(steps int, draw func(int) int) {
 	for range steps {
 		c.now += int64(draw(1500)) * millisecond
 		object := fmt.Sprintf("%*d", 1+draw(3), draw(6))
@@ -120,20 +125,23 @@
 			c.Purge("", int64(1+draw(3)), c.now)
 		case 2, 3:
 			c.sync()
-		case 4: // an index is written anew long before it would be
+		case 4: // compacts an index that is far shorter than NeedsCompaction requires
 			c.sync()
 			if c.compact() == nil {
 				c.sync()
 			}
 		default:
-			c.keep(object, int64(draw(4)), 1+draw(4000))
+			c.offerAndWrite(object, int64(draw(4)), 1+draw(4000))
 		}
 	}
 }
 
-// violations counts what must never be: records found torn, copies served unproven, and
-// synced parts lost.
-type violations struct{ torn, stale, lost int }
+// violations counts the parts that break an invariant after a recovery.
+type violations struct {
+	torn  int // the record is torn or has the wrong body
+	stale int // would be served without revalidation
+	lost  int // synced before the crash, and not recovered
+}
 
 func (v *violations) add(other violations) {
 	v.torn += other.torn
@@ -141,8 +149,8 @@
 	v.lost += other.lost
 }
 
-// checkRecovery recovers the state that a crash after so many steps has left, and compares
-// it with what was written and synced.
+// checkRecovery recovers the file system that a crash after the given number of steps has left,
+// and compares the recovered parts with those that c has written and synced.
 func (c *steppedCache) checkRecovery(t tb, fs *crashfs.FS, steps int) (recovered *steppedCache, found violations) {
 	t.Helper()
 	recovered = newSteppedCache(t, fs, c.now+1000*millisecond)
@@ -153,7 +161,7 @@
 		if err != nil {
 			found.torn++
 		}
-		if recovered.servesUnproven(record) {
+		if recovered.servesUnvalidated(record) {
 			found.stale++
 		}
 	})
@@ -163,7 +171,8 @@
 	return recovered, found
 }
 
-// readRecord reads a part's record, and fails unless it is whole and has this body.
+// readRecord reads a part's record. It returns an error unless the record is intact and has the
+// wanted body.
 func (c *steppedCache) readRecord(part diskcache.CachedPart, want []byte) (record diskstore.Record, err error) {
 	record, reader, err := c.store.Read(part.Extents, part.Length)
 	if err != nil {
@@ -179,9 +188,9 @@
 	return record, nil
 }
 
-// servesUnproven reports whether a part that was just recovered would be served before the
-// origin has confirmed it.
-func (c *steppedCache) servesUnproven(record diskstore.Record) bool {
+// servesUnvalidated reports whether a part that was just recovered would be served without
+// revalidation.
+func (c *steppedCache) servesUnvalidated(record diskstore.Record) bool {
 	lookup := diskcache.Request{
 		ClassIndex: 0, Object: record.Object, Part: record.Part, Group: record.Group, Remaining: second,
 	}
@@ -192,15 +201,15 @@
 	return verdict == diskcache.VerdictServe
 }
 
-// countLost counts the parts that the last sync within so many steps had and the recovered
-// ones have not. Those that were dropped by the next sync don't count: its drops may have
-// come to the disk.
+// countLost counts the parts of the last sync within the given number of steps that were not
+// recovered. Parts that the next sync dropped don't count: the crash may have come after their
+// drops had reached the disk.
 func (c *steppedCache) countLost(steps int, recovered partSet) (lost int) {
 	for i, point := range c.syncs {
 		if point.steps > steps || i+1 < len(c.syncs) && c.syncs[i+1].steps <= steps {
 			continue
 		}
-		next := c.partsAfter(i)
+		next := c.partsAtNextSync(i)
 		for seq := range point.parts {
 			if next[seq] && !recovered[seq] {
 				lost++
@@ -210,20 +219,22 @@
 	return lost
 }
 
-// partsAfter is what was cached at the sync behind the i-th, or is now.
-func (c *steppedCache) partsAfter(i int) partSet {
+// partsAtNextSync returns the parts that were cached at the sync after the i-th, or the present
+// ones if the i-th is the last.
+func (c *steppedCache) partsAtNextSync(i int) partSet {
 	if i+1 < len(c.syncs) {
 		return c.syncs[i+1].parts
 	}
 	return c.cachedParts()
 }
 
-// maxSubsetSteps is up to how many unsynced steps each subset of them is lost once.
+// maxSubsetSteps is the largest number of unsynced steps of which checkCrashes tries each subset.
 const maxSubsetSteps = 4
 
-// checkCrashes checks the recovery from crashes after each step of the history: the process
-// killed there, with the next write cut at several places, and the power lost there, with
-// every subset of few unsynced steps lost, or with drawn ones of many, whole and by sectors.
+// checkCrashes checks the recovery from crashes after each step of the history. One kind of
+// crash kills the process and cuts the next write at several lengths. The other is a loss of
+// power that undoes unsynced steps: each subset of up to maxSubsetSteps steps, and random
+// samples of more steps, which undo whole steps or single sectors of their writes.
 func (c *steppedCache) checkCrashes(t tb, r *rand.Rand, samples int) (states int, found violations) {
 	t.Helper()
 	for steps := range c.fs.Steps() + 1 {
@@ -262,30 +273,33 @@
 	return result
 }
 
+// A crash after any step of a random history, by a kill of the process or a loss of power, must
+// neither lose a synced part, nor leave a torn record in the index, nor have a recovered part
+// served without revalidation.
 func TestCrashAtEveryStepLosesNothingSyncedAndTearsNothing(t *testing.T) {
 	const histories, steps = 12, 40
 	states := 0
 	for seed := range uint64(histories) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		c := newSteppedCache(t, crashfs.New(), 1_000_000*second)
-		c.drive(steps, r.IntN)
-		n, found := c.checkCrashes(t, r, 3)
-		states += n
+		c.takeRandomSteps(steps, r.IntN)
+		checked, found := c.checkCrashes(t, r, 3)
+		states += checked
 		if found != (violations{}) {
-			t.Fatalf("seed %d: %+v in %d states", seed, found, n)
+			t.Fatalf("seed %d: %+v in %d states", seed, found, checked)
 		}
 	}
 	t.Logf("%d states checked, 0 torn, stale or lost", states)
 }
 
-// After a crash and recovery the store is as good as before: it goes on, and
-// crashes again.
+// A recovered store keeps the invariants of checkRecovery while it is used on and through
+// further crashes.
 func TestCrashAfterCrash(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "n") }
 		r := rand.New(rand.NewPCG(uint64(draw(1<<30)), 2))
 		c := newSteppedCache(t, crashfs.New(), 1_000_000*second)
-		c.drive(15, draw)
+		c.takeRandomSteps(15, draw)
 		for range 3 {
 			steps := draw(c.fs.Steps() + 1)
 			fs := c.fs.AfterKill(steps, draw(800))
@@ -294,10 +308,10 @@
 			}
 			recovered, found := c.checkRecovery(rt, fs, steps)
 			if found != (violations{}) {
-				rt.Fatalf("%+v", found)
+				rt.Fatalf("after a crash at step %d: %+v", steps, found)
 			}
 			c = recovered
-			c.drive(10, draw)
+			c.takeRandomSteps(10, draw)
 		}
 	})
 }
