--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -161,7 +161,7 @@
 			if cached := cache.Get(request(i)); cached != nil {
 				return cached.Body
 			}
-			b.Fatalf("part %d is not in the cache", i%parts)
+			b.Fatalf("object %d is not in the cache", i%parts)
 			return nil
 		})
 	})
