--- a/internal/rollout/batch.go
+++ b/internal/rollout/batch.go
@@ -1,23 +1,23 @@
 package rollout
 
-// silent reports whether a router was not heard of for Plan.SilentSeconds.
+// silent reports whether a router has sent no report for Plan.SilentSeconds.
 func (l *leader) silent(n *Node, i int) bool {
-	return n.now-l.routers[i].heardAt > n.plan.silentMicros()
+	return n.now-l.routers[i].reportedAt > n.plan.silentMicros()
 }
 
-func (l *leader) heardRecently(n *Node, i int) bool {
-	return n.now-l.routers[i].heardAt < recentlyHeard
+func (l *leader) reportedRecently(n *Node, i int) bool {
+	return n.now-l.routers[i].reportedAt < recentReportAge
 }
 
-// lostChange reports whether a changed router has the old generation again, as after a
-// start without its files: it changes once more.
-func (l *leader) lostChange(n *Node, s *State, i int) bool {
+// lostNewGeneration reports whether a changed router runs the old generation again, for
+// example because it restarted without its files. It is then changed once more.
+func (l *leader) lostNewGeneration(n *Node, s *State, i int) bool {
 	report := &l.routers[i].report
-	return s.Phase != PhaseRollingBack && s.Changed.Has(i) && l.heardRecently(n, i) && !report.Upgraded && !report.Changing
+	return s.Phase != PhaseRollingBack && s.Changed.Has(i) && l.reportedRecently(n, i) && !report.Upgraded && !report.Changing
 }
 
-// completed reports whether a router has the generation that the phase leads to. Forward
-// its report must be of this run.
+// completed reports whether a router has changed to the generation of the phase's
+// direction. For the new generation its report must be of this run.
 func (l *leader) completed(s *State, i int) bool {
 	report := &l.routers[i].report
 	if report.Changing {
@@ -29,32 +29,33 @@
 	return report.Upgraded && report.RunID == s.RunID
 }
 
-// areSetsOutdated reports whether updateSets would change the state.
-func (l *leader) areSetsOutdated(n *Node, s *State) bool {
+// setsNeedUpdate reports whether updateSets must update the state. Silent changed routers
+// outside the batch are left to checkRouters.
+func (l *leader) setsNeedUpdate(n *Node, s *State) bool {
 	for i := range l.routers {
 		switch {
-		case l.lostChange(n, s, i),
+		case l.lostNewGeneration(n, s, i),
 			s.Batch.Has(i) && (l.completed(s, i) || l.silent(n, i)),
-			s.Skipped.Has(i) && l.heardRecently(n, i):
+			s.Skipped.Has(i) && l.reportedRecently(n, i):
 			return true
 		}
 	}
 	return false
 }
 
-// updateSets takes routers that have changed out of the batch, passes over silent
-// ones and takes those back that are heard again.
+// updateSets removes routers that have changed from the batch, skips silent routers, and
+// includes skipped ones that report again.
 func (l *leader) updateSets(n *Node, s *State) {
 	for i := range l.routers {
 		switch {
-		case s.Skipped.Has(i) && l.heardRecently(n, i):
+		case s.Skipped.Has(i) && l.reportedRecently(n, i):
 			s.Skipped = s.Skipped.Without(i)
 			report := &l.routers[i].report
 			s.setChanged(i, report.Upgraded && report.RunID == s.RunID)
 		case l.silent(n, i) && (s.Batch.Has(i) || s.Changed.Has(i)):
 			s.Batch = s.Batch.Without(i)
 			s.Skipped = s.Skipped.With(i)
-		case l.lostChange(n, &l.decided, i):
+		case l.lostNewGeneration(n, &l.decided, i):
 			s.Changed = s.Changed.Without(i)
 		case s.Batch.Has(i) && l.completed(&l.decided, i):
 			s.Batch = s.Batch.Without(i)
@@ -71,14 +72,15 @@
 	}
 }
 
-// isDue reports whether a router has yet to change in the phase's direction, where it
-// belongs to those that must.
-func (s *State) isDue(must Set, i int) bool {
-	return must.Has(i) && !s.Skipped.Has(i) && s.Changed.Has(i) == (s.Phase == PhaseRollingBack)
+// isDue reports whether a router has yet to change in the phase's direction, given the set
+// of routers that must change.
+func (s *State) isDue(required Set, i int) bool {
+	return required.Has(i) && !s.Skipped.Has(i) && s.Changed.Has(i) == (s.Phase == PhaseRollingBack)
 }
 
-// mustChange returns all routers that change for the stage, or go back.
-func (l *leader) mustChange(n *Node, s *State) Set {
+// routersToChange returns the routers that must have changed by the end of the stage, or
+// that roll back, whether or not they have done so already.
+func (l *leader) routersToChange(n *Node, s *State) Set {
 	switch s.Phase {
 	case PhaseRollingBack:
 		return s.Changed
@@ -89,19 +91,19 @@
 	}
 }
 
-// anyDue reports whether a router has yet to change.
+// anyDue reports whether any router has yet to change.
 func (l *leader) anyDue(n *Node, s *State) bool {
-	must := l.mustChange(n, s)
+	required := l.routersToChange(n, s)
 	for i := range l.routers {
-		if s.isDue(must, i) {
+		if s.isDue(required, i) {
 			return true
 		}
 	}
 	return false
 }
 
-// nextBatch returns the routers to change next: of each office as many as the plan
-// allows at once, among those that are reachable, able, and not changing already.
+// nextBatch returns the routers to change next: in each office up to the plan's limit of
+// concurrent changes, among the routers that are reachable, capable and not changing yet.
 func (l *leader) nextBatch(n *Node, s *State) (batch Set) {
 	rollingBack := s.Phase == PhaseRollingBack
 	maxConcurrent := n.plan.MaxConcurrent
@@ -114,12 +116,13 @@
 			changing[n.plan.Routers[i].Office]++
 		}
 	}
-	must := l.mustChange(n, s)
+	required := l.routersToChange(n, s)
 	for i := range l.routers {
-		r := &l.routers[i]
+		router := &l.routers[i]
 		office := n.plan.Routers[i].Office
-		ready := n.now-r.heardAt < reachable && !r.report.Changing && (r.report.Capable || rollingBack)
-		if s.isDue(must, i) && ready && changing[office] < maxConcurrent {
+		ready := n.now-router.reportedAt < reachableReportAge && !router.report.Changing &&
+			(router.report.Capable || rollingBack)
+		if s.isDue(required, i) && ready && changing[office] < maxConcurrent {
 			batch = batch.With(i)
 			changing[office]++
 		}
--- a/internal/rollout/election.go
+++ b/internal/rollout/election.go
@@ -4,28 +4,28 @@
 // modulo termStride, so that no two routers ever use the same term.
 const termStride = 1024
 
-// electionDue reports whether this router becomes a candidate. The leader was silent for
-// long, the last candidacy has come to nothing, no promise is held off, and there is
-// something to lead.
+// electionDue reports whether this router becomes a candidate: it has had no contact with
+// a leader for the election timeout, its last candidacy has failed, it may give a promise,
+// and the plan needs a leader.
 func (n *Node) electionDue() bool {
-	if n.now-n.leaderHeardAt <= electionTimeout+int64(n.self)*electionStagger {
+	if n.now-n.leaderContactAt <= electionTimeout+int64(n.self)*electionStagger {
 		return false
 	}
 	retryDelay := electionTimeout/2 + n.random.Int64N(second)
-	return n.now-n.candidateSince > retryDelay && n.now >= n.noPromiseUntil && n.leaderNeeded()
+	return n.now-n.candidacyStartedAt > retryDelay && n.now >= n.noPromiseUntil && n.leaderNeeded()
 }
 
 func (n *Node) leaderNeeded() bool { return n.State.Phase != PhaseNone || len(n.commands) > 0 }
 
-// becomeCandidate asks all for a promise in a new term. The candidate itself promises
-// only once a quorum has: one that can't win, since the others follow a leader, would
-// otherwise reject that leader's rounds for ever.
+// becomeCandidate requests a promise for a new term from all routers. The candidate itself
+// promises the term only once a quorum has: otherwise a candidate that can't win, since
+// the others follow a leader, would reject that leader's rounds forever.
 func (n *Node) becomeCandidate() {
-	n.candidateSince = n.now
+	n.candidacyStartedAt = n.now
 	n.candidateTerm = (max(n.PromisedTerm, n.candidateTerm, n.highestSeenTerm)/termStride+1)*termStride + uint64(n.self)
 	n.promises = map[int]*Message{n.self: {AcceptedTerm: n.AcceptedTerm, State: &n.State}}
 	n.broadcast(Message{Kind: KindPrepare, Term: n.candidateTerm})
-	n.becomeLeaderByQuorum()
+	n.tryBecomeLeader()
 }
 
 func (n *Node) receivePromise(from int, m *Message) {
@@ -33,20 +33,20 @@
 		return
 	}
 	n.promises[from] = m
-	n.becomeLeaderByQuorum()
+	n.tryBecomeLeader()
 }
 
-// becomeLeaderByQuorum makes the candidate lead once a quorum has promised. It goes on
-// from the latest state that any of them accepted, since that may have been decided.
-func (n *Node) becomeLeaderByQuorum() {
+// tryBecomeLeader makes the candidate the leader once a quorum has promised its term. The
+// new leader continues from the latest state in the promises, which may have been decided.
+func (n *Node) tryBecomeLeader() {
 	if n.promises == nil || len(n.promises) < n.quorum() || n.candidateTerm < n.PromisedTerm {
 		return
 	}
 	n.PromisedTerm = n.candidateTerm
 	latest := n.promises[n.self]
-	for _, p := range n.promises {
-		if n.checks.supersedes(p.AcceptedTerm, p.State, latest.AcceptedTerm, latest.State) {
-			latest = p
+	for _, promise := range n.promises {
+		if n.checks.supersedes(promise.AcceptedTerm, promise.State, latest.AcceptedTerm, latest.State) {
+			latest = promise
 		}
 	}
 	n.promises = nil
@@ -55,8 +55,8 @@
 	n.leader.tick(n)
 }
 
-// receiveReject takes the term that another router has promised instead: a leader of an
-// earlier one is deposed.
+// receiveReject notes the term that another router has promised. A leader of an earlier
+// term is deposed.
 func (n *Node) receiveReject(m *Message) {
 	n.highestSeenTerm = max(n.highestSeenTerm, m.Term)
 	if n.leader != nil && n.checks.deposed(n.leader.term, m.Term) {
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -46,19 +46,19 @@
 	nodes   []*Node // nil: not running
 	routers []simRouter
 	disks   []*Durable // nil: lost
-	// disksLast: a router that stops keeps what it has stored.
-	disksLast bool
+	// keepsDisks: a router that stops keeps what it has stored.
+	keepsDisks bool
 
 	partition func(from, to int) bool // nil: none
 	lossRate  float64
 	maxDelay  int64
 	inFlight  []delivery
 
-	newWorseBy float64 // share of its requests that the new generation loses
+	newGenerationLoss float64 // share of its requests that the new generation loses
 
-	begun         []begunChange
-	maxConcurrent int // forward changes at the same time in an office
-	violations    []string
+	startedChanges []startedChange
+	maxConcurrent  int // forward changes at the same time in an office
+	violations     []string
 	// majorityLost: a majority was without durable state at the same time, which no
 	// protocol can make up for.
 	majorityLost bool
@@ -68,8 +68,8 @@
 type simRouter struct {
 	up, frozen         bool
 	upgraded, changing bool
-	changesToNew       bool
-	changeEnds         int64
+	changingToNew      bool
+	changeEndsAt       int64
 	failureReason      string
 	runID              uint64
 	counts             canary.Counts
@@ -86,8 +86,8 @@
 	message  *Message
 }
 
-// begunChange is a change that a router has begun.
-type begunChange struct {
+// startedChange is a change that a router has begun.
+type startedChange struct {
 	router int
 	toNew  bool
 	seq    uint64
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{plan: p, now: second, random: rand.New(rand.NewPCG(seed, 11)), variant: v, disksLast: true}
+	f := &fleet{plan: p, now: second, random: rand.New(rand.NewPCG(seed, 11)), variant: v, keepsDisks: true}
 	for i := range p.Routers {
 		f.routers = append(f.routers, simRouter{
 			clockRate:   0.96 + 0.08*f.random.Float64(),
@@ -136,7 +136,7 @@
 
 func (f *fleet) stopRouter(i int) {
 	f.routers[i].up = false
-	if d := f.nodes[i].Durable; f.disksLast && !f.nodes[i].recovering() {
+	if d := f.nodes[i].Durable; f.keepsDisks && !f.nodes[i].recovering() {
 		f.disks[i] = &d
 	} else {
 		f.disks[i] = nil
@@ -193,8 +193,8 @@
 
 func (f *fleet) stepRouter(i int) {
 	r, n := &f.routers[i], f.nodes[i]
-	if r.changing && f.now >= r.changeEnds {
-		r.changing, r.upgraded = false, r.changesToNew
+	if r.changing && f.now >= r.changeEndsAt {
+		r.changing, r.upgraded = false, r.changingToNew
 	}
 	f.serveRequests(r)
 	n.SetReport(Report{
@@ -212,7 +212,7 @@
 		if v, _ := n.View(); !target.New && v.Phase == PhaseForward {
 			r.failureReason = "cut off"
 		}
-		f.beginChange(i, target.New)
+		f.startChange(i, target.New)
 	}
 }
 
@@ -220,19 +220,19 @@
 	for range 3 {
 		r.counts.Requests++
 		r.counts.WeightOffered++
-		lost := r.upgraded && f.random.Float64() < f.newWorseBy
+		lost := r.upgraded && f.random.Float64() < f.newGenerationLoss
 		if !lost {
 			r.counts.WeightEarned++
 		}
 	}
 }
 
-// beginChange lets a router change, and checks that it may.
-func (f *fleet) beginChange(i int, toNew bool) {
+// startChange lets a router change, and checks that it may.
+func (f *fleet) startChange(i int, toNew bool) {
 	r := &f.routers[i]
 	v, _ := f.nodes[i].View()
-	r.changing, r.changesToNew, r.changeEnds, r.runID = true, toNew, f.now+second, v.RunID
-	f.begun = append(f.begun, begunChange{i, toNew, v.Seq})
+	r.changing, r.changingToNew, r.changeEndsAt, r.runID = true, toNew, f.now+second, v.RunID
+	f.startedChanges = append(f.startedChanges, startedChange{i, toNew, v.Seq})
 	if !toNew {
 		return
 	}
@@ -244,18 +244,18 @@
 		d := n.leader.decided
 		rolledBack := d.Phase == PhaseRollingBack || d.Phase == PhaseRolledBack
 		if rolledBack && d.Seq > v.Seq && d.RunID == v.RunID {
-			f.violated("%s goes forward by %d while %s has decided to go back by %d",
+			f.recordViolation("%s goes forward by %d while %s has decided to go back by %d",
 				f.plan.Routers[i].Name, v.Seq, f.plan.Routers[j].Name, d.Seq)
 		}
 	}
-	for _, b := range f.begun {
+	for _, b := range f.startedChanges {
 		if !b.toNew && b.seq > v.Seq {
-			f.violated("%s goes forward by %d after a router went back by %d", f.plan.Routers[i].Name, v.Seq, b.seq)
+			f.recordViolation("%s goes forward by %d after a router went back by %d", f.plan.Routers[i].Name, v.Seq, b.seq)
 		}
 	}
 }
 
-func (f *fleet) violated(format string, args ...any) {
+func (f *fleet) recordViolation(format string, args ...any) {
 	if len(f.violations) < 5 {
 		f.violations = append(f.violations, fmt.Sprintf("%.2f s: ", float64(f.now)/1e6)+fmt.Sprintf(format, args...))
 	}
@@ -264,19 +264,19 @@
 func (f *fleet) checkConcurrency() {
 	changing := map[string]int{}
 	for i := range f.routers {
-		if r := &f.routers[i]; r.up && r.changing && r.changesToNew {
+		if r := &f.routers[i]; r.up && r.changing && r.changingToNew {
 			changing[f.plan.Routers[i].Office]++
 			f.maxConcurrent = max(f.maxConcurrent, changing[f.plan.Routers[i].Office])
 		}
 	}
 	for office, count := range changing {
 		if count > f.plan.MaxConcurrent {
-			f.violated("%d of office %s change at once", count, office)
+			f.recordViolation("%d of office %s change at once", count, office)
 		}
 	}
 }
 
-func (f *fleet) play(seconds float64) {
+func (f *fleet) runFor(seconds float64) {
 	for end := f.now + int64(seconds*1e6); f.now < end; {
 		f.step()
 	}
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -1,13 +1,13 @@
 package rollout
 
-// Target is the generation that a router is to have.
+// Target is the generation that a router should run.
 type Target struct {
-	New      bool // the new generation; else the old one
-	MayStart bool // it may begin to change to that generation now
+	New      bool // the new generation; otherwise the old one
+	MayStart bool // the router may begin to change to that generation now
 }
 
-// View returns the decided state as last known here, and its age in microseconds; -1:
-// none is known.
+// View returns the last decided state that this router received, and its age in
+// microseconds; -1: it has received none.
 func (n *Node) View() (State, int64) {
 	if n.viewAt == 0 {
 		return n.view, -1
@@ -15,13 +15,12 @@
 	return n.view, n.now - n.viewAt
 }
 
-// Target returns what this router is to be. A change begins only on a view that was
-// polled for just now, in both directions: one that was stopped or cut off meanwhile
-// must not act on an old decision. An isolated router is the exception: it may roll back
-// alone.
+// Target returns the generation that this router should run. In both directions a change
+// begins only on a fresh view: a router that was paused or partitioned must not act on an
+// old decision. The exception is an isolated router, which may roll back by itself.
 func (n *Node) Target(now int64) Target {
 	n.advance(now)
-	if n.rollsBackIsolated() {
+	if n.rollsBackWhileIsolated() {
 		return Target{New: false, MayStart: true}
 	}
 	fresh := n.viewAt > 0 && n.checks.viewFresh(n.now-n.viewAt)
@@ -37,10 +36,11 @@
 	return Target{New: n.report.Upgraded, MayStart: false}
 }
 
-// rollsBackIsolated reports whether a changed router that has had no view for
-// Plan.SilentSeconds rolls back by itself: a rollback was decided, or the plan says so
-// and the stage that it changed in has not passed.
-func (n *Node) rollsBackIsolated() bool {
+// rollsBackWhileIsolated reports whether this router, after it has changed and received no
+// view for Plan.SilentSeconds, rolls back by itself. It does if its last view is a
+// rollback, or if the plan requires it and the stage in which the router changed has not
+// passed.
+func (n *Node) rollsBackWhileIsolated() bool {
 	isolated := n.viewAt > 0 && n.now-n.viewAt > n.plan.silentMicros()
 	if !n.report.Upgraded || !isolated || n.view.Phase == PhaseDone {
 		return false
@@ -48,25 +48,26 @@
 	return n.view.Phase == PhaseRollingBack || n.plan.OnIsolated == ReactionRollBack && !n.stagePassed()
 }
 
-// stagePassed reports whether the stage that this router changed in has passed.
+// stagePassed reports whether the stage in which this router changed has passed.
 func (n *Node) stagePassed() bool {
 	return n.view.Stage > 0 && n.plan.ChangedThrough(n.view.Stage-1).Has(n.self)
 }
 
-// pollLeader asks for the decided state, and passes on the operator's commands.
+// pollLeader requests the decided state and forwards the operator's commands.
 func (n *Node) pollLeader() {
 	n.polledAt = n.now
 	n.pollNonce = n.newNonce()
 	report := n.report
 	n.send(n.leaderIndex, Message{Kind: KindPoll, Nonce: n.pollNonce, Report: &report})
-	for _, c := range n.commands {
-		n.send(n.leaderIndex, Message{Kind: KindCommand, Command: c})
+	for _, command := range n.commands {
+		n.send(n.leaderIndex, Message{Kind: KindCommand, Command: command})
 	}
 	n.commands = nil
 }
 
-// receiveDecided takes the answer to the open poll. The view's age counts from the poll,
-// since the answer may have been delayed by any time. Within a run no view goes back.
+// receiveDecided updates the view from the reply to the last poll. The view's age counts
+// from when the poll was sent, since the reply may have been delayed by any time. Within a
+// run, a reply with a lower Seq than the view's is ignored.
 func (n *Node) receiveDecided(m *Message) {
 	if m.Nonce != n.pollNonce || m.State == nil {
 		return
--- a/internal/rollout/guardrails.go
+++ b/internal/rollout/guardrails.go
@@ -35,11 +35,11 @@
 	if !s.Changed.Has(i) || !r.report.Upgraded {
 		return ""
 	}
-	if r.report.Restarts > r.restartsThen {
+	if r.report.Restarts > r.restartsAtChange {
 		return fmt.Sprintf("%s has died and was started again", name)
 	}
-	if r.oldMemoryMB > 0 && r.report.MemoryMB > n.plan.Guardrails.MemoryRatio*r.oldMemoryMB+memoryMarginMB {
-		return fmt.Sprintf("%s takes %.0f MB, %.0f before", name, r.report.MemoryMB, r.oldMemoryMB)
+	if r.memoryBeforeChangeMB > 0 && r.report.MemoryMB > n.plan.Guardrails.MemoryRatio*r.memoryBeforeChangeMB+memoryMarginMB {
+		return fmt.Sprintf("%s takes %.0f MB, %.0f before", name, r.report.MemoryMB, r.memoryBeforeChangeMB)
 	}
 	if n.checks.newViolations(r.report.ViolatedRules, alsoByUnchanged) != 0 {
 		return fmt.Sprintf("%s breaks %s", name, r.report.FirstViolation)
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -2,57 +2,59 @@
 
 import "quilldoor/internal/canary"
 
-// leader is what the leading router knows besides the register. A new leader starts
-// without it, and watches the current stage from the beginning.
+// leader is the volatile state of the leading router, next to the acceptor's. A new leader
+// starts without that of the previous one, and watches the current stage from the beginning.
 type leader struct {
-	term       uint64
-	proposed   State // sent in the current rounds
-	decided    State // accepted by a quorum
-	hasDecided bool  // in this term
-	round      uint64
-	rounds     map[uint64]*round // the latest ones
-	roundAt    int64             // when the latest round was sent
-	leaseUntil int64
-
-	// A rollback waits until no router may begin to go forward (forwardPermitDuration).
-	forwardPermitAt  int64 // when a router was last allowed to go forward
-	rollbackPending  bool
-	pendingCondition condition
-	pendingReason    string
+	term        uint64
+	proposed    State // sent in the current rounds
+	decided     State // accepted by a quorum
+	hasDecided  bool  // whether decided was accepted in this term
+	roundNumber uint64
+	rounds      map[uint64]*round // the latest ones, by number
+	lastRoundAt int64             // when the latest round was sent
+	leaseUntil  int64
+
+	// A rollback is decided only once no router may begin to upgrade any more
+	// (forwardPermitDuration). Until then it is pending.
+	lastForwardPermitAt int64 // when a router was last permitted to upgrade
+	rollbackPending     bool
+	pendingCondition    condition
+	pendingReason       string
 
 	routers []routerInfo
 	watch   stageWatch
 }
 
-// round is a proposal that was sent to all.
+// round is a proposal that was sent to all routers.
 type round struct {
 	sentAt     int64
 	seq        uint64
 	acceptedBy Set
 }
 
-// routerInfo is what the leader knows of a router.
+// routerInfo is the leader's record of a router.
 type routerInfo struct {
 	report          Report
-	heardAt         int64
+	reportedAt      int64
 	generationSince int64 // when Report.Upgraded last changed
-	// When it changed to the new generation:
-	oldMemoryMB  float64
-	restartsThen int
-	// When the watch of the stage began:
-	drainsThen int
-	purgesThen int
-	// Counts of the last sample; sampledAt 0: the next sample only takes them.
+	// Values at the router's change to the new generation.
+	memoryBeforeChangeMB float64
+	restartsAtChange     int
+	// Values at the start of the stage's watch.
+	drainsAtWatchStart int
+	purgesAtWatchStart int
+	// Counts at the last sample. With sampledAt 0 the next sample only records the counts.
 	sampledCounts canary.Counts
 	sampledAt     int64
 }
 
 const (
-	// recentlyHeard bounds the age of a report that a decision relies on: two heartbeats.
-	recentlyHeard = 2 * heartbeatInterval
-	// reachable bounds the age of the report of a router that may be sampled or asked to
-	// change: four heartbeats.
-	reachable = 4 * heartbeatInterval
+	// recentReportAge is the age below which the leader relies on a report in a decision:
+	// two heartbeats.
+	recentReportAge = 2 * heartbeatInterval
+	// reachableReportAge is the age of the last report up to which a router may be sampled
+	// or changed: four heartbeats.
+	reachableReportAge = 4 * heartbeatInterval
 )
 
 func newLeader(n *Node, s State) *leader {
@@ -63,41 +65,41 @@
 		rounds:   map[uint64]*round{},
 		routers:  make([]routerInfo, len(n.plan.Routers)),
 	}
-	l.proposed.Seq++ // whatever was accepted is decided anew in this term
+	l.proposed.Seq++ // the accepted state must be decided again in this term
 	for i := range l.routers {
-		l.routers[i].heardAt = n.now // the silence of a router counts from now
+		l.routers[i].reportedAt = n.now // a router's silence is measured from now
 		l.routers[i].generationSince = n.now
 	}
 	l.setReport(n.now, n.self, &n.report)
 	return l
 }
 
-// holdsLease reports whether a quorum accepted a round lately enough.
+// holdsLease reports whether a quorum accepted a round within the lease duration.
 func (l *leader) holdsLease(n *Node) bool {
 	return l.hasDecided && n.checks.leaseHeld(n.now, l.leaseUntil)
 }
 
-// forwardClosed reports whether no router is allowed to go forward any more: a rollback
-// is pending or proposed, and not decided yet.
-func (l *leader) forwardClosed() bool {
+// forwardSuspended reports whether no router is permitted to upgrade, because a rollback is
+// pending or proposed but not yet decided.
+func (l *leader) forwardSuspended() bool {
 	return l.rollbackPending || l.proposed.Phase == PhaseRollingBack && l.decided.Phase != PhaseRollingBack
 }
 
 func (l *leader) setReport(now int64, from int, report *Report) {
-	r := &l.routers[from]
-	if report.Upgraded != r.report.Upgraded {
-		r.generationSince = now
+	router := &l.routers[from]
+	if report.Upgraded != router.report.Upgraded {
+		router.generationSince = now
 		if report.Upgraded {
-			r.oldMemoryMB = r.report.MemoryMB
-			r.restartsThen = report.Restarts
+			router.memoryBeforeChangeMB = router.report.MemoryMB
+			router.restartsAtChange = report.Restarts
 		}
-		r.sampledAt = 0
+		router.sampledAt = 0
 	}
-	r.heardAt = now
-	r.report = *report
+	router.reportedAt = now
+	router.report = *report
 }
 
-// tick proposes the state that follows once the last one is decided, and repeats the
+// tick proposes the next state once the last proposal is decided, and repeats the
 // proposal as a heartbeat.
 func (l *leader) tick(n *Node) {
 	if l.holdsLease(n) && l.decided.Seq == l.proposed.Seq {
@@ -105,28 +107,28 @@
 		next := l.nextState(n)
 		if next.Seq != l.proposed.Seq {
 			l.proposed = next
-			l.roundAt = 0 // at once
+			l.lastRoundAt = 0 // send the round at once
 		}
 	}
-	if n.now-l.roundAt < heartbeatInterval {
+	if n.now-l.lastRoundAt < heartbeatInterval {
 		return
 	}
 	if n.checks.deposed(l.term, n.PromisedTerm) {
-		return // this router's promise to another candidate binds it
+		return // this router has promised a later term to another candidate
 	}
 	l.sendRound(n)
 }
 
 func (l *leader) sendRound(n *Node) {
 	const keptRounds = 16
-	l.roundAt = n.now
-	l.round++
-	l.rounds[l.round] = &round{sentAt: n.now, seq: l.proposed.Seq, acceptedBy: Set(nil).With(n.self)}
-	delete(l.rounds, l.round-keptRounds)
+	l.lastRoundAt = n.now
+	l.roundNumber++
+	l.rounds[l.roundNumber] = &round{sentAt: n.now, seq: l.proposed.Seq, acceptedBy: Set(nil).With(n.self)}
+	delete(l.rounds, l.roundNumber-keptRounds)
 	n.accept(l.term, &l.proposed)
 	state := l.proposed
-	n.broadcast(Message{Kind: KindAccept, Term: l.term, Round: l.round, State: &state})
-	l.decideByQuorum(n, l.round)
+	n.broadcast(Message{Kind: KindAccept, Term: l.term, Round: l.roundNumber, State: &state})
+	l.tryDecide(n, l.roundNumber)
 }
 
 func (l *leader) receiveAccepted(n *Node, from int, m *Message) {
@@ -135,13 +137,13 @@
 		return
 	}
 	r.acceptedBy = r.acceptedBy.With(from)
-	l.decideByQuorum(n, m.Round)
+	l.tryDecide(n, m.Round)
 }
 
-// decideByQuorum extends the lease by a round that a quorum accepted, and takes its
-// state as decided.
-func (l *leader) decideByQuorum(n *Node, number uint64) {
-	r := l.rounds[number]
+// tryDecide handles a round once a quorum has accepted it: it extends the lease, and the
+// round's state is decided.
+func (l *leader) tryDecide(n *Node, roundNumber uint64) {
+	r := l.rounds[roundNumber]
 	if r.acceptedBy.Count() < n.quorum() {
 		return
 	}
@@ -151,22 +153,22 @@
 		l.hasDecided = true
 		l.watch.stop()
 	}
-	if l.hasDecided && !l.forwardClosed() {
+	if l.hasDecided && !l.forwardSuspended() {
 		l.updateOwnView(n, r.sentAt)
 	}
 }
 
-// updateOwnView is the leader's poll of itself.
+// updateOwnView updates the leader's own view, as a poll updates a follower's.
 func (l *leader) updateOwnView(n *Node, sentAt int64) {
 	if l.decided.Batch.Has(n.self) && l.decided.Phase != PhaseRollingBack {
-		l.forwardPermitAt = n.now
+		l.lastForwardPermitAt = n.now
 	}
 	n.view = l.decided
 	n.viewAt = max(n.viewAt, sentAt)
 }
 
-// receivePoll takes a follower's report, and answers with the decided state under a
-// lease. While a rollback is pending no router of the batch is answered.
+// receivePoll records a follower's report and replies with the decided state if the leader
+// holds the lease. While a rollback is pending, routers of the batch get no reply.
 func (l *leader) receivePoll(n *Node, from int, m *Message) {
 	l.setReport(n.now, from, m.Report)
 	if !l.holdsLease(n) {
@@ -174,10 +176,10 @@
 	}
 	state := l.decided
 	if state.Batch.Has(from) && state.Phase != PhaseRollingBack {
-		if l.forwardClosed() {
+		if l.forwardSuspended() {
 			return
 		}
-		l.forwardPermitAt = n.now
+		l.lastForwardPermitAt = n.now
 	}
 	n.send(from, Message{Kind: KindDecided, Nonce: m.Nonce, State: &state})
 }
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -8,24 +8,24 @@
 
 const (
 	// heartbeatInterval is the time between two rounds of a leader, two polls of a
-	// follower, and two questions of a recovering router.
+	// follower, and two requests of a recovering router.
 	heartbeatInterval = 500 * millisecond
 
 	// leaseDuration is how long a leader may act on a round that a majority accepted,
-	// from when it sent the round.
+	// counted from when it sent the round.
 	leaseDuration = 2 * second
-	// promiseHoldoff is how long an acceptor promises nothing to another candidate, from
-	// when it accepted a round. Invariant: a lease, and the views that were given out
-	// under it, end before any other leader can be elected. The margin over
+	// promiseHoldoff is how long an acceptor gives no promise to another candidate,
+	// counted from when it accepted a round. Invariant: a lease, and the views that were
+	// sent under it, expire before any other leader can be elected. The margin over
 	// leaseDuration + viewMaxAge covers clocks whose rates differ by a tenth.
 	promiseHoldoff = 4 * second
 
-	// viewMaxAge is how old, by the follower's own clock and from when it polled, a
-	// decided state may be for the follower to begin a change by it.
+	// viewMaxAge is the age up to which a follower may begin a change on a decided state,
+	// counted by its own clock from when it sent the poll.
 	viewMaxAge = second
 	// forwardPermitDuration is how long a leader waits before it decides to roll back,
-	// from when it last gave out a state that lets a router go forward: viewMaxAge and a
-	// margin for clocks. No router begins to go forward after a rollback is decided.
+	// counted from when it last sent a state that permits a router to upgrade: viewMaxAge
+	// and a margin for clock rates. No router begins to upgrade after a rollback is decided.
 	forwardPermitDuration = viewMaxAge * 6 / 5
 
 	// electionTimeout is the silence of a leader after which a follower becomes a
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Node is one router's part in the rollout: acceptor, follower, and at times candidate
-// or leader. It is used by one goroutine at a time.
+// Node runs the rollout protocol for one router: it is an acceptor and a follower, and at
+// times a candidate or the leader. It must be used by one goroutine at a time.
 type Node struct {
 	plan   *Plan
 	self   int // index in the plan; -1: not one of its routers
@@ -13,43 +13,43 @@
 
 	// The acceptor (register.go) and its recovery.
 	Durable
-	noPromiseUntil  int64            // a leader may hold a lease that rests on this router
-	recoveryNonce   uint64           // 0: not recovering
-	recoveryReplies map[int]*Message // by router
-	recoveryAskedAt int64
+	noPromiseUntil      int64            // until then a leader's lease may rely on this router
+	recoveryNonce       uint64           // of the recovery requests; 0: not recovering
+	recoveryReplies     map[int]*Message // by router index
+	recoveryRequestedAt int64
 
 	// The candidate (election.go).
-	candidateTerm   uint64
-	candidateSince  int64
-	highestSeenTerm uint64           // from rejections
-	promises        map[int]*Message // by router; nil: not a candidate
+	candidateTerm      uint64
+	candidacyStartedAt int64
+	highestSeenTerm    uint64           // from rejections
+	promises           map[int]*Message // by router index; nil: not a candidate
 
-	// The leader (leader.go); nil: another router leads, or none.
+	// The leader (leader.go); nil: this router does not lead.
 	leader *leader
 
 	// The follower (follower.go).
-	leaderIndex   int // router last heard to lead; -1: none
-	leaderHeardAt int64
-	pollNonce     uint64 // of the open poll
-	polledAt      int64
-	view          State // last decided state received from the leader
-	viewAt        int64 // when it was polled for; 0: never
-	report        Report
-	commands      []Command // for the leader
+	leaderIndex     int    // last known leader; -1: none
+	leaderContactAt int64  // of its last accept; at first, when this router started
+	pollNonce       uint64 // of the poll that awaits a reply
+	polledAt        int64
+	view            State     // last decided state received from the leader
+	viewAt          int64     // when the poll for view was sent; 0: never
+	report          Report    // of this router
+	commands        []Command // not yet forwarded or, at the leader, not yet applied
 
 	outbox []Outgoing
 }
 
-// NewNode returns the part of the router with this name. A nil Durable means that the
-// router has lost what it stored and must recover; a zero one, that no router of the
-// site has ever run this plan. The random source spreads elections and makes nonces.
-func NewNode(p *Plan, name string, d *Durable, random *rand.Rand, now int64) *Node {
+// NewNode returns the node of a router of the plan, by name. A nil Durable means that the
+// router lost its durable state and must recover; a zero Durable, that no router of the
+// site has ever run this plan. The random source jitters elections and generates nonces.
+func NewNode(plan *Plan, name string, durable *Durable, random *rand.Rand, now int64) *Node {
 	n := &Node{
-		plan: p, self: p.Index(name), random: random, now: now, checks: defaultSafetyChecks(),
-		leaderIndex: -1, leaderHeardAt: now,
+		plan: plan, self: plan.Index(name), random: random, now: now, checks: defaultSafetyChecks(),
+		leaderIndex: -1, leaderContactAt: now,
 	}
-	if d != nil {
-		n.Durable = *d
+	if durable != nil {
+		n.Durable = *durable
 		n.noPromiseUntil = now + promiseHoldoff // it may have accepted a round just before it stopped
 		return n
 	}
@@ -58,49 +58,52 @@
 	return n
 }
 
-// newNonce returns a random number other than 0.
+// newNonce returns a nonzero random number.
 func (n *Node) newNonce() uint64 { return n.random.Uint64() | 1 }
 
 func (n *Node) quorum() int { return n.checks.quorum(len(n.plan.Routers)) }
 
-// IsLeader reports whether this router leads now, under a lease that holds.
+// IsLeader reports whether this router leads under a valid lease.
 func (n *Node) IsLeader() bool { return n.leader != nil && n.leader.holdsLease(n) }
 
-// SetReport takes what the router is and has done.
-func (n *Node) SetReport(r Report) {
-	n.report = r
+// SetReport replaces the report that this router sends to the leader.
+func (n *Node) SetReport(report Report) {
+	n.report = report
 	if n.leader != nil {
 		n.leader.setReport(n.now, n.self, &n.report)
 	}
 }
 
-// Command takes an operator's command, at any router of the plan.
-func (n *Node) Command(now int64, c Command) {
+// Command accepts an operator's command. Any router of the plan can accept it.
+func (n *Node) Command(now int64, command Command) {
 	n.advance(now)
-	if c == CommandStart {
-		// There may be no leader yet: this router need not wait for its silence before it becomes a candidate.
-		n.candidateSince = n.now - second
-		n.leaderHeardAt = n.now - electionTimeout - int64(len(n.plan.Routers))*electionStagger
+	if command == CommandStart {
+		// There may be no leader yet: this router becomes a candidate without waiting for
+		// the election timeout.
+		n.candidacyStartedAt = n.now - second
+		n.leaderContactAt = n.now - electionTimeout - int64(len(n.plan.Routers))*electionStagger
 	}
-	n.queueCommand(c)
+	n.queueCommand(command)
 }
 
-// queueCommand drops commands beyond a few: their operators repeat them.
-func (n *Node) queueCommand(c Command) {
+// queueCommand adds a command to the queue, or drops it if the queue is full: the operator
+// repeats a command that has no effect.
+func (n *Node) queueCommand(command Command) {
 	const maxCommands = 8
 	if len(n.commands) < maxCommands {
-		n.commands = append(n.commands, c)
+		n.commands = append(n.commands, command)
 	}
 }
 
-// Tick does what is due and returns the messages to send. Call it some ten times a second.
+// Tick handles all timers that are due and returns the messages to send. The caller calls
+// it about ten times a second.
 func (n *Node) Tick(now int64) []Outgoing {
 	n.advance(now)
 	if n.self < 0 {
 		return nil
 	}
 	if n.recovering() {
-		n.askForRecovery()
+		n.requestRecovery()
 		return n.takeOutbox()
 	}
 	if n.leader != nil {
@@ -114,7 +117,8 @@
 	return n.takeOutbox()
 }
 
-// Receive takes a message from a router of the plan and returns the messages to send.
+// Receive handles a message from another router and returns the messages to send. Messages
+// of another plan, or from a router that is not in the plan, are dropped.
 func (n *Node) Receive(now int64, from string, m *Message) []Outgoing {
 	n.advance(now)
 	sender := n.plan.Index(from)
@@ -150,8 +154,8 @@
 	case KindDecided:
 		n.receiveDecided(message)
 	case KindRecover:
-		n.answerRecovery(from, message)
-	case KindRecovered: // recovered already
+		n.sendRecovered(from, message)
+	case KindRecovered: // late reply: this router has recovered already
 	case KindCommand:
 		if n.leader != nil {
 			n.queueCommand(message.Command)
@@ -159,7 +163,7 @@
 	}
 }
 
-// advance moves the node's time, which never goes back.
+// advance sets the node's time, which never decreases.
 func (n *Node) advance(now int64) { n.now = max(now, n.now) }
 
 func (n *Node) send(to int, m Message) {
--- a/internal/rollout/recovery.go
+++ b/internal/rollout/recovery.go
@@ -1,19 +1,20 @@
 package rollout
 
-// A router that has lost its durable state may have promised or accepted what it no
-// longer knows. It takes no part until it knows as much as any quorum could.
+// A router that lost its durable state may have given promises or accepted states that it
+// no longer remembers. It neither promises nor accepts anything until it has learned all
+// that a quorum may rely on.
 
 func (n *Node) recovering() bool { return n.recoveryNonce != 0 }
 
-func (n *Node) askForRecovery() {
-	if n.now-n.recoveryAskedAt >= heartbeatInterval {
-		n.recoveryAskedAt = n.now
+func (n *Node) requestRecovery() {
+	if n.now-n.recoveryRequestedAt >= heartbeatInterval {
+		n.recoveryRequestedAt = n.now
 		n.broadcast(Message{Kind: KindRecover, Nonce: n.recoveryNonce})
 	}
 }
 
-// answerRecovery tells a recovering router what this one has stored.
-func (n *Node) answerRecovery(to int, m *Message) {
+// sendRecovered sends this router's durable state to a recovering router.
+func (n *Node) sendRecovered(to int, m *Message) {
 	state := n.State
 	n.send(to, Message{
 		Kind: KindRecovered, Nonce: m.Nonce,
@@ -21,41 +22,43 @@
 	})
 }
 
+// receiveRecovering handles the messages that a recovering router accepts.
 func (n *Node) receiveRecovering(from int, m *Message) {
 	switch {
 	case m.Kind == KindRecovered && m.Nonce == n.recoveryNonce:
 		n.recoveryReplies[from] = m
-		n.tryRecover()
-	case m.Kind == KindRecover: // the sender learns that this router has lost its state, too
+		n.tryFinishRecovery()
+	case m.Kind == KindRecover: // a reply without State: this router has lost its own, too
 		n.send(from, Message{Kind: KindRecovered, Nonce: m.Nonce})
 	}
 }
 
-// tryRecover ends the recovery once a quorum of others has sent its state: each quorum
-// that promised or accepted anything shares a router with it. If all others have
-// answered, some of them that they have lost their state, too, nobody knows more.
-func (n *Node) tryRecover() {
+// tryFinishRecovery ends the recovery once a quorum of other routers has sent its state:
+// each quorum that promised or accepted anything shares a router with it. The recovery
+// also ends once all others have replied, even if some have lost their state as well,
+// since no further state is left to learn.
+func (n *Node) tryFinishRecovery() {
 	states := 0
-	for _, r := range n.recoveryReplies {
-		if r.State != nil {
+	for _, reply := range n.recoveryReplies {
+		if reply.State != nil {
 			states++
 		}
 	}
 	if states < n.quorum() && len(n.recoveryReplies) < len(n.plan.Routers)-1 {
 		return
 	}
-	for _, r := range n.recoveryReplies {
-		if r.State == nil {
+	for _, reply := range n.recoveryReplies {
+		if reply.State == nil {
 			continue
 		}
-		n.PromisedTerm = max(n.PromisedTerm, r.Term)
-		if supersedes(r.AcceptedTerm, r.State, n.AcceptedTerm, &n.State) {
-			n.AcceptedTerm = r.AcceptedTerm
-			n.State = *r.State
+		n.PromisedTerm = max(n.PromisedTerm, reply.Term)
+		if supersedes(reply.AcceptedTerm, reply.State, n.AcceptedTerm, &n.State) {
+			n.AcceptedTerm = reply.AcceptedTerm
+			n.State = *reply.State
 		}
 	}
 	n.recoveryNonce = 0
 	n.recoveryReplies = nil
-	n.leaderHeardAt = n.now
+	n.leaderContactAt = n.now
 	n.noPromiseUntil = n.now + promiseHoldoff
 }
--- a/internal/rollout/register.go
+++ b/internal/rollout/register.go
@@ -1,15 +1,15 @@
 package rollout
 
-// The acceptor. Invariants, of which Durable must outlast the process:
+// The acceptor. Its invariants, which require that Durable outlasts the process:
 //
-//   - no round of a term below PromisedTerm is accepted,
-//   - a promise reports the latest state accepted, so that a state which a quorum
-//     accepted is known to each later leader,
-//   - within a term states are accepted in the order of Seq,
-//   - no promise is given for promiseHoldoff after a round was accepted.
+//   - No round of a term below PromisedTerm is accepted.
+//   - A promise carries the latest accepted state, so that each later leader learns of a
+//     state that a quorum accepted.
+//   - Within a term, states are accepted in the order of Seq.
+//   - No promise is given for promiseHoldoff after a round was accepted.
 
-// receivePrepare promises a candidate's term, unless a later one is promised or a leader
-// may hold a lease.
+// receivePrepare promises a candidate's term, unless this router has promised the same or
+// a later term, or a leader may hold a lease.
 func (n *Node) receivePrepare(from int, m *Message) {
 	if m.Term <= n.PromisedTerm || n.now < n.noPromiseUntil {
 		n.reject(from)
@@ -32,12 +32,12 @@
 	n.promises = nil
 	n.accept(m.Term, m.State)
 	n.leaderIndex = from
-	n.leaderHeardAt = n.now
+	n.leaderContactAt = n.now
 	n.leader = nil
 	n.send(from, Message{Kind: KindAccepted, Term: m.Term, Round: m.Round, Nonce: m.State.Seq})
 }
 
-// accept stores a state, and holds promises off while the leader's lease rests on it.
+// accept stores a state and gives no promise while the leader's lease may rely on it.
 func (n *Node) accept(term uint64, s *State) {
 	n.AcceptedTerm = term
 	n.State = *s
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,11 +10,11 @@
 func TestSamePassesAllStagesAndWorseIsRolledBack(t *testing.T) {
 	f := newFleet(t, sevenRouterPlan, 1)
 	f.command(4, CommandStart)
-	f.play(15)
+	f.runFor(15)
 	if _, upgraded := f.views(); upgraded != 1 || !f.routers[0].upgraded {
 		t.Errorf("after 15 s %d have changed", upgraded)
 	}
-	f.play(200)
+	f.runFor(200)
 	if views, upgraded := f.views(); upgraded != 7 || f.phase() != PhaseDone {
 		t.Errorf("%v: %v, %d have changed", f.phase(), views, upgraded)
 	}
@@ -22,7 +22,7 @@
 		t.Error(f.maxConcurrent, f.violations)
 	}
 	f = newFleet(t, sevenRouterPlan, 2)
-	f.newWorseBy = 0.25
+	f.newGenerationLoss = 0.25
 	f.command(0, CommandStart)
 	for f.now < 200*second && f.phase() != PhaseRolledBack {
 		f.step()
@@ -31,8 +31,8 @@
 	if upgraded != 0 || f.phase() != PhaseRolledBack {
 		t.Errorf("%v, %d have changed", f.phase(), upgraded)
 	}
-	if len(f.begun) != 2 || len(f.violations) > 0 {
-		t.Errorf("%+v, %v", f.begun, f.violations)
+	if len(f.startedChanges) != 2 || len(f.violations) > 0 {
+		t.Errorf("%+v, %v", f.startedChanges, f.violations)
 	}
 	v, _ := f.nodes[3].View()
 	if !strings.Contains(v.Reason, "lost weight") {
@@ -47,19 +47,19 @@
 	ends := map[Phase]int{}
 	for seed := range uint64(60) {
 		f := newFleet(t, sevenRouterPlan, seed)
-		f.disksLast = seed%3 != 0
+		f.keepsDisks = seed%3 != 0
 		f.lossRate, f.maxDelay = 0.05, 200*millisecond
 		if seed%2 == 1 {
-			f.newWorseBy = 0.25
+			f.newGenerationLoss = 0.25
 		}
-		f.play(6)
+		f.runFor(6)
 		f.command(int(seed%7), CommandStart)
 		for faultNumber := range 10 {
-			f.play(3 + 5*f.random.Float64())
-			f.strikeLeader(seed, faultNumber)
+			f.runFor(3 + 5*f.random.Float64())
+			f.injectFault(seed, faultNumber)
 		}
 		f.lossRate = 0
-		f.play(320)
+		f.runFor(320)
 		views, upgraded := f.views()
 		phase := f.phase()
 		ends[phase]++
@@ -72,15 +72,15 @@
 			t.Errorf("seed %d: %v", seed, f.violations)
 		case !inOneGeneration:
 			t.Errorf("seed %d: %v, %d have changed: %v", seed, phase, upgraded, views)
-		case phase == PhaseDone && f.newWorseBy > 0:
+		case phase == PhaseDone && f.newGenerationLoss > 0:
 			t.Errorf("seed %d: a worse one has passed", seed)
 		}
 	}
 	t.Logf("ends: %v", ends)
 }
 
-// strikeLeader plays a fault of the leader, or of any router each third time.
-func (f *fleet) strikeLeader(seed uint64, faultNumber int) {
+// injectFault plays a fault of the leader, or of any router each third time.
+func (f *fleet) injectFault(seed uint64, faultNumber int) {
 	i := int(seed % 7)
 	for j, n := range f.nodes {
 		if n != nil && n.leader != nil {
@@ -97,11 +97,11 @@
 	switch faultNumber % 5 {
 	case 0:
 		f.stopRouter(i)
-		f.play(2 + 9*f.random.Float64())
+		f.runFor(2 + 9*f.random.Float64())
 		f.startRouter(i)
 	case 1:
 		f.routers[i].frozen = true
-		f.play(10)
+		f.runFor(10)
 		f.routers[i].frozen = false
 	case 2: // with one other, or with most
 		side := map[int]bool{i: true}
@@ -109,18 +109,18 @@
 			side[f.random.IntN(7)] = true
 		}
 		f.partition = func(from, to int) bool { return side[from] != side[to] }
-		f.play(8 + 10*f.random.Float64())
+		f.runFor(8 + 10*f.random.Float64())
 		f.partition = nil
 	case 3: // it hears, and is not heard
 		f.partition = func(from, _ int) bool { return from == i }
-		f.play(8)
+		f.runFor(8)
 		f.partition = nil
 	case 4:
 		j := (i + 1) % 7
 		if f.routers[j].up {
 			f.stopRouter(i)
 			f.stopRouter(j)
-			f.play(1)
+			f.runFor(1)
 			f.startRouter(i)
 			f.startRouter(j)
 		}
@@ -131,33 +131,33 @@
 // have said so; where one alone has lost it, a majority of the others is enough.
 func TestRouterWithoutDurableStateRecoversFromOthers(t *testing.T) {
 	f := newFleet(t, sevenRouterPlan, 5)
-	f.disksLast = false
+	f.keepsDisks = false
 	for i := range f.nodes {
 		f.stopRouter(i)
 	}
 	for i := range f.nodes[1:] {
 		f.startRouter(i + 1)
 	}
-	f.play(5)
+	f.runFor(5)
 	for i := range f.nodes[1:] {
 		if !f.nodes[i+1].recovering() {
 			t.Errorf("%d takes part, and one is missing", i+1)
 		}
 	}
 	f.startRouter(0)
-	f.play(5)
+	f.runFor(5)
 	for i := range f.nodes {
 		if f.nodes[i].recovering() {
 			t.Errorf("%d asks for ever", i)
 		}
 	}
 	f.command(0, CommandStart)
-	f.play(20)
+	f.runFor(20)
 	stored := f.nodes[3].Durable
 	f.stopRouter(3)
 	f.startRouter(3)
 	f.stopRouter(5)
-	f.play(3)
+	f.runFor(3)
 	if d := f.nodes[3].Durable; d.PromisedTerm < stored.PromisedTerm || d.State.Seq < stored.State.Seq || stored.State.Seq == 0 {
 		t.Errorf("it had stored %+v and has %+v", stored, d)
 	}
@@ -168,18 +168,18 @@
 func TestMinoritySideChangesNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(t, sevenRouterPlan, seed)
-		f.play(6)
+		f.runFor(6)
 		f.partition = func(from, to int) bool { return (from < 3) != (to < 3) }
 		f.command(1, CommandStart)
 		f.command(5, CommandStart)
-		f.play(25)
+		f.runFor(25)
 		for i := range 3 {
 			if f.routers[i].upgraded || f.routers[i].changing {
 				t.Errorf("seed %d: %s changes on the smaller side", seed, f.plan.Routers[i].Name)
 			}
 		}
 		f.partition = nil
-		f.play(300)
+		f.runFor(300)
 		_, upgraded := f.views()
 		ended := f.phase() == PhaseDone || f.phase() == PhaseRolledBack
 		if len(f.violations) > 0 || upgraded != 0 && upgraded != 7 || !ended {
@@ -195,11 +195,11 @@
 		plan := strings.Replace(sevenRouterPlan, "least_s: 10}", "least_s: 10, drains: 1, purges: 2}", 1)
 		f := newFleet(t, plan, 3)
 		f.command(4, CommandStart)
-		f.play(30)
+		f.runFor(30)
 		if notified {
 			f.routers[0].drainsSeen, f.routers[0].purgesSeen = 1, 2
 		}
-		f.play(50)
+		f.runFor(50)
 		v, _ := f.nodes[4].View()
 		paused := f.phase() == PhasePaused
 		reasonNamed := strings.Contains(v.Reason, "a1 was told of 0 drains")
--- a/internal/rollout/safety_test.go
+++ b/internal/rollout/safety_test.go
@@ -15,9 +15,9 @@
 func TestSafetyChecksAreNeeded(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newFleet(t, sevenRouterPlan, 1)
-		f.play(6)
+		f.runFor(6)
 		f.command(4, CommandStart)
-		f.play(8)
+		f.runFor(8)
 		n := f.nodes[4]
 		if !n.IsLeader() || n.leader.decided.Phase != PhaseForward {
 			t.Fatalf("it does not lead forward: %+v", n.leader)
@@ -28,11 +28,11 @@
 		if off {
 			n.checks.forwardPermitsExpired = func(int64) bool { return true }
 		}
-		n.leader.forwardPermitAt, n.commands = n.now, []Command{CommandRollBack}
+		n.leader.lastForwardPermitAt, n.commands = n.now, []Command{CommandRollBack}
 		if s := n.leader.nextState(n); (s.Phase == PhaseRollingBack) != off {
 			t.Errorf("rolls back at once: %v with the check off %v", s.Phase, off)
 		}
-		n.leader.forwardPermitAt = n.now - 2*viewMaxAge
+		n.leader.lastForwardPermitAt = n.now - 2*viewMaxAge
 		if s := n.leader.nextState(n); !off && s.Phase != PhaseRollingBack {
 			t.Errorf("the command is lost: %v", s.Phase)
 		}
@@ -78,7 +78,7 @@
 	} {
 		f := newFleet(t, sevenRouterPlan, 3)
 		f.command(4, CommandStart)
-		f.play(12)
+		f.runFor(12)
 		if c.checkOff {
 			for _, n := range f.nodes {
 				n.checks.newViolations = func(uint8, uint8) uint8 { return 0 }
@@ -88,7 +88,7 @@
 			t.Fatal("the first has not changed")
 		}
 		f.routers[0].violatedRules, f.routers[5].violatedRules = c.changed, c.unchanged
-		f.play(8)
+		f.runFor(8)
 		rolledBack := f.phase() == PhaseRollingBack || f.phase() == PhaseRolledBack
 		if rolledBack != c.rolledBack {
 			t.Errorf("%s: %v", c.name, f.phase())
@@ -125,7 +125,7 @@
 		f := newFleetOf(t, sevenRouterPlan, seed, third)
 		f.maxDelay = 100 * millisecond
 		f.command(0, CommandStart)
-		f.play(8 + 4*f.random.Float64())
+		f.runFor(8 + 4*f.random.Float64())
 		side := map[int]bool{}
 		for len(side) < 3 {
 			side[f.random.IntN(7)] = true
@@ -133,17 +133,17 @@
 		frozen := f.random.IntN(7)
 		f.routers[frozen].frozen = seed%2 == 0
 		f.partition = func(from, to int) bool { return side[from] != side[to] }
-		f.play(14)
+		f.runFor(14)
 		for i := range f.nodes {
 			if f.random.IntN(2) == 0 && !f.routers[i].frozen {
 				f.command(i, CommandRollBack)
 			}
 		}
-		f.play(14)
+		f.runFor(14)
 		f.routers[frozen].frozen = false
-		f.play(10)
+		f.runFor(10)
 		f.partition = nil
-		f.play(30)
+		f.runFor(30)
 		found = len(f.violations) > 0
 		if found {
 			t.Logf("seed %d: %v", seed, f.violations[0])
@@ -165,7 +165,7 @@
 			c.deposed = func(uint64, uint64) bool { return false }
 		}},
 	} {
-		if violations, sequences, _, _ := playFaultSequences(t, 4, v); len(violations) == 0 {
+		if violations, sequences, _, _ := runFaultSequences(t, 4, v); len(violations) == 0 {
 			t.Errorf("%s: not found in %d sequences", name, sequences)
 		} else {
 			t.Logf("%s: %s", name, violations[0])
--- a/internal/rollout/search_test.go
+++ b/internal/rollout/search_test.go
@@ -58,9 +58,9 @@
 	ends       map[Phase]int
 }
 
-// playFaultSequences plays one in every so many sequences of four faults. Each worker
+// runFaultSequences plays one in every so many sequences of four faults. Each worker
 // stops at its first violation.
-func playFaultSequences(t *testing.T, every int, v variant) (violations []string, sequences, states int, ends map[Phase]int) {
+func runFaultSequences(t *testing.T, every int, v variant) (violations []string, sequences, states int, ends map[Phase]int) {
 	const depth = 4
 	faults := allFaults()
 	total := 1
@@ -75,7 +75,7 @@
 			r := &results[w]
 			r.states, r.ends = map[string]bool{}, map[Phase]int{}
 			for code := w * every; code < total && len(r.violations) < 1; code += workers * every {
-				r.playSequence(t, faults, depth, code, v)
+				r.runSequence(t, faults, depth, code, v)
 			}
 		})
 	}
@@ -94,21 +94,21 @@
 	return violations, (total + every - 1) / every, len(distinct), ends
 }
 
-// playSequence plays the faults that a code's digits name during a rollout, lets all
+// runSequence plays the faults that a code's digits name during a rollout, lets all
 // routers run again, and checks the end.
-func (r *searchResult) playSequence(t *testing.T, faults []fault, depth, code int, v variant) {
+func (r *searchResult) runSequence(t *testing.T, faults []fault, depth, code int, v variant) {
 	f := newFleetOf(t, threeRouterPlan, uint64(code%7), v)
-	f.disksLast = code%2 == 0
+	f.keepsDisks = code%2 == 0
 	f.maxDelay = 30 * millisecond
 	f.command(2, CommandStart)
-	f.play(6)
+	f.runFor(6)
 	path := ""
 	for digits, n := code, 0; n < depth; n++ {
 		x := faults[digits%len(faults)]
 		digits /= len(faults)
 		path += x.name + ", "
 		x.apply(f)
-		f.play([...]float64{1, 7, 3, 5}[n])
+		f.runFor([...]float64{1, 7, 3, 5}[n])
 		r.states[f.fingerprint()] = true
 	}
 	f.partition = nil
@@ -118,7 +118,7 @@
 			f.startRouter(i)
 		}
 	}
-	f.play(75)
+	f.runFor(75)
 	r.checkEnd(f, path)
 }
 
@@ -158,7 +158,7 @@
 	if os.Getenv("QUILLDOOR_ALL") != "" {
 		every = 1
 	}
-	violations, sequences, states, ends := playFaultSequences(t, every, variant{})
+	violations, sequences, states, ends := runFaultSequences(t, every, variant{})
 	for _, v := range violations {
 		t.Error(v)
 	}
--- a/internal/rollout/set.go
+++ b/internal/rollout/set.go
@@ -3,10 +3,10 @@
 // Set is a set of routers: one bit for each index in Plan.Routers.
 type Set []byte
 
-// Has reports whether a router is in the set. No negative index is.
+// Has reports whether a router is in the set. A negative index never is.
 func (s Set) Has(i int) bool { return i >= 0 && i/8 < len(s) && s[i/8]>>(i%8)&1 == 1 }
 
-// With returns a copy that includes a router.
+// With returns a copy of the set with a router added.
 func (s Set) With(i int) Set {
 	out := make(Set, max(len(s), i/8+1))
 	copy(out, s)
@@ -14,7 +14,7 @@
 	return out
 }
 
-// Without returns a copy that excludes a router.
+// Without returns the set without a router, as a copy if the router was in it.
 func (s Set) Without(i int) Set {
 	if !s.Has(i) {
 		return s
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -94,7 +94,7 @@
 		s.Activity = activityNew
 	}
 	if n.leader != nil {
-		s.HeardMS = (n.now - n.leader.routers[i].heardAt) / millisecond
+		s.HeardMS = (n.now - n.leader.routers[i].reportedAt) / millisecond
 		s.Report = n.leader.routers[i].report
 	}
 	return s
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -85,7 +85,7 @@
 		t.apply(l, n, &next)
 	}
 	beginsRollback := next.Phase == PhaseRollingBack && l.decided.Phase != PhaseRollingBack
-	if beginsRollback && !n.checks.forwardPermitsExpired(n.now-l.forwardPermitAt) {
+	if beginsRollback && !n.checks.forwardPermitsExpired(n.now-l.lastForwardPermitAt) {
 		l.rollbackPending = true
 		l.pendingCondition = found
 		l.pendingReason = reason
@@ -108,7 +108,7 @@
 	if found, reason := l.checkRouters(n, decided); found != conditionNone {
 		return found, reason
 	}
-	if l.areSetsOutdated(n, decided) {
+	if l.setsNeedUpdate(n, decided) {
 		return setsOutdated, ""
 	}
 	if decided.Batch.Count() > 0 {
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -40,8 +40,8 @@
 	l.watch.fleetLosses = nil
 	for i := range l.routers {
 		r := &l.routers[i]
-		r.drainsThen = r.report.DrainsSeen
-		r.purgesThen = r.report.PurgesSeen
+		r.drainsAtWatchStart = r.report.DrainsSeen
+		r.purgesAtWatchStart = r.report.PurgesSeen
 	}
 }
 
@@ -56,7 +56,7 @@
 	var fleet canary.Counts
 	for i := range l.routers {
 		router := &l.routers[i]
-		if n.now-router.heardAt > reachable || router.report.Changing ||
+		if n.now-router.reportedAt > reachableReportAge || router.report.Changing ||
 			n.now-router.generationSince < watch.analyzer.SkipMicros() {
 			router.sampledAt = 0
 			continue
@@ -134,8 +134,8 @@
 			continue
 		}
 		r := &l.routers[i]
-		drains := r.report.DrainsSeen - r.drainsThen
-		purges := r.report.PurgesSeen - r.purgesThen
+		drains := r.report.DrainsSeen - r.drainsAtWatchStart
+		purges := r.report.PurgesSeen - r.purgesAtWatchStart
 		if drains < stage.MinDrains || purges < stage.MinPurges {
 			return fmt.Sprintf("%s was told of %d drains and %d purges, %d and %d are wanted",
 				n.plan.Routers[i].Name, max(drains, 0), max(purges, 0), stage.MinDrains, stage.MinPurges)
