--- a/internal/rollout/codec.go
+++ b/internal/rollout/codec.go
@@ -10,11 +10,11 @@
 	"quilldoor/internal/cborcodec"
 )
 
-// MessagePrefix begins each encoded Message. It tells them apart from the other messages
-// that the membership transport carries, since no CBOR map begins with these bytes.
+// MessagePrefix begins each encoded Message. It distinguishes rollout messages from the
+// others that the membership transport carries, since no CBOR map begins with these bytes.
 var MessagePrefix = []byte("\xffR1")
 
-// ErrMalformedMessage is returned by Decode.
+// ErrMalformedMessage is returned by Decode for bytes that are not a valid message.
 var ErrMalformedMessage = errors.New("rollout: malformed message")
 
 var decoder = cborcodec.NewStrictDecoder(cborcodec.Limits{
@@ -22,19 +22,19 @@
 })
 
 const (
-	// maxMessageBytes is what one datagram of the membership transport carries. A longer
-	// report leaves out its counts of traffic classes.
+	// maxMessageBytes is the size of a message that fits into one datagram of the membership
+	// transport. Longer messages omit the report's counts of traffic classes.
 	maxMessageBytes = 1000
-	// maxReasonBytes bounds each text for people in a message.
+	// maxReasonBytes bounds each free text in a message.
 	maxReasonBytes = 160
-	// maxSetBytes bounds a Set.
+	// maxSetBytes bounds the encoded length of a Set.
 	maxSetBytes = MaxRouters / 8
 )
 
-// Encode returns a message with MessagePrefix, and shortens what would not fit: each text
-// for people to 160 bytes; and where the whole would be longer than 1000 bytes, as one
-// datagram of the membership transport carries, it leaves out the report's counts of
-// traffic classes.
+// Encode returns the encoding of a message, with MessagePrefix. It cuts each free text
+// (State.Reason, Report.FailureReason, Report.FirstViolation) to 160 bytes. If the whole is
+// longer than 1000 bytes, the size that fits into one datagram of the membership transport,
+// it omits the report's counts of traffic classes.
 func Encode(m *Message) ([]byte, error) {
 	m = withShortTexts(m)
 	encoded, err := cbor.Marshal(m)
@@ -47,7 +47,8 @@
 	return append(bytes.Clone(MessagePrefix), encoded...), nil
 }
 
-// withShortTexts returns the message, or a copy with its texts cut to maxReasonBytes.
+// withShortTexts returns the message itself, or a copy whose free texts are cut to
+// maxReasonBytes.
 func withShortTexts(message *Message) *Message {
 	if message.State != nil && len(message.State.Reason) > maxReasonBytes {
 		state := *message.State
@@ -70,6 +71,8 @@
 
 func truncate(text string) string { return text[:min(len(text), maxReasonBytes)] }
 
+// withoutClasses returns a copy of a message with a report, without its counts of traffic
+// classes.
 func withoutClasses(m *Message) *Message {
 	report := *m.Report
 	report.Counts.Classes = nil
@@ -78,7 +81,7 @@
 	return &shortened
 }
 
-// Decode reads what Encode wrote. Its errors wrap ErrMalformedMessage.
+// Decode decodes a message that Encode returned. Its errors wrap ErrMalformedMessage.
 func Decode(body []byte) (*Message, error) {
 	encoded, ok := bytes.CutPrefix(body, MessagePrefix)
 	if !ok {
@@ -94,6 +97,8 @@
 	return m, nil
 }
 
+// wellFormed reports whether the sets of a received state are within bounds and its stage is
+// not negative.
 func (s *State) wellFormed() bool {
 	return len(s.Batch) <= maxSetBytes && len(s.Changed) <= maxSetBytes && len(s.Skipped) <= maxSetBytes && s.Stage >= 0
 }
--- a/internal/rollout/guardrails.go
+++ b/internal/rollout/guardrails.go
@@ -2,19 +2,21 @@
 
 import "fmt"
 
-// memoryMarginMB is added to Guardrails.MemoryRatio, so that small processes do not exceed it.
+// memoryMarginMB is added to the memory limit that follows from Guardrails.MemoryRatio, so
+// that small processes do not exceed it.
 const memoryMarginMB = 16
 
-// checkRouters looks at the routers in the plan's order, and returns the first guardrail
-// that one exceeds, or that one has fallen silent. Nothing is checked once all routers
-// have the new generation or return to the old one: no decision would follow.
+// checkRouters checks the routers in the plan's order and returns the first condition that
+// it finds: guardrailExceeded, or setsOutdated for a silent router. Nothing is checked once
+// all routers have the new generation or the rollout is rolling back, where a guardrail
+// causes no transition.
 func (l *leader) checkRouters(n *Node, s *State) (condition, string) {
 	if s.Phase == PhaseRollingBack || s.Phase == PhaseDone {
 		return conditionNone, ""
 	}
-	alsoByUnchanged := l.violatedByUnchanged(s)
+	violatedByUnchanged := l.violatedByUnchanged(s)
 	for i := range l.routers {
-		if reason := l.exceededGuardrail(n, s, i, alsoByUnchanged); reason != "" {
+		if reason := l.exceededGuardrail(n, s, i, violatedByUnchanged); reason != "" {
 			return guardrailExceeded, reason
 		}
 		silent := l.silent(n, i)
@@ -25,30 +27,32 @@
 	return conditionNone, ""
 }
 
-// exceededGuardrail returns why a router stops the rollout by itself; "": it does not.
-func (l *leader) exceededGuardrail(n *Node, s *State, i int, alsoByUnchanged uint8) string {
-	r := &l.routers[i]
+// exceededGuardrail returns the reason why a single router stops the rollout, and "" if it
+// does not.
+func (l *leader) exceededGuardrail(n *Node, s *State, i int, violatedByUnchanged uint8) string {
+	router := &l.routers[i]
 	name := n.plan.Routers[i].Name
-	if r.report.RunID == s.RunID && r.report.FailureReason != "" {
-		return fmt.Sprintf("%s did not change, or went back by itself: %s", name, r.report.FailureReason)
+	if router.report.RunID == s.RunID && router.report.FailureReason != "" {
+		return fmt.Sprintf("%s did not change, or rolled back by itself: %s", name, router.report.FailureReason)
 	}
-	if !s.Changed.Has(i) || !r.report.Upgraded {
+	if !s.Changed.Has(i) || !router.report.Upgraded {
 		return ""
 	}
-	if r.report.Restarts > r.restartsAtChange {
-		return fmt.Sprintf("%s has died and was started again", name)
+	if router.report.Restarts > router.restartsAtChange {
+		return fmt.Sprintf("the process of %s ended unexpectedly and was restarted", name)
 	}
-	if r.memoryBeforeChangeMB > 0 && r.report.MemoryMB > n.plan.Guardrails.MemoryRatio*r.memoryBeforeChangeMB+memoryMarginMB {
-		return fmt.Sprintf("%s takes %.0f MB, %.0f before", name, r.report.MemoryMB, r.memoryBeforeChangeMB)
+	if router.memoryBeforeChangeMB > 0 &&
+		router.report.MemoryMB > n.plan.Guardrails.MemoryRatio*router.memoryBeforeChangeMB+memoryMarginMB {
+		return fmt.Sprintf("%s uses %.0f MB of memory, %.0f MB before the change", name, router.report.MemoryMB, router.memoryBeforeChangeMB)
 	}
-	if n.checks.newViolations(r.report.ViolatedRules, alsoByUnchanged) != 0 {
-		return fmt.Sprintf("%s breaks %s", name, r.report.FirstViolation)
+	if n.checks.newViolations(router.report.ViolatedRules, violatedByUnchanged) != 0 {
+		return fmt.Sprintf("%s breaks %s", name, router.report.FirstViolation)
 	}
 	return ""
 }
 
-// violatedByUnchanged returns the rules that some router with the old generation
-// violates: they are no fault of the change.
+// violatedByUnchanged returns the rules that some router with the old generation violates.
+// The change is not the cause of these violations.
 func (l *leader) violatedByUnchanged(s *State) (rules uint8) {
 	for i := range l.routers {
 		report := &l.routers[i].report
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -202,7 +202,7 @@
 		f.runFor(50)
 		v, _ := f.nodes[4].View()
 		paused := f.phase() == PhasePaused
-		reasonNamed := strings.Contains(v.Reason, "a1 was told of 0 drains")
+		reasonNamed := strings.Contains(v.Reason, "a1 was notified of 0 drains")
 		if paused == notified || !notified && !reasonNamed || notified && v.Stage == 0 {
 			t.Errorf("notified %v: %v at stage %d, %s", notified, f.phase(), v.Stage, v.Reason)
 		}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -2,49 +2,49 @@
 
 import "quilldoor/internal/canary"
 
-// Status is what a router shows to people about the rollout.
+// Status is the state of the rollout as known to one router, for status pages and commands.
 type Status struct {
 	Plan   string `cbor:"1,keyasint,omitempty" json:"plan"`             // the plan's name
 	Digest uint64 `cbor:"2,keyasint,omitempty" json:"digest,string"`    // Plan.Digest
 	Phase  string `cbor:"3,keyasint,omitempty" json:"way"`              // Phase.String
 	Stage  int    `cbor:"4,keyasint,omitempty" json:"stage"`            // from 1
 	Stages int    `cbor:"5,keyasint,omitempty" json:"stages"`           // in the plan
-	Reason string `cbor:"6,keyasint,omitempty" json:"why,omitempty"`    // why the phase or stage is what it is
-	AgeMS  int64  `cbor:"7,keyasint,omitempty" json:"age_ms"`           // of the decided state as known here; -1: none is known
-	Seq    uint64 `cbor:"8,keyasint,omitempty" json:"seq"`              // of the decided state
-	Leader string `cbor:"9,keyasint,omitempty" json:"leader,omitempty"` // name of the router that leads, as known here; "": none is known
-	// IsLeader: this router leads now. Only a leader knows the reports of the routers and
-	// the fields from Verdict to Bounds, and those only while it watches a stage. Verdict
-	// is a canary.Verdict's name, a colon and its reason; WatchMS how long it has watched.
+	Reason string `cbor:"6,keyasint,omitempty" json:"why,omitempty"`    // State.Reason
+	AgeMS  int64  `cbor:"7,keyasint,omitempty" json:"age_ms"`           // age of the last known decided state; -1: none is known
+	Seq    uint64 `cbor:"8,keyasint,omitempty" json:"seq"`              // of that state
+	Leader string `cbor:"9,keyasint,omitempty" json:"leader,omitempty"` // name of the last known leader; "": none is known
+	// IsLeader reports whether this router is the leader. Only a leader sets the routers'
+	// reports, and the fields from Verdict to Bounds while it watches a stage. Verdict is a
+	// canary.Verdict's name, a colon and its reason; WatchMS is the duration of the watch.
 	IsLeader   bool             `cbor:"10,keyasint,omitempty" json:"leads"`
 	Routers    []RouterStatus   `cbor:"11,keyasint,omitempty" json:"routers"` // in the plan's order
 	Verdict    string           `cbor:"12,keyasint,omitempty" json:"say,omitempty"`
 	WatchMS    int64            `cbor:"13,keyasint,omitempty" json:"watch_ms"`
 	Bounds     []MetricInterval `cbor:"14,keyasint,omitempty" json:"bounds,omitempty"`
-	Recovering bool             `cbor:"15,keyasint,omitempty" json:"lost"` // it has lost its durable state and asks the others
+	Recovering bool             `cbor:"15,keyasint,omitempty" json:"lost"` // this router lost its durable state and requests that of the others
 }
 
-// RouterStatus is a router's part of a Status.
+// RouterStatus is the status of one router of the plan.
 type RouterStatus struct {
 	Name     string `cbor:"1,keyasint" json:"name"`
 	Office   string `cbor:"2,keyasint" json:"office"`
-	Activity string `cbor:"3,keyasint,omitempty" json:"does"`     // old, changes, silent (passed over) or new
-	HeardMS  int64  `cbor:"4,keyasint,omitempty" json:"heard_ms"` // since its last report; set by a leader
+	Activity string `cbor:"3,keyasint,omitempty" json:"does"`     // old, changes, silent (skipped) or new
+	HeardMS  int64  `cbor:"4,keyasint,omitempty" json:"heard_ms"` // time since its last report; set by a leader
 	Report   Report `cbor:"5,keyasint,omitempty" json:"report"`   // set by a leader
 }
 
 // Values of RouterStatus.Activity.
 const (
-	activityOld      = "old"     // it has the old generation
-	activityChanging = "changes" // it is in the batch
-	activitySilent   = "silent"  // it was passed over
-	activityNew      = "new"     // it has the new generation
+	activityOld      = "old"     // has the old generation
+	activityChanging = "changes" // is in the batch
+	activitySilent   = "silent"  // was skipped
+	activityNew      = "new"     // has the new generation
 )
 
-// MetricInterval is the confidence interval of a metric's difference, new less old, with
-// its samples.
+// MetricInterval is the confidence interval of a metric's difference, new generation minus
+// old, with its samples.
 type MetricInterval struct {
-	Metric    string    `cbor:"1,keyasint" json:"figure"` // a canary.Metric's name, or MetricLoss's of a class
+	Metric    string    `cbor:"1,keyasint" json:"figure"` // a canary.Metric's name, or MetricLoss's name and a traffic class
 	Tolerance float64   `cbor:"2,keyasint" json:"bears"`  // the stage stops once Low is above it
 	Mean      float64   `cbor:"3,keyasint" json:"mean"`   // in the metric's unit
 	Low       float64   `cbor:"4,keyasint" json:"low"`
@@ -52,7 +52,7 @@
 	Samples   []float64 `cbor:"6,keyasint,omitempty" json:"moments,omitempty"` // the latest ones, 600 at most
 }
 
-// Status returns what this router knows of the rollout.
+// Status returns the status of the rollout as known to this router.
 func (n *Node) Status() *Status {
 	view, age := n.View()
 	status := &Status{
@@ -100,7 +100,8 @@
 	return s
 }
 
-// addWatchStatus adds the canary analysis of the stage that is watched.
+// addWatchStatus adds the verdict and the intervals of the canary analysis while a stage is
+// watched.
 func (l *leader) addWatchStatus(n *Node, s *Status) {
 	analyzer := l.watch.analyzer
 	if analyzer == nil {
@@ -118,7 +119,8 @@
 	}
 }
 
-// addInterval adds a metric that has an interval, with its latest samples.
+// addInterval adds a metric's interval and its latest samples, if there are enough samples
+// for an interval.
 func (s *Status) addInterval(metric string, tolerance float64, interval canary.Interval, samples []float64) {
 	const maxSamples = 600
 	if interval.Samples < 2 {
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -1,6 +1,7 @@
 package rollout
 
-// condition is what the leader finds of the fleet. It finds the first that holds.
+// condition is an operator's command or the state of the fleet, as found by the leader. Of
+// several that hold, findCondition returns the first that it checks.
 type condition uint8
 
 const (
@@ -9,19 +10,19 @@
 	pauseOrdered                 // by the operator
 	resumeOrdered                // by the operator
 	startOrdered                 // by the operator
-	guardrailExceeded            // a limit that needs no statistics
-	setsOutdated                 // Batch, Changed or Skipped no longer fit what the routers report
+	guardrailExceeded            // a router has failed, or exceeds a limit that needs no statistics
+	setsOutdated                 // Batch, Changed or Skipped no longer match the routers' reports
 	batchInProgress              // the batch is changing
-	batchAvailable               // routers are to change and can
-	canaryWorse                  // the new generation is worse
-	stagePassed                  // nothing speaks against the new generation, or all are back
-	canaryInconclusive           // the time to watch is over, and nothing is shown
+	batchAvailable               // routers have yet to change, and some are ready
+	canaryWorse                  // a metric of the new generation is worse than tolerated
+	stagePassed                  // the stage has shown the new generation to be no worse; outside PhaseForward: no router has yet to change
+	canaryInconclusive           // the watch has ended without a result
 )
 
-// transition is what follows from a condition in a phase.
+// transition is the change of state that a condition causes in a phase.
 type transition struct {
 	next  Phase
-	apply func(*leader, *Node, *State) // nil: nothing else changes
+	apply func(*leader, *Node, *State) // nil: only the phase and the reason change
 }
 
 type transitionKey struct {
@@ -59,19 +60,20 @@
 	{PhaseRollingBack, stagePassed}:    {PhaseRolledBack, nil},
 }
 
-// nextState returns the state that follows the decided one; the same Seq: none does.
+// nextState returns the state to propose after the decided one, or the decided state itself
+// if nothing is to change.
 func (l *leader) nextState(n *Node) State {
 	found := l.pendingCondition
 	reason := l.pendingReason
 	if !l.rollbackPending {
 		found, reason = l.findCondition(n)
 	}
-	t, ok := transitions[transitionKey{l.decided.Phase, found}]
+	step, ok := transitions[transitionKey{l.decided.Phase, found}]
 	if !ok {
 		return l.decided
 	}
 	next := l.decided
-	next.Phase = t.next
+	next.Phase = step.next
 	if reason != "" {
 		next.Reason = reason
 	}
@@ -81,8 +83,8 @@
 	case found == canaryInconclusive && n.plan.OnInconclusive == ReactionRollBack:
 		next.Phase = PhaseRollingBack
 		l.rollBack(n, &next)
-	case t.apply != nil:
-		t.apply(l, n, &next)
+	case step.apply != nil:
+		step.apply(l, n, &next)
 	}
 	beginsRollback := next.Phase == PhaseRollingBack && l.decided.Phase != PhaseRollingBack
 	if beginsRollback && !n.checks.forwardPermitsExpired(n.now-l.lastForwardPermitAt) {
@@ -96,7 +98,8 @@
 	return next
 }
 
-// findCondition returns the condition that holds, and the reason to show for it.
+// findCondition returns the first condition that holds, and its reason as text for
+// operators.
 func (l *leader) findCondition(n *Node) (condition, string) {
 	if found, reason := nextCommand(n); found != conditionNone {
 		return found, reason
@@ -121,7 +124,7 @@
 		return batchAvailable, ""
 	}
 	if l.anyDue(n, decided) {
-		return conditionNone, "" // none of them can change now
+		return conditionNone, "" // no router that has yet to change is ready
 	}
 	if decided.Phase != PhaseForward {
 		return stagePassed, ""
@@ -129,7 +132,8 @@
 	return l.watchStage(n, decided)
 }
 
-// nextCommand takes the oldest command of the operator.
+// nextCommand removes the operator's oldest command from the queue and returns its
+// condition.
 func nextCommand(n *Node) (condition, string) {
 	if len(n.commands) == 0 {
 		return conditionNone, ""
@@ -149,13 +153,14 @@
 	return conditionNone, ""
 }
 
-// start begins a run.
+// start begins a run of the plan, with a new RunID.
 func (l *leader) start(n *Node, s *State) {
 	*s = State{Seq: s.Seq, Plan: n.plan.Digest, Phase: PhaseForward, RunID: n.newNonce()}
 	l.watch.startedAt = 0
 }
 
-// rollBack counts the batch as changed: its routers may have begun.
+// rollBack adds the batch to the changed routers, since its routers may have begun to
+// change, and clears the batch.
 func (l *leader) rollBack(_ *Node, s *State) {
 	for i := range l.routers {
 		if s.Batch.Has(i) {
@@ -167,7 +172,7 @@
 
 func (l *leader) startBatch(n *Node, s *State) { s.Batch = l.nextBatch(n, s) }
 
-// passStage goes on to the next stage, or ends the rollout after the last.
+// passStage starts the next stage, or completes the rollout after the last stage.
 func (l *leader) passStage(n *Node, s *State) {
 	l.watch.previousFleetLosses = l.watch.fleetLosses
 	if s.Stage+1 >= len(n.plan.Stages) {
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -6,26 +6,28 @@
 	"quilldoor/internal/canary"
 )
 
-// sampleInterval is the time between two samples of the canary analysis, microseconds.
+// sampleInterval is the time between two samples of the canary analysis, in microseconds.
 const sampleInterval = second
 
-// maxFleetSamples bounds the memory of a watch: hours of samples.
+// maxFleetSamples bounds the memory of a watch. It covers several hours of samples.
 const maxFleetSamples = 20_000
 
-// stageWatch compares changed and unchanged routers once all of a stage have changed.
+// stageWatch compares changed and unchanged routers once all routers of a stage have
+// changed.
 type stageWatch struct {
-	startedAt     int64            // 0: not all of the stage have changed
+	startedAt     int64            // 0: not started
 	analyzer      *canary.Analyzer // nil: no stage is watched
 	sampledAt     int64
 	verdict       canary.Verdict
 	verdictReason string
-	// Losses of all routers together, by samples: of this watch, and of the one before
-	// if the same router led then.
+	// Loss of all routers together, one value for each sample: of this watch, and of the
+	// previous stage's if the same router was leader then.
 	fleetLosses         []float64
 	previousFleetLosses []float64
 }
 
-// stop ends the watch: each decided state may change the fleet.
+// stop ends the watch. It is called on each newly decided state, since the fleet may
+// change.
 func (w *stageWatch) stop() {
 	w.startedAt = 0
 	w.analyzer = nil
@@ -45,8 +47,8 @@
 	}
 }
 
-// sample gives the analyzer what routers have done since the last sample. Those that are
-// changing, unreachable, or changed shortly before are left out.
+// sample passes the routers' counts since the last sample to the analyzer. Routers that are
+// changing, are unreachable or have changed recently are left out.
 func (l *leader) sample(n *Node) {
 	watch := &l.watch
 	if watch.analyzer == nil || watch.startedAt == 0 || n.now-watch.sampledAt < sampleInterval {
@@ -62,7 +64,7 @@
 			continue
 		}
 		counts := router.report.Counts.Minus(router.sampledCounts)
-		if router.sampledAt > 0 && counts.Requests >= 0 { // fewer than before: its counts began anew
+		if router.sampledAt > 0 && counts.Requests >= 0 { // negative: the router's counts were reset
 			watch.analyzer.Observe(n.plan.Routers[i].Office, router.report.Upgraded, counts)
 			fleet.Requests += counts.Requests
 			fleet.WeightOffered += counts.WeightOffered
@@ -79,25 +81,26 @@
 	watch.verdict, watch.verdictReason = watch.analyzer.Verdict()
 }
 
-// watchStage returns what the watch of a stage has shown, and begins it if need be.
+// watchStage starts the watch of a stage, or returns the condition that follows from the
+// watch.
 func (l *leader) watchStage(n *Node, s *State) (condition, string) {
 	if l.watch.startedAt == 0 {
 		l.startWatch(n)
 		return conditionNone, ""
 	}
 	stage := &n.plan.Stages[s.Stage]
-	watched := n.now - l.watch.startedAt
+	watchDuration := n.now - l.watch.startedAt
 	if l.watch.verdict == canary.VerdictWorse {
 		return canaryWorse, l.watch.verdictReason
 	}
-	if watched < secondsToMicros(stage.MinWatchSeconds) {
+	if watchDuration < secondsToMicros(stage.MinWatchSeconds) {
 		return conditionNone, ""
 	}
 	missing := l.missingEvents(n, s, stage)
 	if l.watch.verdict == canary.VerdictPass && missing == "" {
 		return stagePassed, l.watch.verdictReason
 	}
-	if watched <= secondsToMicros(stage.MaxWatchSeconds) {
+	if watchDuration <= secondsToMicros(stage.MaxWatchSeconds) {
 		return conditionNone, ""
 	}
 	if missing != "" {
@@ -106,45 +109,47 @@
 	if l.unchangedCount(s) > 0 {
 		return canaryInconclusive, "can't tell: " + l.watch.verdictReason
 	}
-	// No unchanged router is left to compare with: the guardrails and the fleet's own
-	// past are all there is.
+	// No unchanged router is left to compare with. Only the guardrails, and the fleet's loss
+	// before the stage, can still show that the new generation is worse.
 	if regression := l.fleetRegression(n); regression != "" {
 		return canaryInconclusive, regression
 	}
-	return stagePassed, "no unchanged router is left to compare with, no guardrail was exceeded"
+	return stagePassed, "no unchanged router is left to compare with, and no guardrail was exceeded"
 }
 
-// fleetRegression says by how much all routers together lose more than before the last
-// stage; "": they do not. That it began with the change proves nothing, so it pauses the
-// rollout and does not roll it back.
+// fleetRegression returns a reason if the loss of all routers together has risen since the
+// watch of the previous stage, and "" otherwise. The rise may have another cause than the
+// change, so it counts as inconclusive and not as worse.
 func (l *leader) fleetRegression(n *Node) string {
-	by, regressed := canary.FleetRegressed(
+	excess, regressed := canary.FleetRegressed(
 		n.plan.CanarySettings(), len(n.plan.Stages), l.watch.previousFleetLosses, l.watch.fleetLosses)
 	if !regressed {
 		return ""
 	}
-	return fmt.Sprintf("can't tell: all are new, and lose at least %.4f more than while some were old", by)
+	return fmt.Sprintf("can't tell: all routers have the new generation and lose at least %.4f more than while some had the old one", excess)
 }
 
-// missingEvents names a changed router that was notified of fewer drains or purges than
-// the stage asks for; "": none. One that ignores them shows it only then.
+// missingEvents returns a reason if a changed router was notified of fewer drains or purges
+// than the stage requires, and "" otherwise. A generation that ignores these events can be
+// detected only once they have occurred.
 func (l *leader) missingEvents(n *Node, s *State, stage *Stage) string {
 	for i := range l.routers {
 		if !s.Changed.Has(i) || s.Skipped.Has(i) {
 			continue
 		}
-		r := &l.routers[i]
-		drains := r.report.DrainsSeen - r.drainsAtWatchStart
-		purges := r.report.PurgesSeen - r.purgesAtWatchStart
+		router := &l.routers[i]
+		drains := router.report.DrainsSeen - router.drainsAtWatchStart
+		purges := router.report.PurgesSeen - router.purgesAtWatchStart
 		if drains < stage.MinDrains || purges < stage.MinPurges {
-			return fmt.Sprintf("%s was told of %d drains and %d purges, %d and %d are wanted",
+			return fmt.Sprintf("%s was notified of %d drains and %d purges, %d and %d are required",
 				n.plan.Routers[i].Name, max(drains, 0), max(purges, 0), stage.MinDrains, stage.MinPurges)
 		}
 	}
 	return ""
 }
 
-// unchangedCount counts the reachable routers with the old generation.
+// unchangedCount returns the number of routers with the old generation that are not
+// skipped.
 func (l *leader) unchangedCount(s *State) (count int) {
 	for i := range l.routers {
 		if !s.Changed.Has(i) && !s.Skipped.Has(i) {
