--- a/internal/rollout/codec_test.go
+++ b/internal/rollout/codec_test.go
@@ -20,15 +20,16 @@
 	} {
 		encoded, err := Encode(m)
 		if err != nil || !bytes.HasPrefix(encoded, MessagePrefix) {
-			t.Fatalf("%+v: %x, %v", m, encoded, err)
+			t.Fatalf("encoding %+v: %x, %v", m, encoded, err)
 		}
 		if got, err := Decode(encoded); err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v: %+v, %v", m, got, err)
+			t.Errorf("decoded %+v, %v, want %+v", got, err, m)
 		}
 	}
 }
 
-// A message is one datagram: long texts are cut, and counts of classes left out.
+// Guards against messages that do not fit into one datagram: long texts are cut, and the
+// counts of traffic classes are omitted.
 func TestLongMessagesAreShortened(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	report := Report{FailureReason: long, FirstViolation: long, Counts: canary.Counts{Requests: 1, Classes: map[string]canary.ClassCounts{}}}
@@ -38,7 +39,7 @@
 	m := &Message{Kind: KindPoll, Plan: 7, State: &State{Seq: 1, Reason: long}, Report: &report}
 	encoded, err := Encode(m)
 	if err != nil || len(encoded) > maxMessageBytes {
-		t.Fatal(len(encoded), err)
+		t.Fatalf("encoded to %d bytes, %v, want %d at most", len(encoded), err, maxMessageBytes)
 	}
 	got, err := Decode(encoded)
 	if err != nil {
@@ -46,10 +47,10 @@
 	}
 	if len(got.State.Reason) != maxReasonBytes || len(got.Report.FailureReason) != maxReasonBytes ||
 		len(got.Report.FirstViolation) != maxReasonBytes || got.Report.Counts.Classes != nil || got.Report.Counts.Requests != 1 {
-		t.Errorf("%+v, %+v", got.State, got.Report)
+		t.Errorf("decoded state %+v, report %+v", got.State, got.Report)
 	}
 	if m.State.Reason != long || m.Report.FailureReason != long || len(m.Report.Counts.Classes) != canary.MaxClasses {
-		t.Error("the message itself was changed")
+		t.Error("Encode changed its argument")
 	}
 }
 
@@ -73,7 +74,7 @@
 		"negative stage": encode(&Message{Kind: KindAccept, State: &State{Stage: -1}}),
 	} {
 		if m, err := Decode(body); !errors.Is(err, ErrMalformedMessage) {
-			t.Errorf("%s: %+v, %v", name, m, err)
+			t.Errorf("%s: decoded %+v, %v, want ErrMalformedMessage", name, m, err)
 		}
 	}
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -20,23 +20,23 @@
 guards: {most_loss: 0.1, loss: 0.02, refusals: 0.02, failures: 0.02}
 `
 
-// variant is a protocol that a test weakens. The zero one is the protocol itself.
+// variant is a weakened variant of the protocol. The zero variant is the protocol itself.
 type variant struct {
-	weaken func(*safetyChecks) // nil: nothing
-	// A candidate promises itself its term before a quorum has.
+	weaken func(*safetyChecks) // nil: no check is weakened
+	// A candidate promises its own term before a quorum has promised it.
 	promisesItselfFirst bool
 }
 
-func (v *variant) newNode(p *Plan, name string, d *Durable, random *rand.Rand, now int64) *Node {
-	n := NewNode(p, name, d, random, now)
+func (v *variant) newNode(plan *Plan, name string, durable *Durable, random *rand.Rand, now int64) *Node {
+	n := NewNode(plan, name, durable, random, now)
 	if v.weaken != nil {
 		v.weaken(&n.checks)
 	}
 	return n
 }
 
-// fleet is a plan's routers on a virtual clock, with a network that loses, delays and
-// is partitioned.
+// fleet simulates a plan's routers on a virtual clock, with a network that loses and delays
+// messages and can be partitioned.
 type fleet struct {
 	plan    *Plan
 	now     int64
@@ -45,26 +45,26 @@
 
 	nodes   []*Node // nil: not running
 	routers []simRouter
-	disks   []*Durable // nil: lost
-	// keepsDisks: a router that stops keeps what it has stored.
+	disks   []*Durable // nil: the durable state is lost
+	// keepsDisks is whether a router that stops keeps its durable state.
 	keepsDisks bool
 
-	partition func(from, to int) bool // nil: none
+	partition func(from, to int) bool // reports whether a link is cut; nil: none is
 	lossRate  float64
 	maxDelay  int64
 	inFlight  []delivery
 
-	newGenerationLoss float64 // share of its requests that the new generation loses
+	newGenerationLoss float64 // share of its requests that a router with the new generation loses
 
 	startedChanges []startedChange
-	maxConcurrent  int // forward changes at the same time in an office
+	maxConcurrent  int // highest number of concurrent upgrades in an office
 	violations     []string
-	// majorityLost: a majority was without durable state at the same time, which no
-	// protocol can make up for.
+	// majorityLost is whether a majority has been without durable state at the same time.
+	// No protocol can recover from that.
 	majorityLost bool
 }
 
-// simRouter is a router's process and machine.
+// simRouter is the simulated process and machine of a router.
 type simRouter struct {
 	up, frozen         bool
 	upgraded, changing bool
@@ -86,7 +86,7 @@
 	message  *Message
 }
 
-// startedChange is a change that a router has begun.
+// startedChange records that a router has begun a change.
 type startedChange struct {
 	router int
 	toNew  bool
@@ -100,12 +100,12 @@
 
 func newFleetOf(t *testing.T, planText string, seed uint64, v variant) *fleet {
 	t.Helper()
-	p, err := ParsePlan("plan.yaml", []byte(planText))
+	plan, err := ParsePlan("plan.yaml", []byte(planText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{plan: p, now: second, random: rand.New(rand.NewPCG(seed, 11)), variant: v, keepsDisks: true}
-	for i := range p.Routers {
+	f := &fleet{plan: plan, now: second, random: rand.New(rand.NewPCG(seed, 11)), variant: v, keepsDisks: true}
+	for i := range plan.Routers {
 		f.routers = append(f.routers, simRouter{
 			clockRate:   0.96 + 0.08*f.random.Float64(),
 			clockOffset: f.random.Int64N(1000 * second),
@@ -117,7 +117,7 @@
 	return f
 }
 
-// clock returns a router's own time: no two show the same, nor run at the same rate.
+// clock returns a router's own time. The clocks of routers differ in offset and in rate.
 func (f *fleet) clock(i int) int64 {
 	r := &f.routers[i]
 	return r.clockOffset + int64(float64(f.now)*r.clockRate)
@@ -126,7 +126,7 @@
 func (f *fleet) startRouter(i int) {
 	r := &f.routers[i]
 	r.up, r.frozen = true, false
-	if f.disks[i] == nil { // the settled generation is lost as well
+	if f.disks[i] == nil { // the record of the settled generation is lost as well
 		r.upgraded, r.runID, r.failureReason = false, 0, ""
 	}
 	r.changing = false // the supervisor returns to the settled generation
@@ -136,8 +136,8 @@
 
 func (f *fleet) stopRouter(i int) {
 	f.routers[i].up = false
-	if d := f.nodes[i].Durable; f.keepsDisks && !f.nodes[i].recovering() {
-		f.disks[i] = &d
+	if durable := f.nodes[i].Durable; f.keepsDisks && !f.nodes[i].recovering() {
+		f.disks[i] = &durable
 	} else {
 		f.disks[i] = nil
 	}
@@ -151,19 +151,19 @@
 	f.majorityLost = f.majorityLost || 2*lost > len(f.nodes)
 }
 
-func (f *fleet) command(i int, c Command) { f.nodes[i].Command(f.clock(i), c) }
+func (f *fleet) command(i int, command Command) { f.nodes[i].Command(f.clock(i), command) }
 
 func (f *fleet) send(from int, out []Outgoing) {
-	for _, o := range out {
-		if f.partition != nil && f.partition(from, o.To) || f.random.Float64() < f.lossRate {
+	for _, outgoing := range out {
+		if f.partition != nil && f.partition(from, outgoing.To) || f.random.Float64() < f.lossRate {
 			continue
 		}
 		at := f.now + 5*millisecond + f.random.Int64N(f.maxDelay+1)
-		f.inFlight = append(f.inFlight, delivery{at, from, o.To, o.Message})
+		f.inFlight = append(f.inFlight, delivery{at, from, outgoing.To, outgoing.Message})
 	}
 }
 
-// step plays 50 ms.
+// step advances the simulation by 50 ms.
 func (f *fleet) step() {
 	f.now += 50 * millisecond
 	f.deliver()
@@ -209,8 +209,8 @@
 	target := n.Target(f.clock(i))
 	failedBefore := target.New && r.failureReason != ""
 	if target.MayStart && !r.changing && target.New != r.upgraded && !failedBefore {
-		if v, _ := n.View(); !target.New && v.Phase == PhaseForward {
-			r.failureReason = "cut off"
+		if view, _ := n.View(); !target.New && view.Phase == PhaseForward {
+			r.failureReason = "isolated"
 		}
 		f.startChange(i, target.New)
 	}
@@ -227,30 +227,33 @@
 	}
 }
 
-// startChange lets a router change, and checks that it may.
+// startChange starts a router's change. It records a violation if the router upgrades after
+// a rollback of its run was decided.
 func (f *fleet) startChange(i int, toNew bool) {
 	r := &f.routers[i]
-	v, _ := f.nodes[i].View()
-	r.changing, r.changingToNew, r.changeEndsAt, r.runID = true, toNew, f.now+second, v.RunID
-	f.startedChanges = append(f.startedChanges, startedChange{i, toNew, v.Seq})
+	view, _ := f.nodes[i].View()
+	r.changing, r.changingToNew, r.changeEndsAt, r.runID = true, toNew, f.now+second, view.RunID
+	f.startedChanges = append(f.startedChanges, startedChange{i, toNew, view.Seq})
 	if !toNew {
 		return
 	}
-	// No leader has decided to roll this run back, and no router has acted on that.
+	// No leader may have decided to roll back this run in a later state, and no router may
+	// have begun to roll back on a later state.
 	for j, n := range f.nodes {
 		if n == nil || n.leader == nil || !n.leader.hasDecided {
 			continue
 		}
-		d := n.leader.decided
-		rolledBack := d.Phase == PhaseRollingBack || d.Phase == PhaseRolledBack
-		if rolledBack && d.Seq > v.Seq && d.RunID == v.RunID {
-			f.recordViolation("%s goes forward by %d while %s has decided to go back by %d",
-				f.plan.Routers[i].Name, v.Seq, f.plan.Routers[j].Name, d.Seq)
+		decided := n.leader.decided
+		rolledBack := decided.Phase == PhaseRollingBack || decided.Phase == PhaseRolledBack
+		if rolledBack && decided.Seq > view.Seq && decided.RunID == view.RunID {
+			f.recordViolation("%s upgrades on state %d after %s has decided in state %d to roll back",
+				f.plan.Routers[i].Name, view.Seq, f.plan.Routers[j].Name, decided.Seq)
 		}
 	}
-	for _, b := range f.startedChanges {
-		if !b.toNew && b.seq > v.Seq {
-			f.recordViolation("%s goes forward by %d after a router went back by %d", f.plan.Routers[i].Name, v.Seq, b.seq)
+	for _, change := range f.startedChanges {
+		if !change.toNew && change.seq > view.Seq {
+			f.recordViolation("%s upgrades on state %d after a router has begun to roll back on state %d",
+				f.plan.Routers[i].Name, view.Seq, change.seq)
 		}
 	}
 }
@@ -261,6 +264,8 @@
 	}
 }
 
+// checkConcurrency records a violation if more routers of an office upgrade at the same time
+// than the plan allows.
 func (f *fleet) checkConcurrency() {
 	changing := map[string]int{}
 	for i := range f.routers {
@@ -271,32 +276,34 @@
 	}
 	for office, count := range changing {
 		if count > f.plan.MaxConcurrent {
-			f.recordViolation("%d of office %s change at once", count, office)
+			f.recordViolation("%d routers of office %s change at the same time, %d are allowed", count, office, f.plan.MaxConcurrent)
 		}
 	}
 }
 
+// runFor advances the simulation by a number of seconds.
 func (f *fleet) runFor(seconds float64) {
 	for end := f.now + int64(seconds*1e6); f.now < end; {
 		f.step()
 	}
 }
 
-// views returns what each router knows of the rollout, and how many have the new generation.
+// views describes the view of each running router, and returns how many routers have the new
+// generation.
 func (f *fleet) views() (list []string, upgraded int) {
 	for i, n := range f.nodes {
 		if f.routers[i].upgraded {
 			upgraded++
 		}
 		if n != nil {
-			v, _ := n.View()
-			list = append(list, fmt.Sprintf("%s %v %d/%d", f.plan.Routers[i].Name, v.Phase, v.Stage, v.Seq))
+			view, _ := n.View()
+			list = append(list, fmt.Sprintf("%s: %v, stage %d, state %d", f.plan.Routers[i].Name, view.Phase, view.Stage, view.Seq))
 		}
 	}
 	return list, upgraded
 }
 
-// phase is the leader's.
+// phase returns the phase that the leader has decided; PhaseNone without a leader.
 func (f *fleet) phase() Phase {
 	phase := PhaseNone
 	for _, n := range f.nodes {
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -56,7 +56,8 @@
 	PurgesSeen     int    `cbor:"12,keyasint,omitempty" json:"Purges"` // purges its supervisor was notified of
 }
 
-// Command is an operator's command to a rollout. Its number is sent in messages.
+// Command is an operator's command to a rollout. Its number is sent in messages; 0 is no
+// command.
 type Command uint8
 
 // Commands of an operator. A command that does not apply to the phase has no effect.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -30,8 +30,8 @@
 	OnWorse        Reaction `yaml:"on_worse"`  // back or hold; "": back
 	OnInconclusive Reaction `yaml:"on_unsure"` // hold or back; "": hold
 	OnIsolated     Reaction `yaml:"cut_off"`   // back or keep; "": back
-	// SilentSeconds is the time without a report after which a router is skipped, 15 to
-	// 3600; 0: 30. A short time skips routers that are only restarting; a long time delays
+	// SilentSeconds is the time without a report after which a router that is changing or has
+	// changed is skipped, 15 to 3600; 0: 30. A short time skips routers that are only restarting; a long time delays
 	// each stage that has a dead router.
 	SilentSeconds float64    `yaml:"silent_s"`
 	Guardrails    Guardrails `yaml:"guards"`
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestPlanErrorsNameTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, tc := range []struct{ old, replacement, want string }{
 		{"name: small", "name: ''", "name: missing"},
 		{"program: /opt/new", "operator: ''", "program: at least one of program, config and operator is required"},
 		{"program: /opt/new", "program: opt/new", "program: \"opt/new\" is not an absolute path"},
@@ -29,12 +29,12 @@
 		{"on_unsure: back", "on_unsure: keep", "on_unsure: \"keep\" is neither hold nor back"},
 		{"silent_s: 15", "cut_off: hold", "cut_off: \"hold\" is neither back nor keep"},
 	} {
-		if !strings.Contains(threeRouterPlan, c.old) {
-			t.Fatalf("%q is not in the plan", c.old)
+		if !strings.Contains(threeRouterPlan, tc.old) {
+			t.Fatalf("threeRouterPlan does not contain %q", tc.old)
 		}
-		_, err := ParsePlan("f", []byte(strings.Replace(threeRouterPlan, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), ": "+c.want) {
-			t.Errorf("%q: %v, want %q", c.new, err, c.want)
+		_, err := ParsePlan("f", []byte(strings.Replace(threeRouterPlan, tc.old, tc.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), ": "+tc.want) {
+			t.Errorf("plan with %q: error %v, want %q", tc.replacement, err, tc.want)
 		}
 	}
 }
@@ -65,11 +65,11 @@
 		},
 	}
 	if !reflect.DeepEqual(p, want) {
-		t.Errorf("%+v", p)
+		t.Errorf("plan %+v, want %+v", p, want)
 	}
 }
 
-// A share is rounded up in each office and counts the routers of earlier stages.
+// A share is rounded up in each office and includes the routers of earlier stages.
 func TestSharesAreRoundedUpInEachOffice(t *testing.T) {
 	p, err := ParsePlan("f", []byte(sevenRouterPlan))
 	if err != nil {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// A new generation that is the same passes all stages; one that is worse is rolled back
-// at the first, and all have the old one in the end.
+// A new generation that is no different passes all stages. A worse one is rolled back in
+// the first stage, after which all routers have the old generation.
 func TestSamePassesAllStagesAndWorseIsRolledBack(t *testing.T) {
 	f := newFleet(t, sevenRouterPlan, 1)
 	f.command(4, CommandStart)
 	f.runFor(15)
 	if _, upgraded := f.views(); upgraded != 1 || !f.routers[0].upgraded {
-		t.Errorf("after 15 s %d have changed", upgraded)
+		t.Errorf("%d routers are upgraded after 15 s, want only the first", upgraded)
 	}
 	f.runFor(200)
 	if views, upgraded := f.views(); upgraded != 7 || f.phase() != PhaseDone {
-		t.Errorf("%v: %v, %d have changed", f.phase(), views, upgraded)
+		t.Errorf("phase %v, %d routers are upgraded: %v; want done with all 7", f.phase(), upgraded, views)
 	}
 	if f.maxConcurrent != 1 || len(f.violations) > 0 {
-		t.Error(f.maxConcurrent, f.violations)
+		t.Errorf("%d concurrent changes in an office, violations %v", f.maxConcurrent, f.violations)
 	}
 	f = newFleet(t, sevenRouterPlan, 2)
 	f.newGenerationLoss = 0.25
@@ -29,22 +29,23 @@
 	}
 	_, upgraded := f.views()
 	if upgraded != 0 || f.phase() != PhaseRolledBack {
-		t.Errorf("%v, %d have changed", f.phase(), upgraded)
+		t.Errorf("phase %v, %d routers are upgraded, want undone with none", f.phase(), upgraded)
 	}
 	if len(f.startedChanges) != 2 || len(f.violations) > 0 {
-		t.Errorf("%+v, %v", f.startedChanges, f.violations)
+		t.Errorf("changes %+v, violations %v", f.startedChanges, f.violations)
 	}
-	v, _ := f.nodes[3].View()
-	if !strings.Contains(v.Reason, "lost weight") {
-		t.Error(v.Reason)
+	view, _ := f.nodes[3].View()
+	if !strings.Contains(view.Reason, "lost weight") {
+		t.Errorf("reason %q does not name the lost weight", view.Reason)
 	}
 }
 
-// The leader is killed, frozen, partitioned with few and with many, again and again,
-// while messages are lost and late and clocks drift: never two directions, never two
-// changes of an office at once, and an end.
+// The leader is repeatedly stopped, frozen, and partitioned with a minority or a majority,
+// while messages are lost and delayed and clock rates differ. Guards against routers that
+// upgrade after a rollback was decided, two concurrent changes in an office, and a rollout
+// that does not end in one generation.
 func TestRolloutEndsInOneGenerationUnderFaults(t *testing.T) {
-	ends := map[Phase]int{}
+	finalPhases := map[Phase]int{}
 	for seed := range uint64(60) {
 		f := newFleet(t, sevenRouterPlan, seed)
 		f.keepsDisks = seed%3 != 0
@@ -62,24 +63,25 @@
 		f.runFor(320)
 		views, upgraded := f.views()
 		phase := f.phase()
-		ends[phase]++
+		finalPhases[phase]++
 		inOneGeneration := phase == PhaseDone && upgraded == 7 ||
 			phase == PhaseRolledBack && upgraded == 0 ||
-			phase == PhaseNone && upgraded == 0 || // the router that took the command stopped before a decision
+			phase == PhaseNone && upgraded == 0 || // the router with the start command stopped before a decision
 			phase == PhasePaused
 		switch {
 		case len(f.violations) > 0:
-			t.Errorf("seed %d: %v", seed, f.violations)
+			t.Errorf("seed %d: violations %v", seed, f.violations)
 		case !inOneGeneration:
-			t.Errorf("seed %d: %v, %d have changed: %v", seed, phase, upgraded, views)
+			t.Errorf("seed %d: phase %v, %d routers are upgraded: %v", seed, phase, upgraded, views)
 		case phase == PhaseDone && f.newGenerationLoss > 0:
-			t.Errorf("seed %d: a worse one has passed", seed)
+			t.Errorf("seed %d: a worse generation has passed all stages", seed)
 		}
 	}
-	t.Logf("ends: %v", ends)
+	t.Logf("final phases: %v", finalPhases)
 }
 
-// injectFault plays a fault of the leader, or of any router each third time.
+// injectFault simulates a fault of the leader, or every third time of a random router. The
+// fault has ended when it returns.
 func (f *fleet) injectFault(seed uint64, faultNumber int) {
 	i := int(seed % 7)
 	for j, n := range f.nodes {
@@ -103,7 +105,7 @@
 		f.routers[i].frozen = true
 		f.runFor(10)
 		f.routers[i].frozen = false
-	case 2: // with one other, or with most
+	case 2: // partitioned together with one other router, or with a majority
 		side := map[int]bool{i: true}
 		for len(side) < 2+3*f.random.IntN(2) {
 			side[f.random.IntN(7)] = true
@@ -111,7 +113,7 @@
 		f.partition = func(from, to int) bool { return side[from] != side[to] }
 		f.runFor(8 + 10*f.random.Float64())
 		f.partition = nil
-	case 3: // it hears, and is not heard
+	case 3: // receives messages, but none of its own are delivered
 		f.partition = func(from, _ int) bool { return from == i }
 		f.runFor(8)
 		f.partition = nil
@@ -127,8 +129,8 @@
 	}
 }
 
-// Where no router has any durable state, as at the very first, all take part once all
-// have said so; where one alone has lost it, a majority of the others is enough.
+// If no router has durable state, the recovery ends only once all have reported that they
+// lost theirs. If only one has lost it, the replies of a majority of the others suffice.
 func TestRouterWithoutDurableStateRecoversFromOthers(t *testing.T) {
 	f := newFleet(t, sevenRouterPlan, 5)
 	f.keepsDisks = false
@@ -141,14 +143,14 @@
 	f.runFor(5)
 	for i := range f.nodes[1:] {
 		if !f.nodes[i+1].recovering() {
-			t.Errorf("%d takes part, and one is missing", i+1)
+			t.Errorf("router %d has recovered although one router has not replied", i+1)
 		}
 	}
 	f.startRouter(0)
 	f.runFor(5)
 	for i := range f.nodes {
 		if f.nodes[i].recovering() {
-			t.Errorf("%d asks for ever", i)
+			t.Errorf("router %d has not recovered", i)
 		}
 	}
 	f.command(0, CommandStart)
@@ -158,13 +160,14 @@
 	f.startRouter(3)
 	f.stopRouter(5)
 	f.runFor(3)
-	if d := f.nodes[3].Durable; d.PromisedTerm < stored.PromisedTerm || d.State.Seq < stored.State.Seq || stored.State.Seq == 0 {
-		t.Errorf("it had stored %+v and has %+v", stored, d)
+	recovered := f.nodes[3].Durable
+	if recovered.PromisedTerm < stored.PromisedTerm || recovered.State.Seq < stored.State.Seq || stored.State.Seq == 0 {
+		t.Errorf("recovered %+v, want at least the lost %+v", recovered, stored)
 	}
 }
 
-// Two rollouts are started on two sides of a partition: the minority's waits or comes to
-// nothing, and the fleet ends in one generation.
+// A rollout is started on each side of a partition. No router of the minority changes while
+// the partition lasts, and the fleet ends in one generation after it.
 func TestMinoritySideChangesNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(t, sevenRouterPlan, seed)
@@ -175,7 +178,7 @@
 		f.runFor(25)
 		for i := range 3 {
 			if f.routers[i].upgraded || f.routers[i].changing {
-				t.Errorf("seed %d: %s changes on the smaller side", seed, f.plan.Routers[i].Name)
+				t.Errorf("seed %d: %s changes on the minority side", seed, f.plan.Routers[i].Name)
 			}
 		}
 		f.partition = nil
@@ -183,13 +186,13 @@
 		_, upgraded := f.views()
 		ended := f.phase() == PhaseDone || f.phase() == PhaseRolledBack
 		if len(f.violations) > 0 || upgraded != 0 && upgraded != 7 || !ended {
-			t.Errorf("seed %d: %v with %d, %v", seed, f.phase(), upgraded, f.violations)
+			t.Errorf("seed %d: phase %v, %d routers are upgraded, violations %v", seed, f.phase(), upgraded, f.violations)
 		}
 	}
 }
 
-// A stage that asks for drains and purges does not pass before changed routers were
-// notified of them.
+// A stage that requires drains and purges passes only once its changed routers were notified
+// of them. Otherwise it ends inconclusive, which pauses the rollout.
 func TestStageWaitsForDrainsAndPurges(t *testing.T) {
 	for _, notified := range []bool{false, true} {
 		plan := strings.Replace(sevenRouterPlan, "least_s: 10}", "least_s: 10, drains: 1, purges: 2}", 1)
@@ -200,11 +203,11 @@
 			f.routers[0].drainsSeen, f.routers[0].purgesSeen = 1, 2
 		}
 		f.runFor(50)
-		v, _ := f.nodes[4].View()
+		view, _ := f.nodes[4].View()
 		paused := f.phase() == PhasePaused
-		reasonNamed := strings.Contains(v.Reason, "a1 was notified of 0 drains")
-		if paused == notified || !notified && !reasonNamed || notified && v.Stage == 0 {
-			t.Errorf("notified %v: %v at stage %d, %s", notified, f.phase(), v.Stage, v.Reason)
+		reasonNamed := strings.Contains(view.Reason, "a1 was notified of 0 drains")
+		if paused == notified || !notified && !reasonNamed || notified && view.Stage == 0 {
+			t.Errorf("notified %v: phase %v at stage %d, reason %q", notified, f.phase(), view.Stage, view.Reason)
 		}
 	}
 }
--- a/internal/rollout/search_test.go
+++ b/internal/rollout/search_test.go
@@ -19,7 +19,7 @@
 silent_s: 15
 `
 
-// fault is what can happen to three routers at a moment.
+// fault is an event that can occur among three routers.
 type fault struct {
 	name  string
 	apply func(f *fleet)
@@ -27,22 +27,22 @@
 
 func allFaults() []fault {
 	list := []fault{
-		{"nothing", func(*fleet) {}},
-		{"healed", func(f *fleet) { f.partition = nil }},
+		{"no fault", func(*fleet) {}},
+		{"partition ends", func(f *fleet) { f.partition = nil }},
 	}
 	for i := range 3 {
 		list = append(list,
-			fault{fmt.Sprint("cut ", i), func(f *fleet) { f.partition = func(from, to int) bool { return from == i || to == i } }},
-			fault{fmt.Sprint("not heard ", i), func(f *fleet) { f.partition = func(from, _ int) bool { return from == i } }},
-			fault{fmt.Sprint("stops or starts ", i), func(f *fleet) {
+			fault{fmt.Sprint("partition of ", i), func(f *fleet) { f.partition = func(from, to int) bool { return from == i || to == i } }},
+			fault{fmt.Sprint("one-way partition of ", i), func(f *fleet) { f.partition = func(from, _ int) bool { return from == i } }},
+			fault{fmt.Sprint("stop or start of ", i), func(f *fleet) {
 				if f.routers[i].up {
 					f.stopRouter(i)
 				} else {
 					f.startRouter(i)
 				}
 			}},
-			fault{fmt.Sprint("freezes or thaws ", i), func(f *fleet) { f.routers[i].frozen = f.routers[i].up && !f.routers[i].frozen }},
-			fault{fmt.Sprint("back ", i), func(f *fleet) {
+			fault{fmt.Sprint("freeze or unfreeze of ", i), func(f *fleet) { f.routers[i].frozen = f.routers[i].up && !f.routers[i].frozen }},
+			fault{fmt.Sprint("rollback command at ", i), func(f *fleet) {
 				if f.nodes[i] != nil && !f.routers[i].frozen {
 					f.command(i, CommandRollBack)
 				}
@@ -51,16 +51,18 @@
 	return list
 }
 
-// searchResult is what one worker of playFaultSequences has found.
+// searchResult is the result of one worker of runFaultSequences.
 type searchResult struct {
 	violations []string
-	states     map[string]bool
-	ends       map[Phase]int
+	states     map[string]bool // by fingerprint
+	// finalPhases is the number of sequences by final phase. A sequence in which a majority
+	// lost its durable state is counted for PhaseNone, too.
+	finalPhases map[Phase]int
 }
 
-// runFaultSequences plays one in every so many sequences of four faults. Each worker
-// stops at its first violation.
-func runFaultSequences(t *testing.T, every int, v variant) (violations []string, sequences, states int, ends map[Phase]int) {
+// runFaultSequences runs every stride-th sequence of four faults. Each worker stops at its
+// first violation.
+func runFaultSequences(t *testing.T, stride int, v variant) (violations []string, sequences, states int, finalPhases map[Phase]int) {
 	const depth = 4
 	faults := allFaults()
 	total := 1
@@ -69,46 +71,47 @@
 	}
 	workers := runtime.NumCPU()
 	results := make([]searchResult, workers)
-	var all sync.WaitGroup
-	for w := range workers {
-		all.Go(func() {
-			r := &results[w]
-			r.states, r.ends = map[string]bool{}, map[Phase]int{}
-			for code := w * every; code < total && len(r.violations) < 1; code += workers * every {
-				r.runSequence(t, faults, depth, code, v)
+	var running sync.WaitGroup
+	for worker := range workers {
+		running.Go(func() {
+			r := &results[worker]
+			r.states, r.finalPhases = map[string]bool{}, map[Phase]int{}
+			for sequence := worker * stride; sequence < total && len(r.violations) < 1; sequence += workers * stride {
+				r.runSequence(t, faults, depth, sequence, v)
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	distinct := map[string]bool{}
-	ends = map[Phase]int{}
+	finalPhases = map[Phase]int{}
 	for _, r := range results {
 		violations = append(violations, r.violations...)
-		for s := range r.states {
-			distinct[s] = true
+		for state := range r.states {
+			distinct[state] = true
 		}
-		for phase, count := range r.ends {
-			ends[phase] += count
+		for phase, count := range r.finalPhases {
+			finalPhases[phase] += count
 		}
 	}
-	return violations, (total + every - 1) / every, len(distinct), ends
+	return violations, (total + stride - 1) / stride, len(distinct), finalPhases
 }
 
-// runSequence plays the faults that a code's digits name during a rollout, lets all
-// routers run again, and checks the end.
-func (r *searchResult) runSequence(t *testing.T, faults []fault, depth, code int, v variant) {
-	f := newFleetOf(t, threeRouterPlan, uint64(code%7), v)
-	f.keepsDisks = code%2 == 0
+// runSequence runs one sequence of faults during a rollout, then runs all routers without
+// faults and checks the final state. The digits of the sequence's number, in base
+// len(faults), are the indexes of its faults.
+func (r *searchResult) runSequence(t *testing.T, faults []fault, depth, sequence int, v variant) {
+	f := newFleetOf(t, threeRouterPlan, uint64(sequence%7), v)
+	f.keepsDisks = sequence%2 == 0
 	f.maxDelay = 30 * millisecond
 	f.command(2, CommandStart)
 	f.runFor(6)
-	path := ""
-	for digits, n := code, 0; n < depth; n++ {
-		x := faults[digits%len(faults)]
+	faultNames := ""
+	for digits, position := sequence, 0; position < depth; position++ {
+		next := faults[digits%len(faults)]
 		digits /= len(faults)
-		path += x.name + ", "
-		x.apply(f)
-		f.runFor([...]float64{1, 7, 3, 5}[n])
+		faultNames += next.name + ", "
+		next.apply(f)
+		f.runFor([...]float64{1, 7, 3, 5}[position])
 		r.states[f.fingerprint()] = true
 	}
 	f.partition = nil
@@ -119,13 +122,16 @@
 		}
 	}
 	f.runFor(75)
-	r.checkEnd(f, path)
+	r.checkFinalState(f, faultNames)
 }
 
-func (r *searchResult) checkEnd(f *fleet, path string) {
+// checkFinalState records a violation unless all routers have recovered and the fleet has
+// ended in one generation, without earlier violations. After a majority has lost its durable
+// state only the recovery is checked.
+func (r *searchResult) checkFinalState(f *fleet, faultNames string) {
 	views, upgraded := f.views()
 	phase := f.phase()
-	r.ends[phase]++
+	r.finalPhases[phase]++
 	recovering := 0
 	for _, n := range f.nodes {
 		if n.recovering() {
@@ -133,39 +139,41 @@
 		}
 	}
 	if f.majorityLost {
-		r.ends[PhaseNone]++
+		r.finalPhases[PhaseNone]++
 	}
 	unfinished := phase == PhaseForward || phase == PhaseRollingBack
 	mixed := phase == PhaseDone && upgraded != 3 || (phase == PhaseRolledBack || phase == PhaseNone) && upgraded != 0
 	switch {
 	case f.majorityLost && recovering == 0:
 	case len(f.violations) > 0:
-		r.violations = append(r.violations, path+f.violations[0])
+		r.violations = append(r.violations, faultNames+f.violations[0])
 	case recovering > 0:
-		r.violations = append(r.violations, fmt.Sprintf("%s%d ask for ever", path, recovering))
+		r.violations = append(r.violations, fmt.Sprintf("%s%d routers have not recovered", faultNames, recovering))
 	case unfinished || mixed:
-		r.violations = append(r.violations, fmt.Sprintf("%s%v with %d: %v", path, phase, upgraded, views))
+		r.violations = append(r.violations, fmt.Sprintf("%sphase %v, %d routers are upgraded: %v", faultNames, phase, upgraded, views))
 	}
 }
 
-// Sequences of four faults among three routers, each for some seconds, during a rollout:
-// partitions, one-way partitions, stops with and without the durable state, freezes,
-// commands to roll back. Where a majority loses its durable state at the same time, all
-// must only take part again. Otherwise never two directions, never two changes of an
-// office at once, and an end in one generation once all run.
+// Runs sequences of four faults among three routers, several seconds apart, during a
+// rollout: partitions, one-way partitions, stops, freezes, and commands to roll back. In
+// sequences of odd number, which only QUILLDOOR_ALL=1 includes, a router that stops loses
+// its durable state. Guards against routers that upgrade after a
+// rollback was decided, two concurrent changes in an office, and a rollout that does not end
+// in one generation once all routers run. If a majority loses its durable state at the same
+// time, all routers must only recover.
 func TestInvariantsHoldInFaultSequences(t *testing.T) {
-	every := 16 // all of them take a minute: with QUILLDOOR_ALL=1
+	stride := 16 // QUILLDOOR_ALL=1 runs all sequences, which takes a minute
 	if os.Getenv("QUILLDOOR_ALL") != "" {
-		every = 1
+		stride = 1
 	}
-	violations, sequences, states, ends := runFaultSequences(t, every, variant{})
+	violations, sequences, states, finalPhases := runFaultSequences(t, stride, variant{})
 	for _, v := range violations {
 		t.Error(v)
 	}
-	t.Logf("%d sequences, %d states seen; ends: %v", sequences, states, ends)
+	t.Logf("%d sequences, %d distinct states; final phases: %v", sequences, states, finalPhases)
 }
 
-// fingerprint is a fleet's state without its times.
+// fingerprint returns the fleet's state, without times, as text.
 func (f *fleet) fingerprint() string {
 	s := ""
 	for i, n := range f.nodes {
