--- a/internal/rollout/batch.go
+++ b/internal/rollout/batch.go
@@ -43,8 +43,9 @@
 	return false
 }
 
-// updateSets removes routers that have changed from the batch, skips silent routers, and
-// includes skipped ones that report again.
+// updateSets removes the routers that have completed their change from the batch, skips
+// silent routers, no longer skips those that report again, and removes routers that have lost
+// the new generation from the changed ones.
 func (l *leader) updateSets(n *Node, s *State) {
 	for i := range l.routers {
 		switch {
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -123,6 +123,7 @@
 	return r.clockOffset + int64(float64(f.now)*r.clockRate)
 }
 
+// startRouter starts a router, with its durable state unless that is lost.
 func (f *fleet) startRouter(i int) {
 	r := &f.routers[i]
 	r.up, r.frozen = true, false
@@ -134,6 +135,8 @@
 	f.nodes[i] = f.variant.newNode(f.plan, f.plan.Routers[i].Name, f.disks[i], random, f.clock(i))
 }
 
+// stopRouter stops a router. Its durable state is lost unless keepsDisks is set and the
+// router is not recovering.
 func (f *fleet) stopRouter(i int) {
 	f.routers[i].up = false
 	if durable := f.nodes[i].Durable; f.keepsDisks && !f.nodes[i].recovering() {
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -16,8 +16,9 @@
 }
 
 // Target returns the generation that this router should run. In both directions a change
-// begins only on a fresh view: a router that was paused or partitioned must not act on an
-// old decision. The exception is an isolated router, which may roll back by itself.
+// begins only on a fresh view, since a router that was suspended or partitioned must not act
+// on an old decision. Two cases need no fresh view: after a completed rollback any router may
+// return to the old generation, and an isolated router may roll back by itself.
 func (n *Node) Target(now int64) Target {
 	n.advance(now)
 	if n.rollsBackWhileIsolated() {
@@ -45,11 +46,11 @@
 	if !n.report.Upgraded || !isolated || n.view.Phase == PhaseDone {
 		return false
 	}
-	return n.view.Phase == PhaseRollingBack || n.plan.OnIsolated == ReactionRollBack && !n.stagePassed()
+	return n.view.Phase == PhaseRollingBack || n.plan.OnIsolated == ReactionRollBack && !n.ownStagePassed()
 }
 
-// stagePassed reports whether the stage in which this router changed has passed.
-func (n *Node) stagePassed() bool {
+// ownStagePassed reports whether the stage in which this router changed has passed.
+func (n *Node) ownStagePassed() bool {
 	return n.view.Stage > 0 && n.plan.ChangedThrough(n.view.Stage-1).Has(n.self)
 }
 
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -33,7 +33,7 @@
 	pollNonce       uint64 // of the poll that awaits a reply
 	polledAt        int64
 	view            State     // last decided state received from the leader
-	viewAt          int64     // when the poll for view was sent; 0: never
+	viewAt          int64     // when the poll for view, or the leader's own round, was sent; 0: never
 	report          Report    // of this router
 	commands        []Command // not yet forwarded or, at the leader, not yet applied
 
