--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -7,20 +7,20 @@
 )
 
 func TestPlanErrorsNameTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, tc := range []struct{ old, replacement, want string }{
 		{"name: small", "name: ''", "name: missing"},
-		{"program: /opt/new", "operator: ''", "program: nothing changes"},
-		{"program: /opt/new", "program: opt/new", "program: not an absolute path"},
-		{"program: /opt/new", "config: opt/new", "config: not an absolute path"},
-		{"{name: a2, office: a}, {name: b1, office: b}", "", "routers: 1 of them, 2 to 512 wanted"},
-		{"name: a2", "name: a1", "routers[1]: without name or office, or \"a1\" stands twice"},
-		{"{name: a2, office: a}", "{name: a2}", "routers[1]: without name"},
-		{"routers: [a1]", "routers: [c1]", "stages[0].routers: \"c1\" is none of the plan's"},
-		{"routers: [a1]", "routers: [a1], share: 0.5", "stages[0]: either routers, or a share"},
-		{"share: 1,", "share: 1.5,", "stages[1]: either routers, or a share"},
-		{"share: 1,", "share: 0.5,", "stages[1]: the last one has share 1"},
-		{"{routers: [a1],", "{routers: [a1], drains: 10001,", "stages[0].drains: 10001, and purges 0,"},
-		{"watch_s: 3, least_s: 1", "watch_s: 3, least_s: 4", "stages[0].watch_s: 3, and least_s 4,"},
+		{"program: /opt/new", "operator: ''", "program: at least one of program, config and operator is required"},
+		{"program: /opt/new", "program: opt/new", "program: \"opt/new\" is not an absolute path"},
+		{"program: /opt/new", "config: opt/new", "config: \"opt/new\" is not an absolute path"},
+		{"{name: a2, office: a}, {name: b1, office: b}", "", "routers: 1 listed, 2 to 512 are required"},
+		{"name: a2", "name: a1", "routers[1]: name \"a1\" is empty, longer than 64 bytes or a duplicate, or office \"a\" is empty"},
+		{"{name: a2, office: a}", "{name: a2}", "routers[1]: name \"a2\" is empty, longer than 64 bytes or a duplicate, or office \"\" is empty"},
+		{"routers: [a1]", "routers: [c1]", "stages[0].routers: \"c1\" is not a router of the plan"},
+		{"routers: [a1]", "routers: [a1], share: 0.5", "stages[0]: either routers or a share, above 0 and up to 1, is required"},
+		{"share: 1,", "share: 1.5,", "stages[1]: either routers or a share, above 0 and up to 1, is required"},
+		{"share: 1,", "share: 0.5,", "stages[1]: the last stage must have share 1"},
+		{"{routers: [a1],", "{routers: [a1], drains: 10001,", "stages[0].drains: drains 10001 or purges 0 is not within 0 and 10000"},
+		{"watch_s: 3, least_s: 1", "watch_s: 3, least_s: 4", "stages[0].watch_s: watch_s 3 and least_s 4 do not satisfy 0 < least_s <= watch_s <= 86400"},
 		{"silent_s: 15", "silent_s: 14", "silent_s: 14 is not within 15 and 3600"},
 		{"silent_s: 15", "at_once: 513", "at_once: 513 is not within 1 and 512"},
 		{"silent_s: 15", "guards: {most_loss: 0.005}", "guards.most_loss: 0.005 is not within 0.01 and 1"},
@@ -29,12 +29,12 @@
 		{"on_unsure: back", "on_unsure: keep", "on_unsure: \"keep\" is neither hold nor back"},
 		{"silent_s: 15", "cut_off: hold", "cut_off: \"hold\" is neither back nor keep"},
 	} {
-		if !strings.Contains(threeRouterPlan, c.old) {
-			t.Fatalf("%q is not in the plan", c.old)
+		if !strings.Contains(threeRouterPlan, tc.old) {
+			t.Fatalf("threeRouterPlan does not contain %q", tc.old)
 		}
-		_, err := ParsePlan("f", []byte(strings.Replace(threeRouterPlan, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), ": "+c.want) {
-			t.Errorf("%q: %v, want %q", c.new, err, c.want)
+		_, err := ParsePlan("f", []byte(strings.Replace(threeRouterPlan, tc.old, tc.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), ": "+tc.want) {
+			t.Errorf("plan with %q: error %v, want %q", tc.replacement, err, tc.want)
 		}
 	}
 }
@@ -65,11 +65,11 @@
 		},
 	}
 	if !reflect.DeepEqual(p, want) {
-		t.Errorf("%+v", p)
+		t.Errorf("plan %+v, want %+v", p, want)
 	}
 }
 
-// A share is rounded up in each office and counts the routers of earlier stages.
+// A share is rounded up in each office and includes the routers of earlier stages.
 func TestSharesAreRoundedUpInEachOffice(t *testing.T) {
 	p, err := ParsePlan("f", []byte(sevenRouterPlan))
 	if err != nil {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -5,82 +5,84 @@
 	"testing"
 )
 
-// A new generation that is the same passes all stages; one that is worse is rolled back
-// at the first, and all have the old one in the end.
+// A new generation that is no different passes all stages. A worse one is rolled back in
+// the first stage, after which all routers have the old generation.
 func TestSamePassesAllStagesAndWorseIsRolledBack(t *testing.T) {
 	f := newFleet(t, sevenRouterPlan, 1)
 	f.command(4, CommandStart)
-	f.play(15)
+	f.runFor(15)
 	if _, upgraded := f.views(); upgraded != 1 || !f.routers[0].upgraded {
-		t.Errorf("after 15 s %d have changed", upgraded)
+		t.Errorf("%d routers are upgraded after 15 s, want only the first", upgraded)
 	}
-	f.play(200)
+	f.runFor(200)
 	if views, upgraded := f.views(); upgraded != 7 || f.phase() != PhaseDone {
-		t.Errorf("%v: %v, %d have changed", f.phase(), views, upgraded)
+		t.Errorf("phase %v, %d routers are upgraded: %v; want done with all 7", f.phase(), upgraded, views)
 	}
 	if f.maxConcurrent != 1 || len(f.violations) > 0 {
-		t.Error(f.maxConcurrent, f.violations)
+		t.Errorf("%d concurrent changes in an office, violations %v", f.maxConcurrent, f.violations)
 	}
 	f = newFleet(t, sevenRouterPlan, 2)
-	f.newWorseBy = 0.25
+	f.newGenerationLoss = 0.25
 	f.command(0, CommandStart)
 	for f.now < 200*second && f.phase() != PhaseRolledBack {
 		f.step()
 	}
 	_, upgraded := f.views()
 	if upgraded != 0 || f.phase() != PhaseRolledBack {
-		t.Errorf("%v, %d have changed", f.phase(), upgraded)
+		t.Errorf("phase %v, %d routers are upgraded, want undone with none", f.phase(), upgraded)
 	}
-	if len(f.begun) != 2 || len(f.violations) > 0 {
-		t.Errorf("%+v, %v", f.begun, f.violations)
+	if len(f.startedChanges) != 2 || len(f.violations) > 0 {
+		t.Errorf("changes %+v, violations %v", f.startedChanges, f.violations)
 	}
-	v, _ := f.nodes[3].View()
-	if !strings.Contains(v.Reason, "lost weight") {
-		t.Error(v.Reason)
+	view, _ := f.nodes[3].View()
+	if !strings.Contains(view.Reason, "lost weight") {
+		t.Errorf("reason %q does not name the lost weight", view.Reason)
 	}
 }
 
-// The leader is killed, frozen, partitioned with few and with many, again and again,
-// while messages are lost and late and clocks drift: never two directions, never two
-// changes of an office at once, and an end.
+// The leader is repeatedly stopped, frozen, and partitioned with a minority or a majority,
+// while messages are lost and delayed and clock rates differ. Guards against routers that
+// upgrade after a rollback was decided, two concurrent changes in an office, and a rollout
+// that does not end in one generation.
 func TestRolloutEndsInOneGenerationUnderFaults(t *testing.T) {
-	ends := map[Phase]int{}
+	finalPhases := map[Phase]int{}
 	for seed := range uint64(60) {
 		f := newFleet(t, sevenRouterPlan, seed)
-		f.disksLast = seed%3 != 0
+		f.keepsDisks = seed%3 != 0
 		f.lossRate, f.maxDelay = 0.05, 200*millisecond
 		if seed%2 == 1 {
-			f.newWorseBy = 0.25
+			f.newGenerationLoss = 0.25
 		}
-		f.play(6)
+		f.runFor(6)
 		f.command(int(seed%7), CommandStart)
 		for faultNumber := range 10 {
-			f.play(3 + 5*f.random.Float64())
-			f.strikeLeader(seed, faultNumber)
+			f.runFor(3 + 5*f.random.Float64())
+			f.injectFault(seed, faultNumber)
 		}
 		f.lossRate = 0
-		f.play(320)
+		f.runFor(320)
 		views, upgraded := f.views()
 		phase := f.phase()
-		ends[phase]++
+		finalPhases[phase]++
 		inOneGeneration := phase == PhaseDone && upgraded == 7 ||
 			phase == PhaseRolledBack && upgraded == 0 ||
-			phase == PhaseNone && upgraded == 0 || // the router that took the command stopped before a decision
+			phase == PhaseNone && upgraded == 0 || // the router with the start command stopped before a decision
 			phase == PhasePaused
 		switch {
 		case len(f.violations) > 0:
-			t.Errorf("seed %d: %v", seed, f.violations)
+			t.Errorf("seed %d: violations %v", seed, f.violations)
 		case !inOneGeneration:
-			t.Errorf("seed %d: %v, %d have changed: %v", seed, phase, upgraded, views)
-		case phase == PhaseDone && f.newWorseBy > 0:
-			t.Errorf("seed %d: a worse one has passed", seed)
+			t.Errorf("seed %d: phase %v, %d routers are upgraded: %v", seed, phase, upgraded, views)
+		case phase == PhaseDone && f.newGenerationLoss > 0:
+			t.Errorf("seed %d: a worse generation has passed all stages", seed)
 		}
 	}
-	t.Logf("ends: %v", ends)
+	t.Logf("final phases: %v", finalPhases)
 }
 
-// strikeLeader plays a fault of the leader, or of any router each third time.
-func (f *fleet) strikeLeader(seed uint64, faultNumber int) {
+// injectFault simulates a fault of the leader, or every third time of a random router. The
+// fault has ended when it returns.
+func (f *fleet) injectFault(seed uint64, faultNumber int) {
 	i := int(seed % 7)
 	for j, n := range f.nodes {
 		if n != nil && n.leader != nil {
@@ -97,114 +99,115 @@
 	switch faultNumber % 5 {
 	case 0:
 		f.stopRouter(i)
-		f.play(2 + 9*f.random.Float64())
+		f.runFor(2 + 9*f.random.Float64())
 		f.startRouter(i)
 	case 1:
 		f.routers[i].frozen = true
-		f.play(10)
+		f.runFor(10)
 		f.routers[i].frozen = false
-	case 2: // with one other, or with most
+	case 2: // partitioned together with one other router, or with a majority
 		side := map[int]bool{i: true}
 		for len(side) < 2+3*f.random.IntN(2) {
 			side[f.random.IntN(7)] = true
 		}
 		f.partition = func(from, to int) bool { return side[from] != side[to] }
-		f.play(8 + 10*f.random.Float64())
+		f.runFor(8 + 10*f.random.Float64())
 		f.partition = nil
-	case 3: // it hears, and is not heard
+	case 3: // receives messages, but none of its own are delivered
 		f.partition = func(from, _ int) bool { return from == i }
-		f.play(8)
+		f.runFor(8)
 		f.partition = nil
 	case 4:
 		j := (i + 1) % 7
 		if f.routers[j].up {
 			f.stopRouter(i)
 			f.stopRouter(j)
-			f.play(1)
+			f.runFor(1)
 			f.startRouter(i)
 			f.startRouter(j)
 		}
 	}
 }
 
-// Where no router has any durable state, as at the very first, all take part once all
-// have said so; where one alone has lost it, a majority of the others is enough.
+// If no router has durable state, the recovery ends only once all have reported that they
+// lost theirs. If only one has lost it, the replies of a majority of the others suffice.
 func TestRouterWithoutDurableStateRecoversFromOthers(t *testing.T) {
 	f := newFleet(t, sevenRouterPlan, 5)
-	f.disksLast = false
+	f.keepsDisks = false
 	for i := range f.nodes {
 		f.stopRouter(i)
 	}
 	for i := range f.nodes[1:] {
 		f.startRouter(i + 1)
 	}
-	f.play(5)
+	f.runFor(5)
 	for i := range f.nodes[1:] {
 		if !f.nodes[i+1].recovering() {
-			t.Errorf("%d takes part, and one is missing", i+1)
+			t.Errorf("router %d has recovered although one router has not replied", i+1)
 		}
 	}
 	f.startRouter(0)
-	f.play(5)
+	f.runFor(5)
 	for i := range f.nodes {
 		if f.nodes[i].recovering() {
-			t.Errorf("%d asks for ever", i)
+			t.Errorf("router %d has not recovered", i)
 		}
 	}
 	f.command(0, CommandStart)
-	f.play(20)
+	f.runFor(20)
 	stored := f.nodes[3].Durable
 	f.stopRouter(3)
 	f.startRouter(3)
 	f.stopRouter(5)
-	f.play(3)
-	if d := f.nodes[3].Durable; d.PromisedTerm < stored.PromisedTerm || d.State.Seq < stored.State.Seq || stored.State.Seq == 0 {
-		t.Errorf("it had stored %+v and has %+v", stored, d)
+	f.runFor(3)
+	recovered := f.nodes[3].Durable
+	if recovered.PromisedTerm < stored.PromisedTerm || recovered.State.Seq < stored.State.Seq || stored.State.Seq == 0 {
+		t.Errorf("recovered %+v, want at least the lost %+v", recovered, stored)
 	}
 }
 
-// Two rollouts are started on two sides of a partition: the minority's waits or comes to
-// nothing, and the fleet ends in one generation.
+// A rollout is started on each side of a partition. No router of the minority changes while
+// the partition lasts, and the fleet ends in one generation after it.
 func TestMinoritySideChangesNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(t, sevenRouterPlan, seed)
-		f.play(6)
+		f.runFor(6)
 		f.partition = func(from, to int) bool { return (from < 3) != (to < 3) }
 		f.command(1, CommandStart)
 		f.command(5, CommandStart)
-		f.play(25)
+		f.runFor(25)
 		for i := range 3 {
 			if f.routers[i].upgraded || f.routers[i].changing {
-				t.Errorf("seed %d: %s changes on the smaller side", seed, f.plan.Routers[i].Name)
+				t.Errorf("seed %d: %s changes on the minority side", seed, f.plan.Routers[i].Name)
 			}
 		}
 		f.partition = nil
-		f.play(300)
+		f.runFor(300)
 		_, upgraded := f.views()
 		ended := f.phase() == PhaseDone || f.phase() == PhaseRolledBack
 		if len(f.violations) > 0 || upgraded != 0 && upgraded != 7 || !ended {
-			t.Errorf("seed %d: %v with %d, %v", seed, f.phase(), upgraded, f.violations)
+			t.Errorf("seed %d: phase %v, %d routers are upgraded, violations %v", seed, f.phase(), upgraded, f.violations)
 		}
 	}
 }
 
-// A stage that asks for drains and purges does not pass before changed routers were
-// notified of them.
+// A stage that requires drains and purges passes only once its changed routers were notified
+// of them. Otherwise it ends inconclusive, which pauses the rollout.
 func TestStageWaitsForDrainsAndPurges(t *testing.T) {
 	for _, notified := range []bool{false, true} {
 		plan := strings.Replace(sevenRouterPlan, "least_s: 10}", "least_s: 10, drains: 1, purges: 2}", 1)
 		f := newFleet(t, plan, 3)
 		f.command(4, CommandStart)
-		f.play(30)
+		f.runFor(30)
 		if notified {
 			f.routers[0].drainsSeen, f.routers[0].purgesSeen = 1, 2
 		}
-		f.play(50)
-		v, _ := f.nodes[4].View()
+		f.runFor(50)
+		view, _ := f.nodes[4].View()
 		paused := f.phase() == PhasePaused
-		reasonNamed := strings.Contains(v.Reason, "a1 was told of 0 drains")
-		if paused == notified || !notified && !reasonNamed || notified && v.Stage == 0 {
-			t.Errorf("notified %v: %v at stage %d, %s", notified, f.phase(), v.Stage, v.Reason)
+		reasonNamed := strings.Contains(view.Reason, "a1 was notified of 0 drains")
+		if paused == notified || !notified && !reasonNamed || notified && view.Stage == 0 {
+			t.Errorf("notified %v: phase %v at stage %d, reason %q", notified, f.phase(), view.Stage, view.Reason)
 		}
 	}
 }
