--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,18 +33,19 @@
 	}
 	l := c.Limits
 	if c.Name != "other" || c.Seed != 0x8c1f30d27a5be964 || l.MaxStreamsPerConn != 32 || l.UpstreamIdleTimeout != 12*time.Second {
-		t.Fatalf("%+v %+v", c, l)
+		t.Fatalf("config %+v, limits %+v", c, l)
 	}
 	if l.MaxClients < 1024/3 || l.MaxClients+l.MaxUpstreamConns > 900 || l.MemoryBytes+0 >= 192<<20 {
-		t.Fatalf("%d clients, %d upstream, %d bytes", l.MaxClients, l.MaxUpstreamConns, l.MemoryBytes)
+		t.Fatalf("%d clients, %d upstream connections, memory limit of %d bytes", l.MaxClients, l.MaxUpstreamConns, l.MemoryBytes)
 	}
-	// An attempt that waits longer for its connection could be written past the graces.
+	// An attempt that waits longer for its connection could be written after the
+	// graces of a drain or a purge.
 	if l.ConnectTimeout != 150*time.Millisecond {
-		t.Fatalf("connect %v with a grace of 200 ms", l.ConnectTimeout)
+		t.Fatalf("connect timeout %v with a purge grace of 200 ms", l.ConnectTimeout)
 	}
 }
 
-// A router with 48 MB once refused to start; what it may hold must follow.
+// The limits scale with the configured memory: a router with 48 MB once refused to start.
 func TestLimitsFollowMemory(t *testing.T) {
 	for _, sockets := range []string{"256", "1024"} {
 		text := strings.Replace(strings.Replace(valid, "192", "32", 1), "1024", sockets, 1)
@@ -52,10 +53,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, whole := c.Limits, int64(32<<20)
+		l, memory := c.Limits, int64(32<<20)
 		held := l.MaxBufferedBytes + int64(l.MaxDiscoveryBody) + int64(l.MaxClients+l.MaxUpstreamConns)*(bufferpool.Size+8<<10)
-		if held > whole*5/8 || l.MemoryBytes > whole*3/4 || l.MaxClients < l.MaxDescriptors/3 {
-			t.Errorf("%s sockets: up to %d bytes held, %d clients", sockets, held, l.MaxClients)
+		if held > memory*5/8 || l.MemoryBytes > memory*3/4 || l.MaxClients < l.MaxDescriptors/3 {
+			t.Errorf("%s sockets: connections and bodies hold up to %d bytes, collector limit %d, %d clients",
+				sockets, held, l.MemoryBytes, l.MaxClients)
 		}
 	}
 }
@@ -63,39 +65,39 @@
 func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name":"n3",`, ``, "name: missing"},
-		{`"n3"`, `5`, "name: number where a text is wanted"},
-		{`"127.0.0.1:8080"`, `"here"`, "listen: not an address"},
+		{`"n3"`, `5`, "config.json: name: got number, expected a string"},
+		{`"127.0.0.1:8080"`, `"here"`, `listen: "here" is not an IP address with a port`},
 		{`"board":"127.0.0.1:2379",`, ``, "board: missing"},
 		{`8c1f30d27a5be964`, `xyz`, "seed: not"},
 		{`"seed":"8c1f30d27a5be964",`, ``, "seed: missing"},
 		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb: -1 is not within"},
 		{`"memory_mb":192`, `"memory_mb":16`, "limits.memory_mb: 16 is not within"},
-		{`"memory_mb":192`, `"memory_mb":"x"`, "limits.memory_mb: string where a number"},
+		{`"memory_mb":192`, `"memory_mb":"x"`, "config.json: limits.memory_mb: got string, expected a number"},
 		{`"sockets":1024`, `"sockets":3`, "limits.sockets: 3 is not within"},
 		{`"settings":{`, `"other":{`, "settings: missing"},
 		{`"Zone":"z",`, ``, "settings.Zone: missing"},
-		{`"MasterKind":1`, `"MasterKind":2`, "settings.FamilyInfo.MasterKind"},
+		{`"MasterKind":1`, `"MasterKind":2`, "settings.FamilyInfo.MasterKind: 2 is not an index"},
 		{`"Effect":"safe"`, `"Effect":"none"`, `settings.Classes[0].Effect: "none"`},
-		{`"TargetMs":250`, `"TargetMs":0`, "settings.Classes[0].TargetMs"},
+		{`"TargetMs":250`, `"TargetMs":0`, "settings.Classes[0].TargetMs: 0 is not above 0"},
 		{`"GiveUpMs":3000`, `"GiveUpMs":1e9`, "settings.Classes[0].GiveUpMs"},
 		{`"GiveUpMs":3000`, `"GiveUpMs":3000,"Streamed":true`, "settings.Classes[0].Streamed"},
-		{`"Name":"page"`, `"Name":"a,b"`, "settings.Classes[0].Name"},
-		{`"Siblings":1`, `"Siblings":-1`, "settings.Siblings: negative"},
+		{`"Name":"page"`, `"Name":"a,b"`, `settings.Classes[0].Name: "a,b"`},
+		{`"Siblings":1`, `"Siblings":-1`, "settings.Siblings: -1 is negative"},
 		{`"Siblings":1`, `"Tenants":[{"Name":"t"}]`, "settings.Tenants: "},
-		{`"Siblings":1`, `"Siblings":"one"`, "settings.Siblings: string where a number"},
+		{`"Siblings":1`, `"Siblings":"one"`, "config.json: settings.Siblings: got string, expected a number"},
 	} {
 		text := strings.Replace(valid, c.old, c.new, 1)
 		if !json.Valid([]byte(text)) || text == valid {
-			t.Fatalf("bad case %q", c.new)
+			t.Fatalf("replacing %q by %q leaves the configuration unchanged or invalid JSON", c.old, c.new)
 		}
 		if _, err := load(t, text, nil); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want %s", c.new, err, c.want)
+			t.Errorf("%q replaced by %q: error %v, want %s", c.old, c.new, err, c.want)
 		}
 	}
 	if _, err := load(t, "{", nil); err == nil {
-		t.Error("half a file passes")
+		t.Error("a truncated file is accepted")
 	}
 	if _, err := Load(Overrides{}, func(string) string { return "" }); err == nil {
-		t.Error("no file passes")
+		t.Error("no configuration file is accepted")
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,54 +7,55 @@
 	"quilldoor/internal/settings"
 )
 
-// Limits are the sizes, counts and times that connections to clients, endpoints and the
-// discovery service keep to. They are derived from the configuration; no key sets one
-// alone.
+// Limits bound the sizes, counts and times of connections to clients, endpoints and the
+// discovery service. They are derived from the configuration, which has no keys for most
+// of them.
 type Limits struct {
-	MemoryBytes int64 // that the garbage collector aims to stay under
+	MemoryBytes int64 // soft limit of the garbage collector
 
-	MaxDescriptors      int // of the process
-	MaxClients          int // connections; a new one beyond it takes the place of an idle one
+	MaxDescriptors      int // open descriptors of the process
+	MaxClients          int // client connections; a new one beyond it replaces an idle one
 	MaxUpstreamConns    int // connections to all endpoints
-	MaxConnsPerEndpoint int // before attempts share a connection
-	MaxStreamsPerConn   int // attempts on a connection
+	MaxConnsPerEndpoint int // connections to an endpoint before attempts share one
+	MaxStreamsPerConn   int // concurrent attempts on a connection
 
-	MaxHeadBytes     int   // of a message's head
+	MaxHeadBytes     int   // bytes of a message's head
 	MaxHeaderFields  int   // number of fields in a message's head
 	MaxRequestBody   int   // bytes of a client's body
-	MaxDiscardBytes  int   // of a rejected request, read and thrown away so that the client reads the rejection
+	MaxDiscardBytes  int   // bytes of a rejected request that are read and discarded so that the client reads the rejection
 	MaxResponseBody  int   // bytes of a cache server's body
 	MaxDiscoveryBody int   // bytes of the discovery service's response
-	MaxBufferedBytes int64 // of all bodies in memory
+	MaxBufferedBytes int64 // bytes of all bodies in memory
 
-	MaxRequestTimeout     time.Duration // longer timeouts of clients are cut to this
+	MaxRequestTimeout     time.Duration // longer timeouts of clients are reduced to it
 	RequestReadTimeout    time.Duration // from a request's first byte (the first one's: connection's start) to its last
 	ClientIdleTimeout     time.Duration // between two requests
-	LingeringCloseTimeout time.Duration // to write a rejection, and to read on behind it
-	ResponseGrace         time.Duration // past a request's deadline, for a slow reader
-	ConnectTimeout        time.Duration // to an endpoint
-	MaxDecisionAge        time.Duration // of the decision on an attempt when it is written
+	LingeringCloseTimeout time.Duration // for writing a rejection and discarding the rest of the request
+	ResponseGrace         time.Duration // past a request's deadline, for a client that reads slowly
+	ConnectTimeout        time.Duration // of a connection to an endpoint
+	MaxDecisionAge        time.Duration // age of the decision on an attempt when the attempt is written
 	UpstreamIdleTimeout   time.Duration // of a connection to an endpoint
-	WriteTimeout          time.Duration // for an endpoint to take a write in
+	WriteTimeout          time.Duration // of a write to an endpoint
 	ResponseReadTimeout   time.Duration // for an endpoint to finish a response that it began
-	ReadStallTimeout      time.Duration // between two pieces of a response
-	LateResponseWindow    time.Duration // in which the response to an abandoned attempt may still come
+	ReadStallTimeout      time.Duration // between two reads of a response
+	LateResponseWindow    time.Duration // in which the response to an abandoned attempt may still arrive
 	PollWait              time.Duration // how long the discovery service may hold a poll
 	PollGrace             time.Duration // beyond PollWait until a poll fails
-	PollBackoffMin        time.Duration // after a failed poll, doubling
-	PollBackoffMax        time.Duration
+	PollBackoffMin        time.Duration // after the first failed poll; doubles with each further one
+	PollBackoffMax        time.Duration // upper bound of the backoff
 
-	ShutdownAcceptTime time.Duration // after SIGTERM: new connections are accepted
-	ShutdownServeTime  time.Duration // then: requests on open connections are served
-	DrainTimeout       time.Duration // then: requests that were taken are finished
+	// The phases of a shutdown after SIGTERM, in this order.
+	ShutdownAcceptTime time.Duration // new connections are still accepted
+	ShutdownServeTime  time.Duration // requests on open connections are still served
+	DrainTimeout       time.Duration // accepted requests are finished
 }
 
 const (
-	defaultConnectTimeout      = 400 * time.Millisecond // without ConnectTimeoutMs
-	defaultUpstreamIdleTimeout = 15 * time.Second       // without ConnIdleMs
+	defaultConnectTimeout      = 400 * time.Millisecond // where ConnectTimeoutMs is 0
+	defaultUpstreamIdleTimeout = 15 * time.Second       // where ConnIdleMs is 0
 
-	// responseReadSlack is how much longer than the longest request timeout an endpoint
-	// may take to finish a response.
+	// responseReadSlack is the time beyond the longest request timeout that an endpoint may
+	// take to finish a response.
 	responseReadSlack = time.Second
 )
 
@@ -70,8 +71,8 @@
 		MaxDiscardBytes: 256 << 10,
 		MaxResponseBody: 240_000,
 
-		// A client that never gets to a request is owed an end within 3 s; usual
-		// ones close their idle connections after 4 s.
+		// A connection whose request is never completed has to be closed within 3 s.
+		// Typical clients close their idle connections after 4 s.
 		RequestReadTimeout:    2500 * time.Millisecond,
 		ClientIdleTimeout:     5 * time.Second,
 		LingeringCloseTimeout: 400 * time.Millisecond,
@@ -95,14 +96,14 @@
 // divideMemory derives the limits that follow from the memory, in bytes, and the
 // descriptors.
 func (l *Limits) divideMemory(memory int64, sockets int) {
-	// The rest is for stacks, the sockets' structures and what the collector
-	// overshoots.
+	// The remaining three eighths are for stacks, socket structures and the
+	// collector's overshoot.
 	l.MemoryBytes = memory * 5 / 8
 
-	// Clients usually hold a third of the descriptors at most; what both bounds
-	// leave covers the listener, discovery and connections that are being closed.
-	// At 16 kB to 20 kB each, all connections fill three eighths of the memory at
-	// most; bodies fill half of that.
+	// Clients usually hold at most a third of the descriptors. The fifth that both
+	// bounds leave covers the listener, discovery and connections that are being
+	// closed. At 16 kB to 20 kB each, all connections take at most three eighths of
+	// the memory; bodies take at most half as much.
 	const bytesPerClient, bytesPerUpstreamConn = 64 << 10, 128 << 10
 	l.MaxClients = min(sockets*2/5, int(memory/bytesPerClient))
 	l.MaxUpstreamConns = min(sockets*2/5, int(memory/bytesPerUpstreamConn))
@@ -118,16 +119,16 @@
 	l.ResponseReadTimeout = l.MaxRequestTimeout + responseReadSlack
 	l.LateResponseWindow = 2 * l.MaxRequestTimeout
 
-	// SIGKILL comes no sooner than 0.7 s and the longest request timeout after
-	// SIGTERM, and the three times of a shutdown must stay within that.
+	// SIGKILL follows SIGTERM after 0.7 s plus the longest request timeout at the
+	// earliest. The three phases of a shutdown have to fit into that time.
 	l.DrainTimeout = max(l.MaxRequestTimeout-l.ResponseGrace, l.ResponseGrace)
 
-	// Servers close idle connections at the full time; an attempt must not cross
-	// that on its way.
+	// Endpoints close idle connections after the full time. The router closes them
+	// earlier, so that no attempt is sent while the endpoint closes its connection.
 	l.UpstreamIdleTimeout = cmp.Or(fromMillis(s.Limits.ConnIdleMs), defaultUpstreamIdleTimeout) * 4 / 5
 
-	// An attempt may wait this long for its connection. When it is written, the
-	// drains and purges that came since its decision must not bind it yet.
+	// An attempt may wait this long for its connection. Drains and purges that
+	// arrive between its decision and its write must still be within their grace.
 	l.ConnectTimeout = cmp.Or(fromMillis(s.Limits.ConnectTimeoutMs), defaultConnectTimeout)
 	l.MaxDecisionAge = l.MaxRequestTimeout
 	for _, graceMillis := range []float64{s.Contract.DrainGraceMs, s.FamilyInfo.PurgeGraceMs} {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -21,19 +21,19 @@
 	listenVariable = "LB_LISTEN"
 )
 
-// numberRange is what a number in the file may be, and what a missing one counts as.
-type numberRange struct{ low, high, missing float64 }
+// numberRange is the inclusive range of a number in the file, and its default.
+type numberRange struct{ low, high, byDefault float64 }
 
 var (
-	coresRange    = numberRange{low: 0.01, high: 1024, missing: 1}
-	memoryMBRange = numberRange{low: 24, high: 1 << 20, missing: 192}
-	socketsRange  = numberRange{low: 64, high: 1 << 20, missing: 1024}
+	coresRange    = numberRange{low: 0.01, high: 1024, byDefault: 1}
+	memoryMBRange = numberRange{low: 24, high: 1 << 20, byDefault: 192}
+	socketsRange  = numberRange{low: 64, high: 1 << 20, byDefault: 1024}
 )
 
-// maxBytesPerSecond is far above any link, and a whole number of it fits an int64.
+// maxBytesPerSecond exceeds the rate of any link; rates up to it fit an int64.
 const maxBytesPerSecond = 1e15
 
-// file is the form of the configuration file; nil: the key is missing.
+// file is the schema of the configuration file. A nil pointer means that the key is missing.
 type file struct {
 	Name   *string `json:"name"`
 	Listen *string `json:"listen"`
@@ -50,10 +50,11 @@
 	Settings             *settings.Setup `json:"settings"`
 }
 
-// errNoFile says that nothing names a configuration file.
-var errNoFile = errors.New(fileVariable + ": no configuration file named, here or by --config")
+// errNoFile means that neither the flag nor the environment variable names a configuration file.
+var errNoFile = errors.New("no configuration file: --config and " + fileVariable + " are not set")
 
-// Load reads the configuration. A key of the file that is not known is ignored: the platform may have more.
+// Load reads and validates the configuration. Unknown keys of the file are ignored: the
+// platform may write keys for other software.
 func Load(overrides Overrides, getenv func(string) string) (*Config, error) {
 	path := cmp.Or(overrides.File, getenv(fileVariable))
 	if path == "" {
@@ -61,7 +62,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", fileVariable, err)
+		return nil, fmt.Errorf("configuration file: %w", err)
 	}
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -76,31 +77,32 @@
 	return f.config()
 }
 
-// unmarshalError names the key whose value is of another type, or else the file.
+// unmarshalError names the file, and the key if its value is of the wrong type.
 func unmarshalError(path string, err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
-		return fmt.Errorf("%s: %s where %s is wanted", typeError.Field, typeError.Value, kindOf(typeError.Type.String()))
+		return fmt.Errorf("%s: %s: got %s, expected %s",
+			path, typeError.Field, typeError.Value, jsonType(typeError.Type.String()))
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// kindOf describes a Go type as a user of JSON knows it.
-func kindOf(goType string) string {
+// jsonType returns the JSON type that a Go type is decoded from.
+func jsonType(goType string) string {
 	switch {
 	case strings.HasPrefix(goType, "int"), strings.HasPrefix(goType, "float"):
 		return "a number"
 	case goType == "string":
-		return "a text"
+		return "a string"
 	case goType == "bool":
-		return "true or false"
+		return "a boolean"
 	case strings.HasPrefix(goType, "[]"):
-		return "a list"
+		return "an array"
 	}
 	return "an object"
 }
 
-// config checks the file and completes it.
+// config validates the file and fills in defaults.
 func (f *file) config() (*Config, error) {
 	if err := f.checkRequired(); err != nil {
 		return nil, err
@@ -109,7 +111,7 @@
 	if err != nil {
 		return nil, keyError{"seed", "not 1 to 16 hex digits"}
 	}
-	machine, err := f.machineLimits()
+	resources, err := f.resources()
 	if err != nil {
 		return nil, err
 	}
@@ -127,11 +129,11 @@
 		Listen:               *f.Listen,
 		DiscoveryAddr:        *f.DiscoveryAddr,
 		Seed:                 seed,
-		Cores:                machine.cores,
-		MemoryMB:             machine.memoryMB,
+		Cores:                resources.cores,
+		MemoryMB:             resources.memoryMB,
 		InitialUpdate:        f.InitialUpdate,
 		Settings:             *f.Settings,
-		Limits:               newLimits(f.Settings, machine.memoryMB, machine.sockets),
+		Limits:               newLimits(f.Settings, resources.memoryMB, resources.sockets),
 		ClientBytesPerSecond: int64(f.ClientBytesPerSecond),
 		LinkBytesPerSecond:   int64(f.LinkBytesPerSecond),
 	}, nil
@@ -148,9 +150,9 @@
 	case f.Settings == nil:
 		return keyError{"settings", "missing"}
 	case !isAddrPort(*f.Listen):
-		return keyError{"listen", "not an address with a port"}
+		return keyError{"listen", fmt.Sprintf("%q is not an IP address with a port", *f.Listen)}
 	case !isAddrPort(*f.DiscoveryAddr):
-		return keyError{"board", "not an address with a port"}
+		return keyError{"board", fmt.Sprintf("%q is not an IP address with a port", *f.DiscoveryAddr)}
 	case f.Seed == nil:
 		return keyError{"seed", "missing"}
 	}
@@ -162,33 +164,33 @@
 	return err == nil
 }
 
-// machineLimits is what the router may use of the machine.
-type machineLimits struct {
+// machineResources are the resources of the machine that the router may use.
+type machineResources struct {
 	cores    float64
 	memoryMB int
 	sockets  int // descriptors of the process
 }
 
-func (f *file) machineLimits() (machineLimits, error) {
+func (f *file) resources() (machineResources, error) {
 	cores, err := coresRange.check("limits.cores", f.Limits.Cores)
 	if err != nil {
-		return machineLimits{}, err
+		return machineResources{}, err
 	}
 	memoryMB, err := memoryMBRange.check("limits.memory_mb", f.Limits.MemoryMB)
 	if err != nil {
-		return machineLimits{}, err
+		return machineResources{}, err
 	}
 	sockets, err := socketsRange.check("limits.sockets", f.Limits.Sockets)
 	if err != nil {
-		return machineLimits{}, err
+		return machineResources{}, err
 	}
-	return machineLimits{cores: cores, memoryMB: int(memoryMB), sockets: int(sockets)}, nil
+	return machineResources{cores: cores, memoryMB: int(memoryMB), sockets: int(sockets)}, nil
 }
 
 // check returns the value, or the default where the key is missing.
 func (r numberRange) check(key string, value *float64) (float64, error) {
 	if value == nil {
-		return r.missing, nil
+		return r.byDefault, nil
 	}
 	if *value < r.low || *value > r.high || math.IsNaN(*value) {
 		return 0, keyError{key, fmt.Sprintf("%g is not within %g and %g", *value, r.low, r.high)}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,15 +7,15 @@
 	"quilldoor/internal/settings"
 )
 
-// maxClassMillis bounds a traffic class's objective and timeout: memory is held for as
-// long as a request may take.
+// maxClassMillis bounds the latency objective and the timeout of a traffic class: a
+// request holds memory until it times out.
 const maxClassMillis = 60e3
 
-// noKind is the index of a kind of endpoints that the site does not have.
+// noKind is the index that stands for a kind of endpoint that the site does not have.
 const noKind = -1
 
-// checkSettings rejects what the router can't work with, or what the protocols
-// on sockets have no form for.
+// checkSettings rejects settings that the router can't work with or that the protocols
+// on sockets can't express.
 func checkSettings(s *settings.Setup) error {
 	switch {
 	case len(s.Classes) == 0:
@@ -25,11 +25,18 @@
 	case s.Zone == "":
 		return keyError{"settings.Zone", "missing"}
 	case len(s.Tenants) > 0:
-		return keyError{"settings.Tenants", "the protocol has no field that names a request's tenant"}
+		return keyError{"settings.Tenants", "not supported: the protocol has no field for a request's tenant"}
 	case !isIndex(s.FamilyInfo.MasterKind, len(s.Kinds)):
-		return keyError{"settings.FamilyInfo.MasterKind", "not a place in Kinds"}
+		return keyError{
+			"settings.FamilyInfo.MasterKind",
+			fmt.Sprintf("%d is not an index of the %d settings.Kinds", s.FamilyInfo.MasterKind, len(s.Kinds)),
+		}
 	case s.FamilyInfo.SecondTierKind != nil && !isIndexOrNone(*s.FamilyInfo.SecondTierKind, len(s.Kinds)):
-		return keyError{"settings.FamilyInfo.SecondTierKind", "not a place in Kinds"}
+		return keyError{
+			"settings.FamilyInfo.SecondTierKind",
+			fmt.Sprintf("%d is neither %d nor an index of the %d settings.Kinds",
+				*s.FamilyInfo.SecondTierKind, noKind, len(s.Kinds)),
+		}
 	}
 	if err := checkNotNegative(s); err != nil {
 		return err
@@ -66,7 +73,7 @@
 		{"Siblings", float64(s.Siblings)},
 	} {
 		if number.value < 0 {
-			return keyError{"settings." + number.key, "negative"}
+			return keyError{"settings." + number.key, fmt.Sprintf("%g is negative", number.value)}
 		}
 	}
 	return nil
@@ -75,11 +82,14 @@
 func checkClass(prefix string, class *settings.Class) error {
 	switch {
 	case class.Name == "" || !cacheproto.IsPlain(class.Name):
-		return keyError{prefix + "Name", "not a plain word"}
+		return keyError{
+			prefix + "Name",
+			fmt.Sprintf("%q is empty, too long or has characters that the cache protocol does not allow", class.Name),
+		}
 	case class.Effect != "safe" && class.Effect != "keyed" && class.Effect != "unsafe":
-		return keyError{prefix + "Effect", fmt.Sprintf("%q is none of safe, keyed, unsafe", class.Effect)}
+		return keyError{prefix + "Effect", fmt.Sprintf("%q is not safe, keyed or unsafe", class.Effect)}
 	case class.Streamed:
-		return keyError{prefix + "Streamed", "the protocol has no streams"}
+		return keyError{prefix + "Streamed", "not supported: the protocol has no streams"}
 	}
 	if err := checkClassTime(prefix+"TargetMs", class.TargetMs); err != nil {
 		return err
@@ -89,7 +99,7 @@
 
 func checkClassTime(key string, millis float64) error {
 	if millis <= 0 || millis > maxClassMillis {
-		return keyError{key, fmt.Sprintf("%g is not within 0 and %g", millis, maxClassMillis)}
+		return keyError{key, fmt.Sprintf("%g is not above 0 and up to %g", millis, maxClassMillis)}
 	}
 	return nil
 }
