--- a/internal/operatorconfig/config.go
+++ b/internal/operatorconfig/config.go
@@ -1,6 +1,6 @@
-// Package operatorconfig reads the operator's own file: YAML that turns on what goes
-// beyond the platform's configuration. A part that the file does not have is off, and so
-// is everything if there is no file.
+// Package operatorconfig reads the operator's file: YAML that enables features beyond the
+// platform's configuration. Each part of the file enables one; a part that is missing
+// leaves its feature off, and so does a missing file.
 package operatorconfig
 
 import (
@@ -14,29 +14,31 @@
 	"quilldoor/internal/yamlfile"
 )
 
-// DefaultPath is read where neither a flag nor the environment names a file. It may be
-// absent; a named file may not.
+// DefaultPath is read if neither a flag nor the environment names a file. It may be
+// absent, unlike a named file.
 const DefaultPath = "deploy/quilldoor.yaml"
 
-// pathVariable is the environment variable that names the file.
+// pathVariable is the environment variable for the path of the file.
 const pathVariable = "LB_OPERATOR"
 
-// Config is the validated file. A nil part is off. A change of any part takes a restart.
+// Config is the validated file. A nil part is off. A change of any part takes effect after
+// a restart.
 type Config struct {
 	DiskCache  *DiskCache  `yaml:"disk"`           // cache of responses on disk
-	Metrics    *Metrics    `yaml:"metrics"`        // file with metrics
+	Metrics    *Metrics    `yaml:"metrics"`        // file for a metrics collector
 	Gateway    *Gateway    `yaml:"gateway"`        // connections to routers of other sites
 	Membership *Membership `yaml:"members"`        // the other routers of this site
-	Supervisor *Supervisor `yaml:"keep,omitempty"` // upgrades under load
+	Supervisor *Supervisor `yaml:"keep,omitempty"` // upgrades without a restart
 }
 
-// Load reads the file that the flag names, else the environment variable LB_OPERATOR,
-// else DefaultPath. The error of a file that can't be read wraps that of os.ReadFile.
+// Load reads the file at the path in the flag, else in the environment variable
+// LB_OPERATOR, else at DefaultPath. The error of a file that can't be read wraps that of
+// os.ReadFile.
 func Load(flag string, getenv func(string) string) (*Config, error) {
-	named := cmp.Or(flag, getenv(pathVariable))
-	path := cmp.Or(named, DefaultPath)
+	namedPath := cmp.Or(flag, getenv(pathVariable))
+	path := cmp.Or(namedPath, DefaultPath)
 	text, err := os.ReadFile(path)
-	if named == "" && errors.Is(err, fs.ErrNotExist) {
+	if namedPath == "" && errors.Is(err, fs.ErrNotExist) {
 		return &Config{}, nil
 	}
 	if err != nil {
@@ -45,7 +47,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads and validates a file's text and fills in defaults. Its errors are
+// Parse decodes and validates a file's text and fills in defaults. Its errors are of type
 // *yamlfile.Error and name the file, the line and the key.
 func Parse(name string, text []byte) (*Config, error) {
 	c := &Config{}
@@ -84,13 +86,13 @@
 
 func (c *Config) validateSupervisor() error {
 	if c.Supervisor.RolloutPlan != "" && c.Membership == nil {
-		return yamlfile.Errorf("keep.plan", "rollouts go among routers that know each other: members is missing")
+		return yamlfile.Errorf("keep.plan", "a rollout needs membership, but the part members is missing")
 	}
 	return c.Supervisor.validate()
 }
 
-// ImmutableChanges returns the keys of the parts in which another file differs. All of
-// them take a restart.
+// ImmutableChanges returns the keys of the parts in which another file differs. A change of
+// any of them takes effect after a restart.
 func (c *Config) ImmutableChanges(other *Config) (keys []string) {
 	for _, part := range []struct {
 		key           string
--- a/internal/operatorconfig/diskcache.go
+++ b/internal/operatorconfig/diskcache.go
@@ -10,51 +10,52 @@
 	"quilldoor/internal/yamlfile"
 )
 
-// DiskCache is the cache of responses on disk: the part "disk" of the file.
+// DiskCache configures the cache of responses on disk: the part "disk" of the file.
 type DiskCache struct {
-	// Path is the cache's own directory; absolute, required. It must exist, empty or made
-	// by a router, and no other router may use it.
+	// Path is the directory of the cache; absolute, required. It must exist, and be empty
+	// or hold the cache of an earlier run. No other router may use it.
 	Path string `yaml:"path"`
 
-	// SizeMB is the size of the data on disk in megabytes, from 16; required. It may grow
-	// from one start to the next; where it shrinks, entries beyond its end are dropped.
+	// SizeMB is the size of the data on disk in megabytes, from 16; required. It may change
+	// between two starts; if it shrinks, entries beyond its end are dropped.
 	SizeMB int `yaml:"size_mb"`
 
-	// SlotKB is the size of a slot in kilobytes (default 16), from 1 to 1024: an entry
-	// takes whole slots. Small slots waste less of the last one of each entry and take
-	// more memory for the same disk. A directory made with another value is refused.
+	// SlotKB is the size of a slot in kilobytes (default 16), from 1 to 1024. An entry
+	// occupies whole slots: small ones waste less of the last slot of each entry, but take
+	// more memory for the same disk size. A directory created with another value is refused.
 	SlotKB int `yaml:"slot_kb"`
 
 	// MemoryMB is the memory for the index in megabytes (default 16). It bounds the number
-	// of entries: with little memory a large disk stays partly unused.
+	// of entries: with little memory, a part of a large disk stays unused.
 	MemoryMB int `yaml:"memory_mb"`
 
-	// WriteMBPerSecond bounds what is written in the long run, in megabytes a second
-	// (default 8). A low rate spares the disk and requests that read it; what does not
-	// fit the queue meanwhile is not cached.
+	// WriteMBPerSecond bounds the average write rate in megabytes per second (default 8). A
+	// low rate reduces the load on the disk and the delay of reads; responses that do not
+	// fit into the queue are not cached.
 	WriteMBPerSecond int `yaml:"write_mb_per_s"`
 
 	// QueueMB is the memory for entries that are not written yet, in megabytes (default
-	// 4). A long queue takes in bursts, at the cost of memory for bodies; a quarter of
-	// that memory bounds it, too.
+	// 4). A long queue absorbs bursts, at the cost of memory for bodies. It is also bounded
+	// by a quarter of the memory for bodies.
 	QueueMB int `yaml:"queue_mb"`
 
 	// SyncIntervalMS is the time between two syncs in milliseconds (default 1000), from 10
-	// to 60000. A crash loses what was written since the last one; frequent syncs slow
+	// to 60000. A crash loses the entries written since the last sync; frequent syncs slow
 	// the disk down.
 	SyncIntervalMS int `yaml:"sync_ms"`
 
-	// MaxConcurrentReads bounds the reads at the same time, those that wait for the disk
-	// included (default 16). Further requests go on without the disk.
+	// MaxConcurrentReads bounds the concurrent reads, including those that wait for the
+	// disk (default 16). Further requests proceed without the disk cache.
 	MaxConcurrentReads int `yaml:"reads"`
 
 	// ReadWaitMS is how long a request waits for the disk, in milliseconds (default 20),
-	// from 1 to 1000, before it goes on without. A long wait serves more from a slow disk
-	// and adds to the latency of the requests that it does not serve.
+	// from 1 to 1000, before it proceeds without the disk cache. With a long wait a slow
+	// disk serves more requests, and those that it does not serve take longer.
 	ReadWaitMS int `yaml:"read_wait_ms"`
 
-	// TrafficClasses are the names of those that are cached (default: all that may be). A
-	// class that writes, is not idempotent or has no freshness time is refused.
+	// TrafficClasses are the names of the traffic classes that are cached (default: all
+	// that can be). A class of writes, of requests that are not idempotent or without a
+	// freshness time is refused.
 	TrafficClasses []string `yaml:"rules"`
 }
 
@@ -73,24 +74,24 @@
 		return yamlfile.Errorf("disk.path", "missing")
 	}
 	if !filepath.IsAbs(d.Path) {
-		return yamlfile.Errorf("disk.path", "not an absolute path")
+		return yamlfile.Errorf("disk.path", "%q is not an absolute path", d.Path)
 	}
 	if err := d.validateLimits(); err != nil {
 		return err
 	}
 	if d.MaxEntries() < minEntries {
-		return yamlfile.Errorf("disk.memory_mb", "%d MB are too few for %d slots: use larger slots or more memory",
+		return yamlfile.Errorf("disk.memory_mb", "%d MB are too few for the index of %d slots: increase disk.slot_kb or disk.memory_mb",
 			d.MemoryMB, d.Slots())
 	}
 	for i, class := range d.TrafficClasses {
 		if class == "" || slices.Index(d.TrafficClasses, class) < i {
-			return yamlfile.Errorf(fmt.Sprintf("disk.rules[%d]", i), "%q is empty or stands twice", class)
+			return yamlfile.Errorf(fmt.Sprintf("disk.rules[%d]", i), "%q is empty or a duplicate", class)
 		}
 	}
 	return nil
 }
 
-// validateLimits fills in defaults and checks ranges.
+// validateLimits fills in the defaults of the numbers and checks their ranges.
 func (d *DiskCache) validateLimits() error {
 	const noDefault = 0
 	for _, limit := range []struct {
@@ -121,22 +122,23 @@
 	megabyte = 1 << 20
 )
 
-// Memory that the index takes, in bytes.
+// Memory of the index, in bytes.
 const (
-	// bytesPerSlot: a slot's place in its chain, and a bit.
+	// bytesPerSlot is the 32-bit link of a slot in its chain, and a bit that marks its use.
 	bytesPerSlot = 33.0 / 8
-	// bytesPerEntry: the entry, its places in the hash buckets, and its share of the
-	// frequency sketch; tables of powers of two are half empty at worst.
+	// bytesPerEntry is the entry, its share of the hash buckets and its share of the
+	// frequency sketch. Tables whose sizes are powers of two are half empty at worst.
 	bytesPerEntry = 64 + 16 + 8
 )
 
-// minEntries is the least number of entries that a disk cache is useful with.
+// minEntries is the smallest number of entries with which a disk cache is useful.
 const minEntries = 256
 
-// Slots returns how many slots SizeMB gives.
+// Slots returns the number of slots of SlotKB in SizeMB.
 func (d *DiskCache) Slots() int { return d.SizeMB * (megabyte / kilobyte) / d.SlotKB }
 
-// MaxEntries returns how many entries the memory holds, at most one for each slot.
+// MaxEntries returns the number of entries whose index fits into MemoryMB, at most one for
+// each slot.
 func (d *DiskCache) MaxEntries() int {
 	available := float64(d.MemoryMB)*megabyte - float64(d.Slots())*bytesPerSlot
 	return max(min(d.Slots(), int(available/bytesPerEntry)), 0)
--- a/internal/operatorconfig/gateway.go
+++ b/internal/operatorconfig/gateway.go
@@ -8,7 +8,7 @@
 	"quilldoor/internal/yamlfile"
 )
 
-// maxGatewayPeers bounds the connections: each peer takes two.
+// maxGatewayPeers bounds the connections to peers: each peer has two.
 const maxGatewayPeers = 64
 
 const (
@@ -18,35 +18,37 @@
 
 // Gateway connects this router to routers of other sites: the part "gateway" of the file.
 type Gateway struct {
-	// Name of this router, as in its certificate and in the files of its peers; required.
+	// Name is this router's name, as in its certificate and in the files of its peers;
+	// required.
 	Name string `yaml:"name"`
 
-	// Site of this router; required. Peers are of other sites.
+	// Site is this router's site; required. Peers belong to other sites.
 	Site string `yaml:"site"`
 
-	// Listen is the TCP address and port for peers; required.
+	// Listen is the TCP address and port that accepts connections of peers; required.
 	Listen string `yaml:"listen"`
 
 	// Peers are the routers to connect to, from 1 to 64.
 	Peers []GatewayPeer `yaml:"peers"`
 
-	// MaxRequests bounds the requests forwarded to all peers, and those inbound from all
-	// peers, at the same time (default 256). A high number helps a site in need more, and
-	// lets it take more of this one.
+	// MaxRequests bounds the concurrent requests forwarded to all peers, and likewise those
+	// inbound from all peers (default 256). With a high number, an overloaded site is
+	// relieved more and may use more of this site's capacity.
 	MaxRequests int `yaml:"most"`
 
-	// LocalReserve is the share of MaxRequests that inbound requests never take, from 0
-	// (the default) to below 1. A large share protects this site's own requests and helps
-	// peers less.
+	// LocalReserve is the share of MaxRequests that is not available to inbound requests,
+	// from 0 (the default) to below 1. A large share protects this site's own requests and
+	// relieves peers less.
 	LocalReserve float64 `yaml:"reserve"`
 
 	// HeartbeatMS is the time between two heartbeats to a peer, in milliseconds (default
-	// 250), from 20 to 5000. A short one detects failures sooner and costs more messages.
+	// 250), from 20 to 5000. A short interval detects failures sooner and costs more
+	// messages.
 	HeartbeatMS int `yaml:"beat_ms"`
 
 	// CertFile, KeyFile and CAFile are the paths of this router's certificate, its private
 	// key, and the authority that signed the certificates of all peers, in PEM; required.
-	// They are read again on SIGHUP.
+	// SIGHUP reloads them.
 	CertFile string `yaml:"cert"`
 	KeyFile  string `yaml:"key"`
 	CAFile   string `yaml:"ca"`
@@ -56,7 +58,7 @@
 	StatusFile string `yaml:"status_file"`
 }
 
-// GatewayPeer is a router of another site.
+// GatewayPeer is a router of another site, to which this one connects.
 type GatewayPeer struct {
 	Name string `yaml:"name"` // as in its certificate
 	Site string `yaml:"site"`
@@ -72,7 +74,7 @@
 		}
 	}
 	if _, err := netip.ParseAddrPort(g.Listen); err != nil {
-		return yamlfile.Errorf("gateway.listen", "not an address with a port")
+		return yamlfile.Errorf("gateway.listen", "%q is not an IP address with a port", g.Listen)
 	}
 	if err := g.validatePeers(); err != nil {
 		return err
@@ -82,15 +84,15 @@
 	if err := yamlfile.CheckRange("gateway.most", g.MaxRequests, 1, 100_000); err != nil {
 		return err
 	}
-	if !(g.LocalReserve >= 0 && g.LocalReserve < 1) { // refuses NaN, too
-		return yamlfile.Errorf("gateway.reserve", "%g is not within 0 and 1", g.LocalReserve)
+	if !(g.LocalReserve >= 0 && g.LocalReserve < 1) { // also refuses NaN
+		return yamlfile.Errorf("gateway.reserve", "%g is not at least 0 and below 1", g.LocalReserve)
 	}
 	return yamlfile.CheckRange("gateway.beat_ms", g.HeartbeatMS, 20, 5000)
 }
 
 func (g *Gateway) validatePeers() error {
 	if len(g.Peers) == 0 || len(g.Peers) > maxGatewayPeers {
-		return yamlfile.Errorf("gateway.peers", "%d of them, 1 to %d wanted", len(g.Peers), maxGatewayPeers)
+		return yamlfile.Errorf("gateway.peers", "%d peers, expected 1 to %d", len(g.Peers), maxGatewayPeers)
 	}
 	seen := map[string]bool{g.Name: true}
 	for i, peer := range g.Peers {
@@ -98,11 +100,11 @@
 		_, err := netip.ParseAddrPort(peer.Addr)
 		switch {
 		case peer.Name == "" || seen[peer.Name]:
-			return yamlfile.Errorf(key+".name", "%q is empty, stands twice or is this router's", peer.Name)
+			return yamlfile.Errorf(key+".name", "%q is empty, a duplicate or this router's own name", peer.Name)
 		case peer.Site == "" || peer.Site == g.Site:
-			return yamlfile.Errorf(key+".site", "%q is empty or this router's own", peer.Site)
+			return yamlfile.Errorf(key+".site", "%q is empty or this router's own site", peer.Site)
 		case err != nil:
-			return yamlfile.Errorf(key+".addr", "not an address with a port")
+			return yamlfile.Errorf(key+".addr", "%q is not an IP address with a port", peer.Addr)
 		}
 		seen[peer.Name] = true
 	}
