--- a/internal/diskcache/diskstore/diskstore_test.go
+++ b/internal/diskcache/diskstore/diskstore_test.go
@@ -15,70 +15,75 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-var super = diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 5}
+var superblock = diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 5}
 
-// found is what a recovery tells.
-type found struct {
+// recovered is the result of Store.Recover.
+type recovered struct {
 	diskstore.Recovery
 	Entries []*diskstore.Entry
 }
 
-func open(t testing.TB, fs diskstore.FS) (*diskstore.Store, found) {
+func open(t testing.TB, fs diskstore.FS) (*diskstore.Store, recovered) {
 	t.Helper()
-	s, err := diskstore.Open(fs, super)
+	s, err := diskstore.Open(fs, superblock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	entries := diskstore.Entries{}
-	r, err := s.Recover(entries)
+	recovery, err := s.Recover(entries)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, found{r, slices.Collect(maps.Values(entries))}
+	return s, recovered{recovery, slices.Collect(maps.Values(entries))}
 }
 
-// put writes a record of a body over given slots and makes it last.
-func put(t testing.TB, s *diskstore.Store, seq uint64, body string, runs ...diskcache.Extent) diskstore.Entry {
+// put writes a record with the given body into the given slots and commits it.
+func put(t testing.TB, s *diskstore.Store, seq uint64, body string, extents ...diskcache.Extent) diskstore.Entry {
 	t.Helper()
-	r := diskstore.Record{Seq: seq, Issued: 77, Part: 3, Class: "page", Object: "ab", Tag: "tag", Group: 9, BodyBytes: len(body)}
-	if err := s.Write(runs, &r, [][]byte{[]byte(body)[:len(body)/2], []byte(body)[len(body)/2:]}); err != nil {
+	record := diskstore.Record{Seq: seq, Issued: 77, Part: 3, Class: "page", Object: "ab", Tag: "tag", Group: 9, BodyBytes: len(body)}
+	if err := s.Write(extents, &record, [][]byte{[]byte(body)[:len(body)/2], []byte(body)[len(body)/2:]}); err != nil {
 		t.Fatal(err)
 	}
-	e := diskstore.Entry{Key: seq, Object: 2, Issued: 77, Seq: seq, Length: r.Length(), ClassHash: diskstore.ClassHash("page"), Group: 9, Extents: runs}
-	if err := s.Commit([]diskstore.Entry{e}, nil); err != nil {
+	entry := diskstore.Entry{
+		Key: seq, Object: 2, Issued: 77, Seq: seq, Length: record.Length(),
+		ClassHash: diskstore.ClassHash("page"), Group: 9, Extents: extents,
+	}
+	if err := s.Commit([]diskstore.Entry{entry}, nil); err != nil {
 		t.Fatal(err)
 	}
-	return e
+	return entry
 }
 
-func TestRecordsInPieces(t *testing.T) {
+// A record whose slots are not adjacent is read back whole after a restart, and after a
+// compaction of the index. Dropped records are not recovered.
+func TestRecordsOfSeveralExtents(t *testing.T) {
 	fs := crashfs.New()
 	s, r := open(t, fs)
 	body := string(bytes.Repeat([]byte("0123456789abcdef"), 1200))
-	var runs []diskcache.Extent
-	for i := range uint32(20) { // each slot apart: a put and four frames more
-		runs = append(runs, diskcache.Extent{Start: 2 * i, Count: 1})
+	var extents []diskcache.Extent
+	for i := range uint32(20) { // no two slots are adjacent: one put frame and four frames with further extents
+		extents = append(extents, diskcache.Extent{Start: 2 * i, Count: 1})
 	}
-	want := put(t, s, 7, body, runs...)
+	want := put(t, s, 7, body, extents...)
 	put(t, s, 8, "", diskcache.Extent{Start: 1, Count: 1})
 	if err := s.Commit(nil, []diskcache.Drop{{Key: 8, Seq: 8}, {Key: 7, Seq: 6}}); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // as it was written, and written anew
+	for range 2 { // with the index as it was written, and after its compaction
 		s.Close()
 		s, r = open(t, fs)
-		if len(r.Entries) != 1 || r.BadFrames != 0 || !slices.Equal(r.Entries[0].Extents, runs) || r.Entries[0].Length != want.Length {
-			t.Fatalf("%+v", r)
+		if len(r.Entries) != 1 || r.BadFrames != 0 || !slices.Equal(r.Entries[0].Extents, extents) || r.Entries[0].Length != want.Length {
+			t.Fatalf("recovered %+v", r)
 		}
-		rec, from, err := s.Read(r.Entries[0].Extents, r.Entries[0].Length)
+		record, reader, err := s.Read(r.Entries[0].Extents, r.Entries[0].Length)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := io.ReadAll(from)
-		if err != nil || string(got) != body || !from.Intact() || rec.Part != 3 || rec.Tag != "tag" || rec.Object != "ab" {
-			t.Fatalf("%+v, %d bytes, %v", rec, len(got), err)
+		got, err := io.ReadAll(reader)
+		if err != nil || string(got) != body || !reader.Intact() || record.Part != 3 || record.Tag != "tag" || record.Object != "ab" {
+			t.Fatalf("record %+v, %d bytes of %d, intact %t: %v", record, len(got), len(body), reader.Intact(), err)
 		}
-		if err := s.Compact(func(tell func(*diskstore.Entry) error) error { return tell(r.Entries[0]) }); err != nil {
+		if err := s.Compact(func(add func(*diskstore.Entry) error) error { return add(r.Entries[0]) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -86,21 +91,21 @@
 	if !slices.Equal(names, []string{"data", "index-0000000000000002", "store"}) {
 		t.Fatalf("files %q", names)
 	}
-	if err := s.Write(runs[:2], &diskstore.Record{BodyBytes: len(body)}, [][]byte{[]byte(body)}); !errors.Is(err, diskstore.ErrCorruptRecord) {
-		t.Errorf("longer than its slots: %v", err)
+	if err := s.Write(extents[:2], &diskstore.Record{BodyBytes: len(body)}, [][]byte{[]byte(body)}); !errors.Is(err, diskstore.ErrCorruptRecord) {
+		t.Errorf("write of a record that is longer than its slots: %v", err)
 	}
 	if (&diskstore.Record{Tag: string(make([]byte, 256))}).Length() != 0 {
-		t.Error("a tag that no byte can tell the length of")
+		t.Error("a tag of 256 bytes is accepted; its length does not fit into one byte")
 	}
 }
 
-func TestLookFindsWhatIsWrong(t *testing.T) {
+func TestInspectFindsCorruptAndOverlappingRecords(t *testing.T) {
 	fs := crashfs.New()
 	s, _ := open(t, fs)
 	put(t, s, 1, "one", diskcache.Extent{Start: 0, Count: 1})
 	put(t, s, 2, "two", diskcache.Extent{Start: 1, Count: 1})
 	s.Close()
-	look := func() *diskstore.Report {
+	inspect := func() *diskstore.Report {
 		r, err := diskstore.Inspect(fs, true)
 		if err != nil {
 			t.Fatal(err)
@@ -108,33 +113,33 @@
 		return r
 	}
 	before := fs.Steps()
-	if r := look(); !r.Intact() || r.Parts != 2 || r.PartsByClass["page"] != 2 || r.SlotsUsed != 2 || fs.Steps() != before {
-		t.Fatalf("%+v", r)
+	if r := inspect(); !r.Intact() || r.Parts != 2 || r.PartsByClass["page"] != 2 || r.SlotsUsed != 2 || fs.Steps() != before {
+		t.Fatalf("intact store: %+v, %d changes of files", r, fs.Steps()-before)
 	}
 	fs.Content("data")[diskstore.MinSlotBytes+45] ^= 1
-	if r := look(); r.Intact() || r.CorruptRecords != 1 {
-		t.Fatalf("a flipped bit: %+v", r)
+	if r := inspect(); r.Intact() || r.CorruptRecords != 1 {
+		t.Fatalf("one flipped bit in a body: %+v", r)
 	}
 	fs.Content("data")[diskstore.MinSlotBytes+45] ^= 1
 	s, _ = open(t, fs)
 	put(t, s, 3, "three", diskcache.Extent{Start: 1, Count: 1})
-	if r := look(); r.Intact() || r.OverlappingRecords != 1 {
-		t.Fatalf("a slot of two: %+v", r)
+	if r := inspect(); r.Intact() || r.OverlappingRecords != 1 {
+		t.Fatalf("two records in one slot: %+v", r)
 	}
 	if _, err := diskstore.Inspect(crashfs.New(), true); !errors.Is(err, diskstore.ErrNotStore) {
-		t.Fatal(err)
+		t.Fatalf("empty directory: %v", err)
 	}
 }
 
-// A folder of the operating system is held by one process at a time, and let go
-// by one that was killed.
+// One process at a time locks a directory of the operating system, and a killed process
+// releases its lock. The test runs its own program again as the other process.
 func TestLockOfAnotherProcess(t *testing.T) {
 	if path := os.Getenv("QUILLDOOR_TEST_LOCK"); path != "" {
-		if _, err := diskstore.Open(diskstore.Dir{Path: path}, super); err != nil {
+		if _, err := diskstore.Open(diskstore.Dir{Path: path}, superblock); err != nil {
 			t.Fatal(err)
 		}
 		os.Stdout.WriteString("held\n")
-		select {}
+		select {} // until the test kills this process
 	}
 	dir := t.TempDir()
 	other := exec.Command(os.Args[0], "-test.run=^TestLockOfAnotherProcess$")
@@ -151,11 +156,11 @@
 	if _, err := io.ReadFull(out, make([]byte, 5)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := diskstore.Open(diskstore.Dir{Path: dir}, super); !errors.Is(err, diskstore.ErrInUse) {
-		t.Fatalf("held by another: %v", err)
+	if _, err := diskstore.Open(diskstore.Dir{Path: dir}, superblock); !errors.Is(err, diskstore.ErrInUse) {
+		t.Fatalf("open while another process holds the lock: %v", err)
 	}
 	if _, err := diskstore.Inspect(diskstore.Dir{Path: dir, ReadOnly: true}, true); err != nil {
-		t.Fatalf("looked into while it is held: %v", err)
+		t.Fatalf("inspect while another process holds the lock: %v", err)
 	}
 	other.Process.Kill()
 	other.Wait()
@@ -163,14 +168,14 @@
 	put(t, s, 1, "x", diskcache.Extent{Start: 3, Count: 1})
 	s.Close()
 	if s, r := open(t, diskstore.Dir{Path: dir}); len(r.Entries) != 1 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("reopened: %+v", r)
 	} else {
 		s.Close()
 	}
 }
 
-// Whatever a record's bytes are, reading them ends without a panic, and says
-// sound only of what was written.
+// Reading a record of arbitrary bytes must not panic, and Intact must be true only for the
+// bytes of a record that was written.
 func FuzzRecord(f *testing.F) {
 	fs := crashfs.New()
 	s, _ := open(f, fs)
@@ -188,21 +193,22 @@
 				t.Fatal(err)
 			}
 		}
-		rec, r, err := s.Read([]diskcache.Extent{{Start: 0, Count: 2}}, length)
+		record, reader, err := s.Read([]diskcache.Extent{{Start: 0, Count: 2}}, length)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(r)
-		if err == nil && r.Intact() && (len(body) != rec.BodyBytes || length != rec.Length()) {
-			t.Fatalf("sound with %d bytes, told %d in %d", len(body), rec.BodyBytes, length)
+		body, err := io.ReadAll(reader)
+		if err == nil && reader.Intact() && (len(body) != record.BodyBytes || length != record.Length()) {
+			t.Fatalf("intact with a body of %d bytes; by the header %d, in a record of %d", len(body), record.BodyBytes, length)
 		}
-		if err == nil && r.Intact() && !bytes.HasPrefix(data, whole) && len(data) < length {
-			t.Fatal("sound beyond its bytes")
+		if err == nil && reader.Intact() && !bytes.HasPrefix(data, whole) && len(data) < length {
+			t.Fatalf("a record of %d bytes is intact although only %d bytes were written", length, len(data))
 		}
 	})
 }
 
-// Whatever an index holds, it is read without a panic, and no entry is made up.
+// Reading an index of arbitrary bytes must not panic, and must yield only entries that were
+// written.
 func FuzzIndex(f *testing.F) {
 	fs := crashfs.New()
 	s, _ := open(f, fs)
@@ -226,9 +232,9 @@
 		}
 		s, r := open(t, fs)
 		defer s.Close()
-		for _, e := range r.Entries {
-			if e.Seq != 1 && e.Seq != 2 || r.Frames > len(index)/64 {
-				t.Fatalf("made up: %+v", e)
+		for _, entry := range r.Entries {
+			if entry.Seq != 1 && entry.Seq != 2 || r.Frames > len(index)/64 {
+				t.Fatalf("entry that was never written, or too many frames (%d for %d bytes): %+v", r.Frames, len(index), entry)
 			}
 		}
 	})
--- a/internal/diskcache/diskstore/doc.go
+++ b/internal/diskcache/diskstore/doc.go
@@ -1,6 +1,7 @@
-// Package diskstore keeps records in the slots of one file and an index of them in
-// another, so that what was synced is found again after a crash at any byte. It decides
-// nothing: which slots a record takes, and what gives way, is decided by package diskcache.
+// Package diskstore stores records in the slots of one file and their index in another, so
+// that synced records are recovered after a crash at any byte. Package diskcache chooses the
+// slots of a record and the records to evict.
 //
-// One goroutine writes; any may read records. docs/disk-tier.md describes the format.
+// One goroutine writes; any goroutine may read records. docs/disk-tier.md describes the
+// format.
 package diskstore
--- a/internal/diskcache/diskstore/filesystem.go
+++ b/internal/diskcache/diskstore/filesystem.go
@@ -10,16 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is what the store needs of a file system. Names are those of files in one folder.
+// FS is a file system as the store uses it. Names are those of files in one directory.
 type FS interface {
-	// Open opens a file for reading and writing; create makes it if need be.
+	// Open opens a file for reading and writing. With create, a missing file is created.
 	Open(name string, create bool) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	List() ([]string, error)
 	// SyncDir makes creations, renames and removals durable.
 	SyncDir() error
-	// Lock keeps other processes out until it is closed; ErrInUse: another one holds it.
+	// Lock locks the directory against other processes until the returned lock is closed.
+	// It fails with ErrInUse if another process holds the lock.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -33,13 +34,13 @@
 	Size() (int64, error)
 }
 
-// ErrInUse is behind the error on a folder that another process holds.
+// ErrInUse is wrapped by the error about a directory that another process has locked.
 var ErrInUse = errors.New("in use by another process")
 
-// Dir is a folder of the operating system.
+// Dir is a directory of the operating system's file system.
 type Dir struct {
 	Path     string
-	ReadOnly bool // nothing is created or locked
+	ReadOnly bool // files are opened for reading and never created
 }
 
 type osFile struct{ *os.File }
@@ -52,7 +53,7 @@
 	return info.Size(), nil
 }
 
-// Sync leaves out the file's times, which nothing reads.
+// Sync syncs the file's data and size, but not its times, which are not used.
 func (f osFile) Sync() error {
 	for {
 		if err := unix.Fdatasync(int(f.Fd())); !errors.Is(err, unix.EINTR) {
@@ -61,9 +62,9 @@
 	}
 }
 
-func (d Dir) name(n string) string { return filepath.Join(d.Path, n) }
+func (d Dir) pathOf(name string) string { return filepath.Join(d.Path, name) }
 
-// Open opens a file.
+// Open opens a file. It ignores create if the directory is read-only.
 func (d Dir) Open(name string, create bool) (File, error) {
 	flag := os.O_RDWR
 	if create {
@@ -72,30 +73,30 @@
 	if d.ReadOnly {
 		flag = os.O_RDONLY
 	}
-	f, err := os.OpenFile(d.name(name), flag, 0o600)
+	f, err := os.OpenFile(d.pathOf(name), flag, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	return osFile{f}, nil
 }
 
-// Rename renames a file over another.
-func (d Dir) Rename(from, to string) error { return os.Rename(d.name(from), d.name(to)) }
+// Rename renames a file and replaces an existing one of the new name.
+func (d Dir) Rename(from, to string) error { return os.Rename(d.pathOf(from), d.pathOf(to)) }
 
 // Remove removes a file.
-func (d Dir) Remove(name string) error { return os.Remove(d.name(name)) }
+func (d Dir) Remove(name string) error { return os.Remove(d.pathOf(name)) }
 
-// List names the folder's files.
+// List returns the names of the files in the directory.
 func (d Dir) List() ([]string, error) {
 	list, err := os.ReadDir(d.Path)
 	var names []string
-	for _, e := range list {
-		names = append(names, e.Name())
+	for _, file := range list {
+		names = append(names, file.Name())
 	}
 	return names, err
 }
 
-// SyncDir syncs the folder.
+// SyncDir syncs the directory.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(d.Path)
 	if err != nil {
@@ -105,9 +106,10 @@
 	return f.Sync()
 }
 
-// Lock takes the folder's lock, which the kernel gives back when the process ends.
+// Lock locks the directory by a lock on the named file. The kernel releases the lock when
+// the process ends.
 func (d Dir) Lock(name string) (io.Closer, error) {
-	f, err := os.OpenFile(d.name(name), os.O_CREATE|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(d.pathOf(name), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -116,10 +118,10 @@
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", d.Path, ErrInUse)
 		}
-		return nil, fmt.Errorf("%s: lock: %w", d.Path, err)
+		return nil, fmt.Errorf("%s: flock: %w", d.pathOf(name), err)
 	}
 	return f, nil
 }
 
-// IsNoSpace tells whether an error says that the disk is full.
+// IsNoSpace reports whether an error means that the disk or the quota is full.
 func IsNoSpace(err error) bool { return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) }
--- a/internal/diskcache/diskstore/format.go
+++ b/internal/diskcache/diskstore/format.go
@@ -8,19 +8,19 @@
 
 // The format, version 1. Numbers are little-endian, checksums are CRC-32C.
 //
-//	store    the superblock, 64 bytes; never changed once it is there
-//	data     slots side by side; a record takes a chain of them
-//	index-N  frames of 64 bytes; the file with the highest N counts
-//	lock     held by the process that writes
+//	store    the superblock, 64 bytes; never changed once it is written
+//	data     adjacent slots of one size; a record occupies a chain of them
+//	index-N  frames of 64 bytes; only the file with the highest N is valid
+//	lock     locked by the process that writes
 const (
 	storeName = "store"
 	dataName  = "data"
 	indexName = "index-%016x"
 	lockName  = "lock"
-	newSuffix = ".new" // of a file that is renamed once it is whole
+	newSuffix = ".new" // of a file that is renamed once it is complete
 
 	version   = 1
-	frameSize = 64 // bytes, also of the superblock
+	frameSize = 64 // bytes of a frame, and of the superblock
 )
 
 var (
@@ -28,10 +28,10 @@
 	le            = binary.LittleEndian
 )
 
-// Errors that tell what a folder or a record is.
+// Errors about the content of a directory or of a record.
 var (
-	ErrNotStore      = errors.New("not a store of quilldoor")
-	ErrNewerVersion  = errors.New("a store of a newer version")
+	ErrNotStore      = errors.New("not a quilldoor disk store")
+	ErrNewerVersion  = errors.New("store of a newer format version")
 	ErrCorruptStore  = errors.New("corrupt store")
 	ErrCorruptRecord = errors.New("corrupt record")
 )
--- a/internal/diskcache/diskstore/frame.go
+++ b/internal/diskcache/diskstore/frame.go
@@ -6,53 +6,57 @@
 	"quilldoor/internal/diskcache"
 )
 
-// frameKind is what a frame of the index says.
+// frameKind is the type of a frame of the index.
 type frameKind uint8
 
 const (
-	kindPut  frameKind = 1 + iota // a record lies in these slots
-	kindMore                      // more extents of the record before
-	kindDrop                      // forget a record
+	kindPut  frameKind = 1 + iota // adds a record, with its first extent
+	kindMore                      // further extents of the record that was added last
+	kindDrop                      // removes a record
 )
 
-// A frame's bytes. Those of a put and a drop are at the same places.
+// Byte offsets of a frame's fields. The key and the sequence number are at the same offsets
+// in a put and a drop.
 const (
 	frameChecksumAt  = 0
 	frameKindAt      = 4
-	frameGroup       = 5 // of a put
-	frameMoreCount   = 6 // extents in a kindMore frame
+	frameGroup       = 5 // in a kindPut frame
+	frameMoreCount   = 6 // number of extents in a kindMore frame
 	frameKey         = 8
 	frameObject      = 16
 	frameIssued      = 24
 	frameSeq         = 32
 	frameLength      = 40
 	frameClassHash   = 44
-	frameExtentCount = 48 // of the record
+	frameExtentCount = 48 // number of extents of the record
 	frameFirstExtent = 52
 
+	// In a kindMore frame:
 	frameMoreSeq     = 8
 	frameMoreExtents = 16
-	extentSize       = 8
-	// maxMoreExtents in a kindMore frame.
-	maxMoreExtents = 6
 )
 
-// appendFrame appends a frame that fill has filled. Its checksum starts from the index's
-// own number, so that a frame of an older index that lay in the same blocks is none of
-// this one's.
-func appendFrame(b []byte, number uint64, kind frameKind, fill func(frame []byte)) []byte {
+const (
+	extentSize     = 8 // bytes
+	maxMoreExtents = 6 // in a kindMore frame
+)
+
+// appendFrame appends a frame whose fields fill sets. The checksum also covers the number of
+// the index, so that a frame that an older index left in the same disk blocks is not valid
+// in this one.
+func appendFrame(b []byte, indexNumber uint64, kind frameKind, fill func(frame []byte)) []byte {
 	at := len(b)
 	b = append(b, make([]byte, frameSize)...)
 	frame := b[at:]
 	frame[frameKindAt] = byte(kind)
 	fill(frame)
-	le.PutUint32(frame[frameChecksumAt:], frameChecksum(number, frame))
+	le.PutUint32(frame[frameChecksumAt:], frameChecksum(indexNumber, frame))
 	return b
 }
 
-func frameChecksum(number uint64, frame []byte) uint32 {
+func frameChecksum(indexNumber uint64, frame []byte) uint32 {
 	var prefix [8]byte
-	le.PutUint64(prefix[:], number)
+	le.PutUint64(prefix[:], indexNumber)
 	return crc32.Update(crc32.Checksum(prefix[:], checksumTable), checksumTable, frame[frameKindAt:frameSize])
 }
 
@@ -65,23 +69,24 @@
 	return diskcache.Extent{Start: le.Uint32(b), Count: le.Uint32(b[4:])}
 }
 
-// Entry is a record as the index knows it.
+// Entry describes a record in the index.
 type Entry struct {
 	Key, Object uint64
 	Issued      int64 // Unix milliseconds
 	Seq         uint64
-	Length      int // bytes on disk
+	Length      int // bytes on disk, without the unused rest of the last slot
 	ClassHash   uint32
 	Group       uint8
 	Extents     []diskcache.Extent
 }
 
-// ClassHash names a traffic class in the index, as classes may be in another order at the
-// next start. The record itself has the name.
+// ClassHash returns the hash that identifies a traffic class in the index. An index into the
+// list of classes would not do: their order may change between two starts. The record itself
+// contains the name.
 func ClassHash(name string) uint32 { return crc32.Checksum([]byte(name), checksumTable) }
 
-func appendPut(b []byte, number uint64, entry *Entry) []byte {
-	b = appendFrame(b, number, kindPut, func(frame []byte) {
+func appendPut(b []byte, indexNumber uint64, entry *Entry) []byte {
+	b = appendFrame(b, indexNumber, kindPut, func(frame []byte) {
 		frame[frameGroup] = entry.Group
 		le.PutUint64(frame[frameKey:], entry.Key)
 		le.PutUint64(frame[frameObject:], entry.Object)
@@ -93,15 +98,15 @@
 		putExtent(frame[frameFirstExtent:], entry.Extents[0])
 	})
 	for rest := entry.Extents[1:]; len(rest) > 0; {
-		n := min(len(rest), maxMoreExtents)
-		b = appendMore(b, number, entry.Seq, rest[:n])
-		rest = rest[n:]
+		count := min(len(rest), maxMoreExtents)
+		b = appendMore(b, indexNumber, entry.Seq, rest[:count])
+		rest = rest[count:]
 	}
 	return b
 }
 
-func appendMore(b []byte, number, seq uint64, extents []diskcache.Extent) []byte {
-	return appendFrame(b, number, kindMore, func(frame []byte) {
+func appendMore(b []byte, indexNumber, seq uint64, extents []diskcache.Extent) []byte {
+	return appendFrame(b, indexNumber, kindMore, func(frame []byte) {
 		frame[frameMoreCount] = byte(len(extents))
 		le.PutUint64(frame[frameMoreSeq:], seq)
 		for i, extent := range extents {
@@ -110,28 +115,29 @@
 	})
 }
 
-func appendDrop(b []byte, number uint64, drop diskcache.Drop) []byte {
-	return appendFrame(b, number, kindDrop, func(frame []byte) {
+func appendDrop(b []byte, indexNumber uint64, drop diskcache.Drop) []byte {
+	return appendFrame(b, indexNumber, kindDrop, func(frame []byte) {
 		le.PutUint64(frame[frameKey:], drop.Key)
 		le.PutUint64(frame[frameSeq:], drop.Seq)
 	})
 }
 
-// Sink takes what an index says, in its order. An entry's extents are valid until Put
-// returns.
+// Sink receives the puts and drops of an index in their order. The extents of an entry are
+// valid until Put returns.
 type Sink interface {
-	Put(entry *Entry) // it replaces one of the same key and a lower number
+	Put(entry *Entry) // replaces an entry of the same key with a lower Seq
 	Drop(drop diskcache.Drop)
 }
 
-// frameReplay tells a sink what the frames of an index say. A bad frame is counted and
-// skipped: what a lost drop leaves behind is a copy that is revalidated like any other,
-// and its checksum and number tell it from what lies in its slots now.
+// frameReplay passes the puts and drops in the frames of an index to a sink. A bad frame is
+// counted and skipped. If it was a drop, its entry remains. That is safe: the copy is
+// revalidated like any other, and once another record is in its slots, the checksum and Seq
+// no longer match.
 type frameReplay struct {
-	number        uint64
+	indexNumber   uint64
 	sink          Sink
-	pending       Entry // whose extents are being gathered
-	extentsWanted int   // of pending; 0: there is none
+	pending       Entry // entry whose extents are not complete yet
+	extentsWanted int   // number of extents of pending; 0: no entry is pending
 	frames        int
 	badFrames     int
 	maxSeq        uint64
@@ -139,14 +145,14 @@
 
 func (r *frameReplay) handle(frame []byte) {
 	r.frames++
-	if frameChecksum(r.number, frame) != le.Uint32(frame[frameChecksumAt:]) {
+	if frameChecksum(r.indexNumber, frame) != le.Uint32(frame[frameChecksumAt:]) {
 		r.badFrames++
 		r.extentsWanted = 0
 		return
 	}
 	switch frameKind(frame[frameKindAt]) {
 	case kindPut:
-		r.beginEntry(frame) // a pending one that stayed incomplete is forgotten
+		r.beginEntry(frame) // discards an incomplete pending entry
 	case kindMore:
 		if r.extentsWanted == 0 || r.pending.Seq != le.Uint64(frame[frameMoreSeq:]) {
 			return
--- a/internal/diskcache/diskstore/inspect.go
+++ b/internal/diskcache/diskstore/inspect.go
@@ -8,7 +8,7 @@
 	"quilldoor/internal/diskcache"
 )
 
-// Report is what an inspection of a folder found.
+// Report is the result of an inspection of a directory.
 type Report struct {
 	SlotBytes          int
 	IndexNumber        uint64
@@ -19,38 +19,38 @@
 	Parts              int
 	RecordBytes        int64
 	SlotsUsed          int
-	Extents            int            // as many as Parts where each lies in one piece
-	OverlappingRecords int            // a slot of theirs belongs to another record, too
-	CorruptRecords     int            // torn, flipped or cut; only where records are read
-	PartsByClass       map[string]int // only where records are read
+	Extents            int            // equal to Parts if each record is contiguous
+	OverlappingRecords int            // records with a slot that also belongs to another record
+	CorruptRecords     int            // torn, truncated or with flipped bits; only if records are read
+	PartsByClass       map[string]int // only if records are read
 	OldestIssuedMillis int64          // Unix milliseconds
 	NewestIssuedMillis int64
 }
 
-// Intact tells whether all that the index names can be served.
+// Intact reports whether all records in the index can be served, as far as they were checked.
 func (r *Report) Intact() bool { return r.OverlappingRecords == 0 && r.CorruptRecords == 0 }
 
-// Entries gathers what an index says, by key. It takes some 200 bytes an entry.
+// Entries is a Sink that collects the entries of an index by key, in about 200 bytes each.
 type Entries map[uint64]*Entry
 
-// Put adds an entry.
+// Put adds an entry, unless the map has a later one of the same key.
 func (m Entries) Put(entry *Entry) {
 	if old := m[entry.Key]; old == nil || old.Seq < entry.Seq {
-		own := *entry
-		own.Extents = slices.Clone(entry.Extents)
-		m[entry.Key] = &own
+		clone := *entry
+		clone.Extents = slices.Clone(entry.Extents)
+		m[entry.Key] = &clone
 	}
 }
 
-// Drop removes one.
+// Drop removes the entry with the key and the Seq of the drop.
 func (m Entries) Drop(drop diskcache.Drop) {
 	if entry := m[drop.Key]; entry != nil && entry.Seq == drop.Seq {
 		delete(m, drop.Key)
 	}
 }
 
-// Inspect reads a folder's index, and with readRecords all of its records. It writes
-// nothing; a folder that is in use may change meanwhile.
+// Inspect reads the index of a directory, and with readRecords also all records. It writes
+// nothing and takes no lock, so that a router that uses the directory may change it meanwhile.
 func Inspect(fsys FS, readRecords bool) (*Report, error) {
 	superblock, err := readSuperblock(fsys)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	report := &Report{SlotBytes: superblock.SlotBytes, PartsByClass: map[string]int{}}
-	numbers := indexNumbers(names)
+	numbers := sortedIndexNumbers(names)
 	if len(numbers) == 0 {
 		return report, nil
 	}
@@ -120,11 +120,12 @@
 	}
 }
 
-// markSlots tells whether all slots of the extents were free.
+// markSlots marks the slots of the extents as taken and reports whether all of them were
+// free.
 func (r *Report) markSlots(taken map[uint32]bool, extents []diskcache.Extent) bool {
 	free := true
 	for _, extent := range extents {
-		for i := range min(extent.Count, MaxSlotBytes) { // a flipped count must not run on for minutes
+		for i := range min(extent.Count, MaxSlotBytes) { // a corrupt count would take minutes without the bound
 			slot := extent.Start + i
 			free = free && !taken[slot]
 			taken[slot] = true
@@ -145,7 +146,7 @@
 	}
 }
 
-// verifyRecord reads a record whole and compares it with what the index says.
+// verifyRecord reads a whole record, verifies its checksum and compares it with its entry.
 func verifyRecord(data File, slotBytes int, entry *Entry) (class string, err error) {
 	record, reader, err := readRecord(data, slotBytes, entry.Extents, entry.Length)
 	if err != nil {
--- a/internal/diskcache/diskstore/record.go
+++ b/internal/diskcache/diskstore/record.go
@@ -5,10 +5,11 @@
 	"hash/crc32"
 )
 
-// MaxNameLength bounds each of a record's names: one byte tells its length.
+// MaxNameLength bounds each of a record's names: the header has one byte for its length.
 const MaxNameLength = 255
 
-// A record's header, before its names. The checksum is that of all behind it.
+// Byte offsets of the fields of a record's header. The names and the body follow the header.
+// The checksum covers all bytes of the record after itself.
 const (
 	recordChecksum     = 0
 	recordSeq          = 4
@@ -24,7 +25,7 @@
 	headerSize         = 40
 )
 
-// Record is a copy with all that names it.
+// Record describes a cached copy: the names and numbers that are stored with its body.
 type Record struct {
 	Seq                uint64
 	Issued             int64 // Unix milliseconds
@@ -34,7 +35,7 @@
 	BodyBytes          int
 }
 
-// Length is the record's length on disk; 0: a name is too long.
+// Length returns the record's length on disk in bytes, or 0 if a name is too long.
 func (r *Record) Length() int {
 	if len(r.Class) > MaxNameLength || len(r.Object) > MaxNameLength || len(r.Tag) > MaxNameLength {
 		return 0
@@ -42,7 +43,8 @@
 	return headerSize + len(r.Class) + len(r.Object) + len(r.Tag) + r.BodyBytes
 }
 
-// appendHeader appends the header and the names of a record with a body in pieces.
+// appendHeader appends the header and the names of a record, with the checksum over the
+// pieces of its body.
 func appendHeader(b []byte, r *Record, body [][]byte) []byte {
 	at := len(b)
 	b = append(b, make([]byte, headerSize)...)
@@ -67,10 +69,10 @@
 	return b
 }
 
-// decodeHeader reads a header. Names is the length of the names behind it.
-func decodeHeader(h []byte) (r Record, names int, err error) {
+// decodeHeader decodes a header. nameBytes is the total length of the names that follow it.
+func decodeHeader(h []byte) (r Record, nameBytes int, err error) {
 	if len(h) < headerSize || string(h[recordMagicAt:headerSize]) != recordMagic {
-		return r, 0, fmt.Errorf("%w: no header", ErrCorruptRecord)
+		return r, 0, fmt.Errorf("%w: no valid header", ErrCorruptRecord)
 	}
 	r = Record{
 		Seq:       le.Uint64(h[recordSeq:]),
@@ -79,15 +81,15 @@
 		BodyBytes: int(le.Uint32(h[recordBodyBytes:])),
 		Group:     h[recordGroup],
 	}
-	names = int(h[recordClassLength]) + int(h[recordObjectLength]) + int(h[recordTagLength])
-	return r, names, nil
+	nameBytes = int(h[recordClassLength]) + int(h[recordObjectLength]) + int(h[recordTagLength])
+	return r, nameBytes, nil
 }
 
-// setNames takes the names that stand behind a header.
+// setNames sets the names from the bytes that follow the header.
 func (r *Record) setNames(h, names []byte) {
-	class := int(h[recordClassLength])
-	object := class + int(h[recordObjectLength])
-	r.Class = string(names[:class])
-	r.Object = string(names[class:object])
-	r.Tag = string(names[object:])
+	classEnd := int(h[recordClassLength])
+	objectEnd := classEnd + int(h[recordObjectLength])
+	r.Class = string(names[:classEnd])
+	r.Object = string(names[classEnd:objectEnd])
+	r.Tag = string(names[objectEnd:])
 }
--- a/internal/diskcache/diskstore/recovery.go
+++ b/internal/diskcache/diskstore/recovery.go
@@ -9,14 +9,15 @@
 	"strings"
 )
 
-// Recovery is what was found at the start.
+// Recovery is the summary of reading the index at the start.
 type Recovery struct {
-	Frames    int    // of the index
-	BadFrames int    // cut, flipped or of another index
-	MaxSeq    uint64 // the highest record number seen
+	Frames    int    // whole frames of the index, bad ones included
+	BadFrames int    // torn, with flipped bits or of another index
+	MaxSeq    uint64 // highest Seq in a put or a drop
 }
 
-// Recover tells the sink what the index says, and makes the store ready to write.
+// Recover passes the puts and drops of the index to the sink, and makes the store ready to
+// write.
 func (s *Store) Recover(sink Sink) (recovery Recovery, err error) {
 	names, err := s.fs.List()
 	if err != nil {
@@ -25,25 +26,25 @@
 	if err := s.openFiles(names); err != nil {
 		return recovery, err
 	}
-	if recovery, err = readIndex(s.index, s.number, sink); err != nil {
+	if recovery, err = readIndex(s.index, s.indexNumber, sink); err != nil {
 		return recovery, err
 	}
-	// What is not a whole frame was never synced; the next one takes its place.
+	// An incomplete frame at the end was never synced; the next frame overwrites it.
 	s.indexEnd = int64(recovery.Frames) * frameSize
 	return recovery, s.removeLeftovers(names)
 }
 
-// openFiles opens the data and the index with the highest number, or makes them.
+// openFiles opens the data file and the index with the highest number, or creates them.
 func (s *Store) openFiles(names []string) (err error) {
 	if s.data, err = s.fs.Open(dataName, true); err != nil {
 		return err
 	}
-	numbers := indexNumbers(names)
+	numbers := sortedIndexNumbers(names)
 	found := len(numbers) > 0
 	if found {
-		s.number = numbers[len(numbers)-1]
+		s.indexNumber = numbers[len(numbers)-1]
 	}
-	if s.index, err = s.fs.Open(fmt.Sprintf(indexName, s.number), !found); err != nil {
+	if s.index, err = s.fs.Open(fmt.Sprintf(indexName, s.indexNumber), !found); err != nil {
 		return err
 	}
 	if !found || !slices.Contains(names, dataName) {
@@ -52,11 +53,11 @@
 	return nil
 }
 
-// removeLeftovers removes what a crash between two steps of Compact has left.
+// removeLeftovers removes the files that a crash between two steps of Compact has left.
 func (s *Store) removeLeftovers(names []string) error {
 	for _, name := range names {
-		number := indexNumber(name)
-		oldIndex := number != noNumber && number != s.number
+		number := parseIndexNumber(name)
+		oldIndex := number != noIndexNumber && number != s.indexNumber
 		if !strings.HasSuffix(name, newSuffix) && !oldIndex {
 			continue
 		}
@@ -67,22 +68,24 @@
 	return nil
 }
 
-const noNumber = ^uint64(0)
+// noIndexNumber stands for the number of a file that is not an index.
+const noIndexNumber = ^uint64(0)
 
-// indexNumber of a file's name; noNumber: it is no index.
-func indexNumber(name string) uint64 {
+// parseIndexNumber returns the number in the name of an index, or noIndexNumber for other
+// files.
+func parseIndexNumber(name string) uint64 {
 	const digits = 16
 	text, isIndex := strings.CutPrefix(name, "index-")
 	number, err := strconv.ParseUint(text, 16, 64)
 	if isIndex && err == nil && len(text) == digits {
 		return number
 	}
-	return noNumber
+	return noIndexNumber
 }
 
-func indexNumbers(names []string) (numbers []uint64) {
+func sortedIndexNumbers(names []string) (numbers []uint64) {
 	for _, name := range names {
-		if number := indexNumber(name); number != noNumber {
+		if number := parseIndexNumber(name); number != noIndexNumber {
 			numbers = append(numbers, number)
 		}
 	}
@@ -90,21 +93,22 @@
 	return numbers
 }
 
+// framesPerBuffer is the number of frames that are read or written at once.
 const framesPerBuffer = 1 << 12
 
-// readIndex reads all whole frames.
+// readIndex reads all whole frames of an index and passes their puts and drops to the sink.
 func readIndex(file File, number uint64, sink Sink) (Recovery, error) {
 	size, err := file.Size()
 	if err != nil {
 		return Recovery{}, err
 	}
-	replay := frameReplay{number: number, sink: sink}
+	replay := frameReplay{indexNumber: number, sink: sink}
 	buffer := make([]byte, framesPerBuffer*frameSize)
 	for at := int64(0); at+frameSize <= size; {
-		whole := (size - at) / frameSize * frameSize
-		n, err := file.ReadAt(buffer[:min(int64(len(buffer)), whole)], at)
+		wholeFrameBytes := (size - at) / frameSize * frameSize
+		n, err := file.ReadAt(buffer[:min(int64(len(buffer)), wholeFrameBytes)], at)
 		if err != nil && !errors.Is(err, io.EOF) {
-			return Recovery{}, fmt.Errorf("index: %w", err)
+			return Recovery{}, fmt.Errorf("read index %016x at byte %d: %w", number, at, err)
 		}
 		n = n / frameSize * frameSize
 		if n == 0 {
--- a/internal/diskcache/diskstore/store.go
+++ b/internal/diskcache/diskstore/store.go
@@ -9,20 +9,22 @@
 	"quilldoor/internal/diskcache"
 )
 
-// Store is an open folder. One goroutine writes; any may read records.
+// Store is an open store in a directory. One goroutine writes; any goroutine may read
+// records.
 type Store struct {
-	fs         FS
-	lock       io.Closer
-	superblock Superblock
-	data       File
-	index      File
-	number     uint64 // of the index
-	indexEnd   int64  // bytes
-	buffer     []byte // of the writing goroutine
+	fs          FS
+	lock        io.Closer
+	superblock  Superblock
+	data        File
+	index       File
+	indexNumber uint64
+	indexEnd    int64  // bytes of the index in use; the next frame is written there
+	buffer      []byte // of the writing goroutine
 }
 
-// Open takes a folder, or makes the store in an empty one with the given superblock. A
-// store of other slots than the superblock says is an error. Recover must follow.
+// Open locks a directory and opens its store; in an empty directory it creates the store
+// with the given superblock. It is an error if the store's slots have another size than
+// the given one. Recover must be called next.
 func Open(fsys FS, superblock Superblock) (*Store, error) {
 	lock, err := fsys.Lock(lockName)
 	if err != nil {
@@ -51,17 +53,18 @@
 		return err
 	}
 	if s.superblock.SlotBytes != configured {
-		return fmt.Errorf("%w: its slots have %d bytes, the configuration says %d; empty the folder or set that back",
+		return fmt.Errorf("%w: its slots have %d bytes, %d are configured; empty the directory or restore the configuration",
 			ErrCorruptStore, s.superblock.SlotBytes, configured)
 	}
 	return nil
 }
 
-// create writes the superblock into an empty folder, whole or not at all.
+// create writes the superblock into an empty directory; a crash leaves the whole superblock
+// or none. Temporary files and a data file without a superblock count as empty.
 func (s *Store) create(names []string) error {
 	for _, name := range names {
 		if name != lockName && !strings.HasSuffix(name, newSuffix) && name != dataName {
-			return fmt.Errorf("%w: the folder holds %.60q", ErrNotStore, name)
+			return fmt.Errorf("%w: the directory contains %.60q", ErrNotStore, name)
 		}
 	}
 	f, err := s.fs.Open(storeName+newSuffix, true)
@@ -81,10 +84,11 @@
 	return s.fs.SyncDir()
 }
 
-// Seed of the hashes of names, as the superblock has it.
+// Seed returns the seed of the hashes of names, from the superblock.
 func (s *Store) Seed() uint64 { return s.superblock.Seed }
 
-// Write writes a record into its slots. It is durable once Commit has named it.
+// Write writes a record into its slots. The record is durable once Commit has returned for
+// its entry.
 func (s *Store) Write(extents []diskcache.Extent, record *Record, body [][]byte) error {
 	rest := appendHeader(s.buffer[:0], record, body)
 	for _, piece := range body {
@@ -103,7 +107,7 @@
 		rest = rest[n:]
 	}
 	if len(rest) > 0 {
-		return fmt.Errorf("%w: %d bytes too long for its slots", ErrCorruptRecord, len(rest))
+		return fmt.Errorf("%w: seq %d is %d bytes too long for its slots", ErrCorruptRecord, record.Seq, len(rest))
 	}
 	return nil
 }
@@ -116,9 +120,10 @@
 	return err
 }
 
-// Commit makes written records durable: first the data, then the index that names them.
-// Drops are durable once it returns; their slots may be written again from then on, and
-// not before. After an error neither is certain, and nothing more may be written.
+// Commit makes written records durable: it syncs the data first, and then the index with
+// their entries. Drops are durable once it returns, and only then may their slots be
+// written again. After an error neither puts nor drops are certain to be durable, and
+// nothing more may be written.
 func (s *Store) Commit(puts []Entry, drops []diskcache.Drop) error {
 	if len(puts) > 0 {
 		if err := s.data.Sync(); err != nil {
@@ -127,10 +132,10 @@
 	}
 	frames := s.buffer[:0]
 	for i := range puts {
-		frames = appendPut(frames, s.number, &puts[i])
+		frames = appendPut(frames, s.indexNumber, &puts[i])
 	}
 	for _, drop := range drops {
-		frames = appendDrop(frames, s.number, drop)
+		frames = appendDrop(frames, s.indexNumber, drop)
 	}
 	s.buffer = frames
 	if len(frames) == 0 {
@@ -144,7 +149,7 @@
 	return s.index.Sync()
 }
 
-// releaseLargeBuffer gives back a buffer that one large batch has grown.
+// releaseLargeBuffer releases a buffer that has grown for one large batch.
 func (s *Store) releaseLargeBuffer() {
 	const maxBufferBytes = 1 << 20
 	if cap(s.buffer) > maxBufferBytes {
@@ -152,7 +157,7 @@
 	}
 }
 
-// Close ends the use of the folder.
+// Close closes the files and unlocks the directory. It does not sync.
 func (s *Store) Close() {
 	for _, file := range []File{s.data, s.index} {
 		if file != nil {
@@ -164,7 +169,7 @@
 	}
 }
 
-// Size is the bytes of the index and of the data file.
+// Size returns the sizes of the index and of the data file in bytes.
 func (s *Store) Size() (index, data int64) {
 	data, _ = s.data.Size()
 	return s.indexEnd, data
--- a/internal/diskcache/diskstore/superblock.go
+++ b/internal/diskcache/diskstore/superblock.go
@@ -9,23 +9,23 @@
 	"io/fs"
 )
 
-// The bounds of a slot, in bytes. Below them the index outweighs the data, above them
-// short parts waste the disk.
+// Bounds of the size of a slot, in bytes. With smaller slots the index takes too much space
+// in relation to the data; with larger ones short parts waste the disk.
 const (
 	MinSlotBytes = 1 << 10
 	MaxSlotBytes = 1 << 20
 )
 
-// The superblock's bytes.
+// The superblock's magic, and the byte offsets of the fields after it.
 const (
 	superblockMagic    = "quilldoor disk\r\n"
 	superblockVersion  = 16
-	superblockSlots    = 20
+	superblockSlotSize = 20
 	superblockSeed     = 24
 	superblockChecksum = 60
 )
 
-// Superblock is the store's first file.
+// Superblock holds the fixed parameters of a store, in a file of its own.
 type Superblock struct {
 	SlotBytes int
 	Seed      uint64 // of the hashes of names
@@ -35,28 +35,29 @@
 	b := make([]byte, frameSize)
 	copy(b, superblockMagic)
 	le.PutUint32(b[superblockVersion:], version)
-	le.PutUint32(b[superblockSlots:], uint32(s.SlotBytes))
+	le.PutUint32(b[superblockSlotSize:], uint32(s.SlotBytes))
 	le.PutUint64(b[superblockSeed:], s.Seed)
 	le.PutUint32(b[superblockChecksum:], crc32.Checksum(b[:superblockChecksum], checksumTable))
 	return b
 }
 
 func decodeSuperblock(b []byte) (s Superblock, err error) {
-	if len(b) < superblockSlots || !bytes.HasPrefix(b, []byte(superblockMagic)) {
+	if len(b) < superblockSlotSize || !bytes.HasPrefix(b, []byte(superblockMagic)) {
 		return s, ErrNotStore
 	}
-	// The version comes first: a newer one may have another layout behind it.
-	if v := le.Uint32(b[superblockVersion:]); v > version {
-		return s, fmt.Errorf("%w: %d, this is %d", ErrNewerVersion, v, version)
+	// The version is checked first: the fields after it may differ in a newer version.
+	if found := le.Uint32(b[superblockVersion:]); found > version {
+		return s, fmt.Errorf("%w: %d, at most %d is supported", ErrNewerVersion, found, version)
 	}
 	if len(b) < frameSize ||
 		crc32.Checksum(b[:superblockChecksum], checksumTable) != le.Uint32(b[superblockChecksum:]) {
-		return s, fmt.Errorf("%w: superblock", ErrCorruptStore)
+		return s, fmt.Errorf("%w: file %s is truncated or its checksum is wrong", ErrCorruptStore, storeName)
 	}
-	s.SlotBytes = int(le.Uint32(b[superblockSlots:]))
+	s.SlotBytes = int(le.Uint32(b[superblockSlotSize:]))
 	s.Seed = le.Uint64(b[superblockSeed:])
 	if s.SlotBytes < MinSlotBytes || s.SlotBytes > MaxSlotBytes {
-		return s, fmt.Errorf("%w: slots of %d bytes", ErrCorruptStore, s.SlotBytes)
+		return s, fmt.Errorf("%w: slots of %d bytes, allowed are %d to %d",
+			ErrCorruptStore, s.SlotBytes, MinSlotBytes, MaxSlotBytes)
 	}
 	return s, nil
 }
