--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -59,7 +59,7 @@
 	addr, err := netip.ParseAddrPort(m.Listen)
 	switch {
 	case !validMembershipName(m.Name):
-		return yamlfile.Errorf("members.name", "%q is empty, \"?\" or longer than %d bytes", m.Name, maxMembershipNameBytes)
+		return yamlfile.Errorf("members.name", `%q is empty, "?" or longer than %d bytes`, m.Name, maxMembershipNameBytes)
 	case len(m.Zone) > maxMembershipNameBytes:
 		return yamlfile.Errorf("members.place", "%d bytes long, at most %d are allowed", len(m.Zone), maxMembershipNameBytes)
 	case err != nil || addr.Addr().IsUnspecified() || addr.Port() == 0:
@@ -88,7 +88,7 @@
 	for i, peer := range m.Peers {
 		key := fmt.Sprintf("members.peers[%d]", i)
 		if !validMembershipName(peer.Name) || seen[peer.Name] {
-			return yamlfile.Errorf(key+".name", "%q is empty, \"?\", longer than %d bytes or a duplicate",
+			return yamlfile.Errorf(key+".name", `%q is empty, "?", longer than %d bytes or a duplicate`,
 				peer.Name, maxMembershipNameBytes)
 		}
 		if _, err := netip.ParseAddrPort(peer.Addr); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,10 +25,9 @@
 	// Rank is the index of this router among all routers; unused.
 	Rank int
 
-	// Siblings is the number of routers of the site, this one included; 0 counts as 1. Each router sends an
-	// endpoint in slow start its share of the endpoint's capacity, divided by this number. With too low a number
-	// the routers together overload such endpoints; with too high a number the endpoints stay underused for longer
-	// than necessary.
+	// Siblings is the number of routers of the site, this one included; 0 counts as 1. Routers divide
+	// the budget of an endpoint in slow start by this number. With too low a number they overload the endpoint
+	// together; with too high a number the endpoint stays underused for longer than necessary.
 	Siblings int
 
 	// Zone is the zone of this router; required. It sends no requests to edge caches of other zones.
@@ -104,8 +103,7 @@
 
 	// DrainGraceMs is the time after the discovery update that drains an endpoint during which attempts may still
 	// reach the endpoint. It also bounds how long an attempt may wait for a connection, and how old its decision
-	// may be when it is written: with a short grace, attempts that wait for a slow connection fail. 0: neither is
-	// bounded.
+	// may be when it is written: with a short grace, attempts that wait for a slow connection fail. 0 adds no bound.
 	DrainGraceMs float64
 
 	// FallMs is the window over which the work sent to an endpoint in slow start is summed. A restarted router
@@ -195,8 +193,7 @@
 	ClearedWithinMs float64
 
 	// PurgeGraceMs is the time after the discovery update with a purge during which older copies may still be sent.
-	// It bounds the wait for a connection and the age of decisions as Contract.DrainGraceMs does; 0: neither is
-	// bounded.
+	// It bounds the wait for a connection and the age of decisions as Contract.DrainGraceMs does; 0 adds no bound.
 	PurgeGraceMs float64
 
 	// FeedKbPerS is unused.
