--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -13,31 +13,31 @@
 	second = 1000 * ms
 )
 
-// Settings are the rules' figures. Times are microseconds.
+// Settings are the limits that the rules check against. Times are microseconds.
 type Settings struct {
 	Classes     []policy.TrafficClass
 	AnswerSlack int64
 	DrainGrace  int64
 	PurgeGrace  int64
-	// NotificationDeadline is how long after a change of the endpoint list a router counts as
-	// notified of it at the latest.
+	// NotificationDeadline is the time after a change of the endpoint list from which on every
+	// router counts as notified of it.
 	NotificationDeadline int64
-	// OverloadWindow is how long the work that reaches a warming endpoint is summed.
+	// OverloadWindow is the window over which the work that reaches a warming endpoint is summed.
 	OverloadWindow int64
 }
 
-// The rules by their numbers.
+// The numbers of the rules.
 const (
 	ruleOneAnswer = 1 + iota
 	ruleNoDuplicateEffect
 	ruleNothingToDraining
 	ruleSlowStart
 	ruleNoStaleCopy
-	// RuleCount is the length of an array that the numbers index; 0 is no rule.
+	// RuleCount is the length of an array indexed by rule number; index 0 is unused.
 	RuleCount
 )
 
-// Violation is a broken rule.
+// Violation is an entry of the log that violates a rule.
 type Violation struct {
 	Rule     int
 	At       int64 // microseconds
@@ -60,48 +60,48 @@
 
 func seconds(micros int64) float64 { return float64(micros) / float64(second) }
 
-// Checker takes the entries of an event log in their order.
+// Checker checks the entries of an event log, in the order of the log.
 type Checker struct {
 	settings Settings
 	classes  map[string]policy.TrafficClass
 	now      int64
 
 	requests map[requestID]*request
-	// ofDeadRouters may still arrive where their router had forwarded them.
-	ofDeadRouters map[requestID]*request
-	ended         []endedRequest // to be forgotten
+	// requestsOfDownRouters may still arrive at the routers that they were forwarded to.
+	requestsOfDownRouters map[requestID]*request
+	ended                 []endedRequest // kept for endedRetention
 
 	listed      map[string]listing              // by endpoint
 	notified    map[int]map[string]notification // by router and endpoint
 	purges      map[int][]purge                 // by router
 	suspensions map[int]suspension              // by router: the last one
-	warming     map[string]*warmUp              // by endpoint: since its last start
+	warming     map[string]*warmUp              // by endpoint: of its last start
 
 	Violations  []Violation // the first hundred
 	CountByRule [RuleCount]int
 	Checked     int // requests
 
-	// Excused requests were due while their router's process was suspended, or within the
-	// time it has to resume. They are no violations; what the router does after it has
-	// resumed is judged in full.
+	// Excused counts requests that were due while their router's process was suspended or within
+	// resumeGrace after that, and unanswered requests of a router of which a process was killed.
+	// They are not violations. Everything the router does after it resumes is checked in full.
 	Excused int
-	// LateNotices are endpoints that fell over by work of routers that had not been notified of
-	// the start. They are no violations of rule 4.
+	// LateNotices counts endpoints that collapsed under work of routers that had not been notified
+	// of the start. They are not violations of rule 4.
 	LateNotices int
 }
 
-// New makes a checker.
+// New returns a checker that has seen no entries.
 func New(settings Settings) *Checker {
 	c := &Checker{
-		settings:      settings,
-		classes:       map[string]policy.TrafficClass{},
-		requests:      map[requestID]*request{},
-		ofDeadRouters: map[requestID]*request{},
-		listed:        map[string]listing{},
-		notified:      map[int]map[string]notification{},
-		purges:        map[int][]purge{},
-		suspensions:   map[int]suspension{},
-		warming:       map[string]*warmUp{},
+		settings:              settings,
+		classes:               map[string]policy.TrafficClass{},
+		requests:              map[requestID]*request{},
+		requestsOfDownRouters: map[requestID]*request{},
+		listed:                map[string]listing{},
+		notified:              map[int]map[string]notification{},
+		purges:                map[int][]purge{},
+		suspensions:           map[int]suspension{},
+		warming:               map[string]*warmUp{},
 	}
 	for _, class := range settings.Classes {
 		c.classes[class.Name] = class
@@ -120,19 +120,19 @@
 	}
 }
 
-// HasViolations tells whether any rule was broken.
+// HasViolations reports whether any rule was violated.
 func (c *Checker) HasViolations() bool { return len(c.Violations) > 0 }
 
-// Observe takes the next entry of the log.
+// Observe checks the next entry of the log.
 func (c *Checker) Observe(entry *eventlog.Entry) {
 	c.now = entry.At
 	c.observeRequest(entry)
 	c.observeEndpoint(entry)
 	c.observeRouter(entry)
-	c.forgetEnded()
+	c.expireEnded()
 }
 
-// observeRequest takes an entry about a request or one of its attempts, and passes over others.
+// observeRequest checks an entry about a request or one of its attempts, and ignores others.
 func (c *Checker) observeRequest(entry *eventlog.Entry) {
 	switch entry.Kind {
 	case eventlog.KindTaken:
@@ -152,11 +152,11 @@
 	case eventlog.KindLeft:
 		c.clientLeft(entry)
 	case eventlog.KindWrong:
-		c.violate(ruleOneAnswer, entry, "served what no endpoint made for it: %s", entry.State)
+		c.violate(ruleOneAnswer, entry, "served a response that no endpoint made for the request: %s", entry.State)
 	}
 }
 
-// observeEndpoint takes an entry about the endpoint list or a purge, and passes over others.
+// observeEndpoint checks an entry about an endpoint, the endpoint list or a purge, and ignores others.
 func (c *Checker) observeEndpoint(entry *eventlog.Entry) {
 	switch entry.Kind {
 	case eventlog.KindListed:
@@ -174,7 +174,7 @@
 	}
 }
 
-// observeRouter takes an entry about a router's process, and passes over others.
+// observeRouter checks an entry about a router's process, and ignores others.
 func (c *Checker) observeRouter(entry *eventlog.Entry) {
 	switch entry.Kind {
 	case eventlog.KindRouterDown:
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/policy"
 )
 
-// entry is an entry about request t at router 1, at a time in milliseconds.
+// entry returns an entry about request t at router 1, at a time in milliseconds.
 func entry(at int64, kind eventlog.Kind, more eventlog.Entry) *eventlog.Entry {
 	more.At = at * ms
 	more.Kind = kind
@@ -20,12 +20,12 @@
 	return entry(0, eventlog.KindTaken, eventlog.Entry{Class: class, Object: "o", Group: 3, Deadline: 1000 * ms})
 }
 
-func takenLong() *eventlog.Entry {
+func takenWithLongDeadline() *eventlog.Entry {
 	return entry(0, eventlog.KindTaken, eventlog.Entry{Class: "read", Object: "o", Group: 3, Deadline: 20 * second})
 }
 
-func sent(at int64, attempt int, server, source string) *eventlog.Entry {
-	return entry(at, eventlog.KindSent, eventlog.Entry{Attempt: attempt, Endpoint: server, Source: source})
+func sent(at int64, attempt int, endpoint, source string) *eventlog.Entry {
+	return entry(at, eventlog.KindSent, eventlog.Entry{Attempt: attempt, Endpoint: endpoint, Source: source})
 }
 
 func ran(at int64, attempt int) *eventlog.Entry {
@@ -40,8 +40,8 @@
 	return entry(at, eventlog.KindAnswered, eventlog.Entry{Outcome: outcome, Issued: issued * ms})
 }
 
-func notified(at int64, server, state string) *eventlog.Entry {
-	return entry(at, eventlog.KindNotified, eventlog.Entry{Endpoint: server, State: state})
+func notified(at int64, endpoint, state string) *eventlog.Entry {
+	return entry(at, eventlog.KindNotified, eventlog.Entry{Endpoint: endpoint, State: state})
 }
 
 func suspended(at int64) *eventlog.Entry {
@@ -52,14 +52,14 @@
 	return entry(at, eventlog.KindRouterResumed, eventlog.Entry{})
 }
 
-// ruleCase is an event log and the one rule that it violates; 0: none.
+// ruleCase is an event log and the only rule that it violates; 0: none.
 type ruleCase struct {
 	name    string
 	rule    int
 	entries []*eventlog.Entry
 }
 
-// checkRules checks that each event log violates just its rule.
+// checkRules checks that each event log violates its rule and no other.
 func checkRules(t *testing.T, cases []ruleCase) {
 	t.Helper()
 	for _, test := range cases {
@@ -83,7 +83,7 @@
 			}
 		}
 		if test.rule > 0 && total == 0 {
-			t.Errorf("%s: not caught", test.name)
+			t.Errorf("%s: the violation of rule %d was not detected", test.name, test.rule)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 		{"two answers", 1, []*eventlog.Entry{
 			taken("read"), answered(5, "rejected", 0), answered(6, "rejected", 0),
 		}},
-		{"suspended for long after the client left", 0, []*eventlog.Entry{
+		{"client times out during a long suspension", 0, []*eventlog.Entry{
 			taken("read"), suspended(500), entry(1050, eventlog.KindLeft, eventlog.Entry{}),
 			started(12000), started(16000), resumed(21000), answered(21001, "aborted", 0),
 		}},
@@ -107,159 +107,159 @@
 			answered(21001, "rejected", 0),
 		}},
 		{"late by the slack", 0, []*eventlog.Entry{taken("read"), answered(1008, "aborted", 0)}},
-		{"too late", 1, []*eventlog.Entry{taken("read"), answered(1009, "aborted", 0)}},
-		{"none", 1, []*eventlog.Entry{taken("read"), entry(1010, eventlog.KindLeft, eventlog.Entry{})}},
-		{"nothing taken", 1, []*eventlog.Entry{answered(5, "completed", 4)}},
+		{"late by more than the slack", 1, []*eventlog.Entry{taken("read"), answered(1009, "aborted", 0)}},
+		{"no answer", 1, []*eventlog.Entry{taken("read"), entry(1010, eventlog.KindLeft, eventlog.Entry{})}},
+		{"answer without a request", 1, []*eventlog.Entry{answered(5, "completed", 4)}},
 		{"attempt after the answer", 1, []*eventlog.Entry{
 			taken("read"), answered(5, "rejected", 0), sent(6, 0, "a", ""),
 		}},
-		{"home dies on the way", 0, []*eventlog.Entry{
+		{"router goes down before its forwarded request arrives", 0, []*eventlog.Entry{
 			taken("read"), entry(5, eventlog.KindRouterDown, eventlog.Entry{}),
 			{At: 9 * ms, Kind: eventlog.KindForwarded, Router: 2, Request: "t", Attempt: 1},
 			{At: 9 * ms, Kind: eventlog.KindSent, Router: 2, Request: "t", Endpoint: "a", Source: "o"},
 		}},
-		{"killed", 0, []*eventlog.Entry{
+		{"router killed", 0, []*eventlog.Entry{
 			taken("read"), entry(5, eventlog.KindRouterDown, eventlog.Entry{}),
 		}},
-		{"refused", 0, []*eventlog.Entry{
+		{"connection refused", 0, []*eventlog.Entry{
 			taken("read"), entry(5, eventlog.KindRefused, eventlog.Entry{}),
 		}},
-		{"due while it was suspended", 0, []*eventlog.Entry{
+		{"due during the suspension", 0, []*eventlog.Entry{
 			taken("read"), suspended(500), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
 		}},
-		{"answered as it resumed", 0, []*eventlog.Entry{
+		{"answered within the grace after the suspension", 0, []*eventlog.Entry{
 			taken("read"), suspended(500), resumed(2000), answered(2200, "aborted", 0),
 		}},
-		{"answered long after it resumed", 1, []*eventlog.Entry{
+		{"answered after the grace", 1, []*eventlog.Entry{
 			taken("read"), suspended(500), resumed(2000), answered(2301, "aborted", 0),
 		}},
-		{"due after it resumed", 1, []*eventlog.Entry{
+		{"due after the suspension", 1, []*eventlog.Entry{
 			taken("read"), suspended(100), resumed(600), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
 		}},
-		{"suspended before", 1, []*eventlog.Entry{
+		{"suspended before the request", 1, []*eventlog.Entry{
 			suspended(-900), resumed(-400), taken("read"), answered(1009, "aborted", 0),
 		}},
 	})
 }
 
-// Rule 2: what has an effect is not repeated without proof that it did not run.
+// Rule 2: a request with an effect is not sent again without proof that it was not executed.
 func TestNoEffectHappensTwice(t *testing.T) {
 	checkRules(t, []ruleCase{
-		{"home dies, rule 2 holds", 2, []*eventlog.Entry{
+		{"write sent again by the router that it was forwarded to", 2, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "a", "o"), ran(2, 0),
 			entry(5, eventlog.KindRouterDown, eventlog.Entry{}),
 			{At: 9 * ms, Kind: eventlog.KindForwarded, Router: 2, Request: "t", Attempt: 1},
 			{At: 9 * ms, Kind: eventlog.KindSent, Router: 2, Request: "t", Endpoint: "a", Source: "o"},
 		}},
-		{"read again", 0, []*eventlog.Entry{
+		{"read sent again", 0, []*eventlog.Entry{
 			taken("read"), sent(1, 0, "a", "o"), ran(2, 0), ended(3, 0, "econnreset"), sent(4, 1, "b", "o"),
 			answered(5, "rejected", 0),
 		}},
-		{"write again on proof", 0, []*eventlog.Entry{
+		{"write sent again on proof", 0, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "o", "o"), ended(3, 0, "busy"), sent(4, 1, "o", "o"), ran(5, 1),
 			ended(6, 1, "done"), answered(6, "completed", 0),
 		}},
-		{"write again after reset", 2, []*eventlog.Entry{
+		{"write sent again after a reset", 2, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "o", "o"), ended(3, 0, "econnreset"), sent(4, 1, "o", "o"),
 		}},
-		{"write again, unanswered", 2, []*eventlog.Entry{
+		{"write sent again without a response", 2, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "o", "o"), sent(4, 1, "o", "o"),
 		}},
 		{"write rejected on proof", 0, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "o", "o"), ended(3, 0, "econnrefused"), answered(4, "rejected", 0),
 		}},
-		{"write rejected, ran", 2, []*eventlog.Entry{
+		{"write rejected after execution", 2, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "o", "o"), ran(2, 0), ended(3, 0, "econnreset"),
 			answered(4, "rejected", 0),
 		}},
-		{"write aborted, ran", 0, []*eventlog.Entry{
+		{"write aborted after execution", 0, []*eventlog.Entry{
 			taken("sign"), sent(1, 0, "o", "o"), ran(2, 0), ended(3, 0, "econnreset"),
 			answered(4, "aborted", 0),
 		}},
-		{"keyed within", 0, []*eventlog.Entry{
+		{"keyed request sent again within its window", 0, []*eventlog.Entry{
 			taken("keyed"), sent(1, 0, "o", "o"), ended(3, 0, "econnreset"), sent(90, 1, "o", "o"),
 			answered(99, "rejected", 0),
 		}},
-		{"keyed past its window", 2, []*eventlog.Entry{
+		{"keyed request sent again past its window", 2, []*eventlog.Entry{
 			taken("keyed"), sent(1, 0, "o", "o"), ended(3, 0, "econnreset"), sent(101, 1, "o", "o"),
 		}},
 	})
 }
 
-// Rule 3: nothing new goes to an endpoint that the router knows to drain or to be gone.
+// Rule 3: nothing new goes to an endpoint after the router was notified that it drains or is removed.
 func TestNothingNewGoesToDrainingEndpoints(t *testing.T) {
 	checkRules(t, []ruleCase{
-		{"drained within grace", 0, []*eventlog.Entry{
+		{"draining, within the grace", 0, []*eventlog.Entry{
 			notified(0, "a", "leaving"), taken("read"), sent(500, 0, "a", "o"),
 			answered(501, "rejected", 0),
 		}},
-		{"drained", 3, []*eventlog.Entry{
+		{"draining, after the grace", 3, []*eventlog.Entry{
 			notified(0, "a", "leaving"), taken("read"), sent(501, 0, "a", "o"),
 		}},
-		{"drained source", 3, []*eventlog.Entry{
+		{"removed source", 3, []*eventlog.Entry{
 			notified(0, "p", "left"), taken("read"), sent(501, 0, "a", "p"),
 		}},
-		{"notified twice", 3, []*eventlog.Entry{
+		{"notified of the drain, then of the removal", 3, []*eventlog.Entry{
 			notified(0, "a", "leaving"), notified(400, "a", "left"), taken("read"), sent(600, 0, "a", "o"),
 		}},
-		{"back again", 0, []*eventlog.Entry{
+		{"active again", 0, []*eventlog.Entry{
 			notified(0, "a", "left"), notified(400, "a", "active"), taken("read"), sent(900, 0, "a", "o"),
 			answered(901, "rejected", 0),
 		}},
-		{"never notified", 3, []*eventlog.Entry{
+		{"past the notification deadline", 3, []*eventlog.Entry{
 			entry(0, eventlog.KindListed, eventlog.Entry{Endpoint: "a", State: "left"}), taken("read"),
 			sent(7501, 0, "a", "o"),
 		}},
-		{"not notified yet", 0, []*eventlog.Entry{
+		{"before the notification deadline", 0, []*eventlog.Entry{
 			entry(0, eventlog.KindListed, eventlog.Entry{Endpoint: "a", State: "left"}), taken("read"),
 			sent(900, 0, "a", "o"), answered(901, "rejected", 0),
 		}},
-		{"drained while it stood, in time", 0, []*eventlog.Entry{
-			suspended(-100), notified(0, "a", "leaving"), resumed(700), takenLong(), sent(1200, 0, "a", "o"),
+		{"notified during a suspension, within the grace", 0, []*eventlog.Entry{
+			suspended(-100), notified(0, "a", "leaving"), resumed(700), takenWithLongDeadline(), sent(1200, 0, "a", "o"),
 			answered(1201, "rejected", 0),
 		}},
-		{"drained while it stood", 3, []*eventlog.Entry{
+		{"notified during a suspension, after the grace", 3, []*eventlog.Entry{
 			suspended(-100), notified(0, "a", "leaving"), resumed(700), taken("read"), sent(1201, 0, "a", "o"),
 		}},
-		{"never notified, resumed", 0, []*eventlog.Entry{
+		{"notification deadline during a suspension", 0, []*eventlog.Entry{
 			entry(0, eventlog.KindListed, eventlog.Entry{Endpoint: "a", State: "left"}), suspended(5000),
-			resumed(9000), takenLong(), sent(9400, 0, "a", "o"), answered(9401, "rejected", 0),
+			resumed(9000), takenWithLongDeadline(), sent(9400, 0, "a", "o"), answered(9401, "rejected", 0),
 		}},
 	})
 }
 
-// Rule 4: a cold server that collapsed was sent more than its budget.
+// Rule 4: the collapse of a warming endpoint shows that its budget was exceeded.
 func TestSlowStartBudgetsHold(t *testing.T) {
 	checkRules(t, []ruleCase{
-		{"cold", 4, []*eventlog.Entry{entry(3, eventlog.KindOverloaded, eventlog.Entry{Endpoint: "a"})}},
+		{"collapse of an endpoint without entries of its work", 4, []*eventlog.Entry{entry(3, eventlog.KindOverloaded, eventlog.Entry{Endpoint: "a"})}},
 	})
 }
 
-// Rule 5: what is sent after a purge was known brings no older copy.
+// Rule 5: an attempt that is sent after the router was notified of a purge returns no older copy.
 func TestNoCopyIsOlderThanAPurge(t *testing.T) {
 	checkRules(t, []ruleCase{
 		{"older than a purge", 5, []*eventlog.Entry{
 			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Object: "o", Until: 90 * ms}),
 			taken("read"), sent(401, 0, "a", "o"), ended(410, 0, "done"), answered(410, "completed", 89),
 		}},
-		{"of a group", 5, []*eventlog.Entry{
+		{"older than a purge of its group", 5, []*eventlog.Entry{
 			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Group: 3, Until: 90 * ms}), taken("read"),
 			sent(401, 0, "a", "o"), ended(410, 0, "done"), answered(410, "completed", 89),
 		}},
-		{"sent within grace", 0, []*eventlog.Entry{
+		{"sent within the grace", 0, []*eventlog.Entry{
 			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Object: "o", Until: 90 * ms}),
 			taken("read"), sent(400, 0, "a", "o"), ended(410, 0, "done"), answered(410, "completed", 89),
 		}},
-		{"given out since", 0, []*eventlog.Entry{
+		{"issued at the time of the purge", 0, []*eventlog.Entry{
 			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Object: "o", Until: 90 * ms}),
 			taken("read"), sent(401, 0, "a", "o"), ended(410, 0, "done"), answered(410, "completed", 90),
 		}},
-		{"purged while it stood", 5, []*eventlog.Entry{
+		{"notified of the purge during a suspension", 5, []*eventlog.Entry{
 			suspended(50),
 			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Object: "o", Until: 90 * ms}), resumed(400),
 			taken("read"), sent(701, 0, "a", "o"), ended(710, 0, "done"), answered(710, "completed", 89),
 		}},
-		{"another group", 0, []*eventlog.Entry{
+		{"purge of another group", 0, []*eventlog.Entry{
 			entry(100, eventlog.KindPurgeNotified, eventlog.Entry{Group: 4, Until: 90 * ms}), taken("read"),
 			sent(401, 0, "a", "o"), ended(410, 0, "done"), answered(410, "completed", 89),
 		}},
--- a/internal/checker/doc.go
+++ b/internal/checker/doc.go
@@ -1,7 +1,12 @@
-// Package checker judges an event log by the five rules. It knows neither the router nor
-// the simulation: only what was requested, sent, executed, notified and answered.
+// Package checker checks an event log against the five rules of the platform. It depends on
+// neither the router nor the simulation: its only input is the log's requests, attempts,
+// executions, notifications and answers.
 //
-// The rules, by their numbers: 1, one final answer in time; 2, no effect twice; 3, nothing
-// new to draining or removed endpoints; 4, slow-start budgets; 5, no copy older than a
-// purge.
+// The rules by number:
+//
+//  1. A request gets one final answer, in time.
+//  2. No request has its effect twice.
+//  3. A draining or removed endpoint gets no new work.
+//  4. Slow-start budgets hold.
+//  5. No answer is a copy older than a purge.
 package checker
--- a/internal/checker/endpoints.go
+++ b/internal/checker/endpoints.go
@@ -5,11 +5,11 @@
 	"quilldoor/internal/policy"
 )
 
-// listing is an endpoint's state as discovery tells it.
+// listing is an endpoint's state as discovery publishes it.
 type listing struct {
 	state      policy.EndpointState
 	startedAt  int64
-	notifiedBy int64 // every router counts as notified then
+	notifiedBy int64 // from then on every router counts as notified
 }
 
 // notification is an endpoint's state as a router was notified of it.
@@ -32,33 +32,33 @@
 		c.notified[entry.Router] = map[string]notification{}
 	}
 	state := policy.EndpointState(entry.State)
-	before, known := c.notified[entry.Router][entry.Endpoint]
-	if known && before.state != policy.EndpointActive && state != policy.EndpointActive {
-		return // it knew already that it drains: the earlier time counts
+	previous, known := c.notified[entry.Router][entry.Endpoint]
+	if known && previous.state != policy.EndpointActive && state != policy.EndpointActive {
+		return // notified of the drain before: the earlier time counts
 	}
 	c.notified[entry.Router][entry.Endpoint] = notification{state, entry.StartedAt, entry.At}
 }
 
-// checkDraining judges rule 3.
-func (c *Checker) checkDraining(entry *eventlog.Entry, endpoint, what string) {
+// checkDraining checks rule 3 for an endpoint that an attempt uses. The use is how the violation names it.
+func (c *Checker) checkDraining(entry *eventlog.Entry, endpoint, use string) {
 	if endpoint == "" {
 		return
 	}
 	if last := c.suspensions[entry.Router]; last.until == 0 && last.from > 0 {
-		return // it is suspended: what arrives now was sent before
+		return // the router is suspended: it sent the attempt before
 	}
 	notified, known := c.notified[entry.Router][endpoint]
 	listed := c.listed[endpoint]
-	notifiedAt := c.knownAt(entry.Router, notified.at)
-	listedBy := c.knownAt(entry.Router, listed.notifiedBy)
+	notifiedAt := c.processableAt(entry.Router, notified.at)
+	listedBy := c.processableAt(entry.Router, listed.notifiedBy)
 	grace := c.settings.DrainGrace
 	switch {
 	case known && notified.state != policy.EndpointActive && entry.At > notifiedAt+grace:
-		c.violate(ruleNothingToDraining, entry, "%s %s %d ms after it was told that this is %s",
-			what, endpoint, (entry.At-notifiedAt)/ms, notified.state)
+		c.violate(ruleNothingToDraining, entry, "%s %s %d ms after the router was notified that the endpoint is %s",
+			use, endpoint, (entry.At-notifiedAt)/ms, notified.state)
 	case listed.state != "" && listed.state != policy.EndpointActive &&
 		(!known || notified.state == policy.EndpointActive) && entry.At > listedBy+grace:
-		c.violate(ruleNothingToDraining, entry, "%s %s %d ms after it counts as told that this is %s",
-			what, endpoint, (entry.At-listedBy)/ms, listed.state)
+		c.violate(ruleNothingToDraining, entry, "%s %s %d ms after the router counts as notified that the endpoint is %s",
+			use, endpoint, (entry.At-listedBy)/ms, listed.state)
 	}
 }
--- a/internal/checker/purges.go
+++ b/internal/checker/purges.go
@@ -2,12 +2,12 @@
 
 import "quilldoor/internal/eventlog"
 
-// purgeRetention is how long a purge is judged by: longer than any copy may be served.
+// purgeRetention is how long answers are checked against a purge: longer than any copy may be served.
 const purgeRetention = 120 * second
 
-// purge is one that a router was notified of.
+// purge is a purge that a router was notified of.
 type purge struct {
-	object     string // "": of the group
+	object     string // "": all objects of the group
 	group      int64
 	madeAt     int64
 	notifiedAt int64
@@ -27,14 +27,15 @@
 	})
 }
 
-// checkFreshness judges rule 5: what was sent after a purge was known brings no older copy.
+// checkFreshness checks rule 5: an attempt that was sent after its router was notified of a purge
+// returns no copy older than the purge.
 func (c *Checker) checkFreshness(entry *eventlog.Entry, request *request) {
 	sentAt := request.completedAttemptSentAt()
 	for i := range c.purges[entry.Router] {
 		purge := &c.purges[entry.Router][i]
-		knownAt := c.knownAt(entry.Router, purge.notifiedAt)
-		if purge.covers(request) && sentAt > knownAt+c.settings.PurgeGrace && entry.Issued < purge.madeAt {
-			c.violate(ruleNoStaleCopy, entry, "a copy of %.3f s, sent for %d ms after the purge of %.3f s was told",
+		processableAt := c.processableAt(entry.Router, purge.notifiedAt)
+		if purge.covers(request) && sentAt > processableAt+c.settings.PurgeGrace && entry.Issued < purge.madeAt {
+			c.violate(ruleNoStaleCopy, entry, "a copy issued at %.3f s, requested %d ms after the notification of the purge at %.3f s",
 				seconds(entry.Issued), (sentAt-purge.notifiedAt)/ms, seconds(purge.madeAt))
 			return
 		}
--- a/internal/checker/request_rules.go
+++ b/internal/checker/request_rules.go
@@ -8,7 +8,7 @@
 // provesNeverRan holds the outcomes that prove that an attempt was not executed.
 var provesNeverRan = map[string]bool{"busy": true, "enoent": true, "econnrefused": true, "skipped": true}
 
-// checkRetry judges rule 2 where an attempt follows others.
+// checkRetry checks rule 2 for an attempt that follows earlier ones.
 func (c *Checker) checkRetry(entry *eventlog.Entry, request *request) {
 	if request.class.Effect == policy.EffectIdempotent {
 		return
@@ -23,7 +23,7 @@
 			c.violate(ruleNoDuplicateEffect, entry, "sent again while attempt %d (%q) may have run",
 				earlier.number, earlier.outcome)
 		case window > 0 && entry.At-earlier.sentAt >= window:
-			c.violate(ruleNoDuplicateEffect, entry, "a keyed request sent again %d ms after attempt %d, past the window",
+			c.violate(ruleNoDuplicateEffect, entry, "a request with an idempotency key sent again %d ms after attempt %d, past the deduplication window",
 				(entry.At-earlier.sentAt)/ms, earlier.number)
 		}
 	}
@@ -35,12 +35,12 @@
 	case c.suspendedAt(entry.Router, request.deadline) && c.suspendedAt(entry.Router, entry.At):
 		c.Excused++
 	default:
-		c.violate(ruleOneAnswer, entry, "answered %d ms too late", (entry.At-request.deadline)/ms)
+		c.violate(ruleOneAnswer, entry, "answered %d ms after the deadline", (entry.At-request.deadline)/ms)
 	}
 }
 
-// checkRejection judges rule 2 where a request is rejected, which promises that it did not
-// run.
+// checkRejection checks rule 2 for a rejected request: a rejection promises that the request was
+// not executed.
 func (c *Checker) checkRejection(entry *eventlog.Entry, request *request) {
 	for _, attempt := range request.attempts {
 		if attempt.ran || !provesNeverRan[attempt.outcome] {
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -5,7 +5,7 @@
 	"quilldoor/internal/policy"
 )
 
-// requestID is a request at a router.
+// requestID identifies a request at a router.
 type requestID struct {
 	router  int
 	request string
@@ -17,11 +17,11 @@
 	group       int64
 	deadline    int64
 	outcome     string
-	left        bool // the client's time was over without an answer
-	excused     bool // a process that may have had it was killed
+	abandoned   bool // the client timed out without an answer
+	excused     bool // a process that may have held the request was killed
 	attempts    []attempt
 	executions  int
-	forwardedTo []int // other routers that have it
+	forwardedTo []int // other routers that hold the request
 }
 
 type attempt struct {
@@ -38,7 +38,7 @@
 	at int64
 }
 
-// The outcomes of requests and attempts that matter here.
+// The outcomes of requests and attempts that the rules distinguish.
 const (
 	requestCompleted = "completed"
 	requestRejected  = "rejected"
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// completedAttemptSentAt is when the attempt that brought the answer was sent; -1: there is none.
+// completedAttemptSentAt is when the attempt that returned the answer was sent; -1: there is none.
 func (r *request) completedAttemptSentAt() int64 {
 	for i := range r.attempts {
 		if r.attempts[i].outcome == attemptDone {
@@ -67,7 +67,7 @@
 func (c *Checker) requestTaken(entry *eventlog.Entry) {
 	id := requestID{entry.Router, entry.Request}
 	if c.requests[id] != nil {
-		return // the client's mistake
+		return // a client that uses a request ID twice is at fault, not the router
 	}
 	c.Checked++
 	c.requests[id] = &request{
@@ -75,13 +75,13 @@
 	}
 }
 
-// requestForwarded notes that another router has forwarded its request here: both work on the
-// same one. The first router may have died meanwhile.
+// requestForwarded records that the router that entry.Attempt names has forwarded a request to
+// entry.Router: both routers work on the same request. The first router may be down by now.
 func (c *Checker) requestForwarded(entry *eventlog.Entry) {
 	from := requestID{entry.Attempt, entry.Request}
 	request := c.requests[from]
 	if request == nil {
-		request = c.ofDeadRouters[from]
+		request = c.requestsOfDownRouters[from]
 	}
 	if request != nil {
 		c.requests[requestID{entry.Router, entry.Request}] = request
@@ -92,7 +92,7 @@
 func (c *Checker) attemptSent(entry *eventlog.Entry) {
 	request := c.requests[requestID{entry.Router, entry.Request}]
 	if request == nil {
-		c.violate(ruleOneAnswer, entry, "an attempt for a request that it has not taken")
+		c.violate(ruleOneAnswer, entry, "an attempt for a request that the router has not accepted")
 		return
 	}
 	if request.outcome != "" {
@@ -121,10 +121,10 @@
 		return
 	}
 	if request.executions > 1 {
-		c.violate(ruleNoDuplicateEffect, entry, "run %d times", request.executions)
+		c.violate(ruleNoDuplicateEffect, entry, "executed %d times", request.executions)
 	}
 	if request.outcome == requestRejected {
-		c.violate(ruleNoDuplicateEffect, entry, "run after it was rejected")
+		c.violate(ruleNoDuplicateEffect, entry, "executed after it was rejected")
 	}
 }
 
@@ -143,13 +143,13 @@
 	request := c.requests[id]
 	switch {
 	case request == nil:
-		c.violate(ruleOneAnswer, entry, "an answer to nothing that was taken")
+		c.violate(ruleOneAnswer, entry, "an answer to a request that the router has not accepted")
 		return
 	case request.outcome != "":
 		c.violate(ruleOneAnswer, entry, "a second answer, %s after %s", entry.Outcome, request.outcome)
 		return
-	case request.left:
-		return // judged as unanswered already
+	case request.abandoned:
+		return // clientLeft has handled the missing answer
 	}
 	c.checkAnswerTime(entry, request)
 	request.outcome = entry.Outcome
@@ -168,22 +168,22 @@
 	if request == nil || request.outcome != "" {
 		return
 	}
-	request.left = true
+	request.abandoned = true
 	if request.excused || c.suspendedAt(entry.Router, request.deadline) {
 		c.Excused++
 	} else {
-		c.violate(ruleOneAnswer, entry, "no answer before the client's time was over")
+		c.violate(ruleOneAnswer, entry, "no answer before the client timed out")
 	}
 	c.ended = append(c.ended, endedRequest{id, entry.At})
 }
 
-// endedRetention is how long a request is kept after its end: a second answer may come, or work
-// that begins after the first.
+// endedRetention is how long a request is kept after its end, to detect a second answer and
+// executions after the first one.
 const endedRetention = 10 * second
 
-// forgetEnded forgets requests that ended some time ago. A router that was suspended meanwhile
-// still has them, and ends them once it has resumed.
-func (c *Checker) forgetEnded() {
+// expireEnded deletes requests that ended more than endedRetention ago. Those of a router that was
+// suspended since then are kept longer: the router still holds them and ends them after it resumes.
+func (c *Checker) expireEnded() {
 	for len(c.ended) > 0 && c.ended[0].at < c.now-endedRetention {
 		id := c.ended[0].id
 		if c.suspendedSince(id.router, c.now-endedRetention) {
@@ -192,7 +192,7 @@
 		}
 		request := c.requests[id]
 		if request == nil {
-			request = c.ofDeadRouters[id]
+			request = c.requestsOfDownRouters[id]
 		}
 		if request != nil {
 			for _, other := range request.forwardedTo {
@@ -200,7 +200,7 @@
 			}
 		}
 		delete(c.requests, id)
-		delete(c.ofDeadRouters, id)
+		delete(c.requestsOfDownRouters, id)
 		c.ended = c.ended[1:]
 	}
 }
--- a/internal/checker/routers.go
+++ b/internal/checker/routers.go
@@ -2,30 +2,30 @@
 
 import "quilldoor/internal/eventlog"
 
-// suspension is a time in which a router's process was suspended.
+// suspension is an interval in which a router's process was suspended.
 type suspension struct {
-	from, until int64 // until 0: it still is
+	from, until int64 // until 0: it is still suspended
 }
 
-// resumeGrace is how long a router that was suspended may take to answer what was due
-// meanwhile: what waits in its sockets is read first.
+// resumeGrace is how long a router may take after a suspension to answer the requests that came
+// due during it: the router first reads the data that its sockets have buffered.
 const resumeGrace = 300 * ms
 
-// suspendedAt tells whether a router could not run at a time, or had just resumed.
+// suspendedAt reports whether a router was suspended at a time or had resumed at most resumeGrace before.
 func (c *Checker) suspendedAt(router int, at int64) bool {
 	last, known := c.suspensions[router]
 	return known && at >= last.from && (last.until == 0 || at <= last.until+resumeGrace)
 }
 
-// suspendedSince tells whether a router was suspended at a time or later.
+// suspendedSince reports whether a router was suspended at a time or later.
 func (c *Checker) suspendedSince(router int, at int64) bool {
 	last, known := c.suspensions[router]
 	return known && (last.until == 0 || last.until >= at)
 }
 
-// knownAt is when a router could know what came at a time: what came while it was suspended
-// is known once it has resumed.
-func (c *Checker) knownAt(router int, at int64) int64 {
+// processableAt is the earliest time at which a router can process a notification that arrives at
+// a given time: the end of the suspension if the router was suspended, else the given time.
+func (c *Checker) processableAt(router int, at int64) int64 {
 	if last, known := c.suspensions[router]; known && at >= last.from && at < last.until {
 		return last.until
 	}
@@ -38,8 +38,8 @@
 	}
 }
 
-// excuseRequestsOf excuses the requests of a router of which a process was killed while
-// another one goes on.
+// excuseRequestsOf excuses the requests of a router that lost a process while another process
+// continues to serve.
 func (c *Checker) excuseRequestsOf(router int) {
 	for id, request := range c.requests {
 		if id.router == router {
@@ -48,15 +48,16 @@
 	}
 }
 
-// routerDown releases a router from what it had taken.
+// routerDown releases a router that went down from the requests that it had accepted. They are kept
+// for endedRetention, since the routers that they were forwarded to may still work on them.
 func (c *Checker) routerDown(entry *eventlog.Entry) {
 	for id, request := range c.requests {
 		if id.router != entry.Router {
 			continue
 		}
 		delete(c.requests, id)
-		if _, known := c.ofDeadRouters[id]; !known {
-			c.ofDeadRouters[id] = request
+		if _, known := c.requestsOfDownRouters[id]; !known {
+			c.requestsOfDownRouters[id] = request
 			c.ended = append(c.ended, endedRequest{id, entry.At})
 		}
 	}
@@ -65,7 +66,7 @@
 	delete(c.suspensions, entry.Router)
 }
 
-// routerUp notifies a router of the endpoint list as it is.
+// routerUp records that a router starts with the current endpoint list.
 func (c *Checker) routerUp(entry *eventlog.Entry) {
 	c.notified[entry.Router] = map[string]notification{}
 	for endpoint, listed := range c.listed {
--- a/internal/checker/slowstart.go
+++ b/internal/checker/slowstart.go
@@ -6,17 +6,17 @@
 	"quilldoor/internal/eventlog"
 )
 
-// warmUp is what has reached an endpoint since it started.
+// warmUp is the work that has reached an endpoint since its last start.
 type warmUp struct {
 	startedAt int64
-	work      []warmingWork // of the overload window
+	work      []warmingWork // within the overload window
 }
 
-// warmingWork is the work of one attempt at an endpoint that warms up.
+// warmingWork is the work of one attempt at a warming endpoint.
 type warmingWork struct {
 	at       int64
 	seconds  float64
-	informed bool // its router was notified of the start, or counts as notified
+	notified bool // its router was notified of the start, or counts as notified
 }
 
 func (c *Checker) warmingWorkArrived(entry *eventlog.Entry) {
@@ -28,37 +28,39 @@
 		return w.at <= entry.At-c.settings.OverloadWindow
 	})
 	warm.work = append(warm.work, warmingWork{
-		at: entry.At, seconds: entry.Work, informed: c.knowsStart(entry.Router, entry.Endpoint, warm.startedAt),
+		at: entry.At, seconds: entry.Work, notified: c.isNotifiedOfStart(entry.Router, entry.Endpoint, warm.startedAt),
 	})
 }
 
-// knowsStart tells whether a router was notified of an endpoint's start, or counts as notified.
-func (c *Checker) knowsStart(router int, endpoint string, startedAt int64) bool {
+// isNotifiedOfStart reports whether a router was notified of an endpoint's start, or counts as notified.
+func (c *Checker) isNotifiedOfStart(router int, endpoint string, startedAt int64) bool {
 	notified := c.notified[router][endpoint]
-	if notified.startedAt >= startedAt && c.now >= c.knownAt(router, notified.at) {
+	if notified.startedAt >= startedAt && c.now >= c.processableAt(router, notified.at) {
 		return true
 	}
 	listed := c.listed[endpoint]
-	return listed.startedAt >= startedAt && c.now >= c.knownAt(router, listed.notifiedBy)
+	return listed.startedAt >= startedAt && c.now >= c.processableAt(router, listed.notifiedBy)
 }
 
-// checkOverload judges rule 4: a warming endpoint must not fall over by work of which two thirds
-// came from routers that knew of its start. Work whose router is not in the log counts as theirs.
+// checkOverload checks rule 4: a warming endpoint must not collapse under work of which at least two
+// thirds came from routers that were notified of its start. Work without an entry in the log counts
+// as sent by notified routers.
 func (c *Checker) checkOverload(entry *eventlog.Entry) {
-	uninformed := 0.0
+	unnotified := 0.0
 	if warm := c.warming[entry.Endpoint]; warm != nil {
 		for _, w := range warm.work {
-			if !w.informed {
-				uninformed += w.seconds
+			if !w.notified {
+				unnotified += w.seconds
 			}
 		}
 	}
-	const allowedOneIn = 3
-	if allowedOneIn*uninformed > entry.Work {
+	// More than one third of the work from routers without the notice makes a collapse a late notice.
+	const lateNoticeDivisor = 3
+	if lateNoticeDivisor*unnotified > entry.Work {
 		c.LateNotices++
 		return
 	}
 	c.violate(ruleSlowStart, entry,
-		"sent %.2f s of work within the window while it was warming up, %.2f s of it by routers that did not know: it fell over",
-		entry.Work, uninformed)
+		"collapsed under %.2f s of work within the window while it was warming up, %.2f s of it from routers not notified of its start",
+		entry.Work, unnotified)
 }
--- a/internal/checker/slowstart_test.go
+++ b/internal/checker/slowstart_test.go
@@ -22,42 +22,42 @@
 	return entry(at, eventlog.KindWarmingWork, eventlog.Entry{Endpoint: "a", Work: seconds})
 }
 
-func fell(at int64) *eventlog.Entry {
+func overloaded(at int64) *eventlog.Entry {
 	return entry(at, eventlog.KindOverloaded, eventlog.Entry{Endpoint: "a", Work: 3})
 }
 
-// Guards against endpoints that fall over before any router could know of their start being held against the routers,
-// and against those being passed over that fall by work of routers that know it.
+// Guards against counting a collapse as a violation when the routers had not been notified of the start, and
+// against not counting one that notified routers caused, by two thirds of the work or more.
 func TestOverloadCountsWhereRoutersKnewOfTheStart(t *testing.T) {
 	checkRules(t, []ruleCase{
 		{"not notified yet", 0, []*eventlog.Entry{
-			notifiedOfStart(0, 0), started(100), warmingWorkOf(200, 3), fell(200),
+			notifiedOfStart(0, 0), started(100), warmingWorkOf(200, 3), overloaded(200),
 		}},
 		{"notified", 4, []*eventlog.Entry{
-			started(100), notifiedOfStart(150, 100), warmingWorkOf(200, 3), fell(200),
+			started(100), notifiedOfStart(150, 100), warmingWorkOf(200, 3), overloaded(200),
 		}},
-		{"two thirds by then", 4, []*eventlog.Entry{
-			started(100), warmingWorkOf(120, 1), notifiedOfStart(150, 100), warmingWorkOf(200, 2), fell(200),
+		{"two thirds after the notification", 4, []*eventlog.Entry{
+			started(100), warmingWorkOf(120, 1), notifiedOfStart(150, 100), warmingWorkOf(200, 2), overloaded(200),
 		}},
-		{"under two thirds", 0, []*eventlog.Entry{
-			started(100), warmingWorkOf(120, 1.1), notifiedOfStart(150, 100), warmingWorkOf(200, 1.9), fell(200),
+		{"under two thirds after the notification", 0, []*eventlog.Entry{
+			started(100), warmingWorkOf(120, 1.1), notifiedOfStart(150, 100), warmingWorkOf(200, 1.9), overloaded(200),
 		}},
-		{"before the window", 4, []*eventlog.Entry{
-			started(100), warmingWorkOf(120, 3), notifiedOfStart(150, 100), warmingWorkOf(1120, 3), fell(1120),
+		{"work from before the notification and the window", 4, []*eventlog.Entry{
+			started(100), warmingWorkOf(120, 3), notifiedOfStart(150, 100), warmingWorkOf(1120, 3), overloaded(1120),
 		}},
 		{"counts as notified", 4, []*eventlog.Entry{
-			started(100), listedStart(100, 100), warmingWorkOf(7100, 3), fell(7100),
+			started(100), listedStart(100, 100), warmingWorkOf(7100, 3), overloaded(7100),
 		}},
 		{"does not count as notified yet", 0, []*eventlog.Entry{
-			started(100), listedStart(100, 100), warmingWorkOf(7099, 3), fell(7099),
+			started(100), listedStart(100, 100), warmingWorkOf(7099, 3), overloaded(7099),
 		}},
-		{"of an earlier start", 0, []*eventlog.Entry{
-			started(100), notifiedOfStart(150, 100), started(300), warmingWorkOf(350, 3), fell(350),
+		{"notified of an earlier start", 0, []*eventlog.Entry{
+			started(100), notifiedOfStart(150, 100), started(300), warmingWorkOf(350, 3), overloaded(350),
 		}},
-		{"work that the log does not show", 4, []*eventlog.Entry{started(100), warmingWorkOf(150, 1), fell(200)}},
-		{"a router that starts with the list", 4, []*eventlog.Entry{
+		{"work without an entry in the log", 4, []*eventlog.Entry{started(100), warmingWorkOf(150, 1), overloaded(200)}},
+		{"router started with the current list", 4, []*eventlog.Entry{
 			started(100), listedStart(100, 100), entry(150, eventlog.KindRouterUp, eventlog.Entry{}),
-			warmingWorkOf(200, 3), fell(200),
+			warmingWorkOf(200, 3), overloaded(200),
 		}},
 	})
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,57 +1,57 @@
-// Package eventlog holds the lines of a run's event log: what was requested, sent,
-// executed and answered, by which the checker judges. The JSON keys and kinds are those of
-// recorded logs.
+// Package eventlog defines the entries of a run's event log: the requests, attempts,
+// executions, notifications and answers that the checker checks. The JSON keys and the
+// values of Kind are those of recorded logs.
 package eventlog
 
-// Kind of an entry.
+// Kind is the kind of an entry.
 type Kind string
 
 // The kinds of requests and attempts.
 const (
-	KindTaken     Kind = "taken"   // a router has a client's request whole
-	KindSent      Kind = "sent"    // it sends an attempt
-	KindArrived   Kind = "came"    // the attempt has arrived at its endpoint
-	KindRan       Kind = "ran"     // the endpoint's work began: the attempt may have its effect
-	KindEffect    Kind = "effect"  // the attempt has had its effect at the origin
-	KindEnded     Kind = "end"     // the attempt's end came back
-	KindForwarded Kind = "carried" // the request was forwarded by the router that Attempt names
-	KindRefused   Kind = "refused" // the router's machine refused the connection: not taken after all
-	KindAnswered  Kind = "final"   // the router's answer
-	KindLeft      Kind = "left"    // the client's time was over without one
-	KindWrong     Kind = "wrong"   // a response that no endpoint made for the request
+	KindTaken     Kind = "taken"   // a router has received a client's whole request
+	KindSent      Kind = "sent"    // a router sends an attempt
+	KindArrived   Kind = "came"    // an attempt arrives at its endpoint
+	KindRan       Kind = "ran"     // an endpoint starts to execute an attempt: it may have its effect from now on
+	KindEffect    Kind = "effect"  // an attempt has its effect at the origin
+	KindEnded     Kind = "end"     // a router has the outcome of an attempt
+	KindForwarded Kind = "carried" // a request arrives that the router numbered Attempt has forwarded
+	KindRefused   Kind = "refused" // the router's machine refused the connection: revokes KindTaken
+	KindAnswered  Kind = "final"   // a router gives its final answer
+	KindLeft      Kind = "left"    // the client timed out without an answer
+	KindWrong     Kind = "wrong"   // a client got a response that no endpoint made for the request
 )
 
 // The kinds of discovery.
 const (
-	KindListed        Kind = "listed"     // discovery will tell a state at Until
+	KindListed        Kind = "listed"     // an endpoint's state changes; discovery publishes it at Until
 	KindNotified      Kind = "told"       // a router was notified of an endpoint
-	KindPurged        Kind = "purged"     // a purge was made
+	KindPurged        Kind = "purged"     // an object or group was purged
 	KindPurgeNotified Kind = "told_purge" // a router was notified of a purge
 )
 
 // The kinds of processes and faults.
 const (
-	KindStarted         Kind = "started" // an endpoint
-	KindDown            Kind = "down"
-	KindWarmingWork     Kind = "warming" // work of an attempt has reached an endpoint that warms up
-	KindOverloaded      Kind = "fell"    // a warming endpoint got more than it bears
-	KindStopped         Kind = "stopped"
+	KindStarted         Kind = "started" // an endpoint starts
+	KindDown            Kind = "down"    // an endpoint goes down
+	KindWarmingWork     Kind = "warming" // the work of an attempt has reached a warming endpoint
+	KindOverloaded      Kind = "fell"    // a warming endpoint collapses under more work than it can bear
+	KindStopped         Kind = "stopped" // the overloaded origin stops for a time
 	KindRouterDown      Kind = "router_down"
 	KindRouterUp        Kind = "router_up"
-	KindRouterSuspended Kind = "router_stopped" // its process is suspended
-	KindRouterResumed   Kind = "router_woken"
-	KindCrashed         Kind = "crashed" // a process of a supervised router was killed, another one serves
-	KindFault           Kind = "trouble" // of the scenario
+	KindRouterSuspended Kind = "router_stopped" // a router's process is suspended
+	KindRouterResumed   Kind = "router_woken"   // a router's process resumes
+	KindCrashed         Kind = "crashed"        // a process of a supervised router was killed, another one serves
+	KindFault           Kind = "trouble"        // a fault of the scenario begins or ends
 )
 
-// Entry is one line. Times are microseconds from the start.
+// Entry is one line of the log. Times are microseconds from the start of the run.
 type Entry struct {
 	At       int64
 	Kind     Kind
 	Router   int     `json:",omitempty"`
 	Request  string  `json:"Txn,omitempty"`
 	Class    string  `json:"Rule,omitempty"`
-	Attempt  int     `json:"Hop,omitempty"` // its number among the request's attempts
+	Attempt  int     `json:"Hop,omitempty"` // number among the request's attempts; of KindForwarded: a router
 	Endpoint string  `json:"Server,omitempty"`
 	Source   string  `json:",omitempty"`
 	Object   string  `json:",omitempty"`
@@ -63,5 +63,5 @@
 	Until    int64   `json:",omitempty"`
 	Work     float64 `json:",omitempty"` // seconds
 
-	StartedAt int64 `json:",omitempty"` // of the endpoint that is listed; 0: before the run
+	StartedAt int64 `json:",omitempty"` // when the listed endpoint started; 0: before the run
 }
