--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -6,7 +6,7 @@
 	"quilldoor/internal/yamlfile"
 )
 
-// Fault is a fault during the run.
+// Fault is a fault that is injected during the run.
 type Fault struct {
 	Kind     string  `yaml:"kind"`     // key of FaultKinds
 	At       float64 `yaml:"at"`       // seconds from the start
@@ -14,8 +14,8 @@
 	Every    float64 `yaml:"every"`    // seconds between pauses or waves; 0: defaultEveryS
 	Office   int     `yaml:"office"`   // from 1; 0: all, or any
 	Trunk    int     `yaml:"trunk"`    // from 1; 0: all, or any
-	Share    float64 `yaml:"share"`    // of the servers, groups, objects or requests there; 0: all
-	Strength float64 `yaml:"strength"` // by kind
+	Share    float64 `yaml:"share"`    // of the servers, groups, objects or requests at that place; 0: all
+	Strength float64 `yaml:"strength"` // its meaning depends on the kind
 }
 
 const (
@@ -25,11 +25,11 @@
 	maxFaultS     = 24 * 3600 // seconds: a day
 )
 
-// validate checks a fault and sets its defaults. The key is the prefix of the keys in errors.
+// validate checks a fault and sets its defaults. The key is the prefix of the key that an error names.
 func (f *Fault) validate(s *Scenario, key string) error {
 	kind, known := FaultKinds[f.Kind]
 	if !known {
-		return yamlfile.Errorf(key+"kind", "%.40q is no trouble", f.Kind)
+		return yamlfile.Errorf(key+"kind", "%.40q is not a kind of fault", f.Kind)
 	}
 	if f.Strength == 0 {
 		f.Strength = kind.Strength
@@ -46,7 +46,7 @@
 	if err := f.validateRecurrence(kind, key); err != nil {
 		return err
 	}
-	if f.Share == 0 && f.Kind != KindPeerPartition { // without a share, its parts are even
+	if f.Share == 0 && f.Kind != KindPeerPartition { // a partition without a share has parts of equal size
 		f.Share = 1
 	}
 	if kind.Recurring {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// validatePlace checks which servers, routers or requests the fault is on.
+// validatePlace checks the office, the trunk and the share that the fault affects.
 func (f *Fault) validatePlace(s *Scenario, key string) error {
 	if err := yamlfile.CheckRange(key+"share", f.Share, 0, 1); err != nil {
 		return err
@@ -85,7 +85,7 @@
 		return yamlfile.CheckRange(key+"strength", f.Strength, kind.MinStrength, kind.MaxStrength)
 	}
 	if f.Strength != 0 {
-		return yamlfile.Errorf(key+"strength", "%s has none", f.Kind)
+		return yamlfile.Errorf(key+"strength", "%s has no strength", f.Kind)
 	}
 	return nil
 }
@@ -94,9 +94,9 @@
 func (f *Fault) validateRecurrence(kind FaultKind, key string) error {
 	switch {
 	case f.Every < 0 || f.Every > 0 && !kind.Recurring:
-		return yamlfile.Errorf(key+"every", "%s does not come again", f.Kind)
+		return yamlfile.Errorf(key+"every", "%s does not recur", f.Kind)
 	case f.Every > 0 && f.Every < minEveryS:
-		return yamlfile.Errorf(key+"every", "%g is not %g or more", f.Every, minEveryS)
+		return yamlfile.Errorf(key+"every", "%g is less than %g", f.Every, minEveryS)
 	}
 	return nil
 }
--- a/internal/scenario/faultkinds.go
+++ b/internal/scenario/faultkinds.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Scope is the set of servers or routers that a fault's place and share choose from.
+// Scope is the set of servers or routers from which a fault's place and share select.
 type Scope string
 
 // The scopes.
@@ -17,10 +17,11 @@
 	ScopeRouters Scope = "routers"
 )
 
-// PeerKindPrefix begins the kinds that disturb messages among routers, which need membership.
+// PeerKindPrefix is the prefix of the kinds that affect messages between routers. Routers exchange
+// messages only in a fleet with membership.
 const PeerKindPrefix = "ways_"
 
-// Kinds of faults, as in a fault's "kind" key.
+// Kinds of faults: the values of a fault's "kind" key.
 const (
 	KindCacheDeath       = "die"
 	KindCacheSilence     = "silent"
@@ -59,28 +60,28 @@
 	KindResponseError    = "errors"
 )
 
-// FaultKind says what a fault's place and strength mean.
+// FaultKind describes a kind of fault: its place, its strength and whether it recurs.
 type FaultKind struct {
 	About       string
 	Scope       Scope
-	Strength    float64 // if the fault names none; 0: the kind has no strength
+	Strength    float64 // default of Fault.Strength; 0: the kind has no strength
 	MinStrength float64
 	MaxStrength float64
-	Recurring   bool // the fault comes again after Fault.Every
+	Recurring   bool // the fault recurs every Fault.Every seconds
 }
 
-// FaultKinds has all kinds of faults by name.
+// FaultKinds holds all kinds of faults by name.
 var FaultKinds = map[string]FaultKind{
 	KindCacheDeath: {
-		About: "caches die with a reset and return cold and empty",
+		About: "caches crash with a reset and restart cold and empty",
 		Scope: ScopeCaches,
 	},
 	KindCacheSilence: {
-		About: "caches stop responding and return cold and empty",
+		About: "caches stop responding and restart cold and empty",
 		Scope: ScopeCaches,
 	},
 	KindCachePause: {
-		About: "caches pause for strength ms, again and again",
+		About: "caches pause for strength ms, repeatedly",
 		Scope: ScopeCaches, Strength: 200, MinStrength: 1, MaxStrength: 5000, Recurring: true,
 	},
 	KindCacheDeploy: {
@@ -88,15 +89,15 @@
 		Scope: ScopeCaches, Strength: 2, MinStrength: 1, MaxStrength: 50, Recurring: true,
 	},
 	KindCachePreemption: {
-		About: "caches are drained and gone strength s later; they return",
+		About: "caches are drained, stopped strength s later, and restarted",
 		Scope: ScopeCaches, Strength: 1, MinStrength: 0.1, MaxStrength: 60,
 	},
 	KindOfficeLoss: {
-		About: "all caches of an office are lost and return cold and empty",
+		About: "all caches of an office are lost and restart cold and empty",
 		Scope: ScopeOffice,
 	},
 	KindParentLoss: {
-		About: "all parents of a trunk are lost and return cold and empty",
+		About: "all parents of a trunk are lost and restart cold and empty",
 		Scope: ScopeTrunk,
 	},
 	KindPurge: {
@@ -114,11 +115,11 @@
 		About: "the origin does not respond",
 	},
 	KindLateReports: {
-		About:    "load reports come strength s later",
+		About:    "load reports arrive strength s later",
 		Strength: 2, MinStrength: 0.01, MaxStrength: 60,
 	},
 	KindLateDiscovery: {
-		About:    "discovery events come strength s later",
+		About:    "discovery events arrive strength s later",
 		Strength: 3, MinStrength: 0.01, MaxStrength: 60,
 	},
 	KindDiscoveryCut: {
@@ -129,7 +130,7 @@
 		About: "a share of the requests is for objects requested only once",
 	},
 	KindBurst: {
-		About:    "strength times the requests",
+		About:    "the request rate is strength times as high",
 		Strength: 2, MinStrength: 0.01, MaxStrength: 100,
 	},
 	KindRouterDeath: {
@@ -137,35 +138,35 @@
 		Scope: ScopeRouters,
 	},
 	KindRouterStop: {
-		About: "routers are stopped and resume with their state",
+		About: "routers are suspended and resume with their state",
 		Scope: ScopeRouters,
 	},
 	KindRouterStarvation: {
-		About: "neighbours take a share strength of the routers' CPU",
+		About: "other processes take a share strength of the routers' CPU",
 		Scope: ScopeRouters, Strength: 0.6, MinStrength: 0.01, MaxStrength: 0.95,
 	},
 	KindPeerDelay: {
-		About: "messages among routers come strength ms later, both ways",
+		About: "messages between routers arrive strength ms later, in both directions",
 		Scope: ScopeRouters, Strength: 50, MinStrength: 1, MaxStrength: 10000,
 	},
 	KindPeerJitter: {
-		About: "messages among routers come up to strength ms later, at random",
+		About: "messages between routers arrive up to strength ms later, at random",
 		Scope: ScopeRouters, Strength: 50, MinStrength: 1, MaxStrength: 10000,
 	},
 	KindPeerLoss: {
-		About: "a share strength of the messages among routers is lost",
+		About: "a share strength of the messages between routers is lost",
 		Scope: ScopeRouters, Strength: 0.05, MinStrength: 0.001, MaxStrength: 1,
 	},
 	KindPeerDuplication: {
-		About: "a share strength of the messages among routers is duplicated",
+		About: "a share strength of the messages between routers is duplicated",
 		Scope: ScopeRouters, Strength: 0.1, MinStrength: 0.001, MaxStrength: 1,
 	},
 	KindPeerReorder: {
-		About: "a share strength of the messages among routers is overtaken",
+		About: "a share strength of the messages between routers is delivered late, out of order",
 		Scope: ScopeRouters, Strength: 0.1, MinStrength: 0.001, MaxStrength: 1,
 	},
 	KindPeerBandwidth: {
-		About: "links among routers carry strength KB a second",
+		About: "links between routers carry strength KB per second",
 		Scope: ScopeRouters, Strength: 2, MinStrength: 0.1, MaxStrength: 1e6,
 	},
 	KindPeerCut: {
@@ -173,36 +174,36 @@
 		Scope: ScopeRouters,
 	},
 	KindPeerOneWay: {
-		About: "messages from the routers are lost, messages to them arrive",
+		About: "messages from the routers are lost, messages to the routers arrive",
 		Scope: ScopeRouters,
 	},
 	KindPeerPartition: {
-		About:    "routers are partitioned into strength parts, the first of a share; no share: even ones",
+		About:    "routers are partitioned into strength parts; the share sets the size of the first part, no share means equal parts",
 		Strength: 2, MinStrength: 2, MaxStrength: 3,
 	},
 	KindPeerChain: {
-		About: "a third of the routers is cut off from another third, the last third reaches both",
+		About: "a third of the routers is cut off from another third; the last third reaches both",
 	},
 	KindResponseReset: {
-		About: "a share of the responses is a reset instead",
+		About: "a share of the responses is replaced by a reset",
 		Scope: ScopeCaches,
 	},
 	KindOriginReset: {
-		About: "a share of the origin's responses is a reset instead",
+		About: "a share of the origin's responses is replaced by a reset",
 	},
 	KindResponseEndless: {
-		About: "a share of the responses never comes",
+		About: "a share of the responses never arrives",
 		Scope: ScopeCaches,
 	},
 	KindResponseCorrupt: {
-		About: "a share of the responses is malformed: their connection ends",
+		About: "a share of the responses is malformed and ends the connection",
 		Scope: ScopeCaches,
 	},
 	KindSiteCut: {
 		About: "sites cannot reach each other",
 	},
 	KindResponseError: {
-		About: "a share of the responses is an error without a reason",
+		About: "a share of the responses is an error that names no reason",
 		Scope: ScopeCaches,
 	},
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// Fleet is the routers and what they route to. A trunk connects offices to its parent caches;
-// an office has routers and caches; all parents fill from one origin.
+// Fleet describes the routers and the servers that they route to. A trunk connects offices to its
+// parent caches; an office has routers and caches; all parents fill from one origin.
 type Fleet struct {
 	Trunks  int `yaml:"trunks"`
 	Offices int `yaml:"offices"` // assigned to the trunks in turn
@@ -13,67 +13,67 @@
 
 	// Caches.
 	Cores        int     `yaml:"cores"`          // of a cache
-	SlotsPerCore int     `yaml:"slots_per_core"` // requests that it serves or fills at once
-	QueuePerCore int     `yaml:"queue_per_core"` // requests that wait
+	SlotsPerCore int     `yaml:"slots_per_core"` // requests that a cache serves or fills at once
+	QueuePerCore int     `yaml:"queue_per_core"` // requests that wait for a slot
 	FillsPerCore int     `yaml:"fills_per_core"` // fills at once
-	Thrash       float64 `yaml:"thrash"`         // share of the capacity lost for each request a core above four
-	CacheShare   float64 `yaml:"keeps_share"`    // of an office's part of the catalogue, that its caches hold together
+	Thrash       float64 `yaml:"thrash"`         // share of the capacity lost for each request per core above four
+	CacheShare   float64 `yaml:"keeps_share"`    // share of an office's part of the catalogue that its caches hold together
 	PreWarmed    bool    `yaml:"warm"`           // caches and parents start with the popular objects
 	OrphanFills  bool    `yaml:"orphans"`        // a fill goes on when its request is cancelled
 
 	// Network.
-	FlowKBPerS float64 `yaml:"flow_kb_per_s"` // to a client, from a core
-	LinkShare  float64 `yaml:"link_share"`    // capacity of an office's link in; 1: what its caches send at full load
-	FillSpeed  float64 `yaml:"fill_speed"`    // of a fill from the office's own trunk, as a multiple of FlowKBPerS
+	FlowKBPerS float64 `yaml:"flow_kb_per_s"` // rate from a core to a client
+	LinkShare  float64 `yaml:"link_share"`    // capacity of the link into an office; 1: the output of its caches at full load
+	FillSpeed  float64 `yaml:"fill_speed"`    // rate of a fill from the office's own trunk, as a multiple of FlowKBPerS
 	LocalMS    float64 `yaml:"home_ms"`       // round trip within an office
 	TrunkMS    float64 `yaml:"trunk_ms"`      // round trip to the office's own trunk
-	FarMS      float64 `yaml:"far_ms"`        // round trip, added for each further trunk
+	FarMS      float64 `yaml:"far_ms"`        // added to the round trip for each further trunk
 	ClientMS   float64 `yaml:"client_ms"`     // round trip between a client and its router
 
 	// Parents.
-	ParentLink       float64 `yaml:"parent_link"`  // capacity of a parent's link out; 1: of the links into its offices
-	ParentCacheShare float64 `yaml:"parent_keeps"` // of the catalogue
+	ParentLink       float64 `yaml:"parent_link"`  // capacity of a parent's outgoing link; 1: its part of the links into its offices
+	ParentCacheShare float64 `yaml:"parent_keeps"` // share of the catalogue that a parent holds
 	ParentCoalesces  bool    `yaml:"parent_joins"` // concurrent requests for an object share one fill
 
 	// Origin.
 	OriginWorkers      int     `yaml:"ledger_workers"`
 	OriginServiceMS    float64 `yaml:"ledger_ms"`
 	OriginLinkKBPerS   float64 `yaml:"ledger_link_kb_per_s"` // 0: the sum of the offices' links
-	OriginRejectShare  float64 `yaml:"ledger_refuse"`        // it rejects when this share of its slots is taken
-	OriginStopMultiple float64 `yaml:"ledger_stops"`         // of its capacity; it stops if arrivals of 3 s exceed it
-	OriginStopS        float64 `yaml:"ledger_stop_s"`        // how long it stops
+	OriginRejectShare  float64 `yaml:"ledger_refuse"`        // share of its slots in use from which on it rejects requests
+	OriginStopMultiple float64 `yaml:"ledger_stops"`         // multiple of its capacity; it stops if the arrivals of 3 s exceed this
+	OriginStopS        float64 `yaml:"ledger_stop_s"`        // duration of the stop
 
 	// Slow start, and collapse under overload during it.
 	SlowStartFrom       float64 `yaml:"cold_from"`        // share of a cache's capacity at its start
-	SlowStartS          float64 `yaml:"cold_s"`           // until it has all of it
-	OverloadMultiple    float64 `yaml:"fall_multiple"`    // of the capacity now; work above it makes a server collapse
-	OverloadMS          float64 `yaml:"fall_ms"`          // the window over which that work is summed
+	SlowStartS          float64 `yaml:"cold_s"`           // time from its start until it has all of its capacity
+	OverloadMultiple    float64 `yaml:"fall_multiple"`    // multiple of the current capacity; more work than this makes a server collapse
+	OverloadMS          float64 `yaml:"fall_ms"`          // window over which that work is summed
 	ParentSlowStartFrom float64 `yaml:"parent_cold_from"` // as SlowStartFrom
 	ParentSlowStartS    float64 `yaml:"parent_cold_s"`    // as SlowStartS
 
 	// Control traffic and the contract with the servers.
-	ReportMS         float64 `yaml:"report_ms"`       // between load reports
-	ReportDelayMS    float64 `yaml:"report_delay_ms"` // until a load report arrives
+	ReportMS         float64 `yaml:"report_ms"`       // interval between load reports
+	ReportDelayMS    float64 `yaml:"report_delay_ms"` // time until a load report arrives
 	ReportNoise      float64 `yaml:"report_noise"`    // relative error of a load report
-	DiscoveryDelayMS float64 `yaml:"board_ms"`        // until a router is notified of an event
-	DeathDetectionMS float64 `yaml:"death_ms"`        // until discovery knows that a process died
-	DrainGraceMS     float64 `yaml:"drain_grace_ms"`  // for routers to stop using a draining server
-	PurgeGraceMS     float64 `yaml:"purge_grace_ms"`  // for routers to stop serving what was purged
-	PurgeCompleteMS  float64 `yaml:"cleared_ms"`      // until servers have dropped what was purged
-	ErrorShare       float64 `yaml:"error_share"`     // of attempts, that fail without a cause
+	DiscoveryDelayMS float64 `yaml:"board_ms"`        // time until a router is notified of an event
+	DeathDetectionMS float64 `yaml:"death_ms"`        // time until discovery detects a crashed process
+	DrainGraceMS     float64 `yaml:"drain_grace_ms"`  // time for routers to stop using a draining server
+	PurgeGraceMS     float64 `yaml:"purge_grace_ms"`  // time for routers to stop serving purged copies
+	PurgeCompleteMS  float64 `yaml:"cleared_ms"`      // time until all servers have dropped purged copies
+	ErrorShare       float64 `yaml:"error_share"`     // share of attempts that fail at random
 	Hedging          bool    `yaml:"second_copies"`   // hedged requests are allowed
 
-	// Sites and the routers' knowledge of each other.
+	// Sites and membership.
 	Sites          int     `yaml:"sites"`         // 2 or more: gateways connect them; offices are assigned in turn
-	SiteMS         float64 `yaml:"site_ms"`       // one way between sites
-	Membership     bool    `yaml:"members"`       // routers know each other
-	RouterDelayMS  float64 `yaml:"way_ms"`        // one way between routers
-	RouterJitterMS float64 `yaml:"way_jitter_ms"` // added to it at random, at most
-
-	// Of router processes only.
-	Supervised bool    `yaml:"keep"`    // each has a supervisor
-	TrialS     float64 `yaml:"trial_s"` // of a new generation
-	DiskMB     int     `yaml:"disk_mb"` // of each router's disk cache; 0: none
+	SiteMS         float64 `yaml:"site_ms"`       // one-way delay between sites
+	Membership     bool    `yaml:"members"`       // routers exchange membership messages
+	RouterDelayMS  float64 `yaml:"way_ms"`        // one-way delay between routers
+	RouterJitterMS float64 `yaml:"way_jitter_ms"` // maximum of the random addition to that delay
+
+	// Settings that only runs with router processes use.
+	Supervised bool    `yaml:"keep"`    // each router has a supervisor
+	TrialS     float64 `yaml:"trial_s"` // trial of a new generation
+	DiskMB     int     `yaml:"disk_mb"` // size of each router's disk cache; 0: none
 }
 
 func defaultFleet() Fleet {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Zone is the name of an office, from 0.
+// Zone is the name of the zone of an office, which counts from 0.
 func Zone(office int) string { return "office-" + strconv.Itoa(office+1) }
 
 // Site is the site of an office, both from 0, or -1 in a fleet without sites.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,23 +1,23 @@
 // Package scenario reads scenarios from YAML: a fleet, the load on it and the faults of a run.
-// It also gives the settings that a router of the fleet is started with. It plays nothing:
+// It also derives the settings that a router of the fleet is started with. It runs no scenario:
 // internal/simulation and internal/emulator do.
 package scenario
 
 import "quilldoor/internal/yamlfile"
 
-// Scenario is one run. Keys that the YAML leaves out have the values of Default.
+// Scenario describes one run. Keys that are absent in the YAML have the values of Default.
 type Scenario struct {
 	Name    string  `yaml:"-"`
 	About   string  `yaml:"about"` // one line
 	Seed    uint64  `yaml:"seed"`
-	LengthS float64 `yaml:"length_s"` // seconds in all; clients send requests until then
-	WarmUpS float64 `yaml:"settle_s"` // seconds of those before outcomes count
+	LengthS float64 `yaml:"length_s"` // seconds until clients stop sending requests
+	WarmUpS float64 `yaml:"settle_s"` // seconds at the start in which outcomes do not count
 	Fleet   Fleet   `yaml:"fleet"`
 	Load    Load    `yaml:"load"`
 	Faults  []Fault `yaml:"troubles"`
 }
 
-// Default is a small fleet without faults: three offices at two trunks.
+// Default returns a scenario of a small fleet without faults: three offices at two trunks.
 func Default() Scenario {
 	return Scenario{
 		Seed:    1,
@@ -28,7 +28,8 @@
 	}
 }
 
-// Parse decodes and validates a scenario. The name is the scenario's, and the file in errors.
+// Parse decodes and validates a scenario. The name becomes the scenario's, and errors give it as
+// the file.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := Default()
 	s.Name = name
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -16,7 +16,7 @@
 	classCount
 )
 
-// trafficClass is what the settings say of a class.
+// trafficClass holds the settings of a traffic class.
 type trafficClass struct {
 	name           string
 	effect         string
@@ -24,8 +24,8 @@
 	deadlineMS     float64
 	stretch        float64 // multiple of the transfer time by which the objective grows
 	priorityWeight float64
-	lateShare      float64 // of the weight, for a response after the objective
-	staleShare     float64 // of the weight, for a stale response
+	lateShare      float64 // share of the weight that a response after the objective is worth
+	staleShare     float64 // share of the weight that a stale response is worth
 	multipart      bool
 	writesThrough  bool
 }
@@ -56,7 +56,7 @@
 var endpointKinds = []string{EndpointCache, EndpointParent, EndpointOrigin}
 
 const (
-	// untilPurgedMS is how the settings say that an object is fresh until it is purged: a day.
+	// untilPurgedMS is the freshness time of an object that is fresh until it is purged: a day.
 	untilPurgedMS = 24 * 3600 * millisPerSecond
 
 	millisPerSecond = 1000
@@ -72,48 +72,48 @@
 	loadReportEncoding = "inline"
 )
 
-// Settings are the platform's settings for a router of an office. The rank is the router's number
-// among all routers of the fleet.
+// Settings returns the platform's settings for a router of an office. The rank is the router's
+// number among all routers of the fleet.
 func (s *Scenario) Settings(office, rank int) settings.Setup {
-	var set settings.Setup
-	set.Rank = rank
-	set.Siblings = s.Fleet.Offices * s.Fleet.Routers
-	set.Zone = Zone(office)
-	set.Kinds = slices.Clone(endpointKinds)
-	set.Discovery = "push"
-	set.WeightKind = "rough"
-	set.Callers.MarksRetry = true
-	set.LoadReport.Fields = []string{"util", "x0", "x1"}
-	set.LoadReport.How = loadReportEncoding
-	s.setZones(&set)
-	s.setClasses(&set)
-	s.setHierarchy(&set)
-	s.setContract(&set)
-	s.setLimits(&set)
-	return set
+	var setup settings.Setup
+	setup.Rank = rank
+	setup.Siblings = s.Fleet.Offices * s.Fleet.Routers
+	setup.Zone = Zone(office)
+	setup.Kinds = slices.Clone(endpointKinds)
+	setup.Discovery = "push"
+	setup.WeightKind = "rough"
+	setup.Callers.MarksRetry = true
+	setup.LoadReport.Fields = []string{"util", "x0", "x1"}
+	setup.LoadReport.How = loadReportEncoding
+	s.setZones(&setup)
+	s.setClasses(&setup)
+	s.setHierarchy(&setup)
+	s.setContract(&setup)
+	s.setLimits(&setup)
+	return setup
 }
 
-// Classes are the traffic classes as the policy gets them.
+// Classes returns the traffic classes in the form that the policy receives.
 func (s *Scenario) Classes() []policy.TrafficClass {
-	set := s.Settings(0, 0)
-	return set.PolicySettings().Classes
+	setup := s.Settings(0, 0)
+	return setup.PolicySettings().Classes
 }
 
-func (s *Scenario) setZones(set *settings.Setup) {
+func (s *Scenario) setZones(setup *settings.Setup) {
 	fleet := &s.Fleet
-	family := &set.FamilyInfo
+	family := &setup.FamilyInfo
 	for office := range fleet.Offices {
-		set.Zones = append(set.Zones, Zone(office))
+		setup.Zones = append(setup.Zones, Zone(office))
 		family.HubByZone = append(family.HubByZone, fleet.Trunk(office))
 		family.ZoneBalancers = append(family.ZoneBalancers, fleet.Routers)
 		family.FeedKbPerS = append(family.FeedKbPerS, fleet.OfficeLinkKBPerS())
 	}
 }
 
-func (s *Scenario) setClasses(set *settings.Setup) {
-	family := &set.FamilyInfo
+func (s *Scenario) setClasses(setup *settings.Setup) {
+	family := &setup.FamilyInfo
 	for _, class := range trafficClasses {
-		set.Classes = append(set.Classes, settings.Class{
+		setup.Classes = append(setup.Classes, settings.Class{
 			Name:       class.name,
 			Effect:     class.effect,
 			TargetMs:   class.objectiveMS,
@@ -134,10 +134,10 @@
 	}
 }
 
-// setHierarchy sets what is known of parents and the origin, and of purges.
-func (s *Scenario) setHierarchy(set *settings.Setup) {
+// setHierarchy sets the settings of parents, the origin and purges.
+func (s *Scenario) setHierarchy(setup *settings.Setup) {
 	fleet := &s.Fleet
-	family := &set.FamilyInfo
+	family := &setup.FamilyInfo
 	family.BypassAllowed = true
 	family.MasterKind = slices.Index(endpointKinds, EndpointOrigin)
 	if fleet.Parents > 0 {
@@ -157,9 +157,9 @@
 	family.UpperFallMultiple = fleet.OverloadMultiple
 }
 
-func (s *Scenario) setContract(set *settings.Setup) {
+func (s *Scenario) setContract(setup *settings.Setup) {
 	fleet := &s.Fleet
-	contract := &set.Contract
+	contract := &setup.Contract
 	contract.AnswerSlackMs = answerSlackMS
 	contract.DrainGraceMs = fleet.DrainGraceMS
 	contract.ColdFrom = fleet.SlowStartFrom
@@ -168,8 +168,8 @@
 	contract.FallMultiple = fleet.OverloadMultiple
 }
 
-func (s *Scenario) setLimits(set *settings.Setup) {
-	limits := &set.Limits
+func (s *Scenario) setLimits(setup *settings.Setup) {
+	limits := &setup.Limits
 	limits.PeerMessages = s.Fleet.Membership
 	limits.Cancel = true
 	limits.RetryAfter = true
--- a/internal/scenario/validate.go
+++ b/internal/scenario/validate.go
@@ -6,7 +6,7 @@
 	"quilldoor/internal/yamlfile"
 )
 
-// Bounds of a whole run: its memory grows by some kilobytes for each open request and by some
+// Bounds of a whole run. Its memory grows by some kilobytes for each open request and by some
 // hundred bytes for each object.
 const (
 	maxRequests = 2e8
@@ -16,13 +16,13 @@
 	maxLengthS = 24 * 3600
 )
 
-// keyRange is a key's value and its bounds.
+// keyRange is the value of a key and the bounds of that value.
 type keyRange struct {
 	key              string
 	value, low, high float64
 }
 
-// validate checks a scenario and sets the defaults of its faults. Errors name the key.
+// validate checks a scenario and sets the defaults of its faults. An error names the key.
 func (s *Scenario) validate() error {
 	ranges := []keyRange{
 		{"length_s", s.LengthS, 1, maxLengthS},
@@ -51,11 +51,11 @@
 	return nil
 }
 
-// validateSize bounds what a run needs in all.
+// validateSize checks the total number of requests, caches and routers.
 func (s *Scenario) validateSize() error {
 	fleet := &s.Fleet
 	if requests := s.Load.RequestsPerS * s.LengthS; requests > maxRequests {
-		return yamlfile.Errorf("load.txns_per_s", "%.0f txns in all are more than a run should take (200,000,000)", requests)
+		return yamlfile.Errorf("load.txns_per_s", "%.0f requests in all are more than the limit of a run (200,000,000)", requests)
 	}
 	if caches := fleet.Offices * fleet.Caches; caches > maxCaches {
 		return yamlfile.Errorf("fleet.caches", "%d caches in all are more than %d", caches, maxCaches)
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios is the library of scenarios, embedded in the programs that play them.
+// Package scenarios is the library of scenarios, embedded in the programs that run them.
 package scenarios
 
 import (
@@ -19,7 +19,7 @@
 func Names() []string {
 	entries, err := files.ReadDir(".")
 	if err != nil {
-		panic(err) // the root of an embedded file system can be read
+		panic(err) // cannot fail: the root of an embedded file system is readable
 	}
 	var names []string
 	for _, entry := range entries {
@@ -28,7 +28,8 @@
 	return names
 }
 
-// Load parses a scenario of the library by its name or, if there is none, the file of that path.
+// Load parses the library's scenario of a name or, if the library has none of that name, the file at
+// that path.
 func Load(name string) (*scenario.Scenario, error) {
 	text, err := files.ReadFile(name + extension)
 	if err == nil {
@@ -36,7 +37,7 @@
 	}
 	text, err = os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("%s is not in the library, and: %w", name, err)
+		return nil, fmt.Errorf("scenario %q is not in the library and cannot be read as a file: %w", name, err)
 	}
 	return scenario.Parse(name, text)
 }
