--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs routers' decisions under the simulator: batches of events on standard input, replies on
-// standard output. It ends with status 1 on a malformed batch.
+// Command simadapter runs the policy of routers under the simulator. It reads batches of events from standard input
+// and writes the replies to standard output. It exits with status 1 on a malformed batch.
 package main
 
 import (
--- a/internal/cborcodec/cborcodec_test.go
+++ b/internal/cborcodec/cborcodec_test.go
@@ -16,7 +16,7 @@
 	lenient := limits
 	strict := limits
 	strict.RejectDuplicateKeys = true
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		encoded       string // hexadecimal
 		limits        Limits
@@ -36,13 +36,13 @@
 		{"truncated", "a1018201", strict, false},
 		{"trailing bytes", "a10182010200", strict, false},
 	} {
-		encoded, err := hex.DecodeString(c.encoded)
+		encoded, err := hex.DecodeString(test.encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = NewStrictDecoder(c.limits).Unmarshal(encoded, new(message))
-		if (err == nil) != c.wantsAccepted {
-			t.Errorf("%s: %v", c.name, err)
+		err = NewStrictDecoder(test.limits).Unmarshal(encoded, new(message))
+		if (err == nil) != test.wantsAccepted {
+			t.Errorf("%s: error %v, want accepted %t", test.name, err, test.wantsAccepted)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 func TestUnsupportedLimitsPanic(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("limits below the library's least were accepted")
+			t.Error("limits below the library's minimum were accepted")
 		}
 	}()
 	NewStrictDecoder(Limits{MaxArrayElements: 1, MaxMapPairs: 1, MaxNestedLevels: 1})
--- a/internal/cborcodec/cborcodectest/cborcodectest.go
+++ b/internal/cborcodec/cborcodectest/cborcodectest.go
@@ -1,6 +1,6 @@
-// Package cborcodectest checks for a protocol's tests what its decoder accepts. A decoder
-// that accepts more lets a message cost memory or stack; one that accepts less drops the
-// messages of programs of another version.
+// Package cborcodectest checks, in a protocol's tests, which encodings the protocol's decoder
+// accepts. A decoder that accepts more lets a message cost memory or stack; one that accepts
+// less drops the messages of programs of another version.
 package cborcodectest
 
 import (
@@ -10,11 +10,12 @@
 	"quilldoor/internal/cborcodec"
 )
 
-// Check fails the test unless decode accepts what is at the limits, and returns an error
-// for what is beyond them or is sent by no router. Decode gets the encoding of one value.
+// Check fails the test unless decode accepts values at the limits, and returns an error for
+// values beyond them and for encodings that no router sends. Decode receives the encoding of
+// one value.
 func Check(t *testing.T, limits cborcodec.Limits, decode func(encoded []byte) error) {
 	t.Helper()
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		encoded  string
 		accepted bool
 	}{
@@ -32,21 +33,22 @@
 		"trailing byte":     {"\x80\x00", false},
 		"truncated":         {"\x82\x00", false},
 	} {
-		err := decode([]byte(c.encoded))
-		if (err == nil) != c.accepted {
-			t.Errorf("%s: %v, want accepted %t", name, err, c.accepted)
+		err := decode([]byte(test.encoded))
+		if (err == nil) != test.accepted {
+			t.Errorf("%s: error %v, want accepted %t", name, err, test.accepted)
 		}
 	}
 }
 
 // arrayOf encodes an array of zeros.
 func arrayOf(elements int) string {
-	const header = 0x99 // with a length of two bytes
+	const header = 0x99 // an array whose length is in the next two bytes
 	return string([]byte{header, byte(elements >> 8), byte(elements)}) + strings.Repeat("\x00", elements)
 }
 
-// mapOf encodes a map of different numbers to zero.
+// mapOf encodes a map from distinct numbers to zero.
 func mapOf(pairs int) string {
+	// 0xb9: a map whose length is in the next two bytes.
 	const header, twoByteNumber, zero = 0xb9, 0x19, 0x00
 	encoded := []byte{header, byte(pairs >> 8), byte(pairs)}
 	for key := range pairs {
@@ -55,5 +57,5 @@
 	return string(encoded)
 }
 
-// nested encodes a zero in arrays within each other.
+// nested encodes a zero within nested arrays of one element.
 func nested(levels int) string { return strings.Repeat("\x81", levels) + "\x00" }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// childVariable is set for a process that prints one address per line and runs until
-// its input ends.
+// childVariable is the environment variable that makes the test binary a child process: it
+// reserves addresses, prints one per line and runs until its standard input ends.
 const childVariable = "QUILLDOOR_TEST_RESERVE"
 
 const addressesPerChild = 20
@@ -23,7 +23,7 @@
 	if os.Getenv(childVariable) == "" {
 		os.Exit(m.Run())
 	}
-	firstTried = 0 // as all others of these processes
+	firstTried = 0 // all child processes try the same block first
 	for range addressesPerChild {
 		address, err := Reserve()
 		if err != nil {
@@ -49,43 +49,43 @@
 
 func TestNoAddressTwiceInAProcess(t *testing.T) {
 	var mutex sync.Mutex
-	var takers sync.WaitGroup
+	var reservers sync.WaitGroup
 	seen := map[netip.AddrPort]bool{}
 	for range 4 {
-		takers.Go(func() {
-			for range addressesEach/4 + 50 { // more in all than a block has
+		reservers.Go(func() {
+			for range addressesPerBlock/4 + 50 { // more in all than a block has
 				address, err := Reserve()
 				mutex.Lock()
 				if err != nil || seen[address] {
-					t.Errorf("%v was given out before, or %v", address, err)
+					t.Errorf("%v was reserved twice, or the reservation failed: %v", address, err)
 				}
 				seen[address] = true
 				mutex.Unlock()
 			}
 		})
 	}
-	takers.Wait()
+	reservers.Wait()
 	if len(held) < 2 {
-		t.Errorf("%d blocks for %d addresses", len(held), len(seen))
+		t.Errorf("%d blocks for %d addresses, want 2 or more", len(held), len(seen))
 	}
 }
 
-// Processes that run at the same time never share a block, though they try the same one
+// Processes that run at the same time never share a block, even if they try the same one
 // first.
 func TestNoAddressTwiceAmongProcesses(t *testing.T) {
 	seen := map[string]bool{}
 	for range 12 {
 		for _, address := range startChild(t) {
 			if seen[address] {
-				t.Errorf("%s was given to two processes", address)
+				t.Errorf("%s was reserved by two processes", address)
 			}
 			seen[address] = true
 		}
 	}
 }
 
-// startChild starts a process that runs until the test ends, and gives back the
-// addresses that it has reserved.
+// startChild starts a process that runs until the test ends, and returns the addresses
+// that the process has reserved.
 func startChild(t *testing.T) (addresses []string) {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -113,12 +113,13 @@
 		addresses = append(addresses, lines.Text())
 	}
 	if len(addresses) < addressesPerChild {
-		t.Fatalf("%d addresses from a process, want %d", len(addresses), addressesPerChild)
+		t.Fatalf("the child process printed %d addresses, want %d", len(addresses), addressesPerChild)
 	}
 	return addresses
 }
 
-// Two processes that try the same block first: the second finds it taken.
+// A claim passes over the blocks that are held, as when two processes try the same block
+// first.
 func TestATakenBlockIsPassedOver(t *testing.T) {
 	reserve(t)
 	mutex.Lock()
@@ -144,7 +145,7 @@
 		used := ahead.next()
 		socket := bind(t, network, used)
 		if got := reserve(t); got == used {
-			t.Errorf("%v is in use for %s", used, network)
+			t.Errorf("%v was reserved while it is in use for %s", used, network)
 		}
 		socket.Close()
 	}
@@ -165,8 +166,8 @@
 	return socket
 }
 
-// Neither a connection nor a listener at port 0 gets a reserved port from the kernel,
-// even where it asks for the reserved host.
+// The kernel assigns a reserved port neither to an outgoing connection nor to a listener
+// at port 0, even at the reserved host.
 func TestTheKernelGivesOutNoReservedPort(t *testing.T) {
 	address := reserve(t)
 	listener := bind(t, "tcp", address)
@@ -190,7 +191,7 @@
 			t.Fatal(err)
 		}
 		if isReserved(conn.LocalAddr()) || isReserved(other.Addr()) {
-			t.Fatalf("the kernel gave out %v and %v", conn.LocalAddr(), other.Addr())
+			t.Fatalf("a port is reserved: the kernel assigned %v and %v", conn.LocalAddr(), other.Addr())
 		}
 		conn.Close()
 		other.Close()
@@ -198,23 +199,23 @@
 }
 
 func TestPortsBesideTheEphemeralRange(t *testing.T) {
-	for _, c := range []struct{ low, high, want int }{
+	for _, test := range []struct{ low, high, want int }{
 		{32768, 60999, 32768 - portsPerHost},
 		{1024 + portsPerHost, 65535, 1024},
 		{1024, 65000, 65001},
 		{1024, 65535 - portsPerHost, 65536 - portsPerHost},
 	} {
-		if got, err := portsBeside(c.low, c.high); got != c.want || err != nil {
-			t.Errorf("%d to %d: %d, %v; want %d", c.low, c.high, got, err, c.want)
+		if got, err := portsBeside(test.low, test.high); got != test.want || err != nil {
+			t.Errorf("%d to %d: %d, %v; want %d", test.low, test.high, got, err, test.want)
 		}
 	}
 	if _, err := portsBeside(1024, 65535); err == nil || !strings.Contains(err.Error(), "leaves no") {
-		t.Errorf("ports were found where there are none: %v", err)
+		t.Errorf("ports found although the range leaves none: %v", err)
 	}
 }
 
-// A child process between its fork and its exec once had the sockets open with which
-// Reserve had looked whether the address is free.
+// Guards against a reserved address that is in use: a child process between its fork and
+// its exec once held open the sockets by which Reserve checks that the address is free.
 func TestReservedAddressIsFreeWhileProcessesStart(t *testing.T) {
 	const addresses = 300
 	done := make(chan struct{})
--- a/internal/netsim/netsim.go
+++ b/internal/netsim/netsim.go
@@ -1,6 +1,6 @@
-// Package netsim models the network between routers for tests and experiments: each ordered pair has a path of its own
-// that delays, jitters, loses, duplicates, reorders, limits or cuts. It does no I/O. Its users ask when a datagram that
-// is sent now arrives, and deliver it on a virtual clock or on loopback.
+// Package netsim models the network between routers for tests and experiments. Each ordered pair of routers has its own
+// path, on which faults delay, lose, duplicate or reorder datagrams, limit their rate or cut the path. The package does
+// no I/O: Transmit returns the arrival times of a datagram, and the caller delivers it on a virtual clock or on loopback.
 package netsim
 
 import (
@@ -12,51 +12,52 @@
 // Durations are microseconds.
 const (
 	second = 1_000_000
-	// reorderDelay is how long a datagram that others overtake is held back.
+	// reorderDelay is the extra delay of a reordered datagram, in which later ones overtake it.
 	reorderDelay = 30_000
 	// duplicateDelay is the time between a datagram and its duplicate.
 	duplicateDelay = 1000
-	// maxQueueDelay is the length of a slow path's queue.
+	// maxQueueDelay bounds the queue of a path with limited rate. A datagram that would take longer to send is lost.
 	maxQueueDelay = 2 * second
 )
 
-// Fault is on the paths from some routers to some, until it is removed. The probabilities are from 0 to 1.
+// Fault affects the paths from some routers to others until it is removed. Loss, Duplicate and Reorder are
+// probabilities from 0 to 1.
 type Fault struct {
 	From, To       []int // routers; nil: all
-	Bidirectional  bool  // the opposite paths as well
+	Bidirectional  bool  // the fault affects the opposite paths as well
 	Partitioned    bool  // all datagrams are lost
 	Delay          int64 // microseconds, one way
-	Jitter         int64 // microseconds, the bound of a random delay beside it
+	Jitter         int64 // microseconds, the bound of a random delay added to Delay
 	Loss           float64
 	Duplicate      float64
 	Reorder        float64
 	BytesPerSecond float64 // 0: no limit
 }
 
-// affects reports whether the fault is on a path.
+// affects reports whether the fault affects the path between two routers.
 func (f *Fault) affects(from, to int) bool {
 	matches := func(routers []int, router int) bool { return routers == nil || slices.Contains(routers, router) }
 	forward := matches(f.From, from) && matches(f.To, to)
 	return forward || f.Bidirectional && matches(f.From, to) && matches(f.To, from)
 }
 
-// path is an ordered pair of routers.
+// path is the path of an ordered pair of routers.
 type path struct{ from, to int }
 
-// Network is the paths of a fleet. It may be used by several goroutines.
+// Network models the paths between the routers of a fleet. Its methods may be called by several goroutines.
 type Network struct {
-	Delay  int64 // microseconds, of every path
-	Jitter int64 // microseconds, the bound of a random delay beside it
+	Delay  int64 // microseconds, one way, of every path
+	Jitter int64 // microseconds, the bound of a random delay added to Delay
 
 	Sent, Lost int64 // datagrams
 
 	mu     sync.Mutex
 	faults []*Fault
-	freeAt map[path]int64 // when a slow path has sent all that it holds
+	freeAt map[path]int64 // when a path with limited rate has sent its queue
 	random *rand.Rand
 }
 
-// New makes a network without faults.
+// New returns a network without faults.
 func New(delay, jitter int64, random *rand.Rand) *Network {
 	return &Network{Delay: delay, Jitter: jitter, freeAt: map[path]int64{}, random: random}
 }
@@ -96,7 +97,8 @@
 	return !slices.ContainsFunc(n.faults, func(f *Fault) bool { return f.Partitioned && f.affects(from, to) })
 }
 
-// Transmit returns when a datagram that is sent now arrives: no time where it is lost, two where it is duplicated.
+// Transmit returns the arrival times of a datagram of size bytes that is sent now: none if it is lost, two if it is
+// duplicated.
 func (n *Network) Transmit(now int64, from, to, size int) (arrivals []int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,12 +135,12 @@
 	return arrivals
 }
 
-// happens draws whether an event of a probability happens. It draws nothing for 0.
+// happens draws whether an event of the given probability happens. It draws no random number for probability 0.
 func (n *Network) happens(probability float64) bool {
 	return probability > 0 && n.random.Float64() < probability
 }
 
-// jitter draws a delay below a bound. It draws nothing for 0.
+// jitter draws a delay below a bound. It draws no random number for bound 0.
 func (n *Network) jitter(bound int64) int64 {
 	if bound <= 0 {
 		return 0
@@ -146,7 +148,8 @@
 	return n.random.Int64N(bound)
 }
 
-// enqueue puts a datagram into a slow path's queue and returns how long it takes to be sent; false: the queue is full.
+// enqueue adds a datagram to the queue of a path with limited rate. The wait is the time until the datagram is sent,
+// in microseconds; accepted is false if the queue is full.
 func (n *Network) enqueue(now int64, p path, transmission float64) (wait int64, accepted bool) {
 	n.freeAt[p] = max(n.freeAt[p], now) + int64(transmission)
 	if n.freeAt[p]-now > maxQueueDelay {
--- a/internal/netsim/netsim_test.go
+++ b/internal/netsim/netsim_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Each kind of fault acts on its paths alone, and ends when it is removed. The faults come one after another on one
-// network, so that what one leaves behind would show in the next.
+// Each kind of fault affects only its paths, and ends when it is removed. All faults are tested in turn on the same
+// network, so that state left by a removed fault would show in the next subtest.
 func TestFaultsActOnTheirPaths(t *testing.T) {
 	network := New(1000, 0, rand.New(rand.NewPCG(1, 1)))
 	if at := network.Transmit(5, 0, 1, 100); len(at) != 1 || at[0] != 1005 {
@@ -27,10 +27,10 @@
 	remove := network.AddFault(&Fault{From: []int{0}, Partitioned: true})
 	defer remove()
 	if network.Transmit(5, 0, 1, 100) != nil || network.Reachable(0, 1) {
-		t.Error("partitioned, and it arrives")
+		t.Error("a datagram arrives over a partitioned path")
 	}
 	if network.Transmit(5, 1, 0, 100) == nil || !network.Reachable(1, 0) {
-		t.Error("one direction is partitioned, and the other one does not arrive")
+		t.Error("a datagram is lost in the direction that is not partitioned")
 	}
 }
 
@@ -41,7 +41,7 @@
 		{0, 1, 0}, {1, 2, 1}, {2, 1, 1}, {2, 3, 0}, {3, 0, 0}, {0, 4, 1}, {4, 3, 1},
 	} {
 		if got := len(network.Transmit(0, test.from, test.to, 1)); got != test.arrivals {
-			t.Errorf("partition: %d to %d: %d", test.from, test.to, got)
+			t.Errorf("%d to %d: %d arrivals, want %d", test.from, test.to, got, test.arrivals)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	remove := network.AddFault(&Fault{From: []int{2}, Bidirectional: true, Duplicate: 1, Delay: 50})
 	defer remove()
 	if at := network.Transmit(0, 1, 2, 1); len(at) != 2 || at[0] != 1050 || at[1] <= at[0] {
-		t.Errorf("duplicated: %v", at)
+		t.Errorf("duplicated with a delay of 50: arrivals %v", at)
 	}
 }
 
@@ -74,16 +74,16 @@
 	first := network.Transmit(0, 0, 1, 100)
 	second := network.Transmit(0, 0, 1, 100)
 	if first[0] != 101_000 || second[0] != 201_000 {
-		t.Errorf("limited: %v %v", first, second)
+		t.Errorf("limited rate: arrivals %v, then %v", first, second)
 	}
 	for range 30 {
 		network.Transmit(0, 0, 1, 100)
 	}
 	if at := network.Transmit(0, 0, 1, 100); at != nil {
-		t.Errorf("a slow path's queue has no bound: %v", at)
+		t.Errorf("the queue of a path with limited rate has no bound: %v", at)
 	}
 	if at := network.Transmit(0, 1, 0, 100); len(at) != 1 || at[0] != 101_000 {
-		t.Errorf("the other direction waits as well: %v", at)
+		t.Errorf("the queue of one direction delays the other one: %v", at)
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// Guards against a data race: faults begin and end while other goroutines send messages.
+// Guards against a data race when faults are added and removed while another goroutine sends datagrams.
 func TestFaultsChangeWhileMessagesFlow(t *testing.T) {
 	network := New(1, 0, rand.New(rand.NewPCG(1, 1)))
 	done := make(chan struct{})
@@ -118,6 +118,6 @@
 	}
 	<-done
 	if !network.Reachable(1, 2) {
-		t.Error("a fault that was removed still cuts the path")
+		t.Error("a removed fault still cuts the path")
 	}
 }
--- a/internal/simhost/simhost.go
+++ b/internal/simhost/simhost.go
@@ -1,5 +1,6 @@
-// Package simhost runs routers' decisions under the simulator. A Host owns the routers of one process and the
-// endpoint lists that the simulator has sent; it hands each router its own events and writes down its actions.
+// Package simhost runs the policy of routers under the simulator. A Host owns the routers of one process and the
+// endpoint lists that the simulator has sent. It passes each event to the router that it is for and adds the router's
+// actions to the reply.
 package simhost
 
 import (
@@ -13,27 +14,27 @@
 	"quilldoor/internal/simwire"
 )
 
-// Host holds the routers of a process. It is used by one goroutine.
+// Host holds the routers of a process. It must be used by one goroutine only.
 type Host struct {
-	routers  map[int]*policy.Router    // by instance; nil once detached
+	routers  map[int]*policy.Router    // by instance; nil: detached
 	lists    map[int][]policy.Endpoint // by page
 	warnings io.Writer
-	actions  []policy.Action // reused
+	actions  []policy.Action // buffer of decide
 }
 
-// New returns an empty host that writes a line about each event it skips to warnings.
+// New returns a host without routers. It writes a line to warnings for each event that it skips.
 func New(warnings io.Writer) *Host {
 	return &Host{routers: map[int]*policy.Router{}, lists: map[int][]policy.Endpoint{}, warnings: warnings}
 }
 
-// Run answers batches from in on out until the input ends.
+// Run reads batches from in and writes their replies to out until the input ends.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	const bufferBytes = 1 << 20
-	r := bufio.NewReaderSize(in, bufferBytes)
+	reader := bufio.NewReaderSize(in, bufferBytes)
 	for {
-		line, readErr := r.ReadBytes('\n')
+		line, readErr := reader.ReadBytes('\n')
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
-			return fmt.Errorf("reading: %w", readErr)
+			return fmt.Errorf("reading a batch: %w", readErr)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
 			reply, err := h.HandleBatch(line)
@@ -41,7 +42,7 @@
 				return err
 			}
 			if _, err := out.Write(reply); err != nil {
-				return fmt.Errorf("writing: %w", err)
+				return fmt.Errorf("writing the reply: %w", err)
 			}
 		}
 		if readErr != nil {
@@ -50,52 +51,52 @@
 	}
 }
 
-// HandleBatch answers one line.
+// HandleBatch handles the events of one line of input and returns the line of the reply.
 func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	batch, err := simwire.ReadBatch(line)
 	if err != nil {
 		return nil, fmt.Errorf("malformed batch: %w", err)
 	}
 	reply := simwire.NewResponse(batch.Turn)
-	for i, raw := range batch.Events {
-		if err := h.handleEvent(&batch, i, raw, reply); err != nil {
+	for i, event := range batch.Events {
+		if err := h.handleEvent(&batch, i, event, reply); err != nil {
 			return nil, fmt.Errorf("batch %d, event %d: %w", batch.Turn, i, err)
 		}
 	}
 	return reply.Encode()
 }
 
-func (h *Host) handleEvent(batch *simwire.Batch, index int, raw []byte, reply *simwire.Response) error {
-	m, err := simwire.ReadMessage(raw)
+func (h *Host) handleEvent(batch *simwire.Batch, index int, event []byte, reply *simwire.Response) error {
+	message, err := simwire.ReadMessage(event)
 	switch {
 	case err != nil:
 		return err
-	case !simwire.KnownVerb(m.Verb):
-		_, err := fmt.Fprintf(h.warnings, "batch %d, event %d: unknown verb %q skipped\n", batch.Turn, index, m.Verb)
+	case !simwire.KnownVerb(message.Verb):
+		_, err := fmt.Fprintf(h.warnings, "batch %d, event %d: unknown verb %q skipped\n", batch.Turn, index, message.Verb)
 		return err
-	case m.Verb == simwire.VerbInventory:
-		h.lists[m.Page] = m.Endpoints
+	case message.Verb == simwire.VerbInventory:
+		h.lists[message.Page] = message.Endpoints
 		return nil
-	case m.Verb == simwire.VerbPowerOn:
-		h.start(&m, reply)
+	case message.Verb == simwire.VerbPowerOn:
+		h.start(&message, reply)
 		return nil
 	}
-	return h.handleRouterEvent(batch, &m, reply)
+	return h.handleRouterEvent(batch, &message, reply)
 }
 
-// start starts a router, in the place of one that had its number.
-func (h *Host) start(m *simwire.Message, reply *simwire.Response) {
-	h.decide(m.Instance, reply, func([]policy.Action) []policy.Action {
-		h.routers[m.Instance] = policy.New(m.Settings, m.Seed)
+// start starts a router. It replaces an earlier router of the same instance.
+func (h *Host) start(message *simwire.Message, reply *simwire.Response) {
+	h.decide(message.Instance, reply, func([]policy.Action) []policy.Action {
+		h.routers[message.Instance] = policy.New(message.Settings, message.Seed)
 		return nil
 	})
 }
 
-// handleRouterEvent hands a router its event. Events for one that was detached are dropped.
+// handleRouterEvent passes an event to its router. Events for a detached router are dropped.
 func (h *Host) handleRouterEvent(batch *simwire.Batch, message *simwire.Message, reply *simwire.Response) error {
 	router, started := h.routers[message.Instance]
 	if !started {
-		return fmt.Errorf("%s for instance %d, which was never started", message.Verb, message.Instance)
+		return fmt.Errorf("%s is for instance %d, which was never started", message.Verb, message.Instance)
 	}
 	if message.Verb == simwire.VerbDetach {
 		h.routers[message.Instance] = nil
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// decide makes one call into the decisions and writes down their actions. A panic becomes the wire's Panic.
+// decide calls a router's policy and adds its actions to the reply. A panic is reported as the wire's Panic.
 func (h *Host) decide(instance int, reply *simwire.Response, call func([]policy.Action) []policy.Action) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -6,14 +6,14 @@
 	"quilldoor/internal/settings"
 )
 
-// Batch is one line of input: the events of one turn, at one time.
+// Batch is one line of input: the events of one turn, which all happen at NowMicros.
 type Batch struct {
 	Turn      int64
 	NowMicros int64
-	Events    []json.RawMessage // for ReadMessage
+	Events    []json.RawMessage // to be parsed by ReadMessage
 }
 
-// MissingMemberError says that a batch or a message lacks a member.
+// MissingMemberError reports that a batch or a message lacks a member.
 type MissingMemberError struct {
 	Verb   string // of the message; "": a batch, or a message without a verb
 	Member string
@@ -21,12 +21,12 @@
 
 func (e *MissingMemberError) Error() string {
 	if e.Verb == "" {
-		return "no " + e.Member
+		return "missing member " + e.Member
 	}
-	return e.Verb + ": no " + e.Member
+	return e.Verb + ": missing member " + e.Member
 }
 
-// ReadBatch parses one line. A member that is missing gives a MissingMemberError.
+// ReadBatch parses one line. The error for a missing member is a MissingMemberError.
 func ReadBatch(line []byte) (Batch, error) {
 	var raw struct {
 		ClockMs *float64           `json:"ClockMs"`
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -11,27 +11,27 @@
 // Message is one event of a batch.
 type Message struct {
 	Verb     string
-	Instance int // the router that it is for
+	Instance int // the router that the event is for
 	Event    policy.Event
 
-	// Of VerbPowerOn.
+	// For VerbPowerOn.
 	Seed     uint64
 	Settings policy.Settings
 
-	// Of VerbInventory, which gives an endpoint list, and VerbDiscovery, which names one.
+	// For VerbInventory, which defines the endpoint list of a page, and VerbDiscovery, which refers to it by its page.
 	Page      int
 	Endpoints []policy.Endpoint
 }
 
-// Verbs that concern the host of the routers.
+// Verbs that the host of the routers handles.
 const (
 	VerbPowerOn   = "PowerOn"   // start a router
-	VerbDetach    = "Detach"    // end a router
-	VerbInventory = "Inventory" // an endpoint list, for later
-	VerbDiscovery = "Discovery" // an endpoint list for a router
+	VerbDetach    = "Detach"    // remove a router
+	VerbInventory = "Inventory" // define an endpoint list
+	VerbDiscovery = "Discovery" // give a router a defined endpoint list
 )
 
-// eventKinds are the verbs of events for a router.
+// eventKinds maps the verbs of events for a router to the kinds of the policy.
 var eventKinds = map[string]policy.EventKind{
 	VerbDiscovery:   policy.EventEndpoints,
 	"NewRequest":    policy.EventRequest,
@@ -72,7 +72,7 @@
 	return known
 }
 
-// event has the members of all verbs.
+// event holds the members of the events of all verbs.
 type event struct {
 	Verb       *string            `json:"verb"`
 	Instance   *int               `json:"I"`
@@ -111,8 +111,8 @@
 	StartedAt float64              `json:"BornMs"`
 }
 
-// ReadMessage parses one event of a batch. An unknown verb gives a Message with that verb and nothing else; a
-// member that is missing a MissingMemberError.
+// ReadMessage parses one event of a batch. For an unknown verb it returns a Message with that verb and no other
+// member. The error for a missing member is a MissingMemberError.
 func ReadMessage(raw json.RawMessage) (Message, error) {
 	verb, err := readVerb(raw)
 	message := Message{Verb: verb}
@@ -157,7 +157,7 @@
 	return *head.Verb, nil
 }
 
-// validate names a member that the verb requires and the event lacks.
+// validate returns a MissingMemberError if the event lacks a member that the verb requires.
 func (e *event) validate(verb string) error {
 	switch {
 	case e.Instance == nil && verb != VerbInventory:
@@ -171,15 +171,15 @@
 }
 
 func (e *event) policyEndpoints() (list []policy.Endpoint) {
-	for _, n := range e.Endpoints {
+	for _, listed := range e.Endpoints {
 		list = append(list, policy.Endpoint{
-			ID:        n.ID,
-			Zone:      n.Zone,
-			Kind:      n.Kind,
-			Cell:      n.Cell,
-			State:     n.State,
-			Weight:    n.Weight,
-			StartedAt: settings.Micros(n.StartedAt),
+			ID:        listed.ID,
+			Zone:      listed.Zone,
+			Kind:      listed.Kind,
+			Cell:      listed.Cell,
+			State:     listed.State,
+			Weight:    listed.Weight,
+			StartedAt: settings.Micros(listed.StartedAt),
 		})
 	}
 	return list
--- a/internal/simwire/response.go
+++ b/internal/simwire/response.go
@@ -12,7 +12,7 @@
 	Decisions []decision `json:"decisions"`
 }
 
-// decision has the members of all verbs.
+// decision holds the members of the decisions of all verbs.
 type decision struct {
 	Verb          string   `json:"verb"`
 	Instance      int      `json:"I"`
@@ -31,10 +31,10 @@
 	Message       string   `json:"Message,omitempty"`
 }
 
-// NewResponse starts the reply to a batch.
+// NewResponse returns a reply without decisions to the batch of a turn.
 func NewResponse(turn int64) *Response { return &Response{turn, []decision{}} }
 
-// Add appends a router's actions.
+// Add appends the decisions for a router's actions.
 func (r *Response) Add(instance int, actions []policy.Action) {
 	for i := range actions {
 		r.Decisions = append(r.Decisions, newDecision(instance, &actions[i]))
@@ -74,7 +74,7 @@
 	case policy.ActionSubscribe:
 		d.Verb = "Subscribe"
 		d.Active = copyOf(true)
-	case policy.ActionLog: // the wire's line has a text alone
+	case policy.ActionLog: // the wire's JournalLine has no endpoint member: the message names it
 		d.Verb = "JournalLine"
 		d.Endpoint = ""
 		d.Message = journalTexts[action.Text] + ": " + action.Endpoint
@@ -85,7 +85,7 @@
 	return d
 }
 
-// journalTexts are the wire's words for what the policy logs.
+// journalTexts maps the policy's log texts to those of the wire.
 var journalTexts = map[string]string{
 	policy.LogEjected:    "server rests",
 	policy.LogReadmitted: "server is back",
@@ -93,5 +93,6 @@
 
 func millis(micros int64) float64 { return float64(micros) / 1000 }
 
-// copyOf returns a pointer to a value that is written even if it is zero; the caller reuses its actions.
+// copyOf returns a pointer to a copy of a value, so that JSON includes it even if it is zero. The copy is needed
+// since the caller reuses its actions.
 func copyOf[T any](v T) *T { return &v }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,14 +8,14 @@
 	"quilldoor/internal/policy"
 )
 
-func TestEachOutcomeHasItsWord(t *testing.T) {
+func TestEachOutcomeHasAWireName(t *testing.T) {
 	for outcome := policy.OutcomeDone; outcome <= policy.OutcomeSkipped; outcome++ {
 		if outcomes[outcome.String()] != outcome {
 			t.Errorf("%q is read as %v", outcome.String(), outcomes[outcome.String()])
 		}
 	}
 	if len(outcomes) != int(policy.OutcomeSkipped) || outcomes["odd"] != policy.OutcomeUnknown {
-		t.Errorf("%d words, an unknown one is read as %v", len(outcomes), outcomes["odd"])
+		t.Errorf("%d outcomes on the wire, an unknown one is read as %v", len(outcomes), outcomes["odd"])
 	}
 }
 
@@ -35,6 +35,6 @@
 		}
 	}
 	if _, err := ReadMessage(json.RawMessage(`{"verb":"Discovery","I":1,"Scope":"error"}`)); err != nil {
-		t.Errorf("an update that failed names no list: %v", err)
+		t.Errorf("an update with scope error has no page, and is rejected: %v", err)
 	}
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,10 +1,11 @@
-// Package stall detects that the process was stopped for a while, as by a paused
-// machine or a core that others had, and bounds how long what is read from a
-// socket afterwards may have waited in its buffer. Clients count that time, too,
-// and nobody can tell which of the waiting bytes came first.
+// Package stall detects that the process was stopped for a while, for example
+// because the machine was paused or other processes occupied the core. It bounds
+// how long data that is read from a socket afterwards may have waited in the
+// socket's buffer. Clients count that time too, and the arrival times of the
+// buffered bytes are unknown.
 //
-// The package decides only: ticks and times come from outside, in microseconds
-// of a steady clock.
+// The package does no I/O and reads no clock: the caller passes ticks and times,
+// in microseconds of a monotonic clock.
 package stall
 
 import "sync"
@@ -13,37 +14,38 @@
 	// TickIntervalMicros is how often Tick is to be called, in microseconds.
 	TickIntervalMicros = 20_000
 
-	// BufferDrainMicros is how long after a stall, in microseconds, what is read
-	// may have waited during it: by then the sockets' buffers have been read.
+	// BufferDrainMicros is how long after a stall, in microseconds, data that is
+	// read may have waited since before its end. After that time the sockets'
+	// buffers have been read.
 	BufferDrainMicros = 100_000
 
-	// minStallMicros is what counts as a stall: five ticks, more than a busy core
-	// keeps a goroutine waiting.
+	// minStallMicros is the time without a tick that counts as a stall if it is
+	// exceeded: five ticks, more than a goroutine waits on a busy core.
 	minStallMicros = 5 * TickIntervalMicros
 )
 
-// Detector remembers the last stall. It may be used from any goroutine. Before
-// the first Tick it knows of none.
+// Detector records the last stall. It is safe for concurrent use. Before the
+// first Tick it reports no stall.
 type Detector struct {
-	mu        sync.Mutex
-	lastTick  int64
-	lastStall int64 // how long it was
-	stallEnd  int64 // when it was noticed
+	mu            sync.Mutex
+	lastTick      int64
+	stallDuration int64 // of the last stall
+	stallEnd      int64 // when the last stall was detected
 }
 
-// Tick says that the process runs.
+// Tick records that the process runs at a time.
 func (d *Detector) Tick(now int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lastTick > 0 && now-d.lastTick > minStallMicros {
-		d.lastStall = now - d.lastTick
+		d.stallDuration = now - d.lastTick
 		d.stallEnd = now
 	}
 	d.lastTick = now
 }
 
-// MaxWaitMicros is how long, in microseconds, what is read now may have waited at
-// most; 0: there was no stall lately.
+// MaxWaitMicros is the longest time, in microseconds, that data read now may have
+// waited in a socket's buffer; 0: there was no recent stall.
 func (d *Detector) MaxWaitMicros(now int64) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,10 +53,10 @@
 	switch {
 	case d.lastTick == 0:
 		return 0
-	case sinceTick > minStallMicros: // reading is ahead of the first tick
+	case sinceTick > minStallMicros: // read before the first tick after a stall
 		return sinceTick
-	case d.lastStall > 0 && sinceStall < BufferDrainMicros:
-		return max(d.lastStall+sinceStall, 0) // 0: it was read before the stall
+	case d.stallDuration > 0 && sinceStall < BufferDrainMicros:
+		return max(d.stallDuration+sinceStall, 0) // 0: now is before the stall
 	}
 	return 0
 }
--- a/internal/testsupport/testsupport.go
+++ b/internal/testsupport/testsupport.go
@@ -1,4 +1,4 @@
-// Package testsupport has the helpers that tests of several packages share.
+// Package testsupport provides helpers for the tests of several packages.
 package testsupport
 
 import (
@@ -12,8 +12,9 @@
 	maxPolls     = 5000
 )
 
-// WaitUntil polls a condition, and fails the test if it does not come to hold.
-func WaitUntil(t testing.TB, what string, condition func() bool) {
+// WaitUntil polls until a condition holds. It fails the test after maxPolls polls; the description
+// names the awaited event.
+func WaitUntil(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	for range maxPolls {
 		if condition() {
@@ -21,11 +22,11 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	t.Fatal(what, "has not come")
+	t.Fatal("timed out waiting for", description)
 }
 
-// RunRapidWithFixedSeed is the TestMain of a package whose tests use rapid. They check the
-// same cases at each run, and a failure is printed but not kept in a file.
+// RunRapidWithFixedSeed is the TestMain of a package whose tests use rapid. Every run checks the
+// same cases, and a failure is printed but not written to a file.
 func RunRapidWithFixedSeed(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
