--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -51,7 +51,7 @@
 	Router   int     `json:",omitempty"`
 	Request  string  `json:"Txn,omitempty"`
 	Class    string  `json:"Rule,omitempty"`
-	Attempt  int     `json:"Hop,omitempty"` // number among the request's attempts; of KindForwarded: a router
+	Attempt  int     `json:"Hop,omitempty"` // number among the request's attempts; of KindForwarded: the forwarding router
 	Endpoint string  `json:"Server,omitempty"`
 	Source   string  `json:",omitempty"`
 	Object   string  `json:",omitempty"`
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -3,10 +3,10 @@
 //
 // A caller that can bind port 0 and keep the listener should do so instead. Where that is
 // not possible, a port that is free when it is checked may be bound by another process
-// before its use. Addresses from Reserve are not, for three reasons. Each process holds
-// blocks of its own, 127.x.y.0/24, for as long as it runs. Within a process no address is
-// reserved twice. And the ports lie outside the ephemeral range, from which the kernel
-// assigns the ports of outgoing connections and of listeners at port 0.
+// before its use. No other process binds an address from Reserve, for three reasons. Each
+// process holds blocks of its own, 127.x.y.0/24, for as long as it runs. Within a process
+// no address is reserved twice. And the ports lie outside the ephemeral range, from which
+// the kernel assigns the ports of outgoing connections and of listeners at port 0.
 package loopback
 
 import (
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -12,8 +12,8 @@
 	At       float64 `yaml:"at"`       // seconds from the start
 	For      float64 `yaml:"for"`      // seconds
 	Every    float64 `yaml:"every"`    // seconds between pauses or waves; 0: defaultEveryS
-	Office   int     `yaml:"office"`   // from 1; 0: all, or any
-	Trunk    int     `yaml:"trunk"`    // from 1; 0: all, or any
+	Office   int     `yaml:"office"`   // from 1; 0: all of them or any one, by kind
+	Trunk    int     `yaml:"trunk"`    // from 1; 0: all of them or any one, by kind
 	Share    float64 `yaml:"share"`    // of the servers, groups, objects or requests at that place; 0: all
 	Strength float64 `yaml:"strength"` // its meaning depends on the kind
 }
@@ -96,7 +96,7 @@
 	case f.Every < 0 || f.Every > 0 && !kind.Recurring:
 		return yamlfile.Errorf(key+"every", "%s does not recur", f.Kind)
 	case f.Every > 0 && f.Every < minEveryS:
-		return yamlfile.Errorf(key+"every", "%g is less than %g", f.Every, minEveryS)
+		return yamlfile.Errorf(key+"every", "%g is below the minimum of %g s", f.Every, minEveryS)
 	}
 	return nil
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// Zone is the name of the zone of an office, which counts from 0.
+// Zone is the zone name of an office. Offices count from 0.
 func Zone(office int) string { return "office-" + strconv.Itoa(office+1) }
 
 // Site is the site of an office, both from 0, or -1 in a fleet without sites.
