--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -20,37 +18,12 @@
 // generations.
 const earlierCommit = "4908419758da4242638886f5b5b86827d6656c20"
 
-// earlierProgram builds the earlier commit, where the repository's history is at hand.
-func earlierProgram(t *testing.T) string {
-	t.Helper()
-	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
-	if err != nil {
-		t.Skip("not decided: no history at hand")
-	}
-	root := strings.TrimSpace(string(top))
-	if exec.Command("git", "-C", root, "cat-file", "-e", earlierCommit+"^{commit}").Run() != nil {
-		t.Skip("not decided: the history does not reach back to", earlierCommit)
-	}
-	dir := t.TempDir()
-	archive := filepath.Join(dir, "text.tar")
-	for _, command := range [][]string{
-		{"git", "-C", root, "archive", "-o", archive, earlierCommit},
-		{"tar", "-xf", archive, "-C", dir},
-		{"go", "build", "-C", dir, "-buildvcs=false", "-o", filepath.Join(dir, "quilldoor"), "./cmd/quilldoor"},
-	} {
-		if out, err := exec.Command(command[0], command[1:]...).CombinedOutput(); err != nil {
-			t.Fatalf("%v: %v, %s", command, err, out)
-		}
-	}
-	return filepath.Join(dir, "quilldoor")
-}
-
 // Guards against an upgrade that the routers of the earlier program can't live beside:
 // two of them, without a supervisor, and two of this program, supervised and upgraded,
 // agree on the members. The earlier program can't be supervised and is refused.
 func TestEarlierProgramBesideThis(t *testing.T) {
 	t.Parallel()
-	program := earlierProgram(t)
+	program := buildEarlier(t, earlierCommit, routerCommand)
 	const text = `
 settle_s: 1
 length_s: 11
--- /dev/null
+++ b/cmd/quilldoor/earlierprogram_test.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+)
+
+const (
+	// previousCommit is the default earlier build of the tests that mix versions: the last
+	// commit before comments, names and log texts were reworded, which must leave all data
+	// and messages as they were.
+	previousCommit = "53cc78ce570e0fc618b51a311cf74952d0f4c871"
+
+	// earlierProgramVariable is an environment variable of these tests. It names a built
+	// quilldoor that takes the place of previousCommit's.
+	earlierProgramVariable = "QUILLDOOR_TEST_EARLIER_PROGRAM"
+)
+
+// routerCommand is the command of the repository that is a router.
+const routerCommand = "quilldoor"
+
+// earlierBuilds is what this test binary has built of earlier commits.
+var earlierBuilds = struct {
+	sync.Mutex
+	sources  map[string]string // folder by commit
+	programs map[string]bool   // by path
+}{sources: map[string]string{}, programs: map[string]bool{}}
+
+// earlierRouter is the program of the tests that mix versions: the one that
+// earlierProgramVariable names, else previousCommit's.
+func earlierRouter(t *testing.T) string {
+	t.Helper()
+	named := os.Getenv(earlierProgramVariable)
+	if named == "" {
+		return buildEarlier(t, previousCommit, routerCommand)
+	}
+	program, err := filepath.Abs(named)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := os.Stat(program); err != nil {
+		t.Fatalf("%s: %v", earlierProgramVariable, err)
+	}
+	return program
+}
+
+// buildEarlier builds a command of an earlier commit, once per test binary, where the
+// repository's history is at hand.
+func buildEarlier(t *testing.T, commit, command string) string {
+	t.Helper()
+	earlierBuilds.Lock()
+	defer earlierBuilds.Unlock()
+	sources := earlierBuilds.sources[commit]
+	if sources == "" {
+		sources = extractCommit(t, commit)
+		earlierBuilds.sources[commit] = sources
+	}
+	program := filepath.Join(sources, "built", command)
+	if !earlierBuilds.programs[program] {
+		run(t, "go", "build", "-C", sources, "-buildvcs=false", "-o", program, "./cmd/"+command)
+		earlierBuilds.programs[program] = true
+	}
+	return program
+}
+
+// extractCommit writes a commit's files to a new folder beside the test binary, which go
+// test removes together with it.
+func extractCommit(t *testing.T, commit string) string {
+	t.Helper()
+	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
+	if err != nil {
+		t.Skip("not decided: no history at hand")
+	}
+	root := strings.TrimSpace(string(top))
+	if exec.Command("git", "-C", root, "cat-file", "-e", commit+"^{commit}").Run() != nil {
+		t.Skip("not decided: the history does not reach back to", commit)
+	}
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder, err := os.MkdirTemp(filepath.Dir(self), "earlier-")
+	if err != nil {
+		t.Fatal(err)
+	}
+	archive := filepath.Join(folder, "text.tar")
+	run(t, "git", "-C", root, "archive", "-o", archive, commit)
+	run(t, "tar", "-xf", archive, "-C", folder)
+	return folder
+}
+
+// run runs a command and fails the test where the command fails.
+func run(t *testing.T, name string, args ...string) {
+	t.Helper()
+	if output, err := exec.Command(name, args...).CombinedOutput(); err != nil {
+		t.Fatalf("%s %v: %v, %s", name, args, err, output)
+	}
+}
