--- /dev/null
+++ b/cmd/quilldoor/mixedsites_test.go
@@ -0,0 +1,150 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"slices"
+	"testing"
+	"time"
+
+	"quilldoor/internal/emulator"
+	"quilldoor/internal/eventlog"
+	"quilldoor/internal/membership"
+	"quilldoor/internal/simulation"
+)
+
+// Guards against messages between routers that another version reads in another way. Two
+// routers of this program and two of the earlier one are members of one group. Each office
+// has one of each: while it is cut off from discovery, both versions learn of drains and
+// purges from the routers of the other office, which are of both versions, too.
+func TestEarlierProgramInOneSite(t *testing.T) {
+	t.Parallel()
+	const text = `
+settle_s: 1
+length_s: 16
+fleet: {offices: 2, routers: 2, trunks: 2, caches: 3, cores: 4,
+  members: true, board_ms: 200, death_ms: 500, cold_s: 2}
+load: {txns_per_s: 90, objects: 600}
+troubles:
+  - {kind: cut_board, at: 2, for: 4, office: 1}
+  - {kind: purge, at: 3, share: 0.6}
+  - {kind: deploy, at: 2.5, for: 1, every: 1, strength: 1, office: 1}
+  - {kind: preempt, at: 3, for: 3, share: 0.5, office: 1, strength: 6}
+  - {kind: cut_board, at: 6.5, for: 4, office: 2}
+  - {kind: purge, at: 7.5, share: 0.6}
+  - {kind: deploy, at: 7, for: 1, every: 1, strength: 1, office: 2}
+  - {kind: preempt, at: 7.5, for: 3, share: 0.5, office: 2, strength: 6}
+  - {kind: ways_camps, at: 11, for: 2}
+`
+	drive := func(_ context.Context, fleet *emulator.RunningRouters) error {
+		const untilHealed = 14 * time.Second // the partition is over
+		time.Sleep(untilHealed)
+		for i := range fleet.Count() {
+			if err := waitForAllAlive(fleet, i); err != nil {
+				return err
+			}
+		}
+		return nil
+	}
+	result := playWithPrograms(t, text, emulator.SocketOptions{
+		Program: os.Args[0], Earlier: earlierRouter(t), Drive: drive,
+	})
+	members := result.Members
+	t.Logf("%d samples, agreed after %d ms", members.Comparisons, members.AgreedAfter/1000)
+	if members.Comparisons < 10 {
+		t.Errorf("%d samples: too few to tell anything", members.Comparisons)
+	}
+	// As for all faults of TestMembershipAmongProcesses but the longest partitions.
+	const agreesWithinMS = 4000
+	if members.AgreedAfter < 0 || members.AgreedAfter > agreesWithinMS*1000 {
+		t.Errorf("views agreed %d ms after the last fault", members.AgreedAfter/1000)
+	}
+	if len(members.DeadByAll) > 0 {
+		t.Errorf("called dead by all while alive: %v", members.DeadByAll)
+	}
+}
+
+// waitForAllAlive waits until a router sees all others alive.
+func waitForAllAlive(fleet *emulator.RunningRouters, router int) error {
+	const timeout = 10 * time.Second
+	notAlive := func(member membership.MemberStatus) bool { return member.State != membership.StateAlive }
+	var view *membership.View
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		var err error
+		if view, err = fleet.View(router); err != nil {
+			return err
+		}
+		if len(view.Members) >= fleet.Count()-1 && !slices.ContainsFunc(view.Members, notAlive) {
+			return nil
+		}
+	}
+	return fmt.Errorf("router %d does not see all alive: %+v", router, view.Members)
+}
+
+// forwardingDirection is which router forwards, to which other one, and what became of
+// the requests.
+type forwardingDirection struct {
+	name       string
+	weights    string // load by site
+	home, peer int    // routers
+	forwarded  map[string]bool
+	completed  int // of those forwarded
+}
+
+// record follows the requests in the event log.
+func (d *forwardingDirection) record(entry *eventlog.Entry) {
+	switch {
+	case entry.Kind == eventlog.KindForwarded && entry.Attempt == d.home && entry.Router == d.peer:
+		d.forwarded[entry.Request] = true
+	case entry.Kind == eventlog.KindAnswered && entry.Router == d.home && d.forwarded[entry.Request] &&
+		entry.Outcome == string(simulation.AnswerCompleted):
+		d.completed++
+	}
+}
+
+// Guards against gateways that do not connect to one of another version, or lose,
+// duplicate or answer wrongly what they forward to it. One site's router is of this
+// program, the other's of the earlier one; the busy site forwards, and the link is cut.
+func TestGatewayBesideEarlierProgram(t *testing.T) {
+	t.Parallel()
+	for _, direction := range []*forwardingDirection{
+		{name: "this one forwards", weights: "[3, 0.3]", home: 0, peer: 1},
+		{name: "earlier one forwards", weights: "[0.3, 3]", home: 1, peer: 0},
+	} {
+		t.Run(direction.name, func(t *testing.T) {
+			t.Parallel()
+			direction.play(t)
+		})
+	}
+}
+
+func (d *forwardingDirection) play(t *testing.T) {
+	t.Helper()
+	text := `
+length_s: 9
+settle_s: 1
+fleet: {offices: 2, routers: 1, trunks: 2, caches: 2, cores: 3, link_share: 0.2, board_ms: 200,
+  sites: 2, site_ms: 5}
+load: {txns_per_s: 70, objects: 2000, weights: ` + d.weights + `}
+troubles:
+  - {kind: purge, at: 3, share: 0.4}
+  - {kind: site_cut, at: 4, for: 0.4}
+  - {kind: site_cut, at: 5.5, for: 1}
+`
+	d.forwarded = map[string]bool{}
+	result, err := playScenario(t, text, emulator.Options{Record: d.record},
+		emulator.SocketOptions{Program: os.Args[0], Earlier: earlierRouter(t)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, violation := range result.Violations {
+		t.Error(violation)
+	}
+	t.Logf("%d judged, %d forwarded, %d of them completed", result.Judged, len(d.forwarded), d.completed)
+	// As many as TestEmulatedSites wants forwarded.
+	const fewestCompleted = 3
+	if d.completed < fewestCompleted {
+		t.Errorf("%d forwarded requests completed: too few to tell anything", d.completed)
+	}
+}
