--- a/cmd/quilldoor/earlierprogram_test.go
+++ b/cmd/quilldoor/earlierprogram_test.go
@@ -20,8 +20,11 @@
 	earlierProgramVariable = "QUILLDOOR_TEST_EARLIER_PROGRAM"
 )
 
-// routerCommand is the command of the repository that is a router.
-const routerCommand = "quilldoor"
+// Commands of the repository, as built programs are named.
+const (
+	routerCommand  = "quilldoor"
+	adapterCommand = "simadapter"
+)
 
 // earlierBuilds is what this test binary has built of earlier commits.
 var earlierBuilds = struct {
@@ -48,6 +51,20 @@
 	return program
 }
 
+// earlierAdapter is the simadapter beside the program that earlierProgramVariable names,
+// else previousCommit's.
+func earlierAdapter(t *testing.T) string {
+	t.Helper()
+	if os.Getenv(earlierProgramVariable) == "" {
+		return buildEarlier(t, previousCommit, adapterCommand)
+	}
+	program := filepath.Join(filepath.Dir(earlierRouter(t)), adapterCommand)
+	if _, err := os.Stat(program); err != nil {
+		t.Skipf("not decided: no adapter beside the earlier program: %v", err)
+	}
+	return program
+}
+
 // buildEarlier builds a command of an earlier commit, once per test binary, where the
 // repository's history is at hand.
 func buildEarlier(t *testing.T, commit, command string) string {
