--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -11,28 +11,28 @@
 	"quilldoor/internal/simulation"
 )
 
-// serverConn is a router's connection to a server.
+// serverConn is a router's connection to an emulated server.
 type serverConn struct {
 	net.Conn
 	server   *serverListener
-	attempts map[string]*serverAttempt // open attempts by request; only the loop uses it
+	attempts map[string]*serverAttempt // open attempts by request ID; used only in the run's loop
 
-	mu     sync.Mutex // guards the fields below
-	queue  [][]byte
-	queued chan struct{}
-	closed bool
+	mu     sync.Mutex    // guards the fields below
+	queue  [][]byte      // bytes that writeQueue has not written yet
+	queued chan struct{} // signals writeQueue that the queue has grown
+	closed bool          // queued is closed
 }
 
-// serverAttempt is an attempt on a connection.
+// serverAttempt is an attempt that a server received on a connection.
 type serverAttempt struct {
 	conn      *serverConn
 	requestID string
 	number    int
-	body      []byte // of a write
+	body      []byte // the request's body, of a write
 }
 
-// statusByOutcome is how a server words the end of an attempt. An outcome that is not
-// listed resets the connection.
+// statusByOutcome maps the outcome of an attempt to the status of the server's response. For an
+// outcome without a status the server resets the connection.
 var statusByOutcome = map[policy.Outcome]cacheproto.Status{
 	policy.OutcomeDone:  cacheproto.StatusOK,
 	policy.OutcomeBusy:  cacheproto.StatusBusy,
@@ -40,10 +40,10 @@
 	policy.OutcomeError: cacheproto.StatusError,
 }
 
-// malformedResponse is a line that is not in the protocol.
+// malformedResponse is a line that the cache protocol does not allow.
 var malformedResponse = []byte("%% ACK entity\r\n")
 
-// finish writes a server's response, as the simulation has it.
+// finish sends the response that the simulation has decided on, unless the attempt was cancelled.
 func (a *serverAttempt) finish(attempt *simulation.Attempt, end simulation.AttemptResult) {
 	conn := a.conn
 	if conn.attempts[a.requestID] != a {
@@ -79,8 +79,8 @@
 	conn.enqueue(append(append(cacheproto.AppendResponse(nil, &response), body...), "\r\n"...))
 }
 
-// enqueue queues bytes to be written. The router's limit on open attempts of a connection
-// bounds the queue.
+// enqueue queues bytes for writeQueue. The length of the queue is bounded by the router's limit on
+// the open attempts of a connection.
 func (c *serverConn) enqueue(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// closeQueue ends writeQueue once it has written what is queued.
+// closeQueue makes writeQueue return once it has written the queued bytes.
 func (c *serverConn) closeQueue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// writeQueue writes what is queued until the queue is closed or the connection fails.
+// writeQueue writes the queued bytes until the queue is closed or a write fails.
 func (c *serverConn) writeQueue() {
 	for range c.queued {
 		c.mu.Lock()
@@ -117,10 +117,10 @@
 	}
 }
 
-// reset ends the connection with RST, as the death of a process does.
+// reset closes the connection with RST, as the kernel does when a process is killed.
 func (c *serverConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // without it the connection ends with FIN
+		_ = tcp.SetLinger(0) // otherwise Close sends FIN
 	}
 	c.Close()
 	c.closeQueue()
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -17,31 +17,32 @@
 // commandBufferBytes is the size of a connection's read buffer.
 const commandBufferBytes = 16 << 10
 
-// serverListener is where one router reaches one server. Only the loop uses its fields.
+// serverListener accepts the connections of one router to one emulated server. Its fields are used
+// only in the run's loop.
 type serverListener struct {
 	*routerProcess
 	serverID string
 	addr     string
-	listener net.Listener // nil: down, connections are refused
+	listener net.Listener // nil: the server is down and connections are refused
 	conns    map[*serverConn]struct{}
 }
 
-// listenerFor returns the listener of a server, and opens it at the first call.
-func (r *routerProcess) listenerFor(server string) (*serverListener, error) {
-	if listener := r.servers[server]; listener != nil {
+// listenerFor returns the listener of a server. The first call for a server opens it.
+func (r *routerProcess) listenerFor(serverID string) (*serverListener, error) {
+	if listener := r.servers[serverID]; listener != nil {
 		return listener, nil
 	}
-	// Reserved, as the server listens there again after it was down.
+	// The address stays reserved while the server is down, as it listens there again afterwards.
 	addr, err := loopback.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	listener := &serverListener{routerProcess: r, serverID: server, addr: addr.String(), conns: map[*serverConn]struct{}{}}
-	r.servers[server] = listener
+	listener := &serverListener{routerProcess: r, serverID: serverID, addr: addr.String(), conns: map[*serverConn]struct{}{}}
+	r.servers[serverID] = listener
 	return listener, listener.open()
 }
 
-// open listens at the server's address and serves its connections.
+// open listens on the server's address and serves its connections.
 func (l *serverListener) open() error {
 	listener, err := net.Listen("tcp", l.addr)
 	if err != nil {
@@ -64,8 +65,9 @@
 	return nil
 }
 
-// setState follows the server: one that is down resets its connections and refuses new
-// ones; one that is silent keeps them and does not answer.
+// setState applies the server's new state to the listener. A server that goes down resets its
+// connections and refuses new ones, but a silent one keeps its connections, still accepts new
+// ones, and does not respond. A server that starts resets its old connections and listens.
 func (l *serverListener) setState(up, silent bool) {
 	if up || !silent {
 		for conn := range l.conns {
@@ -83,7 +85,7 @@
 	}
 }
 
-// serve reads a router's commands until its connection ends.
+// serve handles the router's commands on a connection until the connection ends.
 func (l *serverListener) serve(socket net.Conn, listener net.Listener) {
 	conn := &serverConn{Conn: socket, server: l, attempts: map[string]*serverAttempt{}, queued: make(chan struct{}, 1)}
 	defer socket.Close()
@@ -93,7 +95,7 @@
 	l.goroutines.Go(conn.writeQueue)
 	defer func() {
 		conn.closeQueue()
-		l.runInLoop(func() { l.forgetConn(conn) })
+		l.runInLoop(func() { l.removeConn(conn) })
 	}()
 	reader := bufio.NewReaderSize(socket, commandBufferBytes)
 	for {
@@ -103,7 +105,7 @@
 	}
 }
 
-// addConn adds a connection, or resets it if the server has gone down since it was accepted.
+// addConn registers a connection, or resets it if the server has gone down since the accept.
 func (l *serverListener) addConn(conn *serverConn, acceptedBy net.Listener) {
 	if l.listener == acceptedBy {
 		l.conns[conn] = struct{}{}
@@ -112,7 +114,7 @@
 	}
 }
 
-// serveCommand reads a command and carries it out. An error ends the connection.
+// serveCommand reads and executes one command. An error ends the connection.
 func (l *serverListener) serveCommand(conn *serverConn, reader *bufio.Reader) error {
 	command, err := cacheproto.ReadCommand(reader)
 	if err != nil {
@@ -136,7 +138,8 @@
 	return nil
 }
 
-// startAttempt hands an attempt to the simulation. A request that nobody waits for is skipped.
+// startAttempt passes an attempt to the simulation. If no client waits for the request, it responds
+// with the status for a skipped request.
 func (l *serverListener) startAttempt(conn *serverConn, get *cacheproto.GetCommand, body []byte) {
 	request := l.requests[get.ID]
 	if request == nil {
@@ -145,7 +148,7 @@
 	if request == nil && l.config.AcceptForeignRequests {
 		request = l.admitForeign(get)
 	}
-	if request == nil { // its client has just left, or the request is not the scenario's
+	if request == nil { // its client has just left, or the request is not one of the scenario's
 		skipped := cacheproto.Response{ID: get.ID, Status: cacheproto.StatusSkipped}
 		conn.enqueue(cacheproto.AppendResponse(nil, &skipped))
 		conn.enqueue([]byte("\r\n"))
@@ -162,8 +165,8 @@
 	})
 }
 
-// admitForeign admits a request that is not the scenario's own, such as one by curl. The
-// event log has it as aborted when its time is over.
+// admitForeign accepts a request that is not one of the scenario's, such as one that curl sends.
+// As its answer is not observed, the event log records it as failed at its deadline.
 func (l *serverListener) admitForeign(get *cacheproto.GetCommand) *clientRequest {
 	class, group, sizeKB, known := l.simulation.Object(get.Object, get.Part)
 	if !known || l.simulation.Class(class).Name != get.Class {
@@ -185,7 +188,7 @@
 	return request
 }
 
-// expireForeign ends a request that admitForeign admitted.
+// expireForeign ends a request that admitForeign has accepted, at its deadline.
 func (l *serverListener) expireForeign(request *clientRequest) {
 	if l.requests[request.ID] != request {
 		return
@@ -197,7 +200,7 @@
 	})
 }
 
-// cancelAttempt tells the simulation that a router no longer waits for an attempt.
+// cancelAttempt cancels an open attempt of a connection in the simulation.
 func (l *serverListener) cancelAttempt(conn *serverConn, requestID string) {
 	if attempt := conn.attempts[requestID]; attempt != nil {
 		delete(conn.attempts, requestID)
@@ -205,8 +208,8 @@
 	}
 }
 
-// forgetConn cancels all attempts that are open on a connection that has ended.
-func (l *serverListener) forgetConn(conn *serverConn) {
+// removeConn removes a connection that has ended and cancels its open attempts.
+func (l *serverListener) removeConn(conn *serverConn) {
 	delete(l.conns, conn)
 	for requestID := range conn.attempts {
 		l.cancelAttempt(conn, requestID)
--- a/internal/emulator/delay_monitor.go
+++ b/internal/emulator/delay_monitor.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// heartbeatInterval is how often the delay of the emulator's goroutines is measured.
-const heartbeatInterval = 10 * time.Millisecond
+// delaySampleInterval is the interval between measurements of the emulator's scheduling delay.
+const delaySampleInterval = 10 * time.Millisecond
 
-// delayMonitor measures by how much goroutines of the emulator run late: its clients read answers,
-// and its servers send them, only when the machine lets them.
+// delayMonitor measures the scheduling delay of the emulator's goroutines: the emulated clients
+// read answers, and the emulated servers send responses, later by this delay.
 type delayMonitor struct {
 	longestMicros atomic.Int64
 }
 
-// watch measures until done is closed.
+// watch measures delays until done is closed.
 func (m *delayMonitor) watch(done <-chan struct{}) {
-	timer := time.NewTimer(heartbeatInterval)
+	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(heartbeatInterval)
-		timer.Reset(heartbeatInterval)
+		due := time.Now().Add(delaySampleInterval)
+		timer.Reset(delaySampleInterval)
 		select {
 		case <-done:
 			return
@@ -30,7 +30,7 @@
 	}
 }
 
-// observe notes a delay, if it is the longest so far.
+// observe records a delay if it is the longest so far.
 func (m *delayMonitor) observe(delay time.Duration) {
 	if micros := delay.Microseconds(); micros > m.longestMicros.Load() {
 		m.longestMicros.Store(micros)
--- a/internal/emulator/detection_processes.go
+++ b/internal/emulator/detection_processes.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// detectionMemoryMB and detectionSockets are the limits of each router process.
+	// detectionMemoryMB and detectionSockets are the limits of each measured router process.
 	detectionMemoryMB = 64
 	detectionSockets  = 256
-	// detectionSeeds is how many routers the others know from the start.
+	// detectionSeeds is the number of seed peers in each router's membership configuration.
 	detectionSeeds = 3
 )
 
-// startAll reserves addresses for the routers and starts them.
+// startAll reserves an address for each router, writes the membership key and starts the routers.
 func (d *detectionRun) startAll(routers int) error {
 	for i := range routers {
-		addr, err := loopback.Reserve() // for UDP and TCP
+		addr, err := loopback.Reserve() // used for UDP by the membership and for TCP by clients
 		if err != nil {
 			return err
 		}
@@ -46,8 +46,8 @@
 }
 
 // start starts a router process and follows its log.
-func (d *detectionRun) start(i int) error {
-	config, operator, err := d.writeConfig(i)
+func (d *detectionRun) start(router int) error {
+	config, operator, err := d.writeConfig(router)
 	if err != nil {
 		return err
 	}
@@ -59,29 +59,30 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	d.goroutines.Go(func() { d.followLog(i, reader) })
+	d.goroutines.Go(func() { d.followLog(router, reader) })
 	d.goroutines.Go(func() {
-		_ = cmd.Wait() // it is killed
+		_ = cmd.Wait() // always an error, as the process is killed
 		writer.Close()
 	})
-	d.commands[i] = cmd
+	d.commands[router] = cmd
 	return nil
 }
 
-// writeConfig writes a router's two configuration files: the platform's and the operator's.
-func (d *detectionRun) writeConfig(i int) (config, operator string, err error) {
-	name := routerName(i)
+// writeConfig writes a router's two configuration files, the platform's and the operator's, and
+// returns their paths.
+func (d *detectionRun) writeConfig(router int) (config, operator string, err error) {
+	name := routerName(router)
 	operatorText, err := yaml.Marshal(operatorconfig.Config{Membership: &operatorconfig.Membership{
-		Name: name, Listen: d.peers[i].Addr, KeyFile: d.keyFile, Peers: d.peers[:min(len(d.peers), detectionSeeds)],
+		Name: name, Listen: d.peers[router].Addr, KeyFile: d.keyFile, Peers: d.peers[:min(len(d.peers), detectionSeeds)],
 	}})
 	if err != nil {
 		return "", "", err
 	}
 	configText, err := json.Marshal(platformConfig{
 		Name:      name,
-		Listen:    d.peers[i].Addr,
-		Seed:      fmt.Sprint(i + 1),
-		Discovery: "127.0.0.1:1", // nobody listens there
+		Listen:    d.peers[router].Addr,
+		Seed:      fmt.Sprint(router + 1),
+		Discovery: "127.0.0.1:1", // no discovery service: connections are refused
 		Limits:    processLimits{Cores: processCores, MemoryMB: detectionMemoryMB, Sockets: detectionSockets},
 		Settings:  d.scenario.Settings(0, 0),
 		Known:     discoveryUpdate{Events: []json.RawMessage{}},
@@ -97,7 +98,7 @@
 	return config, operator, os.WriteFile(operator, operatorText, 0o600)
 }
 
-// followLog passes on what a router logs about members, until its process ends.
+// followLog sends the lines about members in a router's log to d.events until its process ends.
 func (d *detectionRun) followLog(router int, log io.Reader) {
 	scanner := bufio.NewScanner(log)
 	for scanner.Scan() {
@@ -110,5 +111,7 @@
 		case <-d.ctx.Done():
 		}
 	}
-	_, _ = io.Copy(io.Discard, log) // a line that is too long ends the scan, not the process
+	// A line that is too long ends the scan. The rest of the log is still read, so that the
+	// process doesn't block when it logs.
+	_, _ = io.Copy(io.Discard, log)
 }
--- a/internal/emulator/failure_detection.go
+++ b/internal/emulator/failure_detection.go
@@ -16,19 +16,22 @@
 )
 
 const (
-	// detectionEventQueue is how many events may wait until a router's log is read on.
+	// detectionEventQueue is the number of queued events beyond which reading the routers' logs
+	// blocks.
 	detectionEventQueue = 4096
-	// detectionRandomStream sets the draws of the measurement apart from others of the same seed.
+	// detectionRandomStream separates the random draws of the measurement from other draws with
+	// the same seed.
 	detectionRandomStream = 5
-	// joinTime is how long the routers have to find each other.
+	// joinTime is the time that the routers are given to join the membership.
 	joinTime = 15 * time.Second
-	// detectTimeout and rejoinTimeout are how long a death, and a return, are waited for.
+	// detectTimeout and rejoinTimeout are the time limits for the other routers to log the death
+	// of a killed router, and its return after a restart.
 	detectTimeout = 15 * time.Second
 	rejoinTimeout = 10 * time.Second
-	// Up to maxExtraPauseMillis come on top of pauseBetweenKills.
+	// The pause after each kill is pauseBetweenKills and a random time below maxExtraPauseMillis.
 	pauseBetweenKills   = time.Second
 	maxExtraPauseMillis = 500
-	// Bounds of the histogram, in microseconds, and its significant digits.
+	// Bounds of the histogram of detection times, in microseconds, and its significant digits.
 	detectMinMicros = 1000
 	detectMaxMicros = 60_000_000
 	detectDigits    = 3
@@ -36,13 +39,13 @@
 
 // memberEvent is a line about a member in a router's log.
 type memberEvent struct {
-	router  int // that logged it
+	router  int // index of the router that logged it
 	message string
 	member  string
-	at      time.Time
+	at      time.Time // when the emulator read the line
 }
 
-// detectionRun is a number of router processes that know each other, and what they log.
+// detectionRun is a set of router processes with a common membership, and the events in their logs.
 type detectionRun struct {
 	ctx        context.Context
 	goroutines sync.WaitGroup
@@ -55,9 +58,9 @@
 	events     chan memberEvent
 }
 
-// MeasureFailureDetection starts router processes that know each other, kills one after
-// another, and measures the time, in microseconds, until the last of the others has logged the
-// death. Missed is the number of kills that not all others logged in time.
+// MeasureFailureDetection starts router processes with a common membership and kills one at a time.
+// For each kill it measures the time, in microseconds, until all other routers have logged the
+// death. Missed is the number of kills that some of the others did not log within the time limit.
 func MeasureFailureDetection(
 	ctx context.Context, program string, routers, kills int, seed uint64,
 ) (times *hdrhistogram.Histogram, missed int, err error) {
@@ -96,8 +99,8 @@
 	return times, missed, ctx.Err()
 }
 
-// killOne kills a router, records when all others have logged its death, and starts it again.
-// Not detected: they did not in time.
+// killOne kills a router, records the time until all others have logged its death, and starts it
+// again. It returns false if some of them did not log the death within detectTimeout.
 func (d *detectionRun) killOne(killed int, times *hdrhistogram.Histogram) (detected bool, err error) {
 	others := len(d.commands) - 1
 	killedAt := time.Now()
@@ -106,7 +109,7 @@
 	}
 	last, detected := d.waitLogged("member dead", routerName(killed), others, detectTimeout)
 	if detected {
-		_ = times.RecordValue(last.Sub(killedAt).Microseconds()) // detectTimeout is within the bounds
+		_ = times.RecordValue(last.Sub(killedAt).Microseconds()) // can't fail, as detectTimeout is within the histogram's bounds
 	}
 	if err := d.start(killed); err != nil {
 		return false, err
@@ -115,16 +118,16 @@
 	return detected, nil
 }
 
-// waitLogged waits until so many routers have logged a message about a member, and returns
-// when the last of them did.
+// waitLogged waits until the wanted number of routers have logged a message about a member, and
+// returns the time of the last one. It returns false if the time limit passes before.
 func (d *detectionRun) waitLogged(message, member string, want int, within time.Duration) (last time.Time, ok bool) {
-	seen := map[int]bool{}
+	loggedBy := map[int]bool{}
 	timeout := time.After(within)
-	for len(seen) < want {
+	for len(loggedBy) < want {
 		select {
 		case event := <-d.events:
 			if event.message == message && event.member == member {
-				seen[event.router] = true
+				loggedBy[event.router] = true
 				last = event.at
 			}
 		case <-timeout:
@@ -136,7 +139,7 @@
 	return last, true
 }
 
-// discardEvents waits, and discards what the routers log meanwhile.
+// discardEvents discards the events that arrive during the given time.
 func (d *detectionRun) discardEvents(duration time.Duration) {
 	timeout := time.After(duration)
 	for {
--- a/internal/emulator/log_tail.go
+++ b/internal/emulator/log_tail.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// logTail keeps the last bytes that were written.
+// logTail is a writer that keeps only the last bytes written to it.
 type logTail struct {
 	mu   sync.Mutex
 	text []byte
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -12,33 +12,34 @@
 	"time"
 )
 
-// routerProcess is a router, and what it alone talks to: its discovery service and its own
-// listener for each server.
+// routerProcess is a router process with the emulator's sockets that serve only this router: its
+// discovery service and one listener for each server.
 type routerProcess struct {
 	*socketRun
 	id int
 
 	clientAddr     string
-	gatewayAddr    string         // "": its site is alone
-	membershipAddr netip.AddrPort // invalid: routers don't know each other
+	gatewayAddr    string         // "": no gateway, as there is one site
+	membershipAddr netip.AddrPort // invalid: the scenario has no membership
 
 	cmd          *exec.Cmd
 	startCount   int
-	exited       chan struct{} // closed when cmd has ended
-	killed       bool          // cmd ended, or will end, at the emulator's will
+	exited       chan struct{} // closed when cmd has exited
+	killed       bool          // the emulator has killed or stopped cmd: its exit is no failure
 	costCounted  *exec.Cmd     // the last process that the run's cost includes
-	orphanGroups []int         // process groups of killed supervisors, whose generations may run on
+	orphanGroups []int         // process groups of killed supervisors, whose generations may still run
 	log          logTail
-	starveTicker *time.Ticker // times the pauses that take its CPU; nil: none
+	starveTicker *time.Ticker // ticks when the next pause begins; nil: the process is not starved
 
 	discoveryListener net.Listener
-	discoveryEvents   []json.RawMessage          // revisions from 1, anew at each start
-	eventPosted       chan struct{}              // closed at the next discovery event
-	servers           map[string]*serverListener // by server
-	requests          map[string]*clientRequest  // by request, the forwarded ones too
+	discoveryEvents   []json.RawMessage          // by revision, from 1; a start of the process begins a new list
+	eventPosted       chan struct{}              // closed when the next discovery event is posted
+	servers           map[string]*serverListener // by server ID
+	requests          map[string]*clientRequest  // open requests by request ID, with those forwarded to this router
 }
 
-// findProgram checks that the router's program exists. "": quilldoor beside this program.
+// findProgram returns the path of the router's program, which must exist. An empty name stands
+// for quilldoor in the folder of the running program.
 func findProgram(name string) (string, error) {
 	if name == "" {
 		self, err := os.Executable()
@@ -48,15 +49,16 @@
 		name = filepath.Join(filepath.Dir(self), "quilldoor")
 	}
 	if _, err := os.Stat(name); err != nil {
-		return "", fmt.Errorf("the router's program: %w", err)
+		return "", fmt.Errorf("program of the routers: %w", err)
 	}
 	return name, nil
 }
 
-// discoveryReadTimeout bounds the reading of a discovery request.
+// discoveryReadTimeout is the time limit for reading a request to the discovery service.
 const discoveryReadTimeout = 10 * time.Second
 
-// prepare reserves addresses, and starts the discovery service and the servers' listeners.
+// prepare reserves the router's addresses, and starts its discovery service and its listeners for
+// the servers.
 func (r *routerProcess) prepare() error {
 	if err := r.reserveAddresses(); err != nil {
 		return err
@@ -66,7 +68,7 @@
 		return err
 	}
 	server := &http.Server{Handler: http.HandlerFunc(r.serveLongPoll), ReadTimeout: discoveryReadTimeout}
-	r.goroutines.Go(func() { _ = server.Serve(r.discoveryListener) }) // it ends with the listener
+	r.goroutines.Go(func() { _ = server.Serve(r.discoveryListener) }) // returns when the listener is closed
 	r.goroutines.Go(func() {
 		<-r.ctx.Done()
 		server.Close()
@@ -79,10 +81,10 @@
 	return nil
 }
 
-// runsEarlier tells whether the router runs the earlier version.
-func (r *routerProcess) runsEarlier() bool { return r.config.Earlier != "" && r.id%2 == 1 }
+// runsEarlierVersion reports whether the router runs SocketOptions.Earlier.
+func (r *routerProcess) runsEarlierVersion() bool { return r.config.Earlier != "" && r.id%2 == 1 }
 
-// configPath is the file of the platform's configuration of the router.
+// configPath is the path of the router's configuration file that the platform writes.
 func (r *routerProcess) configPath() string {
 	return filepath.Join(r.dir, r.platformName()+".json")
 }
--- a/internal/emulator/process_addresses.go
+++ b/internal/emulator/process_addresses.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/loopback"
 )
 
-// reserveAddresses reserves the addresses that the router's process listens at. It binds
-// them itself, and again when it is started after a crash.
+// reserveAddresses reserves the addresses that the router process listens on. The process binds
+// them, also when it is started again after a crash.
 func (r *routerProcess) reserveAddresses() error {
 	var err error
 	if r.clientAddr, err = r.reserveClientAddress(); err != nil {
@@ -29,16 +29,17 @@
 	return nil
 }
 
-// reserveClientAddress is where the router listens for clients: the address that the run's
-// options name for the first router, or a reserved one.
+// reserveClientAddress returns the address on which the router listens for clients: for the
+// first router the one of SocketOptions.Listen if it has a port, else a reserved one.
 func (r *routerProcess) reserveClientAddress() (string, error) {
-	named := r.config.Listen
-	if r.id != 0 || named == "" || strings.HasSuffix(named, ":0") {
+	configured := r.config.Listen
+	if r.id != 0 || configured == "" || strings.HasSuffix(configured, ":0") {
 		address, err := loopback.Reserve()
 		return address.String(), err
 	}
-	// A port that somebody named can't be reserved. That it is in use shows here already.
-	listener, err := net.Listen("tcp", named)
+	// A configured port can't be reserved. Binding it once reports a port in use before the
+	// router starts.
+	listener, err := net.Listen("tcp", configured)
 	if err != nil {
 		return "", err
 	}
--- a/internal/emulator/process_config.go
+++ b/internal/emulator/process_config.go
@@ -13,25 +13,24 @@
 	"quilldoor/internal/scenario"
 )
 
-// Limits that the platform's configuration gives each router process.
+// Limits of each router process in the platform's configuration.
 const (
 	processCores    = 1
 	processMemoryMB = 192
 	processSockets  = 1024
-	// linkFlows is how many flows at full rate a router's link carries.
-	linkFlows = 4
+	// flowsPerLink is the number of flows at full rate that a router's link carries.
+	flowsPerLink = 4
 )
 
-// platformName is the router's name in the platform's configuration, which the platform may choose
-// without regard to routerName: it counts from 1. The emulator's errors use it, too, as the
-// router's own log does.
+// platformName is the router's name in the platform's configuration. It counts from 1 and so
+// differs from routerName, as the platform's names are independent of the names in the operator's
+// configuration. The emulator's errors use platformName, as the router's own log does.
 func (r *routerProcess) platformName() string { return fmt.Sprint("n", r.id+1) }
 
-// start writes the platform's configuration, with the endpoint list as it is, and starts the
-// process.
-func (r *routerProcess) start(known []policy.Endpoint) error {
+// start writes the platform's configuration with the given endpoint list, and starts the process.
+func (r *routerProcess) start(endpoints []policy.Endpoint) error {
 	r.startCount++
-	r.discoveryEvents = []json.RawMessage{r.encodeEvent(r.newEndpointListEvent(1, known, true))}
+	r.discoveryEvents = []json.RawMessage{r.encodeEvent(r.newEndpointListEvent(1, endpoints, true))}
 	setup := r.scenario.Settings(r.simulation.Office(r.id), r.id)
 	if r.options.Settings != nil {
 		r.options.Settings(&setup)
@@ -44,7 +43,7 @@
 		Limits:        processLimits{Cores: processCores, MemoryMB: processMemoryMB, Sockets: processSockets},
 		Discovery:     r.discoveryListener.Addr().String(),
 		FlowBytesPerS: fleet.FlowKBPerS * bytesPerKB,
-		LinkBytesPerS: fleet.FlowKBPerS * linkFlows * bytesPerKB,
+		LinkBytesPerS: fleet.FlowKBPerS * flowsPerLink * bytesPerKB,
 		Known:         discoveryUpdate{Revision: 1, Events: r.discoveryEvents},
 		Settings:      setup,
 	})
@@ -57,8 +56,8 @@
 	return r.launch()
 }
 
-// writeOperatorConfig writes a router's own file, which its operator would write: the sections
-// that the scenario needs.
+// writeOperatorConfig writes the router's operator configuration, with the sections that the
+// scenario requires.
 func (r *routerProcess) writeOperatorConfig() (err error) {
 	var config operatorconfig.Config
 	if r.scenario.Fleet.Membership {
@@ -77,7 +76,7 @@
 			return err
 		}
 	}
-	if r.scenario.Fleet.Supervised && !r.runsEarlier() {
+	if r.scenario.Fleet.Supervised && !r.runsEarlierVersion() {
 		config.Supervisor = r.supervisorConfig()
 	}
 	text, err := yaml.Marshal(config)
@@ -87,8 +86,9 @@
 	return os.WriteFile(r.operatorPath(), text, 0o600)
 }
 
-// gatewayConfig is a router's gateway. It reaches each peer by a relay that is as far away as
-// the scenario says, and that is cut with the sites.
+// gatewayConfig returns the gateway section of a router. The gateway connects to each peer through
+// a relay, which adds the scenario's latency between sites and holds bytes back while the sites
+// are cut.
 func (r *routerProcess) gatewayConfig() (*operatorconfig.Gateway, error) {
 	config := &operatorconfig.Gateway{
 		Name:         routerName(r.id),
@@ -116,6 +116,7 @@
 	return config, nil
 }
 
+// supervisorConfig returns the supervisor section of a router.
 func (r *routerProcess) supervisorConfig() *operatorconfig.Supervisor {
 	config := &operatorconfig.Supervisor{
 		Dir:           r.supervisorDir(),
@@ -133,7 +134,7 @@
 	return scenario.Zone(r.scenario.Fleet.Site(r.simulation.Office(r.id)))
 }
 
-// file is a file of the router's own in the run's folder.
+// file is the path of a file of this router in the run's folder.
 func (r *routerProcess) file(suffix string) string {
 	return filepath.Join(r.dir, routerName(r.id)+suffix)
 }
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -13,17 +13,17 @@
 	"quilldoor/internal/simulation"
 )
 
-// maxLingerMillis bounds how long a poll may wait for an event.
+// maxLingerMillis is the longest time that a poll waits for an event.
 const maxLingerMillis = 5000
 
-// endpointStates is how the discovery service words an endpoint's state.
+// endpointStates maps the policy's endpoint states to those of the discovery protocol.
 var endpointStates = map[policy.EndpointState]string{
 	policy.EndpointActive:   "ready",
 	policy.EndpointDraining: "draining",
 	policy.EndpointGone:     "gone",
 }
 
-// discoveryTarget is an endpoint in the discovery service's words.
+// discoveryTarget is an endpoint in the discovery protocol.
 type discoveryTarget struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -34,25 +34,26 @@
 	BootMS       int64   `json:"boot_ms"`
 }
 
-// endpointListEvent is a change of the endpoint list, or the complete list.
+// endpointListEvent reports changed endpoints or the complete endpoint list.
 type endpointListEvent struct {
 	Pool     endpointPool `json:"pool"`
 	Revision int          `json:"rev"`
 }
 
-// endpointPool is a number of endpoints.
+// endpointPool is a complete endpoint list or the changed endpoints of one.
 type endpointPool struct {
-	Complete bool              `json:"all"` // all that there are; false: those that have changed
+	Complete bool              `json:"all"` // Targets holds all endpoints; false: only the changed ones
 	Targets  []discoveryTarget `json:"targets"`
 }
 
-// purgeEvent is a purge of an object or of a group.
+// purgeEvent reports a purge of an object or of a group.
 type purgeEvent struct {
 	Revision int       `json:"rev"`
 	Purge    purgeBody `json:"flush"`
 }
 
-// purgeBody is what is purged, by one of Object and Group, and when.
+// purgeBody holds the purged object or group, of which exactly one is set, and the time of the
+// purge.
 type purgeBody struct {
 	Object string `json:"asset,omitempty"`
 	Group  *int64 `json:"collection,omitempty"`
@@ -74,8 +75,8 @@
 	process.postEvent(purge)
 }
 
-// newEndpointListEvent describes a change of the endpoint list, or the complete list. It opens the
-// listeners of servers that are new.
+// newEndpointListEvent returns the event for changed endpoints, or for the complete list. It opens
+// listeners for servers that have none yet.
 func (r *routerProcess) newEndpointListEvent(
 	revision int, endpoints []policy.Endpoint, complete bool,
 ) endpointListEvent {
@@ -111,18 +112,18 @@
 	return text
 }
 
-// postEvent adds an event and answers the polls that wait for one.
+// postEvent appends an event and wakes the polls that wait for one.
 func (r *routerProcess) postEvent(event any) {
 	r.discoveryEvents = append(r.discoveryEvents, r.encodeEvent(event))
 	close(r.eventPosted)
 	r.eventPosted = make(chan struct{})
 }
 
-// serveLongPoll answers a poll for the events after a revision: at once if there are any,
-// else at the next event or when the poll's time is over.
+// serveLongPoll answers a poll for the events after a revision: immediately if there are any,
+// otherwise at the next event or when the poll's linger time has passed.
 func (r *routerProcess) serveLongPoll(w http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
-	since, _ := strconv.Atoi(query.Get("watch")) // 0 where it is no number: all events
+	since, _ := strconv.Atoi(query.Get("watch")) // 0 if it is not a number: all events
 	lingerMillis, _ := strconv.Atoi(query.Get("linger"))
 	linger := time.Duration(min(max(lingerMillis, 0), maxLingerMillis)) * time.Millisecond
 	timeout := time.After(linger)
@@ -148,7 +149,8 @@
 	}
 }
 
-// writeUpdate answers a poll. Its errors are left out: a poller that is gone asks again.
+// writeUpdate answers a poll. It ignores write errors: a router whose connection has failed polls
+// again.
 func writeUpdate(w io.Writer, update discoveryUpdate) {
 	text, err := json.Marshal(update)
 	if err != nil {
@@ -157,8 +159,8 @@
 	_, _ = w.Write(text)
 }
 
-// updateSince asks the loop for the events after a revision, and for the channel that is closed
-// at the next event. Nil: the run is over.
+// updateSince returns the events after a revision, which it reads in the run's loop, and the
+// channel that is closed at the next event. The channel is nil once the run is over.
 func (r *routerProcess) updateSince(revision int) (update discoveryUpdate, posted <-chan struct{}) {
 	done := make(chan struct{})
 	r.runInLoop(func() {
--- a/internal/emulator/process_faults.go
+++ b/internal/emulator/process_faults.go
@@ -10,7 +10,7 @@
 	"quilldoor/internal/policy"
 )
 
-// KillRouter kills a router outright.
+// KillRouter kills a router's processes with SIGKILL.
 func (s *socketRun) KillRouter(routerID int) {
 	process := s.routers[routerID]
 	for _, request := range process.requests {
@@ -20,41 +20,43 @@
 	process.kill()
 }
 
-// StartRouter starts a router again, with the endpoint list as it is.
-func (s *socketRun) StartRouter(routerID int, known []policy.Endpoint) {
-	if err := s.routers[routerID].start(known); err != nil {
+// StartRouter starts a router again with the given endpoint list.
+func (s *socketRun) StartRouter(routerID int, endpoints []policy.Endpoint) {
+	if err := s.routers[routerID].start(endpoints); err != nil {
 		s.fail(err)
 	}
 }
 
-// SuspendRouter suspends a router. Its machine still accepts connections and buffers what comes.
+// SuspendRouter suspends a router. The kernel still accepts its connections and buffers the
+// bytes that arrive.
 func (s *socketRun) SuspendRouter(routerID int) { s.routers[routerID].signal(syscall.SIGSTOP) }
 
-// ResumeRouter lets a suspended router go on.
+// ResumeRouter resumes a suspended router.
 func (s *socketRun) ResumeRouter(routerID int) { s.routers[routerID].signal(syscall.SIGCONT) }
 
-// signal sends a signal to the router's process, if it has not been killed.
-func (r *routerProcess) signal(s os.Signal) {
-	if err := r.cmd.Process.Signal(s); err != nil && !r.killed {
-		r.fail(fmt.Errorf("router %s: %w", r.platformName(), err))
+// signal sends a signal to the router's process. An error ends the run, unless the process has
+// been killed.
+func (r *routerProcess) signal(sig os.Signal) {
+	if err := r.cmd.Process.Signal(sig); err != nil && !r.killed {
+		r.fail(fmt.Errorf("router %s: sending %v: %w", r.platformName(), sig, err))
 	}
 }
 
-// starveSlice is how often a starved router is paused.
-const starveSlice = 20 * time.Millisecond
+// starvePeriod is the interval between the pauses of a starved router.
+const starvePeriod = 20 * time.Millisecond
 
-// StarveRouter takes a share of a router's CPU away, some milliseconds at a time, as a
-// busy neighbour on its core does. Share 0 ends it.
+// StarveRouter takes a share of a router's CPU away by pausing it for a few milliseconds in each
+// starvePeriod, as a busy process on the same core would. Share 0 ends the pauses.
 func (s *socketRun) StarveRouter(routerID int, share float64) {
 	process := s.routers[routerID]
 	process.stopStarving()
 	if share == 0 {
 		return
 	}
-	ticker := time.NewTicker(starveSlice)
+	ticker := time.NewTicker(starvePeriod)
 	process.starveTicker = ticker
 	cmd := process.cmd
-	pause := time.Duration(share * float64(starveSlice))
+	pause := time.Duration(share * float64(starvePeriod))
 	s.goroutines.Go(func() {
 		for {
 			select {
@@ -71,6 +73,7 @@
 	})
 }
 
+// stopStarving ends the pauses that StarveRouter began.
 func (r *routerProcess) stopStarving() {
 	if r.starveTicker != nil {
 		r.starveTicker.Stop()
@@ -78,17 +81,17 @@
 	}
 }
 
-// pauseFor stops a process for some time, unless it has been replaced, killed or suspended by
-// the scenario.
+// pauseFor stops a process for the given time, unless it has been replaced or killed, or the
+// scenario has suspended it.
 func (r *routerProcess) pauseFor(cmd *exec.Cmd, pause time.Duration) {
-	runs := func() bool { return r.cmd == cmd && !r.killed && !r.simulation.Suspended(r.id) }
-	if !runs() {
+	running := func() bool { return r.cmd == cmd && !r.killed && !r.simulation.Suspended(r.id) }
+	if !running() {
 		return
 	}
 	r.signal(syscall.SIGSTOP)
 	time.AfterFunc(pause, func() {
 		r.runInLoop(func() {
-			if runs() {
+			if running() {
 				r.signal(syscall.SIGCONT)
 			}
 		})
--- a/internal/emulator/process_membership.go
+++ b/internal/emulator/process_membership.go
@@ -17,8 +17,9 @@
 // membershipKey is the key that a run's routers sign their membership messages with.
 const membershipKey = "of emulated routers on loopback only"
 
-// membershipConfig is a router's membership section. It reaches each other router by a
-// datagram relay of its own, so that the scenario can cut and delay each direction.
+// membershipConfig returns the membership section of a router, and writes the key file that it
+// names. The router reaches each peer through a datagram relay of its own, so that the scenario
+// can cut and delay each direction.
 func (r *routerProcess) membershipConfig() (*operatorconfig.Membership, error) {
 	path := filepath.Join(r.dir, "members.key")
 	if err := os.WriteFile(path, []byte(membershipKey), 0o600); err != nil {
@@ -38,8 +39,8 @@
 	return config, nil
 }
 
-// startDatagramRelay passes datagrams from this router to another one, delayed, lost or
-// repeated as the simulated network says.
+// startDatagramRelay starts a relay for datagrams from this router to another one and returns its
+// address. The simulated network decides which datagrams are delayed, lost or duplicated.
 func (r *routerProcess) startDatagramRelay(to *routerProcess) (addr string, err error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -64,7 +65,7 @@
 				datagram := slices.Clone(buffer[:n])
 				delay := time.Duration(at-now) * time.Microsecond
 				time.AfterFunc(delay, func() {
-					_, _ = conn.WriteToUDPAddrPort(datagram, to.membershipAddr) // a datagram may be lost
+					_, _ = conn.WriteToUDPAddrPort(datagram, to.membershipAddr) // on an error the datagram is lost
 				})
 			}
 		}
@@ -72,14 +73,14 @@
 	return conn.LocalAddr().String(), nil
 }
 
-// viewTarget is a router whose membership view is asked for.
+// viewTarget is a router whose membership view is queried.
 type viewTarget struct {
 	name string
 	addr netip.AddrPort
 }
 
-// watchMembership compares the routers' membership views time and again. It asks for them
-// with the query that the router's own command uses.
+// watchMembership compares the routers' membership views at intervals. It queries them with the
+// message that the router's own command sends.
 func (s *socketRun) watchMembership() {
 	for s.ctx.Err() == nil {
 		up, targets, ok := s.viewTargets()
@@ -95,8 +96,8 @@
 	}
 }
 
-// viewTargets asks the loop which routers are up, and which of them can answer. Not ok: the
-// run is over.
+// viewTargets returns the names of the routers that are up, and those of them that can answer a
+// query. It reads them in the run's loop; ok is false once the run is over.
 func (s *socketRun) viewTargets() (up []string, targets []viewTarget, ok bool) {
 	done := make(chan struct{})
 	s.runInLoop(func() {
@@ -121,7 +122,7 @@
 	}
 }
 
-// queryViews asks routers for their views, all at once. Who doesn't answer is left out.
+// queryViews queries the routers' views concurrently. The result omits routers that don't answer.
 func queryViews(targets []viewTarget) map[string]*membership.View {
 	type answer struct {
 		name string
@@ -130,20 +131,20 @@
 	answers := make(chan answer, len(targets))
 	for _, target := range targets {
 		go func() {
-			view, _ := transport.Query([]byte(membershipKey), target.name, target.addr) // nil where it fails
+			view, _ := transport.Query([]byte(membershipKey), target.name, target.addr) // nil on an error
 			answers <- answer{target.name, view}
 		}()
 	}
 	views := map[string]*membership.View{}
 	for range targets {
-		if answered := <-answers; answered.view != nil {
-			views[answered.name] = answered.view
+		if received := <-answers; received.view != nil {
+			views[received.name] = received.view
 		}
 	}
 	return views
 }
 
-// compareViews judges views, unless a router was killed while they were asked for.
+// compareViews compares the views, unless a router was killed while they were queried.
 func (s *socketRun) compareViews(up []string, views map[string]*membership.View) {
 	for _, name := range up {
 		if !s.simulation.Up(s.routerByName(name)) {
@@ -153,8 +154,8 @@
 	s.membership.observe(s.simulation.Now(), s.simulation.LastFaultChange(), up, views)
 }
 
-// routerByName is the reverse of routerName.
+// routerByName returns the ID of the router with a name that routerName returned.
 func (s *socketRun) routerByName(name string) (routerID int) {
-	_, _ = fmt.Sscanf(name, "n%d", &routerID) // 0 where it is no such name
+	_, _ = fmt.Sscanf(name, "n%d", &routerID) // 0 if the name has another form
 	return routerID
 }
--- a/internal/emulator/process_supervisor.go
+++ b/internal/emulator/process_supervisor.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"errors"
 	"fmt"
 	"path/filepath"
 
@@ -9,10 +8,10 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// operatorPath is the file of the router's operator configuration.
+// operatorPath is the path of the router's operator configuration.
 func (r *routerProcess) operatorPath() string { return r.file(".yaml") }
 
-// logPath is the file that a supervised router's processes log to.
+// logPath is the path of the log file that all processes of a supervised router append to.
 func (r *routerProcess) logPath() string { return r.file(".log") }
 
 // supervisorDir is the folder of the router's supervisor.
@@ -20,22 +19,22 @@
 	return filepath.Join(r.dir, fmt.Sprintf("k%d", r.id+1))
 }
 
-// planPath is the file where the routers look for a rollout plan.
+// planPath is the path from which the routers load a rollout plan.
 func (s *socketRun) planPath() string { return filepath.Join(s.dir, "plan.yaml") }
 
-// askSupervisor sends a message to the router's supervisor and returns its last reply.
-func (r *routerProcess) askSupervisor(message *handoff.Message) (*handoff.Message, error) {
+// callSupervisor sends a message to the router's supervisor and returns its last reply.
+func (r *routerProcess) callSupervisor(message *handoff.Message) (*handoff.Message, error) {
 	return handoff.Request(filepath.Join(r.supervisorDir(), upgradeagent.SocketName), message, nil)
 }
 
-// supervisorStatus is the status of the router's supervisor.
+// supervisorStatus requests the status of the router's supervisor.
 func (r *routerProcess) supervisorStatus() (*handoff.Status, error) {
-	reply, err := r.askSupervisor(&handoff.Message{Kind: handoff.KindStatus})
+	reply, err := r.callSupervisor(&handoff.Message{Kind: handoff.KindStatus})
 	if err != nil {
 		return nil, err
 	}
 	if reply.Status == nil {
-		return nil, errors.New("a reply without a status")
+		return nil, fmt.Errorf("router %s: the supervisor's reply has no status", r.platformName())
 	}
 	return reply.Status, nil
 }
--- a/internal/emulator/running_routers.go
+++ b/internal/emulator/running_routers.go
@@ -69,7 +69,7 @@
 
 // Ask sends a message to a router's supervisor and returns its last reply.
 func (s *RunningRouters) Ask(router int, message *handoff.Message) (*handoff.Message, error) {
-	return s.routers[router].askSupervisor(message)
+	return s.routers[router].callSupervisor(message)
 }
 
 // Status is the status of a router's supervisor.
