--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -9,18 +9,18 @@
 	"quilldoor/internal/scenario"
 )
 
-// BenchmarkVirtual gives the simulated requests a second of wall time by size. The load grows
-// with the number of caches.
+// BenchmarkVirtual measures the simulated requests per second of wall time for fleets of several
+// sizes. The load grows with the number of caches.
 func BenchmarkVirtual(b *testing.B) {
 	for _, size := range []struct{ offices, caches int }{{2, 5}, {10, 10}, {100, 10}} {
-		n := size.offices * size.caches
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+		caches := size.offices * size.caches
+		b.Run(fmt.Sprint(caches), func(b *testing.B) {
 			s := scenario.Default()
-			s.LengthS, s.WarmUpS = max(4000/float64(n), 8), 2
+			s.LengthS, s.WarmUpS = max(4000/float64(caches), 8), 2
 			s.Fleet.Offices, s.Fleet.Caches, s.Fleet.Trunks = size.offices, size.caches, min(size.offices, 5)
-			s.Fleet.Parents, s.Fleet.OriginWorkers = max(size.offices/15, 1), 2*n
-			s.Load.RequestsPerS = 13 * float64(n)
-			if n == 1000 {
+			s.Fleet.Parents, s.Fleet.OriginWorkers = max(size.offices/15, 1), 2*caches
+			s.Load.RequestsPerS = 13 * float64(caches)
+			if caches == 1000 {
 				s.Load.RequestsPerS, s.Fleet.Cores = 20_000, 8
 			}
 			requests, attempts := 0, 0
--- a/internal/emulator/membership_views.go
+++ b/internal/emulator/membership_views.go
@@ -7,22 +7,22 @@
 	"quilldoor/internal/simulation"
 )
 
-// Members is what the routers' membership views showed while a run went on.
+// Members holds the results of comparing the routers' membership views during a run.
 type Members struct {
-	Comparisons int      `json:"Looks"` // how often all views were compared
-	AgreedAfter int64    // microseconds from the last beginning or end of a fault; -1: they did not agree again
-	CalledDead  int      // comparisons in which all others that answered held a live router dead
-	DeadByAll   []string // the routers that this happened to
+	Comparisons int      `json:"Looks"` // number of comparisons of all views
+	AgreedAfter int64    // microseconds from the last beginning or end of a fault to agreement; -1: the views don't agree
+	CalledDead  int      // times that a comparison found a live router dead in all other views
+	DeadByAll   []string // names of the routers that CalledDead counts
 
-	countsFrom     int64            // the beginning or end of a fault that AgreedAfter counts from
-	reachableSince map[string]int64 // since when a router is up and exchanges messages with another one
+	lastFaultChange int64            // the beginning or end of a fault that AgreedAfter counts from
+	reachableSince  map[string]int64 // time since which a router has been reachable, by router name
 }
 
-// deadGraceMicros is how long a router must have been reachable until it counts against the
-// others that all of them hold it dead.
+// deadGraceMicros is how long a router must have been reachable before it is an error that all
+// others hold it dead.
 const deadGraceMicros = 3 * microsPerSecond
 
-// recordReachable follows since when a router has been reachable.
+// recordReachable updates the time since which a router has been reachable.
 func (m *Members) recordReachable(now int64, name string, reachable bool) {
 	if m.reachableSince == nil {
 		m.reachableSince = map[string]int64{}
@@ -34,32 +34,32 @@
 	}
 }
 
-// reachable tells whether a router is up and exchanges messages with another one.
+// reachable reports whether a router is running and can exchange messages with another running one.
 func reachable(sim *simulation.Simulation, id int) bool {
-	runs := func(router int) bool { return sim.Up(router) && !sim.Suspended(router) }
-	if !runs(id) {
+	running := func(router int) bool { return sim.Up(router) && !sim.Suspended(router) }
+	if !running(id) {
 		return false
 	}
 	for other := range sim.Routers() {
-		if other != id && runs(other) && sim.Network.Reachable(id, other) && sim.Network.Reachable(other, id) {
+		if other != id && running(other) && sim.Network.Reachable(id, other) && sim.Network.Reachable(other, id) {
 			return true
 		}
 	}
 	return false
 }
 
-// viewIntervalMicros is how often views are compared.
+// viewIntervalMicros is the interval between comparisons of the views.
 const viewIntervalMicros = 200_000
 
-// observe compares the views of the routers that are up. Views has those that could be asked,
-// by the router's name. LastFaultChange is when a fault began or ended last.
+// observe compares the views of the routers that are up. Views holds those that could be queried,
+// by router name. LastFaultChange is the time of the last beginning or end of a fault.
 func (m *Members) observe(now, lastFaultChange int64, up []string, views map[string]*membership.View) {
 	m.Comparisons++
-	if lastFaultChange != m.countsFrom || m.Comparisons == 1 {
-		m.countsFrom = lastFaultChange
+	if lastFaultChange != m.lastFaultChange || m.Comparisons == 1 {
+		m.lastFaultChange = lastFaultChange
 		m.AgreedAfter = -1
 	}
-	agreed := len(views) == len(up) && onlyAlive(up, views)
+	agreed := len(views) == len(up) && noneFalselyAlive(up, views)
 	for _, name := range up {
 		alive, dead, others := countStates(name, views)
 		if alive < others {
@@ -77,8 +77,8 @@
 	}
 }
 
-// recordDeadByAll counts that all others hold a router dead, if it has been reachable for long
-// enough that they should not.
+// recordDeadByAll counts that all others hold a router dead, if it has been reachable for at least
+// deadGraceMicros.
 func (m *Members) recordDeadByAll(now int64, name string) {
 	since, isReachable := m.reachableSince[name]
 	if !isReachable || now-since < deadGraceMicros {
@@ -90,7 +90,8 @@
 	}
 }
 
-// countStates counts the other routers' views in which a router is alive, and dead.
+// countStates counts the views of the other routers, and those of them in which a router is alive
+// or dead.
 func countStates(name string, views map[string]*membership.View) (alive, dead, others int) {
 	for observer, view := range views {
 		if observer == name {
@@ -111,8 +112,8 @@
 	return alive, dead, others
 }
 
-// onlyAlive tells whether no view holds a router alive that is not up.
-func onlyAlive(up []string, views map[string]*membership.View) bool {
+// noneFalselyAlive reports whether no view holds a router alive that is not up.
+func noneFalselyAlive(up []string, views map[string]*membership.View) bool {
 	for _, view := range views {
 		for _, member := range view.Members {
 			if member.State == membership.StateAlive && !slices.Contains(up, member.Name) {
--- a/internal/emulator/platform_config.go
+++ b/internal/emulator/platform_config.go
@@ -6,7 +6,7 @@
 	"quilldoor/internal/settings"
 )
 
-// platformConfig is the platform's configuration file of a router.
+// platformConfig is the configuration file that the platform writes for a router.
 type platformConfig struct {
 	Discovery     string          `json:"board"` // address of the discovery service
 	FlowBytesPerS float64         `json:"flow_bytes_per_s,omitempty"`
@@ -26,8 +26,8 @@
 	Sockets  int `json:"sockets"`
 }
 
-// discoveryUpdate is what the discovery service answers to a poll: the events after a revision.
+// discoveryUpdate is the discovery service's answer to a poll: the events after a revision.
 type discoveryUpdate struct {
-	Revision int               `json:"rev"` // of the last event
+	Revision int               `json:"rev"` // revision of the last event
 	Events   []json.RawMessage `json:"notices"`
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -13,31 +13,31 @@
 	*simulation.Result
 	Violations  []checker.Violation    `json:"Breaks"`
 	CountByRule [checker.RuleCount]int `json:"Count"` // violations by rule
-	Judged      int                    // requests that the checker judged
+	Judged      int                    // requests that the checker has checked
 	MaxDelay    int64                  `json:"Late"` // on sockets: the emulator's longest delay, in microseconds
 
-	Cost               Cost     // on sockets: what the router processes used
-	LateNotices        int      `json:",omitempty"` // endpoints that fell over before routers were notified of their start
+	Cost               Cost     // on sockets: the resources that the router processes used
+	LateNotices        int      `json:",omitempty"` // endpoints overloaded before routers were notified of their start
 	Excused            int      // requests due while their router was suspended, or whose process was killed
-	BrokenConnections  int      `json:"Broke"`   // on sockets: those that ended without an answer, not by their client
-	RefusedConnections int      `json:"Refused"` // on sockets: those that routers did not accept
-	Members            *Members // nil: routers don't know each other
+	BrokenConnections  int      `json:"Broke"`   // on sockets: client connections that broke before an answer
+	RefusedConnections int      `json:"Refused"` // on sockets: client connections that routers did not accept
+	Members            *Members // nil: the scenario has no membership
 }
 
-// Cost is what processes used: the CPU time of all together, the memory of the largest.
+// Cost is the resource use of the router processes.
 type Cost struct {
-	CPU         time.Duration
-	MaxMemoryKB int64 `json:"MostKB"`
+	CPU         time.Duration // of all processes together
+	MaxMemoryKB int64         `json:"MostKB"` // of the process that used most
 }
 
-// MaxDelayMicros is the Result.MaxDelay beyond which a run on sockets proves nothing: the
-// emulator itself used up the time that routers are allowed.
+// MaxDelayMicros is the Result.MaxDelay above which a run on sockets is invalid: the emulator's own
+// delay exceeds the time by which answers may be late.
 const MaxDelayMicros = socketAnswerSlackMicros
 
-// CheckerSettings are the checker's settings for a scenario. Slack is how much later than its deadline
-// an answer may come, in microseconds.
+// CheckerSettings returns the checker's settings for a scenario. Slack is the time by which an
+// answer may be later than its deadline, in microseconds.
 func CheckerSettings(s *scenario.Scenario, slack int64) checker.Settings {
-	// The platform counts a discovery event as known to a router so long after it was posted.
+	// The time after which the platform counts a posted discovery event as known to all routers.
 	const notificationMicros = 7 * microsPerSecond
 	fleet := &s.Fleet
 	return checker.Settings{
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -8,21 +8,22 @@
 	"quilldoor/internal/simulation"
 )
 
-// rolloutRequest is what the canary analysis needs of a request until it is answered.
+// rolloutRequest is the state of an unanswered request that the canary analysis needs.
 type rolloutRequest struct {
-	takenAt  int64
-	class    string
-	attempts int
+	receivedAt int64
+	class      string
+	attempts   int
 }
 
-// minLatencyMicros bounds latencies from below, as their logarithms are summed.
+// minLatencyMicros is the lower bound of counted latencies: their logarithms are summed, and the
+// logarithm of 0 is not finite.
 const minLatencyMicros = 1000
 
-// record follows the requests in the event log.
+// record tracks the requests in the event log.
 func (r *rolloutRun) record(entry *eventlog.Entry) {
 	switch entry.Kind {
 	case eventlog.KindTaken:
-		r.pending[entry.Request] = &rolloutRequest{takenAt: entry.At, class: entry.Class}
+		r.pending[entry.Request] = &rolloutRequest{receivedAt: entry.At, class: entry.Class}
 	case eventlog.KindSent:
 		if request := r.pending[entry.Request]; request != nil {
 			request.attempts++
@@ -35,8 +36,9 @@
 	}
 }
 
-// count adds the end of a request to its router's counts, as the router does, but late responses
-// earn nothing and every transfer counts as assumedTransferMicros.
+// count adds a request that has ended to its router's canary counts. It differs from the router's
+// own counting in two points: late responses earn nothing, and every transfer counts as
+// assumedTransferMicros.
 func (r *rolloutRun) count(entry *eventlog.Entry, request *rolloutRequest) {
 	weight := r.weights[request.class]
 	counts := &r.states[entry.Router].counts
@@ -56,16 +58,16 @@
 	countClass(counts, request.class, weight, earned)
 }
 
-// countCompleted counts a completed request and returns the weight that it earned: all if it
-// met its objective, else none.
+// countCompleted counts a completed request and returns the weight that it earned: its class's
+// weight if it met the latency objective, otherwise 0.
 func (r *rolloutRun) countCompleted(entry *eventlog.Entry, request *rolloutRequest) float64 {
 	counts := &r.states[entry.Router].counts
 	objective := r.objectives[request.class]
-	latency := entry.At - request.takenAt
+	latency := entry.At - request.receivedAt
 	counts.Completed++
 	counts.LogLatencySum += math.Log(float64(max(latency, minLatencyMicros)) / float64(objective))
-	if r.config.ExtraTimeShare > 0 && r.servesNew(entry.Router) {
-		r.countHarm()
+	if r.config.ExtraTimeShare > 0 && r.servesNewProgram(entry.Router) {
+		r.countHarmedRequest()
 	}
 	if latency > objective {
 		return 0
--- a/internal/emulator/rollout_monitor.go
+++ b/internal/emulator/rollout_monitor.go
@@ -7,13 +7,13 @@
 	"quilldoor/internal/simulation"
 )
 
-// routerMonitor is a router's invariant monitor, and what it is to judge next. The methods
-// below implement routerObserver.
+// routerMonitor is a router's invariant monitor, with the recorder of the attempts and responses
+// that it has not checked yet. The methods of rolloutRun below implement routerObserver.
 type routerMonitor struct {
-	monitor   *invariant.Monitor
-	recorder  *invariant.Recorder
-	processID uint64
-	accused   bool // it was seen to break a rule
+	monitor      *invariant.Monitor
+	recorder     *invariant.Recorder
+	processID    uint64
+	violatedRule bool // the monitor has detected a violation
 }
 
 func (r *rolloutRun) endpointsChanged(router int, now int64, complete bool, list []engine.Endpoint) {
@@ -44,12 +44,12 @@
 	)
 }
 
-// observe lets a router's monitor judge what has gathered. After each change of the program
-// it is another process to the monitor.
-func (r *rolloutRun) observe(now int64, i int) invariant.Violations {
-	monitor, state := r.monitors[i], &r.states[i]
+// observe passes a router's recorded attempts and responses to its monitor and returns the
+// violations. After each change of the program the monitor is given a new process ID.
+func (r *rolloutRun) observe(now int64, router int) invariant.Violations {
+	monitor, state := r.monitors[router], &r.states[router]
 	processID := state.runID << 1
-	if r.servesNew(i) {
+	if r.servesNewProgram(router) {
 		processID |= 1
 	}
 	if processID != monitor.processID {
@@ -60,6 +60,6 @@
 	monitor.monitor.Observe(now+epochMicros, monitor.processID, monitor.recorder.Take())
 	monitor.monitor.Tick(now + epochMicros)
 	violations := monitor.monitor.Violations(monitor.processID)
-	monitor.accused = monitor.accused || violations.Rules != 0
+	monitor.violatedRule = monitor.violatedRule || violations.Rules != 0
 	return violations
 }
--- a/internal/emulator/rollout_nodes.go
+++ b/internal/emulator/rollout_nodes.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// routerMemoryMB is the memory that routers report.
+	// routerMemoryMB is the memory use that routers report.
 	routerMemoryMB = 20
-	// evenRequestIntervalMicros is the time between two requests in the counts that all routers
-	// report alike where there is no canary analysis.
+	// evenRequestIntervalMicros is the interval between requests in the equal counts that all
+	// routers report if there is no canary analysis.
 	evenRequestIntervalMicros = 10_000
 )
 
-// rolloutState is which program a router runs, and what its canary analysis counts.
+// rolloutState is the state of a router's program, and its counts for the canary analysis.
 type rolloutState struct {
-	upgraded    bool   // it runs the new program, or changes to it
-	upgrading   bool   // it changes its program now
-	targetNew   bool   // that change, or the last one, is to the new program
-	upgradeEnds int64  // when the change that is under way ends
-	runID       uint64 // the rollout's run in which it changed last
+	upgraded    bool   // it runs the new program, or is changing to it
+	upgrading   bool   // it is changing its program, in either direction
+	targetNew   bool   // the current or last change is to the new program
+	upgradeEnds int64  // end of the current change
+	runID       uint64 // ID of the rollout run with the last change
 	counts      canary.Counts
 }
 
@@ -32,7 +32,8 @@
 	message  *rollout.Message
 }
 
-// step is called at each tick of the virtual clock.
+// step delivers the rollout's messages and runs its nodes. It is called at each tick of the virtual
+// clock.
 func (r *rolloutRun) step(now int64) {
 	due := !r.started && now >= int64(r.config.StartS*microsPerSecond)
 	if r.config.AllAtOnce {
@@ -50,17 +51,19 @@
 		r.started = true
 		r.nodes[0].Command(now+1, rollout.CommandStart)
 	}
-	for i, node := range r.nodes {
-		r.stepNode(now, i, node)
+	for router, node := range r.nodes {
+		r.stepNode(now, router, node)
 	}
 }
 
+// upgradeAll changes all routers to the new program at once.
 func (r *rolloutRun) upgradeAll() {
 	for i := range r.states {
 		r.states[i].upgraded = true
 	}
 }
 
+// startNodes creates a rollout node for each router of the plan.
 func (r *rolloutRun) startNodes(now int64) {
 	for i, router := range r.config.Plan.Routers {
 		random := rand.New(rand.NewPCG(r.seed, uint64(i)))
@@ -68,7 +71,7 @@
 	}
 }
 
-// deliver hands the nodes the messages of the step before.
+// deliver passes the messages of the previous step to the nodes.
 func (r *rolloutRun) deliver(now int64) {
 	due := r.deliveries
 	r.deliveries = nil
@@ -78,14 +81,15 @@
 	}
 }
 
-// stepNode reports a router's state to its node and begins the upgrade that the node wants.
-func (r *rolloutRun) stepNode(now int64, i int, node *rollout.Node) {
-	state := &r.states[i]
+// stepNode reports a router's state to its node, and begins the change of program that the node's
+// target requires.
+func (r *rolloutRun) stepNode(now int64, router int, node *rollout.Node) {
+	state := &r.states[router]
 	if state.upgrading && now >= state.upgradeEnds {
 		state.upgrading = false
 	}
-	node.SetReport(r.report(now, i))
-	r.enqueue(i, node.Tick(now+1))
+	node.SetReport(r.report(now, router))
+	r.enqueue(router, node.Tick(now+1))
 	target := node.Target(now + 1)
 	if target.MayStart && !state.upgrading && target.New != state.upgraded {
 		view, _ := node.View()
@@ -96,21 +100,21 @@
 		state.upgradeEnds = now + int64(r.config.TrialS*microsPerSecond)
 	}
 	if view, age := node.View(); node.IsLeader() && age >= 0 {
-		r.noteView(now, view.Phase, view.Stage, view.Reason)
+		r.recordView(now, view.Phase, view.Stage, view.Reason)
 	}
 }
 
-// report is what a router tells its node.
-func (r *rolloutRun) report(now int64, i int) rollout.Report {
-	state := &r.states[i]
+// report returns the report of a router to its node.
+func (r *rolloutRun) report(now int64, router int) rollout.Report {
+	state := &r.states[router]
 	counts := state.counts
 	counts.Classes = maps.Clone(counts.Classes)
-	if r.config.NoAnalysis { // the same everywhere, so that no router is worse
+	if r.config.NoAnalysis { // equal counts, so that no router looks worse than another
 		even := float64(now) / evenRequestIntervalMicros
 		counts = canary.Counts{Requests: even, WeightOffered: even, WeightEarned: even}
 	}
-	violations := r.observe(now, i)
-	drains, purges := r.monitors[i].monitor.EventCounts()
+	violations := r.observe(now, router)
+	drains, purges := r.monitors[router].monitor.EventCounts()
 	return rollout.Report{
 		Upgraded:       state.upgraded && !state.upgrading,
 		Changing:       state.upgrading,
@@ -125,8 +129,8 @@
 	}
 }
 
-// noteView notes the rollout's state as its leader sees it.
-func (r *rolloutRun) noteView(now int64, phase rollout.Phase, stage int, reason string) {
+// recordView records the leader's view of the rollout's state in the result.
+func (r *rolloutRun) recordView(now int64, phase rollout.Phase, stage int, reason string) {
 	r.outcome.Phase = phase
 	r.outcome.Stage = stage
 	r.outcome.Reason = reason
@@ -139,7 +143,7 @@
 	}
 }
 
-// enqueue keeps a node's messages for the next step.
+// enqueue queues a node's messages for delivery at the next step.
 func (r *rolloutRun) enqueue(from int, out []rollout.Outgoing) {
 	for _, outgoing := range out {
 		r.deliveries = append(r.deliveries, rolloutDelivery{from, outgoing.To, outgoing.Message})
--- a/internal/emulator/running_routers.go
+++ b/internal/emulator/running_routers.go
@@ -16,43 +16,43 @@
 	"quilldoor/internal/scenario"
 )
 
-// readyTimeoutSeconds is how long a generation may take to get ready.
+// readyTimeoutSeconds is the time limit for a generation to become ready.
 const readyTimeoutSeconds = 3
 
-// RunningRouters gives access to the router processes of a run on sockets: upgrades, rollouts and
-// faults go through it. Its methods may be called from any goroutine but the run's loop.
+// RunningRouters controls the router processes of a run on sockets, for upgrades, rollouts and
+// faults. Its methods may be called from any goroutine except the one of the run's loop.
 type RunningRouters struct{ *socketRun }
 
 // Count is the number of routers.
 func (s *RunningRouters) Count() int { return len(s.routers) }
 
-// SupervisorDir is the folder of a router's supervisor.
+// SupervisorDir is the path of the folder of a router's supervisor.
 func (s *RunningRouters) SupervisorDir(router int) string { return s.routers[router].supervisorDir() }
 
-// Operator is the file of a router's operator configuration.
+// Operator is the path of a router's operator configuration.
 func (s *RunningRouters) Operator(router int) string { return s.routers[router].operatorPath() }
 
-// Log is the file that a supervised router's processes log to.
+// Log is the path of the log file that all processes of a supervised router append to.
 func (s *RunningRouters) Log(router int) string { return s.routers[router].logPath() }
 
-// View asks a router for its membership view.
+// View queries a router's membership view.
 func (s *RunningRouters) View(router int) (*membership.View, error) {
 	return transport.Query([]byte(membershipKey), routerName(router), s.routers[router].membershipAddr)
 }
 
-// Config is the file of the platform's configuration of a router.
+// Config is the path of the configuration file that the platform writes for a router.
 func (s *RunningRouters) Config(router int) string { return s.routers[router].configPath() }
 
-// Plan is the file where the routers look for a rollout plan. The run doesn't create it.
+// Plan is the path from which the routers load a rollout plan. The run doesn't create the file.
 func (s *RunningRouters) Plan() string { return s.planPath() }
 
-// Name is a router's member name and its office.
+// Name is a router's name in the membership, and its office.
 func (s *RunningRouters) Name(router int) (name, office string) {
 	return routerName(router), scenario.Zone(s.simulation.Office(router))
 }
 
-// Rollout gives a router a command on the rollout and returns the rollout's status. 0: only
-// the status.
+// Rollout sends a rollout command to a router and returns the rollout's status. The command 0 only
+// requests the status.
 func (s *RunningRouters) Rollout(router int, command rollout.Command) (*rollout.Status, error) {
 	reply, err := s.Ask(router, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
@@ -64,7 +64,7 @@
 	return reply.Rollout, nil
 }
 
-// Listen is the address where clients reach a router.
+// Listen is the address on which a router listens for clients.
 func (s *RunningRouters) Listen(router int) string { return s.routers[router].clientAddr }
 
 // Ask sends a message to a router's supervisor and returns its last reply.
@@ -72,19 +72,20 @@
 	return s.routers[router].callSupervisor(message)
 }
 
-// Status is the status of a router's supervisor.
+// Status requests the status of a router's supervisor.
 func (s *RunningRouters) Status(router int) (*handoff.Status, error) {
 	return s.routers[router].supervisorStatus()
 }
 
-// WaitStatus polls a router's supervisor until its status satisfies reached, or time is over.
+// WaitStatus polls a router's supervisor until its status satisfies reached. An error after the
+// time limit holds the last status.
 func (s *RunningRouters) WaitStatus(
 	router int, within time.Duration, reached func(*handoff.Status) bool,
 ) (*handoff.Status, error) {
-	const interval = 5 * time.Millisecond
+	const pollInterval = 5 * time.Millisecond
 	var last *handoff.Status
 	var err error
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(interval) {
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if s.ctx.Err() != nil {
 			return last, s.ctx.Err()
 		}
@@ -95,19 +96,20 @@
 			}
 		}
 	}
-	timeout := fmt.Errorf("router %d has not reached the wanted status after %v: %+v", router, within, last)
+	timeout := fmt.Errorf("router %d has not reached the wanted status after %v; last status: %+v", router, within, last)
 	return last, errors.Join(timeout, err)
 }
 
-// signalKinds are the event log's entries for signals that change what is expected of a router.
+// signalKinds are the kinds of event log entries for the signals that affect which answers a router
+// owes.
 var signalKinds = map[syscall.Signal]eventlog.Kind{
 	syscall.SIGKILL: eventlog.KindCrashed,
 	syscall.SIGSTOP: eventlog.KindRouterSuspended,
 	syscall.SIGCONT: eventlog.KindRouterResumed,
 }
 
-// Signal sends a signal to a process of a router and notes it in the event log: a killed
-// process owes no answers, and what fell due while one was suspended is counted apart.
+// Signal sends a signal to a process of a router and records it in the event log: a killed process
+// owes no answers, and the checker excuses requests that fall due while a process is suspended.
 func (s *RunningRouters) Signal(router, pid int, signal syscall.Signal) error {
 	err := s.callInLoop(func() error {
 		if kind := signalKinds[signal]; kind != "" {
@@ -116,12 +118,12 @@
 		return syscall.Kill(pid, signal)
 	})
 	if err == nil && signal == syscall.SIGKILL {
-		s.waitGone(router, pid)
+		s.waitExited(router, pid)
 	}
 	return err
 }
 
-// callInLoop calls a function in the run's loop and returns its error, or the context's if
+// callInLoop calls a function in the run's loop and returns its error, or the context's error if
 // the run is over.
 func (s *RunningRouters) callInLoop(call func() error) error {
 	done := make(chan error, 1)
@@ -134,14 +136,14 @@
 	}
 }
 
-// waitGone waits until a killed process has ended, and notes the crash again. On a busy
-// machine that takes milliseconds, in which the system still accepts connections for it:
-// it owes no answers on these either.
-func (s *RunningRouters) waitGone(router, pid int) {
+// waitExited waits until a killed process has exited, and records the crash again. On a busy machine
+// the exit takes milliseconds, during which the kernel still accepts connections for the process.
+// The second entry excuses the requests on these connections.
+func (s *RunningRouters) waitExited(router, pid int) {
 	for s.ctx.Err() == nil {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		_, state, ok := strings.Cut(string(stat), ") ")
-		// The first thread may have ended while others still hold the sockets open.
+		// The main thread may have exited while other threads still hold the sockets open.
 		threads, _ := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 		if err != nil || !ok || len(threads) <= 1 && (state[0] == 'Z' || state[0] == 'X') {
 			break
@@ -151,13 +153,13 @@
 	s.ExcuseCrash(router)
 }
 
-// ExcuseCrash notes that a process of a router has been, or will be, killed by its supervisor:
-// it owes no answers.
+// ExcuseCrash records that a router's supervisor has killed, or will kill, a process of the router,
+// which then owes no answers.
 func (s *RunningRouters) ExcuseCrash(router int) {
 	s.runInLoop(func() { s.Record(&eventlog.Entry{Kind: eventlog.KindCrashed, At: s.simulation.Now(), Router: router}) })
 }
 
-// KillSupervisor kills a router's supervisor alone. Its generations run on.
+// KillSupervisor kills only a router's supervisor. Its generations keep running.
 func (s *RunningRouters) KillSupervisor(router int) error {
 	process := s.routers[router]
 	var exited <-chan struct{}
@@ -174,13 +176,13 @@
 	return err
 }
 
-// StartSupervisor starts a router's supervisor again, on the same machine.
+// StartSupervisor starts a router's supervisor again with the same configuration and folder.
 func (s *RunningRouters) StartSupervisor(router int) error {
 	return s.callInLoop(s.routers[router].launch)
 }
 
-// Restart ends a router that has no supervisor by SIGTERM, as a planned restart does, and
-// starts it again once it has ended.
+// Restart stops a router that has no supervisor with SIGTERM, as a planned restart does, and starts
+// it again once its process has exited.
 func (s *RunningRouters) Restart(router int) error {
 	process := s.routers[router]
 	err := s.callInLoop(func() error {
--- a/internal/emulator/site_relay.go
+++ b/internal/emulator/site_relay.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// relayBufferBytes is how much a relay reads at once.
+	// relayBufferBytes is the size of a relay's read buffer.
 	relayBufferBytes = 16 << 10
-	// relayQueueLength is how many reads may be under way on a relay.
+	// relayQueueLength is the number of chunks that may be queued in one direction of a connection.
 	relayQueueLength = 1024
-	// cutPollInterval is how often a relay looks whether a cut is over.
+	// cutPollInterval is how often a relay checks whether the sites are still cut.
 	cutPollInterval = 5 * time.Millisecond
 )
 
-// startRelay passes connections on to an address, delayed by the latency between sites.
-// While the sites are cut, bytes wait, as they do with TCP.
+// startRelay starts a TCP relay to an address, with the latency between sites. While the sites are
+// cut, the relay holds bytes back and keeps connections open, as TCP does during a network outage.
 func (s *socketRun) startRelay(to string) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,13 +43,13 @@
 	return listener.Addr().String(), nil
 }
 
-// relayChunk is bytes on their way, and when they were read.
+// relayChunk holds bytes that are in transit and the time at which they were read.
 type relayChunk struct {
 	readAt time.Time
 	bytes  []byte
 }
 
-// relayDelayed passes one direction of a connection on, until either end closes.
+// relayDelayed forwards one direction of a connection until either end closes it.
 func (s *socketRun) relayDelayed(from, to net.Conn) {
 	defer to.Close()
 	defer from.Close()
--- a/internal/emulator/sockets.go
+++ b/internal/emulator/sockets.go
@@ -16,20 +16,22 @@
 )
 
 const (
-	// socketAnswerSlackMicros is how much later than its deadline an answer may come on
-	// sockets: 50 ms that the platform allows and 8 ms that the policy allows.
+	// socketAnswerSlackMicros is the time by which an answer may be later than its deadline on
+	// sockets: the platform allows 50 ms and the policy 8 ms.
 	socketAnswerSlackMicros = 58_000
-	// maxListeners bounds the file descriptors: each router has its own address for each server.
+	// maxListeners limits the file descriptors of a run: each router has its own listener for each
+	// server.
 	maxListeners = 3000
-	// clientIdleConns and clientIdleTimeout bound the idle connections of the emulated clients.
+	// clientIdleConns and clientIdleTimeout limit the idle connections of the emulated clients, for
+	// each router.
 	clientIdleConns   = 200
 	clientIdleTimeout = 4 * time.Second
-	// gatewayKeyLifetime is how long the certificates of a run's gateways are valid.
+	// gatewayKeyLifetime is the period of validity of the gateways' certificates.
 	gatewayKeyLifetime = 24 * time.Hour
 )
 
-// socketRun is a run on loopback. Its loop is the one goroutine that touches the simulation
-// and the routers' state; all other goroutines hand it tasks by runInLoop.
+// socketRun is a run on loopback. Only the goroutine of its loop accesses the simulation and the
+// routers' state; all other goroutines pass it tasks with runInLoop.
 type socketRun struct {
 	options        Options
 	scenario       *scenario.Scenario
@@ -37,7 +39,7 @@
 	checker        *checker.Checker
 	routers        []*routerProcess
 	client         *http.Client
-	startedAt      atomic.Pointer[time.Time] // set anew once all routers are ready
+	startedAt      atomic.Pointer[time.Time] // reset once all routers are ready
 	tasks          chan func()
 	dir            string
 	failures       chan error
@@ -45,19 +47,19 @@
 	ctx            context.Context
 	goroutines     sync.WaitGroup
 	config         SocketOptions
-	driverDone     chan error  // nil: there is no Drive, or it has returned
+	driverDone     chan error  // receives the result of Drive; nil: there is no Drive, or it has returned
 	sitesCut       atomic.Bool // sites can't reach each other
-	reportedSecond int64       // the last one that Options.Progress was called for
+	reportedSecond int64       // the last second for which Options.Progress was called
 	maxDelay       int64       // the longest delay of a due event, in microseconds
 	delays         delayMonitor
-	membership     Members // what was seen of the routers' membership views
+	membership     Members
 	cost           Cost
-	brokenConns    int // connections that ended without an answer, not by their client
-	refusedConns   int
+	brokenConns    int // client connections that broke before an answer
+	refusedConns   int // client connections that routers did not accept
 }
 
-// RunOnSockets plays a scenario in real time: it listens on loopback for all that routers
-// talk to, and starts a router process for each router.
+// RunOnSockets plays a scenario in real time: it starts a process for each router, and emulates on
+// loopback the services, clients and networks that the routers communicate with.
 func RunOnSockets(ctx context.Context, s *scenario.Scenario, options Options, config SocketOptions) (*Result, error) {
 	if err := checkListenerCount(s); err != nil {
 		return nil, err
@@ -90,7 +92,8 @@
 	return run.result(), nil
 }
 
-// checkListenerCount refuses scenarios that take more listeners than a run may open.
+// checkListenerCount returns an error for a scenario that requires more listeners than a run may
+// open.
 func checkListenerCount(s *scenario.Scenario) error {
 	fleet := &s.Fleet
 	routers := fleet.Offices * fleet.Routers
@@ -99,7 +102,7 @@
 		listeners += routers * routers // a datagram relay for each pair
 	}
 	if listeners > maxListeners {
-		return fmt.Errorf("%s: %d routers and their servers take %d listeners, %d at most: play it on the virtual clock",
+		return fmt.Errorf("scenario %s: %d routers require %d listeners, more than the limit of %d: run it on the virtual clock",
 			s.Name, routers, listeners, maxListeners)
 	}
 	return nil
@@ -129,7 +132,8 @@
 	return run
 }
 
-// prepareRouters opens what the routers talk to and writes their operators' files.
+// prepareRouters opens the listeners of the emulated services and writes the routers' operator
+// configurations.
 func (s *socketRun) prepareRouters() error {
 	fleet := &s.scenario.Fleet
 	if fleet.Sites >= 2 {
@@ -153,7 +157,7 @@
 	if fleet.Sites < 2 && !fleet.Membership && !fleet.Supervised && fleet.DiskMB <= 0 {
 		return nil
 	}
-	for _, process := range s.routers { // after all have addresses: a file names the peers'
+	for _, process := range s.routers { // in a second loop, as a configuration holds the addresses of all peers
 		if err := process.writeOperatorConfig(); err != nil {
 			return err
 		}
@@ -161,6 +165,7 @@
 	return nil
 }
 
+// makeGatewayKeys writes the certificates and keys of the routers' gateways.
 func (s *socketRun) makeGatewayKeys() error {
 	var names []string
 	for i := range s.simulation.Routers() {
@@ -169,8 +174,8 @@
 	return gateway.MakeKeys(s.dir, names, gatewayKeyLifetime)
 }
 
-// startRouters starts one router after another, as a start takes CPU that the others need,
-// and reports their addresses once all are ready.
+// startRouters starts the routers one at a time, as concurrent starts would compete for the CPU,
+// and calls Ready with their addresses once all are ready.
 func (s *socketRun) startRouters() error {
 	s.restartClock()
 	var addrs []string
@@ -189,8 +194,8 @@
 	return nil
 }
 
-// startWatchers starts what goes on beside the loop: the measuring of delays, polls of the membership
-// views, and Drive.
+// startWatchers starts the goroutines that run beside the loop: the delay monitor, the comparison
+// of membership views, and Drive.
 func (s *socketRun) startWatchers() {
 	s.goroutines.Go(func() { s.delays.watch(s.ctx.Done()) })
 	if s.scenario.Fleet.Membership {
@@ -209,7 +214,7 @@
 	}
 }
 
-// close ends the routers and all goroutines of the run.
+// close kills the routers and waits for all goroutines of the run.
 func (s *socketRun) close() {
 	s.cancel()
 	s.killRouters()
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -15,37 +15,38 @@
 	"quilldoor/internal/simulation"
 )
 
-// connectionFailure is why a client got no answer.
+// connectionFailure is the reason why a client received no answer.
 type connectionFailure int
 
 const (
-	failureNone    connectionFailure = iota // it got an answer
+	failureNone    connectionFailure = iota // the client received an answer
 	failureRefused                          // the router didn't accept the connection
-	failureBroken                           // the connection ended without an answer
+	failureBroken                           // the connection broke before an answer
 )
 
-// The bodies of a write: what the client sends, and what the origin puts before it in its answer.
+// The body of a write is writePrefix and the request's ID. The origin's response to it is
+// recordedPrefix and that body.
 const (
 	writePrefix    = "accepted "
 	recordedPrefix = "recorded "
 )
 
-// clientRequest is a request that a router works on, with the number of its attempts so far.
+// clientRequest is an open request of a router.
 type clientRequest struct {
 	*simulation.Request
-	attempts  int
+	attempts  int // number of attempts so far
 	cancel    context.CancelFunc
-	forwarded bool // it came from a router of another site
+	forwarded bool // a router of another site has forwarded it
 }
 
-// clientResponse is what a client made of an answer.
+// clientResponse is the result of a client's request.
 type clientResponse struct {
 	failure  connectionFailure
 	answer   simulation.Answer
-	mismatch string // what is wrong with the body; "": nothing
+	mismatch string // how the body differs from the expected one; "": it does not
 }
 
-// RequestArrived sends a client's request.
+// RequestArrived sends a client's request to its router.
 func (s *socketRun) RequestArrived(request *simulation.Request) {
 	process := s.routers[request.Router]
 	ctx, cancel := context.WithCancel(s.ctx)
@@ -61,7 +62,7 @@
 	})
 }
 
-// finishRequest tells the simulation what a client got, unless the client has left by now.
+// finishRequest reports a client's response to the simulation, unless the client has left meanwhile.
 func (s *socketRun) finishRequest(process *routerProcess, request *clientRequest, response clientResponse) {
 	if response.mismatch != "" {
 		s.Record(&eventlog.Entry{
@@ -69,7 +70,7 @@
 			State: response.mismatch,
 		})
 	}
-	s.forgetForwarded(request.ID)
+	s.removeForwarded(request.ID)
 	if process.requests[request.ID] != request {
 		return
 	}
@@ -86,8 +87,8 @@
 	}
 }
 
-// forgetForwarded forgets a request at the routers that it was forwarded to.
-func (s *socketRun) forgetForwarded(requestID string) {
+// removeForwarded removes a request from the routers that it was forwarded to.
+func (s *socketRun) removeForwarded(requestID string) {
 	for _, process := range s.routers {
 		if request := process.requests[requestID]; request != nil && request.forwarded {
 			delete(process.requests, requestID)
@@ -95,8 +96,8 @@
 	}
 }
 
-// findForwarded finds a request that another site's router has forwarded to this one, and
-// notes it here. Nil: there is none.
+// findForwarded returns a request that a router of another site has forwarded to this one, and adds
+// it to this router's requests. It returns nil if no router with a gateway has such a request.
 func (r *routerProcess) findForwarded(requestID string) *clientRequest {
 	for _, home := range r.routers {
 		request := home.requests[requestID]
@@ -145,7 +146,7 @@
 	return clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerFailed}}
 }
 
-// newRequest is a client's request in the platform's form.
+// newRequest returns a client's request in the platform's HTTP format.
 func (s *socketRun) newRequest(ctx context.Context, addr string, request *simulation.Request) (*http.Request, error) {
 	method, body := http.MethodGet, []byte(nil)
 	if request.Write {
@@ -168,7 +169,7 @@
 	return httpRequest, nil
 }
 
-// completedResponse checks the body of a complete answer.
+// completedResponse checks the body of an answer with status 200.
 func completedResponse(body []byte, request *simulation.Request) clientResponse {
 	response := clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerCompleted}}
 	if !request.Write {
@@ -176,13 +177,13 @@
 		return response
 	}
 	if string(body) != recordedPrefix+writePrefix+request.ID {
-		response.mismatch = fmt.Sprintf("%.40q for an acceptance", body)
+		response.mismatch = fmt.Sprintf("body %.40q in the answer to a write", body)
 	}
 	return response
 }
 
-// responseBody is the bytes of a copy. They say which object it is and when it was issued,
-// in microseconds, so that a client can tell a stale or mixed-up copy.
+// responseBody returns the body of a copy: its object, part and issue time in microseconds,
+// repeated up to its size. So a client can detect a stale copy or one of another object.
 func responseBody(object string, part, issued int64, sizeKB float64) []byte {
 	header := fmt.Appendf(nil, "%s/%d@%d;", object, part, issued)
 	size := max(int(sizeKB*bytesPerKB), len(header))
@@ -190,25 +191,26 @@
 	return repeated[:size]
 }
 
-// checkBody reads when a copy was issued, and compares each byte with what the copy should be.
+// checkBody returns the issue time that a copy's body holds. Mismatch describes a body that differs
+// from the one that responseBody returns for the request and this issue time.
 func checkBody(body []byte, request *simulation.Request) (issued int64, mismatch string) {
 	header, _, _ := bytes.Cut(body, []byte(";"))
 	separator := bytes.LastIndexByte(header, '@')
 	if separator < 0 {
-		return 0, fmt.Sprintf("%.40q", header)
+		return 0, fmt.Sprintf("body %.40q without an issue time", header)
 	}
 	issued, err := strconv.ParseInt(string(header[separator+1:]), 10, 64)
 	if err != nil || !bytes.Equal(body, responseBody(request.Object, request.Part, issued, request.SizeKB)) {
-		return 0, fmt.Sprintf("%.40q, %d bytes for %s/%d", header, len(body), request.Object, request.Part)
+		return 0, fmt.Sprintf("body %.40q of %d bytes for object %s, part %d", header, len(body), request.Object, request.Part)
 	}
 	return issued, ""
 }
 
-// ClientGone ends a client's wait: it closes its connection.
+// ClientGone closes the connection of a client that no longer waits.
 func (s *socketRun) ClientGone(routerID int, requestID string) {
 	if request := s.routers[routerID].requests[requestID]; request != nil {
 		delete(s.routers[routerID].requests, requestID)
-		s.forgetForwarded(requestID)
+		s.removeForwarded(requestID)
 		request.cancel()
 	}
 }
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// taskQueueLength is how many tasks may wait for the loop before senders block.
+	// taskQueueLength is the number of queued tasks beyond which runInLoop blocks.
 	taskQueueLength = 4096
-	// maxLoopWaitMicros is how long the loop sleeps at most when the simulation has nothing due.
+	// maxLoopWaitMicros is the longest time that the loop waits if no event of the simulation is due.
 	maxLoopWaitMicros = 100_000
 )
 
-// loop plays the simulation by the real clock until it is over.
+// loop runs the simulation in real time until it is over.
 func (s *socketRun) loop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -36,7 +36,7 @@
 	}
 }
 
-// runDue runs the simulation's events that are due, and notes how late they are.
+// runDue runs the simulation's due events, and records the longest delay of one.
 func (s *socketRun) runDue(now int64) {
 	for at := s.simulation.Next(); at <= now && s.simulation.Step(now); at = s.simulation.Next() {
 		s.maxDelay = max(s.maxDelay, s.now()-at)
@@ -53,8 +53,8 @@
 	s.options.Progress(float64(now)/float64(s.simulation.Length()), s.simulation.Result.Timeline)
 }
 
-// waitForEvent waits for a task, the timer, the end of Drive, a failure or the end of the
-// run's context, and handles it.
+// waitForEvent waits for one of these and handles it: a task, the timer, the end of Drive, a
+// failure, or the end of the run's context.
 func (s *socketRun) waitForEvent(timer <-chan time.Time) error {
 	select {
 	case task := <-s.tasks:
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// runInLoop hands the loop a task. Once the run is over the task is dropped.
+// runInLoop queues a task for the run's loop. Once the run is over, it discards the task.
 func (s *socketRun) runInLoop(task func()) {
 	select {
 	case s.tasks <- task:
@@ -86,13 +86,13 @@
 	}
 }
 
-// AttemptEnded answers an attempt.
+// AttemptEnded sends the server's response to an attempt.
 func (s *socketRun) AttemptEnded(_ int, attempt *simulation.Attempt, end simulation.AttemptResult) {
 	attempt.DriverData.(*serverAttempt).finish(attempt, end)
 }
 
-// Record passes an entry of the event log on to the checker and the record. Where a server
-// starts or goes down, its listeners follow.
+// Record passes an entry of the event log to the checker and to Options.Record. It opens or closes
+// the listeners of a server that starts or goes down.
 func (s *socketRun) Record(entry *eventlog.Entry) {
 	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesCut())
 	switch entry.Kind {
@@ -109,7 +109,7 @@
 	}
 }
 
-// fail ends the run with an error. Only the first error counts.
+// fail ends the run with an error. It discards errors after the first.
 func (s *socketRun) fail(err error) {
 	select {
 	case s.failures <- err:
@@ -117,15 +117,15 @@
 	}
 }
 
-// now is the time of the run in microseconds.
+// now is the time since the run began, in microseconds.
 func (s *socketRun) now() int64 { return time.Since(*s.startedAt.Load()).Microseconds() }
 
-// restartClock lets the run's time begin now. Relays of datagrams may read it meanwhile.
+// restartClock sets the beginning of the run to the current time. Datagram relays may read the time
+// concurrently.
 func (s *socketRun) restartClock() {
 	now := time.Now()
 	s.startedAt.Store(&now)
 }
 
-// unixMS is a time of the run as milliseconds since 1970, the form in which the platform
-// tells times.
+// unixMS converts a time of the run to Unix milliseconds, the platform's format of times.
 func (s *socketRun) unixMS(at int64) int64 { return s.startedAt.Load().UnixMilli() + at/microsPerMilli }
--- a/internal/emulator/timer_heap.go
+++ b/internal/emulator/timer_heap.go
@@ -1,7 +1,7 @@
 package emulator
 
-// timerHeap orders routers by their next timer, and by their number where timers are equal.
-// It implements heap.Interface.
+// timerHeap orders routers by their next timer; routers with equal timers are ordered by ID. It
+// implements heap.Interface.
 type timerHeap []*virtualRouter
 
 func (h timerHeap) Len() int { return len(h) }
@@ -22,9 +22,9 @@
 
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
-	x := (*h)[last]
+	router := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	x.heapIndex = -1
-	return x
+	router.heapIndex = -1
+	return router
 }
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// virtualAnswerSlackMicros is how much later than its deadline an answer may come on the
-	// virtual clock.
+	// virtualAnswerSlackMicros is the time by which an answer may be later than its deadline on
+	// the virtual clock.
 	virtualAnswerSlackMicros = 8_000
-	// tickMicros is how often Options.OnTick is called.
+	// tickMicros is the interval between calls of Options.OnTick.
 	tickMicros = 100_000
-	// progressSteps is after how many steps the context and the progress are looked at.
+	// progressSteps is the number of events between checks of the context and of the progress.
 	progressSteps = 1024
 	// never is a time after the end of every run, in microseconds.
 	never = 1 << 62
 )
 
-// virtualRun is a run on a virtual clock. Everything in it happens in one goroutine.
+// virtualRun is a run on a virtual clock. It uses only one goroutine.
 type virtualRun struct {
 	options        Options
 	scenario       *scenario.Scenario
@@ -30,16 +30,16 @@
 	checker        *checker.Checker
 	routers        []*virtualRouter
 	timers         timerHeap
-	woken          []*virtualRouter                    // whose timers have changed
-	readyRequests  []*virtualRequest                   // whose engine has commands for them
-	seenPurges     map[int][]simulation.DiscoveryEvent // by router, where there are several sites
-	fleet          *simfleet.Fleet                     // the routers' membership; nil: they don't know each other
+	wokenRouters   []*virtualRouter                    // routers whose engine's timers have changed
+	readyRequests  []*virtualRequest                   // requests for which their engine has commands
+	seenPurges     map[int][]simulation.DiscoveryEvent // purges by notified router, recorded if there are several sites
+	fleet          *simfleet.Fleet                     // the routers' membership; nil: the scenario has none
 	membership     Members
-	reportedSecond int64 // the last one that Options.Progress was called for
+	reportedSecond int64 // the last second for which Options.Progress was called
 }
 
-// RunVirtual plays a scenario on a virtual clock. The same scenario and seed give the
-// same result, whatever the machine.
+// RunVirtual plays a scenario on a virtual clock. The same scenario and seed give the same result
+// on every machine.
 func RunVirtual(ctx context.Context, s *scenario.Scenario, options Options) (*Result, error) {
 	run := newVirtualRun(s, options)
 	if options.onStart != nil {
@@ -67,12 +67,12 @@
 		run.routers = append(run.routers, router)
 		run.startEngine(router, run.simulation.EndpointList())
 	}
-	run.settle()
+	run.runPending()
 	run.startMembership()
 	return run
 }
 
-// scheduleTick calls Options.OnTick after each tick.
+// scheduleTick schedules the next call of Options.OnTick.
 func (v *virtualRun) scheduleTick() {
 	v.simulation.After(tickMicros, func() {
 		v.options.OnTick(v.simulation.Now())
@@ -80,7 +80,7 @@
 	})
 }
 
-// play carries out one event after another until the simulation is over.
+// play runs one event after another until the simulation is over.
 func (v *virtualRun) play(ctx context.Context) error {
 	end := v.simulation.Length()
 	for steps := 0; !v.simulation.Over(); steps++ {
@@ -100,12 +100,12 @@
 	return nil
 }
 
-// runEvent carries out the next event and what the routers decide on it.
+// runEvent runs the next event and the actions that the routers decide on in response.
 func (v *virtualRun) runEvent(source eventSource, now int64) {
 	switch source {
 	case sourceMembership:
 		v.simulation.AdvanceTo(now)
-		v.fleet.RunUntil(now) // payloadHandler settles what its messages bring
+		v.fleet.RunUntil(now) // payloadHandler calls runPending after each payload
 		return
 	case sourceTimer:
 		v.simulation.AdvanceTo(now)
@@ -113,10 +113,10 @@
 	case sourceSimulation:
 		v.simulation.Step(now)
 	}
-	v.settle()
+	v.runPending()
 }
 
-// reportProgress calls Options.Progress if a second has passed since the last call.
+// reportProgress calls Options.Progress once a simulated second.
 func (v *virtualRun) reportProgress(now, end int64) {
 	second := now / microsPerSecond
 	if second <= v.reportedSecond || v.options.Progress == nil {
@@ -126,7 +126,7 @@
 	v.options.Progress(float64(now)/float64(end), v.simulation.Result.Timeline)
 }
 
-// eventSource is where the next event of a run comes from.
+// eventSource is the source of a run's next event.
 type eventSource int
 
 const (
@@ -135,8 +135,8 @@
 	sourceMembership
 )
 
-// nextEvent is the next event's source and time. Of events at the same time, those of the
-// membership come first, then those of the simulation, then the routers' timers.
+// nextEvent returns the source and the time of the next event. Of events at the same time, those
+// of the membership run first, then those of the simulation, then the routers' timers.
 func (v *virtualRun) nextEvent() (eventSource, int64) {
 	now := v.simulation.Next()
 	if v.fleet != nil {
@@ -165,31 +165,31 @@
 	return result
 }
 
-// now is the routers' time in microseconds.
+// now is the time on the routers' clock, in microseconds.
 func (v *virtualRun) now() int64 { return v.simulation.Now() + epochMicros }
 
-// settle carries out what the routers have decided, until nothing is left. Lists may grow
-// while they are walked.
-func (v *virtualRun) settle() {
-	for len(v.readyRequests) > 0 || len(v.woken) > 0 {
+// runPending runs the commands of ready requests and the timers of woken routers until none are
+// left. Both lists may grow during the iteration.
+func (v *virtualRun) runPending() {
+	for len(v.readyRequests) > 0 || len(v.wokenRouters) > 0 {
 		for i := 0; i < len(v.readyRequests); i++ {
 			request := v.readyRequests[i]
 			request.queued = false
 			v.runCommands(request, request.engineRequest.TakeCommands())
 		}
 		v.readyRequests = v.readyRequests[:0]
-		for i := 0; i < len(v.woken); i++ {
-			router := v.woken[i]
+		for i := 0; i < len(v.wokenRouters); i++ {
+			router := v.wokenRouters[i]
 			router.wakePending = false
 			if router.engine != nil {
 				v.runTimers(router)
 			}
 		}
-		v.woken = v.woken[:0]
+		v.wokenRouters = v.wokenRouters[:0]
 	}
 }
 
-// Record passes an entry of the event log on to the checker and the record.
+// Record passes an entry of the event log to the checker and to Options.Record.
 func (v *virtualRun) Record(entry *eventlog.Entry) {
 	v.checker.Observe(entry)
 	if v.options.Record != nil {
--- a/internal/emulator/virtual_discovery.go
+++ b/internal/emulator/virtual_discovery.go
@@ -11,7 +11,8 @@
 	v.routers[routerID].whenRunning(func() { v.notify(routerID, event) })
 }
 
-// notify applies an event to a router, unless the router is to miss it.
+// notify applies a discovery event to a router, unless Options.MissesUpdate makes the router miss
+// it. The observer is notified in either case.
 func (v *virtualRun) notify(routerID int, event simulation.DiscoveryEvent) {
 	router := v.routers[routerID]
 	if v.options.observer != nil {
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/simulation"
 )
 
-// withdraw ends a request that another site's router no longer waits for.
+// withdraw ends a forwarded request that the router of the other site no longer waits for.
 func (v *virtualRun) withdraw(router *virtualRouter, request *virtualRequest) {
 	request.finished = true
 	request.engine.ClientGone(v.now(), request.engineRequest)
@@ -15,10 +15,11 @@
 	router.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, false)
 }
 
-// forwardedRetryAfterMicros is the Retry-After of an answer that a gateway gives.
+// forwardedRetryAfterMicros is the Retry-After of the answer to a forwarded request.
 const forwardedRetryAfterMicros = 500_000
 
-// forward forwards a request that this site has rejected to another one. False: no site takes it.
+// forward forwards a request that this site has rejected to another site. It returns false if no
+// site accepts the request.
 func (v *virtualRun) forward(request *virtualRequest, maybeExecuted bool) bool {
 	router := request.router
 	now := v.now()
@@ -38,13 +39,13 @@
 	router.forwarded[request.ID] = request
 	request.finished = true
 	v.simulation.Result.Forwarded++
-	far := v.routerByName(peer.Name)
-	budget := router.gateway.Budget(now, request.ID) // the other site counts it from when the request arrives
-	v.acrossSites(func() { v.receiveForwarded(far, request, budget) })
+	remote := v.routerByName(peer.Name)
+	budget := router.gateway.Budget(now, request.ID) // the remote site counts it from the request's arrival
+	v.deliverAcrossSites(func() { v.receiveForwarded(remote, request, budget) })
 	return true
 }
 
-// routerByName is the reverse of routerName.
+// routerByName returns the router with a name that routerName returned; nil: there is none.
 func (v *virtualRun) routerByName(name string) (found *virtualRouter) {
 	for _, router := range v.routers {
 		if routerName(router.id) == name {
@@ -54,43 +55,43 @@
 	return found
 }
 
-// receiveForwarded opens a forwarded request at the other site.
-func (v *virtualRun) receiveForwarded(far *virtualRouter, original *virtualRequest, remaining int64) {
+// receiveForwarded opens a forwarded request at the remote router, or rejects it.
+func (v *virtualRun) receiveForwarded(remote *virtualRouter, original *virtualRequest, remaining int64) {
 	home := original.router
 	rejected := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
-	if far.gateway == nil || far.engine == nil {
-		return // it is down: the home gateway learns that by its silence
+	if remote.gateway == nil || remote.engine == nil {
+		return // the router is down: the home gateway detects that by the missing heartbeats
 	}
 	homeName := routerName(home.id)
-	reason := far.gateway.Admit(v.now(), homeName, original.ID, []string{homeName}, 0)
-	if reason != peerpolicy.ReasonOK || far.requests[original.ID] != nil {
-		v.sendAnswerHome(far, home, original.Request, rejected, 0)
+	reason := remote.gateway.Admit(v.now(), homeName, original.ID, []string{homeName}, 0)
+	if reason != peerpolicy.ReasonOK || remote.requests[original.ID] != nil {
+		v.returnAnswer(remote, home, original.Request, rejected, 0)
 		return
 	}
 	forwarded := *original.Request
-	forwarded.Router = far.id
+	forwarded.Router = remote.id
 	v.Record(&eventlog.Entry{
-		Kind: eventlog.KindForwarded, At: v.simulation.Now(), Router: far.id, Request: original.ID, Attempt: home.id,
+		Kind: eventlog.KindForwarded, At: v.simulation.Now(), Router: remote.id, Request: original.ID, Attempt: home.id,
 	})
-	request := &virtualRequest{Request: &forwarded, router: far, engine: far.engine, forwardedBy: home}
+	request := &virtualRequest{Request: &forwarded, router: remote, engine: remote.engine, forwardedBy: home}
 	if err := v.open(request, remaining); err != nil {
-		far.gateway.FinishInbound(v.now(), homeName, original.ID, false)
-		v.sendAnswerHome(far, home, original.Request, rejected, 0)
+		remote.gateway.FinishInbound(v.now(), homeName, original.ID, false)
+		v.returnAnswer(remote, home, original.Request, rejected, 0)
 	}
 }
 
-// answerForwarded answers a request that another site forwarded here.
+// answerForwarded answers a request that a router of another site has forwarded.
 func (v *virtualRun) answerForwarded(request *virtualRequest, answer simulation.Answer, maybeExecuted bool) {
 	request.finished = true
 	v.detach(request)
-	far := request.router
+	remote := request.router
 	completed := answer.Outcome == simulation.AnswerCompleted
-	far.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, completed)
+	remote.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, completed)
 	peerAnswer := peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeAborted}
 	sizeKB := 0.0
 	switch answer.Outcome {
 	case simulation.AnswerCompleted:
-		// The gateway only compares the time of issue with purges': see sendAnswerHome.
+		// The gateway only compares the issue time with the times of purges: see returnAnswer.
 		peerAnswer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeCompleted, IssuedMillis: answer.IssuedAt}
 		sizeKB = request.SizeKB
 		if request.Write {
@@ -99,17 +100,17 @@
 	case simulation.AnswerRejected:
 		peerAnswer = peerpolicy.PeerAnswer{Outcome: peerpolicy.OutcomeRejected, NeverRan: !maybeExecuted}
 	}
-	v.sendAnswerHome(far, request.forwardedBy, request.Request, peerAnswer, sizeKB)
+	v.returnAnswer(remote, request.forwardedBy, request.Request, peerAnswer, sizeKB)
 }
 
-// sendAnswerHome takes an answer to the site that forwarded the request, after the time that
-// its bytes take.
-func (v *virtualRun) sendAnswerHome(
-	far, home *virtualRouter, request *simulation.Request, answer peerpolicy.PeerAnswer, sizeKB float64,
+// returnAnswer sends an answer to the site that forwarded the request. The transfer time of the
+// body is added to the latency between the sites.
+func (v *virtualRun) returnAnswer(
+	remote, home *virtualRouter, request *simulation.Request, answer peerpolicy.PeerAnswer, sizeKB float64,
 ) {
-	transferMicros := int64(sizeKB / (siteFlows * v.scenario.Fleet.FlowKBPerS) * microsPerSecond)
+	transferMicros := int64(sizeKB / (siteRateMultiple * v.scenario.Fleet.FlowKBPerS) * microsPerSecond)
 	v.simulation.After(transferMicros, func() {
-		v.acrossSites(func() {
+		v.deliverAcrossSites(func() {
 			if home.gateway == nil {
 				return
 			}
@@ -117,20 +118,22 @@
 			// On the virtual clock IssuedMillis and LatestPurgeMillis both hold the simulation's
 			// microseconds: the gateway only compares them with each other.
 			answer.LatestPurgeMillis = v.latestPurge(home, request)
-			home.gateway.HandleAnswer(v.now(), routerName(far.id), request.ID, answer)
+			home.gateway.HandleAnswer(v.now(), routerName(remote.id), request.ID, answer)
 			v.runGatewayActions(home)
 		})
 	})
 }
 
-// recordIssued keeps when a copy was issued, for the answer that the gateway may give.
+// recordIssued records the issue time of the copy in a forwarded request's answer, for the answer
+// to the client.
 func (r *virtualRouter) recordIssued(requestID string, issued int64) {
 	if request := r.forwarded[requestID]; request != nil {
 		request.issued = issued
 	}
 }
 
-// latestPurge is the latest purge of a request's object that a router has heard of.
+// latestPurge is the time of the latest purge of a request's object or group that a router was
+// notified of; 0: there was none.
 func (v *virtualRun) latestPurge(router *virtualRouter, request *simulation.Request) (at int64) {
 	for _, purge := range v.seenPurges[router.id] {
 		if purge.Object != "" && purge.Object == request.Object || purge.Object == "" && purge.Group == request.Group {
@@ -140,14 +143,14 @@
 	return at
 }
 
-// forwardedOutcomes is the client's outcome for an answer of the gateway.
+// forwardedOutcomes maps the outcome of a gateway's answer to that of the answer to the client.
 var forwardedOutcomes = map[peerpolicy.Outcome]simulation.AnswerOutcome{
 	peerpolicy.OutcomeCompleted: simulation.AnswerCompleted,
 	peerpolicy.OutcomeRejected:  simulation.AnswerRejected,
 	peerpolicy.OutcomeAborted:   simulation.AnswerFailed,
 }
 
-// runGatewayActions carries out what a gateway has decided.
+// runGatewayActions executes the actions that a gateway has decided on.
 func (v *virtualRun) runGatewayActions(router *virtualRouter) {
 	for _, action := range router.gateway.Actions() {
 		switch action.Kind {
@@ -174,13 +177,13 @@
 	})
 }
 
-// withdrawAtPeer tells a peer that a forwarded request is no longer waited for.
+// withdrawAtPeer notifies a peer that this router no longer waits for a forwarded request.
 func (v *virtualRun) withdrawAtPeer(router *virtualRouter, peerName, requestID string) {
 	for _, peer := range v.peers(router) {
 		if routerName(peer.id) != peerName {
 			continue
 		}
-		v.acrossSites(func() {
+		v.deliverAcrossSites(func() {
 			request := peer.requests[requestID]
 			if request != nil && request.forwardedBy == router && peer.gateway != nil {
 				v.withdraw(peer, request)
--- a/internal/emulator/virtual_membership.go
+++ b/internal/emulator/virtual_membership.go
@@ -12,8 +12,8 @@
 	"quilldoor/internal/simfleet"
 )
 
-// startMembership starts the routers' membership, where the scenario has one, and compares
-// their views at intervals.
+// startMembership starts the routers' membership, if the scenario has one, and schedules the
+// comparison of their views.
 func (v *virtualRun) startMembership() {
 	if !v.scenario.Fleet.Membership {
 		return
@@ -27,7 +27,7 @@
 	v.scheduleComparison()
 }
 
-// newDetector makes the failure detector of a router that starts: it knows all others.
+// newDetector returns the failure detector of a router that starts. All routers are its seeds.
 func (v *virtualRun) newDetector(host *simfleet.Host, now int64) simfleet.Detector {
 	router := v.routers[host.ID]
 	random := rand.New(rand.NewPCG(v.options.Seed, uint64(host.ID)<<32|router.incarnation))
@@ -40,7 +40,7 @@
 	}, random, now)
 }
 
-// scheduleComparison compares the routers' views after each interval.
+// scheduleComparison schedules the next comparison of the routers' views.
 func (v *virtualRun) scheduleComparison() {
 	v.simulation.After(viewIntervalMicros, func() {
 		v.compareViews()
@@ -48,7 +48,8 @@
 	})
 }
 
-// compareViews compares the views of the routers that are up. A suspended one can't be asked.
+// compareViews compares the views of the routers that are up. Those of suspended routers are
+// missing, as they can't answer a query.
 func (v *virtualRun) compareViews() {
 	views := map[string]*membership.View{}
 	var up []string
@@ -65,11 +66,11 @@
 	v.membership.observe(v.simulation.Now(), v.simulation.LastFaultChange(), up, views)
 }
 
-// maxRequestMicros is the longest time limit of the traffic classes.
+// maxRequestMicros is the longest request time limit of all traffic classes.
 const maxRequestMicros = 5_000_000
 
-// payloadHandler exchanges endpoint state between the routers' replicas, in the payloads of
-// membership messages. It implements the fleet's interface for payloads.
+// payloadHandler exchanges endpoint state between the routers' replicas in the payloads of
+// membership messages. It implements simfleet.PayloadHandler.
 type payloadHandler struct{ *virtualRun }
 
 // Digest is the digest of a router's replica.
@@ -87,10 +88,11 @@
 	for _, purge := range result.Purges {
 		router.engine.Purge(p.now(), purge.Object, purge.Group, purge.At)
 	}
-	p.settle()
+	p.runPending()
 	return result.Replies
 }
 
+// applyEndpoints updates the endpoint list of a router's engine with changes from its replica.
 func (p payloadHandler) applyEndpoints(router *virtualRouter, list []gossip.Endpoint) {
 	if len(list) > 0 {
 		router.engine.UpdateEndpoints(p.now(), policy.ScopeDiff, engineEndpoints(list))
@@ -103,11 +105,11 @@
 	node := host.Detector.(*membership.Node)
 	router.replica.SetSingleConfirmation(node.Connectivity().Known < gossip.MembersForConfirmation)
 	p.applyEndpoints(router, router.replica.Tick(p.now(), p.now()))
-	p.settle()
+	p.runPending()
 }
 
-// mergeEndpoints is an update by the discovery service, merged with what other routers know
-// of later changes.
+// mergeEndpoints merges an update from the discovery service with later changes that the router's
+// replica has received from other routers. Without a replica it returns the update as it is.
 func (v *virtualRun) mergeEndpoints(router *virtualRouter, complete bool, list []engine.Endpoint) []engine.Endpoint {
 	if router.replica == nil {
 		return list
@@ -119,7 +121,7 @@
 	return engineEndpoints(router.replica.ApplyLocal(v.now(), complete, out))
 }
 
-// engineEndpoints is a replica's endpoints in the engine's type.
+// engineEndpoints converts a replica's endpoints to the engine's type.
 func engineEndpoints(list []gossip.Endpoint) (out []engine.Endpoint) {
 	for _, endpoint := range list {
 		out = append(out, engine.Endpoint{Endpoint: endpoint.Endpoint, Address: endpoint.Address})
--- a/internal/emulator/virtual_membership_test.go
+++ b/internal/emulator/virtual_membership_test.go
@@ -7,8 +7,9 @@
 	"quilldoor/scenarios"
 )
 
-// Routers whose discovery service is cut violate rules when they know no other routers, and
-// none when they gossip. The runs are the same but for that.
+// Routers that lose the connection to their discovery service must violate no rule if they exchange
+// endpoint state by gossip. The same runs without membership must violate some, or the scenario
+// would test nothing.
 func TestGossipKeepsTheRulesWhileDiscoveryIsCut(t *testing.T) {
 	violatedAlone := 0
 	for seed := range uint64(4) {
@@ -37,7 +38,7 @@
 		}
 	}
 	if violatedAlone == 0 {
-		t.Error("routers without membership violate no rule: the scenario proves nothing")
+		t.Error("routers without membership violate no rule: the scenario doesn't test gossip")
 	}
 	t.Logf("without membership: %d violations", violatedAlone)
 }
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -8,27 +8,27 @@
 	"quilldoor/internal/stall"
 )
 
-// virtualRequest is a request that a router on the virtual clock works on.
+// virtualRequest is a request of a router on the virtual clock.
 type virtualRequest struct {
 	*simulation.Request
 
 	router        *virtualRouter
-	engine        *engine.Engine // the one that opened it; the router may have been restarted since
+	engine        *engine.Engine // the engine that opened it; the router may have been restarted since
 	engineRequest *engine.Request
 	queued        bool           // it is in virtualRun.readyRequests
-	finished      bool           // it has been answered, forwarded or left
-	issued        int64          // when the copy that another site answered with was issued
-	forwardedBy   *virtualRouter // the router of another site that forwarded it; nil: it came from a client
+	finished      bool           // it was answered, forwarded or withdrawn, its client has left, or its router was killed
+	issued        int64          // issue time of the copy in the answer of another site
+	forwardedBy   *virtualRouter // the router of another site that forwarded it; nil: a client sent it
 }
 
-// virtualResponse is a response on the virtual clock. It has no bytes, only the time when the
-// copy was issued.
+// virtualResponse is a response on the virtual clock. It has no body, only the issue time of the
+// copy.
 type virtualResponse struct{ issued int64 }
 
-// Release does nothing: there is no buffer to give back.
+// Release does nothing, as there is no buffer to release.
 func (virtualResponse) Release() {}
 
-// runCommands carries out what the engine has decided for a request.
+// runCommands executes the engine's commands for a request.
 func (v *virtualRun) runCommands(request *virtualRequest, commands []engine.Command) {
 	for _, command := range commands {
 		switch command.Kind {
@@ -41,21 +41,21 @@
 			if v.options.observer != nil && command.Attempt != nil && !request.finished {
 				v.options.observer.responded(request.router.id, request.Request, command.Attempt, issued)
 			}
-			v.finish(request, answerOf(simulation.AnswerCompleted, issued, &command), command.MaybeExecuted)
+			v.finish(request, answerFromCommand(simulation.AnswerCompleted, issued, &command), command.MaybeExecuted)
 		case engine.CommandReject:
-			v.finish(request, answerOf(simulation.AnswerRejected, 0, &command), command.MaybeExecuted)
+			v.finish(request, answerFromCommand(simulation.AnswerRejected, 0, &command), command.MaybeExecuted)
 		case engine.CommandFail:
-			v.finish(request, answerOf(simulation.AnswerFailed, 0, &command), command.MaybeExecuted)
+			v.finish(request, answerFromCommand(simulation.AnswerFailed, 0, &command), command.MaybeExecuted)
 		}
 	}
 }
 
-// answerOf is the answer to the client that an engine's final command stands for.
-func answerOf(outcome simulation.AnswerOutcome, issued int64, command *engine.Command) simulation.Answer {
+// answerFromCommand returns the answer to the client for an engine's final command.
+func answerFromCommand(outcome simulation.AnswerOutcome, issued int64, command *engine.Command) simulation.Answer {
 	return simulation.Answer{Outcome: outcome, IssuedAt: issued, RetryAfter: command.RetryAfter}
 }
 
-// startAttempt hands an attempt to the simulation.
+// startAttempt passes an attempt to the simulation.
 func (v *virtualRun) startAttempt(request *virtualRequest, attempt *engine.Attempt) {
 	if request.finished || !attempt.Begin() {
 		return
@@ -75,8 +75,9 @@
 	v.simulation.SendAttempt(sent)
 }
 
-// finish takes the engine's final answer. It is the client's, unless another site forwarded the
-// request here, or takes it over as this one rejects it.
+// finish handles the engine's final answer to a request. The answer to a request that another site
+// forwarded is returned to that site. A rejected request of a client is forwarded if another site
+// accepts it. All other answers are sent to the client.
 func (v *virtualRun) finish(request *virtualRequest, answer simulation.Answer, maybeExecuted bool) {
 	switch {
 	case request.finished:
@@ -99,8 +100,8 @@
 		return
 	}
 	request.finished = true
-	count := 1 // a faulty router answers not at all, or twice
-	if v.options.AnswerCount != nil {
+	count := 1
+	if v.options.AnswerCount != nil { // a faulty router answers never or twice
 		count = v.options.AnswerCount(request.ID)
 	}
 	for range count {
@@ -109,7 +110,8 @@
 	v.detach(request)
 }
 
-// detach ends a request at its router, as the downstream server does once it has answered.
+// detach removes a request from its router and detaches it from the engine, as the downstream
+// server does once it has answered.
 func (v *virtualRun) detach(request *virtualRequest) {
 	delete(request.router.requests, request.ID)
 	for _, command := range request.engineRequest.Detach() {
@@ -119,39 +121,40 @@
 	}
 }
 
-// RequestArrived hands a client's request to its router.
+// RequestArrived passes a client's request to its router.
 func (v *virtualRun) RequestArrived(request *simulation.Request) {
 	v.routers[request.Router].whenRunning(func() { v.openRequest(request) })
 }
 
-// openRequest opens a client's request, with the time that is left for it.
+// openRequest opens a client's request with its remaining time, or rejects it.
 func (v *virtualRun) openRequest(arrived *simulation.Request) {
 	router := v.routers[arrived.Router]
 	request := &virtualRequest{Request: arrived, router: router, engine: router.engine}
 	remaining := request.Remaining
-	// A request that is read just after a pause may have waited through all of it.
+	// A request that is read soon after a suspension may have been in the socket buffer for all of
+	// it.
 	if router.resumedAt > 0 && v.now()-router.resumedAt < stall.BufferDrainMicros {
 		remaining -= v.now() - router.suspendedAt
 	}
-	if remaining <= 0 || v.rejectsWithoutNeed(request) {
+	if remaining <= 0 || v.rejectedByFault(request) {
 		v.simulation.Answered(router.id, request.ID, simulation.Answer{Outcome: simulation.AnswerRejected})
 		return
 	}
 	if err := v.open(request, remaining); err != nil {
 		v.simulation.Answered(router.id, request.ID, simulation.Answer{Outcome: simulation.AnswerRejected})
 		request.finished = true
-		request.queued = true // keeps the engine's wake from queueing a request that was never opened
+		request.queued = true // prevents the engine's wake function from queueing a request that was not opened
 	}
 }
 
-// rejectsWithoutNeed tells whether the router is to reject a request by a fault of its own.
-func (v *virtualRun) rejectsWithoutNeed(request *virtualRequest) bool {
+// rejectedByFault reports whether Options.RejectRequest makes the router reject the request.
+func (v *virtualRun) rejectedByFault(request *virtualRequest) bool {
 	rejects := v.options.RejectRequest
 	return rejects != nil && rejects(request.router.id, v.simulation.Class(request.Class).Name)
 }
 
-// open hands a request to its router's engine. The engine puts it among those that are ready
-// when it has commands for it.
+// open opens a request in its router's engine. The engine's wake function adds the request to
+// readyRequests when the engine has commands for it.
 func (v *virtualRun) open(request *virtualRequest, remaining int64) error {
 	opened, err := request.engine.Open(v.now(), policy.Event{
 		Request: request.ID, Class: v.simulation.Class(request.Class).Name, Object: request.Object, Group: request.Group,
@@ -170,12 +173,12 @@
 	return nil
 }
 
-// ClientGone tells a router that a client has gone.
+// ClientGone notifies a router that the client of a request has left.
 func (v *virtualRun) ClientGone(routerID int, requestID string) {
 	v.routers[routerID].whenRunning(func() { v.clientLeft(routerID, requestID) })
 }
 
-// clientLeft ends a request where it is: at the gateway if it was forwarded, else at the engine.
+// clientLeft ends a request at the gateway if the router has forwarded it, otherwise in the engine.
 func (v *virtualRun) clientLeft(routerID int, requestID string) {
 	router := v.routers[routerID]
 	if router.forwarded[requestID] != nil {
@@ -191,12 +194,13 @@
 	}
 }
 
-// AttemptEnded tells a router that an attempt has ended.
+// AttemptEnded notifies a router of the end of an attempt.
 func (v *virtualRun) AttemptEnded(routerID int, attempt *simulation.Attempt, end simulation.AttemptResult) {
 	v.routers[routerID].whenRunning(func() { v.attemptEnded(routerID, attempt, end) })
 }
 
-// attemptEnded hands the result to the engine, later if the router is to appear slower.
+// attemptEnded passes the result of an attempt to the engine, after a delay if
+// Options.ExtraTimeShare makes the router's attempts longer.
 func (v *virtualRun) attemptEnded(routerID int, ended *simulation.Attempt, end simulation.AttemptResult) {
 	router := v.routers[routerID]
 	if router.engine == nil {
--- a/internal/emulator/virtual_rollout.go
+++ b/internal/emulator/virtual_rollout.go
@@ -10,7 +10,8 @@
 	"quilldoor/internal/scenario"
 )
 
-// rolloutRun is the state of a rollout run: a rollout node and a simulated upgrade for each router.
+// rolloutRun is a virtual run with a rollout: each router has a rollout node and a simulated
+// upgrade.
 type rolloutRun struct {
 	*virtualRun
 	config     *RolloutOptions
@@ -24,29 +25,29 @@
 	monitors   []*routerMonitor
 	weights    map[string]float64         // priority weights by traffic class
 	objectives map[string]int64           // latency objectives by traffic class, in microseconds
-	pending    map[string]*rolloutRequest // requests without an answer
+	pending    map[string]*rolloutRequest // unanswered requests by ID
 }
 
 const (
-	// rolloutSeed sets the rollout's random draws apart from those of the simulation.
-	rolloutSeed = 41
-	// assumedTransferMicros is the transfer time that each latency objective allows for: event
-	// log entries have no size to compute it from.
+	// rolloutRandomStream separates the random draws of the rollout from those of the simulation.
+	rolloutRandomStream = 41
+	// assumedTransferMicros is the transfer time that each latency objective allows for. The event
+	// log doesn't hold the size from which the actual transfer time could be computed.
 	assumedTransferMicros = 250_000
 )
 
-// VirtualRollout plays a scenario with a rollout in it.
+// VirtualRollout plays a scenario on the virtual clock with a rollout during the run.
 func VirtualRollout(
 	ctx context.Context, s *scenario.Scenario, seed uint64, options RolloutOptions,
 ) (*RolloutResult, error) {
 	if count := s.Fleet.Offices * s.Fleet.Routers; count != len(options.Plan.Routers) {
-		return nil, fmt.Errorf("%s: %d routers, the plan has %d", s.Name, count, len(options.Plan.Routers))
+		return nil, fmt.Errorf("scenario %s has %d routers, the rollout plan %d", s.Name, count, len(options.Plan.Routers))
 	}
 	run := newRolloutRun(s, seed, &options)
 	result, err := RunVirtual(ctx, s, Options{
 		Seed:           seed,
-		RejectRequest:  run.rejects,
-		MissesUpdate:   run.misses,
+		RejectRequest:  run.rejectsRequest,
+		MissesUpdate:   run.missesUpdate,
 		ExtraTimeShare: run.extraTimeShare,
 		Record:         run.record,
 		OnTick:         run.step,
@@ -61,7 +62,7 @@
 		if run.states[i].upgraded {
 			run.outcome.UpgradedRouters++
 		}
-		if run.monitors[i].accused {
+		if run.monitors[i].violatedRule {
 			run.outcome.AccusedRouters++
 		}
 	}
@@ -71,7 +72,7 @@
 func newRolloutRun(s *scenario.Scenario, seed uint64, options *RolloutOptions) *rolloutRun {
 	run := &rolloutRun{
 		config:     options,
-		random:     rand.New(rand.NewPCG(seed, rolloutSeed)),
+		random:     rand.New(rand.NewPCG(seed, rolloutRandomStream)),
 		seed:       seed,
 		states:     make([]rolloutState, len(options.Plan.Routers)),
 		weights:    map[string]float64{},
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -9,33 +9,36 @@
 	"quilldoor/internal/gateway/peerpolicy"
 )
 
-// The gateways' settings. On the virtual clock the gateways are the router's own, and the
-// network between them is in this file: a latency, and bytes at the rate of some flows.
+// The settings of the gateways and of the simulated network between sites. On the virtual clock the
+// routers use their real gateway policy, and the network has a latency and a transfer rate.
 const (
-	// heartbeatMicros is how often a gateway tells its peers of its capacity.
+	// heartbeatMicros is the interval between a gateway's heartbeats, which hold its capacity.
 	heartbeatMicros = 250_000
-	// ticksPerHeartbeat is how often a gateway's timers run between heartbeats.
+	// ticksPerHeartbeat is the number of gateway ticks in a heartbeat interval.
 	ticksPerHeartbeat = 4
-	// heartbeatPhases is over how many moments of an interval the routers' heartbeats are spread.
+	// heartbeatPhases is the number of offsets in a heartbeat interval over which the routers'
+	// heartbeats are spread.
 	heartbeatPhases = 8
-	// siteFlows is how many times a flow's rate a forwarded response crosses at.
-	siteFlows = 10
-	// siteLocalReserve is the share of a router's capacity that is kept for its own site.
+	// siteRateMultiple is the rate at which a forwarded response crosses between sites, as a
+	// multiple of the rate of a flow.
+	siteRateMultiple = 10
+	// siteLocalReserve is the share of a router's capacity that is reserved for its own site.
 	siteLocalReserve = 0.5
-	// maxForwarded is how many forwarded requests a router has open at most.
+	// maxForwarded is the maximum number of open forwarded requests of a router.
 	maxForwarded = 256
 )
 
-// routerName is a router's name among members and gateways, and of the files for them. It counts
-// from 0, as the event log does; platformName counts from 1.
+// routerName is a router's name in the membership and at the gateways, and in the names of its
+// files. It counts from 0, as the event log does; platformName counts from 1.
 func routerName(router int) string { return fmt.Sprint("n", router) }
 
+// siteOf is the index of a router's site; negative: the scenario has one site.
 func (v *virtualRun) siteOf(router *virtualRouter) int {
 	return v.scenario.Fleet.Site(v.simulation.Office(router.id))
 }
 
-// joinSites gives a starting router its gateway, where there are several sites.
-func (v *virtualRun) joinSites(router *virtualRouter) {
+// startGateway starts the gateway of a router that starts, if there are several sites.
+func (v *virtualRun) startGateway(router *virtualRouter) {
 	site := v.siteOf(router)
 	if site < 0 {
 		return
@@ -59,8 +62,8 @@
 	v.scheduleGatewayTick(firstDelay, router, router.engine, 1)
 }
 
-// scheduleGatewayTick runs a gateway's timers after a delay, in microseconds. The engine tells
-// whether the router has been restarted by then.
+// scheduleGatewayTick schedules a tick of a gateway after a delay, in microseconds. The tick does
+// nothing if the router's engine is no longer the given one, as the router has been restarted.
 func (v *virtualRun) scheduleGatewayTick(delay int64, router *virtualRouter, current *engine.Engine, tick int) {
 	v.simulation.After(delay, func() {
 		if router.engine != current {
@@ -69,7 +72,7 @@
 		now := v.now()
 		router.gateway.Tick(now)
 		v.runGatewayActions(router)
-		v.withdrawSilent(router, now)
+		v.withdrawFromSilentPeers(router, now)
 		v.scheduleGatewayTick(heartbeatMicros/ticksPerHeartbeat, router, current, tick+1)
 		if tick%ticksPerHeartbeat == 0 {
 			v.sendHeartbeats(router, now)
@@ -77,14 +80,14 @@
 	})
 }
 
-// sendHeartbeats tells all peers of a router's capacity.
+// sendHeartbeats sends the offered capacity of a router to all its peers.
 func (v *virtualRun) sendHeartbeats(router *virtualRouter, now int64) {
 	current := router.engine
 	offer := router.gateway.OfferedCapacity(now)
 	name := routerName(router.id)
 	roundTrip := int64(2 * v.scenario.Fleet.SiteMS * microsPerMilli)
 	for _, peer := range v.peers(router) {
-		v.acrossSites(func() {
+		v.deliverAcrossSites(func() {
 			if peer.gateway == nil || peer.engine == nil || router.engine != current {
 				return
 			}
@@ -99,9 +102,10 @@
 	}
 }
 
-// withdrawSilent withdraws what came from a peer that has been silent for long, as the end of
-// its connection would. They are sorted, as the order of a map would not repeat.
-func (v *virtualRun) withdrawSilent(router *virtualRouter, now int64) {
+// withdrawFromSilentPeers withdraws the requests that were forwarded by a peer whose heartbeats are
+// missing, as the end of its connection would. It sorts them, because the order of a map differs
+// between runs.
+func (v *virtualRun) withdrawFromSilentPeers(router *virtualRouter, now int64) {
 	var silent []*virtualRequest
 	for _, request := range router.requests {
 		peer := request.forwardedBy
@@ -115,9 +119,9 @@
 	}
 }
 
-// acrossSites runs a task at the other site after the latency between sites, unless they are
-// cut when the message leaves or arrives.
-func (v *virtualRun) acrossSites(task func()) {
+// deliverAcrossSites runs a task, the receipt of a message at another site, after the latency
+// between sites. The message is lost if the sites are cut when it is sent or when it arrives.
+func (v *virtualRun) deliverAcrossSites(task func()) {
 	if v.simulation.SitesCut() {
 		return
 	}
@@ -128,7 +132,7 @@
 	})
 }
 
-// peers are the routers of other sites that are up.
+// peers returns the routers of other sites that are up.
 func (v *virtualRun) peers(router *virtualRouter) (out []*virtualRouter) {
 	for _, peer := range v.routers {
 		if peer.gateway != nil && peer.engine != nil && v.siteOf(peer) != v.siteOf(router) {
@@ -138,15 +142,16 @@
 	return out
 }
 
-// leaveSites ends the gateway of a router that goes down: its peers lose the connection.
-func (v *virtualRun) leaveSites(router *virtualRouter) {
+// stopGateway stops the gateway of a router that goes down, and notifies its peers of the lost
+// connection.
+func (v *virtualRun) stopGateway(router *virtualRouter) {
 	if router.gateway == nil {
 		return
 	}
 	router.gateway = nil
 	router.forwarded = nil
 	for _, peer := range v.peers(router) {
-		v.acrossSites(func() {
+		v.deliverAcrossSites(func() {
 			if peer.gateway != nil {
 				peer.gateway.Disconnected(routerName(router.id))
 				v.runGatewayActions(peer)
--- a/internal/emulator/virtual_test.go
+++ b/internal/emulator/virtual_test.go
@@ -35,15 +35,15 @@
 	return s
 }
 
-// Each scenario is played twice: the same to the byte, event log included, and the router
-// violates no rule.
+// Two runs of a scenario with the same seed must give the same bytes, event log included, and the
+// router must violate no rule.
 func TestScenariosAreRepeatable(t *testing.T) {
 	names := scenarios.Names()
 	if len(names) < 12 {
-		t.Fatalf("%d scenarios", len(names))
+		t.Fatalf("%d scenarios, want at least 12", len(names))
 	}
 	for _, name := range names {
-		if load(t, name).LengthS > 120 { // for people to look at
+		if load(t, name).LengthS > 120 { // a demonstration, too long for a test
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
@@ -63,14 +63,16 @@
 					t.Error(violation)
 				}
 				if result.Judged < 3000 || result.EarnedShare() < 0.6 {
-					t.Errorf("%d requests judged, %.3f of the weight earned", result.Judged, result.EarnedShare())
+					t.Errorf("%d requests checked, %.3f of the weight earned, want at least 3000 and 0.6",
+						result.Judged, result.EarnedShare())
 				}
 			}
 		})
 	}
 }
 
-// A router that ignores a rule violates this one and no other.
+// The checker must report a router with one fault for the rule that the fault violates, and for no
+// other rule.
 func TestFaultyRoutersAreCaught(t *testing.T) {
 	for name, test := range map[string]struct {
 		scenario string
@@ -102,7 +104,7 @@
 		s := load(t, test.scenario)
 		result := play(t, s, test.options)
 		if result.CountByRule[test.rule] == 0 {
-			t.Errorf("%s: rule %d is kept, %v violated", name, test.rule, result.CountByRule)
+			t.Errorf("%s: no violation of rule %d; violations by rule: %v", name, test.rule, result.CountByRule)
 		}
 		for rule, count := range result.CountByRule {
 			if rule != test.rule && count > 0 {
@@ -112,8 +114,8 @@
 	}
 }
 
-// coldStart is a fleet in which caches of an office come back cold under a load that the
-// office can serve when it is warm.
+// coldStart is a scenario in which caches of an office restart cold under a load that the office
+// can serve only when they are warm.
 func coldStart() *scenario.Scenario {
 	s := scenario.Default()
 	s.LengthS = 40
@@ -124,25 +126,26 @@
 	return &s
 }
 
-// A router without slow start overloads cold caches until they collapse; the real one does not.
+// A router without slow start must overload cold caches until they collapse, and the checker must
+// report each collapse. A router with slow start must let none collapse.
 func TestColdCachesCollapseUnderRoutersWithoutSlowStart(t *testing.T) {
 	correct := play(t, coldStart(), Options{})
 	if correct.Collapsed > 0 || correct.CountByRule[4] > 0 {
-		t.Fatalf("the correct router made %d collapse: %v", correct.Collapsed, correct.Violations)
+		t.Fatalf("with slow start %d caches collapsed: %v", correct.Collapsed, correct.Violations)
 	}
 	faulty := play(t, coldStart(), Options{Settings: func(s *settings.Setup) {
 		s.Contract.ColdFrom, s.Contract.FallMultiple = 1, 1000
 	}})
 	if faulty.Collapsed == 0 || faulty.CountByRule[4] != faulty.Collapsed {
-		t.Fatalf("%d collapsed, %d are in the violations", faulty.Collapsed, faulty.CountByRule[4])
+		t.Fatalf("without slow start %d caches collapsed, %d violations of rule 4", faulty.Collapsed, faulty.CountByRule[4])
 	}
 	if faulty.EarnedShare() >= correct.EarnedShare() {
-		t.Errorf("%.3f of the weight earned with collapsed caches, %.3f without", faulty.EarnedShare(), correct.EarnedShare())
+		t.Errorf("%.3f of the weight earned without slow start, %.3f with it", faulty.EarnedShare(), correct.EarnedShare())
 	}
 }
 
-// Every request ends once, no link carries more than its rate, and no server works while it
-// is down.
+// Every request must end exactly once, no link may carry more than its rate, and no server may work
+// while it is down.
 func TestRequestsEndOnceAndLinksHold(t *testing.T) {
 	for _, name := range []string{"all-at-once", "rude-answers", "deploy-waves"} {
 		s := load(t, name)
@@ -161,7 +164,7 @@
 			}
 		}})
 		if workedWhileDown > 0 {
-			t.Errorf("%s: %d times a dead server worked", name, workedWhileDown)
+			t.Errorf("%s: servers worked %d times while they were down", name, workedWhileDown)
 		}
 		for _, class := range result.Classes {
 			for phase, outcomes := range class.Phases {
