--- a/internal/emulator/delay_monitor.go
+++ b/internal/emulator/delay_monitor.go
@@ -8,8 +8,8 @@
 // delaySampleInterval is the interval between measurements of the emulator's scheduling delay.
 const delaySampleInterval = 10 * time.Millisecond
 
-// delayMonitor measures the scheduling delay of the emulator's goroutines: the emulated clients
-// read answers, and the emulated servers send responses, later by this delay.
+// delayMonitor measures the scheduling delay of the emulator's goroutines, by which the emulated
+// clients read answers late and the emulated servers send responses late.
 type delayMonitor struct {
 	longestMicros atomic.Int64
 }
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -49,7 +49,7 @@
 		name = filepath.Join(filepath.Dir(self), "quilldoor")
 	}
 	if _, err := os.Stat(name); err != nil {
-		return "", fmt.Errorf("program of the routers: %w", err)
+		return "", fmt.Errorf("router program: %w", err)
 	}
 	return name, nil
 }
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// runsEarlierVersion reports whether the router runs SocketOptions.Earlier.
+// runsEarlierVersion reports whether the router runs SocketOptions.Earlier, as every second one does
+// if that is set.
 func (r *routerProcess) runsEarlierVersion() bool { return r.config.Earlier != "" && r.id%2 == 1 }
 
 // configPath is the path of the router's configuration file that the platform writes.
--- a/internal/emulator/process_supervisor.go
+++ b/internal/emulator/process_supervisor.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"errors"
 	"fmt"
 	"path/filepath"
 
@@ -34,7 +35,7 @@
 		return nil, err
 	}
 	if reply.Status == nil {
-		return nil, fmt.Errorf("router %s: the supervisor's reply has no status", r.platformName())
+		return nil, errors.New("the supervisor's reply has no status")
 	}
 	return reply.Status, nil
 }
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -15,8 +15,8 @@
 	attempts   int
 }
 
-// minLatencyMicros is the lower bound of counted latencies: their logarithms are summed, and the
-// logarithm of 0 is not finite.
+// minLatencyMicros is the lower bound of counted latencies. It is needed because their logarithms,
+// which have no lower bound, are summed.
 const minLatencyMicros = 1000
 
 // record tracks the requests in the event log.
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -91,8 +91,8 @@
 	attempt.DriverData.(*serverAttempt).finish(attempt, end)
 }
 
-// Record passes an entry of the event log to the checker and to Options.Record. It opens or closes
-// the listeners of a server that starts or goes down.
+// Record passes an entry of the event log to the checker and to Options.Record. If a server starts
+// or goes down, it updates the listeners of the server first.
 func (s *socketRun) Record(entry *eventlog.Entry) {
 	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesCut())
 	switch entry.Kind {
@@ -127,5 +127,5 @@
 	s.startedAt.Store(&now)
 }
 
-// unixMS converts a time of the run to Unix milliseconds, the platform's format of times.
+// unixMS converts a time of the run to milliseconds since 1970, the platform's format of times.
 func (s *socketRun) unixMS(at int64) int64 { return s.startedAt.Load().UnixMilli() + at/microsPerMilli }
--- a/internal/emulator/virtual_router.go
+++ b/internal/emulator/virtual_router.go
@@ -10,7 +10,7 @@
 )
 
 // epochMicros is the time on the routers' clock at which a run begins, in microseconds. Servers
-// that started before the run are reported with the start time 0.
+// that had started by then are reported with the start time 0.
 const epochMicros = int64(1_000_000_000_000)
 
 // seedSpacing is the distance between the router seeds of runs with consecutive seeds. A router's
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -63,7 +63,7 @@
 }
 
 // scheduleGatewayTick schedules a tick of a gateway after a delay, in microseconds. The tick does
-// nothing if the router's engine is no longer the given one, as the router has been restarted.
+// nothing if the router's engine is no longer the given one, as the router has been killed since.
 func (v *virtualRun) scheduleGatewayTick(delay int64, router *virtualRouter, current *engine.Engine, tick int) {
 	v.simulation.After(delay, func() {
 		if router.engine != current {
@@ -103,8 +103,8 @@
 }
 
 // withdrawFromSilentPeers withdraws the requests that were forwarded by a peer whose heartbeats are
-// missing, as the end of its connection would. It sorts them, because the order of a map differs
-// between runs.
+// missing, as the end of its connection would. It sorts the requests, because the order of a map
+// differs between runs.
 func (v *virtualRun) withdrawFromSilentPeers(router *virtualRouter, now int64) {
 	var silent []*virtualRequest
 	for _, request := range router.requests {
