--- a/cmd/quilldoor-lab/consecutiveupgrades.go
+++ b/cmd/quilldoor-lab/consecutiveupgrades.go
@@ -12,6 +12,8 @@
 	"quilldoor/internal/scenario"
 )
 
+// consecutiveScenario is formatted with the number of upgrades, each of which has a second, and the
+// requests per second.
 const consecutiveScenario = `
 settle_s: 1
 length_s: %d
@@ -19,15 +21,15 @@
 load: {txns_per_s: %g}
 `
 
-// upgradeConsecutively upgrades one router again and again.
+// upgradeConsecutively upgrades one router o.consecutive times in a row and prints the results.
 func (o *changesOptions) upgradeConsecutively(ctx context.Context) error {
 	s, err := scenario.Parse("row", fmt.Appendf(nil, consecutiveScenario, o.consecutive, o.requestsPerS))
 	if err != nil {
 		return err
 	}
 	driver := &consecutiveDriver{upgrades: o.consecutive, durations: newLatencyHistogram()}
-	routers := emulator.SocketOptions{Program: o.routerBin, Drive: driver.drive}
-	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: 1}, routers)
+	socketOptions := emulator.SocketOptions{Program: o.routerBin, Drive: driver.drive}
+	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: 1}, socketOptions)
 	if err != nil {
 		return err
 	}
@@ -40,20 +42,21 @@
 	return nil
 }
 
-// consecutiveDriver upgrades the first router of a run a number of times.
+// consecutiveDriver upgrades the first router of a run several times in a row.
 type consecutiveDriver struct {
 	upgrades  int
-	durations *hdrhistogram.Histogram // of the upgrades, microseconds
-	status    *handoff.Status         // after the last one
+	durations *hdrhistogram.Histogram // of each upgrade, in microseconds
+	status    *handoff.Status         // after the last upgrade
 }
 
+// drive performs the upgrades and then reads the status of the router's supervisor.
 func (d *consecutiveDriver) drive(_ context.Context, routers *emulator.RunningRouters) (err error) {
 	for i := range d.upgrades {
-		began := time.Now()
+		start := time.Now()
 		if err := applyUpgrade(routers, 0); err != nil {
-			return fmt.Errorf("upgrade %d: %w", i+1, err)
+			return fmt.Errorf("upgrade %d of %d: %w", i+1, d.upgrades, err)
 		}
-		d.durations.RecordValue(time.Since(began).Microseconds())
+		d.durations.RecordValue(time.Since(start).Microseconds())
 	}
 	d.status, err = routers.Status(0)
 	return err
--- a/cmd/quilldoor-lab/demo.go
+++ b/cmd/quilldoor-lab/demo.go
@@ -23,38 +23,39 @@
 	showRouter bool
 }
 
-// demoCommand starts an emulated fleet for a first look.
+// demoCommand starts an emulated fleet that serves requests sent by hand.
 func demoCommand() *cobra.Command {
 	var options demoOptions
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Start a small emulated fleet with a router before it, until interrupted",
+		Short: "Run a router in front of a small emulated fleet until interrupted",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
 	flags := command.Flags()
-	flags.StringVar(&options.listen, "listen", "127.0.0.1:8080", "address of the router")
+	flags.StringVar(&options.listen, "listen", "127.0.0.1:8080", "address on which the router serves clients")
 	flags.StringVar(&options.scenario, "script", "demo", "scenario to play")
 	flags.StringVar(&options.routerBin, "router", "", routerFlagHelp)
-	flags.BoolVar(&options.showRouter, "logs", false, "show the router's log")
+	flags.BoolVar(&options.showRouter, "logs", false, "write the router's log to standard error")
 	return command
 }
 
+// run plays the scenario and prints its result if it ends before an interrupt.
 func (o *demoOptions) run(ctx context.Context) error {
 	s, err := scenarios.Load(o.scenario)
 	if err != nil {
 		return err
 	}
-	routers := emulator.SocketOptions{
+	socketOptions := emulator.SocketOptions{
 		Program:               o.routerBin,
 		Listen:                o.listen,
 		AcceptForeignRequests: true,
 		Ready:                 func(addresses []string) { printWelcome(os.Stdout, s, addresses) },
 	}
 	if o.showRouter {
-		routers.Log = os.Stderr
+		socketOptions.Log = os.Stderr
 	}
-	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: s.Seed, Progress: showSeconds()}, routers)
+	result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: s.Seed, Progress: printSeconds()}, socketOptions)
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// showSeconds returns a callback that prints each second once.
-func showSeconds() func(float64, []simulation.Second) {
+// printSeconds returns a progress callback that prints each second of the timeline once.
+func printSeconds() func(float64, []simulation.Second) {
 	shown := 0
 	return func(_ float64, seconds []simulation.Second) {
 		for ; shown < len(seconds); shown++ {
@@ -79,13 +80,13 @@
 	}
 }
 
-// printWelcome writes how to send a request to the demo.
+// printWelcome writes the demo's address and a curl command that sends it a request.
 func printWelcome(to io.Writer, s *scenario.Scenario, addresses []string) {
-	const page = "o1" // objects with even numbers are videos
-	_, group, _, _ := simulation.New(s, s.Seed, nil).Object(page, 0)
+	const object = "o1" // a page: videos have even numbers
+	_, group, _, _ := simulation.New(s, s.Seed, nil).Object(object, 0)
 	fmt.Fprintf(to, "A router serves at %s, before %d caches, their parents and an origin, all emulated. "+
 		"Send it a request:\n\n"+
 		"  curl -si -H 'X-Txn: 00000000000000aa' -H 'X-Ttl-Ms: 2500' -H 'X-Shard: %d' "+
 		"http://%s/rpc/quote-page/%s | head -c 300\n\n"+
-		"Interrupt to end.\n", addresses[0], s.Fleet.Offices*s.Fleet.Caches, group, addresses[0], page)
+		"Interrupt to end.\n", addresses[0], s.Fleet.Offices*s.Fleet.Caches, group, addresses[0], object)
 }
--- a/cmd/quilldoor-lab/diskcache.go
+++ b/cmd/quilldoor-lab/diskcache.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,13 +12,13 @@
 	"quilldoor/internal/diskcache"
 )
 
-// diskVariant is a variant of the disk cache's policy.
+// diskVariant is a variant of the disk cache's policy and its name in the table.
 type diskVariant struct {
 	name    string
 	variant diskcache.Variant
 }
 
-// diskVariants are compared in docs/disk-tier.md.
+// diskVariants are the variants that docs/disk-tier.md compares.
 var diskVariants = []diskVariant{
 	{"the router's", diskcache.Variant{}},
 	{"LRU, all admitted", diskcache.Variant{AdmitAll: true}},
@@ -30,11 +29,11 @@
 }
 
 const (
-	lruVariant    = 1 // index in diskVariants of plain LRU, the baseline for bytes written
-	diskTrialJobs = 6 // runs at once; each holds a whole catalogue in memory
+	lruVariantIndex = 1 // index in diskVariants of plain LRU, the baseline of the bytes written
+	diskTrialJobs   = 6 // concurrent runs; each holds a whole catalogue in memory
 )
 
-// oneTimeShares are the shares of sessions that go to objects requested only once.
+// oneTimeShares are the simulated shares of sessions for objects that are requested only once.
 var oneTimeShares = []float64{0.1, 0.3, 0.6}
 
 // diskTrialCommand compares variants of the disk cache's policy.
@@ -47,13 +46,14 @@
 		Args:  cobra.NoArgs,
 	}
 	flags := command.Flags()
-	flags.IntVar(&workload.Requests, "txns", 1_500_000, "requests; the first third is warm-up")
-	flags.Float64Var(&workload.DiskShare, "disk", 0.05, "size of the disk, as a share of the catalogue's bytes")
-	flags.IntVar(&workload.DriftInterval, "drift", 200, "requests after which two objects swap their popularity; 0: never")
-	flags.IntVar(&seeds, "seeds", 3, "runs of each, of which the mean is printed")
+	flags.IntVar(&workload.Requests, "txns", 1_500_000, "number of requests; the first third is warm-up")
+	flags.Float64Var(&workload.DiskShare, "disk", 0.05, "size of the disk as a share of the catalogue's bytes")
+	flags.IntVar(&workload.DriftInterval, "drift", 200, "number of requests after which two objects swap their popularity; 0: never")
+	flags.IntVar(&seeds, "seeds", 3, "number of runs for each table line, which holds their mean")
 	command.RunE = func(*cobra.Command, []string) error {
 		if seeds < 1 || workload.Requests < 3 || workload.DiskShare <= 0 {
-			return errors.New("--seeds, --txns and --disk: too small")
+			return fmt.Errorf("--seeds %d, --txns %d, --disk %g: at least 1 seed, 3 requests and a disk larger than 0 are required",
+				seeds, workload.Requests, workload.DiskShare)
 		}
 		table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		defer table.Flush()
@@ -70,7 +70,8 @@
 	return command
 }
 
-// runDiskTrial returns results by one-time share, variant and seed.
+// runDiskTrial runs every variant with every one-time share and seed. The results are indexed by
+// one-time share, variant and seed.
 func runDiskTrial(workload diskbench.Workload, seeds int) ([][][]diskbench.Result, error) {
 	results := make([][][]diskbench.Result, len(oneTimeShares))
 	for i := range results {
@@ -92,7 +93,7 @@
 	return results, err
 }
 
-// printDiskTrial writes a line for each variant: means over the seeds.
+// printDiskTrial writes a line for each variant with its means over the seeds.
 func printDiskTrial(to io.Writer, oneTimeShare float64, byVariant [][]diskbench.Result) {
 	for variant, results := range byVariant {
 		var hits, byteHits, writtenPerServed, written, writtenByLRU float64
@@ -101,10 +102,10 @@
 			byteHits += results[seed].ByteHitRatio()
 			writtenPerServed += results[seed].WrittenPerServed()
 			written += float64(results[seed].BytesWritten)
-			writtenByLRU += float64(byVariant[lruVariant][seed].BytesWritten)
+			writtenByLRU += float64(byVariant[lruVariantIndex][seed].BytesWritten)
 		}
-		n := float64(len(results))
+		runs := float64(len(results))
 		fmt.Fprintf(to, "%.0f%%\t%s\t%.3f\t%.3f\t%.3f\t%.2f\n", 100*oneTimeShare, diskVariants[variant].name,
-			hits/n, byteHits/n, writtenPerServed/n, written/writtenByLRU)
+			hits/runs, byteHits/runs, writtenPerServed/runs, written/writtenByLRU)
 	}
 }
--- a/cmd/quilldoor-lab/explain.go
+++ b/cmd/quilldoor-lab/explain.go
@@ -19,17 +19,19 @@
 	var request string
 	command := &cobra.Command{
 		Use:   "explain FILE",
-		Short: "Print the events of one request, attempt by attempt, from an event log",
+		Short: "Print the events of one request and its attempts from an event log",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(_ *cobra.Command, args []string) error { return explain(args[0], request) },
 	}
-	command.Flags().StringVar(&request, requestFlag, "", "id of the request")
+	command.Flags().StringVar(&request, requestFlag, "", "ID of the request")
 	if err := command.MarkFlagRequired(requestFlag); err != nil {
-		panic(err) // only if the flag were not defined
+		panic(err) // not reached: the flag is defined above
 	}
 	return command
 }
 
+// explain prints the events of a request from an event log, each with its time in the run and since
+// the request's first event.
 func explain(path, request string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -59,12 +61,12 @@
 			float64(entry.At)/microsPerSecond, float64(entry.At-first)/microsPerMilli, describe(&entry))
 	}
 	if !found {
-		return fmt.Errorf("%s has no request %s", path, request)
+		return fmt.Errorf("%s: no events of request %q", path, request)
 	}
 	return nil
 }
 
-// describe is an event in words.
+// describe returns a short description of an event.
 func describe(entry *eventlog.Entry) string {
 	switch entry.Kind {
 	case eventlog.KindTaken:
--- a/cmd/quilldoor-lab/hunt.go
+++ b/cmd/quilldoor-lab/hunt.go
@@ -22,44 +22,46 @@
 
 // huntOptions are the flags of hunt.
 type huntOptions struct {
-	draws     int
-	seed      uint64
-	jobs      int
-	shrink    int
-	maxPlays  int
-	outFolder string
-	space     faultsearch.Space
+	draws              int
+	seed               uint64
+	jobs               int
+	reducePerViolation int
+	maxPlays           int
+	outFolder          string
+	space              faultsearch.Space
 }
 
-// huntCommand searches for scenarios that violate a rule.
+// huntCommand searches random scenarios for violated rules.
 func huntCommand() *cobra.Command {
 	options := huntOptions{space: faultsearch.DefaultSpace()}
 	command := &cobra.Command{
 		Use:   "hunt",
-		Short: "Search random scenarios for violated rules and reduce what is found; simulated",
+		Short: "Search random scenarios for violated rules and reduce those that violate one; simulated",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
 	flags := command.Flags()
 	space := &options.space
-	flags.IntVar(&options.draws, "days", 500, "scenarios to draw")
-	flags.Uint64Var(&options.seed, "seed", 1, "of the draw")
+	flags.IntVar(&options.draws, "days", 500, "number of scenarios to draw")
+	flags.Uint64Var(&options.seed, "seed", 1, "seed of the random scenarios")
 	flags.IntVar(&options.jobs, "jobs", runtime.NumCPU(), "scenarios played at once")
-	flags.IntVar(&options.shrink, "shrink", 2, "scenarios to reduce of each kind of violation")
-	flags.IntVar(&options.maxPlays, "plays", 300, "runs to reduce one, at most")
-	flags.StringVar(&options.outFolder, "out", "", "a folder for the reduced scenarios; default: print them")
-	flags.BoolVar(&space.Membership, "members", space.Membership, "draw fleets with membership, too")
-	flags.BoolVar(&space.Sites, "sites", space.Sites, "draw fleets of two sites, too")
-	flags.IntVar(&space.MaxFaults, "most", space.MaxFaults, "faults of a scenario, at most")
-	flags.Float64Var(&space.LengthS, "length", space.LengthS, "seconds of a scenario")
-	flags.StringSliceVar(&space.FaultKinds, "kinds", nil, "of faults; default: all")
+	flags.IntVar(&options.reducePerViolation, "shrink", 2, "number of scenarios to reduce for each kind of violation")
+	flags.IntVar(&options.maxPlays, "plays", 300, "maximum number of runs to reduce one scenario")
+	flags.StringVar(&options.outFolder, "out", "", "folder for the reduced scenarios; default: print them")
+	flags.BoolVar(&space.Membership, "members", space.Membership, "also draw fleets with membership")
+	flags.BoolVar(&space.Sites, "sites", space.Sites, "also draw fleets of two sites")
+	flags.IntVar(&space.MaxFaults, "most", space.MaxFaults, "maximum number of faults of a scenario")
+	flags.Float64Var(&space.LengthS, "length", space.LengthS, "length of a scenario in seconds")
+	flags.StringSliceVar(&space.FaultKinds, "kinds", nil, "kinds of faults to draw; default: all")
 	return command
 }
 
+// run searches, prints a summary and the reduced scenarios, and returns errViolation if any scenario
+// violated a rule.
 func (o *huntOptions) run(ctx context.Context) error {
 	for _, kind := range o.space.FaultKinds {
 		if _, known := scenario.FaultKinds[kind]; !known {
-			return fmt.Errorf("--kinds: %q is not a kind of fault", kind)
+			return fmt.Errorf("--kinds: unknown kind of fault %q", kind)
 		}
 	}
 	findings, err := o.search(ctx)
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// search draws scenarios and plays them.
+// search draws scenarios, plays them and returns a finding for each, in the order of the draw.
 func (o *huntOptions) search(ctx context.Context) ([]*faultsearch.Finding, error) {
 	findings := make([]*faultsearch.Finding, o.draws)
 	err := parallel(o.draws, o.jobs, func(i int) error {
@@ -100,14 +102,14 @@
 	return findings, errors.Join(err, ctx.Err())
 }
 
-// reduce shrinks the first scenarios of each kind of violation.
+// reduce shrinks the first reducePerViolation scenarios of each kind of violation.
 func (o *huntOptions) reduce(
 	ctx context.Context, byViolation map[string][]*faultsearch.Finding,
 ) ([]*faultsearch.Finding, error) {
 	var chosen []*faultsearch.Finding
 	for _, violation := range slices.Sorted(maps.Keys(byViolation)) {
 		findings := byViolation[violation]
-		chosen = append(chosen, findings[:min(o.shrink, len(findings))]...)
+		chosen = append(chosen, findings[:min(o.reducePerViolation, len(findings))]...)
 	}
 	err := parallel(len(chosen), o.jobs, func(i int) error {
 		finding := chosen[i]
@@ -124,16 +126,18 @@
 	return chosen, err
 }
 
-// earnedShareSteps is to how many steps the earned share, from 0 to 1, is sorted.
+// earnedShareSteps is the number of steps that sorting tells apart in an earned share, which lies
+// between 0 and 1.
 const earnedShareSteps = 1e6
 
-// printSummary prints the violations and how the earned share is distributed.
+// printSummary prints the number of scenarios for each kind of violation, and the distribution of
+// the earned share over all scenarios.
 func (o *huntOptions) printSummary(findings []*faultsearch.Finding, byViolation map[string][]*faultsearch.Finding) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "scenarios\t%d\t\n", o.draws)
 	for _, violation := range slices.Sorted(maps.Keys(byViolation)) {
 		found := byViolation[violation]
-		fmt.Fprintf(table, "%s\t%d\t%s\n", violation, len(found), numbersOf(found))
+		fmt.Fprintf(table, "%s\t%d\t%s\n", violation, len(found), formatNumbers(found))
 	}
 	table.Flush()
 	sorted := slices.Clone(findings)
@@ -149,7 +153,7 @@
 		sorted[o.draws/20].EarnedShare, sorted[o.draws/2].EarnedShare)
 }
 
-// write prints a reduced scenario or saves it to the folder.
+// write prints a reduced scenario, or writes it to a file in outFolder if that is set.
 func (o *huntOptions) write(finding *faultsearch.Finding) error {
 	text, err := faultsearch.Marshal(finding.Scenario)
 	if err != nil {
@@ -166,8 +170,9 @@
 	return os.WriteFile(path, fmt.Appendf(nil, "# %v\n%s", finding, text), 0o644)
 }
 
-// playDrawn plays a scenario on the virtual clock. The violation is empty if all rules hold; a
-// panic or an error counts as one, so that the search goes on and can reduce it.
+// playDrawn plays a scenario on the virtual clock. The violation names the violated rules and is
+// empty if there are none. A panic or an error counts as a violation, so that the search continues
+// and can reduce the scenario.
 func playDrawn(ctx context.Context, s *scenario.Scenario) (violation string, earnedShare float64) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -187,8 +192,8 @@
 	return strings.Join(rules, ", "), result.EarnedShare()
 }
 
-// numbersOf lists the numbers of the first findings.
-func numbersOf(findings []*faultsearch.Finding) string {
+// formatNumbers formats the numbers of the first findings, maxShown at most.
+func formatNumbers(findings []*faultsearch.Finding) string {
 	const maxShown = 12
 	var numbers []string
 	for _, finding := range findings[:min(maxShown, len(findings))] {
--- a/cmd/quilldoor-lab/interval.go
+++ b/cmd/quilldoor-lab/interval.go
@@ -7,11 +7,11 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// upperQuantile is that of a two-sided interval of 95 %.
+// upperQuantile is the upper quantile of a two-sided 95 % interval.
 const upperQuantile = 0.975
 
-// pairedDifference returns the mean of other less base, pair by pair, and half the width of its
-// 95 % confidence interval by Student's t distribution.
+// pairedDifference returns the mean of the pairwise differences other[i] - base[i], and half the
+// width of the mean's 95 % confidence interval by Student's t distribution.
 func pairedDifference(base, other []float64) (mean, halfWidth float64) {
 	n := len(base)
 	differences := make([]float64, n)
--- a/cmd/quilldoor-lab/main.go
+++ b/cmd/quilldoor-lab/main.go
@@ -1,8 +1,8 @@
-// Command quilldoor-lab runs experiments with the router's decisions: it plays scenarios of
-// faults on an emulated fleet, on a virtual clock or against router processes, and compares
-// variants. The router contains none of it.
+// Command quilldoor-lab runs experiments on the router's decisions. It plays fault scenarios on
+// an emulated fleet, either on a virtual clock or against router processes, and compares
+// variants of the router's policies. The router's program contains none of this code.
 //
-// Exit codes: 0 success; 1 an error; 2 a rule of the checker was violated.
+// Exit codes: 0: success; 1: an error; 2: a rule of the checker was violated.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	exitViolation = 2
 )
 
-// errViolation ends the command with exitViolation.
+// errViolation makes the command end with exitViolation.
 var errViolation = errors.New("a rule was violated")
 
 func main() {
@@ -48,7 +48,7 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:               "quilldoor-lab",
-		Short:             "Experiments with the router's decisions",
+		Short:             "Run experiments on the router's decisions",
 		SilenceUsage:      true,
 		SilenceErrors:     true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
--- a/cmd/quilldoor-lab/membership.go
+++ b/cmd/quilldoor-lab/membership.go
@@ -15,10 +15,10 @@
 	"quilldoor/internal/simfleet"
 )
 
-// partitionTime is how long the network of a membership trial stays partitioned.
-const partitionTime = 60 * time.Second
+// partitionDuration is the length of the network partition in a membership trial.
+const partitionDuration = 60 * time.Second
 
-// detectors are the failure detectors to compare, by their names in --with.
+// detectors are the failure detectors under comparison, with their names in --with.
 var detectors = []struct {
 	name       string
 	heartbeats bool
@@ -29,30 +29,30 @@
 
 // membersTrialOptions are the flags of members-trial.
 type membersTrialOptions struct {
-	sizes     []int
-	seeds     int
-	kills     int
-	hold      time.Duration
-	loss      float64
-	detectors string
+	sizes          []int
+	seeds          int
+	kills          int
+	stressDuration time.Duration
+	loss           float64
+	detectors      string
 }
 
-// membersTrialCommand plays membership on a virtual clock, beside all-to-all heartbeats.
+// membersTrialCommand compares membership with all-to-all heartbeats on a virtual clock.
 func membersTrialCommand() *cobra.Command {
 	var options membersTrialOptions
 	command := &cobra.Command{
 		Use:   "members-trial",
-		Short: "How soon and how reliably routers detect failures; simulated",
+		Short: "Measure how fast and how reliably routers detect failures; simulated",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
 	flags := command.Flags()
-	flags.IntSliceVar(&options.sizes, "routers", []int{4, 24, 60, 222}, "numbers of routers to play")
-	flags.IntVar(&options.seeds, "seeds", 3, "seeds of each")
-	flags.IntVar(&options.kills, "kills", 20, "routers killed one after another, for each seed")
-	flags.DurationVar(&options.hold, "hold", time.Minute, "duration with stopped and CPU-starved routers")
-	flags.Float64Var(&options.loss, "loss", 0.05, "share of messages lost during that time")
-	flags.StringVar(&options.detectors, "with", "swim,beats", "failure detectors: swim, beats")
+	flags.IntSliceVar(&options.sizes, "routers", []int{4, 24, 60, 222}, "fleet sizes to simulate, in routers")
+	flags.IntVar(&options.seeds, "seeds", 3, "number of seeds for each table line")
+	flags.IntVar(&options.kills, "kills", 20, "number of routers killed one after another, for each seed")
+	flags.DurationVar(&options.stressDuration, "hold", time.Minute, "duration of the stress test with paused and CPU-starved routers")
+	flags.Float64Var(&options.loss, "loss", 0.05, "share of messages lost during the stress test")
+	flags.StringVar(&options.detectors, "with", "swim,beats", "failure detector: swim, beats, or swim,beats for both")
 	return command
 }
 
@@ -77,14 +77,14 @@
 	return nil
 }
 
-// membershipFigures are the figures of one number of routers over all seeds.
+// membershipFigures are the results for one fleet size and detector over all seeds.
 type membershipFigures struct {
 	detection, halfDetection, rejoin *simfleet.Durations
-	partition                        simfleet.PartitionResult // the worst seed's
-	stability                        simfleet.StabilityResult // traffic of the first seed, sums of the rest
+	partition                        simfleet.PartitionResult // the worst value of any seed
+	stability                        simfleet.StabilityResult // traffic of the first seed, counts of all seeds
 }
 
-// play runs the experiments with each seed.
+// play runs the experiments with each seed and combines their results.
 func (o *membersTrialOptions) play(routers int, heartbeats bool) *membershipFigures {
 	var total *membershipFigures
 	for seed := range uint64(o.seeds) {
@@ -92,9 +92,9 @@
 		figures := new(membershipFigures)
 		figures.detection = experiment.Detection(o.kills)
 		figures.halfDetection, figures.rejoin = experiment.KillHalf()
-		figures.partition = experiment.Partition(partitionTime.Microseconds())
+		figures.partition = experiment.Partition(partitionDuration.Microseconds())
 		experiment.Loss = o.loss
-		figures.stability = experiment.Stability(o.hold.Microseconds())
+		figures.stability = experiment.Stability(o.stressDuration.Microseconds())
 		if total == nil {
 			total = figures
 			continue
@@ -104,7 +104,7 @@
 	return total
 }
 
-// add merges the figures of another seed.
+// add combines the results with those of another seed.
 func (m *membershipFigures) add(other *membershipFigures) {
 	mergeDurations(m.detection, other.detection)
 	mergeDurations(m.halfDetection, other.halfDetection)
@@ -119,12 +119,13 @@
 	m.stability.Deaths += other.stability.Deaths
 }
 
+// mergeDurations adds the durations and misses of from to into.
 func mergeDurations(into, from *simfleet.Durations) {
 	into.Merge(from.Histogram)
 	into.Missed += from.Missed
 }
 
-// print writes the figures as a line of the table; times are in ms.
+// print writes the results as a line of the table. Times are in milliseconds.
 func (m *membershipFigures) print(to io.Writer, routers int, detector string) {
 	cells := []string{
 		fmt.Sprint(routers),
@@ -146,20 +147,20 @@
 	fmt.Fprintln(to, strings.Join(cells, "\t")+"\t")
 }
 
-// membersProcessesCommand kills router processes on loopback.
+// membersProcessesCommand measures failure detection by killing router processes on loopback.
 func membersProcessesCommand() *cobra.Command {
 	var routers, kills int
 	var seed uint64
 	var routerBin string
 	command := &cobra.Command{
 		Use:   "members-processes",
-		Short: "How soon all routers detect the death of a router process",
+		Short: "Measure how soon all routers detect a killed router process",
 		Args:  cobra.NoArgs,
 	}
 	flags := command.Flags()
-	flags.IntVar(&routers, "routers", 24, "processes")
-	flags.IntVar(&kills, "kills", 30, "processes killed one after another")
-	flags.Uint64Var(&seed, "seed", 1, "of the choice of processes and times")
+	flags.IntVar(&routers, "routers", 24, "number of router processes")
+	flags.IntVar(&kills, "kills", 30, "number of processes killed one after another")
+	flags.Uint64Var(&seed, "seed", 1, "seed of the random choice of processes and times")
 	flags.StringVar(&routerBin, "router", "", routerFlagHelp)
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		times, missed, err := emulator.MeasureFailureDetection(command.Context(), routerBin, routers, kills, seed)
--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -17,21 +17,21 @@
 	"quilldoor/scenarios"
 )
 
-// unchangedShare stands for the share of killed routers that the scenario itself names.
+// unchangedShare keeps the share of killed routers that the scenario sets.
 const unchangedShare = -1
 
-// pairsCommand plays scenarios with and without membership, with the same seeds on both sides.
+// pairsCommand compares scenarios without and with membership, both played with the same seeds.
 func pairsCommand() *cobra.Command {
 	var seeds int
 	var killedShares []float64
 	command := &cobra.Command{
 		Use:   "pairs SCENARIO...",
-		Short: "Scenarios without and with membership, paired by seed; simulated",
+		Short: "Compare scenarios without and with membership, paired by seed; simulated",
 		Args:  cobra.MinimumNArgs(1),
 	}
-	command.Flags().IntVar(&seeds, "seeds", 16, "of each")
+	command.Flags().IntVar(&seeds, "seeds", 16, "number of seeds for each scenario, without and with membership")
 	command.Flags().Float64SliceVar(&killedShares, "killed", nil,
-		"play each with these shares of the routers killed by its first router_dies")
+		"shares of the routers that the first router_dies of a scenario kills; default: the scenario's own")
 	command.RunE = func(command *cobra.Command, names []string) error {
 		if len(killedShares) == 0 {
 			killedShares = []float64{unchangedShare}
@@ -53,7 +53,7 @@
 	return command
 }
 
-// comparePair plays a scenario without and with membership and writes a line of the table.
+// comparePair plays a scenario without and with membership and writes its line of the table.
 func comparePair(ctx context.Context, to io.Writer, name string, killedShare float64, seeds int) error {
 	off, err := playSeeds(ctx, name, killedShare, seeds, false)
 	if err != nil {
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// seedFigures are the figures of a scenario over all seeds.
+// seedFigures are the results of a scenario over all seeds.
 type seedFigures struct {
 	earned     []float64 // share of the offered weight, by seed
 	violations int
-	overloaded int // servers
+	overloaded int // servers that collapsed while they warmed up
 }
 
-// String is the figures' four cells of the table.
+// String formats the four cells of the table: mean, worst, violations and overloaded.
 func (f *seedFigures) String() string {
 	return fmt.Sprintf("%.4f\t%.4f\t%d\t%d", stat.Mean(f.earned, nil), slices.Min(f.earned), f.violations, f.overloaded)
 }
 
-// playSeeds plays a scenario once with each seed, on all cores but one.
+// playSeeds plays a scenario once with each seed from 1 on. It leaves one core free.
 func playSeeds(
 	ctx context.Context, name string, killedShare float64, seeds int, membership bool,
 ) (*seedFigures, error) {
@@ -113,7 +113,7 @@
 	return figures, nil
 }
 
-// setKilledShare sets the share of the routers that the first router_dies kills.
+// setKilledShare sets the share of the routers that the first router_dies of a scenario kills.
 func setKilledShare(s *scenario.Scenario, share float64) {
 	for i := range s.Faults {
 		if s.Faults[i].Kind == scenario.KindRouterDeath {
--- a/cmd/quilldoor-lab/parallel.go
+++ b/cmd/quilldoor-lab/parallel.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sync/errgroup"
 
-// parallel calls do for each of 0 to n-1, at most jobs at once, and returns the error
-// of the lowest index.
+// parallel calls do with each index from 0 to n-1, at most jobs calls at once. It makes all calls
+// even if some fail, and returns the error of the lowest index that failed.
 func parallel(n, jobs int, do func(i int) error) error {
 	errs := make([]error, n)
 	var group errgroup.Group
@@ -14,7 +14,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the errors are in errs
+	_ = group.Wait() // always nil: the errors are in errs
 	for _, err := range errs {
 		if err != nil {
 			return err
--- a/cmd/quilldoor-lab/result.go
+++ b/cmd/quilldoor-lab/result.go
@@ -13,10 +13,10 @@
 
 const (
 	maxViolationsShown = 10
-	timelineWidth      = 60 // characters of the second with the most responses
+	timelineWidth      = 60 // characters of the longest bar, which the busiest second has
 )
 
-// printResult writes a result as text.
+// printResult writes the result of a run as text.
 func printResult(to io.Writer, s *scenario.Scenario, result *emulator.Result) {
 	fmt.Fprintf(to, "%s: %s\n", s.Name, s.About)
 	for _, fault := range result.Faults {
@@ -28,7 +28,7 @@
 	printViolations(to, result)
 }
 
-// printClasses writes a line for each traffic class and phase.
+// printClasses writes a table with a line for each traffic class and phase.
 func printClasses(to io.Writer, result *emulator.Result) {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
@@ -73,7 +73,7 @@
 	}
 }
 
-// printViolations writes the checker's findings.
+// printViolations writes the first violations that the checker found, and their counts by rule.
 func printViolations(to io.Writer, result *emulator.Result) {
 	if len(result.Violations) == 0 {
 		fmt.Fprintf(to, "the checker judged %d requests: no rule violated\n", result.Judged)
@@ -89,7 +89,8 @@
 	}
 }
 
-// printTimeline draws a bar for each second: responses in time, late, and none.
+// printTimeline writes a bar for each second, made of the requests completed in time, completed
+// late and not completed.
 func printTimeline(to io.Writer, result *emulator.Result) {
 	busiest := 1
 	for _, second := range result.Timeline {
--- a/cmd/quilldoor-lab/rolloutcases.go
+++ b/cmd/quilldoor-lab/rolloutcases.go
@@ -2,14 +2,14 @@
 
 import "quilldoor/internal/emulator"
 
-// rolloutDay is a set of faults during the rollout.
-type rolloutDay struct {
+// rolloutFaultSet is a set of faults that occur during a rollout.
+type rolloutFaultSet struct {
 	name     string
-	faults   string // YAML of the scenario
-	explicit bool   // played only for cases that name it
+	faults   string // in the YAML of a scenario
+	explicit bool   // used only by cases that name it
 }
 
-var rolloutDays = []rolloutDay{
+var rolloutFaultSets = []rolloutFaultSet{
 	{name: "calm"},
 	{name: "troubled", faults: `troubles:
   - {kind: die, at: 40, for: 10, share: 0.2}
@@ -31,48 +31,48 @@
 `},
 }
 
-// How a new program is rolled out.
+// The modes of rolling out a new program, by their names in the table.
 const (
-	modeJudged    = "judged"
-	modeNoJudge   = "no judge"
-	modeAtOnce    = "all at once"
-	modeNoRollout = "no rollout"
+	modeAnalyzed    = "judged"   // in stages, with canary analysis of each
+	modeNotAnalyzed = "no judge" // in stages, without canary analysis
+	modeAllAtOnce   = "all at once"
+	modeNoRollout   = "no rollout"
 )
 
-// sameProgram is a rollout case without a change.
+// sameProgram names the program of cases that roll out the running program again.
 const sameProgram = "the same"
 
-// rolloutCase is a new program and how it is rolled out.
+// rolloutCase is a new program with the mode of its rollout.
 type rolloutCase struct {
-	program string
-	day     string // empty: all days that are not explicit
-	mode    string
-	rolling emulator.RolloutOptions
+	program  string
+	faultSet string // empty: all sets that are not explicit
+	mode     string
+	options  emulator.RolloutOptions
 }
 
 var rolloutCases = []rolloutCase{
-	{sameProgram, "", modeJudged, emulator.RolloutOptions{}},
-	{"refuses 0.02", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.02}},
-	{"refuses 0.05", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.05}},
-	{"refuses 0.1", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.1}},
-	{"refuses 0.3", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.3}},
-	{"refuses 0.5 of acceptances", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.5, RejectClass: "quote-accept"}},
-	{"refuses 0.2 once all have it", "", modeJudged, emulator.RolloutOptions{RejectShare: 0.2, RejectOnceComplete: true}},
-	{"a tenth slower", "", modeJudged, emulator.RolloutOptions{ExtraTimeShare: 0.1}},
-	{"a fifth slower", "", modeJudged, emulator.RolloutOptions{ExtraTimeShare: 0.2}},
-	{"half slower", "", modeJudged, emulator.RolloutOptions{ExtraTimeShare: 0.5}},
-	{"refuses 0.1", "", modeNoJudge, emulator.RolloutOptions{RejectShare: 0.1, NoAnalysis: true}},
-	{"refuses 0.1", "", modeAtOnce, emulator.RolloutOptions{RejectShare: 0.1, AllAtOnce: true}},
+	{sameProgram, "", modeAnalyzed, emulator.RolloutOptions{}},
+	{"refuses 0.02", "", modeAnalyzed, emulator.RolloutOptions{RejectShare: 0.02}},
+	{"refuses 0.05", "", modeAnalyzed, emulator.RolloutOptions{RejectShare: 0.05}},
+	{"refuses 0.1", "", modeAnalyzed, emulator.RolloutOptions{RejectShare: 0.1}},
+	{"refuses 0.3", "", modeAnalyzed, emulator.RolloutOptions{RejectShare: 0.3}},
+	{"refuses 0.5 of acceptances", "", modeAnalyzed, emulator.RolloutOptions{RejectShare: 0.5, RejectClass: "quote-accept"}},
+	{"refuses 0.2 once all have it", "", modeAnalyzed, emulator.RolloutOptions{RejectShare: 0.2, RejectOnceComplete: true}},
+	{"a tenth slower", "", modeAnalyzed, emulator.RolloutOptions{ExtraTimeShare: 0.1}},
+	{"a fifth slower", "", modeAnalyzed, emulator.RolloutOptions{ExtraTimeShare: 0.2}},
+	{"half slower", "", modeAnalyzed, emulator.RolloutOptions{ExtraTimeShare: 0.5}},
+	{"refuses 0.1", "", modeNotAnalyzed, emulator.RolloutOptions{RejectShare: 0.1, NoAnalysis: true}},
+	{"refuses 0.1", "", modeAllAtOnce, emulator.RolloutOptions{RejectShare: 0.1, AllAtOnce: true}},
 	{sameProgram, "", modeNoRollout, emulator.RolloutOptions{StartS: 1e9}},
-	{sameProgram, "purges and drains", modeJudged, emulator.RolloutOptions{}},
-	{"deaf to purges", "purges and drains", modeJudged, emulator.RolloutOptions{MissesPurges: true}},
-	{"deaf to drains", "purges and drains", modeJudged, emulator.RolloutOptions{MissesDrains: true}},
+	{sameProgram, "purges and drains", modeAnalyzed, emulator.RolloutOptions{}},
+	{"deaf to purges", "purges and drains", modeAnalyzed, emulator.RolloutOptions{MissesPurges: true}},
+	{"deaf to drains", "purges and drains", modeAnalyzed, emulator.RolloutOptions{MissesDrains: true}},
 }
 
-// on reports whether the case is played on a day.
-func (c *rolloutCase) on(day rolloutDay) bool {
-	if c.day == "" {
-		return !day.explicit
+// playedWith reports whether the case is played with a set of faults.
+func (c *rolloutCase) playedWith(faultSet rolloutFaultSet) bool {
+	if c.faultSet == "" {
+		return !faultSet.explicit
 	}
-	return c.day == day.name
+	return c.faultSet == faultSet.name
 }
--- a/cmd/quilldoor-lab/rolloutchart.go
+++ b/cmd/quilldoor-lab/rolloutchart.go
@@ -26,32 +26,33 @@
 	toleranceColor = color.RGBA{180, 40, 40, 255}
 )
 
-// drawBound plots a metric's samples, their running mean, its current interval and the tolerance.
-func drawBound(bound *rollout.MetricInterval) (template.HTML, error) {
+// drawInterval plots a metric's samples and their running mean, with its current confidence
+// interval and its tolerance as horizontal lines.
+func drawInterval(interval *rollout.MetricInterval) (template.HTML, error) {
 	chart := plot.New()
 	chart.X.Label.Text = "sample"
-	chart.Y.Label.Text = "new less old"
-	if err := addSamples(chart, bound.Samples); err != nil {
+	chart.Y.Label.Text = "new minus old"
+	if err := addSamples(chart, interval.Samples); err != nil {
 		return "", err
 	}
-	lastX := float64(max(len(bound.Samples), 2))
+	lastX := float64(max(len(interval.Samples), 2))
 	for _, line := range []struct {
 		name  string // empty: not in the legend
 		y     float64
 		color color.Color
 	}{
-		{"interval", bound.Low, intervalColor},
-		{"", bound.High, intervalColor},
-		{"tolerance", bound.Tolerance, toleranceColor},
+		{"interval", interval.Low, intervalColor},
+		{"", interval.High, intervalColor},
+		{"tolerance", interval.Tolerance, toleranceColor},
 	} {
-		if err := addLevel(chart, line.name, line.y, lastX, line.color); err != nil {
+		if err := addHorizontalLine(chart, line.name, line.y, lastX, line.color); err != nil {
 			return "", err
 		}
 	}
 	return chartSVG(chart)
 }
 
-// addSamples adds the samples and their running mean.
+// addSamples adds the samples and their running mean to the chart.
 func addSamples(chart *plot.Plot, samples []float64) error {
 	points := make(plotter.XYs, len(samples))
 	means := make(plotter.XYs, len(samples))
@@ -80,13 +81,14 @@
 	return nil
 }
 
-// addLevel adds a dashed horizontal line.
-func addLevel(chart *plot.Plot, name string, y, lastX float64, c color.Color) error {
+// addHorizontalLine adds a dashed horizontal line from x = 1 to lastX, in the legend if it has a
+// name.
+func addHorizontalLine(chart *plot.Plot, name string, y, lastX float64, lineColor color.Color) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: 1, Y: y}, {X: lastX, Y: y}})
 	if err != nil {
 		return err
 	}
-	line.Color = c
+	line.Color = lineColor
 	line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	chart.Add(line)
 	if name != "" {
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// chartSVG returns the chart as an svg element.
+// chartSVG renders the chart as an svg element.
 func chartSVG(chart *plot.Plot) (template.HTML, error) {
 	writer, err := chart.WriterTo(vg.Points(chartWidth), vg.Points(chartHeight), "svg")
 	if err != nil {
@@ -106,7 +108,7 @@
 		return "", err
 	}
 	text := svg.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 { // an XML prologue is not allowed inside a page
+	if i := bytes.Index(text, []byte("<svg")); i > 0 { // an XML prolog is not allowed inside an HTML page
 		text = text[i:]
 	}
 	return template.HTML(text), nil
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -17,6 +17,7 @@
 	"quilldoor/internal/scenario"
 )
 
+// rolloutCostScenario is formatted with the length in seconds and the requests per second.
 const rolloutCostScenario = `
 settle_s: 3
 length_s: %g
@@ -25,11 +26,12 @@
 `
 
 const (
-	// rolloutCostTries is how often a run is played when the machine is too busy for it.
-	rolloutCostTries = 3
-	// rolloutPollInterval is the time between looks at the routers' rollout status.
+	// maxRolloutCostPlays limits how often a run is played when the machine is too busy.
+	maxRolloutCostPlays = 3
+	// rolloutPollInterval is the time between polls of the routers' rollout status.
 	rolloutPollInterval = 200 * time.Millisecond
-	// startingRouter is the index of the router that gets the command to start: any one will do.
+	// startingRouter is the index of the router that receives the command to start. Any router
+	// accepts it.
 	startingRouter = 1
 )
 
@@ -41,51 +43,52 @@
 	routerBin    string
 }
 
-// rolloutCostCommand plays rollouts of the running program among eight router processes, beside
-// calm runs with the same seeds.
+// rolloutCostCommand compares runs in which eight router processes roll out the program that they
+// already run with runs without a rollout. Both use the same seeds.
 func rolloutCostCommand() *cobra.Command {
 	var options rolloutCostOptions
 	command := &cobra.Command{
 		Use:   "rollout-cost",
-		Short: "What a rollout of the same program costs eight router processes on loopback, beside calm runs",
+		Short: "Measure the cost of a rollout of the same program to eight router processes on loopback, against calm runs",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
-	command.Flags().IntVar(&options.seeds, "seeds", 4, "of each")
-	command.Flags().Float64Var(&options.requestsPerS, "txns", 240, "requests a second, over all routers")
-	command.Flags().Float64Var(&options.lengthS, "length", 100, "seconds of a run")
+	command.Flags().IntVar(&options.seeds, "seeds", 4, "number of seeds, each played with and without a rollout")
+	command.Flags().Float64Var(&options.requestsPerS, "txns", 240, "requests per second, over all routers")
+	command.Flags().Float64Var(&options.lengthS, "length", 100, "length of a run in seconds")
 	command.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
 	return command
 }
 
+// run plays the seeds without and with a rollout, and prints the difference in earned weight.
 func (o *rolloutCostOptions) run(ctx context.Context) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
 	fmt.Fprintln(table, "seed\tcase\tweight earned\trequests\trefused\tbroken off\trules violated\tended after s\tCPU s\t")
-	var calm, during []float64
+	var baselineEarned, rolloutEarned []float64
 	for seed := uint64(1); seed <= uint64(o.seeds); seed++ {
 		earned, err := o.playRow(ctx, table, seed, "calm", false)
 		if err != nil {
 			return err
 		}
-		calm = append(calm, earned)
+		baselineEarned = append(baselineEarned, earned)
 		earned, err = o.playRow(ctx, table, seed, "rollout", true)
 		if err != nil {
 			return err
 		}
-		during = append(during, earned)
+		rolloutEarned = append(rolloutEarned, earned)
 		table.Flush()
 	}
-	mean, halfWidth := pairedDifference(calm, during)
+	mean, halfWidth := pairedDifference(baselineEarned, rolloutEarned)
 	fmt.Printf("a rollout against a calm run: %+.4f +- %.4f\n", mean, halfWidth)
 	return nil
 }
 
-// playRow plays a run, writes a line of the table and returns the share of the weight earned.
+// playRow plays a run, writes its line of the table and returns the share of the weight earned.
 func (o *rolloutCostOptions) playRow(
-	ctx context.Context, to io.Writer, seed uint64, name string, rolls bool,
+	ctx context.Context, to io.Writer, seed uint64, name string, withRollout bool,
 ) (float64, error) {
-	result, took, err := o.play(ctx, seed, rolls)
+	result, took, err := o.play(ctx, seed, withRollout)
 	if err != nil {
 		return 0, fmt.Errorf("%s, seed %d: %w", name, seed, err)
 	}
@@ -95,22 +98,23 @@
 	return result.EarnedShare(), nil
 }
 
-// play plays one run, again if it was undecided, and returns how long the rollout took.
+// play plays one run, and repeats it while it is inconclusive, maxRolloutCostPlays times at most. It
+// returns the duration of the rollout, or 0 without one.
 func (o *rolloutCostOptions) play(
-	ctx context.Context, seed uint64, rolls bool,
+	ctx context.Context, seed uint64, withRollout bool,
 ) (*emulator.Result, time.Duration, error) {
-	for range rolloutCostTries {
+	for range maxRolloutCostPlays {
 		s, err := scenario.Parse("rollout", fmt.Appendf(nil, rolloutCostScenario, o.lengthS, o.requestsPerS))
 		if err != nil {
 			return nil, 0, err
 		}
 		var took time.Duration
 		drive := func(ctx context.Context, routers *emulator.RunningRouters) error {
-			if !rolls {
+			if !withRollout {
 				return nil
 			}
-			began := time.Now()
-			defer func() { took = time.Since(began) }()
+			start := time.Now()
+			defer func() { took = time.Since(start) }()
 			return driveRollout(ctx, routers, time.Duration(o.lengthS)*time.Second)
 		}
 		result, err := emulator.RunOnSockets(ctx, s, emulator.Options{Seed: seed},
@@ -122,7 +126,8 @@
 	return nil, 0, errBusy
 }
 
-// driveRollout rolls the program that runs out to all routers once more.
+// driveRollout rolls out the running program to all routers again. It starts the rollout once all
+// routers have recovered their state, and returns when it is done.
 func driveRollout(ctx context.Context, routers *emulator.RunningRouters, limit time.Duration) error {
 	status, err := routers.Status(0)
 	if err != nil {
@@ -133,13 +138,13 @@
 		return err
 	}
 	started := false
-	last := ""
-	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(rolloutPollInterval) {
+	lastStatus := ""
+	for deadline := time.Now().Add(limit); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(rolloutPollInterval) {
 		poll := pollRollout(routers)
 		if started && poll.done {
 			return nil
 		}
-		last = cmp.Or(poll.last, last)
+		lastStatus = cmp.Or(poll.lastStatus, lastStatus)
 		if !started && poll.ready == routers.Count() {
 			if _, err := routers.Rollout(startingRouter, rollout.CommandStart); err != nil {
 				return err
@@ -147,24 +152,25 @@
 			started = true
 		}
 	}
-	return fmt.Errorf("rollout not done after %v: %s", limit, last)
+	return fmt.Errorf("rollout not done after %v, last status: %s", limit, lastStatus)
 }
 
-// rolloutPoll is what the routers' rollout status says at one time.
+// rolloutPoll summarizes one poll of all routers' rollout status.
 type rolloutPoll struct {
-	ready int    // routers that have recovered their state
-	done  bool   // by any router
-	last  string // phase and reason of the last router that answered
+	ready      int    // routers that have recovered their state
+	done       bool   // at least one router reports that the rollout is done
+	lastStatus string // phase and reason reported by the last router that answered; empty: none did
 }
 
+// pollRollout requests the rollout status of every router. Routers that return an error are skipped.
 func pollRollout(routers *emulator.RunningRouters) rolloutPoll {
 	var poll rolloutPoll
 	for router := range routers.Count() {
 		status, err := routers.Rollout(router, rollout.CommandNone)
 		if err != nil {
-			continue // a router that is being replaced has no status for a moment
+			continue // a router whose process is being replaced briefly has no status
 		}
-		poll.last = status.Phase + ": " + status.Reason
+		poll.lastStatus = status.Phase + ": " + status.Reason
 		poll.done = poll.done || status.Phase == rollout.PhaseDone.String()
 		if !status.Recovering {
 			poll.ready++
@@ -173,7 +179,8 @@
 	return poll
 }
 
-// sameProgramPlan is a rollout plan in YAML: one router, half of them, all.
+// sameProgramPlan returns a rollout plan in YAML with three stages: the first router, half of the
+// routers, and all of them.
 func sameProgramPlan(routers *emulator.RunningRouters, program string) string {
 	var plan strings.Builder
 	fmt.Fprintf(&plan, "name: cost\nprogram: %s\nsilent_s: 15\n", program)
--- a/cmd/quilldoor-lab/rolloutfigures.go
+++ b/cmd/quilldoor-lab/rolloutfigures.go
@@ -11,19 +11,20 @@
 	"quilldoor/internal/rollout"
 )
 
-// rolloutFigures are the figures of a case over all runs. Times are in seconds.
+// rolloutFigures are the results of a case over all runs. Times are in seconds.
 type rolloutFigures struct {
 	runs, done, rolledBack, paused int
 	rolledBackAt                   [rolloutStages]int // by stage
-	earned                         []float64          // share of the offered weight
+	earned                         []float64          // share of the offered weight, by run
 	harmed                         float64            // requests, mean over the runs
-	undecidedS                     []float64          // from the first harm until the rollback began
-	harmToEndS                     []float64          // from the first harm until all were back
+	harmToRollbackS                []float64          // from the first harm until the rollback started
+	harmToEndS                     []float64          // from the first harm until all routers were rolled back
 	doneAfterS                     []float64
-	violations                     [rolloutRuleNumbers]int // by rule
-	accused                        int                     // routers
+	violations                     [ruleArrayLength]int // by rule
+	accusedRouters                 int                  // routers that violated a rule, over all runs
 }
 
+// summarize returns the figures of the runs of a case.
 func summarize(results []*emulator.RolloutResult) *rolloutFigures {
 	figures := &rolloutFigures{runs: len(results)}
 	for _, result := range results {
@@ -32,11 +33,11 @@
 	return figures
 }
 
-// add counts a run.
+// add adds the result of a run. f.runs must be set before.
 func (f *rolloutFigures) add(result *emulator.RolloutResult) {
 	f.earned = append(f.earned, result.EarnedShare())
 	f.harmed += float64(result.HarmedRequests) / float64(f.runs)
-	f.accused += result.AccusedRouters
+	f.accusedRouters += result.AccusedRouters
 	for rule, count := range result.CountByRule {
 		f.violations[rule] += count
 	}
@@ -48,7 +49,7 @@
 		f.rolledBack++
 		f.rolledBackAt[result.Stage]++
 		if result.FirstHarmS > 0 {
-			f.undecidedS = append(f.undecidedS, result.RollbackStartS-result.FirstHarmS)
+			f.harmToRollbackS = append(f.harmToRollbackS, result.RollbackStartS-result.FirstHarmS)
 			f.harmToEndS = append(f.harmToEndS, result.EndS-result.FirstHarmS)
 		}
 	case rollout.PhasePaused, rollout.PhaseForward:
@@ -56,20 +57,20 @@
 	}
 }
 
-// print writes the figures as the rest of a line of the table.
+// print writes the results as the remaining cells of a line of the table.
 func (f *rolloutFigures) print(to io.Writer) {
 	fmt.Fprintf(to, "%d\t%d\t%d\t%d\t", f.runs, f.done, f.rolledBack, f.paused)
 	for _, count := range f.rolledBackAt {
 		fmt.Fprintf(to, "%d\t", count)
 	}
 	fmt.Fprintf(to, "%.4f\t%.0f\t", stat.Mean(f.earned, nil), f.harmed)
-	fmt.Fprintf(to, "%s\t%s\t", quantile(f.undecidedS, 0.5), quantile(f.undecidedS, 1))
-	fmt.Fprintf(to, "%s\t%s\t", quantile(f.harmToEndS, 1), quantile(f.doneAfterS, 0.5))
-	fmt.Fprintf(to, "%v\t%d\t\n", f.violations[1:], f.accused)
+	fmt.Fprintf(to, "%s\t%s\t", formatQuantile(f.harmToRollbackS, 0.5), formatQuantile(f.harmToRollbackS, 1))
+	fmt.Fprintf(to, "%s\t%s\t", formatQuantile(f.harmToEndS, 1), formatQuantile(f.doneAfterS, 0.5))
+	fmt.Fprintf(to, "%v\t%d\t\n", f.violations[1:], f.accusedRouters)
 }
 
-// quantile formats a quantile of a list of seconds.
-func quantile(list []float64, q float64) string {
+// formatQuantile formats the q-quantile of a list of seconds, or "-" if the list is empty.
+func formatQuantile(list []float64, q float64) string {
 	if len(list) == 0 {
 		return "-"
 	}
--- a/cmd/quilldoor-lab/rolloutreport.go
+++ b/cmd/quilldoor-lab/rolloutreport.go
@@ -23,19 +23,19 @@
 
 var rolloutReportTemplate = template.Must(template.New("rollout").Parse(rolloutReportText))
 
-// rolloutReportCommand renders a rollout's status as one page without external resources.
+// rolloutReportCommand renders a rollout's status as an HTML page without external resources.
 func rolloutReportCommand() *cobra.Command {
 	var folder, jsonFile, out string
 	command := &cobra.Command{
 		Use:   "rollout-report",
 		Short: "Render a rollout's status as one HTML page",
 		Args:  cobra.NoArgs,
-		Long: "Asks the supervisor of a folder, or reads what 'quilldoor rollout status --json' has printed. The leader's\n" +
-			"status has the figures of all routers.",
+		Long: "Requests the status from the supervisor of a folder, or reads the output of 'quilldoor rollout status --json'.\n" +
+			"Only the leader's status has the reports of all routers.",
 	}
-	command.Flags().StringVar(&folder, "folder", "", "a supervisor's folder")
-	command.Flags().StringVar(&jsonFile, "json", "", "a status in JSON")
-	command.Flags().StringVar(&out, "out", "rollout.html", "the page")
+	command.Flags().StringVar(&folder, "folder", "", "folder of the supervisor to request the status from")
+	command.Flags().StringVar(&jsonFile, "json", "", "file with a status in JSON")
+	command.Flags().StringVar(&out, "out", "rollout.html", "file for the page")
 	command.RunE = func(*cobra.Command, []string) error {
 		status, err := loadRolloutStatus(folder, jsonFile)
 		if err != nil {
@@ -50,10 +50,11 @@
 	return command
 }
 
-// loadRolloutStatus gets the status from a supervisor or from a file; one of them is named.
+// loadRolloutStatus returns the status from a supervisor or from a file. Exactly one of the two must
+// be named.
 func loadRolloutStatus(folder, jsonFile string) (*rollout.Status, error) {
 	if (folder == "") == (jsonFile == "") {
-		return nil, errors.New("either --folder or --json")
+		return nil, errors.New("exactly one of --folder and --json is required")
 	}
 	if folder != "" {
 		return requestRolloutStatus(folder)
@@ -76,33 +77,33 @@
 		return nil, err
 	}
 	if reply.Rollout == nil {
-		return nil, errors.New(reply.Note)
+		return nil, fmt.Errorf("%s: no rollout status: %s", socket, reply.Note)
 	}
 	return reply.Rollout, nil
 }
 
-// rolloutPage is what the template renders.
+// rolloutPage is the data of rolloutReportTemplate.
 type rolloutPage struct {
 	Status   *rollout.Status
-	At       string
-	WatchedS int64
+	At       string // when the page was rendered
+	WatchedS int64  // how long the current stage has been watched
 	Routers  []routerRow
-	Charts   []boundChart
+	Charts   []intervalChart
 }
 
-// routerRow is a router's line of the table.
+// routerRow is a router's row of the table.
 type routerRow struct {
 	rollout.RouterStatus
 	EarnedShare string // of the offered weight; "-" if none was offered
 }
 
-// boundChart is the chart of one of the guards' metrics.
-type boundChart struct {
+// intervalChart is the chart of one metric of the canary analysis.
+type intervalChart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// renderRollout returns the page.
+// renderRollout renders a rollout's status as an HTML page.
 func renderRollout(status *rollout.Status, at time.Time) ([]byte, error) {
 	page := rolloutPage{
 		Status:   status,
@@ -117,7 +118,7 @@
 		page.Routers = append(page.Routers, row)
 	}
 	for i := range status.Bounds {
-		chart, err := newBoundChart(&status.Bounds[i])
+		chart, err := newIntervalChart(&status.Bounds[i])
 		if err != nil {
 			return nil, err
 		}
@@ -128,12 +129,12 @@
 	return out.Bytes(), err
 }
 
-func newBoundChart(bound *rollout.MetricInterval) (boundChart, error) {
-	svg, err := drawBound(bound)
+func newIntervalChart(interval *rollout.MetricInterval) (intervalChart, error) {
+	svg, err := drawInterval(interval)
 	if err != nil {
-		return boundChart{}, fmt.Errorf("chart of %s: %w", bound.Metric, err)
+		return intervalChart{}, fmt.Errorf("chart of %s: %w", interval.Metric, err)
 	}
-	title := fmt.Sprintf("%s, new less old: %+.4f, from %+.4f to %+.4f; %g is tolerated",
-		bound.Metric, bound.Mean, bound.Low, bound.High, bound.Tolerance)
-	return boundChart{Title: title, SVG: svg}, nil
+	title := fmt.Sprintf("%s, new minus old: %+.4f, from %+.4f to %+.4f; tolerance %g",
+		interval.Metric, interval.Mean, interval.Low, interval.High, interval.Tolerance)
+	return intervalChart{Title: title, SVG: svg}, nil
 }
--- a/cmd/quilldoor-lab/rollouts.go
+++ b/cmd/quilldoor-lab/rollouts.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	rolloutRouters     = 24
-	routersPerOffice   = 2
-	rolloutTrialS      = 3  // seconds of a new generation's trial
-	rolloutStartS      = 20 // seconds into a run
-	rolloutStages      = 3
-	rolloutRuleNumbers = 6 // the checker's rules count from 1
+	rolloutRouters   = 24
+	routersPerOffice = 2
+	rolloutTrialS    = 3  // seconds that the upgrade of a router takes
+	rolloutStartS    = 20 // seconds from the start of a run
+	rolloutStages    = 3
+	ruleArrayLength  = 6 // length of a count by rule: the checker numbers its rules from 1
 )
 
+// rolloutScenario is formatted with the length in seconds and the YAML of a set of faults.
 const rolloutScenario = `
 settle_s: 15
 length_s: %g
@@ -35,32 +36,34 @@
 type rolloutsOptions struct {
 	runs     int
 	sameRuns int
-	day      string
+	faultSet string
 	program  string
 	watchS   float64
 	lengthS  float64
 }
 
-// rolloutsCommand plays rollouts of good and of worse programs.
+// rolloutsCommand simulates rollouts of the same program and of faulty ones.
 func rolloutsCommand() *cobra.Command {
 	var options rolloutsOptions
 	command := &cobra.Command{
 		Use:   "rollouts",
-		Short: "Rollouts of the same and of worse programs through 24 routers; simulated",
+		Short: "Compare rollouts of the same program and of faulty programs to 24 routers; simulated",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return options.run(command.Context()) },
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.runs, "runs", 40, "of each row")
-	flags.StringVar(&options.day, "day", "", "one of the days; default: all")
-	flags.StringVar(&options.program, "variant", "", "one of the programs; default: all")
-	flags.IntVar(&options.sameRuns, "same", 200, "runs of each row with the same program, judged")
+	flags.IntVar(&options.runs, "runs", 40, "number of runs for each table line")
+	flags.StringVar(&options.faultSet, "day", "", "play only with the set of faults of this name; default: all")
+	flags.StringVar(&options.program, "variant", "", "play only the new program of this name; default: all")
+	flags.IntVar(&options.sameRuns, "same", 200, "number of runs for each table line with the same program and canary analysis")
 	flags.Float64Var(&options.watchS, "watch", 240,
-		"seconds that the first stage is watched at most; the second: half of it")
-	flags.Float64Var(&options.lengthS, "length", 600, "simulated seconds")
+		"maximum seconds to watch the first stage; the second stage is watched for half as long")
+	flags.Float64Var(&options.lengthS, "length", 600, "length of a run in simulated seconds")
 	return command
 }
 
+// run plays the selected cases with the selected sets of faults, and prints a line of the table for
+// each combination.
 func (o *rolloutsOptions) run(ctx context.Context) error {
 	plan, err := rolloutPlan(o.watchS)
 	if err != nil {
@@ -71,20 +74,20 @@
 	fmt.Fprintln(table, "day\tnew program\tmode\truns\tdone\trolled back\tpaused\tat stage 1\t2\t3\tweight earned\t"+
 		"requests harmed\trolled back s after first harm, p50\tmost\tall back s after\tend s p50\t"+
 		"rules violated by number\trouters accused\t")
-	for _, day := range rolloutDays {
-		if o.day != "" && o.day != day.name {
+	for _, faultSet := range rolloutFaultSets {
+		if o.faultSet != "" && o.faultSet != faultSet.name {
 			continue
 		}
 		for i := range rolloutCases {
 			c := &rolloutCases[i]
-			if !c.on(day) || o.program != "" && o.program != c.program {
+			if !c.playedWith(faultSet) || o.program != "" && o.program != c.program {
 				continue
 			}
-			results, err := playRollouts(ctx, day, c, plan, o.lengthS, o.runsOf(c))
+			results, err := playRollouts(ctx, faultSet, c, plan, o.lengthS, o.runCount(c))
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(table, "%s\t%s\t%s\t", day.name, c.program, c.mode)
+			fmt.Fprintf(table, "%s\t%s\t%s\t", faultSet.name, c.program, c.mode)
 			summarize(results).print(table)
 			table.Flush()
 		}
@@ -92,15 +95,15 @@
 	return nil
 }
 
-// runsOf is how often a case is played.
-func (o *rolloutsOptions) runsOf(c *rolloutCase) int {
-	if c.mode == modeJudged && c.program == sameProgram {
+// runCount returns the number of runs of a case.
+func (o *rolloutsOptions) runCount(c *rolloutCase) int {
+	if c.mode == modeAnalyzed && c.program == sameProgram {
 		return o.sameRuns
 	}
 	return o.runs
 }
 
-// rolloutPlan is a plan for 24 routers of twelve offices in three stages.
+// rolloutPlan returns a plan for 24 routers of twelve offices in three stages.
 func rolloutPlan(watchS float64) (*rollout.Plan, error) {
 	var plan strings.Builder
 	fmt.Fprintf(&plan, "name: trial\nprogram: /opt/new\nsilent_s: 30\nrouters:\n")
@@ -113,23 +116,23 @@
 	return rollout.ParsePlan("plan.yaml", []byte(plan.String()))
 }
 
-// playRollouts plays a case once with each seed.
+// playRollouts plays a case once with each seed from 1 on.
 func playRollouts(
-	ctx context.Context, day rolloutDay, c *rolloutCase, plan *rollout.Plan, lengthS float64, runs int,
+	ctx context.Context, faultSet rolloutFaultSet, c *rolloutCase, plan *rollout.Plan, lengthS float64, runs int,
 ) ([]*emulator.RolloutResult, error) {
-	rolling := c.rolling
-	rolling.Plan = plan
-	rolling.TrialS = rolloutTrialS
-	if rolling.StartS == 0 {
-		rolling.StartS = rolloutStartS
+	options := c.options
+	options.Plan = plan
+	options.TrialS = rolloutTrialS
+	if options.StartS == 0 {
+		options.StartS = rolloutStartS
 	}
 	results := make([]*emulator.RolloutResult, runs)
 	err := parallel(runs, runtime.NumCPU(), func(i int) error {
-		s, err := scenario.Parse(day.name, fmt.Appendf(nil, rolloutScenario, lengthS, day.faults))
+		s, err := scenario.Parse(faultSet.name, fmt.Appendf(nil, rolloutScenario, lengthS, faultSet.faults))
 		if err != nil {
 			return err
 		}
-		results[i], err = emulator.VirtualRollout(ctx, s, uint64(i+1), rolling)
+		results[i], err = emulator.VirtualRollout(ctx, s, uint64(i+1), options)
 		return err
 	})
 	return results, err
--- a/cmd/quilldoor-lab/scenarios.go
+++ b/cmd/quilldoor-lab/scenarios.go
@@ -10,7 +10,7 @@
 	"quilldoor/scenarios"
 )
 
-// scriptsCommand lists the library of scenarios.
+// scriptsCommand lists the scenarios of the library.
 func scriptsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "scripts",
--- a/cmd/quilldoor-lab/units.go
+++ b/cmd/quilldoor-lab/units.go
@@ -7,6 +7,6 @@
 
 	kbPerMB = 1024
 
-	// logBufferBytes is the size of the buffers between an event log's file and its encoding.
+	// logBufferBytes is the buffer size for reading and writing event log files.
 	logBufferBytes = 1 << 20
 )
--- a/cmd/quilldoor-lab/upgradecases.go
+++ b/cmd/quilldoor-lab/upgradecases.go
@@ -12,14 +12,14 @@
 	"quilldoor/internal/upgrade"
 )
 
-// upgradeCase is something that is done to all routers at once.
+// upgradeCase is an action that is performed on all routers at once.
 type upgradeCase struct {
 	name       string
 	supervised bool
-	act        func(routers *emulator.RunningRouters, router int) error
+	action     func(routers *emulator.RunningRouters, router int) error
 }
 
-// upgradeCases begin with the baseline that the others are compared with.
+// upgradeCases starts with the baseline that the other cases are compared with.
 var upgradeCases = []upgradeCase{
 	{"calm", true, func(*emulator.RunningRouters, int) error { return nil }},
 	{"change", true, applyUpgrade},
@@ -27,22 +27,22 @@
 	{"restart", false, func(routers *emulator.RunningRouters, router int) error { return routers.Restart(router) }},
 }
 
-// applyUpgrade asks a router's supervisor for a new generation.
+// applyUpgrade requests a new generation from a router's supervisor and waits for the outcome.
 func applyUpgrade(routers *emulator.RunningRouters, router int) error {
 	reply, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil {
 		return err
 	}
 	if !reply.OK {
-		return fmt.Errorf("router %d: %s", router, reply.Note)
+		return fmt.Errorf("upgrade of router %d failed: %s", router, reply.Note)
 	}
 	return nil
 }
 
-// crashDelay is how long a new generation has been on trial when crashOnTrial kills it.
+// crashDelay is the time that a new generation spends on trial before crashOnTrial kills it.
 const crashDelay = time.Second
 
-// crashOnTrial kills the new generation while it is on trial.
+// crashOnTrial starts an upgrade and kills the new generation while it is on trial.
 func crashOnTrial(routers *emulator.RunningRouters, router int) error {
 	applied := make(chan error, 1)
 	go func() {
@@ -62,10 +62,11 @@
 	return <-applied
 }
 
-// upgradeSettleTime is how long an upgrade may take until the old process is gone.
+// upgradeSettleTime is the longest wait for an upgrade to reach a state: a new generation on trial,
+// or a steady supervisor whose old process has exited.
 const upgradeSettleTime = 10 * time.Second
 
-// upgradeDriver upgrades all routers of a run.
+// upgradeDriver performs an upgrade case on all routers of a run.
 type upgradeDriver struct {
 	upgrade upgradeCase
 
@@ -74,13 +75,14 @@
 	peakMB  float64
 }
 
-// drive acts on all routers at once and waits until they are steady again.
+// drive performs the case on all routers at once and waits until supervised routers are steady
+// again, with their old processes exited.
 func (d *upgradeDriver) drive(_ context.Context, routers *emulator.RunningRouters) error {
 	time.Sleep(upgradeAt)
-	began := time.Now()
+	start := time.Now()
 	done := make(chan error, routers.Count())
 	for router := range routers.Count() {
-		go func() { done <- d.upgradeOne(routers, router, began) }()
+		go func() { done <- d.upgradeOne(routers, router, start) }()
 	}
 	for range routers.Count() {
 		if err := <-done; err != nil {
@@ -90,8 +92,10 @@
 	return nil
 }
 
-func (d *upgradeDriver) upgradeOne(routers *emulator.RunningRouters, router int, began time.Time) error {
-	if err := d.upgrade.act(routers, router); err != nil {
+// upgradeOne performs the case on one router. For a supervised router it also waits until the
+// supervisor is steady, and adds its times and peak memory to the figures.
+func (d *upgradeDriver) upgradeOne(routers *emulator.RunningRouters, router int, start time.Time) error {
+	if err := d.upgrade.action(routers, router); err != nil {
 		return err
 	}
 	if !d.upgrade.supervised {
@@ -105,7 +109,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.figures.drainedMS = append(d.figures.drainedMS, float64(time.Since(began).Milliseconds()))
+	d.figures.drainedMS = append(d.figures.drainedMS, float64(time.Since(start).Milliseconds()))
 	d.figures.recoveryMS = append(d.figures.recoveryMS, float64(status.LastCrashMS))
 	d.peakMB = max(d.peakMB, float64(status.PeakMB))
 	return nil
--- a/cmd/quilldoor-lab/upgrades.go
+++ b/cmd/quilldoor-lab/upgrades.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// upgradeAt is when all routers are upgraded, and upgradeWindow how long the figures count
-	// from then on.
-	upgradeAt     = 10 * time.Second
+	// upgradeAt is the time from the start of a run until all routers are upgraded.
+	upgradeAt = 10 * time.Second
+	// upgradeWindow is the time after upgradeAt in which requests are counted.
 	upgradeWindow = 10 * time.Second
-	// maxUpgradePlays is how often a run is played when the machine is too busy for it.
+	// maxUpgradePlays limits how often a run is played when the machine is too busy.
 	maxUpgradePlays = 4
 	// minLatencyUS and maxLatencyUS bound the latency histograms, in microseconds.
 	minLatencyUS = 1
@@ -28,9 +28,10 @@
 	latencyDigits = 3
 )
 
-// errBusy says that a run was undecided because the emulation itself was late.
-var errBusy = errors.New("undecided: the machine is too busy")
+// errBusy reports that a run stayed inconclusive because the emulator ran late each time.
+var errBusy = errors.New("inconclusive: the machine is too busy for the emulator")
 
+// upgradeScenario is formatted with whether routers are supervised and the requests per second.
 const upgradeScenario = `
 settle_s: 5
 length_s: 22
@@ -46,15 +47,16 @@
 	routerBin    string
 }
 
-// changesCommand compares upgrades of router processes with calm runs and restarts.
+// changesCommand compares upgrades of router processes with runs without upgrades and with
+// restarts.
 func changesCommand() *cobra.Command {
 	var options changesOptions
 	command := &cobra.Command{
 		Use:   "changes",
-		Short: "What an upgrade of all routers costs, on loopback against router processes",
+		Short: "Measure the cost of an upgrade of all routers, with router processes on loopback",
 		Args:  cobra.NoArgs,
-		Long: "All routers of three offices are upgraded at once, beside calm runs, plain restarts and new generations\n" +
-			"that crash; the same seeds on all sides. --row N: one router is upgraded N times in a row instead.",
+		Long: "Upgrades all routers of three offices at once, and compares this with calm runs, plain restarts and new\n" +
+			"generations that crash. All cases use the same seeds. With --row N, upgrades one router N times in a row instead.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			if options.consecutive > 0 {
 				return options.upgradeConsecutively(command.Context())
@@ -62,19 +64,20 @@
 			return options.compareCases(command.Context())
 		},
 	}
-	command.Flags().IntVar(&options.seeds, "seeds", 6, "of each")
-	command.Flags().Float64Var(&options.requestsPerS, "txns", 200, "requests a second, over all routers")
-	command.Flags().IntVar(&options.consecutive, "row", 0, "upgrades of one router, one after another")
+	command.Flags().IntVar(&options.seeds, "seeds", 6, "number of runs for each case")
+	command.Flags().Float64Var(&options.requestsPerS, "txns", 200, "requests per second, over all routers")
+	command.Flags().IntVar(&options.consecutive, "row", 0, "number of upgrades of one router in a row; 0: compare the cases")
 	command.Flags().StringVar(&options.routerBin, "router", "", routerFlagHelp)
 	return command
 }
 
+// compareCases plays each upgrade case with each seed and prints a line of the table for each case.
 func (o *changesOptions) compareCases(ctx context.Context) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
 	fmt.Fprintln(table, "case\truns\tweight earned in 10 s\tagainst calm\t95%\tp50 ms\tp99 ms\trefused\tbroken off\t"+
 		"rules violated\trecovered after ms\told one gone after ms\tMB of a router\t")
-	var calm []float64
+	var baseline []float64
 	for _, upgrade := range upgradeCases {
 		total := newUpgradeFigures()
 		for seed := range o.seeds {
@@ -84,16 +87,16 @@
 			}
 			total.add(figures)
 		}
-		if calm == nil {
-			calm = total.earned
+		if baseline == nil {
+			baseline = total.earned
 		}
-		total.print(table, upgrade.name, calm)
+		total.print(table, upgrade.name, baseline)
 		table.Flush()
 	}
 	return nil
 }
 
-// play plays one run, again if it was undecided.
+// play plays one run, and repeats it while it is inconclusive, maxUpgradePlays times at most.
 func (o *changesOptions) play(ctx context.Context, seed uint64, upgrade upgradeCase) (*upgradeFigures, error) {
 	for range maxUpgradePlays {
 		s, err := scenario.Parse("changes", fmt.Appendf(nil, upgradeScenario, upgrade.supervised, o.requestsPerS))
--- a/cmd/quilldoor-lab/upgradewindow.go
+++ b/cmd/quilldoor-lab/upgradewindow.go
@@ -8,40 +8,41 @@
 	"quilldoor/internal/simulation"
 )
 
-// windowRecorder counts the requests that came within the window after the upgrade.
+// windowRecorder measures the earned weight and the latency of the requests that routers received in
+// the window after the upgrade.
 type windowRecorder struct {
 	weights         map[string]float64 // priority weight by traffic class
-	open            map[string]openRequest
+	pending         map[string]pendingRequest
 	latency         *hdrhistogram.Histogram
-	earned, offered float64 // weight
+	earned, offered float64 // priority weight in the window
 }
 
-// openRequest is a request without a response so far.
-type openRequest struct {
-	at    int64 // microseconds
-	class string
+// pendingRequest is a request that awaits its response.
+type pendingRequest struct {
+	receivedAt int64 // microseconds from the start of the run
+	class      string
 }
 
 func newWindowRecorder(s *scenario.Scenario, latency *hdrhistogram.Histogram) *windowRecorder {
-	recorder := &windowRecorder{weights: map[string]float64{}, open: map[string]openRequest{}, latency: latency}
+	recorder := &windowRecorder{weights: map[string]float64{}, pending: map[string]pendingRequest{}, latency: latency}
 	for _, class := range s.Classes() {
 		recorder.weights[class.Name] = class.PriorityWeight
 	}
 	return recorder
 }
 
-// record takes the events of the run in order.
+// record processes an entry of the event log. Entries must come in order.
 func (w *windowRecorder) record(entry *eventlog.Entry) {
 	from, to := upgradeAt.Microseconds(), (upgradeAt + upgradeWindow).Microseconds()
 	switch entry.Kind {
 	case eventlog.KindTaken:
 		if entry.At >= from && entry.At < to {
-			w.open[entry.Request] = openRequest{at: entry.At, class: entry.Class}
+			w.pending[entry.Request] = pendingRequest{receivedAt: entry.At, class: entry.Class}
 			w.offered += w.weights[entry.Class]
 		}
 	case eventlog.KindAnswered:
-		if request, ok := w.open[entry.Request]; ok && entry.Outcome == string(simulation.AnswerCompleted) {
-			w.latency.RecordValue(entry.At - request.at)
+		if request, ok := w.pending[entry.Request]; ok && entry.Outcome == string(simulation.AnswerCompleted) {
+			w.latency.RecordValue(entry.At - request.receivedAt)
 			w.earned += w.weights[request.class]
 		}
 	}
