--- a/cmd/quilldoor-lab/hunt_test.go
+++ b/cmd/quilldoor-lab/hunt_test.go
@@ -8,7 +8,8 @@
 	"quilldoor/internal/faultsearch"
 )
 
-// drawnViolation plays a scenario of a search on the virtual clock; "": it breaks no rule.
+// drawnViolation draws the scenario with this seed and number as the hunt command does, and plays it
+// on the virtual clock. It returns the violated rules, or "" if there are none.
 func drawnViolation(t *testing.T, seed uint64, number int) string {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, uint64(number-1)))
@@ -16,8 +17,8 @@
 	return violation
 }
 
-// Guards against decisions that break a rule under faults nobody has thought of: a search as `hunt` makes it, whose
-// seeds stay.
+// Guards against decisions that violate a rule under combinations of faults that no scenario of the library holds. It
+// draws scenarios from fixed seeds, as the hunt command does.
 func TestDrawnScenariosKeepTheRules(t *testing.T) {
 	t.Parallel()
 	const scenarios = 120
@@ -34,8 +35,8 @@
 	}
 }
 
-// Guards against a replaced cache that is started again by a fault that had it down: purges no longer reached it, and
-// its old copies were served.
+// Guards against a fault that starts a cache again at its end although the cache has been replaced since the fault took
+// it down: purges no longer reached this cache, and it served its old copies.
 func TestReplacedCacheStaysDown(t *testing.T) {
 	t.Parallel()
 	if violation := drawnViolation(t, 404, 430); violation != "" {
@@ -43,8 +44,8 @@
 	}
 }
 
-// Guards against a warming cache that falls over by several large copies in a row, from routers that know of its
-// start: each is charged the mean of its class.
+// Guards against overloading a warming cache with several large copies in a row, sent by routers that were notified of
+// its start. Each copy is charged the mean work of its class, however large it is.
 func TestLargeCopiesInARowKeepSlowStart(t *testing.T) {
 	t.Parallel()
 	if violation := drawnViolation(t, 77, 802); violation != "" {
@@ -52,8 +53,8 @@
 	}
 }
 
-// Guards against requests to endpoints that went while discovery was cut off for longer than its notices may take,
-// in a fleet without membership.
+// Guards against requests to endpoints that were removed while discovery was cut off, in a fleet without membership.
+// The cut lasts longer than the deadline by which routers count as notified of a removal.
 func TestNothingGoesToEndpointsGoneWhileDiscoveryIsCut(t *testing.T) {
 	t.Parallel()
 	if violation := drawnViolation(t, 77, 906); violation != "" {
--- a/cmd/quilldoor-lab/parallel_test.go
+++ b/cmd/quilldoor-lab/parallel_test.go
@@ -12,8 +12,8 @@
 	var running, calls atomic.Int32
 	err := parallel(n, jobs, func(i int) error {
 		defer running.Add(-1)
-		if now := running.Add(1); now > jobs {
-			t.Errorf("%d at once", now)
+		if concurrent := running.Add(1); concurrent > jobs {
+			t.Errorf("%d calls at once, limit %d", concurrent, jobs)
 		}
 		calls.Add(1)
 		switch i {
@@ -25,6 +25,6 @@
 		return nil
 	})
 	if !errors.Is(err, first) || calls.Load() != n {
-		t.Errorf("%v after %d calls", err, calls.Load())
+		t.Errorf("error %v after %d calls; want %v after %d", err, calls.Load(), first, n)
 	}
 }
--- a/cmd/quilldoor-lab/rolloutreport_test.go
+++ b/cmd/quilldoor-lab/rolloutreport_test.go
@@ -8,8 +8,8 @@
 	"quilldoor/internal/rollout"
 )
 
-// The page has charts for the bounds, loads nothing from elsewhere, and escapes the names of
-// routers.
+// The page has a chart for each metric, loads no external resources, and escapes router names and
+// reasons.
 func TestRolloutPageIsCompleteAndEscaped(t *testing.T) {
 	status := &rollout.Status{
 		Plan:     "faster",
@@ -39,12 +39,12 @@
 	}
 	for _, want := range []string{"<svg", "n1&lt;b&gt;", "0.0200, from"} {
 		if !strings.Contains(text, want) {
-			t.Fatalf("no %q in the page\n%.2000s", want, text)
+			t.Fatalf("the page lacks %q:\n%.2000s", want, text)
 		}
 	}
 	for _, bad := range []string{"<script", "src=", "<?xml", "n1<b>"} {
 		if strings.Contains(text, bad) {
-			t.Errorf("%q in the page", bad)
+			t.Errorf("the page contains %q", bad)
 		}
 	}
 }
