--- a/cmd/quilldoor-lab/hunt_test.go
+++ b/cmd/quilldoor-lab/hunt_test.go
@@ -18,7 +18,7 @@
 }
 
 // Guards against decisions that violate a rule under combinations of faults that no scenario of the library holds. It
-// draws scenarios from fixed seeds, as the hunt command does.
+// draws scenarios as the hunt command does, from fixed seeds that must not change.
 func TestDrawnScenariosKeepTheRules(t *testing.T) {
 	t.Parallel()
 	const scenarios = 120
