--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -5,32 +5,32 @@
 )
 
 const (
-	// lateTolerance is how long after its time limit an answer still reaches the client in time.
+	// lateTolerance is how long after the deadline of its request an answer still counts as in time.
 	lateTolerance = 50 * millisecond
 
-	// maxBackoffDoublings bounds the growth of a client's wait between its attempts.
+	// maxBackoffDoublings bounds the exponential growth of a client's backoff between its attempts.
 	maxBackoffDoublings = 6
 )
 
 // Answer is a router's final answer to a request. Times are microseconds.
 type Answer struct {
 	Outcome    AnswerOutcome
-	IssuedAt   int64 // issue time of the copy it was answered with; 0: none
-	RetryAfter int64 // how long the router asks the client to wait before a retry
+	IssuedAt   int64 // issue time of the copy in the answer; 0: no copy
+	RetryAfter int64 // minimum wait before a retry that the router requests of the client
 }
 
-// AnswerOutcome is how a router answered a request, as the event log names it.
+// AnswerOutcome is the outcome of a router's answer, by its name in the event log.
 type AnswerOutcome string
 
 // The outcomes of an answer.
 const (
 	AnswerCompleted AnswerOutcome = "completed"
-	AnswerRejected  AnswerOutcome = "rejected" // it was not executed
-	AnswerFailed    AnswerOutcome = "aborted"  // it may have been executed
-	answerLate      AnswerOutcome = "late"     // an answer that reaches the client too late to be of use
+	AnswerRejected  AnswerOutcome = "rejected" // the request was not executed
+	AnswerFailed    AnswerOutcome = "aborted"  // the request may have been executed
+	answerLate      AnswerOutcome = "late"     // the answer reached the client after the deadline and the tolerance
 )
 
-// Answered accepts a router's answer to a request.
+// Answered handles a router's answer to a request. An answer to a request that is no longer open is only logged.
 func (s *Simulation) Answered(routerID int, requestID string, answer Answer) {
 	router := s.routers[routerID]
 	request := router.openRequests[requestID]
@@ -49,8 +49,8 @@
 	s.schedule(s.clientDelay(), func() { s.answerArrived(request, answer) })
 }
 
-// Refused accepts that a router's machine refused the connection of a request: the router has not received it. Only
-// a driver on real sockets can tell; in the model a router that is up accepts every connection.
+// Refused handles a refused connection of a request to a router's machine: the router has not received the request.
+// Only a driver on real sockets observes this; in the model a router that is up accepts every connection.
 func (s *Simulation) Refused(routerID int, requestID string) {
 	router := s.routers[routerID]
 	request := router.openRequests[requestID]
@@ -62,7 +62,8 @@
 	s.retryOrFail(request.clientRequest, 0, true)
 }
 
-// answerArrived is a router's answer at its client.
+// answerArrived handles a router's answer at its client: it counts a completed request, and passes any other answer to
+// retryOrFail.
 func (s *Simulation) answerArrived(request *Request, answer Answer) {
 	if s.now > request.deadline+lateTolerance+s.Slack {
 		answer.Outcome = answerLate
@@ -76,7 +77,7 @@
 	s.retryOrFail(clientRequest, answer.RetryAfter, answer.Outcome == AnswerRejected || s.idempotent(clientRequest.class))
 }
 
-// clientTimedOut makes a client leave whose time is over without an answer.
+// clientTimedOut closes a request that its router has not answered within the client's time limit.
 func (s *Simulation) clientTimedOut(router *router, request *Request) {
 	if !request.open {
 		return
@@ -88,8 +89,8 @@
 	s.retryOrFail(request.clientRequest, 0, s.idempotent(request.Class))
 }
 
-// retryOrFail decides what a client does that got no usable answer: it retries after a backoff if that is safe and
-// it has attempts left.
+// retryOrFail handles an attempt of a client that got no usable answer. The client retries after a backoff if a retry
+// is safe and attempts are left; otherwise its request has failed.
 func (s *Simulation) retryOrFail(clientRequest *clientRequest, retryAfter int64, retrySafe bool) {
 	load := &s.scenario.Load
 	if !retrySafe || clientRequest.attempts > load.Retries {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -5,7 +5,7 @@
 	"quilldoor/internal/policy"
 )
 
-// Attempt is an attempt: one sending of a request by a router to a server. The driver fills in the exported fields.
+// Attempt is one transmission of a request from a router to a server. The driver sets the exported fields.
 type Attempt struct {
 	Router        int    // index of the router that sends it
 	RequestID     string // ID of the request
@@ -21,19 +21,19 @@
 	Group         int64 // purge group of the object
 	SizeKB        float64
 	Write         bool
-	DriverData    any // the driver's own, not read here
+	DriverData    any // for the driver; the simulation does not read it
 
 	target     *server // nil: no such server
 	fillSource *server // nil: no fill
 	objectID   int64
 	state      attemptState
 	index      int   // in target.attempts
-	job        *job  // the work under way for it, if any
-	fill       *fill // the fill it waits for, if any
-	latency    int64 // one way between router and server, microseconds
+	job        *job  // its work in progress, if any
+	fill       *fill // the fill that it waits for, if any
+	latency    int64 // one-way network latency between router and server, microseconds
 }
 
-// attemptState is how far an attempt has come at its server.
+// attemptState is the state of an attempt at its server.
 type attemptState uint8
 
 const (
@@ -43,7 +43,7 @@
 	attemptEnded                  // was answered, cancelled or lost
 )
 
-// attemptKey identifies an attempt among those that routers still wait for.
+// attemptKey identifies an attempt that a router waits for.
 type attemptKey struct {
 	router    int
 	requestID string
@@ -52,12 +52,12 @@
 
 func (a *Attempt) key() attemptKey { return attemptKey{a.Router, a.RequestID, a.Number} }
 
-// entry is an event log entry about the attempt.
+// entry returns an event log entry with the attempt's identity.
 func (a *Attempt) entry(kind eventlog.Kind) Entry {
 	return Entry{Kind: kind, Router: a.Router, Request: a.RequestID, Attempt: a.Number, Endpoint: a.Server}
 }
 
-// SendAttempt accepts an attempt at the time when its router sends it. It reaches the server one network latency later.
+// SendAttempt handles an attempt that a router sends now. It arrives at the server one network latency later.
 func (s *Simulation) SendAttempt(attempt *Attempt) {
 	s.Result.Attempts++
 	attempt.target = s.servers[attempt.Server]
@@ -70,14 +70,14 @@
 	entry.Class = s.classes[attempt.Class].Name
 	s.record(entry)
 	if attempt.target == nil {
-		return // an address without a host: nothing answers
+		return // no server has this ID, so nothing responds
 	}
 	attempt.latency = s.oneWayDelay(s.routers[attempt.Router].office, attempt.target)
 	s.attempts[attempt.key()] = attempt
 	s.schedule(attempt.latency, func() { s.attemptArrived(attempt) })
 }
 
-// Cancel accepts that a router cancels an attempt. The server hears of it one network latency later.
+// Cancel handles a router's cancellation of an attempt. The server receives it one network latency later.
 func (s *Simulation) Cancel(router int, requestID string, number int) {
 	key := attemptKey{router, requestID, number}
 	if attempt := s.attempts[key]; attempt != nil {
@@ -91,8 +91,8 @@
 	s.schedule(attempt.latency, func() { attempt.target.detach(attempt) })
 }
 
-// attemptArrived hands an attempt to its server. A server that is down refuses the connection, a silent one does
-// not even do that.
+// attemptArrived handles the arrival of an attempt at its server. A server that is down refuses the connection; one
+// that is also silent does not respond.
 func (s *Simulation) attemptArrived(attempt *Attempt) {
 	server := attempt.target
 	switch {
@@ -121,14 +121,14 @@
 	}
 }
 
-// recordExecuted logs that the work of an attempt has begun: from here on it may have its effect.
+// recordExecuted logs that the execution of an attempt has begun: from now on the request may take effect.
 func (s *Simulation) recordExecuted(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindRan)
 	entry.Class = s.classes[attempt.Class].Name
 	s.record(entry)
 }
 
-// maxAge is the age, in microseconds, up to which a copy satisfies an attempt.
+// maxAge is the maximum age, in microseconds, of a copy that an attempt accepts.
 func (s *Simulation) maxAge(attempt *Attempt) int64 {
 	if attempt.MaxAge != 0 {
 		return attempt.MaxAge
@@ -136,5 +136,5 @@
 	return s.classes[attempt.Class].FreshFor
 }
 
-// flowTime is how long one client flow takes for a number of kilobytes, in microseconds.
+// flowTime is the time, in microseconds, that one client flow takes to transfer a number of kilobytes.
 func (s *Simulation) flowTime(kb float64) float64 { return kb / s.scenario.Fleet.FlowKBPerS * second }
--- a/internal/simulation/attempt_end.go
+++ b/internal/simulation/attempt_end.go
@@ -7,7 +7,8 @@
 	"quilldoor/internal/policy"
 )
 
-// finish answers an attempt. The answer takes one network latency to its router, and a fault may change or lose it.
+// finish ends an attempt with a result, which reaches the router one network latency later. A fault may change or drop
+// the response of a server.
 func (s *server) finish(attempt *Attempt, end AttemptResult) {
 	if attempt.state == attemptEnded {
 		return
@@ -18,13 +19,13 @@
 		s.simulation.Result.AttemptOutcomes[end.Outcome.String()]++
 		end = s.simulation.applyResponseFaults(s, end)
 		if end.Outcome == policy.OutcomeUnknown {
-			return // the answer is lost
+			return // the response is lost
 		}
 	}
 	s.simulation.schedule(attempt.latency, func() { s.simulation.deliver(attempt, end) })
 }
 
-// deliver brings an answer to the router, unless the router has cancelled the attempt.
+// deliver hands the result of an attempt to its router, unless the router has cancelled the attempt.
 func (s *Simulation) deliver(attempt *Attempt, end AttemptResult) {
 	key := attempt.key()
 	if s.attempts[key] != attempt {
@@ -38,14 +39,14 @@
 	s.driver.AttemptEnded(attempt.Router, attempt, end)
 }
 
-// detach removes an attempt that was answered or cancelled from its server and stops the work for it.
+// detach removes an attempt that was answered or cancelled from its server and stops its work.
 func (s *server) detach(attempt *Attempt) {
 	if attempt.state == attemptEnded {
 		return
 	}
-	previous := attempt.state
+	previousState := attempt.state
 	attempt.state = attemptEnded
-	s.forgetAttempt(attempt)
+	s.unlinkAttempt(attempt)
 	if fill := attempt.fill; fill != nil {
 		attempt.fill = nil
 		fill.removeAttempt(attempt)
@@ -55,12 +56,12 @@
 		attempt.job = nil
 	}
 	if s.kind == kindCache {
-		s.releaseSlot(attempt, previous)
+		s.releaseSlot(attempt, previousState)
 	}
 }
 
-// forgetAttempt takes an attempt off the server's list; the last one of the list moves to its place.
-func (s *server) forgetAttempt(attempt *Attempt) {
+// unlinkAttempt removes an attempt from the server's list and moves the last attempt of the list to its index.
+func (s *server) unlinkAttempt(attempt *Attempt) {
 	if attempt.index >= len(s.attempts) || s.attempts[attempt.index] != attempt {
 		return
 	}
@@ -71,9 +72,9 @@
 	s.attempts = s.attempts[:last]
 }
 
-// releaseSlot frees the place in the queue or the slot that an attempt had at a cache.
-func (s *server) releaseSlot(attempt *Attempt, previous attemptState) {
-	switch previous {
+// releaseSlot frees the slot or the queue position that an attempt held at a cache in its state before it ended.
+func (s *server) releaseSlot(attempt *Attempt, previousState attemptState) {
+	switch previousState {
 	case attemptQueued:
 		if i := slices.Index(s.queue, attempt); i >= 0 {
 			s.queue = slices.Delete(s.queue, i, i+1)
--- a/internal/simulation/cache.go
+++ b/internal/simulation/cache.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// prewarmedIssuedAt is the issue time of copies that stood in a cache before the run.
+	// prewarmedIssuedAt is the issue time of copies that were cached before the run.
 	prewarmedIssuedAt = 1
-	// defaultPriority is the cache priority of prewarmed copies and of those that a parent fetches.
+	// defaultPriority is the cache priority of prewarmed copies and of copies that a parent fetches.
 	defaultPriority = 1
 )
 
-// prewarmKey is a part of an object at an office, or at a trunk (-1 - trunk).
+// prewarmKey identifies a part of an object at an office or a trunk.
 type prewarmKey struct {
-	location int
-	key      int64
+	location int   // index of the office, or -1 - index of the trunk
+	key      int64 // of the part, by partKey
 }
 
 // newCache adds a cache to an office. It is up, warm and listed as active.
 func (s *Simulation) newCache(office int, id string) *server {
 	fleet := &s.scenario.Fleet
 	cache := &server{
-		simulation: s, id: id, kind: kindCache, up: true, listed: policy.EndpointActive, slowdown: 1,
+		simulation: s, id: id, kind: kindCache, up: true, listedState: policy.EndpointActive, slowdown: 1,
 		office: office, trunk: fleet.Trunk(office), weight: float64(fleet.Cores), fills: map[int64]*fill{},
 	}
-	// A core sends one flow, so work is counted in core-microseconds.
+	// A core sends one flow at a time, so work is counted in core-microseconds.
 	cache.cpu = &sharedResource{simulation: s, totalRate: float64(fleet.Cores), maxJobRate: 1}
 	cache.store = newCopyStore(fleet.CacheShare * s.catalogue.officeKB / float64(fleet.Caches))
 	s.servers[id] = cache
@@ -34,7 +34,7 @@
 	return cache
 }
 
-// admit gives an attempt a slot of the cache or a place in its queue, or rejects it.
+// admit assigns an attempt a slot of the cache, queues it, or rejects it as busy.
 func (s *server) admit(attempt *Attempt) {
 	fleet := &s.simulation.scenario.Fleet
 	switch {
@@ -48,7 +48,7 @@
 	}
 }
 
-// startQueued serves queued attempts, first come first served, while slots are free.
+// startQueued serves queued attempts in order of arrival while slots are free.
 func (s *server) startQueued() {
 	fleet := &s.simulation.scenario.Fleet
 	for s.up && len(s.queue) > 0 && s.busySlots < fleet.SlotsPerCore*fleet.Cores {
@@ -58,7 +58,7 @@
 	}
 }
 
-// serve takes a slot and answers an attempt from the cache, or by a fill.
+// serve assigns an attempt a slot and answers it from the cache's store or by a fill.
 func (s *server) serve(attempt *Attempt) {
 	sim := s.simulation
 	attempt.state = attemptWorking
@@ -79,7 +79,8 @@
 	s.sendCopy(attempt, reason, cached.issuedAt, 0)
 }
 
-// serveMiss lets an attempt join a fill or begin one; it is answered at once where neither is possible.
+// serveMiss joins an attempt to a fill in flight or begins a fill for it. If neither is possible, the attempt ends at
+// once.
 func (s *server) serveMiss(attempt *Attempt, key int64) {
 	fleet := &s.simulation.scenario.Fleet
 	switch {
@@ -95,7 +96,7 @@
 }
 
 // lookup finds a copy. In a prewarmed fleet a popular object counts as cached at the first server of its office or
-// trunk that is asked for it, because the routers choose which server that is.
+// trunk that looks it up, because the routers choose the server that stores it.
 func (s *server) lookup(attempt *Attempt, key int64) *cachedCopy {
 	sim := s.simulation
 	cached := s.store.get(key)
@@ -115,7 +116,7 @@
 	return s.store.get(key)
 }
 
-// sendCopy sends a copy to the router. It takes a core's time for as long as one flow takes.
+// sendCopy sends a copy to the router. It occupies a core for the transfer time of one flow.
 func (s *server) sendCopy(attempt *Attempt, reason policy.Reason, issuedAt, waited int64) {
 	work := s.simulation.flowTime(attempt.SizeKB)
 	s.simulation.recordExecuted(attempt)
--- a/internal/simulation/catalogue.go
+++ b/internal/simulation/catalogue.go
@@ -17,15 +17,16 @@
 	// partBits is the width of the part's number in a key.
 	partBits = 8
 
-	// oneTimeFrom is the number from which objects are wanted only once.
-	oneTimeFrom = int64(1) << 40
+	// firstOneTimeObject is the lowest number of a one-time object, which only one client requests.
+	firstOneTimeObject = int64(1) << 40
 
 	cachedClasses = 2 // videos and pages: the classes with objects in the catalogue
 
-	// maxDraws is how often a client of one office draws again for an object that is local to another one.
+	// maxDraws bounds the draws of an object for an office. A draw is repeated if it gives an object that is local to
+	// another office.
 	maxDraws = 8
 
-	// At each drift one in driftOneIn objects of a class changes places with another one.
+	// At each drift one in driftOneIn objects of a class swaps popularity with another one.
 	driftOneIn = 100
 )
 
@@ -45,7 +46,7 @@
 	lastPartShareRange = 0.6
 )
 
-// Purposes of a hash: each property of an object is drawn independently of the others.
+// Purposes of a hash. Each property of an object has its own, so that the properties are independent.
 const (
 	hashGroup      = 1
 	hashParts      = 2
@@ -55,18 +56,19 @@
 	hashHomeOffice = 6
 )
 
-// catalogue is the set of objects that clients ask for: videos of several parts and pages, some of them wanted at one
-// office only. An object is a number; its properties follow from the number and the seed.
+// catalogue is the set of objects that clients request: videos of several parts, and pages. Some objects are local:
+// only clients of one office request them. An object is identified by a number, from which its properties are derived
+// with a salt that depends on the seed.
 type catalogue struct {
 	scenario       *scenario.Scenario
 	salt           uint64
 	objects        int64
 	byPopularity   [cachedClasses][]int64            // the objects of each class, most popular first
 	popularity     [cachedClasses]distuv.Categorical // of the places in byPopularity
-	oneTimeCount   int64                             // one-time objects that were made
+	oneTimeCount   int64                             // one-time objects created so far
 	totalKB        float64
-	officeKB       float64  // that clients of one office can want
-	prewarmedBelow [2]int64 // by kind of server: smaller object numbers are cached at the start
+	officeKB       float64  // total size of the objects that clients of one office can request
+	prewarmedBelow [2]int64 // by kind of server: objects with smaller numbers are cached at the start
 }
 
 // partKey identifies a part of an object.
@@ -92,7 +94,7 @@
 	return c
 }
 
-// measure adds up the sizes of all objects.
+// measure sums the sizes of all objects.
 func (c *catalogue) measure() {
 	localKB := 0.0
 	for object := range c.objects / cachedClasses * cachedClasses {
@@ -107,8 +109,8 @@
 	c.officeKB = c.totalKB - localKB + localKB/float64(c.scenario.Fleet.Offices)
 }
 
-// objectsWithin is the number below which objects make up a share of the catalogue's bytes. At the start objects are
-// numbered by popularity.
+// objectsWithin returns the object number below which all objects together make up a share of the catalogue's bytes.
+// At the start of the run objects are numbered by popularity.
 func (c *catalogue) objectsWithin(share float64) int64 {
 	kb := 0.0
 	for object := range c.objects {
@@ -122,7 +124,7 @@
 	return c.objects
 }
 
-// hash mixes an object's number and a purpose (the finalizer of SplitMix64).
+// hash mixes an object's number, the salt and a purpose with the finalizer of SplitMix64.
 func (c *catalogue) hash(object int64, purpose uint64) uint64 {
 	z := uint64(object)*0x9e3779b97f4a7c15 + c.salt + purpose*0xbf58476d1ce4e5b9
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -130,7 +132,7 @@
 	return z ^ z>>31
 }
 
-// uniform is a hash as a number from 0 up to 1.
+// uniform is a hash scaled to the interval [0, 1).
 func (c *catalogue) uniform(object int64, purpose uint64) float64 {
 	return float64(c.hash(object, purpose)>>11) / (1 << 53)
 }
@@ -149,7 +151,7 @@
 	return minVideoParts + int64(c.hash(object, hashParts)%videoPartsSpread)
 }
 
-// size is that of a part in KB.
+// size is the size of a part in KB.
 func (c *catalogue) size(object, part int64) float64 {
 	if c.class(object) == scenario.ClassPage {
 		return minPageKB * math.Pow(pageKBRatio, c.uniform(object, hashSize))
@@ -161,9 +163,9 @@
 	return kb
 }
 
-// home is the only office at which an object is wanted; -1: it is wanted at all of them.
+// home is the office of a local object; -1: clients of all offices request the object.
 func (c *catalogue) home(object int64) int {
-	if object < oneTimeFrom && c.uniform(object, hashLocal) < c.scenario.Load.LocalShare {
+	if object < firstOneTimeObject && c.uniform(object, hashLocal) < c.scenario.Load.LocalShare {
 		return int(c.hash(object, hashHomeOffice) % uint64(c.scenario.Fleet.Offices))
 	}
 	return -1
@@ -180,13 +182,13 @@
 	return c.byPopularity[class][0]
 }
 
-// newOneTimeObject makes an object that nobody wants again.
+// newOneTimeObject creates an object that no other client requests.
 func (c *catalogue) newOneTimeObject(class int) int64 {
 	c.oneTimeCount++
-	return oneTimeFrom + c.oneTimeCount*cachedClasses + int64(class)
+	return firstOneTimeObject + c.oneTimeCount*cachedClasses + int64(class)
 }
 
-// drift changes the popularity of some objects: each changes places with another one of its class.
+// drift changes the popularity of some objects: each swaps its rank with another object of its class.
 func (c *catalogue) drift(random *rand.Rand) {
 	for _, objects := range c.byPopularity {
 		for range len(objects)/driftOneIn + 1 {
@@ -204,7 +206,7 @@
 	return objectNamePrefix + strconv.FormatInt(object, 36)
 }
 
-// id is the number of an object by its name; -1: it is not a name of the catalogue's form.
+// id parses the name of an object into its number; -1: the name does not have the form that name returns.
 func (c *catalogue) id(name string) int64 {
 	text, ok := strings.CutPrefix(name, objectNamePrefix)
 	if !ok {
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// stopProbability is that of a viewer to stop after a part, meanPartsWatched the mean number of parts that
-	// follows from it and from the lengths of videos.
+	// stopProbability is the probability that a viewer stops after a part. meanPartsWatched is the resulting mean
+	// number of parts of a viewer, given the lengths of videos.
 	stopProbability  = 0.1
 	meanPartsWatched = 7.2
 
-	// A viewer asks for the next part after a uniformly distributed time.
+	// A viewer requests the next part after a uniformly distributed time.
 	minPartInterval    = 400 * millisecond
 	partIntervalSpread = 350 * millisecond
 )
 
-// clientPopulation creates the clients: pages and writes one by one, videos as viewers who ask for part after part.
+// clientPopulation is the state of the clients' arrivals. Pages and writes are single requests; a video is requested
+// part by part by a viewer.
 type clientPopulation struct {
 	requestCount uint64
 	interarrival distuv.Exponential // with mean 1
@@ -27,10 +28,10 @@
 type viewer struct {
 	office int
 	object int64
-	part   int64 // the next one
+	part   int64 // the next part to request
 }
 
-// startClients begins each office's arrivals and the drift of the objects' popularity.
+// startClients starts each office's arrivals and the drift of the objects' popularity.
 func (s *Simulation) startClients() {
 	s.clients.interarrival = distuv.Exponential{Rate: 1, Src: s.random}
 	for office := range s.scenario.Fleet.Offices {
@@ -41,7 +42,7 @@
 	}
 }
 
-// scheduleDrift changes the objects' popularity at regular intervals.
+// scheduleDrift schedules a change of the objects' popularity at regular intervals.
 func (s *Simulation) scheduleDrift() {
 	s.schedule(int64(s.scenario.Load.DriftS*second), func() {
 		s.catalogue.drift(s.random)
@@ -49,7 +50,8 @@
 	})
 }
 
-// clientArrival schedules an office's next arrival, a Poisson process, and begins the request of this one.
+// clientArrival schedules an office's next arrival and begins the request of the present one. Arrivals are a Poisson
+// process.
 func (s *Simulation) clientArrival(office int) {
 	load := &s.scenario.Load
 	if s.now >= s.clientsUntil {
@@ -73,7 +75,8 @@
 	}
 }
 
-// pickObject draws the object of a request: by popularity, or one that is wanted once while that fault is in force.
+// pickObject draws the object of a request by popularity. While a fault of one-time objects is in force, a share of
+// the requests gets a one-time object instead.
 func (s *Simulation) pickObject(class, office int) int64 {
 	if s.oneTimeShare > 0 && s.random.Float64() < s.oneTimeShare {
 		return s.catalogue.newOneTimeObject(class)
@@ -81,20 +84,21 @@
 	return s.catalogue.draw(class, office)
 }
 
-// watchVideo requests a video's next part, and schedules the one after it unless the viewer stops.
+// watchVideo requests the next part of a viewer's video and schedules the request of the part after it unless the
+// viewer stops.
 func (s *Simulation) watchVideo(viewer *viewer) {
 	s.beginRequest(&clientRequest{
 		office: viewer.office, class: scenario.ClassVideo, object: viewer.object, part: viewer.part,
 	})
 	viewer.part++
-	more := s.now < s.clientsUntil && viewer.part < s.catalogue.parts(viewer.object)
-	if more && s.random.Float64() > stopProbability {
+	mayContinue := s.now < s.clientsUntil && viewer.part < s.catalogue.parts(viewer.object)
+	if mayContinue && s.random.Float64() > stopProbability {
 		interval := int64(minPartInterval + s.random.Float64()*partIntervalSpread)
 		s.schedule(interval, func() { s.watchVideo(viewer) })
 	}
 }
 
-// beginRequest starts a client's request with its first attempt.
+// beginRequest starts a client's request and sends its first attempt.
 func (s *Simulation) beginRequest(clientRequest *clientRequest) {
 	load := &s.scenario.Load
 	clientRequest.startedAt = s.now
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -2,7 +2,7 @@
 
 import "quilldoor/internal/scenario"
 
-// outcomes are the counts of a client's traffic class and phase.
+// outcomes returns the counts for the traffic class and phase of a client's request.
 func (r *Result) outcomes(clientRequest *clientRequest) *Outcomes {
 	class := r.Classes[clientRequest.class]
 	outcomes := class.Phases[clientRequest.phase]
@@ -24,7 +24,7 @@
 	}
 }
 
-// countFill counts bytes that come into an office.
+// countFill counts kilobytes that are transferred into an office.
 func (r *Result) countFill(sim *Simulation, kb float64, fromOrigin bool) {
 	if sim.currentPhase() == phaseWarmUp {
 		return
@@ -35,25 +35,25 @@
 	}
 }
 
-// countParentFill counts bytes that a parent gets from the origin.
+// countParentFill counts kilobytes that a parent fetches from the origin.
 func (r *Result) countParentFill(sim *Simulation, kb float64) {
 	if sim.currentPhase() != phaseWarmUp {
 		r.OriginKB += kb
 	}
 }
 
-// countCompleted counts a usable answer by its latency from the client's first attempt.
+// countCompleted counts a request with a usable answer by its latency, from the client's first attempt on.
 func (r *Result) countCompleted(sim *Simulation, clientRequest *clientRequest, issuedAt int64) {
 	class := &sim.classes[clientRequest.class]
 	latency := sim.now - clientRequest.startedAt
 	r.Classes[clientRequest.class].latencies.RecordValue(latency) // a latency beyond the bounds is left out
-	work := sim.flowTime(sim.catalogue.size(clientRequest.object, clientRequest.part))
+	transferTime := sim.flowTime(sim.catalogue.size(clientRequest.object, clientRequest.part))
 	if class.Write {
-		work = 0
+		transferTime = 0
 	}
 	outcomes := r.outcomes(clientRequest)
 	weight := class.PriorityWeight
-	if latency <= class.LatencyObjective+int64(class.ObjectiveStretch*work) {
+	if latency <= class.LatencyObjective+int64(class.ObjectiveStretch*transferTime) {
 		outcomes.InTime++
 		r.current.InTime++
 	} else {
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -7,10 +7,10 @@
 	"quilldoor/internal/policy"
 )
 
-// EndpointList is the endpoint list as it is, in a fixed order.
+// EndpointList is the current endpoint list, in a fixed order.
 func (s *Simulation) EndpointList() (endpoints []policy.Endpoint) {
 	add := func(server *server) {
-		if server.listed != policy.EndpointGone {
+		if server.listedState != policy.EndpointGone {
 			endpoints = append(endpoints, server.endpoint())
 		}
 	}
@@ -25,7 +25,7 @@
 
 // setListed changes a server's state in the endpoint list. Routers are notified after a delay.
 func (s *Simulation) setListed(server *server, state policy.EndpointState, delay int64) {
-	server.listed = state
+	server.listedState = state
 	endpoint := server.endpoint()
 	s.record(Entry{
 		Kind: eventlog.KindListed, Endpoint: server.id, State: string(state), StartedAt: endpoint.StartedAt,
@@ -34,7 +34,8 @@
 	s.schedule(delay, func() { s.announce(DiscoveryEvent{Endpoints: []policy.Endpoint{endpoint}}) })
 }
 
-// announce sends an event to all routers. Each gets it a little later, after those announced before.
+// announce sends a discovery event to all routers. Each router receives it after a random delay, and never before an
+// event that was announced earlier.
 func (s *Simulation) announce(event DiscoveryEvent) {
 	for _, router := range s.routers {
 		delay := s.jitter(s.scenario.Fleet.DiscoveryDelayMS * millisecond)
@@ -44,10 +45,10 @@
 	}
 }
 
-// notify delivers an event to a router. While the router cannot reach the discovery service, the event is held.
+// notify delivers a discovery event to a router, or holds it while the router cannot reach the discovery service.
 func (s *Simulation) notify(router *router, event DiscoveryEvent) {
 	if !router.up {
-		return // it gets the list as it is when it starts
+		return // a router receives the current list when it starts
 	}
 	if s.discoveryCut || router.discoveryCut {
 		router.heldEvents = append(router.heldEvents, event)
@@ -68,7 +69,8 @@
 	s.driver.Notify(router.id, event)
 }
 
-// restoreDiscovery ends a partition of the discovery service and delivers the events that were held.
+// restoreDiscovery ends a partition of the discovery service and delivers the events that were held, except to routers
+// that are still cut off by another fault.
 func (s *Simulation) restoreDiscovery() {
 	s.discoveryCut = false
 	for _, router := range s.routers {
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -27,7 +27,7 @@
 	first := queue[0]
 	last := len(queue) - 1
 	queue[0] = queue[last]
-	queue[last] = event{} // lets the action be collected
+	queue[last] = event{} // releases the action to the garbage collector
 	*q = queue[:last]
 	siftDown(*q, 0)
 	return first
--- a/internal/simulation/events_test.go
+++ b/internal/simulation/events_test.go
@@ -18,11 +18,11 @@
 	last := [3]int{-1, -1, -1}
 	for position, i := range order {
 		if i < last[i%3] || position > 0 && i%3 < order[position-1]%3 {
-			t.Fatalf("order %v", order)
+			t.Fatalf("events ran in order %v, want them by time and then by scheduling", order)
 		}
 		last[i%3] = i
 	}
 	if len(order) != 100 {
-		t.Fatal(fmt.Sprint(len(order), " events"))
+		t.Fatal(fmt.Sprint(len(order), " events ran, want 100"))
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,10 +7,10 @@
 	"quilldoor/internal/scenario"
 )
 
-// wholeGroup in place of an object makes a purge that of its group.
+// wholeGroup, in place of an object's number, selects all objects of a purge group.
 const wholeGroup = -1
 
-// scheduleFault schedules a fault's beginning and end.
+// scheduleFault schedules the start and the end of a fault.
 func (s *Simulation) scheduleFault(fault *scenario.Fault) {
 	duration := int64(fault.For * second)
 	s.schedule(int64(fault.At*second), func() {
@@ -30,7 +30,7 @@
 	})
 }
 
-// startFault starts a fault and returns what ends it; nil: it ends by itself. Its targets are drawn now.
+// startFault starts a fault, draws its targets, and returns the function that ends it; nil: the fault ends by itself.
 func (s *Simulation) startFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
 	case scenario.KindCacheDeath, scenario.KindCacheSilence, scenario.KindCachePause, scenario.KindCacheDeploy,
@@ -59,7 +59,8 @@
 	}
 }
 
-// startPurges purges a share of the groups, or the most popular objects of the two cached classes in turn.
+// startPurges purges a share of the groups, or the most popular objects of both cached classes, alternating between
+// the classes.
 func (s *Simulation) startPurges(fault *scenario.Fault) {
 	if fault.Kind == scenario.KindPurge {
 		for group := range int64(groupCount) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// startLoadFault changes what clients ask for, or how often.
+// startLoadFault changes the objects that clients request, or the rate of their requests.
 func (s *Simulation) startLoadFault(fault *scenario.Fault) (endFault func()) {
 	if fault.Kind == scenario.KindOneTimeObjects {
 		s.oneTimeShare = fault.Share
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -9,27 +9,28 @@
 // fill is a fetch of one part into a server. At a cache, attempts wait for it; at a parent, the callers of
 // serveFill do.
 type fill struct {
-	server       *server // that is filled
-	incarnation  int64   // of the server, when the fill began
+	server       *server // the server that stores the part
+	incarnation  int64   // of the server when the fill began
 	key          int64
 	priority     int // cache priority of the copy; 0: it is not stored
 	attempts     []*Attempt
-	waiters      []func() // at a parent: those who joined
+	waiters      []func() // at a parent: called when the fill ends, one for each fetch that joined it
 	transfers    []*job
-	pendingParts int // parts of the transfer that are not finished
+	pendingSteps int // transfers and the minimum transfer time that are still to finish
 	startedAt    int64
 	issuedAt     int64
 	reason       policy.Reason
 	closed       bool // completed or cancelled
 }
 
-// fillDone receives what a source has for a fill: the issue time of its copy, or a reason for which fillFailed holds.
+// fillDone receives the reply of a source to a fill: the issue time of its copy, or a reason for which fillFailed
+// returns true.
 type fillDone func(issuedAt int64, reason policy.Reason)
 
-// fillFailed tells whether a source's reason means that there is no copy.
+// fillFailed reports whether a source's reason means that the source supplies no copy.
 func fillFailed(reason policy.Reason) bool { return reason >= policy.ReasonUpstreamBusy }
 
-// beginFill starts a fill for an attempt. Later attempts may join it unless another one for the part is under way.
+// beginFill starts a fill for an attempt. Later attempts may join it unless another fill of the part is in flight.
 func (s *server) beginFill(attempt *Attempt, key int64) {
 	begun := &fill{
 		server: s, incarnation: s.incarnation, key: key, priority: attempt.CachePriority, attempts: []*Attempt{attempt},
@@ -43,7 +44,7 @@
 	begun.start(attempt)
 }
 
-// join lets an attempt wait for a fill that is under way.
+// join adds an attempt to a fill in flight.
 func (f *fill) join(attempt *Attempt) {
 	f.priority = max(f.priority, attempt.CachePriority)
 	f.attempts = append(f.attempts, attempt)
@@ -54,7 +55,7 @@
 func (f *fill) start(attempt *Attempt) {
 	source := attempt.fillSource
 	delay := f.server.simulation.oneWayDelay(f.server.office, source)
-	snapshot := *attempt // the attempt may be cancelled while the fill runs on
+	snapshot := *attempt // the attempt may be cancelled while the fill continues
 	f.server.simulation.schedule(delay, func() {
 		if !f.closed {
 			f.requestArrived(&snapshot, source, delay)
@@ -62,7 +63,8 @@
 	})
 }
 
-// requestArrived lets the source supply the fill. Its answer takes delay microseconds back.
+// requestArrived handles the arrival of the fill's request at its source. The reply takes delay microseconds to the
+// server.
 func (f *fill) requestArrived(attempt *Attempt, source *server, delay int64) {
 	sim := f.server.simulation
 	failLater := func(reason policy.Reason) {
@@ -90,29 +92,30 @@
 	})
 }
 
-// transfer moves the fill's bytes over the source's link out and the office's link in, no faster than its pace. It
-// is finished when all three are.
+// transfer sends the fill's bytes over the source's outbound link and the office's inbound link, at no more than the
+// maximum rate of one fill. The fill completes when both links have transferred the bytes and the time that they take
+// at the maximum rate has passed.
 func (f *fill) transfer(attempt *Attempt, source *server) {
 	sim := f.server.simulation
 	fleet := &sim.scenario.Fleet
 	if f.closed || f.incarnation != f.server.incarnation {
 		return
 	}
-	pace := fleet.FillSpeed * fleet.FlowKBPerS / second / float64(1+sim.trunkDistance(f.server.office, source))
-	partDone := func() {
-		f.pendingParts--
-		if f.pendingParts == 0 && !f.closed {
+	maxRate := fleet.FillSpeed * fleet.FlowKBPerS / second / float64(1+sim.trunkDistance(f.server.office, source))
+	stepDone := func() {
+		f.pendingSteps--
+		if f.pendingSteps == 0 && !f.closed {
 			f.complete(attempt)
 		}
 	}
 	sim.Result.countFill(sim, attempt.SizeKB, source.kind == kindOrigin)
-	f.pendingParts = 2 // the office's link and the pace
+	f.pendingSteps = 2 // the office's link and the minimum transfer time
 	if source.egress != nil {
-		f.pendingParts++
-		f.transfers = append(f.transfers, source.egress.add(attempt.SizeKB, partDone))
+		f.pendingSteps++
+		f.transfers = append(f.transfers, source.egress.add(attempt.SizeKB, stepDone))
 	}
-	f.transfers = append(f.transfers, sim.links[f.server.office].add(attempt.SizeKB, partDone))
-	sim.schedule(int64(attempt.SizeKB/pace), partDone)
+	f.transfers = append(f.transfers, sim.links[f.server.office].add(attempt.SizeKB, stepDone))
+	sim.schedule(int64(attempt.SizeKB/maxRate), stepDone)
 }
 
 // unregister removes the fill from its server.
@@ -123,7 +126,7 @@
 	}
 }
 
-// complete stores the copy, unless it was purged meanwhile, and answers the attempts that wait for it.
+// complete stores the copy unless it was purged meanwhile, and answers the attempts that wait for the fill.
 func (f *fill) complete(request *Attempt) {
 	s := f.server
 	f.closed = true
@@ -160,7 +163,7 @@
 	}
 }
 
-// cancel ends the fill's transfers. Those who wait for it are not notified.
+// cancel stops the fill's transfers. Attempts and waiters of the fill are not notified.
 func (f *fill) cancel() {
 	f.closed = true
 	for _, transfer := range f.transfers {
@@ -170,8 +173,8 @@
 	f.waiters = nil
 }
 
-// removeAttempt lets an attempt leave the fill. A fill that nobody waits for is cancelled, or runs on if the
-// scenario says so.
+// removeAttempt removes an attempt from the fill. A fill without attempts is cancelled unless the scenario lets such
+// fills continue.
 func (f *fill) removeAttempt(attempt *Attempt) {
 	f.attempts = slices.DeleteFunc(f.attempts, func(other *Attempt) bool { return other == attempt })
 	if len(f.attempts) == 0 && !f.closed && !f.server.simulation.scenario.Fleet.OrphanFills {
@@ -180,8 +183,8 @@
 	}
 }
 
-// serveFill is what a source does for a fill: another cache gives what it holds, a parent may fetch it first, the
-// origin generates it.
+// serveFill supplies a part for a fill: a cache from its store, a parent from its store or by a fetch from the origin,
+// and the origin by generating it.
 func (s *server) serveFill(attempt *Attempt, done fillDone) {
 	switch s.kind {
 	case kindOrigin:
--- a/internal/simulation/heap.go
+++ b/internal/simulation/heap.go
@@ -8,7 +8,7 @@
 	swap(i, j int)
 }
 
-// siftUp moves element i up to its place.
+// siftUp moves element i up until its parent sorts before it.
 func siftUp[H binaryHeap](h H, i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -20,7 +20,7 @@
 	}
 }
 
-// siftDown moves element i down to its place.
+// siftDown moves element i down until it sorts before its children.
 func siftDown[H binaryHeap](h H, i int) {
 	for {
 		least := i
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -9,14 +9,14 @@
 	loadLink        = "x1" // of a cache: utilization of the office's link; of a parent: fills in flight
 )
 
-// reportLoad measures a server's load since its last report and schedules the next one. Answers carry the report
-// after its delay.
+// reportLoad measures a server's load since its last report and schedules the next report. Responses carry the new
+// report once the report delay has passed.
 func (s *server) reportLoad() {
 	sim := s.simulation
 	fleet := &sim.scenario.Fleet
 	interval := sim.jitter(fleet.ReportMS * millisecond)
-	if s.listed == policy.EndpointGone && !s.up && s.collapsed {
-		return // it never comes back
+	if s.listedState == policy.EndpointGone && !s.up && s.collapsed {
+		return // a collapsed server does not start again
 	}
 	load := map[string]float64{}
 	if s.cpu != nil {
@@ -36,21 +36,21 @@
 	sim.schedule(interval, s.reportLoad)
 }
 
-// reportUtilization is the share of the processor that was used in an interval, with noise.
+// reportUtilization measures the utilization of the processor since the last report, and adds noise.
 func (s *server) reportUtilization(interval int64) float64 {
 	s.cpu.advance()
-	use := min(1, (s.cpu.served-s.reportedCPU)/float64(interval)/s.weight)
+	utilization := min(1, (s.cpu.served-s.reportedCPU)/float64(interval)/s.weight)
 	s.reportedCPU = s.cpu.served
-	return s.simulation.reportNoise(use)
+	return s.simulation.reportNoise(utilization)
 }
 
-// reportLinkUse is the share of the office's link that was used in an interval, with noise.
+// reportLinkUse measures the utilization of the office's link since the last report, and adds noise.
 func (s *server) reportLinkUse(interval int64) float64 {
 	link := s.simulation.links[s.office]
 	link.advance()
-	use := min(1, (link.served-s.reportedLink)/float64(interval)/link.totalRate)
+	utilization := min(1, (link.served-s.reportedLink)/float64(interval)/link.totalRate)
 	s.reportedLink = link.served
-	return s.simulation.reportNoise(use)
+	return s.simulation.reportNoise(utilization)
 }
 
 // reportNoise adds normally distributed relative noise to a reported value.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,23 +1,24 @@
 package simulation
 
-// sendToOffice brings an answer from a trunk into the office of its router: over the server's link out, over the
-// office's link in, and no faster than one client flow. done is called when all three are finished.
+// sendToOffice sends a response from a server at a trunk to the office of the attempt's router, over the server's
+// outbound link and the office's inbound link, at no more than the rate of one client flow. done is called when both
+// links have transferred the bytes and the time that they take at the flow's rate has passed.
 func (s *server) sendToOffice(attempt *Attempt, done func()) {
 	sim := s.simulation
 	sim.Result.countFill(sim, attempt.SizeKB, s.kind == kindOrigin)
-	pendingParts := 3
-	partDone := func() {
-		pendingParts--
-		if pendingParts == 0 && attempt.state != attemptEnded {
+	pendingSteps := 3
+	stepDone := func() {
+		pendingSteps--
+		if pendingSteps == 0 && attempt.state != attemptEnded {
 			done()
 		}
 	}
-	sim.schedule(int64(sim.flowTime(attempt.SizeKB)), partDone)
-	s.egress.add(attempt.SizeKB, partDone)
-	sim.links[sim.routers[attempt.Router].office].add(attempt.SizeKB, partDone)
+	sim.schedule(int64(sim.flowTime(attempt.SizeKB)), stepDone)
+	s.egress.add(attempt.SizeKB, stepDone)
+	sim.links[sim.routers[attempt.Router].office].add(attempt.SizeKB, stepDone)
 }
 
-// newLink makes a link, which its transfers share equally; one alone may use all of it.
+// newLink creates a link. Its transfers share its capacity equally; a single transfer may use all of it.
 func (s *Simulation) newLink(kbPerS float64) *sharedResource {
 	return &sharedResource{simulation: s, totalRate: kbPerS / second, maxJobRate: kbPerS / second}
 }
@@ -31,7 +32,7 @@
 	return int64((fleet.TrunkMS + fleet.FarMS*float64(s.trunkDistance(office, server))) * oneWay)
 }
 
-// trunkDistance is how many trunks beyond its own lie between an office and a parent or the origin.
+// trunkDistance is the number of trunks from an office's own trunk to the trunk of a parent or the origin.
 func (s *Simulation) trunkDistance(office int, server *server) int {
 	distance := s.scenario.Fleet.Trunk(office) - server.trunk
 	return max(distance, -distance)
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// networkFault is a fault on the paths from the given routers, and back unless it is one-way.
+// networkFault converts a fault of the scenario to one on the paths from the given routers and, unless its kind is
+// one-way, on the paths back.
 func networkFault(fault *scenario.Fault, from []int) *netsim.Fault {
 	f := &netsim.Fault{From: from, Bidirectional: true}
 	switch fault.Kind {
@@ -53,8 +54,8 @@
 	return f
 }
 
-// splitRouters splits routers into a number of groups. The first one has a share of them, the others are of about
-// equal size; share 0: all are.
+// splitRouters splits routers into count groups. The first group has a share of the routers, and the others are of
+// about equal size. With a share of 0 all groups are of about equal size.
 func splitRouters(ids []int, count int, share float64) [][]int {
 	firstSize := int(math.Ceil(share * float64(len(ids))))
 	if share == 0 {
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -8,15 +8,15 @@
 const (
 	originID = "ledger"
 
-	// originSlotsPerWorker is how many requests per worker the origin holds, at work and queued.
+	// originSlotsPerWorker is the number of requests per worker, in service and queued, at which the origin is full.
 	originSlotsPerWorker = 4
 
-	// Arrivals of this span tell whether the origin is pushed over.
+	// The window over which arrivals are counted to decide whether the origin is overloaded and stops.
 	originArrivalWindowS = 3
 	originArrivalWindow  = originArrivalWindowS * second
 
-	// originCrowding is the share by which a full origin works longer on a request than an empty one.
-	originCrowding = 0.5
+	// fullOriginSlowdown is the relative increase of the service time at a full origin over that at an empty one.
+	fullOriginSlowdown = 0.5
 	// The service time is half fixed and half exponentially distributed.
 	originFixedShare  = 0.5
 	originRandomShare = 0.5
@@ -24,15 +24,15 @@
 	writeAnswerKB = 1
 )
 
-// newOrigin makes the origin, which stands at the first trunk.
+// newOrigin creates the origin, at the first trunk.
 func (s *Simulation) newOrigin() *server {
 	fleet := &s.scenario.Fleet
 	egressKBPerS := fleet.OriginLinkKBPerS
-	if egressKBPerS == 0 { // what all offices' links could ask for, if half of it is at parents
+	if egressKBPerS == 0 { // the sum of the offices' links, for a load of which half is cached at parents
 		egressKBPerS = fleet.OfficeLinkKBPerS() * float64(fleet.Offices)
 	}
 	origin := &server{
-		simulation: s, id: originID, kind: kindOrigin, up: true, listed: policy.EndpointActive, slowdown: 1,
+		simulation: s, id: originID, kind: kindOrigin, up: true, listedState: policy.EndpointActive, slowdown: 1,
 		office: noOffice, trunk: 0, weight: float64(fleet.OriginWorkers), egress: s.newLink(egressKBPerS),
 	}
 	origin.cpu = &sharedResource{simulation: s, totalRate: float64(fleet.OriginWorkers), maxJobRate: 1}
@@ -40,8 +40,8 @@
 	return origin
 }
 
-// originAccepts counts an arrival at the origin and tells whether it is accepted. Too many arrivals make the origin
-// stop for a while.
+// originAccepts counts an arrival at the origin and reports whether it is accepted. Too many arrivals within the window
+// stop the origin.
 func (s *server) originAccepts() bool {
 	fleet := &s.simulation.scenario.Fleet
 	s.countOriginArrival()
@@ -61,7 +61,7 @@
 	s.arrivals = append(s.arrivals, now)
 }
 
-// stopOrigin stops the origin for the scenario's time. Work that has begun goes on afterwards.
+// stopOrigin stops the origin for the duration that the scenario sets. Work in progress continues afterwards.
 func (s *server) stopOrigin() {
 	sim := s.simulation
 	s.stopped = true
@@ -75,11 +75,11 @@
 	})
 }
 
-// originServiceTime draws the work of one request in worker-microseconds. It is longer the fuller the origin is.
+// originServiceTime draws the work of one request in worker-microseconds. Its mean grows with the origin's occupancy.
 func (s *server) originServiceTime() float64 {
 	fleet := &s.simulation.scenario.Fleet
 	occupancy := float64(len(s.cpu.jobs)) / float64(originSlotsPerWorker*fleet.OriginWorkers)
-	mean := fleet.OriginServiceMS * millisecond * (1 + originCrowding*occupancy)
+	mean := fleet.OriginServiceMS * millisecond * (1 + fullOriginSlowdown*occupancy)
 	return mean * (originFixedShare + s.simulation.random.ExpFloat64()*originRandomShare)
 }
 
@@ -92,7 +92,8 @@
 	s.cpu.add(s.originServiceTime(), func() { done(s.simulation.now, policy.ReasonMissOrigin) })
 }
 
-// serveFromOrigin answers an attempt that a router sent straight to the origin: a write, or a read past the caches.
+// serveFromOrigin answers an attempt that a router sent directly to the origin: a write, or a read that bypasses the
+// caches.
 func (s *server) serveFromOrigin(attempt *Attempt) {
 	attempt.state = attemptWorking
 	if !s.originAccepts() {
@@ -110,7 +111,7 @@
 	})
 }
 
-// finishWrite lets a write have its effect and answers it.
+// finishWrite records the effect of a write and answers it.
 func (s *server) finishWrite(attempt *Attempt) {
 	entry := attempt.entry(eventlog.KindEffect)
 	entry.Class = s.simulation.classes[attempt.Class].Name
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -2,13 +2,14 @@
 
 import "quilldoor/internal/policy"
 
-// newParent adds a parent to a trunk. Its link out is in proportion to the links into the trunk's offices.
+// newParent adds a parent to a trunk. The capacity of its outbound link is proportional to that of the inbound links of
+// the trunk's offices.
 func (s *Simulation) newParent(trunk int, id string) *server {
 	fleet := &s.scenario.Fleet
 	offices := (fleet.Offices + fleet.Trunks - 1 - trunk) / fleet.Trunks
 	egressKBPerS := fleet.ParentLink * fleet.OfficeLinkKBPerS() * float64(max(offices, 1)) / float64(max(fleet.Parents, 1))
 	parent := &server{
-		simulation: s, id: id, kind: kindParent, up: true, listed: policy.EndpointActive, slowdown: 1,
+		simulation: s, id: id, kind: kindParent, up: true, listedState: policy.EndpointActive, slowdown: 1,
 		office: noOffice, trunk: trunk, weight: egressKBPerS / fleet.FlowKBPerS, fills: map[int64]*fill{},
 		egress: s.newLink(egressKBPerS),
 	}
@@ -18,7 +19,8 @@
 	return parent
 }
 
-// fetch gives the parent's copy of a part, or gets it from the origin first.
+// fetch supplies the parent's copy of a part. If the parent has no copy that is fresh enough, it first gets one from
+// the origin or joins a fill in flight, as far as the attempt and the scenario allow.
 func (s *server) fetch(attempt *Attempt, done fillDone) {
 	sim := s.simulation
 	key := partKey(attempt.objectID, attempt.Part)
@@ -33,8 +35,8 @@
 		done(0, policy.ReasonUpstreamMiss)
 		return
 	}
-	if other := s.fills[key]; other != nil && sim.scenario.Fleet.ParentCoalesces {
-		other.waiters = append(other.waiters, func() { done(other.issuedAt, other.reason) })
+	if inFlight := s.fills[key]; inFlight != nil && sim.scenario.Fleet.ParentCoalesces {
+		inFlight.waiters = append(inFlight.waiters, func() { done(inFlight.issuedAt, inFlight.reason) })
 		return
 	}
 	s.fetchFromOrigin(attempt, key, done)
@@ -69,11 +71,11 @@
 	return sim.oneWayDelay(0, sim.origin) + int64(sim.scenario.Fleet.FarMS*oneWay*float64(max(distance, -distance)))
 }
 
-// finishFetch stores what the origin supplied, if it may be kept and was not purged meanwhile, and passes it on to
-// those who wait for it.
+// finishFetch ends a parent's fill from the origin. It stores the copy if the attempt allows that and the copy was not
+// purged meanwhile, and passes the origin's reply to the fetch that began the fill and to those that joined it.
 func (f *fill) finishFetch(attempt *Attempt, issuedAt int64, reason policy.Reason, done fillDone) {
 	s := f.server
-	if s.incarnation != f.incarnation { // it crashed meanwhile
+	if s.incarnation != f.incarnation { // the parent crashed meanwhile
 		done(0, policy.ReasonUpstreamDown)
 		return
 	}
@@ -92,7 +94,7 @@
 	}
 }
 
-// serveFromParent answers an attempt that a router sent straight to a parent.
+// serveFromParent answers an attempt that a router sent directly to a parent.
 func (s *server) serveFromParent(attempt *Attempt) {
 	attempt.state = attemptWorking
 	incarnation := s.incarnation
--- a/internal/simulation/purge.go
+++ b/internal/simulation/purge.go
@@ -9,16 +9,16 @@
 // purgeSpread is the share of the time for a complete purge within which all servers have carried it out.
 const purgeSpread = 0.9
 
-// purgedAt is when an object was purged last, by itself or with its group; 0: never.
+// purgedAt is the time at which an object was last purged, by itself or with its group; 0: never.
 func (s *Simulation) purgedAt(object, group int64) int64 {
 	at := s.groupPurges[group%groupCount]
-	if objectPurge, known := s.objectPurges[object]; known {
+	if objectPurge, purged := s.objectPurges[object]; purged {
 		at = max(at, objectPurge)
 	}
 	return at
 }
 
-// purge purges an object or, if object is wholeGroup, a group. Each server drops its copies a random time later;
+// purge purges an object or, if object is wholeGroup, a group. Each server drops its copies after a random delay, and
 // routers are notified.
 func (s *Simulation) purge(object, group int64) {
 	now := s.now
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// jitter draws from jitterFrom to jitterFrom+jitterSpread times a value.
+// Bounds of the random factor of jitter: from jitterFrom to jitterFrom+jitterSpread.
 const (
 	jitterFrom   = 0.8
 	jitterSpread = 0.4
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// routerDeathNoticed is for how long a router that was killed is still given requests, until its machine is known to
-	// be down.
-	routerDeathNoticed = 1 * second
+	// routerDownDetectionTime is how long clients still send requests to a router that was killed, until they know
+	// that its machine is down.
+	routerDownDetectionTime = 1 * second
 
 	writeRequestKB = 1
 )
 
-// Request is one attempt of a client at a request, as it reaches a router: a router takes each attempt for a request of
-// its own. The client's request, over all attempts, is a clientRequest.
+// Request is one attempt of a client at a request. A router handles each attempt as a separate request. The client's
+// request over all its attempts is a clientRequest.
 type Request struct {
 	Router    int
 	ID        string // ID of the request, new for each of the client's attempts
@@ -24,30 +24,30 @@
 	Group     int64 // purge group of the object
 	Part      int64
 	SizeKB    float64
-	Remaining int64 // how long the client still waits, microseconds
+	Remaining int64 // time until the client stops waiting, microseconds
 	Retry     bool  // marked as a client's retry
 	Write     bool
 
 	clientRequest *clientRequest
 	deadline      int64
-	open          bool // the router has it and has not answered
+	open          bool // its router has received it and has not answered
 }
 
-// Deadline is when the client stops waiting.
+// Deadline is the time at which the client stops waiting.
 func (r *Request) Deadline() int64 { return r.deadline }
 
-// clientRequest is a request as its client sees it, over all the client's attempts.
+// clientRequest is a client's request over all the client's attempts.
 type clientRequest struct {
 	office, class     int
 	object, part      int64
-	attempts          int
-	startedAt         int64  // first attempt
+	attempts          int    // sent so far
+	startedAt         int64  // time of the first attempt
 	phase             string // of the run, at the first attempt
 	timeLimit         int64  // of each attempt, microseconds
 	honoursRetryAfter bool
 }
 
-// sendRequest sends a client's next attempt to a router of its office that is not known to be down.
+// sendRequest sends a client's next attempt to a random router of its office that is not known to be down.
 func (s *Simulation) sendRequest(clientRequest *clientRequest) {
 	candidates := s.routersInService(clientRequest.office)
 	clientRequest.attempts++
@@ -68,18 +68,18 @@
 	s.schedule(clientRequest.timeLimit+2*delay+s.Slack, func() { s.clientTimedOut(router, request) })
 }
 
-// routersInService are the routers of an office that clients are sent to.
+// routersInService returns the routers of an office to which clients send requests.
 func (s *Simulation) routersInService(office int) (candidates []*router) {
 	perOffice := s.scenario.Fleet.Routers
 	for _, router := range s.routers[office*perOffice : (office+1)*perOffice] {
-		if router.up || s.now-router.downAt < routerDeathNoticed {
+		if router.up || s.now-router.downAt < routerDownDetectionTime {
 			candidates = append(candidates, router)
 		}
 	}
 	return candidates
 }
 
-// newRequest makes a client's next attempt, for a router.
+// newRequest creates the Request for a client's next attempt, which goes to the given router.
 func (s *Simulation) newRequest(router *router, clientRequest *clientRequest) *Request {
 	s.clients.requestCount++
 	request := &Request{
@@ -105,7 +105,7 @@
 // clientDelay draws the network latency between a client and its router, one way, in microseconds.
 func (s *Simulation) clientDelay() int64 { return s.jitter(s.scenario.Fleet.ClientMS * oneWay) }
 
-// requestArrived hands a request to its router.
+// requestArrived handles the arrival of a request at its router.
 func (s *Simulation) requestArrived(router *router, request *Request) {
 	router.addRequest(request)
 	s.Result.ClientAttempts++
--- a/internal/simulation/resource.go
+++ b/internal/simulation/resource.go
@@ -1,26 +1,27 @@
 package simulation
 
-// sharedResource is a resource that its jobs share equally: the cores of a cache, a link. It is processor sharing in
-// virtual time (Parekh and Gallager, 1993): the virtual service is what a job would have got that was there from the
-// start, and each job ends when it reaches the job's mark. An arrival therefore costs the logarithm of the number of
-// jobs. Work and rates are in a unit of the user's, such as core-microseconds or kilobytes.
+// sharedResource is a resource that its jobs share equally, such as the cores of a cache or a link. It implements
+// processor sharing in virtual time (Parekh and Gallager, 1993): the virtual service is the service that a job would
+// have received if it had been present from the start, and each job ends when the virtual service reaches its finishAt.
+// An arrival therefore takes time logarithmic in the number of jobs. The user chooses the unit of work and rates, such
+// as core-microseconds or kilobytes.
 type sharedResource struct {
 	simulation      *Simulation
 	totalRate       float64 // per microsecond, over all jobs
 	maxJobRate      float64 // per microsecond, of one job
 	virtualService  float64
-	served          float64 // over all jobs
+	served          float64 // work done, over all jobs
 	updatedAt       int64   // time up to which virtualService and served count
 	jobs            jobHeap // in the order in which they end
-	timerGeneration int64   // of the event that is valid; older ones are void
+	timerGeneration int64   // of the scheduled end of the next job; events of earlier generations do nothing
 }
 
 // job is a piece of work on a shared resource.
 type job struct {
 	resource *sharedResource
-	finishAt float64 // virtual service at which it ends
+	finishAt float64 // virtual service at which the job ends
 	sequence int64
-	index    int // in the heap; -1: it has ended
+	index    int // in the heap; -1: the job has ended
 	done     func()
 }
 
@@ -45,7 +46,7 @@
 	return min(r.maxJobRate, r.totalRate/float64(len(r.jobs)))
 }
 
-// advance counts the service up to now. It must be called before jobs or rates change.
+// advance adds the service since updatedAt. It must be called before jobs or rates change.
 func (r *sharedResource) advance() {
 	now := r.simulation.now
 	if now <= r.updatedAt {
@@ -57,7 +58,7 @@
 	r.updatedAt = now
 }
 
-// add begins a job. done is called when its work is finished.
+// add starts a job. done is called when its work is finished.
 func (r *sharedResource) add(work float64, done func()) *job {
 	r.advance()
 	r.simulation.sequence++
@@ -70,7 +71,7 @@
 	return j
 }
 
-// remove cancels a job; its done is not called. A job that has ended is left alone.
+// remove cancels a job without calling its done. It does nothing for nil or a job that has ended.
 func (r *sharedResource) remove(j *job) {
 	if j == nil || j.index < 0 {
 		return
@@ -101,7 +102,7 @@
 	r.scheduleNext()
 }
 
-// scheduleNext schedules the end of the next job to end and makes earlier such events void.
+// scheduleNext schedules the end of the job that ends next and invalidates earlier such events.
 func (r *sharedResource) scheduleNext() {
 	r.timerGeneration++
 	rate := r.jobRate()
--- a/internal/simulation/resource_test.go
+++ b/internal/simulation/resource_test.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Jobs of exponential work that share c cores are as many as in an M/M/c queue, whatever the order of service, so
-// that Erlang's C formula gives the mean time they stay.
+// With Poisson arrivals and exponential work, the number of jobs that share c cores is distributed as in an M/M/c
+// queue, whatever the order of service. Erlang's C formula therefore gives their mean time in the system.
 func TestSharedCoresMatchErlangC(t *testing.T) {
 	for _, test := range []struct {
 		cores int
@@ -35,9 +35,9 @@
 		}
 		want := work * (1 + erlangC(test.cores, test.load)/(float64(test.cores)*(1-test.load)))
 		if got := timeInSystem / float64(finished); math.Abs(got/want-1) > 0.03 {
-			t.Errorf("%d cores at %.2f: %.0f us in the system, %.0f by Erlang's C", test.cores, test.load, got, want)
+			t.Errorf("%d cores at load %.2f: %.0f us in the system, %.0f us by Erlang's C", test.cores, test.load, got, want)
 		} else {
-			t.Logf("%d cores at %.2f: %+.2f%% of Erlang's C", test.cores, test.load, 100*(got/want-1))
+			t.Logf("%d cores at load %.2f: %+.2f%% from Erlang's C", test.cores, test.load, 100*(got/want-1))
 		}
 	}
 }
--- a/internal/simulation/response_faults.go
+++ b/internal/simulation/response_faults.go
@@ -7,23 +7,23 @@
 	"quilldoor/internal/scenario"
 )
 
-// responseFault spoils a share of the responses of caches, or of the origin.
+// responseFault changes or drops a share of the responses of caches, or of the origin.
 type responseFault struct {
 	kind   string
-	office int // from 1; 0: all
+	office int // from 1; 0: all offices
 	share  float64
 }
 
-// startResponseFault lets a fault change a share of the responses until it ends.
+// startResponseFault applies a fault to a share of the responses until the fault ends.
 func (s *Simulation) startResponseFault(fault *scenario.Fault) (endFault func()) {
 	started := &responseFault{fault.Kind, fault.Office, fault.Share}
 	s.responseFaults = append(s.responseFaults, started)
 	return func() {
-		s.responseFaults = slices.DeleteFunc(s.responseFaults, func(other *responseFault) bool { return other == started })
+		s.responseFaults = slices.DeleteFunc(s.responseFaults, func(active *responseFault) bool { return active == started })
 	}
 }
 
-// affects tells whether the fault applies to responses of a server at all.
+// affects reports whether the fault applies to the responses of a server.
 func (f *responseFault) affects(server *server) bool {
 	if f.kind == scenario.KindOriginReset {
 		return server.kind == kindOrigin
@@ -31,8 +31,8 @@
 	return server.kind == kindCache && (f.office == 0 || server.office == f.office-1)
 }
 
-// applyResponseFaults draws which fault, if any, changes a server's response. A response of policy.OutcomeUnknown is
-// lost.
+// applyResponseFaults draws the fault, if any, that changes a server's response, and returns the changed response.
+// policy.OutcomeUnknown means that the response is lost.
 func (s *Simulation) applyResponseFaults(server *server, end AttemptResult) AttemptResult {
 	errorShare := s.scenario.Fleet.ErrorShare
 	if server.kind == kindCache && errorShare > 0 && s.random.Float64() < errorShare {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -6,9 +6,9 @@
 	"quilldoor/internal/scenario"
 )
 
-// Phases of a run as results name them.
+// Phases of a run, by their names in results.
 const (
-	phaseWarmUp = "settle" // its requests don't count
+	phaseWarmUp = "settle" // excluded from EarnedShare and from the counts of kilobytes
 	phaseCalm   = "calm"
 	phaseFault  = "trouble" // at least one fault is in force
 )
@@ -23,26 +23,26 @@
 	latencySignificant = 3 // significant decimal digits
 )
 
-// Result is the outcome of a run. Its JSON keys are older than its field names and stay. Counts include the warm-up
-// unless they say otherwise; ClassResult counts by phase.
+// Result is the outcome of a run. Its JSON keys differ from its field names and are kept for compatibility. Counts
+// include the warm-up unless their comments say otherwise; ClassResult counts by phase.
 type Result struct {
 	Classes  []*ClassResult `json:"Rules"` // by traffic class
 	Timeline []Second
-	Faults   []string `json:"Troubles"` // faults that began, with their times
+	Faults   []string `json:"Troubles"` // faults that started, with their times
 
 	ClientAttempts     int            `json:"Taken"`       // attempts of clients that reached routers
 	Attempts           int            `json:"Hops"`        // attempts that routers sent to servers
 	TimedOut           int            `json:"Lost"`        // attempts of clients that timed out without an answer
-	AttemptOutcomes    map[string]int `json:"Ends"`        // answers of servers by outcome
+	AttemptOutcomes    map[string]int `json:"Ends"`        // responses of servers by outcome
 	Collapsed          int            `json:"Fallen"`      // servers that collapsed while they warmed up
-	OriginStops        int            `json:"LedgerStops"` // of the origin, by too many arrivals
+	OriginStops        int            `json:"LedgerStops"` // stops of the origin after too many arrivals
 	Forwarded          int            `json:"Crossed"`     // requests that were forwarded to another site
-	ForwardedCompleted int            `json:"CrossedDone"` // of these: completed there
-	FilledKB           float64        // that came into offices, after the warm-up
-	OriginKB           float64        `json:"LedgerKB"` // that the origin sent, after the warm-up
-	RequestedKB        float64        `json:"AskedKB"`  // that clients asked for, after the warm-up
+	ForwardedCompleted int            `json:"CrossedDone"` // forwarded requests that the other site completed
+	FilledKB           float64        // transferred into offices, after the warm-up
+	OriginKB           float64        `json:"LedgerKB"` // sent by the origin, after the warm-up
+	RequestedKB        float64        `json:"AskedKB"`  // requested by clients, after the warm-up
 
-	current Second // not closed yet
+	current Second // the second in progress
 }
 
 // ClassResult is the outcome of a traffic class.
@@ -57,11 +57,11 @@
 	Requests       int     `json:"Asked"`
 	InTime         int     // completed within the latency objective
 	Late           int     // completed after it
-	Stale          int     // of both: with a copy past its freshness time
+	Stale          int     // InTime or Late, with a copy past its freshness time
 	Rejected       int     `json:"Refused"` // not completed, and a retry would be safe
 	Failed         int     // not completed, and it may have been executed
 	EarnedWeight   float64 `json:"Worth"`     // priority weight that was earned
-	PossibleWeight float64 `json:"WorthMost"` // priority weight if all had completed in time
+	PossibleWeight float64 `json:"WorthMost"` // priority weight if all had completed in time with fresh copies
 }
 
 // Second is one second of the timeline.
@@ -71,12 +71,12 @@
 	InTime          int
 	Late            int
 	NotCompleted    int     `json:"None"`     // requests without a usable answer
-	Attempts        int     `json:"Hops"`     // attempts in flight at its end
-	ActiveFaults    int     `json:"Troubles"` // faults in force at its end
-	Servers         int     // caches that are up at its end
+	Attempts        int     `json:"Hops"`     // attempts in flight at the end of the second
+	ActiveFaults    int     `json:"Troubles"` // faults in force at the end of the second
+	Servers         int     // caches that are up at the end of the second
 	LinkUtilization float64 `json:"LinkUse"` // utilization of the offices' links
 
-	filledKB float64 // over all offices' links from the start
+	filledKB float64 // transferred over all offices' links since the start
 }
 
 func newResult(s *scenario.Scenario) *Result {
@@ -90,7 +90,7 @@
 	return r
 }
 
-// EarnedShare is the share of the priority weight of all requests that was earned, after the warm-up.
+// EarnedShare is the earned share of the priority weight of all requests after the warm-up.
 func (r *Result) EarnedShare() float64 {
 	earned := 0.0
 	possible := 0.0
@@ -109,5 +109,5 @@
 }
 
 // Quantile is a quantile of the latency of completed requests in microseconds, from the client's first attempt.
-// Requests of the warm-up count too.
+// Requests of the warm-up are included.
 func (r *ClassResult) Quantile(q float64) int64 { return r.latencies.ValueAtQuantile(q) }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -7,23 +7,23 @@
 	"quilldoor/internal/eventlog"
 )
 
-// router is what the simulation knows of a router: its process and the requests it has not answered. The router's own
-// state belongs to the driver.
+// router is the simulation's state of a router: its process and the requests that it has not answered. The driver owns
+// the router's own state.
 type router struct {
 	id           int
 	office       int
 	up           bool
-	incarnation  int  // counts deaths
-	suspensions  int  // faults that suspend it
+	incarnation  int  // counts kills of its process
+	suspensions  int  // faults in force that suspend it
 	discoveryCut bool // it cannot reach the discovery service
 	downAt       int64
-	notifiedAt   int64            // when the last discovery event arrives; later ones arrive after it
-	heldEvents   []DiscoveryEvent // that it gets once it reaches the discovery service again
+	notifiedAt   int64            // time at which the last announced discovery event arrives
+	heldEvents   []DiscoveryEvent // delivered once it reaches the discovery service again
 	openRequests map[string]*Request
-	arrivalOrder []string // of requests, open ones among them: gives a router's death a fixed order
+	arrivalOrder []string // IDs of requests, also of closed ones; the order in which a kill ends the open ones
 }
 
-// minCompactedArrivals keeps short lists of arrivals from being compacted.
+// minCompactedArrivals is the length up to which the list of arrivals is not compacted.
 const minCompactedArrivals = 64
 
 // addRequest adds a request that has arrived.
@@ -36,7 +36,7 @@
 	}
 }
 
-// closeRequest removes a request that was answered or whose client has gone.
+// closeRequest removes a request that was answered or whose connection was closed.
 func (r *router) closeRequest(request *Request) {
 	request.open = false
 	delete(r.openRequests, request.ID)
@@ -47,7 +47,8 @@
 	r.arrivalOrder = slices.DeleteFunc(r.arrivalOrder, func(id string) bool { return r.openRequests[id] == nil })
 }
 
-// killRouter ends a router's process: connections of its attempts end, and its clients see a reset.
+// killRouter kills a router's process. The servers cancel its attempts one network latency later, and the connections
+// of its clients are reset.
 func (s *Simulation) killRouter(router *router) {
 	router.up = false
 	router.downAt = s.now
@@ -73,7 +74,7 @@
 	router.arrivalOrder = nil
 }
 
-// attemptsOf are the attempts that a router waits for, in a fixed order.
+// attemptsOf returns the attempts that a router waits for, in a fixed order.
 func (s *Simulation) attemptsOf(routerID int) (attempts []*Attempt) {
 	for key, attempt := range s.attempts {
 		if key.router == routerID {
@@ -86,7 +87,7 @@
 	return attempts
 }
 
-// startRouter starts a router's process with the endpoint list as it is.
+// startRouter starts a router's process with the current endpoint list.
 func (s *Simulation) startRouter(router *router) {
 	if router.up {
 		return
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// drawRouters draws a share of the routers that are up at a fault's place.
+// drawRouters draws a share of the routers that are up at the fault's office, or of all that are up.
 func (s *Simulation) drawRouters(fault *scenario.Fault) []*router {
 	var candidates []*router
 	for _, router := range s.routers {
@@ -55,7 +55,7 @@
 	}
 }
 
-// starveRouters takes a share of the routers' CPU until the fault ends.
+// starveRouters lets other processes use a share of the routers' CPU time until the fault ends.
 func (s *Simulation) starveRouters(routers []*router, share float64) (endFault func()) {
 	for _, router := range routers {
 		s.driver.StarveRouter(router.id, share)
--- a/internal/simulation/server_capacity.go
+++ b/internal/simulation/server_capacity.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// A cache with more jobs per core than this loses power to crowding, down to a minimum share.
-	crowdingFromJobsPerCore = 4
-	crowdingMinShare        = 0.3
+	// The capacity of a cache with more jobs per core than this falls with each further job, down to a minimum share.
+	maxFullSpeedJobsPerCore = 4
+	minContentionShare      = 0.3
 
 	// warmUpStep is the interval at which a starting server's rates are raised.
 	warmUpStep = 250 * millisecond
 )
 
-// capacityShare is the share of its full capacity that a server has now. It rises linearly after a start.
+// capacityShare is the present share of a server's full capacity. It rises linearly after a start.
 func (s *server) capacityShare() float64 {
 	fleet := &s.simulation.scenario.Fleet
 	initial, duration := fleet.SlowStartFrom, fleet.SlowStartS
@@ -29,7 +29,8 @@
 	return min(1, initial+(1-initial)*float64(s.simulation.now-s.startedAt)/(duration*second))
 }
 
-// updateRate sets the rates of the server's processor or link after anything that they depend on has changed.
+// updateRate sets the rates of the server's processor or link. It must be called after each change of a value on which
+// they depend.
 func (s *server) updateRate() {
 	fleet := &s.simulation.scenario.Fleet
 	rate := s.capacityShare()
@@ -38,9 +39,9 @@
 	}
 	switch s.kind {
 	case kindCache:
-		crowding := float64(len(s.cpu.jobs))/float64(fleet.Cores) - crowdingFromJobsPerCore
-		if crowding > 0 {
-			rate *= max(1-fleet.Thrash*crowding, crowdingMinShare)
+		excessJobsPerCore := float64(len(s.cpu.jobs))/float64(fleet.Cores) - maxFullSpeedJobsPerCore
+		if excessJobsPerCore > 0 {
+			rate *= max(1-fleet.Thrash*excessJobsPerCore, minContentionShare)
 		}
 		s.cpu.setRates(rate*float64(fleet.Cores), rate)
 	case kindParent:
@@ -62,8 +63,9 @@
 	}
 }
 
-// recordWork adds the work of an attempt that was sent to the server, itself or for a fill, and tells whether the
-// server collapses: while it warms up, all routers together sent more than a multiple of what it can do in the window.
+// recordWork adds the work of an attempt that was sent to the server, directly or for a fill, and reports whether the
+// server collapses. It collapses if it is warming up and all routers together have sent more than a multiple of its
+// capacity within the overload window.
 func (s *server) recordWork(attempt *Attempt) (overloaded bool) {
 	work := s.simulation.flowTime(attempt.SizeKB)
 	fleet := &s.simulation.scenario.Fleet
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -8,7 +8,7 @@
 	"quilldoor/internal/scenario"
 )
 
-// deployDrainTime is how long a cache that is replaced may finish its requests.
+// deployDrainTime is the time for which a cache drains before a deployment replaces it.
 const deployDrainTime = 3 * second
 
 // startServerFault starts a fault of caches or parents.
@@ -19,13 +19,13 @@
 		if target.Office == 0 {
 			target.Office = 1 + s.random.IntN(len(s.caches))
 		}
-		return s.takeDown(s.drawCaches(&target), false)
+		return s.crashServers(s.drawCaches(&target), false)
 	case scenario.KindParentLoss:
 		trunk := fault.Trunk
 		if trunk == 0 {
 			trunk = 1 + s.random.IntN(len(s.parents))
 		}
-		return s.takeDown(drawShare(s.random, slices.Clone(s.parents[trunk-1]), fault.Share), false)
+		return s.crashServers(drawShare(s.random, slices.Clone(s.parents[trunk-1]), fault.Share), false)
 	case scenario.KindCachePause:
 		return s.pauseRepeatedly(s.drawCaches(fault), fault)
 	case scenario.KindCacheDeploy:
@@ -34,7 +34,7 @@
 	case scenario.KindCachePreemption:
 		return s.preempt(s.drawCaches(fault), int64(fault.Strength*second))
 	default:
-		return s.takeDown(s.drawCaches(fault), fault.Kind == scenario.KindCacheSilence)
+		return s.crashServers(s.drawCaches(fault), fault.Kind == scenario.KindCacheSilence)
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// drawCaches draws a share of the caches that are up at a fault's place.
+// drawCaches draws a share of the caches that are up at the fault's office or trunk, or of all that are up.
 func (s *Simulation) drawCaches(fault *scenario.Fault) []*server {
 	var candidates []*server
 	for office, caches := range s.caches {
@@ -76,17 +76,18 @@
 	return drawShare(s.random, candidates, fault.Share)
 }
 
-// takeDown crashes servers, which come back when the fault ends. Discovery notices each crash only after a while.
-func (s *Simulation) takeDown(servers []*server, silent bool) (endFault func()) {
+// crashServers crashes servers, which start again when the fault ends. The endpoint list shows each crash only after
+// the detection time.
+func (s *Simulation) crashServers(servers []*server, silent bool) (endFault func()) {
 	for _, server := range servers {
 		server.crash(silent)
 		s.setListed(server, policy.EndpointGone, s.jitter(s.scenario.Fleet.DeathDetectionMS*millisecond))
 	}
-	return func() { s.bringBack(servers) }
+	return func() { s.restartServers(servers) }
 }
 
-// bringBack starts servers that are down, except those that collapsed or were replaced.
-func (s *Simulation) bringBack(servers []*server) {
+// restartServers starts servers that are down, except those that collapsed or were replaced.
+func (s *Simulation) restartServers(servers []*server) {
 	for _, server := range servers {
 		if server.up || server.collapsed || server.replaced {
 			continue
@@ -96,8 +97,8 @@
 	}
 }
 
-// pauseRepeatedly pauses each server for the fault's strength in milliseconds, again and again until the fault ends
-// or the server crashes.
+// pauseRepeatedly pauses each server at intervals until the fault ends or the server crashes. The fault's strength is
+// the duration of each pause in milliseconds.
 func (s *Simulation) pauseRepeatedly(servers []*server, fault *scenario.Fault) (endFault func()) {
 	active := true
 	for _, server := range servers {
@@ -115,7 +116,7 @@
 	return func() { active = false }
 }
 
-// pauseOnce lets a server make no progress for a while. Pauses may overlap.
+// pauseOnce stops a server's progress for a duration. Pauses may overlap.
 func (s *Simulation) pauseOnce(server *server, duration int64) {
 	incarnation := server.incarnation
 	server.activePauses++
@@ -128,7 +129,7 @@
 	})
 }
 
-// deploy drains and replaces servers in waves; the fault's strength is the size of a wave.
+// deploy drains and replaces servers in waves. The fault's strength is the number of servers in a wave.
 func (s *Simulation) deploy(servers []*server, fault *scenario.Fault) {
 	size := int(fault.Strength)
 	for i := 0; i < len(servers); i += size {
@@ -137,6 +138,7 @@
 	}
 }
 
+// replaceWave drains the servers of a wave that are up, and replaces them after the drain time.
 func (s *Simulation) replaceWave(wave []*server) {
 	for _, server := range wave {
 		if !server.up {
@@ -147,7 +149,7 @@
 	}
 }
 
-// replace ends a cache and starts a successor with an ID of its own in its place, cold and empty.
+// replace crashes a cache and starts a successor in its place, which has an ID of its own and is cold and empty.
 func (s *Simulation) replace(server *server) {
 	if server.up {
 		server.crash(false)
@@ -155,7 +157,7 @@
 	s.setListed(server, policy.EndpointGone, 0)
 	index := slices.Index(s.caches[server.office], server)
 	if index < 0 {
-		return // it was replaced meanwhile
+		return // another deployment has replaced it
 	}
 	server.replaced = true
 	successor := s.newCache(server.office, fmt.Sprintf("%s.%d", server.id, s.sequence))
@@ -165,7 +167,7 @@
 	s.setListed(successor, policy.EndpointActive, 0)
 }
 
-// preempt drains servers and crashes them after a short notice. They come back when the fault ends.
+// preempt drains servers and crashes them after a short notice. They start again when the fault ends.
 func (s *Simulation) preempt(servers []*server, notice int64) (endFault func()) {
 	for _, server := range servers {
 		s.setListed(server, policy.EndpointDraining, 0)
@@ -176,5 +178,5 @@
 			s.setListed(server, policy.EndpointGone, 0)
 		})
 	}
-	return func() { s.bringBack(servers) }
+	return func() { s.restartServers(servers) }
 }
--- a/internal/simulation/server_lifecycle.go
+++ b/internal/simulation/server_lifecycle.go
@@ -7,7 +7,7 @@
 	"quilldoor/internal/policy"
 )
 
-// crash ends the server's process; what it held in memory is lost. Routers see their connections reset, unless the
+// crash ends the server's process, and the contents of its memory are lost. Connections of routers are reset unless the
 // server goes silent.
 func (s *server) crash(silent bool) {
 	s.up = false
@@ -50,7 +50,7 @@
 	s.busySlots = 0
 }
 
-// sortedKeys gives the fills a fixed order: that of a map would differ between runs.
+// sortedKeys returns the keys of fills in a fixed order, since the iteration order of a map differs between runs.
 func sortedKeys(fills map[int64]*fill) (keys []int64) {
 	for key := range fills {
 		keys = append(keys, key)
@@ -59,7 +59,7 @@
 	return keys
 }
 
-// start brings a server back, cold and with an empty cache. One that collapsed stays down.
+// start starts a server, cold and with an empty cache. A server that collapsed stays down.
 func (s *server) start() {
 	if s.collapsed || s.up {
 		return
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -21,7 +21,7 @@
 	scenario     *scenario.Scenario
 	driver       Driver
 	classes      []policy.TrafficClass
-	clientsUntil int64 // no clients arrive after that
+	clientsUntil int64 // time after which no clients arrive
 
 	now      int64
 	sequence int64 // orders events and jobs of the same time
@@ -37,11 +37,11 @@
 	catalogue *catalogue
 
 	clients      clientPopulation
-	openRequests int // of clients, without an outcome yet
+	openRequests int // requests of clients that have no outcome yet
 	attempts     map[attemptKey]*Attempt
 	objectPurges map[int64]int64     // time of each object's last purge
 	groupPurges  [groupCount]int64   // time of each group's last purge
-	prewarmed    map[prewarmKey]bool // popular parts that were placed in a prewarmed fleet's caches
+	prewarmed    map[prewarmKey]bool // popular parts that are already placed in a prewarmed fleet
 
 	// Faults in force.
 	discoveryDelay int64 // by which all discovery events come later
@@ -53,18 +53,18 @@
 	responseFaults []*responseFault
 	activeFaults   int
 
-	// Slack is how long past its time limit an answer still counts, in microseconds: what real sockets and clocks
-	// take.
+	// Slack extends the clients' time limits, in microseconds, by the delays of real sockets and clocks.
 	Slack  int64
 	Result *Result
 
 	// Network is the network between routers. It has random generators of its own.
 	Network         *netsim.Network
 	networkRandom   *rand.Rand
-	lastFaultChange int64 // when a fault began or ended last
+	lastFaultChange int64 // time at which a fault last started or ended
 }
 
-// New makes a simulation at time 0. The driver's methods are called as Driver describes.
+// New creates a simulation at time 0. Its generators are seeded with seed. The driver's methods are called as Driver
+// describes.
 func New(s *scenario.Scenario, seed uint64, driver Driver) *Simulation {
 	sim := &Simulation{
 		scenario:     s,
@@ -100,7 +100,7 @@
 	return sim
 }
 
-// addServers makes the fleet's servers and the links into its offices.
+// addServers creates the fleet's servers and the links into its offices.
 func (s *Simulation) addServers() {
 	fleet := &s.scenario.Fleet
 	for office := range fleet.Offices {
@@ -121,7 +121,7 @@
 	s.origin = s.newOrigin()
 }
 
-// currentPhase is the part of the run for the counts of requests.
+// currentPhase is the phase of the run at the current time.
 func (s *Simulation) currentPhase() string {
 	switch {
 	case s.now < int64(s.scenario.WarmUpS*second):
@@ -132,7 +132,7 @@
 	return phaseCalm
 }
 
-// LastFaultChange is when a fault began or ended last.
+// LastFaultChange is the time at which a fault last started or ended.
 func (s *Simulation) LastFaultChange() int64 { return s.lastFaultChange }
 
 // Routers is the number of routers.
@@ -141,23 +141,23 @@
 // Office is the office of a router.
 func (s *Simulation) Office(router int) int { return s.routers[router].office }
 
-// Up tells whether a router's process runs.
+// Up reports whether a router's process runs.
 func (s *Simulation) Up(router int) bool { return s.routers[router].up }
 
-// Suspended tells whether a router's process is suspended: it keeps its state but makes no progress.
+// Suspended reports whether a router's process is suspended: it keeps its state but makes no progress.
 func (s *Simulation) Suspended(router int) bool { return s.routers[router].suspensions > 0 }
 
-// Silent tells whether a server is down and does not even reset connections.
+// Silent reports whether a server is down and does not reset connections either.
 func (s *Simulation) Silent(server string) bool {
 	found := s.servers[server]
 	return found != nil && found.silent
 }
 
-// SitesCut tells whether sites cannot reach each other now.
+// SitesCut reports whether the sites currently cannot reach each other.
 func (s *Simulation) SitesCut() bool { return s.sitesCut }
 
-// Object looks up an object of the catalogue by its name: the index of its traffic class, its purge group and the
-// size of a part. known is false if there is no such object or part.
+// Object looks up an object of the catalogue by its name. It returns the index of its traffic class, its purge group
+// and the size of a part in KB; known is false if the catalogue has no such object or part.
 func (s *Simulation) Object(name string, part int64) (class int, group int64, kb float64, known bool) {
 	id := s.catalogue.id(name)
 	if id < 0 || id >= s.catalogue.objects || part < 0 || part >= s.catalogue.parts(id) {
@@ -169,7 +169,7 @@
 // Class is a traffic class by its index in the settings.
 func (s *Simulation) Class(i int) policy.TrafficClass { return s.classes[i] }
 
-// idempotent tells whether requests of a traffic class may be repeated although one may have been executed.
+// idempotent reports whether a request of a traffic class may be repeated although it may have been executed.
 func (s *Simulation) idempotent(class int) bool {
 	return s.classes[class].Effect == policy.EffectIdempotent
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -21,22 +21,22 @@
 	os.Exit(m.Run())
 }
 
-// silentDriver is a driver whose routers never answer.
-type silentDriver struct{}
+// nopDriver is a driver that ignores all calls, so its routers never answer.
+type nopDriver struct{}
 
-func (silentDriver) RequestArrived(*Request)                   {}
-func (silentDriver) ClientGone(int, string)                    {}
-func (silentDriver) AttemptEnded(int, *Attempt, AttemptResult) {}
-func (silentDriver) Notify(int, DiscoveryEvent)                {}
-func (silentDriver) KillRouter(int)                            {}
-func (silentDriver) StartRouter(int, []policy.Endpoint)        {}
-func (silentDriver) SuspendRouter(int)                         {}
-func (silentDriver) ResumeRouter(int)                          {}
-func (silentDriver) StarveRouter(int, float64)                 {}
-func (silentDriver) Record(*Entry)                             {}
+func (nopDriver) RequestArrived(*Request)                   {}
+func (nopDriver) ClientGone(int, string)                    {}
+func (nopDriver) AttemptEnded(int, *Attempt, AttemptResult) {}
+func (nopDriver) Notify(int, DiscoveryEvent)                {}
+func (nopDriver) KillRouter(int)                            {}
+func (nopDriver) StartRouter(int, []policy.Endpoint)        {}
+func (nopDriver) SuspendRouter(int)                         {}
+func (nopDriver) ResumeRouter(int)                          {}
+func (nopDriver) StarveRouter(int, float64)                 {}
+func (nopDriver) Record(*Entry)                             {}
 
 // newBareSimulation is a simulation without servers, clients or faults.
 func newBareSimulation() *Simulation {
 	s := scenario.Default()
-	return &Simulation{scenario: &s, driver: silentDriver{}, random: rand.New(rand.NewPCG(1, 1))}
+	return &Simulation{scenario: &s, driver: nopDriver{}, random: rand.New(rand.NewPCG(1, 1))}
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -4,13 +4,14 @@
 const priorityCount = 4
 
 // copyStore holds the copies of a cache or a parent. When it is full, copies of the lowest priority are evicted first,
-// and within a priority the least recently used. No copy is evicted for one of lower priority.
+// and within a priority the least recently used. No copy is evicted for a copy of lower priority. A purge of a group
+// visits the copies of that group only, through the group's ring.
 type copyStore struct {
 	capacityKB    float64
 	usedKB        float64
 	copies        map[int64]*cachedCopy
-	priorityRings [priorityCount]cachedCopy // of the copies of each priority, by recency
-	groupRings    [groupCount]cachedCopy    // of the copies of each purge group, so that a purge visits no others
+	priorityRings [priorityCount]cachedCopy // heads of the rings of each priority, by recency
+	groupRings    [groupCount]cachedCopy    // heads of the rings of each purge group
 }
 
 // cachedCopy is one part of an object. It is linked into the ring of its priority and the ring of its group. A ring's
@@ -47,7 +48,7 @@
 	}
 }
 
-// get finds a copy and makes it the most recently used of its priority.
+// get finds a copy and makes it the most recently used one of its priority.
 func (s *copyStore) get(key int64) *cachedCopy {
 	cached := s.copies[key]
 	if cached != nil {
@@ -76,7 +77,7 @@
 	s.linkGroup(cached)
 }
 
-// evict makes space for a copy and tells whether there is enough.
+// evict removes copies of priorities up to maxPriority until a copy of the given size fits. It reports whether it does.
 func (s *copyStore) evict(sizeKB float64, maxPriority int) bool {
 	priority := 0
 	for s.usedKB+sizeKB > s.capacityKB {
@@ -93,7 +94,8 @@
 	return true
 }
 
-// purge drops the copies of an object, or of a group if object is wholeGroup, that were issued at a time or before.
+// purge drops the copies of an object, or of a group if object is wholeGroup, that were issued at the given time or
+// before.
 func (s *copyStore) purge(object, group, at int64) {
 	if object < 0 {
 		s.purgeGroup(group, at)
@@ -124,8 +126,8 @@
 	s.usedKB -= cached.sizeKB
 }
 
-// linkNewest makes a copy the newest of its priority. The ring's head has the oldest copy as its newer one and the
-// newest as its older one.
+// linkNewest makes a copy the most recently used one of its priority. The head's newer is the least recently used copy
+// of the ring, and its older the most recently used one.
 func (s *copyStore) linkNewest(cached *cachedCopy) {
 	head := &s.priorityRings[cached.priority]
 	cached.older = head.older
--- a/internal/simulation/store_test.go
+++ b/internal/simulation/store_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The hit share of a store under independent requests follows Che's approximation (Che, Tung and Wang, 2002).
+// Under independent requests the hit share of a store is close to Che's approximation (Che, Tung and Wang, 2002).
 func TestStoreHitShareMatchesChe(t *testing.T) {
 	const (
 		objects     = 5000
@@ -44,18 +44,18 @@
 		}
 	}
 	if got := float64(hits) / float64(counted); math.Abs(got-want) > maxDistance {
-		t.Fatalf("hit share %.4f, %.4f by Che", got, want)
+		t.Fatalf("hit share %.4f, %.4f by Che's approximation", got, want)
 	} else {
-		t.Logf("hit share %.4f, %.4f by Che", got, want)
+		t.Logf("hit share %.4f, %.4f by Che's approximation", got, want)
 	}
 }
 
-// cheHitShare is the hit share by Che's approximation: that at the characteristic time, after which as many distinct
-// objects were requested as the store holds. The time is found by bisection.
+// cheHitShare is the hit share by Che's approximation. It is the hit share at the characteristic time, in which as many
+// distinct objects are requested as the store holds; bisection finds that time.
 func cheHitShare(weights []float64, sum float64, capacity int) float64 {
-	storedAndHits := func(time float64) (stored, hitShare float64) {
+	storedAndHits := func(window float64) (stored, hitShare float64) {
 		for _, weight := range weights {
-			present := 1 - math.Exp(-weight/sum*time)
+			present := 1 - math.Exp(-weight/sum*window)
 			stored += present
 			hitShare += weight / sum * present
 		}
@@ -74,8 +74,8 @@
 	return hitShare
 }
 
-// A store never holds more than its capacity and evicts copies of lower priorities first. Its rings and its map hold
-// the same copies.
+// A store never exceeds its capacity and evicts copies of lower priorities first. Its rings and its map hold the same
+// copies after every operation.
 func TestStoreStaysWithinCapacityAndEvictsLowPrioritiesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
@@ -96,10 +96,11 @@
 	})
 }
 
-// testCapacityKB is the capacity of the stores in the property test.
+// testCapacityKB is the capacity of the store in the property test.
 const testCapacityKB = 50
 
-// checkPut stores a random copy. It must find space where copies of lower priorities could be evicted for it.
+// checkPut stores a random copy and checks that the store accepts it where evicting copies of lower priorities makes
+// enough space.
 func checkPut(t *rapid.T, store *copyStore, key int64, draw func(n int) int) {
 	t.Helper()
 	lowest := priorityCount
@@ -109,9 +110,9 @@
 	before := len(store.copies)
 	priority := draw(priorityCount)
 	kb := float64(1 + draw(20))
-	_, had := store.copies[key]
+	_, replaces := store.copies[key]
 	store.put(key, kb, int64(draw(100)), int64(draw(3)), priority)
-	if had || store.copies[key] != nil || before == 0 || priority <= lowest || kb > testCapacityKB {
+	if replaces || store.copies[key] != nil || before == 0 || priority <= lowest || kb > testCapacityKB {
 		return
 	}
 	higherKB := 0.0
@@ -121,11 +122,12 @@
 		}
 	}
 	if higherKB+kb <= testCapacityKB {
-		t.Fatalf("priority %d found no space above priority %d", priority, lowest)
+		t.Fatalf("no space for %.0f KB of priority %d, although copies of priority %d could be evicted", kb, priority, lowest)
 	}
 }
 
-// checkRings checks that the rings of priorities and of groups hold just the copies of the map, within the capacity.
+// checkRings checks that the rings of priorities and the rings of groups each hold exactly the copies of the map, and
+// that the copies are within the capacity.
 func checkRings(t *rapid.T, store *copyStore) {
 	t.Helper()
 	usedKB := 0.0
@@ -136,26 +138,26 @@
 			usedKB += cached.sizeKB
 			count++
 			if store.copies[cached.key] != cached || cached.priority != priority {
-				t.Fatal("a ring and the map disagree")
+				t.Fatalf("the ring of priority %d holds copy %d, but the map or the copy differs", priority, cached.key)
 			}
 		}
 	}
 	if count != len(store.copies) {
-		t.Fatalf("%d in rings, %d in the map", count, len(store.copies))
+		t.Fatalf("%d copies in rings of priorities, %d in the map", count, len(store.copies))
 	}
 	for group := range store.groupRings {
 		head := &store.groupRings[group]
 		for cached := head.next; cached != head; cached = cached.next {
 			count--
 			if store.copies[cached.key] != cached || cached.group != int64(group) {
-				t.Fatal("a group's ring and the map disagree")
+				t.Fatalf("the ring of group %d holds copy %d, but the map or the copy differs", group, cached.key)
 			}
 		}
 	}
 	if count != 0 {
-		t.Fatalf("%d copies are in no group's ring", count)
+		t.Fatalf("%d more copies in the map than in rings of groups", count)
 	}
 	if math.Abs(usedKB-store.usedKB) > 1e-9 || usedKB > testCapacityKB {
-		t.Fatalf("%.1f of %d used, counted %.1f", usedKB, testCapacityKB, store.usedKB)
+		t.Fatalf("copies of %.1f KB at a capacity of %d KB, counted as %.1f KB", usedKB, testCapacityKB, store.usedKB)
 	}
 }
--- a/internal/simulation/units.go
+++ b/internal/simulation/units.go
@@ -7,6 +7,6 @@
 
 	millisPerSecond = 1000
 
-	// oneWay is one way of a network path in microseconds per millisecond of its round trip.
+	// oneWay converts a round trip time in milliseconds to the one-way latency in microseconds.
 	oneWay = millisecond / 2
 )
