--- a/internal/simfleet/delivery.go
+++ b/internal/simfleet/delivery.go
@@ -12,11 +12,12 @@
 // datagramOverhead is the size of a datagram's version and authentication tag in bytes. IP and UDP are not counted.
 const datagramOverhead = 17
 
-// Send sends messages of a router that its detector has returned outside of Tick and Receive, such as for its
-// departure.
+// Send sends messages that a router's detector has returned outside of Tick and Receive, for instance when the router
+// leaves.
 func (f *Fleet) Send(i int, out []membership.Outbound) { f.send(f.Hosts[i], out) }
 
-// send encodes messages and hands them to the network.
+// send encodes messages and transmits them over the network. A message to an unknown name counts as sent and is
+// dropped.
 func (f *Fleet) send(from *Host, out []membership.Outbound) {
 	for _, outbound := range out {
 		if f.BeforeSend != nil {
@@ -24,7 +25,7 @@
 		}
 		body, err := cbor.Marshal(outbound.Message)
 		if err != nil {
-			panic(fmt.Errorf("encode message: %w", err)) // its types can all be encoded
+			panic(fmt.Errorf("encode a message from %s to %s: %w", from.Name, outbound.To, err)) // all its types can be encoded
 		}
 		size := len(body) + datagramOverhead
 		from.SentBytes += int64(size)
@@ -39,7 +40,8 @@
 	}
 }
 
-// arrive decodes a message anew for each receiver, as on a wire.
+// arrive handles the arrival of a datagram at a router. Each receiver decodes its own copy of the message, as on a
+// real network.
 func (f *Fleet) arrive(to *Host, body []byte, size int) {
 	if to.Detector == nil {
 		return
@@ -48,13 +50,13 @@
 	f.whenRunning(to, func() {
 		var msg membership.Message
 		if err := cbor.Unmarshal(body, &msg); err != nil {
-			panic(fmt.Errorf("decode message: %w", err)) // send has encoded it
+			panic(fmt.Errorf("decode a message of %d bytes at %s: %w", len(body), to.Name, err)) // send has encoded it
 		}
 		f.receive(to, &msg)
 	})
 }
 
-// receive hands a message to a router's detector, and its payloads to the handler.
+// receive passes a message to a router's detector, and the payloads that the detector returns to the payload handler.
 func (f *Fleet) receive(host *Host, msg *membership.Message) {
 	node, isNode := host.Detector.(*membership.Node)
 	if !isNode || f.Payloads == nil {
--- a/internal/simfleet/detection.go
+++ b/internal/simfleet/detection.go
@@ -6,7 +6,7 @@
 	"quilldoor/internal/membership"
 )
 
-// Detection kills one router after another and measures the time until all others hold it dead.
+// Detection kills one router after another and measures the time until all others consider it dead.
 func (e Experiment) Detection(kills int) *Durations {
 	const restartTimeout = 20 * second
 	f := e.newConvergedFleet()
@@ -22,7 +22,8 @@
 	return durations
 }
 
-// killAndDetect kills a router and returns the time until all others hold it dead; false: they did not in time.
+// killAndDetect kills a router and returns the time until all others consider it dead. detected is false if they do not
+// within the timeout.
 func (f *Fleet) killAndDetect(victim int) (took int64, detected bool) {
 	const detectionTimeout = 20 * second
 	observers := 0
@@ -43,8 +44,8 @@
 	return detectedAt - killedAt, detectedAt != 0
 }
 
-// KillHalf kills half of the routers at once and measures the time until all others hold all of them dead, then starts
-// them at once and measures the time until all agree.
+// KillHalf kills half of the routers at once and measures the time until each of the others considers all of them dead.
+// It then starts them at once and measures the time until all routers agree.
 func (e Experiment) KillHalf() (detection, recovery *Durations) {
 	const settleTime = 10 * second
 	f := e.newConvergedFleet()
@@ -56,10 +57,10 @@
 	for _, i := range killed {
 		f.Kill(i)
 	}
-	for !f.allHoldDead(observers, killed) && f.Now < killedAt+recoveryTimeout {
+	for !f.allConsiderDead(observers, killed) && f.Now < killedAt+recoveryTimeout {
 		f.RunUntil(f.Now + stepInterval)
 	}
-	detection.record(f.Now-killedAt, f.allHoldDead(observers, killed))
+	detection.record(f.Now-killedAt, f.allConsiderDead(observers, killed))
 	for _, i := range killed {
 		f.Start(i)
 	}
--- a/internal/simfleet/durations.go
+++ b/internal/simfleet/durations.go
@@ -2,10 +2,10 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// Durations are how long something took in many trials, in microseconds.
+// Durations is a histogram of the time that an event took in repeated trials, in microseconds.
 type Durations struct {
 	*hdrhistogram.Histogram
-	Missed int // trials in which it did not happen in time
+	Missed int // trials in which the event did not occur within the timeout
 }
 
 func newDurations() *Durations {
@@ -17,7 +17,7 @@
 	return &Durations{Histogram: hdrhistogram.New(shortest, longest, significantDigits)}
 }
 
-// record adds a trial. No timeout allows a duration beyond the histogram's range, so there is no error to handle.
+// record adds a trial. All timeouts are within the histogram's range, so RecordValue cannot fail.
 func (d *Durations) record(took int64, happened bool) {
 	if !happened {
 		d.Missed++
--- a/internal/simfleet/experiment.go
+++ b/internal/simfleet/experiment.go
@@ -7,8 +7,8 @@
 	"quilldoor/internal/netsim"
 )
 
-// Durations in microseconds. The paths are as in one data centre. The baseline sends as many messages as a probe and
-// its acknowledgement, and allows a silence as long as the least suspicion timeout.
+// Durations in microseconds. The paths have the latency of one data centre. The baseline's interval gives as many
+// messages as a probe and its acknowledgement; its maximum silence is as long as the minimum suspicion timeout.
 const (
 	millisecond = 1000
 	second      = 1000 * millisecond
@@ -18,30 +18,30 @@
 	heartbeatInterval   = 200 * millisecond
 	heartbeatMaxSilence = 1200 * millisecond
 
-	joinTimeout     = 120 * second // of a whole fleet that starts
-	recoveryTimeout = 60 * second  // of many routers at once
+	joinTimeout     = 120 * second // for a whole fleet that starts
+	recoveryTimeout = 60 * second  // for many routers at once
 	stepInterval    = 20 * millisecond
 )
 
-// Streams of an experiment's seed; New uses stream 1 for the fleet.
+// Streams of an experiment's seed. New uses stream 1 for the fleet.
 const (
 	networkStream   = 2
 	detectionStream = 3
 	stabilityStream = 4
 )
 
-// maxSeeds is how many routers the others know from the start.
+// maxSeeds is the maximum number of routers whose addresses all routers have from the start.
 const maxSeeds = 3
 
-// Experiment runs fleets of one kind and size, all from the same seed.
+// Experiment describes the fleets of an experiment: they have one kind and size and start from the same seed.
 type Experiment struct {
 	Routers    int
 	Seed       uint64
-	Loss       float64 // probability, on every path
-	Heartbeats bool    // the baseline in place of package membership
+	Loss       float64 // probability that a datagram is lost, on every path
+	Heartbeats bool    // use the baseline in place of package membership
 }
 
-// NewFleet starts all routers at once, with three seeds.
+// NewFleet creates a fleet and starts all its routers at once, with up to maxSeeds seeds.
 func (e Experiment) NewFleet() *Fleet {
 	network := netsim.New(pathDelay, pathJitter, rand.New(rand.NewPCG(e.Seed, networkStream)))
 	if e.Loss > 0 {
@@ -56,7 +56,7 @@
 
 func (e Experiment) newDetector(host *Host, now int64) Detector {
 	if e.Heartbeats {
-		// The routers' heartbeats are spread over the interval.
+		// The routers' first heartbeats are spread over the interval.
 		start := now + int64(host.ID)*heartbeatInterval/int64(e.Routers)
 		return NewHeartbeatDetector(host.Name, Seeds(e.Routers), heartbeatInterval, heartbeatMaxSilence, start)
 	}
@@ -67,17 +67,18 @@
 		Seeds: Seeds(min(e.Routers, maxSeeds)),
 		Epoch: 1,
 	}
-	return membership.New(settings, rand.New(rand.NewPCG(e.Seed, uint64(host.ID)<<16|uint64(host.process))), now)
+	return membership.New(settings, rand.New(rand.NewPCG(e.Seed, uint64(host.ID)<<16|uint64(host.processGeneration))), now)
 }
 
-// newConvergedFleet starts a fleet and waits until all routers agree.
+// newConvergedFleet starts a fleet and runs it until all routers agree, or until joinTimeout.
 func (e Experiment) newConvergedFleet() *Fleet {
 	f := e.NewFleet()
 	f.runUntilConverged(joinTimeout)
 	return f
 }
 
-// runUntilConverged runs until all agree and returns how long that took; false: they did not in time.
+// runUntilConverged runs until all routers agree and returns the time that this took. converged is false if they do not
+// agree within the timeout.
 func (f *Fleet) runUntilConverged(timeout int64) (took int64, converged bool) {
 	start := f.Now
 	for f.Now < start+timeout {
@@ -89,8 +90,8 @@
 	return timeout, false
 }
 
-// allHoldDead reports whether each of some routers holds all of some others dead.
-func (f *Fleet) allHoldDead(observers, dead []int) bool {
+// allConsiderDead reports whether each of the observers considers all of the routers in dead to be dead.
+func (f *Fleet) allConsiderDead(observers, dead []int) bool {
 	for _, observer := range observers {
 		for _, i := range dead {
 			if f.Hosts[observer].Detector.State(Name(i)) != membership.StateDead {
--- a/internal/simfleet/partition.go
+++ b/internal/simfleet/partition.go
@@ -1,14 +1,15 @@
 package simfleet
 
-// PartitionResult is what a partition into halves and its end have brought. Durations are microseconds.
+// PartitionResult is the result of a partition of the routers into halves. Durations are microseconds.
 type PartitionResult struct {
-	ConvergedAfter         int64   // from the end of the partition; 0: not in time
-	DetectedAfter          int64   // until each side holds all of the other dead; 0: not while it lasted
-	BaselineBytesPerSecond float64 // sent by a router in five seconds before the partition
-	RecoveryBytesPerSecond float64 // sent by a router from its end until all agree, three seconds at least
+	ConvergedAfter         int64   // from the end of the partition until all routers agree; 0: not within the timeout
+	DetectedAfter          int64   // until each side considers all of the other dead; 0: not during the partition
+	BaselineBytesPerSecond float64 // sent by a router in the five seconds before the partition
+	RecoveryBytesPerSecond float64 // sent by a router from its end until all agree, over at least three seconds
 }
 
-// Partition cuts the routers into halves for a time, and heals the partition. The length is in microseconds.
+// Partition partitions the routers into halves, heals the partition after a number of microseconds, and measures
+// detection, recovery and traffic.
 func (e Experiment) Partition(length int64) (result PartitionResult) {
 	const (
 		settleTime      = 10 * second
@@ -32,14 +33,14 @@
 	return result
 }
 
-// partition cuts two sets of routers off from each other for a time. It returns the time until each side holds all of
-// the other dead; 0: not while the partition lasted.
+// partition partitions two sets of routers for a number of microseconds. It returns the time until each side considers
+// all of the other dead; 0: not during the partition.
 func (f *Fleet) partition(left, right []int, length int64) (detectedAfter int64) {
 	cutAt := f.Now
 	heal := f.Network.Partition(left, right)
 	for f.Now < cutAt+length {
 		f.RunUntil(f.Now + stepInterval)
-		if detectedAfter == 0 && f.allHoldDead(left, right) && f.allHoldDead(right, left) {
+		if detectedAfter == 0 && f.allConsiderDead(left, right) && f.allConsiderDead(right, left) {
 			detectedAfter = f.Now - cutAt
 		}
 	}
@@ -47,7 +48,8 @@
 	return detectedAfter
 }
 
-// sentBytesPerSecond is the mean rate at which a router has sent in a time, from the total before it.
+// sentBytesPerSecond is the mean rate at which a router has sent in a period that ends now. sentBefore is the number of
+// bytes that all routers had sent before the period.
 func (f *Fleet) sentBytesPerSecond(sentBefore, time int64) float64 {
 	sent, _ := f.totalBytes()
 	return float64(sent-sentBefore) * second / float64(time) / float64(len(f.Hosts))
--- a/internal/simfleet/stability.go
+++ b/internal/simfleet/stability.go
@@ -6,17 +6,17 @@
 	"quilldoor/internal/membership"
 )
 
-// StabilityResult counts what running routers were taken for while datagrams were lost and processes were paused and
-// throttled.
+// StabilityResult counts the false suspicions and the traffic of running routers while datagrams are lost and processes
+// are paused and throttled.
 type StabilityResult struct {
 	Pauses                 int
-	Suspicions             int64
-	Deaths                 int     // running routers declared dead, by any other
-	SentBytesPerSecond     float64 // mean of a router
-	ReceivedBytesPerSecond float64 // mean of a router
+	Suspicions             int64   // changes of a running router to suspect, counted at each observer
+	Deaths                 int     // changes of a running router to dead, counted at each observer
+	SentBytesPerSecond     float64 // mean of all routers
+	ReceivedBytesPerSecond float64 // mean of all routers
 }
 
-// Stability pauses a router for half a second every five seconds, while three are short of processor time. The length
+// Stability pauses a random router for half a second every five seconds while three routers are throttled. The length
 // is in microseconds.
 func (e Experiment) Stability(length int64) StabilityResult {
 	const (
@@ -47,7 +47,7 @@
 	return result
 }
 
-// schedulePauses schedules pauses of random routers until a time, and returns their number.
+// schedulePauses schedules pauses of random routers up to a time, and returns the number of pauses.
 func (e Experiment) schedulePauses(f *Fleet, until int64) (pauses int) {
 	const (
 		pauseInterval = 5 * second
