--- a/internal/crashfs/crash.go
+++ b/internal/crashfs/crash.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// sectorBytes is what a disk writes as a whole: a write may be torn at its multiples.
+// sectorBytes is the unit that a disk writes atomically. A write may be torn at multiples of it.
 const sectorBytes = 512
 
-// AfterKill returns the state after the process was killed once the first n steps were taken and,
-// if the next one is a write, partial bytes of it.
-func (f *FS) AfterKill(n, partial int) *FS {
+// AfterKill returns the file system after a kill of the process that followed the first n steps of
+// the history. If the step after them is a write, its first partialBytes bytes were written too.
+func (f *FS) AfterKill(n, partialBytes int) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	crashed := f.initial.clone()
 	for _, s := range f.history[:n] {
 		crashed.apply(s)
 	}
-	if n < len(f.history) && f.history[n].op == OpWrite && partial > 0 {
+	if n < len(f.history) && f.history[n].op == OpWrite && partialBytes > 0 {
 		s := f.history[n]
-		s.data = s.data[:min(partial, len(s.data))]
+		s.data = s.data[:min(partialBytes, len(s.data))]
 		crashed.apply(s)
 	}
 	return restart(crashed)
 }
 
-// Unsynced returns which of the first n steps a loss of power could undo: changes of a file after
-// its last sync, and changes of names after the folder's last sync.
+// Unsynced returns the indices of the steps, among the first n, that a power loss could undo:
+// changes of a file's content after its last sync, and changes of names after the folder's last
+// sync.
 func (f *FS) Unsynced(n int) []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,7 +35,7 @@
 }
 
 func (f *FS) unsynced(n int) []int {
-	lastSync := map[int]int{} // step by inode
+	lastSync := map[int]int{} // index of the step, by inode
 	lastDirSync := -1
 	for i, s := range f.history[:n] {
 		switch s.op {
@@ -46,9 +47,9 @@
 	}
 	var unsynced []int
 	for i, s := range f.history[:n] {
-		synced, ever := lastSync[s.inode]
+		lastSyncIndex, everSynced := lastSync[s.inode]
 		switch {
-		case s.op.changesContent() && (!ever || i > synced):
+		case s.op.changesContent() && (!everSynced || i > lastSyncIndex):
 			unsynced = append(unsynced, i)
 		case s.op.changesNames() && i > lastDirSync:
 			unsynced = append(unsynced, i)
@@ -57,10 +58,10 @@
 	return unsynced
 }
 
-// AfterPowerLoss returns the state after a loss of power behind the first n steps, of which those
-// in lost did not reach the disk. Names change in order: with one change of a name all later ones
-// are lost. If torn is not nil, it draws for each sector of an unsynced write that is not lost
-// whether the sector reached the disk.
+// AfterPowerLoss returns the file system after a power loss that followed the first n steps of the
+// history. The steps whose indices are in lost did not reach the disk. Changes of names reach the
+// disk in order: if one is lost, so are all later ones. If torn is not nil, an unsynced write that
+// is not lost may be torn: torn draws for each of its sectors whether the sector reached the disk.
 func (f *FS) AfterPowerLoss(n int, lost []int, torn *rand.Rand) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -11,48 +11,48 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// FailFunc is asked before each operation on a file, with the size of its data in bytes; the
-// error that it returns is the operation's. If it returns written, too, a write stores that many
-// bytes before it fails, or is a short write if the error is nil.
+// FailFunc is called before each operation on a file, with the size of the operation's data in
+// bytes. The operation returns the error of FailFunc. If FailFunc also returns written, a write
+// stores that many bytes before it fails; with a nil error it is a short write.
 type FailFunc func(op Op, name string, size int) (written *int, err error)
 
-// FS is the file system. Its methods may be called by several goroutines at once.
+// FS is an in-memory file system of one folder. It is safe for concurrent use.
 type FS struct {
 	mu      sync.Mutex
 	current state
 	initial state // before the first step of the history
 	history []step
-	locked  bool
+	locked  bool     // the folder's lock is held
 	fail    FailFunc // nil: nothing fails
 }
 
 // New returns an empty file system.
 func New() *FS { return &FS{current: newState(), initial: newState()} }
 
-// SetFail sets or, with nil, removes the function that makes operations fail. While it decides on
-// a read it blocks no other operation.
+// SetFail sets or, with nil, removes the function that makes operations fail. A call of the
+// function for a read blocks no other operation.
 func (f *FS) SetFail(fail FailFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fail = fail
 }
 
-// Steps is the length of the history.
+// Steps is the number of steps in the history.
 func (f *FS) Steps() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.history)
 }
 
-// Content is a file's present content. It is not a copy: a test may corrupt it.
+// Content returns a file's current content. It is not a copy, so that a test may corrupt it.
 func (f *FS) Content(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current.content[f.current.inodes[name]]
 }
 
-// AddFile makes a file of the given content and clears the history, as if the file had always
-// been there.
+// AddFile creates a file with the given content and clears the history, so that the file is part
+// of the initial state.
 func (f *FS) AddFile(name string, content []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +63,7 @@
 	f.clearHistory()
 }
 
-// Open opens a file and, if asked to, creates one that does not exist.
+// Open opens a file. If the file does not exist and create is true, it creates the file.
 func (f *FS) Open(name string, create bool) (diskstore.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +76,7 @@
 			return nil, err
 		}
 		inode = f.current.nextInode
-		f.take(step{op: OpCreate, inode: inode, name: name})
+		f.applyAndRecord(step{op: OpCreate, inode: inode, name: name})
 	}
 	return &file{fs: f, name: name, inode: inode}, nil
 }
@@ -99,7 +99,7 @@
 	return slices.Sorted(maps.Keys(f.current.inodes)), nil
 }
 
-// Lock takes the folder's lock, of which there is one whatever its name. To close it releases it.
+// Lock acquires the folder's lock. There is one lock, whatever the name. Close releases it.
 func (f *FS) Lock(string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,6 +119,7 @@
 	return nil
 }
 
+// changeDir applies a step that changes or syncs the folder's names.
 func (f *FS) changeDir(s step) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,11 +129,11 @@
 	if _, err := f.checkFail(s.op, s.name, 0); err != nil {
 		return err
 	}
-	f.take(s)
+	f.applyAndRecord(s)
 	return nil
 }
 
-// checkFail asks the FailFunc, if there is one.
+// checkFail calls the FailFunc if one is set.
 func (f *FS) checkFail(op Op, name string, size int) (written *int, err error) {
 	if f.fail == nil {
 		return nil, nil
@@ -140,8 +141,8 @@
 	return f.fail(op, name, size)
 }
 
-// take applies a step and records it.
-func (f *FS) take(s step) {
+// applyAndRecord applies a step to the current state and appends it to the history.
+func (f *FS) applyAndRecord(s step) {
 	f.current.apply(s)
 	f.history = append(f.history, s)
 }
--- a/internal/crashfs/file.go
+++ b/internal/crashfs/file.go
@@ -8,7 +8,7 @@
 // file is an open file.
 type file struct {
 	fs    *FS
-	name  string // under which it was opened
+	name  string // the name under which it was opened
 	inode int
 }
 
@@ -44,7 +44,7 @@
 	} else if err != nil {
 		return 0, err
 	}
-	h.fs.take(step{op: OpWrite, inode: h.inode, offset: offset, data: slices.Clone(b[:n])})
+	h.fs.applyAndRecord(step{op: OpWrite, inode: h.inode, offset: offset, data: slices.Clone(b[:n])})
 	return n, err
 }
 
@@ -54,14 +54,14 @@
 
 func (h *file) Sync() error { return h.change(step{op: OpSync, inode: h.inode}) }
 
-// change takes a step that carries no data.
+// change applies and records a step that has no data.
 func (h *file) change(s step) error {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
 	if _, err := h.fs.checkFail(s.op, h.name, 0); err != nil {
 		return err
 	}
-	h.fs.take(s)
+	h.fs.applyAndRecord(s)
 	return nil
 }
 
--- a/internal/crashfs/history.go
+++ b/internal/crashfs/history.go
@@ -9,7 +9,7 @@
 // Op is a kind of operation.
 type Op uint8
 
-// The operations. All but reads are recorded in the history.
+// The operations. The history records all of them except reads.
 const (
 	OpCreate Op = iota
 	OpWrite
@@ -40,20 +40,20 @@
 	return opNames[o]
 }
 
-// changesNames reports whether the operation changes the folder, not a file.
+// changesNames reports whether the operation changes the folder's names.
 func (o Op) changesNames() bool { return o == OpCreate || o == OpRename || o == OpRemove }
 
 // changesContent reports whether the operation changes a file's bytes or length.
 func (o Op) changesContent() bool { return o == OpWrite || o == OpTruncate }
 
-// step is an operation of the history.
+// step is one recorded operation.
 type step struct {
 	op      Op
-	inode   int    // of creations and changes of content
-	name    string // of changes of names
-	newName string // of a renaming
-	offset  int64  // of a write; of a truncation, the new length
-	data    []byte // of a write
+	inode   int    // for OpCreate, OpWrite, OpTruncate and OpSync
+	name    string // for OpCreate, OpRename and OpRemove
+	newName string // for OpRename
+	offset  int64  // for OpWrite; for OpTruncate, the new length
+	data    []byte // for OpWrite
 }
 
 // state is the folder and the content of its files.
@@ -65,7 +65,7 @@
 
 func newState() state { return state{inodes: map[string]int{}, content: map[int][]byte{}} }
 
-// apply takes a step.
+// apply changes the state by a step. A sync changes nothing.
 func (st *state) apply(s step) {
 	switch s.op {
 	case OpCreate:
@@ -94,20 +94,21 @@
 	}
 }
 
-// createUnnamed makes an empty file that no name refers to.
+// createUnnamed creates an empty file that no name refers to.
 func (st *state) createUnnamed(inode int) {
 	st.content[inode] = nil
 	st.nextInode = max(st.nextInode, inode+1)
 }
 
+// clone returns a deep copy.
 func (st *state) clone() state {
-	out := state{
+	copied := state{
 		inodes:    maps.Clone(st.inodes),
 		content:   make(map[int][]byte, len(st.content)),
 		nextInode: st.nextInode,
 	}
 	for inode, content := range st.content {
-		out.content[inode] = slices.Clone(content)
+		copied.content[inode] = slices.Clone(content)
 	}
-	return out
+	return copied
 }
--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -4,36 +4,36 @@
 
 const (
 	slotBytes    = 16 << 10
-	epoch        = int64(1e12) // simulated time of the start, microseconds
+	startTime    = int64(1e12) // simulated time of the start, microseconds
 	requestGap   = 1000        // microseconds from one request to the next
-	requestTime  = 1e6         // microseconds that a request has left
-	recordHeader = 60          // bytes of a record beside the part's body
-	unlimited    = 1 << 40     // bytes, where the policy is not to be limited
+	requestTime  = 1e6         // microseconds that remain for a request
+	recordHeader = 60          // bytes of a record in addition to the part's body
+	unlimited    = 1 << 40     // bytes, for limits that the workload must not reach
 )
 
-// Run plays a workload against a variant of the policy.
+// Run runs a workload against a variant of the policy.
 func Run(workload Workload, variant diskcache.Variant) Result {
 	g := newGenerator(workload)
-	slots := int(float64(g.bytes) * workload.DiskShare / slotBytes)
-	policy := diskcache.New(epoch, policySettings(slots, variant))
+	slots := int(float64(g.catalogueBytes) * workload.DiskShare / slotBytes)
+	policy := diskcache.New(startTime, policySettings(slots, variant))
 	warmUp := workload.Requests / 3
-	now := epoch
+	now := startTime
 	var result Result
 	var writtenBefore int64
-	for n := 0; n < workload.Requests; {
-		o := g.nextObject()
-		for part := 0; part < o.parts && (part == 0 || g.continues()); part++ {
-			n++
+	for requestCount := 0; requestCount < workload.Requests; {
+		current := g.nextObject()
+		for part := 0; part < current.parts && (part == 0 || g.continues()); part++ {
+			requestCount++
 			now += requestGap
-			if workload.DriftInterval > 0 && n%workload.DriftInterval == 0 {
+			if workload.DriftInterval > 0 && requestCount%workload.DriftInterval == 0 {
 				g.drift()
 			}
-			if n == warmUp {
+			if requestCount == warmUp {
 				result = Result{}
 				writtenBefore = policy.Counts.BytesWritten
 			}
-			size := o.size(part)
-			hit := request(policy, now, o.name, part, size)
+			size := current.size(part)
+			hit := request(policy, now, current.name, part, size)
 			result.count(size, hit)
 		}
 	}
@@ -41,7 +41,7 @@
 	return result
 }
 
-// policySettings limit the policy by its number of slots alone.
+// policySettings returns settings that limit the policy only by its number of slots.
 func policySettings(slots int, variant diskcache.Variant) diskcache.Settings {
 	return diskcache.Settings{
 		Classes:             []diskcache.TrafficClass{{Name: "page", FreshFor: 1 << 60, LatencyObjective: 1e6, Cacheable: true}},
@@ -57,7 +57,8 @@
 	}
 }
 
-// request looks a part up, offers it if it is missing, and reports whether it was a hit.
+// request looks up a part and reports whether it was a hit. A missing part is offered to the
+// policy and, if accepted, written.
 func request(policy *diskcache.Policy, now int64, name string, part, size int) (hit bool) {
 	r := diskcache.Request{Object: name, Part: int64(part), Remaining: requestTime}
 	verdict, found := policy.Lookup(now, &r)
--- a/internal/faultsearch/draw.go
+++ b/internal/faultsearch/draw.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// warmUpS is how many seconds a scenario runs before its outcomes count and its first fault.
+	// warmUpS is the time, in seconds, before outcomes count and faults may begin.
 	warmUpS = 6.0
-	// quietEndS is how many seconds before the end no further fault begins.
+	// quietEndS is the time, in seconds, at the end of a scenario in which no fault begins.
 	quietEndS = 12.0
-	// meanServiceS is the mean time, in core seconds, that a request of the default mix takes.
+	// meanServiceS is the mean service time, in core seconds, of a request of the default mix.
 	meanServiceS = 0.27
 )
 
-// Space bounds what is drawn.
+// Space bounds the scenarios that Draw returns.
 type Space struct {
-	Membership bool     // routers may know each other by membership
+	Membership bool     // routers may discover each other by membership
 	Sites      bool     // fleets may span two sites
-	FaultKinds []string // empty: all that the drawn fleet can have
+	FaultKinds []string // empty: all kinds that apply to the drawn fleet
 	MaxFaults  int
 	LengthS    float64
-	// The load, as a share of what the fleet's caches can serve, lies between these.
+	// Bounds of the load as a share of the capacity of the fleet's caches.
 	MinLoadShare, MaxLoadShare float64
 }
 
-// DefaultSpace draws small fleets with faults of all kinds.
+// DefaultSpace returns the space of small fleets with faults of all kinds.
 func DefaultSpace() Space {
 	return Space{
 		Membership:   true,
@@ -42,7 +42,7 @@
 }
 
 // Draw returns a random scenario within the space. The order of the random draws is part of its
-// contract: a seed that is named in a test or a report must keep drawing the same scenario.
+// contract: a seed that a test or a report names must always draw the same scenario.
 func Draw(random *rand.Rand, space Space) *scenario.Scenario {
 	s := scenario.Default()
 	s.Seed = 1 + random.Uint64N(1<<32)
@@ -80,7 +80,8 @@
 	fleet.OriginRejectShare = logUniform(random, 0.5, 1)
 }
 
-// drawLoad draws the clients' behaviour and a request rate that suits the drawn fleet.
+// drawLoad draws the clients' retries and writes, and a request rate in proportion to the capacity
+// of the drawn fleet.
 func drawLoad(random *rand.Rand, s *scenario.Scenario, space Space) {
 	fleet := &s.Fleet
 	load := &s.Load
@@ -92,7 +93,7 @@
 	load.RequestsPerS = roundDigits(loadShare * float64(fleet.Offices*fleet.Caches*fleet.Cores) / meanServiceS)
 }
 
-// drawTopology draws how the routers know each other and whether they span sites.
+// drawTopology draws whether the routers use membership and whether the fleet spans sites.
 func drawTopology(random *rand.Rand, fleet *scenario.Fleet, space Space) {
 	fleet.Membership = space.Membership && fleet.Offices*fleet.Routers > 1 && random.IntN(2) == 0
 	if space.Sites && fleet.Offices > 1 && random.IntN(4) == 0 {
@@ -100,9 +101,9 @@
 	}
 }
 
-// drawFaults returns at least one fault, in the order in which they begin.
+// drawFaults returns at least one fault. Faults are in the order in which they begin.
 func drawFaults(random *rand.Rand, s *scenario.Scenario, space Space) []scenario.Fault {
-	kinds := possibleKinds(&s.Fleet, space.FaultKinds)
+	kinds := applicableKinds(&s.Fleet, space.FaultKinds)
 	var faults []scenario.Fault
 	for range 1 + random.IntN(max(space.MaxFaults, 1)) {
 		faults = append(faults, drawFault(random, s, choose(random, kinds...)))
@@ -111,8 +112,9 @@
 	return faults
 }
 
-// possibleKinds returns those of the kinds, or of all if there are none, that the fleet can have.
-func possibleKinds(fleet *scenario.Fleet, kinds []string) []string {
+// applicableKinds returns the fault kinds that apply to the fleet, of the given ones or, if none is
+// given, of all.
+func applicableKinds(fleet *scenario.Fleet, kinds []string) []string {
 	if len(kinds) == 0 {
 		kinds = scenario.FaultNames()
 	}
@@ -123,10 +125,10 @@
 	})
 }
 
-// drawFault returns a fault of a kind at a random time and place.
-func drawFault(random *rand.Rand, s *scenario.Scenario, name string) scenario.Fault {
-	kind := scenario.FaultKinds[name]
-	fault := scenario.Fault{Kind: name}
+// drawFault returns a fault of the named kind with a random time, duration, scope and strength.
+func drawFault(random *rand.Rand, s *scenario.Scenario, kindName string) scenario.Fault {
+	kind := scenario.FaultKinds[kindName]
+	fault := scenario.Fault{Kind: kindName}
 	fault.At = roundDigits(warmUpS + random.Float64()*max(s.LengthS-warmUpS-quietEndS, 1))
 	fault.For = logUniform(random, 0.2, 9)
 	fault.Share = choose(random, 1, logUniform(random, 0.05, 1))
@@ -140,9 +142,9 @@
 	case scenario.ScopeTrunk:
 		fault.Trunk = 1 + random.IntN(s.Fleet.Trunks)
 	}
-	switch name {
+	switch kindName {
 	case scenario.KindResponseCorrupt, scenario.KindResponseReset, scenario.KindOriginReset,
-		scenario.KindResponseEndless, scenario.KindResponseError: // the share is of all responses
+		scenario.KindResponseEndless, scenario.KindResponseError: // Share is the share of all responses
 		fault.Share = logUniform(random, 0.005, 0.3)
 	case scenario.KindPeerPartition:
 		fault.Strength = choose(random, 2, 3.0)
@@ -157,7 +159,8 @@
 	return fault
 }
 
-// logUniform draws a number whose logarithm is uniform between those of low and high.
+// logUniform draws a number from low to high whose logarithm is uniformly distributed, and rounds
+// it by roundDigits.
 func logUniform(random *rand.Rand, low, high float64) float64 {
 	return roundDigits(low * math.Pow(high/low, random.Float64()))
 }
@@ -171,5 +174,5 @@
 	return math.Round(value*scale) / scale
 }
 
-// choose draws one of the list.
+// choose draws one element of the list.
 func choose[T any](random *rand.Rand, list ...T) T { return list[random.IntN(len(list))] }
--- a/internal/faultsearch/finding.go
+++ b/internal/faultsearch/finding.go
@@ -6,10 +6,10 @@
 	"quilldoor/internal/scenario"
 )
 
-// Finding is a drawn scenario and the outcome of playing it.
+// Finding is a drawn scenario and the outcome of its run.
 type Finding struct {
 	Number      int    // of the draw, from 1
-	Violation   string // the violated invariants, a panic or an error; empty if there was none
+	Violation   string // the violated invariants, a panic or an error; empty: none
 	EarnedShare float64
 	Scenario    *scenario.Scenario
 }
--- a/internal/faultsearch/marshal.go
+++ b/internal/faultsearch/marshal.go
@@ -9,11 +9,11 @@
 	"quilldoor/internal/scenario"
 )
 
-// faultsKey is the scenario's YAML key of the list of faults.
+// faultsKey is the YAML key of a scenario's list of faults.
 const faultsKey = "troubles"
 
-// Marshal writes a scenario as YAML that scenario.Parse reads back to the same scenario.
-// Keys that have the default value are left out.
+// Marshal encodes a scenario as YAML, from which scenario.Parse reads back the same scenario.
+// Keys with their default value are omitted.
 func Marshal(s *scenario.Scenario) ([]byte, error) {
 	fields, err := asMap(s)
 	if err != nil {
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	changed := differing(fields, defaults)
+	changed := changedFields(fields, defaults)
 	delete(changed, faultsKey)
 	if len(faults) > 0 {
 		changed[faultsKey] = faults
@@ -36,7 +36,7 @@
 	return yaml.Marshal(changed)
 }
 
-// marshalFaults returns the keys of each fault that are not zero.
+// marshalFaults converts each fault to a map of its YAML keys whose values are not zero.
 func marshalFaults(faults []scenario.Fault) ([]map[string]any, error) {
 	var list []map[string]any
 	for i := range faults {
@@ -54,7 +54,7 @@
 	return list, nil
 }
 
-// asMap converts a value to a map by its YAML keys.
+// asMap converts a struct to a map by its YAML keys.
 func asMap(value any) (map[string]any, error) {
 	text, err := yaml.Marshal(value)
 	if err != nil {
@@ -64,19 +64,20 @@
 	return out, yaml.Unmarshal(text, &out)
 }
 
-// differing returns the keys of a whose values differ from those in b, nested maps included.
-func differing(a, b map[string]any) map[string]any {
+// changedFields returns the entries of fields whose values differ from those in defaults. Nested maps
+// are compared in the same way.
+func changedFields(fields, defaults map[string]any) map[string]any {
 	out := map[string]any{}
-	for key, value := range a {
-		nestedA, isMapA := value.(map[string]any)
-		nestedB, isMapB := b[key].(map[string]any)
-		if isMapA && isMapB {
-			if nested := differing(nestedA, nestedB); len(nested) > 0 {
+	for key, value := range fields {
+		nestedField, fieldIsMap := value.(map[string]any)
+		nestedDefault, defaultIsMap := defaults[key].(map[string]any)
+		if fieldIsMap && defaultIsMap {
+			if nested := changedFields(nestedField, nestedDefault); len(nested) > 0 {
 				out[key] = nested
 			}
 			continue
 		}
-		if !reflect.DeepEqual(value, b[key]) {
+		if !reflect.DeepEqual(value, defaults[key]) {
 			out[key] = value
 		}
 	}
--- a/internal/faultsearch/shrink.go
+++ b/internal/faultsearch/shrink.go
@@ -8,37 +8,38 @@
 	"quilldoor/internal/scenario"
 )
 
-// minHalvedS is the duration, in seconds, above which a fault's duration is still halved.
+// minHalvedS is the duration of a fault, in seconds, above which Shrink tries to halve it.
 const minHalvedS = 0.4
 
-// edit makes one simplification of a scenario, in place.
+// edit applies one simplification to a scenario, in place.
 type edit func(*scenario.Scenario)
 
-// Shrink reduces a scenario while fails still holds for it, and returns the reduced one and the
-// number of calls of fails, at most maxPlays. The given scenario is not changed. It first removes
-// faults, several at a time; then it shortens and widens those that are left, and makes the fleet
-// smaller and its settings the defaults.
-func Shrink(s *scenario.Scenario, fails func(*scenario.Scenario) bool, maxPlays int) (*scenario.Scenario, int) {
-	r := &reducer{current: s, fails: fails, maxPlays: maxPlays}
+// Shrink reduces a scenario as long as fails returns true for it. It returns the reduced scenario
+// and the number of calls of fails, which is at most maxRuns. The given scenario is not changed.
+// Shrink first removes faults, several at a time. It then shortens the remaining faults and widens
+// their scope, makes the fleet smaller and sets its other settings to the defaults.
+func Shrink(s *scenario.Scenario, fails func(*scenario.Scenario) bool, maxRuns int) (*scenario.Scenario, int) {
+	r := &reducer{current: s, fails: fails, maxRuns: maxRuns}
 	r.removeFaults()
 	r.simplify()
-	return r.current, r.plays
+	return r.current, r.runs
 }
 
-// reducer is the state of one Shrink.
+// reducer is the state of one call of Shrink.
 type reducer struct {
-	current  *scenario.Scenario // the smallest scenario that fails
-	fails    func(*scenario.Scenario) bool
-	plays    int
-	maxPlays int
+	current *scenario.Scenario // the most reduced scenario that fails
+	fails   func(*scenario.Scenario) bool
+	runs    int
+	maxRuns int
 }
 
-// accept makes the candidate the current scenario if it fails, too.
+// accept runs a candidate and makes it the current scenario if it fails. It accepts no candidate
+// after maxRuns runs.
 func (r *reducer) accept(candidate *scenario.Scenario) bool {
-	if r.plays >= r.maxPlays {
+	if r.runs >= r.maxRuns {
 		return false
 	}
-	r.plays++
+	r.runs++
 	if !r.fails(candidate) {
 		return false
 	}
@@ -46,7 +47,7 @@
 	return true
 }
 
-// removeFaults tries to remove runs of faults: half of them at once, then a quarter and so on.
+// removeFaults tries to remove consecutive faults: half of them at once, then a quarter and so on.
 func (r *reducer) removeFaults() {
 	for size := max(len(r.current.Faults)/2, 1); size >= 1 && len(r.current.Faults) > 0; size /= 2 {
 		for i := 0; i < len(r.current.Faults); {
@@ -59,9 +60,9 @@
 	}
 }
 
-// simplify applies single edits until none of them leaves a scenario that fails.
+// simplify applies single edits until none of them gives a scenario that fails.
 func (r *reducer) simplify() {
-	for progress := true; progress && r.plays < r.maxPlays; {
+	for progress := true; progress && r.runs < r.maxRuns; {
 		progress = false
 		for _, apply := range edits(r.current) {
 			candidate := Copy(r.current)
@@ -76,7 +77,7 @@
 	}
 }
 
-// Copy returns a deep copy.
+// Copy returns a deep copy of a scenario.
 func Copy(s *scenario.Scenario) *scenario.Scenario {
 	copied := *s
 	copied.Faults = slices.Clone(s.Faults)
@@ -84,12 +85,13 @@
 	return &copied
 }
 
-// edits returns the single simplifications of a scenario.
+// edits returns all single simplifications of a scenario.
 func edits(s *scenario.Scenario) []edit {
 	return slices.Concat(faultEdits(s.Faults), sizeEdits(), defaultEdits())
 }
 
-// faultEdits widen a fault to its whole place or shorten it.
+// faultEdits returns the edits that set a fault's share to 1, remove its restriction to one office,
+// or halve its duration.
 func faultEdits(faults []scenario.Fault) []edit {
 	var list []edit
 	for i, fault := range faults {
@@ -106,7 +108,7 @@
 	return list
 }
 
-// sizeEdits make the fleet, the load or the length smaller.
+// sizeEdits returns the edits that reduce the fleet, the load or the length.
 func sizeEdits() []edit {
 	return []edit{
 		decrement(func(s *scenario.Scenario) *int { return &s.Fleet.Offices }, 1),
@@ -125,7 +127,8 @@
 	}
 }
 
-// decrement lowers a field by one, unless it is at its minimum or a fault needs it as it is.
+// decrement returns an edit that lowers a field by one, unless it is at its minimum or a fault
+// refers to an office or a trunk that would not exist any more.
 func decrement(field func(*scenario.Scenario) *int, minimum int) edit {
 	return func(s *scenario.Scenario) {
 		value := field(s)
@@ -139,7 +142,7 @@
 	}
 }
 
-// faultsFit reports whether each fault's place and time exist in the scenario.
+// faultsFit reports whether each fault's office, trunk and start are within the scenario.
 func faultsFit(s *scenario.Scenario) bool {
 	for _, fault := range s.Faults {
 		if fault.Office > s.Fleet.Offices || fault.Trunk > s.Fleet.Trunks || fault.At > s.LengthS {
@@ -149,8 +152,8 @@
 	return true
 }
 
-// defaultEdits set one field of the fleet or the load to its default, but for those that
-// sizeEdits lower.
+// defaultEdits returns the edits that set one field of the fleet or the load to its default,
+// except for the fields that sizeEdits reduces.
 func defaultEdits() []edit {
 	defaults := scenario.Default()
 	fleet := func(s *scenario.Scenario) any { return &s.Fleet }
@@ -158,7 +161,8 @@
 	return append(fieldEdits(fleet, &defaults), fieldEdits(load, &defaults)...)
 }
 
-// fieldEdits set single fields of a part of the scenario to those in defaults.
+// fieldEdits returns the edits that set a single field of one part of the scenario to its value in
+// defaults.
 func fieldEdits(part func(*scenario.Scenario) any, defaults *scenario.Scenario) []edit {
 	var list []edit
 	values := reflect.ValueOf(part(defaults)).Elem()
@@ -174,7 +178,7 @@
 	return list
 }
 
-// lastFaultEnd is the second by which all faults are over.
+// lastFaultEnd is the time, in whole seconds, by which all faults have ended.
 func lastFaultEnd(s *scenario.Scenario) float64 {
 	end := 0.0
 	for _, fault := range s.Faults {
--- a/internal/faultsearch/shrink_test.go
+++ b/internal/faultsearch/shrink_test.go
@@ -9,7 +9,8 @@
 	"quilldoor/internal/scenario"
 )
 
-// What the failure needs stays, all else goes, and the number of plays is bounded.
+// Shrink keeps the faults and sizes on which the failure depends, reduces all others, and calls
+// fails no more often than maxRuns. The failure needs two faults, two caches and a request rate.
 func TestShrinkKeepsOnlyWhatTheFailureNeeds(t *testing.T) {
 	fails := func(s *scenario.Scenario) bool {
 		has := func(kind string, minSeconds float64) bool {
@@ -28,17 +29,17 @@
 		}
 		s.Load.RequestsPerS = 200
 		original := Copy(s)
-		shrunk, plays := Shrink(s, fails, 2000)
+		shrunk, runs := Shrink(s, fails, 2000)
 		if !reflect.DeepEqual(s, original) {
-			t.Fatal("Shrink changed the scenario that it was given")
+			t.Fatalf("seed %d: Shrink changed the scenario that it was given", seed)
 		}
 		if !fails(shrunk) || len(shrunk.Faults) != 2 || shrunk.Fleet.Caches != 2 || shrunk.Load.RequestsPerS > 60 ||
 			shrunk.Fleet.Offices != 1 || shrunk.Fleet.Membership {
 			text, _ := Marshal(shrunk)
-			t.Fatalf("seed %d, %d plays:\n%s", seed, plays, text)
+			t.Fatalf("seed %d: after %d runs the scenario does not fail or is not minimal:\n%s", seed, runs, text)
 		}
-		if _, plays := Shrink(s, fails, 7); plays > 7 {
-			t.Errorf("%d plays, at most 7 are allowed", plays)
+		if _, runs := Shrink(s, fails, 7); runs > 7 {
+			t.Errorf("seed %d: %d runs, at most 7 are allowed", seed, runs)
 		}
 	}
 }
