--- a/internal/diskbench/diskbench.go
+++ b/internal/diskbench/diskbench.go
@@ -68,9 +68,9 @@
 	}
 	length := size + recordHeader
 	candidate := diskcache.Candidate{Request: r, Issued: now / 1000, Length: length}
-	put, reason := policy.Offer(now, &candidate)
+	placement, reason := policy.Offer(now, &candidate)
 	if reason == diskcache.ReasonOK {
-		policy.FinishWrite(put.Ref, length, true)
+		policy.FinishWrite(placement.Ref, length, true)
 		policy.TakeDrops()
 		policy.Synced()
 	}
--- a/internal/simfleet/detection.go
+++ b/internal/simfleet/detection.go
@@ -24,7 +24,7 @@
 
 // killAndDetect kills a router and returns the time until all others consider it dead. detected is false if they do not
 // within the timeout.
-func (f *Fleet) killAndDetect(victim int) (took int64, detected bool) {
+func (f *Fleet) killAndDetect(victim int) (elapsed int64, detected bool) {
 	const detectionTimeout = 20 * second
 	observers := 0
 	detectedAt := int64(0)
--- a/internal/simfleet/durations.go
+++ b/internal/simfleet/durations.go
@@ -18,10 +18,10 @@
 }
 
 // record adds a trial. All timeouts are within the histogram's range, so RecordValue cannot fail.
-func (d *Durations) record(took int64, happened bool) {
-	if !happened {
+func (d *Durations) record(elapsed int64, occurred bool) {
+	if !occurred {
 		d.Missed++
 		return
 	}
-	_ = d.RecordValue(took)
+	_ = d.RecordValue(elapsed)
 }
--- a/internal/simfleet/experiment.go
+++ b/internal/simfleet/experiment.go
@@ -79,7 +79,7 @@
 
 // runUntilConverged runs until all routers agree and returns the time that this took. converged is false if they do not
 // agree within the timeout.
-func (f *Fleet) runUntilConverged(timeout int64) (took int64, converged bool) {
+func (f *Fleet) runUntilConverged(timeout int64) (elapsed int64, converged bool) {
 	start := f.Now
 	for f.Now < start+timeout {
 		f.RunUntil(f.Now + stepInterval)
--- a/internal/simfleet/partition.go
+++ b/internal/simfleet/partition.go
@@ -25,8 +25,8 @@
 	result.DetectedAfter = f.partition(left, right, length)
 	healedAt := f.Now
 	sentBefore, _ = f.totalBytes()
-	if took, converged := f.runUntilConverged(recoveryTimeout); converged {
-		result.ConvergedAfter = took
+	if elapsed, converged := f.runUntilConverged(recoveryTimeout); converged {
+		result.ConvergedAfter = elapsed
 	}
 	f.RunUntil(max(healedAt+minRecoveryTime, f.Now))
 	result.RecoveryBytesPerSecond = f.sentBytesPerSecond(sentBefore, f.Now-healedAt)
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -10,7 +10,7 @@
 	Router        int    // index of the router that sends it
 	RequestID     string // ID of the request
 	Number        int    // number of the attempt within the request
-	Server        string // ID of the server it goes to
+	Server        string // ID of the server to which it is sent
 	Source        string // ID of the server that a miss is filled from; "": a miss is not filled
 	CachePriority int    // cache priority of a filled copy; 0: it is not stored
 	FillMode      policy.FillMode
--- a/internal/simulation/attempt_end.go
+++ b/internal/simulation/attempt_end.go
@@ -9,34 +9,34 @@
 
 // finish ends an attempt with a result, which reaches the router one network latency later. A fault may change or drop
 // the response of a server.
-func (s *server) finish(attempt *Attempt, end AttemptResult) {
+func (s *server) finish(attempt *Attempt, result AttemptResult) {
 	if attempt.state == attemptEnded {
 		return
 	}
 	s.detach(attempt)
-	end.Load = s.visibleLoad
-	if end.Outcome != policy.OutcomeConnectionReset && end.Outcome != policy.OutcomeConnectionRefused {
-		s.simulation.Result.AttemptOutcomes[end.Outcome.String()]++
-		end = s.simulation.applyResponseFaults(s, end)
-		if end.Outcome == policy.OutcomeUnknown {
+	result.Load = s.visibleLoad
+	if result.Outcome != policy.OutcomeConnectionReset && result.Outcome != policy.OutcomeConnectionRefused {
+		s.simulation.Result.AttemptOutcomes[result.Outcome.String()]++
+		result = s.simulation.applyResponseFaults(s, result)
+		if result.Outcome == policy.OutcomeUnknown {
 			return // the response is lost
 		}
 	}
-	s.simulation.schedule(attempt.latency, func() { s.simulation.deliver(attempt, end) })
+	s.simulation.schedule(attempt.latency, func() { s.simulation.deliver(attempt, result) })
 }
 
 // deliver hands the result of an attempt to its router, unless the router has cancelled the attempt.
-func (s *Simulation) deliver(attempt *Attempt, end AttemptResult) {
+func (s *Simulation) deliver(attempt *Attempt, result AttemptResult) {
 	key := attempt.key()
 	if s.attempts[key] != attempt {
 		return
 	}
 	delete(s.attempts, key)
 	entry := attempt.entry(eventlog.KindEnded)
-	entry.Outcome = end.Outcome.String()
-	entry.Issued = end.Issued
+	entry.Outcome = result.Outcome.String()
+	entry.Issued = result.Issued
 	s.record(entry)
-	s.driver.AttemptEnded(attempt.Router, attempt, end)
+	s.driver.AttemptEnded(attempt.Router, attempt, result)
 }
 
 // detach removes an attempt that was answered or cancelled from its server and stops its work.
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -76,7 +76,7 @@
 }
 
 // pickObject draws the object of a request by popularity. While a fault of one-time objects is in force, a share of
-// the requests gets a one-time object instead.
+// the requests is for a new one-time object instead.
 func (s *Simulation) pickObject(class, office int) int64 {
 	if s.oneTimeShare > 0 && s.random.Float64() < s.oneTimeShare {
 		return s.catalogue.newOneTimeObject(class)
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -13,7 +13,7 @@
 	// ClientGone reports that a request's client has closed its connection.
 	ClientGone(router int, requestID string)
 	// AttemptEnded delivers the end of an attempt to its router.
-	AttemptEnded(router int, attempt *Attempt, end AttemptResult)
+	AttemptEnded(router int, attempt *Attempt, result AttemptResult)
 	// Notify delivers a discovery event to a router.
 	Notify(router int, event DiscoveryEvent)
 	// KillRouter kills a router's process.
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -6,8 +6,7 @@
 	"quilldoor/internal/policy"
 )
 
-// fill is a fetch of one part into a server. At a cache, attempts wait for it; at a parent, the callers of
-// serveFill do.
+// fill is a fetch of one part into a server. At a cache, attempts wait for it; at a parent, callers of fetch do.
 type fill struct {
 	server       *server // the server that stores the part
 	incarnation  int64   // of the server when the fill began
@@ -32,16 +31,16 @@
 
 // beginFill starts a fill for an attempt. Later attempts may join it unless another fill of the part is in flight.
 func (s *server) beginFill(attempt *Attempt, key int64) {
-	begun := &fill{
+	newFill := &fill{
 		server: s, incarnation: s.incarnation, key: key, priority: attempt.CachePriority, attempts: []*Attempt{attempt},
 		startedAt: s.simulation.now, reason: policy.ReasonMiss,
 	}
-	attempt.fill = begun
+	attempt.fill = newFill
 	s.fillCount++
 	if s.fills[key] == nil {
-		s.fills[key] = begun
+		s.fills[key] = newFill
 	}
-	begun.start(attempt)
+	newFill.start(attempt)
 }
 
 // join adds an attempt to a fill in flight.
@@ -92,9 +91,9 @@
 	})
 }
 
-// transfer sends the fill's bytes over the source's outbound link and the office's inbound link, at no more than the
-// maximum rate of one fill. The fill completes when both links have transferred the bytes and the time that they take
-// at the maximum rate has passed.
+// transfer sends the fill's bytes over the source's outbound link, if it has one, and the office's inbound link, at no
+// more than the maximum rate of one fill. The fill completes when the links have transferred the bytes and the transfer
+// time at the maximum rate has passed.
 func (f *fill) transfer(attempt *Attempt, source *server) {
 	sim := f.server.simulation
 	fleet := &sim.scenario.Fleet
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,7 +2,7 @@
 
 // sendToOffice sends a response from a server at a trunk to the office of the attempt's router, over the server's
 // outbound link and the office's inbound link, at no more than the rate of one client flow. done is called when both
-// links have transferred the bytes and the time that they take at the flow's rate has passed.
+// links have transferred the response and the transfer time of one client flow has passed.
 func (s *server) sendToOffice(attempt *Attempt, done func()) {
 	sim := s.simulation
 	sim.Result.countFill(sim, attempt.SizeKB, s.kind == kindOrigin)
--- a/internal/simulation/parent.go
+++ b/internal/simulation/parent.go
@@ -45,12 +45,12 @@
 // fetchFromOrigin fills a parent from the origin.
 func (s *server) fetchFromOrigin(attempt *Attempt, key int64, done fillDone) {
 	sim := s.simulation
-	begun := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: sim.now}
-	s.fills[key] = begun
+	newFill := &fill{server: s, incarnation: s.incarnation, key: key, startedAt: sim.now}
+	s.fills[key] = newFill
 	s.fillCount++
 	delay := s.originDelay()
 	finish := func(issuedAt int64, reason policy.Reason) {
-		sim.schedule(delay, func() { begun.finishFetch(attempt, issuedAt, reason, done) })
+		sim.schedule(delay, func() { newFill.finishFetch(attempt, issuedAt, reason, done) })
 	}
 	sim.schedule(delay, func() {
 		sim.origin.originRead(func(issuedAt int64, reason policy.Reason) {
--- a/internal/simulation/response_faults.go
+++ b/internal/simulation/response_faults.go
@@ -33,10 +33,10 @@
 
 // applyResponseFaults draws the fault, if any, that changes a server's response, and returns the changed response.
 // policy.OutcomeUnknown means that the response is lost.
-func (s *Simulation) applyResponseFaults(server *server, end AttemptResult) AttemptResult {
+func (s *Simulation) applyResponseFaults(server *server, result AttemptResult) AttemptResult {
 	errorShare := s.scenario.Fleet.ErrorShare
 	if server.kind == kindCache && errorShare > 0 && s.random.Float64() < errorShare {
-		return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
+		return AttemptResult{Outcome: policy.OutcomeError, Load: result.Load}
 	}
 	for _, fault := range s.responseFaults {
 		if !fault.affects(server) || s.random.Float64() >= fault.share {
@@ -50,8 +50,8 @@
 		case scenario.KindResponseEndless:
 			return AttemptResult{Outcome: policy.OutcomeUnknown}
 		case scenario.KindResponseError:
-			return AttemptResult{Outcome: policy.OutcomeError, Load: end.Load}
+			return AttemptResult{Outcome: policy.OutcomeError, Load: result.Load}
 		}
 	}
-	return end
+	return result
 }
