--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -11,8 +11,8 @@
 	"quilldoor/internal/settings"
 )
 
-// Update is a response of the discovery service. The endpoints that a configuration knows
-// at the start have the same format. Parse decodes an Update, and Watcher.Apply applies it.
+// Update is a response of the discovery service. The initial endpoint list of a
+// configuration has the same format. Parse decodes an Update, and Watcher.Apply applies it.
 type Update struct {
 	Revision int64   `json:"Rev"`     // the service's current revision
 	Events   []event `json:"Notices"` // in the order of their revisions
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -25,9 +25,10 @@
 	// DiscoveryRestored reports the first successful poll after DiscoveryLost,
 	// before the poll's events.
 	DiscoveryRestored()
-	// DiscoveryGap reports that events were missed, after the events of the
-	// update that shows it, or that the service has restarted its revision
-	// numbers, before any event with a new number.
+	// DiscoveryGap reports that events were missed, or that the service has
+	// restarted its revision numbers. The report of missed events follows the
+	// events of the update that shows the gap. The report of a restart precedes
+	// all events with new numbers.
 	DiscoveryGap()
 }
 
--- a/internal/downstream/forward.go
+++ b/internal/downstream/forward.go
@@ -131,9 +131,8 @@
 	return engine.Command{Kind: engine.CommandFail, MaybeExecuted: true}
 }
 
-// ServeForwarded runs a request that a peer has forwarded in the engine, like a
-// client's, and returns its outcome. clientGone is closed when the peer no longer
-// waits for the reply.
+// ServeForwarded runs a peer's request through the engine, like a client's, and returns
+// its outcome. clientGone is closed when the peer no longer waits for the reply.
 func (s *Server) ServeForwarded(clientGone <-chan struct{}, forwarded *gateway.Request) gateway.Reply {
 	rejected := gateway.Reply{Outcome: peerpolicy.OutcomeRejected, NeverRan: true}
 	if s.draining.Load() || !s.acceptsForwarded(forwarded) {
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -31,7 +31,7 @@
 // # Invariants
 //
 //   - A request that was opened gets exactly one of CommandRespond,
-//     CommandReject and CommandFail, unless its client leaves first.
+//     CommandReject and CommandFail, unless its client disconnects first.
 //   - An attempt ends exactly once; later results are discarded and their
 //     responses released.
 //   - An attempt that has not begun when its request is closed never begins.
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -13,7 +13,8 @@
 
 // UpdateEndpoints applies changes of the endpoint list (ScopeDiff) or a complete list
 // (ScopeInitial at the start, otherwise ScopeSnapshot). It returns the previous
-// entries of the endpoints that may be sent no new work at the address listed there.
+// entries of endpoints that are not active, are no longer listed or have a new
+// address: none of them may be sent new work at its previous address.
 func (e *Engine) UpdateEndpoints(now int64, scope policy.UpdateScope, list []Endpoint) (retired []*Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -76,10 +76,10 @@
 	e.handle(now, event)
 }
 
-// HoldSlowStart keeps endpoints in slow start from being sent anything before
-// until, a time in microseconds. It is called where an earlier process may have
-// spent this router's share of their budgets, or another process is about to spend
-// it. It replaces the previous hold.
+// HoldSlowStart sets the time, in microseconds, until which endpoints in slow start
+// are sent nothing. It is called where an earlier process may have used this router's
+// share of their budgets, or another process is about to use it. It replaces the
+// previous hold.
 func (e *Engine) HoldSlowStart(now, until int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,17 +104,17 @@
 	e.handle(now, policy.Event{Kind: policy.EventHealthCheck, Endpoint: endpoint, Outcome: outcome, RTT: rtt})
 }
 
-// Snapshot returns the policy's state, including that of the endpoints, for the
-// other generation of this router.
+// Snapshot returns the policy's learned state, including that of the endpoints, for
+// the other generation of this router.
 func (e *Engine) Snapshot() *policy.Snapshot {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.policy.Snapshot()
 }
 
-// Restore replaces the policy's state by a snapshot. It is called after the first
-// UpdateEndpoints and before the first request. If the snapshot has a different
-// shape, the error wraps policy.ErrSnapshot and the state stays as it is.
+// Restore adopts the learned state in a snapshot. It is called after the first
+// UpdateEndpoints and before the first request. If the snapshot has an unsupported
+// size, the error wraps policy.ErrSnapshot and the state stays as it is.
 func (e *Engine) Restore(snapshot *policy.Snapshot) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Guards against answering a client that has left, and against letting its attempt
-// continue.
+// Guards against answering a client that has disconnected, and against letting its
+// attempt continue.
 func TestClientGoneDropsTheAttemptAndNeedsNoAnswer(t *testing.T) {
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
@@ -243,7 +243,7 @@
 }
 
 // Guards against sending an attempt that waits for its connection although the client
-// has left or was answered, at a site that does not permit cancelling.
+// has disconnected or was answered, at a site that does not permit cancelling.
 func TestNothingBeginsForAClosedRequestWithoutCancelling(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -18,7 +18,7 @@
 	engine             *Engine
 	deadline           int64  // microseconds
 	failTimer          *timer // fails the request if the policy has not ended it
-	closed             bool   // the client was answered or left
+	closed             bool   // the client was answered or has disconnected
 	unsafe             bool   // it must not be executed twice
 	attempts           []*Attempt
 	pendingAttempts    int  // attempts that have not ended
@@ -56,8 +56,8 @@
 	return request, nil
 }
 
-// ClientGone reports that the client left without an answer. It has no effect on a
-// request that was answered.
+// ClientGone reports that the client disconnected before it was answered. It has no
+// effect on a request that was answered.
 func (e *Engine) ClientGone(now int64, request *Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,10 +77,10 @@
 // maybeExecuted reports whether an attempt may have been executed, or may still be.
 func (r *Request) maybeExecuted() bool { return r.endedMaybeExecuted || r.pendingAttempts > 0 }
 
-// closeRequest closes a request whose client was answered or left. Attempts that
-// have begun still get their outcomes. Attempts that have not begun are withdrawn,
-// even where the site does not permit cancelling: no attempt may begin for a closed
-// request.
+// closeRequest closes a request whose client was answered or has disconnected.
+// Attempts that have begun still get their outcomes. Attempts that have not begun are
+// withdrawn, even where the site does not permit cancelling: no attempt may begin for
+// a closed request.
 func (e *Engine) closeRequest(now int64, request *Request) {
 	request.closed = true
 	e.stopTimer(request.failTimer)
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,9 +6,9 @@
 	"quilldoor/internal/policy"
 )
 
-// timer is set for an attempt's deadline, for a request's, or, with neither, for the
-// policy. The timer of a request or attempt is removed when that ends, since it keeps
-// the whole request in memory.
+// timer fires at an attempt's deadline, after a request's deadline or, with neither
+// set, when the policy requested it. The timer of an attempt or request is removed
+// when the attempt or request ends, since it keeps the whole request in memory.
 type timer struct {
 	due     int64 // microseconds
 	attempt *Attempt
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -22,7 +22,7 @@
 	kind     attemptKind
 	inFlight bool
 	lost     bool // its endpoint or source was ejected, which the request has handled
-	late     bool // counted as overdue
+	late     bool // already recorded as late or refused
 }
 
 // release frees the capacity that an attempt occupies.
@@ -62,12 +62,12 @@
 	r.send(req, &p)
 }
 
-// avoidOverload changes the plan of a read if the origin or the target has no capacity for it: to a fill at an idle
-// cache, else to a cache-only attempt, else to a parent-only attempt. The last two are considered once per request: the
-// first attempt without capacity considers the cache-only one, the next one the parent-only one, whatever the result of
-// the first. It returns false if no alternative is left.
+// avoidOverload changes the plan of a read whose fill is shed, or whose target is saturated. An idle cache replaces a
+// saturated target, unless the fill is shed. Otherwise the plan becomes a cache-only or a parent-only attempt. Each of
+// them is considered once per request: the first attempt without capacity considers the cache-only one, the next
+// attempt, whatever the result of the first, the parent-only one. It returns false if no alternative is left.
 func (r *Router) avoidOverload(req *request, p *plan) bool {
-	// Above this utilization of the link from the parents, transfers over it are late, too.
+	// Above this utilization of the link from the parents, responses to parent-only attempts are late as well.
 	const maxLinkUse = 0.5
 	shed := r.shedLoad(req)
 	if p.target.role == roleOrigin || !shed && !r.saturated(req, &p.target.limiters[attemptFill]) {
@@ -201,7 +201,7 @@
 		req.sheddingDraw = 1 // a failing origin gets no further fill of this request
 	}
 	if significant {
-		r.fillSamples = addSample(r.fillSamples, r.now, e.Outcome != OutcomeDone)
+		r.fillAttemptSamples = addSample(r.fillAttemptSamples, r.now, e.Outcome != OutcomeDone)
 	}
 }
 
--- a/internal/policy/concurrencylimit.go
+++ b/internal/policy/concurrencylimit.go
@@ -17,10 +17,10 @@
 // late responses reduce it.
 const initialLimit = 3
 
-// adjustLimit adjusts a limit after an attempt. As many timely responses as the limit raise it by a quarter of the
-// floor, if at least half of it is in use. It is reduced when a quarter of the last attempts were late or refused, and
-// then not again for the reduction interval. The floor keeps an eighth of a cache's link busy: responses that are late
-// at that load have a cause that a lower limit would not remove.
+// adjustLimit adjusts a limit after an attempt. A timely response raises the limit if at least half of it is in use: as
+// many responses as the limit raise it by a quarter of the floor. When a quarter of the last attempts were late or
+// refused, the limit is reduced, and then not again for the reduction interval. The floor keeps an eighth of a cache's
+// link busy: responses that are late at that load have a cause that a lower limit would not remove.
 func (r *Router) adjustLimit(lim *limiter, timely bool) {
 	const (
 		lateOneIn         = 4   // attempts, one of which was late or refused
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -84,7 +84,7 @@
 	r.config.zoneShare = 0.1
 	lim, admitted := &limiter{limit: 1}, 0
 	if r.adjustLimit(lim, true); lim.limit > 1.06 || lim.limit < 1.04 {
-		t.Fatalf("limit %v, want half a tenth above one", lim.limit)
+		t.Fatalf("limit %v, want about 1.05", lim.limit)
 	}
 	if r.adjustLimit(lim, false); lim.limit > 1 {
 		t.Fatalf("limit %v after two attempts, one late", lim.limit)
@@ -108,7 +108,7 @@
 	for reason, outcome := range map[Reason]Outcome{
 		ReasonNone:         OutcomeError,
 		ReasonUpstreamDown: OutcomeError,
-		-1:                 OutcomeConnectionReset, // a second key without a reason
+		-1:                 OutcomeConnectionReset, // stands for ReasonNone, which is a key already
 	} {
 		r := newRouter(func(s *Settings) { s.Hierarchy.ReasonsGiven = "all" })
 		start := r.endpoints[cacheA].limiters[attemptFill].limit
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -30,7 +30,7 @@
 	healthHeldUntil int64    // suspect: no failure counts before it; ejected: probation begins at it
 	ejections       int64    // number since the last readmission
 	readmittedAt    int64    // 0: not readmitted since it started
-	fillSamples     []sample // of the last fills from it; bad: late
+	sourceSamples   []sample // of the last fills from it; bad: late
 
 	reservations []reservation // work sent to it during slow start
 	cached       []uint64      // hashes of the objects that it was asked to keep, most recent last
--- a/internal/policy/endpointselection.go
+++ b/internal/policy/endpointselection.go
@@ -68,8 +68,8 @@
 }
 
 // route returns the endpoint that the request is sent to, and the source that the endpoint fills from; nil if there is
-// none. Writes are for the origin, and bypass the caches where the site permits that. Reads bypass the caches if none
-// is usable.
+// none. Where the site permits bypassing the caches, writes always do so, and reads do so if no cache is usable. A cache
+// passes a write on to the origin.
 func (r *Router) route(req *request) (target, source *endpoint) {
 	if req.class.write && r.config.bypassCaches {
 		return r.origin, r.origin
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -1,8 +1,8 @@
 package policy
 
 // originDelay compares the recent time that fills wait for the origin with the usual time. One router sees few fills,
-// but the origin receives those of all routers: each router sheds the share of its fills by which the origin exceeds
-// the tolerated delay. The delay is known only where cache responses have reasons; elsewhere only the concurrency
+// but the origin receives those of all routers: each router sheds the share of its fills by which the current delay
+// exceeds the tolerated one. The delay is known only where cache responses have reasons; elsewhere only the concurrency
 // limits reduce fills.
 type originDelay struct {
 	baseline   float64 // mean over about a minute, in microseconds; 0: nothing was reported yet
--- a/internal/policy/outlierejection.go
+++ b/internal/policy/outlierejection.go
@@ -32,8 +32,9 @@
 	signalRestarted                  // the endpoint list has a later start time
 )
 
-// healthTransitions depend on signals only, not on their causes. One failure may be chance. A second failure some time
-// later without a response in between is not, nor is a long time without a response.
+// healthTransitions depend on signals only, not on their causes. One failure, or one long time without a response, may be
+// chance: it makes the endpoint suspect. A second one some time later, without a response in between, is not: it ejects
+// the endpoint.
 var healthTransitions = []struct {
 	from    health
 	signal  signal
@@ -88,7 +89,7 @@
 // eject ejects an endpoint for a time that doubles with each ejection since its last readmission. A response during
 // that time readmits it at once, even if it is an error or late.
 func (r *Router) eject(ep *endpoint) {
-	ep.fillSamples = nil
+	ep.sourceSamples = nil
 	backoff := min(ejectionTime<<ep.ejections, maxEjectionTime)
 	ep.healthHeldUntil = r.now + backoff
 	ep.ejections = min(ep.ejections+1, maxBackoffDoublings)
@@ -105,7 +106,7 @@
 // readmit readmits an ejected endpoint and resets the records against it, including the doubling of its ejection time.
 func (r *Router) readmit(ep *endpoint) {
 	ep.ejections = 0
-	ep.fillSamples = nil
+	ep.sourceSamples = nil
 	ep.readmittedAt = r.now
 	r.emit(Action{Kind: ActionLog, Text: LogReadmitted, Endpoint: ep.id})
 }
@@ -123,12 +124,12 @@
 // late, and that is more than twice the share of another source: a slow origin delays the fills of all sources alike.
 // Where health checks are permitted, a late fill of a healthy parent triggers one, as for an unresponsive endpoint.
 func (r *Router) observeFill(source *endpoint, timely bool) {
-	source.fillSamples = addSample(source.fillSamples, r.now, !timely)
+	source.sourceSamples = addSample(source.sourceSamples, r.now, !timely)
 	if source.role != roleParent || timely {
 		return
 	}
 	const lateOneIn = 2
-	late, all := countBad(source.fillSamples, r.now, minSamples)
+	late, all := countBad(source.sourceSamples, r.now, minSamples)
 	if lateOneIn*late >= max(all, minSamples) && r.hasTimelierSource(source, late, all) {
 		r.observe(source, signalLateFills)
 	} else if r.config.healthChecks && source.health == healthy {
@@ -140,14 +141,14 @@
 func (r *Router) hasTimelierSource(source *endpoint, late, all int) bool {
 	const minRatio, minOtherSamples = 2, minSamples / 2
 	return slices.ContainsFunc(r.ordered, func(other *endpoint) bool {
-		otherLate, otherAll := countBad(other.fillSamples, r.now, minSamples)
+		otherLate, otherAll := countBad(other.sourceSamples, r.now, minSamples)
 		return other != source && other.active && other.health != ejected &&
 			otherAll >= minOtherSamples && late*otherAll > minRatio*otherLate*all
 	})
 }
 
-// updateHealth ends ejections that are over, and signals endpoints with several attempts in flight that have been
-// unresponsive for far longer than a response takes.
+// updateHealth ends ejections that are over. An endpoint counts as unresponsive if it has several attempts in flight and
+// has sent nothing for far longer than a response takes.
 func (r *Router) updateHealth() {
 	const minUnanswered = 3 // attempts: a single one may just be slow
 	for _, ep := range r.ordered {
--- a/internal/policy/outlierejection_test.go
+++ b/internal/policy/outlierejection_test.go
@@ -61,7 +61,7 @@
 	if r.observeFill(late, false); late.health != ejected {
 		t.Fatal("not ejected although half of its fills were late")
 	}
-	timely.fillSamples = slices.Repeat([]sample{{begin, true}}, 7)
+	timely.sourceSamples = slices.Repeat([]sample{{begin, true}}, 7)
 	if r.observeFill(timely, false); timely.health != healthy {
 		t.Fatal("the only other parent is ejected too")
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -184,8 +184,8 @@
 	r.advance(req, inputFinal)
 }
 
-// closeRequest closes an answered request, and cancels its attempts in flight where the site permits that. Their later
-// ends only update the state of endpoints.
+// closeRequest closes a request that was answered or whose client disconnected. Where the site permits that, it cancels
+// the attempts in flight. Their later ends only update the state of endpoints.
 func (r *Router) closeRequest(req *request) {
 	for i := range req.attempts {
 		a := &req.attempts[i]
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -111,11 +111,11 @@
 	}
 }
 
-// manyFillsFail reports whether at least a quarter of the last attempts that might fill failed. Retries of reads would
-// then increase the overload, at the expense of writes.
+// manyFillsFail reports whether at least a quarter of the last fill attempts ended without a response. Retries of reads
+// would then increase the overload, at the expense of writes.
 func (r *Router) manyFillsFail() bool {
 	const failedOneIn = 4
-	failed, all := countBad(r.fillSamples, r.now, minSamples)
+	failed, all := countBad(r.fillAttemptSamples, r.now, minSamples)
 	return failedOneIn*failed >= max(all, minSamples)
 }
 
@@ -129,8 +129,9 @@
 	return stuck || a.endpoint.health == ejected
 }
 
-// replaceLostAttempt handles an attempt in flight whose endpoint or fill source was ejected. Time in flight alone never
-// triggers it. It hedges where the site permits that; elsewhere it cancels the attempt, and its end triggers a retry.
+// replaceLostAttempt replaces a lost attempt of an idempotent request: by a hedge where the site permits hedging, else
+// by the retry that follows the end of the canceled attempt, where the site permits canceling. Time in flight alone
+// never makes an attempt lost.
 func (r *Router) replaceLostAttempt(req *request) {
 	switch {
 	case req.class.idempotency != idempotent:
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -72,7 +72,7 @@
 	for failed, want := range map[int]ActionKind{minSamples/4 - 2: ActionSend, minSamples/4 - 1: ActionReject} {
 		r := newRouter(nil)
 		for i := range minSamples - 1 {
-			r.fillSamples = append(r.fillSamples, sample{begin, i < failed})
+			r.fillAttemptSamples = append(r.fillAttemptSamples, sample{begin, i < failed})
 		}
 		sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
 		end := attemptEnded(sent.Endpoint, OutcomeBusy)
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -32,10 +32,10 @@
 	popularitySample int             // number of requests after which it is halved; 0: halved by time only
 	nextHalving      int64           // time; 0: not set yet
 
-	fillSamples    []sample                  // of the last attempts that might fill; bad: no response
-	bypassLimiters [attemptKindCount]limiter // for attempts that bypass the caches, which share one link
-	originDelay    originDelay
-	purges         []purge
+	fillAttemptSamples []sample                  // of the last attempts of kind attemptFill; bad: no response
+	bypassLimiters     [attemptKindCount]limiter // for attempts that bypass the caches, which share one link
+	originDelay        originDelay
+	purges             []purge
 
 	slowStartHoldUntil int64 // time until which endpoints in slow start receive no requests
 	subscribeAt        int64 // time at which the endpoint list is requested again; 0: not scheduled
@@ -54,7 +54,7 @@
 	purgeSettleTime  int64   // time within which a purge reaches all caches
 	retryAfter       int64   // retry delay sent to rejected clients; 0: none
 	maxAttempts      int
-	maxCachedObjects int // length of the list of objects that a cache was asked to keep
+	maxCachedObjects int // bound on the list of objects that a cache was asked to keep
 
 	bypassCaches  bool // requests may bypass the caches
 	coalesceFills bool
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	// budgetShare is the share of the budget that is used. The rest covers routers whose endpoint list contains the
-	// start of an endpoint late.
+	// budgetShare is the share of the budget that is used. The rest covers routers that receive the start of an
+	// endpoint late.
 	budgetShare = 0.75
 	// budgetDeviations is the number of standard deviations of the summed work that must also fit into the budget where
 	// sizes are unknown: a few requests may all be large.
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -21,7 +21,7 @@
 	Endpoints          []EndpointSnapshot                `cbor:"5,keyasint"`            // sorted by id
 	BypassLimiters     [attemptKindCount]LimiterSnapshot `cbor:"6,keyasint"`            // of attempts that bypass the caches, by kind of attempt
 	TransferTimes      map[string]TransferTimes          `cbor:"7,keyasint,omitempty"`  // by traffic class
-	FillFailures       []SampleSnapshot                  `cbor:"8,keyasint,omitempty"`  // of the last attempts that might fill; bad: no response
+	FillFailures       []SampleSnapshot                  `cbor:"8,keyasint,omitempty"`  // of the last fill attempts; bad: no response
 	Priorities         []float64                         `cbor:"9,keyasint,omitempty"`  // of the last requests, 32 at most
 	Purges             []PurgeSnapshot                   `cbor:"10,keyasint,omitempty"` // in order of arrival
 	SlowStartHoldUntil int64                             `cbor:"11,keyasint,omitempty"` // time at which the slow-start hold ends
@@ -91,7 +91,7 @@
 		SketchSample:       sketch.Samples,
 		NextHalving:        r.nextHalving,
 		TransferTimes:      map[string]TransferTimes{},
-		FillFailures:       snapshotSamples(r.fillSamples),
+		FillFailures:       snapshotSamples(r.fillAttemptSamples),
 		Priorities:         slices.Clone(r.priorities),
 		SlowStartHoldUntil: r.slowStartHoldUntil,
 	}
@@ -120,7 +120,7 @@
 		DueAt:         ep.healthHeldUntil,
 		Ejections:     ep.ejections,
 		LinkUse:       ep.linkUse,
-		SourceSamples: snapshotSamples(ep.fillSamples),
+		SourceSamples: snapshotSamples(ep.sourceSamples),
 		CachedObjects: slices.Clone(ep.cached),
 	}
 	for _, p := range ep.reservations {
@@ -170,7 +170,7 @@
 			class.transferTimes = slices.Clone(last(times, maxRecent))
 		}
 	}
-	r.fillSamples = restoreSamples(snapshot.FillFailures)
+	r.fillAttemptSamples = restoreSamples(snapshot.FillFailures)
 	r.priorities = slices.Clone(last(snapshot.Priorities, maxRecent))
 	for _, p := range snapshot.Purges {
 		r.purges = append(r.purges, purge{p.Object, p.Group, p.At})
@@ -190,7 +190,7 @@
 	ep.healthHeldUntil = from.DueAt
 	ep.ejections = min(max(from.Ejections, 0), maxBackoffDoublings)
 	ep.linkUse = from.LinkUse
-	ep.fillSamples = restoreSamples(from.SourceSamples)
+	ep.sourceSamples = restoreSamples(from.SourceSamples)
 	ep.cached = slices.Clone(last(from.CachedObjects, r.config.maxCachedObjects))
 	for i := range min(len(from.ReservedWork), len(from.ReservedAt), maxSnapshotSamples) {
 		reserved := reservation{at: from.ReservedAt[i], work: from.ReservedWork[i]}
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -1,8 +1,8 @@
 package policy
 
 // Settings configure a Router. Times are whole microseconds. A Router does not use every field: the comments of the
-// unused ones name their purpose. config.Limits enforces DrainGrace and PurgeGrace by MaxDecisionAge, which bounds the
-// age of a decision when its attempt is written.
+// unused ones name their purpose. DrainGrace and PurgeGrace are enforced by Limits.MaxDecisionAge of package config,
+// which bounds the age of a decision when its attempt is written.
 type Settings struct {
 	Routers       int      // number of routers in all zones; 0 counts as 1
 	Zone          string   // zone of this router
@@ -77,7 +77,7 @@
 // Contract holds the obligations of the router to its clients, and the load that endpoints tolerate.
 type Contract struct {
 	AnswerSlack      int64   // longest time between a request's deadline and its failure; for package engine
-	DrainGrace       int64   // how long after a drain attempts may still begin; enforced by config.Limits
+	DrainGrace       int64   // how long after a drain attempts may still begin; for package config
 	SlowStartFor     int64   // duration of a cache's slow start
 	SlowStartFrom    float64 // 0 to 1: share of its capacity that a cache has at its start
 	OverloadWindow   int64   // time over which the work sent to an endpoint in slow start is summed
@@ -106,7 +106,7 @@
 	ParentSlowStartFor     int64   // Contract.SlowStartFor of parents
 	ParentOverloadMultiple float64 // Contract.OverloadMultiple of parents; OverloadWindow also applies to them
 	PurgeSettleTime        int64   // time within which a purge reaches all caches
-	PurgeGrace             int64   // how long after a purge older copies may still be sent; enforced by config.Limits
+	PurgeGrace             int64   // how long after a purge older copies may still be sent; for package config
 	ReasonsGiven           ReasonsGiven
 	RoutersByZone          []int // parallel to Settings.Zones; Settings.Routers replaces a missing or zero entry
 }
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -15,8 +15,8 @@
 )
 
 // stallReader sets the read deadlines of a connection. There is none between
-// responses. Within a response there is one, since a peer that stops sending there
-// would block all attempts on the connection.
+// responses. Within a response there is one, since an endpoint that stops sending
+// there would block all attempts on the connection.
 type stallReader struct {
 	net.Conn
 	stallTimeout time.Duration // of one read within a response
@@ -35,8 +35,8 @@
 	return s.Conn.Read(b)
 }
 
-// read reads and handles responses until the connection fails or the peer violates
-// the protocol, and returns the error.
+// read reads and handles responses until the connection fails or the endpoint
+// violates the protocol, and returns the error.
 func (c *conn) read() error {
 	limits := c.pool.limits
 	socket := &stallReader{Conn: c.socket, stallTimeout: limits.ReadStallTimeout}
@@ -77,13 +77,13 @@
 			cacheproto.ErrProtocol, response.ID, response.Status)
 	}
 	body, err := c.readBody(r, response.Length)
-	poolFull := errors.Is(err, bufferpool.ErrFull)
-	if err != nil && !poolFull {
+	bodyDiscarded := errors.Is(err, bufferpool.ErrFull)
+	if err != nil && !bodyDiscarded {
 		return err
 	}
 	outcome := outcomeByStatus[response.Status]
 	tagMismatch := call != nil && response.Status == cacheproto.StatusNotModified && response.Tag != call.Tag
-	if poolFull || tagMismatch {
+	if bodyDiscarded || tagMismatch {
 		outcome = policy.OutcomeError
 	}
 	waiting := c.complete(call, response.ID, outcome)
