--- a/internal/canary/analyzer.go
+++ b/internal/canary/analyzer.go
@@ -19,7 +19,7 @@
 	settings Settings
 	budget   errorBudget
 	zones    map[string]*[armCount]Counts // by zone: counts since the zone's last sample
-	samples  [MetricCount][]float64       // differences, new less old
+	samples  [MetricCount][]float64       // differences, new minus old
 	classes  map[string]*classAnalysis
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// SkipMicros returns how long after its change a router is left out of the analysis,
+// SkipMicros returns how long after its change a router is left out of the analysis, in
 // microseconds.
 func (a *Analyzer) SkipMicros() int64 { return a.settings.SkipMicros }
 
--- a/internal/canary/doc.go
+++ b/internal/canary/doc.go
@@ -1,5 +1,5 @@
-// Package canary decides whether routers with a new generation do worse than routers
-// beside them with the old one. It does no I/O and reads no clock.
+// Package canary decides whether routers with a new generation do worse than routers of
+// the same zone with the old one. It does no I/O and reads no clock.
 //
 // The two arms of a zone (an office of the rollout plan) are its routers with the old and
 // with the new generation. They are compared over the same time, so that a fault of the
--- a/internal/canary/sequence.go
+++ b/internal/canary/sequence.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Interval is a confidence interval of the mean difference of a metric, new less old, from
+// Interval is a confidence interval of the mean difference of a metric, new minus old, from
 // the confidence sequence at the current number of samples.
 type Interval struct {
 	Mean, Low, High float64 // in the metric's unit; Low and High are infinite below two samples
--- a/internal/canary/settings.go
+++ b/internal/canary/settings.go
@@ -6,7 +6,7 @@
 	// over all metrics, stages and looks, 0 to 1. The smaller it is, the more samples it
 	// takes to stop a generation that does worse.
 	FalseStopProbability float64
-	// Tolerance holds the differences, new less old, in the unit of each metric, up to
+	// Tolerance holds the differences, new minus old, in the unit of each metric, up to
 	// which a stage is not stopped: the load of two routers of a zone is never quite the
 	// same.
 	Tolerance [MetricCount]float64
@@ -18,7 +18,7 @@
 	MaxLoss float64
 	// MinRequests is how many requests each arm of a zone needs for a sample.
 	MinRequests float64
-	// SkipMicros is the time after a router's change that the analysis leaves out,
+	// SkipMicros is the time after a router's change that the analysis leaves out, in
 	// microseconds.
 	SkipMicros int64
 }
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -26,8 +26,8 @@
 // holds only asymptotically.
 const minSamples = 15
 
-// Verdict returns the verdict on the samples so far, and a reason for people that names the
-// metric and its interval. With fewer than 15 samples the verdict is VerdictInconclusive.
+// Verdict returns the verdict on the samples so far, and a reason, as text for operators,
+// that names the metric and its interval. With fewer than 15 samples the verdict is VerdictInconclusive.
 func (a *Analyzer) Verdict() (verdict Verdict, reason string) {
 	if count := len(a.samples[MetricLoss]); count < minSamples {
 		return VerdictInconclusive, fmt.Sprintf("%d samples, %d are needed", count, minSamples)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// The limits scale with the configured memory: a router with 48 MB once refused to start.
+// Guards against limits that do not scale with the configured memory, with which a router
+// with 48 MB refused to start.
 func TestLimitsFollowMemory(t *testing.T) {
 	for _, sockets := range []string{"256", "1024"} {
 		text := strings.Replace(strings.Replace(valid, "192", "32", 1), "1024", sockets, 1)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -28,7 +28,7 @@
 	MaxBufferedBytes int64 // bytes of all bodies in memory
 
 	MaxRequestTimeout     time.Duration // longer timeouts of clients are reduced to it
-	RequestReadTimeout    time.Duration // from a request's first byte (the first one's: connection's start) to its last
+	RequestReadTimeout    time.Duration // from a request's first byte, or the start of the connection for its first request, to the last byte
 	ClientIdleTimeout     time.Duration // between two requests
 	LingeringCloseTimeout time.Duration // for writing a rejection and discarding the rest of the request
 	ResponseGrace         time.Duration // past a request's deadline, for a client that reads slowly
--- a/internal/diskcache/diskrunner/bench_test.go
+++ b/internal/diskcache/diskrunner/bench_test.go
@@ -28,7 +28,8 @@
 	return stats.HeapAlloc
 }
 
-// benchConfig returns the configuration of a cache for so many parts in a real folder.
+// benchConfig returns the configuration of a cache for the given number of parts in a
+// directory of the operating system.
 func benchConfig(dir string, parts int) Config {
 	settings := testSettings()
 	settings.SlotBytes, settings.Slots, settings.MaxEntries = 16<<10, parts*3/2, parts
--- a/internal/diskcache/diskrunner/cache.go
+++ b/internal/diskcache/diskrunner/cache.go
@@ -16,13 +16,13 @@
 // Config is the configuration of a Cache.
 type Config struct {
 	FS          diskstore.FS
-	Path        string // of the folder, for log lines
+	Path        string // of the directory, for log lines
 	Superblock  diskstore.Superblock
-	Settings    diskcache.Settings // Seed is read from the folder
+	Settings    diskcache.Settings // Seed is read from the directory
 	ReadTimeout time.Duration      // a request waits no longer for the disk
 	// Clock returns the microseconds of the wall clock and of a monotonic clock; nil: the
 	// system's clocks.
-	Clock func() (wall, steady int64)
+	Clock func() (wall, monotonic int64)
 }
 
 // Cache is a running disk cache.
@@ -33,7 +33,7 @@
 	classIndexes map[string]int // class name -> index in Settings.Classes
 
 	mu            sync.Mutex        // guards the four fields below
-	policy        *diskcache.Policy // nil until the folder has been opened
+	policy        *diskcache.Policy // nil until the directory has been opened
 	stepDetector  diskcache.StepDetector
 	discoveryLost bool
 	readTimes     *hdrhistogram.Histogram // microseconds
@@ -50,7 +50,7 @@
 // few concurrent reads than with one, but each read may block an operating system thread.
 const readerCount = 4
 
-// Start returns a cache at once and opens its folder in the background. Until recovery has
+// Start returns a cache at once and opens its directory in the background. Until recovery has
 // completed, Get returns nil and Offer does nothing.
 func Start(config Config, bodies *bufferpool.Pool, log *logrus.Entry) *Cache {
 	c := newCache(config, bodies, log)
@@ -87,9 +87,9 @@
 }
 
 // systemClock returns a clock for Config.Clock.
-func systemClock() func() (wall, steady int64) {
+func systemClock() func() (wall, monotonic int64) {
 	start := time.Now()
-	return func() (wall, steady int64) {
+	return func() (wall, monotonic int64) {
 		now := time.Now()
 		return now.UnixMicro(), now.Sub(start).Microseconds()
 	}
@@ -99,15 +99,15 @@
 // the ages of all copies unknown, so that now first reports it to the policy as a gap in the
 // purge history. The caller holds c.mu.
 func (c *Cache) now() int64 {
-	wall, steady := c.config.Clock()
-	if c.stepDetector.Stepped(wall, steady) && c.policy != nil {
+	wall, monotonic := c.config.Clock()
+	if c.stepDetector.Stepped(wall, monotonic) && c.policy != nil {
 		c.policy.HistoryGap(wall)
 		c.log.Warn("disk cache: clock stepped, copies are revalidated")
 	}
 	return wall
 }
 
-// run opens the folder, then reads and writes until the cache is closed.
+// run opens the directory, then reads and writes until the cache is closed.
 func (c *Cache) run() {
 	if !c.recover() {
 		return
@@ -122,8 +122,8 @@
 }
 
 // Purge applies a purge of an object, or of a group if object is "". purgedAt is the time of
-// the purge in Unix microseconds. A purge that arrives before the folder has been opened is
-// ignored: every recovered copy is revalidated before it is served.
+// the purge in Unix microseconds. A purge that arrives before the directory has been opened
+// is ignored: every recovered copy is revalidated before it is served.
 func (c *Cache) Purge(object string, group, purgedAt int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +167,7 @@
 	c.log.WithError(err).WithField("health", health.String()).Error("disk cache: disk failure")
 }
 
-// Close writes the queued copies, commits them to the index and closes the folder.
+// Close writes the queued copies, commits them to the index and closes the store.
 func (c *Cache) Close() {
 	close(c.stop)
 	c.goroutines.Wait()
--- a/internal/diskcache/diskrunner/crash_test.go
+++ b/internal/diskcache/diskrunner/crash_test.go
@@ -219,8 +219,8 @@
 	return lost
 }
 
-// partsAtNextSync returns the parts that were cached at the sync after the i-th, or the present
-// ones if the i-th is the last.
+// partsAtNextSync returns the parts that were cached at the sync after the i-th, or those
+// cached now if the i-th is the last.
 func (c *steppedCache) partsAtNextSync(i int) partSet {
 	if i+1 < len(c.syncs) {
 		return c.syncs[i+1].parts
--- a/internal/diskcache/diskrunner/diskrunner_test.go
+++ b/internal/diskcache/diskrunner/diskrunner_test.go
@@ -127,16 +127,16 @@
 	cached.Release()
 }
 
-// After a step of the wall clock, in either direction, the age of a copy is unknown. A copy must then be
-// revalidated before it is served, even if it seems to be fresh.
+// After a step of the wall clock, in either direction, the age of a copy is unknown. The copy
+// must then be revalidated before it is served, even if it seems to be fresh.
 func TestClockJump(t *testing.T) {
-	now, steady := clockAt(1000*second), clockAt(0)
+	now, monotonic := clockAt(1000*second), clockAt(0)
 	cache, hook := startTestCache(t, crashfs.New(), now, func(config *Config) {
-		config.Clock = func() (int64, int64) { return now.Load(), steady.Load() }
+		config.Clock = func() (int64, int64) { return now.Load(), monotonic.Load() }
 	})
 	testsupport.WaitUntil(t, "recovery", cache.ready.Load)
 	now.Add(second)
-	steady.Add(second)
+	monotonic.Add(second)
 	offerCopy(t, cache, now.Load(), "x", "old")
 	now.Add(-30 * second)
 	cached := cache.Get(pageRequest("x"))
@@ -149,11 +149,11 @@
 	}
 }
 
-// A folder that holds no usable store, or is locked by another process, leaves the cache off:
+// A directory that holds no usable store, or is locked by another process, leaves the cache off:
 // it logs one error, finds nothing and ignores offers and purges.
 func TestUnusableFolders(t *testing.T) {
 	superblock := diskstore.Superblock{SlotBytes: diskstore.MinSlotBytes, Seed: 1}
-	newFolder := func() *crashfs.FS {
+	newStoreDir := func() *crashfs.FS {
 		fs := crashfs.New()
 		store, err := diskstore.Open(fs, superblock)
 		if err != nil {
@@ -162,18 +162,18 @@
 		store.Close()
 		return fs
 	}
-	newer := newFolder()
+	newer := newStoreDir()
 	newer.Content("store")[16] = 9
-	flipped := newFolder()
+	flipped := newStoreDir()
 	flipped.Content("store")[24] ^= 1
 	foreign, photos := crashfs.New(), crashfs.New()
 	foreign.AddFile("store", []byte("something else of other people's"))
 	photos.AddFile("cat.jpg", nil)
-	locked := newFolder()
+	locked := newStoreDir()
 	if _, err := locked.Lock("lock"); err != nil {
 		t.Fatal(err)
 	}
-	otherSlots := newFolder()
+	otherSlots := newStoreDir()
 	for name, test := range map[string]struct {
 		fs        *crashfs.FS
 		want      error
@@ -222,7 +222,7 @@
 		"short write":            {crashfs.OpWrite, "", 100, nil, diskcache.HealthReadOnly, true},
 		"sync fails":             {crashfs.OpSync, "", 0, syscall.EIO, diskcache.HealthReadOnly, true},
 		"reads fail":             {crashfs.OpRead, "", 0, syscall.EIO, diskcache.HealthOff, false},
-		"folder sync fails":      {crashfs.OpSyncDir, "", 0, syscall.EIO, diskcache.HealthOn, true}, // nothing in this test syncs the folder after recovery
+		"folder sync fails":      {crashfs.OpSyncDir, "", 0, syscall.EIO, diskcache.HealthOn, true}, // nothing in this test syncs the directory after recovery
 	} {
 		t.Run(name, func(t *testing.T) { testDiskFault(t, &fault) })
 	}
--- a/internal/diskcache/diskrunner/doc.go
+++ b/internal/diskcache/diskrunner/doc.go
@@ -1,5 +1,5 @@
 // Package diskrunner runs the disk cache: package diskcache makes the decisions, and this
-// package does the I/O for them on a folder. The I/O runs in goroutines of the cache, so
+// package does the I/O for them in a directory. The I/O runs in goroutines of the cache, so
 // that no request waits for the disk longer than Config.ReadTimeout. A read or a write that
 // finds its queue full is dropped.
 //
--- a/internal/diskcache/diskrunner/recovery.go
+++ b/internal/diskcache/diskrunner/recovery.go
@@ -9,8 +9,8 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// recover opens the folder and restores the parts that its index names. It returns false if
-// the folder cannot be used; the cache then stays off.
+// recover opens the directory and restores the parts that its index names. It returns false if
+// the directory cannot be used; the cache then stays off.
 func (c *Cache) recover() bool {
 	began := time.Now()
 	settings := &c.config.Settings
--- a/internal/diskcache/diskrunner/status.go
+++ b/internal/diskcache/diskrunner/status.go
@@ -16,7 +16,7 @@
 	ReadP99Micros    int64
 }
 
-// State returns the cache's present state.
+// State returns the cache's current state.
 func (c *Cache) State() (state State) {
 	const median, p99 = 50, 99
 	c.mu.Lock()
--- a/internal/diskcache/diskstore/compaction.go
+++ b/internal/diskcache/diskstore/compaction.go
@@ -6,7 +6,7 @@
 // that it should be rewritten.
 func (s *Store) NeedsCompaction(entries int) bool {
 	const (
-		minFrames      = 1 << 12 // a start reads a shorter index at once
+		minFrames      = 1 << 12 // a shorter index takes little time to read at a start
 		framesPerEntry = 3
 	)
 	return s.indexEnd/frameSize > max(minFrames, framesPerEntry*int64(entries))
--- a/internal/diskcache/diskstore/reader.go
+++ b/internal/diskcache/diskstore/reader.go
@@ -38,9 +38,9 @@
 	if err != nil {
 		return record, r, err
 	}
-	if headerLength := headerSize + nameBytes + record.BodyBytes; headerLength != length {
+	if recordLength := headerSize + nameBytes + record.BodyBytes; recordLength != length {
 		return record, r, fmt.Errorf("%w: %d bytes long by its header, %d by the index",
-			ErrCorruptRecord, headerLength, length)
+			ErrCorruptRecord, recordLength, length)
 	}
 	names := buffer[headerSize : headerSize+nameBytes]
 	if _, err := io.ReadFull(r, names); err != nil {
--- a/internal/diskcache/purge.go
+++ b/internal/diskcache/purge.go
@@ -128,7 +128,7 @@
 
 // SetDiscoveryLost records whether discovery is unreachable. Once it has been unreachable
 // for Settings.DiscoveryLossLimit, purges count as missed until it is reachable again. The
-// purges made meanwhile then arrive numbered, so that none is missing.
+// purges made meanwhile are received then; they are numbered, so that none is missing.
 func (p *Policy) SetDiscoveryLost(now int64, lost bool) {
 	switch {
 	case !lost:
--- a/internal/diskcache/reason.go
+++ b/internal/diskcache/reason.go
@@ -21,9 +21,9 @@
 	ReasonOutweighed                  // the parts to be evicted are worth more
 	ReasonAlreadyCached               // the cached copy is no worse
 	ReasonOverBudget                  // the write budget is spent
-	ReasonQueueFull                   // no more than QueueBytes may wait to be written
-	ReasonNoSlots                     // freed slots wait for the next sync
-	ReasonTooLarge                    // a sixteenth of the disk is the most
+	ReasonQueueFull                   // more than QueueBytes would wait to be written
+	ReasonNoSlots                     // too few slots are free; those of dropped parts wait for the next sync
+	ReasonTooLarge                    // the record would take more than a sixteenth of the slots, or one of its names is too long
 	ReasonRemoved                     // removed in the meantime; no result has this reason now
 	reasonCount
 )
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -47,7 +47,7 @@
 
 // Forward forwards to a peer a request that the router's policy has rejected. It returns
 // false if the request was not forwarded. Otherwise respond is called once, from another
-// goroutine, unless Cancel ends the request before.
+// goroutine, unless Cancel ends the request first.
 func (g *Gateway) Forward(request *Request, respond func(Reply)) bool {
 	id := request.Event.Request
 	purges := g.host.Purges(request.Event.Object, request.Event.Group)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -114,8 +114,8 @@
 
 // newIncarnation returns a number that rises with each start of a router: the wall clock in
 // Unix microseconds. Peers refuse a router that starts after its clock was set back, until
-// the clock is past the previous incarnation. A start within the same microsecond is not
-// told apart from the previous one.
+// the clock is past the previous incarnation. Two starts within the same microsecond have
+// the same incarnation.
 func newIncarnation() uint64 { return uint64(time.Now().UnixMicro()) }
 
 // now returns the time of a monotonic clock in microseconds. It is never 0: in heartbeats, a
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -559,7 +559,7 @@
 }
 
 // Routers with valid certificates connect. Each kind of invalid certificate is refused with
-// its reason in the log. Reloaded keys don't end the connections that there are.
+// its reason in the log. Reloaded keys don't end existing connections.
 func TestKeys(t *testing.T) {
 	validDir, otherDir, expiredDir := t.TempDir(), t.TempDir(), t.TempDir()
 	for dir, lifetime := range map[string]time.Duration{validDir: time.Hour, otherDir: time.Hour, expiredDir: -time.Second} {
@@ -623,9 +623,9 @@
 	reply.Body.Release()
 }
 
-// Guards against admitting ever more requests of a peer that sends requests and does not read
-// the answers: its requests stay in flight, and count against the limit.
-func TestPeerThatReadsNothingKeepsItsPlaces(t *testing.T) {
+// Guards against admitting an unbounded number of requests of a peer that does not read the
+// answers: its requests stay in flight and count against the limit.
+func TestUnreadAnswersKeepRequestsInFlight(t *testing.T) {
 	_, south, _ := newConnectedSites(t)
 	south.setExecute(func(<-chan struct{}, *Request) Reply {
 		return Reply{Outcome: peerpolicy.OutcomeCompleted, Body: south.body(strings.Repeat("x", 200_000))}
--- a/internal/gateway/peerpolicy/doc.go
+++ b/internal/gateway/peerpolicy/doc.go
@@ -1,6 +1,6 @@
 // Package peerpolicy decides which requests a router forwards to routers of another
 // site, and which requests of those routers it admits. It does no I/O and reads no clock:
-// its caller passes the time (microseconds of a steady clock) and holds a lock around
+// its caller passes the time (microseconds of a monotonic clock) and holds a lock around
 // every call.
 //
 // A request is forwarded only after the router's own policy has rejected it. A rejection
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -41,7 +41,7 @@
 	ReasonMaybeExecuted        // not idempotent, and an attempt may have been executed here
 	ReasonNoTime               // Forward: no peer is expected to respond in time; Admit: delayed on the way
 	ReasonNoPeer               // Forward: no healthy peer at another site; Admit: unknown or draining peer
-	ReasonNoCapacity           // Forward: no peer in time has capacity; Admit: no inbound capacity
+	ReasonNoCapacity           // Forward: no peer that is expected to respond in time has capacity; Admit: no inbound capacity
 	ReasonRoutingLoop          // Forward: it came from another site; Admit: the route is not the peer alone
 	ReasonForwardLimit         // Settings.MaxRequests requests are in flight at peers
 	ReasonLocalOverload        // too many of the latest local requests were rejected
--- a/internal/gateway/peerpolicy/limit.go
+++ b/internal/gateway/peerpolicy/limit.go
@@ -12,8 +12,8 @@
 
 	minLimit            = 1
 	limitDecreaseFactor = 0.7
-	// limitDecreaseInterval is the minimum time between two decreases of a limit. It stands
-	// for a round trip.
+	// limitDecreaseInterval is the minimum time between two decreases of a limit. It
+	// approximates a round trip.
 	limitDecreaseInterval = 200 * millisecond
 	// outcomeWindow is the number of latest outcomes that a decrease of a peer's limit
 	// depends on: at least one in badShareDivisor must be bad.
--- a/internal/gateway/peerpolicy/peer.go
+++ b/internal/gateway/peerpolicy/peer.go
@@ -36,10 +36,10 @@
 type peerSignal uint8
 
 const (
-	signalConnected    peerSignal = iota // a connection is established and its greeting was valid
+	signalConnected    peerSignal = iota // a connection is established and its hello was valid
 	signalHeartbeat                      // a heartbeat was received
-	signalLate                           // nothing received for more than lateHeartbeats intervals
-	signalSilent                         // nothing received for more than silentHeartbeats intervals
+	signalLate                           // no heartbeat received for more than lateHeartbeats intervals
+	signalSilent                         // no heartbeat received for more than silentHeartbeats intervals
 	signalDraining                       // a heartbeat reported that the peer is shutting down
 	signalDisconnected                   // the connection has ended, or a new one replaces it
 )
--- a/internal/gateway/peerproto/peerproto.go
+++ b/internal/gateway/peerproto/peerproto.go
@@ -135,7 +135,7 @@
 	return append(b, payload...), nil
 }
 
-// AppendWindow appends a frame to b that grants the sender of a body so many more bytes.
+// AppendWindow appends a frame to b that grants the sender of a body that many more bytes.
 func AppendWindow(b []byte, number uint32, bytes int) []byte {
 	b, _ = AppendRaw(b, KindWindow, number, binary.LittleEndian.AppendUint32(nil, uint32(bytes)))
 	return b
--- a/internal/gateway/trialkeys.go
+++ b/internal/gateway/trialkeys.go
@@ -19,7 +19,7 @@
 )
 
 // MakeKeys creates a certificate authority for trials and issues a certificate for each name.
-// It writes ca.pem, and NAME.pem and NAME.key for each name, to a folder. The authority's
+// It writes ca.pem, and NAME.pem and NAME.key for each name, to a directory. The authority's
 // private key is discarded.
 func MakeKeys(dir string, names []string, lifetime time.Duration) error {
 	authority, err := newTrialAuthority(lifetime)
@@ -70,7 +70,7 @@
 	return &trialAuthority{certificate: certificate, encoded: encoded, key: key}, nil
 }
 
-// issue writes a certificate and a private key for a router's name to a folder.
+// issue writes a certificate and a private key for a router's name to a directory.
 func (a *trialAuthority) issue(dir, name string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -12,7 +12,7 @@
 	kind          string
 	weight        float64
 	startedAt     int64        // 0: it started too long ago to matter
-	unusableSince int64        // when the monitor first received that it drains or was removed; 0: it may be used
+	unusableSince int64        // when the monitor was first notified of its drain or removal; 0: it may be used
 	removed       bool         // policy.EndpointGone, or missing from a complete list
 	work          []workRecord // within the window, while in slow start
 }
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,5 +1,5 @@
-// Package invariant monitors from outside whether a process of a router violates rules
-// without noticing it itself: a program that ignores drains or purges, or overloads
+// Package invariant monitors a router's process from outside for rule violations that the
+// process does not detect itself: a program that ignores drains or purges, or overloads
 // endpoints in slow start, loses no weight by that, so no weight metric reveals it. The
 // process records its attempts and responses (Recorder) and reports them to the
 // supervisor beside it. The supervisor stays the same when the program changes, follows
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// checkDrained adds a violation if an endpoint was used later after its drain or removal
-// than the grace period and the skew of discovery allow.
+// checkDrained adds a violation if an endpoint was used after its drain or removal, past
+// the grace period and the skew of discovery.
 func (m *Monitor) checkDrained(now int64, p *process, use *EndpointUse) {
 	e := m.endpoints[use.Endpoint]
 	if e == nil || e.unusableSince == 0 || !m.checks.drainsKnown(m.disconnected, now, m.checkDrainsFrom) {
@@ -115,7 +115,7 @@
 }
 
 // checkStale adds a violation if a copy is older than a purge, and its attempt was sent
-// later after the purge than the grace period and the skew of discovery allow.
+// after the purge, past the grace period and the skew of discovery.
 func (m *Monitor) checkStale(p *process, response *Response) {
 	for i := range m.purges {
 		purge := &m.purges[i]
--- a/internal/operatorconfig/diskcache.go
+++ b/internal/operatorconfig/diskcache.go
@@ -21,7 +21,7 @@
 	SizeMB int `yaml:"size_mb"`
 
 	// SlotKB is the size of a slot in kilobytes (default 16), from 1 to 1024. An entry
-	// occupies whole slots: small ones waste less of the last slot of each entry, but take
+	// occupies whole slots: small slots waste less of the last slot of each entry, but take
 	// more memory for the same disk size. A directory created with another value is refused.
 	SlotKB int `yaml:"slot_kb"`
 
--- a/internal/operatorconfig/membership.go
+++ b/internal/operatorconfig/membership.go
@@ -38,7 +38,7 @@
 	// required. Messages that are not authenticated with this key are dropped.
 	KeyFile string `yaml:"key_file"`
 
-	// Peers are the routers to contact at the start, from 1 to 512. One that is alive is
+	// Peers are the routers to contact at the start, from 1 to 512. One that responds is
 	// enough to discover all others. The list may include this router.
 	Peers []MembershipPeer `yaml:"peers"`
 
--- a/internal/operatorconfig/metrics.go
+++ b/internal/operatorconfig/metrics.go
@@ -13,8 +13,8 @@
 // operator's file. A collector has to read the file, since the platform permits no listener
 // for metrics.
 type Metrics struct {
-	// File is the absolute path; required. Each write replaces the file as a whole, so that
-	// its directory must be writable.
+	// File is the absolute path; required. Each write replaces the file as a whole, so its
+	// directory must be writable.
 	File string `yaml:"file"`
 
 	// IntervalS is the time between two writes in seconds (default 10), from 1 to 3600. A
--- a/internal/rollout/election.go
+++ b/internal/rollout/election.go
@@ -5,8 +5,8 @@
 const termStride = 1024
 
 // electionDue reports whether this router becomes a candidate: it has had no contact with
-// a leader for the election timeout, its last candidacy has failed, it may give a promise,
-// and the plan needs a leader.
+// a leader for the election timeout, the retry delay since its last candidacy has passed,
+// it may give a promise, and the plan needs a leader.
 func (n *Node) electionDue() bool {
 	if n.now-n.leaderContactAt <= electionTimeout+int64(n.self)*electionStagger {
 		return false
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -2,8 +2,8 @@
 
 import "quilldoor/internal/canary"
 
-// leader is the volatile state of the leading router, next to the acceptor's. A new leader
-// starts without that of the previous one, and watches the current stage from the beginning.
+// leader is the volatile state that a router holds while it leads. A new leader does not
+// receive that of the previous leader, so it watches the current stage from the beginning.
 type leader struct {
 	term        uint64
 	proposed    State // sent in the current rounds
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -27,7 +27,7 @@
 	AcceptedTerm uint64  `cbor:"4,keyasint,omitempty"` // term in which State was accepted
 	State        *State  `cbor:"5,keyasint,omitempty"`
 	Round        uint64  `cbor:"6,keyasint,omitempty"` // counts the leader's proposals; a reply repeats it
-	Nonce        uint64  `cbor:"7,keyasint,omitempty"` // the same in a request and its reply
+	Nonce        uint64  `cbor:"7,keyasint,omitempty"` // the same in a request and its reply; in KindAccepted: State.Seq of the proposal
 	Report       *Report `cbor:"8,keyasint,omitempty"`
 	Command      Command `cbor:"9,keyasint,omitempty"`
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -25,14 +25,14 @@
 	// and when rolling back; 0: 1.
 	MaxConcurrent         int `yaml:"at_once"`
 	MaxConcurrentRollback int `yaml:"back_at_once"`
-	// Reactions to a stage that is worse, to a watch that ends without a result, and of a
-	// changed router that has no contact with the leader.
+	// Reactions to a stage that is worse, to a watch that ends without a result, and to a
+	// changed router's loss of contact with the leader.
 	OnWorse        Reaction `yaml:"on_worse"`  // back or hold; "": back
 	OnInconclusive Reaction `yaml:"on_unsure"` // hold or back; "": hold
 	OnIsolated     Reaction `yaml:"cut_off"`   // back or keep; "": back
 	// SilentSeconds is the time without a report after which a router that is changing or has
-	// changed is skipped, 15 to 3600; 0: 30. A short time skips routers that are only restarting; a long time delays
-	// each stage that has a dead router.
+	// changed is skipped, 15 to 3600; 0: 30. A short time skips routers that are only
+	// restarting; a long time delays each stage that has a failed router.
 	SilentSeconds float64    `yaml:"silent_s"`
 	Guardrails    Guardrails `yaml:"guards"`
 
@@ -62,8 +62,8 @@
 // Guardrails bound how much worse the new generation may be. All but the last two fields
 // bound differences, new minus old, between routers of an office. A stage stops once the
 // whole confidence interval of a metric is above its tolerance, and passes once the whole
-// interval of the loss is below MaxLoss. Each comment ends with the default, which applies
-// where the field is 0.
+// interval of the loss is below MaxLoss. Each comment ends with the range and the default,
+// which applies where the field is 0.
 type Guardrails struct {
 	MaxLoss              float64 `yaml:"most_loss"` // limit for passing: share of the weight offered, Loss to 1; 0.05
 	Loss                 float64 `yaml:"loss"`      // tolerance: share of the weight offered, 0.0001 to 1; 0.01
--- a/internal/rollout/recovery.go
+++ b/internal/rollout/recovery.go
@@ -1,8 +1,8 @@
 package rollout
 
-// A router that lost its durable state may have given promises or accepted states that it
-// no longer remembers. It neither promises nor accepts anything until it has learned all
-// that a quorum may rely on.
+// A router that lost its durable state may have given promises or accepted states of which
+// it has no record. It neither promises nor accepts anything until it has received every
+// promise and state that a quorum may rely on.
 
 func (n *Node) recovering() bool { return n.recoveryNonce != 0 }
 
@@ -36,7 +36,7 @@
 // tryFinishRecovery ends the recovery once a quorum of other routers has sent its state:
 // each quorum that promised or accepted anything shares a router with it. The recovery
 // also ends once all others have replied, even if some have lost their state as well,
-// since no further state is left to learn.
+// since no further router can send a state.
 func (n *Node) tryFinishRecovery() {
 	states := 0
 	for _, reply := range n.recoveryReplies {
--- a/internal/rollout/register.go
+++ b/internal/rollout/register.go
@@ -3,7 +3,7 @@
 // The acceptor. Its invariants, which require that Durable outlasts the process:
 //
 //   - No round of a term below PromisedTerm is accepted.
-//   - A promise carries the latest accepted state, so that each later leader learns of a
+//   - A promise carries the latest accepted state, so that each later leader receives a
 //     state that a quorum accepted.
 //   - Within a term, states are accepted in the order of Seq.
 //   - No promise is given for promiseHoldoff after a round was accepted.
--- a/internal/rollout/search_test.go
+++ b/internal/rollout/search_test.go
@@ -157,10 +157,10 @@
 // Runs sequences of four faults among three routers, several seconds apart, during a
 // rollout: partitions, one-way partitions, stops, freezes, and commands to roll back. In
 // sequences of odd number, which only QUILLDOOR_ALL=1 includes, a router that stops loses
-// its durable state. Guards against routers that upgrade after a
-// rollback was decided, two concurrent changes in an office, and a rollout that does not end
-// in one generation once all routers run. If a majority loses its durable state at the same
-// time, all routers must only recover.
+// its durable state. Guards against routers that upgrade after a rollback was decided, two
+// concurrent changes in an office, and a rollout that does not end in one generation once
+// all routers run. If a majority loses its durable state at the same time, all routers must
+// only recover.
 func TestInvariantsHoldInFaultSequences(t *testing.T) {
 	stride := 16 // QUILLDOOR_ALL=1 runs all sequences, which takes a minute
 	if os.Getenv("QUILLDOOR_ALL") != "" {
--- a/internal/rollout/transitions.go
+++ b/internal/rollout/transitions.go
@@ -15,7 +15,7 @@
 	batchInProgress              // the batch is changing
 	batchAvailable               // routers have yet to change, and some are ready
 	canaryWorse                  // a metric of the new generation is worse than tolerated
-	stagePassed                  // the stage has shown the new generation to be no worse; outside PhaseForward: no router has yet to change
+	stagePassed                  // the stage has shown the new generation to be no worse; outside PhaseForward: no router is due to change
 	canaryInconclusive           // the watch has ended without a result
 )
 
