--- a/internal/gateway/peerpolicy/controller.go
+++ b/internal/gateway/peerpolicy/controller.go
@@ -35,9 +35,8 @@
 	InboundCounts    InboundCounts
 }
 
-// InboundCounts are totals of the requests received from peers, since the start. Taken counts
-// the admitted ones.
-type InboundCounts struct{ Taken, Rejected int64 }
+// InboundCounts are totals of the requests received from peers, since the start.
+type InboundCounts struct{ Admitted, Rejected int64 }
 
 // Action is a decision that the caller carries out on its connections.
 type Action struct {
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -248,8 +248,8 @@
 	return true
 }
 
-// Unsent records that a request was not sent and will not be. It adds an
-// ActionAnswer with OutcomeRejected.
+// Unsent records that a request was not sent and will not be. It adds an ActionAnswer with
+// OutcomeRejected.
 func (c *Controller) Unsent(id string) { c.advance(id, eventNeverSent) }
 
 // ClientGone records that the client of a forwarded request has disconnected, and cancels the
--- a/internal/gateway/peerpolicy/inbound.go
+++ b/internal/gateway/peerpolicy/inbound.go
@@ -18,7 +18,7 @@
 		return reason
 	}
 	c.inbound[inboundKey(name, id)] = peer
-	c.InboundCounts.Taken++
+	c.InboundCounts.Admitted++
 	return ReasonOK
 }
 
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -41,7 +41,7 @@
 		InboundInFlight:   g.controller.InboundInFlight(),
 		ForwardedInFlight: g.controller.ForwardedInFlight(),
 		OfferedCapacity:   g.controller.OfferedCapacity(g.now()),
-		Taken:             g.controller.InboundCounts.Taken,
+		Taken:             g.controller.InboundCounts.Admitted,
 		Rejected:          g.controller.InboundCounts.Rejected,
 		Draining:          g.draining,
 	}
