--- a/internal/gossip/claim.go
+++ b/internal/gossip/claim.go
@@ -27,8 +27,8 @@
 
 func (c *claim) confirmed() bool { return !slices.Contains(c.confirmedBy[:], "") }
 
-// supersededBy reports whether an announcement of the local source ends the claim. It does so if its state is the same
-// or later, or if it says that the endpoint is draining or gone while the claim says that it is active.
+// supersededBy reports whether an announcement of the local source ends the claim. It does so if the announced state is
+// the claimed one or a later one, or if the claimed state is active and the announced one is draining or gone.
 func (c *claim) supersededBy(local Endpoint) bool {
 	activeAgainstLocal := c.State == policy.EndpointActive && local.State != policy.EndpointActive
 	return activeAgainstLocal || !isLater(c.Endpoint, local)
@@ -59,7 +59,7 @@
 	if !r.updateCandidate(now, from, rec, reported) {
 		return false
 	}
-	if !r.singleConfirmation && r.guards(safeguardConfirmations) && !rec.candidate.confirmed() {
+	if !r.singleConfirmation && r.safeguardEnabled(safeguardConfirmations) && !rec.candidate.confirmed() {
 		return false
 	}
 	rec.accepted = rec.candidate
@@ -80,7 +80,7 @@
 // mayOverride reports whether a report is later than the announcement of the local source. Once that source has
 // announced that an endpoint is draining or gone, only it can make the endpoint active again.
 func (r *Replica) mayOverride(rec *record, reported Endpoint) bool {
-	if !r.guards(safeguardOrder) {
+	if !r.safeguardEnabled(safeguardOrder) {
 		return true
 	}
 	if reported.State == policy.EndpointActive && rec.local.State != policy.EndpointActive {
@@ -98,14 +98,14 @@
 
 // acceptedCovers reports whether the accepted claim has the reported state or a later one.
 func (r *Replica) acceptedCovers(rec *record, reported Endpoint) bool {
-	return r.guards(safeguardOrder) && rec.accepted.exists() && !isLater(reported, rec.accepted.Endpoint)
+	return r.safeguardEnabled(safeguardOrder) && rec.accepted.exists() && !isLater(reported, rec.accepted.Endpoint)
 }
 
 // updateCandidate counts a report of the candidate's state as a confirmation, and replaces the candidate by a report of
 // a later state. It returns false for a report of an earlier state.
 func (r *Replica) updateCandidate(now int64, from string, rec *record, reported Endpoint) bool {
 	candidate := &rec.candidate
-	replaces := !r.guards(safeguardOrder) && reported.digest() != candidate.digest()
+	replaces := !r.safeguardEnabled(safeguardOrder) && reported.digest() != candidate.digest()
 	switch {
 	case !candidate.exists() || isLater(reported, candidate.Endpoint) || replaces:
 		*candidate = claim{Endpoint: reported, confirmedBy: [requiredConfirmations]string{from}}
@@ -120,7 +120,7 @@
 
 // expireClaims drops the expired claims of an endpoint. It reports whether the accepted claim was one of them.
 func (r *Replica) expireClaims(now int64, rec *record) bool {
-	if !r.guards(safeguardExpiry) {
+	if !r.safeguardEnabled(safeguardExpiry) {
 		return false
 	}
 	if rec.candidate.expiresAt <= now {
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -191,9 +191,9 @@
 	return chunks[:min(len(chunks), maxChunks)]
 }
 
-// isUnlisted reports whether the local source has announced a complete list and the replica holds no such endpoint. The
-// endpoint may also have been gone for so long that its record was dropped. A full replica reports none as unlisted,
-// since it may lack endpoints that the source lists.
+// isUnlisted reports whether the local source has announced a complete list and the replica holds no endpoint with this
+// id. That is also the case once the record of an endpoint that is gone was dropped. A full replica reports no endpoint
+// as unlisted, since it may lack endpoints that the source lists.
 func (r *Replica) isUnlisted(id string) bool {
 	return r.listComplete && len(r.endpoints) < maxEndpoints && r.endpoints[id] == nil
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -37,7 +37,7 @@
 }
 
 // safeguard is a protection against false or outdated reports of other routers. The tests turn the safeguards off one
-// at a time to prove that each is needed and that a test fails without it; outside of tests all are on.
+// at a time to show that each is needed and that a test detects its absence; outside of tests all are on.
 type safeguard uint8
 
 const (
@@ -94,8 +94,8 @@
 	return &Replica{settings: settings, endpoints: map[string]*record{}, purges: map[purgeKey]int64{}}
 }
 
-// guards reports whether a safeguard is on.
-func (r *Replica) guards(s safeguard) bool { return r.settings.disabled != s }
+// safeguardEnabled reports whether a safeguard is on.
+func (r *Replica) safeguardEnabled(s safeguard) bool { return r.settings.disabled != s }
 
 // MembersForConfirmation is the number of members, itself included, that a router must know of before it requires the
 // reports of two other routers for a claim.
--- a/internal/handoff/codec.go
+++ b/internal/handoff/codec.go
@@ -9,8 +9,8 @@
 	"quilldoor/internal/cborcodec"
 )
 
-// MaxMessageBytes bounds an encoded message. It leaves room for the state of some thousand
-// endpoints.
+// MaxMessageBytes bounds an encoded message. It leaves room for the state of several
+// thousand endpoints.
 const MaxMessageBytes = 8 << 20
 
 // Errors of encoding and decoding.
--- a/internal/handoff/message.go
+++ b/internal/handoff/message.go
@@ -19,7 +19,7 @@
 // Kinds of messages from the supervisor to a router process.
 const (
 	KindServe           Kind = 1 + iota // serve; State, if set, is the predecessor's
-	KindQuiesce                         // accept nothing new, hand over
+	KindQuiesce                         // stop accepting clients, hand over the state and the serving lock
 	KindSuccessorServes                 // the successor serves
 	KindSettle                          // the trial is over
 	KindResume                          // serve again
@@ -35,9 +35,9 @@
 	// also has AgentState and WasSettled, and its listening sockets accompany it.
 	KindHello     Kind = 10 + iota
 	KindReady          // ready to serve
-	KindReleased       // accepts nothing new and owns nothing exclusively any more; has State
+	KindReleased       // has stopped accepting clients and released what only one process may own; has State
 	KindAccepting      // serves
-	KindDenied         // did not get the serving lock
+	KindDenied         // did not acquire the serving lock
 	KindSettled        // confirms that its trial is over
 	KindHeartbeat      // has Requests, OutstandingAttempts, OpenRequests and Activity
 )
@@ -86,7 +86,7 @@
 	OutstandingAttempts map[string]policy.AttemptCounts `cbor:"6,keyasint,omitempty"`  // of KindHeartbeat and KindOtherAttempts; by endpoint
 	Limits              upgrade.Resources               `cbor:"7,keyasint,omitempty"`  // of KindLimits
 	AgentState          upgrade.AgentState              `cbor:"8,keyasint,omitempty"`  // of KindHello and KindHeartbeat
-	WasSettled          bool                            `cbor:"9,keyasint,omitempty"`  // of KindHello: the trial was over before
+	WasSettled          bool                            `cbor:"9,keyasint,omitempty"`  // of KindHello: the trial is over, or none was needed
 	PID                 int                             `cbor:"10,keyasint,omitempty"` // of KindHello
 	Sockets             []string                        `cbor:"11,keyasint,omitempty"` // of KindHello: names of the accompanying descriptors
 	Program             string                          `cbor:"12,keyasint,omitempty"` // of KindApply: path; "": unchanged
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -39,7 +39,7 @@
 // updateBatch collects the updates of one message.
 type updateBatch struct {
 	updates        []Update
-	remainingBytes float64 // bytes
+	remainingBytes float64
 }
 
 // addToBatch adds an update to a batch and deducts its size from the byte budget. It reports whether the update fitted.
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// check describes a node whose view goes back to an earlier instance of a member; "": none does. The record of a node
-// starts empty with each of its processes.
+// check describes a node whose view goes back to an earlier instance of a member; "": none does. It clears the record
+// of a node whose process was replaced.
 func (monitor *instanceMonitor) check(network *testNetwork) string {
 	for i, n := range network.nodes {
 		if monitor.nodes[i] != n {
--- a/internal/membership/handoff.go
+++ b/internal/membership/handoff.go
@@ -3,7 +3,7 @@
 import "math"
 
 // HandoffState is the state that a process of a router hands over to its successor. To the other members both processes
-// are one instance. A process that has handed over its state sends no further messages.
+// are one instance. A node that has handed over its state sends no further messages.
 type HandoffState struct {
 	ID               InstanceID `cbor:"1,keyasint"`
 	Incarnation      uint32     `cbor:"2,keyasint"`
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -37,12 +37,12 @@
 	}
 }
 
-// resume resets the node after a pause of the process: its view is as old as the pause is long, and no member may be
-// declared dead because of messages that this node could not receive.
+// resume resets the node after a pause of the process: its view is outdated by the length of the pause, and no member
+// may be declared dead because of messages that this node could not receive.
 func (n *Node) resume(pauseDuration int64) {
 	n.Counts.Resumes++
 	n.resumedAt = n.now
-	// The round trips of acknowledgements that waited in the socket would include the pause.
+	// Acknowledgements that waited in the socket would give round trips that include the pause.
 	n.pendingProbes = nil
 	n.relayedProbes = nil
 	n.exchangeQueue = nil
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -7,8 +7,7 @@
 	rejoinInterval = second
 	// joinInterval replaces rejoinInterval while the node is joining.
 	joinInterval = rejoinInterval / 5
-	// joinGracePeriod is how long after its start a node that is still joining leaves hellos without a RequestID
-	// unanswered.
+	// joinGracePeriod is the time after its start in which a joining node does not answer hellos without a RequestID.
 	joinGracePeriod = second / 4
 )
 
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -44,7 +44,7 @@
 	RequestID     uint32     `cbor:"3,keyasint,omitempty"`  // the same in a request and its response
 	Sender        Update     `cbor:"4,keyasint"`            // the sender's update about itself
 	To            string     `cbor:"5,keyasint"`            // name of the receiver
-	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"`  // instance of the receiver; not in hellos, queries and their responses
+	ToInstance    InstanceID `cbor:"6,keyasint,omitempty"`  // instance of the receiver; not in hellos, queries and query responses
 	Target        string     `cbor:"7,keyasint,omitempty"`  // name of the member that is pinged indirectly
 	ViewDigest    uint64     `cbor:"8,keyasint,omitempty"`  // digest of the sender's view
 	BucketDigests []uint32   `cbor:"9,keyasint,omitempty"`  // in KindDigestExchange: one for each bucket
@@ -68,7 +68,7 @@
 	Zone        string         `cbor:"2,keyasint,omitempty"`
 	Addr        netip.AddrPort `cbor:"3,keyasint,omitempty"`
 	ID          InstanceID     `cbor:"4,keyasint,omitempty"` // identifies its instance
-	Incarnation uint32         `cbor:"5,keyasint,omitempty"` // the highest of an instance counts; only the router itself raises it
+	Incarnation uint32         `cbor:"5,keyasint,omitempty"` // orders the updates about an instance; only the router itself raises it
 	State       State          `cbor:"6,keyasint"`
 	SuspectedBy []uint16       `cbor:"7,keyasint,omitempty"` // hashes of the names of the members that suspect it
 	Process     *ProcessInfo   `cbor:"8,keyasint,omitempty"` // nil: no information, as from earlier versions
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Receive handles any message that can be decoded without a panic, and returns a bounded number of messages.
+// Receive handles any decodable message without a panic, and returns a bounded number of messages.
 func FuzzReceive(f *testing.F) {
 	n := newLoneNode(2)
 	self := n.Self()
--- a/internal/membership/random_test.go
+++ b/internal/membership/random_test.go
@@ -21,7 +21,7 @@
 	heals  []func() // each ends a fault of the network
 }
 
-// fault applies a fault of the given kind, or ends one. Kinds that concern one host use the given one.
+// fault applies a fault of the given kind, or ends one. A kind that concerns a single host applies to the given host.
 func (f *faultyFleet) fault(kind string, host int) {
 	switch kind {
 	case "process":
--- a/internal/membership/safeguard_test.go
+++ b/internal/membership/safeguard_test.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// A process is paused while probes of it are pending. When it resumes it suspects no member because of the
-// acknowledgements that it did not receive, and reports no majority.
+// A process is paused while it waits for acknowledgements of its probes. When it resumes it suspects no member because
+// of the acknowledgements that it did not receive, and reports no majority.
 func runPauseAfterProbe(_ *testing.T, disabled string) error {
 	f := newFleet(12, 1, disabled, 0)
 	converge(f, 30*second)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -54,7 +54,7 @@
 
 // Ways in which a member was reached.
 const (
-	ReachReported Reach = iota // only by other members' updates, not yet by this node
+	ReachReported Reach = iota // not yet; the member is known from other members' updates
 	ReachDirect                // it sent a message or acknowledged a ping
 	ReachRelayed               // it acknowledged an indirect ping, through another member
 	ReachNone                  // the last probe failed
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -24,7 +24,7 @@
 
 	deadRetention    = 600 * second
 	leftRetention    = 60 * second
-	maxAbsentMembers = 256 // dead and left; those that are absent for longest are forgotten first
+	maxAbsentMembers = 256 // dead and left; the ones that have been absent longest are forgotten first
 )
 
 // anonymousConfirmer is the ID of all confirmations that name no member. Together they count as one confirmation.
--- a/internal/membership/transport/agent.go
+++ b/internal/membership/transport/agent.go
@@ -82,7 +82,7 @@
 	a := &Agent{
 		key: key, conn: conn, log: log, start: time.Now(), handler: handler, done: make(chan struct{}),
 	}
-	// Two processes with the same name must draw different nonces, so the seed is random and not the configured one.
+	// Two processes with the same name must draw different nonces, so the seed is random, not the one of the settings.
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	a.node = membership.New(settings, random, a.now())
 	a.running.Go(a.receiveLoop)
--- a/internal/membership/transport/query.go
+++ b/internal/membership/transport/query.go
@@ -27,7 +27,7 @@
 func Query(key []byte, name string, addr netip.AddrPort) (*membership.View, error) {
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("query router %s: %w", name, err)
 	}
 	defer conn.Close()
 	var view *membership.View
@@ -68,7 +68,7 @@
 		Sender:    membership.Update{Name: toolName, State: membership.StateAlive},
 	})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("query router %s: %w", name, err)
 	}
 	for range queryAttempts {
 		if _, err := conn.Write(query); err != nil {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -90,7 +90,7 @@
 	queryInterval    = 5 * millisecond // minimum mean time between two answered queries
 	maxQueryBurst    = 100             // queries
 	viewHeadBytes    = 350             // of a page without its members
-	memberEntryBytes = 70              // of a member without the texts of its name and zone
+	memberEntryBytes = 70              // of a member without the bytes of its name and zone
 )
 
 // answerQuery answers a tool with the page of the view that begins at the member with the index RequestID. Queries
@@ -118,7 +118,8 @@
 	})
 }
 
-// viewPage returns a view with as many members from the index offset on as fit into a message.
+// viewPage returns the page of the view that begins at the member with the index offset. It holds as many members as
+// fit into a message.
 func (n *Node) viewPage(offset int) *View {
 	v := n.View()
 	v.Offset = min(offset, v.Total)
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -4,9 +4,9 @@
 // monitors it. It handles no request itself.
 //
 // The state machine of package upgrade decides on each step; this package carries the
-// steps out. All state belongs to the loop of Run. Goroutines that read connections, wait
-// for processes or check settings queue functions for the loop and change no state
-// themselves.
+// steps out. All state belongs to the loop of Run. Other goroutines read connections, wait
+// for processes and check settings. They change no state themselves, but queue functions
+// that the loop calls.
 //
 // The supervisor's folder has the state file, the serving lock, the socket for router
 // processes and tools, and for each generation that may still be needed a subfolder with
--- a/internal/supervisor/effects.go
+++ b/internal/supervisor/effects.go
@@ -23,7 +23,8 @@
 }
 
 // carryOut carries out effects in order. When a process can't be started, it drops the
-// rest: the failure was a new input, whose effects have been carried out already.
+// remaining ones: the failure is an input of its own, whose effects startOld or startNew
+// has already carried out.
 func (s *Supervisor) carryOut(effects []upgrade.Effect) {
 	for _, effect := range effects {
 		if !s.carryOutOne(effect) {
@@ -90,7 +91,7 @@
 	var err error
 	if s.old, err = s.start(s.file.Settled, s.soleBudget); err != nil {
 		s.log.WithError(err).Error("supervisor: settled generation can't be started")
-		s.feed(upgrade.InputOldGone)
+		s.feed(upgrade.InputOldEnded)
 		return false
 	}
 	s.writeState()
@@ -101,7 +102,7 @@
 	var err error
 	if s.new, err = s.start(s.change.manifest, s.change.budget); err != nil {
 		s.recordReason("the new generation can't be started: %v", err)
-		s.feed(upgrade.InputNewGone)
+		s.feed(upgrade.InputNewEnded)
 		return false
 	}
 	s.writeState()
@@ -138,8 +139,8 @@
 	}
 }
 
-// writeSettled records the new generation as the settled one, and feeds whether the state
-// file could be written.
+// writeSettled records the new generation as the settled one. It feeds InputWritten, or
+// InputWriteFailed if the state file could not be written.
 func (s *Supervisor) writeSettled() {
 	s.file.Previous = s.file.Settled
 	s.file.Settled = s.new.manifest
--- a/internal/supervisor/generation.go
+++ b/internal/supervisor/generation.go
@@ -126,8 +126,8 @@
 	return path, writeJSON(path, config)
 }
 
-// reload has the old process reload the settings that can change while it runs, and the
-// observer the address of discovery.
+// reload commands the old process to reload the settings that can change while it runs. It
+// also has the observer read the address of discovery again.
 func (s *Supervisor) reload() {
 	if s.old == nil {
 		return
--- a/internal/supervisor/messages.go
+++ b/internal/supervisor/messages.go
@@ -139,12 +139,12 @@
 		s.old = nil
 		s.crashedAt = time.Now()
 		s.recordReason("the settled generation has ended")
-		s.feed(upgrade.InputOldGone)
+		s.feed(upgrade.InputOldEnded)
 	case s.new:
 		s.new = nil
 		s.crashedAt = time.Now()
 		s.recordReason("the new generation has ended")
-		s.feed(upgrade.InputNewGone)
+		s.feed(upgrade.InputNewEnded)
 	}
 	for _, other := range s.processes() {
 		s.sendOtherAttempts(other)
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -32,7 +32,7 @@
 		s.tickRollout(now)
 	}
 	if s.machine.State == upgrade.StateStopping && len(s.processes()) == 0 {
-		s.feed(upgrade.InputAllGone)
+		s.feed(upgrade.InputAllEnded)
 	}
 }
 
--- a/internal/supervisor/observer.go
+++ b/internal/supervisor/observer.go
@@ -111,7 +111,8 @@
 	o.enqueue(func(now int64) { o.monitor.SetDisconnected(now, false) })
 }
 
-// DiscoveryGap handles events that may have been missed, as a loss that ends at once.
+// DiscoveryGap handles a possible loss of events. For the monitor it is a disconnection
+// that ends at once.
 func (o *observer) DiscoveryGap() {
 	o.enqueue(func(now int64) {
 		o.monitor.SetDisconnected(now, true)
--- a/internal/supervisor/procfs.go
+++ b/internal/supervisor/procfs.go
@@ -36,7 +36,7 @@
 	return ticks
 }
 
-// usageOf returns the resources in use by a process; what can't be read is 0.
+// usageOf returns the resources in use by a process; a value that can't be read is 0.
 func usageOf(pid int) (usage upgrade.Resources) {
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
 		if fields := strings.Fields(string(text)); len(fields) > 1 {
@@ -45,7 +45,7 @@
 		}
 	}
 	if d, err := os.Open(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
-		names, _ := d.Readdirnames(-1) // what was read before an error counts
+		names, _ := d.Readdirnames(-1) // the names read before an error are counted
 		usage.Descriptors = len(names)
 		d.Close()
 	}
--- a/internal/supervisor/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -125,8 +125,8 @@
 	return s.old
 }
 
-// handleRolloutMessage handles a message of another router. One that is no message of a
-// rollout is ignored.
+// handleRolloutMessage handles a message of another router. A body that can't be decoded
+// is ignored.
 func (s *Supervisor) handleRolloutMessage(m *handoff.Message) {
 	if s.rollout.node == nil {
 		return
--- a/internal/upgrade/agentstates.go
+++ b/internal/upgrade/agentstates.go
@@ -63,12 +63,12 @@
 
 // Effects of an Agent, carried out in the order given.
 const (
-	AgentEffectAccept          AgentEffect = 1 + iota // acquire what only one process may own, and accept clients
-	AgentEffectStop                                   // accept no new connections, release what it owns, then the lock
+	AgentEffectAccept          AgentEffect = 1 + iota // acquire the resources that only one process may own, and accept clients
+	AgentEffectStop                                   // accept no new connections, release these resources, then the lock
 	AgentEffectReportReleased                         // report: lock released, with the state to hand over
 	AgentEffectReportAccepting                        // report: the process serves
 	AgentEffectReportDenied                           // report: the serving lock was not free in time
-	AgentEffectReportSettled                          // report: the end of its trial is confirmed
+	AgentEffectReportSettled                          // report: it confirms that its trial is over
 	AgentEffectReleaseLock                            // release a lock that was acquired when no longer needed
 	AgentEffectDrain                                  // answer the open requests, then end
 	agentEffectEnd
--- a/internal/upgrade/machine.go
+++ b/internal/upgrade/machine.go
@@ -96,7 +96,7 @@
 	if row == nil {
 		return nil
 	}
-	if input == InputOldGone {
+	if input == InputOldEnded {
 		m.oldEnded = true
 	}
 	if row.stay {
--- a/internal/upgrade/machine_test.go
+++ b/internal/upgrade/machine_test.go
@@ -23,7 +23,7 @@
 		if m.State != StateSteady {
 			t.Fatalf("state after a restart: %v", m.State)
 		}
-		m.Handle(now, InputOldGone)
+		m.Handle(now, InputOldEnded)
 	}
 	if delays[0] != 0 || delays[1] != 0 || delays[2] != restartBackoffMin || delays[11] != restartBackoffMax {
 		t.Errorf("restart delays in us: %v", delays)
@@ -34,7 +34,7 @@
 	}
 	m.Handle(now, InputOldServes)
 	now += backoffResetAfter
-	m.Handle(now, InputOldGone)
+	m.Handle(now, InputOldEnded)
 	if m.DueMicros() != now {
 		t.Errorf("restart after a long service is delayed by %d us", m.DueMicros()-now)
 	}
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -210,10 +210,10 @@
 	switch i {
 	case s.old:
 		s.old = none
-		s.feed(InputOldGone)
+		s.feed(InputOldEnded)
 	case s.new:
 		s.new = none
-		s.feed(InputNewGone)
+		s.feed(InputNewEnded)
 	}
 }
 
--- a/internal/upgrade/resources.go
+++ b/internal/upgrade/resources.go
@@ -22,10 +22,10 @@
 	// fewest descriptors that a router can run with.
 	minRouterMB  = 24
 	minRouterFDs = 64
-	// drainGrowth is the factor by which a quiesced process may still grow while it drains.
+	// drainGrowth is the factor by which the usage of the present processes may still grow.
 	drainGrowth = 1.1
-	// memoryOvershootDivisor bounds the excess over the memory budget, as a fraction of
-	// the budget: memory overshoots until the garbage collector catches up.
+	// A process may exceed its memory budget by the budget divided by
+	// memoryOvershootDivisor: memory overshoots until the garbage collector catches up.
 	memoryOvershootDivisor = 5
 )
 
--- a/internal/upgrade/settingsdiff.go
+++ b/internal/upgrade/settingsdiff.go
@@ -19,7 +19,7 @@
 const (
 	ModeLive    ChangeMode = iota // while the router runs, on SIGHUP
 	ModeHandoff                   // by a new generation; keys without an entry in keyModes have this mode
-	ModeNever                     // never on this router: the change would make it another router
+	ModeNever                     // never: the key identifies this router or belongs to its machine
 	ModeIgnored                   // the value differs at each start and is not compared
 	changeModeCount
 )
--- a/internal/upgrade/states.go
+++ b/internal/upgrade/states.go
@@ -50,15 +50,15 @@
 	InputSettled                  // the new process has confirmed that its trial is over
 	InputWritten                  // the state file records the new generation as settled
 	InputWriteFailed              // the state file could not be written
-	InputOldGone                  // the old process has ended
-	InputNewGone                  // the new process has ended
+	InputOldEnded                 // the old process has ended
+	InputNewEnded                 // the new process has ended
 	InputOldHung                  // the old process sends no heartbeats
 	InputNewHung                  // the new process sends no heartbeats, or exceeds its budget
 	InputWorse                    // the new process fails more requests than the old one, or violates an invariant
 	InputCancel                   // an operator or a rollout cancels the change
 	InputTimeout                  // the deadline of the state has passed
 	InputShutdown                 // the supervisor is to shut down
-	InputAllGone                  // all processes have ended
+	InputAllEnded                 // all processes have ended
 	inputCount
 )
 
--- a/internal/upgrade/transitions.go
+++ b/internal/upgrade/transitions.go
@@ -13,7 +13,7 @@
 	return &transition{next: next, effects: effects}
 }
 
-// stayIn keeps the state and its deadline. It is for InputOldGone, which Machine.Handle
+// stayIn keeps the state and its deadline. It is for InputOldEnded, which Machine.Handle
 // records.
 func stayIn(state State) *transition { return &transition{next: state, stay: true} }
 
@@ -33,7 +33,7 @@
 		// A generation that was settled before needs no trial.
 		InputOldServes: to(StateSteady, EffectSettleOld),
 		// The process did not get ready or serve: restart it after a backoff.
-		InputOldGone:  to(StateDown),
+		InputOldEnded: to(StateDown),
 		InputOldHung:  to(StateDown, EffectKillOld),
 		InputTimeout:  to(StateDown, EffectKillOld),
 		InputShutdown: to(StateStopping, EffectEndAll),
@@ -41,7 +41,7 @@
 	StateSteady: {
 		InputApply: to(StateChecking, EffectCheck),
 		// The only process crashed or hangs: restart it.
-		InputOldGone:  to(StateDown),
+		InputOldEnded: to(StateDown),
 		InputOldHung:  to(StateDown, EffectKillOld),
 		InputShutdown: to(StateStopping, EffectEndAll),
 	},
@@ -52,19 +52,19 @@
 		InputTimeout:  to(StateSteady, EffectReportRejected),
 		InputCancel:   to(StateSteady, EffectReportRejected),
 		// The old process has failed: its restart has priority over the change.
-		InputOldGone:  to(StateDown, EffectReportRejected),
+		InputOldEnded: to(StateDown, EffectReportRejected),
 		InputOldHung:  to(StateDown, EffectKillOld, EffectReportRejected),
 		InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll),
 	},
 	StateWarming: {
 		InputNewReady: to(StateQuiescing, EffectQuiesceOld),
 		// The new process failed before the hand-off: the old one continues to serve.
-		InputNewGone: to(StateSteady, EffectReportRejected),
-		InputNewHung: to(StateSteady, EffectKillNew, EffectReportRejected),
-		InputTimeout: to(StateSteady, EffectKillNew, EffectReportRejected),
-		InputCancel:  to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputNewEnded: to(StateSteady, EffectReportRejected),
+		InputNewHung:  to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputTimeout:  to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputCancel:   to(StateSteady, EffectKillNew, EffectReportRejected),
 		// The old process has failed: its restart has priority over the change.
-		InputOldGone:  to(StateDown, EffectKillNew, EffectReportRejected),
+		InputOldEnded: to(StateDown, EffectKillNew, EffectReportRejected),
 		InputOldHung:  to(StateDown, EffectKillNew, EffectKillOld, EffectReportRejected),
 		InputShutdown: to(StateStopping, EffectReportRejected, EffectEndAll),
 	},
@@ -73,13 +73,13 @@
 		InputReleased: to(StateHandingOver, EffectServeNew),
 		// The old process timed out on its own and serves again.
 		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
-		InputNewGone:   to(StateFallingBack, EffectResumeOld),
+		InputNewEnded:  to(StateFallingBack, EffectResumeOld),
 		InputNewHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputCancel:    to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputTimeout:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputOldHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		// The old process's state is lost: restart the settled generation.
-		InputOldGone:  to(StateDown, EffectKillNew, EffectReportFellBack),
+		InputOldEnded: to(StateDown, EffectKillNew, EffectReportFellBack),
 		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateHandingOver: {
@@ -87,26 +87,26 @@
 		// The old process timed out on its own and acquired the lock first.
 		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
 		InputDenied:    to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputNewGone:   to(StateFallingBack, EffectResumeOld),
+		InputNewEnded:  to(StateFallingBack, EffectResumeOld),
 		InputNewHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputCancel:    to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputTimeout:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		// It is unknown whether the new process serves: restart the settled generation.
-		InputOldGone:  to(StateDown, EffectKillNew, EffectReportFellBack),
+		InputOldEnded: to(StateDown, EffectKillNew, EffectReportFellBack),
 		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateOnTrial: {
 		// The trial passed.
-		InputTimeout: to(StateSettling, EffectSettleNew),
-		InputNewGone: to(StateFallingBack, EffectResumeOld),
-		InputNewHung: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout:  to(StateSettling, EffectSettleNew),
+		InputNewEnded: to(StateFallingBack, EffectResumeOld),
+		InputNewHung:  to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		// The new process still responds: let it answer its open requests.
 		InputWorse:  to(StateFallingBack, EffectEndNew, EffectResumeOld),
 		InputCancel: to(StateFallingBack, EffectEndNew, EffectResumeOld),
 		// The old process acquired the lock again on its own.
 		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
 		// The new process serves, so the trial continues without a standby.
-		InputOldGone:  stayIn(StateOnTrial),
+		InputOldEnded: stayIn(StateOnTrial),
 		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateSettling: {
@@ -114,11 +114,11 @@
 		// between the two steps, its successor finds a settled process. In the reverse
 		// order it could find a generation recorded as settled whose process yields.
 		InputSettled:   to(StateWriting, EffectWrite),
-		InputNewGone:   to(StateFallingBack, EffectResumeOld),
+		InputNewEnded:  to(StateFallingBack, EffectResumeOld),
 		InputNewHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputTimeout:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
-		InputOldGone:   stayIn(StateSettling),
+		InputOldEnded:  stayIn(StateSettling),
 		InputShutdown:  to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateWriting: {
@@ -128,13 +128,13 @@
 	},
 	StateFallingBack: {
 		InputOldServes: to(StateSteady, EffectEndNew, EffectReportFellBack),
-		InputOldGone:   to(StateDown, EffectKillNew, EffectReportFellBack),
+		InputOldEnded:  to(StateDown, EffectKillNew, EffectReportFellBack),
 		// Neither process serves: restart the settled generation.
 		InputTimeout:  to(StateDown, EffectKillNew, EffectKillOld, EffectReportFellBack),
 		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateStopping: {
-		InputAllGone: to(StateStopped),
+		InputAllEnded: to(StateStopped),
 	},
 	StateStopped: {},
 }
--- a/internal/upgradeagent/agent.go
+++ b/internal/upgradeagent/agent.go
@@ -15,10 +15,10 @@
 // Host is the router that the Agent runs in.
 type Host interface {
 	// Acquire acquires the resources that only one process of the router may own, and
-	// accepts clients. State is the predecessor's, or nil at a cold start. With stateIsOwn
-	// it is the state that this process's Release returned, and another process may have
-	// served since. With budgetsMaybeSpent another process may already have spent this
-	// router's slow-start budgets.
+	// accepts clients. The state is the predecessor's, or nil at a cold start. If stateIsOwn
+	// is set, it is the state that this process's Release returned, and another process may
+	// have served since. If budgetsMaybeSpent is set, another process may already have spent
+	// this router's slow-start budgets.
 	Acquire(state *handoff.State, stateIsOwn, budgetsMaybeSpent bool) error
 	// Release stops accepting clients, releases the resources that Acquire acquired, and
 	// returns the state for a successor.
@@ -64,10 +64,12 @@
 	supervisorMessages chan *handoff.Message // from the supervisor; nil: the connection has ended
 	peerMessages       chan *handoff.Message // from other routers, for the supervisor
 	dialedAt           time.Time             // of the last attempt to connect to a supervisor
-	lastDialError      string                // that was logged
+	lastDialError      string                // text of the last logged one
 
-	readyReported     bool
-	state             *handoff.State // for Host.Acquire, as stateIsOwn and budgetsMaybeSpent are
+	readyReported bool
+
+	// Arguments of the next Host.Acquire.
+	state             *handoff.State
 	stateIsOwn        bool
 	budgetsMaybeSpent bool
 }
--- a/internal/upgradeagent/connection.go
+++ b/internal/upgradeagent/connection.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// report sends a message without fields of its kind.
+// report sends a message of a kind that has no fields of its own.
 func (a *Agent) report(kind handoff.Kind) {
 	a.send(&handoff.Message{Kind: kind, Generation: a.Number})
 }
--- a/internal/upgradeagent/inherit.go
+++ b/internal/upgradeagent/inherit.go
@@ -87,7 +87,7 @@
 func (a *Agent) socket(name string) (*os.File, error) {
 	file := a.Sockets[name]
 	if file == nil {
-		return nil, fmt.Errorf("the supervisor has handed down no socket named %q", name)
+		return nil, fmt.Errorf("the supervisor has passed no socket named %q", name)
 	}
 	return file, nil
 }
