--- a/internal/supervisor/commands.go
+++ b/internal/supervisor/commands.go
@@ -39,7 +39,7 @@
 // generation.
 func (s *Supervisor) apply(c *connection, requested *handoff.Manifest) {
 	if s.machine.Busy() {
-		s.sendFinalReport(c, false, "refused: %v", s.machine.State)
+		s.sendFinalReport(c, false, "refused: no change can begin in the state %v", s.machine.State)
 		return
 	}
 	s.waitingTools = append(s.waitingTools, c.conn)
