--- a/cmd/quilldoor/mixedsites_test.go
+++ b/cmd/quilldoor/mixedsites_test.go
@@ -4,7 +4,9 @@
 	"context"
 	"fmt"
 	"os"
+	"os/exec"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -170,3 +172,89 @@
 		t.Errorf("%d forwarded requests completed: too few to tell anything", d.completed)
 	}
 }
+
+// Guards against purges that one version tells another by gossip and that are not applied.
+// Only the first of two members hears of purges from discovery; the names of the purged
+// object and group must come up in the debug log of the other one.
+func TestPurgeReachesEarlierProgramByGossip(t *testing.T) {
+	t.Parallel()
+	for _, programs := range programPairs(t) {
+		t.Run(programs.name, func(t *testing.T) {
+			t.Parallel()
+			checkPurgeByGossip(t, programs)
+		})
+	}
+}
+
+func checkPurgeByGossip(t *testing.T, programs programPair) {
+	t.Helper()
+	const object, group = "object-of-a-purge", 987_654
+	platform := newFakePlatform(t)
+	platform.restartDiscovery(`{"rev":1,"pool":{"all":true,"targets":[]}}`)
+	pair := newMemberPair(t)
+	for i := range pair.addresses {
+		pair.writeFiles(t, i, true)
+	}
+	connectDiscovery(t, pair.configPath(0), platform)
+	pair.startProgram(t, 0, programs.first)
+	log := pair.startProgram(t, 1, programs.other)
+	pair.waitFor(t, "2 of 2 routers reachable")
+	platform.purge([]string{object}, 0, true)
+	platform.purge([]string{"another"}, group, true)
+	waitForText(t, log, object)
+	waitForText(t, log, fmt.Sprint(group))
+}
+
+// connectDiscovery lets a configuration name a platform's discovery.
+func connectDiscovery(t *testing.T, config string, platform *fakePlatform) {
+	t.Helper()
+	text, err := os.ReadFile(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const nowhere = `"board":"127.0.0.1:1"`
+	if !strings.Contains(string(text), nowhere) {
+		t.Fatalf("no %s in %s", nowhere, text)
+	}
+	own := fmt.Sprintf(`"board":%q`, platform.discovery.Addr())
+	writeFile(t, config, []byte(strings.Replace(string(text), nowhere, own, 1)))
+}
+
+// startProgram starts a member that runs a program, and returns the file that it logs to.
+func (p *memberPair) startProgram(t *testing.T, i int, program string) (log string) {
+	t.Helper()
+	log = p.configPath(i) + ".log"
+	file, err := os.Create(log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	process := exec.Command(program, "serve", "--config", p.configPath(i), "--operator", p.operatorPath(i),
+		"--log-level", "debug")
+	process.Env = append(os.Environ(), mainVariable+"=1", "LB_CONFIG=", "LB_NAME=", "LB_LISTEN=", "LB_OPERATOR=")
+	process.Stderr = file
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		process.Process.Kill()
+		process.Wait()
+	})
+	return log
+}
+
+// waitForText waits until a file has a text.
+func waitForText(t *testing.T, path, text string) {
+	t.Helper()
+	const timeout = 10 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		content, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if strings.Contains(string(content), text) {
+			return
+		}
+	}
+	t.Errorf("no %s in %s after %v", text, path, timeout)
+}
