--- a/cmd/quilldoor/mixedsites_test.go
+++ b/cmd/quilldoor/mixedsites_test.go
@@ -133,8 +133,8 @@
 func TestGatewayBesideEarlierProgram(t *testing.T) {
 	t.Parallel()
 	for _, direction := range []*forwardingDirection{
-		{name: "this one forwards", weights: "[3, 0.3]", home: 0, peer: 1},
-		{name: "earlier one forwards", weights: "[0.3, 3]", home: 1, peer: 0},
+		{name: "this one forwards", weights: "[4, 0.3]", home: 0, peer: 1},
+		{name: "earlier one forwards", weights: "[0.3, 4]", home: 1, peer: 0},
 	} {
 		t.Run(direction.name, func(t *testing.T) {
 			t.Parallel()
@@ -148,9 +148,9 @@
 	text := `
 length_s: 9
 settle_s: 1
-fleet: {offices: 2, routers: 1, trunks: 2, caches: 2, cores: 3, link_share: 0.2, board_ms: 200,
+fleet: {offices: 2, routers: 1, trunks: 2, caches: 2, cores: 3, link_share: 0.15, board_ms: 200,
   sites: 2, site_ms: 5}
-load: {txns_per_s: 70, objects: 2000, weights: ` + d.weights + `}
+load: {txns_per_s: 90, objects: 2000, weights: ` + d.weights + `}
 troubles:
   - {kind: purge, at: 3, share: 0.4}
   - {kind: site_cut, at: 4, for: 0.4}
