--- a/cmd/quilldoor/mixedsites_test.go
+++ b/cmd/quilldoor/mixedsites_test.go
@@ -4,7 +4,9 @@
 	"context"
 	"fmt"
 	"os"
+	"os/exec"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -14,31 +16,46 @@
 	"quilldoor/internal/simulation"
 )
 
-// Guards against messages between routers that another version reads in another way. Two
-// routers of this program and two of the earlier one are members of one group. Each office
-// has one of each: while it is cut off from discovery, both versions learn of drains and
-// purges from the routers of the other office, which are of both versions, too.
+// Guards against messages between routers that another version reads in another way. Four
+// offices have a router each, of the two versions in turn, and all are members of one
+// group. While one version is cut off from discovery, only routers of the other version
+// can tell it of drains; a partition follows. Caches drain for longer than a router may go
+// without hearing of it.
 func TestEarlierProgramInOneSite(t *testing.T) {
 	t.Parallel()
-	const text = `
+	for _, tc := range []struct {
+		name    string
+		offices [2]int // of one version, from 1
+	}{
+		{name: "this one cut off", offices: [2]int{1, 3}},
+		{name: "earlier one cut off", offices: [2]int{2, 4}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			playCutOff(t, tc.offices)
+		})
+	}
+}
+
+// playCutOff cuts the routers of two offices off from discovery while their caches drain.
+func playCutOff(t *testing.T, offices [2]int) {
+	t.Helper()
+	text := `
 settle_s: 1
-length_s: 16
-fleet: {offices: 2, routers: 2, trunks: 2, caches: 3, cores: 4,
+length_s: 17
+fleet: {offices: 4, routers: 1, trunks: 2, caches: 4, cores: 2,
   members: true, board_ms: 200, death_ms: 500, cold_s: 2}
 load: {txns_per_s: 90, objects: 600}
 troubles:
-  - {kind: cut_board, at: 2, for: 4, office: 1}
   - {kind: purge, at: 3, share: 0.6}
-  - {kind: deploy, at: 2.5, for: 1, every: 1, strength: 1, office: 1}
-  - {kind: preempt, at: 3, for: 3, share: 0.5, office: 1, strength: 6}
-  - {kind: cut_board, at: 6.5, for: 4, office: 2}
-  - {kind: purge, at: 7.5, share: 0.6}
-  - {kind: deploy, at: 7, for: 1, every: 1, strength: 1, office: 2}
-  - {kind: preempt, at: 7.5, for: 3, share: 0.5, office: 2, strength: 6}
-  - {kind: ways_camps, at: 11, for: 2}
+  - {kind: ways_camps, at: 14, for: 1}
 `
+	for _, office := range offices {
+		text += fmt.Sprintf("  - {kind: cut_board, at: 2, for: 11, office: %d}\n", office)
+		text += fmt.Sprintf("  - {kind: preempt, at: 2.5, for: 11, share: 0.5, office: %d, strength: 10}\n", office)
+	}
 	drive := func(_ context.Context, fleet *emulator.RunningRouters) error {
-		const untilHealed = 14 * time.Second // the partition is over
+		const untilHealed = 15 * time.Second // the partition is over
 		time.Sleep(untilHealed)
 		for i := range fleet.Count() {
 			if err := waitForAllAlive(fleet, i); err != nil {
@@ -50,6 +67,13 @@
 	result := playWithPrograms(t, text, emulator.SocketOptions{
 		Program: os.Args[0], Earlier: earlierRouter(t), Drive: drive,
 	})
+	checkMembers(t, result)
+}
+
+// checkMembers checks that all views agreed again in time, and that nobody was called dead
+// who was not.
+func checkMembers(t *testing.T, result *emulator.Result) {
+	t.Helper()
 	members := result.Members
 	t.Logf("%d samples, agreed after %d ms", members.Comparisons, members.AgreedAfter/1000)
 	if members.Comparisons < 10 {
@@ -109,8 +133,8 @@
 func TestGatewayBesideEarlierProgram(t *testing.T) {
 	t.Parallel()
 	for _, direction := range []*forwardingDirection{
-		{name: "this one forwards", weights: "[3, 0.3]", home: 0, peer: 1},
-		{name: "earlier one forwards", weights: "[0.3, 3]", home: 1, peer: 0},
+		{name: "this one forwards", weights: "[4, 0.3]", home: 0, peer: 1},
+		{name: "earlier one forwards", weights: "[0.3, 4]", home: 1, peer: 0},
 	} {
 		t.Run(direction.name, func(t *testing.T) {
 			t.Parallel()
@@ -124,9 +148,9 @@
 	text := `
 length_s: 9
 settle_s: 1
-fleet: {offices: 2, routers: 1, trunks: 2, caches: 2, cores: 3, link_share: 0.2, board_ms: 200,
+fleet: {offices: 2, routers: 1, trunks: 2, caches: 2, cores: 3, link_share: 0.15, board_ms: 200,
   sites: 2, site_ms: 5}
-load: {txns_per_s: 70, objects: 2000, weights: ` + d.weights + `}
+load: {txns_per_s: 90, objects: 2000, weights: ` + d.weights + `}
 troubles:
   - {kind: purge, at: 3, share: 0.4}
   - {kind: site_cut, at: 4, for: 0.4}
@@ -148,3 +172,89 @@
 		t.Errorf("%d forwarded requests completed: too few to tell anything", d.completed)
 	}
 }
+
+// Guards against purges that one version tells another by gossip and that are not applied.
+// Only the first of two members hears of purges from discovery; the names of the purged
+// object and group must come up in the debug log of the other one.
+func TestPurgeReachesEarlierProgramByGossip(t *testing.T) {
+	t.Parallel()
+	for _, programs := range programPairs(t) {
+		t.Run(programs.name, func(t *testing.T) {
+			t.Parallel()
+			checkPurgeByGossip(t, programs)
+		})
+	}
+}
+
+func checkPurgeByGossip(t *testing.T, programs programPair) {
+	t.Helper()
+	const object, group = "object-of-a-purge", 987_654
+	platform := newFakePlatform(t)
+	platform.restartDiscovery(`{"rev":1,"pool":{"all":true,"targets":[]}}`)
+	pair := newMemberPair(t)
+	for i := range pair.addresses {
+		pair.writeFiles(t, i, true)
+	}
+	connectDiscovery(t, pair.configPath(0), platform)
+	pair.startProgram(t, 0, programs.first)
+	log := pair.startProgram(t, 1, programs.other)
+	pair.waitFor(t, "2 of 2 routers reachable")
+	platform.purge([]string{object}, 0, true)
+	platform.purge([]string{"another"}, group, true)
+	waitForText(t, log, object)
+	waitForText(t, log, fmt.Sprint(group))
+}
+
+// connectDiscovery lets a configuration name a platform's discovery.
+func connectDiscovery(t *testing.T, config string, platform *fakePlatform) {
+	t.Helper()
+	text, err := os.ReadFile(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const nowhere = `"board":"127.0.0.1:1"`
+	if !strings.Contains(string(text), nowhere) {
+		t.Fatalf("no %s in %s", nowhere, text)
+	}
+	own := fmt.Sprintf(`"board":%q`, platform.discovery.Addr())
+	writeFile(t, config, []byte(strings.Replace(string(text), nowhere, own, 1)))
+}
+
+// startProgram starts a member that runs a program, and returns the file that it logs to.
+func (p *memberPair) startProgram(t *testing.T, i int, program string) (log string) {
+	t.Helper()
+	log = p.configPath(i) + ".log"
+	file, err := os.Create(log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	process := exec.Command(program, "serve", "--config", p.configPath(i), "--operator", p.operatorPath(i),
+		"--log-level", "debug")
+	process.Env = append(os.Environ(), mainVariable+"=1", "LB_CONFIG=", "LB_NAME=", "LB_LISTEN=", "LB_OPERATOR=")
+	process.Stderr = file
+	if err := process.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		process.Process.Kill()
+		process.Wait()
+	})
+	return log
+}
+
+// waitForText waits until a file has a text.
+func waitForText(t *testing.T, path, text string) {
+	t.Helper()
+	const timeout = 10 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		content, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if strings.Contains(string(content), text) {
+			return
+		}
+	}
+	t.Errorf("no %s in %s after %v", text, path, timeout)
+}
