--- a/cmd/quilldoor/asyncwriter.go
+++ b/cmd/quilldoor/asyncwriter.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// asyncWriter passes log lines on from a goroutine of its own, so that a reader of the log
-// that has stopped blocks nobody. Lines that find the queue full are lost.
+// asyncWriter writes log lines from its own goroutine, so that a stalled reader of the log
+// does not block the router. Lines are dropped while the queue is full.
 type asyncWriter struct {
 	lines chan []byte
 	done  chan struct{}
 }
 
-func newAsyncWriter(to io.Writer) *asyncWriter {
+func newAsyncWriter(destination io.Writer) *asyncWriter {
 	const queuedLines = 256 // some minutes of lines at the default level
 	w := &asyncWriter{lines: make(chan []byte, queuedLines), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		for line := range w.lines {
-			_, _ = to.Write(line) // there is nowhere to report a failure
+			_, _ = destination.Write(line) // there is nowhere to report a failure
 		}
 	}()
 	return w
@@ -33,8 +33,8 @@
 	return len(line), nil
 }
 
-// flush passes on what is left, and gives up after the timeout. Nothing may be written
-// after it.
+// flush ends the writer. It waits until the queued lines are written, but no longer than
+// the timeout. Write must not be called afterwards.
 func (w *asyncWriter) flush(timeout time.Duration) {
 	close(w.lines)
 	select {
--- a/cmd/quilldoor/background.go
+++ b/cmd/quilldoor/background.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	sweepInterval  = time.Second      // between closings of idle upstream connections
-	statusInterval = 10 * time.Second // between lines of status in the log
+	sweepInterval  = time.Second      // between sweeps of idle upstream connections
+	statusInterval = 10 * time.Second // between status lines in the log
 )
 
-// background is what runBackground remembers from round to round.
-type background struct {
-	healthChecks int // sent so far: they number the next one
+// backgroundState is the state that runBackground keeps between its iterations.
+type backgroundState struct {
+	healthChecks int // number sent so far, which makes the tag of the next one unique
 	sweptAt      time.Time
 	statusAt     time.Time
-	maxTimerLag  time.Duration // since the last status: how late a timer fired
+	maxTimerLag  time.Duration // longest delay of a timer since the last status line
 }
 
-// runBackground does what time brings: the engine's timers and background commands, idle
-// connections, the status line.
+// runBackground runs the engine's timers and its background commands, closes idle upstream
+// connections and logs the status, until the context ends.
 func (r *router) runBackground(ctx context.Context) {
-	b := background{sweptAt: time.Now(), statusAt: time.Now()}
+	state := backgroundState{sweptAt: time.Now(), statusAt: time.Now()}
 	for {
-		next, commands := r.engine.Run(clock())
+		nextDue, commands := r.engine.Run(clock())
 		for _, command := range commands {
-			r.runCommand(&b, command)
+			r.runCommand(&state, command)
 		}
-		r.sweep(&b, time.Now())
-		due := time.UnixMicro(next)
+		r.sweep(&state, time.Now())
+		due := time.UnixMicro(nextDue)
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.wake:
 		case <-time.After(time.Until(due)):
-			b.maxTimerLag = max(b.maxTimerLag, time.Since(due))
+			state.maxTimerLag = max(state.maxTimerLag, time.Since(due))
 		}
 	}
 }
 
-func (r *router) runCommand(b *background, command engine.Command) {
+func (r *router) runCommand(state *backgroundState, command engine.Command) {
 	switch command.Kind {
 	case engine.CommandHealthCheck:
-		b.healthChecks++
-		r.checkHealth(command.Endpoint, "p"+strconv.Itoa(b.healthChecks))
+		state.healthChecks++
+		r.checkHealth(command.Endpoint, "p"+strconv.Itoa(state.healthChecks))
 	case engine.CommandLog:
 		r.logDecision(command)
 	case engine.CommandDrop:
@@ -59,7 +59,7 @@
 	}
 }
 
-// logDecision writes what the policy reports to the log.
+// logDecision logs a decision of the policy about an endpoint.
 func (r *router) logDecision(command engine.Command) {
 	entry := r.log.WithField("endpoint", command.EndpointID)
 	if command.Backoff > 0 {
@@ -68,32 +68,32 @@
 	entry.Info(command.Text)
 }
 
-// sweep closes idle upstream connections and logs the status, each at its interval.
-func (r *router) sweep(b *background, now time.Time) {
-	if now.Sub(b.sweptAt) < sweepInterval {
+// sweep closes idle upstream connections and logs the status, each at its own interval.
+func (r *router) sweep(state *backgroundState, now time.Time) {
+	if now.Sub(state.sweptAt) < sweepInterval {
 		return
 	}
-	b.sweptAt = now
+	state.sweptAt = now
 	r.upstream.Sweep(now)
-	if now.Sub(b.statusAt) < statusInterval {
+	if now.Sub(state.statusAt) < statusInterval {
 		return
 	}
-	b.statusAt = now
-	r.logStatus(b.maxTimerLag)
-	b.maxTimerLag = 0
+	state.statusAt = now
+	r.logStatus(state.maxTimerLag)
+	state.maxTimerLag = 0
 }
 
-// logStatus tells how full the router is.
+// logStatus logs the router's load and resource usage, and the disk cache's status.
 func (r *router) logStatus(maxTimerLag time.Duration) {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/gc/cycles/total:gc-cycles"}}
 	metrics.Read(samples)
 	requests, endpoints := r.engine.Count()
-	clients, late := r.downstream.CollectStats()
+	clients, lateResponses := r.downstream.CollectStats()
 	r.log.WithFields(logrus.Fields{
 		"requests":             requests,
 		"endpoints":            endpoints,
 		"clients":              clients,
-		"late_responses":       late,
+		"late_responses":       lateResponses,
 		"upstream_connections": r.upstream.ConnCount(),
 		"goroutines":           runtime.NumGoroutine(),
 		"memory_mb":            samples[0].Value.Uint64() / bytesPerMB,
@@ -105,8 +105,8 @@
 	}
 }
 
-// checkHealth sends a health check, and counts it as timed out after the time that a
-// connection may take.
+// checkHealth sends a health check and reports its outcome to the engine. Without a
+// response within the connect timeout the outcome is a timeout.
 func (r *router) checkHealth(endpoint *engine.Endpoint, tag string) {
 	sent := clock()
 	report := func(outcome policy.Outcome) {
--- a/cmd/quilldoor/changecommand.go
+++ b/cmd/quilldoor/changecommand.go
@@ -17,27 +17,28 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// Errors of 'change apply' and 'change back'. The reason has been printed before.
+// Errors of the commands 'change apply' and 'change back', which print the reason before.
 var (
-	errRejected = errors.New("refused")
-	errFellBack = errors.New("fell back")
+	errRejected = errors.New("the supervisor has refused the change")
+	errFellBack = errors.New("the router has fallen back to the settled generation")
 )
 
-// errImmutable says that a setting which differs can't change on a running router.
-var errImmutable = errors.New("some of it can't change on this router")
+// errImmutable reports that the settings differ in a key that can't change on a running
+// router.
+var errImmutable = errors.New("at least one of these keys can't change on this router")
 
-// supervisorClient talks to the supervisor of a folder.
+// supervisorClient sends requests to the supervisor of a folder.
 type supervisorClient struct {
 	flags  *flags
-	folder string // "": that of the operator's file
+	folder string // "": keep.folder of the operator's file
 }
 
 func (c *supervisorClient) define(command *cobra.Command) {
-	command.PersistentFlags().StringVar(&c.folder, "folder", "", "the supervisor's folder; else keep.folder of the operator's file")
+	command.PersistentFlags().StringVar(&c.folder, "folder", "", "the supervisor's folder (default: keep.folder of the operator's file)")
 }
 
-// find gives the supervisor's folder.
-func (c *supervisorClient) find() (string, error) {
+// findFolder returns the supervisor's folder.
+func (c *supervisorClient) findFolder() (string, error) {
 	if c.folder != "" {
 		return c.folder, nil
 	}
@@ -51,30 +52,32 @@
 	return operator.Supervisor.Dir, nil
 }
 
-// request sends a message, and calls progress with each note before the last answer.
+// request sends a message and returns the final reply. It calls progress with the note of
+// each reply before that one.
 func (c *supervisorClient) request(message *handoff.Message, progress func(note string)) (*handoff.Message, error) {
-	folder, err := c.find()
+	folder, err := c.findFolder()
 	if err != nil {
 		return nil, err
 	}
 	return handoff.Request(filepath.Join(folder, upgradeagent.SocketName), message, progress)
 }
 
-// changeCommand upgrades a supervised router.
+// changeCommand returns the command 'change', which upgrades a supervised router or rolls
+// it back.
 func changeCommand(f *flags) *cobra.Command {
 	client := &supervisorClient{flags: f}
-	c := &cobra.Command{Use: "change", Short: "Put another program or other settings in a supervised router's place"}
+	c := &cobra.Command{Use: "change", Short: "Upgrade a supervised router to another program or other settings"}
 	client.define(c)
 	c.AddCommand(
 		changeApplyCommand(f, client),
 		&cobra.Command{
-			Use: "back", Short: "End a trial, or change to the generation before", Args: cobra.NoArgs,
+			Use: "back", Short: "Roll back: end a trial, or return to the previous generation", Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error {
 				return client.change(&handoff.Message{Kind: handoff.KindRollBack})
 			},
 		},
 		&cobra.Command{
-			Use: "check", Short: "Tell the keys in which settings differ and how each changes; changes nothing", Args: cobra.NoArgs,
+			Use: "check", Short: "List the keys that differ from the settled settings and how each can change; changes nothing", Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error { return client.compareSettings() },
 		},
 		changeStatusCommand(client),
@@ -85,9 +88,9 @@
 func changeApplyCommand(f *flags, client *supervisorClient) *cobra.Command {
 	var program string
 	c := &cobra.Command{
-		Use: "apply", Short: "Change, and wait for what becomes of it", Args: cobra.NoArgs,
-		Long: "--program, --config and --operator name what is new; what is not named stays. " +
-			"Exit code 1: refused, or it fell\nback; the last line says why.",
+		Use: "apply", Short: "Upgrade, and wait for the outcome", Args: cobra.NoArgs,
+		Long: "--program, --config and --operator name the new files; those not named stay the same. " +
+			"Exit code 1: the upgrade\nwas refused or fell back, for the reason that is printed last.",
 		RunE: func(*cobra.Command, []string) error {
 			return client.change(&handoff.Message{
 				Kind:     handoff.KindApply,
@@ -97,7 +100,7 @@
 			})
 		},
 	}
-	c.Flags().StringVar(&program, "program", "", "another program")
+	c.Flags().StringVar(&program, "program", "", "path of the new program")
 	return c
 }
 
@@ -112,31 +115,31 @@
 	return full
 }
 
-// change asks for an upgrade or a roll back, and prints how it goes.
+// change requests an upgrade or a rollback, and prints its progress and outcome.
 func (c *supervisorClient) change(message *handoff.Message) error {
-	last, err := c.request(message, func(note string) { fmt.Println(note) })
+	reply, err := c.request(message, func(note string) { fmt.Println(note) })
 	switch {
 	case err != nil:
 		return err
-	case last.FellBack:
+	case reply.FellBack:
 		return errFellBack
-	case !last.OK:
+	case !reply.OK:
 		return errRejected
 	}
 	return nil
 }
 
-// compareSettings prints in which keys the settings differ from those that the
-// supervisor has settled on.
+// compareSettings prints the keys in which the settings differ from the supervisor's
+// settled ones, and how they can change.
 func (c *supervisorClient) compareSettings() error {
 	if _, err := c.flags.load(); err != nil {
 		return err
 	}
-	fresh, err := flatten(c.flags)
+	proposed, err := flatten(c.flags)
 	if err != nil {
 		return err
 	}
-	folder, err := c.find()
+	folder, err := c.findFolder()
 	if err != nil {
 		return err
 	}
@@ -144,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	diff := upgrade.Diff(settled, fresh)
+	diff := upgrade.Diff(settled, proposed)
 	for _, change := range diff {
 		fmt.Println(change)
 	}
@@ -155,26 +158,26 @@
 	case !possible:
 		return errImmutable
 	case mode == upgrade.ModeLive:
-		fmt.Println("all of it changes while the router runs: put it into the platform's file and send the supervisor SIGHUP")
+		fmt.Println("all of these keys change while the router runs: edit the platform's file and send the supervisor SIGHUP")
 	default:
-		fmt.Println("it takes a new generation")
+		fmt.Println("the change takes a new generation")
 	}
 	return nil
 }
 
 func changeStatusCommand(client *supervisorClient) *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "status", Short: "Tell the generations and what became of the last change", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "status", Short: "Show the generations and the outcome of the last change", Args: cobra.NoArgs}
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
-		answer, err := client.request(&handoff.Message{Kind: handoff.KindStatus}, nil)
+		reply, err := client.request(&handoff.Message{Kind: handoff.KindStatus}, nil)
 		if err != nil {
 			return err
 		}
 		if asJSON {
-			return printJSON(answer.Status)
+			return printJSON(reply.Status)
 		}
-		printUpgradeStatus(answer.Status)
+		printUpgradeStatus(reply.Status)
 		return nil
 	}
 	return c
@@ -201,7 +204,7 @@
 		fmt.Println("last change:", status.LastOutcome)
 	}
 	if !status.Persistent {
-		fmt.Println("the state file can't be written: a cold start begins with what it has")
+		fmt.Println("the state file can't be written: a cold start begins with its present content")
 	}
 }
 
@@ -214,20 +217,20 @@
 	printProcess(w, "new", status.Next)
 }
 
-func printProcess(w *tabwriter.Writer, what string, process *handoff.Process) {
+func printProcess(w *tabwriter.Writer, role string, process *handoff.Process) {
 	if process == nil {
 		return
 	}
 	requests := process.Requests
 	fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms ago\n",
-		process.Generation, what, process.PID, process.AgentState, process.MemoryMB, process.Descriptors,
+		process.Generation, role, process.PID, process.AgentState, process.MemoryMB, process.Descriptors,
 		requests.Completed, requests.Rejected, requests.Aborted, requests.ClientGone, requests.Late,
 		process.HeartbeatAgeMS)
 }
 
-func printManifest(what string, manifest *handoff.Manifest) {
+func printManifest(label string, manifest *handoff.Manifest) {
 	if manifest != nil {
 		fmt.Printf("%s: generation %d, %s (%s, %s), settings %016x\n",
-			what, manifest.Generation, manifest.Program, manifest.Version, manifest.ProgramSum, manifest.Settings)
+			label, manifest.Generation, manifest.Program, manifest.Version, manifest.ProgramSum, manifest.Settings)
 	}
 }
--- a/cmd/quilldoor/checkcommand.go
+++ b/cmd/quilldoor/checkcommand.go
@@ -15,14 +15,14 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// checkCommand checks the configuration. A supervisor runs it by --json for another
-// program or other settings.
+// checkCommand returns the command 'check', which checks the configuration. A supervisor
+// runs it with --json before an upgrade to another program or other settings.
 func checkCommand(f *flags) *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "check", Short: "Read and check the configuration and the operator's file, then end", Args: cobra.NoArgs,
+		Use: "check", Short: "Check the configuration and the operator's file", Args: cobra.NoArgs,
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print what a supervisor wants to know")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON, for a supervisor")
 	c.RunE = func(*cobra.Command, []string) error {
 		config, err := f.load()
 		if err != nil {
@@ -41,6 +41,7 @@
 	return c
 }
 
+// checkResult describes this program and its configuration to a supervisor.
 func checkResult(f *flags, config *startConfig) (*supervisor.CheckResult, error) {
 	flat, err := flatten(f)
 	if err != nil {
@@ -66,7 +67,8 @@
 	return result, nil
 }
 
-// flatten reads the configuration's files as flat keys.
+// flatten reads the platform's and the operator's files, and returns their values as text
+// by flat key.
 func flatten(f *flags) (map[string]string, error) {
 	flat := map[string]string{}
 	if err := flattenPlatform(f.platformPath(), flat); err != nil {
@@ -83,33 +85,33 @@
 	if err != nil {
 		return err
 	}
-	var keys map[string]any
-	if err := json.Unmarshal(text, &keys); err != nil {
+	var document map[string]any
+	if err := json.Unmarshal(text, &document); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	delete(keys, "known") // the endpoint list at the start is no setting
-	return upgrade.Flatten("config", keys, flat)
+	delete(document, "known") // the initial endpoint list is not a setting
+	return upgrade.Flatten("config", document, flat)
 }
 
 func flattenOperator(path string, flat map[string]string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil // an absent file turns all off; one that can't be read ends the start before
+		return nil // an absent file configures nothing; load has rejected one that can't be read
 	}
-	var keys map[string]any
-	if err := yaml.Unmarshal(text, &keys); err != nil {
+	var document map[string]any
+	if err := yaml.Unmarshal(text, &document); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return upgrade.Flatten("operator", keys, flat)
+	return upgrade.Flatten("operator", document, flat)
 }
 
-// programDigest is the lower half of the program's digest, as the supervisor told it; 0:
-// unknown.
+// programDigest returns the lower half of this program's digest, which the supervisor
+// passes in the environment; 0: unknown.
 func programDigest() uint32 {
 	const base = 16
-	sum, err := strconv.ParseUint(os.Getenv(upgradeagent.EnvProgram), base, 64)
+	digest, err := strconv.ParseUint(os.Getenv(upgradeagent.EnvProgram), base, 64)
 	if err != nil {
 		return 0
 	}
-	return uint32(sum)
+	return uint32(digest)
 }
--- a/cmd/quilldoor/discovery.go
+++ b/cmd/quilldoor/discovery.go
@@ -10,13 +10,13 @@
 	"quilldoor/internal/policy"
 )
 
-// watchDiscovery starts to watch discovery at the router's present address.
+// watchDiscovery starts to watch discovery at its current address.
 func (r *router) watchDiscovery() {
 	r.stopWatching = startWatcher(r.ctx, r.watcher, r.discoveryAddr)
 }
 
-// startWatcher runs a watcher until the function it returns is called, which waits for
-// its end: two never run at once, so that no event is applied twice.
+// startWatcher starts a watcher and returns a function that stops it. The function returns
+// once the watcher has ended, so that two watchers never apply the same event.
 func startWatcher(ctx context.Context, watcher *discovery.Watcher, addr string) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -30,7 +30,8 @@
 	}
 }
 
-// EndpointsChanged takes changes of the endpoint list from discovery.
+// EndpointsChanged applies an endpoint list or changes of it from discovery, with the later
+// states that other routers of the site have announced.
 func (r *router) EndpointsChanged(scope policy.UpdateScope, list []engine.Endpoint) {
 	if r.gossip != nil {
 		list = r.gossip.mergeLocal(scope, list)
@@ -38,7 +39,8 @@
 	r.applyEndpoints(scope, list)
 }
 
-// applyEndpoints applies changes that discovery or other routers have told.
+// applyEndpoints applies changes of the endpoint list from discovery or from other routers
+// of the site.
 func (r *router) applyEndpoints(scope policy.UpdateScope, list []engine.Endpoint) {
 	r.upstream.Drain(r.events.UpdateEndpoints(clock(), scope, list))
 	for _, endpoint := range list {
@@ -56,7 +58,8 @@
 	}
 }
 
-// Purge takes a purge from discovery, made at the given Unix microseconds.
+// Purge applies a purge from discovery and records it for the other routers of the site. It
+// was made at the time at, in Unix microseconds.
 func (r *router) Purge(object string, group, at int64) {
 	if r.gossip != nil {
 		r.gossip.recordPurge(object, group, at)
@@ -64,7 +67,8 @@
 	r.applyPurge(object, group, at)
 }
 
-// applyPurge takes a purge from discovery, or from a router of this site.
+// applyPurge applies a purge from discovery or from a router of this site, and records it
+// for the gateway's peers.
 func (r *router) applyPurge(object string, group, at int64) {
 	if r.gatewayHost != nil {
 		r.gatewayHost.purges.add(object, group, at)
@@ -72,8 +76,8 @@
 	r.purgeCopies(object, group, at)
 }
 
-// purgeCopies forbids older copies here. Unlike applyPurge it does not tell peers of
-// other sites, who may be where the purge comes from.
+// purgeCopies invalidates this router's older copies. Unlike applyPurge it does not record
+// the purge for peers of other sites, since it may come from one of them.
 func (r *router) purgeCopies(object string, group, at int64) {
 	r.events.Purge(clock(), object, group, at)
 	if cache := r.diskCache.Load(); cache != nil {
@@ -82,7 +86,7 @@
 	r.log.WithFields(logrus.Fields{"object": object, "group": group, "age_ms": (clock() - at) / microsPerMilli}).Debug("purge")
 }
 
-// DiscoveryLost tells of the first failed poll in a row.
+// DiscoveryLost handles the first failed poll in a row.
 func (r *router) DiscoveryLost(err error) {
 	r.log.WithError(err).Warn("discovery lost, the last endpoint list stays")
 	if cache := r.diskCache.Load(); cache != nil {
@@ -90,7 +94,7 @@
 	}
 }
 
-// DiscoveryRestored tells that polls go through again.
+// DiscoveryRestored handles the first successful poll after DiscoveryLost.
 func (r *router) DiscoveryRestored() {
 	r.log.Info("discovery restored")
 	if cache := r.diskCache.Load(); cache != nil {
@@ -98,7 +102,8 @@
 	}
 }
 
-// DiscoveryGap tells that purges may have been missed.
+// DiscoveryGap handles missed events, which may have been purges: copies on disk are
+// revalidated.
 func (r *router) DiscoveryGap() {
 	if cache := r.diskCache.Load(); cache != nil {
 		r.log.Warn("discovery events missed, copies on disk are revalidated")
--- a/cmd/quilldoor/diskcache.go
+++ b/cmd/quilldoor/diskcache.go
@@ -14,11 +14,11 @@
 	"quilldoor/internal/policy"
 )
 
-// discoveryLossLimit is how long discovery may be unreachable before copies on disk are
-// revalidated one by one: a few polls.
+// discoveryLossLimit is how long discovery may be unreachable, a few polls, before purges
+// count as missed and each copy on disk is revalidated when it is requested.
 const discoveryLossLimit = 2 * time.Second
 
-// openDiskCache starts the disk cache as the operator's file has it.
+// openDiskCache starts the disk cache as configured in the operator's file.
 func (r *router) openDiskCache(file *operatorconfig.DiskCache) error {
 	settings, err := r.diskCacheSettings(file)
 	if err != nil {
@@ -37,8 +37,8 @@
 }
 
 func (r *router) diskCacheSettings(file *operatorconfig.DiskCache) (*diskcache.Settings, error) {
-	// The queue takes a quarter of the memory for bodies at most: requests need the same
-	// buffers.
+	// The write queue holds at most a quarter of the memory for bodies, since requests need
+	// the same buffers.
 	const queueDivisor = 4
 	classes, err := cacheableClasses(r.policy.Classes, file.TrafficClasses)
 	if err != nil {
@@ -61,14 +61,15 @@
 	}, nil
 }
 
-// Why responses of a traffic class are not kept on disk.
+// Reasons why the disk cache can't store responses of a traffic class.
 var (
-	errClassWrites        = errors.New("writes, which leave no copy")
-	errClassNotIdempotent = errors.New("is not idempotent (Effect is not safe)")
-	errClassDoesNotAge    = errors.New("has no freshness time (GoodForMs)")
+	errClassWrites        = errors.New("its requests are writes, which leave no copy")
+	errClassNotIdempotent = errors.New("its requests are not idempotent (Effect is not safe)")
+	errClassNeverFresh    = errors.New("it has no freshness time (GoodForMs)")
 )
 
-// checkCacheable tells why responses of a traffic class can't be kept on disk; nil: they can.
+// checkCacheable returns the reason why the disk cache can't store responses of a traffic
+// class, or nil if it can.
 func checkCacheable(class *policy.TrafficClass) error {
 	switch {
 	case class.Write:
@@ -76,32 +77,33 @@
 	case class.Effect != policy.EffectIdempotent:
 		return errClassNotIdempotent
 	case class.FreshFor <= 0:
-		return errClassDoesNotAge
+		return errClassNeverFresh
 	}
 	return nil
 }
 
-// cacheableClasses are the router's traffic classes, cacheable where they can be and
-// where the operator's file names them or none.
+// cacheableClasses returns the disk cache's settings for the router's traffic classes. A
+// class is cacheable if checkCacheable permits it and if the chosen classes, those that the
+// operator's file names, include it or are none.
 func cacheableClasses(classes []policy.TrafficClass, chosen []string) ([]diskcache.TrafficClass, error) {
 	var list []diskcache.TrafficClass
 	for _, class := range classes {
-		obstacle := checkCacheable(&class)
+		refusal := checkCacheable(&class)
 		named := slices.Contains(chosen, class.Name)
-		if named && obstacle != nil {
-			return nil, fmt.Errorf("disk.rules: %s: %w", class.Name, obstacle)
+		if named && refusal != nil {
+			return nil, fmt.Errorf("disk.rules: traffic class %q can't be cached: %w", class.Name, refusal)
 		}
 		list = append(list, diskcache.TrafficClass{
 			Name:             class.Name,
 			FreshFor:         class.FreshFor,
 			StaleGrace:       class.StaleGrace,
 			LatencyObjective: class.LatencyObjective,
-			Cacheable:        obstacle == nil && (named || len(chosen) == 0),
+			Cacheable:        refusal == nil && (named || len(chosen) == 0),
 		})
 	}
 	for _, name := range chosen {
 		if !slices.ContainsFunc(list, func(c diskcache.TrafficClass) bool { return c.Name == name }) {
-			return nil, fmt.Errorf("disk.rules: %s is no traffic class of the settings", name)
+			return nil, fmt.Errorf("disk.rules: the settings have no traffic class %q", name)
 		}
 	}
 	return list, nil
--- a/cmd/quilldoor/diskcommand.go
+++ b/cmd/quilldoor/diskcommand.go
@@ -15,18 +15,19 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-var errCorrupt = errors.New("not sound")
+var errCorrupt = errors.New("the disk cache is corrupt")
 
-// diskCommand looks into the folder of a disk cache. It only reads.
+// diskCommand returns the command 'disk', which inspects the folder of a disk cache without
+// changing it.
 func diskCommand() *cobra.Command {
-	c := &cobra.Command{Use: "disk", Short: "Look into the folder of a disk cache; reads only"}
+	c := &cobra.Command{Use: "disk", Short: "Inspect the folder of a disk cache, without changing it"}
 	c.AddCommand(
 		&cobra.Command{
-			Use: "check PATH", Short: "Read every record and tell whether all are intact; exit code 1: not", Args: cobra.ExactArgs(1),
+			Use: "check PATH", Short: "Read every record and check that all are intact; exit code 1 if not", Args: cobra.ExactArgs(1),
 			RunE: func(_ *cobra.Command, args []string) error { return inspectDisk(args[0], true) },
 		},
 		&cobra.Command{
-			Use: "stat PATH", Short: "Tell what the index says is there", Args: cobra.ExactArgs(1),
+			Use: "stat PATH", Short: "Summarize the content by the index alone", Args: cobra.ExactArgs(1),
 			RunE: func(_ *cobra.Command, args []string) error { return inspectDisk(args[0], false) },
 		},
 	)
@@ -40,33 +41,33 @@
 	}
 	printDiskReport(os.Stdout, report, readRecords)
 	if !report.Intact() {
-		return fmt.Errorf("%s: %w: %d records corrupt, %d with slots of others",
+		return fmt.Errorf("%s: %w: %d corrupt records, %d records that overlap others",
 			path, errCorrupt, report.CorruptRecords, report.OverlappingRecords)
 	}
 	return nil
 }
 
-func printDiskReport(to io.Writer, report *diskstore.Report, readRecords bool) {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printDiskReport(output io.Writer, report *diskstore.Report, readRecords bool) {
+	w := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	line := func(name string, value any) { fmt.Fprintf(w, "%s\t%v\n", name, value) }
-	line("parts", report.Parts)
-	line("bytes of records", report.RecordBytes)
-	line("slots used", fmt.Sprintf("%d of %d bytes", report.SlotsUsed, report.SlotBytes))
-	line("extents", report.Extents)
-	line("data file", report.DataBytes)
-	line("index", fmt.Sprintf("%d, %d bytes, %d frames, %d bad",
+	printRow := func(name string, value any) { fmt.Fprintf(w, "%s\t%v\n", name, value) }
+	printRow("parts", report.Parts)
+	printRow("bytes of records", report.RecordBytes)
+	printRow("slots used", fmt.Sprintf("%d of %d bytes", report.SlotsUsed, report.SlotBytes))
+	printRow("extents", report.Extents)
+	printRow("data file", report.DataBytes)
+	printRow("index", fmt.Sprintf("%d, %d bytes, %d frames, %d bad",
 		report.IndexNumber, report.IndexBytes, report.Frames, report.BadFrames))
 	if report.Parts > 0 {
 		oldest, newest := time.UnixMilli(report.OldestIssuedMillis), time.UnixMilli(report.NewestIssuedMillis)
-		line("issued", oldest.UTC().Format(time.DateTime)+" to "+newest.UTC().Format(time.DateTime))
+		printRow("issued", oldest.UTC().Format(time.DateTime)+" to "+newest.UTC().Format(time.DateTime))
 	}
-	line("overlapping records", report.OverlappingRecords)
+	printRow("overlapping records", report.OverlappingRecords)
 	if !readRecords {
 		return
 	}
-	line("corrupt records", report.CorruptRecords)
+	printRow("corrupt records", report.CorruptRecords)
 	for _, class := range slices.Sorted(maps.Keys(report.PartsByClass)) {
-		line("parts of "+class, report.PartsByClass[class])
+		printRow("parts of "+class, report.PartsByClass[class])
 	}
 }
--- a/cmd/quilldoor/exclusive.go
+++ b/cmd/quilldoor/exclusive.go
@@ -8,8 +8,9 @@
 	"quilldoor/internal/membership"
 )
 
-// openExclusive opens what one process of a router owns at a time: the disk cache's
-// folder, the gateway, the membership, the files that it writes.
+// openExclusive opens the resources that only one process of a router may own at a time: the
+// disk cache's folder, the gateway, the membership and the files that the router writes. The
+// state is the membership of the process before, or nil.
 func (r *router) openExclusive(state *membership.HandoffState) error {
 	operator := r.config.operator
 	if operator.DiskCache != nil {
@@ -31,6 +32,8 @@
 	return nil
 }
 
+// startWriters starts to write the metrics file and the gateway's status file, as far as they
+// are configured.
 func (r *router) startWriters() {
 	operator := r.config.operator
 	ctx, stop := context.WithCancel(context.Background())
@@ -43,6 +46,7 @@
 	}
 }
 
+// endWriters stops the writers of startWriters and waits for their end.
 func (r *router) endWriters() {
 	if r.stopWriters != nil {
 		r.stopWriters()
@@ -58,8 +62,8 @@
 	}
 }
 
-// closeExclusive closes what openExclusive opened. Requests that are in flight at other
-// sites end with the gateway.
+// closeExclusive closes the resources that openExclusive opened. Closing the gateway ends
+// requests that are in flight at other sites.
 func (r *router) closeExclusive() {
 	r.endWriters()
 	if r.membership != nil {
@@ -73,9 +77,9 @@
 	r.closeDiskCache()
 }
 
-// handOffExclusive releases what openExclusive opened to another generation: members and
-// peers notice nothing. Requests that are in flight at other sites come back to this
-// process.
+// handOffExclusive releases the resources that openExclusive opened, so that another
+// generation can open them without an interruption for members and peers. This process still
+// receives the responses to its requests that are in flight at other sites.
 func (r *router) handOffExclusive() (state *membership.HandoffState) {
 	r.endWriters()
 	if r.membership != nil {
@@ -93,11 +97,11 @@
 	return state
 }
 
-// closeWhenIdle closes a gateway once its requests have ended, at the latest after the
+// closeWhenIdle closes a gateway once it has no request in flight, at the latest after the
 // timeout.
 func closeWhenIdle(g *gateway.Gateway, timeout time.Duration) {
 	const pollInterval = 20 * time.Millisecond
-	for until := time.Now().Add(timeout); time.Now().Before(until) && !g.Idle(); {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && !g.Idle(); {
 		time.Sleep(pollInterval)
 	}
 	g.Close()
--- a/cmd/quilldoor/gatewaycommand.go
+++ b/cmd/quilldoor/gatewaycommand.go
@@ -14,13 +14,14 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-var errNoStatusFile = errors.New("gateway.status_file: not set; name the file by --file")
+var errNoStatusFile = errors.New("gateway.status_file is not set; name the file with --file")
 
-// gatewayCommand shows a running router's gateway.
+// gatewayCommand returns the command 'gateway', which shows the status of a running router's
+// gateway.
 func gatewayCommand(f *flags) *cobra.Command {
 	var file string
 	status := &cobra.Command{
-		Use: "status", Short: "Tell the peers, their state and capacity, and what is in flight there", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the peers, their state and capacity, and the requests in flight there", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			status, err := readGatewayStatus(f, file)
 			if err != nil {
@@ -30,8 +31,8 @@
 			return nil
 		},
 	}
-	status.Flags().StringVar(&file, "file", "", "status file; else gateway.status_file of the operator's file")
-	c := &cobra.Command{Use: "gateway", Short: "Look into a running router's gateway"}
+	status.Flags().StringVar(&file, "file", "", "status file (default: gateway.status_file of the operator's file)")
+	c := &cobra.Command{Use: "gateway", Short: "Inspect a running router's gateway"}
 	c.AddCommand(status)
 	return c
 }
@@ -75,16 +76,16 @@
 	}
 }
 
-// keysCommand makes certificates for trials.
+// keysCommand returns the command 'keys', which makes certificates for trials.
 func keysCommand() *cobra.Command {
 	const defaultLifetime = 30 * 24 * time.Hour
 	var dir string
 	var lifetime time.Duration
 	c := &cobra.Command{
-		Use: "keys NAME...", Short: "Make an authority and a pair of keys for each name, for trials", Args: cobra.MinimumNArgs(1),
+		Use: "keys NAME...", Short: "Make a certificate authority, and a certificate and key for each name, for trials", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, names []string) error { return gateway.MakeKeys(dir, names, lifetime) },
 	}
 	c.Flags().StringVar(&dir, "out", ".", "folder for ca.pem, NAME.pem and NAME.key")
-	c.Flags().DurationVar(&lifetime, "lasts", defaultLifetime, "how long they are valid")
+	c.Flags().DurationVar(&lifetime, "lasts", defaultLifetime, "how long the certificates are valid")
 	return c
 }
--- a/cmd/quilldoor/gatewayhost.go
+++ b/cmd/quilldoor/gatewayhost.go
@@ -13,34 +13,35 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-// gatewayHost is what the gateway needs of the router.
+// gatewayHost is the router as the gateway uses it. It implements gateway.Host.
 type gatewayHost struct {
 	*router
-	purges purgeLog
+	purges purgeLog // from this site
 }
 
-// Execute runs a peer's request.
-func (h *gatewayHost) Execute(clientGone <-chan struct{}, request *gateway.Request) gateway.Reply {
-	return h.downstream.ServeForwarded(clientGone, request)
+// Execute runs a peer's request and returns its result.
+func (h *gatewayHost) Execute(cancelled <-chan struct{}, request *gateway.Request) gateway.Reply {
+	return h.downstream.ServeForwarded(cancelled, request)
 }
 
-// Purge takes one that a peer knows. It is not told to others: each site tells the purges
-// of its own discovery.
+// Purge applies a purge received from a peer. It is not sent to other peers, since each site
+// announces the purges of its own discovery.
 func (h *gatewayHost) Purge(object string, group, at int64) { h.purgeCopies(object, group, at) }
 
-// Purges are those that cover a request: the latest of its object and of its group.
+// Purges returns the purges that cover a request: the latest of its object and the latest of
+// its group.
 func (h *gatewayHost) Purges(object string, group int64) (list []peerproto.Purge) {
-	ofObject, ofGroup := h.purges.latest(object, group)
-	if ofObject > 0 {
-		list = append(list, peerproto.Purge{At: ofObject})
+	objectPurgedAt, groupPurgedAt := h.purges.latest(object, group)
+	if objectPurgedAt > 0 {
+		list = append(list, peerproto.Purge{At: objectPurgedAt})
 	}
-	if ofGroup > 0 {
-		list = append(list, peerproto.Purge{Group: true, At: ofGroup})
+	if groupPurgedAt > 0 {
+		list = append(list, peerproto.Purge{Group: true, At: groupPurgedAt})
 	}
 	return list
 }
 
-// openGateway starts the gateway as the operator's file has it.
+// openGateway starts the gateway as configured in the operator's file.
 func (r *router) openGateway(file *operatorconfig.Gateway) error {
 	keys := &gateway.Keys{Cert: file.CertFile, Key: file.KeyFile, CA: file.CAFile}
 	if err := keys.Load(); err != nil {
@@ -82,7 +83,7 @@
 
 // writeGatewayStatus writes the gateway's status to a file at intervals.
 func (r *router) writeGatewayStatus(ctx context.Context, g *gateway.Gateway, path string) {
-	r.writePeriodically(ctx, gatewayStatusInterval, "gateway: status not written", func() error {
+	r.writePeriodically(ctx, gatewayStatusInterval, "gateway: status file not written", func() error {
 		status := g.Status()
 		status.WrittenAtMS = time.Now().UnixMilli()
 		text, err := json.MarshalIndent(status, "", " ")
--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -10,20 +10,21 @@
 	"quilldoor/internal/upgrade"
 )
 
-// generation is the router as its supervisor sees it: a process that takes the place of
-// another one of the same router, and gives it back. It is the agent's host.
+// generation is the router as one of a supervisor's processes, which takes over from another
+// process of the same router and hands over to another one. It implements
+// upgradeagent.Host.
 type generation struct{ *router }
 
-// Acquire takes the place of another generation, or begins from nothing where state is
-// nil. With own the state is this process's, which gets its place back; with
-// budgetsMaybeSpent the earlier process may have spent this router's slow-start budgets.
-func (g *generation) Acquire(state *handoff.State, own, budgetsMaybeSpent bool) error {
+// Acquire takes over from another generation, or starts cold if state is nil. With stateIsOwn
+// the state is the one that this process released earlier, and the process serves again. With
+// budgetsMaybeSpent another process may have spent this router's slow-start budgets.
+func (g *generation) Acquire(state *handoff.State, stateIsOwn, budgetsMaybeSpent bool) error {
 	g.stopWatching()
 	defer g.watchDiscovery()
 	if state == nil {
 		state = &handoff.State{}
 	}
-	if own && state.Membership != nil {
+	if stateIsOwn && state.Membership != nil {
 		state.Membership.Reclaim()
 	}
 	g.slowStartHoldUntil = 0
@@ -39,7 +40,7 @@
 			g.gatewayHost.purges.add(purge.Object, purge.Group, purge.At)
 		}
 	}
-	if state.Learned != nil && !own {
+	if state.Learned != nil && !stateIsOwn {
 		g.restore(state.Learned)
 	}
 	g.engine.HoldSlowStart(clock(), g.slowStartHoldUntil)
@@ -47,36 +48,38 @@
 	return nil
 }
 
+// restore takes over the state that another generation has learned.
 func (g *generation) restore(snapshot *policy.Snapshot) {
-	if err := g.engine.Restore(snapshot); err != nil { // it serves without, as after a start from nothing
+	if err := g.engine.Restore(snapshot); err != nil { // the router serves without it, as after a cold start
 		g.log.WithError(err).Warn("upgrade: snapshot has another shape, starting without it")
 	}
 }
 
-// Release stops accepting and hands over what another generation goes on with. From now
-// on this process sends nothing to warming endpoints: their budgets go with the snapshot.
+// Release stops accepting clients and returns the state that another generation continues
+// from. This process sends no further attempts to endpoints in slow start, since their
+// budgets are handed over with the snapshot.
 func (g *generation) Release() *handoff.State {
-	const never = 1 << 62
+	const never = 1 << 62 // microseconds
 	g.stopAccepting()
 	g.engine.HoldSlowStart(clock(), never)
 	g.stopWatching()
 	defer g.watchDiscovery()
 	learned := g.engine.Snapshot()
 	learned.SlowStartHoldUntil = g.slowStartHoldUntil
-	purges := g.purgesToHandOff() // before the gateway, which knows them, is handed off
-	member := g.handOffExclusive()
+	purges := g.purgesToHandOff() // before handOffExclusive drops gatewayHost, which holds them
+	membershipState := g.handOffExclusive()
 	revision, list := g.watcher.Snapshot()
 	return &handoff.State{
 		Learned:    learned,
 		Purges:     purges,
-		Membership: member,
+		Membership: membershipState,
 		Revision:   revision,
 		Endpoints:  toHandoff(list),
 	}
 }
 
-// stopAccepting leaves new connections to another process, which shares the socket, and
-// asks clients of open ones to connect again.
+// stopAccepting leaves new connections to the other process that shares the listening socket,
+// and asks the clients of open connections to reconnect.
 func (g *generation) stopAccepting() {
 	_ = g.listener.SetDeadline(time.Now())
 	g.downstream.SuspendClientLimit(true)
@@ -140,13 +143,14 @@
 	g.log.WithField("memory_mb", share.MemoryMB).WithField("descriptors", share.Descriptors).Info("upgrade: limits set")
 }
 
-// SetOtherAttempts takes the attempts that the other generation has in flight, by
-// endpoint and kind: concurrency limits are for both together.
+// SetOtherAttempts sets the attempts that other generations have in flight, by endpoint and
+// kind. Concurrency limits apply to the attempts of all generations together.
 func (g *generation) SetOtherAttempts(inFlight map[string]policy.AttemptCounts) {
 	g.engine.SetOtherGeneration(clock(), inFlight)
 }
 
-// SendToPeer sends a supervisor's message, if this generation is the member.
+// SendToPeer sends the supervisor's message to another router of the site, if this generation
+// holds the membership.
 func (g *generation) SendToPeer(to string, body []byte) {
 	if g.membership != nil {
 		g.membership.SendPayload(to, body)
@@ -156,10 +160,10 @@
 // Reload reads the configuration again.
 func (g *generation) Reload() { g.reload() }
 
-// Ready tells whether a whole endpoint list is known.
+// Ready reports whether a complete endpoint list has been applied.
 func (g *generation) Ready() bool { return g.downstream.IsReady() }
 
-// Heartbeat tells the supervisor what this generation does.
+// Heartbeat returns a message to the supervisor with this generation's counts.
 func (g *generation) Heartbeat() *handoff.Message {
 	requests, _ := g.engine.Count()
 	return &handoff.Message{
--- a/cmd/quilldoor/gossip.go
+++ b/cmd/quilldoor/gossip.go
@@ -13,8 +13,8 @@
 	"quilldoor/internal/rollout"
 )
 
-// gossipHandler lets the router act on what discovery has told other routers of the site.
-// It is the membership's payload handler.
+// gossipHandler exchanges the endpoint lists and purges of discovery with the other routers
+// of the site and applies theirs. It implements transport.PayloadHandler.
 type gossipHandler struct {
 	*router
 	start time.Time
@@ -34,14 +34,15 @@
 
 func (h *gossipHandler) now() int64 { return time.Since(h.start).Microseconds() }
 
-// Digest of the replica.
+// Digest returns the digest of the replica, which all messages carry.
 func (h *gossipHandler) Digest() uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.replica.Digest()
 }
 
-// HandlePayload takes what another router says, and returns what it is answered.
+// HandlePayload applies a message from another router and returns the replies to it. A
+// message about a rollout is forwarded to the supervisor.
 func (h *gossipHandler) HandlePayload(from string, digest uint32, body []byte) [][]byte {
 	if bytes.HasPrefix(body, rollout.MessagePrefix) {
 		if h.agent != nil {
@@ -59,6 +60,7 @@
 	return result.Replies
 }
 
+// apply applies endpoints that other routers have announced.
 func (h *gossipHandler) apply(list []gossip.Endpoint) {
 	if len(list) > 0 {
 		h.log.WithField("changes", len(list)).Info("endpoint list changed by gossip")
@@ -66,13 +68,13 @@
 	}
 }
 
-// Tick ends the claims of others that nobody has repeated.
+// Tick expires the claims of other routers that none of them has repeated.
 func (h *gossipHandler) Tick(connectivity membership.Connectivity) {
-	const interval = 250_000 // microseconds
+	const tickInterval = 250_000 // microseconds
 	h.mu.Lock()
 	now := h.now()
 	var expired []gossip.Endpoint
-	if now-h.tickedAt >= interval {
+	if now-h.tickedAt >= tickInterval {
 		h.tickedAt = now
 		h.replica.SetSingleConfirmation(connectivity.Known < gossip.MembersForConfirmation)
 		expired = h.replica.Tick(now, clock())
@@ -81,8 +83,8 @@
 	h.apply(expired)
 }
 
-// mergeLocal enters what discovery tells this router, and returns it with what others
-// know better.
+// mergeLocal records endpoints from this router's discovery, and returns them in the state
+// to apply: another router may have announced a later one.
 func (h *gossipHandler) mergeLocal(scope policy.UpdateScope, list []engine.Endpoint) []engine.Endpoint {
 	local := make([]gossip.Endpoint, len(list))
 	for i, endpoint := range list {
@@ -93,6 +95,7 @@
 	return engineEndpoints(h.replica.ApplyLocal(h.now(), scope != policy.ScopeDiff, local))
 }
 
+// recordPurge records a purge from this router's discovery.
 func (h *gossipHandler) recordPurge(object string, group, at int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/quilldoor/listener.go
+++ b/cmd/quilldoor/listener.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Names under which a supervisor holds a router's sockets and hands them down.
+// Names under which a supervisor holds a router's sockets and passes them to its processes.
 const (
 	socketClients = "listen"
 	socketGateway = "gateway"
 	socketMembers = "members"
 )
 
-var errNotTCP = errors.New("no TCP socket")
+var errNotTCP = errors.New("the inherited socket is not a TCP socket")
 
-// listen opens the clients' socket, or takes the one that the supervisor handed down.
+// listen opens the socket for clients, or returns the one inherited from the supervisor.
 func (r *router) listen() (*net.TCPListener, error) {
 	listener, err := r.listenOrInherit(socketClients, r.config.Listen)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return tcp, nil
 }
 
-// listenOrInherit opens a TCP socket, or takes the one that the supervisor handed down
-// under this name.
+// listenOrInherit opens a TCP socket, or returns the one inherited from the supervisor under
+// this name.
 func (r *router) listenOrInherit(name, addr string) (net.Listener, error) {
 	if r.agent == nil {
 		return net.Listen("tcp", addr)
@@ -39,7 +39,7 @@
 	return r.agent.Listener(name)
 }
 
-// accept lets clients in.
+// accept starts to accept clients.
 func (r *router) accept() {
 	_ = r.listener.SetDeadline(time.Time{})
 	r.downstream.SuspendClientLimit(false)
@@ -48,26 +48,27 @@
 	go func(served chan<- error) { served <- r.downstream.Serve(r.listener) }(r.served)
 }
 
-// awaitServed waits until downstream accepts no more, once the listener's deadline is set.
+// awaitServed waits for the end of downstream's accept loop. The listener's deadline must
+// have been set.
 func (r *router) awaitServed() {
 	err := <-r.served
 	r.log.WithError(err).Debug("accepting ended")
 }
 
-// acceptBacklog takes the connections that the kernel has accepted already: a listener
-// returns none of them once its deadline has passed.
+// acceptBacklog serves the connections that the kernel has accepted already. It extends the
+// listener's deadline, after which the listener returns none of them.
 func (r *router) acceptBacklog() {
-	const backlogTime = 5 * time.Millisecond // what is there is returned without a wait
+	const backlogTime = 5 * time.Millisecond // queued connections are returned without a wait
 	_ = r.listener.SetDeadline(time.Now().Add(backlogTime))
 	if err := r.downstream.Serve(r.listener); err != nil {
 		r.log.WithError(err).Warn("backlog of new connections lost")
 	}
 }
 
-// growDescriptorTable grows the process's descriptor table to its bound while nothing
-// waits for it. The kernel waits for all cores when it grows the table of a process with
-// threads, on busy ones for seconds, and the whole runtime waits with the socket that
-// needs the new descriptor.
+// growDescriptorTable grows the process's descriptor table to its maximum size before the
+// router serves. To grow the table of a process with threads, the kernel waits for all cores,
+// which takes seconds on busy ones. Meanwhile the whole Go runtime would wait, along with the
+// socket that needs the new descriptor.
 func growDescriptorTable(descriptors int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
--- a/cmd/quilldoor/main.go
+++ b/cmd/quilldoor/main.go
@@ -1,6 +1,6 @@
-// Command quilldoor is the router and its tools: it serves clients, runs a router under a
-// supervisor, upgrades it, and shows what a running router knows. docs/architecture.md
-// shows how its parts fit.
+// Command quilldoor is the request router and its tools: it serves clients, supervises and
+// upgrades a router, and shows the state of a running one. docs/architecture.md describes how
+// its packages work together.
 package main
 
 import (
@@ -18,10 +18,10 @@
 
 func main() { execute(newRouter) }
 
-// execute runs the command that the arguments name; newRouter makes the router that the
-// command serve runs.
+// execute runs the command that the arguments name. The command 'serve' constructs its router
+// with newRouter.
 func execute(newRouter routerConstructor) {
-	// A SIGHUP that comes before the router can reload must not end it.
+	// A SIGHUP received before the router can reload must not end the process.
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := command(newRouter, hup, term).Execute(); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// command is the command line. Without a command the router runs.
+// command returns the root command, which runs the router if no subcommand is named.
 func command(newRouter routerConstructor, hup <-chan os.Signal, term chan os.Signal) *cobra.Command {
 	var f flags
 	run := func(*cobra.Command, []string) error { return f.serve(newRouter, hup, term) }
@@ -48,7 +48,7 @@
 		&cobra.Command{Use: "serve", Short: "Run the router (the default)", Args: cobra.NoArgs, RunE: run},
 		checkCommand(&f),
 		&cobra.Command{
-			Use: "version", Short: "Tell the version", Args: cobra.NoArgs,
+			Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 			Run: func(*cobra.Command, []string) { fmt.Println("quilldoor", version()) },
 		},
 		diskCommand(),
@@ -65,15 +65,15 @@
 func (f *flags) define(all *pflag.FlagSet) {
 	all.StringVarP(&f.overrides.File, "config", "c", "", "configuration file (LB_CONFIG)")
 	all.StringVar(&f.operatorFile, "operator", "",
-		"operator's own file (LB_OPERATOR; "+operatorconfig.DefaultPath+" where it is there)")
+		"operator's own file (LB_OPERATOR; default: "+operatorconfig.DefaultPath+", if it exists)")
 	all.StringVar(&f.overrides.Name, "name", "", "name of the router (LB_NAME)")
 	all.StringVar(&f.overrides.Listen, "listen", "", "address and port for clients (LB_LISTEN)")
-	all.StringVar(&f.logLevel, "log-level", "info", "least level that is logged: error, warning, info or debug")
-	all.StringVar(&f.logFormat, "log-format", "text", "form of the log's lines: text or json")
+	all.StringVar(&f.logLevel, "log-level", "info", "lowest level that is logged: error, warning, info or debug")
+	all.StringVar(&f.logFormat, "log-format", "text", "format of the log: text or json")
 }
 
-// serve runs a router. A SIGTERM before it ends the process at once: there is nothing to
-// answer yet.
+// serve runs a router. A SIGTERM received before serve handles signals ends the process at
+// once, while no request is open.
 func (f *flags) serve(newRouter routerConstructor, hup <-chan os.Signal, term chan os.Signal) error {
 	const logFlushTimeout = time.Second
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/quilldoor/membership.go
+++ b/cmd/quilldoor/membership.go
@@ -9,8 +9,8 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-// openMembership starts to look for the other routers of the site, as the operator's file
-// has it. With state it goes on as the member that another process was.
+// openMembership starts the membership in the group of the site's routers, as configured in
+// the operator's file. With a state it continues as the member that another process was.
 func (r *router) openMembership(file *operatorconfig.Membership, state *membership.HandoffState) error {
 	key, err := transport.ReadKey(file.KeyFile)
 	if err != nil {
@@ -27,7 +27,7 @@
 		r.membership = transport.StartOn(conn, settings, key, listen, r.gossip, r.log)
 		return nil
 	}
-	// The process before this one may have spent its slow-start budgets until now.
+	// The previous process of this router may have spent its slow-start budgets until now.
 	r.engine.HoldSlowStart(clock(), clock()+r.policy.Contract.OverloadWindow)
 	r.membership, err = transport.Start(settings, key, listen, r.gossip, r.log)
 	return err
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, peer := range file.Peers {
-		addr := netip.MustParseAddrPort(peer.Addr) // operatorconfig has checked it
+		addr := netip.MustParseAddrPort(peer.Addr) // operatorconfig has validated it
 		settings.Seeds = append(settings.Seeds, membership.Seed{Name: peer.Name, Addr: addr})
 	}
 	return settings
--- a/cmd/quilldoor/membershipcommand.go
+++ b/cmd/quilldoor/membershipcommand.go
@@ -15,17 +15,18 @@
 	"quilldoor/internal/operatorconfig"
 )
 
-var errNoMembership = errors.New("members: not in the operator's file")
+var errNoMembership = errors.New("the operator's file has no section 'members'")
 
-// membersCommand asks running routers who is there.
+// membersCommand returns the command 'members', which queries running routers for their views
+// of the membership.
 func membersCommand(f *flags) *cobra.Command {
 	var matrix, asJSON bool
 	c := &cobra.Command{
-		Use: "members", Short: "Tell which routers are there, how sure and how old that is", Args: cobra.NoArgs,
-		Long: "Asks the router of the operator's file, by its members.listen address and key. --matrix asks all that it\n" +
-			"knows, and shows who sees whom and where they disagree. Exit code 1: no answer.",
+		Use: "members", Short: "Show the routers of the site as a running router sees them", Args: cobra.NoArgs,
+		Long: "Queries the router of the operator's file at its members.listen address, with its key. --matrix queries all\n" +
+			"routers that it knows, and shows how each sees the others and where they disagree. Exit code 1: no answer.",
 	}
-	c.Flags().BoolVar(&matrix, "matrix", false, "ask all, show who sees whom")
+	c.Flags().BoolVar(&matrix, "matrix", false, "query all routers, and show how each sees the others")
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
 		key, view, err := queryMembership(f)
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// printMembership prints how the router itself is, and a line for each member it knows.
+// printMembership prints the state of the queried router, and a line for each other member
+// that it knows.
 func printMembership(view *membership.View) {
 	printSelf(view)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -86,14 +88,14 @@
 
 func printSelf(view *membership.View) {
 	self, connectivity := &view.Self, &view.Connectivity
-	part := "a majority"
+	partition := "a majority"
 	if !connectivity.Majority {
-		part = "isolated or in the minority"
+		partition = "isolated or in the minority"
 	}
 	fmt.Printf("%s of %s (epoch %d, incarnation %d) is %v: %d of %d routers reachable, %s for %s; "+
 		"%d of its last %d probes answered\n",
 		self.Name, self.Zone, self.ID.Epoch, self.Incarnation, connectivity.State,
-		connectivity.Reachable, connectivity.Known, part, formatAge(connectivity.MajorityAge),
+		connectivity.Reachable, connectivity.Known, partition, formatAge(connectivity.MajorityAge),
 		connectivity.ProbesAnswered, connectivity.ProbesSent)
 }
 
@@ -105,7 +107,7 @@
 	return fmt.Sprintf("%d s", age/microsPerSecond)
 }
 
-// matrixMarks draw a member's state in one letter.
+// matrixMarks are the cells of the matrix by a member's state.
 var matrixMarks = map[membership.State]string{
 	membership.StateUnknown:      " ",
 	membership.StateJoining:      "j",
@@ -117,11 +119,11 @@
 	membership.StateNameConflict: "2",
 }
 
-const matrixLegend = "a row is what a router knows of each: A alive, a alive through others only, " +
-	"s suspected, D dead, l leaving, L left,\n" +
-	"j joining, 2 name conflict, ? it did not answer"
+const matrixLegend = "each row is a router's view of all: A alive, a alive, reached through others only, " +
+	"s suspect, D dead, l leaving, L left,\n" +
+	"j joining, 2 name conflict, ? the row's router did not answer"
 
-// printMatrix draws a row for each router that answered: what it knows of each.
+// printMatrix prints a row for each router: its view of itself and all others.
 func printMatrix(matrix *transport.Matrix) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(w, "\t"+strings.Join(matrix.Names, "\t"))
--- a/cmd/quilldoor/metrics.go
+++ b/cmd/quilldoor/metrics.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// writeMetricsFile replaces the file as a whole or not at all.
+// writeMetricsFile replaces the file atomically.
 func writeMetricsFile(path string, set *metrics.Set) error {
 	f, err := os.Create(path + newFileSuffix)
 	if err != nil {
@@ -41,7 +41,8 @@
 	return os.Rename(path+newFileSuffix, path)
 }
 
-// metricSet names metrics with the router's prefix and their labels.
+// metricSet sets metrics, whose names get the router's prefix. The labels are arguments for
+// the verbs of the name.
 type metricSet struct{ *metrics.Set }
 
 func (s metricSet) gauge(value float64, name string, labels ...any) {
@@ -52,17 +53,17 @@
 	s.GetOrCreateCounter("quilldoor_" + fmt.Sprintf(name, labels...)).Set(uint64(value))
 }
 
-// flag is a gauge of 0 or 1.
+// flag sets a gauge to 1 if the value is true, else to 0.
 func (s metricSet) flag(value bool, name string, labels ...any) {
-	number := 0.0
+	gaugeValue := 0.0
 	if value {
-		number = 1
+		gaugeValue = 1
 	}
-	s.gauge(number, name, labels...)
+	s.gauge(gaugeValue, name, labels...)
 }
 
-// collectMetrics takes over the parts' own counts. Names and labels of metrics stay when
-// the code's words change: dashboards and alerts use them.
+// collectMetrics sets the metrics from the counts of the router's components. The names and
+// labels of metrics don't follow renamed identifiers, since dashboards and alerts use them.
 func (r *router) collectMetrics(set metricSet) {
 	requests, endpoints := r.engine.Count()
 	set.gauge(float64(requests), "txns_open")
@@ -108,8 +109,8 @@
 	set.gauge(float64(state.ReadP99Micros)/microsPerSecond, "disk_read_seconds{quantile=%q}", "0.99")
 }
 
-// collectMembership takes over what is known of the other routers, and the counts of
-// messages with them.
+// collectMembership sets the metrics of the router's view of the members, of the messages
+// exchanged with them, and of gossip.
 func (r *router) collectMembership(set metricSet) {
 	view := r.membership.View()
 	collectView(set, view)
@@ -155,7 +156,7 @@
 }
 
 func collectGossip(set metricSet, counts gossip.Counts) {
-	for what, count := range map[string]int64{
+	for event, count := range map[string]int64{
 		"asked":    counts.Requests,
 		"answered": counts.Responses,
 		"bound":    counts.ClaimsAccepted,
@@ -163,6 +164,6 @@
 		"purges":   counts.Purges,
 		"refused":  counts.Rejected,
 	} {
-		set.counter(count, "news_total{what=%q}", what)
+		set.counter(count, "news_total{what=%q}", event)
 	}
 }
--- a/cmd/quilldoor/purgelog.go
+++ b/cmd/quilldoor/purgelog.go
@@ -5,51 +5,52 @@
 	"sync"
 )
 
-// purgeLog remembers purges that caches may not have done yet, for peers that may not
-// have heard of them.
+// purgeLog holds the purges that caches may not have applied yet, for peers that may not have
+// received them.
 type purgeLog struct {
 	mu        sync.Mutex
 	retention int64 // microseconds
-	list      []purgeEvent
+	purges    []purgeEvent
 }
 
 type purgeEvent struct {
-	object string // "": of the group
+	object string // "": the purge covers the group
 	group  int64
 	at     int64 // Unix microseconds
 }
 
-// maxLoggedPurges are remembered; beyond that the oldest are forgotten, which peers have
-// from their own discovery.
+// maxLoggedPurges is the capacity of a purgeLog. Beyond it the oldest purges are dropped, which
+// peers have received from their own discovery.
 const maxLoggedPurges = 4096
 
+// add adds a purge, made at the time at, and drops the expired ones.
 func (l *purgeLog) add(object string, group, at int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	expired := clock() - l.retention
-	for len(l.list) > 0 && (l.list[0].at < expired || len(l.list) >= maxLoggedPurges) {
-		l.list = l.list[1:]
+	oldestKept := clock() - l.retention
+	for len(l.purges) > 0 && (l.purges[0].at < oldestKept || len(l.purges) >= maxLoggedPurges) {
+		l.purges = l.purges[1:]
 	}
-	l.list = append(l.list, purgeEvent{object, group, at})
+	l.purges = append(l.purges, purgeEvent{object, group, at})
 }
 
 func (l *purgeLog) all() []purgeEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.list)
+	return slices.Clone(l.purges)
 }
 
-// latest gives the times of the latest purges of an object and of a group; 0: none.
-func (l *purgeLog) latest(object string, group int64) (ofObject, ofGroup int64) {
+// latest returns the times of the latest purges of an object and of a group; 0: none.
+func (l *purgeLog) latest(object string, group int64) (objectPurgedAt, groupPurgedAt int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, purge := range l.list {
+	for _, purge := range l.purges {
 		switch {
 		case purge.object != "" && purge.object == object:
-			ofObject = max(ofObject, purge.at)
+			objectPurgedAt = max(objectPurgedAt, purge.at)
 		case purge.object == "" && purge.group == group:
-			ofGroup = max(ofGroup, purge.at)
+			groupPurgedAt = max(groupPurgedAt, purge.at)
 		}
 	}
-	return ofObject, ofGroup
+	return objectPurgedAt, groupPurgedAt
 }
--- a/cmd/quilldoor/rolloutcommand.go
+++ b/cmd/quilldoor/rolloutcommand.go
@@ -14,26 +14,27 @@
 	"quilldoor/internal/rollout"
 )
 
-// rolloutCommand takes an upgrade through many supervised routers.
+// rolloutCommand returns the command 'rollout', which upgrades many supervised routers in
+// stages.
 func rolloutCommand(f *flags) *cobra.Command {
 	client := &supervisorClient{flags: f}
-	c := &cobra.Command{Use: "rollout", Short: "Take a change through many supervised routers in stages"}
+	c := &cobra.Command{Use: "rollout", Short: "Upgrade many supervised routers in stages"}
 	client.define(c)
-	for _, order := range []struct {
+	for _, subcommand := range []struct {
 		name, short string
 		command     rollout.Command
 	}{
 		{"start", "Start the plan's rollout", rollout.CommandStart},
-		{"hold", "Pause it where it is", rollout.CommandPause},
-		{"go", "Go on with one that is paused", rollout.CommandResume},
-		{"back", "Roll it back", rollout.CommandRollBack},
+		{"hold", "Pause the rollout in its current stage", rollout.CommandPause},
+		{"go", "Resume a paused rollout", rollout.CommandResume},
+		{"back", "Roll the upgraded routers back", rollout.CommandRollBack},
 	} {
 		c.AddCommand(&cobra.Command{
-			Use: order.name, Short: order.short, Args: cobra.NoArgs,
+			Use: subcommand.name, Short: subcommand.short, Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error {
-				answer, err := client.rollout(order.command)
+				reply, err := client.rollout(subcommand.command)
 				if err == nil {
-					fmt.Println(answer.Note)
+					fmt.Println(reply.Note)
 				}
 				return err
 			},
@@ -43,28 +44,29 @@
 	return c
 }
 
-// rollout sends a command.
+// rollout sends a rollout command and returns the reply. A refusal is an error with the
+// reply's note.
 func (c *supervisorClient) rollout(command rollout.Command) (*handoff.Message, error) {
-	answer, err := c.request(&handoff.Message{Kind: handoff.KindRollout, Command: command}, nil)
-	if err == nil && !answer.OK {
-		err = errors.New(answer.Note)
+	reply, err := c.request(&handoff.Message{Kind: handoff.KindRollout, Command: command}, nil)
+	if err == nil && !reply.OK {
+		err = errors.New(reply.Note)
 	}
-	return answer, err
+	return reply, err
 }
 
 func rolloutStatusCommand(client *supervisorClient) *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "status", Short: "Tell where it stands; the leader knows most", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "status", Short: "Show the state of the rollout; the leader has the most detail", Args: cobra.NoArgs}
 	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
 	c.RunE = func(*cobra.Command, []string) error {
-		answer, err := client.rollout(rollout.CommandNone)
+		reply, err := client.rollout(rollout.CommandNone)
 		if err != nil {
 			return err
 		}
 		if asJSON {
-			return printJSON(answer.Rollout)
+			return printJSON(reply.Rollout)
 		}
-		printRolloutStatus(answer.Rollout)
+		printRolloutStatus(reply.Rollout)
 		return nil
 	}
 	return c
@@ -74,8 +76,8 @@
 	const defaultSpread = 0.03
 	var path string
 	var spread float64
-	c := &cobra.Command{Use: "check", Short: "Check the plan, and tell what its stages can show", Args: cobra.NoArgs}
-	c.Flags().StringVar(&path, "plan", "", "the plan; else keep.plan of the operator's file")
+	c := &cobra.Command{Use: "check", Short: "Check the plan, and show how soon its stages stop a loss", Args: cobra.NoArgs}
+	c.Flags().StringVar(&path, "plan", "", "the plan (default: keep.plan of the operator's file)")
 	c.Flags().Float64Var(&spread, "spread", defaultSpread,
 		"standard deviation, over seconds, of the lost weight between two routers of an office")
 	c.RunE = func(*cobra.Command, []string) error {
@@ -107,8 +109,8 @@
 	return rollout.ParsePlan(path, text)
 }
 
-// printPlan prints for each stage after how many seconds it stops a loss, and passes a
-// program that is the same.
+// printPlan prints for each stage after how many seconds it stops a program with a loss, and
+// after how many it passes one without.
 func printPlan(plan *rollout.Plan, spread float64) {
 	fmt.Printf("%s (%016x): %d routers, %d of an office at once\n", plan.Name, plan.Digest, len(plan.Routers), plan.MaxConcurrent)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -121,28 +123,28 @@
 		spread, plan.Guardrails.FalseStopProbability)
 }
 
-func printStage(w *tabwriter.Writer, plan *rollout.Plan, i int, spread float64) {
-	const maxSamples = 100_000 // a day's seconds and more: what takes longer is not within any watch
-	stage := plan.Stages[i]
-	within := func(samples int) string {
+func printStage(w *tabwriter.Writer, plan *rollout.Plan, stageIndex int, spread float64) {
+	const maxSamples = 100_000 // one a second, which is more than a day: no stage is watched for longer
+	stage := plan.Stages[stageIndex]
+	formatSeconds := func(samples int) string {
 		if samples == 0 || float64(samples) > stage.MaxWatchSeconds {
 			return "not within it"
 		}
 		return fmt.Sprintf("%d s", samples)
 	}
-	changed := plan.ChangedThrough(i).Count()
-	fmt.Fprintf(w, "%d\t%d\t%g to %g s", i+1, changed, stage.MinWatchSeconds, stage.MaxWatchSeconds)
-	if changed == len(plan.Routers) { // nobody is left to compare with
+	changed := plan.ChangedThrough(stageIndex).Count()
+	fmt.Fprintf(w, "%d\t%d\t%g to %g s", stageIndex+1, changed, stage.MinWatchSeconds, stage.MaxWatchSeconds)
+	if changed == len(plan.Routers) { // no router is left to compare with
 		fmt.Fprintln(w, "\tguardrails only\t\t\tthe watch")
 		return
 	}
-	pass := 0
-	for _, loss := range []float64{0.05, 0.1, 0.2} { // those of the table's head
-		var stop int
-		stop, pass = canary.SamplesNeeded(plan.CanarySettings(), len(plan.Stages), spread, loss, maxSamples)
-		fmt.Fprintf(w, "\t%s", within(stop))
+	passAfter := 0
+	for _, loss := range []float64{0.05, 0.1, 0.2} { // as in the table's head
+		var stopAfter int
+		stopAfter, passAfter = canary.SamplesNeeded(plan.CanarySettings(), len(plan.Stages), spread, loss, maxSamples)
+		fmt.Fprintf(w, "\t%s", formatSeconds(stopAfter))
 	}
-	fmt.Fprintf(w, "\t%s\n", within(pass))
+	fmt.Fprintf(w, "\t%s\n", formatSeconds(passAfter))
 }
 
 func printRolloutStatus(status *rollout.Status) {
--- a/cmd/quilldoor/router.go
+++ b/cmd/quilldoor/router.go
@@ -26,8 +26,8 @@
 	"quilldoor/internal/upstream"
 )
 
-// router wires the parts of one router process together. It hands each part what the
-// others have to tell.
+// router connects the components of one router process, and passes each one the events of the
+// others that concern it.
 type router struct {
 	log    *logrus.Entry
 	config *startConfig
@@ -37,25 +37,25 @@
 	ctx    context.Context // of the background work, while the router serves
 
 	engine     *engine.Engine
-	events     eventHandler // the engine
+	events     eventHandler // the engine, or a wrapper of it
 	upstream   *upstream.Pool
 	downstream *downstream.Server
 	buffers    *bufferpool.Pool
-	wake       chan struct{} // the engine wants runBackground sooner than it last said
+	wake       chan struct{} // the engine is due before the time that runBackground waits for
 
 	watcher       *discovery.Watcher
 	stopWatching  func()
-	discoveryAddr string // that is watched
+	discoveryAddr string // of the watched service
 	listener      *net.TCPListener
-	served        chan error // of downstream; nil: it accepts no clients
+	served        chan error // result of downstream's accept loop; nil: it doesn't run
 
 	agent              *upgradeagent.Agent // nil: no supervisor runs this process
-	host               upgradeagent.Host   // what the agent controls: the router as a generation
-	activity           *invariant.Recorder // for the supervisor; nil: there is none
-	slowStartHoldUntil int64               // microseconds; warming endpoints get nothing before
+	host               upgradeagent.Host   // the router as the agent controls it; nil without an agent
+	activity           *invariant.Recorder // for the supervisor; nil: no supervisor runs this process
+	slowStartHoldUntil int64               // Unix microseconds; until then no attempts go to endpoints in slow start
 
-	// What one process of a router owns at a time (exclusive.go). It changes only while
-	// discovery is not watched.
+	// Resources that only one process of a router may own at a time (exclusive.go). They change
+	// only while discovery is not watched.
 	diskCache   atomic.Pointer[diskrunner.Cache] // nil: off
 	gateway     *gateway.Gateway                 // nil: off
 	gatewayKeys *gateway.Keys
@@ -66,8 +66,8 @@
 	writers     sync.WaitGroup // of the metrics and status files
 }
 
-// eventHandler takes what the router hears of endpoints, attempts and purges. The engine
-// is one; as an interface it can be wrapped by another that sees each event first.
+// eventHandler receives events about endpoints, attempts and purges. The engine implements it.
+// It is an interface so that a wrapper of the engine can intercept events.
 type eventHandler interface {
 	UpdateEndpoints(now int64, scope policy.UpdateScope, list []engine.Endpoint) (retired []*engine.Endpoint)
 	Purge(now int64, object string, group, at int64)
@@ -75,12 +75,14 @@
 	HealthChecked(now int64, endpoint string, outcome policy.Outcome, rtt int64)
 }
 
-// routerConstructor makes a router, which reads its configuration again with load.
+// routerConstructor constructs a router, which reloads its configuration with load.
 type routerConstructor func(config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error)
 
+// clock returns the time in Unix microseconds.
 func clock() int64 { return time.Now().UnixMicro() }
 
-// newRouter makes the parts that every process of a router has. It opens nothing.
+// newRouter constructs the components that every process of a router has. It opens no files
+// or sockets of its own.
 func newRouter(config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
 	runtime.GOMAXPROCS(max(int(config.Cores), 1))
 	debug.SetMemoryLimit(config.Limits.MemoryBytes)
@@ -112,12 +114,13 @@
 	return r, nil
 }
 
-// purgeRetention is how long a purge is remembered, in microseconds: until all caches have
-// dropped older copies, and no response to an earlier request can arrive any more.
+// purgeRetention returns how long a purge is kept, in microseconds: until all caches have
+// dropped older copies and no response to an earlier request can arrive any more.
 func (r *router) purgeRetention() int64 {
 	return r.policy.Hierarchy.PurgeSettleTime + r.limits.MaxRequestTimeout.Microseconds()
 }
 
+// wakeBackground makes runBackground run the engine without waiting for its next timer.
 func (r *router) wakeBackground() {
 	select {
 	case r.wake <- struct{}{}:
--- a/cmd/quilldoor/serve.go
+++ b/cmd/quilldoor/serve.go
@@ -11,11 +11,11 @@
 	"quilldoor/internal/discovery"
 )
 
-// serve runs the router until a signal comes on term. Those on hup make it load the
-// configuration again.
+// serve runs the router until a signal arrives on term. A signal on hup reloads the
+// configuration.
 func (r *router) serve(term, hup <-chan os.Signal) error {
 	r.logStart()
-	if r.agent == nil { // else the agent opens it, once the generation before has let go
+	if r.agent == nil { // else the agent opens them, once the previous generation has released them
 		defer r.closeExclusive()
 		if err := r.openExclusive(nil); err != nil {
 			return err
@@ -60,7 +60,7 @@
 	}).Info("starting")
 }
 
-// run serves until the router is to end.
+// run serves until a signal or the supervisor ends the router.
 func (r *router) run(ctx context.Context, term, hup <-chan os.Signal) error {
 	if r.agent == nil {
 		r.accept()
@@ -87,7 +87,8 @@
 	}
 }
 
-// shutDown answers what the router has taken, and ends.
+// shutDown answers the requests that the router has accepted and those that still arrive, and
+// closes all connections.
 func (r *router) shutDown() {
 	if r.gateway != nil {
 		r.gateway.Drain()
@@ -107,8 +108,8 @@
 	r.log.WithFields(logrus.Fields{"clients_left": clients, "requests_left": requests}).Info("stopped")
 }
 
-// stopAcceptingGradually takes the connections that are under way towards the listener
-// when the signal comes, and the requests that still come on open ones.
+// stopAcceptingGradually serves connections that clients are still opening when the signal
+// arrives, and requests that still arrive on open ones.
 func (r *router) stopAcceptingGradually() {
 	_ = r.listener.SetDeadline(time.Now().Add(r.limits.ShutdownAcceptTime))
 	time.AfterFunc(r.limits.ShutdownAcceptTime, func() { r.downstream.SuspendClientLimit(true) })
@@ -119,24 +120,25 @@
 	time.Sleep(r.limits.ShutdownServeTime)
 }
 
-// reload reads the configuration again and takes over what can change while it runs.
+// reload reads the configuration again and applies the values that can change while the router
+// runs.
 func (r *router) reload() {
-	fresh, err := r.load()
+	updated, err := r.load()
 	if err != nil {
 		r.log.WithError(err).Error("new configuration refused, the old one stays")
 		return
 	}
-	immutable := r.config.ImmutableChanges(fresh.Config)
-	immutable = append(immutable, r.config.operator.ImmutableChanges(fresh.operator)...)
+	immutable := r.config.ImmutableChanges(updated.Config)
+	immutable = append(immutable, r.config.operator.ImmutableChanges(updated.operator)...)
 	for _, key := range immutable {
 		r.log.WithField("key", key).Warn("new configuration: takes a restart, the old value stays")
 	}
 	r.reloadGatewayKeys()
 	r.stopWatching()
-	r.watcher.Apply(&discovery.Update{Events: fresh.initialUpdate.Events})
-	r.discoveryAddr = fresh.DiscoveryAddr
+	r.watcher.Apply(&discovery.Update{Events: updated.initialUpdate.Events})
+	r.discoveryAddr = updated.DiscoveryAddr
 	r.watchDiscovery()
-	r.log.WithField("discovery", fresh.DiscoveryAddr).Info("new configuration in force")
+	r.log.WithField("discovery", updated.DiscoveryAddr).Info("new configuration in force")
 }
 
 func (r *router) reloadGatewayKeys() {
--- a/cmd/quilldoor/startconfig.go
+++ b/cmd/quilldoor/startconfig.go
@@ -13,11 +13,12 @@
 	"quilldoor/internal/upgrade"
 )
 
-// errPeerMessagesForbidden keeps membership off where the platform does not permit it.
+// errPeerMessagesForbidden rejects a membership that the platform does not permit.
 var errPeerMessagesForbidden = errors.New(
-	"members: the settings forbid talk among routers (settings.Limits.PeerMessages)")
+	"members: the settings forbid messages between routers (settings.Limits.PeerMessages)")
 
-// startConfig is all that a router starts with.
+// startConfig is the configuration that a router starts with: the platform's and the
+// operator's.
 type startConfig struct {
 	*config.Config
 	initialUpdate  *discovery.Update
@@ -28,13 +29,13 @@
 // loadConfig reads and checks the configuration.
 type loadConfig func() (*startConfig, error)
 
-// flags are those of the commands that read the configuration.
+// flags are the flags shared by all commands.
 type flags struct {
 	overrides                         config.Overrides
 	operatorFile, logLevel, logFormat string
 }
 
-// load reads and checks the configuration, for the start and for a reload.
+// load reads and checks the configuration, at the start and for a reload.
 func (f *flags) load() (*startConfig, error) {
 	platform, err := config.Load(f.overrides, os.Getenv)
 	if err != nil {
@@ -64,6 +65,7 @@
 	return c, nil
 }
 
+// checkMembership checks that the platform permits the membership and that its key can be read.
 func checkMembership(platform *config.Config, members *operatorconfig.Membership) error {
 	if members == nil {
 		return nil
@@ -75,7 +77,7 @@
 	return err
 }
 
-// version is that of the Go module, with the commit where the build knows it.
+// version returns the version of the Go module, with the commit if the build recorded it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/quilldoor/supervise.go
+++ b/cmd/quilldoor/supervise.go
@@ -17,14 +17,14 @@
 	"quilldoor/internal/upgrade"
 )
 
-var errNoSupervisor = errors.New("keep: not in the operator's file")
+var errNoSupervisor = errors.New("the operator's file has no section 'keep'")
 
-// keepCommand runs a router under a supervisor.
+// keepCommand returns the command 'keep', which runs a router under a supervisor.
 func keepCommand(f *flags) *cobra.Command {
 	return &cobra.Command{
 		Use: "keep", Short: "Supervise a router: upgrade its program and settings under load", Args: cobra.NoArgs,
-		Long: "Holds the router's sockets and runs it as a process of its own, by keep in the operator's file. 'quilldoor change'\n" +
-			"then puts another program or other settings in its place.",
+		Long: "Holds the router's sockets and runs the router as a child process, as configured by keep in the operator's file.\n" +
+			"'quilldoor change' then upgrades it to another program or other settings.",
 		RunE: func(*cobra.Command, []string) error { return f.supervise() },
 	}
 }
@@ -62,32 +62,34 @@
 	}, term, hup)
 }
 
-// platformPath and operatorPath are the files that the configuration is read from.
+// platformPath and operatorPath return the paths of the files that the configuration is read
+// from.
 func (f *flags) platformPath() string { return cmp.Or(f.overrides.File, os.Getenv("LB_CONFIG")) }
 
 func (f *flags) operatorPath() string {
 	return cmp.Or(f.operatorFile, os.Getenv("LB_OPERATOR"), operatorconfig.DefaultPath)
 }
 
-// observer watches the router's invariants by what discovery tells the supervisor itself.
+// observer returns the supervisor's observer, which checks the router's invariants against the
+// supervisor's own view of discovery.
 func (f *flags) observer(config *startConfig) *supervisor.Observer {
 	settings := config.Settings.PolicySettings()
 	return &supervisor.Observer{
 		Invariants: invariant.SettingsFrom(&settings),
 		Limits:     config.Limits,
 		Discovery: func() (string, *discovery.Update, error) {
-			fresh, err := f.load()
+			updated, err := f.load()
 			if err != nil {
 				return "", nil, err
 			}
-			return fresh.DiscoveryAddr, fresh.initialUpdate, nil
+			return updated.DiscoveryAddr, updated.initialUpdate, nil
 		},
 	}
 }
 
 func upgradeTimeouts(config *startConfig, file *operatorconfig.Supervisor) upgrade.Timeouts {
-	// shutdownSlack is for what comes before and after the drain: accepting for half a
-	// second, the disk cache's last writes, closing connections.
+	// shutdownSlack covers the steps before and after the drain: the router accepts clients
+	// for another half a second, writes the disk cache's last records and closes connections.
 	const shutdownSlack = 3 * time.Second
 	drain := config.Limits.MaxRequestTimeout + config.Limits.ClientIdleTimeout + shutdownSlack
 	return upgrade.Timeouts{
@@ -101,6 +103,7 @@
 	return int64(seconds * microsPerSecond)
 }
 
+// memberName returns the name of the router as a member, or "" without a membership.
 func memberName(operator *operatorconfig.Config) string {
 	if operator.Membership == nil {
 		return ""
--- a/cmd/quilldoor/units.go
+++ b/cmd/quilldoor/units.go
@@ -1,6 +1,6 @@
 package main
 
-// Factors between the units of times and sizes.
+// Conversion factors between units of time and size.
 const (
 	microsPerMilli  = 1000
 	microsPerSecond = 1_000_000
