--- a/cmd/quilldoor/asyncwriter_test.go
+++ b/cmd/quilldoor/asyncwriter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against a log that nobody reads and that delays the router, its timeouts included.
+// Guards against a log without a reader that blocks the router, its timers included.
 func TestBlockedLogDelaysNobody(t *testing.T) {
 	reader, blocked := io.Pipe() // a write waits for a read
 	writer := newAsyncWriter(blocked)
--- a/cmd/quilldoor/changecommand.go
+++ b/cmd/quilldoor/changecommand.go
@@ -90,7 +90,7 @@
 	c := &cobra.Command{
 		Use: "apply", Short: "Upgrade, and wait for the outcome", Args: cobra.NoArgs,
 		Long: "--program, --config and --operator name the new files; those not named stay the same. " +
-			"Exit code 1: the upgrade\nwas refused or fell back, for the reason that is printed last.",
+			"Exit code 1: the upgrade\nwas refused or fell back; the last line of the standard output gives the reason.",
 		RunE: func(*cobra.Command, []string) error {
 			return client.change(&handoff.Message{
 				Kind:     handoff.KindApply,
@@ -160,7 +160,7 @@
 	case mode == upgrade.ModeLive:
 		fmt.Println("all of these keys change while the router runs: edit the platform's file and send the supervisor SIGHUP")
 	default:
-		fmt.Println("the change takes a new generation")
+		fmt.Println("the change requires a new generation")
 	}
 	return nil
 }
--- a/cmd/quilldoor/diskcache_test.go
+++ b/cmd/quilldoor/diskcache_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// cacheMode is how the cache of a disk cache's test responds.
+// cacheMode selects the responses of the cache behind the router.
 type cacheMode string
 
 const (
 	cacheServes           cacheMode = "serves"            // with the object
 	cacheRejects          cacheMode = "rejects"           // every attempt
-	cacheRevalidatesOther cacheMode = "revalidates other" // confirms another copy than the one asked about
+	cacheRevalidatesOther cacheMode = "revalidates other" // confirms another copy than the requested one
 	cacheRevalidates      cacheMode = "revalidates"       // confirms the copy
 )
 
-// diskCacheTest is a router with a disk cache before one cache that holds one object.
+// diskCacheTest is a router with a disk cache in front of one cache that holds one object.
 type diskCacheTest struct {
 	cache  *fakeEndpoint
 	mode   atomic.Value // a cacheMode
@@ -41,12 +41,12 @@
 	addr := test.cache.Addr().String()
 	router := startRouterWith(t, addr, addr, operatorFile, freshness)
 	router.waitForLog(t, "disk cache recovered")
-	time.Sleep(150 * time.Millisecond) // copies issued from now on are covered by the purges that the router knows
+	time.Sleep(150 * time.Millisecond) // the router knows all purges that affect copies issued from now on
 	test.client = dial(t, router.addr)
 	return test
 }
 
-// respond answers an attempt by the cache's mode.
+// respond returns the response to an attempt in the current mode.
 func (d *diskCacheTest) respond(id, fields, _ string) string {
 	now := time.Now().UnixMilli()
 	switch mode := d.mode.Load(); {
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s ACK entity=e1,issued=%d,detail=HIT %d\r\n%s\r\n", id, now, len(d.body), d.body)
 }
 
-// get asks for the object and returns the response's body.
+// get requests the object and returns the body of the response.
 func (d *diskCacheTest) get(t *testing.T, headers, status string) string {
 	t.Helper()
 	d.client.sendRequest("GET", "/rpc/page/film/n-1", headers, "")
@@ -78,8 +78,9 @@
 	return attempts
 }
 
-// Guards against a disk cache that is not used while its copy is fresh, serves a stale
-// copy without a revalidation, or fails to stand in for a rejecting cache within its grace.
+// Guards against a disk cache that does not serve a fresh copy, serves a stale copy without an
+// attempt at a revalidation, or does not serve it within its grace when the cache rejects the
+// attempt.
 func TestCopiesOnDisk(t *testing.T) {
 	const freshTime = 1500 * time.Millisecond
 	test := startDiskCacheTest(t)
@@ -102,39 +103,39 @@
 	t.Helper()
 	d.mode.Store(cacheRejects)
 	if got := d.get(t, "", "200"); got != d.body {
-		t.Fatalf("%.20q from disk", got)
+		t.Fatalf("body %.20q from disk", got)
 	}
 	if got := d.get(t, "If-None-Match: \"e1\"\r\n", "304"); got != "" {
-		t.Fatal("a 304 with a body")
+		t.Fatal("the 304 has a body")
 	}
 	if attempts := d.takeAttempts(); attempts > 0 {
-		t.Fatalf("%d attempts for what the disk has", attempts)
+		t.Fatalf("%d attempts for a fresh copy on disk", attempts)
 	}
 }
 
-// checkStaleCopy checks that a stale copy is revalidated, and is served in place of a
-// rejection or an error.
+// checkStaleCopy checks that a stale copy is revalidated, and is served if the cache rejects
+// the attempt or answers with an error.
 func (d *diskCacheTest) checkStaleCopy(t *testing.T) {
 	t.Helper()
 	if got := d.get(t, "", "200"); got != d.body {
-		t.Fatalf("%.20q where the cache rejects", got)
+		t.Fatalf("body %.20q when the cache rejects attempts", got)
 	}
 	if d.takeAttempts() == 0 {
-		t.Fatal("stale, and served without an attempt")
+		t.Fatal("a stale copy was served without an attempt")
 	}
-	// A revalidation of another copy is an error: the copy stands in and stays stale.
+	// A revalidation of another copy is an error: the stale copy is served and stays stale.
 	d.mode.Store(cacheRevalidatesOther)
 	if got := d.get(t, "", "200"); got != d.body || d.takeAttempts() == 0 {
-		t.Fatalf("%.20q after a revalidation of another copy", got)
+		t.Fatalf("body %.20q after a revalidation of another copy", got)
 	}
 	d.mode.Store(cacheRevalidates)
 	if got := d.get(t, "", "200"); got != d.body {
-		t.Fatalf("%.20q after a revalidation", got)
+		t.Fatalf("body %.20q after a revalidation", got)
 	}
 	if attempts := d.takeAttempts(); attempts != 1 {
 		t.Fatalf("%d attempts for a revalidation", attempts)
 	}
 	if got := d.get(t, "", "200"); got != d.body || d.takeAttempts() != 0 {
-		t.Fatal("revalidated, and asked for again")
+		t.Fatal("the cache was asked again for a revalidated copy")
 	}
 }
--- a/cmd/quilldoor/earlierprogram_test.go
+++ b/cmd/quilldoor/earlierprogram_test.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// previousCommit is the default earlier build of the tests that mix versions: the last
-	// commit before comments, names and log texts were reworded, which must leave all data
-	// and messages as they were.
+	// previousCommit is the default earlier version in the tests that mix versions: the last
+	// commit before comments, names and log texts were reworded, which must not change any
+	// data or messages.
 	previousCommit = "53cc78ce570e0fc618b51a311cf74952d0f4c871"
 
-	// earlierProgramVariable is an environment variable of these tests. It names a built
-	// quilldoor that takes the place of previousCommit's.
+	// earlierProgramVariable is the environment variable with the path of a built quilldoor that
+	// these tests use in place of previousCommit's.
 	earlierProgramVariable = "QUILLDOOR_TEST_EARLIER_PROGRAM"
 )
 
-// Commands of the repository, as built programs are named.
+// Names of the repository's commands and of the programs built from them.
 const (
 	routerCommand  = "quilldoor"
 	adapterCommand = "simadapter"
 )
 
-// earlierBuilds is what this test binary has built of earlier commits.
+// earlierBuilds holds the sources and programs of earlier commits that this test binary has
+// extracted and built.
 var earlierBuilds = struct {
 	sync.Mutex
 	sources  map[string]string // folder by commit
 	programs map[string]bool   // by path
 }{sources: map[string]string{}, programs: map[string]bool{}}
 
-// earlierRouter is the program of the tests that mix versions: the one that
+// earlierRouter returns the path of the earlier router: the program that
 // earlierProgramVariable names, else previousCommit's.
 func earlierRouter(t *testing.T) string {
 	t.Helper()
@@ -51,8 +52,8 @@
 	return program
 }
 
-// earlierAdapter is the simadapter beside the program that earlierProgramVariable names,
-// else previousCommit's.
+// earlierAdapter returns the path of the simadapter in the folder of the program that
+// earlierProgramVariable names, else previousCommit's.
 func earlierAdapter(t *testing.T) string {
 	t.Helper()
 	if os.Getenv(earlierProgramVariable) == "" {
@@ -60,13 +61,13 @@
 	}
 	program := filepath.Join(filepath.Dir(earlierRouter(t)), adapterCommand)
 	if _, err := os.Stat(program); err != nil {
-		t.Skipf("not decided: no adapter beside the earlier program: %v", err)
+		t.Skipf("not decided: no adapter in the folder of the earlier program: %v", err)
 	}
 	return program
 }
 
-// buildEarlier builds a command of an earlier commit, once per test binary, where the
-// repository's history is at hand.
+// buildEarlier builds a command of an earlier commit, once per test binary, and returns the
+// program's path. It skips the test if the repository's history is not available.
 func buildEarlier(t *testing.T, commit, command string) string {
 	t.Helper()
 	earlierBuilds.Lock()
@@ -84,13 +85,13 @@
 	return program
 }
 
-// extractCommit writes a commit's files to a new folder beside the test binary, which go
-// test removes together with it.
+// extractCommit writes a commit's files to a new folder, which it returns. The folder is next
+// to the test binary and is removed with it by go test.
 func extractCommit(t *testing.T, commit string) string {
 	t.Helper()
 	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
-		t.Skip("not decided: no history at hand")
+		t.Skip("not decided: the repository's history is not available")
 	}
 	root := strings.TrimSpace(string(top))
 	if exec.Command("git", "-C", root, "cat-file", "-e", commit+"^{commit}").Run() != nil {
@@ -110,7 +111,7 @@
 	return folder
 }
 
-// run runs a command and fails the test where the command fails.
+// run runs a command and fails the test if the command fails.
 func run(t *testing.T, name string, args ...string) {
 	t.Helper()
 	if output, err := exec.Command(name, args...).CombinedOutput(); err != nil {
--- a/cmd/quilldoor/emulation_test.go
+++ b/cmd/quilldoor/emulation_test.go
@@ -10,7 +10,8 @@
 	"quilldoor/internal/settings"
 )
 
-// Guards against invariants broken by real routers before a fleet with all kinds of faults.
+// Guards against router processes that violate an invariant while endpoints, discovery and
+// routers fail in all kinds of ways.
 func TestEmulatedFaults(t *testing.T) {
 	t.Parallel()
 	result, err := playWithOwnProgram(t, `
@@ -49,7 +50,8 @@
 	}
 }
 
-// Guards against a run that goes on, or hides the reason, when a router process ends.
+// Guards against a run that continues, or does not report the reason, when a router process
+// ends.
 func TestDeadRouterEndsTheRun(t *testing.T) {
 	began := time.Now()
 	invalid := emulator.Options{Settings: func(s *settings.Setup) { s.Classes[0].Effect = "odd" }}
@@ -60,12 +62,12 @@
 	tooLarge := "fleet: {offices: 100, routers: 5, caches: 10}\nload: {txns_per_s: 10}\n"
 	_, err = playWithOwnProgram(t, tooLarge, emulator.Options{})
 	if err == nil || !strings.Contains(err.Error(), "listeners") {
-		t.Fatalf("more than the machine has: %v", err)
+		t.Fatalf("more listeners than the machine has: %v", err)
 	}
 }
 
-// Guards against requests lost or executed twice, and copies older than a purge, between
-// the gateways of two sites while the link is cut and a router is killed.
+// Guards against gateways that lose a request, execute it twice or serve a copy older than a
+// purge, while the link between their sites is cut and a router is killed.
 func TestEmulatedSites(t *testing.T) {
 	for name, text := range map[string]string{
 		"two": `
@@ -108,7 +110,7 @@
 			}
 			t.Logf("%d judged, %d forwarded to another site", result.Judged, forwarded)
 			if forwarded < 3 {
-				t.Errorf("%d requests forwarded: too few to tell anything", forwarded)
+				t.Errorf("%d requests forwarded: too few for a conclusion", forwarded)
 			}
 		})
 	}
--- a/cmd/quilldoor/fakeendpoint_test.go
+++ b/cmd/quilldoor/fakeendpoint_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// fakeEndpoint is a cache or origin of a test.
+// fakeEndpoint is a cache or an origin on loopback.
 type fakeEndpoint struct {
 	net.Listener
-	received chan string // the lines that it got
-	// respond makes the response to a GET. A response that ends in "CLOSE" closes the
-	// connection after what stands before; an empty one leaves the attempt open.
+	received chan string // lines received
+	// respond returns the response to a GET. If it ends in "CLOSE", the connection is closed
+	// after the text before that word. An empty response leaves the attempt open.
 	respond func(id, fields, body string) string
 }
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		length, _ := strconv.Atoi(words[3])
-		body := make([]byte, length+2) // and a line end
+		body := make([]byte, length+2) // with the line end
 		if _, err := io.ReadFull(reader, body); err != nil {
 			return
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-// ack is a response with a body, of a cache that had it.
+// ack returns a successful response with a body, as of a cache hit.
 func ack(id, body string) string {
 	return fmt.Sprintf("%s ACK entity=e1,issued=7,detail=HIT %d\r\n%s\r\n", id, len(body), body)
 }
--- a/cmd/quilldoor/fakeplatform_test.go
+++ b/cmd/quilldoor/fakeplatform_test.go
@@ -15,18 +15,18 @@
 	"time"
 )
 
-// fakePlatform stands for all that a router talks to: a cache that always has the latest
-// version of each object, the origin, and discovery, whose events are numbered from 1 at
-// each start of the router.
+// fakePlatform contains all services that a router connects to: a cache that always has the
+// latest version of each object, the origin, and discovery, whose events are numbered from 1
+// at each start of the router.
 type fakePlatform struct {
 	cache     *fakeEndpoint
 	discovery net.Listener
 
 	mu            sync.Mutex
 	versions      map[string]int // current version by object
-	minVersions   map[string]int // the oldest that a request sent now may get
-	events        []string       // of discovery since the router's start; the first is no purge
-	lastPolled    int            // number of the last event that the router has
+	minVersions   map[string]int // oldest version with which a request sent now may be answered, by object
+	events        []string       // of discovery since the router's start; the first is the endpoint list
+	lastPolled    int            // number of the last event that the router has received
 	revalidations int
 	attempts      int
 }
@@ -48,7 +48,7 @@
 	return p
 }
 
-// restartDiscovery forgets all events but the first, for a new process of the router.
+// restartDiscovery replaces all events by a first one, for a new process of the router.
 func (p *fakePlatform) restartDiscovery(first string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,49 +56,50 @@
 	p.lastPolled = 0
 }
 
-// objectBody is the content of one part of an object at a version.
+// objectBody returns the content of one part of an object in a version.
 func objectBody(object, part string, version int) string {
 	return strings.Repeat(fmt.Sprintf("%s/%s version %d;", object, part, version), 150)
 }
 
 // respond answers an attempt as the cache or the origin.
 func (p *fakePlatform) respond(id, fields, body string) string {
-	field := map[string]string{}
+	values := map[string]string{}
 	for pair := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		field[name] = value
+		values[name] = value
 	}
-	if field["queue"] == "sign" {
+	if values["queue"] == "sign" {
 		return fmt.Sprintf("%s ACK - %d\r\n%s\r\n", id, len(body), body)
 	}
-	if field["queue"] == "draw" {
+	if values["queue"] == "draw" {
 		return fmt.Sprintf("%s ACK entity=e,issued=%d 12\r\nSECRET-DRAWN\r\n", id, time.Now().UnixMilli())
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	object := field["path"]
+	object := values["path"]
 	current := p.versions[object]
-	tag := fmt.Sprintf("%s.%s.%d", object, field["blk"], current)
+	tag := fmt.Sprintf("%s.%s.%d", object, values["blk"], current)
 	p.attempts++
-	if field["mine"] == tag {
+	if values["mine"] == tag {
 		p.revalidations++
 		return fmt.Sprintf("%s NOMOD entity=%s,issued=%d 0\r\n\r\n", id, tag, time.Now().UnixMilli())
 	}
-	text := objectBody(object, field["blk"], current)
+	text := objectBody(object, values["blk"], current)
 	return fmt.Sprintf("%s ACK entity=%s,issued=%d,detail=HIT %d\r\n%s\r\n",
 		id, tag, time.Now().UnixMilli(), len(text), text)
 }
 
-// servePoll answers a poll of discovery, which waits for a new event for a while.
+// servePoll answers a poll of discovery when there is a new event, or after a while without
+// one.
 func (p *fakePlatform) servePoll(w http.ResponseWriter, r *http.Request) {
 	watch, _ := strconv.Atoi(r.URL.Query().Get("watch"))
 	p.mu.Lock()
-	// Not at each turn below: the poll of a killed router goes on for a while.
+	// Not in the loop below, in which the poll of a killed router continues for a while.
 	p.lastPolled = max(p.lastPolled, watch)
 	p.mu.Unlock()
-	for until := time.Now().Add(200 * time.Millisecond); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(200 * time.Millisecond); ; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
-		if watch < len(p.events) || time.Now().After(until) {
+		if watch < len(p.events) || time.Now().After(deadline) {
 			unseen := strings.Join(p.events[min(watch, len(p.events)):], ",")
 			text := fmt.Sprintf(`{"rev":%d,"notices":[%s]}`, len(p.events), unseen)
 			p.mu.Unlock()
@@ -109,8 +110,9 @@
 	}
 }
 
-// purge makes new versions of objects. An announced purge is an event of discovery, for
-// a collection if one is given, and purge returns once the router has polled it.
+// purge increments the versions of objects. If the purge is announced, it is also an event of
+// discovery, for the collection if one is given and for the first object otherwise, and purge
+// returns once the router has polled the event.
 func (p *fakePlatform) purge(objects []string, collection int, announced bool) {
 	p.mu.Lock()
 	for _, object := range objects {
@@ -138,7 +140,7 @@
 
 // waitForPoll waits until the router has polled an event, for 5 s at most.
 func (p *fakePlatform) waitForPoll(event int) {
-	for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		p.mu.Lock()
 		delivered := p.lastPolled >= event
 		p.mu.Unlock()
@@ -148,7 +150,7 @@
 	}
 }
 
-// loadUntilKilled sends requests until the router is gone, counts the pages served and
+// loadUntilKilled sends requests until the router is killed, counts the pages served and
 // reports each wrong response.
 func (p *fakePlatform) loadUntilKilled(addr string, seed uint64, served *atomic.Int64, report func(string)) {
 	random := rand.New(rand.NewPCG(seed, 9))
@@ -174,7 +176,7 @@
 		}
 		got, err := io.ReadAll(response.Body)
 		if err != nil {
-			return // killed within its response
+			return // the router was killed during the response
 		}
 		if response.StatusCode == 304 {
 			report("304 to a client without a copy")
@@ -183,19 +185,19 @@
 			continue
 		}
 		served.Add(1)
-		gotVersion := -1 // stays so where the body has another form
+		gotVersion := -1 // remains if the body has another form
 		_, _ = fmt.Sscanf(string(got), object+"/"+part+" version %d;", &gotVersion)
 		if gotVersion < minVersion || string(got) != objectBody(object, part, gotVersion) {
-			report(fmt.Sprintf("%s/%s: %.40q, version %d at least", object, part, got, minVersion))
+			report(fmt.Sprintf("%s/%s: body %.40q, want version %d or later", object, part, got, minVersion))
 		}
 	}
 }
 
-// randomRequest is most often a page, which may be cached, else one of the two classes
-// that may not.
+// randomRequest returns a request, most often for a page, which may be cached, and otherwise of
+// one of the two classes that may not be cached.
 func randomRequest(random *rand.Rand, object, part string) (method, target, body string) {
 	switch random.IntN(40) {
-	case 0: // read, but unsafe to repeat
+	case 0: // a read that is unsafe to repeat
 		return "GET", "/rpc/draw/" + object, ""
 	case 1:
 		return "PUT", "/rpc/sign/" + object, "SECRET-ACCEPTANCE"
@@ -203,5 +205,5 @@
 	return "GET", "/rpc/page/" + object + "/n-" + part, ""
 }
 
-// collectionOf is the collection that an object belongs to.
+// collectionOf returns the collection of an object.
 func collectionOf(object string) int { return 1 + len(object)%2 }
--- a/cmd/quilldoor/faultyprogram_test.go
+++ b/cmd/quilldoor/faultyprogram_test.go
@@ -18,36 +18,36 @@
 	"quilldoor/internal/upgradeagent"
 )
 
-// fault is what a faulty program does wrong; its text names subtests and goes to the
-// program by faultVariable.
+// fault is the fault of a faulty program. Its text names subtests, and is passed to the program
+// in faultVariable.
 type fault string
 
 const (
-	faultNoStart      fault = "no start"            // ends at once
-	faultNeverReady   fault = "never ready"         // does not become ready
-	faultReadyLate    fault = "late to get ready"   // becomes ready half a second after its start
-	faultSilent       fault = "silent"              // sends no heartbeat once it serves
-	faultMute         fault = "mute"                // does not confirm that it serves
-	faultCrash        fault = "crash"               // ends a second after it began to serve
-	faultMemory       fault = "memory"              // takes memory fast, once it serves
-	faultLeaks        fault = "leaks"               // takes memory slowly
-	faultDescriptors  fault = "descriptors"         // takes descriptors
-	faultRefuses      fault = "refuses"             // finds no endpoint for any request
-	faultNarrow       fault = "narrow"              // rejects requests that it has capacity for
-	faultGreedy       fault = "greedy"              // skips the slow start of endpoints
-	faultDiesAtWork   fault = "dies at work"        // ends after some requests
-	faultHangsAtWork  fault = "hangs at work"       // sends no heartbeat after some requests
-	faultSlower       fault = "a fifth slower"      // takes a fifth longer for each attempt
-	faultDeafToDrains fault = "deaf to drains"      // sends requests to endpoints that drain
-	faultDeafToPurges fault = "deaf to purges"      // serves purged copies
-	faultQuietMember  fault = "quiet among members" // sends other members nothing
+	faultNoStart        fault = "no start"         // exits at once
+	faultNeverReady     fault = "never ready"      // does not become ready
+	faultReadyLate      fault = "ready late"       // becomes ready half a second after its start
+	faultNoHeartbeats   fault = "no heartbeats"    // sends no heartbeats once it serves
+	faultNoConfirmation fault = "no confirmation"  // does not confirm that it serves
+	faultCrash          fault = "crash"            // exits a second after it began to serve
+	faultMemory         fault = "memory"           // allocates memory fast, once it serves
+	faultMemoryLeak     fault = "memory leak"      // allocates memory slowly
+	faultDescriptors    fault = "descriptors"      // opens files that it never closes
+	faultNoEndpoint     fault = "no endpoint"      // finds no endpoint for any request
+	faultRejects        fault = "rejects"          // rejects requests that it has capacity for
+	faultSkipsSlowStart fault = "skips slow start" // skips the slow start of endpoints
+	faultCrashUnderLoad fault = "crash under load" // exits after some requests
+	faultHangUnderLoad  fault = "hang under load"  // sends no heartbeats after some requests
+	faultSlower         fault = "a fifth slower"   // takes a fifth longer for each attempt
+	faultIgnoresDrains  fault = "ignores drains"   // sends requests to endpoints that drain
+	faultIgnoresPurges  fault = "ignores purges"   // serves purged copies
+	faultSilentMember   fault = "silent member"    // sends nothing to other members
 )
 
 // faultVariable is the environment variable that names the fault of a process.
 const faultVariable = "QUILLDOOR_FAULT"
 
-// processConstructor is the constructor for routers of this process: that of a router
-// with the fault that faultVariable names, else the shipped one.
+// processConstructor returns the constructor for routers of this process: with the fault that
+// faultVariable names, else the program's own.
 func processConstructor() routerConstructor {
 	injected := fault(os.Getenv(faultVariable))
 	if injected == "" {
@@ -58,14 +58,14 @@
 	}
 }
 
-// newFaultyRouter makes a router with a fault in its settings, in what it hears, or in
-// how it deals with its supervisor.
+// newFaultyRouter constructs a router with a fault in its settings, in its handling of events,
+// or in its replies to the supervisor.
 func newFaultyRouter(injected fault, config *startConfig, logger *logrus.Logger, load loadConfig) (*router, error) {
 	if injected == faultNoStart {
-		fmt.Fprintln(os.Stderr, "quilldoor: a fault of a test")
+		fmt.Fprintln(os.Stderr, "quilldoor: fault injected by a test")
 		os.Exit(3)
 	}
-	spoilSettings(injected, &config.Settings)
+	injectSettingsFault(injected, &config.Settings)
 	r, err := newRouter(config, logger, load)
 	if err != nil {
 		return nil, err
@@ -75,26 +75,27 @@
 	return r, nil
 }
 
-func spoilSettings(injected fault, s *settings.Setup) {
+// injectSettingsFault changes the settings for a fault that is caused by them.
+func injectSettingsFault(injected fault, s *settings.Setup) {
 	switch injected {
-	case faultNarrow:
+	case faultRejects:
 		s.Limits.MaxOpen = 1
-	case faultGreedy:
+	case faultSkipsSlowStart:
 		const microsecond = 0.001
 		s.Contract.ColdMs, s.FamilyInfo.ParentRampMs = microsecond, microsecond
-	case faultRefuses:
+	case faultNoEndpoint:
 		s.Zone, s.FamilyInfo.BypassAllowed = "nowhere", false
 	}
 }
 
-// faultyEvents ignores, changes or delays what the engine is to hear.
+// faultyEvents drops, changes or delays events for the engine.
 type faultyEvents struct {
 	eventHandler
 	fault fault
 }
 
 func (f *faultyEvents) UpdateEndpoints(now int64, scope policy.UpdateScope, list []engine.Endpoint) []*engine.Endpoint {
-	if f.fault == faultDeafToDrains {
+	if f.fault == faultIgnoresDrains {
 		for i := range list {
 			list[i].State = "active"
 		}
@@ -103,7 +104,7 @@
 }
 
 func (f *faultyEvents) Purge(now int64, object string, group, at int64) {
-	if f.fault != faultDeafToPurges {
+	if f.fault != faultIgnoresPurges {
 		f.eventHandler.Purge(now, object, group, at)
 	}
 }
@@ -117,7 +118,7 @@
 	time.AfterFunc(delay, func() { f.eventHandler.AttemptEnded(clock(), attempt, result) })
 }
 
-// faultyHost fails at what its supervisor asks.
+// faultyHost fails to carry out requests of its supervisor.
 type faultyHost struct {
 	upgradeagent.Host
 	router  *router
@@ -133,26 +134,26 @@
 	case faultNeverReady:
 		time.Sleep(time.Minute)
 	case faultReadyLate:
-		const lateness = 500 * time.Millisecond
-		if time.Since(f.started) < lateness {
+		const readyDelay = 500 * time.Millisecond
+		if time.Since(f.started) < readyDelay {
 			return false
 		}
 	}
 	return f.Host.Ready()
 }
 
-func (f *faultyHost) Acquire(state *handoff.State, own, budgetsMaybeSpent bool) error {
-	if err := f.Host.Acquire(state, own, budgetsMaybeSpent); err != nil {
+func (f *faultyHost) Acquire(state *handoff.State, stateIsOwn, budgetsMaybeSpent bool) error {
+	if err := f.Host.Acquire(state, stateIsOwn, budgetsMaybeSpent); err != nil {
 		return err
 	}
 	switch f.fault {
-	case faultSilent, faultMemory:
+	case faultNoHeartbeats, faultMemory:
 		f.serving.Store(true)
-	case faultMute:
+	case faultNoConfirmation:
 		time.Sleep(time.Minute)
 	case faultCrash:
 		time.AfterFunc(time.Second, func() { os.Exit(3) })
-	case faultQuietMember:
+	case faultSilentMember:
 		f.leaveSilently()
 	}
 	return nil
@@ -175,9 +176,9 @@
 }
 
 func (f *faultyHost) failAtHeartbeat() {
-	worked := func() bool { return f.router.downstream.RequestCounts().Completed > 60 }
+	hasServed := func() bool { return f.router.downstream.RequestCounts().Completed > 60 }
 	switch f.fault {
-	case faultSilent:
+	case faultNoHeartbeats:
 		if f.serving.Load() {
 			time.Sleep(time.Minute)
 		}
@@ -185,7 +186,7 @@
 		if f.serving.Load() {
 			f.allocate(40 << 20)
 		}
-	case faultLeaks:
+	case faultMemoryLeak:
 		f.allocate(2 << 20)
 	case faultDescriptors:
 		for range 200 {
@@ -193,27 +194,27 @@
 				f.files = append(f.files, file)
 			}
 		}
-	case faultDiesAtWork:
-		if worked() {
+	case faultCrashUnderLoad:
+		if hasServed() {
 			os.Exit(3)
 		}
-	case faultHangsAtWork:
-		if worked() {
+	case faultHangUnderLoad:
+		if hasServed() {
 			time.Sleep(time.Hour)
 		}
 	}
 }
 
-// allocate holds memory, written to so that it is resident.
+// allocate allocates memory that is never released, and writes to it so that it is resident.
 func (f *faultyHost) allocate(bytes int) {
-	b := make([]byte, bytes)
-	for i := range b {
-		b[i] = 1
+	block := make([]byte, bytes)
+	for i := range block {
+		block[i] = 1
 	}
-	f.memory = append(f.memory, b)
+	f.memory = append(f.memory, block)
 }
 
-// faultyProgram is a program with one fault.
+// faultyProgram writes a program with one fault, and returns its path.
 func faultyProgram(t *testing.T, injected fault) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), strings.ReplaceAll(string(injected), " ", "-"))
--- a/cmd/quilldoor/harness_test.go
+++ b/cmd/quilldoor/harness_test.go
@@ -15,11 +15,13 @@
 	"quilldoor/internal/scenario"
 )
 
-// The scenarios of this run of the tests that were decided, and those that were not: the
-// model itself was late each time, so that the result may be due to the machine.
+// decidedRuns and undecidedRuns count the scenarios that this test run has decided, and those
+// that it has not: the emulator itself was late in each attempt, so that the result may be due
+// to the machine.
 var decidedRuns, undecidedRuns atomic.Int32
 
-// undecidedExitCode is not 0 where too many scenarios were not decided, which is no pass.
+// undecidedExitCode returns an exit code other than 0 if so many scenarios were not decided
+// that the test run does not pass.
 func undecidedExitCode() int {
 	if undecidedRuns.Load() == 0 {
 		return 0
@@ -32,18 +34,18 @@
 	return 0
 }
 
-// playCapacity bounds the scenarios played side by side, counted in routers. A large
-// fleet has the machine to itself, and so have the last attempts at any scenario.
+// playCapacity limits the scenarios that are played in parallel, by their number of routers. A
+// large fleet is played alone, and so are the last attempts at any scenario.
 var playCapacity = struct {
 	*semaphore.Weighted
 	routers int64
 }{semaphore.NewWeighted(maxParallelRouters()), maxParallelRouters()}
 
-// maxParallelRouters allows three routers a core, which leave most of it idle.
+// maxParallelRouters returns three routers per core, which leave most of it idle.
 func maxParallelRouters() int64 { return int64(max(3*runtime.NumCPU(), 8)) }
 
-// playScenario plays a scenario on loopback. A run for which the machine was too busy is
-// not decided and is played again; a test whose runs all end so is skipped and counted.
+// playScenario plays a scenario on loopback. A run during which the machine was too busy is not
+// decided and is repeated. If no run is decided, the test is counted and skipped.
 func playScenario(
 	t *testing.T, text string, options emulator.Options, routers emulator.SocketOptions,
 ) (*emulator.Result, error) {
@@ -71,7 +73,7 @@
 			decidedRuns.Add(1)
 			return result, err
 		}
-		t.Logf("the model was %d ms late", result.MaxDelay/1000)
+		t.Logf("the emulator was %d ms late", result.MaxDelay/1000)
 	}
 	undecidedRuns.Add(1)
 	t.Skipf("not decided in %d runs: the machine is too busy", maxAttempts)
--- a/cmd/quilldoor/killedrouter_test.go
+++ b/cmd/quilldoor/killedrouter_test.go
@@ -17,18 +17,18 @@
 	"quilldoor/internal/diskcache/diskstore"
 )
 
-// killedRouter is a router with a disk cache that is started and killed again and again.
+// killedRouter is a router with a disk cache that is started and killed repeatedly.
 type killedRouter struct {
 	platform *fakePlatform
-	addr     string // bound again after each death
+	addr     string // the same for all its processes
 	folder   string // of the disk cache
 	config   string
 	operator string
 	metrics  string
-	pool     string // the first event of discovery
+	pool     string // the first event of discovery, with the endpoint list
 }
 
-// newKilledRouter writes the files of a router before a fake platform.
+// newKilledRouter writes the files of a router in front of a fake platform.
 func newKilledRouter(t *testing.T) *killedRouter {
 	t.Helper()
 	dir := t.TempDir()
@@ -73,7 +73,7 @@
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		response, err := http.Get("http://" + r.addr + "/health")
 		if err != nil {
 			continue
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// loadAndKill starts the router, purges objects under load, kills it in the middle of
-// its writes and checks its log.
+// loadAndKill starts the router, purges objects under load, kills the router while it writes
+// to disk and checks its log.
 func (r *killedRouter) loadAndKill(t *testing.T, round int, random *rand.Rand, served *atomic.Int64) {
 	t.Helper()
 	var log bytes.Buffer
@@ -98,8 +98,8 @@
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			r.platform.loadUntilKilled(r.addr, uint64(round*10+i), served, func(what string) {
-				t.Errorf("round %d: %s", round, what)
+			r.platform.loadUntilKilled(r.addr, uint64(round*10+i), served, func(problem string) {
+				t.Errorf("round %d: %s", round, problem)
 			})
 		})
 	}
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against a disk cache that serves torn, purged or forbidden content after its
-// router was killed in the middle of a write.
+// Guards against a disk cache that serves torn or purged content, or stores content that may
+// not be cached, after its router was killed during a write.
 func TestKilledRouterServesNothingStale(t *testing.T) {
 	const rounds = 20
 	router := newKilledRouter(t)
@@ -133,7 +133,7 @@
 			t.Fatalf("round %d: %+v, %v", round, report, err)
 		}
 		parts = report.Parts
-		// The next process is not told of these: its copies need a revalidation.
+		// The next process receives no event for these purges: its copies need a revalidation.
 		purged := []string{fmt.Sprintf("o%d", random.IntN(4)), fmt.Sprintf("o%d", random.IntN(20))}
 		platform.purge(purged, 0, false)
 		unannounced += len(purged)
@@ -143,7 +143,7 @@
 	t.Logf("%d rounds: %d requests served, %d attempts, %d revalidations, %d parts at the end, %d purges unannounced",
 		rounds, served.Load(), platform.attempts, platform.revalidations, parts, unannounced)
 	if int(served.Load()) < platform.attempts+500 || platform.revalidations < rounds || parts < 30 {
-		t.Error("the disk did too little for this test to tell anything")
+		t.Error("the disk cache did too little for a conclusion")
 	}
 	router.checkNoSecretOnDisk(t)
 	metrics, err := os.ReadFile(router.metrics)
--- a/cmd/quilldoor/main_test.go
+++ b/cmd/quilldoor/main_test.go
@@ -6,18 +6,19 @@
 	"testing"
 )
 
-// mainVariable is set in the environment of processes of the test binary that are to run
-// its commands in place of its tests.
+// mainVariable is an environment variable. Where it is set, the test binary runs the program's
+// commands in place of the tests.
 const mainVariable = "QUILLDOOR_TEST_MAIN"
 
-// ownCommand is a process of the test binary that runs one of the program's commands.
+// ownCommand returns a process of the test binary that runs one of the program's commands.
 func ownCommand(args ...string) *exec.Cmd {
 	command := exec.Command(os.Args[0], args...)
 	command.Env = append(os.Environ(), mainVariable+"=1")
 	return command
 }
 
-// TestMain makes the test binary the router where a test starts one as a process.
+// TestMain runs the program's commands in a process that a test has started, and the tests
+// otherwise.
 func TestMain(m *testing.M) {
 	if os.Getenv(mainVariable) != "" {
 		execute(processConstructor())
--- a/cmd/quilldoor/membership_test.go
+++ b/cmd/quilldoor/membership_test.go
@@ -23,7 +23,7 @@
 load: {txns_per_s: 90, objects: 800}
 `
 
-// membershipScenario is faults that the fleet's views of the members have to outlast.
+// membershipScenario contains faults, after which all views of the members have to agree again.
 type membershipScenario struct {
 	name           string
 	text           string
@@ -45,7 +45,7 @@
 		agreesWithinMS: 4000,
 	},
 	{
-		// There is no peer to get state from.
+		// No router is left that the others could receive state from.
 		name: "all restart",
 		text: `
 length_s: 9
@@ -54,7 +54,7 @@
 		agreesWithinMS: 4000,
 	},
 	{
-		// Stopped for longer than the suspicion timeout, while the endpoints change.
+		// Routers are stopped for longer than the suspicion timeout, while endpoints change.
 		name: "stopped",
 		text: `
 length_s: 17
@@ -67,7 +67,8 @@
 		stopsRouters:   true,
 	},
 	{
-		// Messages late, lost, doubled, reordered; routers short of CPU; one pause without a crash.
+		// Messages are late, lost, duplicated and reordered, a router is short of CPU, and one pauses
+		// without a crash.
 		name: "poor network",
 		text: `
 length_s: 12
@@ -82,7 +83,8 @@
 		agreesWithinMS: 4000,
 	},
 	{
-		// One way, a chain, halves, three parts; each heals.
+		// The network is cut in one direction, into a chain, into halves and into three parts; each
+		// cut heals.
 		name: "partitions",
 		text: `
 length_s: 18
@@ -97,7 +99,8 @@
 		agreesWithinMS: 5000,
 	},
 	{
-		// A third has no discovery while caches drain, fail and warm up: gossip tells it.
+		// A third of the routers is cut off from discovery while caches drain, fail and warm up, and
+		// learns of that by gossip.
 		name: "discovery cut",
 		text: `
 length_s: 16
@@ -111,7 +114,7 @@
 		agreesWithinMS: 4000,
 	},
 	{
-		// Three parts during a purge, a drain and the loss of a zone.
+		// The routers are in three parts during a purge, a drain and the loss of a zone.
 		name: "three parts",
 		text: `
 length_s: 14
@@ -126,8 +129,8 @@
 	},
 }
 
-// Guards against live routers called dead by all others, and views that stay wrong after
-// the last fault, while routers under load fail or are cut off.
+// Guards against live routers that all others declare dead, and views of the members that do
+// not agree in time after the last fault, while routers under load fail or are cut off.
 func TestMembershipAmongProcesses(t *testing.T) {
 	for _, tc := range membershipScenarios {
 		t.Run(tc.name, func(t *testing.T) {
@@ -141,7 +144,7 @@
 	}
 }
 
-// check checks that no rule was broken, and that all views agreed again in time.
+// check checks that no invariant was violated, and that all views agreed again in time.
 func (tc membershipScenario) check(t *testing.T, result *emulator.Result) {
 	t.Helper()
 	for _, violation := range result.Violations {
@@ -151,21 +154,21 @@
 	t.Logf("score %.3f, %d judged, %d excused; %d samples, agreed after %d ms",
 		result.EarnedShare(), result.Judged, result.Excused, members.Comparisons, members.AgreedAfter/1000)
 	if members.Comparisons < 10 || result.Judged < 400 {
-		t.Errorf("%d samples, %d requests: too few to tell anything", members.Comparisons, result.Judged)
+		t.Errorf("%d samples, %d requests: too few for a conclusion", members.Comparisons, result.Judged)
 	}
 	if members.AgreedAfter < 0 || members.AgreedAfter > tc.agreesWithinMS*1000 {
 		t.Errorf("views agreed %d ms after the last fault", members.AgreedAfter/1000)
 	}
 	if len(members.DeadByAll) > 0 {
-		t.Errorf("called dead by all while alive: %v", members.DeadByAll)
+		t.Errorf("declared dead by all others while alive: %v", members.DeadByAll)
 	}
 	if tc.stopsRouters && result.Excused == 0 {
 		t.Error("no request excused for a stopped router")
 	}
 }
 
-// Guards against a scenario "discovery cut" that would pass without gossip: routers without
-// membership break an invariant in it.
+// Guards against a scenario "discovery cut" of TestMembershipAmongProcesses that would pass
+// without gossip: under such faults, routers without membership have to violate an invariant.
 func TestDiscoveryCutBesideStarvedRouters(t *testing.T) {
 	t.Parallel()
 	result, err := playWithOwnProgram(t, `
@@ -184,9 +187,9 @@
 		t.Fatal(err)
 	}
 	violations := result.CountByRule[invariant.RuleDrained]
-	t.Logf("%d violations of rule 3", violations)
+	t.Logf("%d violations of invariant 3", violations)
 	if violations == 0 {
-		t.Error("no violation by routers without membership")
+		t.Error("routers without membership violated no invariant")
 	}
 }
 
@@ -258,11 +261,11 @@
 // members runs the members command at the first router.
 func (p *memberPair) members(args ...string) string {
 	command := ownCommand(append([]string{"members", "--operator", p.operatorPath(0)}, args...)...)
-	output, _ := command.CombinedOutput() // its text tells a failure, too
+	output, _ := command.CombinedOutput() // contains the error of a failed command, too
 	return string(output)
 }
 
-// waitFor repeats the members command until its output has the text.
+// waitFor repeats the members command until its output contains the text.
 func (p *memberPair) waitFor(t *testing.T, text string, args ...string) {
 	t.Helper()
 	last := ""
@@ -272,7 +275,7 @@
 			return
 		}
 	}
-	t.Fatalf("%v: no %q in\n%s", args, text, last)
+	t.Fatalf("members %v: no %q in\n%s", args, text, last)
 }
 
 // Guards against membership where the settings forbid messages between routers, and a
@@ -281,7 +284,7 @@
 	pair := newMemberPair(t)
 	forbidden, stderr := pair.start(t, 0, false)
 	if err := forbidden.Wait(); err == nil || !strings.Contains(stderr.String(), "settings.Limits.PeerMessages") {
-		t.Fatalf("forbidden, and it runs: %v, %s", err, stderr)
+		t.Fatalf("a router with a forbidden membership: %v, %s", err, stderr)
 	}
 	var processes []*exec.Cmd
 	for i := range 2 {
@@ -292,9 +295,9 @@
 	pair.waitFor(t, "2 of 2 routers reachable")
 	pair.waitFor(t, "all that answered agree", "--matrix")
 	if text := pair.members("--json"); !json.Valid([]byte(text)) {
-		t.Errorf("no JSON: %s", text)
+		t.Errorf("members --json: invalid JSON: %s", text)
 	}
-	// A planned end is gossiped and is no failure.
+	// A planned shutdown is announced to the members and is not a failure.
 	processes[1].Process.Signal(syscall.SIGTERM)
 	pair.waitFor(t, "leaving")
 	pair.waitFor(t, " left ")
--- a/cmd/quilldoor/membershipcommand.go
+++ b/cmd/quilldoor/membershipcommand.go
@@ -119,7 +119,7 @@
 	membership.StateNameConflict: "2",
 }
 
-const matrixLegend = "each row is a router's view of all: A alive, a alive, reached through others only, " +
+const matrixLegend = "each row is a router's view of all: A alive, a alive (reached through others only), " +
 	"s suspect, D dead, l leaving, L left,\n" +
 	"j joining, 2 name conflict, ? the row's router did not answer"
 
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -14,8 +14,8 @@
 	"quilldoor/internal/handoff"
 )
 
-// Guards against an upgrade that can't be done, runs already or finds its folder
-// damaged, and ends without a reason or takes the router down.
+// Guards against an impossible upgrade, a second one at the same time or one in a damaged
+// folder that ends without a reason or stops the router.
 func TestRefusedUpgrades(t *testing.T) {
 	t.Parallel()
 	const text = supervisedFleet + "load: {txns_per_s: 60, objects: 500}\nlength_s: 8\n"
@@ -44,13 +44,13 @@
 		return "", err
 	}
 	if !strings.Contains(string(text), old) {
-		return "", fmt.Errorf("no %s in %s", old, path)
+		return "", fmt.Errorf("%s is not in %s", old, path)
 	}
 	edited := filepath.Join(t.TempDir(), "changed")
 	return edited, os.WriteFile(edited, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600)
 }
 
-// checkEditedFiles asks for upgrades to edited configurations and operator files.
+// checkEditedFiles requests upgrades to edited configurations and operator files.
 func checkEditedFiles(t *testing.T, fleet *emulator.RunningRouters) error {
 	for _, tc := range []struct {
 		name     string
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// checkConcurrentUpgrades asks for an upgrade while another runs, which is refused, and
-// for a rollback during the trial of the first.
+// checkConcurrentUpgrades requests an upgrade while another one runs, which is refused, and a
+// rollback during the trial of the first one.
 func checkConcurrentUpgrades(t *testing.T, fleet *emulator.RunningRouters) error {
 	first := make(chan *handoff.Message, 1)
 	go func() {
@@ -147,7 +147,7 @@
 	}
 }
 
-// checkUnwritableFolder upgrades where the copies of a generation, and then the state
+// checkUnwritableFolder requests upgrades when the copies of a generation, and then the state
 // file, can't be written.
 func checkUnwritableFolder(t *testing.T, fleet *emulator.RunningRouters) error {
 	if err := os.WriteFile(filepath.Join(fleet.SupervisorDir(0), "9"), nil, 0o600); err != nil {
@@ -171,7 +171,8 @@
 	return nil
 }
 
-// checkReloadReachesGeneration sends SIGHUP to the supervisor, which passes it on.
+// checkReloadReachesGeneration sends SIGHUP to the supervisor, which makes its generation reload
+// the configuration.
 func checkReloadReachesGeneration(fleet *emulator.RunningRouters) error {
 	status, err := fleet.Status(0)
 	if err != nil {
@@ -189,7 +190,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return errors.New("no new configuration after SIGHUP")
+			return errors.New("the generation applied no new configuration after SIGHUP")
 		}
 	}
 }
--- a/cmd/quilldoor/requests_test.go
+++ b/cmd/quilldoor/requests_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Guards against requests and responses that are translated wrongly in either direction.
+// Guards against a wrong translation between clients' requests and endpoints' attempts, and
+// between their responses.
 func TestConversation(t *testing.T) {
 	content := strings.Repeat("0123456789", 24_000)
 	origin := newFakeEndpoint(t, func(id, _, body string) string {
@@ -25,7 +26,7 @@
 	client.expectStatus(t, "200")
 	client.sendRequest("GET", "/rpc/page/ab/n-3", "", "")
 	if head, body := client.expectStatus(t, "200"); body != content || !strings.Contains(head, "ETag: \"e1\"") {
-		t.Fatalf("%d bytes behind %q", len(body), head)
+		t.Fatalf("%d bytes after %q", len(body), head)
 	}
 	line := <-cache.received
 	start := fmt.Sprintf("GET %016x queue=page,path=ab,blk=3,budget=", lastRequestID)
@@ -45,7 +46,7 @@
 	}
 }
 
-// Guards against bad requests that get no response, another status, or an attempt.
+// Guards against invalid requests that get no response or a wrong status, or cause an attempt.
 func TestBadRequestsAreAnswered(t *testing.T) {
 	endpoint := newFakeEndpoint(t, func(string, string, string) string { return "" })
 	addr := startRouter(t, endpoint.Addr().String(), endpoint.Addr().String()).addr
@@ -62,7 +63,8 @@
 		client.sendRequest("GET", target, "", "")
 		client.expectStatus(t, status)
 	}
-	// A header that broke the cache's line protocol closed its connection under other attempts.
+	// A header that violates the cache's line protocol would close the connection, and with it
+	// end other attempts.
 	for _, header := range []string{
 		"X-Txn: 12", "X-Ttl-Ms: -5", "X-Ttl-Ms: soon", "X-Ttl-Ms: 9000000", "X-Ttl-Ms: NaN",
 		"X-Shard: 256", "X-Shard: 1\r\nX-Shard: 1", "X-Shard: 01", "X-Shard: 1\r\nContent-Length: 2\r\n",
@@ -86,7 +88,7 @@
 		io.WriteString(client, text)
 		client.expectStatus(t, status)
 		if _, err := client.reader.ReadByte(); err == nil {
-			t.Errorf("%.20q: the connection stays open", text)
+			t.Errorf("%.20q: the connection is still open", text)
 		}
 	}
 	if len(endpoint.received) > 0 {
@@ -94,7 +96,7 @@
 	}
 }
 
-// Guards against an attempt that runs on after its client has left.
+// Guards against an attempt that continues after its client has disconnected.
 func TestLeavingClientCancelsItsAttempt(t *testing.T) {
 	silent := newFakeEndpoint(t, func(string, string, string) string { return "" })
 	addr := startRouter(t, silent.Addr().String(), silent.Addr().String()).addr
@@ -107,7 +109,7 @@
 	}
 }
 
-// Guards against an endpoint that does not respond and delays requests beside it.
+// Guards against an attempt without a response that delays other attempts at the endpoint.
 func TestSilentEndpointDelaysNoOtherAttempt(t *testing.T) {
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "path=slow,") {
@@ -121,7 +123,7 @@
 	<-cache.received
 	quick.sendRequest("GET", "/rpc/page/x", "", "")
 	quick.expectStatus(t, "200")
-	// The slow request is answered by its deadline, too, and its connection stays open.
+	// The slow request is answered by its deadline as well, and its connection stays open.
 	if status, _, _ := slow.readResponse(t); status != "503" && status != "504" {
 		t.Fatal(status)
 	}
@@ -129,7 +131,8 @@
 	slow.expectStatus(t, "200")
 }
 
-// Guards against a broken response that reaches the client, or ends its request.
+// Guards against an endpoint's malformed or truncated response that reaches the client or fails
+// its request.
 func TestBrokenResponsesAreRetried(t *testing.T) {
 	for _, first := range []string{
 		"CLOSE",
@@ -154,8 +157,8 @@
 	}
 }
 
-// Guards against an unsafe request that is executed twice: it is retried only where it is
-// proven that it was not executed.
+// Guards against an unsafe request that is executed twice: it may be retried only if the
+// response proves that it was not executed.
 func TestUnsafeRequestsAreNotRetried(t *testing.T) {
 	for response, want := range map[string]string{
 		"%s EIO - 0\r\n\r\n":   "504",
@@ -176,17 +179,18 @@
 	}
 }
 
-// Guards against an unsafe request taken for maybe executed though no connection was made.
+// Guards against an unsafe request that counts as possibly executed although its connection was
+// refused.
 func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
-	gone := reserveAddress(t) // nobody listens there
-	addr := startRouter(t, gone, gone).addr
+	unused := reserveAddress(t) // nothing listens there
+	addr := startRouter(t, unused, unused).addr
 	client := dial(t, addr)
 	client.sendRequest("PUT", "/rpc/sign/x", "", "name")
 	client.expectStatus(t, "503")
 }
 
-// Guards against an idempotency key that is not forwarded, without which no endpoint can
-// tell a retry; a request without a valid key is rejected.
+// Guards against an idempotency key that is not forwarded, without which no endpoint recognizes
+// a retry, and against keyed requests that are accepted without a valid key.
 func TestKeyedRequestCarriesItsIdempotencyKey(t *testing.T) {
 	origin := newFakeEndpoint(t, func(id, _, _ string) string { return id + " ACK - 2\r\nok\r\n" })
 	keyed := strings.NewReplacer(`"Effect":"unsafe"`, `"Effect":"keyed","Group":"all","DedupWindowMs":700`)
@@ -195,7 +199,7 @@
 	client.sendRequest("PUT", "/rpc/sign/x", "X-Txn-Key: k-17\r\n", "name")
 	client.expectStatus(t, "200")
 	if line := <-origin.received; !strings.Contains(line, ",uniq=k-17 ") {
-		t.Errorf("the key is missing: %s", line)
+		t.Errorf("attempt without the idempotency key: %s", line)
 	}
 	for _, key := range []string{
 		"",
@@ -208,7 +212,7 @@
 	}
 }
 
-// Guards against a 304 made of a response that names another copy than the client's.
+// Guards against a 304 for a response that confirms another copy than the client's.
 func TestCopyIsCurrentOnlyByItsOwnTag(t *testing.T) {
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "mine=") {
@@ -225,8 +229,8 @@
 	client.expectStatus(t, "200")
 }
 
-// Guards against work for a client that has left: neither another attempt at its open
-// request nor its next, pipelined request begins.
+// Guards against attempts for a client that has disconnected: neither a retry of its open
+// request nor its next, pipelined request may cause one.
 func TestNoAttemptBeginsForAClientThatLeft(t *testing.T) {
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		if strings.Contains(fields, "path=held,") {
@@ -248,12 +252,12 @@
 	other.sendRequest("GET", "/rpc/page/other", "", "")
 	other.expectStatus(t, "200")
 	if line := <-cache.received; !strings.Contains(line, "path=other,") {
-		t.Errorf("begun for a client that left: %s", line)
+		t.Errorf("an attempt for the disconnected client: %s", line)
 	}
 }
 
-// Guards against pipelined requests whose responses are lost, doubled or out of order.
-func TestManyCommandsAtOnce(t *testing.T) {
+// Guards against pipelined requests whose responses are lost, duplicated or out of order.
+func TestPipelinedRequests(t *testing.T) {
 	const requests = 200 // more than the read buffer holds
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
 		return ack(id, fields[:strings.Index(fields, ",blk")])
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -46,8 +46,8 @@
 	return os.WriteFile(fleet.Plan(), []byte(plan.String()), 0o600)
 }
 
-// waitForRolloutEnd waits for the end of a rollout. Of the routers' answers the one with
-// the newest state counts.
+// waitForRolloutEnd waits for the end of a rollout and returns the newest of the routers'
+// states.
 func waitForRolloutEnd(fleet *emulator.RunningRouters, within time.Duration, routers ...int) (*rollout.Status, error) {
 	var last *rollout.Status
 	var lastErr error
@@ -66,10 +66,10 @@
 			return last, nil
 		}
 	}
-	return last, errors.Join(fmt.Errorf("no end after %v: %+v", within, last), lastErr)
+	return last, errors.Join(fmt.Errorf("the rollout has not ended after %v: %+v", within, last), lastErr)
 }
 
-// startRollout starts the rollout at a router, once all have read the plan.
+// startRollout starts the rollout at a router, once all routers have read the plan.
 func startRollout(fleet *emulator.RunningRouters, router int) error {
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		ready := 0
@@ -89,7 +89,7 @@
 	return err
 }
 
-// waitForLeader waits until one of the routers leads the rollout forward.
+// waitForLeader waits until one of the routers leads the rollout in its phase "forward".
 func waitForLeader(fleet *emulator.RunningRouters, routers []int) (int, error) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, router := range routers {
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	return 0, errors.New("no leader")
+	return 0, errors.New("no router leads the rollout")
 }
 
 // servingGenerations returns the generation that serves at each router.
@@ -117,9 +117,9 @@
 	return generations, nil
 }
 
-// Guards against a rollout of a good program that stops halfway or is undone when its
-// leader's supervisor is killed, the next one's is stopped, routers are cut off from
-// each other and from discovery, and caches come back cold.
+// Guards against a rollout of a good program that stops halfway or is rolled back when its
+// leader's supervisor is killed, the next leader's is stopped, routers are cut off from each
+// other and from discovery, and caches restart cold.
 func TestRolloutOfTheSameProgram(t *testing.T) {
 	t.Parallel()
 	text := rolloutFleet + "length_s: 150\ntroubles:\n" +
@@ -190,15 +190,16 @@
 	return nil
 }
 
-// skipLong skips a long test unless all are asked for.
+// skipLong skips a long test unless QUILLDOOR_ALL requests all tests.
 func skipLong(t *testing.T, long bool) {
 	t.Helper()
 	if long && os.Getenv("QUILLDOOR_ALL") == "" {
-		t.Skip("a minute: QUILLDOOR_ALL=1 plays it")
+		t.Skip("takes a minute: set QUILLDOOR_ALL=1 to run it")
 	}
 }
 
-// expectRolledBack waits for the end of a rollout, which has to be undone for the reason.
+// expectRolledBack waits for the end of a rollout and checks that it was rolled back for the
+// given reason.
 func expectRolledBack(t *testing.T, fleet *emulator.RunningRouters, within time.Duration, reason string) error {
 	began := time.Now()
 	status, err := waitForRolloutEnd(fleet, within, 1, 2, 3, 4, 5, 6, 7)
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// expectFirstGeneration checks that no router but those of the first stage was upgraded.
+// expectFirstGeneration checks that only routers of the first stage were upgraded.
 func expectFirstGeneration(t *testing.T, fleet *emulator.RunningRouters, inFirstStage func(router int) bool) error {
 	generations, err := servingGenerations(fleet)
 	if err != nil {
@@ -220,30 +221,30 @@
 	}
 	for i, generation := range generations {
 		if !inFirstStage(i) && generation != 1 {
-			t.Errorf("router %d has had generation %d", i, generation)
+			t.Errorf("router %d serves with generation %d", i, generation)
 		}
 	}
 	return nil
 }
 
-// worseProgram is a rollout of a program that does worse than the one that serves.
+// worseProgram is a rollout of a program that performs worse than the one that serves.
 type worseProgram struct {
 	fault  fault
 	reason string // of the rollback
-	long   bool   // skipped unless all tests are asked for
-	half   bool   // of each zone is upgraded first: a small fault shows on many routers only
+	long   bool   // skipped unless QUILLDOOR_ALL requests all tests
+	half   bool   // half of each zone is upgraded first, since a small fault shows only on many routers
 }
 
 // Guards against a worse program that gets beyond the first stage of its rollout, or is
 // left on a router after the rollback.
 func TestRolloutsOfWorsePrograms(t *testing.T) {
 	for _, tc := range []worseProgram{
-		{fault: faultNarrow},
-		{fault: faultDiesAtWork, long: true},
-		{fault: faultLeaks, reason: "MB", long: true},
-		{fault: faultHangsAtWork, long: true},
+		{fault: faultRejects},
+		{fault: faultCrashUnderLoad, long: true},
+		{fault: faultMemoryLeak, reason: "MB", long: true},
+		{fault: faultHangUnderLoad, long: true},
 		{fault: faultNoStart, reason: "did not change", long: true},
-		{fault: faultQuietMember, reason: "by itself", long: true},
+		{fault: faultSilentMember, reason: "by itself", long: true},
 		{fault: faultSlower, reason: "slowness", long: true, half: true},
 	} {
 		t.Run(string(tc.fault), func(t *testing.T) {
@@ -291,7 +292,7 @@
 }
 
 // excuseCrashes excuses, until stop is closed, the requests that router 0 holds when its
-// process dies of a fault.
+// process crashes.
 func excuseCrashes(fleet *emulator.RunningRouters, stop <-chan struct{}) {
 	for {
 		select {
@@ -303,21 +304,21 @@
 	}
 }
 
-// invariantBreaker is a rollout of a program that breaks an invariant and does no worse
-// by it.
-type invariantBreaker struct {
+// invariantViolator is a rollout of a program that violates an invariant and performs no worse
+// than the one that serves.
+type invariantViolator struct {
 	fault    fault
-	troubles []string // of the scenario: they give the program occasions to break the rule
+	troubles []string // of the scenario, in which the program violates the rule
 	rule     invariant.Rule
-	long     bool // skipped unless all tests are asked for
+	long     bool // skipped unless QUILLDOOR_ALL requests all tests
 }
 
-// Guards against a program that breaks an invariant and is rolled out because its
-// figures are no worse: the supervisor's monitor sees it, and the rollout is undone.
+// Guards against a program that violates an invariant and is rolled out because its metrics are
+// no worse: the supervisor's monitor has to detect it, and the rollout to be rolled back.
 func TestRolloutsOfRuleBreakers(t *testing.T) {
-	for _, tc := range []invariantBreaker{
+	for _, tc := range []invariantViolator{
 		{
-			fault: faultDeafToPurges,
+			fault: faultIgnoresPurges,
 			troubles: []string{
 				"{kind: purge, at: 20, share: 1}",
 				"{kind: purge, at: 28, share: 1}",
@@ -327,13 +328,13 @@
 			rule: invariant.RuleStale,
 		},
 		{
-			fault:    faultDeafToDrains,
+			fault:    faultIgnoresDrains,
 			troubles: []string{"{kind: deploy, at: 16, for: 1, every: 3, strength: 2}"},
 			rule:     invariant.RuleDrained,
 			long:     true,
 		},
 		{
-			fault: faultGreedy,
+			fault: faultSkipsSlowStart,
 			troubles: []string{
 				"{kind: die, at: 20, for: 1, share: 0.4, office: 1}",
 				"{kind: die, at: 27, for: 1, share: 0.4, office: 1}",
@@ -358,28 +359,28 @@
 			playUpgradesWith(t, tc.scenario(), playOptions{allowed: allowed, endWithDrive: true}, func(fleet *emulator.RunningRouters) error {
 				return tc.rollOut(t, fleet)
 			})
-			t.Logf("the checker saw %d violations", violations)
+			t.Logf("the checker found %d violations", violations)
 			if violations == 0 && !tc.overloads() {
-				t.Error("no violation: the test shows nothing")
+				t.Error("the program violated no invariant: the test shows nothing")
 			}
 		})
 	}
 }
 
-// overloads tells whether the program spends more than its share of a slow start: routers
-// beside it then break the rule too, or none does.
-func (tc invariantBreaker) overloads() bool { return tc.rule == invariant.RuleOverBudget }
+// overloads reports whether the program exceeds its share of the budget of an endpoint in slow
+// start. Then other routers may violate the rule as well, or none does.
+func (tc invariantViolator) overloads() bool { return tc.rule == invariant.RuleOverBudget }
 
-func (tc invariantBreaker) scenario() string {
+func (tc invariantViolator) scenario() string {
 	text := rolloutFleet + "length_s: 100\ntroubles:\n  - " + strings.Join(tc.troubles, "\n  - ") + "\n"
-	if tc.overloads() { // load enough to push a cold endpoint over
+	if tc.overloads() { // enough load to exceed the budget of a cold endpoint
 		text = strings.Replace(text, "txns_per_s: 240", "txns_per_s: 240, weights: [1.4, 0.8, 0.9, 0.9]", 1)
 	}
 	return text
 }
 
-// rollOut starts the rollout and checks that it is undone for the broken invariant.
-func (tc invariantBreaker) rollOut(t *testing.T, fleet *emulator.RunningRouters) error {
+// rollOut starts the rollout and checks that it is rolled back for the violated invariant.
+func (tc invariantViolator) rollOut(t *testing.T, fleet *emulator.RunningRouters) error {
 	first, _ := fleet.Name(0)
 	err := writePlan(fleet, faultyProgram(t, tc.fault),
 		"{routers: ["+first+"], watch_s: 60, least_s: 45}", "{share: 1, watch_s: 2, least_s: 2}")
--- a/cmd/quilldoor/serve_test.go
+++ b/cmd/quilldoor/serve_test.go
@@ -19,7 +19,7 @@
 	}
 	status, err := os.ReadFile("/proc/self/status")
 	if err != nil {
-		t.Skip("no /proc here")
+		t.Skip("/proc is not available")
 	}
 	_, rest, _ := strings.Cut(string(status), "FDSize:")
 	if size, _ := strconv.Atoi(strings.Fields(rest)[0]); size < 900 {
@@ -50,13 +50,13 @@
 		t.Fatal(err)
 	}
 	if _, err := net.Dial("tcp", router.addr); err == nil {
-		t.Fatal("still listening")
+		t.Fatal("the router still listens")
 	}
 	router.done <- nil // for the cleanup
 }
 
-// Guards against a reload that ends the router, takes a bad file, forgets the last event
-// of discovery or disturbs open requests.
+// Guards against a reload that ends the router, accepts an invalid file, loses the number of
+// the last event of discovery or interrupts open requests.
 func TestReload(t *testing.T) {
 	release := make(chan bool)
 	cache := newFakeEndpoint(t, func(id, fields, _ string) string {
@@ -79,7 +79,7 @@
 		router.reload <- syscall.SIGHUP
 		router.waitForLog(t, "the old one stays")
 	}
-	// The first event is known already; the second drains the cache.
+	// The router has the first event already; the second one drains the cache.
 	text := strings.Replace(router.config, "127.0.0.1:1\"", discovery.Addr().String()+"\"", 1)
 	text = strings.Replace(text, `}]}}]}`, `}]}},{"rev":2,"pool":{"targets":[{"uid":"c","state":"draining"}]}}]}`, 1)
 	router.writeConfig(t, strings.Replace(text, `"seed":"1"`, `"seed":"2"`, 1))
@@ -102,7 +102,7 @@
 	held.expectStatus(t, "200")
 }
 
-// Guards against clients that send on connections about to be closed: once the listener
+// Guards against clients that send on connections that are about to be closed: once the listener
 // is closed, each response announces the end of its connection.
 func TestResponsesSayCloseOnceTheListenerIsShut(t *testing.T) {
 	shutdownServeTime = 5 * time.Second
@@ -121,11 +121,11 @@
 		closing = strings.Contains(head, "Connection: close")
 	}
 	if _, err := client.reader.ReadByte(); err != io.EOF {
-		t.Errorf("after the last response: %v", err)
+		t.Errorf("after the last response: %v, want EOF", err)
 	}
-	// An idle client sees an orderly end, no reset.
+	// The idle connection is shut down in order, without a reset.
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the idle client: %v", err)
+		t.Errorf("the idle connection: %v, want EOF", err)
 	}
 	idle.Close()
 	if err := <-router.done; err != nil {
--- a/cmd/quilldoor/testclient_test.go
+++ b/cmd/quilldoor/testclient_test.go
@@ -17,7 +17,7 @@
 	reader *bufio.Reader
 }
 
-// dial connects a client for the time of the test.
+// dial connects a client until the end of the test.
 func dial(t *testing.T, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -29,10 +29,10 @@
 	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// lastRequestID is that of the last request sent by any client.
+// lastRequestID is the id of the last request sent by any client.
 var lastRequestID = 0
 
-// sendRequest writes a request with a new id; headers are lines to add to its own.
+// sendRequest writes a request with a new id. headers are additional header lines.
 func (c *testClient) sendRequest(method, target, headers, body string) {
 	lastRequestID++
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %016x\r\nX-Ttl-Ms: 1500\r\nX-Shard: 7\r\n"+
--- a/cmd/quilldoor/testrouter_test.go
+++ b/cmd/quilldoor/testrouter_test.go
@@ -20,7 +20,7 @@
 // shutdownServeTime is how long a router under test serves after its listener is closed.
 var shutdownServeTime = 50 * time.Millisecond
 
-// reserveAddress is an address on loopback that only this test binds.
+// reserveAddress returns an address on loopback that no other test binds.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.Reserve()
@@ -38,10 +38,10 @@
 	terminate  chan os.Signal
 	reload     chan os.Signal
 	done       chan error
-	log        chan string // messages from info up
+	log        chan string // messages of level info and above
 }
 
-// Levels has the router's messages from info up.
+// Levels returns the levels of the messages that Fire receives: info and above.
 func (r *testRouter) Levels() []logrus.Level { return logrus.AllLevels[:logrus.InfoLevel+1] }
 
 // Fire passes a log message on to the test, which need not read it.
@@ -54,8 +54,8 @@
 	return err
 }
 
-// testRouterConfig is the configuration of a router before one cache and one origin;
-// nothing listens at its discovery address.
+// testRouterConfig returns the configuration of a router in front of one cache and one origin.
+// Nothing listens at its discovery address.
 func testRouterConfig(addr, cache, origin string) string {
 	const target = `{"uid":"%s","endpoint":"%s","az":"z","model":"%s","state":"ready","capacity_hint":50}`
 	return `{"name":"t","listen":"` + addr + `","seed":"1","board":"127.0.0.1:1","known":{"rev":1,"notices":[
@@ -68,7 +68,7 @@
 	   {"Name":"sign","Effect":"unsafe","TargetMs":500,"GiveUpMs":2000,"Value":1}]}}`
 }
 
-// startRouter starts a router before a cache and an origin.
+// startRouter starts a router in front of a cache and an origin.
 func startRouter(t *testing.T, cache, origin string) *testRouter {
 	t.Helper()
 	return startRouterWith(t, cache, origin, "", strings.NewReplacer())
@@ -136,7 +136,7 @@
 	writeFile(t, r.configPath, []byte(text))
 }
 
-// writeFile writes a file that only this user reads.
+// writeFile writes a file that only the current user can read.
 func writeFile(t *testing.T, path string, content []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, content, 0o600); err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// waitForLog waits for a line of the log with the text.
+// waitForLog waits for a log line that contains the text.
 func (r *testRouter) waitForLog(t *testing.T, text string) {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
@@ -155,7 +155,7 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("nothing logged with %q", text)
+			t.Fatalf("no log line contains %q", text)
 		}
 	}
 }
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -14,7 +14,7 @@
 	"quilldoor/internal/membership"
 )
 
-// upgradeRepeatedly upgrades a router to its own program, again and again.
+// upgradeRepeatedly upgrades a router to its own program several times in a row.
 func upgradeRepeatedly(fleet *emulator.RunningRouters, router, upgrades int) error {
 	for i := range upgrades {
 		reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply})
@@ -59,9 +59,9 @@
 	}
 }
 
-// Guards against an upgrade that loses or shares what one process of a router owns: its
-// membership, its gateway, its disk cache and its metrics file. Four routers of two
-// sites are upgraded three times, all at once, during a purge and a cut between sites.
+// Guards against an upgrade that loses or shares resources that only one process of a router may
+// own: its membership, its gateway, its disk cache and its metrics file. Four routers of two
+// sites are upgraded three times, all at once, during a purge and a cut between the sites.
 func TestUpgradeHandsEverythingOver(t *testing.T) {
 	t.Parallel()
 	result := playUpgrades(t, `
@@ -104,7 +104,7 @@
 		t.Errorf("%d connections refused, %d broken off", result.RefusedConnections, result.BrokenConnections)
 	}
 	if result.Members.CalledDead > 0 {
-		t.Errorf("called dead: %v", result.Members.DeadByAll)
+		t.Errorf("declared dead: %v", result.Members.DeadByAll)
 	}
 }
 
@@ -136,8 +136,8 @@
 	}
 }
 
-// checkUpgradedLog checks that nothing in a router's log tells of a lost resource, and
-// that each of its generations opened the disk cache once.
+// checkUpgradedLog checks that a router's log reports no lost resource, and that each of its
+// generations opened the disk cache once.
 func checkUpgradedLog(t *testing.T, fleet *emulator.RunningRouters, router int) error {
 	t.Helper()
 	text, err := os.ReadFile(fleet.Log(router))
@@ -148,7 +148,7 @@
 		"disk cache off", "member dead", "member left", "this one keeps quiet", "level=error",
 	} {
 		if strings.Contains(string(text), unwanted) {
-			t.Errorf("router %d has logged %q", router, unwanted)
+			t.Errorf("the log of router %d contains %q", router, unwanted)
 		}
 	}
 	if got := strings.Count(string(text), "disk cache recovered"); got != 4 {
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -12,16 +12,16 @@
 	"quilldoor/internal/handoff"
 )
 
-// faultyGeneration is an upgrade to a faulty program and how it has to end.
+// faultyGeneration is an upgrade to a faulty program, with the outcome that it must have.
 type faultyGeneration struct {
 	fault     fault
 	reason    string // in the reply
-	fallsBack bool   // after it has served; else it is refused before
+	fallsBack bool   // after the new generation has served; else the upgrade is refused before
 	dies      bool   // the new process ends or is killed while it holds connections
 }
 
-// Guards against a faulty new generation that stays: it is refused or falls back with
-// a reason, and the old one serves in the end.
+// Guards against a faulty new generation that is settled: the upgrade must be refused or fall
+// back with a reason, and the old generation must serve in the end.
 func TestFaultyGenerations(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 4", 1) +
@@ -29,12 +29,12 @@
 	for _, tc := range []faultyGeneration{
 		{fault: faultNoStart, reason: "has ended"},
 		{fault: faultNeverReady},
-		{fault: faultSilent, reason: "has said nothing for", fallsBack: true, dies: true},
-		{fault: faultMute, fallsBack: true, dies: true},
+		{fault: faultNoHeartbeats, reason: "has said nothing for", fallsBack: true, dies: true},
+		{fault: faultNoConfirmation, fallsBack: true, dies: true},
 		{fault: faultCrash, reason: "has ended", fallsBack: true, dies: true},
 		{fault: faultMemory, reason: "memory:", fallsBack: true, dies: true},
 		{fault: faultDescriptors, reason: "descriptors:", fallsBack: true, dies: true},
-		{fault: faultRefuses, reason: "does worse", fallsBack: true},
+		{fault: faultNoEndpoint, reason: "does worse", fallsBack: true},
 	} {
 		t.Run(string(tc.fault), func(t *testing.T) {
 			t.Parallel()
@@ -54,8 +54,8 @@
 	}
 }
 
-// upgrade asks for the faulty program and checks the reply, the generation that serves
-// afterwards and that the supervisor still takes commands. It returns how long the
+// upgrade requests an upgrade to the faulty program. It checks the reply, the generation that
+// serves afterwards, and that the supervisor still accepts commands. It returns how long the
 // router was without a serving generation.
 func (tc faultyGeneration) upgrade(t *testing.T, fleet *emulator.RunningRouters) (recoveryMS int64, err error) {
 	done := make(chan struct{})
@@ -82,7 +82,7 @@
 		return 0, fmt.Errorf("status %+v", status)
 	}
 	<-done
-	// The supervisor still takes commands: there is no earlier generation to roll back to.
+	// The supervisor still accepts commands. There is no earlier generation to roll back to.
 	reply, err = fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack})
 	if err != nil {
 		return 0, fmt.Errorf("rollback without an earlier generation: %w", err)
@@ -93,8 +93,7 @@
 	return status.LastCrashMS, nil
 }
 
-// excuseCrashOnTrial excuses the requests that a new generation holds when it dies on
-// trial.
+// excuseCrashOnTrial excuses the requests that a new generation holds when it crashes on trial.
 func excuseCrashOnTrial(fleet *emulator.RunningRouters) {
 	onTrial := func(status *handoff.Status) bool {
 		return status.State == "on trial" || status.State == "handing over"
@@ -102,22 +101,22 @@
 	if _, err := fleet.WaitStatus(0, 4*time.Second, onTrial); err != nil {
 		return
 	}
-	// That it did not settle shows in what the test checks next.
+	// The caller checks next that the new generation was not settled.
 	_, _ = fleet.WaitStatus(0, 4*time.Second, func(status *handoff.Status) bool {
 		fleet.ExcuseCrash(0)
 		return status.State == "steady"
 	})
 }
 
-// Guards against a router without a serving generation, or with two, after processes
-// were killed or stopped at a step of an upgrade: the old generation serves in the end
-// unless the new one was settled.
+// Guards against a router without a serving generation, or with two, after processes were killed
+// or stopped at a step of an upgrade: the old generation must serve in the end unless the new one
+// has passed its trial.
 func TestProcessKilledAtEachUpgradeStep(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(supervisedFleet, "trial_s: 0.4", "trial_s: 1.5", 1) +
 		"load: {txns_per_s: 100, objects: 500}\nlength_s: 12\n"
 	for _, step := range []string{"warming", "on trial", "steady"} {
-		for _, target := range []string{"old", "new", "keeper", "keeper and new", "stop keeper", "stop new", "all"} {
+		for _, target := range []string{"old", "new", "supervisor", "supervisor and new", "stop supervisor", "stop new", "all"} {
 			if step == "steady" && strings.Contains(target, "new") {
 				continue // there is no new process
 			}
@@ -139,7 +138,7 @@
 func injectFault(t *testing.T, fleet *emulator.RunningRouters, step, target string) error {
 	t.Helper()
 	upgrade := &handoff.Message{Kind: handoff.KindApply}
-	if step == "warming" { // it lasts for some 20 ms else, and a busy test may not see it
+	if step == "warming" { // otherwise it lasts for some 20 ms, which a test on a busy machine may miss
 		upgrade.Program = faultyProgram(t, faultReadyLate)
 	}
 	if step != "steady" {
@@ -155,7 +154,7 @@
 	if err := killOrStop(fleet, status, target); err != nil {
 		return err
 	}
-	supervisorKilled := strings.Contains(target, "keeper") && !strings.Contains(target, "stop") || target == "all"
+	supervisorKilled := strings.Contains(target, "supervisor") && !strings.Contains(target, "stop") || target == "all"
 	if supervisorKilled {
 		if err := restartSupervisor(fleet, target != "all"); err != nil {
 			return err
@@ -179,9 +178,9 @@
 		return kill(status.Serving.PID)
 	case "new":
 		return kill(next)
-	case "keeper":
+	case "supervisor":
 		return fleet.KillSupervisor(0)
-	case "keeper and new":
+	case "supervisor and new":
 		return errors.Join(fleet.KillSupervisor(0), kill(next))
 	case "all":
 		err := errors.Join(fleet.KillSupervisor(0), kill(status.Serving.PID))
@@ -189,7 +188,7 @@
 			err = errors.Join(err, kill(next))
 		}
 		return err
-	case "stop keeper":
+	case "stop supervisor":
 		if err := syscall.Kill(status.SupervisorPID, syscall.SIGSTOP); err != nil {
 			return err
 		}
@@ -202,8 +201,8 @@
 	return nil
 }
 
-// restartSupervisor starts a killed supervisor again, after it was missing for longer
-// than a generation waits before it yields.
+// restartSupervisor starts a killed supervisor again, after an absence that is longer than a
+// generation waits for its supervisor before it yields.
 func restartSupervisor(fleet *emulator.RunningRouters, generationServes bool) error {
 	time.Sleep(700 * time.Millisecond)
 	if generationServes {
@@ -214,12 +213,12 @@
 	return fleet.StartSupervisor(0)
 }
 
-// generationAfterFault is the generation that has to serve in the end.
+// generationAfterFault returns the generation that has to serve in the end.
 func generationAfterFault(step, target string) uint64 {
 	switch {
-	case step == "on trial" && (target == "old" || target == "stop keeper"): // the new one passes its trial
+	case step == "on trial" && (target == "old" || target == "stop supervisor"): // the new one passes its trial
 		return 2
-	case step == "warming" && target == "stop keeper": // the upgrade goes on when the supervisor does
+	case step == "warming" && target == "stop supervisor": // the upgrade continues when the supervisor does
 		return 2
 	}
 	return 1
--- a/cmd/quilldoor/upgradeharness_test.go
+++ b/cmd/quilldoor/upgradeharness_test.go
@@ -12,7 +12,7 @@
 	"quilldoor/internal/emulator"
 )
 
-// supervisedFleet is one supervised router before caches and an origin.
+// supervisedFleet is one supervised router in front of caches and an origin.
 const supervisedFleet = `
 settle_s: 0.5
 fleet: {offices: 1, routers: 1, trunks: 1, caches: 12, cores: 6, link_share: 0.6, parents: 2,
@@ -51,12 +51,12 @@
 	t.Logf("score %.4f, %d judged, %d excused, %d refused, %d broken off",
 		result.EarnedShare(), result.Judged, result.Excused, result.RefusedConnections, result.BrokenConnections)
 	if result.Judged < 150 {
-		t.Errorf("%d requests: too few to tell anything", result.Judged)
+		t.Errorf("%d requests: too few for a conclusion", result.Judged)
 	}
 	return result
 }
 
-// checkHealth fails unless a router's health endpoint answers with 200.
+// checkHealth returns an error unless a router's health endpoint answers with status 200.
 func checkHealth(listen string) error {
 	status, err := healthStatus(listen)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// healthStatus is the status of a router's health endpoint, asked by a new connection.
+// healthStatus requests a router's health endpoint on a new connection and returns the status.
 func healthStatus(listen string) (int, error) {
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + listen + "/health")
