--- a/cmd/quilldoor/diskcache_test.go
+++ b/cmd/quilldoor/diskcache_test.go
@@ -41,7 +41,7 @@
 	addr := test.cache.Addr().String()
 	router := startRouterWith(t, addr, addr, operatorFile, freshness)
 	router.waitForLog(t, "disk cache recovered")
-	time.Sleep(150 * time.Millisecond) // the router knows all purges that affect copies issued from now on
+	time.Sleep(150 * time.Millisecond) // copies issued from now on are newer than any purge unknown to the router
 	test.client = dial(t, router.addr)
 	return test
 }
@@ -136,6 +136,6 @@
 		t.Fatalf("%d attempts for a revalidation", attempts)
 	}
 	if got := d.get(t, "", "200"); got != d.body || d.takeAttempts() != 0 {
-		t.Fatal("the cache was asked again for a revalidated copy")
+		t.Fatal("body or attempts differ for a revalidated copy")
 	}
 }
--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// restore takes over the state that another generation has learned.
+// restore restores the state that another generation has learned.
 func (g *generation) restore(snapshot *policy.Snapshot) {
 	if err := g.engine.Restore(snapshot); err != nil { // the router serves without it, as after a cold start
 		g.log.WithError(err).Warn("upgrade: snapshot has another shape, starting without it")
--- a/cmd/quilldoor/membership_test.go
+++ b/cmd/quilldoor/membership_test.go
@@ -245,7 +245,7 @@
 	writeFile(t, p.operatorPath(i), []byte(operator))
 }
 
-// start starts a router process and returns what it writes to its standard error.
+// start starts a router process and returns it with the text of its standard error.
 func (p *memberPair) start(t *testing.T, i int, permitted bool) (*exec.Cmd, *strings.Builder) {
 	t.Helper()
 	p.writeFiles(t, i, permitted)
--- a/cmd/quilldoor/rolloutcommand.go
+++ b/cmd/quilldoor/rolloutcommand.go
@@ -109,8 +109,8 @@
 	return rollout.ParsePlan(path, text)
 }
 
-// printPlan prints for each stage after how many seconds it stops a program with a loss, and
-// after how many it passes one without.
+// printPlan prints for each stage how many seconds it takes to stop a program with a loss, and
+// to pass a program without one.
 func printPlan(plan *rollout.Plan, spread float64) {
 	fmt.Printf("%s (%016x): %d routers, %d of an office at once\n", plan.Name, plan.Digest, len(plan.Routers), plan.MaxConcurrent)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -17,7 +17,7 @@
 	fault     fault
 	reason    string // in the reply
 	fallsBack bool   // after the new generation has served; else the upgrade is refused before
-	dies      bool   // the new process ends or is killed while it holds connections
+	crashes   bool   // the new process ends or is killed while it holds connections
 }
 
 // Guards against a faulty new generation that is settled: the upgrade must be refused or fall
@@ -29,11 +29,11 @@
 	for _, tc := range []faultyGeneration{
 		{fault: faultNoStart, reason: "has ended"},
 		{fault: faultNeverReady},
-		{fault: faultNoHeartbeats, reason: "has said nothing for", fallsBack: true, dies: true},
-		{fault: faultNoConfirmation, fallsBack: true, dies: true},
-		{fault: faultCrash, reason: "has ended", fallsBack: true, dies: true},
-		{fault: faultMemory, reason: "memory:", fallsBack: true, dies: true},
-		{fault: faultDescriptors, reason: "descriptors:", fallsBack: true, dies: true},
+		{fault: faultNoHeartbeats, reason: "has said nothing for", fallsBack: true, crashes: true},
+		{fault: faultNoConfirmation, fallsBack: true, crashes: true},
+		{fault: faultCrash, reason: "has ended", fallsBack: true, crashes: true},
+		{fault: faultMemory, reason: "memory:", fallsBack: true, crashes: true},
+		{fault: faultDescriptors, reason: "descriptors:", fallsBack: true, crashes: true},
 		{fault: faultNoEndpoint, reason: "does worse", fallsBack: true},
 	} {
 		t.Run(string(tc.fault), func(t *testing.T) {
@@ -44,7 +44,7 @@
 				return err
 			})
 			t.Logf("old generation served again after %d ms", recoveryMS)
-			if result.RefusedConnections > 0 || !tc.dies && result.BrokenConnections > 0 {
+			if result.RefusedConnections > 0 || !tc.crashes && result.BrokenConnections > 0 {
 				t.Errorf("%d connections refused, %d broken off", result.RefusedConnections, result.BrokenConnections)
 			}
 			if tc.fallsBack && recoveryMS > 500 {
@@ -61,7 +61,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if tc.dies {
+		if tc.crashes {
 			excuseCrashOnTrial(fleet)
 		}
 	}()
