--- a/cmd/quilldoor-lab/explain.go
+++ b/cmd/quilldoor-lab/explain.go
@@ -69,7 +69,7 @@
 // describe returns a short description of an event.
 func describe(entry *eventlog.Entry) string {
 	switch entry.Kind {
-	case eventlog.KindTaken:
+	case eventlog.KindReceived:
 		return fmt.Sprintf("router %d accepts it: %s of %s, group %d, %d ms left",
 			entry.Router, entry.Class, entry.Object, entry.Group, (entry.Deadline-entry.At)/microsPerMilli)
 	case eventlog.KindSent:
@@ -88,7 +88,7 @@
 		return fmt.Sprintf("attempt %d ends: %s", entry.Attempt, entry.Outcome)
 	case eventlog.KindAnswered:
 		return "answered: " + entry.Outcome
-	case eventlog.KindLeft:
+	case eventlog.KindClientTimedOut:
 		return "the client's deadline has passed"
 	}
 	return string(entry.Kind)
--- a/cmd/quilldoor-lab/upgradewindow.go
+++ b/cmd/quilldoor-lab/upgradewindow.go
@@ -35,7 +35,7 @@
 func (w *windowRecorder) record(entry *eventlog.Entry) {
 	from, to := upgradeAt.Microseconds(), (upgradeAt + upgradeWindow).Microseconds()
 	switch entry.Kind {
-	case eventlog.KindTaken:
+	case eventlog.KindReceived:
 		if entry.At >= from && entry.At < to {
 			w.pending[entry.Request] = pendingRequest{receivedAt: entry.At, class: entry.Class}
 			w.offered += w.weights[entry.Class]
--- a/cmd/quilldoor/background.go
+++ b/cmd/quilldoor/background.go
@@ -55,7 +55,7 @@
 	case engine.CommandLog:
 		r.logDecision(command)
 	case engine.CommandDrop:
-		command.Attempt.Drop(command.Silent)
+		command.Attempt.Drop(command.TimedOut)
 	}
 }
 
--- a/cmd/quilldoor/mixedadapters_test.go
+++ b/cmd/quilldoor/mixedadapters_test.go
@@ -220,7 +220,7 @@
 		cache := r.random.IntN(recordingCaches)
 		r.scheduleList(at, policy.ScopeDiff, []adapterEndpoint{r.cache(cache, policy.EndpointDraining, 0)})
 		const drainTime = 200
-		gone := r.cache(cache, policy.EndpointGone, 0)
+		gone := r.cache(cache, policy.EndpointRemoved, 0)
 		r.scheduleList(at+drainTime, policy.ScopeDiff, []adapterEndpoint{gone})
 		const restartTime = 300
 		started := r.cache(cache, policy.EndpointActive, at+restartTime)
--- a/internal/bufferpool/body.go
+++ b/internal/bufferpool/body.go
@@ -27,7 +27,7 @@
 	}
 	remaining := b.length
 	for _, buffer := range b.buffers {
-		n := min(remaining, Size)
+		n := min(remaining, BufferSize)
 		list = append(list, buffer[:n])
 		remaining -= n
 	}
@@ -39,7 +39,7 @@
 // then releases the body.
 func (b *Body) AppendBytes(data []byte) bool {
 	for len(data) > 0 {
-		offset := b.length % Size
+		offset := b.length % BufferSize
 		if offset == 0 {
 			added := b.pool.get()
 			if added == nil {
--- a/internal/bufferpool/pool.go
+++ b/internal/bufferpool/pool.go
@@ -9,15 +9,15 @@
 	"sync/atomic"
 )
 
-// Size is the size of a buffer in bytes. It is small since each connection has a
+// BufferSize is the size of a buffer in bytes. It is small since each connection has a
 // buffer of this size.
-const Size = 8 << 10
+const BufferSize = 8 << 10
 
 // ErrFull reports that the limit on buffered bytes is reached. The body was read to
 // its end and discarded, so that its connection remains usable.
 var ErrFull = errors.New("the limit on buffered body bytes is reached")
 
-type buffer = [Size]byte
+type buffer = [BufferSize]byte
 
 // Pool holds free buffers and limits the bytes in use. It is safe for concurrent use.
 type Pool struct {
@@ -39,8 +39,8 @@
 
 // get returns a buffer, or nil if the limit is reached.
 func (p *Pool) get() *buffer {
-	if p.available.Add(-Size) < 0 {
-		p.available.Add(Size)
+	if p.available.Add(-BufferSize) < 0 {
+		p.available.Add(BufferSize)
 		return nil
 	}
 	return p.free.Get().(*buffer)
@@ -48,7 +48,7 @@
 
 func (p *Pool) put(b *buffer) {
 	p.free.Put(b)
-	p.available.Add(Size)
+	p.available.Add(BufferSize)
 }
 
 // NewBody returns an empty body with one reference, to fill with AppendBytes.
@@ -74,7 +74,7 @@
 			return nil, ErrFull
 		}
 		body.buffers = append(body.buffers, chunk)
-		chunkLength := min(length-body.length, Size)
+		chunkLength := min(length-body.length, BufferSize)
 		if _, err := io.ReadFull(r, chunk[:chunkLength]); err != nil {
 			body.Release()
 			return nil, err
--- a/internal/bufferpool/pool_test.go
+++ b/internal/bufferpool/pool_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestBodiesAreBounded(t *testing.T) {
-	pool := NewPool(3 * Size)
-	text := strings.Repeat("0123456789abcdef", 2*Size/16) + "tail"
+	pool := NewPool(3 * BufferSize)
+	text := strings.Repeat("0123456789abcdef", 2*BufferSize/16) + "tail"
 	body, err := pool.ReadBody(strings.NewReader(text), len(text))
 	if err != nil || body.Len() != len(text) || string(bytes.Join(body.AppendBuffers(nil), nil)) != text {
 		t.Fatalf("read a body of %d bytes, error %v; want the %d bytes of the text", body.Len(), err, len(text))
@@ -30,7 +30,7 @@
 		t.Fatal("Release returned the buffers while the body had another reference")
 	}
 	body.Release()
-	if _, err := pool.ReadBody(strings.NewReader("half"), 3*Size); !errors.Is(err, io.ErrUnexpectedEOF) {
+	if _, err := pool.ReadBody(strings.NewReader("half"), 3*BufferSize); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatalf("an incomplete body: error %v, want io.ErrUnexpectedEOF", err)
 	}
 	if _, err := pool.ReadBody(strings.NewReader(text), len(text)); err != nil || pool.available.Load() != 0 {
--- a/internal/cacheproto/codec_test.go
+++ b/internal/cacheproto/codec_test.go
@@ -32,7 +32,7 @@
 func TestResponseIsRead(t *testing.T) {
 	response, err := read("9b ACK entity=4be0,issued=1764576000123,detail=MISS_ORIGIN,delay=12.5,use=util:0.61;x1:2,new=1 9\r\n")
 	if err != nil || response.ID != "9b" || response.Status != StatusOK || response.Tag != "4be0" || response.IssuedMillis != 1764576000123 || response.Reason != policy.ReasonMissOrigin ||
-		response.DelayMillis != 12.5 || response.Load["util"] != 0.61 || response.Load["x1"] != 2 || response.Length != 9 {
+		response.OriginWaitMillis != 12.5 || response.Load["util"] != 0.61 || response.Load["x1"] != 2 || response.Length != 9 {
 		t.Fatalf("response %+v, error %v", response, err)
 	}
 	if response, err := read("p1 READY\r\n"); err != nil || response.Status != StatusReady || response.Length >= 0 {
@@ -97,11 +97,11 @@
 		}
 	}
 	response := Response{
-		ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: policy.ReasonCoalesced, DelayMillis: 1.5,
+		ID: "ab", Status: StatusOK, Tag: "t", IssuedMillis: 9, Reason: policy.ReasonCoalesced, OriginWaitMillis: 1.5,
 		Load: map[string]float64{"util": 0.5, "x0": 1}, Length: 10,
 	}
 	got, err := ReadResponse(bufio.NewReader(strings.NewReader(string(AppendResponse(nil, &response)))), 100)
-	if err != nil || got.Tag != response.Tag || got.Reason != policy.ReasonCoalesced || got.DelayMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
+	if err != nil || got.Tag != response.Tag || got.Reason != policy.ReasonCoalesced || got.OriginWaitMillis != 1.5 || got.Load["util"] != 0.5 || got.Length != 10 {
 		t.Fatalf("read response %+v, error %v; want %+v", got, err, response)
 	}
 	miss := Response{ID: "ab", Status: StatusMiss}
--- a/internal/cacheproto/line.go
+++ b/internal/cacheproto/line.go
@@ -20,8 +20,8 @@
 // MaxValueLen is the greatest length of a field's value, in bytes.
 const MaxValueLen = 128
 
-// IsPlain reports whether text can be written as a field's value.
-func IsPlain(text string) bool {
+// IsValidValue reports whether text can be written as a field's value.
+func IsValidValue(text string) bool {
 	if len(text) > MaxValueLen {
 		return false
 	}
--- a/internal/cacheproto/response.go
+++ b/internal/cacheproto/response.go
@@ -60,14 +60,14 @@
 // Response is the line of one response. It is followed by a body of Length bytes and
 // CR LF.
 type Response struct {
-	ID           string
-	Status       Status
-	Tag          string // identifies the copy
-	IssuedMillis int64  // when the origin issued the copy, in Unix milliseconds
-	Reason       policy.Reason
-	DelayMillis  float64            // how long the fill waited for the origin
-	Load         map[string]float64 // the server's load report
-	Length       int                // bytes of the body; -1: neither a body nor CR LF follows
+	ID               string
+	Status           Status
+	Tag              string // identifies the copy
+	IssuedMillis     int64  // when the origin issued the copy, in Unix milliseconds
+	Reason           policy.Reason
+	OriginWaitMillis float64            // how long the fill waited for the origin
+	Load             map[string]float64 // the server's load report
+	Length           int                // bytes of the body; -1: neither a body nor CR LF follows
 }
 
 // ReadResponse reads the line of one response, which must fit into r's buffer. A
@@ -115,7 +115,7 @@
 	case "detail":
 		r.Reason = reasonWords[value]
 	case "delay":
-		r.DelayMillis, err = parseNonNegative(value)
+		r.OriginWaitMillis, err = parseNonNegative(value)
 	case "use":
 		r.Load, err = parseLoad(value)
 	}
@@ -181,9 +181,9 @@
 			b = append(b, name...)
 		}
 	}
-	if response.DelayMillis > 0 {
+	if response.OriginWaitMillis > 0 {
 		appendName("delay")
-		b = strconv.AppendFloat(b, response.DelayMillis, 'f', 3, 64)
+		b = strconv.AppendFloat(b, response.OriginWaitMillis, 'f', 3, 64)
 	}
 	if len(response.Load) > 0 {
 		appendName("use")
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -135,7 +135,7 @@
 // observeRequest checks an entry about a request or one of its attempts, and ignores others.
 func (c *Checker) observeRequest(entry *eventlog.Entry) {
 	switch entry.Kind {
-	case eventlog.KindTaken:
+	case eventlog.KindReceived:
 		c.requestTaken(entry)
 	case eventlog.KindRefused:
 		delete(c.requests, requestID{entry.Router, entry.Request})
@@ -149,9 +149,9 @@
 		c.attemptEnded(entry)
 	case eventlog.KindAnswered:
 		c.requestAnswered(entry)
-	case eventlog.KindLeft:
+	case eventlog.KindClientTimedOut:
 		c.clientLeft(entry)
-	case eventlog.KindWrong:
+	case eventlog.KindMismatch:
 		c.violate(ruleOneAnswer, entry, "served a response that no endpoint made for the request: %s", entry.State)
 	}
 }
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -17,11 +17,11 @@
 }
 
 func taken(class string) *eventlog.Entry {
-	return entry(0, eventlog.KindTaken, eventlog.Entry{Class: class, Object: "o", Group: 3, Deadline: 1000 * ms})
+	return entry(0, eventlog.KindReceived, eventlog.Entry{Class: class, Object: "o", Group: 3, Deadline: 1000 * ms})
 }
 
 func takenWithLongDeadline() *eventlog.Entry {
-	return entry(0, eventlog.KindTaken, eventlog.Entry{Class: "read", Object: "o", Group: 3, Deadline: 20 * second})
+	return entry(0, eventlog.KindReceived, eventlog.Entry{Class: "read", Object: "o", Group: 3, Deadline: 20 * second})
 }
 
 func sent(at int64, attempt int, endpoint, source string) *eventlog.Entry {
@@ -99,7 +99,7 @@
 			taken("read"), answered(5, "rejected", 0), answered(6, "rejected", 0),
 		}},
 		{"client times out during a long suspension", 0, []*eventlog.Entry{
-			taken("read"), suspended(500), entry(1050, eventlog.KindLeft, eventlog.Entry{}),
+			taken("read"), suspended(500), entry(1050, eventlog.KindClientTimedOut, eventlog.Entry{}),
 			started(12000), started(16000), resumed(21000), answered(21001, "aborted", 0),
 		}},
 		{"a second answer after a long suspension", 1, []*eventlog.Entry{
@@ -108,7 +108,7 @@
 		}},
 		{"late by the slack", 0, []*eventlog.Entry{taken("read"), answered(1008, "aborted", 0)}},
 		{"late by more than the slack", 1, []*eventlog.Entry{taken("read"), answered(1009, "aborted", 0)}},
-		{"no answer", 1, []*eventlog.Entry{taken("read"), entry(1010, eventlog.KindLeft, eventlog.Entry{})}},
+		{"no answer", 1, []*eventlog.Entry{taken("read"), entry(1010, eventlog.KindClientTimedOut, eventlog.Entry{})}},
 		{"answer without a request", 1, []*eventlog.Entry{answered(5, "completed", 4)}},
 		{"attempt after the answer", 1, []*eventlog.Entry{
 			taken("read"), answered(5, "rejected", 0), sent(6, 0, "a", ""),
@@ -125,7 +125,7 @@
 			taken("read"), entry(5, eventlog.KindRefused, eventlog.Entry{}),
 		}},
 		{"due during the suspension", 0, []*eventlog.Entry{
-			taken("read"), suspended(500), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
+			taken("read"), suspended(500), entry(1010, eventlog.KindClientTimedOut, eventlog.Entry{}),
 		}},
 		{"answered within the grace after the suspension", 0, []*eventlog.Entry{
 			taken("read"), suspended(500), resumed(2000), answered(2200, "aborted", 0),
@@ -134,7 +134,7 @@
 			taken("read"), suspended(500), resumed(2000), answered(2301, "aborted", 0),
 		}},
 		{"due after the suspension", 1, []*eventlog.Entry{
-			taken("read"), suspended(100), resumed(600), entry(1010, eventlog.KindLeft, eventlog.Entry{}),
+			taken("read"), suspended(100), resumed(600), entry(1010, eventlog.KindClientTimedOut, eventlog.Entry{}),
 		}},
 		{"suspended before the request", 1, []*eventlog.Entry{
 			suspended(-900), resumed(-400), taken("read"), answered(1009, "aborted", 0),
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		l, memory := c.Limits, int64(32<<20)
-		held := l.MaxBufferedBytes + int64(l.MaxDiscoveryBody) + int64(l.MaxClients+l.MaxUpstreamConns)*(bufferpool.Size+8<<10)
+		held := l.MaxBufferedBytes + int64(l.MaxDiscoveryBody) + int64(l.MaxClients+l.MaxUpstreamConns)*(bufferpool.BufferSize+8<<10)
 		if held > memory*5/8 || l.MemoryBytes > memory*3/4 || l.MaxClients < l.MaxDescriptors/3 {
 			t.Errorf("%s sockets: connections and bodies hold up to %d bytes, collector limit %d, %d clients",
 				sockets, held, l.MemoryBytes, l.MaxClients)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -81,7 +81,7 @@
 
 func checkClass(prefix string, class *settings.Class) error {
 	switch {
-	case class.Name == "" || !cacheproto.IsPlain(class.Name):
+	case class.Name == "" || !cacheproto.IsValidValue(class.Name):
 		return keyError{
 			prefix + "Name",
 			fmt.Sprintf("%q is empty, too long or has characters that the cache protocol does not allow", class.Name),
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -85,7 +85,7 @@
 	}
 	return &pollConn{
 		Conn:          conn,
-		reader:        bufio.NewReaderSize(conn, bufferpool.Size),
+		reader:        bufio.NewReaderSize(conn, bufferpool.BufferSize),
 		stopAfterFunc: context.AfterFunc(ctx, func() { conn.Close() }),
 	}, nil
 }
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -57,7 +57,7 @@
 var endpointStates = map[string]policy.EndpointState{
 	"ready":    policy.EndpointActive,
 	"draining": policy.EndpointDraining,
-	"gone":     policy.EndpointGone,
+	"gone":     policy.EndpointRemoved,
 }
 
 // Parse decodes and validates an update. Every endpoint needs a plain id and a known state,
@@ -85,7 +85,7 @@
 		return nil
 	}
 	for _, endpoint := range e.Endpoints.Entries {
-		if !cacheproto.IsPlain(endpoint.ID) || endpointStates[endpoint.State] == "" {
+		if !cacheproto.IsValidValue(endpoint.ID) || endpointStates[endpoint.State] == "" {
 			return fmt.Errorf("target with invalid uid %.40q or unknown state %.20q", endpoint.ID, endpoint.State)
 		}
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -143,7 +143,7 @@
 		endpoint := entry.engineEndpoint()
 		list = append(list, endpoint)
 		w.endpoints[endpoint.ID] = endpoint
-		if endpoint.State == policy.EndpointGone {
+		if endpoint.State == policy.EndpointRemoved {
 			delete(w.endpoints, endpoint.ID)
 		}
 	}
--- a/internal/downstream/client.go
+++ b/internal/downstream/client.go
@@ -35,7 +35,7 @@
 
 func newClient(socket net.Conn) *client {
 	c := &client{Conn: socket, arrivals: arrivalReader{Conn: socket}, idleSince: time.Now()}
-	c.reader = bufio.NewReaderSize(&c.arrivals, bufferpool.Size)
+	c.reader = bufio.NewReaderSize(&c.arrivals, bufferpool.BufferSize)
 	return c
 }
 
--- a/internal/downstream/client_test.go
+++ b/internal/downstream/client_test.go
@@ -52,7 +52,7 @@
 	for name, extraBytes := range map[string]int{
 		"nothing":              0,
 		"half a request":       20,
-		"more than the buffer": 4 * bufferpool.Size,
+		"more than the buffer": 4 * bufferpool.BufferSize,
 	} {
 		t.Run(name, func(t *testing.T) {
 			clientEnd, serverEnd := connectedPair(t)
@@ -79,8 +79,8 @@
 // The signal also wakes a goroutine that watches a client whose read buffer is full.
 func TestSignalWakesBehindAFullBuffer(t *testing.T) {
 	clientEnd, serverEnd := connectedPair(t)
-	io.WriteString(clientEnd, strings.Repeat("x", 4*bufferpool.Size))
-	if _, err := serverEnd.reader.Peek(bufferpool.Size); err != nil {
+	io.WriteString(clientEnd, strings.Repeat("x", 4*bufferpool.BufferSize))
+	if _, err := serverEnd.reader.Peek(bufferpool.BufferSize); err != nil {
 		t.Fatal(err)
 	}
 	wake := newSignal()
@@ -203,7 +203,7 @@
 	client := s.connect(t)
 	last := strings.Replace(fmt.Sprintf(requestText, 1), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 	// One write, so that bytes after the request are unread while it is answered.
-	io.WriteString(client, last+strings.Repeat("x", 8*bufferpool.Size))
+	io.WriteString(client, last+strings.Repeat("x", 8*bufferpool.BufferSize))
 	got, err := io.ReadAll(client.reader)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 503") {
 		t.Errorf("response %q, error %v, want a 503", got, err)
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -121,7 +121,7 @@
 			return final, connected
 		}
 		if connected = x.client.awaitSignal(x.wake); !connected {
-			x.server.engine.ClientGone(time.Now().UnixMicro(), engineRequest)
+			x.server.engine.ClientDisconnected(time.Now().UnixMicro(), engineRequest)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 // any other command.
 func discardCommand(command engine.Command) {
 	if command.Kind == engine.CommandDrop {
-		command.Attempt.Drop(command.Silent)
+		command.Attempt.Drop(command.TimedOut)
 	}
 	if command.Response != nil {
 		command.Response.Release()
--- a/internal/downstream/forward.go
+++ b/internal/downstream/forward.go
@@ -154,7 +154,7 @@
 		case <-wake:
 		case <-clientGone:
 			connected = false
-			s.engine.ClientGone(time.Now().UnixMicro(), engineRequest)
+			s.engine.ClientDisconnected(time.Now().UnixMicro(), engineRequest)
 		}
 	}
 }
@@ -167,10 +167,10 @@
 	if !known || event.Write != class.Write || event.Remaining <= 0 {
 		return false
 	}
-	return isRequestID(event.Request) && cacheproto.IsPlain(event.Object) &&
+	return isRequestID(event.Request) && cacheproto.IsValidValue(event.Object) &&
 		event.Part >= 0 && event.Part <= maxPart &&
 		event.Group >= 0 && event.Group <= maxGroup &&
-		(forwarded.Tag == "" || cacheproto.IsPlain(forwarded.Tag))
+		(forwarded.Tag == "" || cacheproto.IsValidValue(forwarded.Tag))
 }
 
 // replyFromCommand converts the engine's final command to a reply. A nil command,
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -52,7 +52,7 @@
 		return nil, http.StatusLengthRequired
 	}
 	request := &clientRequest{event: policy.Event{Class: class.Name, Object: object, Write: class.Write}}
-	valid := cacheproto.IsPlain(object) && (class.Write || head.ContentLength == 0) &&
+	valid := cacheproto.IsValidValue(object) && (class.Write || head.ContentLength == 0) &&
 		parsePart(part, &request.event.Part) && request.parseFields(head, s.limits.MaxRequestTimeout)
 	if !valid {
 		return nil, http.StatusBadRequest
@@ -122,7 +122,7 @@
 	}
 	if key, given := head.Get("x-txn-key"); given {
 		r.idempotencyKey = key
-		return cacheproto.IsPlain(key)
+		return cacheproto.IsValidValue(key)
 	}
 	return true
 }
@@ -142,7 +142,7 @@
 // be sent to an endpoint, counts as none. A text over MaxValueLen is invalid.
 func (r *clientRequest) parseTag(text string) bool {
 	tag := strings.Trim(strings.TrimPrefix(text, "W/"), `"`)
-	if cacheproto.IsPlain(tag) {
+	if cacheproto.IsValidValue(tag) {
 		r.tag = tag
 	}
 	return len(text) <= cacheproto.MaxValueLen
--- a/internal/emulator/cache_connection.go
+++ b/internal/emulator/cache_connection.go
@@ -59,11 +59,11 @@
 		return
 	}
 	response := cacheproto.Response{
-		ID:          a.requestID,
-		Status:      status,
-		Reason:      end.Reason,
-		DelayMillis: float64(end.Waited) / microsPerMilli,
-		Load:        end.Load,
+		ID:               a.requestID,
+		Status:           status,
+		Reason:           end.Reason,
+		OriginWaitMillis: float64(end.Waited) / microsPerMilli,
+		Load:             end.Load,
 	}
 	var body []byte
 	switch {
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -179,7 +179,7 @@
 	l.requests[get.ID] = request
 	now := l.simulation.Now()
 	l.Record(&eventlog.Entry{
-		Kind: eventlog.KindTaken, At: now, Router: l.id, Request: get.ID,
+		Kind: eventlog.KindReceived, At: now, Router: l.id, Request: get.ID,
 		Class: get.Class, Object: get.Object, Group: group, Deadline: now + get.BudgetMillis*microsPerMilli,
 	})
 	time.AfterFunc(time.Duration(get.BudgetMillis)*time.Millisecond, func() {
--- a/internal/emulator/process_discovery.go
+++ b/internal/emulator/process_discovery.go
@@ -20,7 +20,7 @@
 var endpointStates = map[policy.EndpointState]string{
 	policy.EndpointActive:   "ready",
 	policy.EndpointDraining: "draining",
-	policy.EndpointGone:     "gone",
+	policy.EndpointRemoved:  "gone",
 }
 
 // discoveryTarget is an endpoint in the discovery protocol.
--- a/internal/emulator/rollout_counts.go
+++ b/internal/emulator/rollout_counts.go
@@ -22,13 +22,13 @@
 // record tracks the requests in the event log.
 func (r *rolloutRun) record(entry *eventlog.Entry) {
 	switch entry.Kind {
-	case eventlog.KindTaken:
+	case eventlog.KindReceived:
 		r.pending[entry.Request] = &rolloutRequest{receivedAt: entry.At, class: entry.Class}
 	case eventlog.KindSent:
 		if request := r.pending[entry.Request]; request != nil {
 			request.attempts++
 		}
-	case eventlog.KindAnswered, eventlog.KindLeft:
+	case eventlog.KindAnswered, eventlog.KindClientTimedOut:
 		if request := r.pending[entry.Request]; request != nil {
 			delete(r.pending, entry.Request)
 			r.count(entry, request)
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -66,7 +66,7 @@
 func (s *socketRun) finishRequest(process *routerProcess, request *clientRequest, response clientResponse) {
 	if response.mismatch != "" {
 		s.Record(&eventlog.Entry{
-			Kind: eventlog.KindWrong, At: s.simulation.Now(), Router: request.Router, Request: request.ID,
+			Kind: eventlog.KindMismatch, At: s.simulation.Now(), Router: request.Router, Request: request.ID,
 			State: response.mismatch,
 		})
 	}
@@ -206,8 +206,8 @@
 	return issued, ""
 }
 
-// ClientGone closes the connection of a client that no longer waits.
-func (s *socketRun) ClientGone(routerID int, requestID string) {
+// ClientDisconnected closes the connection of a client that no longer waits.
+func (s *socketRun) ClientDisconnected(routerID int, requestID string) {
 	if request := s.routers[routerID].requests[requestID]; request != nil {
 		delete(s.routers[routerID].requests, requestID)
 		s.removeForwarded(requestID)
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -10,7 +10,7 @@
 // withdraw ends a forwarded request that the router of the other site no longer waits for.
 func (v *virtualRun) withdraw(router *virtualRouter, request *virtualRequest) {
 	request.finished = true
-	request.engine.ClientGone(v.now(), request.engineRequest)
+	request.engine.ClientDisconnected(v.now(), request.engineRequest)
 	v.detach(request)
 	router.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, false)
 }
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// ClientGone notifies a router that the client of a request has left.
-func (v *virtualRun) ClientGone(routerID int, requestID string) {
+// ClientDisconnected notifies a router that the client of a request has left.
+func (v *virtualRun) ClientDisconnected(routerID int, requestID string) {
 	v.routers[routerID].whenRunning(func() { v.clientLeft(routerID, requestID) })
 }
 
@@ -183,13 +183,13 @@
 	router := v.routers[routerID]
 	if router.forwarded[requestID] != nil {
 		delete(router.forwarded, requestID)
-		router.gateway.ClientGone(requestID)
+		router.gateway.ClientDisconnected(requestID)
 		v.runGatewayActions(router)
 		return
 	}
 	if request := router.requests[requestID]; request != nil {
 		request.finished = true
-		request.engine.ClientGone(v.now(), request.engineRequest)
+		request.engine.ClientDisconnected(v.now(), request.engineRequest)
 		v.detach(request)
 	}
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -27,9 +27,9 @@
 	state atomic.Uint32
 }
 
-// Transport carries an attempt on the sockets. Drop abandons the attempt; silent
+// Transport carries an attempt on the sockets. Drop abandons the attempt; timedOut
 // reports that it timed out without a response.
-type Transport interface{ Drop(silent bool) }
+type Transport interface{ Drop(timedOut bool) }
 
 // The states of an attempt.
 const (
@@ -39,9 +39,9 @@
 )
 
 // Drop abandons the attempt on the sockets, if it was passed to a transport.
-func (a *Attempt) Drop(silent bool) {
+func (a *Attempt) Drop(timedOut bool) {
 	if a.Transport != nil {
-		a.Transport.Drop(silent)
+		a.Transport.Drop(timedOut)
 	}
 }
 
@@ -182,6 +182,6 @@
 	if attempt.Withdraw() {
 		outcome = policy.OutcomeConnectionRefused
 	}
-	attempt.Request.post(Command{Kind: CommandDrop, Attempt: attempt, Silent: true})
+	attempt.Request.post(Command{Kind: CommandDrop, Attempt: attempt, TimedOut: true})
 	e.endAttempt(now, attempt, Result{Outcome: outcome})
 }
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -32,7 +32,7 @@
 type Command struct {
 	Kind          CommandKind
 	Attempt       *Attempt  // of CommandSend, CommandDrop and CommandRespond
-	Silent        bool      // of CommandDrop: the attempt timed out without a response
+	TimedOut      bool      // of CommandDrop: the attempt timed out without a response
 	Response      Response  // of CommandRespond
 	RetryAfter    int64     // of CommandReject: microseconds from now; 0: not stated
 	MaybeExecuted bool      // of CommandReject and CommandFail: an attempt may have been executed
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -28,7 +28,7 @@
 			retired = append(retired, previous)
 		}
 		e.endpoints[endpoint.ID] = &endpoint
-		if endpoint.State == policy.EndpointGone {
+		if endpoint.State == policy.EndpointRemoved {
 			delete(e.endpoints, endpoint.ID)
 		}
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -101,7 +101,7 @@
 	e := newTestEngine(nil)
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
-	e.ClientGone(start+millisecond, request)
+	e.ClientDisconnected(start+millisecond, request)
 	if command := onlyCommand(t, request, CommandDrop); command.Attempt != attempt {
 		t.Fatalf("dropped attempt %+v, want %+v", command.Attempt, attempt)
 	}
@@ -121,8 +121,8 @@
 	}
 	e.Run(start + 1000*millisecond)
 	commands := request.TakeCommands()
-	if len(commands) != 2 || commands[0].Kind != CommandDrop || !commands[0].Silent || commands[1].Kind != CommandFail {
-		t.Fatalf("commands %+v, want a silent drop, then fail", commands)
+	if len(commands) != 2 || commands[0].Kind != CommandDrop || !commands[0].TimedOut || commands[1].Kind != CommandFail {
+		t.Fatalf("commands %+v, want a drop of an attempt that timed out, then fail", commands)
 	}
 	if e.Run(start + 1100*millisecond); len(request.TakeCommands()) != 0 {
 		t.Fatal("the request got another command after it had failed")
@@ -202,7 +202,7 @@
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
 	attempt.Begin()
-	e.ClientGone(start+millisecond, request)
+	e.ClientDisconnected(start+millisecond, request)
 	request.Detach()
 	_, background := e.Run(start + 1000*millisecond)
 	if len(background) != 1 || background[0].Kind != CommandDrop || background[0].Attempt != attempt {
@@ -247,7 +247,7 @@
 func TestNothingBeginsForAClosedRequestWithoutCancelling(t *testing.T) {
 	e := newTestEngine(func(s *policy.Settings) { s.Limits.Cancel = false })
 	request, attempt := e.openAttempt(t, "read")
-	e.ClientGone(start+millisecond, request)
+	e.ClientDisconnected(start+millisecond, request)
 	if attempt.Begin() {
 		t.Error("Begin returned true for an attempt of a closed request")
 	}
@@ -258,7 +258,7 @@
 	// An attempt that has begun stays in flight until it ends.
 	request, attempt = e.openAttempt(t, "read")
 	attempt.Begin()
-	e.ClientGone(start+millisecond, request)
+	e.ClientDisconnected(start+millisecond, request)
 	if len(request.TakeCommands()) != 0 || len(e.requests) != 1 {
 		t.Error("an attempt that had begun was dropped, or its request was removed")
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -56,14 +56,14 @@
 	return request, nil
 }
 
-// ClientGone reports that the client disconnected before it was answered. It has no
+// ClientDisconnected reports that the client disconnected before it was answered. It has no
 // effect on a request that was answered.
-func (e *Engine) ClientGone(now int64, request *Request) {
+func (e *Engine) ClientDisconnected(now int64, request *Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !request.closed {
 		e.closeRequest(now, request)
-		e.handle(now, policy.Event{Kind: policy.EventClientGone, Request: request.ID})
+		e.handle(now, policy.Event{Kind: policy.EventRequestClosed, Request: request.ID})
 	}
 }
 
@@ -105,5 +105,5 @@
 func (e *Engine) failOverdue(now int64, request *Request) {
 	request.post(Command{Kind: CommandFail, MaybeExecuted: true})
 	e.closeRequest(now, request)
-	e.events = append(e.events, policy.Event{Kind: policy.EventClientGone, Request: request.ID})
+	e.events = append(e.events, policy.Event{Kind: policy.EventRequestClosed, Request: request.ID})
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -8,17 +8,17 @@
 
 // The kinds of requests and attempts.
 const (
-	KindTaken     Kind = "taken"   // a router has received a client's whole request
-	KindSent      Kind = "sent"    // a router sends an attempt
-	KindArrived   Kind = "came"    // an attempt arrives at its endpoint
-	KindRan       Kind = "ran"     // an endpoint starts to execute an attempt: it may have its effect from now on
-	KindEffect    Kind = "effect"  // an attempt has its effect at the origin
-	KindEnded     Kind = "end"     // a router has the outcome of an attempt
-	KindForwarded Kind = "carried" // a request arrives that the router numbered Attempt has forwarded
-	KindRefused   Kind = "refused" // the router's machine refused the connection: revokes KindTaken
-	KindAnswered  Kind = "final"   // a router gives its final answer
-	KindLeft      Kind = "left"    // the client timed out without an answer
-	KindWrong     Kind = "wrong"   // a client got a response that no endpoint made for the request
+	KindReceived       Kind = "taken"   // a router has received a client's whole request
+	KindSent           Kind = "sent"    // a router sends an attempt
+	KindArrived        Kind = "came"    // an attempt arrives at its endpoint
+	KindRan            Kind = "ran"     // an endpoint starts to execute an attempt: it may have its effect from now on
+	KindEffect         Kind = "effect"  // an attempt has its effect at the origin
+	KindEnded          Kind = "end"     // a router has the outcome of an attempt
+	KindForwarded      Kind = "carried" // a request arrives that the router numbered Attempt has forwarded
+	KindRefused        Kind = "refused" // the router's machine refused the connection: revokes KindReceived
+	KindAnswered       Kind = "final"   // a router gives its final answer
+	KindClientTimedOut Kind = "left"    // the client timed out without an answer
+	KindMismatch       Kind = "wrong"   // a client got a response that no endpoint made for the request
 )
 
 // The kinds of discovery.
@@ -35,7 +35,7 @@
 	KindDown            Kind = "down"    // an endpoint goes down
 	KindWarmingWork     Kind = "warming" // the work of an attempt has reached a warming endpoint
 	KindOverloaded      Kind = "fell"    // a warming endpoint collapses under more work than it can bear
-	KindStopped         Kind = "stopped" // the overloaded origin stops for a time
+	KindOriginStopped   Kind = "stopped" // the overloaded origin stops for a time
 	KindRouterDown      Kind = "router_down"
 	KindRouterUp        Kind = "router_up"
 	KindRouterSuspended Kind = "router_stopped" // a router's process is suspended
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -133,7 +133,7 @@
 // respond is not called any more.
 func (g *Gateway) Cancel(id string) {
 	g.mu.Lock()
-	g.controller.ClientGone(id)
+	g.controller.ClientDisconnected(id)
 	call := g.forwarded[id]
 	g.removeCall(id)
 	g.applyActions()
--- a/internal/gateway/peerpolicy/exhaustive_test.go
+++ b/internal/gateway/peerpolicy/exhaustive_test.go
@@ -166,7 +166,7 @@
 			return false
 		}
 		m.clientGone = true
-		m.controller.ClientGone(modelRequest)
+		m.controller.ClientDisconnected(modelRequest)
 		return true
 	}},
 }
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -252,9 +252,9 @@
 // OutcomeRejected.
 func (c *Controller) Unsent(id string) { c.advance(id, eventNeverSent) }
 
-// ClientGone records that the client of a forwarded request has disconnected, and cancels the
+// ClientDisconnected records that the client of a forwarded request has disconnected, and cancels the
 // request at the peer.
-func (c *Controller) ClientGone(id string) {
+func (c *Controller) ClientDisconnected(id string) {
 	if request := c.forwarded[id]; request != nil {
 		c.addAction(Action{Kind: ActionWithdraw, Peer: request.peer.Name, RequestID: id})
 		c.advance(id, eventClientGone)
--- a/internal/gossip/claim.go
+++ b/internal/gossip/claim.go
@@ -71,7 +71,7 @@
 // plausible reports whether a reported endpoint has an id, a known state, and a start that is not in the future.
 func plausible(e Endpoint, wall int64) bool {
 	switch e.State {
-	case policy.EndpointActive, policy.EndpointDraining, policy.EndpointGone:
+	case policy.EndpointActive, policy.EndpointDraining, policy.EndpointRemoved:
 		return e.ID != "" && e.StartedAt <= wall+maxClockSkew
 	}
 	return false
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -147,8 +147,8 @@
 		listed[e.ID] = true
 	}
 	for id, rec := range r.endpoints {
-		if !listed[id] && rec.local.State != policy.EndpointGone {
-			rec.local.State = policy.EndpointGone
+		if !listed[id] && rec.local.State != policy.EndpointRemoved {
+			rec.local.State = policy.EndpointRemoved
 			rec.goneAt = now
 		}
 	}
@@ -166,7 +166,7 @@
 	// Only the local source can reactivate an endpoint within one start. This overrides all claims.
 	reactivated := e.StartedAt == rec.local.StartedAt && stateRank(e.State) < stateRank(rec.local.State)
 	rec.local = e
-	if e.State == policy.EndpointGone {
+	if e.State == policy.EndpointRemoved {
 		rec.goneAt = now
 	}
 	for _, c := range []*claim{&rec.accepted, &rec.candidate} {
@@ -183,7 +183,7 @@
 func (r *Replica) Tick(now, wall int64) (endpoints []Endpoint) {
 	for _, id := range r.sortedIDs() {
 		rec := r.endpoints[id]
-		if rec.local.State == policy.EndpointGone && now-rec.goneAt > goneRetention {
+		if rec.local.State == policy.EndpointRemoved && now-rec.goneAt > goneRetention {
 			delete(r.endpoints, id)
 			continue
 		}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -21,7 +21,7 @@
 const (
 	active   = policy.EndpointActive
 	draining = policy.EndpointDraining
-	gone     = policy.EndpointGone
+	gone     = policy.EndpointRemoved
 )
 
 func newReplica(without string) *gossip.Replica {
--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -13,7 +13,7 @@
 	weight        float64
 	startedAt     int64        // 0: it started too long ago to matter
 	unusableSince int64        // when the monitor was first notified of its drain or removal; 0: it may be used
-	removed       bool         // policy.EndpointGone, or missing from a complete list
+	removed       bool         // policy.EndpointRemoved, or missing from a complete list
 	work          []workRecord // within the window, while in slow start
 }
 
@@ -75,7 +75,7 @@
 	if unusable && known.unusableSince == 0 {
 		m.drainsSeen++
 	}
-	known.setUnusable(now, unusable, entry.State == policy.EndpointGone)
+	known.setUnusable(now, unusable, entry.State == policy.EndpointRemoved)
 }
 
 // setUnusable records whether the endpoint drains or was removed, and since when.
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -56,7 +56,7 @@
 			return reportActivity(m, epoch, epoch+12*second, useOf("a", 0))
 		}},
 		{"named as the source of fills long after removal", RuleDrained, func(m *Monitor) Violations {
-			m.EndpointsChanged(epoch, false, []policy.Endpoint{listed("a", policy.EndpointGone, 0)})
+			m.EndpointsChanged(epoch, false, []policy.Endpoint{listed("a", policy.EndpointRemoved, 0)})
 			return reportActivity(m, epoch, epoch+12*second, func(now int64) *Activity {
 				return &Activity{Endpoints: []EndpointUse{{Endpoint: "a", LastSourcedMicros: now}}}
 			})
@@ -211,7 +211,7 @@
 		m.Purged(epoch, "", int64(i), epoch)
 	}
 	for i := range 2 * maxEndpoints {
-		m.EndpointsChanged(epoch, false, []policy.Endpoint{listed(fmt.Sprint("s", i), policy.EndpointGone, 0)})
+		m.EndpointsChanged(epoch, false, []policy.Endpoint{listed(fmt.Sprint("s", i), policy.EndpointRemoved, 0)})
 	}
 	for p := range uint64(2 * maxProcesses) {
 		for range 2 * maxPending {
--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -60,11 +60,11 @@
 func TestEventsAfterTheEndAreIgnored(t *testing.T) {
 	r := newRouter(nil)
 	onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
-	r.Handle(begin+millisecond, Event{Kind: EventClientGone, Request: "t"}, nil)
+	r.Handle(begin+millisecond, Event{Kind: EventRequestClosed, Request: "t"}, nil)
 	for _, e := range []Event{
 		attemptEnded(cacheA, OutcomeError),
 		{Kind: EventResponseStarted, Request: "t", Endpoint: cacheA},
-		{Kind: EventClientGone, Request: "t"},
+		{Kind: EventRequestClosed, Request: "t"},
 		attemptEnded("nobody:1", OutcomeDone),
 	} {
 		noAction(t, r.Handle(begin+2*millisecond, e, nil), ActionSend, ActionFail, ActionReject)
--- a/internal/policy/concurrencylimit_test.go
+++ b/internal/policy/concurrencylimit_test.go
@@ -122,7 +122,7 @@
 			if reason == 0 {
 				onlyAction(t, actions, ActionSend)
 			}
-			r.Handle(now, Event{Kind: EventClientGone, Request: e.Request}, nil)
+			r.Handle(now, Event{Kind: EventRequestClosed, Request: e.Request}, nil)
 		}
 		got := min(r.endpoints[cacheA].limiters[attemptFill].limit, r.endpoints[cacheB].limiters[attemptFill].limit)
 		if (got < start) != (reason > 0) {
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -21,7 +21,7 @@
 	hashWeight float64 // weight in rendezvous hashing
 	startedAt  int64   // 0: long ago
 	active     bool    // listed as EndpointActive
-	removed    bool    // listed as EndpointGone, or no longer listed
+	removed    bool    // listed as EndpointRemoved, or no longer listed
 
 	inFlight        int   // number of attempts
 	unansweredSince int64 // start of the current time without a response; used while attempts are in flight
--- a/internal/policy/endpointlist.go
+++ b/internal/policy/endpointlist.go
@@ -51,7 +51,7 @@
 	ep.weight = max(listed.Weight, minWeight)
 	r.initLimiters(ep)
 	ep.active = listed.State == EndpointActive
-	ep.removed = listed.State == EndpointGone
+	ep.removed = listed.State == EndpointRemoved
 	if listed.StartedAt > ep.startedAt {
 		ep.startedAt = listed.StartedAt
 		r.observe(ep, signalRestarted)
--- a/internal/policy/endpointlist_test.go
+++ b/internal/policy/endpointlist_test.go
@@ -8,7 +8,7 @@
 func TestDrainingAndRemovedEndpointsGetNoAttempts(t *testing.T) {
 	r := newRouter(nil)
 	unavailable := []Endpoint{testEndpoints()[0], testEndpoints()[2]}
-	unavailable[0].State, unavailable[1].State = EndpointDraining, EndpointGone
+	unavailable[0].State, unavailable[1].State = EndpointDraining, EndpointRemoved
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: unavailable}, nil)
 	for i := range 20 {
 		e := newRequest("read")
@@ -35,8 +35,8 @@
 	r := newRouter(nil)
 	sent := onlyAction(t, r.Handle(begin, newRequest("read"), nil), ActionSend)
 	removed := []Endpoint{
-		{ID: cacheA, Zone: "z", Kind: "box", State: EndpointGone},
-		{ID: cacheB, Zone: "z", Kind: "box", State: EndpointGone},
+		{ID: cacheA, Zone: "z", Kind: "box", State: EndpointRemoved},
+		{ID: cacheB, Zone: "z", Kind: "box", State: EndpointRemoved},
 	}
 	r.Handle(begin+millisecond, Event{Kind: EventEndpoints, Scope: ScopeDiff, Endpoints: removed}, nil)
 	r.Handle(begin+50*millisecond, Event{Kind: EventTimer}, nil)
--- a/internal/policy/loadshedding_test.go
+++ b/internal/policy/loadshedding_test.go
@@ -13,11 +13,11 @@
 			end.Request, end.Endpoint = e.Request, a.Endpoint
 			end.Final = end.Outcome == OutcomeDone
 			r.Handle(r.now, end, nil)
-			r.Handle(r.now, Event{Kind: EventClientGone, Request: e.Request}, nil)
+			r.Handle(r.now, Event{Kind: EventRequestClosed, Request: e.Request}, nil)
 			return true
 		}
 	}
-	r.Handle(r.now, Event{Kind: EventClientGone, Request: e.Request}, nil)
+	r.Handle(r.now, Event{Kind: EventRequestClosed, Request: e.Request}, nil)
 	return false
 }
 
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -145,7 +145,7 @@
 		at := begin + i*100*millisecond
 		sent := onlyAction(t, r.Handle(at, newRequest("read"), nil), ActionSend)
 		r.Handle(at, attemptEnded(sent.Endpoint, OutcomeSkipped), nil)
-		r.Handle(at, Event{Kind: EventClientGone, Request: "t"}, nil)
+		r.Handle(at, Event{Kind: EventRequestClosed, Request: "t"}, nil)
 	}
 	for _, id := range []string{cacheA, cacheB} {
 		if limit := r.endpoints[id].limiters[attemptFill].limit; limit < 150 {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -185,7 +185,7 @@
 	case EventResponseStarted:
 		r.observe(ep, signalAnswered)
 		r.advance(req, inputStarted)
-	case EventClientGone:
+	case EventRequestClosed:
 		r.advance(req, inputFinal)
 	case EventHealthCheck:
 		r.observeHealthCheck(ep, e.Outcome)
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -31,7 +31,7 @@
 	settings.Routers, settings.Hierarchy.RoutersByZone = 1, []int{0, 1}
 	r := New(settings, 1)
 	list := testEndpoints()
-	list[0].StartedAt, list[1].State = begin-second, EndpointGone
+	list[0].StartedAt, list[1].State = begin-second, EndpointRemoved
 	r.Handle(begin, Event{Kind: EventEndpoints, Scope: ScopeInitial, Endpoints: list}, nil)
 	if a := onlyAction(t, r.Handle(begin+second/2, newRequest("read"), nil), ActionSend); a.Endpoint == cacheA {
 		t.Error("sent to a cache in slow start within the window")
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -133,9 +133,9 @@
 	// EventAttemptEnded is the end of an attempt: Request, Endpoint, Attempt, Outcome, Reason, Final, RTT, OriginWait
 	// and Load.
 	EventAttemptEnded
-	// EventClientGone reports that a client disconnected, or that its request was answered without a decision of the
+	// EventRequestClosed reports that a client disconnected, or that its request was answered without a decision of the
 	// Router: Request.
-	EventClientGone
+	EventRequestClosed
 	// EventSlowStartHold sets the time until which endpoints in slow start receive no requests: HoldUntil. It replaces
 	// any earlier setting, by a later or an earlier time; a time in the past ends the hold. It is sent when an earlier
 	// process may have used this router's share of their budgets, and when another process is about to use it.
@@ -202,7 +202,7 @@
 const (
 	EndpointActive   EndpointState = "active"  // accepts requests
 	EndpointDraining EndpointState = "leaving" // accepts no new requests
-	EndpointGone     EndpointState = "left"    // has stopped
+	EndpointRemoved  EndpointState = "left"    // has stopped
 )
 
 // FillMode is a set of bits that determine how a cache handles a miss. The bits are those of the simulator's wire.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -240,7 +240,7 @@
 
 // Class is one traffic class.
 type Class struct {
-	// Name is the class's name in requests; required. It consists of the characters that cacheproto.IsPlain allows.
+	// Name is the class's name in requests; required. It consists of the characters that cacheproto.IsValidValue allows.
 	Name string
 
 	// Effect is the effect of executing a request a second time; required. "safe": none; "keyed": none where the
--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -83,9 +83,9 @@
 		return
 	}
 	router.closeRequest(request)
-	s.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
+	s.record(Entry{Kind: eventlog.KindClientTimedOut, Router: router.id, Request: request.ID})
 	s.Result.TimedOut++
-	s.driver.ClientGone(router.id, request.ID)
+	s.driver.ClientDisconnected(router.id, request.ID)
 	s.retryOrFail(request.clientRequest, 0, s.idempotent(request.Class))
 }
 
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -10,7 +10,7 @@
 // EndpointList is the current endpoint list, in a fixed order.
 func (s *Simulation) EndpointList() (endpoints []policy.Endpoint) {
 	add := func(server *server) {
-		if server.listedState != policy.EndpointGone {
+		if server.listedState != policy.EndpointRemoved {
 			endpoints = append(endpoints, server.endpoint())
 		}
 	}
--- a/internal/simulation/driver.go
+++ b/internal/simulation/driver.go
@@ -10,8 +10,8 @@
 type Driver interface {
 	// RequestArrived delivers a client's complete request to its router.
 	RequestArrived(request *Request)
-	// ClientGone reports that a request's client has closed its connection.
-	ClientGone(router int, requestID string)
+	// ClientDisconnected reports that a request's client has closed its connection.
+	ClientDisconnected(router int, requestID string)
 	// AttemptEnded delivers the end of an attempt to its router.
 	AttemptEnded(router int, attempt *Attempt, result AttemptResult)
 	// Notify delivers a discovery event to a router.
--- a/internal/simulation/loadreport.go
+++ b/internal/simulation/loadreport.go
@@ -15,7 +15,7 @@
 	sim := s.simulation
 	fleet := &sim.scenario.Fleet
 	interval := sim.jitter(fleet.ReportMS * millisecond)
-	if s.listedState == policy.EndpointGone && !s.up && s.collapsed {
+	if s.listedState == policy.EndpointRemoved && !s.up && s.collapsed {
 		return // a collapsed server does not start again
 	}
 	load := map[string]float64{}
--- a/internal/simulation/origin.go
+++ b/internal/simulation/origin.go
@@ -66,7 +66,7 @@
 	sim := s.simulation
 	s.stopped = true
 	sim.Result.OriginStops++
-	sim.record(Entry{Kind: eventlog.KindStopped, Endpoint: s.id})
+	sim.record(Entry{Kind: eventlog.KindOriginStopped, Endpoint: s.id})
 	s.updateRate()
 	sim.schedule(int64(sim.scenario.Fleet.OriginStopS*second), func() {
 		s.stopped = false
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -109,7 +109,7 @@
 func (s *Simulation) requestArrived(router *router, request *Request) {
 	router.addRequest(request)
 	s.Result.ClientAttempts++
-	s.record(s.requestEntry(eventlog.KindTaken, request))
+	s.record(s.requestEntry(eventlog.KindReceived, request))
 	request.Remaining = request.deadline - s.now
 	s.driver.RequestArrived(request)
 }
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -81,7 +81,7 @@
 func (s *Simulation) crashServers(servers []*server, silent bool) (endFault func()) {
 	for _, server := range servers {
 		server.crash(silent)
-		s.setListed(server, policy.EndpointGone, s.jitter(s.scenario.Fleet.DeathDetectionMS*millisecond))
+		s.setListed(server, policy.EndpointRemoved, s.jitter(s.scenario.Fleet.DeathDetectionMS*millisecond))
 	}
 	return func() { s.restartServers(servers) }
 }
@@ -154,7 +154,7 @@
 	if server.up {
 		server.crash(false)
 	}
-	s.setListed(server, policy.EndpointGone, 0)
+	s.setListed(server, policy.EndpointRemoved, 0)
 	index := slices.Index(s.caches[server.office], server)
 	if index < 0 {
 		return // another deployment has replaced it
@@ -175,7 +175,7 @@
 			if server.up {
 				server.crash(false)
 			}
-			s.setListed(server, policy.EndpointGone, 0)
+			s.setListed(server, policy.EndpointRemoved, 0)
 		})
 	}
 	return func() { s.restartServers(servers) }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -25,7 +25,7 @@
 type nopDriver struct{}
 
 func (nopDriver) RequestArrived(*Request)                   {}
-func (nopDriver) ClientGone(int, string)                    {}
+func (nopDriver) ClientDisconnected(int, string)            {}
 func (nopDriver) AttemptEnded(int, *Attempt, AttemptResult) {}
 func (nopDriver) Notify(int, DiscoveryEvent)                {}
 func (nopDriver) KillRouter(int)                            {}
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -41,7 +41,7 @@
 	"Started":       policy.EventResponseStarted,
 	"Outdated":      policy.EventPurge,
 	"Answer":        policy.EventAttemptEnded,
-	"Abandoned":     policy.EventClientGone,
+	"Abandoned":     policy.EventRequestClosed,
 }
 
 var outcomes = map[string]policy.Outcome{
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -37,10 +37,10 @@
 // id returns the request's id, which identifies the call on its connection.
 func (c *Call) id() string { return c.Attempt.Request.ID }
 
-// Drop abandons the attempt. silent means that it timed out without a response. If its
+// Drop abandons the attempt. timedOut means that it timed out without a response. If its
 // connection then has received nothing since the attempt was written, the machine may
 // be unreachable, and the connection accepts no new work.
-func (c *Call) Drop(silent bool) {
+func (c *Call) Drop(timedOut bool) {
 	conn := c.conn
 	if conn == nil {
 		return
@@ -52,7 +52,7 @@
 		return
 	}
 	delete(conn.calls, c.id())
-	conn.suspect = conn.suspect || silent && conn.lastReceived.Before(c.writtenAt)
+	conn.suspect = conn.suspect || timedOut && conn.lastReceived.Before(c.writtenAt)
 	begun := !c.Attempt.Withdraw()
 	if begun {
 		conn.abandoned[c.id()] = time.Now()
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -40,7 +40,7 @@
 func (c *conn) read() error {
 	limits := c.pool.limits
 	socket := &stallReader{Conn: c.socket, stallTimeout: limits.ReadStallTimeout}
-	reader := bufio.NewReaderSize(socket, bufferpool.Size)
+	reader := bufio.NewReaderSize(socket, bufferpool.BufferSize)
 	for {
 		socket.deadline = time.Time{}
 		if _, err := reader.Peek(1); err != nil {
@@ -104,7 +104,7 @@
 	result := engine.Result{
 		Outcome:    outcome,
 		Reason:     response.Reason,
-		OriginWait: settings.Micros(response.DelayMillis),
+		OriginWait: settings.Micros(response.OriginWaitMillis),
 		Load:       response.Load,
 	}
 	if outcome != policy.OutcomeDone {
