--- a/cmd/quilldoor/changecommand.go
+++ b/cmd/quilldoor/changecommand.go
@@ -151,7 +151,7 @@
 	for _, change := range diff {
 		fmt.Println(change)
 	}
-	mode, possible := upgrade.HardestMode(diff)
+	mode, possible := upgrade.MostRestrictiveMode(diff)
 	switch {
 	case len(diff) == 0:
 		fmt.Println("no key differs")
--- a/cmd/quilldoor/generation.go
+++ b/cmd/quilldoor/generation.go
@@ -25,7 +25,7 @@
 		state = &handoff.State{}
 	}
 	if stateIsOwn && state.Membership != nil {
-		state.Membership.Reclaim()
+		state.Membership.SkipSuccessorNumbers()
 	}
 	g.slowStartHoldUntil = 0
 	if budgetsMaybeSpent {
--- a/cmd/quilldoor/membership.go
+++ b/cmd/quilldoor/membership.go
@@ -42,7 +42,7 @@
 	}
 	if r.agent != nil {
 		settings.Process = &membership.ProcessInfo{
-			Generation: uint32(r.agent.Number),
+			Generation: uint32(r.agent.Generation),
 			Program:    programDigest(),
 			Settings:   uint32(r.config.settingsDigest),
 		}
--- a/cmd/quilldoor/metrics.go
+++ b/cmd/quilldoor/metrics.go
@@ -74,7 +74,7 @@
 		r.collectMembership(set)
 	}
 	if r.agent != nil {
-		set.gauge(float64(r.agent.Number), "generation")
+		set.gauge(float64(r.agent.Generation), "generation")
 	}
 	if cache := r.diskCache.Load(); cache != nil {
 		collectDiskCache(set, cache.State())
--- a/cmd/quilldoor/supervise.go
+++ b/cmd/quilldoor/supervise.go
@@ -58,7 +58,7 @@
 		Plan:       file.RolloutPlan,
 		MemberName: memberName(config.operator),
 		Log:        log.WithField("router", config.Name),
-		Times:      upgradeTimeouts(config, file),
+		Timeouts:   upgradeTimeouts(config, file),
 	}, term, hup)
 }
 
--- a/internal/emulator/rollout_nodes.go
+++ b/internal/emulator/rollout_nodes.go
@@ -91,11 +91,11 @@
 	node.SetReport(r.report(now, router))
 	r.enqueue(router, node.Tick(now+1))
 	target := node.Target(now + 1)
-	if target.MayStart && !state.upgrading && target.New != state.upgraded {
+	if target.MayStart && !state.upgrading && target.Upgraded != state.upgraded {
 		view, _ := node.View()
 		state.upgrading = true
-		state.targetNew = target.New
-		state.upgraded = target.New
+		state.targetNew = target.Upgraded
+		state.upgraded = target.Upgraded
 		state.runID = view.RunID
 		state.upgradeEnds = now + int64(r.config.TrialS*microsPerSecond)
 	}
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -156,7 +156,7 @@
 		switch action.Kind {
 		case peerpolicy.ActionAnswer:
 			v.respondForwarded(router, action.RequestID, forwardedOutcomes[action.Outcome])
-		case peerpolicy.ActionWithdraw:
+		case peerpolicy.ActionCancel:
 			v.withdrawAtPeer(router, action.Peer, action.RequestID)
 		}
 	}
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -65,14 +65,14 @@
 	}
 	link := g.links[peer.Name]
 	if link == nil {
-		g.controller.Unsent(id)
+		g.controller.MarkNotSent(id)
 		g.controller.Actions()
 		return false
 	}
 	call := g.newCall(link, id, purges, respond)
 	frames, err := g.encodeRequest(now, call.number, request, purges)
 	if err != nil { // for example, the object's name does not fit into a frame
-		g.controller.Unsent(id)
+		g.controller.MarkNotSent(id)
 		g.controller.Actions()
 		g.removeCall(id)
 		return false
@@ -80,7 +80,7 @@
 	// Once it is marked as sent, the request may have reached the peer. If enqueue fails, it
 	// provably has not, and the request is withdrawn.
 	if !g.controller.MarkSent(id) || !link.enqueue(frames) {
-		g.controller.Withdrawn(id)
+		g.controller.DiscardUnsent(id)
 		g.controller.Actions()
 		g.removeCall(id)
 		return false
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -218,7 +218,7 @@
 			delete(g.links, action.Peer)
 			return l.close
 		}
-	case peerpolicy.ActionWithdraw:
+	case peerpolicy.ActionCancel:
 		if call := g.forwarded[action.RequestID]; call != nil {
 			return func() { call.link.sendCancel(call.number) }
 		}
--- a/internal/gateway/peerpolicy/controller.go
+++ b/internal/gateway/peerpolicy/controller.go
@@ -52,7 +52,7 @@
 // The kinds of actions.
 const (
 	ActionAnswer     ActionKind = iota // send the outcome to the client of a forwarded request
-	ActionWithdraw                     // cancel a forwarded request at the peer
+	ActionCancel                       // cancel a forwarded request at the peer
 	ActionDisconnect                   // close the connection to the peer
 )
 
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -248,22 +248,22 @@
 	return true
 }
 
-// Unsent records that a request was not sent and will not be. It adds an ActionAnswer with
+// MarkNotSent records that a request was not sent and will not be. It adds an ActionAnswer with
 // OutcomeRejected.
-func (c *Controller) Unsent(id string) { c.advance(id, eventNeverSent) }
+func (c *Controller) MarkNotSent(id string) { c.advance(id, eventNeverSent) }
 
 // ClientDisconnected records that the client of a forwarded request has disconnected, and cancels the
 // request at the peer.
 func (c *Controller) ClientDisconnected(id string) {
 	if request := c.forwarded[id]; request != nil {
-		c.addAction(Action{Kind: ActionWithdraw, Peer: request.peer.Name, RequestID: id})
+		c.addAction(Action{Kind: ActionCancel, Peer: request.peer.Name, RequestID: id})
 		c.advance(id, eventClientGone)
 	}
 }
 
-// Withdrawn removes a request that was marked as sent although no byte of it was, since the
+// DiscardUnsent removes a request that was marked as sent although no byte of it was, since the
 // connection's queue was full. It adds no ActionAnswer: the caller answers the client itself.
-func (c *Controller) Withdrawn(id string) {
+func (c *Controller) DiscardUnsent(id string) {
 	if request := c.forwarded[id]; request != nil {
 		c.removeForwarded(id, request)
 	}
@@ -289,7 +289,7 @@
 		peer := c.forwarded[id].peer
 		peer.Counts.Late++
 		c.adjustLimit(now, peer, false)
-		c.addAction(Action{Kind: ActionWithdraw, Peer: peer.Name, RequestID: id})
+		c.addAction(Action{Kind: ActionCancel, Peer: peer.Name, RequestID: id})
 		c.advance(id, eventTimeout)
 	}
 }
--- a/internal/handoff/conn.go
+++ b/internal/handoff/conn.go
@@ -145,10 +145,10 @@
 	}
 }
 
-// Sockets returns the received descriptors as files, by name, and keeps none of them. The
-// names are Message.Sockets of the message that the descriptors accompanied, in the same
+// TakeSockets returns the received descriptors as files, by name, and keeps none of them. The
+// names are Message.TakeSockets of the message that the descriptors accompanied, in the same
 // order. Descriptors beyond the names are closed.
-func (c *Conn) Sockets(names []string) map[string]*os.File {
+func (c *Conn) TakeSockets(names []string) map[string]*os.File {
 	files := map[string]*os.File{}
 	for i, descriptor := range c.pendingDescriptors {
 		unix.CloseOnExec(descriptor)
--- a/internal/handoff/doc.go
+++ b/internal/handoff/doc.go
@@ -6,6 +6,6 @@
 // Processes of different versions exchange messages: unknown keys are ignored, missing
 // keys are zero, and a key never changes its number or its meaning.
 //
-// Only the supervisor writes the state file (File). It is JSON, and the same rules hold
+// Only the supervisor writes the state file (StateFile). It is JSON, and the same rules hold
 // for its keys.
 package handoff
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -73,7 +73,7 @@
 	if got, err = Decode(payload); err != nil || got.Generation != 9 || got.Requests.Completed != 0 {
 		t.Errorf("message with an unknown and a missing key: %v, %+v", err, got)
 	}
-	file, err := ReadFile("testdata/state-format-1.json")
+	file, err := ReadStateFile("testdata/state-format-1.json")
 	if err != nil || file.Settled.Generation != 3 || file.Previous.Generation != 2 || file.Running[0].PID != 77 || file.Next != 5 {
 		t.Errorf("state file of format 1: %v, %+v", err, file)
 	}
@@ -82,7 +82,7 @@
 		`{}`:                           "settled",
 		`{"format":`:                   "JSON",
 	} {
-		if _, err := ParseFile("state.json", []byte(text)); err == nil || !strings.Contains(err.Error(), wantError) {
+		if _, err := ParseStateFile("state.json", []byte(text)); err == nil || !strings.Contains(err.Error(), wantError) {
 			t.Errorf("state file %s: error %v, want one with %q", text, err, wantError)
 		}
 	}
@@ -125,7 +125,7 @@
 	if err := <-sent; err != nil {
 		t.Error(err)
 	}
-	received := b.Sockets([]string{"listen"})["listen"]
+	received := b.TakeSockets([]string{"listen"})["listen"]
 	text := make([]byte, 20)
 	if n, _ := received.ReadAt(text, 0); string(text[:n]) != "handed down" {
 		t.Errorf("content of the received file: %q", text[:n])
--- a/internal/handoff/statefile.go
+++ b/internal/handoff/statefile.go
@@ -19,17 +19,17 @@
 	Version    string `json:"version" cbor:"7,keyasint"`         // as the program reports it
 }
 
-// File is the content of the state file, which outlasts the supervisor, its processes and
+// StateFile is the content of the state file, which outlasts the supervisor, its processes and
 // a power failure.
-type File struct {
-	Format   int            `json:"format"`             // FileFormat of the writer
+type StateFile struct {
+	Format   int            `json:"format"`             // StateFileFormat of the writer
 	Next     uint64         `json:"next"`               // number of the next generation
 	Settled  *Manifest      `json:"settled"`            // the generation that a cold start begins with
 	Previous *Manifest      `json:"previous,omitempty"` // the generation that a rollback returns to; nil: none
 	Rollout  *RolloutRecord `json:"rollout,omitempty"`  // nil: no rollout has changed this router
 	// Running lists the router processes, some of which a restarted supervisor may find
 	// still running.
-	Running []Running `json:"running,omitempty"`
+	Running []RunningProcess `json:"running,omitempty"`
 }
 
 // RolloutRecord is what a rollout has changed on this router.
@@ -40,24 +40,24 @@
 	FailureReason string    `json:"failed,omitempty"` // why this router's change failed; "": it has not failed
 }
 
-// Running is a process of a generation. Its start time distinguishes it from a later
+// RunningProcess is a process of a generation. Its start time distinguishes it from a later
 // process with the same PID.
-type Running struct {
+type RunningProcess struct {
 	Generation uint64 `json:"generation"`
 	PID        int    `json:"pid"`
 	Started    uint64 `json:"started"` // clock ticks since the machine started
 }
 
-// FileFormat is the version of the state file.
-const FileFormat = 1
+// StateFileFormat is the version of the state file.
+const StateFileFormat = 1
 
 // ErrNewerFormat is the error of a state file that a later version has written.
 var ErrNewerFormat = errors.New("written by a later version")
 
-// ReadFile reads the state file. It returns nil and no error if there is no file. The
-// errors of a broken file are those of ParseFile: the supervisor replaces the file
+// ReadStateFile reads the state file. It returns nil and no error if there is no file. The
+// errors of a broken file are those of ParseStateFile: the supervisor replaces the file
 // atomically, so something else has damaged it.
-func ReadFile(path string) (*File, error) {
+func ReadStateFile(path string) (*StateFile, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -65,18 +65,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return ParseFile(path, text)
+	return ParseStateFile(path, text)
 }
 
-// ParseFile parses the text of a state file. Unknown keys are ignored. Errors are for text
+// ParseStateFile parses the text of a state file. Unknown keys are ignored. Errors are for text
 // that is not JSON, that has no settled generation with a program and a config, or that
 // has a later format (wrapping ErrNewerFormat). The path appears only in errors.
-func ParseFile(path string, text []byte) (*File, error) {
-	file := new(File)
+func ParseStateFile(path string, text []byte) (*StateFile, error) {
+	file := new(StateFile)
 	if err := json.Unmarshal(text, file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if file.Format > FileFormat {
+	if file.Format > StateFileFormat {
 		return nil, fmt.Errorf("%s: format %d: %w", path, file.Format, ErrNewerFormat)
 	}
 	if file.Settled == nil || file.Settled.Program == "" || file.Settled.Config == "" {
@@ -86,8 +86,8 @@
 }
 
 // Write replaces the state file atomically and durably.
-func (f *File) Write(path string) error {
-	f.Format = FileFormat
+func (f *StateFile) Write(path string) error {
+	f.Format = StateFileFormat
 	text, err := json.MarshalIndent(f, "", " ")
 	if err != nil {
 		return err
--- a/internal/membership/handoff_test.go
+++ b/internal/membership/handoff_test.go
@@ -121,7 +121,7 @@
 	f.settle()
 	f.expectGeneration(2)
 	// The successor fails, and the predecessor continues with the state that it had handed over.
-	first.Reclaim()
+	first.SkipSuccessorNumbers()
 	f.nodes[0] = f.newNode(0, 1, first)
 	f.settle()
 	f.expectGeneration(1)
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -210,12 +210,12 @@
 	}
 	f.send(i, out)
 	target := n.Target(f.clock(i))
-	failedBefore := target.New && r.failureReason != ""
-	if target.MayStart && !r.changing && target.New != r.upgraded && !failedBefore {
-		if view, _ := n.View(); !target.New && view.Phase == PhaseForward {
+	failedBefore := target.Upgraded && r.failureReason != ""
+	if target.MayStart && !r.changing && target.Upgraded != r.upgraded && !failedBefore {
+		if view, _ := n.View(); !target.Upgraded && view.Phase == PhaseForward {
 			r.failureReason = "isolated"
 		}
-		f.startChange(i, target.New)
+		f.startChange(i, target.Upgraded)
 	}
 }
 
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -2,7 +2,7 @@
 
 // Target is the generation that a router should run.
 type Target struct {
-	New      bool // the new generation; otherwise the old one
+	Upgraded bool // the new generation; otherwise the old one
 	MayStart bool // the router may begin to change to that generation now
 }
 
@@ -22,19 +22,19 @@
 func (n *Node) Target(now int64) Target {
 	n.advance(now)
 	if n.rollsBackWhileIsolated() {
-		return Target{New: false, MayStart: true}
+		return Target{Upgraded: false, MayStart: true}
 	}
 	fresh := n.viewAt > 0 && n.checks.viewFresh(n.now-n.viewAt)
 	inBatch := n.view.Batch.Has(n.self)
 	switch {
 	case n.view.Phase == PhaseRolledBack:
-		return Target{New: false, MayStart: true}
+		return Target{Upgraded: false, MayStart: true}
 	case n.view.Phase == PhaseRollingBack && inBatch:
-		return Target{New: false, MayStart: fresh}
+		return Target{Upgraded: false, MayStart: fresh}
 	case (n.view.Phase == PhaseForward || n.view.Phase == PhaseDone) && inBatch:
-		return Target{New: true, MayStart: fresh}
+		return Target{Upgraded: true, MayStart: fresh}
 	}
-	return Target{New: n.report.Upgraded, MayStart: false}
+	return Target{Upgraded: n.report.Upgraded, MayStart: false}
 }
 
 // rollsBackWhileIsolated reports whether this router, after it has changed and received no
--- a/internal/rollout/safety_test.go
+++ b/internal/rollout/safety_test.go
@@ -106,7 +106,7 @@
 			n.checks.viewFresh = func(int64) bool { return true }
 		}
 		n.view, n.viewAt = State{Seq: 3, Phase: PhaseForward, Batch: Set(nil).With(0)}, n.now
-		if target := n.Target(n.now + viewMaxAge/2); !target.New || !target.MayStart {
+		if target := n.Target(n.now + viewMaxAge/2); !target.Upgraded || !target.MayStart {
 			t.Errorf("fresh view: target %+v, want the new generation at once", target)
 		}
 		if target := n.Target(n.now + 10*viewMaxAge); target.MayStart != checkOff {
--- a/internal/supervisor/adoption.go
+++ b/internal/supervisor/adoption.go
@@ -40,7 +40,7 @@
 }
 
 func (s *Supervisor) findOrphans(connections <-chan *connection) (orphans []*process) {
-	alive := slices.DeleteFunc(slices.Clone(s.file.Running), func(r handoff.Running) bool {
+	alive := slices.DeleteFunc(slices.Clone(s.file.Running), func(r handoff.RunningProcess) bool {
 		return r.Started == 0 || startTicksOf(r.PID) != r.Started
 	})
 	timeout := time.After(adoptionTimeout)
@@ -95,7 +95,7 @@
 }
 
 // killUnconnected kills the processes that are alive and have not connected.
-func (s *Supervisor) killUnconnected(alive []handoff.Running, orphans []*process) {
+func (s *Supervisor) killUnconnected(alive []handoff.RunningProcess, orphans []*process) {
 	for _, r := range alive {
 		connected := slices.ContainsFunc(orphans, func(p *process) bool { return p.pid == r.PID })
 		if connected || startTicksOf(r.PID) != r.Started {
@@ -137,7 +137,7 @@
 		return
 	case upgrade.DispositionRetry:
 		s.new = p
-		s.machine = upgrade.NewAdoptedMachine(s.config.Times, s.now(), true)
+		s.machine = upgrade.NewAdoptedMachine(s.config.Timeouts, s.now(), true)
 		s.change = &change{manifest: p.manifest}
 	case upgrade.DispositionResume:
 		p.send(&handoff.Message{Kind: handoff.KindResume, BudgetsMaybeSpent: true})
@@ -151,7 +151,7 @@
 // adoptSettled makes a process the old one, and its generation the settled one.
 func (s *Supervisor) adoptSettled(p *process) {
 	s.old = p
-	s.machine = upgrade.NewAdoptedMachine(s.config.Times, s.now(), false)
+	s.machine = upgrade.NewAdoptedMachine(s.config.Timeouts, s.now(), false)
 	if p.manifest.Generation != s.file.Settled.Generation {
 		s.file.Previous = s.file.Settled
 		s.file.Settled = p.manifest
--- a/internal/supervisor/check.go
+++ b/internal/supervisor/check.go
@@ -142,8 +142,8 @@
 	if err != nil {
 		return err.Error()
 	}
-	if _, possible := upgrade.HardestMode(differences); !possible {
-		return "keys that can't change on this router: " + describeChanges(differences, upgrade.ModeNever)
+	if _, possible := upgrade.MostRestrictiveMode(differences); !possible {
+		return "keys that can't change on this router: " + describeChanges(differences, upgrade.ModeImmutable)
 	}
 	if budgetErr != nil {
 		return budgetErr.Error()
--- a/internal/supervisor/connections.go
+++ b/internal/supervisor/connections.go
@@ -64,7 +64,7 @@
 		return nil
 	}
 	sock.SetReadDeadline(time.Time{})
-	return &connection{conn: conn, message: m, sockets: conn.Sockets(m.Sockets)}
+	return &connection{conn: conn, message: m, sockets: conn.TakeSockets(m.Sockets)}
 }
 
 // handleConnection handles a new connection of a process or a tool after adoption.
--- a/internal/supervisor/effects.go
+++ b/internal/supervisor/effects.go
@@ -63,7 +63,7 @@
 		s.killNew()
 	case upgrade.EffectKillOld:
 		s.killOld()
-	case upgrade.EffectWrite:
+	case upgrade.EffectRecordSettled:
 		s.writeSettled()
 	case upgrade.EffectPromote:
 		s.promote()
--- a/internal/supervisor/folder.go
+++ b/internal/supervisor/folder.go
@@ -77,7 +77,7 @@
 func (s *Supervisor) writeState() bool {
 	s.file.Running = nil
 	for _, p := range s.processes() {
-		s.file.Running = append(s.file.Running, handoff.Running{
+		s.file.Running = append(s.file.Running, handoff.RunningProcess{
 			Generation: p.manifest.Generation, PID: p.pid, Started: p.startTicks,
 		})
 	}
@@ -128,7 +128,7 @@
 // the state file can't be read, is broken or was written by a later version
 // (handoff.ErrNewerFormat), and when the generation's settings file is missing or broken.
 func SettledSettings(folder string) (map[string]string, error) {
-	f, err := handoff.ReadFile(filepath.Join(folder, stateFile))
+	f, err := handoff.ReadStateFile(filepath.Join(folder, stateFile))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/supervisor/messages.go
+++ b/internal/supervisor/messages.go
@@ -93,7 +93,7 @@
 	if p == s.new && s.machine.State == upgrade.StateOnTrial {
 		if err := s.trial.ObserveNew(p.requests); err != nil {
 			s.recordReason("the new generation does worse: %v", err)
-			s.feed(upgrade.InputWorse)
+			s.feed(upgrade.InputTrialFailed)
 		}
 	}
 }
--- a/internal/supervisor/monitor.go
+++ b/internal/supervisor/monitor.go
@@ -105,13 +105,13 @@
 	sinceMessage := now.Sub(p.lastMessageAt)
 	if err := upgrade.CheckUsage(p.budget, p.usage); err != nil {
 		s.recordReason("the new generation exceeds its budget: %v", err)
-		s.feed(upgrade.InputNewHung)
+		s.feed(upgrade.InputNewUnhealthy)
 	} else if p.helloReceived && sinceMessage.Microseconds() > upgrade.TrialHangTimeoutMicros {
 		s.recordReason("the new generation has said nothing for %d ms", sinceMessage.Milliseconds())
-		s.feed(upgrade.InputNewHung)
+		s.feed(upgrade.InputNewUnhealthy)
 	} else if v := s.violations(p, s.old); v.Rules != 0 && s.machine.State == upgrade.StateOnTrial {
 		s.recordReason("the new generation breaks %s", v.Text)
-		s.feed(upgrade.InputWorse)
+		s.feed(upgrade.InputTrialFailed)
 	}
 }
 
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -157,7 +157,7 @@
 	if m != nil {
 		p.send(m)
 	}
-	p.killAt = time.Now().Add(time.Duration(s.config.Times.DrainMicros) * time.Microsecond)
+	p.killAt = time.Now().Add(time.Duration(s.config.Timeouts.DrainMicros) * time.Microsecond)
 	if !p.ended {
 		s.draining = append(s.draining, p)
 	}
--- a/internal/supervisor/rollout.go
+++ b/internal/supervisor/rollout.go
@@ -152,13 +152,13 @@
 	view, _ := s.rollout.node.View()
 	record := s.file.Rollout
 	switch {
-	case s.upgradesByRollout() && !target.New:
+	case s.upgradesByRollout() && !target.Upgraded:
 		s.recordReason("the rollout is rolled back")
 		s.feed(upgrade.InputCancel)
-	case s.machine.Busy() || target.New == s.isUpgraded():
-	case target.New && (record == nil || record.RunID != view.RunID || record.FailureReason == ""):
+	case s.machine.Busy() || target.Upgraded == s.isUpgraded():
+	case target.Upgraded && (record == nil || record.RunID != view.RunID || record.FailureReason == ""):
 		s.beginRolloutUpgrade(view)
-	case !target.New && record.Previous != nil:
+	case !target.Upgraded && record.Previous != nil:
 		s.beginRolloutRollback(view)
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -14,9 +14,9 @@
 
 // Config configures a supervisor.
 type Config struct {
-	Folder  string // path; created when it is missing
-	Times   upgrade.Timeouts
-	Program string // path of the first generation's program
+	Folder   string // path; created when it is missing
+	Timeouts upgrade.Timeouts
+	Program  string // path of the first generation's program
 	// Platform is the path of the platform's configuration. Every process gets the keys
 	// name, listen, seed, board, known and limits from this file, not from the
 	// configuration of its generation.
@@ -47,7 +47,7 @@
 	events    chan func() // called by the loop
 
 	lock     *os.File
-	file     *handoff.File // content of the state file
+	file     *handoff.StateFile // content of the state file
 	listener *net.UnixListener
 	// persistent reports whether the last write of the state file succeeded.
 	persistent bool
@@ -144,7 +144,7 @@
 		return err
 	}
 	var err error
-	if s.file, err = handoff.ReadFile(s.path(stateFile)); err != nil {
+	if s.file, err = handoff.ReadStateFile(s.path(stateFile)); err != nil {
 		return fmt.Errorf("%s: %w", folderKey, err)
 	}
 	return nil
@@ -168,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		s.file = &handoff.File{Next: 2, Settled: first}
+		s.file = &handoff.StateFile{Next: 2, Settled: first}
 	}
 	s.verifyProgram()
 	checked, err := s.check(s.file.Settled)
@@ -188,7 +188,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if s.machine == nil {
-		s.machine = upgrade.NewMachine(s.config.Times, s.now())
+		s.machine = upgrade.NewMachine(s.config.Timeouts, s.now())
 	}
 	s.writeState()
 	s.startObserver()
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -49,7 +49,7 @@
 // generations are removed, and that an entry of another name stays.
 func TestRemovesUnusedGenerations(t *testing.T) {
 	s := newTestSupervisor(t.TempDir())
-	s.file = &handoff.File{
+	s.file = &handoff.StateFile{
 		Settled: &handoff.Manifest{Generation: 4}, Previous: &handoff.Manifest{Generation: 3},
 		Rollout: &handoff.RolloutRecord{Previous: &handoff.Manifest{Generation: 1}},
 	}
@@ -142,7 +142,7 @@
 // can't change, too few resources), that it names the keys, and that a long list of keys
 // is cut.
 func TestRejectionNamesItsReason(t *testing.T) {
-	never := upgrade.Change{Key: "config.name", Old: "a", New: "b", Mode: upgrade.ModeNever}
+	never := upgrade.Change{Key: "config.name", Old: "a", New: "b", Mode: upgrade.ModeImmutable}
 	handoffChange := upgrade.Change{Key: "config.x", New: "1", Mode: upgrade.ModeHandoff}
 	checkErr, budgetErr := errors.New("failed"), errors.New("memory")
 	for _, tc := range []struct {
--- a/internal/upgrade/machine.go
+++ b/internal/upgrade/machine.go
@@ -143,7 +143,7 @@
 	case StateOnTrial:
 		return m.timeouts.TrialMicros, true
 	case StateFallingBack:
-		if input == InputWorse || input == InputCancel { // the new process first releases the lock on its own
+		if input == InputTrialFailed || input == InputCancel { // the new process first releases the lock on its own
 			return commandTimeout + lockTimeout, true
 		}
 		return commandTimeout, true
--- a/internal/upgrade/model_test.go
+++ b/internal/upgrade/model_test.go
@@ -180,7 +180,7 @@
 		case EffectKillOld:
 			s.kill(s.old)
 			s.old = none
-		case EffectWrite:
+		case EffectRecordSettled:
 			s.settled = newGeneration
 			s.feed(InputWritten)
 		case EffectPromote:
@@ -475,7 +475,7 @@
 	}
 	inChange := s.machine.State > StateSteady && s.machine.State < StateWriting
 	if s.supervisorAlive && s.applied && !s.cancelled && inChange {
-		for input, name := range map[Input]string{InputCancel: "cancel", InputNewHung: "hung", InputWorse: "worse"} {
+		for input, name := range map[Input]string{InputCancel: "cancel", InputNewUnhealthy: "hung", InputTrialFailed: "worse"} {
 			moves = append(moves, func(s *model) string { s.cancelled = true; s.feed(input); return name })
 		}
 	}
--- a/internal/upgrade/settingsdiff.go
+++ b/internal/upgrade/settingsdiff.go
@@ -17,10 +17,10 @@
 // Modes of change. The names of the first three are part of the output of
 // `quilldoor change check`; Diff omits changes of the last one.
 const (
-	ModeLive    ChangeMode = iota // while the router runs, on SIGHUP
-	ModeHandoff                   // by a new generation; keys without an entry in keyModes have this mode
-	ModeNever                     // never: the key identifies this router or belongs to its machine
-	ModeIgnored                   // the value differs at each start and is not compared
+	ModeLive      ChangeMode = iota // while the router runs, on SIGHUP
+	ModeHandoff                     // by a new generation; keys without an entry in keyModes have this mode
+	ModeImmutable                   // never: the key identifies this router or belongs to its machine
+	ModeIgnored                     // the value differs at each start and is not compared
 	changeModeCount
 )
 
@@ -35,17 +35,17 @@
 	prefix string
 	mode   ChangeMode
 }{
-	{"config.name", ModeNever},
-	{"config.listen", ModeNever},
+	{"config.name", ModeImmutable},
+	{"config.listen", ModeImmutable},
 	{"config.seed", ModeIgnored},
 	{"config.known", ModeIgnored},
 	{"config.board", ModeLive},
-	{"config.limits.", ModeNever}, // of the machine, whose resources the supervisor has already divided
-	{"operator.keep.folder", ModeNever},
-	{"operator.members.name", ModeNever},
-	{"operator.members.listen", ModeNever},
-	{"operator.gateway.name", ModeNever},
-	{"operator.gateway.listen", ModeNever},
+	{"config.limits.", ModeImmutable}, // of the machine, whose resources the supervisor has already divided
+	{"operator.keep.folder", ModeImmutable},
+	{"operator.members.name", ModeImmutable},
+	{"operator.members.listen", ModeImmutable},
+	{"operator.gateway.name", ModeImmutable},
+	{"operator.gateway.listen", ModeImmutable},
 }
 
 // ModeOf returns the mode of a flat key in the form that Flatten produces.
@@ -89,14 +89,14 @@
 	return changes
 }
 
-// HardestMode returns the most restrictive mode among changes that Diff returned, and
-// ModeLive without changes. It reports false for ModeNever, since the changes can't be
+// MostRestrictiveMode returns the most restrictive mode among changes that Diff returned, and
+// ModeLive without changes. It reports false for ModeImmutable, since the changes can't be
 // applied to this router then.
-func HardestMode(changes []Change) (mostRestrictive ChangeMode, possible bool) {
+func MostRestrictiveMode(changes []Change) (mostRestrictive ChangeMode, possible bool) {
 	for _, c := range changes {
 		mostRestrictive = max(mostRestrictive, c.Mode)
 	}
-	return mostRestrictive, mostRestrictive != ModeNever
+	return mostRestrictive, mostRestrictive != ModeImmutable
 }
 
 // routerKeys are the keys that differ between routers with otherwise equal settings.
--- a/internal/upgrade/settingsdiff_test.go
+++ b/internal/upgrade/settingsdiff_test.go
@@ -25,10 +25,10 @@
 	if len(changes) != 2 || changes[0].String() != "config.board: b2, was b1 (live)" || changes[1].Mode != ModeHandoff {
 		t.Errorf("changes: %v", changes)
 	}
-	if mode, possible := HardestMode(changes); mode != ModeHandoff || !possible {
+	if mode, possible := MostRestrictiveMode(changes); mode != ModeHandoff || !possible {
 		t.Errorf("all changes: mode %v, possible %v", mode, possible)
 	}
-	if mode, possible := HardestMode(changes[:1]); mode != ModeLive || !possible {
+	if mode, possible := MostRestrictiveMode(changes[:1]); mode != ModeLive || !possible {
 		t.Errorf("the live change alone: mode %v, possible %v", mode, possible)
 	}
 	if Digest(a) != Digest(b) {
@@ -38,7 +38,7 @@
 	if Digest(a) == Digest(b) {
 		t.Error("digests are equal for two latency objectives")
 	}
-	if _, possible := HardestMode(Diff(a, b)); possible {
+	if _, possible := MostRestrictiveMode(Diff(a, b)); possible {
 		t.Error("a change of config.name is reported as possible")
 	}
 }
--- a/internal/upgrade/states.go
+++ b/internal/upgrade/states.go
@@ -38,27 +38,27 @@
 
 // Inputs of the supervisor's Machine.
 const (
-	InputApply       Input = iota // a change is requested
-	InputChecked                  // the new settings can be applied, the machine has capacity for both
-	InputRejected                 // they can't be applied, or the machine lacks capacity for both
-	InputOldReady                 // the old process is ready to serve
-	InputNewReady                 // the new process is ready to serve
-	InputReleased                 // the old process has handed over its state and the lock
-	InputOldServes                // the old process accepts clients
-	InputNewServes                // the new process accepts clients
-	InputDenied                   // the new process did not get the serving lock
-	InputSettled                  // the new process has confirmed that its trial is over
-	InputWritten                  // the state file records the new generation as settled
-	InputWriteFailed              // the state file could not be written
-	InputOldEnded                 // the old process has ended
-	InputNewEnded                 // the new process has ended
-	InputOldHung                  // the old process sends no heartbeats
-	InputNewHung                  // the new process sends no heartbeats, or exceeds its budget
-	InputWorse                    // the new process fails more requests than the old one, or violates an invariant
-	InputCancel                   // an operator or a rollout cancels the change
-	InputTimeout                  // the deadline of the state has passed
-	InputShutdown                 // the supervisor is to shut down
-	InputAllEnded                 // all processes have ended
+	InputApply        Input = iota // a change is requested
+	InputChecked                   // the new settings can be applied, the machine has capacity for both
+	InputRejected                  // they can't be applied, or the machine lacks capacity for both
+	InputOldReady                  // the old process is ready to serve
+	InputNewReady                  // the new process is ready to serve
+	InputReleased                  // the old process has handed over its state and the lock
+	InputOldServes                 // the old process accepts clients
+	InputNewServes                 // the new process accepts clients
+	InputDenied                    // the new process did not get the serving lock
+	InputSettled                   // the new process has confirmed that its trial is over
+	InputWritten                   // the state file records the new generation as settled
+	InputWriteFailed               // the state file could not be written
+	InputOldEnded                  // the old process has ended
+	InputNewEnded                  // the new process has ended
+	InputOldHung                   // the old process sends no heartbeats
+	InputNewUnhealthy              // the new process sends no heartbeats, or exceeds its budget
+	InputTrialFailed               // the new process fails more requests than the old one, or violates an invariant
+	InputCancel                    // an operator or a rollout cancels the change
+	InputTimeout                   // the deadline of the state has passed
+	InputShutdown                  // the supervisor is to shut down
+	InputAllEnded                  // all processes have ended
 	inputCount
 )
 
@@ -89,7 +89,7 @@
 	EffectEndNew                               // command the new process to drain and end; kill it if it does not end in time
 	EffectKillNew                              // kill the new process
 	EffectKillOld                              // kill the old process
-	EffectWrite                                // record the new generation as settled in the state file
+	EffectRecordSettled                        // record the new generation as settled in the state file
 	EffectPromote                              // make the new process the old one; command its predecessor to drain and end
 	EffectEndAll                               // command all processes to drain and end
 	EffectReportRejected                       // report: rejected, nothing has changed
--- a/internal/upgrade/transitions.go
+++ b/internal/upgrade/transitions.go
@@ -59,10 +59,10 @@
 	StateWarming: {
 		InputNewReady: to(StateQuiescing, EffectQuiesceOld),
 		// The new process failed before the hand-off: the old one continues to serve.
-		InputNewEnded: to(StateSteady, EffectReportRejected),
-		InputNewHung:  to(StateSteady, EffectKillNew, EffectReportRejected),
-		InputTimeout:  to(StateSteady, EffectKillNew, EffectReportRejected),
-		InputCancel:   to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputNewEnded:     to(StateSteady, EffectReportRejected),
+		InputNewUnhealthy: to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputTimeout:      to(StateSteady, EffectKillNew, EffectReportRejected),
+		InputCancel:       to(StateSteady, EffectKillNew, EffectReportRejected),
 		// The old process has failed: its restart has priority over the change.
 		InputOldEnded: to(StateDown, EffectKillNew, EffectReportRejected),
 		InputOldHung:  to(StateDown, EffectKillNew, EffectKillOld, EffectReportRejected),
@@ -72,12 +72,12 @@
 		// The lock is free: the new process is to serve with the old one's state.
 		InputReleased: to(StateHandingOver, EffectServeNew),
 		// The old process timed out on its own and serves again.
-		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
-		InputNewEnded:  to(StateFallingBack, EffectResumeOld),
-		InputNewHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputCancel:    to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputTimeout:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputOldHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputOldServes:    to(StateSteady, EffectKillNew, EffectReportFellBack),
+		InputNewEnded:     to(StateFallingBack, EffectResumeOld),
+		InputNewUnhealthy: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputCancel:       to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout:      to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputOldHung:      to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		// The old process's state is lost: restart the settled generation.
 		InputOldEnded: to(StateDown, EffectKillNew, EffectReportFellBack),
 		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
@@ -85,24 +85,24 @@
 	StateHandingOver: {
 		InputNewServes: to(StateOnTrial, EffectStandbyOld),
 		// The old process timed out on its own and acquired the lock first.
-		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
-		InputDenied:    to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputNewEnded:  to(StateFallingBack, EffectResumeOld),
-		InputNewHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputCancel:    to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputTimeout:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputOldServes:    to(StateSteady, EffectKillNew, EffectReportFellBack),
+		InputDenied:       to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputNewEnded:     to(StateFallingBack, EffectResumeOld),
+		InputNewUnhealthy: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputCancel:       to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout:      to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		// It is unknown whether the new process serves: restart the settled generation.
 		InputOldEnded: to(StateDown, EffectKillNew, EffectReportFellBack),
 		InputShutdown: to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateOnTrial: {
 		// The trial passed.
-		InputTimeout:  to(StateSettling, EffectSettleNew),
-		InputNewEnded: to(StateFallingBack, EffectResumeOld),
-		InputNewHung:  to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout:      to(StateSettling, EffectSettleNew),
+		InputNewEnded:     to(StateFallingBack, EffectResumeOld),
+		InputNewUnhealthy: to(StateFallingBack, EffectKillNew, EffectResumeOld),
 		// The new process still responds: let it answer its open requests.
-		InputWorse:  to(StateFallingBack, EffectEndNew, EffectResumeOld),
-		InputCancel: to(StateFallingBack, EffectEndNew, EffectResumeOld),
+		InputTrialFailed: to(StateFallingBack, EffectEndNew, EffectResumeOld),
+		InputCancel:      to(StateFallingBack, EffectEndNew, EffectResumeOld),
 		// The old process acquired the lock again on its own.
 		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
 		// The new process serves, so the trial continues without a standby.
@@ -113,13 +113,13 @@
 		// The process is notified before the state file is written. If the supervisor ends
 		// between the two steps, its successor finds a settled process. In the reverse
 		// order it could find a generation recorded as settled whose process yields.
-		InputSettled:   to(StateWriting, EffectWrite),
-		InputNewEnded:  to(StateFallingBack, EffectResumeOld),
-		InputNewHung:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputTimeout:   to(StateFallingBack, EffectKillNew, EffectResumeOld),
-		InputOldServes: to(StateSteady, EffectKillNew, EffectReportFellBack),
-		InputOldEnded:  stayIn(StateSettling),
-		InputShutdown:  to(StateStopping, EffectReportFellBack, EffectEndAll),
+		InputSettled:      to(StateWriting, EffectRecordSettled),
+		InputNewEnded:     to(StateFallingBack, EffectResumeOld),
+		InputNewUnhealthy: to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputTimeout:      to(StateFallingBack, EffectKillNew, EffectResumeOld),
+		InputOldServes:    to(StateSteady, EffectKillNew, EffectReportFellBack),
+		InputOldEnded:     stayIn(StateSettling),
+		InputShutdown:     to(StateStopping, EffectReportFellBack, EffectEndAll),
 	},
 	StateWriting: {
 		InputWritten: to(StateSteady, EffectPromote, EffectReportDone),
--- a/internal/upgradeagent/agent.go
+++ b/internal/upgradeagent/agent.go
@@ -50,8 +50,8 @@
 // Agent connects a router process to its supervisor, and carries out what its state
 // machine, an upgrade.Agent, decides.
 type Agent struct {
-	Number  uint64              // of the generation
-	Sockets map[string]*os.File // inherited, by name: "listen" at least
+	Generation uint64              // number of the generation that the process runs
+	Sockets    map[string]*os.File // inherited, by name: "listen" at least
 
 	folder      string   // the supervisor's
 	socketNames []string // keys of Sockets, in the order of their descriptors
@@ -81,7 +81,7 @@
 // and end, because of a command, the loss of the supervisor or a signal on term, and when
 // the context ends. It returns the error of a failed Host.Acquire.
 func (a *Agent) Run(ctx context.Context, host Host, term <-chan os.Signal, log *logrus.Entry) error {
-	a.log = log.WithField("generation", a.Number)
+	a.log = log.WithField("generation", a.Generation)
 	a.sendHello()
 	go a.receive(ctx, a.conn)
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -205,7 +205,7 @@
 		case upgrade.AgentEffectDrain:
 			return true, nil
 		case upgrade.AgentEffectReportReleased:
-			a.send(&handoff.Message{Kind: handoff.KindReleased, Generation: a.Number, State: a.state})
+			a.send(&handoff.Message{Kind: handoff.KindReleased, Generation: a.Generation, State: a.state})
 		case upgrade.AgentEffectReportAccepting:
 			a.report(handoff.KindAccepting)
 		case upgrade.AgentEffectReportDenied:
--- a/internal/upgradeagent/agent_test.go
+++ b/internal/upgradeagent/agent_test.go
@@ -73,7 +73,7 @@
 		lock.file.Close()
 	})
 	return &Agent{
-		Number: 7, Sockets: map[string]*os.File{}, folder: folder, conn: conn, lock: lock,
+		Generation: 7, Sockets: map[string]*os.File{}, folder: folder, conn: conn, lock: lock,
 		startedAt: time.Now(), machine: upgrade.NewAgent(),
 		supervisorMessages: make(chan *handoff.Message, maxQueuedSupervisorMessages),
 		peerMessages:       make(chan *handoff.Message, maxQueuedPeerMessages),
--- a/internal/upgradeagent/connection.go
+++ b/internal/upgradeagent/connection.go
@@ -49,13 +49,13 @@
 
 func (a *Agent) sendHello() {
 	a.send(&handoff.Message{
-		Kind: handoff.KindHello, Format: handoff.Format, Generation: a.Number, PID: os.Getpid(),
+		Kind: handoff.KindHello, Format: handoff.Format, Generation: a.Generation, PID: os.Getpid(),
 	})
 }
 
 // report sends a message of a kind that has no fields of its own.
 func (a *Agent) report(kind handoff.Kind) {
-	a.send(&handoff.Message{Kind: kind, Generation: a.Number})
+	a.send(&handoff.Message{Kind: kind, Generation: a.Generation})
 }
 
 func (a *Agent) sendHeartbeat(host Host) {
@@ -128,7 +128,7 @@
 		files = append(files, a.Sockets[name])
 	}
 	err = conn.Send(&handoff.Message{
-		Kind: handoff.KindHello, Format: handoff.Format, Generation: a.Number, PID: os.Getpid(),
+		Kind: handoff.KindHello, Format: handoff.Format, Generation: a.Generation, PID: os.Getpid(),
 		AgentState: a.machine.State, WasSettled: a.machine.Settled(), Sockets: names,
 	}, files...)
 	if err != nil {
--- a/internal/upgradeagent/inherit.go
+++ b/internal/upgradeagent/inherit.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	return &Agent{
-		Number:             number,
+		Generation:         number,
 		startedAt:          time.Now(),
 		Sockets:            inheritedSockets(names),
 		folder:             folder,
