--- a/cmd/quilldoor-lab/pairs.go
+++ b/cmd/quilldoor-lab/pairs.go
@@ -116,7 +116,7 @@
 // setKilledShare sets the share of the routers that the first router_dies of a scenario kills.
 func setKilledShare(s *scenario.Scenario, share float64) {
 	for i := range s.Faults {
-		if s.Faults[i].Kind == scenario.KindRouterDeath {
+		if s.Faults[i].Kind == scenario.KindRouterKill {
 			s.Faults[i].Share = share
 			return
 		}
--- a/cmd/quilldoor-lab/rolloutcost.go
+++ b/cmd/quilldoor-lab/rolloutcost.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	plan := sameProgramPlan(routers, status.Settled.Program)
-	if err := os.WriteFile(routers.Plan(), []byte(plan), 0o600); err != nil {
+	if err := os.WriteFile(routers.PlanPath(), []byte(plan), 0o600); err != nil {
 		return err
 	}
 	started := false
--- a/cmd/quilldoor-lab/upgradecases.go
+++ b/cmd/quilldoor-lab/upgradecases.go
@@ -29,7 +29,7 @@
 
 // applyUpgrade requests a new generation from a router's supervisor and waits for the outcome.
 func applyUpgrade(routers *emulator.RunningRouters, router int) error {
-	reply, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
+	reply, err := routers.CallSupervisor(router, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 func crashOnTrial(routers *emulator.RunningRouters, router int) error {
 	applied := make(chan error, 1)
 	go func() {
-		_, err := routers.Ask(router, &handoff.Message{Kind: handoff.KindApply})
+		_, err := routers.CallSupervisor(router, &handoff.Message{Kind: handoff.KindApply})
 		applied <- err
 	}()
 	status, err := routers.WaitStatus(router, upgradeSettleTime, func(s *handoff.Status) bool {
--- a/cmd/quilldoor/compatibility_test.go
+++ b/cmd/quilldoor/compatibility_test.go
@@ -70,7 +70,7 @@
 
 // expectEarlierProgramRefused asks a supervised router for an upgrade to the earlier program.
 func expectEarlierProgramRefused(fleet *emulator.RunningRouters, router int, program string) error {
-	reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
+	reply, err := fleet.CallSupervisor(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
 	if err != nil {
 		return fmt.Errorf("router %d, to the earlier program: %w", router, err)
 	}
--- a/cmd/quilldoor/mixedfolders_test.go
+++ b/cmd/quilldoor/mixedfolders_test.go
@@ -170,7 +170,7 @@
 	if after.Previous == nil || *after.Previous != *before.Previous {
 		return nil, fmt.Errorf("previous: %+v, was %+v", after.Previous, before.Previous)
 	}
-	return after, checkHealth(fleet.Listen(0))
+	return after, checkHealth(fleet.ClientAddr(0))
 }
 
 // checkRuns checks that a process runs a program.
--- a/cmd/quilldoor/mixedversions_test.go
+++ b/cmd/quilldoor/mixedversions_test.go
@@ -110,7 +110,7 @@
 		}
 	}
 	for i := range fleet.Count() {
-		if err := checkNothingRefused(t, fleet.Log(i)); err != nil {
+		if err := checkNothingRefused(t, fleet.LogPath(i)); err != nil {
 			return err
 		}
 	}
@@ -128,7 +128,7 @@
 
 // upgradeTo upgrades a router to a program and checks that it is settled.
 func upgradeTo(fleet *emulator.RunningRouters, router int, program string, generation uint64) error {
-	reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
+	reply, err := fleet.CallSupervisor(router, &handoff.Message{Kind: handoff.KindApply, Program: program})
 	if err != nil {
 		return fmt.Errorf("router %d, to %s: %w", router, program, err)
 	}
--- a/cmd/quilldoor/refusedupgrades_test.go
+++ b/cmd/quilldoor/refusedupgrades_test.go
@@ -33,7 +33,7 @@
 		if err := checkReloadReachesGeneration(fleet); err != nil {
 			return err
 		}
-		return checkHealth(fleet.Listen(0))
+		return checkHealth(fleet.ClientAddr(0))
 	})
 }
 
@@ -86,16 +86,16 @@
 		},
 	} {
 		request := &handoff.Message{Kind: handoff.KindApply}
-		original, edited := fleet.Operator(0), &request.Operator
+		original, edited := fleet.OperatorPath(0), &request.Operator
 		if tc.config {
-			original, edited = fleet.Config(0), &request.Config
+			original, edited = fleet.ConfigPath(0), &request.Config
 		}
 		path, err := editedCopy(t, original, tc.old, tc.new)
 		if err != nil {
 			return err
 		}
 		*edited = path
-		reply, err := fleet.Ask(0, request)
+		reply, err := fleet.CallSupervisor(0, request)
 		if err != nil {
 			return fmt.Errorf("%s: %w", tc.name, err)
 		}
@@ -114,14 +114,14 @@
 func checkConcurrentUpgrades(t *testing.T, fleet *emulator.RunningRouters) error {
 	first := make(chan *handoff.Message, 1)
 	go func() {
-		reply, _ := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+		reply, _ := fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindApply})
 		first <- reply
 	}()
 	upgrading := func(status *handoff.Status) bool { return status.State != "steady" }
 	if _, err := fleet.WaitStatus(0, 3*time.Second, upgrading); err != nil {
 		return err
 	}
-	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+	reply, err := fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil || reply.OK || !strings.Contains(reply.Note, "refused") {
 		t.Errorf("second upgrade: %v, %+v", err, reply)
 	}
@@ -129,7 +129,7 @@
 	if _, err := fleet.WaitStatus(0, 3*time.Second, onTrial); err != nil {
 		return err
 	}
-	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !reply.FellBack {
+	if reply, err := fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindRollBack}); err != nil || !reply.FellBack {
 		t.Errorf("rollback on trial: %v, %+v", err, reply)
 	}
 	if reply := <-first; reply == nil || !reply.FellBack {
@@ -140,7 +140,7 @@
 
 // checkSecondSupervisor starts a second supervisor with the same folder.
 func checkSecondSupervisor(t *testing.T, fleet *emulator.RunningRouters) {
-	second := ownCommand("keep", "--config", fleet.Config(0), "--operator", fleet.Operator(0))
+	second := ownCommand("keep", "--config", fleet.ConfigPath(0), "--operator", fleet.OperatorPath(0))
 	output, err := second.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "another supervisor uses this folder") {
 		t.Errorf("second supervisor: %v, %s", err, output)
@@ -153,14 +153,14 @@
 	if err := os.WriteFile(filepath.Join(fleet.SupervisorDir(0), "9"), nil, 0o600); err != nil {
 		return err
 	}
-	if reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || reply.OK || reply.FellBack {
+	if reply, err := fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindApply}); err != nil || reply.OK || reply.FellBack {
 		t.Errorf("copies can't be written: %v, %+v", err, reply)
 	}
 	state := filepath.Join(fleet.SupervisorDir(0), "state.json")
 	if err := errors.Join(os.Remove(state), os.MkdirAll(filepath.Join(state, "x"), 0o700)); err != nil {
 		return err
 	}
-	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply})
+	reply, err := fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindApply})
 	if err != nil || !reply.OK || !strings.Contains(reply.Note, "could not be written") {
 		t.Errorf("state file can't be written: %v, %+v", err, reply)
 	}
@@ -182,7 +182,7 @@
 		return err
 	}
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		text, err := os.ReadFile(fleet.Log(0))
+		text, err := os.ReadFile(fleet.LogPath(0))
 		if err != nil {
 			return err
 		}
--- a/cmd/quilldoor/rollout_test.go
+++ b/cmd/quilldoor/rollout_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	fmt.Fprintf(&plan, "stages:\n  - %s\n", strings.Join(stages, "\n  - "))
-	return os.WriteFile(fleet.Plan(), []byte(plan.String()), 0o600)
+	return os.WriteFile(fleet.PlanPath(), []byte(plan.String()), 0o600)
 }
 
 // waitForRolloutEnd waits for the end of a rollout and returns the newest of the routers'
@@ -288,7 +288,7 @@
 		return err
 	}
 	t.Logf("router 0 is back at generation %d", status.Serving.Generation)
-	return checkHealth(fleet.Listen(0))
+	return checkHealth(fleet.ClientAddr(0))
 }
 
 // excuseCrashes excuses, until stop is closed, the requests that router 0 holds when its
--- a/cmd/quilldoor/upgrade_test.go
+++ b/cmd/quilldoor/upgrade_test.go
@@ -17,7 +17,7 @@
 // upgradeRepeatedly upgrades a router to its own program several times in a row.
 func upgradeRepeatedly(fleet *emulator.RunningRouters, router, upgrades int) error {
 	for i := range upgrades {
-		reply, err := fleet.Ask(router, &handoff.Message{Kind: handoff.KindApply})
+		reply, err := fleet.CallSupervisor(router, &handoff.Message{Kind: handoff.KindApply})
 		if err != nil {
 			return fmt.Errorf("router %d, upgrade %d: %w", router, i, err)
 		}
@@ -140,7 +140,7 @@
 // generations opened the disk cache once.
 func checkUpgradedLog(t *testing.T, fleet *emulator.RunningRouters, router int) error {
 	t.Helper()
-	text, err := os.ReadFile(fleet.Log(router))
+	text, err := os.ReadFile(fleet.LogPath(router))
 	if err != nil {
 		return err
 	}
--- a/cmd/quilldoor/upgradefaults_test.go
+++ b/cmd/quilldoor/upgradefaults_test.go
@@ -65,7 +65,7 @@
 			excuseCrashOnTrial(fleet)
 		}
 	}()
-	reply, err := fleet.Ask(0, &handoff.Message{Kind: handoff.KindApply, Program: faultyProgram(t, tc.fault)})
+	reply, err := fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindApply, Program: faultyProgram(t, tc.fault)})
 	if err != nil {
 		return 0, err
 	}
@@ -83,7 +83,7 @@
 	}
 	<-done
 	// The supervisor still accepts commands. There is no earlier generation to roll back to.
-	reply, err = fleet.Ask(0, &handoff.Message{Kind: handoff.KindRollBack})
+	reply, err = fleet.CallSupervisor(0, &handoff.Message{Kind: handoff.KindRollBack})
 	if err != nil {
 		return 0, fmt.Errorf("rollback without an earlier generation: %w", err)
 	}
@@ -143,7 +143,7 @@
 	}
 	if step != "steady" {
 		// The reply may never come; the generation that serves in the end shows the outcome.
-		go func() { _, _ = fleet.Ask(0, upgrade) }()
+		go func() { _, _ = fleet.CallSupervisor(0, upgrade) }()
 	}
 	status, err := fleet.WaitStatus(0, 4*time.Second, func(status *handoff.Status) bool {
 		return status.State == step && status.Serving != nil && (step == "steady" || status.Next != nil)
@@ -163,7 +163,7 @@
 	if err := expectSettledGeneration(fleet, generationAfterFault(step, target)); err != nil {
 		return err
 	}
-	return checkHealth(fleet.Listen(0))
+	return checkHealth(fleet.ClientAddr(0))
 }
 
 // killOrStop sends the signals of an injected fault.
@@ -206,7 +206,7 @@
 func restartSupervisor(fleet *emulator.RunningRouters, generationServes bool) error {
 	time.Sleep(700 * time.Millisecond)
 	if generationServes {
-		if err := checkHealth(fleet.Listen(0)); err != nil {
+		if err := checkHealth(fleet.ClientAddr(0)); err != nil {
 			return fmt.Errorf("without a supervisor: %w", err)
 		}
 	}
--- a/internal/emulator/cache_server.go
+++ b/internal/emulator/cache_server.go
@@ -196,7 +196,7 @@
 	delete(l.requests, request.ID)
 	l.Record(&eventlog.Entry{
 		Kind: eventlog.KindAnswered, At: l.simulation.Now(), Router: l.id, Request: request.ID,
-		Outcome: string(simulation.AnswerFailed),
+		Outcome: string(simulation.AnswerAborted),
 	})
 }
 
--- a/internal/emulator/running_routers.go
+++ b/internal/emulator/running_routers.go
@@ -29,22 +29,22 @@
 // SupervisorDir is the path of the folder of a router's supervisor.
 func (s *RunningRouters) SupervisorDir(router int) string { return s.routers[router].supervisorDir() }
 
-// Operator is the path of a router's operator configuration.
-func (s *RunningRouters) Operator(router int) string { return s.routers[router].operatorPath() }
+// OperatorPath is the path of a router's operator configuration.
+func (s *RunningRouters) OperatorPath(router int) string { return s.routers[router].operatorPath() }
 
-// Log is the path of the log file that all processes of a supervised router append to.
-func (s *RunningRouters) Log(router int) string { return s.routers[router].logPath() }
+// LogPath is the path of the log file that all processes of a supervised router append to.
+func (s *RunningRouters) LogPath(router int) string { return s.routers[router].logPath() }
 
 // View queries a router's membership view.
 func (s *RunningRouters) View(router int) (*membership.View, error) {
 	return transport.Query([]byte(membershipKey), routerName(router), s.routers[router].membershipAddr)
 }
 
-// Config is the path of the configuration file that the platform writes for a router.
-func (s *RunningRouters) Config(router int) string { return s.routers[router].configPath() }
+// ConfigPath is the path of the configuration file that the platform writes for a router.
+func (s *RunningRouters) ConfigPath(router int) string { return s.routers[router].configPath() }
 
-// Plan is the path from which the routers load a rollout plan. The run doesn't create the file.
-func (s *RunningRouters) Plan() string { return s.planPath() }
+// PlanPath is the path from which the routers load a rollout plan. The run doesn't create the file.
+func (s *RunningRouters) PlanPath() string { return s.planPath() }
 
 // Name is a router's name in the membership, and its office.
 func (s *RunningRouters) Name(router int) (name, office string) {
@@ -54,7 +54,7 @@
 // Rollout sends a rollout command to a router and returns the rollout's status. The command 0 only
 // requests the status.
 func (s *RunningRouters) Rollout(router int, command rollout.Command) (*rollout.Status, error) {
-	reply, err := s.Ask(router, &handoff.Message{Kind: handoff.KindRollout, Command: command})
+	reply, err := s.CallSupervisor(router, &handoff.Message{Kind: handoff.KindRollout, Command: command})
 	if err != nil {
 		return nil, err
 	}
@@ -64,11 +64,11 @@
 	return reply.Rollout, nil
 }
 
-// Listen is the address on which a router listens for clients.
-func (s *RunningRouters) Listen(router int) string { return s.routers[router].clientAddr }
+// ClientAddr is the address on which a router listens for clients.
+func (s *RunningRouters) ClientAddr(router int) string { return s.routers[router].clientAddr }
 
-// Ask sends a message to a router's supervisor and returns its last reply.
-func (s *RunningRouters) Ask(router int, message *handoff.Message) (*handoff.Message, error) {
+// CallSupervisor sends a message to a router's supervisor and returns its last reply.
+func (s *RunningRouters) CallSupervisor(router int, message *handoff.Message) (*handoff.Message, error) {
 	return s.routers[router].callSupervisor(message)
 }
 
--- a/internal/emulator/sockets_client.go
+++ b/internal/emulator/sockets_client.go
@@ -143,7 +143,7 @@
 			Outcome: simulation.AnswerRejected, RetryAfter: retryAfterMillis * microsPerMilli,
 		}}
 	}
-	return clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerFailed}}
+	return clientResponse{answer: simulation.Answer{Outcome: simulation.AnswerAborted}}
 }
 
 // newRequest returns a client's request in the platform's HTTP format.
--- a/internal/emulator/sockets_loop.go
+++ b/internal/emulator/sockets_loop.go
@@ -20,7 +20,7 @@
 	defer timer.Stop()
 	for {
 		now := s.now()
-		if s.simulation.Over() || now > s.simulation.Length() {
+		if s.simulation.Done() || now > s.simulation.Length() {
 			if s.driverDone != nil {
 				return <-s.driverDone
 			}
@@ -70,7 +70,7 @@
 		}
 		if s.config.EndWithDrive {
 			s.simulation.AdvanceTo(s.now())
-			s.simulation.Close()
+			s.simulation.StopClients()
 		}
 	case <-s.ctx.Done():
 		return s.ctx.Err()
@@ -94,7 +94,7 @@
 // Record passes an entry of the event log to the checker and to Options.Record. If a server starts
 // or goes down, it updates the listeners of the server first.
 func (s *socketRun) Record(entry *eventlog.Entry) {
-	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesCut())
+	s.sitesCut.Store(s.simulation != nil && s.simulation.SitesPartitioned())
 	switch entry.Kind {
 	case eventlog.KindDown, eventlog.KindStarted:
 		for _, process := range s.routers {
--- a/internal/emulator/virtual.go
+++ b/internal/emulator/virtual.go
@@ -83,7 +83,7 @@
 // play runs one event after another until the simulation is over.
 func (v *virtualRun) play(ctx context.Context) error {
 	end := v.simulation.Length()
-	for steps := 0; !v.simulation.Over(); steps++ {
+	for steps := 0; !v.simulation.Done(); steps++ {
 		source, now := v.nextEvent()
 		if now > end {
 			return nil
--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -147,7 +147,7 @@
 var forwardedOutcomes = map[peerpolicy.Outcome]simulation.AnswerOutcome{
 	peerpolicy.OutcomeCompleted: simulation.AnswerCompleted,
 	peerpolicy.OutcomeRejected:  simulation.AnswerRejected,
-	peerpolicy.OutcomeAborted:   simulation.AnswerFailed,
+	peerpolicy.OutcomeAborted:   simulation.AnswerAborted,
 }
 
 // runGatewayActions executes the actions that a gateway has decided on.
--- a/internal/emulator/virtual_request.go
+++ b/internal/emulator/virtual_request.go
@@ -45,7 +45,7 @@
 		case engine.CommandReject:
 			v.finish(request, answerFromCommand(simulation.AnswerRejected, 0, &command), command.MaybeExecuted)
 		case engine.CommandFail:
-			v.finish(request, answerFromCommand(simulation.AnswerFailed, 0, &command), command.MaybeExecuted)
+			v.finish(request, answerFromCommand(simulation.AnswerAborted, 0, &command), command.MaybeExecuted)
 		}
 	}
 }
--- a/internal/emulator/virtual_sites.go
+++ b/internal/emulator/virtual_sites.go
@@ -122,11 +122,11 @@
 // deliverAcrossSites runs a task, the receipt of a message at another site, after the latency
 // between sites. The message is lost if the sites are cut when it is sent or when it arrives.
 func (v *virtualRun) deliverAcrossSites(task func()) {
-	if v.simulation.SitesCut() {
+	if v.simulation.SitesPartitioned() {
 		return
 	}
 	v.simulation.After(int64(v.scenario.Fleet.SiteMS*microsPerMilli), func() {
-		if !v.simulation.SitesCut() {
+		if !v.simulation.SitesPartitioned() {
 			task()
 		}
 	})
--- a/internal/faultsearch/draw.go
+++ b/internal/faultsearch/draw.go
@@ -71,7 +71,7 @@
 	fleet.ParentSlowStartFrom = logUniform(random, 0.06, 0.4)
 	fleet.ParentSlowStartS = logUniform(random, 3, 20)
 	fleet.DiscoveryDelayMS = logUniform(random, 100, 2500)
-	fleet.DeathDetectionMS = logUniform(random, 300, 4000)
+	fleet.CrashDetectionMS = logUniform(random, 300, 4000)
 	fleet.CacheShare = logUniform(random, 0.1, 0.5)
 	fleet.PreWarmed = random.IntN(4) > 0
 	fleet.ParentCoalesces = random.IntN(2) == 0
@@ -87,7 +87,7 @@
 	load := &s.Load
 	load.Retries = random.IntN(4)
 	load.RetryWaitMS = choose(random, 0, 150, 600.0)
-	load.HonourShare = choose(random, 0, 0.5, 1)
+	load.RetryAfterShare = choose(random, 0, 0.5, 1)
 	load.WriteShare = choose(random, 0.034, 0.034, 0.2)
 	loadShare := logUniform(random, space.MinLoadShare, space.MaxLoadShare)
 	load.RequestsPerS = roundDigits(loadShare * float64(fleet.Offices*fleet.Caches*fleet.Cores) / meanServiceS)
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,7 +11,7 @@
 
 // A request is forwarded and answered with 20 kB. Several requests are in flight at once, and
 // both sites run in this process.
-func BenchmarkAcross(b *testing.B) {
+func BenchmarkForwardedRequest(b *testing.B) {
 	b.Run("plain", func(b *testing.B) { benchmarkForwarding(b, nil, nil) })
 	b.Run("tls", func(b *testing.B) {
 		dir := b.TempDir()
--- a/internal/handoff/conn.go
+++ b/internal/handoff/conn.go
@@ -146,7 +146,7 @@
 }
 
 // TakeSockets returns the received descriptors as files, by name, and keeps none of them. The
-// names are Message.TakeSockets of the message that the descriptors accompanied, in the same
+// names are Message.Sockets of the message that the descriptors accompanied, in the same
 // order. Descriptors beyond the names are closed.
 func (c *Conn) TakeSockets(names []string) map[string]*os.File {
 	files := map[string]*os.File{}
--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -131,9 +131,9 @@
 	m.disconnected = disconnected
 }
 
-// ClockJumped applies a jump of the system's clock, in microseconds: it shifts the
+// ClockStepped applies a jump of the system's clock, in microseconds: it shifts the
 // monitor's own earlier times, and discards reports from before the jump unchecked.
-func (m *Monitor) ClockJumped(now, by int64) {
+func (m *Monitor) ClockStepped(now, by int64) {
 	for _, e := range m.endpoints {
 		if e.unusableSince != 0 {
 			e.unusableSince += by
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -178,7 +178,7 @@
 		m := New(testSettings)
 		m.EndpointsChanged(epoch, true, []policy.Endpoint{listed("a", policy.EndpointDraining, 0)})
 		m.Purged(epoch, "", 7, epoch)
-		m.ClockJumped(epoch+by+100*millisecond, by)
+		m.ClockStepped(epoch+by+100*millisecond, by)
 		violations := reportActivity(m, epoch+by, epoch+by+2*second, func(now int64) *Activity {
 			return &Activity{
 				Endpoints: []EndpointUse{{Endpoint: "a", LastSentMicros: now}},
--- a/internal/scenario/faultkinds.go
+++ b/internal/scenario/faultkinds.go
@@ -23,7 +23,7 @@
 
 // Kinds of faults: the values of a fault's "kind" key.
 const (
-	KindCacheDeath       = "die"
+	KindCacheCrash       = "die"
 	KindCacheSilence     = "silent"
 	KindCachePause       = "pause"
 	KindCacheDeploy      = "deploy"
@@ -39,8 +39,8 @@
 	KindDiscoveryCut     = "cut_board"
 	KindOneTimeObjects   = "once"
 	KindBurst            = "burst"
-	KindRouterDeath      = "router_dies"
-	KindRouterStop       = "router_stops"
+	KindRouterKill       = "router_dies"
+	KindRouterSuspension = "router_stops"
 	KindRouterStarvation = "router_starves"
 	KindPeerDelay        = "ways_delay"
 	KindPeerJitter       = "ways_jitter"
@@ -72,7 +72,7 @@
 
 // FaultKinds holds all kinds of faults by name.
 var FaultKinds = map[string]FaultKind{
-	KindCacheDeath: {
+	KindCacheCrash: {
 		About: "caches crash with a reset and restart cold and empty",
 		Scope: ScopeCaches,
 	},
@@ -133,11 +133,11 @@
 		About:    "the request rate is strength times as high",
 		Strength: 2, MinStrength: 0.01, MaxStrength: 100,
 	},
-	KindRouterDeath: {
+	KindRouterKill: {
 		About: "routers are killed and start without state",
 		Scope: ScopeRouters,
 	},
-	KindRouterStop: {
+	KindRouterSuspension: {
 		About: "routers are suspended and resume with their state",
 		Scope: ScopeRouters,
 	},
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -56,7 +56,7 @@
 	ReportDelayMS    float64 `yaml:"report_delay_ms"` // time until a load report arrives
 	ReportNoise      float64 `yaml:"report_noise"`    // relative error of a load report
 	DiscoveryDelayMS float64 `yaml:"board_ms"`        // time until a router is notified of an event
-	DeathDetectionMS float64 `yaml:"death_ms"`        // time until discovery detects a crashed process
+	CrashDetectionMS float64 `yaml:"death_ms"`        // time until discovery detects a crashed process
 	DrainGraceMS     float64 `yaml:"drain_grace_ms"`  // time for routers to stop using a draining server
 	PurgeGraceMS     float64 `yaml:"purge_grace_ms"`  // time for routers to stop serving purged copies
 	PurgeCompleteMS  float64 `yaml:"cleared_ms"`      // time until all servers have dropped purged copies
@@ -120,7 +120,7 @@
 		ReportDelayMS:    120,
 		ReportNoise:      0.06,
 		DiscoveryDelayMS: 800,
-		DeathDetectionMS: 2000,
+		CrashDetectionMS: 2000,
 		DrainGraceMS:     500,
 		PurgeGraceMS:     300,
 		PurgeCompleteMS:  6000,
--- a/internal/scenario/validate.go
+++ b/internal/scenario/validate.go
@@ -106,7 +106,7 @@
 		{"fleet.report_delay_ms", f.ReportDelayMS, 0, 60_000},
 		{"fleet.report_noise", f.ReportNoise, 0, 1},
 		{"fleet.board_ms", f.DiscoveryDelayMS, 0, 60_000},
-		{"fleet.death_ms", f.DeathDetectionMS, 0, 60_000},
+		{"fleet.death_ms", f.CrashDetectionMS, 0, 60_000},
 		{"fleet.drain_grace_ms", f.DrainGraceMS, 0, 60_000},
 		{"fleet.purge_grace_ms", f.PurgeGraceMS, 0, 60_000},
 		{"fleet.cleared_ms", f.PurgeCompleteMS, 0, 60_000},
@@ -125,8 +125,8 @@
 		{"load.drift_s", l.DriftS, 0, 1e6},
 		{"load.retries", float64(l.Retries), 0, 10},
 		{"load.wait_ms", l.RetryWaitMS, 0, 60_000},
-		{"load.honour", l.HonourShare, 0, 1},
-		{"load.patience", l.Patience, 0.05, 1},
+		{"load.honour", l.RetryAfterShare, 0, 1},
+		{"load.patience", l.ClientTimeoutShare, 0.05, 1},
 		{"load.page_fresh_s", l.PageFreshS, 0, 1e6},
 	}
 }
--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -26,7 +26,7 @@
 const (
 	AnswerCompleted AnswerOutcome = "completed"
 	AnswerRejected  AnswerOutcome = "rejected" // the request was not executed
-	AnswerFailed    AnswerOutcome = "aborted"  // the request may have been executed
+	AnswerAborted   AnswerOutcome = "aborted"  // the request may have been executed
 	answerLate      AnswerOutcome = "late"     // the answer reached the client after the deadline and the tolerance
 )
 
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -102,8 +102,8 @@
 func (s *Simulation) beginRequest(clientRequest *clientRequest) {
 	load := &s.scenario.Load
 	clientRequest.startedAt = s.now
-	clientRequest.honoursRetryAfter = s.random.Float64() < load.HonourShare
-	clientRequest.timeLimit = int64(float64(s.classes[clientRequest.class].Timeout) * load.Patience)
+	clientRequest.honoursRetryAfter = s.random.Float64() < load.RetryAfterShare
+	clientRequest.timeLimit = int64(float64(s.classes[clientRequest.class].Timeout) * load.ClientTimeoutShare)
 	clientRequest.phase = s.currentPhase()
 	s.Result.countRequest(s, clientRequest)
 	s.openRequests++
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -53,8 +53,8 @@
 // then have drainTime to complete.
 func (s *Simulation) Length() int64 { return s.clientsUntil + drainTime }
 
-// Over reports whether clients have stopped arriving and every request has its outcome.
-func (s *Simulation) Over() bool { return s.openRequests == 0 && s.now > s.clientsUntil }
+// Done reports whether clients have stopped arriving and every request has its outcome.
+func (s *Simulation) Done() bool { return s.openRequests == 0 && s.now > s.clientsUntil }
 
-// Close stops the arrival of clients. Open requests are still answered.
-func (s *Simulation) Close() { s.clientsUntil = min(s.clientsUntil, s.now) }
+// StopClients stops the arrival of clients. Open requests are still answered.
+func (s *Simulation) StopClients() { s.clientsUntil = min(s.clientsUntil, s.now) }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -33,7 +33,7 @@
 // startFault starts a fault, draws its targets, and returns the function that ends it; nil: the fault ends by itself.
 func (s *Simulation) startFault(fault *scenario.Fault) (endFault func()) {
 	switch fault.Kind {
-	case scenario.KindCacheDeath, scenario.KindCacheSilence, scenario.KindCachePause, scenario.KindCacheDeploy,
+	case scenario.KindCacheCrash, scenario.KindCacheSilence, scenario.KindCachePause, scenario.KindCacheDeploy,
 		scenario.KindCachePreemption, scenario.KindOfficeLoss, scenario.KindParentLoss:
 		return s.startServerFault(fault)
 	case scenario.KindOriginSlow, scenario.KindOriginStop:
@@ -43,7 +43,7 @@
 		return nil
 	case scenario.KindLateReports, scenario.KindLateDiscovery, scenario.KindDiscoveryCut:
 		return s.startDiscoveryFault(fault)
-	case scenario.KindRouterDeath, scenario.KindRouterStop, scenario.KindRouterStarvation:
+	case scenario.KindRouterKill, scenario.KindRouterSuspension, scenario.KindRouterStarvation:
 		return s.startRouterFault(fault)
 	case scenario.KindPeerDelay, scenario.KindPeerJitter, scenario.KindPeerLoss, scenario.KindPeerDuplication,
 		scenario.KindPeerReorder, scenario.KindPeerBandwidth, scenario.KindPeerCut, scenario.KindPeerOneWay,
--- a/internal/simulation/router_faults.go
+++ b/internal/simulation/router_faults.go
@@ -9,7 +9,7 @@
 func (s *Simulation) startRouterFault(fault *scenario.Fault) (endFault func()) {
 	routers := s.drawRouters(fault)
 	switch fault.Kind {
-	case scenario.KindRouterStop:
+	case scenario.KindRouterSuspension:
 		return s.suspendRouters(routers)
 	case scenario.KindRouterStarvation:
 		return s.starveRouters(routers, fault.Strength)
--- a/internal/simulation/server_capacity.go
+++ b/internal/simulation/server_capacity.go
@@ -97,5 +97,5 @@
 	sim.record(Entry{Kind: eventlog.KindOverloaded, Endpoint: s.id, Work: s.recentWorkTotal / second})
 	sim.Result.Collapsed++
 	s.crash(false)
-	sim.setListed(s, policy.EndpointRemoved, sim.jitter(sim.scenario.Fleet.DeathDetectionMS*millisecond))
+	sim.setListed(s, policy.EndpointRemoved, sim.jitter(sim.scenario.Fleet.CrashDetectionMS*millisecond))
 }
--- a/internal/simulation/server_faults.go
+++ b/internal/simulation/server_faults.go
@@ -81,7 +81,7 @@
 func (s *Simulation) crashServers(servers []*server, silent bool) (endFault func()) {
 	for _, server := range servers {
 		server.crash(silent)
-		s.setListed(server, policy.EndpointRemoved, s.jitter(s.scenario.Fleet.DeathDetectionMS*millisecond))
+		s.setListed(server, policy.EndpointRemoved, s.jitter(s.scenario.Fleet.CrashDetectionMS*millisecond))
 	}
 	return func() { s.restartServers(servers) }
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -153,8 +153,8 @@
 	return found != nil && found.silent
 }
 
-// SitesCut reports whether the sites currently cannot reach each other.
-func (s *Simulation) SitesCut() bool { return s.sitesCut }
+// SitesPartitioned reports whether the sites currently cannot reach each other.
+func (s *Simulation) SitesPartitioned() bool { return s.sitesCut }
 
 // Object looks up an object of the catalogue by its name. It returns the index of its traffic class, its purge group
 // and the size of a part in KB; known is false if the catalogue has no such object or part.
--- a/internal/supervisor/observer.go
+++ b/internal/supervisor/observer.go
@@ -141,7 +141,7 @@
 	jump := now - o.supervisor.now() - o.clockOffset
 	if jump > clockJumpMicros || jump < -clockJumpMicros {
 		o.supervisor.log.WithField("by_ms", jump/1000).Warn("supervisor: clock has jumped")
-		o.monitor.ClockJumped(now, jump)
+		o.monitor.ClockStepped(now, jump)
 	}
 	o.clockOffset += jump
 }
