--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -161,13 +161,13 @@
 	return request.deadline
 }
 
-// cancel ends an attempt that the policy has canceled.
+// cancel ends an attempt that the policy has cancelled.
 func (e *Engine) cancel(now int64, request *Request, number int) {
 	if request == nil || number < 0 || number >= len(request.attempts) || request.attempts[number].ended {
 		return
 	}
 	attempt := request.attempts[number]
-	outcome := policy.OutcomeCanceled
+	outcome := policy.OutcomeCancelled
 	if attempt.Withdraw() {
 		outcome = policy.OutcomeSkipped
 	}
--- a/internal/gateway/peerpolicy/forwarded.go
+++ b/internal/gateway/peerpolicy/forwarded.go
@@ -252,8 +252,8 @@
 // OutcomeRejected.
 func (c *Controller) MarkNotSent(id string) { c.advance(id, eventNeverSent) }
 
-// ClientDisconnected records that the client of a forwarded request has disconnected, and cancels the
-// request at the peer.
+// ClientDisconnected records that the client of a forwarded request has disconnected, and cancels
+// the request at the peer.
 func (c *Controller) ClientDisconnected(id string) {
 	if request := c.forwarded[id]; request != nil {
 		c.addAction(Action{Kind: ActionCancel, Peer: request.peer.Name, RequestID: id})
--- a/internal/membership/handoff.go
+++ b/internal/membership/handoff.go
@@ -32,8 +32,8 @@
 	return h
 }
 
-// SkipSuccessorNumbers prepares the state for reuse by the process that has handed it over, after a successor has used it and
-// failed. It raises Incarnation and Sequence above any number that the successor can have used.
+// SkipSuccessorNumbers prepares the state for reuse by the process that has handed it over, after a successor has used
+// it and failed. It raises Incarnation and Sequence above any number that the successor can have used.
 func (h *HandoffState) SkipSuccessorNumbers() {
 	h.Incarnation += 2 * incarnationGap
 	h.Sequence += 2 * sequenceGap
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -149,7 +149,7 @@
 	OutcomeTimeout:           {inputMaybeExecuted, signalNone},
 	OutcomeConnectionRefused: {inputNotExecuted, signalFailed},
 	OutcomeConnectionReset:   {inputMaybeExecuted, signalFailed},
-	OutcomeCanceled:          {inputMaybeExecuted, signalNone},
+	OutcomeCancelled:         {inputMaybeExecuted, signalNone},
 	OutcomeSkipped:           {inputNotExecuted, signalNone},
 }
 
@@ -205,11 +205,11 @@
 	}
 }
 
-// showsCapacity reports whether an attempt's end indicates how much capacity its endpoint has. Canceled and skipped
+// showsCapacity reports whether an attempt's end indicates how much capacity its endpoint has. Cancelled and skipped
 // attempts and connection resets do not, nor do errors without a reason where caches give reasons.
 func (r *Router) showsCapacity(e *Event) bool {
 	switch e.Outcome {
-	case OutcomeCanceled, OutcomeConnectionReset, OutcomeSkipped:
+	case OutcomeCancelled, OutcomeConnectionReset, OutcomeSkipped:
 		return false
 	case OutcomeError:
 		return e.Reason != ReasonNone || !r.config.reasonsGiven
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -13,8 +13,8 @@
 	OutcomeTimeout                          // no response within the attempt's time limit
 	OutcomeConnectionRefused                // no connection was established, so nothing was sent
 	OutcomeConnectionReset                  // the connection broke after data was sent
-	OutcomeCanceled                         // canceled by the router after data was sent
-	OutcomeSkipped                          // canceled by the router before it was executed
+	OutcomeCancelled                        // cancelled by the router after data was sent
+	OutcomeSkipped                          // cancelled by the router before it was executed
 )
 
 var outcomeNames = [...]string{
@@ -26,7 +26,7 @@
 	OutcomeTimeout:           "etimedout",
 	OutcomeConnectionRefused: "econnrefused",
 	OutcomeConnectionReset:   "econnreset",
-	OutcomeCanceled:          "ecanceled",
+	OutcomeCancelled:         "ecanceled",
 	OutcomeSkipped:           "skipped",
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -130,7 +130,7 @@
 }
 
 // replaceLostAttempt replaces a lost attempt of an idempotent request: by a hedge where the site permits hedging, else
-// by the retry that follows the end of the canceled attempt, where the site permits canceling. Time in flight alone
+// by the retry that follows the end of the cancelled attempt, where the site permits cancelling. Time in flight alone
 // never makes an attempt lost.
 func (r *Router) replaceLostAttempt(req *request) {
 	switch {
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -17,7 +17,7 @@
 		{"read", OutcomeConnectionReset, retry},
 		{"read", OutcomeMiss, retry},
 		{"read", OutcomeSkipped, retry},
-		{"read", OutcomeCanceled, retry},
+		{"read", OutcomeCancelled, retry},
 		{"keyed", OutcomeBusy, retryAfterPause},
 		{"keyed", OutcomeError, retryAfterPause},
 		{"keyed", OutcomeTimeout, retryAfterPause},
@@ -33,7 +33,7 @@
 		{"once", OutcomeError, fail},
 		{"once", OutcomeTimeout, fail},
 		{"once", OutcomeConnectionReset, fail},
-		{"once", OutcomeCanceled, fail},
+		{"once", OutcomeCancelled, fail},
 	} {
 		t.Run(testCase.class+" "+testCase.outcome.String(), func(t *testing.T) {
 			r := newRouter(nil)
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -59,7 +59,7 @@
 	bypassCaches  bool // requests may bypass the caches
 	coalesceFills bool
 	healthChecks  bool // health checks may be sent
-	cancel        bool // attempts may be canceled
+	cancel        bool // attempts may be cancelled
 	hedging       bool // a second attempt may be sent while one is in flight
 	pollDiscovery bool
 	liveWeights   bool // weights follow the load
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -86,7 +86,7 @@
 
 // Limits holds the features that the site permits, and their bounds.
 type Limits struct {
-	Cancel          bool // canceling attempts
+	Cancel          bool // cancelling attempts
 	HealthChecks    bool
 	RetryAfter      bool  // sending rejected clients a retry delay
 	Hedging         bool  // a second attempt while one is in flight
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -52,7 +52,7 @@
 	"etimedout":    policy.OutcomeTimeout,
 	"econnrefused": policy.OutcomeConnectionRefused,
 	"econnreset":   policy.OutcomeConnectionReset,
-	"ecanceled":    policy.OutcomeCanceled,
+	"ecanceled":    policy.OutcomeCancelled,
 	"skipped":      policy.OutcomeSkipped,
 }
 
