--- a/internal/handoff/conn.go
+++ b/internal/handoff/conn.go
@@ -20,16 +20,16 @@
 	lengthBytes = 4
 	// descriptorBytes is the size of a descriptor in a control message.
 	descriptorBytes = 4
-	// maxPendingDescriptors bounds the received descriptors that wait for Sockets.
+	// maxPendingDescriptors bounds the received descriptors that wait for TakeSockets.
 	maxPendingDescriptors = 8
 )
 
 // Conn sends and receives messages over a Unix stream socket. Any goroutine may call Send;
-// Receive and Sockets belong to one goroutine.
+// Receive and TakeSockets belong to one goroutine.
 type Conn struct {
 	socket             *net.UnixConn
 	sendLock           sync.Mutex
-	pendingDescriptors []int // received, in order, until Sockets returns them
+	pendingDescriptors []int // received, in order, until TakeSockets returns them
 }
 
 // NewConn returns a connection that owns the socket.
@@ -91,7 +91,7 @@
 }
 
 // Receive waits for the next message and returns it. Descriptors that accompany it are
-// kept for Sockets.
+// kept for TakeSockets.
 func (c *Conn) Receive() (*Message, error) {
 	var lengthPrefix [lengthBytes]byte
 	if err := c.readFull(lengthPrefix[:]); err != nil {
@@ -128,7 +128,7 @@
 }
 
 // keepDescriptors adds the descriptors of a control message to those that wait for
-// Sockets, and closes the oldest ones beyond maxPendingDescriptors. Control messages
+// TakeSockets, and closes the oldest ones beyond maxPendingDescriptors. Control messages
 // without descriptors are ignored.
 func (c *Conn) keepDescriptors(control []byte) {
 	controlMessages, err := unix.ParseSocketControlMessage(control)
