--- a/internal/emulator/virtual_forward.go
+++ b/internal/emulator/virtual_forward.go
@@ -10,7 +10,7 @@
 // withdraw ends a forwarded request that the router of the other site no longer waits for.
 func (v *virtualRun) withdraw(router *virtualRouter, request *virtualRequest) {
 	request.finished = true
-	request.engine.ClientGone(v.now(), request.engineRequest)
+	request.engine.ClientDisconnected(v.now(), request.engineRequest)
 	v.detach(request)
 	router.gateway.FinishInbound(v.now(), routerName(request.forwardedBy.id), request.ID, false)
 }
@@ -147,7 +147,7 @@
 var forwardedOutcomes = map[peerpolicy.Outcome]simulation.AnswerOutcome{
 	peerpolicy.OutcomeCompleted: simulation.AnswerCompleted,
 	peerpolicy.OutcomeRejected:  simulation.AnswerRejected,
-	peerpolicy.OutcomeAborted:   simulation.AnswerFailed,
+	peerpolicy.OutcomeAborted:   simulation.AnswerAborted,
 }
 
 // runGatewayActions executes the actions that a gateway has decided on.
@@ -156,7 +156,7 @@
 		switch action.Kind {
 		case peerpolicy.ActionAnswer:
 			v.respondForwarded(router, action.RequestID, forwardedOutcomes[action.Outcome])
-		case peerpolicy.ActionWithdraw:
+		case peerpolicy.ActionCancel:
 			v.withdrawAtPeer(router, action.Peer, action.RequestID)
 		}
 	}
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -17,7 +17,7 @@
 		{"read", OutcomeConnectionReset, retry},
 		{"read", OutcomeMiss, retry},
 		{"read", OutcomeSkipped, retry},
-		{"read", OutcomeCanceled, retry},
+		{"read", OutcomeCancelled, retry},
 		{"keyed", OutcomeBusy, retryAfterPause},
 		{"keyed", OutcomeError, retryAfterPause},
 		{"keyed", OutcomeTimeout, retryAfterPause},
@@ -33,7 +33,7 @@
 		{"once", OutcomeError, fail},
 		{"once", OutcomeTimeout, fail},
 		{"once", OutcomeConnectionReset, fail},
-		{"once", OutcomeCanceled, fail},
+		{"once", OutcomeCancelled, fail},
 	} {
 		t.Run(testCase.class+" "+testCase.outcome.String(), func(t *testing.T) {
 			r := newRouter(nil)
@@ -145,7 +145,7 @@
 		at := begin + i*100*millisecond
 		sent := onlyAction(t, r.Handle(at, newRequest("read"), nil), ActionSend)
 		r.Handle(at, attemptEnded(sent.Endpoint, OutcomeSkipped), nil)
-		r.Handle(at, Event{Kind: EventClientGone, Request: "t"}, nil)
+		r.Handle(at, Event{Kind: EventRequestClosed, Request: "t"}, nil)
 	}
 	for _, id := range []string{cacheA, cacheB} {
 		if limit := r.endpoints[id].limiters[attemptFill].limit; limit < 150 {
