--- a/internal/simulation/answer.go
+++ b/internal/simulation/answer.go
@@ -26,7 +26,7 @@
 const (
 	AnswerCompleted AnswerOutcome = "completed"
 	AnswerRejected  AnswerOutcome = "rejected" // the request was not executed
-	AnswerFailed    AnswerOutcome = "aborted"  // the request may have been executed
+	AnswerAborted   AnswerOutcome = "aborted"  // the request may have been executed
 	answerLate      AnswerOutcome = "late"     // the answer reached the client after the deadline and the tolerance
 )
 
@@ -83,9 +83,9 @@
 		return
 	}
 	router.closeRequest(request)
-	s.record(Entry{Kind: eventlog.KindLeft, Router: router.id, Request: request.ID})
+	s.record(Entry{Kind: eventlog.KindClientTimedOut, Router: router.id, Request: request.ID})
 	s.Result.TimedOut++
-	s.driver.ClientGone(router.id, request.ID)
+	s.driver.ClientDisconnected(router.id, request.ID)
 	s.retryOrFail(request.clientRequest, 0, s.idempotent(request.Class))
 }
 
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -41,7 +41,7 @@
 	"Started":       policy.EventResponseStarted,
 	"Outdated":      policy.EventPurge,
 	"Answer":        policy.EventAttemptEnded,
-	"Abandoned":     policy.EventClientGone,
+	"Abandoned":     policy.EventRequestClosed,
 }
 
 var outcomes = map[string]policy.Outcome{
@@ -52,7 +52,7 @@
 	"etimedout":    policy.OutcomeTimeout,
 	"econnrefused": policy.OutcomeConnectionRefused,
 	"econnreset":   policy.OutcomeConnectionReset,
-	"ecanceled":    policy.OutcomeCanceled,
+	"ecanceled":    policy.OutcomeCancelled,
 	"skipped":      policy.OutcomeSkipped,
 }
 
